--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -65,14 +65,34 @@
 	case opList:
 		r.Records = n.List(c.Key)
 	case opStatus:
-		s := n.Status()
-		r.Status = &s
+		n.readStatus(c.Want, r)
 	default:
 		return false
 	}
 	return true
 }
 
+// readStatus answers a status, or what is asked for in its place. These are parts of a status because a member of an
+// earlier version answers that, where it would take an op that it does not know for a write.
+func (n *Node) readStatus(want string, r *result) {
+	switch want {
+	case wantCounts, wantSessions:
+		if n.sessions == nil {
+			r.fail(&NotControl{n.id})
+			return
+		}
+		if want == wantCounts {
+			own := n.sessions.counts()
+			r.Counts = &own
+			return
+		}
+		r.Sessions = n.sessions.statuses()
+	default:
+		s := n.Status()
+		r.Status = &s
+	}
+}
+
 const watchQueue = 1024
 
 // serveWatch brings committed changes under a prefix, a line each, until the watcher leaves or is too slow.
--- a/internal/store/durable_test.go
+++ b/internal/store/durable_test.go
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		listeners = append(listeners, l)
-		peers = append(peers, Peer{fmt.Sprint("n", i), l.Addr().String()})
+		peers = append(peers, Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
 	}
 	start := func(i int) *Node {
 		n, err := Open(Options{Node: peers[i].Node, Listener: listeners[i], Peers: peers, Dir: filepath.Join(root, peers[i].Node), Log: quiet()})
--- /dev/null
+++ b/internal/store/history.go
@@ -0,0 +1,183 @@
+package store
+
+import (
+	"slices"
+	"sort"
+	"strings"
+	"sync"
+)
+
+const (
+	encodingsKeptFor = 32 // newest transactions; sessions that come later encode for themselves
+	encodingsKept    = 64 // of one transaction
+)
+
+// transaction is what one command changed under the served prefix.
+type transaction struct {
+	revision uint64
+	changes  []change
+	size     int
+
+	mu        sync.Mutex
+	encodings map[string][]byte // by the set of changes that are in it
+	shared    bool              // encodings are kept
+}
+
+// history keeps the last transactions, so that sessions read them at their own pace and resume. It is bounded in count and
+// in bytes; a session that is behind its begin has to take a snapshot. It holds the machine's lock for no longer than an
+// append, and sessions never hold it.
+type history struct {
+	prefix          string
+	limit, maxBytes int
+	more            chan struct{} // has room for one: something was appended
+
+	mu       sync.Mutex
+	kept     []*transaction // by revision
+	bytes    int
+	floor    uint64 // transactions after it are all there
+	applied  uint64 // up to here everything is in
+	last     uint64 // revision of the last change, or reset
+	resetsAt uint64 // revision of the last reset
+}
+
+func newHistory(prefix string, limit, maxBytes int) *history {
+	return &history{prefix: prefix, limit: limit, maxBytes: maxBytes, more: make(chan struct{}, 1)}
+}
+
+// append takes what one command changed; there may be none.
+func (h *history) append(revision uint64, changes []change) {
+	var served []change
+	size := 0
+	for _, c := range changes {
+		if strings.HasPrefix(c.Key, h.prefix) {
+			served = append(served, c)
+			size += len(c.Key) + len(c.Value)
+		}
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.applied = revision
+	if len(served) == 0 {
+		return
+	}
+	h.last = revision
+	h.kept = append(h.kept, &transaction{revision: revision, changes: served, size: size, shared: true})
+	h.bytes += size
+	if aged := len(h.kept) - 1 - encodingsKeptFor; aged >= 0 {
+		h.kept[aged].forgetEncodings()
+	}
+	for len(h.kept) > h.limit || h.bytes > h.maxBytes && len(h.kept) > 1 {
+		h.dropOldest()
+	}
+	h.signal()
+}
+
+func (h *history) dropOldest() {
+	oldest := h.kept[0]
+	h.floor = oldest.revision
+	h.bytes -= oldest.size
+	h.kept[0] = nil
+	h.kept = h.kept[1:]
+}
+
+// reset says that the records are now those at a revision, whatever led there: nothing before it can be resumed from.
+func (h *history) reset(revision uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.kept, h.bytes = nil, 0
+	h.floor, h.applied, h.last, h.resetsAt = revision, revision, revision, revision
+	h.signal()
+}
+
+func (h *history) signal() {
+	select {
+	case h.more <- struct{}{}:
+	default:
+	}
+}
+
+// since gives the transactions after a revision, at most so many, and the revision up to which they are all. ok is false
+// where some of them are not kept any more.
+func (h *history) since(revision uint64, most int) (transactions []*transaction, upTo uint64, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if revision < h.floor {
+		return nil, revision, false
+	}
+	first := sort.Search(len(h.kept), func(i int) bool { return h.kept[i].revision > revision })
+	rest := h.kept[first:]
+	if len(rest) > most {
+		rest = rest[:most]
+		return slices.Clone(rest), rest[most-1].revision, true
+	}
+	return slices.Clone(rest), max(h.applied, revision), true
+}
+
+// state tells from which revision on sessions may resume, up to which everything is in, and when a served record, or the
+// whole state, last changed.
+func (h *history) state() (floor, applied, last uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.floor, h.applied, h.last
+}
+
+// wasReset tells whether a revision is before the last reset.
+func (h *history) wasReset(revision uint64) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return revision < h.resetsAt
+}
+
+func (t *transaction) forgetEncodings() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.encodings, t.shared = nil, false
+}
+
+// line is the event with the transaction's changes under some prefixes, as it is sent; nil where there are none. Sessions
+// whose prefixes hold the same changes share one encoding.
+func (t *transaction) line(prefixes []string) []byte {
+	set := make([]byte, (len(t.changes)+7)/8)
+	any := false
+	for i, c := range t.changes {
+		if hasAnyPrefix(c.Key, prefixes) {
+			set[i/8] |= 1 << (i % 8)
+			any = true
+		}
+	}
+	if !any {
+		return nil
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if line, ok := t.encodings[string(set)]; ok {
+		return line
+	}
+	line := t.encode(set)
+	if t.shared && len(t.encodings) < encodingsKept {
+		if t.encodings == nil {
+			t.encodings = map[string][]byte{}
+		}
+		t.encodings[string(set)] = line
+	}
+	return line
+}
+
+func (t *transaction) encode(set []byte) []byte {
+	e := &wireEvent{Kind: Change, Revision: t.revision}
+	for i, c := range t.changes {
+		if set[i/8]&(1<<(i%8)) != 0 {
+			e.Records = append(e.Records, wireRecord{c.Key, c.Value, c.Revision, c.deleted})
+		}
+	}
+	return e.line()
+}
+
+func hasAnyPrefix(key string, prefixes []string) bool {
+	for _, p := range prefixes {
+		if strings.HasPrefix(key, p) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -19,6 +19,9 @@
 	opPutAt  = "put-at"
 	opDelete = "delete"
 
+	// opTransact carries out several writes at one revision, or none.
+	opTransact = "transact"
+
 	// Read at the member that is asked, never in the log.
 	opGet    = "get"
 	opList   = "list"
@@ -40,7 +43,10 @@
 	At    uint64 `json:"at,omitempty"`
 	Hop   bool   `json:"hop,omitempty"` // forwarded once already
 
+	Writes []Write       `json:"writes,omitempty"` // of a transaction
 	Member *MemberChange `json:"member,omitempty"`
+	Watch  *WatchRequest `json:"watch,omitempty"` // of a watch that is a session
+	Want   string        `json:"want,omitempty"`  // of a status: what to tell in its place
 
 	// Of a reduce, stamped by the leader that takes it: its term, and its monotonic clock in microseconds.
 	Epoch uint64 `json:"epoch,omitempty"`
@@ -57,6 +63,11 @@
 	Status  *Status  `json:"status,omitempty"`
 	Done    string   `json:"done,omitempty"`   // what a change of members did
 	Answer  []byte   `json:"answer,omitempty"` // of a reduce
+
+	Typed    *wireFault      `json:"typed,omitempty"` // of a Fault that is an error of a type
+	Event    *wireEvent      `json:"event,omitempty"` // of a session
+	Counts   *counts         `json:"counts,omitempty"`
+	Sessions []SessionStatus `json:"sessions,omitempty"`
 }
 
 // Reducer makes a record's next value of its last one (nil where there is none) and of a request, and an answer. It must be
@@ -77,10 +88,17 @@
 	applied  uint64
 	more     chan struct{} // closed and renewed when applied grows
 	watchers []*watcher
+	history  *history // nil where no sessions are served
 }
 
 func newMachine() *machine { return &machine{records: map[string]Record{}, more: make(chan struct{})} }
 
+// change is what one command made of one record.
+type change struct {
+	Record
+	deleted bool
+}
+
 // Apply implements raft.FSM. A command that can't be read changes nothing, alike at every node.
 func (m *machine) Apply(l *raft.Log) any {
 	var c command
@@ -88,39 +106,78 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := result{Revision: l.Index}
-	old, exists := m.records[c.Key]
-	switch {
-	case err != nil:
+	var changes []change
+	if err != nil {
 		r.Fault = err.Error()
-	case c.Op == opPutAt && old.Revision != c.At:
-		r.Conflict = true
-	case c.Op == opPut, c.Op == opPutAt:
-		m.records[c.Key] = Record{c.Key, c.Value, l.Index}
-		m.tell(m.records[c.Key])
-	case c.Op == opReduce:
-		m.reduce(&c, old, &r)
-	case c.Op == opDelete && exists:
-		delete(m.records, c.Key)
-		m.tell(Record{Key: c.Key, Revision: l.Index})
+	} else {
+		changes = m.changes(&c, &r)
 	}
-	m.moved(l.Index)
+	m.carryOut(changes)
+	m.moved(l.Index, changes)
 	return r
 }
 
-func (m *machine) reduce(c *command, old Record, r *result) {
+// changes are what a command is to make of the records, and r its answer. Nothing is changed yet.
+func (m *machine) changes(c *command, r *result) []change {
+	switch c.Op {
+	case opPut, opPutAt, opDelete, opTransact:
+		return m.transact(c, r)
+	case opReduce:
+		return m.reduce(c, r)
+	}
+	return nil
+}
+
+func (m *machine) transact(c *command, r *result) (changes []change) {
+	writes := c.writes()
+	if c.Op == opTransact {
+		if err := checkTransaction(writes); err != nil {
+			r.fail(err)
+			return nil
+		}
+		r.Done = transactionConfirmed
+	}
+	for _, w := range writes {
+		old, exists := m.records[w.Key]
+		switch {
+		case w.At != nil && old.Revision != *w.At:
+			r.Conflict = true
+			return nil
+		case !w.Delete:
+			changes = append(changes, change{Record: Record{w.Key, w.Value, r.Revision}})
+		case exists:
+			changes = append(changes, change{Record{Key: w.Key, Revision: r.Revision}, true})
+		}
+	}
+	return changes
+}
+
+func (m *machine) reduce(c *command, r *result) []change {
 	f := m.reducers[c.Key]
 	if f == nil {
 		r.Fault = fmt.Sprintf("this version has no reducer for %q", c.Key)
-		return
+		return nil
 	}
-	value, answer, err := f(old.Value, c.Value, c.Epoch, control.Micros(c.Now))
+	value, answer, err := f(m.records[c.Key].Value, c.Value, c.Epoch, control.Micros(c.Now))
 	if err != nil {
 		r.Fault = err.Error()
-		return
+		return nil
 	}
 	r.Answer = answer
-	m.records[c.Key] = Record{c.Key, value, r.Revision}
-	m.tell(m.records[c.Key])
+	return []change{{Record: Record{c.Key, value, r.Revision}}}
+}
+
+func (m *machine) carryOut(changes []change) {
+	for _, c := range changes {
+		if c.deleted {
+			delete(m.records, c.Key)
+		} else {
+			m.records[c.Key] = c.Record
+		}
+	}
+	for _, c := range changes { // after all: who hears of one reads all
+		m.tell(c.Record)
+	}
 }
 
 func (m *machine) tell(r Record) {
@@ -129,7 +186,14 @@
 	})
 }
 
-func (m *machine) moved(index uint64) {
+func (m *machine) moved(index uint64, changes []change) {
+	if m.history != nil { // before advance: who waits for a revision finds it in the history
+		m.history.append(index, changes)
+	}
+	m.advance(index)
+}
+
+func (m *machine) advance(index uint64) {
 	m.applied = index
 	close(m.more)
 	m.more = make(chan struct{})
@@ -168,16 +232,22 @@
 }
 
 func (m *machine) list(prefix string) []Record {
+	all, _ := m.listAt(prefix)
+	return all
+}
+
+// listAt is list with the revision at which the records were so.
+func (m *machine) listAt(prefix string) (all []Record, revision uint64) {
 	m.mu.Lock()
-	defer m.mu.Unlock()
-	var all []Record
 	for key, r := range m.records {
 		if strings.HasPrefix(key, prefix) {
 			all = append(all, r)
 		}
 	}
+	revision = m.applied
+	m.mu.Unlock()
 	slices.SortFunc(all, func(a, b Record) int { return strings.Compare(a.Key, b.Key) })
-	return all
+	return all, revision
 }
 
 func (m *machine) watch(prefix string, f func(Record)) {
@@ -208,10 +278,8 @@
 
 // Snapshot implements raft.FSM.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	records := m.list("")
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return &snapshot{snapshotVersion, m.applied, records}, nil
+	records, applied := m.listAt("")
+	return &snapshot{snapshotVersion, applied, records}, nil
 }
 
 // Restore implements raft.FSM. Watchers hear of what differs.
@@ -239,7 +307,11 @@
 			m.tell(Record{Key: key, Revision: s.Applied})
 		}
 	}
-	m.moved(max(m.applied, s.Applied))
+	applied := max(m.applied, s.Applied)
+	if m.history != nil {
+		m.history.reset(applied)
+	}
+	m.advance(applied)
 	return nil
 }
 
--- a/internal/store/member_test.go
+++ b/internal/store/member_test.go
@@ -25,7 +25,7 @@
 	for i := range size {
 		l := c.listen("127.0.0.1:0")
 		listeners = append(listeners, l)
-		c.peers = append(c.peers, Peer{fmt.Sprint("n", i), l.Addr().String()})
+		c.peers = append(c.peers, Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
 	}
 	for i, p := range c.peers {
 		c.start(p.Node, listeners[i], Options{Peers: c.peers})
@@ -159,7 +159,7 @@
 		if _, err := c.Write([]byte("F{\"op\":\"status\"}\n")); err != nil {
 			t.Fatal(err)
 		}
-		n, err := Open(Options{Node: "a", Listener: l, Peers: []Peer{{"a", l.Addr().String()}}, Dir: t.TempDir(), Log: quiet()})
+		n, err := Open(Options{Node: "a", Listener: l, Peers: []Peer{{Node: "a", Address: l.Addr().String()}}, Dir: t.TempDir(), Log: quiet()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -1,9 +1,7 @@
 package store
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -22,7 +20,7 @@
 )
 
 const (
-	electAfter  = 400 * time.Millisecond // without word from the leader
+	electAfter  = 400 * time.Millisecond // without word from the leader, unless Options.Election says otherwise
 	applyWithin = 2 * time.Second
 	retryAfter  = 30 * time.Millisecond // while there is no leader
 	readyEvery  = 5 * time.Millisecond  // how often a member that waits to be ready looks
@@ -32,7 +30,10 @@
 )
 
 // Peer is one member of the group.
-type Peer struct{ Node, Address string }
+type Peer struct {
+	Node, Address string
+	NonVoter      bool // it holds all records and serves reads, and has no vote, from the first configuration on
+}
 
 // Options say how a node works. Without peers it is a single one in memory, without sockets.
 type Options struct {
@@ -47,6 +48,15 @@
 	Via map[string]string
 	// Reducers carry out Reduce, by key. All members of a group must have the same.
 	Reducers map[string]Reducer
+	// Check is asked about a client's put, put-at, delete or transaction at the member that the client reaches, before
+	// anything is committed. Its error refuses the write: the client gets a *Refused with its text and its advice. It is
+	// not asked about what this process writes itself, nor about what another member hands on, which has asked its own.
+	Check func(writes []Write) error
+	// Serve makes this member a control machine, which serves watch sessions; nil: it serves none.
+	Serve *ServeOptions
+	// Election is the time without word from the leader after which a voter stands for election; 0: 400 ms. It must be a
+	// few times the round trip between members, and all members must have the same.
+	Election time.Duration
 	Log      logrus.FieldLogger
 }
 
@@ -81,21 +91,32 @@
 	caught  atomic.Bool // Ready has been true
 	born    time.Time
 
-	stamping sync.Mutex // of reduces, at the leader
+	check    func([]Write) error
+	sessions *sessionServer // nil: no control machine
+	stamping sync.Mutex     // of reduces, at the leader
 }
 
 // Open starts a node.
 func Open(o Options) (*Node, error) {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(o.Node)
-	c.HeartbeatTimeout, c.ElectionTimeout = electAfter, electAfter
-	c.LeaderLeaseTimeout = electAfter / 2
+	election := o.Election
+	if election == 0 {
+		election = electAfter
+	}
+	c.HeartbeatTimeout, c.ElectionTimeout = election, election
+	c.LeaderLeaseTimeout = election / 2
 	c.CommitTimeout = 10 * time.Millisecond
 	c.ShutdownOnRemove = false
 	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Output: logWriter{o.Log}, Level: hclog.Warn, DisableTime: true})
 	n := &Node{id: o.Node, fsm: newMachine(), via: o.Via, ready: make(chan struct{}), born: time.Now()}
-	n.fsm.reducers = o.Reducers
+	n.fsm.reducers, n.check = o.Reducers, o.Check
+	if o.Serve != nil {
+		n.sessions = newSessionServer(n, o.Serve.withDefaults())
+		n.fsm.history = n.sessions.history
+	}
 	servers := []raft.Server{{ID: c.LocalID, Address: raft.ServerAddress(o.Node)}}
+	nonVoter := false
 	var trans raft.Transport
 	if len(o.Peers) == 0 && !o.Join {
 		_, mem := raft.NewInmemTransport(raft.ServerAddress(o.Node))
@@ -108,16 +129,16 @@
 		own, advertised := o.Join, ""
 		for _, p := range o.Peers {
 			if p.Node == o.Node {
-				own, advertised = true, p.Address
+				own, advertised, nonVoter = true, p.Address, p.NonVoter
 			}
-			servers = append(servers, raft.Server{ID: raft.ServerID(p.Node), Address: raft.ServerAddress(p.Address)})
+			servers = append(servers, p.server())
 		}
 		if !own {
 			return nil, fmt.Errorf("store: node %q is not among its peers", o.Node)
 		}
 		n.layer = newStreamLayer(o.Listener, n.serve, advertised, o.Via)
 		net := raft.NewNetworkTransportWithLogger(n.layer, 3, applyWithin, c.Logger)
-		trans, n.trans = net, net
+		trans, n.trans = net, closeStreams{net}
 	}
 	r, err := n.start(c, o, trans)
 	if err != nil {
@@ -129,11 +150,14 @@
 	}
 	n.raft = r
 	n.replay = r.LastIndex()
+	if n.sessions != nil {
+		n.sessions.start()
+	}
 	close(n.ready)
-	if o.Join {
-		return n, nil
+	if o.Join || nonVoter {
+		return n, nil // the leader brings the configuration
 	}
-	// Every member names the same first configuration, so it does not matter who is first.
+	// Every voter names the same first configuration, so it does not matter who is first.
 	if err := r.BootstrapCluster(raft.Configuration{Servers: servers}).Error(); err != nil && err != raft.ErrCantBootstrap {
 		n.Close()
 		return nil, err
@@ -141,6 +165,23 @@
 	return n, nil
 }
 
+// closeStreams closes the connections that raft's transport keeps, which its Close leaves open.
+type closeStreams struct{ *raft.NetworkTransport }
+
+func (c closeStreams) Close() error {
+	err := c.NetworkTransport.Close()
+	c.CloseStreams()
+	return err
+}
+
+func (p Peer) server() raft.Server {
+	s := raft.Server{ID: raft.ServerID(p.Node), Address: raft.ServerAddress(p.Address)}
+	if p.NonVoter {
+		s.Suffrage = raft.Nonvoter
+	}
+	return s
+}
+
 // start runs raft on files, or in memory where no folder is named.
 func (n *Node) start(c *raft.Config, o Options, trans raft.Transport) (*raft.Raft, error) {
 	if o.Dir == "" {
@@ -270,6 +311,9 @@
 
 // Close implements Store.
 func (n *Node) Close() error {
+	if n.sessions != nil {
+		n.sessions.close()
+	}
 	err := n.raft.Shutdown().Error()
 	n.trans.Close()
 	if n.journal != nil {
@@ -278,282 +322,9 @@
 	return err
 }
 
-// write commits a command at the leader, wherever that is, and waits until it is applied here too, so that who wrote
-// reads what it wrote. While there is no leader it tries again.
-func (n *Node) write(ctx context.Context, c command) (uint64, error) {
-	r, err := n.committed(ctx, c)
-	if err != nil {
-		return 0, err
-	}
-	if r.Conflict {
-		return 0, ErrRevision
-	}
-	return r.Revision, n.fsm.wait(ctx, r.Revision)
-}
-
-// committed is write without the wait for this member: what the leader made of a command.
-func (n *Node) committed(ctx context.Context, c command) (result, error) {
-	for {
-		r, err := n.once(ctx, c)
-		if err == nil {
-			return r, nil
-		}
-		select {
-		case <-ctx.Done():
-			if errors.Is(err, ErrNoLeader) || errors.Is(err, ErrNotReady) {
-				return r, fmt.Errorf("store: %w (%v)", ErrNotReady, ctx.Err())
-			}
-			return r, fmt.Errorf("store: %w (last: %v)", ctx.Err(), err)
-		case <-time.After(retryAfter):
-		}
-	}
-}
-
-// Reduce has a record's reducer take a request at the leader, and gives its answer. It may be carried out more than once: the
-// reducer must know a request again.
-func (n *Node) Reduce(ctx context.Context, key string, request []byte) (answer []byte, err error) {
-	r, err := n.committed(ctx, command{Op: opReduce, Key: key, Value: request})
-	return r.answer(err)
-}
-
-// answer of a reduce, or why there is none.
-func (r result) answer(err error) ([]byte, error) {
-	switch {
-	case err != nil:
-		return nil, err
-	case r.Fault != "":
-		return nil, errors.New(r.Fault)
-	}
-	return r.Answer, nil
-}
-
-func (n *Node) once(ctx context.Context, c command) (result, error) {
-	if n.Leader() {
-		return n.commit(ctx, c)
-	}
-	data, err := json.Marshal(c)
-	if err != nil {
-		return result{}, err
-	}
-	addr, _ := n.raft.LeaderWithID()
-	if addr == "" || n.layer == nil {
-		return result{}, ErrNoLeader
-	}
-	return forward(ctx, through(n.via, string(addr)), data)
-}
-
-// through is where a member's address is reached.
-func through(via map[string]string, addr string) string {
-	if to, ok := via[addr]; ok {
-		return to
-	}
-	return addr
-}
-
-func (n *Node) commit(ctx context.Context, c command) (result, error) {
-	if c.Op == opReduce {
-		n.stamping.Lock() // stamps are handed over in their order
-		// A term has one leader, and a process that starts anew leads in a later one: one clock an epoch.
-		c.Epoch, c.Now = n.raft.CurrentTerm(), time.Since(n.born).Microseconds()
-	}
-	data, err := json.Marshal(c)
-	if err != nil { // strings and numbers
-		panic(err)
-	}
-	// raft never answers an entry that was handed over while it shut down: the wait ends with the context.
-	f, done := n.raft.Apply(data, applyWithin), make(chan error, 1)
-	if c.Op == opReduce {
-		n.stamping.Unlock()
-	}
-	go func() { done <- f.Error() }()
-	select {
-	case err = <-done:
-	case <-ctx.Done():
-		err = ctx.Err()
-	}
-	if err != nil {
-		return result{}, err
-	}
-	return f.Response().(result), nil
-}
-
-// forward hands a command to another node.
-func forward(ctx context.Context, addr string, data []byte) (r result, err error) {
-	d := net.Dialer{Timeout: applyWithin}
-	c, err := d.DialContext(ctx, "tcp", addr)
-	if err != nil {
-		return r, err
-	}
-	defer c.Close()
-	deadline := time.Now().Add(2 * applyWithin)
-	if at, ok := ctx.Deadline(); ok && at.Before(deadline) {
-		deadline = at
-	}
-	c.SetDeadline(deadline)
-	if _, err = c.Write(append(append([]byte{forwardByte}, data...), '\n')); err != nil {
-		return r, err
-	}
-	if err = json.NewDecoder(io.LimitReader(c, maxAnswer)).Decode(&r); err != nil {
-		return r, err
-	}
-	switch {
-	case r.Fault == "":
-		return r, nil
-	case r.Fault == ErrNoLeader.Error():
-		return r, ErrNoLeader
-	case strings.Contains(r.Fault, ErrNotReady.Error()):
-		return r, ErrNotReady
-	}
-	return r, errors.New(r.Fault)
-}
-
-// serve takes one forwarded command.
-func (n *Node) serve(c net.Conn) {
-	defer c.Close()
-	select {
-	case <-n.ready:
-	case <-time.After(applyWithin): // it does not come up
-		return
-	}
-	c.SetDeadline(time.Now().Add(2 * applyWithin))
-	line, err := bufio.NewReader(io.LimitReader(c, maxCommand)).ReadBytes('\n')
-	if err != nil {
-		return
-	}
-	var r result
-	var cmd command
-	if err = json.Unmarshal(line, &cmd); err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), applyWithin)
-		defer cancel()
-		switch {
-		case cmd.Op == opWatch:
-			n.serveWatch(c, cmd.Key)
-			return
-		case n.read(cmd, &r):
-		case cmd.Op == opMember:
-			r.Done, err = n.ChangeMember(ctx, *cmd.Member, cmd.Hop)
-		case cmd.Hop: // from a node that took this one for the leader
-			r, err = n.commit(ctx, cmd)
-		case !n.leaderKnown(): // the caller waits, within its own time-out
-			err = ErrNotReady
-		default:
-			cmd.Hop = true
-			if cmd.Op == opReduce {
-				r, err = n.committed(ctx, cmd)
-				break
-			}
-			var revision uint64
-			revision, err = n.write(ctx, cmd)
-			r.Revision = revision
-			if err == ErrRevision {
-				r.Conflict, err = true, nil
-			}
-		}
-	}
-	if err != nil {
-		r.Fault = err.Error()
-	}
-	json.NewEncoder(c).Encode(r)
-}
-
 type logWriter struct{ log logrus.FieldLogger }
 
 func (w logWriter) Write(p []byte) (int, error) {
 	w.log.Info("store: " + strings.TrimSpace(string(p)))
 	return len(p), nil
 }
-
-// streamLayer shares one listener between raft and forwarded commands: the first byte tells them apart.
-type streamLayer struct {
-	net.Listener
-	advertised string // this member's address as the group knows it; "": the listener's
-	via        map[string]string
-	raft       chan net.Conn
-	done       chan struct{}
-	once       sync.Once
-	serve      func(net.Conn)
-}
-
-const (
-	raftByte    = 'R'
-	forwardByte = 'F'
-)
-
-func newStreamLayer(l net.Listener, serve func(net.Conn), advertised string, via map[string]string) *streamLayer {
-	s := &streamLayer{Listener: l, advertised: advertised, via: via, raft: make(chan net.Conn), done: make(chan struct{}), serve: serve}
-	go s.run()
-	return s
-}
-
-func (s *streamLayer) run() {
-	for {
-		c, err := s.Listener.Accept()
-		if err != nil {
-			s.Close()
-			return
-		}
-		go s.sniff(c)
-	}
-}
-
-func (s *streamLayer) sniff(c net.Conn) {
-	var first [1]byte
-	c.SetReadDeadline(time.Now().Add(sniffWithin))
-	_, err := io.ReadFull(c, first[:])
-	c.SetReadDeadline(time.Time{})
-	switch {
-	case err == nil && first[0] == forwardByte:
-		s.serve(c)
-	case err == nil && first[0] == raftByte:
-		select {
-		case s.raft <- c:
-		case <-s.done:
-			c.Close()
-		}
-	default:
-		c.Close()
-	}
-}
-
-// Accept implements raft.StreamLayer.
-func (s *streamLayer) Accept() (net.Conn, error) {
-	select {
-	case c := <-s.raft:
-		return c, nil
-	case <-s.done:
-		return nil, net.ErrClosed
-	}
-}
-
-// Addr implements raft.StreamLayer: followers learn by it where their leader is.
-func (s *streamLayer) Addr() net.Addr {
-	if s.advertised == "" {
-		return s.Listener.Addr()
-	}
-	return named(s.advertised)
-}
-
-// named is an address as the group knows it, which need not be one of this machine.
-type named string
-
-func (named) Network() string  { return "tcp" }
-func (n named) String() string { return string(n) }
-
-// Close implements raft.StreamLayer.
-func (s *streamLayer) Close() error {
-	s.once.Do(func() { close(s.done) })
-	return s.Listener.Close()
-}
-
-// Dial implements raft.StreamLayer.
-func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", through(s.via, string(addr)), timeout)
-	if err != nil {
-		return nil, err
-	}
-	if _, err = c.Write([]byte{raftByte}); err != nil {
-		c.Close()
-		return nil, err
-	}
-	return c, nil
-}
--- /dev/null
+++ b/internal/store/serve.go
@@ -0,0 +1,101 @@
+package store
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net"
+	"time"
+)
+
+// serve takes one command of a client, or one that another member hands on.
+func (n *Node) serve(c net.Conn) {
+	defer c.Close()
+	select {
+	case <-n.ready:
+	case <-time.After(applyWithin): // it does not come up
+		return
+	}
+	c.SetDeadline(time.Now().Add(2 * applyWithin))
+	in := newLineReader(c, maxCommand)
+	line, err := in.next(maxCommand)
+	if err != nil {
+		return
+	}
+	var r result
+	var cmd command
+	if err = json.Unmarshal(line, &cmd); err == nil {
+		switch {
+		case cmd.Op == opWatch && cmd.Watch != nil:
+			n.serveSession(c, in, *cmd.Watch)
+			return
+		case cmd.Op == opWatch:
+			n.serveWatch(c, cmd.Key)
+			return
+		}
+		err = n.answer(cmd, &r)
+	}
+	if err != nil {
+		r.fail(err)
+	}
+	json.NewEncoder(c).Encode(r)
+}
+
+// answer carries out a command that has one answer.
+func (n *Node) answer(cmd command, r *result) (err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), applyWithin)
+	defer cancel()
+	switch {
+	case n.read(cmd, r):
+		return nil
+	case cmd.Op == opMember:
+		r.Done, err = n.ChangeMember(ctx, *cmd.Member, cmd.Hop)
+	case cmd.Hop: // from a node that took this one for the leader
+		*r, err = n.commit(ctx, cmd)
+	default:
+		err = n.clientCommand(ctx, cmd, r)
+	}
+	return err
+}
+
+// clientCommand has a client's write, or reduce, committed by the leader.
+func (n *Node) clientCommand(ctx context.Context, cmd command, r *result) (err error) {
+	if err := n.checkClient(&cmd); err != nil {
+		return err
+	}
+	if !n.leaderKnown() { // the caller waits, within its own time-out
+		return ErrNotReady
+	}
+	cmd.Hop = true
+	if cmd.Op == opReduce {
+		*r, err = n.committed(ctx, cmd)
+		return err
+	}
+	r.Revision, err = n.write(ctx, cmd)
+	switch {
+	case errors.Is(err, ErrRevision):
+		r.Conflict, err = true, nil
+	case err == nil && cmd.Op == opTransact:
+		r.Done = transactionConfirmed
+	}
+	return err
+}
+
+// lineReader reads lines of bounded length.
+type lineReader struct {
+	limit *io.LimitedReader
+	in    *bufio.Reader
+}
+
+func newLineReader(from io.Reader, most int64) *lineReader {
+	limit := &io.LimitedReader{R: from, N: most}
+	return &lineReader{limit, bufio.NewReader(limit)}
+}
+
+// next reads a line of at most so many bytes, and what the buffer took in beside it.
+func (l *lineReader) next(most int64) ([]byte, error) {
+	l.limit.N = most
+	return l.in.ReadBytes('\n')
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -44,7 +44,7 @@
 			t.Fatal(err)
 		}
 		listeners = append(listeners, l)
-		peers = append(peers, Peer{fmt.Sprint("n", i), l.Addr().String()})
+		peers = append(peers, Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
 	}
 	var nodes []*Node
 	for i, p := range peers {
--- /dev/null
+++ b/internal/store/stream.go
@@ -0,0 +1,105 @@
+package store
+
+import (
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// streamLayer shares one listener between raft and forwarded commands: the first byte tells them apart.
+type streamLayer struct {
+	net.Listener
+	advertised string // this member's address as the group knows it; "": the listener's
+	via        map[string]string
+	raft       chan net.Conn
+	done       chan struct{}
+	once       sync.Once
+	serve      func(net.Conn)
+}
+
+const (
+	raftByte    = 'R'
+	forwardByte = 'F'
+)
+
+func newStreamLayer(l net.Listener, serve func(net.Conn), advertised string, via map[string]string) *streamLayer {
+	s := &streamLayer{Listener: l, advertised: advertised, via: via, raft: make(chan net.Conn), done: make(chan struct{}), serve: serve}
+	go s.run()
+	return s
+}
+
+func (s *streamLayer) run() {
+	for {
+		c, err := s.Listener.Accept()
+		if err != nil {
+			s.Close()
+			return
+		}
+		go s.sniff(c)
+	}
+}
+
+func (s *streamLayer) sniff(c net.Conn) {
+	var first [1]byte
+	c.SetReadDeadline(time.Now().Add(sniffWithin))
+	_, err := io.ReadFull(c, first[:])
+	c.SetReadDeadline(time.Time{})
+	switch {
+	case err == nil && first[0] == forwardByte:
+		s.serve(c)
+	case err == nil && first[0] == raftByte:
+		select {
+		case s.raft <- c:
+		case <-s.done:
+			c.Close()
+		}
+	default:
+		c.Close()
+	}
+}
+
+// Accept implements raft.StreamLayer.
+func (s *streamLayer) Accept() (net.Conn, error) {
+	select {
+	case c := <-s.raft:
+		return c, nil
+	case <-s.done:
+		return nil, net.ErrClosed
+	}
+}
+
+// Addr implements raft.StreamLayer: followers learn by it where their leader is.
+func (s *streamLayer) Addr() net.Addr {
+	if s.advertised == "" {
+		return s.Listener.Addr()
+	}
+	return named(s.advertised)
+}
+
+// named is an address as the group knows it, which need not be one of this machine.
+type named string
+
+func (named) Network() string  { return "tcp" }
+func (n named) String() string { return string(n) }
+
+// Close implements raft.StreamLayer.
+func (s *streamLayer) Close() error {
+	s.once.Do(func() { close(s.done) })
+	return s.Listener.Close()
+}
+
+// Dial implements raft.StreamLayer.
+func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	c, err := net.DialTimeout("tcp", through(s.via, string(addr)), timeout)
+	if err != nil {
+		return nil, err
+	}
+	if _, err = c.Write([]byte{raftByte}); err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
