--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 
 	"beammux/control"
 )
@@ -13,8 +14,9 @@
 	timing   Timing
 	random   func() float64
 	replicas []Replica        // by rank
+	tiers    []int            // by rank
 	holds    []control.Micros // by rank: not tried before
-	refusals []int            // by rank: how often in a row it lagged or admitted no session
+	refusals []int            // by rank: how often in a row it admitted no session
 	lastID   uint64
 	actions  []Action
 
@@ -48,8 +50,9 @@
 		connect: newSearch(len(o.Replicas)), better: newSearch(len(o.Replicas)),
 		seen: max(o.Seen, o.Held), records: o.Held > 0 && o.Held >= o.Seen,
 	}
-	for rank := range m.holds {
+	for rank, r := range m.replicas {
 		m.holds[rank] = now
+		m.tiers = append(m.tiers, tier(o.Self, r))
 	}
 	m.connect.at = now + m.backoff(&m.connect)
 	return m
@@ -99,11 +102,11 @@
 	}
 	if m.current != nil && now >= m.current.heard+m.timing.HeartbeatWithin {
 		m.do(Action{Do: Close, Session: m.current.id})
-		m.lost(now, End{Reason: Lost})
+		m.lost(now, End{Reason: noAnswer})
 	}
 	if m.attempt != nil && now >= m.attempt.begun+m.timing.ConnectWithin {
 		m.do(Action{Do: Close, Session: m.attempt.id})
-		m.failed(now, End{Reason: Lost})
+		m.failed(now, End{Reason: noAnswer})
 	}
 	m.start(now)
 	return m.actions
@@ -146,8 +149,10 @@
 	}
 	l.heard, l.revision = now, e.Revision
 	l.events++
-	m.setLeaderless(now, l, e.Leaderless > m.timing.LeaderlessAfter)
-	if l == m.current || m.adopt(now) {
+	if e.Kind == Heartbeat {
+		m.setLeaderless(now, l, e.Leaderless > m.timing.LeaderlessAfter)
+	}
+	if l == m.current || m.adopt(now, e.Kind) {
 		m.accept(e)
 	}
 	m.start(now)
@@ -188,7 +193,7 @@
 }
 
 // adopt makes the attempt the current session if it is as new as what was seen and better than the current one.
-func (m *Machine) adopt(now control.Micros) bool {
+func (m *Machine) adopt(now control.Micros, kind EventKind) bool {
 	l := m.attempt
 	switch {
 	case l.revision < l.after, l.revision < m.seen && l.after == 0: // older than what was asked for; a snapshot that is too old
@@ -197,6 +202,8 @@
 		return false
 	case l.revision < m.seen: // the current session has moved on meanwhile: this one must draw level within ConnectWithin
 		return false
+	case m.current != nil && kind != Heartbeat && l.revision == m.seen: // only a heartbeat tells whether it has a leader
+		return false
 	case m.current != nil && !m.improves(l):
 		m.do(Action{Do: Close, Session: l.id})
 		if l.leaderless {
@@ -239,11 +246,14 @@
 	lasted := m.settle(now)
 	rank := m.current.rank
 	m.current = nil
-	m.connect.tried[rank] = e.Reason != TooSlow || !lasted
-	if e.Reason == Refused {
-		m.holds[rank] = now + m.timing.FaultHold
+	m.connect.note(m.tiers[rank], e.Reason == noAnswer)
+	m.hold(now, rank, e)
+	if m.waitsFor(rank, e) {
+		m.connect.at = m.holds[rank]
+		return
 	}
-	m.connect.at = now + m.backoff(&m.connect)
+	m.connect.tried[rank] = e.Reason != TooSlow || !lasted
+	m.retry(now)
 }
 
 // settle resets the backoff if the current session has lasted, and tells whether it has.
@@ -260,16 +270,7 @@
 func (m *Machine) failed(now control.Micros, e End) {
 	rank := m.attempt.rank
 	m.attempt = nil
-	switch e.Reason {
-	case ComeBack:
-		m.refusals[rank]++
-		m.holds[rank] = now + max(e.After, 0)
-	case Refused:
-		m.holds[rank] = now + m.timing.FaultHold
-	case Behind:
-		m.refusals[rank]++
-		m.holds[rank] = now + m.timing.BehindWait + control.Micros(m.random()*float64(m.timing.BehindWait))
-	}
+	m.hold(now, rank, e)
 	if m.current != nil {
 		m.better.tried[rank] = true
 		m.better.at = now
@@ -278,21 +279,32 @@
 		}
 		return
 	}
+	m.connect.note(m.tiers[rank], e.Reason == noAnswer)
 	if m.waitsFor(rank, e) {
 		m.connect.at = m.holds[rank]
 		return
 	}
 	m.refusals[rank] = 0
 	m.connect.tried[rank] = true
-	m.connect.at = now + m.backoff(&m.connect)
+	m.retry(now)
 }
 
-// waitsFor tells whether the replica that has just refused is asked again before others are.
-func (m *Machine) waitsFor(rank int, e End) bool {
-	if m.refusals[rank] >= SameTries || m.connect.round > 0 {
-		return false
+// hold keeps a replica from being tried for as long as the end of its session demands.
+func (m *Machine) hold(now control.Micros, rank int, e End) {
+	switch e.Reason {
+	case ComeBack:
+		m.refusals[rank]++
+		m.holds[rank] = now + max(e.After, m.timing.BehindWait) // never at once, whatever the replica says
+	case Refused:
+		m.holds[rank] = now + m.timing.FaultHold
+	case Behind:
+		m.holds[rank] = now + m.timing.BehindWait + control.Micros(m.random()*float64(m.timing.BehindWait))
 	}
-	return e.Reason == Behind || e.Reason == ComeBack && e.After <= m.timing.ComeBackWait
+}
+
+// waitsFor tells whether a replica that admits no session now is waited for, so that others aren't tried.
+func (m *Machine) waitsFor(rank int, e End) bool {
+	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.refusals[rank] < SameTries && m.connect.round == 0
 }
 
 // start begins an attempt if one is due.
@@ -306,21 +318,29 @@
 	}
 }
 
-// startAny tries the best replica that was not tried in this round.
+// startAny tries the best replica that was not tried in this round. Those on hold are left out; if all others were tried the
+// next round begins, and if all are on hold the first that is off hold is waited for.
 func (m *Machine) startAny(now control.Micros) {
-	if free := m.earliestHold(); free > now {
-		m.connect.at = free
-		return
+	rank := m.pickAny(now)
+	if rank < 0 && slices.Contains(m.connect.tried, true) {
+		m.connect.nextRound()
+		rank = m.pickAny(now)
 	}
-	rank := m.pick(now, &m.connect, len(m.replicas), -1)
 	if rank < 0 {
-		m.connect.nextRound()
-		m.connect.at = now + m.backoff(&m.connect)
+		m.connect.at = m.earliestHold()
 		return
 	}
 	m.open(now, rank)
 }
 
+// retry sets the time of the next attempt.
+func (m *Machine) retry(now control.Micros) {
+	if !slices.Contains(m.connect.tried, false) {
+		m.connect.nextRound()
+	}
+	m.connect.at = now + m.backoff(&m.connect)
+}
+
 // startBetter tries a better replica than that of the current session, and ends the round when each was tried.
 func (m *Machine) startBetter(now control.Micros) {
 	below := m.current.rank
--- /dev/null
+++ b/control/session/rank_test.go
@@ -0,0 +1,87 @@
+package session
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"beammux/control/scope"
+)
+
+func names(replicas []Replica) (list []string) {
+	for _, r := range replicas {
+		list = append(list, r.Name)
+	}
+	return list
+}
+
+// The own zone comes before the own region, and that before all others; names of zones may be the same in two regions.
+func TestRankTiers(t *testing.T) {
+	replicas := []Replica{
+		{Name: "far", Zone: "z9", Region: "south"}, {Name: "region", Zone: "z2", Region: "north"}, {Name: "namesake", Zone: "z1", Region: "south"},
+		{Name: "zone", Zone: "z1", Region: "north"}, {Name: "nowhere"},
+	}
+	got := names(Rank(scope.Target{Name: "g", Zone: "z1", Region: "north"}, replicas))
+	require.Equal(t, []string{"zone", "region"}, got[:2])
+	require.ElementsMatch(t, []string{"far", "namesake", "nowhere"}, got[2:])
+	// A gatekeeper that names neither has one tier, which those without names don't lead.
+	leads := 0
+	for i := range 1000 {
+		if Rank(scope.Target{Name: fmt.Sprint("g", i)}, replicas)[0].Name == "nowhere" {
+			leads++
+		}
+	}
+	require.InDelta(t, 200, leads, 5*math.Sqrt(1000*0.2*0.8))
+}
+
+// Gatekeepers spread evenly over a tier, and those of a lost replica over the rest: within five standard deviations of the
+// binomial distribution, over which chance alone goes once in a million.
+func TestRankSpreads(t *testing.T) {
+	const gatekeepers, machines = 6000, 6
+	var replicas []Replica
+	for i := range machines {
+		replicas = append(replicas, Replica{Name: fmt.Sprint("control-", i)})
+	}
+	first, second := map[string]int{}, map[[2]string]int{}
+	for i := range gatekeepers {
+		ranked := Rank(scope.Target{Name: fmt.Sprintf("gatekeeper-%04d", i)}, replicas)
+		first[ranked[0].Name]++
+		second[[2]string{ranked[0].Name, ranked[1].Name}]++
+	}
+	within := func(count int, all float64, part float64) {
+		require.InDelta(t, all*part, count, 5*math.Sqrt(all*part*(1-part)))
+	}
+	require.Len(t, first, machines)
+	for _, count := range first {
+		within(count, gatekeepers, 1./machines)
+	}
+	require.Len(t, second, machines*(machines-1))
+	for pair, count := range second {
+		within(count, float64(first[pair[0]]), 1./(machines-1))
+	}
+}
+
+// A replica that is lost or comes changes nothing in the order of the others, so nobody else's clients move.
+func TestRankIsStable(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		name := rapid.SampledFrom([]string{"", "a", "b"})
+		self := scope.Target{Name: rapid.String().Draw(t, "name"), Zone: name.Draw(t, "zone"), Region: name.Draw(t, "region")}
+		var replicas []Replica
+		for i := range rapid.IntRange(1, 13).Draw(t, "replicas") {
+			replicas = append(replicas, Replica{Name: fmt.Sprint("c", i), Zone: name.Draw(t, "z"), Region: name.Draw(t, "r")})
+		}
+		ranked := Rank(self, replicas)
+		mixed := rapid.Permutation(replicas).Draw(t, "mixed")
+		require.Equal(t, ranked, Rank(self, mixed))
+		lost := rapid.IntRange(0, len(replicas)-1).Draw(t, "lost")
+		rest := slices.Delete(slices.Clone(ranked), lost, lost+1)
+		require.Equal(t, rest, Rank(self, slices.DeleteFunc(mixed, func(r Replica) bool { return r == ranked[lost] })))
+		for i := range len(ranked) - 1 {
+			require.LessOrEqual(t, tier(self, ranked[i]), tier(self, ranked[i+1]))
+		}
+	})
+}
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -26,7 +26,7 @@
 	ReturnEvery     control.Micros // longest time between two attempts to move to a preferred replica
 	LeaderlessAfter control.Micros // a replica without a leader for longer is left if another is better
 	LeaderlessHold  control.Micros // how long a replica found without a leader isn't tried in place of another such one
-	BehindWait      control.Micros // shortest wait for a replica that lags, which then is asked again; the longest is twice as long
+	BehindWait      control.Micros // how long a replica that lags isn't tried, at least; at most twice as long. Also the shortest "come back in"
 	ComeBackWait    control.Micros // longest "come back in" that is waited for; with a longer one another replica is tried meanwhile
 	FaultHold       control.Micros // how long a replica that broke the protocol isn't tried
 }
@@ -41,13 +41,13 @@
 	DefaultReturnEvery     control.Micros = 60e6
 	DefaultLeaderlessAfter control.Micros = 5e6
 	DefaultLeaderlessHold  control.Micros = 30e6
-	DefaultBehindWait      control.Micros = 250e3
+	DefaultBehindWait      control.Micros = 500e3
 	DefaultComeBackWait    control.Micros = 5e6
 	DefaultFaultHold       control.Micros = 30e6
 )
 
-// SameTries is how often in a row a replica that lags, or that says "come back in" a short time, is asked in the first round
-// before the next one is tried. In later rounds each is asked once.
+// SameTries is how often in a row a replica that says "come back in" a short time is asked in the first round before the next
+// one is tried. In later rounds each is asked once.
 const SameTries = 3
 
 // WithDefaults gives the timing with defaults in place of its zero fields.
@@ -99,7 +99,7 @@
 type Event struct {
 	Kind       EventKind
 	Revision   uint64
-	Leaderless control.Micros // how long the replica has been without word from a leader; 0: it has one
+	Leaderless control.Micros // of a Heartbeat: how long the replica has been without word from a leader
 }
 
 // Reason tells why a session has ended.
@@ -112,6 +112,8 @@
 	ComeBack               // the replica admits no more sessions for a time
 	Behind                 // the replica holds less than the revision asked for
 	Refused                // the replica is no control machine, or broke the protocol
+
+	noAnswer // no event in time
 )
 
 // End is the end of a session.
--- a/internal/follow/errors.go
+++ b/internal/follow/errors.go
@@ -52,3 +52,25 @@
 func (e *CrashedError) Advice() string {
 	return "write the record anew, or its last good value; report what the process printed when it ended"
 }
+
+// NoAnswerError says that a control machine did not answer, or sent no heartbeat, in time.
+type NoAnswerError struct{}
+
+func (e *NoAnswerError) Error() string { return "no answer in time" }
+
+// Advice implements advice.Error.
+func (e *NoAnswerError) Advice() string {
+	return "see whether the control machine runs and whether this machine reaches it; another one is tried meanwhile"
+}
+
+// UnusableError says that an event of a control machine was not taken: it is older than what was seen, or breaks the protocol.
+type UnusableError struct{ Revision, Seen uint64 }
+
+func (e *UnusableError) Error() string {
+	return fmt.Sprintf("it is at revision %d, and %d was seen", e.Revision, e.Seen)
+}
+
+// Advice implements advice.Error.
+func (e *UnusableError) Advice() string {
+	return "another control machine is tried; if all of them are behind, their store was made anew: see docs/design-delivery.md, Revisions"
+}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -16,6 +16,7 @@
 	"beammux/control"
 	"beammux/control/scope"
 	"beammux/control/session"
+	"beammux/internal/store"
 )
 
 // Options say for whom settings are followed, and from where.
@@ -25,7 +26,7 @@
 	// Dir is where the last good candidate is kept over a restart; "": it isn't kept.
 	Dir string
 	// Dial makes connections to control machines; nil: those of package net.
-	Dial Dial
+	Dial store.Dial
 	// Apply checks a candidate and puts it in force whole, or returns an error and changes nothing. It is called from Open
 	// for the one kept in Dir, later from one goroutine of the follower, never twice at a time.
 	Apply  func(Candidate) error
@@ -54,8 +55,10 @@
 	// Of the goroutine that runs the session machine.
 	machine  *session.Machine
 	settings *settings
-	open     map[uint64]*watched
+	open     map[uint64]*watched // sessions that run
 	arrivals chan arrival
+	fault    string // why the last session ended
+	advice   string
 
 	mu     sync.Mutex
 	status Status    // all but its age
@@ -64,7 +67,7 @@
 
 // Open puts in force what Options.Dir keeps, and begins to follow. It doesn't wait for any control machine, and a directory
 // that can't be read or written is logged and told in the status, no error. The errors are *OptionsError and *scope.NameError.
-func Open(o Options) (*Follower, error) { return open(o, notYet) }
+func Open(o Options) (*Follower, error) { return open(o, store.WatchSession) }
 
 func open(o Options, watch watchFunc) (*Follower, error) {
 	if err := o.check(); err != nil {
@@ -73,7 +76,7 @@
 	f := &Follower{
 		options: o, log: o.Log, watch: watch, begun: time.Now(),
 		open: map[uint64]*watched{}, arrivals: make(chan arrival),
-		settings: &settings{self: o.Self, apply: o.Apply, records: map[string]scope.Record{}},
+		settings: &settings{self: o.Self, apply: o.Apply, records: map[string]scope.Record{}, listed: []Section{}},
 	}
 	held, seen := f.restore()
 	f.machine = session.New(f.now(), session.Options{
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -15,6 +15,7 @@
 
 	"beammux/control/scope"
 	"beammux/control/session"
+	"beammux/internal/store"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -34,9 +35,9 @@
 type call struct {
 	t       *testing.T
 	address string
-	request WatchRequest
-	reports <-chan WatchReport
-	events  chan WatchEvent
+	request store.WatchRequest
+	reports <-chan store.WatchReport
+	events  chan store.WatchEvent
 	handled chan error
 	end     chan error
 	closed  <-chan struct{} // the follower has closed it
@@ -44,8 +45,8 @@
 
 func newScripted(t *testing.T) *scripted { return &scripted{t, make(chan *call)} }
 
-func (s *scripted) watch(ctx context.Context, _ Dial, address string, r WatchRequest, reports <-chan WatchReport, handle func(WatchEvent) error) error {
-	c := &call{s.t, address, r, reports, make(chan WatchEvent), make(chan error), make(chan error), ctx.Done()}
+func (s *scripted) watch(ctx context.Context, _ store.Dial, address string, r store.WatchRequest, reports <-chan store.WatchReport, handle func(store.WatchEvent) error) error {
+	c := &call{s.t, address, r, reports, make(chan store.WatchEvent), make(chan error), make(chan error), ctx.Done()}
 	select {
 	case s.calls <- c:
 	case <-ctx.Done():
@@ -83,7 +84,7 @@
 }
 
 // send sends an event and waits until the follower has taken it from the session.
-func (c *call) send(e WatchEvent) {
+func (c *call) send(e store.WatchEvent) {
 	c.t.Helper()
 	select {
 	case c.events <- e:
@@ -100,23 +101,30 @@
 
 func (c *call) snapshot(revision uint64, records ...scope.Record) {
 	c.t.Helper()
-	c.send(WatchEvent{Kind: Snapshot, Revision: revision, Records: records})
+	c.send(store.WatchEvent{Kind: store.Snapshot, Revision: revision, Records: stored(records)})
 }
 
 func (c *call) change(revision uint64, records ...scope.Record) {
 	c.t.Helper()
-	c.send(WatchEvent{Kind: Change, Revision: revision, Records: records})
+	c.send(store.WatchEvent{Kind: store.Change, Revision: revision, Records: stored(records)})
+}
+
+func stored(records []scope.Record) (list []store.Record) {
+	for _, r := range records {
+		list = append(list, store.Record{Key: r.Key, Value: r.Value, Revision: r.Revision})
+	}
+	return list
 }
 
 func (c *call) heartbeat(revision uint64) {
 	c.t.Helper()
-	c.send(WatchEvent{Kind: Heartbeat, Revision: revision})
+	c.send(store.WatchEvent{Kind: store.Heartbeat, Revision: revision})
 }
 
 // report waits for a report.
-func (c *call) report(want WatchReport) {
+func (c *call) report(want store.WatchReport) {
 	c.t.Helper()
-	var last WatchReport
+	var last store.WatchReport
 	deadline := time.After(patience)
 	for {
 		select {
@@ -218,25 +226,26 @@
 	require.Equal(t, time.Duration(-1), f.Status().Age)
 	c := s.next()
 	require.Equal(t, "c0", c.address)
-	require.Equal(t, WatchRequest{
-		Prefixes: self.Prefixes(), Session: SessionInfo{Name: "g1", Region: "r1", Zone: "z1", Service: "billing"},
+	require.Equal(t, store.WatchRequest{
+		Prefixes: self.Prefixes(), Session: store.SessionInfo{Name: "g1", Region: "r1", Zone: "z1", Service: "billing"},
 	}, c.request)
 	all, zone := limits("all", "1", 3), limits("zone/z1", "2", 6)
 	c.snapshot(5, all)
-	c.report(WatchReport{InForce: 5})
+	c.report(store.WatchReport{InForce: 5})
 	c.change(6, zone)
-	c.report(WatchReport{InForce: 6})
+	c.report(store.WatchReport{InForce: 6})
 	c.change(7, limits("all", "3", 7))
-	c.report(WatchReport{InForce: 7})
+	c.report(store.WatchReport{InForce: 7})
 	c.heartbeat(9)
-	c.report(WatchReport{InForce: 9})
+	c.report(store.WatchReport{InForce: 9})
 	c.change(10, deleted("zone/z1", 10))
-	c.report(WatchReport{InForce: 10})
+	c.report(store.WatchReport{InForce: 10})
 	require.Equal(t, []Candidate{candidate(5, all), candidate(6, zone), candidate(10, limits("all", "3", 7))}, a.all())
 	st := f.Status()
 	require.True(t, st.Connected)
 	require.Equal(t, "c0", st.Replica)
 	require.Equal(t, uint64(10), st.Seen)
 	require.Equal(t, []Section{{"limits", "settings/all/limits", 7}}, st.Sections)
+	require.GreaterOrEqual(t, st.Age, time.Duration(0))
 	require.Less(t, st.Age, patience)
 }
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -3,32 +3,35 @@
 import (
 	"context"
 	"errors"
-	"net"
+	"fmt"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
 	"beammux/control"
 	"beammux/control/advice"
+	"beammux/control/scope"
 	"beammux/control/session"
+	"beammux/internal/store"
 )
 
 // watchFunc is store.WatchSession.
-type watchFunc func(ctx context.Context, dial Dial, address string, r WatchRequest, reports <-chan WatchReport, handle func(WatchEvent) error) error
+type watchFunc func(ctx context.Context, dial store.Dial, address string, r store.WatchRequest, reports <-chan store.WatchReport, handle func(store.WatchEvent) error) error
 
 // watched is one session that runs.
 type watched struct {
 	replica session.Replica
 	cancel  context.CancelFunc
-	reports chan WatchReport // holds at most the newest
-	sent    WatchReport
-	told    bool // sent holds a report
+	reports chan store.WatchReport // holds at most the newest
+	last    store.WatchReport
+	// reported tells that last was given to the session.
+	reported bool
 }
 
 // arrival is what a session brought: an event, or its end.
 type arrival struct {
 	session uint64
-	event   *WatchEvent
+	event   *store.WatchEvent // nil: the session has ended
 	end     error
 }
 
@@ -72,12 +75,9 @@
 
 func (f *Follower) take(ctx context.Context, a arrival) {
 	if a.event != nil {
-		e := session.Event{Kind: kindOf(a.event.Kind), Revision: a.event.Revision}
+		e := session.Event{Kind: kindOf(a.event.Kind), Revision: a.event.Revision, Leaderless: micros(a.event.Age)}
 		f.carryOut(ctx, f.machine.Heard(f.now(), a.session, e), a.event)
 		f.heard(a)
-		if f.disk != nil && time.Since(f.disk.seenAt) >= seenEvery {
-			f.saveSeen()
-		}
 		return
 	}
 	w := f.open[a.session]
@@ -86,45 +86,63 @@
 	}
 	w.cancel()
 	delete(f.open, a.session)
-	f.ended(w, a.end)
+	f.setFault(w, a.end)
 	f.carryOut(ctx, f.machine.Ended(f.now(), a.session, endOf(a.end)), nil)
 }
 
-func kindOf(k WatchKind) session.EventKind {
+func kindOf(k store.WatchKind) session.EventKind {
 	switch k {
-	case Snapshot:
+	case store.Snapshot:
 		return session.Snapshot
-	case Change:
+	case store.Change:
 		return session.Change
 	}
 	return session.Heartbeat
 }
 
 // carryOut carries out actions; the event is the one that led to them, if any.
-func (f *Follower) carryOut(ctx context.Context, actions []session.Action, e *WatchEvent) {
+func (f *Follower) carryOut(ctx context.Context, actions []session.Action, e *store.WatchEvent) {
 	for _, a := range actions {
 		switch a.Do {
 		case session.Connect:
 			f.connect(ctx, a)
 		case session.Close:
-			if w := f.open[a.Session]; w != nil {
-				w.cancel()
-				delete(f.open, a.Session)
-			}
+			f.close(a.Session, e)
 		case session.Accept:
 			f.accept(e)
 		}
 	}
 }
 
+// close ends a session that the machine gave up: by an event, or since none came.
+func (f *Follower) close(id uint64, e *store.WatchEvent) {
+	w := f.open[id]
+	if w == nil {
+		return
+	}
+	w.cancel()
+	delete(f.open, id)
+	if e == nil {
+		f.setFault(w, &NoAnswerError{})
+	} else {
+		f.setFault(w, &UnusableError{Revision: e.Revision, Seen: f.machine.Seen()})
+	}
+}
+
+// setFault notes why a session has ended. The status tells it while there is no other session.
+func (f *Follower) setFault(w *watched, err error) {
+	f.fault = fmt.Sprintf("%s (%s): %v", w.replica.Name, w.replica.Address, err)
+	f.advice = advice.Of(err)
+}
+
 func (f *Follower) connect(ctx context.Context, a session.Action) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watched{replica: a.Replica, cancel: cancel, reports: make(chan WatchReport, 1)}
+	w := &watched{replica: a.Replica, cancel: cancel, reports: make(chan store.WatchReport, 1)}
 	f.open[a.Session] = w
 	self := f.options.Self
-	request := WatchRequest{
+	request := store.WatchRequest{
 		Prefixes: self.Prefixes(), After: a.After,
-		Session: SessionInfo{Name: self.Name, Region: self.Region, Zone: self.Zone, Service: self.Service},
+		Session: store.SessionInfo{Name: self.Name, Region: self.Region, Zone: self.Zone, Service: self.Service},
 	}
 	f.work.Add(1)
 	go func() {
@@ -137,32 +155,36 @@
 				return ctx.Err()
 			}
 		}
-		err := f.watch(ctx, f.options.Dial, w.replica.Address, request, w.reports, func(e WatchEvent) error {
+		err := f.watch(ctx, f.options.Dial, w.replica.Address, request, w.reports, func(e store.WatchEvent) error {
 			return hand(arrival{session: a.Session, event: &e})
 		})
-		if err == nil {
-			err = errEnded
-		}
 		hand(arrival{session: a.Session, end: err})
 	}()
 }
 
-var errEnded = errors.New("the control machine ended the session")
-
-func (f *Follower) accept(e *WatchEvent) {
+// accept takes over the records of an event, whole.
+func (f *Follower) accept(e *store.WatchEvent) {
 	before := f.settings.refused
 	switch e.Kind {
-	case Snapshot:
-		f.settings.replace(e.Revision, e.Records)
-	case Change:
-		f.settings.change(e.Revision, e.Records)
+	case store.Snapshot:
+		f.settings.replace(e.Revision, records(e))
+	case store.Change:
+		f.settings.change(e.Revision, records(e))
 	default:
 		f.settings.advance(e.Revision)
 	}
 	if r := f.settings.refused; r != nil && r != before {
 		f.log.WithFields(logrus.Fields{"revision": r.Revision, "fault": r.Fault, "advice": r.Advice}).
-			Warn("settings refused, the last good ones stay in force")
+			Warn("settings refused: the last good ones stay in force")
+	}
+}
+
+func records(e *store.WatchEvent) []scope.Record {
+	list := make([]scope.Record, 0, len(e.Records))
+	for _, r := range e.Records {
+		list = append(list, scope.Record{Key: r.Key, Value: r.Value, Revision: r.Revision})
 	}
+	return list
 }
 
 // heard notes what an event of the current session says, and reports upstream what is in force.
@@ -172,25 +194,25 @@
 	if w == nil || !ok || current.Name != w.replica.Name {
 		return
 	}
-	f.mu.Lock()
-	f.wordAt = time.Now()
-	if a.event.Fleet != nil {
-		f.status.Fleet = a.event.Fleet
+	if a.event.Kind == store.Heartbeat {
+		f.setWord(time.Now().Add(-a.event.Age), a.event.Fleet)
 	}
-	f.mu.Unlock()
 	f.report(w)
+	if f.disk != nil && time.Since(f.disk.seenAt) >= seenEvery {
+		f.saveSeen()
+	}
 }
 
 // report brings the newest report to a session, if it differs from the last.
 func (f *Follower) report(w *watched) {
-	r := WatchReport{InForce: f.settings.inForce.Revision}
+	r := store.WatchReport{InForce: f.settings.inForce.Revision}
 	if refused := f.settings.refused; refused != nil {
 		r.Refused, r.Fault = refused.Revision, refused.Fault
 	}
-	if w.told && w.sent == r {
+	if w.reported && w.last == r {
 		return
 	}
-	w.sent, w.told = r, true
+	w.last, w.reported = r, true
 	select {
 	case <-w.reports:
 	default:
@@ -198,20 +220,24 @@
 	w.reports <- r
 }
 
-func (f *Follower) ended(w *watched, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.status.Fault = w.replica.Name + ": " + err.Error()
-	f.status.Advice = advice.Of(err)
-}
-
 // endOf tells the session machine why a session has ended.
 func endOf(err error) session.End {
+	var back *store.ComeBack
+	var behind *store.ReplicaBehind
+	var slow *store.WatcherTooSlow
+	var control *store.NotControl
+	var request *store.BadRequest
+	switch {
+	case errors.As(err, &back):
+		return session.End{Reason: session.ComeBack, After: micros(back.After)}
+	case errors.As(err, &behind):
+		return session.End{Reason: session.Behind}
+	case errors.As(err, &slow):
+		return session.End{Reason: session.TooSlow}
+	case errors.As(err, &control), errors.As(err, &request):
+		return session.End{Reason: session.Refused}
+	}
 	return session.End{Reason: session.Lost}
 }
 
 func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
-
-func notYet(ctx context.Context, dial Dial, address string, r WatchRequest, reports <-chan WatchReport, handle func(WatchEvent) error) error {
-	return &net.OpError{Op: "watch", Err: errors.New("internal/store has no WatchSession yet")}
-}
--- a/internal/follow/settings.go
+++ b/internal/follow/settings.go
@@ -22,6 +22,7 @@
 	recordsAt uint64                  // the revision at which they last changed
 	inForce   Candidate
 	since     time.Time // of inForce's sections; zero: none was ever put in force
+	listed    []Section // inForce's sections, for the status; replaced, never changed
 	good      Candidate // the last one that was put in force, now or before a restart
 	refused   *refusal  // what the records resolve to, if that can't be put in force
 }
@@ -113,7 +114,7 @@
 		return false
 	}
 	s.inForce, s.good, s.refused = c, c, nil
-	s.since = time.Now()
+	s.since, s.listed = time.Now(), sectionsOf(c)
 	return true
 }
 
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -3,7 +3,10 @@
 import (
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"beammux/control/scope"
+	"beammux/internal/store"
 )
 
 // Status is how a follower stands.
@@ -19,12 +22,12 @@
 	// Connected tells whether there is a session, and Replica with which control machine.
 	Connected bool   `json:"connected"`
 	Replica   string `json:"replica,omitempty"`
-	// Kept tells that what is in force comes from Dir and no control machine has confirmed it since the start.
+	// Kept tells that what is in force comes from Dir, and that there was no session since the start.
 	Kept     bool      `json:"kept,omitempty"`
-	Sections []Section `json:"sections"`
+	Sections []Section `json:"sections"` // in force
 	Refused  *Refused  `json:"refused,omitempty"`
 	// Fleet is what the control machines last said of all gatekeepers; nil: nothing yet.
-	Fleet *FleetCounts `json:"fleet,omitempty"`
+	Fleet *store.FleetCounts `json:"fleet,omitempty"`
 	// Fault is why there is no session, and Advice what an operator can do about it.
 	Fault  string `json:"fault,omitempty"`
 	Advice string `json:"advice,omitempty"`
@@ -58,26 +61,51 @@
 	return s
 }
 
-// publish brings the status up to date with the machine and the settings.
+// setWord notes that a control machine with word from its leader at a time said that what is held is current.
+func (f *Follower) setWord(at time.Time, fleet *store.FleetCounts) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if at.After(f.wordAt) {
+		f.wordAt = at
+	}
+	if fleet != nil {
+		f.status.Fleet = fleet
+	}
+}
+
+// publish brings the status up to date, and logs when the session has changed.
 func (f *Follower) publish() {
 	replica, connected := f.machine.Current()
 	f.mu.Lock()
-	defer f.mu.Unlock()
 	s := &f.status
-	s.InForce, s.Since = f.settings.inForce.Revision, f.settings.since
+	wasConnected, was := s.Connected, s.Replica
+	s.InForce, s.Since, s.Sections = f.settings.inForce.Revision, f.settings.since, f.settings.listed
 	s.Seen = f.machine.Seen()
 	s.Connected, s.Replica = connected, replica.Name
+	s.Fault, s.Advice = f.fault, f.advice
 	if connected {
 		s.Fault, s.Advice, s.Kept = "", "", false
 	}
 	if f.disk != nil {
 		s.DirFault = f.disk.fault
 	}
-	s.Sections = sectionsOf(f.settings.inForce)
-	s.Refused = nil
-	if r := f.settings.refused; r != nil {
-		s.Refused = &Refused{r.Revision, r.Fault, r.Advice}
+	s.Refused = f.settings.refused.status()
+	f.mu.Unlock()
+	switch {
+	case connected && (!wasConnected || was != replica.Name):
+		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.Seen()}).Info("settings are followed")
+	case !connected && wasConnected:
+		f.log.WithFields(logrus.Fields{"replica": was, "fault": f.fault, "advice": f.advice}).
+			Warn("no control machine is connected: settings stay as they are")
+	}
+}
+
+// status is a refusal as the status tells it.
+func (r *refusal) status() *Refused {
+	if r == nil {
+		return nil
 	}
+	return &Refused{r.Revision, r.Fault, r.Advice}
 }
 
 // sectionsOf lists the sections of a candidate in the order of scope.Sections.
