--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -5,6 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
+	"os"
+	"path/filepath"
 	"sync"
 	"testing"
 	"time"
@@ -249,3 +251,12 @@
 	require.GreaterOrEqual(t, st.Age, time.Duration(0))
 	require.Less(t, st.Age, patience)
 }
+
+func removeAll(dir string, names ...string) error {
+	for _, name := range names {
+		if err := os.Remove(filepath.Join(dir, name)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -51,15 +51,24 @@
 		case a := <-f.arrivals:
 			f.take(ctx, a)
 		case <-timer.C:
-			// What has arrived counts before what is due: an Apply that took long must not end the session.
-			select {
-			case a := <-f.arrivals:
-				f.take(ctx, a)
-			default:
-				f.carryOut(ctx, f.machine.Tick(f.now()), nil)
-			}
+			f.takeWaiting(ctx)
+			f.carryOut(ctx, f.machine.Tick(f.now()), nil)
 		}
 		f.publish()
+		f.report()
+	}
+}
+
+// takeWaiting takes what each session has waiting. It counts before what is due: an Apply that took long must not end the
+// session whose heartbeats waited meanwhile.
+func (f *Follower) takeWaiting(ctx context.Context) {
+	for range len(f.open) {
+		select {
+		case a := <-f.arrivals:
+			f.take(ctx, a)
+		default:
+			return
+		}
 	}
 }
 
@@ -187,24 +196,39 @@
 	return list
 }
 
-// heard notes what an event of the current session says, and reports upstream what is in force.
+// heard notes what an event of the current session says.
 func (f *Follower) heard(a arrival) {
-	w := f.open[a.session]
-	current, ok := f.machine.Current()
-	if w == nil || !ok || current.Name != w.replica.Name {
+	if w := f.current(); w == nil || w != f.open[a.session] {
 		return
 	}
 	if a.event.Kind == store.Heartbeat {
 		f.setWord(time.Now().Add(-a.event.Age), a.event.Fleet)
 	}
-	f.report(w)
 	if f.disk != nil && time.Since(f.disk.seenAt) >= seenEvery {
 		f.saveSeen()
 	}
 }
 
-// report brings the newest report to a session, if it differs from the last.
-func (f *Follower) report(w *watched) {
+// current is the current session; nil: there is none.
+func (f *Follower) current() *watched {
+	replica, ok := f.machine.Current()
+	if !ok {
+		return nil
+	}
+	for _, w := range f.open {
+		if w.replica.Name == replica.Name {
+			return w
+		}
+	}
+	return nil
+}
+
+// report brings the newest report to the current session, if it differs from the last. The status tells the same already.
+func (f *Follower) report() {
+	w := f.current()
+	if w == nil {
+		return
+	}
 	r := store.WatchReport{InForce: f.settings.inForce.Revision}
 	if refused := f.settings.refused; refused != nil {
 		r.Refused, r.Fault = refused.Revision, refused.Fault
