--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -1,18 +1,14 @@
 // Package admission decides how fast a control machine takes new sessions, and how fast it sends snapshots. Both are bounded
-// by token buckets. A client that is refused gets a slot: it is asked to come back in the time after which the buckets will
-// hold a token for it, behind all that were refused before it. So the refused arrive at the rate at which they are taken,
-// not all at once again, and who obeys is taken at its slot. The package is pure: time is passed in, and one controller is
-// not safe for concurrent use.
+// by token buckets. A client that is refused gets a slot, a time of its own at which the buckets will hold its tokens, and is
+// asked to come back then. Slots are as far apart as the rates allow, so that the refused arrive at the rate at which they
+// are admitted, not all at once again, and nobody else is admitted at the cost of a slot: a client that comes at its slot is
+// admitted. The package is pure: time is passed in. A controller is not safe for concurrent use.
 package admission
 
-import (
-	"math"
+import "beammux/control"
 
-	"beammux/control"
-)
-
-// Limits of one control machine. Rates are per second; with a rate of 0 the bucket bounds nothing. A burst of less than 1
-// counts as 1.
+// Limits of one control machine. Rates are per second; with a rate of 0 the bucket bounds nothing. A burst of less than
+// MinBurst counts as MinBurst.
 type Limits struct {
 	SessionsPerSecond  float64
 	SessionsBurst      int
@@ -21,15 +17,17 @@
 }
 
 const (
+	// MinBurst is the least burst. With less, a client that comes a moment after its slot would cost the next its token.
+	MinBurst = 2
 	// Grace is how long after its slot a client is still expected. Then its slot is given up.
 	Grace = control.Micros(5e6)
-	// MaxSlots is how many refused clients can hold a slot; those beyond it are asked to come back behind all of them.
+	// MaxSlots is how many refused clients can hold a slot.
 	MaxSlots = 16384
 )
 
 // Request is a client that asks for a session.
 type Request struct {
-	Client   string // a name by which the client is known again; "": it gets no slot
+	Client   string // a name by which the client is known again; "": it can hold no slot
 	Snapshot bool   // it needs a snapshot, not only the changes since a revision
 }
 
@@ -41,159 +39,117 @@
 
 // Controller decides on requests.
 type Controller struct {
-	sessions, snapshots bucket
-	slots               map[string]slot
-	held                [2]int // slots, by slot.snapshot: without, with
-	now                 control.Micros
-	sweptAt             control.Micros
+	now    control.Micros
+	tokens buckets
+	slots  map[string]slot
+	// expected are the slots from now on, and late those before whose clients did not come yet. Both are ordered by time; a
+	// slot that its client has used or lost is left in them until its turn, and is not in slots any more.
+	expected, late []slot
 }
 
 // slot is the time at which a refused client is expected.
 type slot struct {
+	client   string
 	at       control.Micros
 	snapshot bool
 }
 
 // New makes a controller with full buckets.
 func New(l Limits) *Controller {
-	return &Controller{sessions: newBucket(l.SessionsPerSecond, l.SessionsBurst),
-		snapshots: newBucket(l.SnapshotsPerSecond, l.SnapshotsBurst), slots: map[string]slot{}}
+	return &Controller{tokens: newBuckets(l), slots: map[string]slot{}}
 }
 
 // Admit decides on a request at a time. A time before that of an earlier call counts as that one.
 func (c *Controller) Admit(now control.Micros, r Request) Decision {
 	c.advance(now)
-	s, expected := c.slots[r.Client]
-	switch {
-	case expected && s.at > c.now: // too early: the slot stays as it is
+	s, held := c.slots[r.Client]
+	if held && s.at > c.now { // too early: the slot stays as it is
 		return Decision{ComeBackIn: s.at - c.now}
-	case expected:
-		c.release(r.Client)
-		if c.takes(r, 0, 0) {
-			c.spend(r)
-			return Decision{Admitted: true}
-		}
-		return c.refuse(r, c.due(false), c.due(true))
-	case c.takes(r, c.held[0]+c.held[1], c.held[1]):
-		c.spend(r)
-		return Decision{Admitted: true}
 	}
-	return c.refuse(r, c.held[0]+c.held[1], c.held[1])
+	delete(c.slots, r.Client)
+	if !c.harmless(r, held) {
+		return Decision{ComeBackIn: c.assign(r)}
+	}
+	c.tokens.spend(r.Snapshot)
+	return Decision{Admitted: true}
 }
 
-// Defer gives a slot to a client whose session is ended, so that it comes back then.
+// Defer gives a slot to a client whose session has to end, and tells in what time it is.
 func (c *Controller) Defer(now control.Micros, r Request) (comeBackIn control.Micros) {
 	c.advance(now)
-	if s, ok := c.slots[r.Client]; ok && s.at > c.now {
+	if s, held := c.slots[r.Client]; held && s.at > c.now {
 		return s.at - c.now
 	}
-	c.release(r.Client)
-	return c.refuse(r, c.held[0]+c.held[1], c.held[1]).ComeBackIn
-}
-
-// takes tells whether the buckets hold a token for a request, beside those for so many others.
-func (c *Controller) takes(r Request, sessions, snapshots int) bool {
-	return c.sessions.holds(sessions+1) && (!r.Snapshot || c.snapshots.holds(snapshots+1))
-}
-
-func (c *Controller) spend(r Request) {
-	c.sessions.spend()
-	if r.Snapshot {
-		c.snapshots.spend()
-	}
-}
-
-// refuse gives a client a slot behind so many others of each bucket.
-func (c *Controller) refuse(r Request, sessions, snapshots int) Decision {
-	in := c.sessions.until(sessions + 1)
-	if r.Snapshot {
-		in = max(in, c.snapshots.until(snapshots+1))
-	}
-	in = max(in, 1)
-	if r.Client != "" && len(c.slots) < MaxSlots {
-		c.slots[r.Client] = slot{c.now + in, r.Snapshot}
-		c.held[index(r.Snapshot)]++
-	}
-	return Decision{ComeBackIn: in}
-}
-
-func (c *Controller) release(client string) {
-	if s, ok := c.slots[client]; ok {
-		delete(c.slots, client)
-		c.held[index(s.snapshot)]--
-	}
+	delete(c.slots, r.Client)
+	return c.assign(r)
 }
 
-// due counts the slots whose time has come; with a snapshot only, if so asked.
-func (c *Controller) due(snapshot bool) (count int) {
-	for _, s := range c.slots {
-		if s.at <= c.now && (s.snapshot || !snapshot) {
-			count++
-		}
-	}
-	return count
-}
-
-// advance brings the buckets up to a time and gives up the slots of clients that did not come.
+// advance brings the buckets up to a time, and gives up slots whose clients did not come.
 func (c *Controller) advance(now control.Micros) {
 	c.now = max(c.now, now)
-	c.sessions.advance(c.now)
-	c.snapshots.advance(c.now)
-	if c.now-c.sweptAt < Grace/4 {
-		return
+	c.tokens.advance(c.now)
+	for len(c.expected) > 0 && c.expected[0].at < c.now {
+		c.late = append(c.late, c.expected[0])
+		c.expected = c.expected[1:]
 	}
-	c.sweptAt = c.now
-	for client, s := range c.slots {
-		if s.at+Grace < c.now {
-			c.release(client)
+	for len(c.late) > 0 && (!c.holds(c.late[0]) || c.late[0].at+Grace < c.now) {
+		if c.holds(c.late[0]) {
+			delete(c.slots, c.late[0].client)
 		}
+		c.late = c.late[1:]
 	}
 }
 
-func index(snapshot bool) int {
-	if snapshot {
-		return 1
-	}
-	return 0
-}
-
-// bucket is a token bucket.
-type bucket struct {
-	perMicro, burst, tokens float64
-	at                      control.Micros
-	begun                   bool
-}
-
-func newBucket(perSecond float64, burst int) bucket {
-	b := bucket{perMicro: perSecond / 1e6, burst: float64(max(burst, 1))}
-	b.tokens = b.burst
-	return b
-}
-
-func (b *bucket) bounds() bool { return b.perMicro > 0 }
+// holds tells whether a slot is still its client's.
+func (c *Controller) holds(s slot) bool { return c.slots[s.client] == s }
 
-func (b *bucket) advance(now control.Micros) {
-	if b.begun {
-		b.tokens = min(b.burst, b.tokens+b.perMicro*float64(now-b.at))
+// harmless tells whether a request can be admitted now so that all who come at their slots are admitted too. One without a
+// slot of its own must also leave the tokens for those who are late.
+func (c *Controller) harmless(r Request, held bool) bool {
+	tokens := c.tokens
+	if !tokens.hold(r.Snapshot) {
+		return false
 	}
-	b.begun, b.at = true, now
-}
-
-// roundOff is how much a bucket may lack of a token that it should hold by its own reckoning.
-const roundOff = 1e-6
-
-func (b *bucket) holds(tokens int) bool { return !b.bounds() || b.tokens >= float64(tokens)-roundOff }
-
-func (b *bucket) spend() {
-	if b.bounds() {
-		b.tokens--
+	tokens.spend(r.Snapshot)
+	if !held {
+		for _, s := range c.late {
+			if !c.holds(s) {
+				continue
+			}
+			if !tokens.hold(s.snapshot) {
+				return false
+			}
+			tokens.spend(s.snapshot)
+		}
 	}
+	for _, s := range c.expected {
+		if !c.holds(s) {
+			continue
+		}
+		tokens.advance(s.at)
+		if !tokens.hold(s.snapshot) {
+			return false
+		}
+		tokens.spend(s.snapshot)
+	}
+	return true
 }
 
-// until is the time after which so many tokens have come to the bucket, if it were not capped.
-func (b *bucket) until(tokens int) control.Micros {
-	if !b.bounds() || b.holds(tokens) {
-		return 0
+// assign gives a client the first slot behind all others, and tells in what time it is.
+func (c *Controller) assign(r Request) control.Micros {
+	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.Snapshot}
+	for _, other := range c.expected {
+		if !c.holds(other) {
+			continue
+		}
+		tokens.advance(other.at)
+		tokens.spend(other.snapshot)
+		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.Snapshot))
+	}
+	s.at = max(s.at, tokens.ready(r.Snapshot))
+	if r.Client != "" && len(c.slots) < MaxSlots {
+		c.slots[r.Client] = s
+		c.expected = append(c.expected, s)
 	}
-	return control.Micros(math.Ceil((float64(tokens) - b.tokens) / b.perMicro))
+	return s.at - c.now
 }
