--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -31,13 +31,15 @@
 	Records    int           `json:"records"`
 	Ready      bool          `json:"ready"` // what it reads is as new as its log and its leader: see Node.Ready
 	Members    []Member      `json:"members"`
+
+	Transactions bool `json:"transactions"` // this version carries out transactions
 }
 
 // Status tells how this member stands.
 func (n *Node) Status() Status {
 	leader, id := n.raft.LeaderWithID()
 	s := Status{Node: n.id, State: n.raft.State().String(), LeaderNode: string(id), Leader: string(leader), Term: n.raft.CurrentTerm(),
-		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: len(n.fsm.list("")), Ready: n.Ready(), Members: []Member{}}
+		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{}, Transactions: true}
 	if !n.Leader() && !n.raft.LastContact().IsZero() {
 		s.Contact = time.Since(n.raft.LastContact())
 	}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -18,10 +18,12 @@
 		return 0, err
 	}
 	switch {
+	case r.Typed != nil:
+		return 0, r.error(n.id)
 	case r.Conflict:
 		return 0, ErrRevision
 	case c.Op == opTransact && r.Done != transactionConfirmed:
-		return 0, &EarlierVersion{"transactions"}
+		return 0, &EarlierVersion{transactions, "leading the group"}
 	}
 	return r.Revision, n.fsm.wait(ctx, r.Revision)
 }
@@ -86,6 +88,11 @@
 }
 
 func (n *Node) commit(ctx context.Context, c command) (result, error) {
+	if c.Op == opTransact {
+		if err := n.allTransact(ctx); err != nil {
+			return result{}, err
+		}
+	}
 	if c.Op == opReduce {
 		n.stamping.Lock() // stamps are handed over in their order
 		// A term has one leader, and a process that starts anew leads in a later one: one clock an epoch.
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -82,7 +82,7 @@
 		s.mu.Unlock()
 		select {
 		case <-tick.C:
-		case <-s.done:
+		case <-s.ctx.Done():
 			return
 		}
 	}
@@ -90,17 +90,8 @@
 
 // gather asks all at the same time; who does not answer within the interval is unheard.
 func (s *sessionServer) gather() *FleetCounts {
-	ctx, cancel := context.WithTimeout(context.Background(), max(s.options.ReportEvery, upWithin))
+	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportEvery, upWithin))
 	defer cancel()
-	stop := make(chan struct{})
-	defer close(stop)
-	go func() {
-		select {
-		case <-s.done:
-			cancel()
-		case <-stop:
-		}
-	}()
 	heard, unheard := []counts{s.counts()}, 0
 	var mu sync.Mutex
 	var asked sync.WaitGroup
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -86,10 +86,13 @@
 }
 
 // EarlierVersion says that a member of an earlier version was asked for, or took part in, what it does not know.
-type EarlierVersion struct{ What string }
+type EarlierVersion struct {
+	What   string // that it does not know
+	Member string // its name or address
+}
 
 func (e *EarlierVersion) Error() string {
-	return "a member of an earlier version does not know " + e.What
+	return fmt.Sprintf("member %s is of an earlier version, which does not know %s", e.Member, e.What)
 }
 
 // Advice implements advice.Error.
@@ -105,6 +108,7 @@
 	codeControl  = "not-control"
 	codeRefused  = "refused"
 	codeRequest  = "request"
+	codeEarlier  = "earlier-version"
 )
 
 // wireFault carries a typed error to a client, beside its text.
@@ -114,6 +118,8 @@
 	Have   uint64        `json:"have,omitempty"`
 	Want   uint64        `json:"want,omitempty"`
 	After  time.Duration `json:"after_ns,omitempty"`
+	What   string        `json:"what,omitempty"`
+	Member string        `json:"member,omitempty"`
 }
 
 // fail puts an error into an answer.
@@ -125,6 +131,7 @@
 	var control *NotControl
 	var refused *Refused
 	var request *BadRequest
+	var earlier *EarlierVersion
 	switch {
 	case errors.As(err, &back):
 		r.Typed = &wireFault{Code: codeComeBack, After: back.After}
@@ -138,6 +145,8 @@
 		r.Typed = &wireFault{Code: codeRefused, Advice: advice.Of(err)}
 	case errors.As(err, &request):
 		r.Typed = &wireFault{Code: codeRequest}
+	case errors.As(err, &earlier):
+		r.Typed = &wireFault{Code: codeEarlier, What: earlier.What, Member: earlier.Member}
 	}
 }
 
@@ -157,6 +166,8 @@
 			return &Refused{r.Fault, r.Typed.Advice}
 		case codeRequest:
 			return &BadRequest{r.Fault}
+		case codeEarlier:
+			return &EarlierVersion{r.Typed.What, r.Typed.Member}
 		}
 	}
 	return untyped(r.Fault)
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -231,6 +231,12 @@
 	return r, ok
 }
 
+func (m *machine) count() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.records)
+}
+
 func (m *machine) list(prefix string) []Record {
 	all, _ := m.listAt(prefix)
 	return all
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -92,6 +92,7 @@
 	born    time.Time
 
 	check    func([]Write) error
+	versions versionCheck   // of the members, at the leader
 	sessions *sessionServer // nil: no control machine
 	stamping sync.Mutex     // of reduces, at the leader
 }
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -91,7 +91,7 @@
 			beat = true
 		case <-s.gone:
 			return errSessionEnds
-		case <-s.server.done:
+		case <-s.server.ctx.Done():
 			return errSessionEnds
 		}
 	}
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -20,6 +20,7 @@
 	behindWithin = time.Second     // for a replica to reach the revision that a client holds, or to be ready
 	maxReport    = 16 << 10        // bytes of a line from a client
 	maxSessions  = 8192
+	fullFor      = 30 * time.Second // until a client that found so many comes back
 	maxPrefixes  = 32
 	batch        = 64 // transactions that a session takes from the history at once
 )
@@ -30,8 +31,9 @@
 	node    *Node
 	options ServeOptions
 	history *history
-	born    time.Time // origin of the controller's clock
-	done    chan struct{}
+	born    time.Time       // origin of the controller's clock
+	ctx     context.Context // ends with the server
+	cancel  context.CancelFunc
 	running sync.WaitGroup
 
 	admitMu sync.Mutex
@@ -58,8 +60,9 @@
 }
 
 func newSessionServer(n *Node, o ServeOptions) *sessionServer {
+	ctx, cancel := context.WithCancel(context.Background())
 	return &sessionServer{node: n, options: o, history: newHistory(o.Prefix, o.HistorySize, o.HistoryBytes), born: time.Now(),
-		done: make(chan struct{}), sessions: map[*session]struct{}{}, byPrefix: map[string]map[*session]struct{}{},
+		ctx: ctx, cancel: cancel, sessions: map[*session]struct{}{}, byPrefix: map[string]map[*session]struct{}{},
 		admit: admission.New(admission.Limits(o.Admission))}
 }
 
@@ -70,16 +73,13 @@
 
 // close ends all sessions and returns once they have ended.
 func (s *sessionServer) close() {
+	s.cancel()
 	s.mu.Lock()
-	already := s.closed
 	s.closed = true
 	for one := range s.sessions {
 		one.conn.Close()
 	}
 	s.mu.Unlock()
-	if !already {
-		close(s.done)
-	}
 	s.running.Wait()
 }
 
@@ -89,7 +89,7 @@
 	for {
 		select {
 		case <-s.history.more:
-		case <-s.done:
+		case <-s.ctx.Done():
 			return
 		}
 		transactions, upTo, ok := s.history.since(seen, batch)
@@ -123,11 +123,14 @@
 }
 
 // add takes a session in, unless the server is closing or full.
-func (s *sessionServer) add(one *session) bool {
+func (s *sessionServer) add(one *session) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.sessions) >= maxSessions {
-		return false
+	switch {
+	case s.closed:
+		return errSessionEnds
+	case len(s.sessions) >= maxSessions:
+		return &ComeBack{fullFor}
 	}
 	s.running.Add(1)
 	s.sessions[one] = struct{}{}
@@ -137,7 +140,7 @@
 		}
 		s.byPrefix[p][one] = struct{}{}
 	}
-	return true
+	return nil
 }
 
 func (s *sessionServer) remove(one *session) {
@@ -171,8 +174,8 @@
 	}
 	one := &session{server: n.sessions, conn: c, in: in, request: request, since: time.Now(),
 		wake: make(chan struct{}, 1), gone: make(chan struct{})}
-	if !n.sessions.add(one) {
-		return &ComeBack{n.sessions.options.HeartbeatEvery}
+	if err := n.sessions.add(one); err != nil {
+		return err
 	}
 	defer n.sessions.remove(one)
 	return one.run()
@@ -193,12 +196,16 @@
 
 // reached waits a short time for the replica to be ready and to hold a revision.
 func (s *sessionServer) reached(after uint64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), behindWithin)
+	ctx, cancel := context.WithTimeout(s.ctx, behindWithin)
 	defer cancel()
-	if err := s.node.WaitReady(ctx); err != nil {
+	notReady := s.node.WaitReady(ctx) != nil
+	behind := !notReady && s.node.fsm.wait(ctx, after) != nil
+	switch {
+	case s.ctx.Err() != nil:
+		return errSessionEnds
+	case notReady:
 		return ErrNotReady
-	}
-	if s.node.fsm.wait(ctx, after) != nil {
+	case behind:
 		return &ReplicaBehind{s.node.fsm.index(), after}
 	}
 	return nil
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -176,11 +176,12 @@
 	g := newControlGroup(t, 3, 1, nil)
 	defer g.close()
 	first := g.put("settings/all/calls", "1")
-	g.put("settings/zone/z2/calls", "other")
+	other := g.put("settings/zone/z2/calls", "other")
+	require.NoError(t, g.nodes[3].fsm.wait(within(t), other))
 	c := watchSession(t, g.address(3), WatchRequest{Prefixes: []string{"settings/all/", "settings/zone/z1/"}})
 	e := c.next(Snapshot)
 	require.Equal(t, []Record{{"settings/all/calls", []byte("1"), first}}, e.Records)
-	require.GreaterOrEqual(t, e.Revision, first+1)
+	require.Equal(t, other, e.Revision)
 
 	revision, err := g.nodes[1].Transact(within(t), []Write{{Key: "settings/all/calls", Delete: true}, {Key: "settings/zone/z1/limits"},
 		{Key: "settings/zone/z2/limits", Value: []byte("x")}})
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -4,6 +4,10 @@
 	"context"
 	"errors"
 	"fmt"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 // Write is one part of a transaction: a put, or a delete.
@@ -14,6 +18,9 @@
 	At     *uint64 `json:"at,omitempty"` // only if the record is at that revision; 0: only if there is none
 }
 
+// transactions is what a member of an earlier version does not know.
+const transactions = "transactions"
+
 // transactionConfirmed is in the answer to a transaction of a member that knows them.
 const transactionConfirmed = "transaction"
 
@@ -58,7 +65,7 @@
 	case r.Conflict:
 		return 0, ErrRevision
 	case r.Done != transactionConfirmed:
-		return 0, &EarlierVersion{"transactions"}
+		return 0, &EarlierVersion{transactions, addr}
 	}
 	return r.Revision, nil
 }
@@ -96,3 +103,52 @@
 	}
 	return newRefused(err)
 }
+
+// versionCheck is what the leader knows of the members' versions.
+type versionCheck struct {
+	mu     sync.Mutex
+	index  uint64               // of the configuration that this is about
+	settle map[string]time.Time // when to ask a member again; zero: never
+}
+
+const askVersionAgain = 30 * time.Second // of a member that does not answer
+
+// allTransact is asked by the leader before it commits a transaction: a member of an earlier version would apply it as
+// nothing, and hold other records than the rest from then on. A member that answers is asked once for each configuration of
+// the group; one that does not answer is asked again later, and holds nothing up.
+func (n *Node) allTransact(ctx context.Context) error {
+	f := n.raft.GetConfiguration()
+	if err := f.Error(); err != nil {
+		return err
+	}
+	v := &n.versions
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.settle == nil || v.index != f.Index() {
+		v.index, v.settle = f.Index(), map[string]time.Time{n.id: {}}
+	}
+	ctx, cancel := context.WithTimeout(ctx, upWithin)
+	defer cancel()
+	var asked errgroup.Group
+	var mu sync.Mutex
+	for _, m := range f.Configuration().Servers {
+		if again, ok := v.settle[string(m.ID)]; ok && (again.IsZero() || time.Now().Before(again)) {
+			continue
+		}
+		asked.Go(func() error {
+			s, err := StatusFrom(ctx, through(n.via, string(m.Address)))
+			mu.Lock()
+			defer mu.Unlock()
+			switch {
+			case err != nil:
+				v.settle[string(m.ID)] = time.Now().Add(askVersionAgain)
+			case !s.Transactions:
+				return &EarlierVersion{transactions, string(m.ID)}
+			default:
+				v.settle[string(m.ID)] = time.Time{}
+			}
+			return nil
+		})
+	}
+	return asked.Wait()
+}
