--- /dev/null
+++ b/internal/store/session_fault_test.go
@@ -0,0 +1,385 @@
+package store
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+)
+
+// serveWith is a configure that changes each member's ServeOptions.
+func serveWith(change func(s *ServeOptions)) func(int, *Options) {
+	return func(_ int, o *Options) { change(o.Serve) }
+}
+
+// A client whose revision is not in the history any more gets a snapshot; with one that is, the changes alone.
+func TestHistoryTooOld(t *testing.T) {
+	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HistorySize = 3 }))
+	var revisions []uint64
+	for i := range 6 {
+		revisions = append(revisions, g.put(fmt.Sprint("settings/", i), "v"))
+	}
+	c := watchSession(t, g.address(0), WatchRequest{After: revisions[1]})
+	e := c.next(Snapshot)
+	require.Equal(t, revisions[5], e.Revision)
+	require.Len(t, e.Records, 6)
+	c = watchSession(t, g.address(0), WatchRequest{After: revisions[2]})
+	for i := 3; i < 6; i++ {
+		require.Equal(t, revisions[i], c.next(Change).Revision)
+	}
+}
+
+// A transaction is never seen in part: not in a snapshot that is taken while it is written, nor after a resume.
+func TestTransactionsAreSeenWhole(t *testing.T) {
+	g := newControlGroup(t, 1, 0, nil)
+	ctx, stop := context.WithTimeout(t.Context(), 1500*time.Millisecond) // so long it is written
+	defer stop()
+	written := make(chan struct{})
+	go func() {
+		defer close(written)
+		for i := 0; ctx.Err() == nil; i++ {
+			value := []byte(fmt.Sprint(i))
+			g.nodes[0].Transact(ctx, []Write{{Key: "settings/a", Value: value}, {Key: "settings/b", Value: value}, {Key: "settings/c", Value: value, Delete: i%2 == 0}})
+		}
+	}()
+	events, snapshots := 0, 0
+	for after := uint64(0); ctx.Err() == nil; {
+		c := watchSession(t, g.address(0), WatchRequest{After: after})
+		for range 5 {
+			e := <-c.events
+			if e.Kind == Heartbeat || len(e.Records) == 0 {
+				continue
+			}
+			events++
+			held := map[string]string{}
+			for _, r := range e.Records {
+				held[r.Key] = string(r.Value)
+			}
+			require.Equal(t, held["settings/a"], held["settings/b"], "%+v", e)
+			if c, ok := held["settings/c"]; ok && c != "" {
+				require.Equal(t, held["settings/a"], c, "%+v", e)
+			}
+			after = e.Revision
+			if e.Kind == Snapshot {
+				snapshots++
+			}
+		}
+		c.leave()
+		if events%3 == 0 {
+			after = 0
+		}
+	}
+	<-written
+	require.Greater(t, events, 20)
+	require.Greater(t, snapshots, 3)
+}
+
+// slowGroup is one control machine with a short history and slow clients in mind.
+func slowGroup(t *testing.T) *controlGroup {
+	return newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HistorySize = 4 }))
+}
+
+// big is a value that fills the buffers of a connection after a few.
+var big = strings.Repeat("x", 1<<20)
+
+// A client that reads too slowly is cut off with *WatcherTooSlow, and resumes with all that there is.
+func TestSlowWatcher(t *testing.T) {
+	g := slowGroup(t)
+	g.put("settings/a", "begin")
+	go func() {
+		for i := range 40 {
+			g.nodes[0].Put(t.Context(), "settings/a", []byte(fmt.Sprint(i, big)))
+			time.Sleep(10 * time.Millisecond)
+		}
+	}()
+	var last uint64
+	err := WatchSession(within(t), nil, g.address(0), WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "slow"}}, nil, func(e WatchEvent) error {
+		require.GreaterOrEqual(t, e.Revision, last)
+		last = e.Revision
+		time.Sleep(100 * time.Millisecond)
+		return nil
+	})
+	var slow *WatcherTooSlow
+	require.ErrorAs(t, err, &slow)
+	c := watchSession(t, g.address(0), WatchRequest{After: last, Session: SessionInfo{Name: "slow"}})
+	e := c.next(Snapshot)
+	require.Greater(t, e.Revision, last)
+	require.Len(t, e.Records, 1)
+}
+
+// A client that reads nothing holds up neither the writes nor the other sessions, costs no memory that grows with what is
+// written, and is cut off.
+func TestReadsNothing(t *testing.T) {
+	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	g := slowGroup(t)
+	defer g.close()
+	g.put("settings/a", "begin")
+	const silent = 10
+	var connections []net.Conn
+	for i := range silent {
+		data, err := json.Marshal(command{Op: opWatch, Watch: &WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: fmt.Sprint("s", i)}}})
+		require.NoError(t, err)
+		c, err := net.Dial("tcp", g.address(0))
+		require.NoError(t, err)
+		defer c.Close()
+		_, err = c.Write(append(append([]byte{forwardByte}, data...), '\n'))
+		require.NoError(t, err)
+		connections = append(connections, c)
+	}
+	reader := watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "reader"}})
+	reader.next(Snapshot)
+	sessions := func() int {
+		s, err := SessionsFrom(within(t), nil, g.address(0))
+		require.NoError(t, err)
+		return len(s)
+	}
+	require.Eventually(t, func() bool { return sessions() == silent+1 }, 5*time.Second, 5*time.Millisecond)
+	const writes = 64
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	for i := range writes {
+		began := time.Now()
+		revision := g.put("settings/a", fmt.Sprint(i, big))
+		require.Equal(t, revision, reader.next(Change).Revision)
+		require.Less(t, time.Since(began), writeWithin, "a silent session holds up a write")
+	}
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	// Each write is kept once in raft's log in memory and, encoded, in the log entry; the silent sessions are %d times that.
+	grown := int64(after.HeapAlloc) - int64(before.HeapAlloc)
+	require.Less(t, grown, int64(writes+silent+16)*3<<20)
+	t.Logf("heap grew by %d MB over %d MB of writes with %d silent sessions", grown>>20, writes, silent)
+	require.Eventually(t, func() bool { return sessions() == 1 }, 3*writeWithin, 20*time.Millisecond, "silent sessions are not cut off")
+	reader.leave()
+	_ = connections
+}
+
+// A replica that holds less than the client says so after a short wait; one that reaches it within that wait serves.
+func TestReplicaBehind(t *testing.T) {
+	g := newControlGroup(t, 3, 1, nil)
+	revision := g.put("settings/a", "1")
+	require.NoError(t, g.nodes[3].fsm.wait(within(t), revision))
+	g.cut(3, true)
+	ahead := g.put("settings/a", "2")
+	began := time.Now()
+	var behind *ReplicaBehind
+	require.ErrorAs(t, watchSession(t, g.address(3), WatchRequest{After: ahead}).end(), &behind)
+	require.Equal(t, ReplicaBehind{Have: revision, Want: ahead}, *behind)
+	require.InDelta(t, behindWithin.Seconds(), time.Since(began).Seconds(), 1)
+
+	c := watchSession(t, g.address(3), WatchRequest{After: revision})
+	c.until(func(e WatchEvent) bool { return e.Revision == revision })
+	waits := watchSession(t, g.address(3), WatchRequest{After: ahead})
+	time.Sleep(behindWithin / 10)
+	g.cut(3, false)
+	require.Equal(t, ahead, c.next(Change).Revision)
+	waits.until(func(e WatchEvent) bool { return e.Revision == ahead })
+}
+
+// A replica that has lost its leader goes on serving what it holds, and its heartbeats say for how long that is so.
+func TestAgeWithoutLeader(t *testing.T) {
+	g := newControlGroup(t, 3, 1, nil)
+	revision := g.put("settings/a", "1")
+	require.NoError(t, g.nodes[3].fsm.wait(within(t), revision))
+	c := watchSession(t, g.address(3), WatchRequest{})
+	c.next(Snapshot)
+	e := c.until(func(e WatchEvent) bool { return e.Age < 300*time.Millisecond })
+	require.Equal(t, 50*time.Millisecond, e.Every)
+	g.cut(3, true)
+	cutAt := time.Now()
+	c.until(func(e WatchEvent) bool { return e.Age > 700*time.Millisecond })
+	require.Greater(t, time.Since(cutAt), 300*time.Millisecond)
+	late := watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})
+	require.Len(t, late.next(Snapshot).Records, 1)
+	g.cut(3, false)
+	c.until(func(e WatchEvent) bool { return e.Age < 300*time.Millisecond })
+	leader := watchSession(t, g.address(g.leader()), WatchRequest{Session: SessionInfo{Name: "g3"}})
+	require.Zero(t, leader.next(Snapshot).Age)
+	require.Zero(t, leader.next(Heartbeat).Age)
+}
+
+// When raft restores a snapshot under a running session, the session ends with *ComeBack before anything of the new state
+// is sent, and the client, back again, gets that state as one snapshot.
+func TestRestoreUnderSession(t *testing.T) {
+	g := newControlGroup(t, 1, 0, nil)
+	held := g.put("settings/a", "1")
+	c := watchSession(t, g.address(0), WatchRequest{})
+	c.next(Snapshot)
+	other := newMachine()
+	for i := range 50 {
+		other.Apply(entry(t, uint64(i)+held+100, command{Op: opPut, Key: fmt.Sprint("settings/", i), Value: []byte("new")}))
+	}
+	s, err := other.Snapshot()
+	require.NoError(t, err)
+	sink := &memSink{}
+	require.NoError(t, s.Persist(sink))
+	require.NoError(t, g.nodes[0].fsm.Restore(io.NopCloser(&sink.Buffer)))
+	var back *ComeBack
+	require.ErrorAs(t, c.end(), &back)
+	close(c.events)
+	for e := range c.events {
+		require.Equal(t, Heartbeat, e.Kind, "a part of the new state was sent")
+		require.LessOrEqual(t, e.Revision, held)
+	}
+	require.Less(t, back.After, time.Second)
+	time.Sleep(back.After)
+	e := watchSession(t, g.address(0), WatchRequest{After: held}).next(Snapshot)
+	require.Len(t, e.Records, 50)
+	require.Equal(t, held+149, e.Revision)
+}
+
+// Sessions go on, and miss nothing, while the leader is killed.
+func TestSessionsOutliveTheLeader(t *testing.T) {
+	g := newControlGroup(t, 3, 1, nil)
+	g.put("settings/a", "1")
+	leader := g.leader()
+	at := (leader + 1) % 3
+	sessions := []*client{watchSession(t, g.address(at), WatchRequest{}), watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})}
+	for _, c := range sessions {
+		c.next(Snapshot)
+	}
+	g.nodes[leader].Close()
+	revision, err := g.nodes[at].Transact(within(t), []Write{{Key: "settings/a", Value: []byte("2")}})
+	require.NoError(t, err)
+	for _, c := range sessions {
+		e := c.next(Change)
+		require.Equal(t, revision, e.Revision)
+		require.Equal(t, "2", string(e.Records[0].Value))
+		c.until(func(e WatchEvent) bool { return e.Revision >= revision })
+	}
+}
+
+// Beyond its rates a control machine answers with a time to come back, and takes those who come then.
+func TestAdmissionOfSessions(t *testing.T) {
+	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) {
+		s.Admission = AdmissionOptions{SessionsPerSecond: 5, SessionsBurst: 3, SnapshotsPerSecond: 5, SnapshotsBurst: 3}
+	}))
+	require.NoError(t, g.nodes[0].WaitReady(within(t)))
+	g.put("settings/a", "1")
+	const clients = 8
+	began := time.Now()
+	admitted := make(chan time.Duration, clients)
+	refused := make(chan time.Duration, clients)
+	ctx, cancel := context.WithCancel(within(t))
+	defer cancel()
+	for i := range clients {
+		go func() {
+			for ctx.Err() == nil {
+				r := WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: fmt.Sprint("g", i)}}
+				first := true
+				err := WatchSession(ctx, nil, g.address(0), r, nil, func(WatchEvent) error {
+					if first {
+						admitted <- time.Since(began)
+					}
+					first = false
+					return nil
+				})
+				if back, ok := err.(*ComeBack); ok {
+					refused <- back.After
+					time.Sleep(back.After)
+				}
+			}
+		}()
+	}
+	var last time.Duration
+	for range clients {
+		select {
+		case last = <-admitted:
+		case <-time.After(15 * time.Second):
+			t.Fatal("not all are admitted")
+		}
+	}
+	require.Greater(t, last, 900*time.Millisecond, "five of eight need a second at 5 a second")
+	require.Len(t, refused, clients-3, "who comes at its slot is refused again")
+}
+
+// Requests that can't be served are refused with what is wrong.
+func TestBadSessions(t *testing.T) {
+	g := newControlGroup(t, 1, 0, nil)
+	var bad *BadRequest
+	for _, prefixes := range [][]string{{}, {"settings/", "secrets/"}, make([]string, maxPrefixes+1)} {
+		require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{Prefixes: prefixes}).end(), &bad, "%q", prefixes)
+	}
+}
+
+// A member that has no leader yet and has not replayed serves no session.
+func TestNotReadyServesNoSession(t *testing.T) {
+	g := newControlGroup(t, 1, 0, func(_ int, o *Options) {
+		o.Peers = append(o.Peers, Peer{Node: "absent", Address: "127.0.0.1:1"})
+	})
+	require.ErrorIs(t, watchSession(t, g.address(0), WatchRequest{}).end(), ErrNotReady)
+}
+
+// answering is a listener that answers each command with a text, as a member of an earlier version would.
+func answering(t *testing.T, text string) string {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			bufio.NewReader(c).ReadBytes('\n')
+			io.WriteString(c, text)
+			c.Close()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// What a member of an earlier version answers is told apart from success.
+func TestEarlierVersions(t *testing.T) {
+	var earlier *EarlierVersion
+	_, err := TransactTo(within(t), answering(t, `{"revision":7}`), []Write{{Key: "a"}})
+	require.ErrorAs(t, err, &earlier)
+	var not *NotControl
+	err = watchSession(t, answering(t, `{"records":[{"key":"settings/a","value":"MQ==","revision":3}]}`), WatchRequest{}).end()
+	require.ErrorAs(t, err, &not)
+	_, err = SessionsFrom(within(t), nil, answering(t, `{"status":{"node":"old"}}`))
+	require.ErrorAs(t, err, &not)
+}
+
+// The leader commits no transaction while a member of an earlier version answers.
+func TestNoTransactionWithAnEarlierMember(t *testing.T) {
+	old := answering(t, `{"status":{"node":"old","state":"Follower"}}`)
+	g := newControlGroup(t, 3, 0, func(_ int, o *Options) {
+		o.Peers = append(append([]Peer{}, o.Peers...), Peer{Node: "old", Address: old, NonVoter: true})
+	})
+	for i := range g.nodes {
+		_, err := TransactTo(within(t), g.address(i), []Write{{Key: "settings/a"}})
+		var earlier *EarlierVersion
+		require.ErrorAs(t, err, &earlier)
+		require.Equal(t, "old", earlier.Member)
+	}
+	require.Empty(t, g.nodes[0].List(""))
+	_, err := PutTo(within(t), g.address(0), "settings/a", nil, nil)
+	require.NoError(t, err)
+}
+
+// The watch of a client of an earlier version works at a control machine as before.
+func TestPlainWatchAtControlMachine(t *testing.T) {
+	g := newControlGroup(t, 1, 0, nil)
+	require.NoError(t, g.nodes[0].WaitReady(within(t)))
+	ctx, cancel := context.WithCancel(within(t))
+	heard, ended := make(chan Record, 8), make(chan error, 1)
+	go func() { ended <- WatchFrom(ctx, g.address(0), "settings/", func(r Record) { heard <- r }) }()
+	require.Eventually(t, func() bool { // until the watch is there
+		g.put("settings/a", "1")
+		return len(heard) > 0
+	}, 10*time.Second, 10*time.Millisecond)
+	require.Equal(t, "settings/a", (<-heard).Key)
+	cancel()
+	require.ErrorIs(t, <-ended, context.Canceled)
+}
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -13,6 +13,7 @@
 	"go.uber.org/goleak"
 
 	"beammux/control/advice"
+	"beammux/internal/relay"
 )
 
 // controlGroup is a group of control machines on loopback.
@@ -22,12 +23,14 @@
 	listeners []net.Listener
 	nodes     []*Node
 	configure func(i int, o *Options)
+	network   *relay.Network // between the members
 }
 
 // newControlGroup starts voters and non-voters, in this order. configure may change each one's options; nil: none.
 func newControlGroup(t *testing.T, voters, nonVoters int, configure func(i int, o *Options)) *controlGroup {
 	t.Helper()
-	g := &controlGroup{t: t, configure: configure}
+	g := &controlGroup{t: t, configure: configure, network: relay.New(1)}
+	t.Cleanup(g.network.Close)
 	for i := range voters + nonVoters {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -45,6 +48,18 @@
 	g.t.Helper()
 	o := Options{Node: g.peers[i].Node, Listener: l, Peers: g.peers, Log: quiet(),
 		Serve: &ServeOptions{Name: g.peers[i].Node, Prefix: "settings/", HeartbeatEvery: 50 * time.Millisecond, ReportEvery: 50 * time.Millisecond}}
+	for j, p := range g.peers {
+		if j == i {
+			continue
+		}
+		link, err := g.network.TCP(o.Node, p.Node, "store")
+		require.NoError(g.t, err)
+		g.network.Up(p.Node, "store", p.Address)
+		if o.Via == nil {
+			o.Via = map[string]string{}
+		}
+		o.Via[p.Address] = link.Addr()
+	}
 	if g.configure != nil {
 		g.configure(i, &o)
 	}
@@ -54,10 +69,24 @@
 	g.t.Cleanup(func() { n.Close() })
 }
 
+// cut parts a member from the others, or heals it.
+func (g *controlGroup) cut(i int, cut bool) {
+	var others []string
+	for j, p := range g.peers {
+		if j != i {
+			others = append(others, p.Node)
+		}
+	}
+	one := []string{g.peers[i].Node}
+	g.network.Cut(one, others, cut)
+	g.network.Cut(others, one, cut)
+}
+
 func (g *controlGroup) close() {
 	for _, n := range g.nodes {
 		n.Close()
 	}
+	g.network.Close()
 }
 
 func (g *controlGroup) address(i int) string { return g.peers[i].Address }
