--- a/internal/follow/disk.go
+++ b/internal/follow/disk.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(dir, "."+name+"-*")
+	f, err := os.CreateTemp(dir, freshPattern(name))
 	if err != nil {
 		return err
 	}
@@ -149,6 +149,25 @@
 	return json.Unmarshal(body, content)
 }
 
+// leftoverAfter is how old a file must be that a killed process was about to put in place of another, so that it is removed. A
+// younger one may be of a process that hands over to this one.
+const leftoverAfter = time.Minute
+
+// removeLeftovers removes what killed processes left half-written.
+func (d *disk) removeLeftovers() {
+	for _, name := range [...]string{settingsFile, triedFile, seenFile} {
+		files, _ := filepath.Glob(filepath.Join(d.dir, freshPattern(name)))
+		for _, file := range files {
+			if info, err := os.Stat(file); err == nil && time.Since(info.ModTime()) > leftoverAfter {
+				os.Remove(file)
+			}
+		}
+	}
+}
+
+// freshPattern is that of the names of files that are written to take the place of one.
+func freshPattern(name string) string { return "." + name + "-*" }
+
 func (d *disk) remove(name string) {
 	if err := os.Remove(filepath.Join(d.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		d.failed(&FileError{filepath.Join(d.dir, name), err})
@@ -165,6 +184,7 @@
 	if err := os.MkdirAll(f.disk.dir, dirPerm); err != nil {
 		f.disk.failed(&FileError{f.disk.dir, err})
 	}
+	f.disk.removeLeftovers()
 	defer func() { f.settings.beforeApply, f.settings.changed = f.saveTrying, f.save }()
 
 	var last seen
--- a/internal/follow/disk_test.go
+++ b/internal/follow/disk_test.go
@@ -1,6 +1,7 @@
 package follow
 
 import (
+	"io"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -361,3 +362,39 @@
 	f.Close()
 	f.Close()
 }
+
+// A file is replaced, never written over: who reads meanwhile, or a process that is killed, has the old one or the new one whole.
+// What a killed process left half-written goes away.
+func TestReplacesWhole(t *testing.T) {
+	dir, _ := keptDir(t)
+	before, err := os.ReadFile(filepath.Join(dir, settingsFile))
+	require.NoError(t, err)
+	old, err := os.Open(filepath.Join(dir, settingsFile))
+	require.NoError(t, err)
+	defer old.Close()
+	leftover, fresh := filepath.Join(dir, ".settings-1"), filepath.Join(dir, ".settings-2")
+	require.NoError(t, os.WriteFile(leftover, before[:10], filePerm))
+	require.NoError(t, os.WriteFile(fresh, before[:10], filePerm))
+	long := time.Now().Add(-2 * leftoverAfter)
+	require.NoError(t, os.Chtimes(leftover, long, long))
+
+	s, a := newScripted(t), &applied{}
+	f := start(t, s, a, Options{Dir: dir})
+	c := s.next()
+	c.change(9, limits("all", "9", 9), deleted("zone/z1", 9))
+	c.report(store.WatchReport{InForce: 9})
+	f.Close()
+	still, err := io.ReadAll(old)
+	require.NoError(t, err)
+	require.Equal(t, before, still)
+	files, err := os.ReadDir(dir)
+	require.NoError(t, err)
+	var names []string
+	for _, file := range files {
+		names = append(names, file.Name())
+		info, err := file.Info()
+		require.NoError(t, err)
+		require.Equal(t, os.FileMode(filePerm), info.Mode().Perm())
+	}
+	require.Equal(t, []string{".settings-2", seenFile, settingsFile}, names)
+}
