--- a/control/session/session_test.go
+++ b/control/session/session_test.go
@@ -407,3 +407,30 @@
 	at, _ := p.m.Wake()
 	require.Equal(t, p.now+5e6, at)
 }
+
+// A replica that turned out to have no leader either is not tried again for a time, others are.
+func TestLeaderlessHold(t *testing.T) {
+	p, s := opened(t, 3, 0)
+	require.Empty(t, p.m.Heard(p.now, s, Event{Heartbeat, 10, 5e6}))
+	other := p.connects(1, 10, p.wake(p.now+5e5))
+	require.Equal(t, closes(other), p.m.Heard(p.now, other, Event{Heartbeat, 10, 5e6}))
+	until := p.now + timing.LeaderlessHold
+	tried := map[string]int{}
+	for p.now < until+3*timing.BackoffCap {
+		at, _ := p.m.Wake()
+		p.now = min(at, p.now+2e6)
+		if p.now < at {
+			require.Empty(t, p.m.Heard(p.now, s, Event{Heartbeat, 10, 5e6}))
+			continue
+		}
+		for _, a := range p.m.Tick(p.now) {
+			tried[a.Replica.Name]++
+			if a.Replica == p.m.replicas[1] {
+				require.GreaterOrEqual(t, p.now, until)
+			}
+			p.ended(a.Session, Lost)
+		}
+	}
+	require.Positive(t, tried[p.m.replicas[1].Name])
+	require.Greater(t, tried[p.m.replicas[2].Name], 3)
+}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -322,22 +322,28 @@
 	require.Less(t, st.Age, time.Minute)
 }
 
+var errReset = errors.New("connection reset")
+
 // Each end of a session is told in the status with its advice, and the next one goes as the end demands.
 func TestEnds(t *testing.T) {
 	for _, end := range []struct {
 		err  error
 		same bool // the same control machine is asked again, or resumed
+		left bool // it is left out of the next round
 	}{
-		{&store.ComeBack{After: 50 * time.Millisecond}, true},
-		{&store.ReplicaBehind{Have: 1, Want: 2}, false},
-		{&store.WatcherTooSlow{}, false}, // at once: the session had not lasted
-		{&store.NotControl{Address: "c0"}, false},
-		{&store.BadRequest{Text: "no"}, false},
-		{errors.New("connection reset"), false},
+		{&store.ComeBack{After: 50 * time.Millisecond}, true, false},
+		{&store.ReplicaBehind{Have: 1, Want: 2}, false, true},
+		{&store.WatcherTooSlow{}, false, false}, // at once: the session had not lasted
+		{&store.NotControl{Address: "c0"}, false, true},
+		{&store.BadRequest{Text: "no"}, false, true},
+		{errReset, false, false},
 	} {
 		s, a := newScripted(t), &applied{}
 		timing := quick
-		timing.FaultHold, timing.BackoffBase = 3600e6, 200e3
+		timing.FaultHold, timing.BackoffBase = 3600e6, 50e3
+		if end.left {
+			timing.BehindWait = 3600e6
+		}
 		f := start(t, s, a, Options{Timing: timing})
 		c := s.next()
 		begun := time.Now()
@@ -350,6 +356,11 @@
 		require.Equal(t, end.same, next.address == c.address, "%v", end.err)
 		if end.same {
 			require.GreaterOrEqual(t, time.Since(begun), 50*time.Millisecond)
+		} else {
+			next.end <- errReset
+			s.next().end <- errReset
+			next = s.next()
+			require.Equal(t, end.left, next.address != c.address, "%v", end.err)
 		}
 		next.snapshot(3)
 		waitFor(t, f, "no fault", func(s Status) bool { return s.Fault == "" && s.Advice == "" && s.Connected })
