--- a/cmd/beammux/console.go
+++ b/cmd/beammux/console.go
@@ -15,9 +15,9 @@
 	"golang.org/x/term"
 
 	"beammux/control"
-	"beammux/control/history"
 	"beammux/internal/admin"
 	"beammux/internal/console"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/lab"
 	"beammux/internal/record"
 	"beammux/internal/report"
--- a/cmd/beammux/records_test.go
+++ b/cmd/beammux/records_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/record"
 	"beammux/internal/routing"
 )
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -11,7 +11,7 @@
 	"github.com/gdamore/tcell/v2"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/control/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -14,7 +14,7 @@
 	"strings"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 // Kind tells what an event is.
--- a/control/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 const ms = control.Micros(1000)
--- a/control/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 // RuleLimit is judged where the fleet has a limit for all calls.
--- a/control/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 // RuleVerdicts is judged where the fleet comes to verdicts on servers.
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"beammux/control"
-	"beammux/control/fleetcheck"
 	"beammux/control/quota"
 	"beammux/control/registers"
 	"beammux/internal/counting"
 	gossip "beammux/internal/fleet"
+	"beammux/internal/fleetcheck"
 	"beammux/internal/fleetlab/script"
 	"beammux/internal/lab"
 	"beammux/internal/record"
--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -15,7 +15,7 @@
 	"github.com/go-analyze/charts"
 
 	"beammux/control"
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 	"beammux/internal/fleetlab/script"
 )
 
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 	"beammux/internal/fleetlab/script"
 	"beammux/internal/relay"
 )
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -21,7 +21,7 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sync/errgroup"
 
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 	"beammux/internal/fleetlab/script"
 	"beammux/internal/lab"
 	"beammux/internal/relay"
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 	"beammux/internal/fleetlab/script"
 )
 
--- a/internal/fleetlab/journal.go
+++ b/internal/fleetlab/journal.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"beammux/control"
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 )
 
 // line is an event as it stands in a file: one JSON object in a line.
--- a/internal/fleetlab/limits_test.go
+++ b/internal/fleetlab/limits_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"beammux/control/fleetcheck"
-	"beammux/control/history"
+	"beammux/internal/fleetcheck"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -12,7 +12,7 @@
 	"github.com/go-analyze/charts"
 
 	"beammux/control"
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 )
 
 // report writes the table and the plot of a run into its folder: report.txt, course.svg and course.png.
--- a/internal/fleetlab/views.go
+++ b/internal/fleetlab/views.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"beammux/control/fleetcheck"
+	"beammux/internal/fleetcheck"
 )
 
 // view is a gatekeeper's view of the fleet as its operators' address tells it.
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -17,8 +17,8 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
 	"beammux/control"
-	"beammux/control/history"
 	"beammux/internal/config"
+	"beammux/internal/history"
 	"beammux/internal/protocol/sip"
 	"beammux/internal/protocol/sip/siptest"
 	"beammux/internal/report"
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -6,8 +6,8 @@
 	"runtime/metrics"
 	"time"
 
-	"beammux/control/history"
 	"beammux/internal/admin"
+	"beammux/internal/history"
 	"beammux/internal/record"
 	"beammux/internal/routing"
 )
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -22,7 +22,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 const (
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -15,7 +15,7 @@
 	"github.com/klauspost/compress/zstd"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 func compareSegments(a, b segment) int {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,7 +17,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 func recorder(t testing.TB, o Options) *Recorder {
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 // FS is what a recorder needs of a file system. Tests stand in for it.
--- a/internal/record/stream.go
+++ b/internal/record/stream.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 // StreamWriter writes events to a connection in the form of a segment.
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -13,7 +13,7 @@
 	"unicode"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 //go:embed page.tmpl
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 	"beammux/internal/record"
 )
 
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -9,10 +9,10 @@
 	"github.com/sirupsen/logrus"
 
 	"beammux/control"
-	"beammux/control/history"
 	"beammux/control/retry"
 	"beammux/internal/actor"
 	"beammux/internal/counting"
+	"beammux/internal/history"
 )
 
 // Causes (Q.850) of a release.
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 
 	"beammux/control"
-	"beammux/control/history"
 	"beammux/internal/actor"
+	"beammux/internal/history"
 )
 
 // Host is one server as a list names it.
--- a/internal/routing/peer.go
+++ b/internal/routing/peer.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 
 	"beammux/control"
-	"beammux/control/history"
 	"beammux/internal/actor"
+	"beammux/internal/history"
 )
 
 // ref names one attempt.
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"beammux/control"
-	"beammux/control/history"
+	"beammux/internal/history"
 )
 
 // Recorder takes what happens, in order. Record is called by actors and by writers of connections and must not block.
