--- a/control/locality/locality_test.go
+++ b/control/locality/locality_test.go
@@ -147,7 +147,8 @@
 	lost := map[string]int{"a": 0, "b": 4, "c": 4}
 	others := votes("a", 0, 3)
 	b.Step(0, Input{Servers: servers(all), Votes: others, Others: 3, Up: 3})
-	o := b.Step(1*sec, Input{Servers: servers(lost), Votes: others, Others: 3, Up: 3})
+	b.Step(1*sec, Input{Servers: servers(lost), Votes: others, Others: 3, Up: 3})
+	var o Output
 	for now := 1*sec + 100000; now < 1*sec+2500000; now += 100000 { // its vote turns after 0.5 s, its patience ends 2 s later
 		o = b.Step(now, Input{Servers: servers(lost), Votes: others, Others: 3, Up: 3})
 		if z := find(t, o, "a"); z.State != Healthy || z.By != Common {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -3,7 +3,6 @@
 package admin
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -64,11 +63,13 @@
 	}
 }
 
+const unixPrefix = "unix:" // of the address of a socket in the file system
+
 // Split tells network and address of an admin address: unix:PATH, or HOST:PORT on loopback.
 func Split(addr string) (network, address string, err error) {
-	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
+	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		if path == "" {
-			return "", "", errors.New("no path after unix:")
+			return "", "", fmt.Errorf("no path after %s", unixPrefix)
 		}
 		return "unix", path, nil
 	}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -26,7 +26,6 @@
 	Now     control.Micros
 	Last    []string       // what happened, the newest last
 	level   map[pair]level // as each gatekeeper believes it now
-	told    int            // moments of the fleet that are in Last
 }
 
 type pair struct {
--- a/internal/protocol/jsonl/model_test.go
+++ b/internal/protocol/jsonl/model_test.go
@@ -131,8 +131,8 @@
 			defer close(reading)
 			for s := bufio.NewScanner(c); s.Scan(); {
 				slow.Lock()
-				slow.Unlock()
 				text := s.Text()
+				slow.Unlock()
 				if i := strings.Index(text, `"sid":"`); i >= 0 && (strings.Contains(text, `"ready"`) || strings.Contains(text, `"code":34`) ||
 					strings.Contains(text, `"code":41`)) {
 					hear.Lock()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -120,8 +120,7 @@
 			nc.Close()
 			continue
 		}
-		var c *Conn
-		c = NewConn(nc, l.budget.give)
+		c := NewConn(nc, l.budget.give)
 		l.mu.Lock()
 		l.conns[c] = struct{}{}
 		l.mu.Unlock()
