--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -21,12 +21,13 @@
 }
 
 const (
-	oneRoute  = `{"calls":{"routes":[{"name":"a","match":{},`
-	limit     = `{"fleet":{"limits":{"parts":4,"rules":[{"name":"a","mode":"alone",`
-	oneClass  = `{"calls":{"classes":{"menu-view":{`
-	formOnly  = "form"  // the schema finds it too
-	rulesOnly = "rules" // only the proof can tell
-	textOnly  = "text"  // not a JSON text, or one that the schema's reader takes otherwise
+	oneRoute   = `{"calls":{"routes":[{"name":"a","match":{},`
+	limit      = `{"fleet":{"limits":{"parts":4,"rules":[{"name":"a","mode":"alone",`
+	controlled = `{"control":{"replicas":[{"name":"c1","address":"a:1"}],`
+	oneClass   = `{"calls":{"classes":{"menu-view":{`
+	formOnly   = "form"  // the schema finds it too
+	rulesOnly  = "rules" // only the proof can tell
+	textOnly   = "text"  // not a JSON text, or one that the schema's reader takes otherwise
 )
 
 // badFiles has every way to get a file wrong that we could invent, each with the line that is told first.
@@ -54,6 +55,23 @@
 	{formOnly, `{"store":{"peers":{}}}`, `1:11: store.peers: is an object, must be an array`},
 	{formOnly, `{"store":{"listen":"a:1","peers":[{"node":"a"}]}}`, `1:35: store.peers[0]: node or address is missing`},
 	{formOnly, `{"store":{"peers":[{"node":"a","address":"a:1"}]}}`, `1:2: store.listen: missing beside peers`},
+	{formOnly, `{"store":{"listen":"a:1","peers":[{"node":"a","address":"a:1","voter":"no"}]}}`, `1:63: store.peers[0].voter: is a string, must be true or false`},
+	{formOnly, `{"store":{"listen":"a:1","peers":[{"node":"a","address":"a:1","voter":false}]}}`, `1:26: store.peers: none of them votes`},
+	{formOnly, `{"control":[]}`, `1:2: control: is an array, must be an object`},
+	{formOnly, `{"control":{}}`, `1:2: control: replicas is missing`},
+	{formOnly, `{"control":{"replicas":{}}}`, `1:13: control.replicas: is an object, must be an array`},
+	{formOnly, `{"control":{"replicas":[]}}`, `1:13: control.replicas: is empty`},
+	{formOnly, `{"control":{"replicas":[{"name":"c1"}]}}`, `1:25: control.replicas[0]: name or address is missing`},
+	{formOnly, `{"control":{"replicas":[{"name":"c1","address":"host"}]}}`, `1:38: control.replicas[0].address: "host" is not HOST:PORT`},
+	{rulesOnly, `{"control":{"replicas":[{"name":"c1","address":"host:70000"}]}}`, `1:38: control.replicas[0].address: "host:70000" is not HOST:PORT`},
+	{rulesOnly, `{"control":{"replicas":[{"name":"c1","address":"a:1"},{"name":"c1","address":"a:2"}]}}`, `1:56: control.replicas[1].name: "c1" is the name of replicas[0] already`},
+	{formOnly, `{"control":{"replicas":[3]}}`, `1:25: control.replicas[0]: is a number, must be an object`},
+	{formOnly, controlled + `"zon":"z"}}`, `1:56: control.zon: unknown key; did you mean "zone"?`},
+	{formOnly, controlled + `"zone":"a/b"}}`, `1:56: control.zone: must have 1 to 64 characters without white space and /`},
+	{formOnly, controlled + `"service":""}}`, `1:56: control.service: must have 1 to 64`},
+	{formOnly, controlled + `"region":3}}`, `1:56: control.region: is a number, must be a string`},
+	{formOnly, controlled + `"name":"` + strings.Repeat("g", 65) + `"}}`, `1:56: control.name: must have 1 to 64`},
+	{formOnly, controlled + `"dir":true}}`, `1:56: control.dir: is true or false, must be a string`},
 	{formOnly, `{"inventory":["a.csv"]}`, `1:2: inventory: is an array, must be a string`},
 	{formOnly, `{"calls":null}`, `1:2: calls: is null, must be an object`},
 	{formOnly, `{"calls":[]}`, `1:2: calls: is an array, must be an object`},
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -35,6 +35,7 @@
 	Records        *Records          // nil: off
 	Fleet          *Fleet            // nil: off
 	Limits         *Limits           // of the whole fleet; nil: none
+	Control        *Control          // nil: it follows no settings of control machines
 	Console        string            // socket where staff may watch with the console,, unix:PATH or HOST:PORT on loopback; empty: off
 
 	file  *jsonfile.File // nil where there is no file
@@ -52,7 +53,18 @@
 }
 
 // StorePeer is one member of the store's group.
-type StorePeer struct{ Node, Address string }
+type StorePeer struct {
+	Node, Address string
+	NonVoter      bool // it holds what the others hold, and has no vote
+}
+
+// Store is the section store.
+type Store struct {
+	Node, Listen, Dir, Sync string
+	Peers                   []StorePeer
+	Via                     map[string]string // where this member reaches others, by their addresses in the group
+	Join                    bool              // this member is new to a group that runs
+}
 
 // Records says where a gatekeeper keeps its records, and how much.
 type Records struct {
@@ -82,7 +94,7 @@
 		return nil, err
 	}
 	d := &Deploy{file: f}
-	top := f.Members(f.Root, "$schema", "sip", "store", "inventory", "calls", "records", "console", "fleet")
+	top := f.Members(f.Root, "$schema", "sip", "store", "inventory", "calls", "records", "console", "fleet", "control")
 	f.String(top[0])
 	sip := f.Members(top[1], "udp", "tcp", "default_class")
 	d.SIPUDP, d.SIPTCP, d.DefaultClass = f.String(sip[0]), f.String(sip[1]), f.String(sip[2])
@@ -104,6 +116,9 @@
 	if top[7] != nil {
 		d.fleet(top[7], site)
 	}
+	if top[8] != nil {
+		d.control(top[8])
+	}
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
@@ -129,42 +144,63 @@
 }
 
 func (d *Deploy) store(v *jsonfile.Value) {
-	f := d.file
-	store := f.Members(v, "node", "listen", "peers", "dir", "sync", "join", "via")
-	d.StoreNode, d.StoreListen, d.StoreDir, d.StoreSync = f.String(store[0]), f.String(store[1]), f.String(store[3]), f.String(store[4])
-	if d.StoreJoin, _ = f.Bool(store[5]); d.StoreJoin && d.StoreListen == "" {
+	s := readStore(d.file, v)
+	d.StoreNode, d.StoreListen, d.StoreDir, d.StoreSync = s.Node, s.Listen, s.Dir, s.Sync
+	d.StorePeers, d.StoreVia, d.StoreJoin = s.Peers, s.Via, s.Join
+}
+
+// readStore reads the section store of a deploy file or of a control machine's file.
+func readStore(f *jsonfile.File, v *jsonfile.Value) Store {
+	m := f.Members(v, "node", "listen", "peers", "dir", "sync", "join", "via")
+	s := Store{Node: f.String(m[0]), Listen: f.String(m[1]), Dir: f.String(m[3]), Sync: f.String(m[4])}
+	if s.Join, _ = f.Bool(m[5]); s.Join && s.Listen == "" {
 		f.Fault("store.listen", "missing beside join")
 	}
-	if s := store[4]; s != nil && s.Kind == jsonfile.String {
-		if known := []string{"always", "interval"}; !slices.Contains(known, s.Text) {
-			f.Fault(s.Path, fmt.Sprintf("%q is neither always nor interval%s", s.Text, jsonfile.Hint(s.Text, known)))
-		} else if d.StoreDir == "" {
-			f.Fault(s.Path, "says how dir is written, and dir is missing")
+	if sync := m[4]; sync != nil && sync.Kind == jsonfile.String {
+		if known := []string{"always", "interval"}; !slices.Contains(known, sync.Text) {
+			f.Fault(sync.Path, fmt.Sprintf("%q is neither always nor interval%s", sync.Text, jsonfile.Hint(sync.Text, known)))
+		} else if s.Dir == "" {
+			f.Fault(sync.Path, "says how dir is written, and dir is missing")
 		}
 	}
-	d.StoreVia = d.via(store[6])
-	if !f.Is(store[2], jsonfile.Array) {
-		return
+	s.Via = readVia(f, m[6])
+	if f.Is(m[2], jsonfile.Array) {
+		s.Peers = storePeers(f, m[2])
 	}
-	for _, item := range store[2].Items {
+	if len(s.Peers) > 0 && s.Listen == "" {
+		f.Fault("store.listen", "missing beside peers")
+	}
+	return s
+}
+
+// storePeers reads the members of the store's group.
+func storePeers(f *jsonfile.File, v *jsonfile.Value) []StorePeer {
+	var peers []StorePeer
+	voters := 0
+	for _, item := range v.Items {
 		if !f.Is(item, jsonfile.Object) {
 			continue
 		}
-		peer := f.Members(item, "node", "address")
-		p := StorePeer{f.String(peer[0]), f.String(peer[1])}
+		m := f.Members(item, "node", "address", "voter")
+		p := StorePeer{Node: f.String(m[0]), Address: f.String(m[1])}
 		if p.Node == "" || p.Address == "" {
 			f.Fault(item.Path, "node or address is missing")
 		}
-		d.StorePeers = append(d.StorePeers, p)
+		if votes, said := f.Bool(m[2]); said && !votes {
+			p.NonVoter = true
+		} else {
+			voters++
+		}
+		peers = append(peers, p)
 	}
-	if len(d.StorePeers) > 0 && d.StoreListen == "" {
-		f.Fault("store.listen", "missing beside peers")
+	if len(peers) > 0 && voters == 0 {
+		f.Fault(v.Path, "none of them votes: the group could not write")
 	}
+	return peers
 }
 
-// via reads where this member reaches others, by the addresses that they are known by.
-func (d *Deploy) via(v *jsonfile.Value) map[string]string {
-	f := d.file
+// readVia reads where this member reaches others, by the addresses that they are known by.
+func readVia(f *jsonfile.File, v *jsonfile.Value) map[string]string {
 	if !f.Is(v, jsonfile.Array) {
 		return nil
 	}
@@ -192,13 +228,13 @@
 	f := d.file
 	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts")
 	if m[9] != nil {
-		d.limits(m[9], site, len(v.Keys()) > 1)
+		d.limits(m[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
 		if len(v.Keys()) == 1 { // limits alone: no gossip
 			return
 		}
 	}
 	c := &Fleet{Name: f.String(m[0]), Zone: f.String(m[1]), Region: f.String(m[2]), Bind: f.String(m[3]), Advertise: f.String(m[4]),
-		Via: d.via(m[7])}
+		Via: readVia(f, m[7])}
 	if v.Kind != jsonfile.Object {
 		return
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -30,7 +30,14 @@
 // plainFloor is the part of a leased limit that all gatekeepers together may spend without a lease, where the file does not say.
 const plainFloor = 0.02
 
-func (d *Deploy) limits(v *jsonfile.Value, site *control.Site, gossip bool) {
+// Around says what a gatekeeper has that limits of the whole fleet may need.
+type Around struct {
+	Gossip bool // it takes part in the fleet's gossip
+	Store  bool // it is a member of a store that the fleet shares
+}
+
+// limits reads the section. Without a site, names of classes and tenants are not looked up.
+func (d *Deploy) limits(v *jsonfile.Value, site *control.Site, around Around) {
 	f, l := d.file, &Limits{}
 	m := f.Members(v, "parts", "store", "rules")
 	if v.Kind != jsonfile.Object {
@@ -47,13 +54,7 @@
 			}
 		}
 	}
-	best := 0.0
-	for _, c := range site.Classes {
-		best = max(best, c.Worth)
-	}
-	for _, c := range site.Classes {
-		l.Dear = append(l.Dear, c.Worth == best)
-	}
+	l.Dear = dearest(site)
 	if m[2] == nil {
 		f.Fault(v.Path, "rules is missing")
 	}
@@ -62,7 +63,7 @@
 			f.Fault(m[2].Path, fmt.Sprintf("%d rules, over %d", len(m[2].Items), mostRoutes))
 		}
 		for _, item := range m[2].Items {
-			r := d.limit(item, l, site, gossip)
+			r := d.limit(item, l, site, around)
 			if slices.ContainsFunc(l.Rules, func(o quota.Rule) bool { return o.Name == r.Name && r.Name != "" }) {
 				f.Fault(item.Path+".name", fmt.Sprintf("%q is the name of a rule above already", r.Name))
 			}
@@ -72,8 +73,24 @@
 	d.Limits = l
 }
 
+// dearest tells of each class whether none has a greater worth.
+func dearest(site *control.Site) []bool {
+	if site == nil {
+		return nil
+	}
+	best := 0.0
+	for _, c := range site.Classes {
+		best = max(best, c.Worth)
+	}
+	var dear []bool
+	for _, c := range site.Classes {
+		dear = append(dear, c.Worth == best)
+	}
+	return dear
+}
+
 // limit reads one rule.
-func (d *Deploy) limit(v *jsonfile.Value, l *Limits, site *control.Site, gossip bool) quota.Rule {
+func (d *Deploy) limit(v *jsonfile.Value, l *Limits, site *control.Site, around Around) quota.Rule {
 	f := d.file
 	m := f.Members(v, "name", "match", "mode", "per_s", "burst", "open", "reserve", "floor")
 	r := quota.Rule{Name: f.String(m[0]), Tenant: -1, Class: -1, Prefix: true, PerS: f.Number(m[3], 0.001, mostPerS),
@@ -120,9 +137,9 @@
 		f.Fault(m[5].Path, fmt.Sprintf("%d is under the %d parts: each gatekeeper must be able to hold one call", r.Open, l.Parts))
 	}
 	switch {
-	case mode == quota.Near && !gossip:
+	case mode == quota.Near && !around.Gossip:
 		f.Fault(m[2].Path, "near needs the fleet's gossip: zone and bind are missing beside limits")
-	case mode == quota.Leased && len(l.Store) == 0 && len(d.StorePeers) == 0 && !d.StoreJoin:
+	case mode == quota.Leased && len(l.Store) == 0 && !around.Store:
 		f.Fault(m[2].Path, "leased needs a store that the fleet shares: name store.peers, or the members' addresses in fleet.limits.store")
 	}
 	return r
@@ -131,8 +148,12 @@
 func (d *Deploy) limitMatch(v *jsonfile.Value, r *quota.Rule, site *control.Site) {
 	f := d.file
 	m := f.Members(v, "tenant", "class", "number")
+	var tenants, classes []string
+	if site != nil {
+		tenants, classes = site.TenantNames, site.ClassNames
+	}
 	name := func(v *jsonfile.Value, what string, known []string) int {
-		if !f.Is(v, jsonfile.String) {
+		if !f.Is(v, jsonfile.String) || site == nil {
 			return -1
 		}
 		i := slices.Index(known, v.Text)
@@ -141,7 +162,7 @@
 		}
 		return i
 	}
-	r.Tenant, r.Class = name(m[0], "tenant", site.TenantNames), name(m[1], "class", site.ClassNames)
+	r.Tenant, r.Class = name(m[0], "tenant", tenants), name(m[1], "class", classes)
 	if number := f.String(m[2]); m[2] != nil && m[2].Kind == jsonfile.String {
 		r.Number, r.Prefix = strings.CutSuffix(number, "*")
 		switch {
--- /dev/null
+++ b/internal/config/machine.go
@@ -0,0 +1,105 @@
+package config
+
+import (
+	"os"
+
+	"beammux/control"
+	"beammux/internal/jsonfile"
+)
+
+// Machine is the file of a control machine: a member of the store that serves no callers.
+type Machine struct {
+	Name, Zone, Region string
+	Admin              string // the operators' address, HOST:PORT; empty: off
+	Store              Store
+	Admission          Admission
+	// Site holds the settings that a change is proved against: those of the gatekeeper's configuration that the file
+	// names. Without one it is nil, and changes are checked for their form alone.
+	Site *control.Site
+}
+
+// Admission bounds what a control machine takes on at a time. A figure that is 0 is left to the store's default.
+type Admission struct {
+	SessionsPerS   float64 // new sessions, a second
+	SessionsBurst  int
+	SnapshotsPerS  float64 // snapshots sent, a second
+	SnapshotsBurst int
+}
+
+// Bounds of the section admission.
+const (
+	leastAdmission = 0.1 // a second
+	mostAdmission  = 1e6 // a second, and in one burst
+)
+
+// LoadMachine reads the file of a control machine. The error holds every fault, one in a line, as FILE:LINE:COL: key: what.
+func LoadMachine(file string) (*Machine, error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, &Error{file, "", "can't be read: " + err.Error()}
+	}
+	return ParseMachine(file, text)
+}
+
+// ParseMachine is LoadMachine for a text that has been read.
+func ParseMachine(name string, text []byte) (*Machine, error) {
+	f, err := jsonfile.Parse(name, text)
+	if err != nil {
+		return nil, err
+	}
+	m := &Machine{}
+	top := f.Members(f.Root, "$schema", "name", "zone", "region", "admin_addr", "store", "admission", "gatekeeper")
+	f.String(top[0])
+	m.Name, m.Zone, m.Region = scopeName(f, top[1]), scopeName(f, top[2]), scopeName(f, top[3])
+	if m.Admin = f.String(top[4]); m.Admin != "" {
+		if err := CheckAdmin(m.Admin); err != nil {
+			f.Fault(top[4].Path, err.Error())
+		}
+	}
+	m.readStore(f, top[5])
+	m.readAdmission(f, top[6])
+	if f.Root.Kind == jsonfile.Object && top[1] == nil {
+		f.Fault("", "name is missing")
+	}
+	if file := f.String(top[7]); file != "" {
+		if c, err := Load(file); err != nil {
+			f.Fault(top[7].Path, err.Error())
+		} else {
+			m.Site = c.Site
+		}
+	}
+	if err := f.Err(); err != nil {
+		return nil, err
+	}
+	return m, nil
+}
+
+func (m *Machine) readStore(f *jsonfile.File, v *jsonfile.Value) {
+	if v == nil {
+		if f.Root.Kind == jsonfile.Object {
+			f.Fault("", "store is missing")
+		}
+		return
+	}
+	m.Store = readStore(f, v)
+	if v.Kind != jsonfile.Object {
+		return
+	}
+	if m.Store.Node == "" {
+		m.Store.Node = m.Name
+	}
+	if m.Store.Listen == "" {
+		f.Fault("store.listen", "missing: gatekeepers reach a control machine there")
+	}
+	if len(m.Store.Peers) == 0 && !m.Store.Join {
+		f.Fault("store.peers", "missing: all control machines, this one included")
+	}
+}
+
+func (m *Machine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
+	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst")
+	m.Admission = Admission{
+		SessionsPerS: f.Number(a[0], leastAdmission, mostAdmission), SessionsBurst: int(f.Whole(a[1], 1, mostAdmission)),
+		SnapshotsPerS: f.Number(a[2], leastAdmission, mostAdmission), SnapshotsBurst: int(f.Whole(a[3], 1, mostAdmission)),
+	}
+}
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -92,7 +92,10 @@
 }
 
 // Parse reads a text. The syntax is checked whole; what the values mean is up to the caller, by the methods of File.
-func Parse(name string, text []byte) (*File, error) {
+func Parse(name string, text []byte) (*File, error) { return ParseUnder(name, text, "") }
+
+// ParseUnder reads a text that is a part of a larger one, kept by itself: the paths of its values begin with that of the part.
+func ParseUnder(name string, text []byte, path string) (*File, error) {
 	f := &File{Name: name, text: text, places: map[string]int{}}
 	if !utf8.Valid(text) {
 		at := 0
@@ -119,7 +122,7 @@
 	}
 	p := parser{file: f, dec: json.NewDecoder(bytes.NewReader(text))}
 	p.dec.UseNumber()
-	root, err := p.value("", 0)
+	root, err := p.value(path, 0)
 	if err != nil {
 		return nil, err
 	}
