--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -7,6 +7,8 @@
 //	POST /api/rejoin     take clients again
 //	GET  /api/fleet      this member's view of the fleet, JSON; 404 where the fleet is off
 //
+// A control machine has the first two alone.
+//
 // It is built on net/http with every time set: a caller that sends nothing or half a call holds one goroutine and one
 // descriptor until its deadline, never a lock or another caller's answer. Over a bound the oldest connection is closed.
 // Rejected: a reader of our own over net/textproto. HTTP/1.1 has more corners (continuation, chunked bodies, pipelining)
@@ -36,12 +38,17 @@
 	ConnsMost    = 32 // open connections, each a descriptor; one more closes the oldest
 )
 
-// Gatekeeper is what the operators' calls reach. Each method returns at once.
-type Gatekeeper interface {
+// Process is what the operators' calls reach at any process. Each method returns at once.
+type Process interface {
 	Ready() bool
+	WriteFigures(w io.Writer)
+}
+
+// Gatekeeper is what the operators' calls reach at a gatekeeper. Each method returns at once.
+type Gatekeeper interface {
+	Process
 	Evacuate()
 	Rejoin()
-	WriteFigures(w io.Writer)
 	Fleet() (view any, on bool)
 }
 
@@ -62,8 +69,17 @@
 	return host, port, err
 }
 
-// Listen binds the address and serves on it until Close.
+// Listen binds the address and serves a gatekeeper's calls on it until Close.
 func Listen(addr string, g Gatekeeper, log logrus.FieldLogger) (*Server, error) {
+	return listen(addr, Handler(g), log)
+}
+
+// ListenProcess is Listen for a process that is no gatekeeper: it answers whether it is ready, and its figures.
+func ListenProcess(addr string, p Process, log logrus.FieldLogger) (*Server, error) {
+	return listen(addr, processHandler(p), log)
+}
+
+func listen(addr string, handler http.Handler, log logrus.FieldLogger) (*Server, error) {
 	if _, _, err := Split(addr); err != nil {
 		return nil, err
 	}
@@ -72,7 +88,7 @@
 		return nil, err
 	}
 	s := &Server{ln: &bounded{Listener: ln}}
-	s.http = &http.Server{Handler: Handler(g), ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin,
+	s.http = &http.Server{Handler: handler, ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin,
 		WriteTimeout: answerWithin, IdleTimeout: headerWithin, MaxHeaderBytes: headerMost,
 		ErrorLog: stdlog.New(io.Discard, "", 0)} // callers that break off are many and say nothing worth a line
 	s.http.SetKeepAlivesEnabled(false)
@@ -96,11 +112,11 @@
 	}
 }
 
-// Handler answers the operators' calls.
-func Handler(g Gatekeeper) http.Handler {
+// processHandler answers the calls that any process has.
+func processHandler(p Process) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if g.Ready() {
+		if p.Ready() {
 			text(w, http.StatusOK, "ready\n")
 		} else {
 			text(w, http.StatusServiceUnavailable, "not ready\n")
@@ -108,8 +124,14 @@
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		g.WriteFigures(w)
+		p.WriteFigures(w)
 	})
+	return mux
+}
+
+// Handler answers the operators' calls.
+func Handler(g Gatekeeper) http.Handler {
+	mux := processHandler(g)
 	mux.HandleFunc("GET /api/fleet", func(w http.ResponseWriter, _ *http.Request) {
 		view, on := g.Fleet()
 		if !on {
