--- /dev/null
+++ b/cmd/beammux/control_test.go
@@ -0,0 +1,184 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"beammux/internal/lab"
+)
+
+// controlGroup is a group of control machines in processes of their own.
+type controlGroup struct {
+	names, addresses, files, ops []string
+	processes                    []*exec.Cmd
+}
+
+// freeAddresses gives addresses at which nothing listens just now.
+func freeAddresses(t *testing.T, count int) []string {
+	t.Helper()
+	var all []string
+	for range count {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		defer l.Close() // until all are drawn
+		all = append(all, l.Addr().String())
+	}
+	return all
+}
+
+// startControl starts so many control machines, the last one without a vote, which prove settings against a gatekeeper's
+// configuration, and waits until all are ready.
+func startControl(t *testing.T, count int, configuration string) *controlGroup {
+	t.Helper()
+	g := &controlGroup{addresses: freeAddresses(t, count), processes: make([]*exec.Cmd, count), ops: make([]string, count)}
+	dir := t.TempDir()
+	var peers []map[string]any
+	for i, address := range g.addresses {
+		g.names = append(g.names, fmt.Sprint("c", i+1))
+		peers = append(peers, map[string]any{"node": g.names[i], "address": address, "voter": i < max(1, count-1)})
+	}
+	for i, name := range g.names {
+		file := filepath.Join(dir, name+".json")
+		writeJSON(t, file, map[string]any{"name": name, "zone": "z1", "region": "r1", "gatekeeper": configuration,
+			"store": map[string]any{"listen": g.addresses[i], "peers": peers, "dir": filepath.Join(dir, name)}})
+		g.files = append(g.files, file)
+		g.processes[i] = program("control", "serve", "--file", file, "--admin-addr", "127.0.0.1:0", "--log-format", "json")
+		g.ops[i] = logged(t, g.processes[i], "operators' address serving")
+	}
+	t.Cleanup(func() {
+		for _, p := range g.processes {
+			p.Process.Kill()
+			p.Wait()
+		}
+	})
+	for _, ops := range g.ops {
+		require.Eventually(t, func() bool { return ready(t, ops) }, 20*time.Second, 20*time.Millisecond)
+	}
+	return g
+}
+
+func writeJSON(t *testing.T, file string, value any) {
+	t.Helper()
+	text, err := json.Marshal(value)
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(file, text, 0o600))
+}
+
+// textFile writes a file of a test and gives its path.
+func textFile(t *testing.T, name, text string) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+	return file
+}
+
+var plainConfiguration = `{"name":"g1","listen":"127.0.0.1:0","settings":` + lab.Settings(1) + `}`
+
+// What does not check is refused by any control machine, voter or not, with a line for each fault, and nothing of the
+// transaction is committed. What checks is written at one revision, and every machine has it.
+func TestControlMachinesCheckWrites(t *testing.T) {
+	g := startControl(t, 3, textFile(t, "config.json", plainConfiguration))
+	good := textFile(t, "good", `{"defaults":{"attempts":2}}`)
+	bad := textFile(t, "bad", "{\"defaults\":\n{\"atempts\":2}, \"x\":1}")
+	inventory := textFile(t, "servers.csv", "name,address\ns-1,nowhere\n")
+	for _, address := range g.addresses {
+		_, errs, code := run(t, "store", "put", "settings/all/calls", bad, "--store", address)
+		require.Equal(t, 1, code, errs)
+		require.Equal(t, "settings/all/calls:2:2: calls.defaults.atempts: unknown key; did you mean \"attempts\"?\n"+
+			"settings/all/calls:2:16: calls.x: unknown key\n", errs)
+	}
+	_, errs, code := run(t, "store", "put", "settings/all/inventory", inventory, "--store", g.addresses[0])
+	require.Equal(t, 1, code)
+	require.Equal(t, "settings/all/inventory:3:1: address: not host and port: \"nowhere\"\n", errs)
+	_, errs, code = run(t, "store", "apply", "settings/all/calls="+good, "settings/zone/z1/cals="+good, "other="+bad, "--store", g.addresses[2])
+	require.Equal(t, 1, code)
+	require.Equal(t, 1, strings.Count(errs, "\n"), errs)
+	require.Contains(t, errs, `settings/zone/z1/cals: is no key of settings; did you mean "calls"?`)
+	out, _, code := run(t, "store", "list", "--store", g.addresses[0])
+	require.Zero(t, code)
+	require.Empty(t, out, "what was refused was written")
+
+	out, errs, code = run(t, "store", "apply", "settings/all/calls="+good, "settings/zone/z1/calls="+good, "--at", "settings/zone/z1/calls=0",
+		"--delete", "settings/zone/z2/calls", "--store", g.addresses[2], "--json")
+	require.Zero(t, code, errs)
+	var written struct{ Revision uint64 }
+	require.NoError(t, json.Unmarshal([]byte(out), &written))
+	for _, address := range g.addresses {
+		want := fmt.Sprintf("settings/all/calls      revision %d  27 bytes\nsettings/zone/z1/calls  revision %[1]d  27 bytes\n", written.Revision)
+		require.Eventually(t, func() bool {
+			out, _, _ := run(t, "store", "list", "--store", address)
+			return out == want
+		}, 5*time.Second, 20*time.Millisecond)
+	}
+	_, _, code = run(t, "store", "apply", "settings/all/limits="+textFile(t, "l", `{"parts":1,"rules":[]}`), "--delete", "settings/all/calls",
+		"--at", "settings/all/calls=1", "--store", g.addresses[1])
+	require.Equal(t, exitRevision, code)
+	_, errs, code = run(t, "store", "apply", "settings/all/calls", "--store", g.addresses[1])
+	require.Equal(t, exitUsage, code, errs)
+	out, errs, code = run(t, "control", "sessions", "--store", g.addresses[1])
+	require.Zero(t, code, errs)
+	require.Equal(t, 1, strings.Count(out, "\n"), "nobody follows: %s", out)
+}
+
+// A control machine that is told to end hands the lead on, says that it drains, and ends with no fault; its group goes on
+// with the machines that are left. The figures say what it was.
+func TestControlMachineDrains(t *testing.T) {
+	g := startControl(t, 4, textFile(t, "config.json", plainConfiguration))
+	good := textFile(t, "good", `{"defaults":{"attempts":2}}`)
+	leader := -1
+	for i, ops := range g.ops {
+		figures, err := viaHTTP(ops, "/api/telemetry")
+		require.NoError(t, err)
+		if strings.Contains(figures, "proxy_control_leads 1\n") {
+			leader = i
+		}
+		require.Contains(t, figures, fmt.Sprintf("proxy_control_votes %d\n", map[bool]int{true: 1}[i < 3]))
+		require.Contains(t, figures, "proxy_control_members 4\n")
+		require.Contains(t, figures, "proxy_control_sessions 0\n")
+		require.Contains(t, figures, `proxy_control_fleet{state="holding"} 0`)
+	}
+	require.GreaterOrEqual(t, leader, 0, "nobody leads")
+	require.NoError(t, g.processes[leader].Process.Signal(syscall.SIGTERM))
+	require.NoError(t, g.processes[leader].Wait())
+	_, errs, code := run(t, "store", "put", "settings/all/calls", good, "--store", g.addresses[(leader+1)%4], "--timeout", "10s")
+	require.Zero(t, code, errs)
+}
+
+// Faults of a control machine's file are lines that name file, line and key; the start ends with exit 1.
+func TestBadControlFile(t *testing.T) {
+	file := textFile(t, "c.json", `{"name":"c1","store":{"listen":"127.0.0.1:0","pers":[]}}`)
+	for _, args := range [][]string{{"control", "serve", "--file", file}, {"control", "check", file}} {
+		_, errs, code := run(t, args...)
+		require.Equal(t, 1, code)
+		require.Equal(t, file+`:1:14: store.peers: missing: all control machines, this one included`+"\n"+
+			file+`:1:46: store.pers: unknown key; did you mean "peers"?`+"\n", errs)
+	}
+	out, errs, code := run(t, "control", "check", "deploy/example/control.json")
+	require.Zero(t, code, errs)
+	require.Contains(t, out, "control machine control-1 at 127.0.0.1:7401, 3 members; settings are proved against deploy/example/gatekeeper.json")
+}
+
+// check-config checks the value of a settings record as a control machine does.
+func TestCheckConfigOfSettings(t *testing.T) {
+	configuration := textFile(t, "config.json", plainConfiguration)
+	value := textFile(t, "value", `{"classes":{"menu-vew":{"attempts":1}}}`)
+	_, errs, code := run(t, "check-config", configuration, "--settings", value, "--key", "settings/all/calls")
+	require.Equal(t, 1, code)
+	require.Equal(t, `settings/all/calls:1:13: calls.classes.menu-vew: the settings name no such class: "menu-vew"; did you mean "menu-view"?`+"\n", errs)
+	_, _, code = run(t, "check-config", configuration, "--settings", value)
+	require.Equal(t, exitUsage, code)
+	value = textFile(t, "value", `{"classes":{"menu-view":{"attempts":1}}}`)
+	out, errs, code := run(t, "check-config", configuration, "--settings", value, "--key", "settings/all/calls")
+	require.Zero(t, code, errs)
+	require.Contains(t, out, "good: gatekeeper g1")
+}
--- a/cmd/beammux/main.go
+++ b/cmd/beammux/main.go
@@ -14,6 +14,7 @@
 
 	"beammux/internal/config"
 	"beammux/internal/jsonfile"
+	"beammux/internal/store"
 )
 
 type cli struct {
@@ -32,6 +33,7 @@
 	Store       storeCmd       `cmd:"" help:"The replicated store: ask members, read their files."`
 	Inventory   inventoryCmd   `cmd:"" help:"Lists of servers as configuration tools keep them."`
 	Fleet       fleetCmd       `cmd:"" help:"The fleet as a gatekeeper sees it."`
+	Control     controlCmd     `cmd:"" help:"Control machines: they hold the settings that gatekeepers follow."`
 	Lab         labCmd         `cmd:"" help:"Laboratories on loopback: many processes, stand-ins and faults."`
 }
 
@@ -52,8 +54,10 @@
 }
 
 type checkConfigCmd struct {
-	File   string `arg:"" help:"Configuration file (JSON)." env:"PROXY_CONFIG"`
-	Deploy string `help:"The project's own file: SIP front, store, inventory." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
+	File     string `arg:"" help:"Configuration file (JSON)." env:"PROXY_CONFIG"`
+	Deploy   string `help:"The project's own file: SIP front, store, inventory." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
+	Settings string `help:"Check the value of a settings record in this file too, as a control machine does before it commits it; needs --key." placeholder:"FILE"`
+	Key      string `help:"Key of that record, as settings/all/calls."`
 }
 
 func (c checkConfigCmd) Run() error {
@@ -64,6 +68,11 @@
 	if _, err := config.LoadDeploy(c.Deploy, cfg.Site); err != nil {
 		return err
 	}
+	if c.Settings != "" || c.Key != "" {
+		if err := checkSettings(c.Key, c.Settings, cfg.Site); err != nil {
+			return err
+		}
+	}
 	fmt.Printf("%s: good: gatekeeper %s at %s, %d classes, %d events known\n", c.File, cfg.Name, cfg.Listen,
 		len(cfg.Site.Classes), len(cfg.Known))
 	return nil
@@ -110,8 +119,11 @@
 		return int(e)
 	}
 	var faults jsonfile.Faults
+	var refused *store.Refused
 	if errors.As(err, &faults) {
 		fmt.Fprintln(w, faults)
+	} else if errors.As(err, &refused) {
+		fmt.Fprintln(w, refused)
 	} else {
 		fmt.Fprintln(w, "beammux:", err)
 	}
--- a/cmd/beammux/store.go
+++ b/cmd/beammux/store.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"os/signal"
@@ -22,6 +21,7 @@
 	Get     storeGetCmd     `cmd:"" help:"Print a record's value."`
 	List    storeListCmd    `cmd:"" help:"List records."`
 	Put     storePutCmd     `cmd:"" help:"Write a record from a file."`
+	Apply   storeApplyCmd   `cmd:"" help:"Write and delete several records in one transaction: all or none, at one revision."`
 	Member  storeMemberCmd  `cmd:"" help:"Change the members of a running group, one at a time."`
 	Watch   storeWatchCmd   `cmd:"" help:"Print changes as they are committed."`
 	Backup  storeBackupCmd  `cmd:"" help:"Write all records of a running group to a file."`
@@ -51,9 +51,12 @@
 	defer cancel()
 	err := f(ctx)
 	code := 0
+	var refused *store.Refused
 	switch {
 	case err == nil:
 		return nil
+	case errors.As(err, &refused): // its lines name what is at fault
+		return refused
 	case errors.Is(err, store.ErrNotFound):
 		code = exitNotFound
 	case errors.Is(err, store.ErrRevision):
@@ -161,16 +164,7 @@
 }
 
 func (c storePutCmd) Run() error {
-	in := os.Stdin
-	if c.File != "-" {
-		f, err := os.Open(c.File)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		in = f
-	}
-	value, err := io.ReadAll(in)
+	value, err := recordValue(c.Key, c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -2,6 +2,7 @@
 
 import (
 	"os"
+	"time"
 
 	"beammux/control"
 	"beammux/internal/jsonfile"
@@ -15,7 +16,11 @@
 	Admission          Admission
 	// Site holds the settings that a change is proved against: those of the gatekeeper's configuration that the file
 	// names. Without one it is nil, and changes are checked for their form alone.
-	Site *control.Site
+	Site       *control.Site
+	Gatekeeper string // that configuration's path; "": none
+	// Election is the time without word from the leader after which a voter stands for election; 0: the store's default.
+	// It must be a few times the round trip between the regions, and be the same at all control machines.
+	Election time.Duration
 }
 
 // Admission bounds what a control machine takes on at a time. A figure that is 0 is left to the store's default.
@@ -32,6 +37,12 @@
 	mostAdmission  = 1e6 // a second, and in one burst
 )
 
+// Bounds of election_ms.
+const (
+	leastElectionMs = 100
+	mostElectionMs  = 60000
+)
+
 // LoadMachine reads the file of a control machine. The error holds every fault, one in a line, as FILE:LINE:COL: key: what.
 func LoadMachine(file string) (*Machine, error) {
 	text, err := os.ReadFile(file)
@@ -48,7 +59,7 @@
 		return nil, err
 	}
 	m := &Machine{}
-	top := f.Members(f.Root, "$schema", "name", "zone", "region", "admin_addr", "store", "admission", "gatekeeper")
+	top := f.Members(f.Root, "$schema", "name", "zone", "region", "admin_addr", "store", "admission", "gatekeeper", "election_ms")
 	f.String(top[0])
 	m.Name, m.Zone, m.Region = scopeName(f, top[1]), scopeName(f, top[2]), scopeName(f, top[3])
 	if m.Admin = f.String(top[4]); m.Admin != "" {
@@ -61,8 +72,9 @@
 	if f.Root.Kind == jsonfile.Object && top[1] == nil {
 		f.Fault("", "name is missing")
 	}
-	if file := f.String(top[7]); file != "" {
-		if c, err := Load(file); err != nil {
+	m.Election = time.Duration(f.Whole(top[8], leastElectionMs, mostElectionMs)) * time.Millisecond
+	if m.Gatekeeper = f.String(top[7]); m.Gatekeeper != "" {
+		if c, err := Load(m.Gatekeeper); err != nil {
 			f.Fault(top[7].Path, err.Error())
 		} else {
 			m.Site = c.Site
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -31,6 +31,7 @@
 	{formOnly, `{"name":"c1",` + machineStore + `,"admission":{"sessions_per_s":0}}`, `1:114: admission.sessions_per_s: 0 is under 0.1`},
 	{formOnly, `{"name":"c1",` + machineStore + `,"admission":{"snapshots_burst":1.5}}`, `1:114: admission.snapshots_burst: 1.5 is not a whole number`},
 	{formOnly, `{"name":"c1",` + machineStore + `,"gatekeeper":1}`, `1:101: gatekeeper: is a number, must be a string`},
+	{formOnly, `{"name":"c1",` + machineStore + `,"election_ms":50}`, `1:101: election_ms: 50 is under 100`},
 	{rulesOnly, `{"name":"c1",` + machineStore + `,"gatekeeper":"none.json"}`, `1:101: gatekeeper: none.json: can't be read`},
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 
 	"beammux/control"
@@ -96,16 +97,17 @@
 // inventoryForms are the endings that the first line of a section inventory may name.
 var inventoryForms = []string{".csv", ".yaml", ".yml"}
 
+// IsInventoryForm tells whether an ending is one that tells the form of an inventory.
+func IsInventoryForm(ending string) bool {
+	return slices.ContainsFunc(inventoryForms, func(known string) bool { return strings.EqualFold(known, ending) })
+}
+
 // ParseInventory reads the section inventory: a first line with the ending of a file (.csv or .yaml), which tells the form,
 // then the text. Lines in faults are those of the value: its first line is line 1.
 func ParseInventory(name string, value []byte) ([]routing.Host, error) {
 	ending, text, _ := bytes.Cut(value, []byte("\n"))
 	form := strings.TrimSpace(string(ending))
-	known := false
-	for _, k := range inventoryForms {
-		known = known || strings.EqualFold(k, form)
-	}
-	if !known {
+	if !IsInventoryForm(form) {
 		what := fmt.Sprintf("the first line is %.40q, must be %s: the form of the lines after it", form, strings.Join(inventoryForms, ", "))
 		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: what}}
 	}
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	r, err := exchange(ctx, dial, address, data)
-	if err == nil && r.Sessions == nil {
+	if err == nil && r.Sessions == nil && r.Status != nil { // of an earlier version; an empty list is left out of the answer
 		err = &NotControl{address}
 	}
 	return r.Sessions, err
