--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -77,11 +77,11 @@
 	})
 }
 
-// addLimits adds what the limits of the fleet hold at this gatekeeper, rule by rule, by the names that it starts with.
-func (f *figures) addLimits(l *limits.Limiter) {
-	for _, r := range l.Status().Rules {
+// addLimits adds what the limits of the fleet hold at this gatekeeper, rule by rule. A rule that is gone tells 0.
+func (f *figures) addLimits(in quota.Limits, l *limits.Limiter) {
+	for _, r := range in.Rules {
 		of := func(name string, value func(quota.Status) float64) {
-			f.set.NewGauge(fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name), func() float64 {
+			f.set.GetOrCreateGauge(fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name), func() float64 {
 				for _, s := range l.Status().Rules {
 					if s.Name == r.Name {
 						return value(s)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -15,6 +15,7 @@
 	"beammux/control/registers"
 	"beammux/internal/counting"
 	"beammux/internal/fleet"
+	"beammux/internal/follow"
 	"beammux/internal/limits"
 	"beammux/internal/verdicts"
 )
@@ -101,6 +102,8 @@
 	Limits *limits.Status `json:"limits,omitempty"`
 
 	Verdicts *verdicts.Status `json:"verdicts,omitempty"`
+
+	Settings *follow.Status `json:"settings,omitempty"` // of the control machines
 }
 
 const ratesEvery = 500 * time.Millisecond
@@ -164,10 +167,16 @@
 
 // Fleet implements ops.Gatekeeper.
 func (n *Node) Fleet() (any, bool) {
-	if n.fleet == nil {
+	settings := n.settingsStatus()
+	if n.fleet == nil && settings == nil {
 		return nil, false
 	}
-	st := FleetStatus{Status: n.fleet.Status(), Calls: n.fleetRates()}
+	st := FleetStatus{Settings: settings}
+	if n.fleet != nil {
+		st.Status, st.Calls = n.fleet.Status(), n.fleetRates()
+	} else {
+		st.Status = fleet.Status{Name: n.settingsName(), Members: []fleetview.Member{}, Registers: []fleet.RegisterStatus{}, Faults: []fleet.Fault{}}
+	}
 	if n.limits != nil {
 		l := n.limits.Status()
 		st.Limits = &l
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -6,27 +6,29 @@
 	"sync/atomic"
 	"time"
 
-	"beammux/control/quota"
-	"beammux/internal/config"
 	"beammux/internal/limits"
 	"beammux/internal/store"
 )
 
-// openLimits puts the fleet's limits in force, where the deploy file names any.
+// openLimits puts the fleet's limits in force, where the deploy file or the settings of the control machines name any. With
+// control machines it is open also without any limits, since those may come at any time.
 func (n *Node) openLimits() error {
-	d := n.deploy.Limits
-	if d == nil {
+	n.settings.mu.Lock()
+	defer n.settings.mu.Unlock()
+	d := n.settings.inForce().limits
+	if d == nil && n.deploy.Control == nil {
 		return nil
 	}
-	o := limits.Options{Name: cmp.Or(n.cfg.Name, "beammux"), Start: uint64(time.Now().UnixMilli()), Limits: d.Limits, Now: n.core.Now, Log: n.log}
+	o := limits.Options{Name: cmp.Or(n.cfg.Name, "beammux"), Start: uint64(time.Now().UnixMilli()), Limits: quotaLimits(d), Now: n.core.Now, Log: n.log}
 	if n.deploy.Fleet != nil {
 		o.Name = cmp.Or(n.deploy.Fleet.Name, o.Name)
 	}
 	if n.fleet != nil {
 		o.Gossip, o.Start = n.fleet, n.fleet.Start()
 	}
-	if len(d.Store) > 0 || len(n.deploy.StorePeers) > 0 || n.deploy.StoreJoin {
-		o.Lease = n.leaser(d.Store)
+	n.leaseAt.Store(leaseAddresses(d))
+	if len(*n.leaseAt.Load()) > 0 || n.storeShared() || n.deploy.Control != nil {
+		o.Lease = n.leaser()
 	}
 	l, err := limits.Open(o)
 	if err != nil {
@@ -34,20 +36,20 @@
 	}
 	n.limits = l
 	n.core.SetQuotas(l)
-	n.figures.addLimits(l)
-	n.log.WithField("rules", len(d.Rules)).Info("limits of the fleet in force")
+	n.figures.addLimits(o.Limits, l)
+	n.log.WithField("rules", len(o.Limits.Rules)).Info("limits of the fleet in force")
 	return nil
 }
 
-// leaser asks this gatekeeper's own store, or one of the members at addresses: the next one after one that did not answer.
-func (n *Node) leaser(addresses []string) limits.Leaser {
-	if len(addresses) == 0 {
-		return func(ctx context.Context, request []byte) ([]byte, error) {
-			return n.store.Reduce(ctx, limits.LeaseKey, request)
-		}
-	}
+// leaser asks the members of the store that the limits in force name, the next one after one that did not answer, or this
+// gatekeeper's own store where they name none.
+func (n *Node) leaser() limits.Leaser {
 	var at atomic.Uint32
 	return func(ctx context.Context, request []byte) ([]byte, error) {
+		addresses := *n.leaseAt.Load()
+		if len(addresses) == 0 {
+			return n.store.Reduce(ctx, limits.LeaseKey, request)
+		}
 		ctx, cancel := context.WithTimeout(ctx, leaseWithin)
 		defer cancel()
 		i := at.Load()
@@ -61,21 +63,9 @@
 
 const leaseWithin = 600 * time.Millisecond // at one member; a lease lasts 1.5 s
 
-// changeLimits takes the limits of a file that was read again. Whether there are any at all is fixed at the start.
-func (n *Node) changeLimits(d *config.Limits) {
-	switch {
-	case n.limits == nil && d == nil:
-	case n.limits == nil:
-		n.log.Warn("reload: fleet.limits is new; it takes effect at the next start")
-	case d == nil:
-		n.limits.Change(quota.Limits{Parts: 1})
-	default:
-		n.limits.Change(d.Limits)
-	}
-}
-
 // closeShared ends what is decided with the fleet.
 func (n *Node) closeShared() {
+	n.closeSettings()
 	if n.limits != nil {
 		n.limits.Close()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,12 +79,14 @@
 	calls    atomic.Value     // version of the limits in force, a string
 	ops      operators
 	figures  *figures
-	fleet    *fleet.Fleet        // nil: off
-	counters *counting.Counters  // nil: off
-	limits   *limits.Limiter     // of the whole fleet; nil: off
-	judge    *verdicts.Judge     // nil: off
-	telling  sync.WaitGroup      // what publishes to the fleet
-	lastSeen []fleetview.Summary // of the servers, as last told to the fleet
+	fleet    *fleet.Fleet             // nil: off
+	counters *counting.Counters       // nil: off
+	limits   *limits.Limiter          // of the whole fleet; nil: off
+	leaseAt  atomic.Pointer[[]string] // where the limits in force name members of a store; none: this gatekeeper's own
+	judge    *verdicts.Judge          // nil: off
+	settings settings                 // that the deploy file and the control machines give
+	telling  sync.WaitGroup           // what publishes to the fleet
+	lastSeen []fleetview.Summary      // of the servers, as last told to the fleet
 	stop     context.CancelFunc
 
 	lastListed []verdict.Server // as last read by the judge
@@ -149,6 +151,9 @@
 	if cfg.Admin != "" {
 		own += ops.ConnsMost + 1 // the operators' connections and listener are descriptors of the same limit
 	}
+	if deploy.Control != nil {
+		own += settingsFiles
+	}
 	budget := transport.NewBudget(max(8, files-own), files/8)
 	timeout := time.Duration(cfg.Site.DialTimeout) * time.Microsecond
 	if timeout <= 0 {
@@ -172,6 +177,7 @@
 		n.core.SetObservers(observers...)
 	}
 	n.startRecords(ctx)
+	n.settings.file = sections{calls: deploy.Calls, limits: deploy.Limits}
 	n.core.SetLimits(deploy.Calls)
 	n.calls.Store(deploy.Calls.Version())
 	n.front = jsonl.NewFront(restarted{n.core, n}, cfg.Site.ClassNames, log)
@@ -207,6 +213,9 @@
 		return nil, err
 	}
 	n.recall()
+	if err = n.openSettings(begin); err != nil {
+		return nil, err
+	}
 	if n.listener, err = transport.Listen(cfg.Listen, budget); err != nil {
 		return nil, err
 	}
@@ -251,7 +260,7 @@
 	go n.sweep(ctx)
 	go n.listener.Serve(n.front.Serve)
 	n.ops.up.Store(true)
-	log.WithFields(logrus.Fields{"listen": n.Addr(), "calls": deploy.Calls.Version()}).Info("serving")
+	log.WithFields(logrus.Fields{"listen": n.Addr(), "calls": n.calls.Load()}).Info("serving")
 	return n, nil
 }
 
@@ -311,6 +320,7 @@
 		if err != nil {
 			return err
 		}
+		n.settings.file.hosts = hosts
 		updates = append(updates, routing.Update{Source: fromFile, Whole: true, Hosts: hosts})
 	}
 	var loaded sync.WaitGroup
@@ -347,7 +357,7 @@
 }
 
 // Reload reads configuration, inventory and limits of calls again and goes on at the event bus that the configuration
-// names. A bad file leaves all as it was. The module's settings and the listening addresses are fixed for the life of the process.
+// names. Sections that the control machines' settings name stay as those say. A bad file leaves all as it was. The module's settings and the listening addresses are fixed for the life of the process.
 func (n *Node) Reload(file, deployFile string) {
 	cfg, err := config.Load(file)
 	if err != nil {
@@ -368,15 +378,17 @@
 			return
 		}
 	}
-	n.core.SetLimits(deploy.Calls)
-	n.calls.Store(deploy.Calls.Version())
-	n.changeLimits(deploy.Limits)
-	n.core.Note(history.Event{Kind: history.Reloaded, Name: deploy.Calls.Version()})
+	if n.deploy.Limits == nil && n.deploy.Control == nil && deploy.Limits != nil {
+		n.log.Warn("reload: fleet.limits is new; it takes effect at the next start")
+	}
 	n.bus.Move(cfg.Bus)
-	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: hosts}, nil)
+	now, delivered := n.reloadSections(sections{calls: deploy.Calls, limits: deploy.Limits, hosts: hosts})
 	n.recordConfiguration(cfg)
-	n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(hosts), "calls": deploy.Calls.Version()}).
-		Info("reloaded event bus, inventory and limits of calls; other changes take effect at the next start")
+	log := n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(now.hosts), "calls": now.calls.Version()})
+	if len(delivered) > 0 {
+		log = log.WithField("from_control_machines", strings.Join(delivered, " "))
+	}
+	log.Info("reloaded event bus, inventory and limits of calls; other changes take effect at the next start")
 }
 
 // Orphan passes on the release of a call that stood before this process started.
--- /dev/null
+++ b/internal/routing/change.go
@@ -0,0 +1,13 @@
+package routing
+
+import "beammux/control/retry"
+
+// Change is SetLimits with something else that comes into force in the same turn of the core: no call is decided between
+// the two. also must not block.
+func (c *Core) Change(p *retry.Policy, also func()) {
+	c.Post(func() {
+		p.Adopt(c.limits)
+		c.limits = p
+		also()
+	})
+}
