--- a/cmd/beammux/fleet.go
+++ b/cmd/beammux/fleet.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"beammux/control"
+	"beammux/internal/follow"
 )
 
 type fleetCmd struct {
@@ -91,8 +92,12 @@
 		}
 		Faults []struct{ What, Advice string }
 	}
+	Settings *follow.Status
 }
 
+// gossips tells whether the gatekeeper takes part in the fleet's gossip.
+func (s *fleetStatus) gossips() bool { return s.Hash != "" }
+
 // printShared prints what the members tell each other, and the limits that they share.
 func (s *fleetStatus) printShared(w *tabwriter.Writer) {
 	type topic struct {
@@ -203,6 +208,9 @@
 	if s == nil {
 		return err
 	}
+	if !s.gossips() {
+		return fault(fmt.Errorf("%s: the fleet's gossip is off", c.Admin), exitFleetOff)
+	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tzone\tregion\tstate\thealth\tsince\tstarted\taddress\tprogram")
 	for _, m := range s.Members {
@@ -227,8 +235,22 @@
 	if s == nil {
 		return err
 	}
-	fmt.Printf("view %d of %s, hash %s\n", s.View, s.Name, s.Hash)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	if s.gossips() {
+		fmt.Printf("view %d of %s, hash %s\n", s.View, s.Name, s.Hash)
+		s.printServers(w)
+	} else {
+		fmt.Printf("%s takes no part in the fleet's gossip\n", s.Name)
+	}
+	s.printShared(w)
+	if s.Settings != nil {
+		printSettings(w, s.Settings)
+	}
+	return w.Flush()
+}
+
+// printServers prints what the members see of the servers.
+func (s *fleetStatus) printServers(w io.Writer) {
 	fmt.Fprintln(w, "server\tseen by\tgated by\tlevels")
 	type seen struct {
 		by, gated int
@@ -257,6 +279,4 @@
 		k := all[id]
 		fmt.Fprintf(w, "s-%08x\t%d\t%d\t%v\n", id, k.by, k.gated, k.levels)
 	}
-	s.printShared(w)
-	return w.Flush()
 }
--- a/cmd/beammux/show.go
+++ b/cmd/beammux/show.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"fmt"
 	"os"
 	"strings"
@@ -76,6 +77,18 @@
 	own("store.sync", deploy.StoreSync)
 	own("store.join", fmt.Sprint(deploy.StoreJoin))
 	own("inventory", deploy.Inventory)
+	if c := deploy.Control; c != nil { // what the control machines name wins over this file: `fleet view` shows it
+		own("control.name", cmp.Or(c.Name, cfg.Name))
+		own("control.region", c.Region)
+		own("control.zone", c.Zone)
+		own("control.service", c.Service)
+		var replicas []string
+		for _, r := range c.Replicas {
+			replicas = append(replicas, r.Name+"="+r.Address)
+		}
+		own("control.replicas", strings.Join(replicas, " "))
+		own("control.dir", c.Dir)
+	}
 	add("calls", policy.Version(), "version in force")
 	if policy != nil {
 		own("calls.second_copies", fmt.Sprint(policy.File().SecondCopies))
