--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -12,13 +12,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"beammux/control/history"
 	"beammux/control/quota"
 	"beammux/control/retry"
 	"beammux/control/scope"
 	"beammux/control/session"
 	"beammux/internal/config"
 	"beammux/internal/follow"
+	"beammux/internal/history"
 	"beammux/internal/jsonfile"
 	"beammux/internal/routing"
 )
--- a/internal/node/settings_figures.go
+++ b/internal/node/settings_figures.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"beammux/internal/follow"
+	"beammux/internal/store"
 )
 
 // addSettings adds how this gatekeeper stands to the settings of the control machines.
@@ -18,7 +19,7 @@
 	of("refused", func(s *follow.Status) float64 { return oneIf(s.Refused != nil) })
 	f.set.NewGauge("proxy_settings_refused_total", func() float64 { return float64(n.settings.refusals.Load()) })
 	f.set.NewGauge("proxy_settings_changes_total", func() float64 { return float64(n.settings.changes.Load()) })
-	fleet := func(state string, count func(*follow.FleetCounts) int) {
+	fleet := func(state string, count func(*store.FleetCounts) int) {
 		f.set.NewGauge(fmt.Sprintf("proxy_settings_fleet{state=%q}", state), func() float64 {
 			if s := n.settingsStatus(); s.Fleet != nil {
 				return float64(count(s.Fleet))
@@ -26,9 +27,9 @@
 			return 0
 		})
 	}
-	fleet("holding", func(c *follow.FleetCounts) int { return c.Holding })
-	fleet("behind", func(c *follow.FleetCounts) int { return c.Behind })
-	fleet("refused", func(c *follow.FleetCounts) int { return c.Refused })
+	fleet("holding", func(c *store.FleetCounts) int { return c.Holding })
+	fleet("behind", func(c *store.FleetCounts) int { return c.Behind })
+	fleet("refused", func(c *store.FleetCounts) int { return c.Refused })
 }
 
 // secondsOrNever is a span, -1 where there is none.
