--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -41,6 +41,7 @@
 		if err != nil {
 			return err
 		}
+		n.settings.file.hosts = hosts
 		updates = append(updates, routing.Update{Source: fromFile, Whole: true, Hosts: hosts})
 	}
 	var loaded sync.WaitGroup
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,12 +68,14 @@
 	calls    atomic.Value     // version of the limits in force, a string
 	ops      operators
 	figures  *figures
-	fleet    *fleet.Fleet        // nil: off
-	counters *counting.Counters  // nil: off
-	limits   *limits.Limiter     // of the whole fleet; nil: off
-	judge    *verdicts.Judge     // nil: off
-	telling  sync.WaitGroup      // what publishes to the fleet
-	lastSeen []fleetview.Summary // of the servers, as last told to the fleet
+	fleet    *fleet.Fleet             // nil: off
+	counters *counting.Counters       // nil: off
+	limits   *limits.Limiter          // of the whole fleet; nil: off
+	leaseAt  atomic.Pointer[[]string] // where the limits in force name members of a store; none: this gatekeeper's own
+	judge    *verdicts.Judge          // nil: off
+	settings settings                 // that the deploy file and the control machines give
+	telling  sync.WaitGroup           // what publishes to the fleet
+	lastSeen []fleetview.Summary      // of the servers, as last told to the fleet
 	stop     context.CancelFunc
 
 	lastListed []verdict.Server // as last read by the judge
@@ -105,6 +107,9 @@
 	if cfg.Admin != "" {
 		own += ops.ConnsMost + 1 // the operators' connections and listener are descriptors of the same limit
 	}
+	if deploy.Control != nil {
+		own += settingsFiles
+	}
 	budget := transport.NewBudget(max(8, files-own), files/8)
 	timeout := time.Duration(cfg.Site.DialTimeout) * time.Microsecond
 	if timeout <= 0 {
@@ -128,6 +133,7 @@
 		n.core.SetObservers(observers...)
 	}
 	n.startRecords(ctx)
+	n.settings.file = sections{calls: deploy.Calls, limits: deploy.Limits}
 	n.core.SetLimits(deploy.Calls)
 	n.calls.Store(deploy.Calls.Version())
 	n.front = jsonl.NewFront(restarted{n.core, n}, cfg.Site.ClassNames, log)
@@ -163,6 +169,9 @@
 		return nil, err
 	}
 	n.recall()
+	if err = n.openSettings(begin); err != nil {
+		return nil, err
+	}
 	if n.listener, err = transport.Listen(cfg.Listen, budget); err != nil {
 		return nil, err
 	}
@@ -207,7 +216,7 @@
 	go n.sweep(ctx)
 	go n.listener.Serve(n.front.Serve)
 	n.ops.up.Store(true)
-	log.WithFields(logrus.Fields{"listen": n.Addr(), "calls": deploy.Calls.Version()}).Info("serving")
+	log.WithFields(logrus.Fields{"listen": n.Addr(), "calls": n.calls.Load()}).Info("serving")
 	return n, nil
 }
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -6,13 +6,12 @@
 	"github.com/sirupsen/logrus"
 
 	"beammux/internal/config"
-	"beammux/internal/history"
 	"beammux/internal/inventory"
 	"beammux/internal/routing"
 )
 
 // Reload reads configuration, inventory and limits of calls again and goes on at the event bus that the configuration
-// names. A bad file leaves all as it was. The module's settings and the listening addresses are fixed for the life of the process.
+// names. Sections that the control machines' settings name stay as those say. A bad file leaves all as it was. The module's settings and the listening addresses are fixed for the life of the process.
 func (n *Node) Reload(file, deployFile string) {
 	cfg, err := config.Load(file)
 	if err != nil {
@@ -33,13 +32,15 @@
 			return
 		}
 	}
-	n.core.SetLimits(deploy.Calls)
-	n.calls.Store(deploy.Calls.Version())
-	n.changeLimits(deploy.Limits)
-	n.core.Note(history.Event{Kind: history.Reloaded, Name: deploy.Calls.Version()})
+	if n.deploy.Limits == nil && n.deploy.Control == nil && deploy.Limits != nil {
+		n.log.Warn("reload: fleet.limits is new; it takes effect at the next start")
+	}
 	n.bus.Move(cfg.Bus)
-	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: hosts}, nil)
+	now, delivered := n.reloadSections(sections{calls: deploy.Calls, limits: deploy.Limits, hosts: hosts})
 	n.recordConfiguration(cfg)
-	n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(hosts), "calls": deploy.Calls.Version()}).
-		Info("reloaded event bus, inventory and limits of calls; other changes take effect at the next start")
+	log := n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(now.hosts), "calls": now.calls.Version()})
+	if len(delivered) > 0 {
+		log = log.WithField("from_control_machines", strings.Join(delivered, " "))
+	}
+	log.Info("reloaded event bus, inventory and limits of calls; other changes take effect at the next start")
 }
