--- /dev/null
+++ b/internal/scalelab/judge/judge_test.go
@@ -0,0 +1,122 @@
+package judge
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+const second = time.Second
+
+// good is a run of two gatekeepers and three changes, the second of which "b" refuses, and in which no rule is broken.
+func good() Log {
+	section := func(marker, revision uint64) []Section {
+		return []Section{{marker, revision}, {marker, revision}}
+	}
+	return Log{
+		Gatekeepers: []string{"a", "b"}, Refusing: map[string]bool{"b": true}, Sections: 2, End: 60 * second, Within: 17 * second,
+		Changes: []Change{{1, 10, 1 * second, 1 * second, false}, {2, 20, 5 * second, 5 * second, true}, {3, 30, 9 * second, 10 * second, false}},
+		Applied: []Applied{
+			{"a", 1, 2 * second, 10, section(1, 10)}, {"a", 1, 6 * second, 20, section(2, 20)}, {"a", 1, 11 * second, 30, section(3, 30)},
+			{"b", 1, 2 * second, 10, section(1, 10)}, {"b", 1, 12 * second, 31, section(3, 30)},
+		},
+		Refusals: []Refusal{{"b", 6 * second, 2}},
+	}
+}
+
+func TestGoodRunHolds(t *testing.T) {
+	v := Check(good())
+	require.True(t, v.Held(), "%v", v.First)
+	require.Len(t, v.Delays, 5)
+	require.Equal(t, Delay{Marker: 3, Gatekeeper: "b", Commit: 2 * second, Put: 3 * second}, v.Delays[4])
+	require.Zero(t, v.Open)
+}
+
+// Each rule is broken on purpose, and found; no other rule is reported with it.
+func TestEachRuleIsFound(t *testing.T) {
+	for _, row := range []struct {
+		rule  Rule
+		also  []Rule // that the same break cannot but break too
+		spoil func(l *Log)
+	}{
+		{Back, []Rule{OutOfOrder}, func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 1, 13 * second, 10, l.Applied[0].Sections}) }},
+		{Back, nil, func(l *Log) { // the revision moves on, and the records are old: a replica that lags
+			l.Applied = append(l.Applied, Applied{"a", 1, 13 * second, 35, l.Applied[1].Sections})
+		}},
+		{Back, nil, func(l *Log) { // over a restart too
+			l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 35, l.Applied[1].Sections})
+		}},
+		{OutOfOrder, nil, func(l *Log) { // an earlier candidate, though with the same records
+			l.Applied[4].Revision = 40
+			l.Applied = append(l.Applied, Applied{"b", 2, 13 * second, 39, l.Applied[4].Sections})
+		}},
+		{Twice, nil, func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 1, 13 * second, 31, l.Applied[2].Sections}) }},
+		{Mix, nil, func(l *Log) { l.Applied[2].Sections = []Section{{3, 30}, {2, 20}} }},
+		{Mix, nil, func(l *Log) { l.Applied[2].Sections = []Section{{3, 30}} }},
+		{Unknown, nil, func(l *Log) { l.Applied[2].Sections = []Section{{9, 30}, {9, 30}} }},
+		{Unknown, []Rule{Back}, func(l *Log) { l.Applied[2].Sections = []Section{{3, 19}, {3, 19}} }},
+		{Unknown, nil, func(l *Log) { l.Applied[2].Sections = []Section{{3, 31}, {3, 31}} }},
+		{HeldRefused, nil, func(l *Log) {
+			l.Applied = slices.Insert(l.Applied, 4, Applied{"b", 1, 7 * second, 20, []Section{{2, 20}, {2, 20}}})
+		}},
+		{NotRefused, nil, func(l *Log) { l.Refusals = nil }},
+		{Sent, nil, func(l *Log) { l.Refusals = append(l.Refusals, Refusal{"a", 7 * second, 2}) }},
+		{Sent, nil, func(l *Log) { l.Refusals = append(l.Refusals, Refusal{"b", 12 * second, 3}) }},
+		{Late, nil, func(l *Log) { l.Applied[2].At = 27*second + 1 }},
+		{Lost, nil, func(l *Log) { l.Applied = l.Applied[:4] }},
+		{Lost, nil, func(l *Log) { l.Applied = l.Applied[:4]; l.Outages = []Outage{{"b", 11 * second, 43 * second}} }},
+		{Late, nil, func(l *Log) { // it had 17 s from the end of the outage
+			l.Outages = []Outage{{"b", 11 * second, 20 * second}}
+			l.Applied[4].At = 37*second + 1
+		}},
+	} {
+		l := good()
+		row.spoil(&l)
+		v := Check(l)
+		require.Positive(t, v.Counts[row.rule], "%s not found: %v", row.rule, v.First)
+		for _, rule := range Rules() {
+			if rule != row.rule && !slices.Contains(row.also, rule) {
+				require.Zero(t, v.Counts[rule], "%s found beside %s: %v", rule, row.rule, v.First)
+			}
+		}
+		require.False(t, v.Held())
+	}
+}
+
+// What the rules allow is not reported.
+func TestAllowed(t *testing.T) {
+	for name, change := range map[string]func(l *Log){
+		"late by an outage":                  func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 40 * second}}; l.Applied[4].At = 56 * second },
+		"down to the end":                    func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 0}}; l.Applied = l.Applied[:4] },
+		"ended before it was due":            func(l *Log) { l.Applied = l.Applied[:4]; l.End = 26 * second },
+		"the same records in another life":   func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 31, l.Applied[2].Sections}) },
+		"a later one in its place":           func(l *Log) { l.Applied = append(l.Applied[:1], l.Applied[2:]...) },
+		"written again after a lost answer":  func(l *Log) { l.Applied[2].Sections = []Section{{3, 25}, {3, 25}} },
+		"came together with one that is refused": func(l *Log) {
+			l.Changes[1].Committed, l.Changes[1].Began = 2*second, 2*second
+			l.Changes[2].Committed, l.Applied[4].At = 25*second, 26*second
+			l.Applied[2].At = 26 * second
+			l.Applied = slices.Delete(l.Applied, 3, 4)
+		},
+		"in force before the acknowledgment": func(l *Log) { l.Applied[2].At = 9500 * time.Millisecond },
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := good()
+			change(&l)
+			v := Check(l)
+			require.True(t, v.Held(), "%v", v.First)
+		})
+	}
+}
+
+func TestDelayOverAnOutage(t *testing.T) {
+	l := good()
+	l.Outages = []Outage{{"b", 11 * second, 40 * second}}
+	l.Applied[4].At = 45 * second
+	v := Check(l)
+	last := v.Delays[len(v.Delays)-1]
+	require.True(t, last.Outage)
+	require.Equal(t, 5*second, last.Healed)
+}
