--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -18,7 +18,10 @@
 )
 
 type labCmd struct {
-	Fleet labFleetCmd `cmd:"" help:"Many gatekeeper processes on loopback, with faults between them."`
+	Fleet       labFleetCmd       `cmd:"" help:"Many gatekeeper processes on loopback, with faults between them."`
+	Scale       labScaleCmd       `cmd:"" help:"A control plane and many hollow gatekeepers on loopback: what control costs, how settings come into force; exit 1 if a rule was broken."`
+	ScaleSeries labScaleSeriesCmd `cmd:"" help:"Put reports of lab scale together, by the number of gatekeepers."`
+	Hollow      labHollowCmd      `cmd:"" hidden:"" help:"A process of lab scale."`
 }
 
 type labFleetCmd struct {
--- /dev/null
+++ b/internal/scalelab/changes.go
@@ -0,0 +1,120 @@
+package scalelab
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"beammux/internal/scalelab/hollow"
+	"beammux/internal/scalelab/judge"
+)
+
+const (
+	putWithin      = 5 * time.Second // one try at one machine
+	putAgainAfter  = 50 * time.Millisecond
+	putGiveUp      = 60 * time.Second
+	refusableEvery = 3 // one change of so many is marked, while the script has it so
+)
+
+// The keys that every change writes.
+const (
+	callsKey  = "settings/all/calls"
+	limitsKey = "settings/all/limits"
+)
+
+// writer writes changes, one at a time, and keeps what became of each.
+type writer struct {
+	options *Options
+	plane   *controlPlane
+	began   time.Time
+	cutOff  func(region string) bool // regions that the script has cut off
+
+	mu        sync.Mutex
+	rng       *rand.Rand
+	refusable bool // the script has marked changes now
+	changes   []judge.Change
+	retries   int
+}
+
+func (w *writer) setRefusable(on bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.refusable = on
+}
+
+// put writes one change and returns when it is acknowledged. After an error it writes the same change again, at another
+// machine: the answer may have been lost, and then the change stands at two revisions with the same content.
+func (w *writer) put(ctx context.Context, mayRefuse bool) (judge.Change, error) {
+	w.mu.Lock()
+	marker := uint64(len(w.changes) + 1)
+	c := judge.Change{Marker: marker, Refusable: mayRefuse && w.refusable && marker%refusableEvery == 0}
+	w.mu.Unlock()
+	calls, limits := hollow.Content(c.Marker, c.Refusable, w.options.RecordBytes)
+	c.Began = time.Since(w.began)
+	for {
+		revision, err := w.try(ctx, calls, limits)
+		if err == nil {
+			c.Revision, c.Committed = revision, time.Since(w.began)
+			w.mu.Lock()
+			w.changes = append(w.changes, c)
+			w.mu.Unlock()
+			return c, nil
+		}
+		if ctx.Err() != nil {
+			return c, ctx.Err()
+		}
+		if time.Since(w.began)-c.Began > putGiveUp {
+			return c, fmt.Errorf("change %d could not be written: %w", marker, err)
+		}
+		w.mu.Lock()
+		w.retries++
+		w.mu.Unlock()
+		time.Sleep(putAgainAfter)
+	}
+}
+
+// try writes a change at a machine that runs and is not cut off.
+func (w *writer) try(ctx context.Context, calls, limits []byte) (uint64, error) {
+	var able []*machine
+	for _, m := range w.plane.machines {
+		if m.up() && !w.cutOff(m.Region) {
+			able = append(able, m)
+		}
+	}
+	if len(able) == 0 {
+		return 0, fmt.Errorf("no control machine is up")
+	}
+	w.mu.Lock()
+	at := able[w.rng.IntN(len(able))]
+	w.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, putWithin)
+	defer cancel()
+	return transact(ctx, at.Address, calls, limits)
+}
+
+// run writes changes at the run's pace until a time. A change that took long is followed by those that were due meanwhile.
+func (w *writer) run(ctx context.Context, until time.Time) error {
+	every := w.options.changeEvery()
+	if every <= 0 {
+		return nil
+	}
+	for due := time.Now().Add(every); due.Before(until); due = due.Add(every) {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(time.Until(due)):
+		}
+		if _, err := w.put(ctx, true); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (w *writer) all() (changes []judge.Change, retries int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return append(changes, w.changes...), w.retries
+}
--- /dev/null
+++ b/internal/scalelab/control.go
@@ -0,0 +1,304 @@
+package scalelab
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"beammux/internal/relay"
+	"beammux/internal/scalelab/child"
+	"beammux/internal/scalelab/script"
+	"beammux/internal/store"
+)
+
+const (
+	controlUpWithin = 30 * time.Second
+	statusWithin    = time.Second
+	endWithin       = 5 * time.Second
+)
+
+// controlPlane is the control machines, each a process of its own.
+type controlPlane struct {
+	options  *Options
+	machines []*machine
+	network  *relay.Network // between the machines, where the script cuts or delays them; nil: direct
+}
+
+// machine is one control machine.
+type machine struct {
+	machineSpec
+	file string
+
+	mu      sync.Mutex
+	process *child.Process // nil: not started
+	paused  bool
+	down    bool          // killed by the script
+	ended   []child.Usage // of earlier processes of the same machine
+	former  time.Duration // processor time of those
+}
+
+// controlFile is a control machine's file.
+type controlFile struct {
+	Name       string      `json:"name"`
+	Zone       string      `json:"zone"`
+	Region     string      `json:"region"`
+	Store      controlSite `json:"store"`
+	Admission  *Admission  `json:"admission,omitempty"`
+	Gatekeeper string      `json:"gatekeeper,omitempty"`
+}
+
+type controlSite struct {
+	Node   string        `json:"node"`
+	Listen string        `json:"listen"`
+	Peers  []controlPeer `json:"peers"`
+	Dir    string        `json:"dir"`
+	Sync   string        `json:"sync,omitempty"`
+	Via    []via         `json:"via,omitempty"`
+}
+
+type controlPeer struct {
+	Node    string `json:"node"`
+	Address string `json:"address"`
+	Voter   bool   `json:"voter"`
+}
+
+type via struct {
+	Address string `json:"address"`
+	Through string `json:"through"`
+}
+
+// newControlPlane writes the machines' files.
+func newControlPlane(o *Options, specs []machineSpec) (*controlPlane, error) {
+	c := &controlPlane{options: o}
+	ports, err := freePorts(len(specs), o.Seed+uint64(os.Getpid()))
+	if err != nil {
+		return nil, err
+	}
+	for i, spec := range specs {
+		spec.Address = fmt.Sprintf("127.0.0.1:%d", ports[i])
+		c.machines = append(c.machines, &machine{machineSpec: spec, file: filepath.Join(o.Dir, spec.Name+".json")})
+	}
+	if script.Has(o.Faults, script.CutRegion) || script.Has(o.Faults, script.Latency) {
+		c.network = relay.New(o.Seed)
+	}
+	for _, m := range c.machines {
+		if err := c.write(m); err != nil {
+			return c, err
+		}
+	}
+	return c, c.delay()
+}
+
+// write makes a machine's file, and its links to the others.
+func (c *controlPlane) write(m *machine) error {
+	o := c.options
+	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admission: &o.Admission, Gatekeeper: o.Site,
+		Store: controlSite{Node: m.Name, Listen: m.Address, Dir: filepath.Join(o.Dir, m.Name)}}
+	for _, other := range c.machines {
+		f.Store.Peers = append(f.Store.Peers, controlPeer{other.Name, other.Address, other.voter})
+		if c.network == nil || other.Region == m.Region {
+			continue
+		}
+		link, err := c.network.TCP(m.Name, other.Name, "store")
+		if err != nil {
+			return err
+		}
+		c.network.Up(other.Name, "store", other.Address)
+		f.Store.Via = append(f.Store.Via, via{other.Address, link.Addr()})
+	}
+	text, err := json.MarshalIndent(f, "", "  ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(m.file, text, 0o644)
+}
+
+// delay puts the latency between regions in force, where the script has one.
+func (c *controlPlane) delay() error {
+	for _, f := range c.options.Faults {
+		if f.Kind != script.Latency {
+			continue
+		}
+		for _, a := range c.machines {
+			for _, b := range c.machines {
+				if a.Region != b.Region {
+					if err := c.network.Set(a.Name, b.Name, relay.Condition{Delay: f.Delay}); err != nil {
+						return err
+					}
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// cut cuts the machines of a region off from the others, or heals it.
+func (c *controlPlane) cut(region string, cut bool) {
+	var inside, outside []string
+	for _, m := range c.machines {
+		if m.Region == region {
+			inside = append(inside, m.Name)
+		} else {
+			outside = append(outside, m.Name)
+		}
+	}
+	c.network.Cut(inside, outside, cut)
+	c.network.Cut(outside, inside, cut)
+}
+
+// start starts a machine's process.
+func (c *controlPlane) start(m *machine) error {
+	p, err := child.Start(child.Options{Name: m.Name, Path: c.options.Program, Args: []string{"control", "serve", "--file", m.file},
+		Env: c.options.Env, Dir: c.options.Dir, LogFile: filepath.Join(c.options.Dir, m.Name+".log")})
+	if err != nil {
+		return err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.process, m.down = p, false
+	return nil
+}
+
+// startAll starts every machine and waits until all are ready and know a leader.
+func (c *controlPlane) startAll(ctx context.Context) error {
+	for _, m := range c.machines {
+		if err := c.start(m); err != nil {
+			return err
+		}
+	}
+	ctx, cancel := context.WithTimeout(ctx, controlUpWithin)
+	defer cancel()
+	for _, m := range c.machines {
+		for {
+			s, err := m.status(ctx)
+			if err == nil && s.Ready && s.Leader != "" {
+				break
+			}
+			if m.process.Over() {
+				return fmt.Errorf("%s ended before it was ready (%v): see %s.log", m.Name, m.process.State(), m.Name)
+			}
+			select {
+			case <-ctx.Done():
+				return fmt.Errorf("%s is not ready: %v", m.Name, err)
+			case <-time.After(50 * time.Millisecond):
+			}
+		}
+	}
+	return nil
+}
+
+func (m *machine) status(ctx context.Context) (store.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	defer cancel()
+	return store.StatusFrom(ctx, m.Address)
+}
+
+// up tells whether the machine runs and is not stopped.
+func (m *machine) up() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.process != nil && !m.down && !m.paused && !m.process.Over()
+}
+
+// crashed tells whether the machine's process ended and nobody asked it to.
+func (m *machine) crashed() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.process != nil && !m.down && m.process.Over()
+}
+
+// kill ends the machine's process at once, as a machine that fails.
+func (m *machine) kill() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if u, err := child.UsageOf(m.process.PID()); err == nil {
+		m.former += u.CPU
+		m.ended = append(m.ended, u)
+	}
+	m.down = true
+	m.process.Kill()
+}
+
+// pause stops the machine's process, or lets it go on.
+func (m *machine) pause(paused bool) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.paused = paused
+	if paused {
+		return m.process.Signal(syscall.SIGSTOP)
+	}
+	return m.process.Signal(syscall.SIGCONT)
+}
+
+// usage is what the machine's processes have used so far, and what its present one holds.
+func (m *machine) usage() (child.Usage, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.process == nil || m.process.Over() {
+		return child.Usage{}, false
+	}
+	u, err := child.UsageOf(m.process.PID())
+	u.CPU += m.former
+	for _, e := range m.ended {
+		u.Read += e.Read
+		u.Written += e.Written
+	}
+	return u, err == nil
+}
+
+// leader finds the machine that leads.
+func (c *controlPlane) leader(ctx context.Context) (*machine, error) {
+	for _, m := range c.machines {
+		if !m.up() {
+			continue
+		}
+		s, err := m.status(ctx)
+		if err != nil || s.LeaderNode == "" {
+			continue
+		}
+		for _, l := range c.machines {
+			if l.Name == s.LeaderNode && l.up() {
+				return l, nil
+			}
+		}
+	}
+	return nil, fmt.Errorf("no control machine knows a leader")
+}
+
+// zonePair gives two machines of a zone that the seed draws; nil where no zone has two that run.
+func (c *controlPlane) zonePair(rng *rand.Rand) []*machine {
+	zones := map[string][]*machine{}
+	for _, m := range c.machines {
+		if m.up() {
+			zones[m.Zone] = append(zones[m.Zone], m)
+		}
+	}
+	names := slices.Sorted(maps.Keys(zones))
+	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < 2 })
+	if len(names) == 0 {
+		return nil
+	}
+	return zones[names[rng.IntN(len(names))]][:2]
+}
+
+// end ends every process that runs.
+func (c *controlPlane) end() {
+	var all sync.WaitGroup
+	for _, m := range c.machines {
+		if m.process != nil {
+			all.Go(func() { m.process.End(endWithin) })
+		}
+	}
+	all.Wait()
+	if c.network != nil {
+		c.network.Close()
+	}
+}
--- /dev/null
+++ b/internal/scalelab/hollow/content.go
@@ -0,0 +1,53 @@
+package hollow
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Each change of a run writes the sections "calls" and "limits" for all gatekeepers, both with the same marker: the name of
+// the first route, and of the first rule.
+const (
+	markerPrefix    = "change-"
+	refusableSuffix = "-refusable"
+	shortest        = 128 // bytes of a record, at least
+)
+
+// Content makes the two sections of a change, each of a number of bytes.
+func Content(marker uint64, refusable bool, size int) (calls, limits []byte) {
+	name := markerPrefix + strconv.FormatUint(marker, 10)
+	if refusable {
+		name += refusableSuffix
+	}
+	calls = fmt.Appendf(nil, `{"routes": [{"name": %q, "match": {}}]}`, name)
+	limits = fmt.Appendf(nil, `{"parts": 1000, "rules": [{"name": %q, "mode": "alone", "per_s": 100000}]}`, name)
+	return pad(calls, size), pad(limits, size)
+}
+
+// pad brings a JSON text to a size with white space, which a record carries as any other bytes.
+func pad(text []byte, size int) []byte {
+	if missing := max(size, shortest) - len(text); missing > 0 {
+		text = append(text, bytes.Repeat([]byte{' '}, missing)...)
+	}
+	return text
+}
+
+// MarkerOf reads the marker of a section that Content made.
+func MarkerOf(value []byte) (marker uint64, refusable bool, err error) {
+	var section struct {
+		Routes, Rules []struct{ Name string }
+	}
+	if err := json.Unmarshal(value, &section); err != nil {
+		return 0, false, err
+	}
+	names := append(section.Routes, section.Rules...)
+	if len(names) != 1 {
+		return 0, false, fmt.Errorf("%d routes and rules, must be one", len(names))
+	}
+	name, refusable := strings.CutSuffix(names[0].Name, refusableSuffix)
+	marker, err = strconv.ParseUint(strings.TrimPrefix(name, markerPrefix), 10, 64)
+	return marker, refusable, err
+}
--- /dev/null
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -0,0 +1,224 @@
+package hollow
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"beammux/control"
+	"beammux/control/quota"
+	"beammux/control/registers"
+	"beammux/internal/fleet"
+	"beammux/internal/limits"
+	"beammux/internal/store"
+)
+
+const (
+	registerBytes = 100 // of the register that each gatekeeper publishes once a second
+	registerEvery = time.Second
+	leaseWithin   = 600 * time.Millisecond // at one machine, as a gatekeeper has it
+)
+
+// followed is the follower of one gatekeeper as this package uses it.
+type followed interface {
+	Close() error
+	state() followState
+}
+
+// followState is how a follower stands.
+type followState struct {
+	inForce, highest uint64
+	replica          string // connected to; "": none
+}
+
+// candidate is what a follower puts in force, in the order of the sections of Content.
+type candidate struct {
+	revision  uint64
+	sections  []Section
+	refusable bool
+}
+
+// gatekeeper is one hollow gatekeeper.
+type gatekeeper struct {
+	Gatekeeper
+	process *process
+	traffic traffic
+	leases  traffic // of lease requests: store.ReduceAt dials by itself, so its own texts are counted
+	gossip  atomic.Int64
+
+	mu       sync.Mutex
+	life     int
+	follower followed
+	fleet    *fleet.Fleet
+	limiter  *limits.Limiter
+	stop     context.CancelFunc
+	done     sync.WaitGroup
+}
+
+// start opens the gatekeeper's control side.
+func (g *gatekeeper) start() error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	c := g.process.config
+	g.life++
+	life := g.life
+	g.process.emit(Event{Kind: Up, Name: g.Name, Life: life})
+	ctx, stop := context.WithCancel(context.Background())
+	g.stop = stop
+	if c.Membership {
+		if err := g.join(ctx); err != nil {
+			return err
+		}
+	}
+	if c.Limits {
+		if err := g.limit(); err != nil {
+			return err
+		}
+	}
+	if len(c.Replicas) == 0 {
+		return nil
+	}
+	dir := ""
+	if c.Dir != "" {
+		dir = filepath.Join(c.Dir, g.Name)
+		if err := os.MkdirAll(dir, 0o755); err != nil {
+			return err
+		}
+	}
+	f, err := openFollower(g, dir, func(c candidate) error { return g.apply(life, c) })
+	if err != nil {
+		return fmt.Errorf("%s: %w", g.Name, err)
+	}
+	g.follower = f
+	return nil
+}
+
+// apply puts a candidate in force, or refuses it.
+func (g *gatekeeper) apply(life int, c candidate) error {
+	marker := uint64(0)
+	if len(c.sections) > 0 {
+		marker = c.sections[0].Marker
+	}
+	if c.refusable && g.Refuses {
+		g.process.emit(Event{Kind: Refused, Name: g.Name, Life: life, Revision: c.revision, Marker: marker})
+		return fmt.Errorf("change %d is not for this site", marker)
+	}
+	g.process.emit(Event{Kind: InForce, Name: g.Name, Life: life, Revision: c.revision, Sections: c.sections})
+	return nil
+}
+
+// join opens the gossip, and publishes a register where the run has it so.
+func (g *gatekeeper) join(ctx context.Context) error {
+	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Program: "hollow", Bind: g.Bind,
+		Seeds: g.process.config.Seeds, Log: quiet()})
+	if err != nil {
+		return err
+	}
+	g.fleet = f
+	if !g.process.config.Registers {
+		return nil
+	}
+	g.done.Go(func() {
+		tick := time.NewTicker(registerEvery)
+		defer tick.Stop()
+		for n := 0; ; n++ {
+			f.Publish(registers.Rates, fmt.Appendf(nil, "%0*d", registerBytes, n))
+			select {
+			case <-tick.C:
+			case <-ctx.Done():
+				return
+			}
+		}
+	})
+	return nil
+}
+
+// limit opens the limits with one leased rule.
+func (g *gatekeeper) limit() error {
+	o := limits.Options{Name: g.Name, Start: uint64(time.Now().UnixMilli()), Now: func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, Log: quiet(),
+		Limits: quota.Limits{Parts: g.process.config.Parts, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: quota.Leased,
+			PerS: 100 * float64(g.process.config.Parts), Burst: 100 * float64(g.process.config.Parts), Floor: 0.02}}}}
+	if g.fleet != nil {
+		o.Gossip = g.fleet
+	}
+	machines := g.process.config.Replicas
+	o.Lease = func(ctx context.Context, request []byte) ([]byte, error) {
+		within, cancel := context.WithTimeout(ctx, leaseWithin)
+		defer cancel()
+		at := machines[int(g.leases.opened.Add(1))%len(machines)]
+		answer, err := store.ReduceAt(within, at.Address, limits.LeaseKey, request)
+		g.leases.sent.Add(int64(len(request)))
+		g.leases.received.Add(int64(len(answer)))
+		return answer, err
+	}
+	l, err := limits.Open(o)
+	g.limiter = l
+	return err
+}
+
+// end closes the gatekeeper's control side.
+func (g *gatekeeper) end() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.stop != nil {
+		g.stop()
+	}
+	if g.follower != nil {
+		g.follower.Close()
+	}
+	if g.limiter != nil {
+		g.limiter.Close()
+	}
+	if g.fleet != nil {
+		g.gossip.Add(g.fleet.Status().Bytes)
+		g.fleet.Close()
+	}
+	g.done.Wait()
+	g.follower, g.limiter, g.fleet = nil, nil, nil
+	g.process.emit(Event{Kind: Down, Name: g.Name, Life: g.life})
+}
+
+// restart ends the gatekeeper and starts it again.
+func (g *gatekeeper) restart(down time.Duration) error {
+	g.end()
+	time.Sleep(down)
+	return g.start()
+}
+
+func (g *gatekeeper) state() (s followState, met int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.follower != nil {
+		s = g.follower.state()
+	}
+	if g.fleet != nil {
+		met = g.fleet.Up()
+	}
+	return s, met
+}
+
+func (g *gatekeeper) counts() GatekeeperCounts {
+	s, met := g.state()
+	gossip := g.gossip.Load()
+	g.mu.Lock()
+	if g.fleet != nil {
+		gossip += g.fleet.Status().Bytes
+	}
+	g.mu.Unlock()
+	return GatekeeperCounts{Name: g.Name, Sent: g.traffic.sent.Load(), Received: g.traffic.received.Load(), Opened: g.traffic.opened.Load(),
+		Gossip: gossip, Leases: g.leases.sent.Load() + g.leases.received.Load(), InForce: s.inForce, Highest: s.highest, Met: met}
+}
+
+// quiet is a log for what each of many gatekeepers says all the time: faults alone.
+func quiet() logrus.FieldLogger {
+	l := logrus.New()
+	l.SetOutput(os.Stderr)
+	l.SetLevel(logrus.ErrorLevel)
+	return l
+}
--- /dev/null
+++ b/internal/scalelab/hollow/process.go
@@ -0,0 +1,243 @@
+package hollow
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"runtime"
+	"sync"
+	"time"
+
+	"beammux/internal/scalelab/child"
+)
+
+const (
+	flushEvery  = 100 * time.Millisecond
+	pulseEvery  = time.Second
+	mostOpening = 64 // gatekeepers that open at once, where all start in the same moment
+	longestLine = 64 << 20
+)
+
+// process is this process's part of a run.
+type process struct {
+	config      Config
+	began       time.Time
+	network     *network
+	gatekeepers []*gatekeeper
+	byName      map[string]*gatekeeper
+	watchers    []*stuckWatcher
+	work        sync.WaitGroup
+	fail        context.CancelCauseFunc
+
+	mu      sync.Mutex
+	out     *bufio.Writer
+	encoder *json.Encoder
+}
+
+// Run serves one run: it returns when it is told to stop, or when the input ends.
+func Run(ctx context.Context, in io.Reader, out io.Writer) error {
+	ctx, fail := context.WithCancelCause(ctx)
+	defer fail(nil)
+	lines := bufio.NewScanner(in)
+	lines.Buffer(nil, longestLine)
+	if !lines.Scan() {
+		return fmt.Errorf("no configuration on the standard input: %w", io.ErrUnexpectedEOF)
+	}
+	p := &process{byName: map[string]*gatekeeper{}, fail: fail, out: bufio.NewWriterSize(out, 256<<10)}
+	p.encoder = json.NewEncoder(p.out)
+	if err := json.Unmarshal(lines.Bytes(), &p.config); err != nil {
+		return fmt.Errorf("configuration: %w", err)
+	}
+	if err := p.prepare(); err != nil {
+		return err
+	}
+	commands := make(chan Command)
+	go func() {
+		defer close(commands)
+		for lines.Scan() {
+			var c Command
+			if json.Unmarshal(lines.Bytes(), &c) == nil {
+				commands <- c
+			}
+		}
+	}()
+	err := p.serve(ctx, commands)
+	p.end()
+	return err
+}
+
+// prepare makes what the gatekeepers need.
+func (p *process) prepare() error {
+	p.began = time.Unix(0, p.config.Began)
+	regions := map[string]string{}
+	for _, r := range p.config.Replicas {
+		regions[r.Address] = r.Region
+	}
+	p.network = newNetwork(p.config.Shaped, regions)
+	p.network.delay.Store(int64(p.config.Latency))
+	for _, spec := range p.config.Gatekeepers {
+		g := &gatekeeper{Gatekeeper: spec, process: p}
+		p.gatekeepers = append(p.gatekeepers, g)
+		p.byName[spec.Name] = g
+	}
+	return loadSite(p.config.Site)
+}
+
+// serve starts the gatekeepers and carries out commands until the end.
+func (p *process) serve(ctx context.Context, commands <-chan Command) error {
+	p.work.Go(func() { p.startAll(ctx) })
+	flush, pulse := time.NewTicker(flushEvery), time.NewTicker(pulseEvery)
+	defer flush.Stop()
+	defer pulse.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return context.Cause(ctx)
+		case <-flush.C:
+			p.flush()
+		case <-pulse.C:
+			f := p.figures()
+			p.emit(Event{Kind: Pulse, Pulse: &f})
+		case c, ok := <-commands:
+			if !ok || c.Do == Stop {
+				return nil
+			}
+			p.carryOut(ctx, c)
+		}
+	}
+}
+
+// startAll starts the gatekeepers, spread evenly over the time that the run gives, or all in the same moment.
+func (p *process) startAll(ctx context.Context) {
+	free := make(chan struct{}, mostOpening)
+	every := p.config.StartOver / time.Duration(max(1, len(p.gatekeepers)))
+	var opening sync.WaitGroup
+	defer opening.Wait()
+	for _, g := range p.gatekeepers {
+		if every > 0 {
+			select {
+			case <-ctx.Done():
+				return
+			case <-time.After(every):
+			}
+		}
+		free <- struct{}{}
+		opening.Go(func() {
+			defer func() { <-free }()
+			if err := g.start(); err != nil {
+				p.fail(err)
+			}
+		})
+	}
+}
+
+func (p *process) carryOut(ctx context.Context, c Command) {
+	switch c.Do {
+	case Cut, Heal:
+		p.network.setCut(c.Region, c.Do == Cut)
+	case Restart:
+		if g := p.byName[c.Name]; g != nil {
+			p.work.Go(func() {
+				if err := g.restart(c.Down); err != nil {
+					p.fail(err)
+				}
+			})
+		}
+	case Watch:
+		for range c.Count {
+			p.watchers = append(p.watchers, openStuckWatcher(ctx, c.Address, &p.work))
+		}
+	case Count:
+		p.emit(Event{Kind: Counted, Counters: p.counters(c.Mark)})
+		p.flush()
+	}
+}
+
+func (p *process) counters(mark int) *Counters {
+	c := &Counters{Mark: mark, At: time.Since(p.began)}
+	if u, err := child.UsageOf(os.Getpid()); err == nil {
+		c.CPU = u.CPU
+	}
+	for _, g := range p.gatekeepers {
+		c.Gatekeepers = append(c.Gatekeepers, g.counts())
+	}
+	return c
+}
+
+func (p *process) figures() Figures {
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	f := Figures{Heap: int64(m.HeapAlloc), Goroutines: runtime.NumGoroutine(), Sessions: map[string]int{}, Met: -1}
+	if u, err := child.UsageOf(os.Getpid()); err == nil {
+		f.CPU, f.Resident, f.Descriptors = u.CPU, u.Resident, u.Descriptors
+	}
+	for _, g := range p.gatekeepers {
+		s, met := g.state()
+		if s.inForce > 0 {
+			f.InForce++
+		}
+		if s.replica != "" {
+			f.Sessions[s.replica]++
+		}
+		if f.Met < 0 || met < f.Met {
+			f.Met = met
+		}
+	}
+	return f
+}
+
+// end closes everything and says how the watchers that read nothing fared.
+func (p *process) end() {
+	if len(p.watchers) > 0 {
+		e := Event{Kind: Watchers}
+		for _, w := range p.watchers {
+			if w.wasCutOff() {
+				e.CutOff++
+			} else {
+				e.Open++
+			}
+		}
+		p.emit(e)
+	}
+	p.work.Wait()
+	free := make(chan struct{}, mostOpening)
+	var closing sync.WaitGroup
+	for _, g := range p.gatekeepers {
+		free <- struct{}{}
+		closing.Go(func() {
+			defer func() { <-free }()
+			g.end()
+		})
+	}
+	closing.Wait()
+	p.flush()
+}
+
+// emit writes an event as of now, unless it has its time.
+func (p *process) emit(e Event) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if e.At == 0 {
+		e.At = time.Since(p.began)
+	}
+	p.encoder.Encode(e) // a laboratory that is gone is seen at the input
+}
+
+func (p *process) flush() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.out.Flush()
+}
+
+// seedOf gives each gatekeeper a seed of its own.
+func (p *process) seedOf(name string) uint64 {
+	sum := p.config.Seed
+	for _, b := range []byte(name) {
+		sum = sum*1099511628211 + uint64(b)
+	}
+	return rand.New(rand.NewPCG(p.config.Seed, sum)).Uint64()
+}
--- a/internal/scalelab/judge/judge_test.go
+++ b/internal/scalelab/judge/judge_test.go
@@ -88,12 +88,12 @@
 // What the rules allow is not reported.
 func TestAllowed(t *testing.T) {
 	for name, change := range map[string]func(l *Log){
-		"late by an outage":                  func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 40 * second}}; l.Applied[4].At = 56 * second },
-		"down to the end":                    func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 0}}; l.Applied = l.Applied[:4] },
-		"ended before it was due":            func(l *Log) { l.Applied = l.Applied[:4]; l.End = 26 * second },
-		"the same records in another life":   func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 31, l.Applied[2].Sections}) },
-		"a later one in its place":           func(l *Log) { l.Applied = append(l.Applied[:1], l.Applied[2:]...) },
-		"written again after a lost answer":  func(l *Log) { l.Applied[2].Sections = []Section{{3, 25}, {3, 25}} },
+		"late by an outage":                 func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 40 * second}}; l.Applied[4].At = 56 * second },
+		"down to the end":                   func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 0}}; l.Applied = l.Applied[:4] },
+		"ended before it was due":           func(l *Log) { l.Applied = l.Applied[:4]; l.End = 26 * second },
+		"the same records in another life":  func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 31, l.Applied[2].Sections}) },
+		"a later one in its place":          func(l *Log) { l.Applied = append(l.Applied[:1], l.Applied[2:]...) },
+		"written again after a lost answer": func(l *Log) { l.Applied[2].Sections = []Section{{3, 25}, {3, 25}} },
 		"came together with one that is refused": func(l *Log) {
 			l.Changes[1].Committed, l.Changes[1].Began = 2*second, 2*second
 			l.Changes[2].Committed, l.Applied[4].At = 25*second, 26*second
--- /dev/null
+++ b/internal/scalelab/summary.go
@@ -0,0 +1,336 @@
+package scalelab
+
+import (
+	"context"
+	"time"
+
+	"beammux/internal/scalelab/child"
+	"beammux/internal/scalelab/hollow"
+	"beammux/internal/scalelab/judge"
+)
+
+// runtimeFigures are what a control machine says of its own runtime; zero where it was not asked.
+type runtimeFigures struct {
+	heap       int64
+	goroutines int
+}
+
+func (m *machine) runtime(context.Context) runtimeFigures { return runtimeFigures{} }
+
+// report puts together what the run has seen, and judges it.
+func (l *laboratory) report(stopped bool, problems []string) *Report {
+	o := l.options
+	r := &Report{Command: o.Command, Date: time.Now().UTC().Format(time.DateOnly), Beside: o.Beside, Stopped: stopped, Shape: l.shape(),
+		Processes: problems, Faults: []FaultReport{}}
+	r.Machine = l.machineFigures()
+	r.Gatekeepers = l.gatekeeperFigures()
+	r.Control = l.controlFigures(r)
+	r.Membership = l.membership()
+	r.Judge.Problems = append(append([]string{}, problems...), l.faults.problems...)
+	if l.writer != nil {
+		l.judge(r)
+	} else {
+		r.Judge.Held = len(r.Judge.Problems) == 0
+	}
+	return r
+}
+
+func (l *laboratory) shape() Shape {
+	o := l.options
+	s := Shape{Gatekeepers: o.Gatekeepers, Control: o.Control, Voters: o.Voters, Regions: o.Regions, Zones: o.Zones, Services: o.Services,
+		Processes: o.Hollow, Seed: o.Seed, LengthS: o.Length.Seconds(), RecordBytes: o.RecordBytes, With: []string{}, Admission: o.Admission}
+	if every := o.changeEvery(); every > 0 {
+		s.ChangesPerS = 1 / every.Seconds()
+	}
+	for _, w := range []struct {
+		on   bool
+		name string
+	}{{o.With.Membership, "membership"}, {o.With.Registers, "registers"}, {o.With.Limits, "limits"}} {
+		if w.on {
+			s.With = append(s.With, w.name)
+		}
+	}
+	s.Descriptors.Needed = needDescriptors(o)
+	s.Descriptors.Allowed, _ = child.Descriptors()
+	return s
+}
+
+// span is the measured time.
+func (l *laboratory) span() time.Duration { return l.measured.to - l.measured.from }
+
+// inSpan tells whether something was in the measured time.
+func (l *laboratory) inSpan(at time.Duration) bool {
+	return at >= l.measured.from && at <= l.measured.to
+}
+
+func (l *laboratory) machineFigures() MachineFigures {
+	m := MachineFigures{Cores: cores(), MemoryBytes: l.memory, LabResident: l.faults.resident}
+	span := l.span().Seconds()
+	if span <= 0 {
+		return m
+	}
+	var lab time.Duration
+	for i := range l.options.Hollow {
+		lab += l.hollowCPU(i)
+	}
+	for _, d := range l.controlCPU() {
+		lab += d
+	}
+	m.LabCores = lab.Seconds() / span
+	m.OtherCores = max(0, l.faults.machineBusy.Seconds()/span-m.LabCores)
+	return m
+}
+
+// hollowCPU is the processor time of a hollow process in the measured time.
+func (l *laboratory) hollowCPU(process int) time.Duration {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	a, b := l.record.counters[atBegin][process], l.record.counters[atEnd][process]
+	if a == nil || b == nil {
+		return 0
+	}
+	return b.CPU - a.CPU
+}
+
+// controlCPU is that of each control machine, from its first to its last sample in the measured time.
+func (l *laboratory) controlCPU() map[int]time.Duration {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	first, last := map[int]controlSample{}, map[int]controlSample{}
+	for _, s := range l.samples {
+		if !l.inSpan(s.at) {
+			continue
+		}
+		if _, ok := first[s.machine]; !ok {
+			first[s.machine] = s
+		}
+		last[s.machine] = s
+	}
+	used := map[int]time.Duration{}
+	for i, s := range last {
+		used[i] = s.usage.CPU - first[i].usage.CPU
+	}
+	return used
+}
+
+// gatekeeperFigures differ the counters over the measured time.
+func (l *laboratory) gatekeeperFigures() (g GatekeeperFigures) {
+	span := l.span().Seconds()
+	if span <= 0 {
+		return g
+	}
+	var sent, received, gossip, leases, opened, cpu []float64
+	l.record.mu.Lock()
+	for process, before := range l.record.counters[atBegin] {
+		after := l.record.counters[atEnd][process]
+		if after == nil {
+			continue
+		}
+		for i, b := range before.Gatekeepers {
+			a := after.Gatekeepers[i]
+			sent = append(sent, float64(a.Sent-b.Sent)/span)
+			received = append(received, float64(a.Received-b.Received)/span)
+			gossip = append(gossip, float64(a.Gossip-b.Gossip)/span)
+			leases = append(leases, float64(a.Leases-b.Leases)/span)
+			opened = append(opened, float64(a.Opened-b.Opened))
+		}
+		cpu = append(cpu, (after.CPU-before.CPU).Seconds()/(after.At-before.At).Seconds()/float64(len(before.Gatekeepers)))
+	}
+	l.record.mu.Unlock()
+	g.SentPerS, g.ReceivedPerS, g.GossipPerS, g.LeasesPerS = spreadOf(sent), spreadOf(received), spreadOf(gossip), spreadOf(leases)
+	g.Connections, g.CPUShare = spreadOf(opened), spreadOf(cpu)
+	g.HeapBytes = l.most(func(f hollow.Figures) int64 { return f.Heap })
+	g.ResidentBytes = l.most(func(f hollow.Figures) int64 { return f.Resident })
+	g.Goroutines = l.most(func(f hollow.Figures) int64 { return int64(f.Goroutines) })
+	g.Descriptors = l.most(func(f hollow.Figures) int64 { return int64(f.Descriptors) })
+	g.StartToInForce = l.startToInForce()
+	return g
+}
+
+// most gives the spread over the hollow processes of the most that each had in the measured time, for each gatekeeper.
+func (l *laboratory) most(of func(hollow.Figures) int64) Spread {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	share := map[int]float64{}
+	for process, c := range l.record.counters[atBegin] {
+		share[process] = float64(len(c.Gatekeepers))
+	}
+	most := map[int]float64{}
+	for _, s := range l.record.samples {
+		if l.inSpan(s.at) && share[s.process] > 0 {
+			most[s.process] = max(most[s.process], float64(of(s.Figures))/share[s.process])
+		}
+	}
+	return spreadOf(valuesOf(most))
+}
+
+func valuesOf(m map[int]float64) (values []float64) {
+	for _, v := range m {
+		values = append(values, v)
+	}
+	return values
+}
+
+// startToInForce is the time from each gatekeeper's first start to its first settings.
+func (l *laboratory) startToInForce() Spread {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	seen := map[string]bool{}
+	var took []float64
+	for _, a := range l.record.applied {
+		all := l.record.outages[a.Gatekeeper]
+		if a.Life != 1 || seen[a.Gatekeeper] || len(all) == 0 {
+			continue
+		}
+		seen[a.Gatekeeper] = true
+		took = append(took, (a.At - all[0].To).Seconds())
+	}
+	return spreadOf(took)
+}
+
+func (l *laboratory) controlFigures(r *Report) (c ControlFigures) {
+	if l.plane == nil || l.span() <= 0 {
+		return c
+	}
+	span := l.span().Seconds()
+	var cpu []float64
+	for _, d := range l.controlCPU() {
+		cpu = append(cpu, d.Seconds()/span)
+	}
+	resident, heap, goroutines, descriptors := map[int]float64{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
+	first, last := map[int]child.Usage{}, map[int]child.Usage{}
+	l.record.mu.Lock()
+	for _, s := range l.samples {
+		if !l.inSpan(s.at) {
+			continue
+		}
+		if _, ok := first[s.machine]; !ok {
+			first[s.machine] = s.usage
+		}
+		last[s.machine] = s.usage
+		resident[s.machine] = max(resident[s.machine], float64(s.usage.Resident))
+		descriptors[s.machine] = max(descriptors[s.machine], float64(s.usage.Descriptors))
+		if s.runtime.goroutines > 0 {
+			heap[s.machine] = max(heap[s.machine], float64(s.runtime.heap))
+			goroutines[s.machine] = max(goroutines[s.machine], float64(s.runtime.goroutines))
+		}
+	}
+	l.record.mu.Unlock()
+	var read, written []float64
+	for i := range last {
+		read = append(read, float64(last[i].Read-first[i].Read)/span)
+		written = append(written, float64(last[i].Written-first[i].Written)/span)
+	}
+	c.CPUShare, c.ResidentBytes, c.HeapBytes = spreadOf(cpu), spreadOf(valuesOf(resident)), spreadOf(valuesOf(heap))
+	c.Goroutines, c.Descriptors = spreadOf(valuesOf(goroutines)), spreadOf(valuesOf(descriptors))
+	c.ReadPerS, c.WrittenPerS = spreadOf(read), spreadOf(written)
+	c.SessionsPerS = r.Gatekeepers.ReceivedPerS.Mean * float64(l.options.Gatekeepers) / float64(l.options.Control)
+	l.sessions(&c)
+	return c
+}
+
+// sessions counts the sessions at each control machine, as the gatekeepers see them.
+func (l *laboratory) sessions(c *ControlFigures) {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	now := map[int]map[string]int{} // of each process, the last pulse
+	for _, s := range l.record.samples {
+		if !l.inSpan(s.at) {
+			continue
+		}
+		now[s.process] = s.Sessions
+		if len(now) < l.options.Hollow {
+			continue
+		}
+		for _, n := range l.sumSessions(now) {
+			c.SessionsMax = max(c.SessionsMax, int(n))
+		}
+	}
+	c.Sessions = spreadOf(l.sumSessions(now))
+	c.Share = float64(l.options.Gatekeepers) / float64(l.options.Control)
+	c.MaxOverShare = float64(c.SessionsMax) / c.Share
+}
+
+func (l *laboratory) sumSessions(now map[int]map[string]int) (sums []float64) {
+	for _, m := range l.plane.machines {
+		sum := 0
+		for _, sessions := range now {
+			sum += sessions[m.Name]
+		}
+		sums = append(sums, float64(sum))
+	}
+	return sums
+}
+
+func (l *laboratory) membership() (m MembershipFigures) {
+	if !l.options.With.Membership {
+		return m
+	}
+	if l.plane == nil {
+		m.AllMetS = seconds(l.started)
+	}
+	_, m.FewestUp = l.have()
+	return m
+}
+
+// judge has the judge decide, and sums up the times.
+func (l *laboratory) judge(r *Report) {
+	changes, retries := l.writer.all()
+	v := judge.Check(l.logOf(changes))
+	s := &r.Settings
+	s.Changes, s.Retries, s.Pairs, s.Superseded, s.Unjudged = len(changes), retries, len(v.Delays), v.Skipped, v.Open
+	s.RefusedHeld, s.AllStartedS = v.Counts[judge.HeldRefused], seconds(l.started)
+	l.record.mu.Lock()
+	s.Refusals, s.AppliedTotal, s.CutOff, s.StuckNotCut = len(l.record.refusals), len(l.record.applied), l.record.cutOff, l.record.open
+	l.record.mu.Unlock()
+	var commit, put, healed []float64
+	slowest := map[uint64]float64{}
+	for _, d := range v.Delays {
+		if d.Outage {
+			healed = append(healed, seconds(d.Healed))
+			continue
+		}
+		commit, put = append(commit, seconds(d.Commit)), append(put, seconds(d.Put))
+		slowest[d.Marker] = max(slowest[d.Marker], seconds(d.Commit))
+	}
+	var all, writes []float64
+	for _, c := range changes {
+		writes = append(writes, seconds(c.Committed-c.Began))
+	}
+	for _, v := range slowest {
+		all = append(all, v)
+	}
+	s.FromCommit, s.FromPut, s.Healed, s.AllHaveIt, s.PutCommit = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
+	r.Faults = l.faultReports(changes, v.Delays)
+	r.Judge.WithinS, r.Judge.First, r.Judge.Crashed = within.Seconds(), v.First, len(r.Processes)
+	r.Judge.Counts = map[string]int{}
+	for rule, n := range v.Counts {
+		r.Judge.Counts[string(rule)] = n
+	}
+	r.Judge.Held = v.Held() && len(r.Judge.Problems) == 0
+}
+
+// faultReports tell for each fault the slowest pair among the changes that it can have slowed.
+func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
+	reports := []FaultReport{}
+	committed := map[uint64]time.Duration{}
+	for _, c := range changes {
+		committed[c.Marker] = c.Committed
+	}
+	for _, p := range l.faults.played {
+		f := FaultReport{Kind: string(p.kind), AtS: seconds(p.from - l.measured.from), UntilS: seconds(p.until - l.measured.from), What: p.what}
+		for _, d := range delays {
+			at := committed[d.Marker]
+			if at < p.from || at > p.until+within {
+				continue
+			}
+			took := d.Commit
+			if d.Outage {
+				took = d.Healed
+			}
+			f.SlowestS = max(f.SlowestS, seconds(took))
+		}
+		reports = append(reports, f)
+	}
+	return reports
+}
