--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -273,6 +273,9 @@
 	return m
 }
 
+// firstMarker is of the change that is written before the gatekeepers start.
+const firstMarker = 1
+
 // judge has the judge decide, and sums up the times.
 func (l *laboratory) judge(r *Report) {
 	changes, retries := l.writer.all()
@@ -286,6 +289,9 @@
 	var commit, put, healed []float64
 	slowest := map[uint64]float64{}
 	for _, d := range v.Delays {
+		if d.Marker == firstMarker { // StartToInForce has it
+			continue
+		}
 		if d.Outage {
 			healed = append(healed, seconds(d.Healed))
 			continue
--- a/internal/scalelab/transact.go
+++ b/internal/scalelab/transact.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"errors"
+
+	"beammux/internal/store"
 )
 
 // transact writes both records of a change at once.
 func transact(ctx context.Context, address string, calls, limits []byte) (uint64, error) {
-	return 0, errors.New("pending")
+	return store.TransactTo(ctx, address, []store.Write{{Key: callsKey, Value: calls}, {Key: limitsKey, Value: limits}})
 }
