--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -19,6 +19,9 @@
 
 type labCmd struct {
 	Fleet labFleetCmd `cmd:"" help:"Many gatekeeper processes on loopback, with faults between them."`
+
+	Latency  labLatencyCmd  `cmd:"" help:"What one gatekeeper adds to a call: latency, processor time, memory, descriptors."`
+	Decision labDecisionCmd `cmd:"" help:"Time of the pure steps of a call and of the fleet's upkeep, at growing sizes."`
 }
 
 type labFleetCmd struct {
--- /dev/null
+++ b/internal/capacity/depth/depth_test.go
@@ -0,0 +1,153 @@
+package depth_test
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"beammux/control"
+	"beammux/control/retry"
+	"beammux/internal/capacity/depth"
+)
+
+// Figures of the platform's settings.
+const (
+	platformAttempts = 5
+	platformDeadline = 9 * time.Second
+	exampleRatio     = 0.2 // deploy/example/beammux.json
+)
+
+func TestAmplification(t *testing.T) {
+	for _, row := range []struct {
+		name             string
+		levels, attempts int
+		ratio            float64
+		want             depth.Amplification
+	}{
+		{"no level", 0, 5, 0.2, depth.Amplification{Levels: 0, Unbounded: 1, Budgeted: 1, Nearest: 1, NearestRatio: 1}},
+		{"one level", 1, 5, 0.2, depth.Amplification{Levels: 1, Unbounded: 5, Budgeted: 1.2, Nearest: 5, NearestRatio: 1.2}},
+		{"three levels", 3, 4, 0.5, depth.Amplification{Levels: 3, Unbounded: 64, Budgeted: 3.375, Nearest: 4, NearestRatio: 1.5}},
+		{"one attempt leaves a budget nothing", 19, 1, 0.2, depth.Amplification{Levels: 19, Unbounded: 1, Budgeted: 1, Nearest: 1, NearestRatio: 1}},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			require.InDeltaMapValues(t, fields(row.want), fields(depth.Amplify(row.levels, row.attempts, row.ratio)), 1e-9)
+		})
+	}
+	all := depth.Amplify(depth.Levels, platformAttempts, exampleRatio)
+	require.Equal(t, 19073486328125.0, all.Unbounded) // 5^19
+	require.InDelta(t, 31.948, all.Budgeted, 1e-3)    // 1.2^19
+	require.Equal(t, 5.0, all.Nearest)
+	require.InDelta(t, 6.1159, depth.Amplify(depth.Levels, platformAttempts, 0.1).Budgeted, 1e-4)
+	require.InDelta(t, 2, math.Pow(1+depth.RatioFor(depth.Levels, 2), depth.Levels), 1e-9)
+	require.InDelta(t, 0.0371, depth.RatioFor(depth.Levels, 2), 1e-4)
+}
+
+func fields(a depth.Amplification) map[string]float64 {
+	return map[string]float64{"levels": float64(a.Levels), "unbounded": a.Unbounded, "budgeted": a.Budgeted, "nearest": a.Nearest,
+		"nearest ratio": a.NearestRatio}
+}
+
+// Today's program, without a file of limits, makes as many attempts as the settings allow for a call that fails each time:
+// nothing tells a level that the failure came from below and has been repeated there.
+func TestEachLevelRepeatsToday(t *testing.T) {
+	settings := control.Settings{Fronts: 1, Position: -1, Here: -1, AttemptsCap: platformAttempts,
+		Classes: []control.Class{{Aim: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.ReadLike}}}
+	require.Equal(t, platformAttempts, sends(t, settings, 1))
+	require.Equal(t, platformAttempts*platformAttempts, sends(t, settings, 2))
+	require.Equal(t, platformAttempts*platformAttempts*platformAttempts, sends(t, settings, 3))
+	require.True(t, control.Anew.Has(control.Failed))
+}
+
+// With a budget each level sends up to 1 + ratio for each call, as Amplify counts.
+func TestBudgetBoundsOneLevel(t *testing.T) {
+	const warm, calls = 20000, 60000 // a millisecond apart: the budget's window of 10 s is full after the first part
+	budget := retry.NewBudget(retry.BudgetFigures{Ratio: exampleRatio, MinPerS: 1, Burst: 10}, make([]control.Class, 1))
+	sent := 0
+	for i := range warm + calls {
+		if i == warm {
+			sent = 0
+		}
+		now := control.Micros(i * 1000)
+		budget.First(now, 0)
+		sent++
+		for range platformAttempts - 1 {
+			if !budget.Take(now, 0) {
+				break
+			}
+			sent++
+		}
+	}
+	most := depth.WithinBudget(platformAttempts, exampleRatio)
+	require.LessOrEqual(t, float64(sent)/calls, most)
+	require.InDelta(t, most, float64(sent)/calls, 0.02) // the window's newest second has only begun
+}
+
+// sends plays one call through levels of controllers, each with servers that pass it on to the level below. At the last level
+// every attempt fails, and each level answers a call that it refuses with an error. It returns the set-ups at the last level.
+func sends(t *testing.T, settings control.Settings, levels int) (last int) {
+	t.Helper()
+	const servers = platformAttempts + 1
+	c := control.New(settings, uint64(levels))
+	now := control.Micros(1e6)
+	c.Handle(now, control.Start{})
+	list := control.List{}
+	for i := range servers {
+		list.Entries = append(list.Entries, control.Entry{Server: uint32(i + 1), Cell: i, State: control.Ready})
+	}
+	c.Handle(now, list)
+	queue := append([]control.Action{}, c.Handle(now, control.Call{ID: fmt.Sprint(levels), DropDead: now + 9e6})...)
+	for attempt := 0; len(queue) > 0; {
+		a := queue[0]
+		queue = queue[1:]
+		if a.Do != control.Send {
+			continue
+		}
+		if levels == 1 {
+			last++
+		} else {
+			last += sends(t, settings, levels-1)
+		}
+		now += 1000
+		queue = append(queue, c.Handle(now, control.Resolved{ID: a.ID, Attempt: attempt, Server: a.Server, Code: control.Failed, Took: 1000})...)
+		attempt++
+	}
+	return last
+}
+
+func TestDeadlines(t *testing.T) {
+	passed := depth.Deadlines(depth.Levels, platformDeadline, 100*time.Millisecond, depth.PassedOn)
+	require.Len(t, passed, depth.Levels)
+	require.Equal(t, platformDeadline, passed[0].Told)
+	require.Equal(t, 7200*time.Millisecond, passed[18].Told)
+	require.Equal(t, passed[18].Left, passed[18].Told)
+	require.Zero(t, depth.FirstInVain(passed))
+
+	// A part of a millisecond is lost at each level.
+	fine := depth.Deadlines(depth.Levels, platformDeadline, 430*time.Microsecond, depth.PassedOn)
+	require.Equal(t, 18*(time.Millisecond-430*time.Microsecond), fine[18].Left-fine[18].Told)
+
+	// Whole seconds rounded up, as Expires is: what is told stays the same until a level spends a second.
+	coarse := depth.Deadlines(depth.Levels, platformDeadline, 600*time.Millisecond, depth.WholeSeconds)
+	require.Equal(t, platformDeadline, coarse[18].Told)
+	require.Equal(t, 16, depth.FirstInVain(coarse))
+	require.Equal(t, 7*time.Second, depth.Deadlines(2, platformDeadline, 2500*time.Millisecond, depth.WholeSeconds)[1].Told)
+
+	slow := depth.Deadlines(depth.Levels, platformDeadline, time.Second, depth.PassedOn)
+	require.Zero(t, depth.FirstInVain(slow))
+	require.Zero(t, slow[9].Told)
+
+	renewed := depth.Deadlines(depth.Levels, platformDeadline, time.Second, depth.Renewed)
+	require.Equal(t, 10, depth.FirstInVain(renewed))
+	require.Equal(t, platformDeadline, renewed[18].Told)
+	require.Equal(t, -9*time.Second, renewed[18].Left)
+}
+
+func TestRoomToRepeat(t *testing.T) {
+	room := depth.RoomToRepeat(depth.Levels, 2, platformDeadline)
+	require.Equal(t, 4500*time.Millisecond, room[0])
+	require.InDelta(t, 17166, room[18].Nanoseconds(), 1) // 9 s / 2^19
+	require.Equal(t, platformDeadline, depth.RoomToRepeat(1, 1, platformDeadline)[0])
+}
--- /dev/null
+++ b/internal/latencylab/latencylab_test.go
@@ -0,0 +1,295 @@
+package latencylab
+
+import (
+	"context"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"beammux/internal/fleetlab"
+)
+
+func TestScheduleIsOpenLoop(t *testing.T) {
+	const rate, servers = 200.0, 7
+	all := schedule(3, rate, 100*time.Second, servers)
+	require.InDelta(t, rate*100, float64(len(all)), 4*math.Sqrt(rate*100))
+	require.Equal(t, all, schedule(3, rate, 100*time.Second, servers))
+	require.NotEqual(t, all[0], schedule(4, rate, 100*time.Second, servers)[0])
+	first, sum, squares := 0, 0.0, 0.0
+	for i, p := range all {
+		require.Less(t, p.at, 100*time.Second)
+		require.Less(t, p.server, servers)
+		require.LessOrEqual(t, p.gap, pairGapMost)
+		if p.throughFirst {
+			first++
+		}
+		if i > 0 {
+			gap := (p.at - all[i-1].at).Seconds()
+			sum += gap
+			squares += gap * gap
+		}
+	}
+	require.InDelta(t, 0.5, float64(first)/float64(len(all)), 0.02)
+	n := float64(len(all) - 1)
+	mean := sum / n
+	// The deviation of an exponential distribution is its mean.
+	require.InDelta(t, mean, math.Sqrt(squares/n-mean*mean), 0.03*mean)
+	require.Empty(t, schedule(1, 0, time.Second, 1))
+}
+
+// Latency counts from the time at which a call is due, not from when it was sent: a sender that comes late hides nothing.
+func TestLatencyCountsFromTheSchedule(t *testing.T) {
+	a := newArm("0a0a0a0a", 2)
+	due := time.Now().Add(-50 * time.Millisecond)
+	id, _ := a.begin(due)
+	other, _ := a.begin(time.Now())
+	require.Equal(t, "0a0a0a0a00000001", other)
+	a.end(id, stood)
+	a.end(id, failed) // a second end changes nothing
+	a.end("0d0d0d0dffffffff", failed)
+	a.end("short", failed)
+	require.Equal(t, stood, a.calls[0].ended)
+	require.GreaterOrEqual(t, a.calls[0].took, 50*time.Millisecond)
+	require.Equal(t, 1, a.waiting())
+}
+
+func TestEvaluatePairs(t *testing.T) {
+	through, direct := newArm("0a0a0a0a", 100), newArm("0d0d0d0d", 100)
+	for i := range 101 {
+		took := time.Duration(i) * time.Millisecond
+		through.calls = append(through.calls, attempt{took: 2*took + time.Millisecond, ended: stood})
+		direct.calls = append(direct.calls, attempt{took: took, ended: stood})
+	}
+	through.calls[100].ended = refused
+	through.calls[0].took = time.Hour // before the measured part
+	r := &Run{Seconds: 1, CorePart: 0.01, Seed: 1}
+	r.evaluate(through, direct, 1)
+	require.Equal(t, 100, r.Through.Calls)
+	require.Equal(t, 1, r.Through.Refused)
+	require.Equal(t, 99, r.Added.Pairs)
+	require.InDelta(t, 51, r.Added.P50, 1e-9) // differences are 2 to 100 ms
+	require.InDelta(t, 100, r.Added.P99, 1e-9)
+	require.InDelta(t, 51, r.Added.Mean, 1e-9)
+	require.InDelta(t, 100, r.PerCall, 1e-9)
+	require.Equal(t, 1, r.Added.Calm.Pairs) // the direct call of 1 ms alone
+	require.InDelta(t, 2, r.Added.Calm.P50, 1e-9)
+	require.InDelta(t, 19*51, r.Added.Chain[0], 19)
+}
+
+func TestChain(t *testing.T) {
+	require.Equal(t, []float64{19, 19}, Chain([]float64{1}, 19, 100, 1, 0.5, 0.99))
+	require.True(t, math.IsNaN(Chain(nil, 19, 10, 1, 0.5)[0]))
+	rng := rand.New(rand.NewPCG(1, 2))
+	values := make([]float64, 20000)
+	for i := range values {
+		values[i] = rng.NormFloat64() + 3
+	}
+	got := Chain(values, 19, 100000, 5, 0.5, 0.99)
+	require.InDelta(t, 19*3, got[0], 0.3)
+	require.InDelta(t, 19*3+2.326*math.Sqrt(19), got[1], 0.4)
+	require.Equal(t, got, Chain(values, 19, 100000, 5, 0.5, 0.99))
+	require.NotEqual(t, got, Chain(values, 19, 100000, 6, 0.5, 0.99))
+}
+
+func TestQuantiles(t *testing.T) {
+	require.Equal(t, []float64{-3, 2, 9}, Quantiles([]float64{9, -3, 2}, 0.01, 0.5, 1))
+}
+
+func TestFitLine(t *testing.T) {
+	fixed, slope, worst := FitLine([]float64{0, 100, 200, 300}, []float64{2, 12, 22, 32})
+	require.InDelta(t, 2, fixed, 1e-9)
+	require.InDelta(t, 0.1, slope, 1e-9)
+	require.InDelta(t, 0, worst, 1e-9)
+	_, _, worst = FitLine([]float64{0, 1, 2}, []float64{0, 3, 0})
+	require.InDelta(t, 2, worst, 1e-9)
+	fixed, slope, _ = FitLine([]float64{5, 5}, []float64{1, 3})
+	require.Equal(t, []float64{2, 0}, []float64{fixed, slope})
+}
+
+func TestParseStat(t *testing.T) {
+	took, err := parseStat("7 (a name) with) S 1 7 7 0 -1 4194304 10 0 0 0 123 45 0 0 20 0 9 0 100 1 2")
+	require.NoError(t, err)
+	require.Equal(t, 1680*time.Millisecond, took)
+	for _, bad := range []string{"", "7 (x) S 1", "7 (x) S 1 7 7 0 -1 4194304 10 0 0 0 a 45 0 0"} {
+		_, err := parseStat(bad)
+		require.Error(t, err, bad)
+	}
+}
+
+func TestMeasureTakesTheMedian(t *testing.T) {
+	calls := 0
+	op := operation(func(n int) time.Duration {
+		calls++
+		if calls%5 == 0 {
+			time.Sleep(time.Millisecond)
+			return time.Second * time.Duration(n) // a batch that was held up
+		}
+		time.Sleep(time.Millisecond)
+		return 10 * time.Microsecond * time.Duration(n)
+	})
+	require.Equal(t, []float64{10, 10}, measure(op, 2, 20*time.Millisecond))
+}
+
+// Every step can be prepared at its smallest size and gives a positive time, or the value that it counts.
+func TestStepsRun(t *testing.T) {
+	names := map[string]bool{}
+	for _, s := range allSteps() {
+		require.False(t, names[s.name], s.name)
+		names[s.name] = true
+		s.sizes = s.sizes[:1]
+		point, err := Steps{Repeats: 2, Span: time.Millisecond}.point(s, s.sizes[0])
+		require.NoError(t, err, s.name)
+		require.NotEmpty(t, point.Values, s.name)
+		if s.count == nil {
+			require.Positive(t, point.Values[0], s.name)
+		}
+	}
+	require.GreaterOrEqual(t, len(ServerSizes), 5)
+}
+
+// What is measured is a decision that sends: no call of a decider in its steady state is refused.
+func TestDeciderSendsEveryCall(t *testing.T) {
+	for _, n := range []int{24, 400} {
+		d, err := NewDecider(n, stepGatekeepers)
+		require.NoError(t, err)
+		for range 500 {
+			require.Positive(t, d.Call())
+		}
+		require.Zero(t, d.Refused, "%d servers", n)
+		require.Positive(t, d.Tick())
+		require.Positive(t, d.Change())
+	}
+}
+
+func TestRegistersRefuseBeyondTheirBound(t *testing.T) {
+	refused, _, err := registersRefused(1100)
+	require.NoError(t, err)
+	require.Equal(t, float64(1100-mostOrigins), refused)
+	refused, note, err := registersRefused(16)
+	require.NoError(t, err)
+	require.Zero(t, refused)
+	require.Empty(t, note)
+}
+
+func TestCollect(t *testing.T) {
+	report := &Report{}
+	for _, rate := range []float64{0, 100, 200} {
+		for _, limit := range []int{PlannedDescriptors, 4096} {
+			r := &Run{Servers: 34, PerSecond: rate, Descriptors: limit, Seconds: 1, CorePart: 0.1 + rate/1000, ResidentMB: 20}
+			r.Through.Calls, r.Through.Stood = int(rate), int(rate)
+			if rate > 0 {
+				r.Added = &Added{P99: rate, Chain: []float64{1, 2}}
+			}
+			report.Runs = append(report.Runs, r)
+		}
+	}
+	report.Collect()
+	report.Collect() // in place of the earlier ones
+	byName := map[string]Series{}
+	for _, s := range report.Series {
+		require.NotContains(t, byName, s.Name)
+		byName[s.Name] = s
+	}
+	require.Equal(t, []Point{{N: 34, Values: []float64{200}}}, byName["added_p99_ms_at_200_per_s"].Points)
+	require.Equal(t, []Point{{N: 34, Values: []float64{200}}}, byName["added_p99_ms_at_200_per_s_with_4096_descriptors"].Points)
+	require.Len(t, byName["core_part_at_34_servers"].Points, 3)
+	require.NotContains(t, byName, "calm_added_p99_ms_at_200_per_s") // no calm pair, no series
+	require.Len(t, report.Fits, 2)
+	require.InDelta(t, 0.1, report.Fits[0].Fixed, 1e-9)
+	require.InDelta(t, 0.001, report.Fits[0].Slope, 1e-9)
+
+	file := filepath.Join(t.TempDir(), "r.json")
+	report.Stamp("command", "nothing", time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC))
+	require.NoError(t, report.WriteFile(file))
+	back, err := ReadFile(file)
+	require.NoError(t, err)
+	require.Equal(t, report.Series, back.Series)
+	require.Equal(t, "2026-12-02", back.Series[0].Date)
+	_, err = ReadFile(filepath.Join(t.TempDir(), "none"))
+	require.ErrorIs(t, err, os.ErrNotExist)
+}
+
+func TestRunNeedsServers(t *testing.T) {
+	_, err := Latency{Servers: 3, Active: 4}.Run(context.Background())
+	require.ErrorIs(t, err, ErrNoServers)
+}
+
+// With a real gatekeeper in a process of its own.
+func TestWithGatekeeper(t *testing.T) {
+	if testing.Short() {
+		t.Skip("starts processes: not in -short")
+	}
+	built, err := fleetlab.Build("../..", t.TempDir())
+	require.NoError(t, err)
+	program := Program{Path: built.Path}
+	l := Latency{Program: program, Seed: 1, Servers: 4, Active: 2, PerSecond: 50, Descriptors: PlannedDescriptors,
+		Gatekeepers: 2200, Callers: 2, StateEvery: 250 * time.Millisecond, Warm: 500 * time.Millisecond, Length: 2 * time.Second}
+
+	t.Run("every call is answered at the planned descriptors", func(t *testing.T) {
+		r, err := l.Run(t.Context())
+		require.NoError(t, err)
+		require.Positive(t, r.Through.Calls)
+		require.Equal(t, r.Through.Calls, r.Through.Stood)
+		require.Equal(t, r.Direct.Calls, r.Direct.Stood)
+		require.Equal(t, r.Through.Calls, r.Added.Pairs)
+		require.Positive(t, r.Added.P50)
+		require.Positive(t, r.ResidentMB)
+		require.GreaterOrEqual(t, r.Held, 4+2)
+	})
+	t.Run("with fewer descriptors than servers no caller is taken", func(t *testing.T) {
+		l := l
+		l.Servers, l.Descriptors = 60, 64
+		r, err := l.Run(t.Context())
+		require.NoError(t, err)
+		require.Zero(t, r.Through.Stood)
+		require.Nil(t, r.Added)
+		require.Positive(t, r.CallersEnded)
+		require.LessOrEqual(t, r.Held, 64)
+		require.Equal(t, r.Direct.Calls, r.Direct.Stood)
+	})
+	t.Run("the process is gone after its end", func(t *testing.T) {
+		p, err := startGatekeeper(t.Context(), program, t.TempDir(), gatekeeperLimits{64, 64}, 1,
+			InventoryCSV(1, func(int) string { return "127.0.0.1:1" }))
+		require.NoError(t, err)
+		require.NoError(t, syscall.Kill(p.cmd.Process.Pid, 0))
+		p.end()
+		require.ErrorIs(t, syscall.Kill(p.cmd.Process.Pid, 0), syscall.ESRCH)
+	})
+	t.Run("a stopped run leaves no process", func(t *testing.T) {
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+		defer cancel()
+		l := l
+		l.Length = time.Minute
+		start := time.Now()
+		_, err := l.Run(ctx)
+		require.ErrorIs(t, err, context.DeadlineExceeded)
+		require.Less(t, time.Since(start), 30*time.Second)
+	})
+}
+
+func TestGatekeeperThatDoesNotServe(t *testing.T) {
+	_, err := startGatekeeper(t.Context(), Program{Path: "/bin/true"}, t.TempDir(), gatekeeperLimits{64, 64}, 1, nil)
+	require.ErrorIs(t, err, ErrNotServing)
+}
+
+func BenchmarkDecision(b *testing.B) {
+	for _, n := range ServerSizes {
+		b.Run("servers="+strconv.Itoa(n), func(b *testing.B) {
+			d, err := NewDecider(n, stepGatekeepers)
+			require.NoError(b, err)
+			var sum time.Duration
+			b.ResetTimer()
+			for range b.N {
+				sum += d.Call()
+			}
+			b.ReportMetric(float64(sum.Nanoseconds())/float64(b.N), "ns/decision")
+		})
+	}
+}
--- /dev/null
+++ b/internal/latencylab/process.go
@@ -0,0 +1,218 @@
+package latencylab
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"beammux/internal/lab"
+)
+
+const (
+	startWithin   = 20 * time.Second // a gatekeeper serves by then
+	endWithin     = 15 * time.Second // and has ended so long after SIGTERM; then it is killed
+	connectWithin = 8 * time.Second
+	checkEvery    = 100 * time.Millisecond
+	stillChecks   = 5
+	clockTicks    = 100 // of /proc/PID/stat, a second
+)
+
+// ErrNotServing says that the gatekeeper's process did not come up.
+var ErrNotServing = errors.New("the gatekeeper did not serve")
+
+// gatekeeperLimits are what the gatekeeper is told of its machine.
+type gatekeeperLimits struct {
+	Descriptors int
+	MemoryMB    int
+}
+
+// process is one gatekeeper in a process of its own.
+type process struct {
+	cmd    *exec.Cmd
+	addr   string
+	upIn   time.Duration // from its start until it served
+	failed atomic.Int64  // lines of its log that say that no connection to a server came up
+	ended  chan struct{}
+}
+
+// spawner starts processes from one thread that lives as long as this program: with that thread the kernel ends them
+// (PDEATHSIG), so that none outlives a laboratory that was killed.
+var spawner = sync.OnceValue(func() chan<- func() {
+	work := make(chan func())
+	go func() {
+		runtime.LockOSThread()
+		for f := range work {
+			f()
+		}
+	}()
+	return work
+})
+
+// startGatekeeper writes the files of a gatekeeper into dir and starts it; it returns once it serves.
+func startGatekeeper(ctx context.Context, program Program, dir string, limits gatekeeperLimits, gatekeepers int, inventory []byte) (*process, error) {
+	config := fmt.Sprintf(`{"name":"g1","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":%s}`,
+		limits.MemoryMB, limits.Descriptors, lab.Settings(gatekeepers))
+	list := filepath.Join(dir, "servers.csv")
+	deploy, err := json.Marshal(map[string]any{"inventory": list})
+	if err != nil {
+		return nil, err
+	}
+	for name, text := range map[string][]byte{"servers.csv": inventory, "config.json": []byte(config), "deploy.json": deploy} {
+		if err := os.WriteFile(filepath.Join(dir, name), text, 0o600); err != nil {
+			return nil, err
+		}
+	}
+	cmd := exec.Command(program.Path, "--log-format", "json", "serve", "--config", filepath.Join(dir, "config.json"),
+		"--deploy", filepath.Join(dir, "deploy.json"))
+	cmd.Env = append(os.Environ(), program.Env...)
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	stderr, err := cmd.StderrPipe()
+	if err != nil {
+		return nil, err
+	}
+	began, started := time.Now(), make(chan error)
+	spawner() <- func() { started <- cmd.Start() }
+	if err := <-started; err != nil {
+		return nil, err
+	}
+	p := &process{cmd: cmd, ended: make(chan struct{})}
+	serving := make(chan string, 1)
+	go p.follow(bufio.NewScanner(stderr), serving)
+	select {
+	case p.addr = <-serving:
+		p.upIn = time.Since(began)
+		return p, nil
+	case <-p.ended:
+		err = ErrNotServing
+	case <-time.After(startWithin):
+		err = ErrNotServing
+	case <-ctx.Done():
+		err = ctx.Err()
+	}
+	p.kill()
+	return nil, err
+}
+
+// follow reads the log to its end and then waits for the process.
+func (p *process) follow(lines *bufio.Scanner, serving chan<- string) {
+	defer close(p.ended)
+	for lines.Scan() {
+		var line struct{ Msg, Listen string }
+		if json.Unmarshal(lines.Bytes(), &line) != nil {
+			continue
+		}
+		switch line.Msg {
+		case "serving":
+			serving <- line.Listen
+		case "no connection to server":
+			p.failed.Add(1)
+		}
+	}
+	p.cmd.Wait()
+}
+
+// end asks the gatekeeper to end, and kills it if it does not in time.
+func (p *process) end() {
+	p.cmd.Process.Signal(syscall.SIGTERM)
+	select {
+	case <-p.ended:
+	case <-time.After(endWithin):
+		p.kill()
+	}
+}
+
+func (p *process) kill() {
+	p.cmd.Process.Kill()
+	<-p.ended
+}
+
+// connected waits until the number of open descriptors stands still: the gatekeeper dials its servers after it serves, and
+// callers that come first would find room that is gone later.
+func (p *process) connected(ctx context.Context) {
+	last, still := -1, 0
+	for end := time.Now().Add(connectWithin); still < stillChecks && time.Now().Before(end) && ctx.Err() == nil; {
+		time.Sleep(checkEvery)
+		if now := p.descriptors(); now == last {
+			still++
+		} else {
+			last, still = now, 0
+		}
+	}
+}
+
+// processor is the processor time that the process has used so far.
+func (p *process) processor() (time.Duration, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	if err != nil {
+		return 0, err
+	}
+	return parseStat(string(text))
+}
+
+// waited is how long the threads of the process have been ready to run and had no core so far (schedstat, second field): the
+// part of a latency that other work on the machine causes.
+func (p *process) waited() (sum time.Duration) {
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
+	for _, file := range files {
+		text, _ := os.ReadFile(file)
+		if fields := strings.Fields(string(text)); len(fields) > 1 {
+			wait, _ := strconv.ParseInt(fields[1], 10, 64)
+			sum += time.Duration(wait)
+		}
+	}
+	return sum
+}
+
+// parseStat reads user and system time from a line of /proc/PID/stat (proc(5)): fields 14 and 15.
+func parseStat(line string) (time.Duration, error) {
+	end := strings.LastIndexByte(line, ')') // the name, field 2, may hold spaces
+	if end < 0 {
+		return 0, fmt.Errorf("no name in %q", line)
+	}
+	fields := strings.Fields(line[end+1:])
+	if len(fields) < 13 {
+		return 0, fmt.Errorf("%d fields in %q", len(fields), line)
+	}
+	user, err := strconv.ParseInt(fields[11], 10, 64)
+	if err != nil {
+		return 0, err
+	}
+	system, err := strconv.ParseInt(fields[12], 10, 64)
+	return time.Duration(user+system) * (time.Second / clockTicks), err
+}
+
+// resident gives the resident memory now and at its peak, in KiB.
+func (p *process) resident() (now, peak int) {
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	for line := range strings.Lines(string(text)) {
+		fields := strings.Fields(line)
+		if len(fields) < 2 {
+			continue
+		}
+		switch fields[0] {
+		case "VmRSS:":
+			now, _ = strconv.Atoi(fields[1])
+		case "VmHWM:":
+			peak, _ = strconv.Atoi(fields[1])
+		}
+	}
+	return now, peak
+}
+
+// descriptors counts the open descriptors of the process.
+func (p *process) descriptors() int {
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	return len(entries)
+}
