--- a/cmd/beammux/lab_latency_test.go
+++ b/cmd/beammux/lab_latency_test.go
@@ -43,7 +43,7 @@
 func TestLabLatencyBadInput(t *testing.T) {
 	for _, row := range []struct{ args, want string }{
 		{"latency --sizes 0", "--sizes: 0 is not from 1 to 4000"},
-		{"latency --rates -1", "--rates: -1 is not from 0 to 2000"},
+		{"latency --rates=-1", "--rates: -1 is not from 0 to 2000"},
 		{"latency --repeats 0", "each is 1 at least"},
 		{"latency --length 0s", "--length, --warm, --state-every: over 0"},
 		{"latency --append --sizes 34", "--append: "},
