--- a/control/advice/advice_test.go
+++ b/control/advice/advice_test.go
@@ -15,7 +15,10 @@
 )
 
 // packages whose errors must be types that advise. New packages are added here as they come.
-var packages = []string{"internal/store", "control/registers", "control/heavy", "control/quota", "internal/fleet", "control/verdict", "internal/counting", "internal/limits", "internal/verdicts"}
+var packages = []string{
+	"control/heavy", "control/outlier", "control/quota", "control/registers",
+	"internal/counting", "internal/ejection", "internal/fleet", "internal/limits", "internal/store",
+}
 
 // shortest advice that can tell anything.
 const shortest = 25
--- a/control/control.go
+++ b/control/control.go
@@ -77,30 +77,30 @@
 
 // server is what this front knows of one server.
 type server struct {
-	id       uint32
-	cell     int
-	state    State
-	since    Micros
-	level    int
-	wait     float64    // us; estimate of the wait at the processor
-	seen     Micros     // when the wait was last seen
-	fallFor  Micros     // this front's own silent fall time
-	thin     float64    // part of the calls, by worth, kept from it
-	lastWait float64    // us; wait at the last tick
-	fadedAt  Micros     // when thinning last faded by a sight
-	out      []*call    // calls with an unanswered set-up, oldest first
-	spare    float64    // free agents, -1 if not known
-	total    float64    // agents, 0 if not known: the only sign of a server's size
-	told     [2]float64 // queue and use of its processor as last reported
-	rate     float64    // own set-ups answered, a second
-	rateAt   Micros
-	lotEnd   Micros  // when the lot of this front's share ends
-	lot      int     // set-ups left in it
-	drawn    float64 // its share of all slots so far, from where its lots begin
-	answered Micros  // when the latest set-up answered here was sent: the line is first in, first out
-	heard    Micros  // last sign of life
-	noted    Micros
-	verdict  int // set-ups that a verdict of the fleet leaves room for, under 0 where there is none
+	id          uint32
+	cell        int
+	state       State
+	since       Micros
+	level       int
+	wait        float64    // us; estimate of the wait at the processor
+	seen        Micros     // when the wait was last seen
+	fallFor     Micros     // this front's own silent fall time
+	thin        float64    // part of the calls, by worth, kept from it
+	lastWait    float64    // us; wait at the last tick
+	fadedAt     Micros     // when thinning last faded by a sight
+	out         []*call    // calls with an unanswered set-up, oldest first
+	spare       float64    // free agents, -1 if not known
+	total       float64    // agents, 0 if not known: the only sign of a server's size
+	told        [2]float64 // queue and use of its processor as last reported
+	rate        float64    // own set-ups answered, a second
+	rateAt      Micros
+	lotEnd      Micros  // when the lot of this front's share ends
+	lot         int     // set-ups left in it
+	drawn       float64 // its share of all slots so far, from where its lots begin
+	answered    Micros  // when the latest set-up answered here was sent: the line is first in, first out
+	heard       Micros  // last sign of life
+	noted       Micros
+	inFlightMax int // InFlightLimit.Max of this server
 }
 
 // call is a call that this front still owes an answer.
@@ -206,9 +206,9 @@
 		}
 	case Timer:
 		c.timer(e)
-	case Verdict:
+	case InFlightLimit:
 		if s := c.find(e.Server); s != nil {
-			s.verdict = e.Room
+			s.inFlightMax = e.Max
 		}
 	case BusyNumber:
 		c.markBusy(e.Key, e.At)
@@ -308,7 +308,7 @@
 
 func (c *Controller) fresh(s *server) *server {
 	*s = server{id: s.id, out: s.out, spare: -1, seen: c.now, rateAt: c.now, noted: s.noted, total: s.total,
-		verdict: -1}
+		inFlightMax: -1}
 	s.lotEnd = c.now + Micros(c.rng.Float64()*float64(c.slot)) // not all fronts draw at once
 	s.drawn = spread(s.id, c.set.Position)
 	if c.set.Position < 0 { // not told: each for itself
@@ -985,7 +985,7 @@
 		return false
 	case c.class(k).Pools != nil && !slices.Contains(c.class(k).Pools, s.cell):
 		return false
-	case s.verdict >= 0 && len(s.out) >= s.verdict:
+	case s.inFlightMax >= 0 && len(s.out) >= s.inFlightMax:
 		return false
 	case c.ahead(s) >= c.roomOf(s):
 		return false
--- a/control/interface.go
+++ b/control/interface.go
@@ -207,11 +207,11 @@
 	Report []float64
 }
 
-// Verdict says how many set-ups this front may have out at a server by a verdict of the fleet: 0 none, under 0 any number. It only
-// ever keeps set-ups away: the module's own rules hold beside it.
-type Verdict struct {
+// InFlightLimit bounds the set-ups that this front may have in flight at a server which the fleet has ejected: 0 none, under 0
+// any number. It only keeps set-ups away: the module's own rules hold beside it.
+type InFlightLimit struct {
 	Server uint32
-	Room   int
+	Max    int
 }
 
 // BusyNumber says that the fleet holds all lines of a number to be busy, by an answer at a time.
--- a/control/verdict/verdict_test.go
+++ b/control/outlier/outlier_test.go
@@ -1,4 +1,4 @@
-package verdict
+package outlier
 
 import (
 	"fmt"
@@ -13,20 +13,20 @@
 
 // fleet is a few members that see servers and hear each other at once.
 type fleet struct {
-	names   []string
-	list    []Server
-	benches map[string]*Bench
-	seen    map[string]map[uint32]*Seen // ages as times of the last
-	now     control.Micros
+	names        []string
+	list         []Server
+	detectors    map[string]*Detector
+	observations map[string]map[uint32]*Observation // ages as times of the last
+	now          control.Micros
 }
 
 func newFleet(members, servers int) *fleet {
-	f := &fleet{benches: map[string]*Bench{}, seen: map[string]map[uint32]*Seen{}, now: 1e9}
+	f := &fleet{detectors: map[string]*Detector{}, observations: map[string]map[uint32]*Observation{}, now: 1e9}
 	for i := range members {
 		name := fmt.Sprint("g", i)
 		f.names = append(f.names, name)
-		f.benches[name] = New(name, 0.3)
-		f.seen[name] = map[uint32]*Seen{}
+		f.detectors[name] = New(name, 0.3)
+		f.observations[name] = map[uint32]*Observation{}
 	}
 	for i := range servers {
 		f.list = append(f.list, Server{ID: uint32(i + 1)})
@@ -35,38 +35,38 @@
 }
 
 func (f *fleet) see(member string, server uint32, good, bad float64) {
-	s := f.seen[member][server]
+	s := f.observations[member][server]
 	if s == nil {
-		s = &Seen{Server: server, GoodAge: -1, BadAge: -1}
-		f.seen[member][server] = s
+		s = &Observation{Server: server, SuccessAge: -1, FailureAge: -1}
+		f.observations[member][server] = s
 	}
-	s.Good, s.Bad = s.Good+good, s.Bad+bad
+	s.Successes, s.Failures = s.Successes+good, s.Failures+bad
 	if good > 0 {
-		s.GoodAge, s.Streak = f.now, 0
+		s.SuccessAge, s.FailureStreak = f.now, 0
 	}
 	if bad > 0 {
-		s.BadAge, s.Streak = f.now, s.Streak+int(bad)
+		s.FailureAge, s.FailureStreak = f.now, s.FailureStreak+int(bad)
 	}
 }
 
 func (f *fleet) evidence() (all []Evidence) {
 	for _, name := range f.names {
 		e := Evidence{Member: name}
-		votes := f.benches[name].Votes(f.now)
-		for _, s := range f.seen[name] {
-			told := *s
-			told.Vote = votes[s.Server]
+		votes := f.detectors[name].Votes(f.now)
+		for _, s := range f.observations[name] {
+			published := *s
+			published.VoteRemaining = votes[s.Server]
 			delete(votes, s.Server)
-			if s.GoodAge >= 0 {
-				told.GoodAge = f.now - s.GoodAge
+			if s.SuccessAge >= 0 {
+				published.SuccessAge = f.now - s.SuccessAge
 			}
-			if s.BadAge >= 0 {
-				told.BadAge = f.now - s.BadAge
+			if s.FailureAge >= 0 {
+				published.FailureAge = f.now - s.FailureAge
 			}
-			e.Servers = append(e.Servers, told)
+			e.Servers = append(e.Servers, published)
 		}
 		for id, left := range votes {
-			e.Servers = append(e.Servers, Seen{Server: id, GoodAge: -1, BadAge: -1, Vote: left})
+			e.Servers = append(e.Servers, Observation{Server: id, SuccessAge: -1, FailureAge: -1, VoteRemaining: left})
 		}
 		all = append(all, e)
 	}
@@ -77,25 +77,25 @@
 func (f *fleet) pass(span control.Micros) {
 	for end := f.now + span; f.now < end; {
 		f.now += 200_000
-		for _, by := range f.seen {
+		for _, by := range f.observations {
 			for _, s := range by {
-				s.Good, s.Bad = s.Good*0.967, s.Bad*0.967
+				s.Successes, s.Failures = s.Successes*0.967, s.Failures*0.967
 			}
 		}
 		all := f.evidence()
 		for _, name := range f.names {
-			f.benches[name].Judge(f.now, all, f.list, f.names)
+			f.detectors[name].Update(f.now, all, f.list, f.names)
 		}
 	}
 }
 
 func (f *fleet) phase(member string, server uint32) Phase {
-	for _, v := range f.benches[member].InForce(f.now) {
+	for _, v := range f.detectors[member].Ejections(f.now) {
 		if v.Server == server {
 			return v.Phase
 		}
 	}
-	return Clear
+	return Healthy
 }
 
 // work gives every member answers of every server but those in without.
@@ -114,36 +114,36 @@
 	f.work(3)
 	f.see("g0", 3, 0, 9)
 	f.pass(400_000)
-	require.Equal(t, Clear, f.phase("g1", 3), "one member alone never convicts, however much it says")
+	require.Equal(t, Healthy, f.phase("g1", 3), "one member alone never convicts, however much it says")
 	f.see("g1", 3, 0, 1)
 	f.see("g2", 3, 0, 1)
 	f.pass(400_000) // to vote, and to hear the votes
 	for _, name := range f.names {
-		require.Equal(t, Out, f.phase(name, 3), name)
+		require.Equal(t, Ejected, f.phase(name, 3), name)
 	}
 	// Nobody sends there, so nothing is fresh: it ends, and two members try it.
-	f.pass(Hold + 200_000)
+	f.pass(BaseEjectionTime + 200_000)
 	room := map[int]int{}
 	for _, name := range f.names {
 		require.Equal(t, Trial, f.phase(name, 3))
-		room[f.benches[name].room(3, f.benches[name].servers[3], f.names)]++
+		room[f.detectors[name].inFlightLimit(3, f.detectors[name].servers[3], f.names)]++
 	}
-	require.Equal(t, map[int]int{1: probers, 0: 6 - probers}, room)
+	require.Equal(t, map[int]int{1: firstProbers, 0: 6 - firstProbers}, room)
 	// It fails: out again, for twice as long.
 	f.now += 1
-	f.see(proberOf(3, f.names, 1)[0], 3, 0, 1)
+	f.see(probersOf(3, f.names, 1)[0], 3, 0, 1)
 	f.pass(200_000)
-	require.Equal(t, Out, f.phase("g5", 3))
-	f.pass(Hold + 400_000)
-	require.Equal(t, Out, f.phase("g5", 3))
-	f.pass(Hold)
+	require.Equal(t, Ejected, f.phase("g5", 3))
+	f.pass(BaseEjectionTime + 400_000)
+	require.Equal(t, Ejected, f.phase("g5", 3))
+	f.pass(BaseEjectionTime)
 	require.Equal(t, Trial, f.phase("g5", 3))
 	// They succeed: room by steps, then clear.
 	for range 8 {
 		f.work()
-		f.pass(step)
+		f.pass(trialStepTime)
 	}
-	require.Equal(t, Clear, f.phase("g5", 3))
+	require.Equal(t, Healthy, f.phase("g5", 3))
 }
 
 // A server that answered eight a second and ceases to answer anybody is convicted within a second by two members' three
@@ -166,9 +166,9 @@
 			}
 			f.pass(200_000)
 		}
-		want := Out
+		want := Ejected
 		if answers {
-			want = Clear
+			want = Healthy
 		}
 		require.Equal(t, want, f.phase("g4", 3), "one answers: %v", answers)
 	}
@@ -190,18 +190,18 @@
 		}
 	}
 	f.pass(1e6)
-	all(f, Clear, "all servers are slow at once: overload is no verdict")
+	all(f, Healthy, "all servers are slow at once: overload ejects none")
 
 	f = newFleet(6, 8)
 	f.work()
 	for _, s := range f.list { // a liar, or one whose links are bad
-		f.seen["g4"][s.ID].Good = 0
+		f.observations["g4"][s.ID].Successes = 0
 		f.see("g4", s.ID, 0, 9)
 	}
 	f.pass(1e6)
-	all(f, Clear, "one member says that all are ill")
+	all(f, Healthy, "one member says that all fail")
 	for _, name := range f.names {
-		require.Equal(t, []string{"g4"}, f.benches[name].Apart())
+		require.Equal(t, []string{"g4"}, f.detectors[name].Isolated())
 	}
 
 	f = newFleet(6, 8)
@@ -214,7 +214,7 @@
 		}
 	}
 	f.pass(1e6)
-	all(f, Clear, "slow for half of the members by their links alone")
+	all(f, Healthy, "slow for half of the members by their links alone")
 }
 
 // A server that started anew is not held to what its former process did.
@@ -225,14 +225,14 @@
 		f.see(name, 2, 0, 3)
 	}
 	f.pass(400_000)
-	require.Equal(t, Out, f.phase("g0", 2))
+	require.Equal(t, Ejected, f.phase("g0", 2))
 	f.list[1].Since = f.now
 	f.pass(600_000)
-	require.Equal(t, Clear, f.phase("g0", 2))
+	require.Equal(t, Healthy, f.phase("g0", 2))
 }
 
 // Over every course of evidence, also of liars, with evidence late and members that come and go: no more than the part of the
-// servers is out, no verdict is older than its expiry, nobody is convicted by one member alone, and members with the same
+// servers is out, no ejection is older than its expiry, no server is ejected by one member alone, and members with the same
 // evidence come to the same.
 func TestGuards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -263,17 +263,17 @@
 			"time": func(t *rapid.T) { f.pass(control.Micros(rapid.IntRange(1, 30).Draw(t, "rounds")) * 200_000) },
 			"restart": func(t *rapid.T) {
 				name := f.names[member.Draw(t, "who")]
-				f.benches[name], f.seen[name] = New(name, 0.3), map[uint32]*Seen{}
+				f.detectors[name], f.observations[name] = New(name, 0.3), map[uint32]*Observation{}
 			},
 			"": func(t *rapid.T) {
 				for _, name := range f.names {
 					out := 0
-					for _, v := range f.benches[name].InForce(f.now) {
-						if v.Phase != Out {
+					for _, v := range f.detectors[name].Ejections(f.now) {
+						if v.Phase != Ejected {
 							continue
 						}
 						out++
-						if f.now-last[v.Server] > MostHold || v.Left > MostHold {
+						if f.now-last[v.Server] > MaxEjectionTime || v.Remaining > MaxEjectionTime {
 							t.Fatalf("%s holds %d out, %d us after its last failure", name, v.Server, f.now-last[v.Server])
 						}
 						delete(honest[v.Server], liar)
@@ -290,16 +290,16 @@
 	})
 }
 
-// A number is busy for all by two members' word, until the newest of it is old, a call to it stands, or they are apart.
+// A number is busy for all by two members' word, until the newest of it is old, a call to it stands, or they are isolated.
 func TestBusyNumbers(t *testing.T) {
 	now := control.Micros(1e9)
 	says := func(member string, age, busy, good control.Micros) NumberEvidence {
-		return NumberEvidence{member, age, []NumberSeen{{"555", 1, busy, good}}}
+		return NumberEvidence{member, age, []NumberObservation{{"555", 1, busy, good}}}
 	}
 	for i, row := range []struct {
-		all   []NumberEvidence
-		apart []string
-		left  control.Micros // 0: no verdict
+		all      []NumberEvidence
+		isolated []string
+		left     control.Micros // 0: not busy
 	}{
 		{[]NumberEvidence{says("a", 0, 1e6, -1)}, nil, 0},
 		{[]NumberEvidence{says("a", 0, 1e6, -1), says("b", 2e5, 1e6, -1)}, nil, 4e6},
@@ -309,13 +309,13 @@
 		{[]NumberEvidence{says("a", 0, 1e6, -1), says("b", 0, 1e6, -1)}, []string{"b"}, 0},
 		{[]NumberEvidence{says("a", 0, -1, -1), says("b", 0, 1e6, -1)}, nil, 0},
 	} {
-		got := BusyNumbers(now, row.all, row.apart)
+		got := BusyNumbers(now, row.all, row.isolated)
 		if row.left == 0 {
 			require.Empty(t, got, i)
 			continue
 		}
 		require.Len(t, got, 1, i)
-		require.Equal(t, row.left, got[0].Left, i)
+		require.Equal(t, row.left, got[0].Remaining, i)
 	}
 }
 
@@ -323,16 +323,16 @@
 // it too, and not by one member alone.
 func TestDoor(t *testing.T) {
 	says := func(member string, good, bad float64, age control.Micros) CallerEvidence {
-		return CallerEvidence{member, 0, []CallerSeen{{"10.0.0.9", good, bad, age}}}
+		return CallerEvidence{member, 0, []CallerObservation{{"10.0.0.9", good, bad, age}}}
 	}
 	now := control.Micros(1e9)
-	require.Empty(t, NewDoor().Judge(now, []CallerEvidence{says("a", 0, 50, 0)}), "one alone")
-	require.Empty(t, NewDoor().Judge(now, []CallerEvidence{says("a", 0, 5, 0), says("b", 3, 5, 0)}), "good ones too")
-	require.Empty(t, NewDoor().Judge(now, []CallerEvidence{says("a", 0, 5, 0), says("b", 0, 1, 0)}), "too little of b")
-	d := NewDoor()
-	away := d.Judge(now, []CallerEvidence{says("a", 0, 5, 1e6), says("b", 0, 5, 2e6)})
+	require.Empty(t, NewCallerFilter().Update(now, []CallerEvidence{says("a", 0, 50, 0)}), "one alone")
+	require.Empty(t, NewCallerFilter().Update(now, []CallerEvidence{says("a", 0, 5, 0), says("b", 3, 5, 0)}), "good ones too")
+	require.Empty(t, NewCallerFilter().Update(now, []CallerEvidence{says("a", 0, 5, 0), says("b", 0, 1, 0)}), "too little of b")
+	d := NewCallerFilter()
+	away := d.Update(now, []CallerEvidence{says("a", 0, 5, 1e6), says("b", 0, 5, 2e6)})
 	require.Len(t, away, 1)
-	require.Equal(t, CallerSpan-1e6, away[0].Left)
-	require.Len(t, d.Judge(now+5e6, []CallerEvidence{says("a", 0, 2, 6e6), says("b", 0, 2, 7e6)}), 1, "it holds while what brought it is forgotten")
-	require.Empty(t, d.Judge(now+9e6, nil), "and ends")
+	require.Equal(t, CallerBlockTime-1e6, away[0].Remaining)
+	require.Len(t, d.Update(now+5e6, []CallerEvidence{says("a", 0, 2, 6e6), says("b", 0, 2, 7e6)}), 1, "it holds while what brought it is forgotten")
+	require.Empty(t, d.Update(now+9e6, nil), "and ends")
 }
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -10,9 +10,9 @@
 
 	"beammux/control"
 	"beammux/control/fleetview"
+	"beammux/control/outlier"
 	"beammux/control/quota"
 	"beammux/control/registers"
-	"beammux/control/verdict"
 	"beammux/internal/counting"
 	"beammux/internal/fleet"
 	"beammux/internal/inventory"
@@ -29,7 +29,7 @@
 const (
 	stepGatekeepers = 2200
 	serviceServers  = 34 // 2,200 servers over 65 services
-	toldServers     = 24 // that one member tells of at most (package verdicts)
+	toldServers     = 24 // that one member tells of at most (package ejection)
 	registerBytes   = 1000
 	mostOrigins     = 1024 // that a book of registers takes, for the note beside larger sizes
 )
@@ -386,23 +386,23 @@
 
 // judge makes a round of a bench: members that each tell of some servers on a list of servers, all well.
 func judge(members, servers, told int) operation {
-	var all []verdict.Evidence
-	var list []verdict.Server
+	var all []outlier.Evidence
+	var list []outlier.Server
 	var up []string
 	for s := range servers {
-		list = append(list, verdict.Server{ID: uint32(s + 1)})
+		list = append(list, outlier.Server{ID: uint32(s + 1)})
 	}
 	for m := range members {
-		e := verdict.Evidence{Member: fmt.Sprintf("gatekeeper-%04d", m), Age: 10000}
+		e := outlier.Evidence{Member: fmt.Sprintf("gatekeeper-%04d", m), Age: 10000}
 		for s := range told {
-			e.Servers = append(e.Servers, verdict.Seen{Server: uint32((m*told+s)%servers + 1), Good: 30, GoodAge: 10000, BadAge: -1})
+			e.Servers = append(e.Servers, outlier.Observation{Server: uint32((m*told+s)%servers + 1), Successes: 30, SuccessAge: 10000, FailureAge: -1})
 		}
 		all, up = append(all, e), append(up, e.Member)
 	}
-	b, now := verdict.New("gatekeeper-0000", 0.3), control.Micros(1e9)
+	b, now := outlier.New("gatekeeper-0000", 0.3), control.Micros(1e9)
 	return each(func() {
 		now += 100000
-		b.Judge(now, all, list, up)
+		b.Update(now, all, list, up)
 	})
 }
 
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -8,12 +8,12 @@
 
 	"beammux/control"
 	"beammux/control/fleetview"
+	"beammux/control/outlier"
 	"beammux/control/quota"
-	"beammux/control/verdict"
+	"beammux/internal/ejection"
 	"beammux/internal/fleet"
 	"beammux/internal/limits"
 	"beammux/internal/routing"
-	"beammux/internal/verdicts"
 )
 
 // figures lays the core's counts out in the Prometheus text exposition. The library writes the form; the counts are the
@@ -101,21 +101,21 @@
 	}
 }
 
-// addVerdicts adds the verdicts of the fleet that are in force here.
-func (f *figures) addVerdicts(j *verdicts.Judge) {
-	for _, p := range []verdict.Phase{verdict.Out, verdict.Trial} {
+// addEjections adds the ejections that are in force here. The metric names are fixed by docs/verdicts.md.
+func (f *figures) addEjections(monitor *ejection.Monitor) {
+	for _, p := range []outlier.Phase{outlier.Ejected, outlier.Trial} {
 		f.set.NewGauge(fmt.Sprintf("proxy_fleet_verdicts{phase=%q}", p), func() float64 {
-			now, _ := j.Count(p)
+			now, _ := monitor.Count(p)
 			return float64(now)
 		})
 	}
 	f.set.NewGauge("proxy_fleet_convictions_total", func() float64 {
-		_, ever := j.Count(verdict.Out)
-		return float64(ever)
+		_, total := monitor.Count(outlier.Ejected)
+		return float64(total)
 	})
-	f.set.NewGauge("proxy_fleet_callers_turned_away_total", func() float64 { return float64(j.Turned()) })
-	f.set.NewGauge("proxy_fleet_busy_numbers", func() float64 { return float64(len(j.Status().Numbers)) })
-	f.set.NewGauge("proxy_fleet_apart", func() float64 { return float64(len(j.Status().Apart)) })
+	f.set.NewGauge("proxy_fleet_callers_turned_away_total", func() float64 { return float64(monitor.BlockedConnections()) })
+	f.set.NewGauge("proxy_fleet_busy_numbers", func() float64 { return float64(len(monitor.Status().Numbers)) })
+	f.set.NewGauge("proxy_fleet_apart", func() float64 { return float64(len(monitor.Status().Isolated)) })
 }
 
 func (f *figures) write(w io.Writer) { f.set.WritePrometheus(w) }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -14,10 +14,10 @@
 	"beammux/control/fleetview"
 	"beammux/control/registers"
 	"beammux/internal/counting"
+	"beammux/internal/ejection"
 	"beammux/internal/fleet"
 	"beammux/internal/follow"
 	"beammux/internal/limits"
-	"beammux/internal/verdicts"
 )
 
 // openFleet joins the fleet's gossip, where the deploy file names it.
@@ -36,9 +36,9 @@
 	n.figures.addFleet(f)
 	n.figures.addRegisters(f)
 	n.telling.Go(func() { n.tellRates(ctx) })
-	if n.judge != nil {
-		n.judge.Open(f)
-		n.figures.addVerdicts(n.judge)
+	if n.outliers != nil {
+		n.outliers.Open(f)
+		n.figures.addEjections(n.outliers)
 	}
 	n.log.WithField("listen", f.Addr()).Info("fleet listening")
 	return nil
@@ -101,7 +101,7 @@
 	Calls  FleetRates     `json:"calls"`
 	Limits *limits.Status `json:"limits,omitempty"`
 
-	Verdicts *verdicts.Status `json:"verdicts,omitempty"`
+	Verdicts *ejection.Status `json:"verdicts,omitempty"`
 
 	Settings *follow.Status `json:"settings,omitempty"` // of the control machines
 }
@@ -181,8 +181,8 @@
 		l := n.limits.Status()
 		st.Limits = &l
 	}
-	if n.judge != nil {
-		v := n.judge.Status()
+	if n.outliers != nil {
+		v := n.outliers.Status()
 		st.Verdicts = &v
 	}
 	return st, true
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -69,7 +69,7 @@
 	if n.limits != nil {
 		n.limits.Close()
 	}
-	if n.judge != nil {
-		n.judge.Close()
+	if n.outliers != nil {
+		n.outliers.Close()
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,10 +13,11 @@
 
 	"beammux/control"
 	"beammux/control/fleetview"
-	"beammux/control/verdict"
+	"beammux/control/outlier"
 	"beammux/internal/admin"
 	"beammux/internal/config"
 	"beammux/internal/counting"
+	"beammux/internal/ejection"
 	"beammux/internal/fleet"
 	"beammux/internal/limits"
 	"beammux/internal/ops"
@@ -27,7 +28,6 @@
 	"beammux/internal/routing"
 	"beammux/internal/store"
 	"beammux/internal/transport"
-	"beammux/internal/verdicts"
 )
 
 // Further keys of the store and names of the list's sources.
@@ -72,13 +72,13 @@
 	counters *counting.Counters       // nil: off
 	limits   *limits.Limiter          // of the whole fleet; nil: off
 	leaseAt  atomic.Pointer[[]string] // where the limits in force name members of a store; none: this gatekeeper's own
-	judge    *verdicts.Judge          // nil: off
+	outliers *ejection.Monitor        // nil: off
 	settings settings                 // that the deploy file and the control machines give
 	telling  sync.WaitGroup           // what publishes to the fleet
 	lastSeen []fleetview.Summary      // of the servers, as last told to the fleet
 	stop     context.CancelFunc
 
-	lastListed []verdict.Server // as last read by the judge
+	lastListed []outlier.Server // as last returned by listedServers
 }
 
 // Start brings a gatekeeper up. It takes callers once it returns: known servers are loaded by then. The operators'
@@ -125,10 +125,10 @@
 		n.counters = counting.New(counting.Options{Classes: len(cfg.Site.Classes), Tenants: len(cfg.Site.Tenants)})
 		observers := []routing.Observer{n.counters}
 		if deploy.Fleet.MaxOut > 0 {
-			if n.judge, err = n.newJudge(); err != nil {
+			if n.outliers, err = n.newOutlierMonitor(); err != nil {
 				return nil, err
 			}
-			observers = append(observers, n.judge)
+			observers = append(observers, n.outliers)
 		}
 		n.core.SetObservers(observers...)
 	}
@@ -137,8 +137,8 @@
 	n.core.SetLimits(deploy.Calls)
 	n.calls.Store(deploy.Calls.Version())
 	n.front = jsonl.NewFront(restarted{n.core, n}, cfg.Site.ClassNames, log)
-	if n.judge != nil {
-		n.front.Seen = n.judge.Caller
+	if n.outliers != nil {
+		n.front.Seen = n.outliers.ObserveCaller
 	}
 	if err = n.openOperators(); err != nil {
 		return nil, err
@@ -208,8 +208,8 @@
 		}
 		return nil, err
 	}
-	if n.judge != nil {
-		n.listener.Away = n.judge.Away
+	if n.outliers != nil {
+		n.listener.Away = n.outliers.Blocked
 	}
 	go n.bus.Run(ctx)
 	go n.remember(ctx)
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -72,8 +72,8 @@
 	c.Post(func() { c.handle(control.BusyNumber{Key: number, At: at}) })
 }
 
-// SetVerdict tells the module of a verdict of the fleet.
-func (c *Core) SetVerdict(v control.Verdict) { c.Post(func() { c.handle(v) }) }
+// SetInFlightLimit hands the module the limit for a server that the fleet ejects or readmits.
+func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
 // saw counts what is seen of a call, or of its attempt at a server. Any goroutine may call it.
 func (c *Core) saw(what counting.What, s *Setup, server uint32) {
