--- a/control/quota/bucket.go
+++ b/control/quota/bucket.go
@@ -6,73 +6,73 @@
 	"beammux/control"
 )
 
-// bucket is a token bucket whose rate and room change while it is used: tokens come by the rate alone, and what no longer
-// fits is lost. So over any time it gives at most what it held at the beginning and its rate times the time.
+// bucket is a token bucket whose rate and capacity change while it is used. Tokens come by the rate alone, and what exceeds the
+// capacity is lost. So over any time it gives at most what it held at the beginning plus its rate times the time.
 //
-// A part of its tokens is kept for calls of the greatest worth: it fills with the same part of the rate, and the others
+// A part of its tokens is reserved for calls of the greatest worth: it fills with the same part of the rate, and other calls
 // take only what lies above it.
 type bucket struct {
-	rate   float64 // tokens a second
-	room   float64
-	tokens float64
-	keep   float64 // part of the rate and of the room that is kept
-	kept   float64
-	at     control.Micros
+	rate          float64 // tokens a second
+	capacity      float64
+	tokens        float64
+	reservedShare float64 // part of the rate and of the capacity that is reserved
+	reserved      float64
+	updatedAt     control.Micros
 }
 
-func (b *bucket) advance(now control.Micros) {
-	if now <= b.at { // the first use, or a clock that went back: nothing comes, nothing goes
+func (b *bucket) refill(now control.Micros) {
+	if now <= b.updatedAt { // the first use, or a clock that went back
 		return
 	}
-	came := b.rate * float64(now-b.at) / 1e6
-	b.at = now
-	b.tokens = min(b.room, b.tokens+came)
-	b.kept = min(b.mostKept(), b.kept+b.keep*came)
+	refill := b.rate * float64(now-b.updatedAt) / 1e6
+	b.updatedAt = now
+	b.tokens = min(b.capacity, b.tokens+refill)
+	b.reserved = min(b.maxReserved(), b.reserved+b.reservedShare*refill)
 }
 
-// mostKept leaves the others room for a whole call.
-func (b *bucket) mostKept() float64 { return max(0, min(b.keep*b.room, b.room-1)) }
+// maxReserved leaves room for one call without access to the reserve.
+func (b *bucket) maxReserved() float64 { return max(0, min(b.reservedShare*b.capacity, b.capacity-1)) }
 
-// set changes rate and room as of a time.
-func (b *bucket) set(now control.Micros, rate, room float64) {
-	b.advance(now)
-	b.rate, b.room = rate, room
-	b.tokens = min(b.tokens, room)
-	b.kept = min(b.kept, b.mostKept())
+// set changes rate and capacity as of a time.
+func (b *bucket) set(now control.Micros, rate, capacity float64) {
+	b.refill(now)
+	b.rate, b.capacity = rate, capacity
+	b.tokens = min(b.tokens, capacity)
+	b.reserved = min(b.reserved, b.maxReserved())
 }
 
 // whole is a token but for what floating point loses.
-const whole = 1 - 1e-9
+const wholeToken = 1 - 1e-9
 
-func (b *bucket) has(dear bool) bool {
-	if dear {
-		return b.tokens >= whole
+func (b *bucket) has(fromReserve bool) bool {
+	if fromReserve {
+		return b.tokens >= wholeToken
 	}
-	return b.tokens-b.kept >= whole
+	return b.tokens-b.reserved >= wholeToken
 }
 
-func (b *bucket) take(dear bool) {
+func (b *bucket) take(fromReserve bool) {
 	b.tokens--
-	if dear {
-		b.kept = max(0, b.kept-1)
+	if fromReserve {
+		b.reserved = max(0, b.reserved-1)
 	}
-	b.kept = min(b.kept, max(0, b.tokens))
+	b.reserved = min(b.reserved, max(0, b.tokens))
 }
 
 // wait is the time until a call could go if no other came, +Inf where none ever can at this rate.
-func (b *bucket) wait(dear bool) float64 {
-	lacks, rate := 1-b.tokens, b.rate
-	if !dear {
-		lacks += b.kept
-		if b.kept < b.mostKept() {
-			rate *= 1 - b.keep
+func (b *bucket) wait(fromReserve bool) float64 {
+	missing, rate := 1-b.tokens, b.rate
+	if !fromReserve {
+		missing += b.reserved
+		if b.reserved < b.maxReserved() {
+			rate *= 1 - b.reservedShare
 		}
 	}
-	if lacks <= 0 {
+	if missing <= 0 {
 		return 0
 	}
-	if rate <= 0 || b.room < whole {
+	if rate <= 0 || b.capacity < wholeToken {
 		return math.Inf(1)
 	}
-	return lacks / rate * 1e6
+	return missing / rate * 1e6
 }
--- a/control/quota/errors.go
+++ b/control/quota/errors.go
@@ -3,14 +3,14 @@
 import "fmt"
 
 // Stale says that a request to a table came by a leader that leads no more. Nothing was granted.
-type Stale struct{ Epoch, Table uint64 }
+type StaleEpochError struct{ Epoch, Table uint64 }
 
-func (e *Stale) Error() string {
+func (e *StaleEpochError) Error() string {
 	return fmt.Sprintf("quota: a request of epoch %d at a table of epoch %d", e.Epoch, e.Table)
 }
 
 // Advice implements advice.Error.
-func (e *Stale) Advice() string {
+func (e *StaleEpochError) Advice() string {
 	return "nothing to do: the store changed its leader and the gatekeeper asks again"
 }
 
@@ -32,30 +32,30 @@
 }
 
 // TooMany says that more gatekeepers are up than the limits count with.
-type TooMany struct{ Up, Parts int }
+type TooManyMembersError struct{ Up, Parts int }
 
-func (e *TooMany) Error() string {
+func (e *TooManyMembersError) Error() string {
 	return fmt.Sprintf("quota: %d gatekeepers are up, and the limits are dealt for %d", e.Up, e.Parts)
 }
 
 // Advice implements advice.Error.
-func (e *TooMany) Advice() string {
+func (e *TooManyMembersError) Advice() string {
 	return "raise fleet.limits.parts to the gatekeepers that run at most, everywhere, and send SIGHUP; until then floors are not spent"
 }
 
 // NoLease says that this gatekeeper could not renew its leases for so long.
-type NoLease struct {
+type LeaseExpiredError struct {
 	ForMs int64
 	Err   error
 }
 
-func (e *NoLease) Error() string {
+func (e *LeaseExpiredError) Error() string {
 	return fmt.Sprintf("quota: no lease could be renewed for %d ms: %v", e.ForMs, e.Err)
 }
 
-func (e *NoLease) Unwrap() error { return e.Err }
+func (e *LeaseExpiredError) Unwrap() error { return e.Err }
 
 // Advice implements advice.Error.
-func (e *NoLease) Advice() string {
+func (e *LeaseExpiredError) Advice() string {
 	return "calls under leased limits go by the floor alone: see whether the store has a leader (beammux store status) and whether this machine reaches it"
 }
--- a/control/quota/quota.go
+++ b/control/quota/quota.go
@@ -1,10 +1,10 @@
-// Package quota holds limits for a whole fleet: calls a second, and calls that stand at once, by tenant, class and number. It
-// does no I/O and reads no clock.
+// Package quota enforces limits that hold for a whole fleet: calls a second, and calls open at once, by tenant, class and
+// number. It does no I/O and reads no clock.
 //
-// Three modes. In "leased", parts of a limit are leased from the replicated store (Table), and the sum over all gatekeepers
-// is within per_s x t + burst over any time t, whatever links fail and whoever dies. In "near", each member tells its demand
-// by gossip and spends what the others seem to leave (near.go has the bound). In "alone", each gatekeeper has the whole limit.
-// docs/design-limits.md argues the bounds.
+// There are three modes. In "leased", members lease parts of a limit from the replicated store (Table), and all gatekeepers
+// together admit at most per_s x t + burst calls over any time t, whatever links fail and whoever dies. In "near", each member
+// publishes its demand by gossip and spends what the others appear to leave (near.go states the bound). In "alone", each
+// gatekeeper has the whole limit. docs/design-limits.md argues the bounds.
 package quota
 
 import (
@@ -50,21 +50,21 @@
 // ModeNames are all of them.
 func ModeNames() []string { return modeNames[:] }
 
-// Rule is one limit. What it leaves open matches all.
+// Rule is one limit on the calls that it matches.
 type Rule struct {
 	Name          string
 	Tenant, Class int    // -1: any
 	Number        string // number called, or its beginning where Prefix is set; "" with Prefix: any
 	Prefix        bool
 	Mode          Mode
-	PerS, Burst   float64 // calls let in; PerS 0: no such bound
-	Open          int     // calls that stand or are being set up; 0: no such bound
-	Reserve       float64 // part kept for the classes of the greatest worth
+	PerS, Burst   float64 // calls admitted a second, and at once; PerS 0: no such limit
+	Open          int     // calls established or being set up; 0: no such limit
+	Reserve       float64 // part reserved for the classes of the greatest worth
 	Floor         float64 // leased: part of PerS that all members together may spend without a lease
 }
 
-// takes tells whether a call is under the rule.
-func (r *Rule) takes(tenant, class int, number string) bool {
+// matches tells whether a call is under the rule.
+func (r *Rule) matches(tenant, class int, number string) bool {
 	return (r.Tenant < 0 || r.Tenant == tenant) && (r.Class < 0 || r.Class == class) &&
 		(number == r.Number || r.Prefix && strings.HasPrefix(number, r.Number))
 }
@@ -76,309 +76,312 @@
 	Dear  []bool // by class: whether it is of the greatest worth
 }
 
-// Figures of the sharing.
+// Parameters of the modes.
 const (
-	LeaseFor     = control.Micros(1500000) // a lease lasts so long from the request that renewed it
-	AskEvery     = control.Micros(400000)  // and is renewed so often
-	Settle       = control.Micros(1000000) // near: a demand is spent so long after it was told
-	Unseen       = control.Micros(200000)  // near: time on the wire that no age tells of and that does no harm
-	HearFor      = control.Micros(200000)  // near: what was worked out from reports holds so long
-	memory       = control.Micros(700000)  // of the demand
-	GrowIn       = control.Micros(700000)  // near: in which a told demand may grow by the whole limit
-	headroom     = 1.15                    // of the demand that is asked for, for what comes unevenly
-	floorTokens  = 1.0                     // each member may hold one call without a lease
-	leastWait    = 100000                  // us; advice where there is room in less
-	mostWait     = 30e6                    // us
-	refusedPart  = 0.5                     // of the wait, drawn on top of it
-	leastWant    = 0.05                    // a second; less is nothing
-	leastClaim   = 0.002                   // near: part of the limit that is claimed whatever the demand
-	openHeadroom = 2.0                     // slots asked for beyond those in use
+	LeaseDuration = control.Micros(1500000) // leased: of a lease, from the request that renewed it
+	RenewInterval = control.Micros(400000)  // leased: between two requests
+
+	SettleTime       = control.Micros(1000000) // near: a demand may be spent once it was published so long ago
+	TransitAllowance = control.Micros(200000)  // near: time on the wire, which no age includes, that is allowed for
+	ReportLifetime   = control.Micros(200000)  // near: for which the others' demands are used as last reported
+	GrowTime         = control.Micros(700000)  // near: in which a published demand may grow by the whole limit
+	minClaimShare    = 0.002                   // near: part of the limit that is claimed whatever the demand
+
+	demandDecayTime = control.Micros(700000) // time constant of the measured demand
+	headroom        = 1.15                   // asked for, as a multiple of the demand: calls come unevenly
+	minDemand       = 0.05                   // calls a second; less counts as none
+	floorTokens     = 1.0                    // capacity of a member's bucket without a lease
+	spareSlots      = 2.0                    // slots asked for beyond those in use
+
+	minWait    = 100000 // us; least advice to a refused caller
+	maxWait    = 30e6   // us
+	waitJitter = 0.5    // random addition to the advice, at most, as a part of it
 )
 
 // state is one rule at this member.
-type state struct {
+type ruleState struct {
 	Rule
-	bucket bucket
-	rate   demand // calls that asked to go
-	taken  int64
-	turned int64
+	bucket   bucket
+	demand   demand // calls that arrived
+	admitted int64
+	refused  int64
 
-	standing   int
-	slots      float64 // most of Open that may stand here
-	openTurned demand
+	open        int
+	slots       float64 // calls that may be open at this member
+	refusedOpen demand
 
-	lease, openLease part
-	near, openNear   claim
+	rateLease, slotLease leasedShare
+	rateClaim, slotClaim claim
 }
 
 // part is what this member holds of a leased capacity.
-type part struct {
+type leasedShare struct {
 	rate, target float64
 }
 
-// demand is a rate by exponential forgetting. A silence that the rate makes unlikely lets it go faster: of calls that come by
-// chance at a rate r, none comes in a time t with the likelihood exp(-r t).
+// demand measures a rate with exponential decay. It decays faster in a silence that the rate makes unlikely: of calls that
+// arrive at random at a rate r, none arrives in a time t with probability exp(-r t).
 type demand struct {
-	perS     float64
-	at, last control.Micros
-	then     float64 // rate at the last call
+	perS       float64
+	at, last   control.Micros
+	rateAtLast float64 // rate at the last call
 }
 
-const likely = 3 // calls that may be missing before the rate is doubted
+const toleratedMissing = 3 // calls that may fail to arrive before the rate is doubted
 
 func (d *demand) count(now control.Micros) {
-	d.fade(now)
-	d.perS += 1e6 / float64(memory)
-	d.last, d.then = max(d.last, now), d.perS
+	d.decay(now)
+	d.perS += 1e6 / float64(demandDecayTime)
+	d.last, d.rateAtLast = max(d.last, now), d.perS
 }
 
-func (d *demand) fade(now control.Micros) {
+func (d *demand) decay(now control.Micros) {
 	if now > d.at {
-		d.perS *= math.Exp(-float64(now-d.at) / float64(memory))
+		d.perS *= math.Exp(-float64(now-d.at) / float64(demandDecayTime))
 		d.at = now
 	}
 }
 
 func (d *demand) read(now control.Micros) float64 {
-	d.fade(now)
-	missing := d.then * float64(max(0, now-d.last)) / 1e6
-	return min(d.perS, d.then*math.Exp(-max(0, missing-likely)))
+	d.decay(now)
+	missing := d.rateAtLast * float64(max(0, now-d.last)) / 1e6
+	return min(d.perS, d.rateAtLast*math.Exp(-max(0, missing-toleratedMissing)))
 }
 
-// Member is one gatekeeper's side of all limits. It is not safe for use by several goroutines.
+// Member holds the limits of one gatekeeper. It is not safe for concurrent use.
 type Member struct {
-	name   string
-	start  uint64
-	limits Limits
-	born   control.Micros
-	rng    *rand.Rand
-	states []*state
-	by     map[string]*state
-
-	seq     uint64
-	sentAt  control.Micros // of the last request
-	until   control.Micros // when the leases end, by this member's clock
-	crowded bool           // more members are up than Parts
+	name        string
+	incarnation uint64
+	limits      Limits
+	startedAt   control.Micros
+	rng         *rand.Rand
+	states      []*ruleState
+	byName      map[string]*ruleState
+
+	seq         uint64
+	sentAt      control.Micros // of the last request
+	leasedUntil control.Micros // end of the leases, by this member's clock
+	tooMany     bool           // more members are up than Parts
 }
 
-// NewMember makes the side of a process that starts now. Its buckets are empty: what the process before it may have spent of
-// a burst is not spent twice.
+// NewMember makes the limits of a process that starts now. Its buckets start empty, since a former process of the same member
+// may have spent their burst already.
 func NewMember(name string, start uint64, l Limits, now control.Micros) *Member {
-	m := &Member{name: name, start: start, born: now, rng: rand.New(rand.NewPCG(start, 0x71756f7461)), by: map[string]*state{}}
+	m := &Member{name: name, incarnation: start, startedAt: now, rng: rand.New(rand.NewPCG(start, 0x71756f7461)), byName: map[string]*ruleState{}}
 	m.Change(now, l)
 	return m
 }
 
-// Change puts other limits in force. Rules of one name and mode go on with what they hold, as far as it fits.
+// Change puts other limits in force. A rule that keeps its name, mode and scope keeps its tokens and leases, as far as they fit.
 func (m *Member) Change(now control.Micros, l Limits) {
 	m.limits = l
 	m.limits.Parts = max(1, l.Parts)
-	was := m.by
-	m.by, m.states = map[string]*state{}, nil
+	was := m.byName
+	m.byName, m.states = map[string]*ruleState{}, nil
 	for _, r := range l.Rules {
 		s := was[r.Name]
 		if s == nil || s.Mode != r.Mode || s.Tenant != r.Tenant || s.Class != r.Class || s.Number != r.Number || s.Prefix != r.Prefix {
 			// Another rule, whatever its name: what one customer spent is not held against another.
-			s = &state{}
-			s.bucket.at = now
+			s = &ruleState{}
+			s.bucket.updatedAt = now
 		}
 		s.Rule = r
-		s.bucket.keep = r.Reserve
-		s.lease.rate = min(s.lease.rate, r.PerS*(1-r.Floor))
+		s.bucket.reservedShare = r.Reserve
+		s.rateLease.rate = min(s.rateLease.rate, r.PerS*(1-r.Floor))
 		m.states = append(m.states, s)
-		m.by[r.Name] = s
-		m.settle(now, s)
+		m.byName[r.Name] = s
+		m.refresh(now, s)
 	}
 }
 
-// Crowded tells how many members are up. While they are more than Parts no floor is spent.
-func (m *Member) Crowded(now control.Micros, up int) error {
-	m.crowded = up > m.limits.Parts
+// SetMembersUp says how many members are up. While they are more than Parts, no member spends without a lease, and the result is
+// a *TooManyMembersError.
+func (m *Member) SetMembersUp(now control.Micros, up int) error {
+	m.tooMany = up > m.limits.Parts
 	for _, s := range m.states {
-		m.settle(now, s)
+		m.refresh(now, s)
 	}
-	if m.crowded {
-		return &TooMany{up, m.limits.Parts}
+	if m.tooMany {
+		return &TooManyMembersError{up, m.limits.Parts}
 	}
 	return nil
 }
 
-// settle sets a rule's bucket and slots by what this member may spend now.
-func (m *Member) settle(now control.Micros, s *state) {
+// refresh sets a rule's bucket and slots to what this member may spend now.
+func (m *Member) refresh(now control.Micros, s *ruleState) {
 	parts := float64(m.limits.Parts)
 	switch s.Mode {
 	case Alone:
 		s.bucket.set(now, s.PerS, s.Burst)
 		s.slots = float64(s.Open)
 	case Leased:
-		// The floor begins once any lease of a process before this one has ended: it may still be at work beside it.
-		young := m.crowded || now-m.born < lateBy(LeaseFor)
-		if now >= m.until && s.lease.rate+s.openLease.rate > 0 {
-			s.lease, s.openLease = part{}, part{}
-			s.setLeased(m.until, parts, young) // from there on it had none, also where nobody looked
+		// The floor starts once every lease of a former process of this member has ended: that may still be running.
+		withoutFloor := m.tooMany || now-m.startedAt < expiryAtTable(LeaseDuration)
+		if now >= m.leasedUntil && s.rateLease.rate+s.slotLease.rate > 0 {
+			s.rateLease, s.slotLease = leasedShare{}, leasedShare{}
+			s.applyLease(m.leasedUntil, parts, withoutFloor) // since then it has had none, even if this was not called
 		}
-		s.setLeased(now, parts, young)
+		s.applyLease(now, parts, withoutFloor)
 	case Near:
-		m.settleNear(now, s)
+		m.refreshNear(now, s)
 	}
 }
 
-func (s *state) setLeased(at control.Micros, parts float64, young bool) {
-	floor, room, slots := s.Floor*s.PerS/parts, floorTokens, s.openFloor(parts)
-	if young {
-		floor, room, slots = 0, 0, 0
+func (s *ruleState) applyLease(at control.Micros, parts float64, withoutFloor bool) {
+	floor, capacity, slots := s.Floor*s.PerS/parts, floorTokens, s.slotFloor(parts)
+	if withoutFloor {
+		floor, capacity, slots = 0, 0, 0
 	}
 	if leasable := s.PerS * (1 - s.Floor); leasable > 0 {
-		room += (s.Burst - parts*floorTokens) * min(1, s.lease.rate/leasable)
+		capacity += (s.Burst - parts*floorTokens) * min(1, s.rateLease.rate/leasable)
 	}
-	s.bucket.set(at, (floor+s.lease.rate)*(1-Drift), room)
-	s.slots = slots + math.Floor(s.openLease.rate+1e-9)
+	s.bucket.set(at, (floor+s.rateLease.rate)*(1-Drift), capacity)
+	s.slots = slots + math.Floor(s.slotLease.rate+1e-9)
 }
 
-// openFloor is how many slots each member has without a lease.
-func (s *state) openFloor(parts float64) float64 {
+// slotFloor is how many slots each member has without a lease.
+func (s *ruleState) slotFloor(parts float64) float64 {
 	if s.Open == 0 {
 		return 0
 	}
 	return max(1, math.Floor(float64(s.Open)*s.Floor/parts))
 }
 
-// Claim is what a call was let in by. It is given back by Done when the call is over.
-type Claim struct{ states []*state }
+// Claim is what an admitted call holds. Done returns it when the call is over.
+type Claim struct{ states []*ruleState }
 
-// Arrived counts a call that asks to go, whatever becomes of it, and tells whether any rule takes it.
+// Arrived counts a call, whatever becomes of it, and tells whether any rule matches it.
 func (m *Member) Arrived(now control.Micros, tenant, class int, number string) (limited bool) {
 	for _, s := range m.states {
-		if s.takes(tenant, class, number) {
-			s.rate.count(now)
+		if s.matches(tenant, class, number) {
+			s.demand.count(now)
 			limited = true
 		}
 	}
 	return limited
 }
 
-// Take lets a call in, or says after which wait there is room, with some jitter. A call goes by all rules that take it or by
-// none; the claim is nil where none takes it.
+// Take admits a call, or returns the wait, with jitter, after which there may be room. A call needs room under every rule that
+// matches it; the claim is nil where none does.
 func (m *Member) Take(now control.Micros, tenant, class int, number string) (claim *Claim, ok bool, wait control.Micros) {
-	dear := class >= 0 && class < len(m.limits.Dear) && m.limits.Dear[class]
-	longest := 0.0
-	var under []*state
+	reserved := class >= 0 && class < len(m.limits.Dear) && m.limits.Dear[class]
+	longestWait := 0.0
+	var matching []*ruleState
 	for _, s := range m.states {
-		if !s.takes(tenant, class, number) {
+		if !s.matches(tenant, class, number) {
 			continue
 		}
-		under = append(under, s)
-		if s.Mode == Leased && now >= m.until || s.Mode == Near && now > s.near.heardAt+HearFor {
-			m.settle(now, s) // what it may spend has lapsed, as for one that wakes
+		matching = append(matching, s)
+		if s.Mode == Leased && now >= m.leasedUntil || s.Mode == Near && now > s.rateClaim.reportedAt+ReportLifetime {
+			m.refresh(now, s) // what it may spend has expired, as after a suspension
 		}
-		s.bucket.advance(now)
-		if s.PerS > 0 && !s.bucket.has(dear) {
-			longest = max(longest, s.wait(now, dear))
+		s.bucket.refill(now)
+		if s.PerS > 0 && !s.bucket.has(reserved) {
+			longestWait = max(longestWait, s.wait(now, reserved))
 		}
-		if s.Open > 0 && float64(s.standing+1) > s.slots {
-			s.openTurned.count(now)
-			longest = max(longest, 1e6)
+		if s.Open > 0 && float64(s.open+1) > s.slots {
+			s.refusedOpen.count(now)
+			longestWait = max(longestWait, 1e6)
 		}
 	}
-	if longest > 0 {
-		for _, s := range under {
-			s.turned++
+	if longestWait > 0 {
+		for _, s := range matching {
+			s.refused++
 		}
-		return nil, false, control.Micros(longest * (1 + refusedPart*m.rng.Float64()))
+		return nil, false, control.Micros(longestWait * (1 + waitJitter*m.rng.Float64()))
 	}
-	if under == nil {
+	if matching == nil {
 		return nil, true, 0
 	}
-	for _, s := range under {
+	for _, s := range matching {
 		if s.PerS > 0 {
-			s.bucket.take(dear)
+			s.bucket.take(reserved)
 		}
-		s.standing++
-		s.taken++
+		s.open++
+		s.admitted++
 	}
-	return &Claim{under}, true, 0
+	return &Claim{matching}, true, 0
 }
 
-// wait is when there is room for a call that was turned away: those that came before it go first.
-func (s *state) wait(now control.Micros, dear bool) float64 {
-	w := s.bucket.wait(dear)
-	if d := s.rate.read(now); !math.IsInf(w, 1) && s.bucket.rate > 0 && d > s.bucket.rate {
+// wait is the time until there is room for a refused call, after those that arrived before it. It returns microseconds.
+func (s *ruleState) wait(now control.Micros, reserved bool) float64 {
+	w := s.bucket.wait(reserved)
+	if d := s.demand.read(now); !math.IsInf(w, 1) && s.bucket.rate > 0 && d > s.bucket.rate {
 		w += (d/s.bucket.rate - 1) * 1e6
 	}
 	if math.IsInf(w, 1) {
-		w = 2 * float64(AskEvery)
+		w = 2 * float64(RenewInterval)
 	}
-	return max(leastWait, min(w, mostWait))
+	return max(minWait, min(w, maxWait))
 }
 
-// Done gives back what a call that was let in held while it stood. It may be called once for each claim.
+// Done returns what an admitted call held. It may be called once for each claim; nil is allowed.
 func (m *Member) Done(c *Claim) {
 	if c == nil {
 		return
 	}
 	for _, s := range c.states {
-		s.standing--
+		s.open--
 	}
 }
 
 // ---- Leased ----
 
-const openPool = " open" // the pool of a rule's slots is named so after it; names of rules hold no space
+const slotPoolSuffix = " open" // appended to a rule's name; names of rules hold no space
 
-// Ask makes the next request for leases; ok is unset where no rule is leased. It goes down to its fair part first: what it
-// says that it keeps is all that it spends from now on, whether or not the request arrives.
-func (m *Member) Ask(now control.Micros) (r Request, ok bool) {
+// Renewal makes the next request for leases; ok is false where no rule is leased. The member first goes down to its fair share:
+// what the request keeps is all that it spends from now on, whether or not the request arrives.
+func (m *Member) Renewal(now control.Micros) (r Request, ok bool) {
 	parts := float64(m.limits.Parts)
 	for _, s := range m.states {
 		if s.Mode != Leased {
 			continue
 		}
-		m.settle(now, s)
+		m.refresh(now, s)
 		if s.PerS > 0 {
-			want := s.rate.read(now) * headroom
-			if want < leastWant {
-				want = 0
+			demand := s.demand.read(now) * headroom
+			if demand < minDemand {
+				demand = 0
 			}
-			s.lease.rate = min(s.lease.rate, s.lease.target, want)
-			r.Asks = append(r.Asks, Ask{s.Name, s.PerS * (1 - s.Floor), s.lease.rate, want})
+			s.rateLease.rate = min(s.rateLease.rate, s.rateLease.target, demand)
+			r.Asks = append(r.Asks, Ask{s.Name, s.PerS * (1 - s.Floor), s.rateLease.rate, demand})
 		}
 		if s.Open > 0 {
-			floor := s.openFloor(parts)
-			used := max(0, float64(s.standing)-floor)
-			s.openLease.rate = min(s.openLease.rate, max(s.openLease.target, used))
-			want := 0.0
-			if s.standing > 0 || s.openTurned.read(now) > leastWant {
-				want = math.Ceil(used + openHeadroom + s.openTurned.read(now))
+			floor := s.slotFloor(parts)
+			used := max(0, float64(s.open)-floor)
+			s.slotLease.rate = min(s.slotLease.rate, max(s.slotLease.target, used))
+			demand := 0.0
+			if s.open > 0 || s.refusedOpen.read(now) > minDemand {
+				demand = math.Ceil(used + spareSlots + s.refusedOpen.read(now))
 			}
-			r.Asks = append(r.Asks, Ask{s.Name + openPool, float64(s.Open) - parts*floor, s.openLease.rate, want})
+			r.Asks = append(r.Asks, Ask{s.Name + slotPoolSuffix, float64(s.Open) - parts*floor, s.slotLease.rate, demand})
 		}
-		m.settle(now, s)
+		m.refresh(now, s)
 	}
 	m.seq++
 	m.sentAt = now
-	r.Member, r.Start, r.Seq, r.For = m.name, m.start, m.seq, LeaseFor
+	r.Member, r.Incarnation, r.Seq, r.Duration = m.name, m.incarnation, m.seq, LeaseDuration
 	return r, len(r.Asks) > 0
 }
 
-// Answered takes what the last request brought. Answers to older ones are not heard: this member has said since that it
-// keeps less.
-func (m *Member) Answered(now control.Micros, a *Answer) {
+// Renewed applies the answer to the last request. Answers to older requests are ignored: this member may have gone down since.
+func (m *Member) Renewed(now control.Micros, a *Answer) {
 	if a.Seq != m.seq {
 		return
 	}
-	m.until = max(m.until, m.sentAt+control.Micros(float64(LeaseFor)*(1-Drift)))
+	m.leasedUntil = max(m.leasedUntil, m.sentAt+control.Micros(float64(LeaseDuration)*(1-Drift)))
 	for _, l := range a.Leases {
-		name, open := strings.CutSuffix(l.Name, openPool)
-		if s := m.by[name]; s != nil && s.Mode == Leased {
+		name, open := strings.CutSuffix(l.Name, slotPoolSuffix)
+		if s := m.byName[name]; s != nil && s.Mode == Leased {
 			if open {
-				s.openLease = part{l.Rate, l.Target}
+				s.slotLease = leasedShare{l.Rate, l.Target}
 			} else {
-				s.lease = part{l.Rate, l.Target}
+				s.rateLease = leasedShare{l.Rate, l.Target}
 			}
 		}
 	}
 	for _, s := range m.states {
-		m.settle(now, s)
+		m.refresh(now, s)
 	}
 }
 
@@ -386,29 +389,29 @@
 
 // Status is a rule at this member, as operators read it.
 type Status struct {
-	Name     string         `json:"name"`
-	Mode     Mode           `json:"mode"`
-	PerS     float64        `json:"per_s,omitempty"`
-	Burst    float64        `json:"burst,omitempty"`
-	Open     int            `json:"open,omitempty"`
-	Rate     float64        `json:"rate"`   // that this member may spend now, a second
-	Demand   float64        `json:"demand"` // that it sees, a second
-	Standing int            `json:"standing"`
-	Slots    float64        `json:"slots"`
-	Taken    int64          `json:"taken"`
-	Turned   int64          `json:"turned_away"`
-	LeaseFor control.Micros `json:"lease_left_us,omitempty"` // leased: 0 where it holds none
+	Name           string         `json:"name"`
+	Mode           Mode           `json:"mode"`
+	PerS           float64        `json:"per_s,omitempty"`
+	Burst          float64        `json:"burst,omitempty"`
+	Open           int            `json:"open,omitempty"`
+	Rate           float64        `json:"rate"`   // that this member may spend now, a second
+	Demand         float64        `json:"demand"` // that it sees, a second
+	Standing       int            `json:"standing"`
+	Slots          float64        `json:"slots"`
+	Admitted       int64          `json:"taken"`
+	Refused        int64          `json:"turned_away"`
+	LeaseRemaining control.Micros `json:"lease_left_us,omitempty"` // leased: 0 where it holds none
 }
 
-// Status gives all rules, in order.
+// Status returns all rules, in order.
 func (m *Member) Status(now control.Micros) []Status {
 	all := []Status{}
 	for _, s := range m.states {
-		m.settle(now, s)
+		m.refresh(now, s)
 		st := Status{Name: s.Name, Mode: s.Mode, PerS: s.PerS, Burst: s.Burst, Open: s.Open, Rate: s.bucket.rate,
-			Demand: s.rate.read(now), Standing: s.standing, Slots: s.slots, Taken: s.taken, Turned: s.turned}
+			Demand: s.demand.read(now), Standing: s.open, Slots: s.slots, Admitted: s.admitted, Refused: s.refused}
 		if s.Mode == Leased {
-			st.LeaseFor = max(0, m.until-now)
+			st.LeaseRemaining = max(0, m.leasedUntil-now)
 		}
 		all = append(all, st)
 	}
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -86,16 +86,16 @@
 		}
 		hear := func(k int) {
 			a := answers[k]
-			if members[a.to].start == a.start {
-				members[a.to].Answered(clocks[a.to].now(now), a.answer)
+			if members[a.to].incarnation == a.start {
+				members[a.to].Renewed(clocks[a.to].now(now), a.answer)
 			}
 		}
 		ask := func(i int) {
-			r, ok := members[i].Ask(clocks[i].now(now))
+			r, ok := members[i].Renewal(clocks[i].now(now))
 			require.True(t, ok)
 			text, err := json.Marshal(r)
 			require.NoError(t, err)
-			requests = append(requests, message{to: i, start: members[i].start, request: text})
+			requests = append(requests, message{to: i, start: members[i].incarnation, request: text})
 		}
 		spend := func(i, most int) {
 			for range most {
@@ -159,7 +159,7 @@
 	})
 }
 
-// Near: registers are lost, and on their way for up to Unseen, members stand still, die and come back, clocks drift: never over.
+// Near: registers are lost, and on their way for up to TransitAllowance, members stand still, die and come back, clocks drift: never over.
 // With claims heard at once, parts that are cut off, and demand that moves.
 func TestNearNeverOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -218,18 +218,18 @@
 						bound.take(t, now)
 					}
 				}
-				say := told{now, m.Tell(at)}
+				say := told{now, m.OwnClaims(at)}
 				var reports []Report
 				for k := range n {
 					// An age is counted from when it was handed over: what was on its way counts for nothing.
 					if h := heard[i][k]; k != i && h.claims != nil && now-h.at < 2e6 {
-						reports = append(reports, Report{fmt.Sprint("g", k), max(0, now-h.at-Unseen), h.claims})
+						reports = append(reports, Report{fmt.Sprint("g", k), max(0, now-h.at-TransitAllowance), h.claims})
 					}
 				}
-				m.Hear(at, reports)
+				m.ApplyReports(at, reports)
 				for k := range n {
 					if k != i && !loss[i] && !loss[k] {
-						wire = append(wire, flight{k, i, starts[i], now + control.Micros(rapid.Int64Range(0, int64(Unseen)).Draw(t, "delay")), say})
+						wire = append(wire, flight{k, i, starts[i], now + control.Micros(rapid.Int64Range(0, int64(TransitAllowance)).Draw(t, "delay")), say})
 					}
 				}
 			}
@@ -280,30 +280,30 @@
 								if c, ok, wait := m.Take(now, -1, 0, anyCall); ok {
 									m.Done(c)
 									taken++
-								} else if wait < leastWait {
+								} else if wait < minWait {
 									t.Fatalf("advice of %d us", wait)
 								}
 							}
 						}
 						if mode == Leased && (k+i)%8 == 0 {
-							q, _ := m.Ask(now)
+							q, _ := m.Renewal(now)
 							text, _ := json.Marshal(q)
 							after, answer, err := Reduce(table, text, 1, now)
 							require.NoError(t, err)
 							table = after
 							a := &Answer{}
 							require.NoError(t, json.Unmarshal(answer, a))
-							m.Answered(now, a)
+							m.Renewed(now, a)
 						}
 						if mode == Near {
-							claims[i] = m.Tell(now)
+							claims[i] = m.OwnClaims(now)
 							var all []Report
 							for j := range n {
 								if j != i && claims[j] != nil {
 									all = append(all, Report{fmt.Sprint(j), 100_000, claims[j]})
 								}
 							}
-							m.Hear(now, all)
+							m.ApplyReports(now, all)
 						}
 					}
 				}
@@ -340,7 +340,7 @@
 	require.InDelta(t, 9, m.Status(now)[0].Burst-3, 1e-9)
 	m.Done(first)
 	require.NotNil(t, take("5554"))
-	require.Equal(t, int64(1), m.Status(now)[1].Turned)
+	require.Equal(t, int64(1), m.Status(now)[1].Refused)
 	require.Equal(t, 2, m.Status(now)[1].Standing)
 }
 
@@ -372,12 +372,12 @@
 	for range 20 {
 		m.Arrived(now, -1, 0, anyCall)
 	}
-	q, _ := m.Ask(now)
+	q, _ := m.Renewal(now)
 	tab := &Table{}
-	a, err := tab.Take(q, 1, 5)
+	a, err := tab.Apply(q, 1, 5)
 	require.NoError(t, err)
-	m.Answered(now, a)
-	require.Positive(t, m.Status(now)[0].LeaseFor)
+	m.Renewed(now, a)
+	require.Positive(t, m.Status(now)[0].LeaseRemaining)
 	require.Greater(t, m.Status(now)[0].Rate, 10.0)
 	now += 60e6
 	n := 0
@@ -391,28 +391,28 @@
 }
 
 func TestLevel(t *testing.T) {
-	require.Equal(t, math.Inf(1), level(10, []float64{3, 4}, 0))
-	require.Equal(t, 5.0, level(10, []float64{9, 9}, 0))
-	require.Equal(t, 8.0, level(10, []float64{2, 9}, 0))
-	require.Equal(t, 2.5, level(10, []float64{9, 9}, 2))
-	require.Equal(t, 7.0, level(10, []float64{2, 1}, 1), "nobody knows what the third wants")
-	require.Equal(t, []float64{2, 4, 4}, shares(10, []float64{2, 9, 5}))
+	require.Equal(t, math.Inf(1), fairLevel(10, []float64{3, 4}, 0))
+	require.Equal(t, 5.0, fairLevel(10, []float64{9, 9}, 0))
+	require.Equal(t, 8.0, fairLevel(10, []float64{2, 9}, 0))
+	require.Equal(t, 2.5, fairLevel(10, []float64{9, 9}, 2))
+	require.Equal(t, 7.0, fairLevel(10, []float64{2, 1}, 1), "nobody knows what the third wants")
+	require.Equal(t, []float64{2, 4, 4}, fairShares(10, []float64{2, 9, 5}))
 }
 
 // Requests by a leader of the past and what can't be read change nothing, and say what to do.
 func TestRefusedRequests(t *testing.T) {
 	tab := &Table{}
-	_, err := tab.Take(Request{Member: "g", Seq: 1}, 5, 1)
+	_, err := tab.Apply(Request{Member: "g", Seq: 1}, 5, 1)
 	require.NoError(t, err)
-	_, err = tab.Take(Request{Member: "g", Seq: 2}, 4, 1)
-	require.True(t, errors.As(err, new(*Stale)))
+	_, err = tab.Apply(Request{Member: "g", Seq: 2}, 4, 1)
+	require.True(t, errors.As(err, new(*StaleEpochError)))
 	_, _, err = Reduce([]byte("{"), nil, 1, 1)
 	require.True(t, errors.As(err, new(*Unreadable)))
 	_, _, err = Reduce(nil, []byte("x"), 1, 1)
 	require.NotEmpty(t, advice.Of(err))
 	m := NewMember("g", 1, Limits{Rules: []Rule{rule(Near)}, Parts: 2}, 0)
-	require.True(t, errors.As(m.Crowded(0, 3), new(*TooMany)))
-	require.NoError(t, m.Crowded(0, 2))
+	require.True(t, errors.As(m.SetMembersUp(0, 3), new(*TooManyMembersError)))
+	require.NoError(t, m.SetMembersUp(0, 2))
 }
 
 // A rule that goes to another customer under the same name begins anew: the first one's calls that still stand
--- a/control/quota/table.go
+++ b/control/quota/table.go
@@ -9,42 +9,42 @@
 	"beammux/control"
 )
 
-// Ask is what a member says of one capacity that it shares.
+// Ask is the part of a request that concerns one capacity.
 type Ask struct {
 	Name     string  `json:"name"`
-	Capacity float64 `json:"capacity"` // as the member's file has it; the least that a holder names is dealt out
-	Keep     float64 `json:"keep"`     // of its lease: it has gone down to that before it asked
+	Capacity float64 `json:"capacity"` // as configured at the member; the lowest of all holders counts
+	Keep     float64 `json:"keep"`     // of its lease: the member has gone down to that before it asked
 	Want     float64 `json:"want"`
 }
 
 // Request asks for leases on all capacities that a member shares, and renews them.
 type Request struct {
-	Member string         `json:"member"`
-	Start  uint64         `json:"start"` // of its process
-	Seq    uint64         `json:"seq"`   // counts its requests
-	For    control.Micros `json:"for_us"`
-	Asks   []Ask          `json:"asks"`
+	Member      string         `json:"member"`
+	Incarnation uint64         `json:"start"` // of its process
+	Seq         uint64         `json:"seq"`   // counts its requests
+	Duration    control.Micros `json:"for_us"`
+	Asks        []Ask          `json:"asks"`
 }
 
 // Lease is what a member holds of one capacity.
 type Lease struct {
 	Name   string  `json:"name"`
 	Rate   float64 `json:"rate"`
-	Target float64 `json:"target"` // its fair part now: it goes down to that before it asks again
+	Target float64 `json:"target"` // its fair share now: it goes down to that before it asks again
 }
 
 // Answer is what a request brought.
 type Answer struct {
-	Seq    uint64  `json:"seq"` // of the last request that counted: an older one was not heard
+	Seq    uint64  `json:"seq"` // of the last request that was applied: an older one was ignored
 	Leases []Lease `json:"leases"`
 }
 
 // Table is what is leased, as it lies in the store: a record of it is changed by Reduce alone.
 type Table struct {
-	Epoch  uint64            `json:"epoch"`  // of the leader whose clock Now is
-	Now    control.Micros    `json:"now_us"` // by that clock
-	Pools  map[string]*pool  `json:"pools"`
-	Member map[string]uint64 `json:"seqs"` // last request of each process
+	Epoch   uint64            `json:"epoch"`  // of the leader whose clock Now is
+	Now     control.Micros    `json:"now_us"` // by that clock
+	Pools   map[string]*pool  `json:"pools"`
+	LastSeq map[string]uint64 `json:"seqs"` // last request of each process
 }
 
 type pool struct {
@@ -55,8 +55,8 @@
 	Capacity float64        `json:"capacity"`
 	Rate     float64        `json:"rate"`
 	Want     float64        `json:"want"`
-	For      control.Micros `json:"for_us"`
-	Until    control.Micros `json:"until_us"` // by the leader's clock, with margin
+	Duration control.Micros `json:"for_us"`
+	Expiry   control.Micros `json:"until_us"` // by the leader's clock, with margin
 }
 
 // Drift is how fast clocks of two machines may part, as a part of the time. Margin is added to it. Both are on the safe
@@ -66,7 +66,7 @@
 	Margin = control.Micros(50000)
 )
 
-func lateBy(lease control.Micros) control.Micros {
+func expiryAtTable(lease control.Micros) control.Micros {
 	return lease + control.Micros(2*Drift*float64(lease)) + Margin
 }
 
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(request, &r); err != nil {
 		return nil, nil, &Unreadable{"request for leases", err}
 	}
-	a, err := t.Take(r, epoch, now)
+	a, err := t.Apply(r, epoch, now)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -98,28 +98,28 @@
 }
 
 // Take is Reduce on a table that is read.
-func (t *Table) Take(r Request, epoch uint64, now control.Micros) (*Answer, error) {
+func (t *Table) Apply(r Request, epoch uint64, now control.Micros) (*Answer, error) {
 	if epoch < t.Epoch {
-		return nil, &Stale{epoch, t.Epoch}
+		return nil, &StaleEpochError{epoch, t.Epoch}
 	}
 	if t.Pools == nil {
-		t.Pools, t.Member = map[string]*pool{}, map[string]uint64{}
+		t.Pools, t.LastSeq = map[string]*pool{}, map[string]uint64{}
 	}
 	if epoch > t.Epoch {
 		for _, p := range t.Pools {
 			for _, h := range p.Holders {
-				h.Until = now + lateBy(h.For)
+				h.Expiry = now + expiryAtTable(h.Duration)
 			}
 		}
 		t.Epoch, t.Now = epoch, now
 	}
 	t.Now = max(t.Now, now)
 	t.expire()
-	who := fmt.Sprintf("%s@%d", r.Member, r.Start)
-	a := &Answer{Seq: t.Member[who]}
+	who := fmt.Sprintf("%s@%d", r.Member, r.Incarnation)
+	a := &Answer{Seq: t.LastSeq[who]}
 	if r.Seq > a.Seq {
 		a.Seq = r.Seq
-		t.Member[who] = r.Seq
+		t.LastSeq[who] = r.Seq
 		for _, ask := range r.Asks {
 			t.grant(who, &r, ask)
 		}
@@ -139,7 +139,7 @@
 	live := map[string]bool{}
 	for name, p := range t.Pools {
 		for who, h := range p.Holders {
-			if h.Until <= t.Now {
+			if h.Expiry <= t.Now {
 				delete(p.Holders, who)
 			} else {
 				live[who] = true
@@ -149,9 +149,9 @@
 			delete(t.Pools, name)
 		}
 	}
-	for who := range t.Member {
+	for who := range t.LastSeq {
 		if !live[who] {
-			delete(t.Member, who)
+			delete(t.LastSeq, who)
 		}
 	}
 }
@@ -169,11 +169,11 @@
 		h = &holder{}
 		p.Holders[who] = h
 	}
-	h.Capacity, h.Want, h.For = ask.Capacity, max(0, ask.Want), r.For
-	h.Until = t.Now + lateBy(r.For)
+	h.Capacity, h.Want, h.Duration = ask.Capacity, max(0, ask.Want), r.Duration
+	h.Expiry = t.Now + expiryAtTable(r.Duration)
 	h.Rate = max(0, min(h.Rate, ask.Keep))
 	if target := p.target(who); target > h.Rate {
-		h.Rate += max(0, min(target-h.Rate, p.capacity()-p.held()))
+		h.Rate += max(0, min(target-h.Rate, p.capacity()-p.leased()))
 	}
 }
 
@@ -191,7 +191,7 @@
 func (p *pool) names() []string { return slices.Sorted(maps.Keys(p.Holders)) }
 
 // held is summed in the order of names, since the order of a sum shows in its last digits.
-func (p *pool) held() (sum float64) {
+func (p *pool) leased() (sum float64) {
 	for _, who := range p.names() {
 		sum += p.Holders[who].Rate
 	}
@@ -204,5 +204,5 @@
 	for i, name := range names {
 		wants[i] = p.Holders[name].Want
 	}
-	return shares(p.capacity(), wants)[slices.Index(names, who)]
+	return fairShares(p.capacity(), wants)[slices.Index(names, who)]
 }
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -147,7 +147,7 @@
 
 // reloadSettles is how long after a lower limit was told by SIGHUP it binds the whole fleet: the files are read, and what was
 // leased by the old ones ends.
-const reloadSettles = quota.LeaseFor + quota.AskEvery + 1000000
+const reloadSettles = quota.LeaseDuration + quota.RenewInterval + 1000000
 
 // limitRule gives the rule of a script's limit, nil where the script has none or does not share it: limits of each alone
 // are measured, not judged.
@@ -161,8 +161,8 @@
 	case "near": // near.go's bound
 		wakes = n - 1
 		for i, f := range s.Faults {
-			if late := control.Micros(time.Duration(f.Delay+f.Jitter).Microseconds()) - quota.Unseen; f.Kind == "delay" && late > 0 {
-				loose[faultName(i, f)] = (n - 1) * min(1, n*float64(late)/float64(quota.GrowIn))
+			if late := control.Micros(time.Duration(f.Delay+f.Jitter).Microseconds()) - quota.TransitAllowance; f.Kind == "delay" && late > 0 {
+				loose[faultName(i, f)] = (n - 1) * min(1, n*float64(late)/float64(quota.GrowTime))
 			}
 		}
 	case "alone":
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -208,7 +208,7 @@
 // leaseTable makes the table of one pool with n holders, and a request of one of them.
 func leaseTable(n int) (table []byte, request func(seq uint64) []byte, err error) {
 	ask := func(member int, seq uint64) []byte {
-		text, _ := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", member), Start: 1, Seq: seq, For: quota.LeaseFor,
+		text, _ := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", member), Incarnation: 1, Seq: seq, Duration: quota.LeaseDuration,
 			Asks: []quota.Ask{{Name: "all-calls", Capacity: 420000, Keep: 420000 / float64(n), Want: 191}}})
 		return text
 	}
@@ -219,7 +219,7 @@
 		if err := json.Unmarshal(ask(i, 1), &r); err != nil {
 			return nil, nil, err
 		}
-		if _, err := t.Take(r, 1, 1e6); err != nil {
+		if _, err := t.Apply(r, 1, 1e6); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
-// Package limits keeps the fleet's limits (control/quota) in force at one gatekeeper: it asks the store for leases, tells and
-// hears demand by gossip, and answers the core, whose calls it lets in or not. Its state lies under a lock of its own: neither
-// the store nor the gossip ever holds up the core.
+// Package limits enforces the fleet's limits (control/quota) at one gatekeeper: it renews leases from the store, exchanges
+// claims by gossip, and admits or refuses calls for the core. Its state lies under a lock of its own: the core never waits for
+// the store or the gossip.
 package limits
 
 import (
@@ -23,12 +23,12 @@
 const LeaseKey = "limits/leases"
 
 const (
-	hearEvery = quota.Settle / 10
-	askWithin = 1200 * time.Millisecond
-	mostRules = 1024 // that are read from another member
+	claimInterval = quota.SettleTime / 10
+	renewTimeout  = 1200 * time.Millisecond
+	maxRules      = 1024 // that are read from another member
 )
 
-// Gossip is what the fleet's gossip does for the near mode. *fleet.Fleet is one.
+// Gossip publishes and reads registers, for the near mode. *fleet.Fleet implements it.
 type Gossip interface {
 	Publish(t registers.Topic, value []byte) error
 	Read(t registers.Topic) []registers.Register
@@ -49,17 +49,17 @@
 	Log    logrus.FieldLogger
 }
 
-// Limiter is this gatekeeper's side of the limits. Any goroutine may use it.
+// Limiter enforces the limits at this gatekeeper. It is safe for concurrent use.
 type Limiter struct {
-	o      Options
-	stop   context.CancelFunc
-	done   sync.WaitGroup
-	read   cbor.DecMode
-	mu     sync.Mutex
-	member *quota.Member
-	faults [sources]*Fault
+	options  Options
+	stop     context.CancelFunc
+	done     sync.WaitGroup
+	decoding cbor.DecMode
+	mu       sync.Mutex
+	member   *quota.Member
+	faults   [sources]*Fault
 	// Of the leases: since when none could be renewed.
-	failing time.Time
+	failingSince time.Time
 }
 
 // Fault is what is wrong with the limits now, as operators read it.
@@ -70,24 +70,24 @@
 
 // Open puts limits in force.
 func Open(o Options) (*Limiter, error) {
-	read, err := cbor.DecOptions{MaxMapPairs: mostRules, MaxNestedLevels: 4}.DecMode()
+	read, err := cbor.DecOptions{MaxMapPairs: maxRules, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Limiter{o: o, stop: stop, read: read, member: quota.NewMember(o.Name, o.Start, o.Limits, o.Now())}
+	l := &Limiter{options: o, stop: stop, decoding: read, member: quota.NewMember(o.Name, o.Start, o.Limits, o.Now())}
 	if o.Gossip != nil {
-		l.done.Go(func() { every(ctx, time.Duration(hearEvery)*time.Microsecond, l.near) })
+		l.done.Go(func() { every(ctx, time.Duration(claimInterval)*time.Microsecond, l.exchangeClaims) })
 	}
 	if o.Lease != nil {
-		l.done.Go(func() { every(ctx, time.Duration(quota.AskEvery)*time.Microsecond, func() { l.lease(ctx) }) })
+		l.done.Go(func() { every(ctx, time.Duration(quota.RenewInterval)*time.Microsecond, func() { l.renewLeases(ctx) }) })
 	}
 	return l, nil
 }
 
-// every calls f at once and then at a pace, until the end.
-func every(ctx context.Context, pace time.Duration, f func()) {
-	tick := time.NewTicker(pace)
+// every calls f at once and then at each interval, until ctx ends.
+func every(ctx context.Context, interval time.Duration, f func()) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		f()
@@ -98,7 +98,7 @@
 	}
 }
 
-// Close ends it. What it was told holds no longer.
+// Close stops the renewals and exchanges.
 func (l *Limiter) Close() {
 	l.stop()
 	l.done.Wait()
@@ -108,36 +108,36 @@
 func (l *Limiter) Change(limits quota.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.member.Change(l.o.Now(), limits)
+	l.member.Change(l.options.Now(), limits)
 }
 
-// near tells this member's claims and hears the others'.
-func (l *Limiter) near() {
+// exchangeClaims publishes this member's claims and applies those of the others.
+func (l *Limiter) exchangeClaims() {
 	var reports []quota.Report
-	for _, r := range l.o.Gossip.Read(registers.Limits) {
+	for _, r := range l.options.Gossip.Read(registers.Limits) {
 		var claims map[string]quota.Claims
-		if r.Origin != l.o.Name && l.read.Unmarshal(r.Value, &claims) == nil {
+		if r.Origin != l.options.Name && l.decoding.Unmarshal(r.Value, &claims) == nil {
 			reports = append(reports, quota.Report{Origin: r.Origin, Age: r.Age, Claims: claims})
 		}
 	}
-	up := l.o.Gossip.Up()
+	up := l.options.Gossip.Up()
 	l.mu.Lock()
-	now := l.o.Now()
-	claims := l.member.Tell(now)
-	l.member.Hear(now, reports)
-	err := l.member.Crowded(now, up)
+	now := l.options.Now()
+	claims := l.member.OwnClaims(now)
+	l.member.ApplyReports(now, reports)
+	err := l.member.SetMembersUp(now, up)
 	l.mu.Unlock()
-	l.say(ofGossip, err)
+	l.setFault(ofGossip, err)
 	if len(claims) == 0 {
 		return
 	}
-	if text, err := canonical.Marshal(claims); err == nil {
-		l.o.Gossip.Publish(registers.Limits, text) // the fleet says what is wrong with it
+	if text, err := encoding.Marshal(claims); err == nil {
+		l.options.Gossip.Publish(registers.Limits, text) // an error is logged by the fleet
 	}
 }
 
 // canonical writes equal claims as equal bytes.
-var canonical = func() cbor.EncMode {
+var encoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCanonical, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		panic(err)
@@ -146,9 +146,9 @@
 }()
 
 // lease renews this member's leases.
-func (l *Limiter) lease(ctx context.Context) {
+func (l *Limiter) renewLeases(ctx context.Context) {
 	l.mu.Lock()
-	request, ok := l.member.Ask(l.o.Now())
+	request, ok := l.member.Renewal(l.options.Now())
 	l.mu.Unlock()
 	if !ok {
 		return
@@ -156,14 +156,14 @@
 	text, err := json.Marshal(request)
 	if err == nil {
 		var answer []byte
-		within, cancel := context.WithTimeout(ctx, askWithin)
-		answer, err = l.o.Lease(within, text)
+		within, cancel := context.WithTimeout(ctx, renewTimeout)
+		answer, err = l.options.Lease(within, text)
 		cancel()
 		if err == nil {
 			a := &quota.Answer{}
 			if err = json.Unmarshal(answer, a); err == nil {
 				l.mu.Lock()
-				l.member.Answered(l.o.Now(), a)
+				l.member.Renewed(l.options.Now(), a)
 				l.mu.Unlock()
 			}
 		}
@@ -172,19 +172,19 @@
 		return
 	}
 	if err == nil {
-		l.failing = time.Time{}
-		l.say(ofStore, nil)
+		l.failingSince = time.Time{}
+		l.setFault(ofStore, nil)
 		return
 	}
-	if l.failing.IsZero() {
-		l.failing = time.Now()
+	if l.failingSince.IsZero() {
+		l.failingSince = time.Now()
 	}
-	if failed := time.Since(l.failing); failed > time.Duration(quota.LeaseFor)*time.Microsecond {
-		l.say(ofStore, &quota.NoLease{ForMs: failed.Milliseconds(), Err: err})
+	if failed := time.Since(l.failingSince); failed > time.Duration(quota.LeaseDuration)*time.Microsecond {
+		l.setFault(ofStore, &quota.LeaseExpiredError{ForMs: failed.Milliseconds(), Err: err})
 	}
 }
 
-// source tells which of the two loops a fault comes from: a good round of one does not end a fault of the other.
+// source tells which of the two loops a fault comes from: a success of one does not clear a fault of the other.
 type source int
 
 const (
@@ -193,21 +193,21 @@
 	sources
 )
 
-// say keeps what is wrong for operators, nil where nothing is, and logs when that begins and ends.
-func (l *Limiter) say(from source, err error) {
+// setFault keeps the error of a loop for operators, nil for none, and logs when a fault begins and ends.
+func (l *Limiter) setFault(from source, err error) {
 	var now *Fault
 	if err != nil {
 		now = &Fault{err.Error(), advice.Of(err)}
 	}
 	l.mu.Lock()
-	was := l.faults[from]
+	before := l.faults[from]
 	l.faults[from] = now
 	l.mu.Unlock()
 	switch {
-	case was == nil && now != nil:
-		l.o.Log.WithError(err).WithField("advice", now.Advice).Warn("limits: not as they should be")
-	case was != nil && now == nil:
-		l.o.Log.Info("limits: as they should be again")
+	case before == nil && now != nil:
+		l.options.Log.WithError(err).WithField("advice", now.Advice).Warn("limits: not as they should be")
+	case before != nil && now == nil:
+		l.options.Log.Info("limits: as they should be again")
 	}
 }
 
@@ -221,7 +221,7 @@
 func (l *Limiter) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Status{Rules: l.member.Status(l.o.Now()), Faults: []Fault{}}
+	s := Status{Rules: l.member.Status(l.options.Now()), Faults: []Fault{}}
 	for _, f := range l.faults {
 		if f != nil {
 			s.Faults = append(s.Faults, *f)
@@ -234,32 +234,32 @@
 func (l *Limiter) For(s *routing.Setup) routing.Quota {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.member.Arrived(l.o.Now(), s.Tenant, s.Class, s.Key) {
+	if !l.member.Arrived(l.options.Now(), s.Tenant, s.Class, s.Key) {
 		return nil
 	}
-	return &call{l: l, tenant: s.Tenant, class: s.Class, number: s.Key}
+	return &admission{limiter: l, tenant: s.Tenant, class: s.Class, number: s.Key}
 }
 
 // call is one call under limits.
-type call struct {
-	l             *Limiter
+type admission struct {
+	limiter       *Limiter
 	tenant, class int
 	number        string
 	claim         *quota.Claim
 }
 
 // Take implements control.Quota.
-func (c *call) Take(now control.Micros) (ok bool, wait control.Micros) {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	c.claim, ok, wait = c.l.member.Take(now, c.tenant, c.class, c.number)
+func (c *admission) Take(now control.Micros) (ok bool, wait control.Micros) {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	c.claim, ok, wait = c.limiter.member.Take(now, c.tenant, c.class, c.number)
 	return ok, wait
 }
 
 // Done implements routing.Quota.
-func (c *call) Done() {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	c.l.member.Done(c.claim)
+func (c *admission) Done() {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	c.limiter.member.Done(c.claim)
 	c.claim = nil
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -75,7 +75,7 @@
 	away.Store(true)
 	until(t, "the lease has ended, and it says so", func() bool {
 		s := l.Status()
-		return s.Rules[0].Rate < 5 && s.Rules[0].LeaseFor == 0 && len(s.Faults) == 1 && s.Faults[0].Advice != ""
+		return s.Rules[0].Rate < 5 && s.Rules[0].LeaseRemaining == 0 && len(s.Faults) == 1 && s.Faults[0].Advice != ""
 	})
 	away.Store(false)
 	until(t, "a lease again", func() bool { return leased() && len(l.Status().Faults) == 0 })
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -93,10 +93,10 @@
 		of("rate", func(s quota.Status) float64 { return s.Rate })
 		of("demand", func(s quota.Status) float64 { return s.Demand })
 		of("standing", func(s quota.Status) float64 { return float64(s.Standing) })
-		of("taken_total", func(s quota.Status) float64 { return float64(s.Taken) })
-		of("turned_away_total", func(s quota.Status) float64 { return float64(s.Turned) })
+		of("taken_total", func(s quota.Status) float64 { return float64(s.Admitted) })
+		of("turned_away_total", func(s quota.Status) float64 { return float64(s.Refused) })
 		if r.Mode == quota.Leased {
-			of("lease_seconds", func(s quota.Status) float64 { return float64(s.LeaseFor) / 1e6 })
+			of("lease_seconds", func(s quota.Status) float64 { return float64(s.LeaseRemaining) / 1e6 })
 		}
 	}
 }
