--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -110,7 +110,8 @@
 	open(c, "0000000000000001", "1", 3000)
 	server.Wait("INVITE", siptest.Is("INVITE"))
 	began, settled := time.Now(), make(chan struct{})
-	go func() { defer close(settled); n.settle() }()
+	wait := n.beginSettling()
+	go func() { defer close(settled); wait() }()
 	n.core.Learned(func(control.Learned) { open(c, "0000000000000002", "2", 6000) }) // in the core's turn: it has the bound by now
 	require.Equal(t, "0000000000000002close", soon(t, answers))
 	if took := time.Since(began); took > n.restartTime() {
@@ -168,7 +169,7 @@
 	looks := make(chan struct{})
 	go func() {
 		defer close(ended)
-		n.settle()
+		n.beginSettling()()
 		n.listener.Finish(flushFor)
 	}()
 	go func() { // two looks at the least: each is a turn of the core's
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -48,7 +48,8 @@
 	time.Sleep(takeFor)
 	n.listener.Stop()
 	time.Sleep(openFor - takeFor)
-	n.settle()
+	wait := n.beginSettling()
+	wait()
 	n.listener.Finish(flushFor)
 	if n.agent != nil {
 		n.agent.Close()
@@ -69,30 +70,33 @@
 	n.log.Info("drained")
 }
 
-// settle waits until nothing is owed and no connection is left on which something could come to be: what is read after the
-// last look at "nothing is owed" is on a connection that stays open until it is answered too. Callers who go on sending on the
-// connections that are kept are served meanwhile, and have their answers before the process may be killed; but they don't
-// hold it: past half of that time what still comes is refused, and bytes that nobody has read keep no connection open.
-func (n *Node) settle() {
+// beginSettling bounds the time of all answers from now on, and returns a function that waits until nothing is owed and no
+// connection is left on which something could come to be: what is read after the last look at "nothing is owed" is on a
+// connection that stays open until it is answered too. Callers who go on sending on the connections that are kept are served
+// meanwhile, and have their answers before the process may be killed; but they don't hold it: past half of that time what
+// still comes is refused, and bytes that nobody has read keep no connection open.
+func (n *Node) beginSettling() (wait func()) {
 	left := n.restartTime()
 	n.core.AnswerWithin(max(0, left-killSlack))
 	var late atomic.Bool
-	goOn := time.AfterFunc(left/2, func() {
+	turnAway := time.AfterFunc(left/2, func() {
 		late.Store(true)
 		n.front.TurnAway()
 		if n.agent != nil {
 			n.agent.TurnAway()
 		}
 	})
-	defer goOn.Stop()
-	for {
-		drained := make(chan struct{})
-		n.core.Drained(func() { close(drained) })
-		<-drained
-		if n.listener.FinishIdle(late.Load()) {
-			return
+	return func() {
+		defer turnAway.Stop()
+		for {
+			drained := make(chan struct{})
+			n.core.Drained(func() { close(drained) })
+			<-drained
+			if n.listener.FinishIdle(late.Load()) {
+				return
+			}
+			time.Sleep(settleEvery)
 		}
-		time.Sleep(settleEvery)
 	}
 }
 
