--- a/internal/node/dialer.go
+++ b/internal/node/dialer.go
@@ -16,10 +16,10 @@
 }
 
 // Lines implements routing.Dialer.
-func (d *dialer) Lines(addr string) int { return d.dialect(addr).Lines(addr) }
+func (d *dialer) MaxConns(addr string) int { return d.dialect(addr).MaxConns(addr) }
 
 // Dial implements routing.Dialer.
-func (d *dialer) Dial(ctx context.Context, addr string, events routing.LineEvents) (routing.Line, error) {
+func (d *dialer) Dial(ctx context.Context, addr string, events routing.ServerEvents) (routing.ServerConn, error) {
 	return d.dialect(addr).Dial(ctx, addr, events)
 }
 
@@ -36,8 +36,8 @@
 // noDialer stands for the SIP front while that is off.
 type noDialer struct{}
 
-func (noDialer) Lines(string) int { return 1 }
+func (noDialer) MaxConns(string) int { return 1 }
 
-func (noDialer) Dial(_ context.Context, addr string, _ routing.LineEvents) (routing.Line, error) {
+func (noDialer) Dial(_ context.Context, addr string, _ routing.ServerEvents) (routing.ServerConn, error) {
 	return nil, fmt.Errorf("server %s needs the SIP front, which is off", addr)
 }
--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -22,7 +22,7 @@
 	Unreadable(class int)
 }
 
-// Dialogs keeps records of calls that stand, for the next start. Its methods must not block.
+// Dialogs keeps records of established calls, for the next start. Its methods must not block.
 type Dialogs interface {
 	Put(key string, value []byte)
 	Delete(key string)
@@ -41,23 +41,23 @@
 	Log          logrus.FieldLogger
 }
 
-// Agent is a back-to-back user agent: SIP callers on one side, the core's lines to SIP servers on the other. All of
+// Agent is a back-to-back user agent: SIP callers on one side, the core's connections to SIP servers on the other. All of
 // it, transactions and dialogs included, belongs to one actor.
 type Agent struct {
 	*actor.Actor
 	Options
-	core     Core
-	layer    *layer
-	udp      net.PacketConn
-	tcp      *transport.Listener
-	conns    map[string]*transport.Conn // TCP, by remote address
-	calls    map[*serverTx]*uasCall     // set-ups of callers that have no final answer
-	dialogs  map[string]*dialog         // by key
-	byID     map[string]*dialog         // by the core's id and side
-	lines    map[string]*line           // by the server's address
-	draining bool
-	closing  bool // set-ups are refused: the process ends
-	once     sync.Once
+	core        Core
+	layer       *layer
+	udp         net.PacketConn
+	tcp         *transport.Listener
+	conns       map[string]*transport.Conn // TCP, by remote address
+	calls       map[*serverTx]*uasCall     // set-ups of callers that have no final answer
+	dialogs     map[string]*dialog         // by key
+	byID        map[string]*dialog         // by the core's id and side
+	serverConns map[string]*serverConn     // by the server's address
+	draining    bool
+	closing     bool // set-ups are refused: the process ends
+	once        sync.Once
 }
 
 // NewAgent makes an agent that listens nowhere yet.
@@ -67,13 +67,13 @@
 	}
 	a := &Agent{Actor: actor.New(), Options: o, core: core, conns: map[string]*transport.Conn{},
 		calls: map[*serverTx]*uasCall{}, dialogs: map[string]*dialog{}, byID: map[string]*dialog{},
-		lines: map[string]*line{}}
+		serverConns: map[string]*serverConn{}}
 	a.layer = newLayer(o.Timers, a.After)
 	return a
 }
 
 // Listen opens the front's sockets; an empty address leaves one out. It is called once, before any server is dialled:
-// lines over UDP use the same socket. Nothing is read before Serve.
+// connections over UDP use the same socket. Nothing is read before Serve.
 func (a *Agent) Listen(udp, tcp string) error {
 	if udp != "" {
 		pc, err := net.ListenPacket("udp", udp)
@@ -123,7 +123,7 @@
 // TurnAway refuses the set-ups that come from now on: the process ends once what came before is answered.
 func (a *Agent) TurnAway() { a.Post(func() { a.closing = true }) }
 
-// Close ends the agent's sockets, once it has sent what it was told to send.
+// Close ends the agent's sockets, once it has sent what was posted before.
 func (a *Agent) Close() { a.once.Do(a.close) }
 
 func (a *Agent) close() {
--- a/internal/protocol/sip/agent_dialogs.go
+++ b/internal/protocol/sip/agent_dialogs.go
@@ -78,7 +78,7 @@
 	if cause > 0 {
 		m.Set("Reason", reasonHeader(cause))
 	}
-	a.routed(d, func(f flow, err error) {
+	a.dialogFlow(d, func(f flow, err error) {
 		if err != nil {
 			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: " + method + " can't be sent")
 			if then != nil {
@@ -103,8 +103,8 @@
 	})
 }
 
-// routed gives the flow for a request inside a dialog: the dialog's connection while it is open, else its next hop.
-func (a *Agent) routed(d *dialog, then func(flow, error)) {
+// dialogFlow passes then the flow for a request inside a dialog: the dialog's connection while it is open, else its next hop.
+func (a *Agent) dialogFlow(d *dialog, then func(flow, error)) {
 	if t, ok := d.flow.(*tcpFlow); ok && len(d.Routes) == 0 {
 		select {
 		case <-t.conn.Gone():
@@ -118,13 +118,13 @@
 		then(nil, err)
 		return
 	}
-	a.reach(proto, addr, then)
+	a.flowTo(proto, addr, then)
 }
 
 // ack confirms a 2xx. Each retransmission of the 2xx is answered by another.
 func (a *Agent) ack(d *dialog) {
 	m := d.request("ACK")
-	a.routed(d, func(f flow, err error) {
+	a.dialogFlow(d, func(f flow, err error) {
 		if err == nil {
 			f.send(m.Set("Via", a.newVia(f.proto())).Append(nil), nil, nil)
 		}
@@ -166,9 +166,9 @@
 		})
 		return
 	}
-	if l := d.line; l != nil {
-		if now := a.lines[l.key]; now != nil {
-			l = now // the line may have been opened anew since the set-up
+	if l := d.conn; l != nil {
+		if now := a.serverConns[l.key]; now != nil {
+			l = now // the connection may have been opened anew since the set-up
 		}
 		l.events.Released(d.ID, why, parseReport(m.Get("X-Occupancy"), a.Reports))
 		return
--- a/internal/protocol/sip/dialog.go
+++ b/internal/protocol/sip/dialog.go
@@ -23,7 +23,7 @@
 	Proto     string // transport of the set-up
 
 	flow  flow
-	line  *line // of a server's dialog; nil after a restart
+	conn  *serverConn // of a server's dialog; nil after a restart
 	call  *uasCall
 	ended bool
 }
--- a/internal/protocol/sip/dispatch.go
+++ b/internal/protocol/sip/dispatch.go
@@ -28,10 +28,10 @@
 	}
 }
 
-func (a *Agent) take(m *Message, f flow) {
+func (a *Agent) handle(m *Message, f flow) {
 	if !m.IsRequest() {
 		if !a.layer.response(m) {
-			a.stray(m, f)
+			a.strayAnswer(m, f)
 		}
 		return
 	}
@@ -65,7 +65,7 @@
 		}
 		t.respond(Respond(m, status, reason).Set("Allow", allow).Set("To", withTag(m.Get("To"))))
 	case m.Method == "NOTIFY":
-		if l := a.lines[f.proto()+"|"+f.remote()]; l != nil {
+		if l := a.serverConns[f.proto()+"|"+f.remote()]; l != nil {
 			if row := parseReport(m.Get("X-Occupancy"), a.Reports); row != nil {
 				l.events.Report(row)
 			}
@@ -90,8 +90,8 @@
 	return a.dialogs[dialogKey(m.Get("Call-ID"), tag(m.Get("To")), tag(m.Get("From")))]
 }
 
-// stray takes a 2xx whose transaction is gone: the set-up had been given up, so the call is confirmed and released.
-func (a *Agent) stray(m *Message, f flow) {
+// strayAnswer handles a 2xx whose transaction is gone: the set-up had been given up, so the call is confirmed and released.
+func (a *Agent) strayAnswer(m *Message, f flow) {
 	_, method, _ := m.CSeq()
 	if method != "INVITE" || m.Status < 200 || m.Status >= 300 {
 		return
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -64,8 +64,8 @@
 
 // The times that a TCP connection has.
 const (
-	requestWithin = 2 * time.Second  // for a message that has begun
-	silentFor     = 10 * time.Second // for a caller's first message
+	requestTimeout      = 2 * time.Second  // for a message that has begun
+	firstMessageTimeout = 10 * time.Second // for a caller's first message
 )
 
 func (a *Agent) readUDP(pc net.PacketConn) {
@@ -90,7 +90,7 @@
 			a.Post(func() { a.reject(m, f, err) })
 			continue
 		}
-		a.Post(func() { a.take(m, f) })
+		a.Post(func() { a.handle(m, f) })
 	}
 }
 
@@ -106,14 +106,14 @@
 
 func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil) }
 
-// readTCP reads a connection until it ends. l, if not nil, is the line whose connection it is.
-func (a *Agent) readTCP(c *transport.Conn, l *line) {
+// readTCP reads a connection until it ends. server is not nil on a connection to a server.
+func (a *Agent) readTCP(c *transport.Conn, server *serverConn) {
 	key, first := c.RemoteAddr().String(), true
 	a.Post(func() { a.conns[key] = c })
-	if l == nil { // a caller that says nothing must not hold a descriptor for good
-		c.SetReadDeadline(time.Now().Add(silentFor))
+	if server == nil { // a caller that says nothing must not hold a descriptor for good
+		c.SetReadDeadline(time.Now().Add(firstMessageTimeout))
 	}
-	r := NewConnReader(c, requestWithin)
+	r := NewConnReader(c, requestTimeout)
 	for {
 		m, err := r.Next()
 		if err == nil {
@@ -123,10 +123,10 @@
 				c.SetReadDeadline(time.Time{})
 			}
 			a.Post(func() {
-				if l != nil {
-					l.heard = time.Now()
+				if server != nil {
+					server.lastMessage = time.Now()
 				}
-				a.take(m, &tcpFlow{agent: a, conn: c})
+				a.handle(m, &tcpFlow{agent: a, conn: c})
 			})
 			continue
 		}
@@ -139,20 +139,20 @@
 				delete(a.conns, key)
 			}
 			if c.Left() {
-				a.left(c)
+				a.callerLeft(c)
 			}
 			c.Finish()
-			if l != nil {
-				l.down(err)
+			if server != nil {
+				server.down(err)
 			}
 		})
 		return
 	}
 }
 
-// left gives up the set-ups that came on a connection which its caller has closed. RFC 3261 would let their answers go on a
+// callerLeft gives up the set-ups that came on a connection which its caller has closed. RFC 3261 would let their answers go on a
 // new one (18.2.2); to the operators a client that closes its connection has gone, and nobody waits for an answer.
-func (a *Agent) left(c *transport.Conn) {
+func (a *Agent) callerLeft(c *transport.Conn) {
 	for t, k := range a.calls {
 		if k.conn == c {
 			a.core.Withdraw(k.id, k, func(inTime bool) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// connect gives a TCP connection to an address: an open one, or a new one. then runs in the actor.
+// connect passes then a TCP connection to an address: an open one, or a new one. then runs in the actor.
 func (a *Agent) connect(addr string, then func(*transport.Conn, error)) {
 	if c := a.conns[addr]; c != nil {
 		then(c, nil)
@@ -182,8 +182,8 @@
 	}()
 }
 
-// reach gives a flow to an address. then runs in the actor.
-func (a *Agent) reach(proto, addr string, then func(flow, error)) {
+// flowTo passes then a flow to an address. then runs in the actor.
+func (a *Agent) flowTo(proto, addr string, then func(flow, error)) {
 	switch {
 	case proto == "TCP":
 		a.connect(addr, func(c *transport.Conn, err error) {
--- a/internal/protocol/sip/message.go
+++ b/internal/protocol/sip/message.go
@@ -1,4 +1,4 @@
-// Package sip reads and writes SIP (RFC 3261). The platform's menu servers speak a small part of it (see Line); the
+// Package sip reads and writes SIP (RFC 3261). The platform's menu servers speak a small part of it (see PlatformDialer); the
 // codec serves both.
 package sip
 
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -20,7 +20,7 @@
 	"beammux/internal/transport"
 )
 
-// PlatformDialer opens lines to the platform's menu servers: SIP over one TCP connection, matched by Call-ID alone.
+// PlatformDialer opens connections to the platform's menu servers: SIP over one TCP connection, matched by Call-ID alone.
 type PlatformDialer struct {
 	Budget  *transport.Budget
 	Timeout time.Duration
@@ -29,37 +29,37 @@
 	Log     logrus.FieldLogger
 }
 
-// A server's state is told on four connections at most.
-const platformLines = 4
+// maxPlatformConns: a server sends its state on four connections at most.
+const maxPlatformConns = 4
 
-// Lines implements routing.Dialer.
-func (d *PlatformDialer) Lines(string) int { return platformLines }
+// MaxConns implements routing.Dialer.
+func (d *PlatformDialer) MaxConns(string) int { return maxPlatformConns }
 
 // Dial implements routing.Dialer.
-func (d *PlatformDialer) Dial(ctx context.Context, addr string, events routing.LineEvents) (routing.Line, error) {
+func (d *PlatformDialer) Dial(ctx context.Context, addr string, events routing.ServerEvents) (routing.ServerConn, error) {
 	conn, err := d.Budget.Dial(ctx, addr, d.Timeout)
 	if err != nil {
 		return nil, err
 	}
-	return d.line(conn, events), nil
+	return d.newConn(conn, events), nil
 }
 
-func (d *PlatformDialer) line(conn *transport.Conn, events routing.LineEvents) *platformLine {
-	l := &platformLine{dialer: d, conn: conn, events: events, out: map[string]platformSetup{}}
-	go l.read()
-	return l
+func (d *PlatformDialer) newConn(conn *transport.Conn, events routing.ServerEvents) *platformConn {
+	c := &platformConn{dialer: d, conn: conn, events: events, inFlight: map[string]platformSetup{}}
+	go c.read()
+	return c
 }
 
-// platformLine is one connection to a menu server.
-type platformLine struct {
-	dialer *PlatformDialer
-	conn   *transport.Conn
-	events routing.LineEvents
-	mu     sync.Mutex
-	out    map[string]platformSetup // set-ups that were sent and have no final response
-	heard  time.Time                // when the last message came
-	told   time.Time                // when the last state came
-	gaps   []time.Duration          // between the last states
+// platformConn is one connection to a menu server.
+type platformConn struct {
+	dialer      *PlatformDialer
+	conn        *transport.Conn
+	events      routing.ServerEvents
+	mu          sync.Mutex
+	inFlight    map[string]platformSetup // set-ups that were sent and have no final response
+	lastMessage time.Time                // when the last message came
+	lastReport  time.Time                // when the last state came
+	reportGaps  []time.Duration          // between the last states
 }
 
 type platformSetup struct {
@@ -68,16 +68,16 @@
 	cancelled bool
 }
 
-// The figures by which a line is taken to be mute: it is open, yet nothing more comes on it. Its set-ups are lost, and
-// so is what the server would say of calls that stand.
+// Thresholds by which an open connection counts as silent: nothing more arrives on it. Its set-ups are lost, and so are the
+// releases of established calls.
 const (
-	answerWithin = 250 * time.Millisecond // an answer that has begun is whole by then
-	quietLeast   = time.Second            // silence of less is no sign
-	quietGaps    = 2.5                    // states that are missing
-	gapsKept     = 4
+	wholeMessageTimeout = 250 * time.Millisecond // an answer that has begun is whole by then
+	minSilence          = time.Second            // a shorter silence is normal
+	silenceGaps         = 2.5                    // missing states
+	maxGaps             = 4
 )
 
-var errMute = errors.New("line is mute")
+var errSilent = errors.New("line is mute")
 
 func request(method, id, key string, cseq string) *Message {
 	if key == "" {
@@ -87,170 +87,170 @@
 		Set("CSeq", "1 "+cseq)
 }
 
-func (l *platformLine) Setup(a routing.Attempt, still func() bool) {
-	l.mu.Lock()
-	l.out[a.ID()] = platformSetup{Attempt: a, at: time.Now()}
-	l.mu.Unlock()
+func (c *platformConn) Setup(a routing.Attempt, still func() bool) {
+	c.mu.Lock()
+	c.inFlight[a.ID()] = platformSetup{Attempt: a, at: time.Now()}
+	c.mu.Unlock()
 	m := request("INVITE", a.ID(), a.Key, "INVITE")
-	if a.Class >= 0 && a.Class < len(l.dialer.Classes) {
-		m.Set("X-Cos", l.dialer.Classes[a.Class])
+	if a.Class >= 0 && a.Class < len(c.dialer.Classes) {
+		m.Set("X-Cos", c.dialer.Classes[a.Class])
 	}
 	m.Set("X-Timer-Ms", strconv.FormatInt(max(1, time.Until(a.Deadline).Milliseconds()), 10))
 	m.Body = a.Body
-	l.conn.Send(transport.Packet{Data: m.Append(nil), Still: still, Done: func(err error) {
+	c.conn.Send(transport.Packet{Data: m.Append(nil), Still: still, Done: func(err error) {
 		if err == transport.ErrDropped {
-			l.mu.Lock()
-			delete(l.out, a.ID())
-			l.mu.Unlock()
-			l.events.Failed(a, routing.Outcome{Code: control.NotSent})
+			c.mu.Lock()
+			delete(c.inFlight, a.ID())
+			c.mu.Unlock()
+			c.events.Failed(a, routing.Outcome{Code: control.NotSent})
 		}
 	}})
 }
 
-func (l *platformLine) Cancel(id string) {
-	l.mu.Lock()
-	s, ok := l.out[id]
+func (c *platformConn) Cancel(id string) {
+	c.mu.Lock()
+	s, ok := c.inFlight[id]
 	if ok {
 		s.cancelled = true
-		l.out[id] = s
+		c.inFlight[id] = s
 	}
-	mute := ok && l.heard.Before(s.at) && time.Since(s.at) >= quietLeast
-	l.mu.Unlock()
+	mute := ok && c.lastMessage.Before(s.at) && time.Since(s.at) >= minSilence
+	c.mu.Unlock()
 	if mute { // nothing at all has come since it was sent
-		l.conn.Close()
+		c.conn.Close()
 		return
 	}
 	if ok {
 		// A set-up that was dropped unsent, ahead of this in the queue, has nothing to cancel.
-		l.conn.Send(transport.Packet{Data: request("CANCEL", id, s.Key, "CANCEL").Append(nil), Still: func() bool {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			return l.out[id].cancelled
+		c.conn.Send(transport.Packet{Data: request("CANCEL", id, s.Key, "CANCEL").Append(nil), Still: func() bool {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return c.inFlight[id].cancelled
 		}})
 		// Its final response may never come; an answer that crossed the CANCEL comes soon.
 		time.AfterFunc(10*time.Second, func() {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			if s, ok := l.out[id]; ok && s.cancelled {
-				delete(l.out, id)
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			if s, ok := c.inFlight[id]; ok && s.cancelled {
+				delete(c.inFlight, id)
 			}
 		})
 	}
 }
 
-func (l *platformLine) Release(id string, cause int) {
+func (c *platformConn) Release(id string, cause int) {
 	m := request("BYE", id, "", "BYE")
 	m.Set("CSeq", "2 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
-	l.write(m)
+	c.write(m)
 }
 
-func (l *platformLine) Close() { l.conn.Finish() }
+func (c *platformConn) Close() { c.conn.Finish() }
 
-func (l *platformLine) write(m *Message) { l.conn.Send(transport.Packet{Data: m.Append(nil)}) }
+func (c *platformConn) write(m *Message) { c.conn.Send(transport.Packet{Data: m.Append(nil)}) }
 
-func (l *platformLine) read() {
-	r := NewConnReader(l.conn, answerWithin)
+func (c *platformConn) read() {
+	r := NewConnReader(c.conn, wholeMessageTimeout)
 	for {
-		m, err := l.next(r)
+		m, err := c.next(r)
 		if err != nil {
 			if err == ErrMalformed || err == ErrTooLong || err == ErrStopped {
-				l.dialer.Log.WithField("address", l.conn.RemoteAddr()).WithError(err).
+				c.dialer.Log.WithField("address", c.conn.RemoteAddr()).WithError(err).
 					Warn("bad message from server: connection closed")
 			} else if err != io.EOF {
-				l.dialer.Log.WithField("address", l.conn.RemoteAddr()).WithError(err).Debug("connection broke")
+				c.dialer.Log.WithField("address", c.conn.RemoteAddr()).WithError(err).Debug("connection broke")
 			}
-			l.conn.Close()
-			l.events.Down(err)
+			c.conn.Close()
+			c.events.Down(err)
 			return
 		}
 		if m.IsRequest() {
-			l.request(m)
+			c.request(m)
 		} else {
-			l.response(m)
+			c.response(m)
 		}
 	}
 }
 
-// next reads a message. A server tells its state at even gaps on each line, whatever else it does: when some are missing
-// the line is mute, though it is open.
-func (l *platformLine) next(r *Reader) (*Message, error) {
-	quiet := l.quiet()
+// next reads a message. A server sends its state at even gaps on each connection, whatever else it does: when some are missing
+// the connection is silent, though it is open.
+func (c *platformConn) next(r *Reader) (*Message, error) {
+	quiet := c.maxSilence()
 	if quiet > 0 {
-		l.conn.SetReadDeadline(time.Now().Add(quiet))
+		c.conn.SetReadDeadline(time.Now().Add(quiet))
 	}
 	m, err := r.Next()
 	if errors.Is(err, os.ErrDeadlineExceeded) { // it may have lain ready while this process got no processor time
-		l.conn.SetReadDeadline(time.Now().Add(wholeGrace))
+		c.conn.SetReadDeadline(time.Now().Add(wholeGrace))
 		m, err = r.Next()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = errMute
+		err = errSilent
 	}
 	if err == nil {
-		l.mu.Lock()
-		l.heard = time.Now()
+		c.mu.Lock()
+		c.lastMessage = time.Now()
 		if m.Method == "NOTIFY" {
-			if !l.told.IsZero() {
-				l.gaps = append(l.gaps, l.heard.Sub(l.told))
-				l.gaps = l.gaps[max(0, len(l.gaps)-gapsKept):]
+			if !c.lastReport.IsZero() {
+				c.reportGaps = append(c.reportGaps, c.lastMessage.Sub(c.lastReport))
+				c.reportGaps = c.reportGaps[max(0, len(c.reportGaps)-maxGaps):]
 			}
-			l.told = l.heard
+			c.lastReport = c.lastMessage
 		}
-		l.mu.Unlock()
+		c.mu.Unlock()
 	}
 	return m, err
 }
 
-// quiet is for how long a line may bring nothing, 0 while that is not known. The first gap is none: a state comes at
-// once on a new line, and the next one in its turn.
-func (l *platformLine) quiet() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.gaps) < 2 {
+// maxSilence is how long a connection may bring nothing, 0 while that is not known. The first gap does not count: a state comes
+// at once on a new connection, and the next one in its turn.
+func (c *platformConn) maxSilence() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.reportGaps) < 2 {
 		return 0
 	}
-	return max(quietLeast, time.Duration(quietGaps*float64(slices.Max(l.gaps))))
+	return max(minSilence, time.Duration(silenceGaps*float64(slices.Max(c.reportGaps))))
 }
 
-func (l *platformLine) request(m *Message) {
+func (c *platformConn) request(m *Message) {
 	id := m.Get("Call-ID")
 	switch m.Method {
 	case "BYE":
-		l.write(Respond(m, 200, "OK"))
-		l.events.Released(id, cause(m), l.report(m))
+		c.write(Respond(m, 200, "OK"))
+		c.events.Released(id, cause(m), c.report(m))
 	case "NOTIFY":
-		if row := l.report(m); row != nil {
-			l.events.Report(row)
+		if row := c.report(m); row != nil {
+			c.events.Report(row)
 		}
 	case "OPTIONS":
-		l.write(Respond(m, 200, "OK"))
+		c.write(Respond(m, 200, "OK"))
 	case "ACK", "CANCEL":
 	default:
-		l.write(Respond(m, 405, "Method Not Allowed"))
+		c.write(Respond(m, 405, "Method Not Allowed"))
 	}
 }
 
-func (l *platformLine) response(m *Message) {
+func (c *platformConn) response(m *Message) {
 	id := m.Get("Call-ID")
 	if _, method, _ := m.CSeq(); method != "INVITE" || m.Status < 200 {
 		return
 	}
-	l.mu.Lock()
-	s, ok := l.out[id]
-	delete(l.out, id)
-	l.mu.Unlock()
+	c.mu.Lock()
+	s, ok := c.inFlight[id]
+	delete(c.inFlight, id)
+	c.mu.Unlock()
 	if m.Status < 300 || ok {
-		l.write(request("ACK", id, s.Key, "ACK"))
+		c.write(request("ACK", id, s.Key, "ACK"))
 	}
 	if !ok {
 		return // a second final response, or one to a set-up of another connection
 	}
 	if m.Status < 300 {
-		l.events.Answered(s.Attempt, bytes.Clone(m.Body))
+		c.events.Answered(s.Attempt, bytes.Clone(m.Body))
 		return
 	}
-	o := routing.Outcome{Code: platformCode(m.Status), Reason: reasons[diagnosis(m)], Report: l.report(m)}
-	l.events.Failed(s.Attempt, o)
+	o := routing.Outcome{Code: platformCode(m.Status), Reason: reasons[diagnosis(m)], Report: c.report(m)}
+	c.events.Failed(s.Attempt, o)
 }
 
 // platformCode maps a refusal: 503 never ran, 480 never left, 504 broke on its way.
@@ -288,8 +288,8 @@
 }
 
 // report reads X-Occupancy (x0:12;x1:40;queue:3) into the order of the settings; what is absent is -1.
-func (l *platformLine) report(m *Message) []float64 {
-	return parseReport(m.Get("X-Occupancy"), l.dialer.Reports)
+func (c *platformConn) report(m *Message) []float64 {
+	return parseReport(m.Get("X-Occupancy"), c.dialer.Reports)
 }
 
 func parseReport(text string, names []string) []float64 {
--- a/internal/protocol/sip/platform_test.go
+++ b/internal/protocol/sip/platform_test.go
@@ -44,7 +44,7 @@
 
 type platformBench struct {
 	t    *testing.T
-	line *platformLine
+	line *platformConn
 	told *told
 	conn net.Conn
 	in   *Reader
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.line = l.(*platformLine)
+	b.line = l.(*platformConn)
 	if b.conn, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 }
 
 // pipeLine gives a line over a pipe in a bubble, and the server's end, whose input is read and dropped.
-func pipeLine(t *testing.T) (*platformLine, net.Conn, *told) {
+func pipeLine(t *testing.T) (*platformConn, net.Conn, *told) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	go io.Copy(io.Discard, far)
@@ -191,7 +191,7 @@
 	log.SetOutput(io.Discard)
 	d := &PlatformDialer{Reports: []string{"spare"}, Log: log}
 	e := &told{make(chan any, 99)}
-	return d.line(transport.NewConn(near, nil), e), far, e
+	return d.newConn(transport.NewConn(near, nil), e), far, e
 }
 
 func state(far net.Conn) {
@@ -290,9 +290,9 @@
 	}
 	defer far.Close()
 	far.SetDeadline(time.Now().Add(10 * time.Second))
-	l := rl.(*line)
+	l := rl.(*serverConn)
 	l.Setup(routing.NewAttempt("1", 0), nil)
-	a.Post(func() { l.out["1"].at = time.Now().Add(-2 * quietLeast) })
+	a.Post(func() { l.inFlight["1"].sentAt = time.Now().Add(-2 * minSilence) })
 	l.Cancel("1")
 	if _, err := io.Copy(io.Discard, far); err != nil {
 		t.Errorf("the mute line is still open: %v", err)
--- a/internal/protocol/sip/uac.go
+++ b/internal/protocol/sip/uac.go
@@ -12,39 +12,39 @@
 	"beammux/internal/transport"
 )
 
-// line is the way to one SIP server. It is the core's Line; all of its work is done in the agent's actor.
-type line struct {
-	agent  *Agent
-	user   uri
-	key    string
-	flow   flow
-	events routing.LineEvents
-	out    map[string]*uac
-	heard  time.Time // when the last message came on its connection
+// serverConn is the connection to one SIP server, as a routing.ServerConn. All of its work is done in the agent's actor.
+type serverConn struct {
+	agent       *Agent
+	user        uri
+	key         string
+	flow        flow
+	events      routing.ServerEvents
+	inFlight    map[string]*uac
+	lastMessage time.Time // when the last message came on its connection
 }
 
 // uac is one set-up at a server.
 type uac struct {
-	line       *line
+	conn       *serverConn
 	attempt    routing.Attempt
-	at         time.Time
+	sentAt     time.Time
 	tx         *clientTx
 	dialog     *dialog
 	cancelled  bool
 	sentCancel bool
 }
 
-// Lines implements routing.Dialer: transactions tell set-ups apart, so one line holds them all.
-func (a *Agent) Lines(string) int { return 1 }
+// MaxConns implements routing.Dialer: transactions tell set-ups apart, so one connection holds them all.
+func (a *Agent) MaxConns(string) int { return 1 }
 
 // Dial implements routing.Dialer for addresses of the form sip:host:port;transport=udp.
-func (a *Agent) Dial(ctx context.Context, addr string, events routing.LineEvents) (routing.Line, error) {
+func (a *Agent) Dial(ctx context.Context, addr string, events routing.ServerEvents) (routing.ServerConn, error) {
 	u, err := parseURI(addr)
 	if err != nil {
 		return nil, errors.New("not a SIP address: " + addr)
 	}
 	proto, hop := u.hop()
-	l := &line{agent: a, user: u, key: proto + "|" + hop, events: events, out: map[string]*uac{}}
+	l := &serverConn{agent: a, user: u, key: proto + "|" + hop, events: events, inFlight: map[string]*uac{}}
 	var conn *transport.Conn
 	if proto == "TCP" {
 		if conn, err = a.Budget.Dial(ctx, hop, a.DialTimeout); err != nil {
@@ -53,13 +53,13 @@
 	}
 	ready := make(chan error, 1)
 	a.Post(func() {
-		defer func() { a.lines[l.key] = l }()
+		defer func() { a.serverConns[l.key] = l }()
 		if conn != nil {
 			l.flow = &tcpFlow{agent: a, conn: conn}
 			ready <- nil
 			return
 		}
-		a.reach(proto, hop, func(f flow, err error) {
+		a.flowTo(proto, hop, func(f flow, err error) {
 			l.flow = f
 			ready <- err
 		})
@@ -82,24 +82,24 @@
 }
 
 // down ends the set-ups of a connection that is gone: nothing else would ever end their transactions.
-func (l *line) down(err error) {
-	for _, u := range l.out {
+func (c *serverConn) down(err error) {
+	for _, u := range c.inFlight {
 		u.tx.end()
 	}
-	clear(l.out)
-	l.events.Down(err)
+	clear(c.inFlight)
+	c.events.Down(err)
 }
 
-// Setup implements routing.Line.
-func (l *line) Setup(at routing.Attempt, still func() bool) {
-	l.agent.Post(func() { l.setup(at, still) })
+// Setup implements routing.ServerConn.
+func (c *serverConn) Setup(at routing.Attempt, still func() bool) {
+	c.agent.Post(func() { c.setup(at, still) })
 }
 
-func (l *line) setup(at routing.Attempt, still func() bool) {
-	a := l.agent
-	proto := l.flow.proto()
+func (c *serverConn) setup(at routing.Attempt, still func() bool) {
+	a := c.agent
+	proto := c.flow.proto()
 	left := time.Until(at.Deadline)
-	_, hop := l.user.hop()
+	_, hop := c.user.hop()
 	target := "sip:" + escapeUser(at.Key) + "@" + hop + ";transport=" + strings.ToLower(proto)
 	m := Request("INVITE", target).Set("Via", a.newVia(proto)).Set("Max-Forwards", "70").
 		Set("From", "<sip:beammux@"+a.sentBy(proto)+">;tag="+token(6)).Set("To", "<"+target+">").
@@ -114,9 +114,9 @@
 		m.Set("Content-Type", "application/sdp")
 		m.Body = at.Body
 	}
-	u := &uac{line: l, attempt: at, at: time.Now()}
-	l.out[at.ID()] = u
-	u.tx = a.layer.request(m, l.flow, still, u.response, u.ended)
+	u := &uac{conn: c, attempt: at, sentAt: time.Now()}
+	c.inFlight[at.ID()] = u
+	u.tx = a.layer.request(m, c.flow, still, u.response, u.ended)
 }
 
 // ended: the transaction ended without a final response.
@@ -129,17 +129,17 @@
 	case errors.Is(err, errTimeout):
 		code = control.TimedOut
 	}
-	u.line.events.Failed(u.attempt, routing.Outcome{Code: code})
+	u.conn.events.Failed(u.attempt, routing.Outcome{Code: code})
 }
 
 func (u *uac) forget() {
-	if u.line.out[u.attempt.ID()] == u {
-		delete(u.line.out, u.attempt.ID())
+	if u.conn.inFlight[u.attempt.ID()] == u {
+		delete(u.conn.inFlight, u.attempt.ID())
 	}
 }
 
 func (u *uac) response(m *Message) {
-	a := u.line.agent
+	a := u.conn.agent
 	switch {
 	case m.Status < 200:
 		if u.cancelled {
@@ -156,19 +156,19 @@
 		}
 		if o.Code == control.Full {
 			if n, err := strconv.ParseUint(strings.TrimSpace(strings.SplitN(m.Get("Retry-After"), ";", 2)[0]), 10, 16); err == nil {
-				o.ToldWait = control.Micros(n) * 1e6
+				o.RetryAfter = control.Micros(n) * 1e6
 			}
 		}
-		u.line.events.Failed(u.attempt, o)
+		u.conn.events.Failed(u.attempt, o)
 	}
 }
 
 // answered takes a 2xx: the first opens the dialog, a repeated one is confirmed again, and one of another fork is
-// confirmed and released, since a call stands once.
+// confirmed and released, since a call is established once.
 func (u *uac) answered(m *Message) {
-	a := u.line.agent
-	d := fromResponse(m, u.attempt.ID(), u.line.flow.proto())
-	d.flow, d.line = u.line.flow, u.line
+	a := u.conn.agent
+	d := fromResponse(m, u.attempt.ID(), u.conn.flow.proto())
+	d.flow, d.conn = u.conn.flow, u.conn
 	if u.dialog != nil {
 		if d.key() == u.dialog.key() {
 			a.ack(u.dialog)
@@ -188,9 +188,9 @@
 	a.addDialog(d)
 	a.ack(d)
 	if row := parseReport(m.Get("X-Occupancy"), a.Reports); row != nil {
-		u.line.events.Report(row)
+		u.conn.events.Report(row)
 	}
-	u.line.events.Answered(u.attempt, m.Body)
+	u.conn.events.Answered(u.attempt, m.Body)
 }
 
 // finalCode maps an error response of RFC 3261 to the end of an attempt.
@@ -206,16 +206,16 @@
 	return control.Failed
 }
 
-// Cancel implements routing.Line. A CANCEL may not go out before a provisional response came (9.1).
-func (l *line) Cancel(id string) {
-	l.agent.Post(func() {
-		u := l.out[id]
+// Cancel implements routing.ServerConn. A CANCEL may not go out before a provisional response came (9.1).
+func (c *serverConn) Cancel(id string) {
+	c.agent.Post(func() {
+		u := c.inFlight[id]
 		if u == nil || u.cancelled {
 			return
 		}
 		u.cancelled = true
-		if t, ok := l.flow.(*tcpFlow); ok && l.heard.Before(u.at) && time.Since(u.at) >= quietLeast {
-			t.conn.Close() // not even a 100 since it was sent: the line is mute
+		if t, ok := c.flow.(*tcpFlow); ok && c.lastMessage.Before(u.sentAt) && time.Since(u.sentAt) >= minSilence {
+			t.conn.Close() // not even a 100 since it was sent: the connection is silent
 			return
 		}
 		if u.tx.state == proceeding {
@@ -226,12 +226,12 @@
 }
 
 func (u *uac) cancel() {
-	a := u.line.agent
+	a := u.conn.agent
 	if u.sentCancel {
 		return
 	}
 	u.sentCancel = true
-	a.layer.request(u.tx.cancel(), u.line.flow, nil, func(*Message) {}, func(error) {})
+	a.layer.request(u.tx.cancel(), u.conn.flow, nil, func(*Message) {}, func(error) {})
 	u.tx.in(64*a.Timers.T1, func() { // the INVITE may never be answered
 		if u.tx.state < completed {
 			u.tx.fail(errTimeout)
@@ -239,33 +239,33 @@
 	})
 }
 
-// Release implements routing.Line.
-func (l *line) Release(id string, cause int) {
-	l.agent.Post(func() {
-		if d := l.agent.byID[id+"/server"]; d != nil {
-			l.agent.hangup(d, cause)
+// Release implements routing.ServerConn.
+func (c *serverConn) Release(id string, cause int) {
+	c.agent.Post(func() {
+		if d := c.agent.byID[id+"/server"]; d != nil {
+			c.agent.hangup(d, cause)
 		}
 	})
 }
 
-// Close implements routing.Line. Dialogs at a server that is gone have nobody to release them with.
-func (l *line) Close() {
-	l.agent.Post(func() {
-		a := l.agent
-		if a.lines[l.key] == l {
-			delete(a.lines, l.key)
+// Close implements routing.ServerConn. Dialogs at a server that is gone have nobody to release them with.
+func (c *serverConn) Close() {
+	c.agent.Post(func() {
+		a := c.agent
+		if a.serverConns[c.key] == c {
+			delete(a.serverConns, c.key)
 		}
 		for _, d := range a.byID {
-			if d.line == l {
+			if d.conn == c {
 				a.dropDialog(d)
 			}
 		}
-		time.AfterFunc(a.Timers.T4, func() { a.Post(l.shut) })
+		time.AfterFunc(a.Timers.T4, func() { a.Post(c.shut) })
 	})
 }
 
-func (l *line) shut() {
-	if t, ok := l.flow.(*tcpFlow); ok {
+func (c *serverConn) shut() {
+	if t, ok := c.flow.(*tcpFlow); ok {
 		t.conn.Finish()
 	}
 }
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -15,163 +15,163 @@
 		return
 	}
 	now := c.clock.now()
-	at := &attempt{number: k.attempts, server: a.Server, peer: c.peers[a.Server], sentAt: now, over: &atomic.Bool{}}
+	at := &attempt{number: k.attempts, server: a.Server, peer: c.peers[a.Server], sentAt: now, givenUp: &atomic.Bool{}}
 	k.attempts++
-	left := k.dropDead - now
+	left := k.deadline - now
 	if a.Wait > 0 {
 		left = min(left, a.Wait)
 	}
-	if at.peer == nil || left <= 0 || k.out != nil {
+	if at.peer == nil || left <= 0 || k.current != nil {
 		// Not on the list any more, too late, or a second copy: it never leaves.
 		c.Post(func() {
 			c.handle(control.Resolved{ID: k.ID, Attempt: at.number, Server: a.Server, Code: control.NotSent})
 		})
 		return
 	}
-	k.out = at
+	k.current = at
 	at.expiry = c.After(span(left), func() {
-		if c.calls[k.ID] == k && k.out == at && !k.stands {
+		if c.calls[k.ID] == k && k.current == at && !k.established {
 			c.endAttempt(k, control.TimedOut, false)
 		}
 	})
 	c.figures.Class(k.Class).Dispatches.Add(1)
 	if len(c.observers) > 0 {
-		c.saw(counting.Sent, &k.Setup, a.Server)
+		c.observe(counting.Sent, &k.Setup, a.Server)
 		c.After(OverdueAfter, func() {
-			if c.calls[k.ID] == k && k.out == at && !k.stands {
-				c.saw(counting.Overdue, &k.Setup, a.Server)
+			if c.calls[k.ID] == k && k.current == at && !k.established {
+				c.observe(counting.Overdue, &k.Setup, a.Server)
 			}
 		})
 	}
 	at.peer.setup(Attempt{ref: ref{k.ID, at.number}, Class: k.Class, Key: k.Key, Body: k.Body,
-		Deadline: time.Now().Add(span(left)), level: c.levelOf(a.Server), over: at.over, caller: k.caller})
+		Deadline: time.Now().Add(span(left)), level: c.levelOf(a.Server), givenUp: at.givenUp, caller: k.caller})
 }
 
-// endAttempt gives up the attempt that is out, if any, and reports its end.
+// endAttempt gives up the attempt in flight, if any, and reports its end.
 func (c *Core) endAttempt(k *call, code control.Code, settled bool) {
-	a := k.out
+	a := k.current
 	if a == nil {
 		return
 	}
-	k.out = nil
-	a.over.Store(true)
+	k.current = nil
+	a.givenUp.Store(true)
 	a.expiry.Stop()
 	c.noteEnded(k, a, code)
-	c.sawEnd(k, a, code)
+	c.observeEnd(k, a, code)
 	a.peer.cancel(ref{k.ID, a.number})
-	k.sweep(a.peer)
+	k.releaseLateAnswer(a.peer)
 	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
 		Took: c.clock.now() - a.sentAt, Settled: settled})
 }
 
-// sawEnd counts the end of an attempt that did not stand. What was never sent, or called off from this side, says nothing
+// observeEnd counts the end of an attempt that failed. What was never sent, or cancelled from this side, says nothing
 // of its server.
-func (c *Core) sawEnd(k *call, a *attempt, code control.Code) {
+func (c *Core) observeEnd(k *call, a *attempt, code control.Code) {
 	switch code {
 	case control.TimedOut:
-		c.saw(counting.TimedOut, &k.Setup, a.server)
+		c.observe(counting.TimedOut, &k.Setup, a.server)
 	case control.Full:
-		c.saw(counting.Full, &k.Setup, a.server)
+		c.observe(counting.Full, &k.Setup, a.server)
 	case control.Failed, control.Cut, control.Unreachable:
-		c.saw(counting.Errored, &k.Setup, a.server)
+		c.observe(counting.Errored, &k.Setup, a.server)
 	}
 }
 
-// OverdueAfter is how long an attempt is out before that is seen as a sign of its server. Its end may come later.
+// OverdueAfter is how long an attempt may be in flight before it is observed as overdue. Its end may come later.
 const OverdueAfter = 400 * time.Millisecond
 
-// attemptOf gives the call whose attempt is out and not yet ended, or nil: an attempt ends once.
+// attemptOf returns the call whose attempt is in flight, or nil: an attempt ends once.
 func (c *Core) attemptOf(r ref) *call {
 	k := c.calls[r.id]
-	if k == nil || k.stands || k.out == nil || k.out.number != r.attempt {
+	if k == nil || k.established || k.current == nil || k.current.number != r.attempt {
 		return nil
 	}
 	return k
 }
 
-// answered: a server says that the call stands.
+// answered handles the answer of a server by which the call is established.
 func (c *Core) answered(p *Peer, r ref, body []byte) {
 	k := c.attemptOf(r)
 	if k == nil {
-		c.late(p, r)
+		c.lateAnswer(p, r)
 		return
 	}
-	a := k.out
+	a := k.current
 	a.expiry.Stop()
-	k.overdue.Stop()
-	k.stands, k.stoodAt = true, c.clock.now()
-	c.pending--
+	k.deadlineTimer.Stop()
+	k.established, k.establishedAt = true, c.clock.now()
+	c.unanswered--
 	c.figures.Class(k.Class).Success.Add(1)
-	c.saw(counting.Stood, &k.Setup, 0)
-	c.saw(counting.Answered, &k.Setup, a.server)
-	c.note(history.Event{Kind: history.Stood, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.stoodAt - k.arrived})
-	told := k.caller.Answer(body)
-	c.handle(control.Opened{ID: k.ID, Attempt: a.number, Server: a.server, Took: k.stoodAt - a.sentAt})
-	if !told && c.calls[k.ID] == k {
-		c.release(k, CauseNormal)
-	}
-	c.settled()
+	c.observe(counting.Stood, &k.Setup, 0)
+	c.observe(counting.Answered, &k.Setup, a.server)
+	c.note(history.Event{Kind: history.Stood, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
+	delivered := k.caller.Answer(body)
+	c.handle(control.Opened{ID: k.ID, Attempt: a.number, Server: a.server, Took: k.establishedAt - a.sentAt})
+	if !delivered && c.calls[k.ID] == k {
+		c.releaseEstablished(k, CauseNormal)
+	}
+	c.checkDrained()
 }
 
-// late: an answer to a set-up that had been given up. The server is told that nobody wants it, but not while another
-// attempt of the call is out or stands there: servers know a call by its id alone, and the release would end that one.
-func (c *Core) late(p *Peer, r ref) {
+// lateAnswer handles the answer to a set-up that had been given up: it is released at the server, but not while another attempt
+// of the call is in flight or established there. Servers know a call by its id alone, and the release would end that one.
+func (c *Core) lateAnswer(p *Peer, r ref) {
 	k := c.calls[r.id]
 	switch {
-	case k == nil || k.out == nil || k.out.peer != p:
+	case k == nil || k.current == nil || k.current.peer != p:
 		p.release(r.id, CauseNormal)
-	case k.out.number != r.attempt:
-		k.stray = true
+	case k.current.number != r.attempt:
+		k.lateAnswer = true
 	}
 }
 
-// sweep releases at a server what was answered late there, now that no attempt of the call is out at it.
-func (k *call) sweep(p *Peer) {
-	if k.stray {
-		k.stray = false
+// releaseLateAnswer releases at a server what was answered late there, now that no attempt of the call is in flight at it.
+func (k *call) releaseLateAnswer(p *Peer) {
+	if k.lateAnswer {
+		k.lateAnswer = false
 		p.release(k.ID, CauseNormal)
 	}
 }
 
 // Outcome is the end of an attempt as the wire saw it.
 type Outcome struct {
-	Code     control.Code
-	Reason   int
-	ToldWait control.Micros
-	Report   []float64
+	Code       control.Code
+	Reason     int
+	RetryAfter control.Micros
+	Report     []float64
 }
 
-// failed: an attempt ended without an answer.
+// failed handles the end of an attempt without an answer.
 func (c *Core) failed(r ref, o Outcome) {
 	k := c.attemptOf(r)
 	if k == nil {
 		return
 	}
-	a := k.out
-	k.out = nil
+	a := k.current
+	k.current = nil
 	a.expiry.Stop()
 	c.noteEnded(k, a, o.Code)
 	if o.Reason == control.LinesBusy { // the number's fault, not the server's
-		c.saw(counting.Busy, &k.Setup, 0)
+		c.observe(counting.Busy, &k.Setup, 0)
 	} else {
-		c.sawEnd(k, a, o.Code)
+		c.observeEnd(k, a, o.Code)
 	}
 	c.noteReport(a.server, o.Report)
-	k.sweep(a.peer)
+	k.releaseLateAnswer(a.peer)
 	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: o.Code,
-		Took: c.clock.now() - a.sentAt, Reason: o.Reason, ToldWait: o.ToldWait, Report: o.Report})
+		Took: c.clock.now() - a.sentAt, Reason: o.Reason, ToldWait: o.RetryAfter, Report: o.Report})
 }
 
-// released: a server says that a call which stood is over. One told twice is passed on once.
+// released handles the release of an established call by its server. A repeated one is passed on once.
 func (c *Core) released(p *Peer, id string, cause int, report []float64) {
 	k := c.calls[id]
-	if k == nil || !k.stands {
+	if k == nil || !k.established {
 		if report != nil {
 			c.noteReport(p.server, report)
 			c.handle(control.Status{Server: p.server, Code: control.OK, Report: report})
 		}
-		if _, known := c.over.at(id); k == nil && !known && c.orphans != nil {
-			c.over.add(id, c.clock.now())
+		if _, known := c.ended.endOf(id); k == nil && !known && c.orphans != nil {
+			c.ended.add(id, c.clock.now())
 			c.orphans.Orphan(id, cause)
 		}
 		return
@@ -180,12 +180,12 @@
 	if cause != CauseNormal {
 		code = control.Cut
 	}
-	c.finish(k, code, cause, report)
+	c.endEstablished(k, code, cause, report)
 }
 
-// finish ends a call that stood from the server's side.
-func (c *Core) finish(k *call, code control.Code, cause int, report []float64) {
-	a := k.out
+// endEstablished ends an established call from the server's side.
+func (c *Core) endEstablished(k *call, code control.Code, cause int, report []float64) {
+	a := k.current
 	c.close(k)
 	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
 	c.noteReport(a.server, report)
@@ -194,20 +194,20 @@
 		Took: c.clock.now() - a.sentAt, Settled: true, Report: report})
 }
 
-// died: the process behind a peer is gone, and with it the calls that stood there since before a time. Where that is
+// serverDied ends the calls established at a peer before a time: the process behind it is gone. Where that is
 // not certain, the server is told that they are over.
-func (c *Core) died(p *Peer, before control.Micros, tell bool) {
+func (c *Core) serverDied(p *Peer, before control.Micros, tell bool) {
 	for _, k := range c.calls {
-		if k.stands && k.out.peer == p && k.stoodAt < before {
+		if k.established && k.current.peer == p && k.establishedAt < before {
 			if tell {
 				p.release(k.ID, CauseNormal)
 			}
-			c.finish(k, control.Cut, CauseFailed, nil)
+			c.endEstablished(k, control.Cut, CauseFailed, nil)
 		}
 	}
 }
 
-// status: free agents and the like, told unasked.
+// status handles a load report that the server sent unasked.
 func (c *Core) status(p *Peer, report []float64) {
 	c.noteReport(p.server, report)
 	c.handle(control.Status{Server: p.server, Code: control.OK, Report: report})
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -19,7 +19,7 @@
 type Setup struct {
 	ID          string
 	Class       int    // place in the settings, -1 for one that they don't name
-	Tenant      int    // place in the settings, -1 where its front is not told one
+	Tenant      int    // place in the settings, -1 where its front knows none
 	Key         string // number called
 	FirstChoice int    // cell
 	WasCut      bool
@@ -28,7 +28,7 @@
 	Excess      bool          // more than its front takes at a time: it is refused at once, and goes to no server
 }
 
-// ValidKey tells whether a number called can stand in a request line. Servers close on what they can't read, and take
+// ValidKey tells whether a called number is valid in a request line. Servers close on what they can't read, and take
 // along what else is open on that connection.
 func ValidKey(key string) bool {
 	for i := range len(key) {
@@ -52,41 +52,41 @@
 	// as well: the withdrawal is what ends the call, in its turn; Gone keeps an attempt that is ahead of it in a mailbox or
 	// a write queue from beginning. Any goroutine may ask.
 	Gone() bool
-	Answer(body []byte) bool // the call stands; false if the caller can no longer be told
+	Answer(body []byte) bool // the call is established; false if the caller can no longer be reached
 	Refuse(wait time.Duration)
 	Fail()
-	Release(cause int) // a call that stood is over
+	Release(cause int) // an established call is over
 }
 
 // Orphans takes releases of calls that the core does not know: they stood before this process started.
 type Orphans interface{ Orphan(id string, cause int) }
 
 type attempt struct {
-	number int
-	server uint32
-	peer   *Peer
-	sentAt control.Micros
-	expiry *time.Timer
-	over   *atomic.Bool // given up: what of it was not written yet never is
+	number  int
+	server  uint32
+	peer    *Peer
+	sentAt  control.Micros
+	expiry  *time.Timer
+	givenUp *atomic.Bool // given up: what of it was not written yet never is
 }
 
 type call struct {
 	Setup
-	caller   Caller
-	arrived  control.Micros
-	dropDead control.Micros
-	attempts int
-	out      *attempt // attempt that is out, or the one that stands
-	stands   bool
-	stoodAt  control.Micros
-	overdue  *time.Timer
-	quota    Quota
-	admitted *admission // nil: nothing bounds it
-	stray    bool       // a given-up attempt was answered late by the server where another is out
+	caller        Caller
+	arrived       control.Micros
+	deadline      control.Micros
+	attempts      int
+	current       *attempt // attempt in flight, or the one that established the call
+	established   bool
+	establishedAt control.Micros
+	deadlineTimer *time.Timer
+	quota         Quota
+	admission     *admission // nil: nothing bounds it
+	lateAnswer    bool       // an abandoned attempt was answered late by the server where another is in flight
 }
 
 const (
-	backstop    = 15 * time.Millisecond // past a caller's deadline; then the core itself answers
-	rememberFor = 2 * time.Minute       // ids of calls that are over: a release told twice is passed on once
-	rememberMax = 1 << 16               // so many at most, the newest, whatever the callers do
+	decisionGrace     = 15 * time.Millisecond // past a caller's deadline; then the core itself answers
+	endedCallLifetime = 2 * time.Minute       // ids of calls that are over: a repeated release is passed on once
+	maxEndedCalls     = 1 << 16               // so many at most, the newest, whatever the callers do
 )
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -17,28 +17,28 @@
 // answer, a withdrawal, a time-out) is settled by the order in which it comes here.
 type Core struct {
 	*actor.Actor
-	clock   clock
-	module  *control.Controller
-	log     logrus.FieldLogger
-	orphans Orphans
-	limits  *retry.Policy // of calls that come now; nil: as the settings say
-	peers   map[uint32]*Peer
-	calls   map[string]*call
-	pending int // calls that are owed an answer
-	over    memory
-	quotas  Quotas // nil: none
-	guard   control.Micros
-	until   control.Micros // calls that come now are answered by then; 0: by their own time
-	actions []control.Action
-	busy    bool
-	drained func() // told when nothing is owed
+	clock        clock
+	module       *control.Controller
+	log          logrus.FieldLogger
+	orphans      Orphans
+	limits       *retry.Policy // of calls that come now; nil: as the settings say
+	peers        map[uint32]*Peer
+	calls        map[string]*call
+	unanswered   int // calls without a final answer
+	ended        endedCalls
+	quotas       Quotas // nil: none
+	releaseGuard control.Micros
+	answerBy     control.Micros // calls that come now are answered by then; 0: by their own time
+	actions      []control.Action
+	handling     bool
+	drained      func() // called once no call is unanswered
 
-	recorder Recorder // nil: off
-	classes  []control.Class
-	views    []control.View
-	viewed   map[uint32]viewed
-	viewedAt control.Micros
-	reported map[uint32][]float64
+	recorder      Recorder // nil: off
+	classes       []control.Class
+	views         []control.View
+	recordedViews map[uint32]recordedView
+	viewedAt      control.Micros
+	reported      map[uint32][]float64
 
 	figures   *Figures
 	observers []Observer
@@ -49,22 +49,22 @@
 // NewCore starts the module. records may be nil: then nothing is recorded.
 func NewCore(set control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
 	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(set, seed), log: log, peers: map[uint32]*Peer{},
-		calls: map[string]*call{}, guard: set.ReleaseGuard,
-		recorder: records, classes: set.Classes, viewed: map[uint32]viewed{}, reported: map[uint32][]float64{},
+		calls: map[string]*call{}, releaseGuard: set.ReleaseGuard,
+		recorder: records, classes: set.Classes, recordedViews: map[uint32]recordedView{}, reported: map[uint32][]float64{},
 		figures: newFigures(len(set.Classes))}
 	c.Post(func() { c.handle(control.Start{}) })
 	return c
 }
 
-// SetOrphans names who is told of releases of unknown calls; it is called before any server is.
+// SetOrphans sets who receives releases of unknown calls. It must be called before any server is added.
 func (c *Core) SetOrphans(o Orphans) { c.Post(func() { c.orphans = o }) }
 
-// Observer is told what is seen of calls and attempts, from any goroutine. It must not block.
+// Observer receives the outcomes of calls and attempts, from any goroutine. It must not block.
 type Observer interface {
 	Observe(now control.Micros, seen counting.Seen)
 }
 
-// SetObservers names who is told. It is called before any call comes.
+// SetObservers sets the observers. It must be called before any call arrives.
 func (c *Core) SetObservers(to ...Observer) { c.observers = to }
 
 // SetBusy tells the module of a number that the fleet holds to be busy, by an answer at a time of the core's clock.
@@ -75,8 +75,8 @@
 // SetInFlightLimit hands the module the limit for a server that the fleet ejects or readmits.
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
-// saw counts what is seen of a call, or of its attempt at a server. Any goroutine may call it.
-func (c *Core) saw(what counting.What, s *Setup, server uint32) {
+// observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
+func (c *Core) observe(what counting.What, s *Setup, server uint32) {
 	for _, o := range c.observers {
 		o.Observe(c.clock.now(), counting.Seen{What: what, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
 	}
@@ -102,47 +102,47 @@
 // Open takes in a call.
 func (c *Core) Open(s Setup, caller Caller) {
 	at := c.clock.now()
-	c.saw(counting.Arrived, &s, 0)
+	c.observe(counting.Arrived, &s, 0)
 	c.Post(func() { c.open(s, caller, at) })
 }
 
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
-	dropDead := arrived + control.Micros(s.Left/time.Microsecond)
-	if at, ok := c.over.at(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-at < c.guard {
-		// The id is in use: the first call goes on by its own rules, and who asked second is told that this failed. An id
+	deadline := arrived + control.Micros(s.Left/time.Microsecond)
+	if at, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-at < c.releaseGuard {
+		// The id is in use: the first call goes on by its own rules, and the second caller gets a failure. An id
 		// used again at once would be sent again within the release guard.
 		c.log.WithField("call", s.ID).Debug("set-up with the id of another call")
 		c.figures.Class(s.Class).Error.Add(1)
 		caller.Fail()
 		return
 	}
-	if c.until > 0 {
-		dropDead = min(dropDead, c.until)
+	if c.answerBy > 0 {
+		deadline = min(deadline, c.answerBy)
 	}
 	limits := c.limits.For(s.Class, s.Key, s.FirstChoice, s.WasCut)
 	if limits != nil && limits.GiveUp > 0 {
-		dropDead = min(dropDead, arrived+limits.GiveUp)
+		deadline = min(deadline, arrived+limits.GiveUp)
 	}
-	k := &call{Setup: s, caller: caller, arrived: arrived, dropDead: dropDead}
+	k := &call{Setup: s, caller: caller, arrived: arrived, deadline: deadline}
 	c.calls[s.ID] = k
-	c.pending++
+	c.unanswered++
 	c.figures.Open.Store(int64(len(c.calls)))
 	c.noteTaken(k, arrived)
-	k.overdue = c.After(span(dropDead-c.clock.now())+backstop, func() { c.overdue(k) })
+	k.deadlineTimer = c.After(span(deadline-c.clock.now())+decisionGrace, func() { c.deadlinePassed(k) })
 	var quota control.Quota
 	if c.quotas != nil {
 		if k.quota = c.quotas.For(&s); k.quota != nil {
-			k.admitted = &admission{core: c, call: k}
-			quota = k.admitted
+			k.admission = &admission{core: c, call: k}
+			quota = k.admission
 		}
 	}
-	c.handle(control.Call{Quota: quota, ID: s.ID, Class: s.Class, Tenant: s.Tenant, Key: s.Key, DropDead: dropDead,
+	c.handle(control.Call{Quota: quota, ID: s.ID, Class: s.Class, Tenant: s.Tenant, Key: s.Key, DropDead: deadline,
 		FirstChoice: s.FirstChoice, WasCut: s.WasCut, Limits: limits, Excess: s.Excess})
 }
 
-// overdue guards the rule of one final answer against a module that gave none in time.
-func (c *Core) overdue(k *call) {
-	if c.calls[k.ID] != k || k.stands {
+// deadlinePassed fails a call for which the module gave no final answer in time.
+func (c *Core) deadlinePassed(k *call) {
+	if c.calls[k.ID] != k || k.established {
 		return
 	}
 	c.log.WithField("call", k.ID).Error("no decision by the deadline: call failed")
@@ -154,12 +154,12 @@
 	k.caller.Fail()
 }
 
-// Withdraw says that the caller of a set-up waits no longer. A call that stands is left alone, and so is another
-// caller's of the same id. done, if not nil, hears whether that came before the final answer.
+// Withdraw gives up a set-up whose caller waits no longer. An established call is left alone, and so is another
+// caller's of the same id. done, if not nil, is called with whether that came before the final answer.
 func (c *Core) Withdraw(id string, caller Caller, done func(inTime bool)) {
 	c.Post(func() {
 		k := c.calls[id]
-		inTime := k != nil && !k.stands && k.caller == caller
+		inTime := k != nil && !k.established && k.caller == caller
 		if inTime {
 			c.withdraw(k)
 		}
@@ -176,16 +176,16 @@
 	c.note(history.Event{Kind: history.Gone, Call: k.ID})
 }
 
-// Hangup ends a call from the caller's side. Anyone may end a call that stands; a set-up is given up by its own caller
-// alone, who may be nil where none is known. done hears whether the call was known.
+// Hangup ends a call from the caller's side. Anyone may end an established call; a set-up is given up by its own caller
+// alone, who may be nil where none is known. done is called with whether the call was known.
 func (c *Core) Hangup(id string, cause int, caller Caller, done func(known bool)) {
 	if cause < 1 || cause > 127 { // Q.850 has no others, and a server need not read them
 		cause = CauseNormal
 	}
 	c.Post(func() {
 		k := c.calls[id]
-		if k != nil && k.stands {
-			c.release(k, cause)
+		if k != nil && k.established {
+			c.releaseEstablished(k, cause)
 		} else if k != nil && k.caller == caller {
 			c.withdraw(k)
 		}
@@ -195,9 +195,9 @@
 	})
 }
 
-// release ends a call that stands from this side.
-func (c *Core) release(k *call, cause int) {
-	a := k.out
+// releaseEstablished ends an established call from this side.
+func (c *Core) releaseEstablished(k *call, cause int) {
+	a := k.current
 	a.peer.release(k.ID, cause)
 	c.close(k)
 	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
@@ -207,44 +207,44 @@
 
 // close takes a call off the table.
 func (c *Core) close(k *call) {
-	if !k.stands {
-		c.pending--
+	if !k.established {
+		c.unanswered--
 	}
-	k.overdue.Stop()
-	if k.admitted != nil && k.admitted.let {
-		k.admitted.let = false
+	k.deadlineTimer.Stop()
+	if k.admission != nil && k.admission.admitted {
+		k.admission.admitted = false
 		k.quota.Done()
 	}
 	delete(c.calls, k.ID)
 	c.figures.Open.Store(int64(len(c.calls)))
-	if k.attempts > 0 { // what no server has heard of needs no guard, and a flood of it no memory
-		c.over.add(k.ID, c.clock.now())
+	if k.attempts > 0 { // a call that was never sent needs no release guard, and must use no memory in a flood
+		c.ended.add(k.ID, c.clock.now())
 	}
-	c.settled()
+	c.checkDrained()
 }
 
 // AnswerWithin bounds the time of the calls that come from now on: each has its final answer after the span at the latest. The
 // process may be killed then.
 func (c *Core) AnswerWithin(d time.Duration) {
-	c.Post(func() { c.until = c.clock.now() + control.Micros(d/time.Microsecond) })
+	c.Post(func() { c.answerBy = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
 // Drained calls f once no caller is owed an answer.
 func (c *Core) Drained(f func()) {
 	c.Post(func() {
 		c.drained = f
-		c.settled()
+		c.checkDrained()
 	})
 }
 
-// settled tells who waits for it that nothing is owed. It is posted: the last answer is handed over by then, and not
-// just about to be.
-func (c *Core) settled() {
-	if c.pending > 0 || c.drained == nil {
+// checkDrained calls the function given to Drained if no call is unanswered. It is posted, so that the last answer has been
+// handed over by then.
+func (c *Core) checkDrained() {
+	if c.unanswered > 0 || c.drained == nil {
 		return
 	}
 	c.Post(func() {
-		if c.pending == 0 && c.drained != nil {
+		if c.unanswered == 0 && c.drained != nil {
 			f := c.drained
 			c.drained = nil
 			f()
@@ -256,16 +256,16 @@
 // the module is never entered twice.
 func (c *Core) handle(e control.Event) {
 	c.actions = append(c.actions, c.ask(e)...) // the module reuses its slice
-	if c.busy {
+	if c.handling {
 		return
 	}
-	c.busy = true
+	c.handling = true
 	for len(c.actions) > 0 {
 		a := c.actions[0]
 		c.actions = c.actions[1:]
 		c.act(a)
 	}
-	c.busy = false
+	c.handling = false
 	c.noteViews()
 	c.countTargets(c.clock.now())
 }
@@ -282,7 +282,7 @@
 
 func (c *Core) act(a control.Action) {
 	k := c.calls[a.ID]
-	if k != nil && k.stands {
+	if k != nil && k.established {
 		k = nil
 	}
 	switch a.Do {
@@ -295,7 +295,7 @@
 			c.close(k)
 			c.note(history.Event{Kind: history.Refused, Call: k.ID, Span: a.Wait})
 			c.figures.Class(k.Class).Overload.Add(1)
-			c.saw(counting.Refused, &k.Setup, 0)
+			c.observe(counting.Refused, &k.Setup, 0)
 			k.caller.Refuse(span(a.Wait))
 		}
 	case control.Fail:
@@ -303,11 +303,11 @@
 			c.close(k)
 			c.note(history.Event{Kind: history.Failed, Call: k.ID})
 			c.figures.Class(k.Class).Error.Add(1)
-			c.saw(counting.Failed, &k.Setup, 0)
+			c.observe(counting.Failed, &k.Setup, 0)
 			k.caller.Fail()
 		}
 	case control.Cancel:
-		if k != nil && k.out != nil && k.out.number == a.Attempt {
+		if k != nil && k.current != nil && k.current.number == a.Attempt {
 			c.endAttempt(k, control.Cancelled, false)
 		}
 	case control.Defer:
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -117,35 +117,35 @@
 			b.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, Left: time.Second}, &caller{})
 		}
 		synctest.Wait()
-		if n := len(b.core.over.young) + len(b.core.over.old); n != 0 {
+		if n := len(b.core.ended.current) + len(b.core.ended.previous); n != 0 {
 			t.Errorf("%d ids remembered of calls that no server has heard of", n)
 		}
 	})
-	var m memory
+	var m endedCalls
 	now, most := control.Micros(1e9), 0
-	for i := range 3 * rememberMax {
+	for i := range 3 * maxEndedCalls {
 		now += 50
 		m.add(fmt.Sprint(i), now)
-		most = max(most, len(m.young)+len(m.old))
+		most = max(most, len(m.current)+len(m.previous))
 	}
-	if most > rememberMax {
-		t.Errorf("%d ids remembered, at most %d may", most, rememberMax)
+	if most > maxEndedCalls {
+		t.Errorf("%d ids remembered, at most %d may", most, maxEndedCalls)
 	}
-	for back := range rememberMax / 2 {
-		if at, ok := m.at(fmt.Sprint(3*rememberMax - 1 - back)); !ok || at != now-50*control.Micros(back) {
+	for back := range maxEndedCalls / 2 {
+		if at, ok := m.endOf(fmt.Sprint(3*maxEndedCalls - 1 - back)); !ok || at != now-50*control.Micros(back) {
 			t.Fatalf("the end before %d others is forgotten: %v, %v", back, at, ok)
 		}
 	}
-	now += control.Micros(rememberFor/time.Microsecond) - 1
+	now += control.Micros(endedCallLifetime/time.Microsecond) - 1
 	m.add("young", now)
-	if _, ok := m.at(fmt.Sprint(3*rememberMax - 1)); !ok {
+	if _, ok := m.endOf(fmt.Sprint(3*maxEndedCalls - 1)); !ok {
 		t.Error("forgotten before its time")
 	}
 	for range 2 {
-		now += control.Micros(rememberFor / time.Microsecond)
+		now += control.Micros(endedCallLifetime / time.Microsecond)
 		m.add("late", now)
 	}
-	if _, ok := m.at("young"); ok {
+	if _, ok := m.endOf("young"); ok {
 		t.Error("remembered for ever")
 	}
 }
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -37,7 +37,7 @@
 
 // countTargets takes the list's size and the servers avoided from the module, at most every lookEvery.
 func (c *Core) countTargets(now control.Micros) {
-	if now-c.countedAt < lookEvery {
+	if now-c.countedAt < viewInterval {
 		return
 	}
 	c.countedAt = now
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -183,11 +183,11 @@
 				t.Errorf("step %v: %+v", step, c)
 			}
 			stepped := time.Now().Add(step).UnixMicro()
-			e, _ := b.list.host("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)})
+			e, _ := b.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)})
 			if age := b.core.clock.now() - e.Since; age < 0 || age > 1000 {
 				t.Errorf("step %v: a server that has just started is taken to be %d us old", step, age)
 			}
-			if again, _ := b.list.host("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)}); again.Since != e.Since {
+			if again, _ := b.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)}); again.Since != e.Since {
 				t.Errorf("told twice, its start moved by %d us", again.Since-e.Since)
 			}
 		})
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -31,11 +31,11 @@
 // List is the actor that owns the list of servers and their peers. Buses and inventories feed it.
 type List struct {
 	*actor.Actor
-	core   *Core
-	dialer Dialer
-	log    logrus.FieldLogger
-	hosts  map[string]*listed
-	taken  map[uint32]string
+	core    *Core
+	dialer  Dialer
+	log     logrus.FieldLogger
+	hosts   map[string]*listed
+	idNames map[uint32]string
 }
 
 type listed struct {
@@ -43,16 +43,16 @@
 	source string
 	id     uint32
 	peer   *Peer
-	since  control.Micros // Host.Since by the core's clock, taken over once
+	since  control.Micros // Host.Since by the core's clock, converted once
 }
 
 // NewList makes an empty list whose changes go to a core.
 func NewList(core *Core, dialer Dialer, log logrus.FieldLogger) *List {
 	return &List{Actor: actor.New(), core: core, dialer: dialer, log: log, hosts: map[string]*listed{},
-		taken: map[uint32]string{}}
+		idNames: map[uint32]string{}}
 }
 
-// End stops the list, its peers and their lines. Calls that stand are left to stand: nobody is told anything. It is called
+// End stops the list, its peers and their connections. Established calls stay as they are: nobody is notified. It is called
 // when the process ends.
 func (l *List) End() {
 	l.Post(func() {
@@ -78,18 +78,18 @@
 	named := map[string]bool{}
 	for _, h := range u.Hosts {
 		named[h.Name] = true
-		if e, ok := l.host(u.Source, h); ok {
+		if e, ok := l.applyHost(u.Source, h); ok {
 			entries = append(entries, e)
-			l.told(h.Name, e)
+			l.record(h.Name, e)
 		}
 	}
 	if u.Whole {
 		for name, old := range l.hosts {
 			if old.source == u.Source && !named[name] {
-				l.drop(old)
+				l.remove(old)
 				e := control.Entry{Server: old.id, Cell: old.Cell, State: control.Gone}
 				entries = append(entries, e)
-				l.told(name, e)
+				l.record(name, e)
 			}
 		}
 	}
@@ -99,36 +99,36 @@
 	}
 	l.core.Post(func() {
 		l.core.peers = peers
-		l.core.countedAt = -lookEvery // the list's size is told at once
+		l.core.countedAt = -viewInterval // the list's size is counted at once
 		l.core.handle(control.List{Delta: true, Entries: entries})
 	})
 }
 
-// host takes one entry. The peer hears of its state before the module does, so that nothing stale slips out between.
-func (l *List) host(source string, h Host) (control.Entry, bool) {
+// applyHost takes one entry. The peer hears of its state before the module does, so that nothing stale slips out between.
+func (l *List) applyHost(source string, h Host) (control.Entry, bool) {
 	old := l.hosts[h.Name]
 	if h.State == control.Gone {
 		if old == nil {
 			return control.Entry{}, false
 		}
-		l.drop(old)
+		l.remove(old)
 		return control.Entry{Server: old.id, Cell: h.Cell, State: control.Gone, Since: old.since}, true
 	}
-	if old != nil && old.Addr != h.Addr { // moved: what was known of the old address is void
-		l.drop(old)
+	if old != nil && old.Addr != h.Addr { // moved: what was known of the old address no longer holds
+		l.remove(old)
 		old = nil
 	}
 	if old == nil {
-		id := l.number(h.Name)
+		id := l.serverID(h.Name)
 		log := l.log.WithFields(logrus.Fields{"server": h.Name, "address": h.Addr})
 		old = &listed{id: id, peer: newPeer(l.core, id, h.Addr, l.dialer, log)}
-		old.since = l.core.clock.told(h.Since)
+		old.since = l.core.clock.fromUnix(h.Since)
 		l.hosts[h.Name] = old
 	} else if h.Since != old.Since {
-		old.since = l.core.clock.told(h.Since)
-		if h.Since > old.Since { // a new process under the same id: calls that stood at the old one are over
+		old.since = l.core.clock.fromUnix(h.Since)
+		if h.Since > old.Since { // a new process under the same id: established calls at the old one are over
 			p, since := old.peer, old.since
-			l.core.Post(func() { l.core.died(p, since, false) })
+			l.core.Post(func() { l.core.serverDied(p, since, false) })
 		}
 	}
 	old.Host, old.source = h, source
@@ -136,19 +136,19 @@
 	return control.Entry{Server: old.id, Cell: h.Cell, State: h.State, Since: old.since}, true
 }
 
-// told records what the list says of a server.
-func (l *List) told(name string, e control.Entry) {
+// record notes in the records what the list says of a server.
+func (l *List) record(name string, e control.Entry) {
 	l.core.note(history.Event{Kind: history.Told, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
 }
 
-func (l *List) drop(h *listed) {
+func (l *List) remove(h *listed) {
 	delete(l.hosts, h.Name)
 	h.peer.set(control.Gone)
 }
 
-// number gives a server the number that its name holds (s-00c41f7a), else one made from the name. It stays the same
+// serverID gives a server the number that its name holds (s-00c41f7a), else one made from the name. It stays the same
 // for as long as this process lives.
-func (l *List) number(name string) uint32 {
+func (l *List) serverID(name string) uint32 {
 	_, digits, _ := strings.Cut(name, "-")
 	n, err := strconv.ParseUint(digits, 16, 32)
 	id := uint32(n)
@@ -157,9 +157,9 @@
 		h.Write([]byte(name))
 		id = h.Sum32()
 	}
-	for l.taken[id] != "" && l.taken[id] != name {
+	for l.idNames[id] != "" && l.idNames[id] != name {
 		id++
 	}
-	l.taken[id] = name
+	l.idNames[id] = name
 	return id
 }
--- a/internal/routing/peer.go
+++ b/internal/routing/peer.go
@@ -29,13 +29,13 @@
 	Body     []byte
 	Deadline time.Time
 	level    int          // of the server, as the module held it when it decided; known while records are kept
-	over     *atomic.Bool // set once the core has given it up
+	givenUp  *atomic.Bool // set once the core has given it up
 	caller   Caller
 }
 
-// void tells whether nobody wants the attempt any more: it must not begin.
-func (a *Attempt) void() bool {
-	return a.over != nil && a.over.Load() || a.caller != nil && a.caller.Gone()
+// abandoned tells whether the attempt has been given up or its caller is gone: it must not begin.
+func (a *Attempt) abandoned() bool {
+	return a.givenUp != nil && a.givenUp.Load() || a.caller != nil && a.caller.Gone()
 }
 
 // NewAttempt names an attempt.
@@ -47,44 +47,44 @@
 // Number counts the attempts of a call from 0.
 func (r ref) Number() int { return r.attempt }
 
-// Line is an open way to one server. Its methods must not block; what happens is told to the LineEvents it was
-// opened with.
-type Line interface {
-	// Setup sends a set-up. still is asked when its first byte is about to go out; one that is then not sent is told as
-	// NotSent, and nothing else of it goes out either.
+// ServerConn is an open connection to one server. Its methods must not block; what happens on it is reported to the
+// ServerEvents that it was opened with.
+type ServerConn interface {
+	// Setup sends a set-up. still is called when its first byte is about to be written; if it returns false, the set-up is
+	// reported as NotSent, and nothing of it is written.
 	Setup(a Attempt, still func() bool)
-	Cancel(id string)             // give up a set-up, no copy of which goes out then; a late answer is told, or released by the line itself
-	Release(id string, cause int) // end a call that stands
+	Cancel(id string)             // give up a set-up: no further copy is sent; a late answer is reported, or released by the connection itself
+	Release(id string, cause int) // end an established call
 	Close()
 }
 
-// LineEvents hears what a line brings. Any goroutine may call it.
-type LineEvents interface {
-	Answered(r Attempt, body []byte)                 // the call stands
+// ServerEvents receives what happens on a connection. It is safe for concurrent use.
+type ServerEvents interface {
+	Answered(r Attempt, body []byte)                 // the call is established
 	Failed(r Attempt, o Outcome)                     // the attempt is over
-	Released(id string, cause int, report []float64) // a call that stood is over
-	Report(report []float64)                         // told unasked
-	Down(err error)                                  // the line is gone
+	Released(id string, cause int, report []float64) // an established call is over
+	Report(report []float64)                         // sent by the server unasked
+	Down(err error)                                  // the connection is gone
 }
 
-// Dialer opens lines.
+// Dialer opens connections.
 type Dialer interface {
-	Dial(ctx context.Context, addr string, events LineEvents) (Line, error)
-	// Lines tells how many lines to one server are of use at a time.
-	Lines(addr string) int
+	Dial(ctx context.Context, addr string, events ServerEvents) (ServerConn, error)
+	// MaxConns is how many connections to one server are of use at a time.
+	MaxConns(addr string) int
 }
 
 const (
-	redialFirst   = 50 * time.Millisecond
-	redialMost    = time.Second
-	lingerFor     = 10 * time.Second // what the core still sends to a retired peer gets its NotSent
-	warnEvery     = 10 * time.Second
-	spentFor      = 10 * time.Second // a given-up set-up may still be answered on its line for so long
-	vanishedAfter = 4 * time.Second  // without any line; what stood at a server that vanished is owed its release in 8 s
+	minRedialWait    = 50 * time.Millisecond
+	maxRedialWait    = time.Second
+	lingerTime       = 10 * time.Second // what the core still sends to a retired peer gets its NotSent
+	warnInterval     = 10 * time.Second
+	lateAnswerTime   = 10 * time.Second // a given-up set-up may still be answered on its connection for so long
+	unreachableAfter = 4 * time.Second  // without a connection; calls established at a server that vanished must be released within 8 s
 )
 
-// Peer is the actor of one server: it keeps lines to it and knows which attempts are out there. There are several lines
-// where the dialer has use for them, so that one that is spoilt or falls silent takes few set-ups with it.
+// Peer is the actor of one server: it keeps connections to it and knows which attempts are in flight there. It opens several
+// where the dialer has use for them, so that one that breaks or falls silent takes few set-ups with it.
 type Peer struct {
 	*actor.Actor
 	core   *Core
@@ -92,36 +92,36 @@
 	addr   string
 	dialer Dialer
 	log    logrus.FieldLogger
-	state  atomic.Int32 // control.State as last told by the list; read by writers at a packet's first byte
-
-	lanes    []*lane   // lines that are open
-	dial     *lane     // the one that is being opened, or nil
-	queued   []Attempt // wait for a line
-	redial   time.Duration
-	timer    *time.Timer   // next try to dial, nil if none is due
-	owed     []owedRelease // releases that wait for a line
-	reset    bool          // a line was reset since one was last opened: the process may have died
-	lostAt   control.Micros
-	darkAt   control.Micros // when the last line was lost, 0 while there is one or calls of then have been ended
-	warned   control.Micros // when a failed connect was last logged
-	ctx      context.Context
-	stopDial context.CancelFunc
-}
-
-type sending struct {
+	state  atomic.Int32 // control.State as the list says; read by writers at a packet's first byte
+
+	conns           []*peerConn // connections that are open
+	dialing         *peerConn   // the one that is being opened, or nil
+	queued          []Attempt   // wait for a connection
+	redialWait      time.Duration
+	timer           *time.Timer      // next try to dial, nil if none is due
+	pendingReleases []pendingRelease // releases that wait for a connection
+	wasReset        bool             // a connection was reset since one was last opened: the process may have died
+	lastClosedAt    control.Micros
+	disconnectedAt  control.Micros // when the last connection closed; 0 while one is open, and once its calls have been ended
+	warnedAt        control.Micros // when a failed connect was last logged
+	ctx             context.Context
+	stopDial        context.CancelFunc
+}
+
+type inFlightAttempt struct {
 	Attempt
-	sent  bool
-	spent bool // given up; a late answer may still come
+	sent      bool
+	abandoned bool // given up; a late answer may still come
 }
 
-type owedRelease struct {
+type pendingRelease struct {
 	id    string
 	cause int
 }
 
 func newPeer(core *Core, server uint32, addr string, dialer Dialer, log logrus.FieldLogger) *Peer {
 	p := &Peer{Actor: actor.New(), core: core, server: server, addr: addr, dialer: dialer, log: log,
-		redial: redialFirst}
+		redialWait: minRedialWait}
 	p.ctx, p.stopDial = context.WithCancel(context.Background())
 	return p
 }
@@ -146,20 +146,20 @@
 func (p *Peer) retire() {
 	p.stopDial()
 	p.stopTimer()
-	if p.dial != nil {
-		p.dial.gone = true
-		p.dial = nil
+	if p.dialing != nil {
+		p.dialing.closed = true
+		p.dialing = nil
 	}
-	for len(p.lanes) > 0 {
-		l := p.lanes[0]
-		p.drop(l)
-		l.line.Close()
+	for len(p.conns) > 0 {
+		c := p.conns[0]
+		p.removeConn(c)
+		c.conn.Close()
 	}
 	p.failQueued(control.NotSent)
-	p.owed = nil
+	p.pendingReleases = nil
 	at := p.core.clock.now()
-	p.core.Post(func() { p.core.died(p, at+1, false) })
-	p.After(lingerFor, p.Stop)
+	p.core.Post(func() { p.core.serverDied(p, at+1, false) })
+	p.After(lingerTime, p.Stop)
 }
 
 // end stops the peer without a word to the core or its server.
@@ -167,9 +167,9 @@
 	p.stopDial()
 	p.Post(func() {
 		p.stopTimer()
-		for _, l := range p.lanes {
-			l.gone = true
-			l.line.Close()
+		for _, c := range p.conns {
+			c.closed = true
+			c.conn.Close()
 		}
 		p.Stop()
 	})
@@ -189,108 +189,108 @@
 	p.queued = nil
 }
 
-// connect opens one more line, if it is of use: calls that stand and reports of the server need one too.
+// connect opens one more connection, if it is of use: established calls and reports of the server need one too.
 func (p *Peer) connect() {
-	if p.dial != nil || p.gone() || len(p.lanes) >= p.dialer.Lines(p.addr) {
+	if p.dialing != nil || p.gone() || len(p.conns) >= p.dialer.MaxConns(p.addr) {
 		return
 	}
 	p.stopTimer()
-	l := &lane{peer: p, out: map[string]sending{}}
-	p.dial = l
+	c := &peerConn{peer: p, inFlight: map[string]inFlightAttempt{}}
+	p.dialing = c
 	go func() {
-		line, err := p.dialer.Dial(p.ctx, p.addr, l)
-		p.Post(func() { p.dialled(l, line, err) })
+		conn, err := p.dialer.Dial(p.ctx, p.addr, c)
+		p.Post(func() { p.connected(c, conn, err) })
 	}()
 }
 
-func (p *Peer) dialled(l *lane, line Line, err error) {
-	if l.gone || p.gone() {
-		if line != nil {
-			line.Close()
+func (p *Peer) connected(c *peerConn, conn ServerConn, err error) {
+	if c.closed || p.gone() {
+		if conn != nil {
+			conn.Close()
 		}
 		return
 	}
-	p.dial = nil
+	p.dialing = nil
 	if err != nil {
-		p.unreachable(err)
+		p.dialFailed(err)
 		return
 	}
-	l.line = line
-	p.lanes = append(p.lanes, l)
-	p.redial, p.reset, p.darkAt, p.warned = redialFirst, false, 0, 0
-	for _, r := range p.owed {
-		line.Release(r.id, r.cause)
+	c.conn = conn
+	p.conns = append(p.conns, c)
+	p.redialWait, p.wasReset, p.disconnectedAt, p.warnedAt = minRedialWait, false, 0, 0
+	for _, r := range p.pendingReleases {
+		conn.Release(r.id, r.cause)
 	}
-	p.owed = nil
+	p.pendingReleases = nil
 	queued := p.queued
 	p.queued = nil
 	for _, a := range queued {
-		p.assign(a)
+		p.dispatch(a)
 	}
 }
 
-// unreachable: no line came up.
-func (p *Peer) unreachable(err error) {
+// dialFailed handles a connection that could not be opened.
+func (p *Peer) dialFailed(err error) {
 	now := p.core.clock.now()
-	if p.warned == 0 || span(now-p.warned) >= warnEvery { // not each of the many tries
-		p.warned = now
+	if p.warnedAt == 0 || span(now-p.warnedAt) >= warnInterval { // not each of the many tries
+		p.warnedAt = now
 		p.log.WithError(err).Warn("no connection to server")
 	}
 	p.retry()
-	if len(p.lanes) > 0 {
+	if len(p.conns) > 0 {
 		return
 	}
 	p.failQueued(control.Unreachable)
 	switch {
-	case p.reset && errors.Is(err, syscall.ECONNREFUSED):
+	case p.wasReset && errors.Is(err, syscall.ECONNREFUSED):
 		// Reset and then refused: the process died, and its calls with it. It can't release them.
-		p.reset, p.darkAt = false, 0
-		at := p.lostAt
-		p.core.Post(func() { p.core.died(p, at+1, false) })
-	case p.darkAt > 0 && span(now-p.darkAt) >= vanishedAfter:
+		p.wasReset, p.disconnectedAt = false, 0
+		at := p.lastClosedAt
+		p.core.Post(func() { p.core.serverDied(p, at+1, false) })
+	case p.disconnectedAt > 0 && span(now-p.disconnectedAt) >= unreachableAfter:
 		// The machine vanished or is cut off, and nothing says so. Nobody else would release its calls; should it come
 		// back, it is told that they are over.
-		at := p.darkAt
-		p.darkAt = 0
+		at := p.disconnectedAt
+		p.disconnectedAt = 0
 		p.log.Warn("server vanished: its calls are released")
-		p.core.Post(func() { p.core.died(p, at+1, true) })
+		p.core.Post(func() { p.core.serverDied(p, at+1, true) })
 	}
 }
 
 // retry dials again after a wait.
 func (p *Peer) retry() {
 	p.stopTimer()
-	p.timer = p.After(p.redial, func() {
+	p.timer = p.After(p.redialWait, func() {
 		p.timer = nil
 		p.connect()
 	})
-	p.redial = min(2*p.redial, redialMost)
+	p.redialWait = min(2*p.redialWait, maxRedialWait)
 }
 
 // setup starts an attempt.
-func (p *Peer) setup(a Attempt) { p.Post(func() { p.assign(a) }) }
+func (p *Peer) setup(a Attempt) { p.Post(func() { p.dispatch(a) }) }
 
-// assign gives an attempt to the line with the least out on it: one that has fallen silent collects no more than others
-// have. It is never one where an earlier attempt of the call was given up, since its late answer would be taken for
+// dispatch gives an attempt to the connection with the fewest in flight: one that has fallen silent collects no more than the
+// others have. It is never one where an earlier attempt of the call was given up, since its late answer would be taken for
 // this one's.
-func (p *Peer) assign(a Attempt) {
+func (p *Peer) dispatch(a Attempt) {
 	if !p.ready() || !time.Now().Before(a.Deadline) {
 		p.fail(a, control.NotSent)
 		return
 	}
-	var best *lane
-	for _, l := range p.lanes {
-		if _, used := l.out[a.id]; !used && (best == nil || len(l.out) < len(best.out)) {
-			best = l
+	var best *peerConn
+	for _, c := range p.conns {
+		if _, used := c.inFlight[a.id]; !used && (best == nil || len(c.inFlight) < len(best.inFlight)) {
+			best = c
 		}
 	}
 	switch {
 	case best != nil:
-		if len(best.out) > 0 && p.timer == nil {
+		if len(best.inFlight) > 0 && p.timer == nil {
 			p.connect() // all are in use: one more for the next
 		}
-		best.transmit(a)
-	case len(p.lanes) > 0 && len(p.lanes) >= p.dialer.Lines(p.addr):
+		best.send(a)
+	case len(p.conns) > 0 && len(p.conns) >= p.dialer.MaxConns(p.addr):
 		p.fail(a, control.NotSent)
 	default:
 		p.queued = append(p.queued, a)
@@ -307,31 +307,31 @@
 				return
 			}
 		}
-		for _, l := range p.lanes {
-			if o, ok := l.out[r.id]; ok && o.ref == r {
-				o.spent = true
-				l.out[r.id] = o
-				p.After(spentFor, func() { l.forget(r) })
-				l.line.Cancel(r.id)
+		for _, c := range p.conns {
+			if o, ok := c.inFlight[r.id]; ok && o.ref == r {
+				o.abandoned = true
+				c.inFlight[r.id] = o
+				p.After(lateAnswerTime, func() { c.forget(r) })
+				c.conn.Cancel(r.id)
 				return
 			}
 		}
 	})
 }
 
-// release ends a call that stands at the server.
+// release ends an established call at the server.
 func (p *Peer) release(id string, cause int) {
 	p.Post(func() {
-		var best *lane
-		for _, l := range p.lanes {
-			if best == nil || len(l.out) < len(best.out) {
-				best = l
+		var best *peerConn
+		for _, c := range p.conns {
+			if best == nil || len(c.inFlight) < len(best.inFlight) {
+				best = c
 			}
 		}
 		if best != nil {
-			best.line.Release(id, cause)
+			best.conn.Release(id, cause)
 		} else if !p.gone() {
-			p.owed = append(p.owed, owedRelease{id, cause})
+			p.pendingReleases = append(p.pendingReleases, pendingRelease{id, cause})
 			p.connect()
 		}
 	})
@@ -341,12 +341,12 @@
 	p.core.Post(func() { p.core.failed(a.ref, Outcome{Code: code}) })
 }
 
-// drop takes a line away, and with it the set-ups that were out on it. Calls that stand are not tied to a line.
-func (p *Peer) drop(l *lane) {
-	l.gone = true
-	p.lanes = slices.DeleteFunc(p.lanes, func(o *lane) bool { return o == l })
-	for _, o := range l.out {
-		if o.spent {
+// removeConn removes a connection, and with it the set-ups in flight on it. Established calls are not tied to a connection.
+func (p *Peer) removeConn(c *peerConn) {
+	c.closed = true
+	p.conns = slices.DeleteFunc(p.conns, func(o *peerConn) bool { return o == c })
+	for _, o := range c.inFlight {
+		if o.abandoned {
 			continue
 		}
 		code := control.NotSent
@@ -355,102 +355,102 @@
 		}
 		p.fail(o.Attempt, code)
 	}
-	l.out = nil
+	c.inFlight = nil
 }
 
-// lane is one line of a peer, and hears what it brings for as long as it is the peer's.
-type lane struct {
-	peer  *Peer
-	line  Line
-	out   map[string]sending // by call
-	heard bool               // it has brought something
-	gone  bool
+// peerConn is one connection of a peer. It receives events for as long as it is one of the peer's connections.
+type peerConn struct {
+	peer     *Peer
+	conn     ServerConn
+	inFlight map[string]inFlightAttempt // by call
+	received bool                       // it has brought something
+	closed   bool
 }
 
-func (l *lane) transmit(a Attempt) {
-	l.out[a.id] = sending{Attempt: a}
-	first := true // UDP asks again for each copy; the line itself sends none after a cancel
-	l.line.Setup(a, func() bool {
-		if !l.peer.ready() {
+func (c *peerConn) send(a Attempt) {
+	c.inFlight[a.id] = inFlightAttempt{Attempt: a}
+	first := true // UDP asks for each copy; the connection itself sends none after a cancel
+	c.conn.Setup(a, func() bool {
+		if !c.peer.ready() {
 			return false
 		}
 		if first {
-			if a.void() {
+			if a.abandoned() {
 				return false
 			}
 			first = false
-			l.peer.core.note(history.Event{Kind: history.Sent, Call: a.id, Attempt: a.attempt, Server: l.peer.server,
+			c.peer.core.note(history.Event{Kind: history.Sent, Call: a.id, Attempt: a.attempt, Server: c.peer.server,
 				Level: a.level})
 		}
-		// From the first byte on the set-up may run: should the line break now, that is a cut, not a NotSent.
-		l.on(func(*Peer) {
-			if o, ok := l.out[a.id]; ok && o.ref == a.ref {
-				o.sent = true
-				l.out[a.id] = o
+		// From the first byte on the server may run the set-up: if the connection breaks now, that is a cut, not a NotSent.
+		c.ifOpen(func(*Peer) {
+			if sent, ok := c.inFlight[a.id]; ok && sent.ref == a.ref {
+				sent.sent = true
+				c.inFlight[a.id] = sent
 			}
 		})
 		return true
 	})
 }
 
-func (l *lane) forget(r ref) {
-	if o, ok := l.out[r.id]; ok && o.ref == r {
-		delete(l.out, r.id)
+func (c *peerConn) forget(r ref) {
+	if sent, ok := c.inFlight[r.id]; ok && sent.ref == r {
+		delete(c.inFlight, r.id)
 	}
 }
 
-func (l *lane) on(f func(p *Peer)) {
-	l.peer.Post(func() {
-		if !l.gone {
-			f(l.peer)
+func (c *peerConn) ifOpen(f func(p *Peer)) {
+	c.peer.Post(func() {
+		if !c.closed {
+			f(c.peer)
 		}
 	})
 }
 
-func (l *lane) Answered(a Attempt, body []byte) {
-	l.on(func(p *Peer) {
-		l.heard = true
-		l.forget(a.ref)
+func (c *peerConn) Answered(a Attempt, body []byte) {
+	c.ifOpen(func(p *Peer) {
+		c.received = true
+		c.forget(a.ref)
 		p.core.Post(func() { p.core.answered(p, a.ref, body) })
 	})
 }
 
-func (l *lane) Failed(a Attempt, o Outcome) {
-	l.on(func(p *Peer) {
-		l.forget(a.ref)
+func (c *peerConn) Failed(a Attempt, o Outcome) {
+	c.ifOpen(func(p *Peer) {
+		c.forget(a.ref)
 		p.core.Post(func() { p.core.failed(a.ref, o) })
 	})
 }
 
-func (l *lane) Released(id string, cause int, report []float64) {
-	l.on(func(p *Peer) {
-		l.heard = true
+func (c *peerConn) Released(id string, cause int, report []float64) {
+	c.ifOpen(func(p *Peer) {
+		c.received = true
 		p.core.Post(func() { p.core.released(p, id, cause, report) })
 	})
 }
 
-func (l *lane) Report(report []float64) {
-	l.on(func(p *Peer) {
-		l.heard = true
+func (c *peerConn) Report(report []float64) {
+	c.ifOpen(func(p *Peer) {
+		c.received = true
 		p.core.Post(func() { p.core.status(p, report) })
 	})
 }
 
-func (l *lane) Down(err error) {
-	l.on(func(p *Peer) {
+func (c *peerConn) Down(err error) {
+	c.ifOpen(func(p *Peer) {
 		p.log.WithError(err).Info("connection to server ended")
-		if p.dial == l {
-			p.dial = nil
+		if p.dialing == c {
+			p.dialing = nil
 		}
-		p.drop(l)
-		p.reset, p.lostAt = p.reset || errors.Is(err, syscall.ECONNRESET), p.core.clock.now()
-		if len(p.lanes) == 0 {
+		p.removeConn(c)
+		p.wasReset, p.lastClosedAt = p.wasReset || errors.Is(err, syscall.ECONNRESET), p.core.clock.now()
+		if len(p.conns) == 0 {
 			p.failQueued(control.NotSent)
-			if p.darkAt == 0 {
-				p.darkAt = p.lostAt
+			if p.disconnectedAt == 0 {
+				p.disconnectedAt = p.lastClosedAt
 			}
 		}
-		if l.heard {
+		if c.received {
 			p.connect() // a release that the server could not send on it comes on the next one
 		} else { // it came up and brought nothing: not at once again
 			p.retry()
--- a/internal/routing/quota.go
+++ b/internal/routing/quota.go
@@ -19,15 +19,15 @@
 
 // admission asks a call's quota, and keeps what it lets in on record.
 type admission struct {
-	core *Core
-	call *call
-	let  bool
+	core     *Core
+	call     *call
+	admitted bool
 }
 
 // Take implements control.Quota.
 func (a *admission) Take(now control.Micros) (ok bool, wait control.Micros) {
 	if ok, wait = a.call.quota.Take(now); ok {
-		a.let = true
+		a.admitted = true
 		a.core.note(history.Event{Kind: history.Admitted, Call: a.call.ID, Class: a.call.Class})
 	}
 	return ok, wait
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -12,10 +12,10 @@
 type Recorder interface{ Record(history.Event) }
 
 const (
-	lookEvery = control.Micros(50000)  // the module's views are looked at so often
-	viewEvery = control.Micros(250000) // a wait that moves is recorded at most so often
-	viewLeast = control.Micros(5000)   // and only when it moves by this
-	viewPart  = 0.2                    // and by this part
+	viewInterval       = control.Micros(50000)  // the module's views are looked at so often
+	minViewAge         = control.Micros(250000) // a wait that moves is recorded at most so often
+	minWaitChange      = control.Micros(5000)   // and only when it moves by this
+	minWaitChangeShare = 0.2                    // and by this part
 )
 
 // note records an event as of now.
@@ -38,14 +38,14 @@
 		worth = c.classes[k.Class].Worth
 	}
 	c.recorder.Record(history.Event{At: arrived, Kind: history.Taken, Call: k.ID, Class: k.Class, Value: worth,
-		Span: k.dropDead - arrived, Again: k.WasCut})
+		Span: k.deadline - arrived, Again: k.WasCut})
 }
 
 func (c *Core) noteEnded(k *call, a *attempt, code control.Code) {
 	c.note(history.Event{Kind: history.Ended, Call: k.ID, Attempt: a.number, Server: a.server, Code: code, Span: c.clock.now() - a.sentAt})
 }
 
-// noteReport records a load report that tells something new: messages bring the same figures until they are measured again,
+// noteReport records a load report with new figures: messages repeat the same figures until they are measured again,
 // and the module counts them once.
 func (c *Core) noteReport(server uint32, report []float64) {
 	if c.recorder == nil || report == nil || slices.Equal(c.reported[server], report) {
@@ -55,8 +55,8 @@
 	c.note(history.Event{Kind: history.Reported, Server: server, Values: report})
 }
 
-// viewed is what was last recorded of the module's view of a server.
-type viewed struct {
+// recordedView is what was last recorded of the module's view of a server.
+type recordedView struct {
 	control.View
 	at control.Micros
 }
@@ -67,21 +67,21 @@
 		return
 	}
 	now := c.clock.now()
-	if now-c.viewedAt < lookEvery {
+	if now-c.viewedAt < viewInterval {
 		return
 	}
 	c.viewedAt = now
 	c.views = c.module.Views(c.views[:0])
 	for _, v := range c.views {
-		was, known := c.viewed[v.Server]
+		was, known := c.recordedViews[v.Server]
 		moved := v.Wait - was.Wait
 		if moved < 0 {
 			moved = -moved
 		}
-		if known && v.Level == was.Level && (now-was.at < viewEvery || moved < viewLeast || float64(moved) < viewPart*float64(was.Wait)) {
+		if known && v.Level == was.Level && (now-was.at < minViewAge || moved < minWaitChange || float64(moved) < minWaitChangeShare*float64(was.Wait)) {
 			continue
 		}
-		c.viewed[v.Server] = viewed{v, now}
+		c.recordedViews[v.Server] = recordedView{v, now}
 		c.recorder.Record(history.Event{At: now, Kind: history.Viewed, Server: v.Server, Level: v.Level, Span: v.Wait, Value: v.Thin})
 	}
 }
@@ -105,9 +105,9 @@
 	c.Post(func() { f(c.module.Views(nil), c.clock.now()) })
 }
 
-const knownWithin = 2 * time.Second
+const knownTimeout = 2 * time.Second
 
-// Known gives what the core and a list know now, as the events that would have told it.
+// Known gives what the core and a list know now, as the events by which it became known.
 func (c *Core) Known(l *List) (events []history.Event) {
 	now := c.clock.now()
 	ask := func(post func(func()), what func() []history.Event) {
@@ -116,7 +116,7 @@
 		select {
 		case got := <-answer:
 			events = append(events, got...)
-		case <-time.After(knownWithin): // it has ended
+		case <-time.After(knownTimeout): // it has ended
 		}
 	}
 	ask(l.Post, func() (told []history.Event) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -37,7 +37,7 @@
 	dials  int
 	refuse error         // of the next dials
 	late   chan struct{} // a dial waits for it to be closed; nil: none does
-	events LineEvents
+	events ServerEvents
 	held   bool               // writes wait in a queue
 	queue  []func()           // writes that wait
 	out    map[string]Attempt // set-ups that are out
@@ -53,7 +53,7 @@
 	return &wire{out: map[string]Attempt{}, copies: map[string]int{}, begun: map[string]int{}, stands: map[string]bool{}, byes: map[string]int{}}
 }
 
-func (w *wire) Dial(_ context.Context, _ string, e LineEvents) (Line, error) {
+func (w *wire) Dial(_ context.Context, _ string, e ServerEvents) (ServerConn, error) {
 	w.dials++
 	if w.late != nil {
 		<-w.late
@@ -67,7 +67,7 @@
 
 type wireLine struct {
 	*wire
-	e LineEvents
+	e ServerEvents
 }
 
 func (l wireLine) Setup(a Attempt, still func() bool) {
@@ -137,11 +137,11 @@
 	lines int // to each server, 1 if not set
 }
 
-func (b *bench) Dial(ctx context.Context, addr string, e LineEvents) (Line, error) {
+func (b *bench) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
 	return b.wires[addr].Dial(ctx, addr, e)
 }
 
-func (b *bench) Lines(string) int { return max(1, b.lines) }
+func (b *bench) MaxConns(string) int { return max(1, b.lines) }
 
 func newBench(servers ...string) *bench {
 	b := &bench{wires: map[string]*wire{}}
@@ -167,7 +167,7 @@
 		h.peer.Stop()
 		h.peer.stopDial()
 	}
-	b.sleep(2 * lingerFor)
+	b.sleep(2 * lingerTime)
 	b.list.Stop()
 	b.core.Stop()
 	synctest.Wait()
@@ -427,9 +427,9 @@
 	fault error
 }
 
-func (w *lineWire) Lines(string) int { return 3 }
+func (w *lineWire) MaxConns(string) int { return 3 }
 
-func (w *lineWire) Dial(ctx context.Context, addr string, e LineEvents) (Line, error) {
+func (w *lineWire) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
 	if w.fault != nil {
 		return nil, w.fault
 	}
