--- /dev/null
+++ b/internal/store/nonvoter_test.go
@@ -0,0 +1,70 @@
+package store
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Non-voters of the first configuration hold all records and take writes, are listed as learners, and never vote or lead:
+// with too few voters left nothing is written, however many non-voters are up.
+func TestNonVotersNeverVote(t *testing.T) {
+	g := newControlGroup(t, 3, 3, nil)
+	ctx := within(t)
+	revision, err := TransactTo(ctx, g.address(4), []Write{{Key: "settings/a", Value: []byte("1")}})
+	require.NoError(t, err)
+	for i, n := range g.nodes {
+		require.NoError(t, n.fsm.wait(ctx, revision))
+		s, err := StatusFrom(ctx, g.address(i))
+		require.NoError(t, err)
+		require.Len(t, s.Members, 6)
+		for k, m := range s.Members {
+			require.Equal(t, Member{g.peers[k].Node, g.peers[k].Address, k < 3}, m)
+		}
+	}
+	term := g.nodes[4].raft.CurrentTerm()
+	leader := g.leader()
+	require.Less(t, leader, 3)
+	g.nodes[leader].Close()
+	g.nodes[(leader+1)%3].Close()
+	time.Sleep(5 * electAfter) // in which a voter would have stood, and non-voters could have elected it
+	for i, n := range g.nodes {
+		if i != leader && i != (leader+1)%3 {
+			require.False(t, n.Leader(), i)
+		}
+		if i >= 3 {
+			require.Equal(t, "Follower", n.raft.State().String())
+			r, ok := n.Get("settings/a")
+			require.True(t, ok)
+			require.Equal(t, revision, r.Revision)
+		}
+	}
+	require.Equal(t, term, g.nodes[4].raft.CurrentTerm(), "a non-voter stood for election")
+	c := watchSession(t, g.address(5), WatchRequest{After: revision})
+	require.Equal(t, revision, c.next(Heartbeat).Revision)
+}
+
+// A non-voter that starts anew in memory gets everything from the leader again.
+func TestNonVoterRestarts(t *testing.T) {
+	g := newControlGroup(t, 1, 1, nil)
+	revision := g.putAll("settings/a", "1")
+	g.nodes[1].Close()
+	l := listenAgain(t, g.address(1))
+	g.start(1, l)
+	require.NoError(t, g.nodes[1].fsm.wait(within(t), revision))
+	require.NoError(t, g.nodes[1].WaitReady(within(t)))
+	require.Len(t, watchSession(t, g.address(1), WatchRequest{}).next(Snapshot).Records, 1)
+}
+
+// The time after which a voter stands for election is the one that is set.
+func TestElectionTime(t *testing.T) {
+	const long = 3 * time.Second
+	g := newControlGroup(t, 3, 0, func(_ int, o *Options) { o.Election = long })
+	leader := g.leader()
+	require.NoError(t, g.nodes[(leader+1)%3].WaitReady(within(t)))
+	g.nodes[leader].Close()
+	closedAt := time.Now()
+	require.Eventually(t, func() bool { return g.nodes[(leader+1)%3].Leader() || g.nodes[(leader+2)%3].Leader() }, 10*long, 10*time.Millisecond)
+	require.Greater(t, time.Since(closedAt), long*8/10, "followers heard of the leader up to a tenth of the time before")
+}
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -338,3 +338,14 @@
 	require.ErrorIs(t, err, errHandled)
 	require.Equal(t, 1, seen)
 }
+
+// listenAgain listens where a member that has ended did.
+func listenAgain(t *testing.T, address string) (l net.Listener) {
+	t.Helper()
+	require.Eventually(t, func() (ok bool) {
+		var err error
+		l, err = net.Listen("tcp", address)
+		return err == nil
+	}, 5*time.Second, 10*time.Millisecond)
+	return l
+}
