--- a/control/advice/advice_test.go
+++ b/control/advice/advice_test.go
@@ -16,8 +16,8 @@
 
 // packages whose errors must be types that advise. New packages are added here as they come.
 var packages = []string{
-	"control/heavy", "control/outlier", "control/quota", "control/registers",
-	"internal/counting", "internal/ejection", "internal/fleet", "internal/limits", "internal/store",
+	"control/heavy", "control/outlier", "control/quota", "control/registers", "control/scope",
+	"internal/counting", "internal/ejection", "internal/fleet", "internal/follow", "internal/limits", "internal/store",
 }
 
 // shortest advice that can tell anything.
