--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -116,6 +116,10 @@
 	if errors.As(err, &fault) {
 		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, What: fault.What}}
 	}
+	if err == nil && len(hosts) == 0 {
+		what := "names no server; to leave the list to the gatekeepers' own files, delete the record"
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: what}}
+	}
 	return hosts, err
 }
 
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -25,6 +25,7 @@
 	{"settings/gatekeeper/g/inventory", ".csv\nname,address\ns-1,nowhere\n", `settings/gatekeeper/g/inventory:3:1: address: not host and port: "nowhere"`},
 	{"settings/all/inventory", ".csv\nname\n", `settings/all/inventory:2:1: address: missing in the header`},
 	{"settings/all/inventory", ".yaml\nall: {hosts: {s-1: {}}}\n", `settings/all/inventory:2:1: address: missing`},
+	{"settings/all/inventory", ".csv\nname,address\n", `settings/all/inventory:1:1: names no server; to leave the list to the gatekeepers' own files, delete the record`},
 	{"settings/all/inventory", "", `settings/all/inventory:1:1: the first line is ""`},
 }
 
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -20,7 +20,10 @@
 // core's own, read when asked, so a figure is never older than the call that reads it. VictoriaMetrics/metrics is
 // used for the writing: small, with no protobuf and a set per gatekeeper, which keeps gatekeepers in one test process
 // apart. Rejected: prometheus/client_golang, which brings protobuf, a global registry and collectors for seven figures.
-type figures struct{ set *metrics.Set }
+type figures struct {
+	set    *metrics.Set
+	limits []string // the names of the figures of the rules in force
+}
 
 func newFigures(f *routing.Figures, classes []string) *figures {
 	set := metrics.NewSet()
@@ -77,11 +80,17 @@
 	})
 }
 
-// addLimits adds what the limits of the fleet hold at this gatekeeper, rule by rule. A rule that is gone tells 0.
-func (f *figures) addLimits(in quota.Limits, l *limits.Limiter) {
+// setLimits shows what the limits of the fleet hold at this gatekeeper, rule by rule, in place of the rules before.
+func (f *figures) setLimits(in quota.Limits, l *limits.Limiter) {
+	for _, name := range f.limits {
+		f.set.UnregisterMetric(name)
+	}
+	f.limits = nil
 	for _, r := range in.Rules {
 		of := func(name string, value func(quota.Status) float64) {
-			f.set.GetOrCreateGauge(fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name), func() float64 {
+			figure := fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name)
+			f.limits = append(f.limits, figure)
+			f.set.GetOrCreateGauge(figure, func() float64 {
 				for _, s := range l.Status().Rules {
 					if s.Name == r.Name {
 						return value(s)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -36,7 +36,7 @@
 	}
 	n.limits = l
 	n.core.SetQuotas(l)
-	n.figures.addLimits(o.Limits, l)
+	n.figures.setLimits(o.Limits, l)
 	n.log.WithField("rules", len(o.Limits.Rules)).Info("limits of the fleet in force")
 	return nil
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -119,24 +119,25 @@
 	defer cancel()
 	began := time.Now()
 	st := f.Status()
-	for st.InForce == 0 && st.Refused == nil && ctx.Err() == nil {
+	for !answered(st) && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-time.After(settingsPoll):
 		}
 		st = f.Status()
 	}
-	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "waited_ms": time.Since(began).Milliseconds()})
-	switch {
-	case st.Refused != nil: // the follower has said so
-	case st.InForce == 0:
-		log.WithField("advice", "look whether the control machines run and are reached from here; nothing is lost meanwhile").
+	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "kept": st.Kept, "waited_ms": time.Since(began).Milliseconds()})
+	if !answered(st) {
+		log.WithField("advice", "look whether the control machines run and are reached from here; the gatekeeper goes on trying by itself").
 			Warn("settings: no control machine has answered; serving with the deploy file, the settings follow")
-	default:
-		log.Info("settings ready")
+		return
 	}
+	log.Info("settings ready")
 }
 
+// answered tells whether there is something to serve with: settings from before the restart, or a control machine's word.
+func answered(s follow.Status) bool { return s.InForce > 0 || s.Connected || s.Refused != nil }
+
 // listLoaded returns once the module has what was given to the list before.
 func (n *Node) listLoaded() {
 	loaded := make(chan struct{})
@@ -236,8 +237,8 @@
 	n.calls.Store(now.calls.Version())
 	n.core.Note(history.Event{Kind: history.Reloaded, Name: now.calls.Version()})
 	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: now.hosts}, nil)
-	if limiter != nil && now.limits != nil {
-		n.figures.addLimits(now.limits.Limits, limiter)
+	if limiter != nil {
+		n.figures.setLimits(quotaLimits(now.limits), limiter)
 	}
 	return now
 }
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -11,3 +11,6 @@
 		also()
 	})
 }
+
+// Limits are those of calls that come now. It is called in a turn of the core.
+func (c *Core) Limits() *retry.Policy { return c.limits }
