--- a/cmd/beammux/control.go
+++ b/cmd/beammux/control.go
@@ -29,6 +29,8 @@
 }
 
 func (c controlServeCmd) Run(log logrus.FieldLogger) error {
+	hup := make(chan os.Signal, 1) // first of all: uncaught, a signal that comes early would end the process
+	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	cfg, err := config.LoadMachine(c.File)
@@ -50,9 +52,15 @@
 	if err != nil {
 		return err
 	}
-	<-ctx.Done()
-	m.Drain()
-	return nil
+	for {
+		select {
+		case <-hup:
+			m.Reload(c.File)
+		case <-ctx.Done():
+			m.Drain()
+			return nil
+		}
+	}
 }
 
 type controlCheckCmd struct {
--- a/cmd/beammux/control_test.go
+++ b/cmd/beammux/control_test.go
@@ -154,6 +154,25 @@
 	require.Zero(t, code, errs)
 }
 
+// SIGHUP has a control machine prove what is written against the gatekeeper's configuration as it is now.
+func TestControlMachineReloads(t *testing.T) {
+	configuration := textFile(t, "config.json", `{"name":"g1","listen":"127.0.0.1:0","settings":`+siteAllowing(3)+`}`)
+	g := startControl(t, 1, configuration)
+	four := textFile(t, "calls", fourTries)
+	put := func() int {
+		_, _, code := run(t, "store", "put", "settings/all/calls", four, "--store", g.addresses[0])
+		return code
+	}
+	require.Equal(t, 1, put())
+	require.NoError(t, os.WriteFile(configuration, []byte("{"), 0o600))
+	require.NoError(t, g.processes[0].Process.Signal(syscall.SIGHUP))
+	time.Sleep(100 * time.Millisecond)
+	require.Equal(t, 1, put(), "a bad file changes nothing")
+	require.NoError(t, os.WriteFile(configuration, []byte(`{"name":"g1","listen":"127.0.0.1:0","settings":`+siteAllowing(5)+`}`), 0o600))
+	require.NoError(t, g.processes[0].Process.Signal(syscall.SIGHUP))
+	require.Eventually(t, func() bool { return put() == 0 }, 10*time.Second, 20*time.Millisecond)
+}
+
 // Faults of a control machine's file are lines that name file, line and key; the start ends with exit 1.
 func TestBadControlFile(t *testing.T) {
 	file := textFile(t, "c.json", `{"name":"c1","store":{"listen":"127.0.0.1:0","pers":[]}}`)
--- a/internal/controlmachine/machine.go
+++ b/internal/controlmachine/machine.go
@@ -45,6 +45,7 @@
 	store   *store.Node
 	server  *ops.Server // nil: off
 	figures *figures
+	site    atomic.Pointer[control.Site] // that writes are proved against; nil: their form alone is checked
 	up      atomic.Bool
 	ending  atomic.Bool
 }
@@ -53,6 +54,7 @@
 // takes, or when begin ends. The operators' address opens first, and says not ready until then.
 func Start(begin context.Context, cfg *config.Machine, log logrus.FieldLogger) (_ *Machine, err error) {
 	m := &Machine{cfg: cfg, log: log}
+	m.site.Store(cfg.Site)
 	defer func() {
 		if err != nil {
 			m.Close()
@@ -84,7 +86,7 @@
 	o := store.Options{Node: s.Node, Dir: s.Dir, Sync: s.Sync, Join: s.Join, Via: s.Via, Log: m.log,
 		Election: m.cfg.Election,
 		Reducers: map[string]store.Reducer{limits.LeaseKey: quota.Reduce},
-		Check:    func(writes []store.Write) error { return Check(writes, m.cfg.Site) },
+		Check:    func(writes []store.Write) error { return Check(writes, m.site.Load()) },
 		Serve: &store.ServeOptions{Name: m.cfg.Name, Zone: m.cfg.Zone, Region: m.cfg.Region, Prefix: scope.Prefix,
 			Admission: admission(m.cfg.Admission)},
 	}
@@ -154,6 +156,21 @@
 	return faults
 }
 
+// Reload reads the file again and proves what is written from now on against the gatekeeper's configuration that it names.
+// All else takes effect at the next start. A bad file leaves all as it was.
+func (m *Machine) Reload(file string) {
+	cfg, err := config.LoadMachine(file)
+	if err != nil {
+		for line := range strings.SplitSeq(err.Error(), "\n") {
+			m.log.WithField("error", line).Error("reload: file is bad, last good one kept")
+		}
+		return
+	}
+	m.site.Store(cfg.Site)
+	m.log.WithFields(logrus.Fields{"gatekeeper": cfg.Gatekeeper, "proved": cfg.Site != nil}).
+		Info("reloaded the gatekeeper's configuration that settings are proved against; other changes take effect at the next start")
+}
+
 // Ready implements ops.Process: yes once the member has caught up with its group, and until it ends.
 func (m *Machine) Ready() bool { return m.up.Load() && !m.ending.Load() }
 
