--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -18,7 +18,12 @@
 )
 
 type labCmd struct {
-	Fleet labFleetCmd `cmd:"" help:"Many gatekeeper processes on loopback, with faults between them."`
+	Fleet       labFleetCmd       `cmd:"" help:"Many gatekeeper processes on loopback, with faults between them."`
+	Scale       labScaleCmd       `cmd:"" help:"A control plane and many hollow gatekeepers on loopback: what control costs, how settings come into force; exit 1 if a rule was broken."`
+	ScaleSeries labScaleSeriesCmd `cmd:"" help:"Put reports of lab scale together, by the number of gatekeepers."`
+	Hollow      labHollowCmd      `cmd:"" hidden:"" help:"A process of lab scale."`
+	Latency     labLatencyCmd     `cmd:"" help:"What one gatekeeper adds to a call: latency, processor time, memory, descriptors."`
+	Decision    labDecisionCmd    `cmd:"" help:"Time of the pure steps of a call and of the fleet's upkeep, at growing sizes."`
 }
 
 type labFleetCmd struct {
