--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -297,6 +297,9 @@
 	require.Zero(t, code, errs)
 	require.Contains(t, view, "of 3 gatekeepers 2 hold revision")
 	require.Contains(t, view, "settings/all/calls")
+	_, errs, code = run(t, "fleet", "members", "--admin", g1.ops)
+	require.Equal(t, exitFleetOff, code)
+	require.Contains(t, errs, "the fleet's gossip is off")
 	require.Regexp(t, `settings refused.*advice|advice.*settings refused`, g3.logged())
 	figures, err := viaHTTP(g3.ops, "/api/telemetry")
 	require.NoError(t, err)
@@ -359,6 +362,7 @@
 		require.NoError(t, p.Process.Kill())
 		p.Wait()
 	}
+	eventually(t, "without control machines all stays in force", all, func(s shown) bool { return !s.Settings.Connected && inForce(s) })
 	keeps.end(t, syscall.SIGKILL)
 	forgets.end(t, syscall.SIGTERM)
 	keeps.log, forgets.log = nil, nil
--- a/cmd/beammux/show.go
+++ b/cmd/beammux/show.go
@@ -77,8 +77,8 @@
 	own("store.sync", deploy.StoreSync)
 	own("store.join", fmt.Sprint(deploy.StoreJoin))
 	own("inventory", deploy.Inventory)
-	if c := deploy.Control; c != nil { // what the control machines name wins over this file: `fleet view` shows it
-		own("control.name", cmp.Or(c.Name, cfg.Name))
+	if configuration, c := c.Config, deploy.Control; c != nil { // what the control machines name wins over this file: `fleet view` shows it
+		add("control.name", cmp.Or(c.Name, cfg.Name), cmp.Or(deploy.Where("control.name"), configuration))
 		own("control.region", c.Region)
 		own("control.zone", c.Zone)
 		own("control.service", c.Service)
--- a/control/advice/advice_test.go
+++ b/control/advice/advice_test.go
@@ -15,7 +15,7 @@
 )
 
 // packages whose errors must be types that advise. New packages are added here as they come.
-var packages = []string{"internal/store", "control/registers", "control/heavy", "control/quota", "internal/fleet", "control/verdict", "internal/counting", "internal/limits", "internal/verdicts", "control/scope", "internal/follow"}
+var packages = []string{"internal/store", "control/registers", "control/heavy", "control/quota", "internal/fleet", "control/verdict", "internal/counting", "internal/limits", "internal/verdicts", "control/scope", "internal/follow", "internal/node"}
 
 // shortest advice that can tell anything.
 const shortest = 25
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,6 +93,7 @@
 			if n.ops.server != nil {
 				n.ops.server.Close()
 			}
+			n.closeSettings()
 			if n.store != nil {
 				n.store.Close()
 			}
