--- a/control/advice/advice_test.go
+++ b/control/advice/advice_test.go
@@ -17,7 +17,7 @@
 // packages whose errors must be types that advise. New packages are added here as they come.
 var packages = []string{
 	"control/heavy", "control/outlier", "control/quota", "control/registers", "control/scope",
-	"internal/counting", "internal/ejection", "internal/fleet", "internal/follow", "internal/limits", "internal/store",
+	"internal/counting", "internal/ejection", "internal/fleet", "internal/follow", "internal/limits", "internal/node", "internal/store",
 }
 
 // shortest advice that can tell anything.
