--- a/internal/scalelab/hollow/stuck.go
+++ b/internal/scalelab/hollow/stuck.go
@@ -11,7 +11,8 @@
 
 const (
 	stuckBuffer = 4 << 10 // of the socket, so that little lies in the kernel
-	drainWithin = 2 * time.Second
+	drainBuffer = 4 << 20
+	drainWithin = 2 * time.Second // shorter than a machine waits for a silent session that it has not yet cut off
 )
 
 // stuckWatcher is a session that is opened as any other and then never reads.
@@ -19,7 +20,7 @@
 	stop context.CancelFunc
 
 	mu   sync.Mutex
-	conn net.Conn
+	conn *net.TCPConn
 }
 
 // stuckConn writes as any other connection, and its reads wait until it is closed.
@@ -45,10 +46,10 @@
 			if err != nil {
 				return nil, err
 			}
-			c.(*net.TCPConn).SetReadBuffer(stuckBuffer)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.conn = c
+			w.conn = c.(*net.TCPConn)
+			w.conn.SetReadBuffer(stuckBuffer)
 			return &stuckConn{c, ctx}, nil
 		}, address)
 	})
@@ -65,8 +66,9 @@
 		return false
 	}
 	defer w.conn.Close()
-	w.conn.SetReadDeadline(time.Now().Add(drainWithin))
+	w.conn.SetReadBuffer(drainBuffer)
 	buffer := make([]byte, 64<<10)
+	w.conn.SetReadDeadline(time.Now().Add(drainWithin))
 	for {
 		if _, err := w.conn.Read(buffer); err != nil {
 			return !errors.Is(err, os.ErrDeadlineExceeded)
