--- a/internal/controlmachine/figures.go
+++ b/internal/controlmachine/figures.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"io"
+	"runtime"
+	runtimemetrics "runtime/metrics"
 	"sync"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -32,6 +34,8 @@
 	of("records", func(s store.Status) float64 { return float64(s.Records) })
 	of("applied", func(s store.Status) float64 { return float64(s.Applied) })
 	f.set.NewGauge("proxy_control_sessions", func() float64 { return float64(m.store.SessionCount()) })
+	f.set.NewGauge("proxy_control_goroutines", func() float64 { return float64(runtime.NumGoroutine()) })
+	f.set.NewGauge("proxy_control_heap_bytes", heapBytes)
 	fleet := func(name string, value func(*store.FleetCounts) float64) {
 		f.set.NewGauge("proxy_control_fleet"+name, func() float64 {
 			if c := m.store.FleetCounts(); c != nil {
@@ -50,6 +54,13 @@
 	return f
 }
 
+// heapBytes is the memory of the heap's objects, live or not yet collected.
+func heapBytes() float64 {
+	sample := []runtimemetrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
+	runtimemetrics.Read(sample)
+	return float64(sample[0].Value.Uint64())
+}
+
 // WriteFigures implements ops.Process.
 func (m *Machine) WriteFigures(w io.Writer) {
 	m.figures.mu.Lock()
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -35,7 +35,8 @@
 // machine is one control machine.
 type machine struct {
 	machineSpec
-	file string
+	file  string
+	admin string // the operators' address
 
 	mu      sync.Mutex
 	process *child.Process // nil: not started
@@ -50,6 +51,7 @@
 	Name       string      `json:"name"`
 	Zone       string      `json:"zone"`
 	Region     string      `json:"region"`
+	Admin      string      `json:"admin_addr"`
 	Store      controlSite `json:"store"`
 	Admission  *Admission  `json:"admission,omitempty"`
 	Gatekeeper string      `json:"gatekeeper,omitempty"`
@@ -78,13 +80,14 @@
 // newControlPlane writes the machines' files.
 func newControlPlane(o *Options, specs []machineSpec) (*controlPlane, error) {
 	c := &controlPlane{options: o}
-	ports, err := freePorts(len(specs), o.Seed+uint64(os.Getpid()))
+	ports, err := freePorts(2*len(specs), o.Seed+uint64(os.Getpid()))
 	if err != nil {
 		return nil, err
 	}
 	for i, spec := range specs {
 		spec.Address = fmt.Sprintf("127.0.0.1:%d", ports[i])
-		c.machines = append(c.machines, &machine{machineSpec: spec, file: filepath.Join(o.Dir, spec.Name+".json")})
+		c.machines = append(c.machines, &machine{machineSpec: spec, file: filepath.Join(o.Dir, spec.Name+".json"),
+			admin: fmt.Sprintf("127.0.0.1:%d", ports[len(specs)+i])})
 	}
 	if script.Has(o.Faults, script.CutRegion) || script.Has(o.Faults, script.Latency) {
 		c.network = relay.New(o.Seed)
@@ -100,7 +103,7 @@
 // write makes a machine's file, and its links to the others.
 func (c *controlPlane) write(m *machine) error {
 	o := c.options
-	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admission: &o.Admission, Gatekeeper: o.Site,
+	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admin: m.admin, Admission: &o.Admission, Gatekeeper: o.Site,
 		Store: controlSite{Node: m.Name, Listen: m.Address, Dir: filepath.Join(o.Dir, m.Name)}}
 	for _, other := range c.machines {
 		f.Store.Peers = append(f.Store.Peers, controlPeer{other.Name, other.Address, other.voter})
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -48,6 +48,7 @@
 	started  time.Duration // all gatekeepers had settings, or had met
 	memory   int64
 	samples  []controlSample
+	runtimes []runtimeSample
 	faults   faultState
 }
 
@@ -56,7 +57,6 @@
 	machine int
 	at      time.Duration
 	usage   child.Usage
-	runtime runtimeFigures
 }
 
 // Run plays one run. It ends all its processes, whatever happens. The report of a run that was stopped says so.
@@ -114,6 +114,11 @@
 		return err
 	}
 	go l.sample(ctx)
+	if l.plane != nil {
+		for i, m := range l.plane.machines {
+			go l.sampleRuntime(ctx, i, m)
+		}
+	}
 	if err := l.awaitStart(ctx); err != nil {
 		return err
 	}
@@ -393,7 +398,7 @@
 			for i, m := range l.plane.machines {
 				if u, ok := m.usage(); ok {
 					l.record.mu.Lock()
-					l.samples = append(l.samples, controlSample{i, at, u, m.runtime(ctx)})
+					l.samples = append(l.samples, controlSample{i, at, u})
 					l.record.mu.Unlock()
 					resident += u.Resident
 				}
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -1,7 +1,6 @@
 package scalelab
 
 import (
-	"context"
 	"time"
 
 	"beammux/internal/scalelab/child"
@@ -9,14 +8,6 @@
 	"beammux/internal/scalelab/judge"
 )
 
-// runtimeFigures are what a control machine says of its own runtime; zero where it was not asked.
-type runtimeFigures struct {
-	heap       int64
-	goroutines int
-}
-
-func (m *machine) runtime(context.Context) runtimeFigures { return runtimeFigures{} }
-
 // report puts together what the run has seen, and judges it.
 func (l *laboratory) report(stopped bool, problems []string) *Report {
 	o := l.options
@@ -210,9 +201,11 @@
 		last[s.machine] = s.usage
 		resident[s.machine] = max(resident[s.machine], float64(s.usage.Resident))
 		descriptors[s.machine] = max(descriptors[s.machine], float64(s.usage.Descriptors))
-		if s.runtime.goroutines > 0 {
-			heap[s.machine] = max(heap[s.machine], float64(s.runtime.heap))
-			goroutines[s.machine] = max(goroutines[s.machine], float64(s.runtime.goroutines))
+	}
+	for _, s := range l.runtimes {
+		if l.inSpan(s.at) {
+			heap[s.machine] = max(heap[s.machine], s.heap)
+			goroutines[s.machine] = max(goroutines[s.machine], s.goroutines)
 		}
 	}
 	l.record.mu.Unlock()
