--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -19,6 +19,41 @@
 	Date    string  `json:"date"`
 	Beside  string  `json:"beside"`
 	Points  []Point `json:"points"`
+
+	others [2]float64 // cores that other processes used: least and most over the runs
+}
+
+// seriesCommand is the command without what differs from run to run.
+func seriesCommand(command string) string {
+	var kept []string
+	words := strings.Fields(command)
+	for i := 0; i < len(words); i++ {
+		switch words[i] {
+		case "--gatekeepers":
+			kept, i = append(kept, words[i], "N"), i+1
+		case "--seed":
+			kept, i = append(kept, words[i], "SEED"), i+1
+		case "--json", "--beside", "--dir":
+			for i+1 < len(words) && !strings.HasPrefix(words[i+1], "--") {
+				i++
+			}
+		default:
+			kept = append(kept, words[i])
+		}
+	}
+	return strings.Join(kept, " ")
+}
+
+// beside says what else ran, in the run's words and as the machine's counters had it.
+func (s *Series) beside(r *Report) {
+	if len(s.Points) == 0 {
+		s.others = [2]float64{r.Machine.OtherCores, r.Machine.OtherCores}
+	}
+	s.others[0], s.others[1] = min(s.others[0], r.Machine.OtherCores), max(s.others[1], r.Machine.OtherCores)
+	s.Beside = fmt.Sprintf("other processes used %.1f to %.1f of %d cores", s.others[0], s.others[1], r.Machine.Cores)
+	if r.Beside != "" {
+		s.Beside = r.Beside + "; " + s.Beside
+	}
 }
 
 // Point is one size: a value for each seed, in the seeds' order.
@@ -126,7 +161,8 @@
 		file.Series = append(file.Series, Series{Name: f.name, Unit: f.unit, Of: f.of, With: with})
 	}
 	s := &file.Series[at]
-	s.Command, s.Date, s.Beside = r.Command, r.Date, r.Beside
+	s.Command, s.Date = seriesCommand(r.Command), r.Date
+	s.beside(r)
 	if n := len(s.Points); n == 0 || s.Points[n-1].N != r.Shape.Gatekeepers {
 		s.Points = append(s.Points, Point{N: r.Shape.Gatekeepers})
 	}
