--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"time"
 
 	"beammux/control"
 	"beammux/control/scope"
@@ -12,12 +13,15 @@
 	"beammux/internal/store"
 )
 
+// staleAfter is the age from which what a gatekeeper holds counts as behind: a few heartbeats of a second each.
+const staleAfter = 5 * time.Second
+
 // followed is the follower of one gatekeeper.
 type followed struct{ *follow.Follower }
 
 func (f followed) state() followState {
 	s := f.Status()
-	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica}
+	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica, behind: s.Age < 0 || s.Age > staleAfter || s.InForce < s.Seen}
 }
 
 // openFollower follows the settings of a gatekeeper. apply is called with what each candidate holds.
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -29,6 +29,7 @@
 type followState struct {
 	inForce, highest uint64
 	replica          string // connected to; "": none
+	behind           bool   // it says so of itself
 }
 
 // candidate is what a follower puts in force, in the order of the sections of Content.
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -183,6 +183,9 @@
 		if s.inForce > 0 {
 			f.InForce++
 		}
+		if s.behind {
+			f.Behind++
+		}
 		if s.replica != "" {
 			f.Sessions[s.replica]++
 		}
--- a/internal/scalelab/hollow/wire.go
+++ b/internal/scalelab/hollow/wire.go
@@ -111,6 +111,7 @@
 	Descriptors int            `json:"descriptors"`
 	Sessions    map[string]int `json:"sessions,omitempty"` // by the name of the control machine
 	InForce     int            `json:"in_force"`           // gatekeepers that have any settings in force
+	Behind      int            `json:"behind"`             // gatekeepers that say of themselves that they may be behind
 	Met         int            `json:"met"`                // fewest members that a gatekeeper holds to be up
 }
 
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -158,6 +158,12 @@
 	// The slowest pair among changes committed while the fault lasted and Within after it, from the commit or the end of the
 	// gatekeeper's outage.
 	SlowestS float64 `json:"slowest_s"`
+	// Gatekeepers that said of themselves that they may be behind, the most in any second of the fault, and at the end of the
+	// measured time.
+	SaidBehind    int `json:"said_behind_max"`
+	SaidBehindEnd int `json:"said_behind_end"`
+	// Most sessions at one machine while the fault lasted and Within after it, over an even share.
+	SessionsOverShare float64 `json:"sessions_max_over_share"`
 }
 
 // Held tells whether the run was whole and every rule held.
@@ -200,8 +206,12 @@
 	line("in force after the put began", "ms", r.Settings.FromPut, 1e3)
 	line("in force after an outage", "ms", r.Settings.Healed, 1e3)
 	line("in force everywhere", "ms", r.Settings.AllHaveIt, 1e3)
+	if n := r.Settings.CutOff + r.Settings.StuckNotCut; n > 0 {
+		fmt.Fprintf(&b, "watchers that read nothing: %d of %d cut off\n", r.Settings.CutOff, n)
+	}
 	for _, f := range r.Faults {
-		fmt.Fprintf(&b, "fault %s at %.1f to %.1f s (%s): slowest %.2f s\n", f.Kind, f.AtS, f.UntilS, f.What, f.SlowestS)
+		fmt.Fprintf(&b, "fault %s at %.1f to %.1f s (%s): slowest %.2f s, at most %d said they were behind, %d at the end, sessions %.2f of a share at most\n", f.Kind, f.AtS,
+			f.UntilS, f.What, f.SlowestS, f.SaidBehind, f.SaidBehindEnd, f.SessionsOverShare)
 	}
 	if r.Shape.Control == 0 {
 		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d of %d\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Shape.Gatekeepers)
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -329,7 +329,36 @@
 			}
 			f.SlowestS = max(f.SlowestS, seconds(took))
 		}
+		l.duringFault(p, &f)
 		reports = append(reports, f)
 	}
 	return reports
 }
+
+// duringFault adds what the gatekeepers said each second while a fault lasted.
+func (l *laboratory) duringFault(p playedFault, f *FaultReport) {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	share := float64(l.options.Gatekeepers) / float64(l.options.Control)
+	now := map[int]hollow.Figures{} // of each process, the last pulse
+	for _, s := range l.record.samples {
+		if !l.inSpan(s.at) {
+			continue
+		}
+		now[s.process] = s.Figures
+		behind, sessions := 0, map[int]map[string]int{}
+		for process, figures := range now {
+			behind += figures.Behind
+			sessions[process] = figures.Sessions
+		}
+		f.SaidBehindEnd = behind
+		if s.at >= p.from && s.at <= p.until+sampleEvery {
+			f.SaidBehind = max(f.SaidBehind, behind)
+		}
+		if s.at >= p.from && s.at <= p.until+within && len(now) == l.options.Hollow {
+			for _, n := range l.sumSessions(sessions) {
+				f.SessionsOverShare = max(f.SessionsOverShare, n/share)
+			}
+		}
+	}
+}
