--- a/cmd/beammux/lab_scale.go
+++ b/cmd/beammux/lab_scale.go
@@ -153,12 +153,13 @@
 	if err != nil {
 		return err
 	}
-	if c.Out == "" {
-		return printJSON(file)
-	}
-	text, err := json.MarshalIndent(file, "", " ")
+	text, err := file.Marshal()
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(c.Out, append(text, '\n'), 0o644)
+	if c.Out == "" {
+		_, err = os.Stdout.Write(text)
+		return err
+	}
+	return os.WriteFile(c.Out, text, 0o644)
 }
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -1,6 +1,7 @@
 package scalelab
 
 import (
+	"encoding/json"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -171,6 +172,16 @@
 	require.Equal(t, "beammux lab scale --gatekeepers N --seed SEED --length 45s", s.Command)
 	require.Equal(t, "other processes used 1.0 to 2.0 of 8 cores", s.Beside)
 
+	text, err := file.Marshal()
+	require.NoError(t, err)
+	var again SeriesFile
+	require.NoError(t, json.Unmarshal(text, &again), "%s", text)
+	for i := range file.Series {
+		require.Equal(t, file.Series[i].Points, again.Series[i].Points)
+		require.Equal(t, file.Series[i].Name, again.Series[i].Name)
+	}
+	require.Len(t, again.Series, len(file.Series))
+
 	reports[0].Judge.Held = false
 	_, err = SeriesOf(reports)
 	require.ErrorContains(t, err, "not for a series")
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -1,6 +1,7 @@
 package scalelab
 
 import (
+	"bytes"
 	"cmp"
 	"encoding/json"
 	"fmt"
@@ -170,6 +171,40 @@
 	p.Values, p.Seeds = append(p.Values, value), append(p.Seeds, r.Shape.Seed)
 }
 
+// Marshal writes the file with a line for each point, so that a change of one is seen in a comparison.
+func (file *SeriesFile) Marshal() ([]byte, error) {
+	var b bytes.Buffer
+	b.WriteString("{\"series\": [\n")
+	for i, s := range file.Series {
+		points := s.Points
+		s.Points = []Point{}
+		head, err := json.Marshal(s)
+		if err != nil {
+			return nil, err
+		}
+		b.Write(bytes.TrimSuffix(head, []byte("]}")))
+		for j, p := range points {
+			text, err := json.Marshal(p)
+			if err != nil {
+				return nil, err
+			}
+			b.WriteString(separator(j) + "\n  ")
+			b.Write(text)
+		}
+		b.WriteString("]}" + separator(len(file.Series)-1-i) + "\n")
+	}
+	b.WriteString("]}\n")
+	return b.Bytes(), nil
+}
+
+// separator is what stands between the parts of a list, "" for none.
+func separator(left int) string {
+	if left == 0 {
+		return ""
+	}
+	return ","
+}
+
 // LoadReports reads reports that runs have written.
 func LoadReports(files []string) (reports []*Report, err error) {
 	for _, file := range files {
