--- a/internal/scalelab/hollow/wire.go
+++ b/internal/scalelab/hollow/wire.go
@@ -77,7 +77,6 @@
 	Pulse    EventKind = "pulse"    // once a second
 	Counted  EventKind = "counted"  // the answer to Count
 	Watchers EventKind = "watchers" // those that read nothing, at the end
-	Failed   EventKind = "failed"   // the process can't go on
 )
 
 // Event is a line of the standard output.
@@ -89,7 +88,6 @@
 	Revision uint64        `json:"revision,omitempty"`
 	Sections []Section     `json:"sections,omitempty"`
 	Marker   uint64        `json:"marker,omitempty"`
-	Fault    string        `json:"fault,omitempty"`
 	Pulse    *Figures      `json:"pulse,omitempty"`
 	Counters *Counters     `json:"counters,omitempty"`
 	CutOff   int           `json:"cut_off,omitempty"` // of Watchers: how many the machine cut off
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -158,8 +158,6 @@
 	case hollow.Watchers:
 		r.cutOff += e.CutOff
 		r.open += e.Open
-	case hollow.Failed:
-		r.fault = fmt.Sprintf("hollow%d: %s", process+1, e.Fault)
 	}
 }
 
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -6,7 +6,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"time"
 
@@ -47,7 +46,6 @@
 	Beside      string // what else ran on the machine, as the caller knows it
 	Command     string // as it was called, for the report
 	Progress    func(at time.Duration, what string)
-	Log         io.Writer
 }
 
 // With says what a gatekeeper's control side has beside configuration.
@@ -91,7 +89,7 @@
 	return nil
 }
 
-// machine is where a control machine or a gatekeeper stands.
+// Zones and regions are named by their numbers; the zones are dealt out over the regions.
 func regionName(zone, regions int) string { return fmt.Sprintf("r%d", zone%regions+1) }
 func zoneName(zone int) string            { return fmt.Sprintf("z%d", zone+1) }
 
