--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -130,9 +130,21 @@
 	Refusals     int     `json:"refusals"`
 	CutOff       int     `json:"stuck_watchers_cut_off"`
 	StuckNotCut  int     `json:"stuck_watchers_left"`
+	Slowest      []Slow  `json:"slowest"` // the slowest pairs, to trace them
 	AppliedTotal int     `json:"applied"`
 }
 
+// Slow is a pair of a change and a gatekeeper.
+type Slow struct {
+	Marker     uint64  `json:"change"`
+	CommittedS float64 `json:"committed_s"` // since the measured time began
+	Gatekeeper string  `json:"gatekeeper"`
+	Zone       string  `json:"zone"`
+	Region     string  `json:"region"`
+	TookS      float64 `json:"took_s"` // from the commit, or from the end of the gatekeeper's outage
+	Outage     bool    `json:"outage"`
+}
+
 // MembershipFigures tell how the gossip formed.
 type MembershipFigures struct {
 	AllMetS  float64 `json:"all_met_s"`  // until each held all to be up; -1: not within the time given
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -182,6 +182,17 @@
 	}
 	require.Len(t, again.Series, len(file.Series))
 
+	broken := report(2200, 1, 1)
+	broken.Faults, broken.Judge.Held, broken.Judge.Counts = []FaultReport{{Kind: "restart"}}, false, map[string]int{"lost": 3, "late": 0}
+	file, err = SeriesOf(append(reports, broken))
+	require.NoError(t, err)
+	require.Len(t, file.FaultRuns, 1)
+	require.Equal(t, map[string]int{"lost": 3}, file.FaultRuns[0].Broken, "a broken rule under faults is shown")
+	require.Len(t, file.Series[0].Points, 2)
+	text, err = file.Marshal()
+	require.NoError(t, err)
+	require.NoError(t, json.Unmarshal(text, &again), "%s", text)
+
 	reports[0].Judge.Held = false
 	_, err = SeriesOf(reports)
 	require.ErrorContains(t, err, "not for a series")
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -1,6 +1,8 @@
 package scalelab
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"beammux/internal/scalelab/child"
@@ -300,6 +302,7 @@
 		all = append(all, v)
 	}
 	s.FromCommit, s.FromPut, s.Healed, s.AllHaveIt, s.PutCommit = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
+	s.Slowest = l.slowest(changes, v.Delays)
 	r.Faults = l.faultReports(changes, v.Delays)
 	r.Judge.WithinS, r.Judge.First, r.Judge.Crashed = within.Seconds(), v.First, len(r.Processes)
 	r.Judge.Counts = map[string]int{}
@@ -309,13 +312,41 @@
 	r.Judge.Held = v.Held() && len(r.Judge.Problems) == 0
 }
 
-// faultReports tell for each fault the slowest pair among the changes that it can have slowed.
-func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
-	reports := []FaultReport{}
+// mostSlow is how many of the slowest pairs a report names.
+const mostSlow = 20
+
+// slowest names the slowest pairs.
+func (l *laboratory) slowest(changes []judge.Change, delays []judge.Delay) (slow []Slow) {
+	took := func(d judge.Delay) time.Duration {
+		if d.Outage {
+			return d.Healed
+		}
+		return d.Commit
+	}
+	delays = slices.Clone(delays)
+	slices.SortFunc(delays, func(a, b judge.Delay) int { return cmp.Compare(took(b), took(a)) })
+	committed := commitTimes(changes)
+	for _, d := range delays[:min(mostSlow, len(delays))] {
+		at := slices.IndexFunc(l.plan.gatekeepers, func(g hollow.Gatekeeper) bool { return g.Name == d.Gatekeeper })
+		g := l.plan.gatekeepers[at]
+		slow = append(slow, Slow{Marker: d.Marker, CommittedS: seconds(committed[d.Marker] - l.measured.from), Gatekeeper: g.Name,
+			Zone: g.Zone, Region: g.Region, TookS: seconds(took(d)), Outage: d.Outage})
+	}
+	return slow
+}
+
+func commitTimes(changes []judge.Change) map[uint64]time.Duration {
 	committed := map[uint64]time.Duration{}
 	for _, c := range changes {
 		committed[c.Marker] = c.Committed
 	}
+	return committed
+}
+
+// faultReports tell for each fault the slowest pair among the changes that it can have slowed.
+func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
+	reports := []FaultReport{}
+	committed := commitTimes(changes)
 	for _, p := range l.faults.played {
 		f := FaultReport{Kind: string(p.kind), AtS: seconds(p.from - l.measured.from), UntilS: seconds(p.until - l.measured.from), What: p.what}
 		for _, d := range delays {
