--- a/cmd/beammux/lab_latency.go
+++ b/cmd/beammux/lab_latency.go
@@ -25,6 +25,7 @@
 	Descriptors int           `help:"Descriptors that the gatekeeper may hold." default:"1024"`
 	Gatekeepers int           `help:"Gatekeepers of the fleet, as the settings say." default:"2200"`
 	StateEvery  time.Duration `help:"How often each server tells its state on its connections." default:"250ms"`
+	Setup       time.Duration `help:"Time that a set-up takes at a server." default:"0s"`
 	Append      bool          `help:"Keep the runs that the file of --json holds, and add these."`
 	Callers     int           `help:"Connections of callers." default:"8"`
 	Seed        uint64        `help:"Of the schedule, the holding times and the chains; counts up with the repetitions." default:"1"`
@@ -55,8 +56,8 @@
 		return fmt.Errorf("--sizes and --rates: one of each is needed")
 	case c.Repeats < 1 || c.Active < 1 || c.Callers < 1 || c.Gatekeepers < 1 || c.Descriptors < 1:
 		return fmt.Errorf("--repeats, --active, --callers, --gatekeepers, --descriptors: each is 1 at least")
-	case c.Length <= 0 || c.Length > latencyTimeMost || c.StateEvery < time.Millisecond || c.Warm < 0 || c.Warm > latencyTimeMost:
-		return fmt.Errorf("--length, --warm, --state-every: over 0 and up to %v", latencyTimeMost)
+	case c.Length <= 0 || c.Length > latencyTimeMost || c.StateEvery < time.Millisecond || c.Setup < 0 || c.Warm < 0 || c.Warm > latencyTimeMost:
+		return fmt.Errorf("--length, --warm, --state-every, --setup: over 0 and up to %v", latencyTimeMost)
 	}
 	return nil
 }
@@ -79,7 +80,7 @@
 	fmt.Println(latencyHead)
 	plan := latencylab.Plan{Sizes: c.Sizes, Rates: c.Rates, Repeats: c.Repeats, MostCalls: c.Active, Tell: printRun,
 		Latency: latencylab.Latency{Program: latencylab.Program{Path: c.Program}, Seed: c.Seed, Descriptors: c.Descriptors,
-			Gatekeepers: c.Gatekeepers, Callers: c.Callers, StateEvery: c.StateEvery, Warm: c.Warm, Length: c.Length}}
+			Gatekeepers: c.Gatekeepers, Callers: c.Callers, Setup: c.Setup, StateEvery: c.StateEvery, Warm: c.Warm, Length: c.Length}}
 	var earlier *latencylab.Report
 	if c.Append {
 		var err error
--- a/cmd/beammux/lab_latency_test.go
+++ b/cmd/beammux/lab_latency_test.go
@@ -45,7 +45,7 @@
 		{"latency --sizes 0", "--sizes: 0 is not from 1 to 4000"},
 		{"latency --rates=-1", "--rates: -1 is not from 0 to 2000"},
 		{"latency --repeats 0", "each is 1 at least"},
-		{"latency --length 0s", "--length, --warm, --state-every: over 0"},
+		{"latency --length 0s", "--length, --warm, --state-every, --setup: over 0"},
 		{"latency --append --sizes 34", "--append: "},
 		{"decision --repeats 0", "--repeats is 1 at least"},
 		{"decision --only no-such-step", "--only: no series"},
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -30,6 +30,7 @@
 	Descriptors int           // that the gatekeeper may hold
 	Gatekeepers int           // of the fleet, as its settings say
 	Callers     int           // connections of callers to the gatekeeper
+	Setup       time.Duration // that a set-up takes at a server; 0: it answers at once
 	StateEvery  time.Duration // servers tell their state so often
 	Warm        time.Duration
 	Length      time.Duration
@@ -80,8 +81,8 @@
 	ThroughChain []float64 `json:"chain_of_19_whole_p50_p99_ms"` // sums of 19 whole latencies through a gatekeeper
 }
 
-// Calm holds the differences of the pairs whose direct call took up to a millisecond: while the direct call, the control, was
-// disturbed, the machine was busy with something else. Nothing is left out for what the call through the gatekeeper took.
+// Calm holds the differences of the pairs during which the machine was calm (see waits.calm): other work neither held up the
+// direct call, the control, nor kept the gatekeeper from a core. How long the call through the gatekeeper took is no criterion.
 type Calm struct {
 	Pairs int       `json:"pairs"`
 	P50   float64   `json:"p50_ms"`
@@ -97,6 +98,7 @@
 	PerSecond    float64 `json:"calls_per_s"`
 	Descriptors  int     `json:"descriptor_limit"`
 	StateEvery   float64 `json:"state_every_s"`
+	Setup        float64 `json:"setup_ms"`
 	Seed         uint64  `json:"seed"`
 	Seconds      float64 `json:"seconds"`
 	Load         string  `json:"load_average_before"`
@@ -125,7 +127,7 @@
 	if l.Active <= 0 || l.Active > l.Servers {
 		return nil, ErrNoServers
 	}
-	r := &Run{Servers: l.Servers, Active: l.Active, PerSecond: l.PerSecond, Descriptors: l.Descriptors, Seed: l.Seed, StateEvery: l.StateEvery.Seconds(),
+	r := &Run{Servers: l.Servers, Active: l.Active, PerSecond: l.PerSecond, Descriptors: l.Descriptors, Seed: l.Seed, StateEvery: l.StateEvery.Seconds(), Setup: milliseconds(l.Setup),
 		Seconds: l.Length.Seconds(), Load: LoadAverage()}
 	addresses, closeServers, err := l.startServers()
 	defer closeServers()
@@ -148,8 +150,8 @@
 	return r, l.play(ctx, r, gatekeeper, addresses)
 }
 
-// startServers starts the stand-ins, each with a listener of its own in this process. A set-up costs them no time, so that
-// what is measured is the way to them.
+// startServers starts the stand-ins, each with a listener of its own in this process. Where a set-up costs them no time, what
+// is measured is the way to them.
 func (l Latency) startServers() (addresses []string, closeAll func(), err error) {
 	var ends []func()
 	closeAll = func() {
@@ -158,7 +160,7 @@
 		}
 	}
 	for i := range l.Servers {
-		s, err := lab.NewServer(lab.Work{Full: serverFull}, l.Seed+uint64(i))
+		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: serverFull}, l.Seed+uint64(i))
 		if err != nil {
 			return nil, closeAll, err
 		}
@@ -192,10 +194,13 @@
 		return fmt.Errorf("the gatekeeper ended: %w", err)
 	}
 	waited, measured := gatekeeper.waited(), time.Now()
+	done := make(chan struct{})
+	samples, finished := sampleWaits(gatekeeper.waited, done)
 	l.send(ctx, began, pairs, first, l.Warm+l.Length, to, from, late)
 	sleepOrDone(ctx, began.Add(l.Warm+l.Length))
 	after, err := gatekeeper.processor()
 	if err != nil {
+		close(done)
 		return fmt.Errorf("the gatekeeper ended: %w", err)
 	}
 	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
@@ -204,9 +209,11 @@
 	r.ResidentMB, r.PeakMB = float64(now)/1024, float64(peak)/1024
 	r.Held = gatekeeper.descriptors()
 	settle(ctx, to.arm, from.arm)
+	close(done)
+	<-finished
 	r.CallersEnded, r.NoConnection = to.closed.Load(), gatekeeper.failed.Load()
 	r.Late = float64(late.ValueAtQuantile(99)) / 1000
-	r.evaluate(to.arm, from.arm, first)
+	r.evaluate(to.arm, from.arm, first, samples)
 	return ctx.Err()
 }
 
@@ -258,7 +265,7 @@
 }
 
 // evaluate works out the figures from the pairs from one on. Both arms number their calls by pair.
-func (r *Run) evaluate(to, from *arm, first int) {
+func (r *Run) evaluate(to, from *arm, first int, samples *waits) {
 	to.mu.Lock()
 	defer to.mu.Unlock()
 	from.mu.Lock()
@@ -274,7 +281,7 @@
 		if through[i].ended == stood && direct[i].ended == stood {
 			r.differences = append(r.differences, milliseconds(through[i].took-direct[i].took))
 			whole = append(whole, milliseconds(through[i].took))
-			if direct[i].took <= calmMost {
+			if samples.calm(through[i], direct[i]) {
 				calm = append(calm, milliseconds(through[i].took-direct[i].took))
 			}
 		}
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -62,15 +62,22 @@
 
 func TestEvaluatePairs(t *testing.T) {
 	through, direct := newArm("0a0a0a0a", 100), newArm("0d0d0d0d", 100)
+	began := time.Now()
+	samples := &waits{}
+	for i := range 1000 { // the process waits for a core in the second half of the time
+		samples.at = append(samples.at, began.Add(time.Duration(i)*waitSampleEvery))
+		samples.sum = append(samples.sum, max(0, time.Duration(i-500))*waitSampleEvery/2)
+	}
 	for i := range 101 {
+		due := began.Add(time.Duration(i) * 19 * waitSampleEvery / 2)
 		took := time.Duration(i) * time.Millisecond
-		through.calls = append(through.calls, attempt{took: 2*took + time.Millisecond, ended: stood})
-		direct.calls = append(direct.calls, attempt{took: took, ended: stood})
+		through.calls = append(through.calls, attempt{due: due, took: 2*took + time.Millisecond, ended: stood})
+		direct.calls = append(direct.calls, attempt{due: due, took: took, ended: stood})
 	}
 	through.calls[100].ended = refused
 	through.calls[0].took = time.Hour // before the measured part
 	r := &Run{Seconds: 1, CorePart: 0.01, Seed: 1}
-	r.evaluate(through, direct, 1)
+	r.evaluate(through, direct, 1, samples)
 	require.Equal(t, 100, r.Through.Calls)
 	require.Equal(t, 1, r.Through.Refused)
 	require.Equal(t, 99, r.Added.Pairs)
@@ -83,6 +90,30 @@
 	require.InDelta(t, 19*51, r.Added.Chain[0], 19)
 }
 
+func TestCalmPairs(t *testing.T) {
+	began := time.Now()
+	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
+	w := &waits{at: []time.Time{at(0), at(20), at(40), at(60), at(400)},
+		sum: []time.Duration{0, 0, waitMost, 3 * waitMost, 3 * waitMost}}
+	call := func(due, took int) attempt {
+		return attempt{due: at(due), took: time.Duration(took) * time.Millisecond}
+	}
+	require.True(t, w.calm(call(5, 1), call(6, 1)))
+	require.True(t, w.calm(call(5, 14), call(6, 1)), "how long the call through the gatekeeper took does not count")
+	require.True(t, w.calm(call(21, 1), call(22, 1)), "waited as long as is allowed")
+	require.False(t, w.calm(call(5, 1), call(6, 2)), "the direct call was held up")
+	require.False(t, w.calm(call(41, 1), call(42, 1)), "the gatekeeper waited for a core")
+	require.False(t, w.calm(call(25, 1), call(39, 1).later(20*time.Millisecond)), "it waited around the direct call")
+	require.False(t, w.calm(call(70, 1), call(71, 1)), "samples too far apart")
+	require.False(t, w.calm(call(401, 1), call(402, 1)), "no sample after it")
+	require.False(t, w.calm(call(-2, 1), call(-2, 1)), "no sample before it")
+}
+
+func (a attempt) later(by time.Duration) attempt {
+	a.due = a.due.Add(by)
+	return a
+}
+
 func TestChain(t *testing.T) {
 	require.Equal(t, []float64{19, 19}, Chain([]float64{1}, 19, 100, 1, 0.5, 0.99))
 	require.True(t, math.IsNaN(Chain(nil, 19, 10, 1, 0.5)[0]))
@@ -156,7 +187,7 @@
 
 // What is measured is a decision that sends: no call of a decider in its steady state is refused.
 func TestDeciderSendsEveryCall(t *testing.T) {
-	for _, n := range []int{24, 400} {
+	for _, n := range ServerSizes {
 		d, err := NewDecider(n, stepGatekeepers)
 		require.NoError(t, err)
 		for range 500 {
