--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -168,6 +168,17 @@
 	require.Equal(t, []float64{10, 10}, measure(op, 2, 20*time.Millisecond))
 }
 
+// The time of a function is what its thread worked: a wait is not in it.
+func TestEachCountsProcessorTime(t *testing.T) {
+	wait := measure(each(func() { time.Sleep(5 * time.Millisecond) }), 1, 50*time.Millisecond)
+	require.Less(t, wait[0], 2000.0)
+	work := measure(each(func() {
+		for end := threadTime() + 3*time.Millisecond; threadTime() < end; {
+		}
+	}), 1, 50*time.Millisecond)
+	require.InDelta(t, 3000, work[0], 600)
+}
+
 // Every step can be prepared at its smallest size and gives a positive time, or the value that it counts.
 func TestStepsRun(t *testing.T) {
 	names := map[string]bool{}
--- a/internal/latencylab/measure.go
+++ b/internal/latencylab/measure.go
@@ -1,8 +1,11 @@
 package latencylab
 
 import (
+	"runtime"
 	"slices"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 const (
@@ -14,18 +17,29 @@
 // operation does n operations and returns the time that counts.
 type operation func(n int) time.Duration
 
-// each makes an operation of a function, timed as a whole.
+// each makes an operation of a function, timed as a whole by the processor time of its thread: what waits for a core on a busy
+// machine does not count. Work that the runtime's collector does on other threads is not in it.
 func each(f func()) operation {
 	return func(n int) time.Duration {
-		start := time.Now()
+		start := threadTime()
 		for range n {
 			f()
 		}
-		return time.Since(start)
+		return threadTime() - start
+	}
+}
+
+// threadTime is the processor time of the calling thread, to which its goroutine is locked.
+func threadTime() time.Duration {
+	var at unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at); err != nil {
+		panic(err) // Linux has had this clock since 2.6.12
 	}
+	return time.Duration(at.Nano())
 }
 
-// timed makes an operation of a function that returns the part of its time that counts.
+// timed makes an operation of a function that returns the part of its time that counts, by the wall clock: it is too short for
+// the thread's clock.
 func timed(f func() time.Duration) operation {
 	return func(n int) (sum time.Duration) {
 		for range n {
@@ -38,6 +52,8 @@
 // measure gives the microseconds of one operation, a value for each repetition. A value is the median over batches, so that
 // a batch during which other processes held the core does not count. An operation over slowOperation is done once.
 func measure(op operation, repeats int, span time.Duration) (values []float64) {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
 	size, took := calibrate(op)
 	if size == 1 && took > slowOperation {
 		return []float64{float64(took.Nanoseconds()) / 1000}
