--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -403,8 +403,15 @@
 	}
 }
 
-// do queues work, measured in set-ups, and runs then (with the lock held) when it is done.
+// do queues work, measured in set-ups, and runs then (with the lock held) when it is done. Where work costs nothing that is at
+// once: a timer would add its own delay.
 func (s *Server) do(setups float64, then func()) {
+	if s.work.Setup == 0 {
+		if then != nil {
+			then()
+		}
+		return
+	}
 	cost := time.Duration(setups * s.factor() * float64(s.work.Setup))
 	if now := time.Now(); s.free.Before(now) {
 		s.free = now
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -47,7 +47,7 @@
 	chainDepth   = 19
 	chainSamples = 100000
 	longestMicro = 60e6
-	calmMost     = time.Millisecond // a direct call of a calm pair took no longer
+	calmLeast    = 100 // calm pairs of a run: of fewer no 99th percentile is taken
 	fineDigits   = 3
 )
 
@@ -76,13 +76,14 @@
 	DiffP50      float64   `json:"difference_of_p50_ms"`
 	DiffP99      float64   `json:"difference_of_p99_ms"`
 	DiffP999     float64   `json:"difference_of_p999_ms"`
-	Calm         *Calm     `json:"calm,omitempty"`               // nil: there is no such pair
+	Calm         *Calm     `json:"calm,omitempty"`               // nil: there are fewer than 100 such pairs
 	Chain        []float64 `json:"chain_of_19_p50_p99_ms"`       // sums of 19 paired differences, drawn with the run's seed
 	ThroughChain []float64 `json:"chain_of_19_whole_p50_p99_ms"` // sums of 19 whole latencies through a gatekeeper
 }
 
-// Calm holds the differences of the pairs during which the machine was calm (see waits.calm): other work neither held up the
-// direct call, the control, nor kept the gatekeeper from a core. How long the call through the gatekeeper took is no criterion.
+// Calm holds the differences of the pairs during which the machine was calm (see machine.calm): other work kept neither the
+// gatekeeper nor the laboratory from a core. How long the calls took is no criterion, but a pair that takes long is more likely
+// to meet such a wait.
 type Calm struct {
 	Pairs int       `json:"pairs"`
 	P50   float64   `json:"p50_ms"`
@@ -195,7 +196,7 @@
 	}
 	waited, measured := gatekeeper.waited(), time.Now()
 	done := make(chan struct{})
-	samples, finished := sampleWaits(gatekeeper.waited, done)
+	samples, finished := sampleMachine(gatekeeper, done)
 	l.send(ctx, began, pairs, first, l.Warm+l.Length, to, from, late)
 	sleepOrDone(ctx, began.Add(l.Warm+l.Length))
 	after, err := gatekeeper.processor()
@@ -210,7 +211,7 @@
 	r.Held = gatekeeper.descriptors()
 	settle(ctx, to.arm, from.arm)
 	close(done)
-	<-finished
+	finished()
 	r.CallersEnded, r.NoConnection = to.closed.Load(), gatekeeper.failed.Load()
 	r.Late = float64(late.ValueAtQuantile(99)) / 1000
 	r.evaluate(to.arm, from.arm, first, samples)
@@ -265,7 +266,7 @@
 }
 
 // evaluate works out the figures from the pairs from one on. Both arms number their calls by pair.
-func (r *Run) evaluate(to, from *arm, first int, samples *waits) {
+func (r *Run) evaluate(to, from *arm, first int, samples machine) {
 	to.mu.Lock()
 	defer to.mu.Unlock()
 	from.mu.Lock()
@@ -302,7 +303,7 @@
 }
 
 func calmOf(differences []float64, seed uint64) *Calm {
-	if len(differences) == 0 {
+	if len(differences) < calmLeast {
 		return nil
 	}
 	q := Quantiles(differences, quantiles...)
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -64,12 +64,12 @@
 	through, direct := newArm("0a0a0a0a", 100), newArm("0d0d0d0d", 100)
 	began := time.Now()
 	samples := &waits{}
-	for i := range 1000 { // the process waits for a core in the second half of the time
+	for i := range 1000 { // both processes wait for a core in the second half of the time
 		samples.at = append(samples.at, began.Add(time.Duration(i)*waitSampleEvery))
 		samples.sum = append(samples.sum, max(0, time.Duration(i-500))*waitSampleEvery/2)
 	}
 	for i := range 101 {
-		due := began.Add(time.Duration(i) * 19 * waitSampleEvery / 2)
+		due := began.Add(time.Duration(i) * 9 * waitSampleEvery)
 		took := time.Duration(i) * time.Millisecond
 		through.calls = append(through.calls, attempt{due: due, took: 2*took + time.Millisecond, ended: stood})
 		direct.calls = append(direct.calls, attempt{due: due, took: took, ended: stood})
@@ -77,7 +77,7 @@
 	through.calls[100].ended = refused
 	through.calls[0].took = time.Hour // before the measured part
 	r := &Run{Seconds: 1, CorePart: 0.01, Seed: 1}
-	r.evaluate(through, direct, 1, samples)
+	r.evaluate(through, direct, 1, machine{samples, samples})
 	require.Equal(t, 100, r.Through.Calls)
 	require.Equal(t, 1, r.Through.Refused)
 	require.Equal(t, 99, r.Added.Pairs)
@@ -85,33 +85,43 @@
 	require.InDelta(t, 100, r.Added.P99, 1e-9)
 	require.InDelta(t, 51, r.Added.Mean, 1e-9)
 	require.InDelta(t, 100, r.PerCall, 1e-9)
-	require.Equal(t, 1, r.Added.Calm.Pairs) // the direct call of 1 ms alone
-	require.InDelta(t, 2, r.Added.Calm.P50, 1e-9)
+	require.Nil(t, r.Added.Calm, "24 pairs are too few")
 	require.InDelta(t, 19*51, r.Added.Chain[0], 19)
 }
 
+func TestCalmOf(t *testing.T) {
+	differences := make([]float64, calmLeast)
+	for i := range differences {
+		differences[i] = float64(i + 1)
+	}
+	c := calmOf(differences, 1)
+	require.Equal(t, calmLeast, c.Pairs)
+	require.Equal(t, []float64{50, 99, 100}, []float64{c.P50, c.P99, c.P999})
+	require.Nil(t, calmOf(differences[1:], 1))
+}
+
 func TestCalmPairs(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	w := &waits{at: []time.Time{at(0), at(20), at(40), at(60), at(400)},
-		sum: []time.Duration{0, 0, waitMost, 3 * waitMost, 3 * waitMost}}
+	times := []time.Time{at(0), at(5), at(10), at(15), at(400)}
+	gatekeeper := &waits{at: times, sum: []time.Duration{0, 0, gatekeeperWaits, 3 * gatekeeperWaits, 3 * gatekeeperWaits}}
+	none, never := &waits{at: times, sum: make([]time.Duration, 5)}, &waits{}
+	much := &waits{at: times, sum: []time.Duration{0, 2 * laboratoryWaits, 2 * laboratoryWaits, 2 * laboratoryWaits, 2 * laboratoryWaits}}
 	call := func(due, took int) attempt {
 		return attempt{due: at(due), took: time.Duration(took) * time.Millisecond}
 	}
-	require.True(t, w.calm(call(5, 1), call(6, 1)))
-	require.True(t, w.calm(call(5, 14), call(6, 1)), "how long the call through the gatekeeper took does not count")
-	require.True(t, w.calm(call(21, 1), call(22, 1)), "waited as long as is allowed")
-	require.False(t, w.calm(call(5, 1), call(6, 2)), "the direct call was held up")
-	require.False(t, w.calm(call(41, 1), call(42, 1)), "the gatekeeper waited for a core")
-	require.False(t, w.calm(call(25, 1), call(39, 1).later(20*time.Millisecond)), "it waited around the direct call")
-	require.False(t, w.calm(call(70, 1), call(71, 1)), "samples too far apart")
-	require.False(t, w.calm(call(401, 1), call(402, 1)), "no sample after it")
-	require.False(t, w.calm(call(-2, 1), call(-2, 1)), "no sample before it")
-}
-
-func (a attempt) later(by time.Duration) attempt {
-	a.due = a.due.Add(by)
-	return a
+	m := machine{gatekeeper, none}
+	require.True(t, m.calm(call(1, 1), call(2, 1)))
+	require.True(t, m.calm(call(6, 1), call(7, 1)), "waited as long as is allowed")
+	require.False(t, m.calm(call(11, 1), call(12, 1)), "the gatekeeper waited for a core")
+	require.False(t, m.calm(call(6, 1), call(11, 1)), "it waited around the direct call")
+	require.False(t, m.calm(call(6, 6), call(7, 1)), "it waited before the answer")
+	require.False(t, m.calm(call(17, 1), call(18, 1)), "samples too far apart")
+	require.False(t, m.calm(call(401, 1), call(402, 1)), "no sample after it")
+	require.False(t, m.calm(call(-2, 1), call(-2, 1)), "no sample before it")
+	require.False(t, machine{gatekeeper, much}.calm(call(1, 1), call(2, 1)), "the laboratory waited")
+	require.True(t, machine{gatekeeper, much}.calm(call(6, 1), call(7, 1)))
+	require.False(t, machine{gatekeeper, never}.calm(call(1, 1), call(2, 1)), "no sample at all")
 }
 
 func TestChain(t *testing.T) {
--- a/internal/latencylab/process.go
+++ b/internal/latencylab/process.go
@@ -161,10 +161,13 @@
 	return parseStat(string(text))
 }
 
-// waited is how long the threads of the process have been ready to run and had no core so far (schedstat, second field): the
-// part of a latency that other work on the machine causes.
-func (p *process) waited() (sum time.Duration) {
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
+// waited is how long the threads of the process have been ready to run and had no core so far: the part of a latency that other
+// work on the machine causes.
+func (p *process) waited() time.Duration { return waitedForCore(strconv.Itoa(p.cmd.Process.Pid)) }
+
+// waitedForCore adds up the second field of /proc/PID/task/*/schedstat; pid may be "self".
+func waitedForCore(pid string) (sum time.Duration) {
+	files, _ := filepath.Glob("/proc/" + pid + "/task/*/schedstat")
 	for _, file := range files {
 		text, _ := os.ReadFile(file)
 		if fields := strings.Fields(string(text)); len(fields) > 1 {
--- a/internal/latencylab/waits.go
+++ b/internal/latencylab/waits.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	waitSampleEvery = 20 * time.Millisecond
-	waitMost        = 200 * time.Microsecond // of a calm pair, over the samples around it
-	waitSpanMost    = 200 * time.Millisecond // samples further apart say nothing of a pair
+	waitSampleEvery = 5 * time.Millisecond
+	gatekeeperWaits = 200 * time.Microsecond // of a calm pair, over the samples around it
+	laboratoryWaits = 500 * time.Microsecond // it has several times as many threads and wakes
+	waitSpanMost    = 50 * time.Millisecond  // samples further apart say nothing of a pair
 )
 
 // waits are samples of how long the threads of a process have waited for a core so far. What it waits for on a busy machine is
@@ -50,12 +51,23 @@
 	return w.sum[last] - w.sum[first], true
 }
 
-// calm tells whether a pair of calls ran while the machine was calm: the direct call, the control, took up to calmMost, and the
-// gatekeeper's threads waited up to waitMost for a core around both.
-func (w *waits) calm(through, direct attempt) bool {
-	if direct.took > calmMost {
-		return false
+// machine has the samples of the two processes that a call passes.
+type machine struct{ gatekeeper, laboratory *waits }
+
+// sampleMachine samples both until done is closed. The result may be read once finished has returned.
+func sampleMachine(gatekeeper *process, done <-chan struct{}) (m machine, finished func()) {
+	var one, two <-chan struct{}
+	m.gatekeeper, one = sampleWaits(gatekeeper.waited, done)
+	m.laboratory, two = sampleWaits(func() time.Duration { return waitedForCore("self") }, done)
+	return m, func() {
+		<-one
+		<-two
 	}
+}
+
+// calm tells whether a pair of calls ran while the machine was calm: around both calls the threads of the gatekeeper and of the
+// laboratory waited little for a core. How long the calls took is no criterion, of neither way.
+func (m machine) calm(through, direct attempt) bool {
 	from, to := through.due, through.due.Add(through.took)
 	if direct.due.Before(from) {
 		from = direct.due
@@ -63,6 +75,7 @@
 	if end := direct.due.Add(direct.took); end.After(to) {
 		to = end
 	}
-	waited, known := w.around(from, to)
-	return known && waited <= waitMost
+	gatekeeper, known := m.gatekeeper.around(from, to)
+	laboratory, also := m.laboratory.around(from, to)
+	return known && also && gatekeeper <= gatekeeperWaits && laboratory <= laboratoryWaits
 }
