--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -14,9 +14,10 @@
 	"beammux/control/fleetview"
 	"beammux/control/registers"
 	"beammux/internal/counting"
+	"beammux/internal/ejection"
 	"beammux/internal/fleet"
+	"beammux/internal/follow"
 	"beammux/internal/limits"
-	"beammux/internal/verdicts"
 )
 
 // openFleet joins the fleet's gossip, where the deploy file names it.
@@ -35,9 +36,9 @@
 	n.figures.addFleet(f)
 	n.figures.addRegisters(f)
 	n.telling.Go(func() { n.tellRates(ctx) })
-	if n.judge != nil {
-		n.judge.Open(f)
-		n.figures.addVerdicts(n.judge)
+	if n.outliers != nil {
+		n.outliers.Open(f)
+		n.figures.addEjections(n.outliers)
 	}
 	n.log.WithField("listen", f.Addr()).Info("fleet listening")
 	return nil
@@ -100,7 +101,9 @@
 	Calls  FleetRates     `json:"calls"`
 	Limits *limits.Status `json:"limits,omitempty"`
 
-	Verdicts *verdicts.Status `json:"verdicts,omitempty"`
+	Verdicts *ejection.Status `json:"verdicts,omitempty"`
+
+	Settings *follow.Status `json:"settings,omitempty"` // of the control machines
 }
 
 const ratesEvery = 500 * time.Millisecond
@@ -164,16 +167,22 @@
 
 // Fleet implements ops.Gatekeeper.
 func (n *Node) Fleet() (any, bool) {
-	if n.fleet == nil {
+	settings := n.settingsStatus()
+	if n.fleet == nil && settings == nil {
 		return nil, false
 	}
-	st := FleetStatus{Status: n.fleet.Status(), Calls: n.fleetRates()}
+	st := FleetStatus{Settings: settings}
+	if n.fleet != nil {
+		st.Status, st.Calls = n.fleet.Status(), n.fleetRates()
+	} else {
+		st.Status = fleet.Status{Name: n.settingsName(), Members: []fleetview.Member{}, Registers: []fleet.RegisterStatus{}, Faults: []fleet.Fault{}}
+	}
 	if n.limits != nil {
 		l := n.limits.Status()
 		st.Limits = &l
 	}
-	if n.judge != nil {
-		v := n.judge.Status()
+	if n.outliers != nil {
+		v := n.outliers.Status()
 		st.Verdicts = &v
 	}
 	return st, true
