--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -38,11 +38,12 @@
 	heard    control.Micros // the last event
 	events   int
 	revision uint64
+	every    control.Micros // the replica's heartbeat interval, as far as it has said so
 	// leaderless tells that the replica has long been without a leader.
 	leaderless bool
 }
 
-// New makes the machine of a gatekeeper. The first attempt is due at now, or up to BackoffBase later.
+// New makes the machine of a gatekeeper. The first attempt is due at now, or up to StartWithin later.
 func New(now control.Micros, o Options) *Machine {
 	m := &Machine{
 		timing: o.Timing.WithDefaults(), random: o.Random, replicas: Rank(o.Self, o.Replicas),
@@ -54,7 +55,7 @@
 		m.holds[rank] = now
 		m.tiers = append(m.tiers, tier(o.Self, r))
 	}
-	m.connect.at = now + m.backoff(&m.connect)
+	m.connect.at = now + control.Micros(m.random()*float64(m.timing.StartWithin))
 	return m
 }
 
@@ -76,7 +77,7 @@
 	}
 	next := control.Micros(math.MaxInt64)
 	if m.current != nil {
-		next = m.current.heard + m.timing.HeartbeatWithin
+		next = m.heartbeatDue()
 	}
 	switch {
 	case m.attempt != nil:
@@ -89,6 +90,14 @@
 	return next, true
 }
 
+// maxEvery is the longest heartbeat interval that a replica is believed.
+const maxEvery control.Micros = 30e6
+
+// heartbeatDue is when the current session is given up unless an event comes.
+func (m *Machine) heartbeatDue() control.Micros {
+	return m.current.heard + max(m.timing.HeartbeatWithin, HeartbeatsMissed*m.current.every)
+}
+
 // searching tells whether there may be a better replica than that of the current session.
 func (m *Machine) searching() bool {
 	return m.current.leaderless && len(m.replicas) > 1 || m.current.rank > 0
@@ -100,7 +109,7 @@
 	if len(m.replicas) == 0 {
 		return nil
 	}
-	if m.current != nil && now >= m.current.heard+m.timing.HeartbeatWithin {
+	if m.current != nil && now >= m.heartbeatDue() {
 		m.do(Action{Do: Close, Session: m.current.id})
 		m.lost(now, End{Reason: noAnswer})
 	}
@@ -150,6 +159,7 @@
 	l.heard, l.revision = now, e.Revision
 	l.events++
 	if e.Kind == Heartbeat {
+		l.every = min(e.Every, maxEvery)
 		m.setLeaderless(now, l, e.Leaderless > m.timing.LeaderlessAfter)
 	}
 	if l == m.current || m.adopt(now, e.Kind) {
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -18,8 +18,9 @@
 
 // Timing holds the times of a session. A zero field means its default.
 type Timing struct {
+	StartWithin     control.Micros // longest wait before the first attempt, for many gatekeepers that start at once
 	ConnectWithin   control.Micros // from an attempt's start to its first event
-	HeartbeatWithin control.Micros // without an event a session is given up; over twice the replicas' heartbeat interval
+	HeartbeatWithin control.Micros // without an event a session is given up; or after HeartbeatsMissed of them, if that is longer
 	BackoffBase     control.Micros // longest wait before an attempt in the first round
 	BackoffCap      control.Micros // longest wait before an attempt in any round
 	StableAfter     control.Micros // a session that has lasted so long resets the backoff
@@ -33,6 +34,7 @@
 
 // The default times.
 const (
+	DefaultStartWithin     control.Micros = 250e3
 	DefaultConnectWithin   control.Micros = 3e6
 	DefaultHeartbeatWithin control.Micros = 5e6
 	DefaultBackoffBase     control.Micros = 1e6
@@ -46,6 +48,9 @@
 	DefaultFaultHold       control.Micros = 30e6
 )
 
+// HeartbeatsMissed is how many heartbeats, at the interval that the replica states, a session goes on without.
+const HeartbeatsMissed = 3
+
 // SameTries is how often in a row a replica that says "come back in" a short time is asked in the first round before the next
 // one is tried. In later rounds each is asked once.
 const SameTries = 3
@@ -56,6 +61,7 @@
 		field *control.Micros
 		value control.Micros
 	}{
+		{&t.StartWithin, DefaultStartWithin},
 		{&t.ConnectWithin, DefaultConnectWithin},
 		{&t.HeartbeatWithin, DefaultHeartbeatWithin},
 		{&t.BackoffBase, DefaultBackoffBase},
@@ -100,6 +106,7 @@
 	Kind       EventKind
 	Revision   uint64
 	Leaderless control.Micros // of a Heartbeat: how long the replica has been without word from a leader
+	Every      control.Micros // of a Heartbeat: the interval at which the replica sends them; 0: not said
 }
 
 // Reason tells why a session has ended.
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -84,7 +84,9 @@
 
 func (f *Follower) take(ctx context.Context, a arrival) {
 	if a.event != nil {
-		e := session.Event{Kind: kindOf(a.event.Kind), Revision: a.event.Revision, Leaderless: micros(a.event.Age)}
+		e := session.Event{
+			Kind: kindOf(a.event.Kind), Revision: a.event.Revision, Leaderless: micros(a.event.Age), Every: micros(a.event.Every),
+		}
 		f.carryOut(ctx, f.machine.Heard(f.now(), a.session, e), a.event)
 		f.heard(a)
 		return
