--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -153,8 +153,8 @@
 	for waited := false; ; waited = true {
 		r, err := forward(ctx, addr, data)
 		switch {
-		case err != nil && waited && ctx.Err() != nil: // cut by the deadline while the member was not ready
-			return r, fmt.Errorf("%w (%v)", ErrNotReady, ctx.Err())
+		case err != nil && waited && ended(ctx): // cut by the deadline while the member was not ready
+			return r, fmt.Errorf("%w (%v)", ErrNotReady, err)
 		case !errors.Is(err, ErrNotReady):
 			return r, err
 		}
@@ -166,6 +166,13 @@
 	}
 }
 
+// ended tells whether a context has ended or is past its deadline. A connection whose deadline is the context's may time out an
+// instant before the context says so.
+func ended(ctx context.Context) bool {
+	deadline, ok := ctx.Deadline()
+	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
+}
+
 // GetFrom reads a record at the member at an address. It may be a little older than what the leader holds. A member
 // that is not ready is asked again until the context ends; then the error is ErrNotReady, never ErrNotFound.
 func GetFrom(ctx context.Context, addr, key string) (Record, error) {
--- /dev/null
+++ b/internal/store/deadline_test.go
@@ -0,0 +1,45 @@
+package store
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// slowContext has a deadline and says only later that it has ended, as a context does whose timer has not run yet.
+type slowContext struct {
+	context.Context
+	at time.Time
+}
+
+func (c slowContext) Deadline() (time.Time, bool) { return c.at, true }
+
+// A member that is not ready, and then does not answer by the deadline, is not ready to its client, although the connection
+// times out before the context says that it has ended.
+func TestNotReadyUntilTheDeadline(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer l.Close()
+	go func() {
+		for first := true; ; first = false {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			defer c.Close()
+			if !first {
+				continue
+			}
+			bufio.NewReader(c).ReadBytes('\n')
+			json.NewEncoder(c).Encode(result{Fault: ErrNotReady.Error()})
+		}
+	}()
+	ctx := slowContext{t.Context(), time.Now().Add(300 * time.Millisecond)}
+	_, err = GetFrom(ctx, l.Addr().String(), "k")
+	require.ErrorIs(t, err, ErrNotReady)
+}
