--- a/internal/follow/idle_test.go
+++ b/internal/follow/idle_test.go
@@ -172,6 +172,7 @@
 	t.Logf("each: %.0f bytes, %.1f goroutines, %.0f us of a core a second, %.0f B/s read, %.0f B/s written", m.bytes, m.goroutines, m.cpuMicros, m.read, m.written)
 	require.Less(t, m.read+m.written, 600., "bytes a second: a tenth of the budget")
 	require.Positive(t, m.read, "no heartbeats were counted")
+	require.Less(t, m.cpuMicros, 1800., "processor time: a tenth of the budget")
 	require.Less(t, m.goroutines, 6.)
 	require.Less(t, m.bytes, float64(1<<20))
 }
