--- a/internal/follow/disk_test.go
+++ b/internal/follow/disk_test.go
@@ -398,3 +398,30 @@
 	}
 	require.Equal(t, []string{".settings-2", seenFile, settingsFile}, names)
 }
+
+// The process is killed after a refusal was kept and before the file of the candidate was removed: that one is not tried again.
+func TestLeftoverTried(t *testing.T) {
+	dir, in := keptDir(t)
+	s := newScripted(t)
+	var tried []byte
+	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+		if c.Revision < 12 {
+			return nil
+		}
+		tried, _ = os.ReadFile(filepath.Join(dir, triedFile))
+		return errBad
+	}}, s.watch)
+	require.NoError(t, err)
+	c := s.next()
+	c.change(12, limits("zone/z1", "3", 12))
+	c.report(store.WatchReport{InForce: 8, Refused: 12, Fault: errBad.Error()})
+	f.Close()
+	require.NotEmpty(t, tried)
+	require.NoFileExists(t, filepath.Join(dir, triedFile))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, triedFile), tried, filePerm))
+
+	a := &applied{}
+	f = start(t, newScripted(t), a, Options{Dir: dir})
+	require.Equal(t, []Candidate{in}, a.all())
+	require.Equal(t, uint64(12), f.Status().Refused.Revision)
+}
