--- a/cmd/beammux/show.go
+++ b/cmd/beammux/show.go
@@ -48,7 +48,7 @@
 	s := cfg.Site
 	settings := c.Config + ": settings"
 	add("settings.classes", strings.Join(s.ClassNames, " "), settings)
-	add("settings.balancers", s.Fronts, settings)
+	add("settings.balancers", s.Gatekeepers, settings)
 	add("settings.bounds.attempts-cap", s.AttemptsCap, settings)
 	add("settings.bounds.cancel", s.Cancel, settings)
 	add("settings.bounds.retry-after", s.RetryAfter, settings)
--- a/cmd/drill/translate.go
+++ b/cmd/drill/translate.go
@@ -236,7 +236,7 @@
 	case "knock":
 		c := control.Call{ID: p.text(m, "request-id"), Class: int(p.int(m, "category")),
 			Tenant: int(p.intOr(m, "client-group")), Key: m.TextOr("target-key", ""),
-			DropDead: control.Micros(p.int(m, "drop-dead-us")), FirstChoice: int(p.intOr(m, "far-end")),
+			Deadline: control.Micros(p.int(m, "drop-dead-us")), FirstChoice: int(p.intOr(m, "far-end")),
 			Repeat: p.bool(m, "repeat"), Transit: p.bool(m, "in-transit"), WasCut: p.bool(m, "again")}
 		e = c
 	case "opened":
@@ -247,7 +247,7 @@
 			Code: p.code(m), Took: control.Micros(p.intOr(m, "took-us")), Settled: p.bool(m, "settled"),
 			Reason: int(p.intOr(m, "reason")), Report: p.row(m)}
 		if at := h.instances[i]; at != nil && at.tellsWait {
-			o.ToldWait = control.Micros(o.Reason/16) * 1000
+			o.RetryAfter = control.Micros(o.Reason/16) * 1000
 			o.Reason %= 16
 		}
 		e = o
@@ -268,7 +268,7 @@
 // encode writes one action as a line.
 func encode(i int64, a control.Action) []byte {
 	line := func(name string) *wire.Line { return wire.NewLine(name).Int("i", i) }
-	switch a.Do {
+	switch a.Kind {
 	case control.Send:
 		return line("transmit").Text("request-id", a.ID).Int("try-for-us", int64(a.Wait)).
 			Int("server", int64(a.Server)).End()
@@ -285,5 +285,5 @@
 	case control.Note:
 		return line("note_down").Text("line", a.Text).End()
 	}
-	panic(fmt.Sprintf("drill: unknown action %d", a.Do))
+	panic(fmt.Sprintf("drill: unknown action %d", a.Kind))
 }
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -55,7 +55,7 @@
 		return min(int(at), 3)
 	}
 	set := testSettings()
-	set.Fronts, set.FallTime = fronts, 1e6
+	set.Gatekeepers, set.FallTime = fronts, 1e6
 	fl.set = &set
 	for i := range fronts {
 		fl.set.Position = i
@@ -155,24 +155,24 @@
 func TestLotsOfAFleetAddUp(t *testing.T) {
 	for _, fronts := range []int{20, 30, 300} {
 		set := testSettings()
-		set.Fronts = fronts
+		set.Gatekeepers = fronts
 		total := func(windows int) (worst float64) {
 			var cs []*Controller
 			for i := range fronts {
 				set.Position = i
 				c := New(set, uint64(i))
-				c.now, c.born, c.unit, c.seenUnit = 1e9, 0, 30/float64(fronts), 30/float64(fronts)
-				c.entry(Entry{Server: 7, State: Ready})
+				c.now, c.startedAt, c.bestRate, c.seenBestRate = 1e9, 0, 30/float64(fronts), 30/float64(fronts)
+				c.applyEntry(Entry{Server: 7, State: Ready})
 				cs = append(cs, c)
 			}
-			mean := shareOver * 30 * float64(set.FallTime/2+1) / 1e6
+			mean := shareFactor * 30 * float64(set.FallTime/2+1) / 1e6
 			for slot := range 40 {
 				sum := 0.0
 				for _, c := range cs {
 					for w := range windows {
-						c.now = 1e9 + Micros(slot*windows+w+1)*c.slot
-						c.mayTake(c.servers[0])
-						sum += float64(c.servers[0].lot)
+						c.now = 1e9 + Micros(slot*windows+w+1)*c.shareSlot
+						c.withinShare(c.servers[0])
+						sum += float64(c.servers[0].slotLeft)
 					}
 				}
 				worst = max(worst, math.Abs(sum-mean*float64(windows)))
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -10,12 +10,12 @@
 
 func testSettings() Settings {
 	return Settings{
-		Fronts: 4, Here: -1, AttemptsCap: 4, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
+		Gatekeepers: 4, OwnCell: -1, AttemptsCap: 4, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
 		ReleaseGuard: 3e5, ResendGap: 4e5, OverShareWorth: 0.1,
 		Report: []Field{Spare, Total, WaitMs}, FallMultiple: 2, StartCapacity: 0.3, FallTime: 2e6, WarmWithin: 13e6,
 		Classes: []Class{
-			{Aim: 1.5e6, Deadline: 9e6, Worth: 1, LateWorth: 0.25},
-			{Aim: 1.2e6, Deadline: 6e6, Worth: 8, LateWorth: 0.25},
+			{LatencyTarget: 1.5e6, Deadline: 9e6, Worth: 1, LateWorth: 0.25},
+			{LatencyTarget: 1.2e6, Deadline: 6e6, Worth: 8, LateWorth: 0.25},
 		},
 	}
 }
@@ -39,7 +39,7 @@
 func (f *front) do(e Event) []Action {
 	acts := append([]Action(nil), f.c.Handle(f.now, e)...)
 	for _, a := range acts {
-		if a.Do == Defer && a.Key == "tick" {
+		if a.Kind == Defer && a.Key == "tick" {
 			f.tick = a.At
 		}
 	}
@@ -63,8 +63,8 @@
 func (f *front) call(class, choice int) (string, uint32) {
 	f.n++
 	id := fmt.Sprintf("c%04d", f.n)
-	for _, a := range f.do(Call{ID: id, Class: class, DropDead: f.now + 3e6, FirstChoice: choice}) {
-		if a.Do == Send {
+	for _, a := range f.do(Call{ID: id, Class: class, Deadline: f.now + 3e6, FirstChoice: choice}) {
+		if a.Kind == Send {
 			return id, a.Server
 		}
 	}
@@ -85,7 +85,7 @@
 		f.answer(id, s, 5e4)
 	}
 	f.acts = nil
-	f.c.born -= 2 * startSpan // it has been up for a while
+	f.c.startedAt -= 2 * startTime // it has been up for a while
 	return f
 }
 
@@ -94,10 +94,10 @@
 	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
 }
 
-func (f *front) count(do Do) int {
+func (f *front) count(do ActionKind) int {
 	n := 0
 	for _, a := range f.acts {
-		if a.Do == do {
+		if a.Kind == do {
 			n++
 		}
 	}
@@ -124,10 +124,10 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c := New(testSettings(), 1)
-			s := c.fresh(&server{id: 1})
+			s := c.reset(&server{id: 1})
 			for _, w := range row.waits {
-				s.wait = w * c.gate
-				c.settle(s)
+				s.wait = w * c.gateWait
+				c.updateLevel(s)
 			}
 			if s.level != row.want {
 				t.Errorf("level %d, want %d", s.level, row.want)
@@ -205,7 +205,7 @@
 	if n := c.witnesses(); n != 1 {
 		t.Errorf("%d witnesses without loss", n)
 	}
-	c.loss = 0.25
+	c.lossRate = 0.25
 	if n := c.witnesses(); n != 3 {
 		t.Errorf("%d witnesses at a quarter lost", n)
 	}
@@ -235,7 +235,7 @@
 	f.servers(two...)
 	id, _ := f.call(0, 0)
 	acts := f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	if f.c.find(10).level != 0 || acts[0].Do != Send || acts[0].Server != 20 {
+	if f.c.find(10).level != 0 || acts[0].Kind != Send || acts[0].Server != 20 {
 		t.Errorf("no agent: level %d, %v", f.c.find(10).level, acts)
 	}
 	f.do(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
@@ -246,7 +246,7 @@
 	}
 	sent := false
 	for _, a := range acts {
-		sent = sent || a.Do == Send && a.Server == 20
+		sent = sent || a.Kind == Send && a.Server == 20
 	}
 	if !sent {
 		t.Errorf("processor full: no second choice in %v", acts)
@@ -296,7 +296,7 @@
 	const fronts = 300
 	sent, most := 0, 0
 	set := testSettings()
-	set.Fronts = fronts
+	set.Gatekeepers = fronts
 	for i := range fronts {
 		f := &front{t: t, c: New(set, uint64(i)), now: 1e9}
 		f.servers(two[0])
@@ -339,7 +339,7 @@
 		f.answer(id, s, 5e4)
 	}
 	for _, s := range f.c.servers {
-		s.thin, s.lastWait = 0.6, 0
+		s.shed, s.waitAtTick = 0.6, 0
 	}
 	kept := [2]int{}
 	for i := range 100 {
@@ -359,7 +359,7 @@
 	set.Tenants = []Tenant{{QuotaPerS: 50}, {QuotaPerS: 50}}
 	f := newFront(t, set)
 	f.servers(two...)
-	f.do(Call{ID: "a", Key: "busy", DropDead: f.now + 3e6})
+	f.do(Call{ID: "a", Key: "busy", Deadline: f.now + 3e6})
 	f.do(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
 	if f.count(Refuse) != 1 {
 		t.Error("a busy number is final")
@@ -380,13 +380,13 @@
 		t.Errorf("busy number worth %v of %v", w, plain)
 	}
 	for range 50 {
-		f.c.count(&call{Call: Call{Tenant: 0}})
+		f.c.countArrival(&call{Call: Call{Tenant: 0}})
 	}
 	if w := f.c.worthOf(&call{Call: Call{Tenant: 0}}); w >= plain*0.8 {
 		t.Errorf("tenant far over its share worth %v of %v", w, plain)
 	}
 	for range 5 { // ten calls in a hundred, by a tenant whose share is half
-		f.c.count(&call{Call: Call{Tenant: 1}})
+		f.c.countArrival(&call{Call: Call{Tenant: 1}})
 	}
 	if w := f.c.worthOf(&call{Call: Call{Tenant: 1}}); w < plain {
 		t.Errorf("tenant inside its share worth %v of %v", w, plain)
@@ -492,7 +492,7 @@
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
 	}
 	told(0.4, 2)
-	f.c.see(s, 1e5)
+	f.c.observeWait(s, 1e5)
 	want := s.wait
 	for range 3 {
 		told(0.4, 2)
@@ -509,14 +509,14 @@
 // most of the calls again, and not all at once.
 func TestServerOutOfTheGateTakesMostCalls(t *testing.T) {
 	set := testSettings()
-	set.Report, set.Fronts = []Field{Busy}, 8
+	set.Report, set.Gatekeepers = []Field{Busy}, 8
 	f := newFront(t, set)
 	f.servers(two...)
 	for _, v := range []float64{1, 0.5} {
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 	}
-	if s := f.c.find(10); s.level != 0 || s.thin < 0.2 || s.thin > 0.5 {
-		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.thin)
+	if s := f.c.find(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
+		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.shed)
 	}
 }
 
@@ -526,7 +526,7 @@
 	f := &front{t: t, c: New(testSettings(), 1), now: 1e9}
 	f.do(Start{})
 	f.servers(two...)
-	f.c.unit = 0.01 // from a first answer
+	f.c.bestRate = 0.01 // from a first answer
 	sent := 0
 	for range 12 {
 		if _, s := f.call(0, 0); s != 0 {
@@ -539,10 +539,10 @@
 	g := &front{t: t, c: New(testSettings(), 1), now: 1e9}
 	g.do(Start{})
 	g.servers(two...)
-	g.pass(2 * startSpan)
+	g.pass(2 * startTime)
 	g.do(Timer{"tick"})
-	if n := g.c.roomOf(g.c.find(10)); n != roomFloor {
-		t.Errorf("room for %d at a server of which nothing is known, want %d", n, roomFloor)
+	if n := g.c.inFlightLimit(g.c.find(10)); n != minInFlight {
+		t.Errorf("room for %d at a server of which nothing is known, want %d", n, minInFlight)
 	}
 }
 
@@ -583,14 +583,14 @@
 		f.servers(Entry{Server: uint32(100 + i), Cell: 0, State: Ready, Since: f.now})
 		f.n++
 		id := fmt.Sprintf("k%05d", f.n)
-		f.do(Call{ID: id, Key: id, DropDead: f.now + 3e6})
+		f.do(Call{ID: id, Key: id, Deadline: f.now + 3e6})
 		f.pass(5e4)
 		f.do(Resolved{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
 	}
 	c := f.c
-	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busy) > busyMax {
+	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busyNumbers) > maxBusyNumbers {
 		t.Errorf("left: %d calls, %d waiting, %d servers, %d busy numbers", len(c.calls), len(c.waiting),
-			len(c.servers), len(c.busy))
+			len(c.servers), len(c.busyNumbers))
 	}
 }
 
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -41,7 +41,7 @@
 // start makes a front that knows nothing yet but the list and each pool's agents.
 func (fl *fleet) start(seed uint64, fronts int, list ...Entry) *front {
 	set := *fl.set
-	set.Fronts = fronts
+	set.Gatekeepers = fronts
 	f := &front{t: fl.t, c: New(set, seed), now: fl.now}
 	f.do(Start{})
 	fl.list(f, list...)
@@ -85,13 +85,13 @@
 
 func (fl *fleet) watch(f *front, acts []Action, answer func(uint32, string, int) (Micros, Event)) {
 	for _, a := range acts {
-		if a.Do != Send {
+		if a.Kind != Send {
 			continue
 		}
 		fl.sent[a.Server] = append(fl.sent[a.Server], f.now)
 		try := 0
 		if k := f.c.calls[a.ID]; k != nil {
-			try = k.tries - 1
+			try = k.attempts - 1
 		}
 		if wait, e := answer(a.Server, a.ID, try); e != nil {
 			d := due{at: f.now + wait, f: f, event: e}
@@ -237,14 +237,14 @@
 	if l, w := f.c.find(s).level, f.c.find(s).wait; l != 0 || w > 5e4 {
 		t.Errorf("level %d, wait %.0f us after the front's own stall", l, w)
 	}
-	f.do(Call{ID: "old", DropDead: f.now + 3e6 - 1.7e6, FirstChoice: 0})
-	f.do(Call{ID: "new", DropDead: f.now + 3e6, FirstChoice: 1})
-	if o, n := f.c.calls["old"], f.c.calls["new"]; o == nil || n == nil || !o.late || n.late {
+	f.do(Call{ID: "old", Deadline: f.now + 3e6 - 1.7e6, FirstChoice: 0})
+	f.do(Call{ID: "new", Deadline: f.now + 3e6, FirstChoice: 1})
+	if o, n := f.c.calls["old"], f.c.calls["new"]; o == nil || n == nil || !o.pastTarget || n.pastTarget {
 		t.Error("calls that came during a stall are not told by their callers' patience")
 	}
 	f.pass(1e5)
-	f.do(Call{ID: "short", DropDead: f.now + 1.3e6, FirstChoice: 0})
-	if k := f.c.calls["short"]; k != nil && k.late {
+	f.do(Call{ID: "short", Deadline: f.now + 1.3e6, FirstChoice: 0})
+	if k := f.c.calls["short"]; k != nil && k.pastTarget {
 		t.Error("a short patience without a stall was taken for lateness")
 	}
 }
@@ -258,8 +258,8 @@
 	f.report(s, 3)
 	f.report(s, 3)
 	f.pass(1e5)
-	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.loss == 0 || f.c.find(s).level != 0 {
-		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.find(s).level, f.c.loss)
+	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.lossRate == 0 || f.c.find(s).level != 0 {
+		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.find(s).level, f.c.lossRate)
 	}
 	slow, s := f.call(0, 1)
 	f.pass(9e5)
@@ -278,7 +278,7 @@
 		f.servers(two...)
 		f.call(0, 1)
 		s := f.c.find(10)
-		s.thin, s.fadedAt = 0.9, f.now
+		s.shed, s.shedAt = 0.9, f.now
 		for range 20 {
 			f.pass(1e5)
 			if f == seen {
@@ -286,25 +286,25 @@
 			}
 		}
 	}
-	if a, b := seen.c.find(10).thin, silent.c.find(10).thin; a > 0.5 || b < 0.7 {
+	if a, b := seen.c.find(10).shed, silent.c.find(10).shed; a > 0.5 || b < 0.7 {
 		t.Errorf("thinned part after 2 s: %.2f with news of short waits, %.2f without news", a, b)
 	}
 }
 
 // Odd settings and lists stay harmless: nothing known, no servers, one front, repeated and reordered entries.
 func TestOddInputIsHarmless(t *testing.T) {
-	for _, set := range []Settings{{}, {Fronts: 1}, {Fronts: -3, AttemptsCap: -1, Here: -1},
+	for _, set := range []Settings{{}, {Gatekeepers: 1}, {Gatekeepers: -3, AttemptsCap: -1, OwnCell: -1},
 		{Classes: []Class{{}}, Tenants: []Tenant{{}}, Report: []Field{Field(99)}}} {
 		c := New(set, 0)
 		at := Micros(0)
 		for _, e := range []Event{Start{}, Call{ID: "a"}, Timer{"tick"}, Timer{"?"}, List{Failed: true},
 			List{Entries: []Entry{two[1], two[0], two[0], {Server: 10, State: Gone}, two[1]}}, Call{ID: "b", Class: -1,
-				Tenant: 7, DropDead: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
+				Tenant: 7, Deadline: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
 				Report: []float64{1, 2, 3, 4, 5}}, Status{Server: 20, Code: OK, Report: nil}, Peer{}, Withdrawn{},
-			List{}, Timer{"tick"}, Call{ID: "c", DropDead: 1 << 40}, nil} {
+			List{}, Timer{"tick"}, Call{ID: "c", Deadline: 1 << 40}, nil} {
 			at += 7e5
 			for _, a := range c.Handle(at, e) {
-				if a.Do == Send && a.Server == 10 {
+				if a.Kind == Send && a.Server == 10 {
 					t.Error("sent to a server listed gone")
 				}
 			}
--- a/control/interface.go
+++ b/control/interface.go
@@ -1,4 +1,4 @@
-// Package control decides, for one front, where each call goes or that it is refused.
+// Package control decides, for one gatekeeper, where each call goes or that it is refused.
 //
 // This file is the whole interface: settings, events, actions and types. The decisions are in control.go.
 package control
@@ -31,10 +31,10 @@
 
 // Class describes one class of call.
 type Class struct {
-	Aim, Deadline    Micros
-	Worth, LateWorth float64
-	Repeat           Repeat
-	Pools            []int // cells that can take it; nil means all
+	LatencyTarget, Deadline Micros
+	Worth, LateWorth        float64
+	Repeat                  Repeat
+	Pools                   []int // cells that can take it; nil means all
 }
 
 // Tenant describes one customer account.
@@ -42,20 +42,20 @@
 	QuotaPerS float64
 }
 
-// Settings are the facts that a front knows when it starts.
+// Settings are the facts that a gatekeeper knows when it starts.
 type Settings struct {
-	Fronts, Position            int // how many fronts there are, and the place of this one among them: from 0, or -1 where it is not told
-	Here                        int // own exchange, -1 for none
-	Classes                     []Class
-	Tenants                     []Tenant
-	OverShareWorth              float64
-	AttemptsCap                 int
-	Cancel, RetryAfter, Ask     bool
-	MaxRetryAfter               Micros
-	ReleaseGuard, ResendGap     Micros
-	Report                      []Field
-	FallMultiple, StartCapacity float64
-	FallTime, WarmWithin        Micros
+	Gatekeepers, Position             int // how many there are, and the index of this one among them, from 0, or -1 where it is not known
+	OwnCell                           int // cell of the own exchange, which takes no calls; -1: none
+	Classes                           []Class
+	Tenants                           []Tenant
+	OverShareWorth                    float64
+	AttemptsCap                       int
+	Cancel, RetryAfter, SubscribeList bool
+	MaxRetryAfter                     Micros
+	ReleaseGuard, ResendGap           Micros
+	Report                            []Field
+	FallMultiple, StartCapacity       float64
+	FallTime, WarmWithin              Micros
 }
 
 // State is what the list says of a server.
@@ -86,7 +86,7 @@
 const (
 	Guarded    = Outcomes(1<<TimedOut | 1<<Cut | 1<<Cancelled)                // the release guard counts from these
 	MayHaveRun = Guarded | 1<<Failed                                          // a server may have worked on it
-	Anew       = MayHaveRun | 1<<Full | 1<<Unreachable | Outcomes(1<<NotSent) // after these a call can be tried again
+	Retryable  = MayHaveRun | 1<<Full | 1<<Unreachable | Outcomes(1<<NotSent) // after these a call can be tried again
 )
 
 // Limits bound the attempts of one call where the operators' file sets any. They stay the same while the call lives.
@@ -95,12 +95,12 @@
 	Attempts       int      // the first included, never over Settings.AttemptsCap
 	AttemptTimeout Micros   // after which an attempt is given up; 0: at the call's end
 	Wait, Jitter   Micros   // between an attempt and the next: at least Wait, and up to Jitter more, drawn evenly
-	GiveUp         Micros   // of a call from its arrival, applied to DropDead by who takes it in
+	GiveUp         Micros   // of a call from its arrival, applied to Deadline by who takes it in
 	RetryOn        Outcomes // ends after which a further attempt may go
 	Budget         Budget   // nil: further attempts are not counted
 }
 
-// Budget bounds the further attempts of all calls of a front together.
+// Budget bounds the further attempts of all calls of a gatekeeper together.
 type Budget interface {
 	First(now Micros, class int)     // a first attempt goes out
 	Take(now Micros, class int) bool // a further one wants to; false: the call is to be refused
@@ -134,20 +134,20 @@
 	Entries       []Entry
 }
 
-// Call is a new call that needs one final answer before DropDead.
+// Call is a new call that needs one final answer before Deadline.
 type Call struct {
 	ID                      string
 	Class, Tenant           int
 	Key                     string
-	DropDead                Micros
+	Deadline                Micros
 	FirstChoice             int // cell
 	Repeat, Transit, WasCut bool
-	Excess                  bool    // more than its front takes: to be refused at once
+	Excess                  bool    // more than its listener admits: to be refused at once
 	Limits                  *Limits // nil: those of the settings
 	Quota                   Quota   // nil: none
 }
 
-// Opened says that a set-up succeeded: the call stands.
+// Opened says that a set-up succeeded: the call is established.
 type Opened struct {
 	ID      string
 	Attempt int
@@ -188,18 +188,18 @@
 
 // Resolved is the end of an attempt.
 type Resolved struct {
-	ID       string
-	Attempt  int
-	Server   uint32
-	Code     Code
-	Took     Micros
-	Settled  bool
-	Reason   int // without the told wait
-	ToldWait Micros
-	Report   []float64
+	ID         string
+	Attempt    int
+	Server     uint32
+	Code       Code
+	Took       Micros
+	Settled    bool
+	Reason     int // without RetryAfter
+	RetryAfter Micros
+	Report     []float64
 }
 
-// Status is the answer to a probe, or free agents told unasked (Took is 0 then).
+// Status is the answer to a probe, or a report sent unasked (Took is 0 then).
 type Status struct {
 	Server uint32
 	Code   Code
@@ -207,7 +207,7 @@
 	Report []float64
 }
 
-// InFlightLimit bounds the set-ups that this front may have in flight at a server which the fleet has ejected: 0 none, under 0
+// InFlightLimit bounds the set-ups that this gatekeeper may have in flight at a server which the fleet has ejected: 0 none, under 0
 // any number. It only keeps set-ups away: the module's own rules hold beside it.
 type InFlightLimit struct {
 	Server uint32
@@ -226,29 +226,29 @@
 // Timer is the return of a Defer.
 type Timer struct{ Key string }
 
-// Peer is a note from another front.
+// Peer is a message from another gatekeeper.
 type Peer struct {
 	From int
 	Data []byte
 }
 
-// Do names what an Action does.
-type Do int
+// ActionKind says what an Action does.
+type ActionKind int
 
 // The actions.
 const (
-	Send   Do = iota // start a set-up of ID at Server, given up after Wait (0: at the call's end)
-	Refuse           // final answer, turned away; Wait is the advice to stay away (0: none)
-	Fail             // final answer, given up
-	Cancel           // stop waiting for Attempt of ID
-	Defer            // ask for Timer Key at time At
-	Watch            // subscribe to list changes
-	Note             // log line Text
+	Send   ActionKind = iota // start a set-up of ID at Server, given up after Wait (0: at the call's end)
+	Refuse                   // final answer, turned away; Wait is the advice to stay away (0: none)
+	Fail                     // final answer, given up
+	Cancel                   // stop waiting for Attempt of ID
+	Defer                    // ask for Timer Key at time At
+	Watch                    // subscribe to list changes
+	Note                     // log line Text
 )
 
-// Action is one decision. Fields that its Do does not use are zero.
+// Action is one decision. Fields that its Kind does not use are zero.
 type Action struct {
-	Do      Do
+	Kind    ActionKind
 	ID      string
 	Server  uint32
 	Attempt int
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,12 +1,12 @@
 package control
 
-// Learned is what a front has learned of its servers and its traffic, without any call: what it gives up at its end and may
-// take back at its next start. Package warm says how much of it still counts then.
+// Learned is what a gatekeeper has learned of its servers and its traffic, without any call: what it saves at its end and may
+// restore at its next start. Package warm says how much of it still counts then.
 type Learned struct {
 	At      Micros          `json:"at"`   // when it was so, Unix microseconds
 	Base    float64         `json:"base"` // us; lowest set-up delay seen
 	Loss    float64         `json:"loss"` // part of the set-ups that were lost
-	Unit    float64         `json:"unit"` // own answers a second for each line of a warm server, at best
+	Unit    float64         `json:"unit"` // own answers a second for each agent of a warm server, at best
 	Mix     []float64       `json:"mix"`  // recent arrivals by worth
 	Servers []LearnedServer `json:"servers"`
 }
@@ -16,44 +16,44 @@
 	Server uint32  `json:"server"`
 	Since  Micros  `json:"since"` // its last start, 0 if long ago
 	Wait   float64 `json:"wait"`  // us; estimate of the wait at its processor
-	Thin   float64 `json:"thin"`  // part of the calls, by worth, kept from it
+	Shed   float64 `json:"thin"`  // part of the calls, the least worth first, kept from it
 	Spare  float64 `json:"spare"` // free agents, -1 if not known
 	Total  float64 `json:"total"` // agents, 0 if not known
 }
 
-// Recall is an event: it gives a front that has just started, and has its list, what it had learned before, aged already.
+// Recall is an event: it gives a gatekeeper that has just started, and has its list, what it had learned before, already aged.
 type Recall struct{ Learned }
 
-// Learned gives what this front knows now.
+// Learned returns what this gatekeeper has learned.
 func (c *Controller) Learned() Learned {
-	l := Learned{At: c.now, Base: c.base, Loss: c.loss, Unit: c.unit, Mix: append([]float64(nil), c.mix[:]...)}
+	l := Learned{At: c.now, Base: c.baseDelay, Loss: c.lossRate, Unit: c.bestRate, Mix: append([]float64(nil), c.worthMix[:]...)}
 	for _, s := range c.servers {
 		if s.state != Gone {
-			l.Servers = append(l.Servers, LearnedServer{s.id, s.since, s.wait, min(max(s.thin, 0), 1), s.spare, s.total})
+			l.Servers = append(l.Servers, LearnedServer{s.id, s.since, s.wait, min(max(s.shed, 0), 1), s.spare, s.total})
 		}
 	}
 	return l
 }
 
-// recall takes back what was learned. The list is believed before the memory: a server that is not on it, has started since,
+// recall restores what was learned. The list takes precedence: a server that is not on it, has started since,
 // or is cold gets nothing, and a cold server's budget counts by what has been seen since this start alone.
 func (c *Controller) recall(l Learned) {
-	c.base, c.loss, c.unit = max(l.Base, 0), min(max(l.Loss, 0), 1), max(c.unit, l.Unit)
-	c.mixAll, c.mixAt = 0, c.now
-	for i := range c.mix {
+	c.baseDelay, c.lossRate, c.bestRate = max(l.Base, 0), min(max(l.Loss, 0), 1), max(c.bestRate, l.Unit)
+	c.worthTotal, c.mixDecayedAt = 0, c.now
+	for i := range c.worthMix {
 		if i < len(l.Mix) {
-			c.mix[i] = max(l.Mix[i], 0)
+			c.worthMix[i] = max(l.Mix[i], 0)
 		}
-		c.mixAll += c.mix[i]
+		c.worthTotal += c.worthMix[i]
 	}
 	for _, k := range l.Servers {
 		s := c.find(k.Server)
 		if s == nil || s.state != Ready || s.since != k.Since || c.cold(s) {
 			continue
 		}
-		s.wait, s.lastWait, s.thin = max(k.Wait, 0), max(k.Wait, 0), min(max(k.Thin, 0), 1)
-		s.seen, s.fadedAt = c.now, c.now
+		s.wait, s.waitAtTick, s.shed = max(k.Wait, 0), max(k.Wait, 0), min(max(k.Shed, 0), 1)
+		s.waitSeenAt, s.shedAt = c.now, c.now
 		s.spare, s.total = k.Spare, max(k.Total, 0)
-		c.settle(s)
+		c.updateLevel(s)
 	}
 }
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -41,7 +41,7 @@
 		Entry{Server: 12, Cell: 1, State: Ready, Since: f.now - 100e6}, Entry{Server: 13, Cell: 1, State: Ready, Since: cold})
 	l := Learned{Base: 50000}
 	for id := range uint32(6) {
-		l.Servers = append(l.Servers, LearnedServer{Server: 10 + id, Wait: 9e5, Thin: 0.9, Total: 40, Spare: 1})
+		l.Servers = append(l.Servers, LearnedServer{Server: 10 + id, Wait: 9e5, Shed: 0.9, Total: 40, Spare: 1})
 	}
 	l.Servers[3].Since = cold
 	f.do(Recall{l})
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -60,7 +60,7 @@
 		return nil
 	}
 	l := &Limits{Attempts: 1 + w.rng.IntN(6), AttemptTimeout: Micros(w.rng.IntN(2) * 800000), Wait: Micros(w.rng.IntN(3) * 200000),
-		Jitter: Micros(w.rng.IntN(2) * 150000), RetryOn: Outcomes(w.rng.Uint32()) & Anew}
+		Jitter: Micros(w.rng.IntN(2) * 150000), RetryOn: Outcomes(w.rng.Uint32()) & Retryable}
 	if w.rng.IntN(2) == 0 {
 		l.Budget = &stinted{w: w}
 	}
@@ -101,7 +101,7 @@
 
 func (w *world) check(a Action) {
 	k := w.calls[a.ID]
-	switch a.Do {
+	switch a.Kind {
 	case Send:
 		switch {
 		case k == nil:
@@ -126,7 +126,7 @@
 		if k == nil || k.over || k.out {
 			w.t.Fatalf("rule 1: final answer for %s, which is over, out or unknown", a.ID)
 		}
-		if a.Do == Refuse && k.ran && w.set.Classes[k.class].Repeat != ReadLike {
+		if a.Kind == Refuse && k.ran && w.set.Classes[k.class].Repeat != ReadLike {
 			w.t.Fatalf("%s may have run and was refused", a.ID)
 		}
 		k.over = true
@@ -214,7 +214,7 @@
 			limits: w.limits()}
 		w.calls[id] = k
 		w.order = append(w.order, id)
-		w.handle(Call{ID: id, Class: k.class, Key: fmt.Sprint("n", w.rng.IntN(5)), DropDead: k.drop,
+		w.handle(Call{ID: id, Class: k.class, Key: fmt.Sprint("n", w.rng.IntN(5)), Deadline: k.drop,
 			FirstChoice: w.rng.IntN(3), Repeat: w.rng.IntN(4) == 0, WasCut: w.rng.IntN(9) == 0, Limits: k.limits})
 	case r < 13 && len(out) > 0:
 		id := out[w.rng.IntN(len(out))]
@@ -254,7 +254,7 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.Classes = append(set.Classes, Class{Aim: 1e6, Worth: 3, Repeat: Once}, Class{Aim: 1e6, Worth: 3, Repeat: Keyed})
+	set.Classes = append(set.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Once}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Keyed})
 	if seed%3 == 0 {
 		set.Report, set.Cancel, set.ResendGap = nil, false, 0
 	}
@@ -305,7 +305,7 @@
 		const capacity, fronts = 40.0, 6
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := testSettings()
-		set.Fronts = fronts
+		set.Gatekeepers = fronts
 		var fs []*front
 		for i := range fronts {
 			f := &front{t: t, c: New(set, seed*100+uint64(i)), now: 1e9}
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -238,9 +238,9 @@
 func (p *Policy) resolve(class, at int) *Resolved {
 	k := p.rules.Classes[class]
 	r := &Resolved{Class: class, Route: at, Values: Values{Attempts: int64(p.rules.AttemptsCap), GiveUp: int64(k.Deadline),
-		RetryOn: int64(control.Anew)}}
+		RetryOn: int64(control.Retryable)}}
 	if k.Repeat != control.ReadLike { // it may not be repeated once it may have run
-		r.Values[RetryOn] = int64(control.Anew &^ control.MayHaveRun)
+		r.Values[RetryOn] = int64(control.Retryable &^ control.MayHaveRun)
 	}
 	for f := range Figures {
 		r.From[f] = Settings
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -104,8 +104,8 @@
 var (
 	anyFigures = span{Values{1, 1, 1, 1, 1, 1}, Values{6, 4000, 500, 300, 9500, 1 << 8}}
 	// Most files of these are good, with some that are just not.
-	likelyGood = span{Values{1, 50, 250, 1, 7000, int64(control.Anew &^ control.MayHaveRun)},
-		Values{4, 2200, 500, 300, 9000, int64(control.Anew &^ control.MayHaveRun)}}
+	likelyGood = span{Values{1, 50, 250, 1, 7000, int64(control.Retryable &^ control.MayHaveRun)},
+		Values{4, 2200, 500, 300, 9000, int64(control.Retryable &^ control.MayHaveRun)}}
 )
 
 func genValues(t *rapid.T, label string, in span) (v Values) {
@@ -117,7 +117,7 @@
 		switch Figure(f) {
 		case Attempts:
 		case RetryOn:
-			v[f] &= int64(control.Anew)
+			v[f] &= int64(control.Retryable)
 		default:
 			v[f] *= 1000
 		}
@@ -131,7 +131,7 @@
 		if rapid.Bool().Draw(t, name) {
 			f.Classes = append(f.Classes, ClassValues{name, genValues(t, name, in)})
 			if v := &f.Classes[len(f.Classes)-1].Values; in == likelyGood && name != "billing" && rapid.Bool().Draw(t, "may run") {
-				v[RetryOn] = int64(control.Anew)
+				v[RetryOn] = int64(control.Retryable)
 			}
 		}
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -56,9 +56,9 @@
 	}
 	var d decoder
 	s := &Site{Settings: Settings{
-		Fronts: d.int(v, "balancers"), Position: -1, Here: -1, OverShareWorth: d.float(v, "over-share-worth"),
+		Gatekeepers: d.int(v, "balancers"), Position: -1, OwnCell: -1, OverShareWorth: d.float(v, "over-share-worth"),
 		AttemptsCap: d.int(v, "bounds", "attempts-cap"), Cancel: d.bool(v, "bounds", "cancel"),
-		RetryAfter: d.bool(v, "bounds", "retry-after"), Ask: d.text(v, "discovery") == "subscribe",
+		RetryAfter: d.bool(v, "bounds", "retry-after"), SubscribeList: d.text(v, "discovery") == "subscribe",
 		MaxRetryAfter: d.micros(v, "bounds", "max-retry-after-us"),
 		ReleaseGuard:  d.micros(v, "extra", "release-guard-us"), ResendGap: d.micros(v, "extra", "t1-us"),
 		FallMultiple: d.float(v, "guarantees", "fall-multiple"), FallTime: d.micros(v, "guarantees", "fall-us"),
@@ -73,7 +73,7 @@
 		s.Position = d.int(v, "position")
 	}
 	if v.Exists("extra", "here") {
-		s.Here = d.int(v, "extra", "here")
+		s.OwnCell = d.int(v, "extra", "here")
 	}
 	pools := d.array(v, "extra", "skilled-pools")
 	for k, c := range d.array(v, "classes") {
@@ -83,7 +83,7 @@
 		if !ok {
 			d.fault("repeat", fmt.Sprintf("is not known: %q", name))
 		}
-		class := Class{Aim: d.micros(c, "aim-us"), Deadline: d.micros(c, "deadline-us"),
+		class := Class{LatencyTarget: d.micros(c, "aim-us"), Deadline: d.micros(c, "deadline-us"),
 			Worth: d.float(c, "worth"), LateWorth: d.float(c, "late-worth"), Repeat: repeat}
 		s.ClassNames = append(s.ClassNames, d.text(c, "name"))
 		d.prefix = ""
--- a/control/view.go
+++ b/control/view.go
@@ -1,19 +1,19 @@
 package control
 
-// View is what a front believes of one server now.
+// View is what a gatekeeper estimates of one server now.
 type View struct {
-	Server uint32
-	Level  int
-	Wait   Micros  // at its processor
-	Thin   float64 // part of the calls, by worth, that is kept from it
-	Heard  Micros  // last sign of life of it, by this front's clock; 0: none
-	Since  Micros  // its last start as the list tells it, 0 if long ago
+	Server    uint32
+	Level     int
+	Wait      Micros  // at its processor
+	Shed      float64 // part of the calls, the least worth first, that is kept from it
+	LastHeard Micros  // last sign of life of it, by this gatekeeper's clock; 0: none
+	Since     Micros  // its last start as the list tells it, 0 if long ago
 }
 
-// Views appends what the front believes of each server on its list, in order of their numbers.
+// Views appends the estimates of each server on its list, in order of their numbers.
 func (c *Controller) Views(views []View) []View {
 	for _, s := range c.servers {
-		views = append(views, View{s.id, s.level, Micros(s.wait), s.thin, s.heard, s.since})
+		views = append(views, View{s.id, s.level, Micros(s.wait), s.shed, s.lastHeard, s.since})
 	}
 	return views
 }
--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -100,7 +100,7 @@
 	}
 	for _, s := range m.Learned.Servers {
 		k := control.LearnedServer{Server: s.Server, Since: s.Since, Spare: -1, Total: s.Total,
-			Wait: s.Wait * fade(waitHalf), Thin: s.Thin * fade(thinHalf)}
+			Wait: s.Wait * fade(waitHalf), Shed: s.Shed * fade(thinHalf)}
 		if fade(spareHalf) >= 0.5 { // free lines can't be scaled: they are known or not
 			k.Spare = s.Spare
 		}
@@ -124,7 +124,7 @@
 		return false
 	}
 	for _, s := range l.Servers {
-		if !fits(0, minute, s.Wait) || !fits(0, 1, s.Thin) || !fits(-1, many, s.Spare) || !fits(0, many, s.Total) {
+		if !fits(0, minute, s.Wait) || !fits(0, 1, s.Shed) || !fits(-1, many, s.Spare) || !fits(0, many, s.Total) {
 			return false
 		}
 	}
--- a/control/warm/warm_test.go
+++ b/control/warm/warm_test.go
@@ -22,7 +22,7 @@
 
 func memory(at control.Micros) *Memory {
 	return &Memory{Settings: "a", Learned: control.Learned{At: at, Base: 60000, Loss: 0.02, Unit: 4, Mix: []float64{1, 2},
-		Servers: []control.LearnedServer{{Server: 7, Since: 5, Wait: 400000, Thin: 0.5, Spare: 12, Total: 40}}}}
+		Servers: []control.LearnedServer{{Server: 7, Since: 5, Wait: 400000, Shed: 0.5, Spare: 12, Total: 40}}}}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
@@ -43,7 +43,7 @@
 		if len(l.Mix) > 0 {
 			mix = l.Mix[1]
 		}
-		if !ok || doubt != None || !near(s.Wait, row.wait) || !near(s.Thin, row.thin) || s.Spare != row.spare || !near(mix, row.mix) ||
+		if !ok || doubt != None || !near(s.Wait, row.wait) || !near(s.Shed, row.thin) || s.Spare != row.spare || !near(mix, row.mix) ||
 			!near(l.Unit, row.unit) || l.Base != row.base || s.Total != 40 || s.Since != 5 || s.Server != 7 {
 			t.Errorf("after %g s: %+v, %q", row.age, l, doubt)
 		}
@@ -70,7 +70,7 @@
 			t.Errorf("%s: %q, %t", name, doubt, ok)
 		}
 		for _, s := range l.Servers {
-			if (doubt == ClockBack || doubt == NoTime) && (s.Wait != 0 || s.Thin != 0 || s.Spare != -1 || l.Loss != 0 || len(l.Mix) != 0 || l.Unit != 2) {
+			if (doubt == ClockBack || doubt == NoTime) && (s.Wait != 0 || s.Shed != 0 || s.Spare != -1 || l.Loss != 0 || len(l.Mix) != 0 || l.Unit != 2) {
 				t.Errorf("%s: %+v", name, l)
 			}
 		}
@@ -90,12 +90,12 @@
 		l := &m.Learned
 		l.Base, l.Loss, l.Unit = value(t, "base"), value(t, "loss"), value(t, "unit")
 		s := &l.Servers[0]
-		s.Wait, s.Thin, s.Spare, s.Total = value(t, "wait"), value(t, "thin"), value(t, "spare"), value(t, "total")
+		s.Wait, s.Shed, s.Spare, s.Total = value(t, "wait"), value(t, "thin"), value(t, "spare"), value(t, "total")
 		got, _, ok := Recall(m, control.Micros(rapid.Int64().Draw(t, "now")), "a")
 		if !ok {
 			return
 		}
-		if !sound(got) || got.Base > l.Base || got.Unit > l.Unit || got.Loss > l.Loss || got.Servers[0].Wait > s.Wait || got.Servers[0].Thin > s.Thin {
+		if !sound(got) || got.Base > l.Base || got.Unit > l.Unit || got.Loss > l.Loss || got.Servers[0].Wait > s.Wait || got.Servers[0].Shed > s.Shed {
 			t.Fatalf("%+v of %+v", got, *l)
 		}
 	})
--- a/internal/capacity/depth/depth_test.go
+++ b/internal/capacity/depth/depth_test.go
@@ -53,12 +53,12 @@
 // Today's program, without a file of limits, makes as many attempts as the settings allow for a call that fails each time:
 // nothing tells a level that the failure came from below and has been repeated there.
 func TestEachLevelRepeatsToday(t *testing.T) {
-	settings := control.Settings{Fronts: 1, Position: -1, Here: -1, AttemptsCap: platformAttempts,
-		Classes: []control.Class{{Aim: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.ReadLike}}}
+	settings := control.Settings{Gatekeepers: 1, Position: -1, OwnCell: -1, AttemptsCap: platformAttempts,
+		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.ReadLike}}}
 	require.Equal(t, platformAttempts, sends(t, settings, 1))
 	require.Equal(t, platformAttempts*platformAttempts, sends(t, settings, 2))
 	require.Equal(t, platformAttempts*platformAttempts*platformAttempts, sends(t, settings, 3))
-	require.True(t, control.Anew.Has(control.Failed))
+	require.True(t, control.Retryable.Has(control.Failed))
 }
 
 // With a budget each level sends up to 1 + ratio for each call, as Amplify counts.
@@ -98,11 +98,11 @@
 		list.Entries = append(list.Entries, control.Entry{Server: uint32(i + 1), Cell: i, State: control.Ready})
 	}
 	c.Handle(now, list)
-	queue := append([]control.Action{}, c.Handle(now, control.Call{ID: fmt.Sprint(levels), DropDead: now + 9e6})...)
+	queue := append([]control.Action{}, c.Handle(now, control.Call{ID: fmt.Sprint(levels), Deadline: now + 9e6})...)
 	for attempt := 0; len(queue) > 0; {
 		a := queue[0]
 		queue = queue[1:]
-		if a.Do != control.Send {
+		if a.Kind != control.Send {
 			continue
 		}
 		if levels == 1 {
--- a/internal/latencylab/decision.go
+++ b/internal/latencylab/decision.go
@@ -59,11 +59,11 @@
 func (d *Decider) take(actions []control.Action) (server uint32) {
 	for _, a := range actions {
 		switch {
-		case a.Do == control.Defer && a.Key == "tick":
+		case a.Kind == control.Defer && a.Key == "tick":
 			d.tickAt = a.At
-		case a.Do == control.Send:
+		case a.Kind == control.Send:
 			server = a.Server
-		case a.Do == control.Refuse:
+		case a.Kind == control.Refuse:
 			d.Refused++
 		}
 	}
@@ -77,7 +77,7 @@
 	d.tick()
 	d.next++
 	id := fmt.Sprintf("%016x", d.next)
-	call := control.Call{ID: id, DropDead: d.now + 3200000, Key: id, FirstChoice: d.next * 7 % d.servers}
+	call := control.Call{ID: id, Deadline: d.now + 3200000, Key: id, FirstChoice: d.next * 7 % d.servers}
 	start := time.Now()
 	actions := d.control.Handle(d.now, call)
 	took := time.Since(start)
@@ -107,7 +107,7 @@
 func (d *Decider) Tick() time.Duration {
 	d.next++
 	id := fmt.Sprintf("%016x", d.next)
-	d.take(d.control.Handle(d.now, control.Call{ID: id, DropDead: d.now + 3200000, Key: id, FirstChoice: d.next % d.servers}))
+	d.take(d.control.Handle(d.now, control.Call{ID: id, Deadline: d.now + 3200000, Key: id, FirstChoice: d.next % d.servers}))
 	d.now += tickSpan
 	took := d.tick()
 	d.take(d.control.Handle(d.now, control.Withdrawn{ID: id}))
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -66,8 +66,8 @@
 		var out []fleetview.Summary
 		for _, v := range views {
 			s := fleetview.Summary{Server: v.Server, Level: v.Level, Age: -1}
-			if v.Heard > 0 {
-				s.Age = now - v.Heard
+			if v.LastHeard > 0 {
+				s.Age = now - v.LastHeard
 			}
 			out = append(out, s)
 		}
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -50,11 +50,11 @@
 // rules are the figures of the settings that reports need.
 func (n *Node) rules() *history.Rules {
 	s := n.cfg.Site
-	r := &history.Rules{Reports: s.ReportNames, Fronts: s.Fronts, AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace,
+	r := &history.Rules{Reports: s.ReportNames, Fronts: s.Gatekeepers, AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace,
 		ReleaseGuard: s.ReleaseGuard, FallMultiple: s.FallMultiple, FallTime: s.FallTime, StartCapacity: s.StartCapacity,
 		WarmWithin: s.WarmWithin}
 	for i, c := range s.Classes {
-		r.Classes = append(r.Classes, history.Class{Name: s.ClassNames[i], Aim: c.Aim, Worth: c.Worth, LateWorth: c.LateWorth})
+		r.Classes = append(r.Classes, history.Class{Name: s.ClassNames[i], Aim: c.LatencyTarget, Worth: c.Worth, LateWorth: c.LateWorth})
 	}
 	return r
 }
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -28,9 +28,9 @@
 
 func settings(deadline time.Duration) control.Settings {
 	d := control.Micros(deadline / time.Microsecond)
-	return control.Settings{Fronts: 1, Here: -1, AttemptsCap: 5, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
+	return control.Settings{Gatekeepers: 1, OwnCell: -1, AttemptsCap: 5, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
 		ReleaseGuard: 300000, ResendGap: 500000, FallMultiple: 2, FallTime: 1e6, StartCapacity: 0.33, WarmWithin: 15e6,
-		Classes: []control.Class{{Aim: 1500000, Deadline: d, Worth: 1, LateWorth: 0.25}}}
+		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: d, Worth: 1, LateWorth: 0.25}}}
 }
 
 func newBench(t *testing.T, deadline time.Duration, servers ...routing.Host) *bench {
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -159,7 +159,7 @@
 	c.noteReport(a.server, o.Report)
 	k.releaseLateAnswer(a.peer)
 	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: o.Code,
-		Took: c.clock.now() - a.sentAt, Reason: o.Reason, ToldWait: o.RetryAfter, Report: o.Report})
+		Took: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
 }
 
 // released handles the release of an established call by its server. A repeated one is passed on once.
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -136,7 +136,7 @@
 			quota = k.admission
 		}
 	}
-	c.handle(control.Call{Quota: quota, ID: s.ID, Class: s.Class, Tenant: s.Tenant, Key: s.Key, DropDead: deadline,
+	c.handle(control.Call{Quota: quota, ID: s.ID, Class: s.Class, Tenant: s.Tenant, Key: s.Key, Deadline: deadline,
 		FirstChoice: s.FirstChoice, WasCut: s.WasCut, Limits: limits, Excess: s.Excess})
 }
 
@@ -285,7 +285,7 @@
 	if k != nil && k.established {
 		k = nil
 	}
-	switch a.Do {
+	switch a.Kind {
 	case control.Send:
 		if k != nil {
 			c.send(k, a)
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		c.recordedViews[v.Server] = recordedView{v, now}
-		c.recorder.Record(history.Event{At: now, Kind: history.Viewed, Server: v.Server, Level: v.Level, Span: v.Wait, Value: v.Thin})
+		c.recorder.Record(history.Event{At: now, Kind: history.Viewed, Server: v.Server, Level: v.Level, Span: v.Wait, Value: v.Shed})
 	}
 }
 
@@ -127,7 +127,7 @@
 	})
 	ask(c.Post, func() (views []history.Event) {
 		for _, v := range c.module.Views(nil) {
-			views = append(views, history.Event{At: now, Kind: history.Viewed, Server: v.Server, Level: v.Level, Span: v.Wait, Value: v.Thin})
+			views = append(views, history.Event{At: now, Kind: history.Viewed, Server: v.Server, Level: v.Level, Span: v.Wait, Value: v.Shed})
 		}
 		return views
 	})
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -125,9 +125,9 @@
 func (c *caller) Release(int)               { c.releases++ }
 
 func settings() control.Settings {
-	return control.Settings{Fronts: 1, Here: -1, AttemptsCap: 5, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
+	return control.Settings{Gatekeepers: 1, OwnCell: -1, AttemptsCap: 5, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
 		ReleaseGuard: 300000, ResendGap: 500000, FallMultiple: 2, FallTime: 1e6, StartCapacity: 0.33, WarmWithin: 15e6,
-		Classes: []control.Class{{Aim: 1500000, Deadline: 3e6, Worth: 1, LateWorth: 0.25}}}
+		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 3e6, Worth: 1, LateWorth: 0.25}}}
 }
 
 type bench struct {
