--- a/control/fleetview/fleetview.go
+++ b/control/fleetview/fleetview.go
@@ -85,11 +85,11 @@
 	State   State  `json:"state"`
 	Address string `json:"address"`
 
-	Health  Health         `json:"health"`
-	Since   control.Micros `json:"since_us"` // of its health
-	Servers []Summary      `json:"servers"`
-	ToldSeq uint64         `json:"servers_seq"`
-	ToldAt  control.Micros `json:"servers_at_us"`
+	Health     Health         `json:"health"`
+	Since      control.Micros `json:"since_us"` // of its health
+	Servers    []Summary      `json:"servers"`
+	ServersSeq uint64         `json:"servers_seq"`
+	ServersAt  control.Micros `json:"servers_at_us"`
 }
 
 // Kind tells what an event is.
@@ -102,12 +102,12 @@
 	Answered                  // it answered a probe
 	Died                      // the fleet has given it up
 	Went                      // it left
-	Told                      // Member.Start, ToldSeq, Servers: what it sees of servers
+	Published                 // Member.Start, ToldSeq, Servers: what it sees of servers
 	Own                       // Member.State, Servers: what this member says of itself
 	Tick                      // time has passed
 )
 
-// Event is one thing that this member was told or noticed.
+// Event is something that this member received or noticed.
 type Event struct {
 	Kind   Kind
 	Name   string
@@ -153,9 +153,9 @@
 		return v.own(now, m, e)
 	case Met:
 		return v.met(now, m, e)
-	case Told:
-		if m != nil && e.Member.Start == m.Start && e.Member.ToldSeq > m.ToldSeq {
-			m.ToldSeq, m.ToldAt, m.Servers = e.Member.ToldSeq, now, slices.Clone(e.Member.Servers)
+	case Published:
+		if m != nil && e.Member.Start == m.Start && e.Member.ServersSeq > m.ServersSeq {
+			m.ServersSeq, m.ServersAt, m.Servers = e.Member.ServersSeq, now, slices.Clone(e.Member.Servers)
 		}
 		return nil
 	}
@@ -171,8 +171,8 @@
 }
 
 func (v *View) own(now control.Micros, m *Member, e Event) []Change {
-	m.ToldAt, m.Servers = now, slices.Clone(e.Member.Servers)
-	m.ToldSeq++
+	m.ServersAt, m.Servers = now, slices.Clone(e.Member.Servers)
+	m.ServersSeq++
 	if m.State == e.Member.State {
 		return nil
 	}
@@ -189,7 +189,7 @@
 	n.Name = e.Name
 	switch {
 	case m == nil || n.Start > m.Start:
-		n.Health, n.Since, n.Servers, n.ToldSeq, n.ToldAt = Alive, now, nil, 0, 0
+		n.Health, n.Since, n.Servers, n.ServersSeq, n.ServersAt = Alive, now, nil, 0, 0
 		v.members[e.Name] = &n
 		v.version++
 		return []Change{{Name: n.Name, Health: Alive, State: n.State, Fresh: true}}
--- a/control/fleetview/fleetview_test.go
+++ b/control/fleetview/fleetview_test.go
@@ -60,7 +60,7 @@
 	v := New(self(), 0, 1000)
 	v.Apply(1, met("x", 10, 1, Ready))
 	told := func(start, seq uint64, level int) {
-		v.Apply(2, Event{Kind: Told, Name: "x", Member: Member{Start: start, ToldSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
+		v.Apply(2, Event{Kind: Published, Name: "x", Member: Member{Start: start, ServersSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
 	}
 	told(10, 2, 3)
 	told(10, 1, 0) // overtaken
--- a/control/registers/errors.go
+++ b/control/registers/errors.go
@@ -22,7 +22,7 @@
 type BadOrigin struct{ Bytes int }
 
 func (e *BadOrigin) Error() string {
-	return fmt.Sprintf("registers: an origin's name of %d bytes; it must have 1 to %d", e.Bytes, mostName)
+	return fmt.Sprintf("registers: an origin's name of %d bytes; it must have 1 to %d", e.Bytes, maxNameLength)
 }
 
 // Advice implements advice.Error.
--- a/control/registers/registers.go
+++ b/control/registers/registers.go
@@ -1,4 +1,4 @@
-// Package registers keeps what the gatekeepers of a fleet tell each other: one register for each topic and origin, of which
+// Package registers keeps what the gatekeepers of a fleet publish to each other: one register for each topic and origin, of which
 // the newest wins, by the origin's start and the sequence within it. That is a state-based CRDT (a map of last-writer-wins
 // registers with a single writer each): merging is commutative, associative and idempotent, so gossip in any order, twice or
 // late never counts a thing twice. It does no I/O and reads no clock.
@@ -44,16 +44,16 @@
 // Spec bounds a topic.
 type Spec struct {
 	Bytes   int            // most of a value
-	Every   control.Micros // a changed value is told at most so often, times the members by membersPer
-	Refresh control.Micros // and one that has not changed is told again, so that silence is not taken for rest
-	Stale   control.Micros // a register so old no longer counts
+	Every   control.Micros // least time between changes that are sent, times the members by membersAtFullPace
+	Refresh control.Micros // an unchanged value is sent again after this, since silence must not pass for no change
+	Stale   control.Micros // a register of this age no longer counts
 }
 
 // Bounds of a book.
 const (
-	mostOrigins = 1024 // of others, for each topic
-	mostName    = 64   // bytes of an origin's name
-	membersPer  = 16   // so many members hear a topic at its full pace; of more, each tells the more seldom
+	maxOrigins        = 1024 // of others, for each topic
+	maxNameLength     = 64   // bytes of an origin's name
+	membersAtFullPace = 16   // up to so many members publish at a topic's full pace; of more, each does so less often
 )
 
 // Register is the state of one origin under one topic.
@@ -69,33 +69,33 @@
 // newer tells whether a comes after b from the same origin.
 func newer(a, b *Register) bool { return a.Start > b.Start || a.Start == b.Start && a.Seq > b.Seq }
 
-type held struct {
+type received struct {
 	Register
-	at control.Micros // when it was said at the latest, by this member's clock
+	publishedAt control.Micros // at the latest, by this member's clock
 }
 
-type own struct {
-	held
-	told    control.Micros // when it was last handed over
-	changed bool
+type ownRegister struct {
+	received
+	handedOverAt control.Micros // when it was last handed over
+	changed      bool
 }
 
-// Book is what one member holds. It is not safe for use by several goroutines.
+// Book holds the registers of one member. It is not safe for concurrent use.
 type Book struct {
-	self   string
-	start  uint64
-	specs  map[Topic]Spec
-	own    map[Topic]*own
-	others map[Topic]map[string]*held
-	merged int64
-	old    int64
+	self     string
+	start    uint64
+	specs    map[Topic]Spec
+	own      map[Topic]*ownRegister
+	others   map[Topic]map[string]*received
+	newCount int64
+	oldCount int64
 }
 
 // New makes the book of a member. Topics that are not in specs are not kept: a member of an older build passes over them.
 func New(self string, start uint64, specs map[Topic]Spec) *Book {
-	b := &Book{self: self, start: start, specs: specs, own: map[Topic]*own{}, others: map[Topic]map[string]*held{}}
+	b := &Book{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*received{}}
 	for t := range specs {
-		b.others[t] = map[string]*held{}
+		b.others[t] = map[string]*received{}
 	}
 	return b
 }
@@ -111,55 +111,55 @@
 	}
 	o := b.own[t]
 	if o == nil {
-		o = &own{held: held{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, told: now - spec.Refresh}
+		o = &ownRegister{received: received{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.Refresh}
 		b.own[t] = o
 	}
-	// The sequence counts what is told: a value that was not told since is replaced in its place. A value said again is as
-	// fresh as a new one, and is told again at Refresh.
+	// The sequence counts what is sent: a value that was not sent yet is replaced in its place. A value that is put again is
+	// as fresh as a new one, and is sent again at Refresh.
 	if !o.changed && !slices.Equal(o.Value, value) {
 		o.changed = true
 	}
-	o.Value, o.at = value, now
+	o.Value, o.publishedAt = value, now
 	return nil
 }
 
-// Due gives the own registers that are to be told now to a fleet of so many members: changed ones at their topic's pace, the
-// rest now and then.
+// Due returns the own registers to be sent now in a fleet of so many members: changed ones at their topic's pace, the others
+// after Refresh.
 func (b *Book) Due(now control.Micros, members int) (due []Register) {
 	for _, t := range b.topics() {
 		o, spec := b.own[t], b.specs[t]
 		if o == nil {
 			continue
 		}
-		pace := control.Micros(max(1, float64(members)/membersPer) * float64(spec.Every))
-		since := now - o.told
-		if !(o.changed && since >= pace || since >= max(pace, spec.Refresh)) {
+		interval := control.Micros(max(1, float64(members)/membersAtFullPace) * float64(spec.Every))
+		since := now - o.handedOverAt
+		if !(o.changed && since >= interval || since >= max(interval, spec.Refresh)) {
 			continue
 		}
 		o.Seq++
-		o.told, o.changed = now, false
+		o.handedOverAt, o.changed = now, false
 		due = append(due, o.copy(now))
 	}
 	return due
 }
 
-func (h *held) copy(now control.Micros) Register {
+func (h *received) copy(now control.Micros) Register {
 	r := h.Register
-	r.Age = max(0, now-h.at)
+	r.Age = max(0, now-h.publishedAt)
 	return r
 }
 
 func (b *Book) topics() []Topic { return slices.Sorted(maps.Keys(b.specs)) }
 
-// Merge takes a register that was heard. It tells whether that is news, which is to be passed on. Topics that the book does
-// not carry are passed over without an error: a newer build may have more.
+// Merge takes a received register. It returns whether that is new, and to be passed on. Topics that the book does not carry
+// are ignored without an error: a newer build may have more.
 func (b *Book) Merge(now control.Micros, r Register) (news bool, err error) {
 	spec, ok := b.specs[r.Topic]
 	if !ok {
 		return false, nil
 	}
 	switch {
-	case r.Origin == "" || len(r.Origin) > mostName:
+	case r.Origin == "" || len(r.Origin) > maxNameLength:
 		return false, &BadOrigin{len(r.Origin)}
 	case len(r.Value) > spec.Bytes:
 		return false, &TooLarge{r.Topic, r.Origin, len(r.Value), spec.Bytes}
@@ -172,31 +172,31 @@
 	h := b.others[r.Topic][r.Origin]
 	switch {
 	case h == nil:
-		if len(b.others[r.Topic]) >= mostOrigins {
-			return false, &Crowded{r.Origin, mostOrigins}
+		if len(b.others[r.Topic]) >= maxOrigins {
+			return false, &Crowded{r.Origin, maxOrigins}
 		}
 	case newer(&r, &h.Register):
 	default:
-		b.old++
+		b.oldCount++
 		if r.Start == h.Start && r.Seq == h.Seq {
-			h.at = min(h.at, at)
+			h.publishedAt = min(h.publishedAt, at)
 		}
 		return false, nil
 	}
 	r.Age = 0
-	b.others[r.Topic][r.Origin] = &held{r, at}
-	b.merged++
+	b.others[r.Topic][r.Origin] = &received{r, at}
+	b.newCount++
 	return true, nil
 }
 
-// State gives every register that still counts by its age, for another member's Merge.
+// State returns every register that still counts by its age, for another member's Merge.
 func (b *Book) State(now control.Micros) (all []Register) {
 	for _, t := range b.topics() {
-		if o := b.own[t]; o != nil && o.Seq > 0 && !o.changed && now-o.at <= b.specs[t].Stale {
+		if o := b.own[t]; o != nil && o.Seq > 0 && !o.changed && now-o.publishedAt <= b.specs[t].Stale {
 			all = append(all, o.copy(now))
 		}
 		for _, name := range b.origins(t) {
-			if h := b.others[t][name]; now-h.at <= b.specs[t].Stale {
+			if h := b.others[t][name]; now-h.publishedAt <= b.specs[t].Stale {
 				all = append(all, h.copy(now))
 			}
 		}
@@ -206,15 +206,15 @@
 
 func (b *Book) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
 
-// Read gives what counts under a topic now: the own value, and those of members that are up with that start and not older
+// Read returns what counts under a topic now: the own value, and those of members that are up with that start and not older
 // than Stale; by origin.
 func (b *Book) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
 	stale := b.specs[t].Stale
-	if o := b.own[t]; o != nil && now-o.at <= stale {
+	if o := b.own[t]; o != nil && now-o.publishedAt <= stale {
 		all = append(all, o.copy(now))
 	}
 	for _, name := range b.origins(t) {
-		if h := b.others[t][name]; now-h.at <= stale && up(name, h.Start) {
+		if h := b.others[t][name]; now-h.publishedAt <= stale && up(name, h.Start) {
 			all = append(all, h.copy(now))
 		}
 	}
@@ -222,17 +222,17 @@
 	return all
 }
 
-// Forget drops what has long ceased to count, so that names of the past take no room. Copies of it that are still about are
-// older than Stale and are not taken again.
+// Forget drops what has long ceased to count, so that names of the past use no memory. Copies of it that still circulate are
+// older than Stale and are not accepted again.
 func (b *Book) Forget(now control.Micros) {
 	for t, all := range b.others {
 		for name, h := range all {
-			if now-h.at > 4*b.specs[t].Stale {
+			if now-h.publishedAt > 4*b.specs[t].Stale {
 				delete(all, name)
 			}
 		}
 	}
 }
 
-// Counts tells how many registers were news, and how many came twice or late.
-func (b *Book) Counts() (news, old int64) { return b.merged, b.old }
+// Counts returns how many received registers were new, and how many were duplicates or late.
+func (b *Book) Counts() (news, old int64) { return b.newCount, b.oldCount }
--- a/control/registers/registers_test.go
+++ b/control/registers/registers_test.go
@@ -170,7 +170,7 @@
 		require.False(t, news)
 		require.NoError(t, err)
 	}
-	for i := range mostOrigins {
+	for i := range maxOrigins {
 		_, err := b.Merge(0, Register{Topic: Rates, Origin: fmt.Sprint(i), Seq: 1})
 		require.NoError(t, err)
 	}
--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -25,8 +25,8 @@
 	names := []string{"g1", "g2", "g3"}
 	g := &fleettest.Gossip{}
 	g.SetUp(names...)
-	g.Tell("x", []byte{0xff})
-	g.Tell("y", []byte("hello"))
+	g.SetValue("x", []byte{0xff})
+	g.SetValue("y", []byte("hello"))
 	began := time.Now()
 	now := func() control.Micros { return 1e9 + control.Micros(time.Since(began).Microseconds()) }
 	servers := []outlier.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Package fleet keeps a gatekeeper's view of its fleet by gossip: SWIM with suspicion, refutation and incarnation numbers,
 // as hashicorp/memberlist does it. What the view is, and what changes it, is decided in control/fleetview; this package
-// brings it the events and carries its own member's state and summaries to the others.
+// delivers the events to it and publishes its own member's state and summaries.
 //
-// The library gives a member up for good once it is dead; here each member tries again those it lost, and its seeds, one a
-// second, so that both sides of a partition find each other when it heals.
+// The library gives a member up for good once it is dead; here each member tries to rejoin those it lost, and its seeds, one
+// a second, so that both sides of a partition find each other when it heals.
 package fleet
 
 import (
@@ -26,29 +26,29 @@
 	"beammux/control/registers"
 )
 
-// The protocol's figures. A member that does not answer is given up within 2 to 9 s at 32 members, by how many confirm it.
+// Parameters of the protocol. A member that does not answer is given up within 2 to 9 s at 32 members, by how many confirm it.
 const (
-	probeEvery   = 500 * time.Millisecond
-	probeWithin  = 250 * time.Millisecond
-	suspicion    = 4 // times log10(members+1) times probeEvery, at the least 4 x probeEvery
-	suspicionMax = 3 // times that while nobody confirms it
-	gossipEvery  = 100 * time.Millisecond
-	gossipTo     = 3
-	syncEvery    = 10 * time.Second // whole states with one other member
-	streamWithin = time.Second
-	toTheDead    = 30 * time.Second // a dead member is still told so, that it may refute
-	againEvery   = time.Second      // one lost member or seed is tried again
-	settleFor    = 5 * time.Second  // after a change of the view, states are taken at that pace
-	lookEvery    = time.Second      // the own summary is looked at
-	refreshEvery = 5 * time.Second  // and told although nothing changed, for each refreshOf members
-	refreshOf    = 8
-	leaveWithin  = 500 * time.Millisecond
-	nameMost     = 64
-	anyPortTries = 20
+	probeInterval         = 500 * time.Millisecond
+	probeTimeout          = 250 * time.Millisecond
+	suspicionMult         = 4 // times log10(members+1) times probeEvery, at the least 4 x probeEvery
+	suspicionMaxMult      = 3 // times that while nobody confirms it
+	gossipInterval        = 100 * time.Millisecond
+	gossipNodes           = 3
+	pushPullInterval      = 10 * time.Second // between exchanges of whole states with one other member
+	streamTimeout         = time.Second
+	gossipToDeadTime      = 30 * time.Second // a dead member still receives gossip, so that it can refute
+	rejoinInterval        = time.Second      // between attempts to rejoin an unreachable member or seed
+	unsettledTime         = 5 * time.Second  // after a change of the view, whole states are exchanged at rejoinInterval
+	summaryInterval       = time.Second      // between checks of the own summary
+	summaryRefresh        = 5 * time.Second  // between publications of an unchanged one, for each summaryRefreshMembers members
+	summaryRefreshMembers = 8
+	leaveTimeout          = 500 * time.Millisecond
+	maxProgramLength      = 64
+	anyPortAttempts       = 20
 )
 
-// ReapAfter is how long a dead member is remembered where the settings do not say.
-const ReapAfter = 10 * time.Minute
+// DefaultReapAfter is how long a dead member is remembered where the settings do not say.
+const DefaultReapAfter = 10 * time.Minute
 
 // Options of a member.
 type Options struct {
@@ -58,7 +58,7 @@
 	Seeds                       []string          // addresses of members to join; one that answers is enough
 	Keys                        [][]byte          // of the gossip's encryption, the first encrypts; nil: not encrypted
 	Via                         map[string]string // where this member reaches others, by what they advertise
-	ReapAfter                   time.Duration     // 0: ReapAfter
+	ReapAfter                   time.Duration     // 0: DefaultReapAfter
 	State                       fleetview.State   // with which it begins
 	Summaries                   func() []fleetview.Summary
 	Log                         logrus.FieldLogger
@@ -66,32 +66,32 @@
 
 // Fleet is this gatekeeper's part of the gossip.
 type Fleet struct {
-	o       Options
-	list    *memberlist.Memberlist
-	net     *transport
-	queue   *memberlist.TransmitLimitedQueue
-	log     logrus.FieldLogger
-	began   time.Time
-	started control.Micros
-	stop    chan struct{}
-	done    sync.WaitGroup
-	once    sync.Once
-
-	mu      sync.Mutex
-	view    *fleetview.View
-	told    time.Time // when the own summary was last told
-	changes int64
-	moved   time.Time // when the view last changed
-
-	start     uint64 // of this member, Unix ms
-	registers *memberlist.TransmitLimitedQueue
-
-	bookMu sync.Mutex // never held while mu is taken
-	book   *registers.Book
-	faults map[string]*Fault
-}
-
-// meta is what a member says of itself beside its name and address.
+	options     Options
+	list        *memberlist.Memberlist
+	net         *transport
+	queue       *memberlist.TransmitLimitedQueue
+	log         logrus.FieldLogger
+	startTime   time.Time
+	startMicros control.Micros
+	stop        chan struct{}
+	done        sync.WaitGroup
+	once        sync.Once
+
+	mu            sync.Mutex
+	view          *fleetview.View
+	publishedAt   time.Time // when the own summary was last published
+	changes       int64
+	viewChangedAt time.Time // when the view last changed
+
+	incarnation uint64 // of this member, Unix ms
+	registers   *memberlist.TransmitLimitedQueue
+
+	registersMu  sync.Mutex // never held while mu is taken
+	registerBook *registers.Book
+	faults       map[string]*Fault
+}
+
+// meta is what a member publishes of itself beside its name and address.
 type meta struct {
 	Zone    string          `cbor:"1,keyasint"`
 	Region  string          `cbor:"2,keyasint"`
@@ -101,18 +101,19 @@
 	State   fleetview.State `cbor:"6,keyasint"`
 }
 
-// summary is what a member sees of the servers.
+// summary is what a member observes of the servers.
 type summary struct {
 	Name    string              `cbor:"1,keyasint"`
 	Start   uint64              `cbor:"2,keyasint"`
 	Seq     uint64              `cbor:"3,keyasint"`
 	Servers []fleetview.Summary `cbor:"4,keyasint"`
-	// Registers ride on a summary of nobody at the end of a whole state: a member before registers passes over it.
+	// Registers are carried by a summary without a name at the end of a whole state: a member of a build before registers
+	// ignores it.
 	Registers []cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// fromOthers reads what other members send: bounded, since it comes from the network.
-var fromOthers = func() cbor.DecMode {
+// decoding reads what other members send: bounded, since it comes from the network.
+var decoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxNestedLevels: 8, MaxMapPairs: 64}.DecMode()
 	if err != nil {
 		panic(err)
@@ -127,19 +128,19 @@
 		return nil, fmt.Errorf("fleet: bind %q is not IP:PORT", o.Bind)
 	}
 	if o.ReapAfter <= 0 {
-		o.ReapAfter = ReapAfter
+		o.ReapAfter = DefaultReapAfter
 	}
-	if len(o.Program) > nameMost {
-		o.Program = o.Program[:nameMost]
+	if len(o.Program) > maxProgramLength {
+		o.Program = o.Program[:maxProgramLength]
 	}
 	now := time.Now()
-	f := &Fleet{o: o, log: o.Log, began: now, started: control.Micros(now.UnixMicro()), stop: make(chan struct{}),
-		start: uint64(now.UnixMilli()), faults: map[string]*Fault{}}
-	f.book = registers.New(o.Name, f.start, Topics)
+	f := &Fleet{options: o, log: o.Log, startTime: now, startMicros: control.Micros(now.UnixMicro()), stop: make(chan struct{}),
+		incarnation: uint64(now.UnixMilli()), faults: map[string]*Fault{}}
+	f.registerBook = registers.New(o.Name, f.incarnation, Topics)
 	// With port 0 the library takes any free one for TCP and asks for the same for UDP, where it may be taken.
 	var nt *memberlist.NetTransport
 	var err error
-	for try := 0; try == 0 || err != nil && port == 0 && try < anyPortTries; try++ {
+	for try := 0; try == 0 || err != nil && port == 0 && try < anyPortAttempts; try++ {
 		nt, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{ip.String()}, BindPort: port,
 			Logger: f.logger()})
 	}
@@ -154,13 +155,13 @@
 		}
 	}
 	f.view = fleetview.New(fleetview.Member{Name: o.Name, Zone: o.Zone, Region: o.Region, Program: o.Program,
-		Start: f.start, Seq: 1, State: o.State, Address: net.JoinHostPort(f.net.host.String(), fmt.Sprint(f.net.port))}, f.now(), control.Micros(o.ReapAfter.Microseconds()))
+		Start: f.incarnation, Seq: 1, State: o.State, Address: net.JoinHostPort(f.net.host.String(), fmt.Sprint(f.net.port))}, f.now(), control.Micros(o.ReapAfter.Microseconds()))
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.Logger = o.Name, f.net, f.logger()
-	c.ProbeInterval, c.ProbeTimeout, c.AwarenessMaxMultiplier = probeEvery, probeWithin, 4
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicion, suspicionMax
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipTo, toTheDead
-	c.PushPullInterval, c.TCPTimeout = syncEvery, streamWithin
+	c.ProbeInterval, c.ProbeTimeout, c.AwarenessMaxMultiplier = probeInterval, probeTimeout, 4
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
+	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
+	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
 	c.DeadNodeReclaimTime = time.Millisecond // a dead member's name may come back at another address
 	c.EnableCompression = false              // messages are small
 	c.Delegate, c.Events, c.Ping, c.Conflict = (*delegate)(f), (*delegate)(f), (*delegate)(f), (*delegate)(f)
@@ -170,35 +171,35 @@
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
-	f.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: f.up}
-	f.registers = &memberlist.TransmitLimitedQueue{RetransmitMult: registerMult, NumNodes: f.up}
+	f.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: f.membersUp}
+	f.registers = &memberlist.TransmitLimitedQueue{RetransmitMult: registerRetransmitMult, NumNodes: f.membersUp}
 	if f.list, err = memberlist.Create(c); err != nil {
 		nt.Shutdown()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f.done.Go(f.again)
-	f.done.Go(f.look)
-	f.done.Go(f.tell)
+	f.done.Go(f.rejoin)
+	f.done.Go(f.publishSummaries)
+	f.done.Go(f.publishRegisters)
 	return f, nil
 }
 
 // now is Unix microseconds that go on evenly when the clock is set.
 func (f *Fleet) now() control.Micros {
-	return f.started + control.Micros(time.Since(f.began).Microseconds())
+	return f.startMicros + control.Micros(time.Since(f.startTime).Microseconds())
 }
 
 // Addr is where the gossip listens.
 func (f *Fleet) Addr() string {
-	return net.JoinHostPort(f.o.Bind[:strings.LastIndexByte(f.o.Bind, ':')], fmt.Sprint(f.net.GetAutoBindPort()))
+	return net.JoinHostPort(f.options.Bind[:strings.LastIndexByte(f.options.Bind, ':')], fmt.Sprint(f.net.GetAutoBindPort()))
 }
 
-// apply gives the view an event and logs what it changed.
+// apply applies an event to the view and logs what changed.
 func (f *Fleet) apply(e fleetview.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.view.Apply(f.now(), e) {
 		f.changes++
-		f.moved = time.Now()
+		f.viewChangedAt = time.Now()
 		log := f.log.WithFields(logrus.Fields{"member": c.Name, "health": c.Health.String(), "state": c.State.String(), "view": f.view.Version()})
 		switch {
 		case c.Reaped:
@@ -213,55 +214,56 @@
 	}
 }
 
-// up is how many members the gossip counts with.
-func (f *Fleet) up() int {
+// membersUp is how many members are alive or suspect, this one included.
+func (f *Fleet) membersUp() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Count(fleetview.Alive) + f.view.Count(fleetview.Suspect)
 }
 
-// SetState tells the fleet what this member is. It does not wait for anybody to hear of it.
+// SetState publishes the state of this member. It does not wait for any other member.
 func (f *Fleet) SetState(s fleetview.State) {
-	f.own(s)
-	f.done.Go(func() { f.list.UpdateNode(leaveWithin) })
+	f.setOwn(s)
+	f.done.Go(func() { f.list.UpdateNode(leaveTimeout) })
 }
 
-func (f *Fleet) own(s fleetview.State) {
+func (f *Fleet) setOwn(s fleetview.State) {
 	f.mu.Lock()
 	servers := f.view.Self().Servers
 	f.mu.Unlock()
-	f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.o.Name, Member: fleetview.Member{State: s, Servers: servers}})
+	f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: s, Servers: servers}})
 }
 
-// again tries one lost member or seed every so often. While the view moves it takes whole states with any member instead,
-// where none is lost: what gossip misses when many change at once would else wait for the next of these, up to syncEvery.
-func (f *Fleet) again() {
-	rng := rand.New(rand.NewPCG(uint64(f.started), uint64(f.net.port)))
+// rejoin tries to join one unreachable member or seed each rejoinInterval. Where none is, and the view has changed of late, it
+// exchanges whole states with any member instead: what gossip misses when many change at once would otherwise wait for up to
+// pushPullInterval.
+func (f *Fleet) rejoin() {
+	rng := rand.New(rand.NewPCG(uint64(f.startMicros), uint64(f.net.port)))
 	for first := true; ; first = false {
 		f.mu.Lock()
-		lost := f.view.Lost()
+		unreachable := f.view.Lost()
 		members := f.view.Members()
-		moving := time.Since(f.moved) < settleFor
+		unsettled := time.Since(f.viewChangedAt) < unsettledTime
 		f.mu.Unlock()
-		for _, seed := range f.o.Seeds {
+		for _, seed := range f.options.Seeds {
 			if !slices.ContainsFunc(members, func(m fleetview.Member) bool { return m.Address == seed && m.Health.Up() }) {
-				lost = append(lost, seed)
+				unreachable = append(unreachable, seed)
 			}
 		}
-		if moving && len(lost) == 0 && len(members) > 1 {
-			if m := members[rng.IntN(len(members))]; m.Name != f.o.Name && m.Health.Up() {
-				lost = append(lost, m.Address)
+		if unsettled && len(unreachable) == 0 && len(members) > 1 {
+			if m := members[rng.IntN(len(members))]; m.Name != f.options.Name && m.Health.Up() {
+				unreachable = append(unreachable, m.Address)
 			}
 		}
-		wait := time.Duration(float64(againEvery) * (0.75 + 0.5*rng.Float64()))
-		if len(lost) > 0 {
-			addr := lost[rng.IntN(len(lost))]
+		wait := time.Duration(float64(rejoinInterval) * (0.75 + 0.5*rng.Float64()))
+		if len(unreachable) > 0 {
+			addr := unreachable[rng.IntN(len(unreachable))]
 			_, err := f.list.Join([]string{addr})
 			if err != nil {
 				f.log.WithField("address", addr).WithError(err).Debug("fleet: no answer")
 			}
 			if first || err != nil && len(members) == 1 { // alone: the next one at once, but not in a spin
-				wait = againEvery / 10
+				wait = rejoinInterval / 10
 			}
 		}
 		select {
@@ -272,10 +274,10 @@
 	}
 }
 
-// look tells what this member sees of the servers when it has changed, and now and then when it has not: the more seldom
-// the more members there are, so that what each of them hears stays bounded.
-func (f *Fleet) look() {
-	tick := time.NewTicker(lookEvery)
+// publishSummaries publishes what this member observes of the servers when it has changed, and periodically when it has not:
+// the less often the more members there are, so that what each of them receives stays bounded.
+func (f *Fleet) publishSummaries() {
+	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -284,23 +286,23 @@
 		case <-tick.C:
 		}
 		f.apply(fleetview.Event{Kind: fleetview.Tick})
-		if f.o.Summaries == nil {
+		if f.options.Summaries == nil {
 			continue
 		}
-		seen := f.o.Summaries()
+		seen := f.options.Summaries()
 		f.mu.Lock()
 		self := f.view.Self()
 		f.mu.Unlock()
-		refresh := time.Duration(max(1, f.up()/refreshOf)) * refreshEvery
-		if sameLevels(self.Servers, seen) && time.Since(f.told) < refresh {
+		refresh := time.Duration(max(1, f.membersUp()/summaryRefreshMembers)) * summaryRefresh
+		if sameLevels(self.Servers, seen) && time.Since(f.publishedAt) < refresh {
 			continue
 		}
-		f.told = time.Now()
-		f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.o.Name, Member: fleetview.Member{State: self.State, Servers: seen}})
+		f.publishedAt = time.Now()
+		f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: seen}})
 		f.mu.Lock()
 		self = f.view.Self()
 		f.mu.Unlock()
-		if text, err := cbor.Marshal(summary{Name: self.Name, Start: self.Start, Seq: self.ToldSeq, Servers: self.Servers}); err == nil {
+		if text, err := cbor.Marshal(summary{Name: self.Name, Start: self.Start, Seq: self.ServersSeq, Servers: self.Servers}); err == nil {
 			f.queue.QueueBroadcast(&broadcast{self.Name, text})
 		}
 	}
@@ -310,7 +312,7 @@
 	return slices.EqualFunc(a, b, func(a, b fleetview.Summary) bool { return a.Server == b.Server && a.Level == b.Level })
 }
 
-// UpNames gives the members that this one holds to be up, itself included, by name.
+// UpNames returns the members that are up in this one's view, itself included, by name.
 func (f *Fleet) UpNames() (names []string) {
 	f.mu.Lock()
 	f.view.EachUp(func(m *fleetview.Member) { names = append(names, m.Name) })
@@ -319,11 +321,11 @@
 	return names
 }
 
-// Leave tells the fleet that this member goes, and ends the gossip.
+// Leave announces that this member leaves, and ends the gossip.
 func (f *Fleet) Leave() {
-	f.own(fleetview.Leaving)
-	f.list.UpdateNode(leaveWithin) // first: by it the others tell one that leaves from one that died
-	f.list.Leave(leaveWithin)
+	f.setOwn(fleetview.Leaving)
+	f.list.UpdateNode(leaveTimeout) // first: by it the others distinguish leaving from dying
+	f.list.Leave(leaveTimeout)
 	f.Close()
 }
 
@@ -352,24 +354,24 @@
 	Faults    []Fault          `json:"faults"`
 }
 
-// Status gives the view as it is.
+// Status returns the view as it is.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
-	st := Status{Name: f.o.Name, View: f.view.Version(), Hash: fmt.Sprintf("%016x", f.view.Hash()), Members: f.view.Members(),
+	st := Status{Name: f.options.Name, View: f.view.Version(), Hash: fmt.Sprintf("%016x", f.view.Hash()), Members: f.view.Members(),
 		Packets: f.net.packets.Load(), Streams: f.net.streams.Load(), Bytes: f.net.bytes.Load()}
 	f.mu.Unlock()
 	st.Registers = f.registerStatus()
 	st.News, st.Old = f.RegisterCounts()
-	f.bookMu.Lock()
+	f.registersMu.Lock()
 	for _, v := range f.faults {
 		st.Faults = append(st.Faults, *v)
 	}
-	f.bookMu.Unlock()
+	f.registersMu.Unlock()
 	slices.SortFunc(st.Faults, func(a, b Fault) int { return strings.Compare(a.Kind, b.Kind) })
 	return st
 }
 
-// Count gives the members of a health, and how often the view has changed.
+// Count returns the members of a health, and how often the view has changed.
 func (f *Fleet) Count(h fleetview.Health) (members int, changes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -390,7 +392,7 @@
 func (b *broadcast) Message() []byte { return b.text }
 func (b *broadcast) Finished()       {}
 
-// delegate is the fleet as the library calls it. It is called with the library's locks held: it takes the view's alone.
+// delegate implements the library's callbacks. They run with the library's locks held, and take the view's lock alone.
 type delegate Fleet
 
 func (d *delegate) fleet() *Fleet { return (*Fleet)(d) }
@@ -410,27 +412,27 @@
 // NotifyMsg implements memberlist.Delegate.
 func (d *delegate) NotifyMsg(text []byte) {
 	if len(text) > 0 && text[0]>>5 == arrayType {
-		d.fleet().hear(text)
+		d.fleet().receiveRegister(text)
 		return
 	}
 	var s summary
-	if fromOthers.Unmarshal(text, &s) == nil {
-		d.heard(s)
+	if decoding.Unmarshal(text, &s) == nil {
+		d.receiveSummary(s)
 	}
 }
 
 // arrayType is CBOR's major type of arrays (RFC 8949): registers are arrays, summaries are maps.
 const arrayType = 4
 
-func (d *delegate) heard(s summary) {
+func (d *delegate) receiveSummary(s summary) {
 	if s.Name == "" {
 		for _, text := range s.Registers {
-			d.fleet().hear(text)
+			d.fleet().receiveRegister(text)
 		}
 		return
 	}
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Told, Name: s.Name,
-		Member: fleetview.Member{Start: s.Start, ToldSeq: s.Seq, Servers: s.Servers}})
+	d.fleet().apply(fleetview.Event{Kind: fleetview.Published, Name: s.Name,
+		Member: fleetview.Member{Start: s.Start, ServersSeq: s.Seq, Servers: s.Servers}})
 }
 
 // GetBroadcasts implements memberlist.Delegate.
@@ -447,14 +449,14 @@
 	var all []summary
 	d.mu.Lock()
 	for _, m := range d.view.Members() {
-		if m.Health.Up() && m.ToldSeq > 0 {
-			all = append(all, summary{Name: m.Name, Start: m.Start, Seq: m.ToldSeq, Servers: m.Servers})
+		if m.Health.Up() && m.ServersSeq > 0 {
+			all = append(all, summary{Name: m.Name, Start: m.Start, Seq: m.ServersSeq, Servers: m.Servers})
 		}
 	}
 	d.mu.Unlock()
-	d.bookMu.Lock()
-	told := d.book.State(d.fleet().now())
-	d.bookMu.Unlock()
+	d.registersMu.Lock()
+	told := d.registerBook.State(d.fleet().now())
+	d.registersMu.Unlock()
 	if len(told) > 0 {
 		var s summary
 		for _, r := range told {
@@ -472,17 +474,17 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var all []summary
-	if fromOthers.Unmarshal(text, &all) != nil {
+	if decoding.Unmarshal(text, &all) != nil {
 		return
 	}
 	for _, s := range all {
-		d.heard(s)
+		d.receiveSummary(s)
 	}
 }
 
-func (d *delegate) met(n *memberlist.Node) {
+func (d *delegate) memberSeen(n *memberlist.Node) {
 	var m meta
-	if err := fromOthers.Unmarshal(n.Meta, &m); err != nil {
+	if err := decoding.Unmarshal(n.Meta, &m); err != nil {
 		d.log.WithField("member", n.Name).Warn("fleet: member tells nothing that can be read of itself; is it a gatekeeper of this version?")
 		return
 	}
@@ -491,17 +493,17 @@
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d *delegate) NotifyJoin(n *memberlist.Node) { d.met(n) }
+func (d *delegate) NotifyJoin(n *memberlist.Node) { d.memberSeen(n) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.met(n) }
+func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.memberSeen(n) }
 
-// NotifyLeave implements memberlist.EventDelegate: the library says so of dead members and of those that left. Who left
-// had said before that it leaves.
+// NotifyLeave implements memberlist.EventDelegate: the library calls it for dead members and for those that left. A member
+// that left had published the state Leaving before.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	kind := fleetview.Died
 	var m meta
-	if fromOthers.Unmarshal(n.Meta, &m) == nil && m.State == fleetview.Leaving {
+	if decoding.Unmarshal(n.Meta, &m) == nil && m.State == fleetview.Leaving {
 		kind = fleetview.Went
 	}
 	d.fleet().apply(fleetview.Event{Kind: kind, Name: n.Name})
@@ -521,18 +523,18 @@
 	d.fleet().apply(fleetview.Event{Kind: fleetview.Answered, Name: n.Name})
 }
 
-// suspects finds in the library's log that a probe was not answered: the library tells it nowhere else (v0.7.0, state.go,
+// suspectLine finds in the library's log that a probe was not answered: the library reports it nowhere else (v0.7.0, state.go,
 // probeNode). TestSuspicion holds it to that.
-var suspects = regexp.MustCompile(`Suspect (\S+) has failed, no acks received`)
+var suspectLine = regexp.MustCompile(`Suspect (\S+) has failed, no acks received`)
 
-// logger turns the library's lines into ours.
+// logger passes the library's log on to this package's.
 func (f *Fleet) logger() *stdlog.Logger { return stdlog.New(libraryLog{f}, "", 0) }
 
 type libraryLog struct{ f *Fleet }
 
 func (l libraryLog) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
-	if m := suspects.FindStringSubmatch(text); m != nil {
+	if m := suspectLine.FindStringSubmatch(text); m != nil {
 		l.f.apply(fleetview.Event{Kind: fleetview.Suspected, Name: m[1]})
 	}
 	switch level, what, _ := strings.Cut(text, " "); level {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -96,7 +96,7 @@
 	until(t, "both meet", func() bool { return known(a, "both").Health == fleetview.Alive })
 	for _, f := range []*Fleet{plain, other} {
 		if n := len(f.Status().Members); n != 1 {
-			t.Errorf("%s knows %d members", f.o.Name, n)
+			t.Errorf("%s knows %d members", f.options.Name, n)
 		}
 	}
 	if n := len(both.Status().Members); n != 2 {
@@ -172,22 +172,22 @@
 	}
 	a := member(t, Options{Name: "a", Summaries: func() []fleetview.Summary { return []fleetview.Summary{{Server: 7, Level: 3}} }})
 	one := registers.Register{Topic: registers.Rates, Origin: "a", Start: 1, Seq: 1, Value: []byte("v")}
-	if err := fromOthers.Unmarshal(encode(one), new(former)); err == nil {
+	if err := decoding.Unmarshal(encode(one), new(former)); err == nil {
 		t.Error("a register reads as a summary")
 	}
 	a.Publish(registers.Rates, []byte("v"))
 	until(t, "a has told its register and summary", func() bool {
 		var all []former
-		if err := fromOthers.Unmarshal((*delegate)(a).LocalState(false), &all); err != nil {
+		if err := decoding.Unmarshal((*delegate)(a).LocalState(false), &all); err != nil {
 			t.Fatal(err)
 		}
 		return len(all) == 2 && all[0].Name == "a" && all[0].Servers[0].Level == 3 && all[1].Name == ""
 	})
 	b := member(t, Options{Name: "b", Seeds: []string{a.Addr()}})
 	until(t, "they meet", func() bool { return known(a, "b").Health == fleetview.Alive })
-	b.bookMu.Lock()
-	start := b.start
-	b.bookMu.Unlock()
+	b.registersMu.Lock()
+	start := b.incarnation
+	b.registersMu.Unlock()
 	later := encode(registers.Register{Topic: 77, Origin: "b", Start: start, Seq: 1, Value: []byte("unknown")})
 	good := encode(registers.Register{Topic: registers.Limits, Origin: "b", Start: start, Seq: 1, Value: []byte("good")})
 	text, err := cbor.Marshal([]summary{{Registers: []cbor.RawMessage{later, {0x83, 1, 2, 3}, good}}})
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -1,4 +1,4 @@
-// Package fleettest is a gossip for tests, in which members of one process hear each other at once.
+// Package fleettest is a gossip for tests, in which members of one process receive each other's values at once.
 package fleettest
 
 import (
@@ -7,21 +7,21 @@
 	"beammux/control/registers"
 )
 
-// Gossip is what all members have told. The zero value has none.
+// Gossip holds the values of all members. The zero value has none.
 type Gossip struct {
 	mu      sync.Mutex
-	told    map[string][]byte
+	values  map[string][]byte
 	members []string
 }
 
-// Tell sets what a member tells, whatever the topic.
-func (g *Gossip) Tell(name string, value []byte) {
+// SetValue sets the value of a member, for all topics.
+func (g *Gossip) SetValue(name string, value []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.told == nil {
-		g.told = map[string][]byte{}
+	if g.values == nil {
+		g.values = map[string][]byte{}
 	}
-	g.told[name] = value
+	g.values[name] = value
 }
 
 // SetUp names the members that are up.
@@ -40,23 +40,23 @@
 	name string
 }
 
-// Publish sets what this member tells.
+// Publish sets the value of this member.
 func (m Member) Publish(_ registers.Topic, value []byte) error {
-	m.Tell(m.name, value)
+	m.SetValue(m.name, value)
 	return nil
 }
 
-// Read gives what all have told, as new.
+// Read returns the values of all members, with age 0.
 func (m Member) Read(t registers.Topic) (all []registers.Register) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name, v := range m.told {
+	for name, v := range m.values {
 		all = append(all, registers.Register{Topic: t, Origin: name, Value: v})
 	}
 	return all
 }
 
-// UpNames gives the members that are up.
+// UpNames returns the members that are up.
 func (m Member) UpNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -15,7 +15,7 @@
 	"beammux/control/registers"
 )
 
-// Topics are what members tell each other, with its bounds. A register and what goes around it must fit into a datagram of
+// Topics are what members publish to each other, with its bounds. A register and what goes around it must fit into a datagram of
 // the gossip (1,400 bytes with encryption).
 var Topics = map[registers.Topic]registers.Spec{
 	registers.Rates:    {Bytes: 512, Every: 1e6, Refresh: 2e6, Stale: 6e6},
@@ -26,12 +26,12 @@
 }
 
 const (
-	tellEvery    = 50 * time.Millisecond // own registers that are due are looked for so often
-	registerMult = 2                     // a register is passed on by each member so many times log10(members+1)
-	faultsKept   = 16                    // kinds of faults that are kept for operators
+	registerInterval       = 50 * time.Millisecond // between checks for own registers that are due
+	registerRetransmitMult = 2                     // a register is retransmitted by each member so many times log10(members+1)
+	maxFaults              = 16                    // kinds of faults that are kept for operators
 )
 
-// register is a register on the wire: an array, which members before registers can't read as a summary and drop.
+// register is a register on the wire: an array, which members of builds before registers can't read as a summary and drop.
 type register struct {
 	_      struct{} `cbor:",toarray"`
 	Topic  registers.Topic
@@ -68,25 +68,25 @@
 	Advice string `json:"advice"`
 }
 
-// broadcastOf is a register on its way; a later one of its origin takes its place.
-type broadcastOf struct {
+// registerBroadcast is a queued register; a later one of its origin replaces it.
+type registerBroadcast struct {
 	f *Fleet
 	registers.Register
 	at control.Micros // when its Age was so
 }
 
-func (b *broadcastOf) Invalidates(o memberlist.Broadcast) bool {
-	other, ok := o.(*broadcastOf)
+func (b *registerBroadcast) Invalidates(o memberlist.Broadcast) bool {
+	other, ok := o.(*registerBroadcast)
 	return ok && other.Topic == b.Topic && other.Origin == b.Origin
 }
 
 // Message is asked for when it is about to be sent: the age is that of now, not of when it was queued.
-func (b *broadcastOf) Message() []byte {
+func (b *registerBroadcast) Message() []byte {
 	r := b.Register
 	r.Age += b.f.now() - b.at
 	return encode(r)
 }
-func (b *broadcastOf) Finished() {}
+func (b *registerBroadcast) Finished() {}
 
 func encode(r registers.Register) []byte {
 	text, err := cbor.Marshal(register{Topic: r.Topic, Origin: r.Origin, Start: r.Start, Seq: r.Seq, Age: float64(r.Age), Value: r.Value})
@@ -96,39 +96,38 @@
 	return text
 }
 
-// Publish sets what this member tells the fleet under a topic. It is told when it has changed, at the topic's pace. The
-// slice is kept.
+// Publish sets this member's value under a topic. It is sent when it has changed, at the topic's pace. The slice is kept.
 func (f *Fleet) Publish(t registers.Topic, value []byte) error {
-	f.bookMu.Lock()
-	err := f.book.Put(f.now(), t, value)
-	f.bookMu.Unlock()
+	f.registersMu.Lock()
+	err := f.registerBook.Put(f.now(), t, value)
+	f.registersMu.Unlock()
 	if err != nil {
-		f.fault(err)
+		f.recordFault(err)
 	}
 	return err
 }
 
-// Read gives what counts under a topic now, by origin: this member's own, and what members that are up have told and is not
-// older than the topic's Stale.
+// Read returns what counts under a topic now, by origin: this member's own value, and those published by members that are up
+// and not older than the topic's Stale.
 func (f *Fleet) Read(t registers.Topic) []registers.Register {
 	starts := map[string]uint64{}
 	f.mu.Lock()
 	f.view.EachUp(func(m *fleetview.Member) { starts[m.Name] = m.Start })
 	f.mu.Unlock()
-	f.bookMu.Lock()
-	defer f.bookMu.Unlock()
-	return f.book.Read(f.now(), t, func(origin string, start uint64) bool { return starts[origin] == start })
+	f.registersMu.Lock()
+	defer f.registersMu.Unlock()
+	return f.registerBook.Read(f.now(), t, func(origin string, start uint64) bool { return starts[origin] == start })
 }
 
-// Up tells how many members this one holds to be up, itself included.
-func (f *Fleet) Up() int { return f.up() }
+// Up returns how many members are up in this one's view, itself included.
+func (f *Fleet) Up() int { return f.membersUp() }
 
 // Start is this member's incarnation, as its registers carry it.
-func (f *Fleet) Start() uint64 { return f.start }
+func (f *Fleet) Start() uint64 { return f.incarnation }
 
-// tell hands due registers to the gossip until the end.
-func (f *Fleet) tell() {
-	tick := time.NewTicker(tellEvery)
+// publishRegisters hands due registers to the gossip until Close.
+func (f *Fleet) publishRegisters() {
+	tick := time.NewTicker(registerInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -136,66 +135,66 @@
 			return
 		case <-tick.C:
 		}
-		members := f.up()
-		f.bookMu.Lock()
-		due := f.book.Due(f.now(), members)
-		f.book.Forget(f.now())
-		f.bookMu.Unlock()
+		members := f.membersUp()
+		f.registersMu.Lock()
+		due := f.registerBook.Due(f.now(), members)
+		f.registerBook.Forget(f.now())
+		f.registersMu.Unlock()
 		for _, r := range due {
-			f.spread(r)
+			f.broadcastRegister(r)
 		}
 	}
 }
 
-func (f *Fleet) spread(r registers.Register) {
-	f.registers.QueueBroadcast(&broadcastOf{f, r, f.now()})
+func (f *Fleet) broadcastRegister(r registers.Register) {
+	f.registers.QueueBroadcast(&registerBroadcast{f, r, f.now()})
 }
 
-// hear takes a register as it came, and passes on what is news.
-func (f *Fleet) hear(text []byte) {
+// receiveRegister merges a received register, and passes it on if it is new.
+func (f *Fleet) receiveRegister(text []byte) {
 	var r register
-	if err := fromOthers.Unmarshal(text, &r); err != nil {
-		f.fault(&Unreadable{len(text), err})
+	if err := decoding.Unmarshal(text, &r); err != nil {
+		f.recordFault(&Unreadable{len(text), err})
 		return
 	}
 	one := registers.Register{Topic: r.Topic, Origin: r.Origin, Start: r.Start, Seq: r.Seq, Age: control.Micros(max(-1, min(r.Age, 1e15))), Value: r.Value}
-	f.bookMu.Lock()
-	news, err := f.book.Merge(f.now(), one)
-	f.bookMu.Unlock()
+	f.registersMu.Lock()
+	news, err := f.registerBook.Merge(f.now(), one)
+	f.registersMu.Unlock()
 	switch {
 	case err != nil:
-		f.fault(err)
+		f.recordFault(err)
 	case news:
-		f.spread(one)
+		f.broadcastRegister(one)
 	}
 }
 
-// fault counts an error by its kind, and logs the first of each kind and then one in a while.
-func (f *Fleet) fault(err error) {
+// recordFault counts an error by its kind, and logs the first of each kind and then at most one each faultLogInterval.
+func (f *Fleet) recordFault(err error) {
 	kind := kindOf(err)
-	f.bookMu.Lock()
+	f.registersMu.Lock()
 	v := f.faults[kind]
-	if v == nil && len(f.faults) < faultsKept {
+	if v == nil && len(f.faults) < maxFaults {
 		v = &Fault{Kind: kind}
 		f.faults[kind] = v
 	}
 	if v == nil {
-		f.bookMu.Unlock()
+		f.registersMu.Unlock()
 		return
 	}
 	v.Count++
-	say := v.Count == 1 || int64(f.now())-v.At > int64(faultSaid/time.Microsecond)
+	logNow := v.Count == 1 || int64(f.now())-v.At > int64(faultLogInterval/time.Microsecond)
 	v.Last, v.Advice = err.Error(), advice.Of(err)
-	if say {
+	if logNow {
 		v.At = int64(f.now())
 	}
-	f.bookMu.Unlock()
-	if say {
+	f.registersMu.Unlock()
+	if logNow {
 		f.log.WithError(err).WithFields(logrus.Fields{"kind": kind, "advice": v.Advice}).Warn("fleet: message dropped")
 	}
 }
 
-const faultSaid = 10 * time.Second
+const faultLogInterval = 10 * time.Second
 
 // kindOf names an error by its type.
 func kindOf(err error) string {
@@ -228,9 +227,9 @@
 	return all
 }
 
-// RegisterCounts tells how many registers were news, and how many came twice or late.
+// RegisterCounts returns how many received registers were new, and how many were duplicates or late.
 func (f *Fleet) RegisterCounts() (news, old int64) {
-	f.bookMu.Lock()
-	defer f.bookMu.Unlock()
-	return f.book.Counts()
+	f.registersMu.Lock()
+	defer f.registersMu.Unlock()
+	return f.registerBook.Counts()
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -86,7 +86,7 @@
 	g := &fleettest.Gossip{}
 	g.SetUp("g1", "g2")
 	for name, text := range map[string][]byte{"x": {0xff}, "y": []byte("hello"), "z": {0xa1, 0x63, 'a', 'l', 'l', 0x05}} {
-		g.Tell(name, text)
+		g.SetValue(name, text)
 	}
 	now := clock()
 	log, _ := logtest.NewNullLogger()
