--- a/internal/fleetlab/process.go
+++ b/internal/fleetlab/process.go
@@ -11,11 +11,12 @@
 	"net/http"
 	"os"
 	"os/exec"
-	"runtime"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"beammux/internal/lab/launch"
 )
 
 // Program is how the gatekeeper is started: its path and, for a test binary that stands in for it, more of its environment.
@@ -45,19 +46,6 @@
 	buildErr  error
 )
 
-// spawner starts processes from one thread that lives as long as this program does: the kernel ends them with that thread
-// (PDEATHSIG), so none outlives a laboratory that was killed.
-var spawner = sync.OnceValue(func() chan<- func() {
-	work := make(chan func())
-	go func() {
-		runtime.LockOSThread()
-		for f := range work {
-			f()
-		}
-	}()
-	return work
-})
-
 // process is one run of the gatekeeper's program.
 type process struct {
 	name  string
@@ -87,17 +75,13 @@
 	cmd := exec.Command(p.Path, args...)
 	cmd.Dir = dir
 	cmd.Env = append(append(os.Environ(), p.Env...), env...)
-	// A group of its own: what a terminal sends on an interrupt is for the laboratory, which ends its processes itself.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Stdout = nil
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		f.Close()
 		return nil, err
 	}
-	started := make(chan error)
-	spawner() <- func() { started <- cmd.Start() }
-	if err := <-started; err != nil {
+	if err := launch.Start(cmd); err != nil {
 		f.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/latencylab/process.go
+++ b/internal/latencylab/process.go
@@ -9,15 +9,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"runtime"
 	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
 	"beammux/internal/lab"
+	"beammux/internal/lab/launch"
 )
 
 const (
@@ -47,19 +46,6 @@
 	ended  chan struct{}
 }
 
-// spawner starts processes from one thread that lives as long as this program: with that thread the kernel ends them
-// (PDEATHSIG), so that none outlives a laboratory that was killed.
-var spawner = sync.OnceValue(func() chan<- func() {
-	work := make(chan func())
-	go func() {
-		runtime.LockOSThread()
-		for f := range work {
-			f()
-		}
-	}()
-	return work
-})
-
 // startGatekeeper writes the files of a gatekeeper into dir and starts it; it returns once it serves.
 func startGatekeeper(ctx context.Context, program Program, dir string, limits gatekeeperLimits, gatekeepers int, inventory []byte) (*process, error) {
 	config := fmt.Sprintf(`{"name":"g1","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":%s}`,
@@ -77,14 +63,12 @@
 	cmd := exec.Command(program.Path, "--log-format", "json", "serve", "--config", filepath.Join(dir, "config.json"),
 		"--deploy", filepath.Join(dir, "deploy.json"))
 	cmd.Env = append(os.Environ(), program.Env...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
-	began, started := time.Now(), make(chan error)
-	spawner() <- func() { started <- cmd.Start() }
-	if err := <-started; err != nil {
+	began := time.Now()
+	if err := launch.Start(cmd); err != nil {
 		return nil, err
 	}
 	p := &process{cmd: cmd, ended: make(chan struct{})}
--- a/internal/scalelab/child/child.go
+++ b/internal/scalelab/child/child.go
@@ -9,26 +9,13 @@
 	"io"
 	"os"
 	"os/exec"
-	"runtime"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
-)
 
-// spawner starts processes from one thread that lives as long as this program does: the kernel ends them with that thread
-// (PDEATHSIG).
-var spawner = sync.OnceValue(func() chan<- func() {
-	work := make(chan func())
-	go func() {
-		runtime.LockOSThread()
-		for f := range work {
-			f()
-		}
-	}()
-	return work
-})
+	"beammux/internal/lab/launch"
+)
 
 // Process is one process that this package started.
 type Process struct {
@@ -60,10 +47,7 @@
 	cmd := exec.Command(o.Path, o.Args...)
 	cmd.Dir, cmd.Env, cmd.Stderr = o.Dir, append(os.Environ(), o.Env...), log
 	cmd.Stdin, cmd.Stdout = o.Stdin, o.Stdout
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	started := make(chan error)
-	spawner() <- func() { started <- cmd.Start() }
-	if err := <-started; err != nil {
+	if err := launch.Start(cmd); err != nil {
 		log.Close()
 		return nil, fmt.Errorf("%s: %w", o.Name, err)
 	}
