--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -137,11 +137,7 @@
 // line is the event with the transaction's changes under some prefixes, as it is sent; nil where there are none. Sessions
 // whose prefixes hold the same changes share one encoding.
 func (t *transaction) line(prefixes []string) []byte {
-	var few [16]byte // most transactions need no more, and it is not allocated
-	set := few[:]
-	if need := (len(t.changes) + 7) / 8; need > len(few) {
-		set = make([]byte, need)
-	}
+	set := make([]byte, (len(t.changes)+7)/8)
 	any := false
 	for i, c := range t.changes {
 		if hasAnyPrefix(c.Key, prefixes) {
