--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -96,6 +96,7 @@
 			Name   string
 			PerS   float64 `json:"per_s"`
 			Turned int64   `json:"turned_away"`
+			Lease  int64   `json:"lease_left_us"`
 		}
 	}
 }
@@ -392,6 +393,28 @@
 	}
 }
 
+// Limits that come by a record may be leased, from the members of the store that the record names: the gatekeeper had no limits
+// at its start, and leases nothing any more once the record is gone.
+func TestLeasedLimitsOfRecords(t *testing.T) {
+	group := startControl(t, 1, textFile(t, "config.json", plainConfiguration))
+	_, list := standIns(t, 1)
+	g := newGatekeeper(t, "g1", list, 5, map[string]any{"control": group.following("z1")})
+	g.start(t)
+	all := []*servedGatekeeper{g}
+	leased := `{"parts":2,"rules":[{"name":"all","mode":"leased","per_s":9}]}`
+	group.apply(t, "settings/all/limits="+textFile(t, "limits", leased))
+	eventually(t, "refused without a store to lease from", all, func(s shown) bool { return s.Settings.Refused != nil })
+	require.Contains(t, g.shows(t).Settings.Refused.Fault, "settings/all/limits:1:35: fleet.limits.rules[0].mode: leased needs a store")
+	group.apply(t, "settings/all/limits="+textFile(t, "limits", strings.Replace(leased, "{", fmt.Sprintf(`{"store":[%q],`, group.addresses[0]), 1)))
+	eventually(t, "a lease", all, func(s shown) bool { return len(s.Limits.Rules) == 1 && s.Limits.Rules[0].Lease > 0 })
+	figures, err := viaHTTP(g.ops, "/api/telemetry")
+	require.NoError(t, err)
+	require.Contains(t, figures, `proxy_fleet_limit_lease_seconds{rule="all"}`)
+	group.apply(t, "--delete", "settings/all/limits")
+	eventually(t, "no limits", all, func(s shown) bool { return s.Settings.InForce > 0 && len(s.Limits.Rules) == 0 && len(s.Settings.Sections) == 0 })
+	g.end(t, syscall.SIGTERM)
+}
+
 // Without the section control nothing of it is there: no view, no figures, no further files.
 func TestSettingsAreOffByDefault(t *testing.T) {
 	_, list := standIns(t, 1)
--- a/cmd/beammux/fleet.go
+++ b/cmd/beammux/fleet.go
@@ -129,7 +129,7 @@
 			fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", name, c.Arrived, c.Stood, c.Refused, c.Failed)
 		}
 	}
-	if s.Limits != nil {
+	if s.Limits != nil && len(s.Limits.Rules)+len(s.Limits.Faults) > 0 {
 		fmt.Fprintln(w, "\nlimit\tmode\tof the fleet\tmay spend\tdemand\tstanding\tslots\tturned away\tlease")
 		for _, r := range s.Limits.Rules {
 			fmt.Fprintf(w, "%s\t%s\t%g/s\t%.1f/s\t%.1f/s\t%d\t%.0f of %d\t%d\t%.1f s\n", r.Name, r.Mode, r.PerS, r.Rate, r.Demand,
