--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -1,7 +1,8 @@
 package scalelab
 
 import (
-	"context"
+	"cmp"
+	"slices"
 	"time"
 
 	"beammux/internal/scalelab/child"
@@ -9,14 +10,6 @@
 	"beammux/internal/scalelab/judge"
 )
 
-// runtimeFigures are what a control machine says of its own runtime; zero where it was not asked.
-type runtimeFigures struct {
-	heap       int64
-	goroutines int
-}
-
-func (m *machine) runtime(context.Context) runtimeFigures { return runtimeFigures{} }
-
 // report puts together what the run has seen, and judges it.
 func (l *laboratory) report(stopped bool, problems []string) *Report {
 	o := l.options
@@ -210,9 +203,11 @@
 		last[s.machine] = s.usage
 		resident[s.machine] = max(resident[s.machine], float64(s.usage.Resident))
 		descriptors[s.machine] = max(descriptors[s.machine], float64(s.usage.Descriptors))
-		if s.runtime.goroutines > 0 {
-			heap[s.machine] = max(heap[s.machine], float64(s.runtime.heap))
-			goroutines[s.machine] = max(goroutines[s.machine], float64(s.runtime.goroutines))
+	}
+	for _, s := range l.runtimes {
+		if l.inSpan(s.at) {
+			heap[s.machine] = max(heap[s.machine], s.heap)
+			goroutines[s.machine] = max(goroutines[s.machine], s.goroutines)
 		}
 	}
 	l.record.mu.Unlock()
@@ -307,6 +302,7 @@
 		all = append(all, v)
 	}
 	s.FromCommit, s.FromPut, s.Healed, s.AllHaveIt, s.PutCommit = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
+	s.Slowest = l.slowest(changes, v.Delays)
 	r.Faults = l.faultReports(changes, v.Delays)
 	r.Judge.WithinS, r.Judge.First, r.Judge.Crashed = within.Seconds(), v.First, len(r.Processes)
 	r.Judge.Counts = map[string]int{}
@@ -316,13 +312,41 @@
 	r.Judge.Held = v.Held() && len(r.Judge.Problems) == 0
 }
 
-// faultReports tell for each fault the slowest pair among the changes that it can have slowed.
-func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
-	reports := []FaultReport{}
+// mostSlow is how many of the slowest pairs a report names.
+const mostSlow = 20
+
+// slowest names the slowest pairs.
+func (l *laboratory) slowest(changes []judge.Change, delays []judge.Delay) (slow []Slow) {
+	took := func(d judge.Delay) time.Duration {
+		if d.Outage {
+			return d.Healed
+		}
+		return d.Commit
+	}
+	delays = slices.Clone(delays)
+	slices.SortFunc(delays, func(a, b judge.Delay) int { return cmp.Compare(took(b), took(a)) })
+	committed := commitTimes(changes)
+	for _, d := range delays[:min(mostSlow, len(delays))] {
+		at := slices.IndexFunc(l.plan.gatekeepers, func(g hollow.Gatekeeper) bool { return g.Name == d.Gatekeeper })
+		g := l.plan.gatekeepers[at]
+		slow = append(slow, Slow{Marker: d.Marker, CommittedS: seconds(committed[d.Marker] - l.measured.from), Gatekeeper: g.Name,
+			Zone: g.Zone, Region: g.Region, TookS: seconds(took(d)), Outage: d.Outage})
+	}
+	return slow
+}
+
+func commitTimes(changes []judge.Change) map[uint64]time.Duration {
 	committed := map[uint64]time.Duration{}
 	for _, c := range changes {
 		committed[c.Marker] = c.Committed
 	}
+	return committed
+}
+
+// faultReports tell for each fault the slowest pair among the changes that it can have slowed.
+func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
+	reports := []FaultReport{}
+	committed := commitTimes(changes)
 	for _, p := range l.faults.played {
 		f := FaultReport{Kind: string(p.kind), AtS: seconds(p.from - l.measured.from), UntilS: seconds(p.until - l.measured.from), What: p.what}
 		for _, d := range delays {
@@ -336,7 +360,36 @@
 			}
 			f.SlowestS = max(f.SlowestS, seconds(took))
 		}
+		l.duringFault(p, &f)
 		reports = append(reports, f)
 	}
 	return reports
 }
+
+// duringFault adds what the gatekeepers said each second while a fault lasted.
+func (l *laboratory) duringFault(p playedFault, f *FaultReport) {
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	share := float64(l.options.Gatekeepers) / float64(l.options.Control)
+	now := map[int]hollow.Figures{} // of each process, the last pulse
+	for _, s := range l.record.samples {
+		if !l.inSpan(s.at) {
+			continue
+		}
+		now[s.process] = s.Figures
+		behind, sessions := 0, map[int]map[string]int{}
+		for process, figures := range now {
+			behind += figures.Behind
+			sessions[process] = figures.Sessions
+		}
+		f.SaidBehindEnd = behind
+		if s.at >= p.from && s.at <= p.until+sampleEvery {
+			f.SaidBehind = max(f.SaidBehind, behind)
+		}
+		if s.at >= p.from && s.at <= p.until+within && len(now) == l.options.Hollow {
+			for _, n := range l.sumSessions(sessions) {
+				f.SessionsOverShare = max(f.SessionsOverShare, n/share)
+			}
+		}
+	}
+}
