--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -38,6 +38,7 @@
 type Report struct {
 	Command     string            `json:"command"`
 	Date        string            `json:"date"`
+	Program     string            `json:"program"` // revision that was built; "" where the build does not know it
 	Beside      string            `json:"beside"`
 	Stopped     bool              `json:"stopped"` // by a signal, before its time: nothing is shown
 	Shape       Shape             `json:"shape"`
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -91,6 +91,7 @@
 	OtherCores  float64        `json:"other_cores"` // used by everything else on the machine
 	Command     string         `json:"command"`
 	Date        string         `json:"date"`
+	Program     string         `json:"program"`
 }
 
 // faultRunOf takes from a report what a table of failures needs.
@@ -99,7 +100,7 @@
 		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.Healed.P99, HealedMaxS: r.Settings.Healed.Max,
 		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.CutOff, StuckLeft: r.Settings.StuckNotCut,
 		ControlCPU: r.Control.CPUShare.Max, ControlRSS: r.Control.ResidentBytes.Max, OtherCores: r.Machine.OtherCores,
-		Command: seriesCommand(r.Command), Date: r.Date}
+		Command: seriesCommand(r.Command), Date: r.Date, Program: r.Program}
 	for rule, n := range r.Judge.Counts {
 		if n > 0 {
 			f.Broken[rule] = n
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"runtime/debug"
 	"slices"
 	"time"
 
@@ -13,7 +14,7 @@
 // report puts together what the run has seen, and judges it.
 func (l *laboratory) report(stopped bool, problems []string) *Report {
 	o := l.options
-	r := &Report{Command: o.Command, Date: time.Now().UTC().Format(time.DateOnly), Beside: o.Beside, Stopped: stopped, Shape: l.shape(),
+	r := &Report{Command: o.Command, Date: time.Now().UTC().Format(time.DateOnly), Program: revision(), Beside: o.Beside, Stopped: stopped, Shape: l.shape(),
 		Processes: problems, Faults: []FaultReport{}}
 	r.Machine = l.machineFigures()
 	r.Gatekeepers = l.gatekeeperFigures()
@@ -28,6 +29,24 @@
 	return r
 }
 
+// revision is that of the version control which this program was built at, marked where files had changed since.
+func revision() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return ""
+	}
+	at, changed := "", ""
+	for _, s := range info.Settings {
+		switch {
+		case s.Key == "vcs.revision":
+			at = s.Value
+		case s.Key == "vcs.modified" && s.Value == "true":
+			changed = " with changes"
+		}
+	}
+	return at + changed
+}
+
 func (l *laboratory) shape() Shape {
 	o := l.options
 	s := Shape{Gatekeepers: o.Gatekeepers, Control: o.Control, Voters: o.Voters, Regions: o.Regions, Zones: o.Zones, Services: o.Services,
