--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -1,7 +1,6 @@
 package hollow
 
 import (
-	"context"
 	"fmt"
 	"time"
 
@@ -10,7 +9,6 @@
 	"beammux/control/session"
 	"beammux/internal/config"
 	"beammux/internal/follow"
-	"beammux/internal/store"
 )
 
 // staleAfter is the age from which what a gatekeeper holds counts as behind: a few heartbeats of a second each.
@@ -80,9 +78,3 @@
 	}
 	return c.Site, nil
 }
-
-// watchAll opens a session that follows every settings record.
-func watchAll(ctx context.Context, d store.Dial, address string) {
-	r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: "watcher that reads nothing"}}
-	store.WatchSession(ctx, d, address, r, nil, func(store.WatchEvent) error { return nil })
-}
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -30,7 +30,7 @@
 	site        *control.Site // by which settings are checked; nil: by their form alone
 	gatekeepers []*gatekeeper
 	byName      map[string]*gatekeeper
-	watchers    []*stuckWatcher
+	watchers    []*stuckWatchers
 	work        sync.WaitGroup
 	fail        context.CancelCauseFunc
 
@@ -151,9 +151,7 @@
 			})
 		}
 	case Watch:
-		for range c.Count {
-			p.watchers = append(p.watchers, openStuckWatcher(ctx, c.Address, &p.work))
-		}
+		p.watchers = append(p.watchers, openStuckWatchers(ctx, c.Address, c.Count))
 	case Count:
 		p.emit(Event{Kind: Counted, Counters: p.counters(c.Mark)})
 		p.flush()
@@ -201,11 +199,9 @@
 	if len(p.watchers) > 0 {
 		e := Event{Kind: Watchers}
 		for _, w := range p.watchers {
-			if w.wasCutOff() {
-				e.CutOff++
-			} else {
-				e.Open++
-			}
+			cutOff, others := w.end(context.Background())
+			e.CutOff += cutOff
+			e.Open += others
 		}
 		p.emit(e)
 	}
--- a/internal/scalelab/hollow/stuck.go
+++ b/internal/scalelab/hollow/stuck.go
@@ -2,28 +2,33 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"net"
-	"os"
+	"slices"
 	"sync"
 	"time"
+
+	"beammux/control/scope"
+	"beammux/internal/store"
 )
 
 const (
-	stuckBuffer = 4 << 10 // of the socket, so that little lies in the kernel
-	drainBuffer = 4 << 20
-	drainWithin = 2 * time.Second // shorter than a machine waits for a silent session that it has not yet cut off
+	stuckBuffer   = 4 << 10 // of the socket, so that little lies in the kernel
+	admitWithin   = 2 * time.Second
+	listWithin    = 5 * time.Second
+	stuckNameForm = "watcher-that-reads-nothing-%d"
 )
 
-// stuckWatcher is a session that is opened as any other and then never reads.
-type stuckWatcher struct {
-	stop context.CancelFunc
-
-	mu   sync.Mutex
-	conn *net.TCPConn
+// stuckWatchers are sessions at one control machine that are opened as any other and then never read.
+type stuckWatchers struct {
+	address  string
+	names    []string
+	stop     context.CancelFunc
+	work     sync.WaitGroup
+	admitted []string // those that the machine listed soon after they were opened
 }
 
-// stuckConn writes as any other connection, and its reads wait until it is closed.
+// stuckConn writes as any other connection, and its reads wait until the watcher ends.
 type stuckConn struct {
 	net.Conn
 	ctx context.Context
@@ -34,44 +39,66 @@
 	return 0, c.ctx.Err()
 }
 
-// Close leaves the connection open for wasCutOff, which closes it.
-func (c *stuckConn) Close() error { return nil }
-
-func openStuckWatcher(ctx context.Context, address string, work *sync.WaitGroup) *stuckWatcher {
+func openStuckWatchers(ctx context.Context, address string, count int) *stuckWatchers {
 	ctx, stop := context.WithCancel(ctx)
-	w := &stuckWatcher{stop: stop}
-	work.Go(func() {
-		watchAll(ctx, func(ctx context.Context, network, address string) (net.Conn, error) {
-			c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-			if err != nil {
-				return nil, err
-			}
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.conn = c.(*net.TCPConn)
-			w.conn.SetReadBuffer(stuckBuffer)
-			return &stuckConn{c, ctx}, nil
-		}, address)
+	w := &stuckWatchers{address: address, stop: stop}
+	for i := range count {
+		r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: fmt.Sprintf(stuckNameForm, i+1)}}
+		w.names = append(w.names, r.Session.Name)
+		w.work.Go(func() {
+			store.WatchSession(ctx, stuckDialer(ctx), address, r, nil, func(store.WatchEvent) error { return nil })
+		})
+	}
+	w.work.Go(func() {
+		select {
+		case <-ctx.Done():
+		case <-time.After(admitWithin):
+			w.admitted = w.listed(ctx)
+		}
 	})
 	return w
 }
 
-// wasCutOff ends the watcher and tells whether the machine had closed its connection: what lies in the kernel is read now, up
-// to its end.
-func (w *stuckWatcher) wasCutOff() bool {
-	w.stop()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.conn == nil {
-		return false
+// stuckDialer makes connections that are never read while the watcher's context lasts; that of a dial ends with the dial.
+func stuckDialer(watcher context.Context) store.Dial {
+	return func(ctx context.Context, network, address string) (net.Conn, error) {
+		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
+		if err != nil {
+			return nil, err
+		}
+		if err := c.(*net.TCPConn).SetReadBuffer(stuckBuffer); err != nil {
+			c.Close()
+			return nil, err
+		}
+		return &stuckConn{c, watcher}, nil
 	}
-	defer w.conn.Close()
-	w.conn.SetReadBuffer(drainBuffer)
-	buffer := make([]byte, 64<<10)
-	w.conn.SetReadDeadline(time.Now().Add(drainWithin))
-	for {
-		if _, err := w.conn.Read(buffer); err != nil {
-			return !errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+// listed gives the names of the watchers that the machine still has a session of.
+func (w *stuckWatchers) listed(ctx context.Context) (names []string) {
+	ctx, cancel := context.WithTimeout(ctx, listWithin)
+	defer cancel()
+	sessions, err := store.SessionsFrom(ctx, nil, w.address)
+	if err != nil {
+		return nil
+	}
+	for _, s := range sessions {
+		if slices.Contains(w.names, s.Name) {
+			names = append(names, s.Name)
+		}
+	}
+	return names
+}
+
+// end ends the watchers and tells how many the machine had admitted and then cut off, and how many others there are.
+func (w *stuckWatchers) end(ctx context.Context) (cutOff, others int) {
+	standing := w.listed(ctx)
+	w.stop()
+	w.work.Wait()
+	for _, name := range w.admitted {
+		if !slices.Contains(standing, name) {
+			cutOff++
 		}
 	}
+	return cutOff, len(w.names) - cutOff
 }
--- a/internal/scalelab/hollow/stuck_test.go
+++ b/internal/scalelab/hollow/stuck_test.go
@@ -1,41 +1,43 @@
 package hollow
 
 import (
-	"bytes"
+	"context"
+	"io"
 	"net"
-	"sync"
 	"testing"
 	"time"
 
+	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
+
+	"beammux/internal/store"
 )
 
-// A watcher that the machine has cut off is told from one that stands, also where much lies unread in the kernel.
-func TestStuckWatcherCutOff(t *testing.T) {
-	for _, cut := range []bool{true, false} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		defer l.Close()
-		served := make(chan net.Conn, 1)
-		go func() {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-			for err == nil { // until the kernel takes no more
-				_, err = c.Write(bytes.Repeat([]byte("x"), 16<<10))
-			}
-			if cut {
-				c.Close()
-			}
-			served <- c
-		}()
-		var work sync.WaitGroup
-		w := openStuckWatcher(t.Context(), l.Addr().String(), &work)
-		c := <-served
-		require.Equal(t, cut, w.wasCutOff())
-		c.Close()
-		work.Wait()
+// Watchers that a real control machine has cut off are told from those that it has not yet.
+func TestStuckWatchersCutOff(t *testing.T) {
+	if testing.Short() {
+		t.Skip("waits some seconds")
 	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	n, err := store.Open(store.Options{Node: "c1", Listener: l, Peers: []store.Peer{{Node: "c1", Address: l.Addr().String()}}, Log: log,
+		Serve: &store.ServeOptions{Name: "c1", HeartbeatEvery: 100 * time.Millisecond}})
+	require.NoError(t, err)
+	defer n.Close()
+	require.NoError(t, n.WaitReady(t.Context()))
+
+	fresh := openStuckWatchers(t.Context(), l.Addr().String(), 3)
+	require.Eventually(t, func() bool { return len(fresh.listed(context.Background())) == 3 }, 5*time.Second, 20*time.Millisecond)
+	cutOff, others := fresh.end(t.Context())
+	require.Zero(t, cutOff)
+	require.Equal(t, 3, others)
+
+	old := openStuckWatchers(t.Context(), l.Addr().String(), 3)
+	time.Sleep(admitWithin + 100*time.Millisecond)
+	require.Eventually(t, func() bool { return len(old.listed(context.Background())) == 0 }, 20*time.Second, 100*time.Millisecond)
+	cutOff, others = old.end(t.Context())
+	require.Equal(t, 3, cutOff)
+	require.Zero(t, others)
 }
