--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -31,13 +31,15 @@
 	Records    int           `json:"records"`
 	Ready      bool          `json:"ready"` // what it reads is as new as its log and its leader: see Node.Ready
 	Members    []Member      `json:"members"`
+
+	Transactions bool `json:"transactions"` // this version carries out transactions
 }
 
 // Status tells how this member stands.
 func (n *Node) Status() Status {
 	leader, id := n.raft.LeaderWithID()
 	s := Status{Node: n.id, State: n.raft.State().String(), LeaderNode: string(id), Leader: string(leader), Term: n.raft.CurrentTerm(),
-		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: len(n.fsm.list("")), Ready: n.Ready(), Members: []Member{}}
+		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{}, Transactions: true}
 	if !n.Leader() && !n.raft.LastContact().IsZero() {
 		s.Contact = time.Since(n.raft.LastContact())
 	}
@@ -65,14 +67,34 @@
 	case opList:
 		r.Records = n.List(c.Key)
 	case opStatus:
-		s := n.Status()
-		r.Status = &s
+		n.readStatus(c.Want, r)
 	default:
 		return false
 	}
 	return true
 }
 
+// readStatus answers a status, or what is asked for in its place. These are parts of a status because a member of an
+// earlier version answers that, where it would take an op that it does not know for a write.
+func (n *Node) readStatus(want string, r *result) {
+	switch want {
+	case wantCounts, wantSessions:
+		if n.sessions == nil {
+			r.fail(&NotControl{n.id})
+			return
+		}
+		if want == wantCounts {
+			own := n.sessions.counts()
+			r.Counts = &own
+			return
+		}
+		r.Sessions = n.sessions.statuses()
+	default:
+		s := n.Status()
+		r.Status = &s
+	}
+}
+
 const watchQueue = 1024
 
 // serveWatch brings committed changes under a prefix, a line each, until the watcher leaves or is too slow.
