--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -160,7 +160,10 @@
 			end()
 		}
 	}
+	began := time.Now()
 	for i := range l.Servers {
+		// Servers tell their state at times of their own: started at once they would all tell it at the same moment.
+		time.Sleep(time.Until(began.Add(l.StateEvery * time.Duration(i) / time.Duration(l.Servers))))
 		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: serverFull}, l.Seed+uint64(i))
 		if err != nil {
 			return nil, closeAll, err
