--- a/control/control_test.go
+++ b/control/control_test.go
@@ -8,104 +8,6 @@
 	"testing"
 )
 
-func testSettings() Settings {
-	return Settings{
-		Gatekeepers: 4, OwnCell: -1, AttemptsCap: 4, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
-		ReleaseGuard: 3e5, ResendGap: 4e5, OverShareWorth: 0.1,
-		Report: []Field{Spare, Total, WaitMs}, FallMultiple: 2, StartCapacity: 0.3, FallTime: 2e6, WarmWithin: 13e6,
-		Classes: []Class{
-			{LatencyTarget: 1.5e6, Deadline: 9e6, Worth: 1, LateWorth: 0.25},
-			{LatencyTarget: 1.2e6, Deadline: 6e6, Worth: 8, LateWorth: 0.25},
-		},
-	}
-}
-
-// front drives one controller by hand and keeps its actions.
-type front struct {
-	t    *testing.T
-	c    *Controller
-	now  Micros
-	acts []Action
-	tick Micros
-	n    int
-}
-
-func newFront(t *testing.T, set Settings) *front {
-	f := &front{t: t, c: New(set, 7), now: 1e9}
-	f.do(Start{})
-	return f
-}
-
-func (f *front) do(e Event) []Action {
-	acts := append([]Action(nil), f.c.Handle(f.now, e)...)
-	for _, a := range acts {
-		if a.Kind == Defer && a.Key == "tick" {
-			f.tick = a.At
-		}
-	}
-	f.acts = append(f.acts, acts...)
-	return acts
-}
-
-// pass lets time go by, with the timers that were asked for.
-func (f *front) pass(span Micros) {
-	end := f.now + span
-	for f.tick > 0 && f.tick <= end {
-		f.now, f.tick = f.tick, 0
-		f.do(Timer{"tick"})
-	}
-	f.now = end
-}
-
-func (f *front) servers(entries ...Entry) { f.do(List{Entries: entries}) }
-
-// call offers a call and gives the first server it went to, or 0 if it was refused.
-func (f *front) call(class, choice int) (string, uint32) {
-	f.n++
-	id := fmt.Sprintf("c%04d", f.n)
-	for _, a := range f.do(Call{ID: id, Class: class, Deadline: f.now + 3e6, FirstChoice: choice}) {
-		if a.Kind == Send {
-			return id, a.Server
-		}
-	}
-	return id, 0
-}
-
-func (f *front) answer(id string, s uint32, took Micros) {
-	f.pass(took)
-	f.do(Opened{ID: id, Server: s, Took: took})
-}
-
-// warmFront makes a front with two servers that has had enough calls answered at both to have rates.
-func warmFront(t *testing.T) *front {
-	f := newFront(t, testSettings())
-	f.servers(two...)
-	for i := range 60 {
-		id, s := f.call(0, i%2)
-		f.answer(id, s, 5e4)
-	}
-	f.acts = nil
-	f.c.startedAt -= 2 * startTime // it has been up for a while
-	return f
-}
-
-// report ends an old call at a server with a report of its wait.
-func (f *front) report(s uint32, waitMs float64) {
-	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
-}
-
-func (f *front) count(do ActionKind) int {
-	n := 0
-	for _, a := range f.acts {
-		if a.Kind == do {
-			n++
-		}
-	}
-	return n
-}
-
-var two = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready}}
-
 func TestLadderHasHysteresis(t *testing.T) {
 	for _, row := range []struct {
 		name  string
@@ -151,7 +53,7 @@
 		{name: "all gated", ten: 4, twenty: 2, wantNone: true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newFront(t, testSettings())
+			f := newGatekeeper(t, testSettings())
 			f.servers(two...)
 			f.c.find(10).level, f.c.find(20).level = row.ten, row.twenty
 			_, s := f.call(0, 1)
@@ -163,7 +65,7 @@
 }
 
 func TestNoServersRefuses(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	if _, s := f.call(0, 0); s != 0 || f.count(Refuse) != 1 {
 		t.Error("a call without servers must be refused at once")
 	}
@@ -171,7 +73,7 @@
 
 // Lost set-ups must not gate a server: a later one that was answered proves them lost (incident i03d8bc).
 func TestLostSetupIsNoWait(t *testing.T) {
-	f := warmFront(t)
+	f := warmGatekeeper(t)
 	f.do(List{Delta: true, Entries: []Entry{{Server: 20, Cell: two[1].Cell, State: Draining}}}) // the other may not help out
 	lost, s := f.call(0, 0)
 	f.pass(2e5)
@@ -213,7 +115,7 @@
 
 // A server that answers nothing while listed ready is gated by the age of its set-ups, and they go elsewhere.
 func TestSilentServerIsGated(t *testing.T) {
-	f := warmFront(t) // signs of life are due
+	f := warmGatekeeper(t) // signs of life are due
 	silent, s := f.call(0, 0)
 	if s != 10 {
 		t.Fatalf("went to %d", s)
@@ -231,7 +133,7 @@
 }
 
 func TestFullGatesAndNoAgentPassesOver(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	id, _ := f.call(0, 0)
 	acts := f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
@@ -254,7 +156,7 @@
 }
 
 func TestMissingValuesAreNotIdleness(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	f.report(10, 900)
 	f.report(10, 900)
@@ -268,7 +170,7 @@
 
 // The silent fall is one step, never faster than the design page's floor of 0.5 s.
 func TestSilentFallIsStepped(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	f.call(0, 1) // keeps the clock going
 	f.report(10, 5000)
@@ -298,7 +200,7 @@
 	set := testSettings()
 	set.Gatekeepers = fronts
 	for i := range fronts {
-		f := &front{t: t, c: New(set, uint64(i)), now: 1e9}
+		f := &gatekeeper{t: t, c: New(set, uint64(i)), now: 1e9}
 		f.servers(two[0])
 		f.report(10, 900)
 		f.report(10, 0)
@@ -318,7 +220,7 @@
 
 // Set-ups out are bounded before any answer tells of a wait (colombo overload: 5 s gated after a drain).
 func TestRoomBoundsSetupsOut(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two[0])
 	sent := 0
 	for range 50 {
@@ -332,7 +234,7 @@
 }
 
 func TestThinningSparesDearCalls(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	for i := range 200 {
 		id, s := f.call(min(1, i%10/9), i%2)
@@ -357,7 +259,7 @@
 func TestBusyNumberAndTenantLoseWorth(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaPerS: 50}, {QuotaPerS: 50}}
-	f := newFront(t, set)
+	f := newGatekeeper(t, set)
 	f.servers(two...)
 	f.do(Call{ID: "a", Key: "busy", Deadline: f.now + 3e6})
 	f.do(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
@@ -408,7 +310,7 @@
 			{Server: 30, Cell: 0, State: Ready}}}, 30},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newFront(t, testSettings())
+			f := newGatekeeper(t, testSettings())
 			f.servers(two...)
 			f.do(row.list)
 			if _, s := f.call(0, 0); s != row.want {
@@ -419,7 +321,7 @@
 }
 
 func TestRestartForgetsOldProcessor(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	f.report(10, 5000)
 	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e6}}})
@@ -434,7 +336,7 @@
 func TestFewAgentsTakeFewSecondChoices(t *testing.T) {
 	taken := 0
 	for seed := range uint64(400) {
-		f := &front{t: t, c: New(testSettings(), seed), now: 1e9}
+		f := &gatekeeper{t: t, c: New(testSettings(), seed), now: 1e9}
 		f.servers(two...)
 		f.do(Status{Server: 10, Code: OK, Report: []float64{1, 100, -1}})
 		f.do(Status{Server: 20, Code: OK, Report: []float64{60, 100, -1}})
@@ -448,7 +350,7 @@
 }
 
 func TestUnknownClassIsSafe(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	id, _ := f.call(9, 0)
 	f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
@@ -469,7 +371,7 @@
 		{[]float64{0.8}, 0}, {[]float64{0.86}, 1}, {[]float64{0.96}, 2}, {[]float64{0.96, 0.9}, 2},
 		{[]float64{0.96, 0.84}, 1}, {[]float64{0.86, 0.8}, 1}, {[]float64{0.96, 0.7}, 0}, {[]float64{0.9, -1}, 1},
 	} {
-		f := newFront(t, set)
+		f := newGatekeeper(t, set)
 		f.servers(two...)
 		for _, v := range row.use {
 			f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
@@ -485,7 +387,7 @@
 func TestRepeatedReportIsNoNewSight(t *testing.T) {
 	set := testSettings()
 	set.Report = []Field{Spare, Total, Busy, Queue}
-	f := newFront(t, set)
+	f := newGatekeeper(t, set)
 	f.servers(two...)
 	s := f.c.find(10)
 	told := func(busy, queue float64) {
@@ -510,7 +412,7 @@
 func TestServerOutOfTheGateTakesMostCalls(t *testing.T) {
 	set := testSettings()
 	set.Report, set.Gatekeepers = []Field{Busy}, 8
-	f := newFront(t, set)
+	f := newGatekeeper(t, set)
 	f.servers(two...)
 	for _, v := range []float64{1, 0.5} {
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
@@ -523,7 +425,7 @@
 // Guards against a gatekeeper that refuses calls just after its start, when its own rates say nothing yet: a few set-ups
 // may be out at each server, of the second choice too. Later the room is what its rates bring.
 func TestYoungFrontHasRoom(t *testing.T) {
-	f := &front{t: t, c: New(testSettings(), 1), now: 1e9}
+	f := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
 	f.do(Start{})
 	f.servers(two...)
 	f.c.bestRate = 0.01 // from a first answer
@@ -536,7 +438,7 @@
 	if sent < 6 || sent > 10 {
 		t.Errorf("%d set-ups sent at once by a front that has just started, want a few at each server", sent)
 	}
-	g := &front{t: t, c: New(testSettings(), 1), now: 1e9}
+	g := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
 	g.do(Start{})
 	g.servers(two...)
 	g.pass(2 * startTime)
@@ -548,7 +450,7 @@
 
 // A set-up lost by chance may go to the same server again: with one server it was called off only to be refused.
 func TestLostSetupMayGoToTheSameServer(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two[0])
 	lost, _ := f.call(0, 0)
 	f.pass(2e5)
@@ -565,7 +467,7 @@
 
 // Servers that are equal are taken in turn by chance: by their numbers, all fronts would herd to one.
 func TestEqualServersAreNotHerdedTo(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(Entry{Server: 1, Cell: 1, State: Ready}, Entry{Server: 2, Cell: 2, State: Ready},
 		Entry{Server: 3, Cell: 3, State: Ready})
 	seen := map[uint32]int{}
@@ -578,7 +480,7 @@
 }
 
 func TestStateIsBounded(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	for i := range 2000 {
 		f.servers(Entry{Server: uint32(100 + i), Cell: 0, State: Ready, Since: f.now})
 		f.n++
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -10,7 +10,7 @@
 type fleet struct {
 	t    *testing.T
 	rng  *rand.Rand
-	fs   []*front
+	fs   []*gatekeeper
 	now  Micros
 	due  []due
 	sent map[uint32][]Micros
@@ -23,7 +23,7 @@
 
 type due struct {
 	at    Micros
-	f     *front
+	f     *gatekeeper
 	event Event
 }
 
@@ -39,16 +39,16 @@
 }
 
 // start makes a front that knows nothing yet but the list and each pool's agents.
-func (fl *fleet) start(seed uint64, fronts int, list ...Entry) *front {
+func (fl *fleet) start(seed uint64, fronts int, list ...Entry) *gatekeeper {
 	set := *fl.set
 	set.Gatekeepers = fronts
-	f := &front{t: fl.t, c: New(set, seed), now: fl.now}
+	f := &gatekeeper{t: fl.t, c: New(set, seed), now: fl.now}
 	f.do(Start{})
 	fl.list(f, list...)
 	return f
 }
 
-func (fl *fleet) list(f *front, list ...Entry) {
+func (fl *fleet) list(f *gatekeeper, list ...Entry) {
 	f.now = max(f.now, fl.now)
 	f.servers(list...)
 	for _, e := range list {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (fl *fleet) watch(f *front, acts []Action, answer func(uint32, string, int) (Micros, Event)) {
+func (fl *fleet) watch(f *gatekeeper, acts []Action, answer func(uint32, string, int) (Micros, Event)) {
 	for _, a := range acts {
 		if a.Kind != Send {
 			continue
@@ -123,7 +123,7 @@
 }
 
 // gate reports a long wait at a server.
-func gate(f *front, s uint32) {
+func gate(f *gatekeeper, s uint32) {
 	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
 }
 
@@ -202,7 +202,7 @@
 func TestSecondChoicesKeepToShare(t *testing.T) {
 	const fronts, perS = 300, 300.0
 	fl := newFleet(t, fronts, 1, four...)
-	small := func(f *front) {
+	small := func(f *gatekeeper) {
 		f.do(Status{Server: 40, Code: OK, Report: []float64{28, 30, -1}})
 	}
 	for _, f := range fl.fs {
@@ -229,7 +229,7 @@
 // A front that stood still learns nothing of servers from the age of what was out, and gives calls that came meanwhile
 // what is left of their callers' patience.
 func TestOwnStallIsNoWait(t *testing.T) {
-	f := warmFront(t)
+	f := warmGatekeeper(t)
 	id, s := f.call(0, 0)
 	f.now += 1.8e6 // no tick, no event
 	f.do(Timer{"tick"})
@@ -252,7 +252,7 @@
 // With a call in seconds a lost set-up is not overtaken by another: an end that tells of a short wait proves it lost,
 // so that it neither gates its server nor takes its room until its caller gives up (asra-call-hub-later big-2).
 func TestReportOvertakesLostSetup(t *testing.T) {
-	f := warmFront(t)
+	f := warmGatekeeper(t)
 	lost, s := f.call(0, 0)
 	f.pass(9e5)
 	f.report(s, 3)
@@ -273,8 +273,8 @@
 
 // Thinning fades by what is seen: with news in seconds, silence alone let every front back at once.
 func TestSilenceIsNoEase(t *testing.T) {
-	seen, silent := newFront(t, testSettings()), newFront(t, testSettings())
-	for _, f := range []*front{seen, silent} {
+	seen, silent := newGatekeeper(t, testSettings()), newGatekeeper(t, testSettings())
+	for _, f := range []*gatekeeper{seen, silent} {
 		f.servers(two...)
 		f.call(0, 1)
 		s := f.c.find(10)
@@ -327,7 +327,7 @@
 		{[]float64{900, 800, 3}, false}, // one is quick: it is not common
 		{[]float64{900, 800}, false},    // two of eight are too few
 	} {
-		f := newFront(t, testSettings())
+		f := newGatekeeper(t, testSettings())
 		f.servers(list...)
 		f.pass(2e6)
 		for i, w := range row.waits {
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -4,7 +4,7 @@
 
 // What a front gives up it takes back: the same view of each server, and a call goes the same way as before.
 func TestRecall(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	for i := range 200 {
 		id, s := f.call(0, 0)
@@ -17,7 +17,7 @@
 	if len(l.Servers) != 2 || l.Base == 0 || l.Unit == 0 || l.Servers[0].Wait+l.Servers[1].Wait == 0 {
 		t.Fatalf("%+v", l)
 	}
-	g := newFront(t, testSettings())
+	g := newGatekeeper(t, testSettings())
 	g.now = f.now
 	g.servers(two...)
 	g.do(Recall{l})
@@ -35,7 +35,7 @@
 
 // The list is believed before the memory: servers that are gone, drain, have started since or are cold are known anew.
 func TestListIsBelievedBeforeTheMemory(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	cold := f.now - 1e6
 	f.servers(Entry{Server: 10, Cell: 0, State: Ready}, Entry{Server: 11, Cell: 0, State: Draining},
 		Entry{Server: 12, Cell: 1, State: Ready, Since: f.now - 100e6}, Entry{Server: 13, Cell: 1, State: Ready, Since: cold})
@@ -59,7 +59,7 @@
 // since the start.
 func TestWrongMemoryAtAColdServer(t *testing.T) {
 	sent := func(l *Learned) (n int) {
-		f := newFront(t, testSettings())
+		f := newGatekeeper(t, testSettings())
 		f.servers(Entry{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5})
 		if l != nil {
 			f.do(Recall{*l})
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -306,9 +306,9 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := testSettings()
 		set.Gatekeepers = fronts
-		var fs []*front
+		var fs []*gatekeeper
 		for i := range fronts {
-			f := &front{t: t, c: New(set, seed*100+uint64(i)), now: 1e9}
+			f := &gatekeeper{t: t, c: New(set, seed*100+uint64(i)), now: 1e9}
 			f.do(List{Entries: two})
 			fs = append(fs, f)
 		}
