--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -167,7 +167,7 @@
 	return append(all,
 		figure{"sessions_max_over_share", "1", ofControl, func(r *Report) (float64, bool) { return r.Control.MaxOverShare, r.Shape.Control > 0 }},
 		figure{"session_bytes_per_s_sent", "B/s", ofControl, func(r *Report) (float64, bool) { return r.Control.SessionsPerS, r.Shape.Control > 0 }},
-		figure{"all_met", "s", ofGatekeepers, func(r *Report) (float64, bool) { return r.Membership.AllMetS, r.Shape.Control == 0 }},
+		figure{"all_met", "s", ofGatekeepers, func(r *Report) (float64, bool) { return r.Membership.AllMetS, r.Membership.AllMetS > 0 }},
 		figure{"fewest_met", "1", ofGatekeepers, func(r *Report) (float64, bool) { return float64(r.Membership.FewestUp), r.Shape.Control == 0 }},
 	)
 }
