--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -75,7 +75,7 @@
 	away.Store(true)
 	until(t, "the lease has ended, and it says so", func() bool {
 		s := l.Status()
-		return s.Rules[0].Rate < 5 && s.Rules[0].LeaseFor == 0 && len(s.Faults) == 1 && s.Faults[0].Advice != ""
+		return s.Rules[0].Rate < 5 && s.Rules[0].LeaseRemaining == 0 && len(s.Faults) == 1 && s.Faults[0].Advice != ""
 	})
 	away.Store(false)
 	until(t, "a lease again", func() bool { return leased() && len(l.Status().Faults) == 0 })
@@ -86,7 +86,7 @@
 	g := &fleettest.Gossip{}
 	g.SetUp("g1", "g2")
 	for name, text := range map[string][]byte{"x": {0xff}, "y": []byte("hello"), "z": {0xa1, 0x63, 'a', 'l', 'l', 0x05}} {
-		g.Tell(name, text)
+		g.SetValue(name, text)
 	}
 	now := clock()
 	log, _ := logtest.NewNullLogger()
