--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -411,7 +411,9 @@
 	require.NoError(t, err)
 	require.Contains(t, figures, `proxy_fleet_limit_lease_seconds{rule="all"}`)
 	group.apply(t, "--delete", "settings/all/limits")
-	eventually(t, "no limits", all, func(s shown) bool { return s.Settings.InForce > 0 && len(s.Limits.Rules) == 0 && len(s.Settings.Sections) == 0 })
+	eventually(t, "no limits", all, func(s shown) bool {
+		return s.Settings.InForce > 0 && len(s.Limits.Rules) == 0 && len(s.Settings.Sections) == 0
+	})
 	g.end(t, syscall.SIGTERM)
 }
 
