--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -24,6 +24,7 @@
 	Hollow      labHollowCmd      `cmd:"" hidden:"" help:"A process of lab scale."`
 	Latency     labLatencyCmd     `cmd:"" help:"What one gatekeeper adds to a call: latency, processor time, memory, descriptors."`
 	Decision    labDecisionCmd    `cmd:"" help:"Time of the pure steps of a call and of the fleet's upkeep, at growing sizes."`
+	Slopes      labSlopesCmd      `cmd:"" help:"Measure costs at several sizes, for docs/CAPACITY.md."`
 }
 
 type labFleetCmd struct {
--- /dev/null
+++ b/internal/capacity/fit.go
@@ -0,0 +1,141 @@
+package capacity
+
+import (
+	"fmt"
+	"math"
+)
+
+const (
+	// LeastSizes is how many sizes a series needs to be fitted.
+	LeastSizes = 5
+	// tolerated is by how much the cross-validated error of a simpler law may lie above the least one.
+	tolerated = 1.25
+	// negligible is a cross-validated error, as a part of the median, below which laws are not told apart.
+	negligible = 0.01
+	// leastWeight keeps a size whose median is next to nothing from deciding alone: it counts as this part of the greatest.
+	leastWeight = 0.01
+)
+
+// TooFewSizes says that a series can't be fitted.
+type TooFewSizes struct {
+	Series string
+	Sizes  int
+}
+
+func (e *TooFewSizes) Error() string {
+	return fmt.Sprintf("series %q has %d sizes, %d are needed for a slope", e.Series, e.Sizes, LeastSizes)
+}
+
+// Advice implements advice.Error.
+func (e *TooFewSizes) Advice() string { return "measure the series at more sizes" }
+
+// Candidate is one law as it fits a series.
+type Candidate struct {
+	Law       Law
+	Offset    float64
+	Slope     float64
+	Residual  float64 // relative to the size's median: root of the mean squared one over the degrees of freedom
+	Error     float64 // cross-validated, relative to the size's median
+	Plausible bool    // the criterion leaves it in question
+	line      line
+}
+
+// Fit is the law of a series, with what else the measured sizes allow.
+//
+// Each law is fitted to the medians of the sizes by least squares of the residuals relative to the median, so that a
+// size of 100 counts as much as one of 100,000. The law chosen is the simplest whose cross-validated error (each size
+// foretold from all others) is at most 1.25 times the least one, or at most 1%. Laws that pass that too are plausible:
+// the interval of an extrapolation covers all of them.
+type Fit struct {
+	Series     *Series
+	Chosen     Candidate
+	Candidates []Candidate // by law; without the logarithm where a size is 0
+	Sizes      int
+	Least      float64 // size that was run
+	Largest    float64 // size that was run
+	Spread     float64 // greatest (max - min) / median among the sizes
+}
+
+// Estimate is a value with the interval that it lies in, for the fit's 95%.
+type Estimate struct{ Value, Low, High float64 }
+
+// Exactly is an estimate without an interval.
+func Exactly(v float64) Estimate { return Estimate{v, v, v} }
+
+// FitSeries finds the law of a series.
+func FitSeries(s *Series) (*Fit, error) {
+	if len(s.Points) < LeastSizes {
+		return nil, &TooFewSizes{Series: s.Name, Sizes: len(s.Points)}
+	}
+	samples := samplesOf(s)
+	f := &Fit{Series: s, Sizes: len(s.Points), Least: s.Points[0].N, Largest: s.Points[len(s.Points)-1].N}
+	for _, p := range s.Points {
+		f.Spread = max(f.Spread, p.Spread())
+	}
+	least := math.Inf(1)
+	for _, law := range Laws {
+		if law == Logarithmic && f.Least <= 0 {
+			continue
+		}
+		l := fitLine(law, samples)
+		c := Candidate{Law: law, Offset: l.offset, Slope: l.slope, Residual: l.residual(samples),
+			Error: crossValidated(law, samples), line: l}
+		f.Candidates = append(f.Candidates, c)
+		least = min(least, c.Error)
+	}
+	bound := max(tolerated*least, negligible)
+	for i := len(f.Candidates) - 1; i >= 0; i-- {
+		if f.Candidates[i].Error <= bound {
+			f.Candidates[i].Plausible = true
+			f.Chosen = f.Candidates[i]
+		}
+	}
+	return f, nil
+}
+
+// samplesOf weighs each size by its median, so that residuals are relative.
+func samplesOf(s *Series) []sample {
+	greatest := 0.0
+	for _, p := range s.Points {
+		greatest = max(greatest, math.Abs(p.Median()))
+	}
+	if greatest == 0 {
+		greatest = 1
+	}
+	var samples []sample
+	for _, p := range s.Points {
+		scale := max(math.Abs(p.Median()), leastWeight*greatest)
+		samples = append(samples, sample{n: p.N, value: p.Median(), weight: 1 / (scale * scale)})
+	}
+	return samples
+}
+
+// At extrapolates the series to a size. The interval is the 95% prediction interval of the chosen law (Student's t, the
+// residual relative to the value), widened to the values of every other plausible law.
+func (f *Fit) At(n float64) Estimate {
+	value := max(0, f.Chosen.line.at(n))
+	e := Exactly(value)
+	freedom := f.Sizes - f.Chosen.Law.parameters()
+	half := student95(freedom) * f.Chosen.Residual * math.Sqrt(max(0, f.Chosen.line.variance(n))+value*value)
+	e.Low, e.High = max(0, value-half), value+half
+	for _, c := range f.Candidates {
+		if c.Plausible {
+			other := max(0, c.line.at(n))
+			e.Low, e.High = min(e.Low, other), max(e.High, other)
+		}
+	}
+	return e
+}
+
+// student95 is the two-sided 95% point of Student's t distribution.
+func student95(freedom int) float64 {
+	points := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
+		2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+	if freedom < 1 {
+		return math.Inf(1)
+	}
+	if freedom > len(points) {
+		return 1.96 + 2.5/float64(freedom)
+	}
+	return points[freedom-1]
+}
--- /dev/null
+++ b/internal/capacity/inputs.go
@@ -0,0 +1,52 @@
+package capacity
+
+import (
+	"fmt"
+	"math"
+)
+
+// Input is one number that the page is computed from and that was not measured: a plan, a budget, or a setting of the
+// program.
+type Input struct {
+	Name       string  `json:"name"`
+	Unit       string  `json:"unit"`
+	Value      float64 `json:"value"`
+	Changeable string  `json:"changeable"` // who can change it, or where
+	About      string  `json:"about"`
+}
+
+// Inputs are all of them, in the order of the page.
+type Inputs struct {
+	Inputs []Input `json:"inputs"`
+}
+
+// ParseInputs reads the file of inputs.
+func ParseInputs(name string, text []byte) (*Inputs, error) {
+	var in Inputs
+	if err := decode(name, text, &in); err != nil {
+		return nil, err
+	}
+	seen := map[string]bool{}
+	for _, one := range in.Inputs {
+		switch {
+		case one.Name == "" || one.Unit == "" || one.Changeable == "" || one.About == "":
+			return nil, &FileError{File: name, Err: fmt.Errorf("input %q: name, unit, changeable and about must be there", one.Name)}
+		case seen[one.Name]:
+			return nil, &FileError{File: name, Err: fmt.Errorf("input %q is there twice", one.Name)}
+		case math.IsNaN(one.Value) || math.IsInf(one.Value, 0) || one.Value < 0:
+			return nil, &FileError{File: name, Err: fmt.Errorf("input %q: %v is no number of at least 0", one.Name, one.Value)}
+		}
+		seen[one.Name] = true
+	}
+	return &in, nil
+}
+
+// Value gives an input by its name.
+func (in *Inputs) Value(name string) (float64, bool) {
+	for _, one := range in.Inputs {
+		if one.Name == name {
+			return one.Value, true
+		}
+	}
+	return 0, false
+}
--- /dev/null
+++ b/internal/capacity/page_test.go
@@ -0,0 +1,154 @@
+package capacity
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write docs/CAPACITY.md with its tables computed anew")
+
+const (
+	pageFile    = "../../docs/CAPACITY.md"
+	measuredDir = "../../docs/measured"
+	inputsFile  = "inputs.json"
+)
+
+// sources are the files that the page is computed from, by name.
+func sources(t *testing.T) map[string]string {
+	t.Helper()
+	names, err := filepath.Glob(filepath.Join(measuredDir, "*.json"))
+	require.NoError(t, err)
+	files := map[string]string{}
+	for _, name := range names {
+		text, err := os.ReadFile(name)
+		require.NoError(t, err)
+		files[filepath.Base(name)] = string(text)
+	}
+	return files
+}
+
+// modelOf reads files as they lie in docs/measured.
+func modelOf(files map[string]string) (*Model, error) {
+	in, err := ParseInputs(inputsFile, []byte(files[inputsFile]))
+	if err != nil {
+		return nil, err
+	}
+	var measured []*File
+	for name, text := range files {
+		if name == inputsFile {
+			continue
+		}
+		f, err := ParseFile(name, []byte(text))
+		if err != nil {
+			return nil, err
+		}
+		measured = append(measured, f)
+	}
+	return NewModel(in, measured...)
+}
+
+// rendered computes the page's tables from files.
+func rendered(files map[string]string, page string) (string, error) {
+	m, err := modelOf(files)
+	if err != nil {
+		return "", err
+	}
+	return m.Render(page)
+}
+
+func page(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(pageFile)
+	require.NoError(t, err)
+	return string(text)
+}
+
+// The page's tables are what the inputs and the measured series give.
+func TestPage(t *testing.T) {
+	text := page(t)
+	want, err := rendered(sources(t), text)
+	require.NoError(t, err)
+	if *update {
+		require.NoError(t, os.WriteFile(pageFile, []byte(want), 0o644))
+		return
+	}
+	if diff := cmp.Diff(want, text); diff != "" {
+		t.Errorf("docs/CAPACITY.md is not what docs/measured gives (+ is the page; go test ./internal/capacity -run TestPage -update):\n%s", diff)
+	}
+}
+
+// A number changed in the page, in the inputs or in a measured file is found: the page is no longer what they give.
+func TestPageAgainstAChangedNumber(t *testing.T) {
+	text, files := page(t), sources(t)
+	agrees := func(files map[string]string, text string) bool {
+		want, err := rendered(files, text)
+		return err == nil && want == text
+	}
+	require.True(t, agrees(files, text), "the page agrees before anything is changed")
+	for _, change := range []struct{ what, old, new string }{
+		{"page: an input", "| gatekeepers | 2,200 |", "| gatekeepers | 2,300 |"},
+		{"page: a derived number", "| 191 calls/s |", "| 192 calls/s |"},
+		{"page: a headroom", "0.44x **fail**", "0.45x **fail**"},
+		{"page: a verdict", "0.44x **fail**", "0.44x pass"},
+	} {
+		require.Contains(t, text, change.old, change.what)
+		require.False(t, agrees(files, strings.Replace(text, change.old, change.new, 1)), change.what)
+	}
+	for _, change := range []struct{ file, old, new string }{
+		{inputsFile, `"value": 2200`, `"value": 2300`},
+		{inputsFile, `"value": 420000`, `"value": 430000`},
+		{"leases.json", `"n": 2200,`, `"n": 2100,`},
+		{"figures.json", `"n": 2200,`, `"n": 2100,`},
+	} {
+		changed := map[string]string{}
+		for name, content := range files {
+			changed[name] = content
+		}
+		require.Contains(t, files[change.file], change.old, change.file)
+		changed[change.file] = strings.Replace(files[change.file], change.old, change.new, 1)
+		require.False(t, agrees(changed, text), "%s: %s", change.file, change.new)
+	}
+}
+
+// Without a measured file its rows say so; nothing stands in its place, and what depends on inputs alone stays.
+func TestPageWithoutMeasuredFiles(t *testing.T) {
+	files := map[string]string{inputsFile: sources(t)[inputsFile]}
+	for _, role := range roles {
+		got, err := rendered(files, "<!-- table:"+role.Table+" -->\n<!-- end -->\n")
+		require.NoError(t, err)
+		lines := strings.Split(got, "\n")[3:] // below the marker, the head and the rule
+		for i, row := range role.Rows {
+			cells := strings.Split(lines[i], " | ")
+			require.Equal(t, row.What, cells[1])
+			if strings.Contains(row.Need, "at(") {
+				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.What)
+			} else {
+				require.Equal(t, "inputs alone", cells[5], row.What)
+			}
+		}
+	}
+}
+
+// Markers that do not fit together are named with their line.
+func TestPageMarkers(t *testing.T) {
+	m, err := modelOf(sources(t))
+	require.NoError(t, err)
+	for text, want := range map[string]string{
+		"<!-- table:inputs -->\n":                         "docs/CAPACITY.md:1: table inputs has no end",
+		"a\n<!-- end -->\n":                               "docs/CAPACITY.md:2: the end of no table",
+		"<!-- table:none -->\n<!-- end -->\n":             `docs/CAPACITY.md:1: there is no table "none"`,
+		"<!-- table:inputs -->\n<!-- table:derived -->\n": "docs/CAPACITY.md:2: a table begins within table inputs",
+	} {
+		_, err := m.Render(text)
+		require.EqualError(t, err, want)
+	}
+	again, err := m.Render("before\n<!-- table:placement -->\nold\n<!-- end -->\nafter\n")
+	require.NoError(t, err)
+	require.True(t, strings.HasPrefix(again, "before\n<!-- table:placement -->\n| region |") && strings.HasSuffix(again, "|\n<!-- end -->\nafter\n"), again)
+}
--- /dev/null
+++ b/internal/capacity/render.go
@@ -0,0 +1,86 @@
+package capacity
+
+import (
+	"fmt"
+	"strings"
+)
+
+const (
+	tableBegin = "<!-- table:"
+	tableTitle = " -->"
+	tableEnd   = "<!-- end -->"
+)
+
+// PageError says what is wrong with the page's markers.
+type PageError struct {
+	Line int
+	What string
+}
+
+func (e *PageError) Error() string { return fmt.Sprintf("docs/CAPACITY.md:%d: %s", e.Line, e.What) }
+
+// Advice implements advice.Error.
+func (e *PageError) Advice() string {
+	return tableBegin + "NAME" + tableTitle + " begins a table and " + tableEnd + " ends it, each on a line of its own"
+}
+
+// Render gives the page with every table computed anew. What is outside the markers stays as it is, but for {{FORMULA}} and
+// {{UNIT FORMULA}} within tables.
+func (m *Model) Render(page string) (string, error) {
+	var out strings.Builder
+	tables := m.tables()
+	within, begun := "", 0
+	for i, row := range strings.SplitAfter(page, "\n") {
+		text := strings.TrimSpace(row)
+		switch {
+		case strings.HasPrefix(text, tableBegin):
+			if within != "" {
+				return "", &PageError{i + 1, "a table begins within table " + within}
+			}
+			within, begun = strings.TrimSuffix(strings.TrimPrefix(text, tableBegin), tableTitle), i+1
+			table := tables[within]
+			if table == nil {
+				return "", &PageError{i + 1, fmt.Sprintf("there is no table %q", within)}
+			}
+			rendered, err := table()
+			if err != nil {
+				return "", fmt.Errorf("table %s: %w", within, err)
+			}
+			out.WriteString(row + rendered)
+		case text == tableEnd:
+			if within == "" {
+				return "", &PageError{i + 1, "the end of no table"}
+			}
+			within = ""
+			out.WriteString(row)
+		case within == "":
+			out.WriteString(row)
+		}
+	}
+	if within != "" {
+		return "", &PageError{begun, "table " + within + " has no end"}
+	}
+	return out.String(), nil
+}
+
+// markdown writes a table.
+func markdown(head []string, rows [][]string) string {
+	var out strings.Builder
+	line := func(cells []string) {
+		escaped := make([]string, len(cells))
+		for i, c := range cells {
+			escaped[i] = strings.ReplaceAll(c, "|", `\|`)
+		}
+		out.WriteString("| " + strings.Join(escaped, " | ") + " |\n")
+	}
+	line(head)
+	rule := make([]string, len(head))
+	for i := range rule {
+		rule[i] = "---"
+	}
+	line(rule)
+	for _, r := range rows {
+		line(r)
+	}
+	return out.String()
+}
--- /dev/null
+++ b/internal/capacity/roles.go
@@ -0,0 +1,112 @@
+package capacity
+
+// Role is one kind of process or person, with the rows of its table.
+type Role struct {
+	Table string // its marker on the page
+	Title string
+	Rows  []Row
+}
+
+// roles are the tables of the page. Sizes and budgets are formulas over inputs; at("SERIES", SIZE) is what was measured.
+var roles = []Role{
+	{"gatekeeper", "gatekeeper", gatekeeperRows},
+	{"voter", "control machine that votes", voterRows},
+	{"replica", "control machine that does not vote", replicaRows},
+	{"operator", "operators' commands", operatorRows},
+}
+
+// Carriers that several rows name.
+const (
+	inventoryCarrier = "internal/inventory, internal/routing"
+	scopeCarrier     = "control/scope (settings/service/S/inventory), internal/follow"
+	followCarrier    = "internal/follow, control/session"
+	storeCarrier     = "internal/store"
+	sessionsCarrier  = "internal/store (watch sessions), control/admission"
+	gossipCarrier    = "internal/fleet"
+	registersCarrier = "internal/fleet, control/registers"
+	limitsCarrier    = "internal/limits, control/quota"
+	ejectionCarrier  = "internal/verdicts, control/verdict"
+	retryCarrier     = "control/retry"
+	routingCarrier   = "control, internal/routing"
+	figuresCarrier   = "internal/ops, internal/node"
+)
+
+var gatekeeperRows = []Row{
+	{What: "servers, whole list: connections out", Unit: "connections", Need: `at("servers.connections", gatekeepers)`, Budget: "connections_left", Carrier: inventoryCarrier},
+	{What: "servers, its part: connections out", Unit: "connections", Need: `at("servers.connections", servers_needed)`, Budget: "connections_left", Carrier: scopeCarrier},
+	{What: "the same, all connections in use", Unit: "connections", Need: `connections_per_server * at("servers.connections", servers_needed)`, Budget: "connections_left", Carrier: "internal/protocol/sip"},
+	{What: "servers, whole list: memory", Unit: "B", Need: `at("servers.heap", gatekeepers)`, Budget: "gatekeeper_memory", Carrier: inventoryCarrier},
+	{What: "servers, its part: memory", Unit: "B", Need: `at("servers.heap", servers_needed)`, Budget: "gatekeeper_memory", Carrier: scopeCarrier},
+	{What: "connections in at one server, whole list", Unit: "connections", Need: "gatekeepers", Carrier: inventoryCarrier},
+	{What: "connections in at one server, its part", Unit: "connections", Need: "services_called * servers_of_service", Carrier: scopeCarrier},
+	{What: "decision for a call, whole list", Unit: "us", Need: `at("decision_us", gatekeepers)`, Budget: "added_p99", Carrier: routingCarrier},
+	{What: "decision for a call, its part", Unit: "us", Need: `at("decision_us", servers_needed)`, Budget: "added_p99", Carrier: routingCarrier},
+	{What: "decisions, its part: processor", Unit: "% of a core", Need: `calls_per_gatekeeper * at("decision_us", servers_needed) / 10000`, Carrier: routingCarrier},
+	{What: "added to a call p99, whole list", Unit: "us", Need: `1000 * at("added_p99_ms_at_191_per_s", gatekeepers)`, Budget: "added_p99", Carrier: routingCarrier},
+	{What: "added to a call p99, its part", Unit: "us", Need: `1000 * at("added_p99_ms_at_191_per_s", servers_needed)`, Budget: "added_p99", Carrier: routingCarrier},
+	{What: "added over 19 levels p99, its part", Unit: "us", Need: `1000 * at("chain19_p99_ms_at_191_per_s", servers_needed)`, Budget: "depth * added_p99", Carrier: routingCarrier},
+	{What: "deadline: what 19 levels add of it", Unit: "ms", Need: `at("chain19_p99_ms_at_191_per_s", servers_needed)`, Budget: "call_deadline", Carrier: "internal/protocol/sip (X-Timer-Ms)"},
+	{What: "retries at the last of 19 levels", Unit: "times", Need: "retry_amplification", Budget: "amplification", Carrier: retryCarrier + " at each level; nothing across levels"},
+	{What: "membership and one topic: bytes sent", Unit: "B/s", Need: `at("gossip.bytes_sent", gatekeepers)`, Budget: "gatekeeper_bytes", Carrier: gossipCarrier},
+	{What: "the same: datagrams sent", Unit: "1/s", Need: `at("gossip.packets_sent", gatekeepers)`, Carrier: gossipCarrier},
+	{What: "the same: processor", Unit: "% of a core", Need: `at("gossip.processor", gatekeepers)`, Budget: "gatekeeper_processor", Carrier: gossipCarrier},
+	{What: "the same: memory", Unit: "B", Need: `at("gossip.heap", gatekeepers)`, Budget: "gatekeeper_memory", Carrier: gossipCarrier},
+	{What: "registers of rates: pace", Unit: "s", Need: "register_pace", Budget: "register_stale", Carrier: registersCarrier},
+	{What: "registers: origins refused", Unit: "origins", Need: `at("registers_refused", gatekeepers)`, Budget: "0", Carrier: registersCarrier},
+	{What: "outlier ejection: pace of its registers", Unit: "s", Need: "evidence_pace", Budget: "evidence_stale", Carrier: ejectionCarrier},
+	{What: "outlier ejection: one round, own service", Unit: "us", Need: `at("judge_round_service_us", gatekeepers)`, Carrier: ejectionCarrier},
+	{What: "shared limits, leased: requests", Unit: "1/s", Need: "1 / lease_every", Carrier: limitsCarrier},
+	{What: "configuration: in force p100", Unit: "s", Need: `at("in_force_from_commit_max of settings", gatekeepers)`, Budget: "in_force_within", Carrier: followCarrier, Before: Missing},
+	{What: "configuration: bytes received", Unit: "B/s", Need: `at("settings_bytes_per_s_received_max of gatekeepers", gatekeepers)`, Budget: "gatekeeper_bytes", Carrier: followCarrier},
+	{What: "configuration: bytes sent", Unit: "B/s", Need: `at("settings_bytes_per_s_sent_max of gatekeepers", gatekeepers)`, Budget: "gatekeeper_bytes", Carrier: followCarrier},
+	{What: "configuration: processor", Unit: "% of a core", Need: `100 * at("cpu_share_max of gatekeepers", gatekeepers)`, Budget: "gatekeeper_processor", Carrier: followCarrier},
+	{What: "configuration: memory", Unit: "B", Need: `at("resident_max of gatekeepers", gatekeepers)`, Budget: "gatekeeper_memory", Carrier: followCarrier},
+	{What: "configuration: messages received", Unit: "1/s", Need: "1 / heartbeat_every + changes_per_s", Carrier: followCarrier},
+	{What: "configuration: first settings after a start, p100", Unit: "s", Need: `at("start_to_in_force_max of gatekeepers", gatekeepers)`, Budget: "in_force_within", Carrier: followCarrier},
+	{What: "configuration: connections", Unit: "connections", Need: "1", Budget: "connections_left", Carrier: followCarrier},
+	{What: "metrics: bytes sent", Unit: "B/s", Need: `at("telemetry.bytes", servers_needed) / scrape_every`, Budget: "gatekeeper_bytes", Carrier: figuresCarrier},
+	{What: "log of a start", Unit: "B", Need: `at("log.start_bytes", servers_needed)`, Carrier: "internal/node"},
+}
+
+var voterRows = []Row{
+	{What: "shared limits, leased: processor", Unit: "% of a core", Need: `lease_requests * at("leases.processor", gatekeepers) / 10000`, Budget: "machine_processor", Carrier: limitsCarrier + " (one table)"},
+	{What: "shared limits, leased: table", Unit: "B", Need: `at("leases.table_bytes", gatekeepers)`, Carrier: limitsCarrier + " (one table)"},
+	{What: "write, network and disk p50, leader in a", Unit: "us", Need: `at("store.disk.members.commit_p50", control_machines) + 1000 * min(round_trip_a_b, round_trip_a_c)`, Budget: "write_within", Carrier: storeCarrier},
+	{What: "write, network and disk p99, leader in a", Unit: "us", Need: `at("store.disk.members.commit_p99", control_machines) + 1000 * min(round_trip_a_b, round_trip_a_c)`, Budget: "write_within", Carrier: storeCarrier},
+	{What: "writes: processor of all 13 together", Unit: "% of a core", Need: `changes_per_s * at("store.disk.members.commit_processor", control_machines) / 10000`, Budget: "machine_processor", Carrier: storeCarrier},
+	{What: "leader: bytes sent, writes and heartbeats", Unit: "B/s", Need: `changes_per_s * at("store.disk.members.commit_bytes", control_machines) + at("store.disk.members.idle_bytes", control_machines)`, Budget: "machine_bytes", Carrier: storeCarrier},
+	{What: "leader: messages sent while nothing is written", Unit: "1/s", Need: `at("store.disk.members.idle_messages", control_machines)`, Carrier: storeCarrier},
+	{What: "log, a day's changes of 1 KB", Unit: "B", Need: `86400 * changes_per_s * at("store.log_bytes", 1000)`, Carrier: storeCarrier + "/journal"},
+	{What: "snapshot: bytes", Unit: "B", Need: `at("store.snapshot_bytes", store_records)`, Budget: "machine_memory", Carrier: storeCarrier},
+	{What: "snapshot: time", Unit: "us", Need: `at("store.snapshot_time", store_records)`, Budget: "write_within", Carrier: storeCarrier},
+	{What: "a new member's catch-up: time", Unit: "us", Need: `at("store.catch_up_time", store_records)`, Budget: "1000000 * in_force_within", Carrier: storeCarrier},
+	{What: "a new member's catch-up: bytes", Unit: "B", Need: `at("store.catch_up_bytes", store_records)`, Carrier: storeCarrier},
+	{What: "sessions, twice its share", Unit: "sessions", Need: `at("sessions_max of control machines", gatekeepers)`, Budget: "share_borne", Carrier: sessionsCarrier},
+	{What: "sessions: processor", Unit: "% of a core", Need: `100 * at("cpu_share_max of control machines", gatekeepers)`, Budget: "machine_processor", Carrier: sessionsCarrier},
+	{What: "sessions: memory", Unit: "B", Need: `at("resident_max of control machines", gatekeepers)`, Budget: "machine_memory", Carrier: sessionsCarrier},
+	{What: "sessions: messages out, twice its share", Unit: "1/s", Need: "share_borne * (1 / heartbeat_every + changes_per_s)", Carrier: sessionsCarrier},
+	{What: "descriptors", Unit: "connections", Need: `at("descriptors_max of control machines", gatekeepers)`, Budget: "descriptors", Carrier: sessionsCarrier},
+}
+
+var replicaRows = []Row{
+	{What: "sessions, twice its share", Unit: "sessions", Need: `at("sessions_max of control machines", gatekeepers)`, Budget: "share_borne", Carrier: sessionsCarrier},
+	{What: "sessions: processor", Unit: "% of a core", Need: `100 * at("cpu_share_max of control machines", gatekeepers)`, Budget: "machine_processor", Carrier: sessionsCarrier},
+	{What: "sessions: bytes sent", Unit: "B/s", Need: `at("session_bytes_per_s_sent of control machines", gatekeepers)`, Budget: "machine_bytes", Carrier: sessionsCarrier},
+	{What: "sessions: memory", Unit: "B", Need: `at("resident_max of control machines", gatekeepers)`, Budget: "machine_memory", Carrier: sessionsCarrier},
+	{What: "sessions: messages out, twice its share", Unit: "1/s", Need: "share_borne * (1 / heartbeat_every + changes_per_s)", Carrier: sessionsCarrier},
+	{What: "descriptors", Unit: "connections", Need: `at("descriptors_max of control machines", gatekeepers)`, Budget: "descriptors", Carrier: sessionsCarrier},
+	{What: "its share of the log: bytes received", Unit: "B/s", Need: `(changes_per_s * at("store.disk.members.commit_bytes", control_machines) + at("store.disk.members.idle_bytes", control_machines)) / (control_machines - 1)`, Budget: "machine_bytes", Carrier: storeCarrier},
+	{What: "snapshot: bytes", Unit: "B", Need: `at("store.snapshot_bytes", store_records)`, Budget: "machine_memory", Carrier: storeCarrier},
+	{What: "catch-up as a new member: time", Unit: "us", Need: `at("store.catch_up_time", store_records)`, Budget: "1000000 * in_force_within", Carrier: storeCarrier},
+	{What: "writes slowed by the 8: p50 against none", Unit: "times", Need: `at("store.disk.members.commit_p50", control_machines) / at("store.disk.members.commit_p50", voters)`, Carrier: storeCarrier},
+}
+
+var operatorRows = []Row{
+	{What: "store put: one write, leader in a, p99", Unit: "us", Need: `at("store.disk.members.commit_p99", control_machines) + 1000 * min(round_trip_a_b, round_trip_a_c)`, Budget: "operator_wait", Carrier: storeCarrier},
+	{What: "store put, 13 processes, no network delay, p99", Unit: "us", Need: `1000000 * at("put_p99 of settings", gatekeepers)`, Budget: "operator_wait", Carrier: storeCarrier},
+	{What: "store list, store backup: bytes", Unit: "B", Need: `at("store.snapshot_bytes", store_records)`, Carrier: storeCarrier},
+	{What: "figures of all gatekeepers: bytes", Unit: "B/s", Need: `gatekeepers * at("telemetry.bytes", servers_needed) / scrape_every`, Budget: "collector_bytes", Carrier: figuresCarrier + "; collector of the operators"},
+	{What: "figures of one gatekeeper: time", Unit: "us", Need: `at("telemetry.time", servers_needed)`, Budget: "operator_wait", Carrier: figuresCarrier},
+	{What: "fleet members by gossip: members listed", Unit: "members", Need: "gatekeepers", Carrier: gossipCarrier + " (does not reach this size)"},
+	{What: "fleet view: who holds which revision", Unit: "us", Need: `at("fleet_view_us", gatekeepers)`, Budget: "operator_wait", Carrier: sessionsCarrier},
+}
--- /dev/null
+++ b/internal/capacity/slopes/snapshots.go
@@ -0,0 +1,113 @@
+package slopes
+
+import (
+	"context"
+	"fmt"
+	"path/filepath"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"beammux/internal/store"
+)
+
+const (
+	snapshotValue   = 256 // bytes of each record
+	writersAtOnce   = 16
+	catchUpWithin   = 60 * time.Second
+	catchUpLooks    = time.Millisecond
+	snapshotsFolder = "snapshots" // below the folder of a member, by raft's file store
+)
+
+// measureSnapshots fills one member with records and measures its snapshots, and new members that catch up by them.
+func measureSnapshots(r *run) error {
+	g, err := r.startReplicas("snapshots", 1, 0, true, store.SyncInterval)
+	if err != nil {
+		return err
+	}
+	defer g.close()
+	held := 0
+	for _, size := range []int{100, 300, 1000, 3000, 10000, 30000, 100000} {
+		if err := r.fill(g.nodes[0], held, size); err != nil {
+			return err
+		}
+		held = size
+		for repetition := range r.Repetitions {
+			if err := r.snapshot(g, size); err != nil {
+				return err
+			}
+			if err := r.catchUp(g, size, repetition); err != nil {
+				return err
+			}
+		}
+		r.progress("snapshots: %d records", size)
+	}
+	return nil
+}
+
+// fill writes the records of numbers from up to to.
+func (r *run) fill(n *store.Node, from, to int) error {
+	all, ctx := errgroup.WithContext(r.ctx)
+	all.SetLimit(writersAtOnce)
+	value := make([]byte, snapshotValue)
+	for i := from; i < to; i++ {
+		all.Go(func() error {
+			within, cancel := context.WithTimeout(ctx, commitWithin)
+			defer cancel()
+			_, err := n.Put(within, recordKey(i), value)
+			return err
+		})
+	}
+	return all.Wait()
+}
+
+func recordKey(i int) string { return fmt.Sprintf("settings/gatekeeper/g%06d/calls", i) }
+
+// snapshot writes one record over, takes a snapshot and measures both.
+func (r *run) snapshot(g *replicas, size int) error {
+	if err := r.fill(g.nodes[0], 0, 1); err != nil { // without anything new there is no snapshot
+		return err
+	}
+	began := time.Now()
+	if err := g.nodes[0].Compact(); err != nil {
+		return err
+	}
+	took := time.Since(began)
+	files, err := filepath.Glob(filepath.Join(r.dir, g.name, replicaName(0), snapshotsFolder, "*", "state.bin"))
+	if err != nil || len(files) == 0 {
+		return fmt.Errorf("no snapshot found: %v", err)
+	}
+	newest := files[len(files)-1] // names begin with the term and the index
+	bytes, err := sizeOf(filepath.Dir(newest))
+	if err != nil {
+		return err
+	}
+	r.add("store.snapshot_bytes", "B", "records of 256 bytes", float64(size), float64(bytes))
+	r.add("store.snapshot_time", "us", "records of 256 bytes", float64(size), float64(took.Microseconds()))
+	return nil
+}
+
+// catchUp adds a member without a vote and an empty folder, and times it until it holds every record.
+func (r *run) catchUp(g *replicas, size, repetition int) error {
+	number := 1 + repetition + 100*size
+	before := g.traffic.bytes.Load()
+	began := time.Now()
+	if err := g.join(number); err != nil {
+		return err
+	}
+	joined := g.nodes[len(g.nodes)-1]
+	err := r.until(catchUpWithin, catchUpLooks, "the new member holds every record", func() bool {
+		_, last := joined.Get(recordKey(size - 1))
+		return last && joined.Ready()
+	})
+	if err != nil {
+		return err
+	}
+	r.add("store.catch_up_time", "us", "records of 256 bytes", float64(size), float64(time.Since(began).Microseconds()))
+	r.add("store.catch_up_bytes", "B", "records of 256 bytes", float64(size), float64(g.traffic.bytes.Load()-before))
+	if err := g.change(store.MemberChange{Do: store.MemberRemove, Node: replicaName(number)}); err != nil {
+		return err
+	}
+	g.nodes = g.nodes[:len(g.nodes)-1]
+	return joined.Close()
+}
