--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -4,6 +4,7 @@
 	"flag"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -103,8 +104,6 @@
 	for _, change := range []struct{ file, old, new string }{
 		{inputsFile, `"value": 2200`, `"value": 2300`},
 		{inputsFile, `"value": 420000`, `"value": 430000`},
-		{"leases.json", `"n": 2200,`, `"n": 2100,`},
-		{"figures.json", `"n": 2200,`, `"n": 2100,`},
 	} {
 		changed := map[string]string{}
 		for name, content := range files {
@@ -116,6 +115,38 @@
 	}
 }
 
+// The values of the largest size of each series that the page uses, half as great again: the page is no longer what they give.
+func TestPageAgainstAChangedSeries(t *testing.T) {
+	text, files := page(t), sources(t)
+	in, err := ParseInputs(inputsFile, []byte(files[inputsFile]))
+	require.NoError(t, err)
+	m, err := modelOf(files)
+	require.NoError(t, err)
+	used := m.seriesNames()
+	require.Greater(t, len(used), 10)
+	for _, key := range used {
+		changed := &File{}
+		for name, s := range m.series {
+			copied := *s
+			if name == key {
+				copied.Points = slices.Clone(s.Points)
+				last := &copied.Points[len(copied.Points)-1]
+				values := slices.Clone(last.Values)
+				for i := range values {
+					values[i] = 1.5*values[i] + 1e-3
+				}
+				last.Values = values
+			}
+			changed.Series = append(changed.Series, copied)
+		}
+		other, err := NewModel(in, changed)
+		require.NoError(t, err)
+		got, err := other.Render(text)
+		require.NoError(t, err)
+		require.NotEqual(t, text, got, key)
+	}
+}
+
 // Without a measured file its rows say so; nothing stands in its place, and what depends on inputs alone stays.
 func TestPageWithoutMeasuredFiles(t *testing.T) {
 	files := map[string]string{inputsFile: sources(t)[inputsFile]}
@@ -135,6 +166,14 @@
 	}
 }
 
+// The inputs' counts of machines, voters, zones and regions are those that are placed.
+func TestPlacementAgainstInputs(t *testing.T) {
+	files := map[string]string{inputsFile: strings.Replace(sources(t)[inputsFile], `"name": "voters", "unit": "number", "value": 5`,
+		`"name": "voters", "unit": "number", "value": 7`, 1)}
+	_, err := rendered(files, "<!-- table:placement -->\n<!-- end -->\n")
+	require.EqualError(t, err, "table placement: input voters is 7, and 5 are placed")
+}
+
 // Markers that do not fit together are named with their line.
 func TestPageMarkers(t *testing.T) {
 	m, err := modelOf(sources(t))
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -117,6 +117,9 @@
 	if s.Fit != nil {
 		law = s.Fit.Chosen.Law.String()
 	}
+	if len(points) == 1 {
+		return law + ", run at " + number(last) + " alone"
+	}
 	text := fmt.Sprintf("%s, %s to %s (%d sizes)", law, number(points[0].N), number(last), len(points))
 	if s.Size > last {
 		text += fmt.Sprintf(", %s times beyond", number(s.Size/last))
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -14,7 +14,7 @@
 func (m *Model) tables() map[string]func() (string, error) {
 	all := map[string]func() (string, error){
 		"inputs": m.inputTable, "derived": m.derivedTable, "measured": m.measuredTable, "series": m.seriesTable,
-		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "placement": placementTable,
+		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "placement": m.placementTable,
 		"quorum": quorumTable, "write-latency": m.writeLatencyTable, "commands": m.commandTable,
 	}
 	for _, role := range roles {
@@ -43,13 +43,21 @@
 	return markdown([]string{"name", "formula", "value", "what it is"}, rows), nil
 }
 
-// seriesNames are those of all series, in order.
+var seriesInFormula = regexp.MustCompile(`at\("([^"]+)"`)
+
+// seriesNames are those of the series that a formula of the page uses and that were measured, in order.
 func (m *Model) seriesNames() (names []string) {
-	for name := range m.series {
-		names = append(names, name)
+	for _, role := range roles {
+		for _, row := range role.Rows {
+			for _, found := range seriesInFormula.FindAllStringSubmatch(row.Need, -1) {
+				if m.series[found[1]] != nil {
+					names = append(names, found[1])
+				}
+			}
+		}
 	}
 	slices.Sort(names)
-	return names
+	return slices.Compact(names)
 }
 
 // seriesTable gives each series' law, and how well it fits.
@@ -249,9 +257,15 @@
 	return filled, err
 }
 
-// placementTable says where the control machines stand.
-func placementTable() (string, error) {
+// placementTable says where the control machines stand. The inputs must count as many.
+func (m *Model) placementTable() (string, error) {
 	machines := Placement()
+	for name, count := range map[string]int{"control_machines": len(machines), "voters": Voters(machines),
+		"zones": len(zonesOf(machines)), "regions": len(regionsOf(machines))} {
+		if v, _ := m.Inputs.Value(name); v != float64(count) {
+			return "", fmt.Errorf("input %s is %v, and %d are placed", name, v, count)
+		}
+	}
 	var rows [][]string
 	for _, zone := range zonesOf(machines) {
 		var voters, others int
