--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -112,6 +112,43 @@
 	require.NotEmpty(t, advice.Of(err))
 }
 
+// Series of one name are told apart by what they are of and what the processes had beside it, where a file says so.
+func TestSeriesKey(t *testing.T) {
+	f, err := ParseFile("scale.json", []byte(`{"series":[
+		{"name":"heap_max","unit":"B","of":"gatekeepers","with":"","command":"c","date":"d","beside":"b","points":[{"n":100,"values":[1],"seeds":[7]}]},
+		{"name":"heap_max","unit":"B","of":"gatekeepers","with":"membership","command":"c","date":"d","beside":"b","points":[{"n":100,"values":[2]}]},
+		{"name":"heap_max","unit":"B","of":"control machines","with":"","command":"c","date":"d","beside":"b","points":[{"n":100,"values":[3]}]}]}`))
+	require.NoError(t, err)
+	m, err := NewModel(&Inputs{}, f)
+	require.NoError(t, err)
+	for key, want := range map[string]float64{"heap_max of gatekeepers": 1, "heap_max of gatekeepers with membership": 2, "heap_max of control machines": 3} {
+		got, err := m.Evaluate(`at("` + key + `", 100)`)
+		require.NoError(t, err)
+		require.Equal(t, want, got.Value)
+	}
+	_, err = NewModel(&Inputs{}, f, f)
+	require.EqualError(t, err, `series "heap_max of gatekeepers" is there twice`)
+}
+
+// A step follows no law: its sizes that were run count, and nothing is extrapolated.
+func TestFitRefusesAStep(t *testing.T) {
+	step := &Series{Name: "step", Unit: "origins"}
+	for i, v := range []float64{0, 0, 0, 0, 76, 1176} {
+		step.Points = append(step.Points, Point{N: []float64{16, 34, 100, 400, 1100, 2200}[i], Values: []float64{v}})
+	}
+	_, err := FitSeries(step)
+	var none *NoLaw
+	require.ErrorAs(t, err, &none)
+	require.Equal(t, "step", none.Series)
+	require.NotEmpty(t, advice.Of(err))
+	m := testModel(t, step)
+	f, err := m.Evaluate(`at("step", gatekeepers)`)
+	require.NoError(t, err)
+	require.Equal(t, 1176.0, f.Value)
+	_, err = m.Evaluate(`at("step", 4400)`)
+	require.EqualError(t, err, "not measured: step")
+}
+
 // Size 0 is measured too; a logarithm is then no candidate.
 func TestFitWithSizeZero(t *testing.T) {
 	fit, err := FitSeries(seriesOf("s", []float64{0, 50, 100, 191, 382}, 0, func(n float64) float64 { return 3 + n }))
--- a/internal/capacity/expression.go
+++ b/internal/capacity/expression.go
@@ -1,7 +1,6 @@
 package capacity
 
 import (
-	"errors"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -16,14 +15,14 @@
 type Model struct {
 	Inputs  *Inputs
 	Derived []Derivation
-	fits    map[string]*Fit // by key; of those with enough sizes
+	fits    map[string]*Fit // by key; of those that have a law
 	series  map[string]*Series
 }
 
 // Derivation is a number that follows from inputs, and from derivations before it.
 type Derivation struct{ Name, Unit, Expression, About string }
 
-// NotMeasured says that a figure depends on series that are not there, or that have too few sizes to be extrapolated.
+// NotMeasured says that a figure depends on series that are not there, or that have no law and were not run at the size.
 type NotMeasured struct{ Series []string }
 
 func (e *NotMeasured) Error() string { return "not measured: " + strings.Join(e.Series, ", ") }
@@ -53,13 +52,8 @@
 				return nil, fmt.Errorf("series %q is there twice", s.Key())
 			}
 			m.series[s.Key()] = s
-			fit, err := FitSeries(s)
-			var few *TooFewSizes
-			switch {
-			case err == nil:
+			if fit, err := FitSeries(s); err == nil { // without a law the sizes that were run count alone
 				m.fits[s.Key()] = fit
-			case !errors.As(err, &few):
-				return nil, err
 			}
 		}
 	}
@@ -75,7 +69,7 @@
 // Source is one series that a figure was taken from, at a size.
 type Source struct {
 	Series *Series
-	Fit    *Fit // nil: too few sizes for a law, taken from the run at that size
+	Fit    *Fit // nil: no law, taken from the run at that size
 	Size   float64
 }
 
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -12,6 +12,8 @@
 	tolerated = 1.25
 	// negligible is a cross-validated error, as a part of the median, below which laws are not told apart.
 	negligible = 0.01
+	// mostResidual is the relative residual above which even the law that fits best does not describe the series.
+	mostResidual = 0.5
 	// leastWeight keeps a size whose median is next to nothing from deciding alone: it counts as this part of the greatest.
 	leastWeight = 0.01
 )
@@ -29,6 +31,22 @@
 // Advice implements advice.Error.
 func (e *TooFewSizes) Advice() string { return "measure the series at more sizes" }
 
+// NoLaw says that a series follows none of the laws: a step, or noise.
+type NoLaw struct {
+	Series   string
+	Best     Law
+	Residual float64
+}
+
+func (e *NoLaw) Error() string {
+	return fmt.Sprintf("series %q follows no law: the best, %s, leaves a residual of %s", e.Series, e.Best, percent(e.Residual))
+}
+
+// Advice implements advice.Error.
+func (e *NoLaw) Advice() string {
+	return "measure it at the planned size itself, or look for the step in it"
+}
+
 // Candidate is one law as it fits a series.
 type Candidate struct {
 	Law       Law
@@ -45,7 +63,7 @@
 // Each law is fitted to the medians of the sizes by least squares of the residuals relative to the median, so that a
 // size of 100 counts as much as one of 100,000. The law chosen is the simplest whose cross-validated error (each size
 // foretold from all others) is at most 1.25 times the least one, or at most 1%. Laws that pass that too are plausible:
-// the interval of an extrapolation covers all of them.
+// the interval of an extrapolation covers all of them. A series whose chosen law leaves a residual of over a half has no law.
 type Fit struct {
 	Series     *Series
 	Chosen     Candidate
@@ -62,7 +80,7 @@
 // Exactly is an estimate without an interval.
 func Exactly(v float64) Estimate { return Estimate{v, v, v} }
 
-// FitSeries finds the law of a series.
+// FitSeries finds the law of a series. The error is a *TooFewSizes or a *NoLaw.
 func FitSeries(s *Series) (*Fit, error) {
 	if len(s.Points) < LeastSizes {
 		return nil, &TooFewSizes{Series: s.Name, Sizes: len(s.Points)}
@@ -90,6 +108,9 @@
 			f.Chosen = f.Candidates[i]
 		}
 	}
+	if f.Chosen.Residual > mostResidual {
+		return nil, &NoLaw{Series: s.Name, Best: f.Chosen.Law, Residual: f.Chosen.Residual}
+	}
 	return f, nil
 }
 
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -24,8 +24,7 @@
 	return tableBegin + "NAME" + tableTitle + " begins a table and " + tableEnd + " ends it, each on a line of its own"
 }
 
-// Render gives the page with every table computed anew. What is outside the markers stays as it is, but for {{FORMULA}} and
-// {{UNIT FORMULA}} within tables.
+// Render gives the page with every table computed anew. What is outside the markers stays as it is.
 func (m *Model) Render(page string) (string, error) {
 	var out strings.Builder
 	tables := m.tables()
--- a/internal/capacity/slopes/slopes_test.go
+++ b/internal/capacity/slopes/slopes_test.go
@@ -69,7 +69,9 @@
 	g, err := r.startReplicas("snapshots", 1, 0, true, "interval")
 	require.NoError(t, err)
 	defer g.close()
-	require.NoError(t, r.fill(g.nodes[0], 0, 200))
+	require.NoError(t, r.fill(g.nodes[0], 0, 5))
+	require.NoError(t, r.snapshot(g, 5)) // at an index of one digit: its name sorts after that of the next
+	require.NoError(t, r.fill(g.nodes[0], 5, 200))
 	require.NoError(t, r.snapshot(g, 200))
 	require.NoError(t, r.catchUp(g, 200, 0))
 	require.NoError(t, r.catchUp(g, 200, 1)) // the first one is removed: there is room for the next
--- a/internal/capacity/slopes/snapshots.go
+++ b/internal/capacity/slopes/snapshots.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"os"
 	"path/filepath"
 	"time"
 
@@ -73,12 +74,11 @@
 		return err
 	}
 	took := time.Since(began)
-	files, err := filepath.Glob(filepath.Join(r.dir, g.name, replicaName(0), snapshotsFolder, "*", "state.bin"))
-	if err != nil || len(files) == 0 {
-		return fmt.Errorf("no snapshot found: %v", err)
+	newest, err := newestFolder(filepath.Join(r.dir, g.name, replicaName(0), snapshotsFolder))
+	if err != nil {
+		return err
 	}
-	newest := files[len(files)-1] // names begin with the term and the index
-	bytes, err := sizeOf(filepath.Dir(newest))
+	bytes, err := sizeOf(newest)
 	if err != nil {
 		return err
 	}
@@ -87,6 +87,29 @@
 	return nil
 }
 
+// newestFolder is the folder below another one that was changed last. Names of snapshots don't sort: their index has no
+// leading zeros.
+func newestFolder(dir string) (newest string, err error) {
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return "", err
+	}
+	var changed time.Time
+	for _, e := range entries {
+		info, err := e.Info()
+		if err != nil {
+			return "", err
+		}
+		if e.IsDir() && info.ModTime().After(changed) {
+			newest, changed = filepath.Join(dir, e.Name()), info.ModTime()
+		}
+	}
+	if newest == "" {
+		return "", fmt.Errorf("no snapshot in %s", dir)
+	}
+	return newest, nil
+}
+
 // catchUp adds a member without a vote and an empty folder, and times it until it holds every record.
 func (r *run) catchUp(g *replicas, size, repetition int) error {
 	number := 1 + repetition + 100*size
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -66,7 +66,8 @@
 	for _, name := range m.seriesNames() {
 		s, fit := m.series[name], m.fits[name]
 		if fit == nil {
-			rows = append(rows, []string{name, s.Unit, fmt.Sprintf("none: %d sizes", len(s.Points)), "", "", ""})
+			_, err := FitSeries(s)
+			rows = append(rows, []string{name, s.Unit, withoutLaw(err), "", "", ""})
 			continue
 		}
 		var others []string
@@ -81,6 +82,19 @@
 	return markdown([]string{"series", "unit", "law, n is the size", "residual / foretold", "spread", "others not ruled out"}, rows), nil
 }
 
+// withoutLaw says why a series has none.
+func withoutLaw(err error) string {
+	var few *TooFewSizes
+	var none *NoLaw
+	switch {
+	case errors.As(err, &few):
+		return fmt.Sprintf("none: %d of %d sizes", few.Sizes, LeastSizes)
+	case errors.As(err, &none):
+		return fmt.Sprintf("none fits: the best, %s, leaves %s", none.Best, percent(none.Residual))
+	}
+	return ""
+}
+
 // formula writes a law with its numbers.
 func (c Candidate) formula() string {
 	if c.Law == Constant {
