--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -56,6 +56,7 @@
 	{What: "memory of the process under calls, its part", Unit: "B", Need: `1000000 * at("resident_mb", servers_needed)`, Carrier: routingCarrier},
 	{What: "retries at the last of 19 levels", Unit: "times", Need: "retry_amplification", Budget: "amplification", Carrier: retryCarrier + " at each level; nothing across levels"},
 	{What: "membership and one topic: bytes sent", Unit: "B/s", Need: `at("gossip.bytes_sent", gatekeepers)`, Budget: "gatekeeper_bytes", Carrier: gossipCarrier},
+	{What: "the same with 64 members: bytes sent", Unit: "B/s", Need: `at("gossip.bytes_sent", 64)`, Budget: "gatekeeper_bytes", Carrier: gossipCarrier},
 	{What: "the same: datagrams sent", Unit: "1/s", Need: `at("gossip.packets_sent", gatekeepers)`, Carrier: gossipCarrier},
 	{What: "the same: processor", Unit: "% of a core", Need: `at("gossip.processor", gatekeepers)`, Budget: "gatekeeper_processor", Carrier: gossipCarrier},
 	{What: "the same: memory", Unit: "B", Need: `at("gossip.heap", gatekeepers)`, Budget: "gatekeeper_memory", Carrier: gossipCarrier},
--- a/internal/capacity/slopes/gossip.go
+++ b/internal/capacity/slopes/gossip.go
@@ -24,7 +24,7 @@
 
 // gossipUnits are the series of the gossip.
 var gossipUnits = map[string]string{"gossip.met": "s", "gossip.bytes_sent": "B/s", "gossip.packets_sent": "1/s",
-	"gossip.processor": "% of a core", "gossip.heap": "B", "gossip.register_age": "s"}
+	"gossip.processor": "% of a core", "gossip.heap": "B", "gossip.view_changes": "1/s", "gossip.register_age": "s"}
 
 // measureGossip runs hollow members of the fleet in this process: they gossip and publish one topic, and do nothing else.
 func measureGossip(r *run) error {
@@ -70,6 +70,7 @@
 		perMember := float64(size) * length
 		r.add("gossip.bytes_sent", "B/s", gossipSizes, float64(size), float64(last.bytes-first.bytes)/perMember)
 		r.add("gossip.packets_sent", "1/s", gossipSizes, float64(size), float64(last.packets-first.packets)/perMember)
+		r.add("gossip.view_changes", "1/s", gossipSizes, float64(size), float64(last.changes-first.changes)/perMember)
 		r.add("gossip.processor", "% of a core", gossipSizes, float64(size), 100*used.Seconds()/perMember)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -151,13 +152,17 @@
 	return func() { close(ended); all.Wait() }
 }
 
-type sent struct{ bytes, packets int64 }
+// sent is what members have sent, and how often their views have changed: with no fault, each change is a member that is
+// suspected or given up wrongly, or taken back.
+type sent struct{ bytes, packets, changes int64 }
 
 func sumOf(members []*fleet.Fleet) (all sent) {
 	for _, m := range members {
 		s := m.Status()
 		all.bytes += s.Bytes
 		all.packets += s.Packets
+		_, changes := m.Count(fleetview.Alive)
+		all.changes += changes
 	}
 	return all
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -128,26 +128,19 @@
 
 // commandTable gives the command that measures each group of series again, and what ran beside it.
 func (m *Model) commandTable() (string, error) {
-	var rows [][]string
-	groups := map[string][]string{}
-	beside := map[string]string{}
+	byCommand := map[string][]string{}
 	var commands []string
 	for _, name := range m.seriesNames() {
-		s := m.series[name]
-		if groups[s.Command] == nil {
-			commands = append(commands, s.Command)
-		}
-		prefix := name
-		if at := strings.LastIndex(name, "."); at > 0 {
-			prefix = name[:at] + ".*"
+		command := m.series[name].Command
+		if byCommand[command] == nil {
+			commands = append(commands, command)
 		}
-		if !slices.Contains(groups[s.Command], prefix) {
-			groups[s.Command] = append(groups[s.Command], prefix)
-		}
-		beside[s.Command] = s.Beside
+		byCommand[command] = append(byCommand[command], name)
 	}
+	var rows [][]string
 	for _, command := range commands {
-		rows = append(rows, []string{strings.Join(groups[command], ", "), "`" + command + "`", beside[command]})
+		names := byCommand[command]
+		rows = append(rows, []string{strings.Join(names, ", "), "`" + command + "`", m.series[names[0]].Beside})
 	}
 	return markdown([]string{"series", "command", "what ran beside it"}, rows), nil
 }
