--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -25,7 +25,7 @@
 	gossipCarrier    = "internal/fleet"
 	registersCarrier = "internal/fleet, control/registers"
 	limitsCarrier    = "internal/limits, control/quota"
-	ejectionCarrier  = "internal/verdicts, control/verdict"
+	ejectionCarrier  = "internal/ejection, control/outlier"
 	retryCarrier     = "control/retry"
 	routingCarrier   = "control, internal/routing"
 	figuresCarrier   = "internal/ops, internal/node"
