--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -96,6 +96,7 @@
 		{"page: an input", "| gatekeepers | 2,200 |", "| gatekeepers | 2,300 |"},
 		{"page: a derived number", "| 191 calls/s |", "| 192 calls/s |"},
 		{"page: a headroom", "0.44x **fail**", "0.45x **fail**"},
+		{"page: a figure in the text", "-->2.29 min<!-- / -->", "-->3 min<!-- / -->"},
 		{"page: a verdict", "0.44x **fail**", "0.44x pass"},
 	} {
 		require.Contains(t, text, change.old, change.what)
@@ -187,6 +188,11 @@
 		_, err := m.Render(text)
 		require.EqualError(t, err, want)
 	}
+	text, err := m.Render("a <!-- = s register_pace -->1 s<!-- / --> b <!-- = number gatekeepers --><!-- / -->\n")
+	require.NoError(t, err)
+	require.Equal(t, "a <!-- = s register_pace -->2.29 min<!-- / --> b <!-- = number gatekeepers -->2,200<!-- / -->\n", text)
+	_, err = m.Render("a\n<!-- = s none -->1 s<!-- / -->\n")
+	require.EqualError(t, err, `docs/CAPACITY.md:2: formula "none": no input is named "none"`)
 	again, err := m.Render("before\n<!-- table:placement -->\nold\n<!-- end -->\nafter\n")
 	require.NoError(t, err)
 	require.True(t, strings.HasPrefix(again, "before\n<!-- table:placement -->\n| region |") && strings.HasSuffix(again, "|\n<!-- end -->\nafter\n"), again)
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"regexp"
 	"strings"
 )
 
@@ -24,7 +25,11 @@
 	return tableBegin + "NAME" + tableTitle + " begins a table and " + tableEnd + " ends it, each on a line of its own"
 }
 
-// Render gives the page with every table computed anew. What is outside the markers stays as it is.
+// inline is a figure within a line of text: <!-- = UNIT FORMULA -->figure<!-- / -->.
+var inline = regexp.MustCompile(`(<!-- = (\S+) (.+?) -->)[^<]*(<!-- / -->)`)
+
+// Render gives the page with every table, and every figure within the text, computed anew. What is outside the markers stays
+// as it is.
 func (m *Model) Render(page string) (string, error) {
 	var out strings.Builder
 	tables := m.tables()
@@ -53,7 +58,11 @@
 			within = ""
 			out.WriteString(row)
 		case within == "":
-			out.WriteString(row)
+			filled, err := m.inline(row)
+			if err != nil {
+				return "", fmt.Errorf("docs/CAPACITY.md:%d: %w", i+1, err)
+			}
+			out.WriteString(filled)
 		}
 	}
 	if within != "" {
@@ -62,6 +71,19 @@
 	return out.String(), nil
 }
 
+// inline computes the figures within a line of text.
+func (m *Model) inline(text string) (filled string, err error) {
+	filled = inline.ReplaceAllStringFunc(text, func(found string) string {
+		parts := inline.FindStringSubmatch(found)
+		value, e := m.fill("{{" + parts[2] + " " + parts[3] + "}}")
+		if e != nil {
+			err = e
+		}
+		return parts[1] + value + parts[4]
+	})
+	return filled, err
+}
+
 // markdown writes a table.
 func markdown(head []string, rows [][]string) string {
 	var out strings.Builder
