--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -82,6 +82,20 @@
 	require.Greater(t, plausible, 1)
 }
 
+// Beyond the largest size the value is not below the median there, though the law of all sizes is; within the sizes it is the law's.
+func TestExtrapolationIsNotBelowTheLargestRun(t *testing.T) {
+	s := &Series{Name: "s", Unit: "MB"}
+	for i, v := range []float64{36, 35, 33, 34, 34, 39} {
+		s.Points = append(s.Points, Point{N: []float64{50, 100, 200, 400, 1000, 2200}[i], Values: []float64{v}})
+	}
+	fit, err := FitSeries(s)
+	require.NoError(t, err)
+	require.Equal(t, Constant, fit.Chosen.Law)
+	require.Equal(t, 39.0, fit.At(4400).Value)
+	require.GreaterOrEqual(t, fit.At(4400).High, 39.0)
+	require.Less(t, fit.At(2000).Value, 36.0)
+}
+
 // Whatever exact line was measured, the fit foretells it, and its interval holds it.
 func TestFitForetellsExactLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -132,7 +132,8 @@
 }
 
 // At extrapolates the series to a size. The interval is the 95% prediction interval of the chosen law (Student's t, the
-// residual relative to the value), widened to the values of every other plausible law.
+// residual relative to the value), widened to the values of every other plausible law. Beyond the largest size that was run
+// the value is never below the median there: a law that small sizes have drawn too low must not make a cost look smaller.
 func (f *Fit) At(n float64) Estimate {
 	value := max(0, f.Chosen.line.at(n))
 	e := Exactly(value)
@@ -145,6 +146,10 @@
 			e.Low, e.High = min(e.Low, other), max(e.High, other)
 		}
 	}
+	if largest := f.Series.Points[f.Sizes-1]; n > largest.N {
+		e.Value = max(e.Value, largest.Median())
+		e.High = max(e.High, e.Value)
+	}
 	return e
 }
 
