--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -54,6 +54,8 @@
 	{What: "processor without calls, its part", Unit: "% of a core", Need: `100 * at("core_part_at_34_servers", 0)`, Budget: "gatekeeper_processor", Carrier: routingCarrier},
 	{What: "processor without calls, whole list", Unit: "% of a core", Need: `100 * at("core_part_at_2200_servers_with_16384_descriptors", 0)`, Budget: "gatekeeper_processor", Carrier: inventoryCarrier},
 	{What: "memory of the process under calls, its part", Unit: "B", Need: `1000000 * at("resident_mb", servers_needed)`, Carrier: routingCarrier},
+	{What: "descriptors of the process under calls, its part", Unit: "connections", Need: `at("descriptors_held", servers_needed)`, Budget: "descriptors", Carrier: scopeCarrier},
+	{What: "descriptors of the process, whole list", Unit: "connections", Need: `at("descriptors_held_with_16384_descriptors", gatekeepers)`, Budget: "descriptors", Carrier: inventoryCarrier},
 	{What: "retries at the last of 19 levels", Unit: "times", Need: "retry_amplification", Budget: "amplification", Carrier: retryCarrier + " at each level; nothing across levels"},
 	{What: "membership and one topic: bytes sent", Unit: "B/s", Need: `at("gossip.bytes_sent", gatekeepers)`, Budget: "gatekeeper_bytes", Carrier: gossipCarrier},
 	{What: "the same with 64 members: bytes sent", Unit: "B/s", Need: `at("gossip.bytes_sent", 64)`, Budget: "gatekeeper_bytes", Carrier: gossipCarrier},
@@ -78,6 +80,8 @@
 	{What: "configuration: first settings after a start, p100", Unit: "s", Need: `at("start_to_in_force_max of gatekeepers", gatekeepers)`, Budget: "in_force_within", Carrier: followCarrier},
 	{What: "configuration: connections", Unit: "connections", Need: "1", Budget: "connections_left", Carrier: followCarrier},
 	{What: "metrics: bytes sent", Unit: "B/s", Need: `at("telemetry.bytes", servers_needed) / scrape_every`, Budget: "gatekeeper_bytes", Carrier: figuresCarrier},
+	{What: "configuration and metrics: bytes in and out", Unit: "B/s", Need: `at("settings_bytes_per_s_received_max of gatekeepers", gatekeepers) + at("settings_bytes_per_s_sent_max of gatekeepers", gatekeepers) + at("telemetry.bytes", servers_needed) / scrape_every`, Budget: "gatekeeper_bytes", Carrier: "as above"},
+	{What: "configuration and upkeep without calls: processor", Unit: "% of a core", Need: `100 * (at("cpu_share_max of gatekeepers", gatekeepers) + at("core_part_at_34_servers", 0))`, Budget: "gatekeeper_processor", Carrier: "as above"},
 	{What: "log of a start", Unit: "B", Need: `at("log.start_bytes", servers_needed)`, Carrier: "internal/node"},
 }
 
