--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -144,6 +144,22 @@
 	require.EqualError(t, err, `series "heap_max of gatekeepers" is there twice`)
 }
 
+// What runs with a fault have shown: the worst of all seeds, a broken rule, and kinds that were not run.
+func TestFaultRuns(t *testing.T) {
+	f, err := ParseFile("scale.json", []byte(`{"series":[],"fault_runs":[
+		{"n":2200,"seed":1,"held":true,"faults":[{"kind":"kill-leader","sessions_max_over_share":1.2}],"in_force_from_commit_max_s":2.1,"start_to_in_force_max_s":1},
+		{"n":2200,"seed":2,"held":true,"faults":[{"kind":"kill-leader","sessions_max_over_share":1.4}],"in_force_from_commit_max_s":1.5,"start_to_in_force_max_s":1.1},
+		{"n":400,"seed":1,"held":false,"faults":[{"kind":"cut-region","sessions_max_over_share":1.3}],"in_force_from_commit_max_s":3,"in_force_from_end_of_outage_max_s":6.5,"start_to_in_force_max_s":1}]}`))
+	require.NoError(t, err)
+	m, err := NewModel(&Inputs{}, f)
+	require.NoError(t, err)
+	require.Equal(t, "`--faults kill-leader`; `--faults refuse`: not run", m.shown([]string{"kill-leader", "refuse"}))
+	got, err := m.Render("<!-- table:fault-runs -->\n<!-- end -->\n")
+	require.NoError(t, err)
+	require.Contains(t, got, "| cut-region | 400 | 1 | **broken in 1 of 1** | 3 s | 6.5 s | 1 s | 1.3 |\n")
+	require.Contains(t, got, "| kill-leader | 2,200 | 1, 2 | all held | 2.1 s | no outage | 1.1 s | 1.4 |\n")
+}
+
 // A step follows no law: its sizes that were run count, and nothing is extrapolated.
 func TestFitRefusesAStep(t *testing.T) {
 	step := &Series{Name: "step", Unit: "origins"}
--- a/internal/capacity/expression.go
+++ b/internal/capacity/expression.go
@@ -17,6 +17,7 @@
 	Derived []Derivation
 	fits    map[string]*Fit // by key; of those that have a law
 	series  map[string]*Series
+	runs    []FaultRun // with faults
 }
 
 // Derivation is a number that follows from inputs, and from derivations before it.
@@ -46,6 +47,7 @@
 func NewModel(in *Inputs, files ...*File) (*Model, error) {
 	m := &Model{Inputs: in, Derived: derivations, fits: map[string]*Fit{}, series: map[string]*Series{}}
 	for _, file := range files {
+		m.runs = append(m.runs, file.FaultRuns...)
 		for i := range file.Series {
 			s := &file.Series[i]
 			if m.series[s.Key()] != nil {
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"os"
+	"path/filepath"
 	"regexp"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -39,6 +41,37 @@
 
 var packagePath = regexp.MustCompile(`\b(internal|control)(/[a-z]+)+`)
 
+// Tests that the page names are there.
+func TestNamedTestsAreThere(t *testing.T) {
+	named := regexp.MustCompile(`Test\w+`)
+	found := 0
+	for _, f := range failureRows {
+		for _, name := range named.FindAllString(f.Tests, -1) {
+			found++
+			require.True(t, testIsThere(t, name), name)
+		}
+	}
+	require.Greater(t, found, 8)
+	require.False(t, testIsThere(t, "TestNoneOfThisName"))
+}
+
+// testIsThere looks for a test function in the packages that the page names tests of.
+func testIsThere(t *testing.T, name string) bool {
+	t.Helper()
+	for _, pattern := range []string{"*_test.go", "../../control/session/*_test.go", "../../cmd/beammux/*_test.go"} {
+		files, err := filepath.Glob(pattern)
+		require.NoError(t, err)
+		for _, file := range files {
+			text, err := os.ReadFile(file)
+			require.NoError(t, err)
+			if strings.Contains(string(text), "func "+name+"(t *testing.T)") {
+				return true
+			}
+		}
+	}
+	return false
+}
+
 // Packages that the page names are there.
 func TestCarriersAreThere(t *testing.T) {
 	named := 0
@@ -56,7 +89,7 @@
 		}
 	}
 	for _, f := range failureRows {
-		there(f.Right + f.Run)
+		there(f.Right + f.Tests)
 	}
 	for _, one := range sources(t) {
 		in, err := ParseInputs(inputsFile, []byte(one))
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -9,7 +9,8 @@
 
 // File is one file of measured series, as it lies in docs/measured.
 type File struct {
-	Series []Series `json:"series"`
+	Series    []Series   `json:"series"`
+	FaultRuns []FaultRun `json:"fault_runs,omitempty"`
 }
 
 // Series is what was measured of one cost at several sizes.
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -14,7 +14,7 @@
 func (m *Model) tables() map[string]func() (string, error) {
 	all := map[string]func() (string, error){
 		"inputs": m.inputTable, "derived": m.derivedTable, "measured": m.measuredTable, "series": m.seriesTable,
-		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "placement": m.placementTable,
+		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "fault-runs": m.faultTable, "placement": m.placementTable,
 		"quorum": quorumTable, "write-latency": m.writeLatencyTable, "commands": m.commandTable,
 	}
 	for _, role := range roles {
@@ -232,7 +232,14 @@
 func (m *Model) failureTable() (string, error) {
 	var rows [][]string
 	for _, f := range failureRows {
-		cells := []string{f.What, f.Lost, f.GoesOn, f.Right, f.Load, f.Run}
+		shown := []string{f.Tests}
+		if len(f.Kinds) > 0 {
+			shown = append(shown, m.shown(f.Kinds))
+		}
+		if f.NotRun != "" {
+			shown = append(shown, f.NotRun+": "+notRun)
+		}
+		cells := []string{f.What, f.Lost, f.GoesOn, f.Right, f.Load, strings.Join(slices.DeleteFunc(shown, func(s string) bool { return s == "" }), "; ")}
 		for i := range cells {
 			var err error
 			if cells[i], err = m.fill(cells[i]); err != nil {
