--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -126,7 +126,7 @@
 	return markdown([]string{"series", "unit", "size counts", "size: median", "values", "date"}, rows), nil
 }
 
-// commandTable gives the command that measures each group of series again, and what ran beside it.
+// commandTable gives the commands that measure the series again, and what ran beside them. The files name it for each series.
 func (m *Model) commandTable() (string, error) {
 	byCommand := map[string][]string{}
 	var commands []string
@@ -140,7 +140,11 @@
 	var rows [][]string
 	for _, command := range commands {
 		names := byCommand[command]
-		rows = append(rows, []string{strings.Join(names, ", "), "`" + command + "`", m.series[names[0]].Beside})
+		series := names[0]
+		if len(names) > 1 {
+			series += fmt.Sprintf(" and %d more", len(names)-1)
+		}
+		rows = append(rows, []string{series, "`" + command + "`", m.series[names[0]].Beside})
 	}
 	return markdown([]string{"series", "command", "what ran beside it"}, rows), nil
 }
