--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -105,6 +105,7 @@
 	for _, change := range []struct{ file, old, new string }{
 		{inputsFile, `"value": 2200`, `"value": 2300`},
 		{inputsFile, `"value": 420000`, `"value": 430000`},
+		{"scale.json", `"held": true`, `"held": false`},
 	} {
 		changed := map[string]string{}
 		for name, content := range files {
