--- a/internal/store/nonvoter_test.go
+++ b/internal/store/nonvoter_test.go
@@ -10,6 +10,7 @@
 // Non-voters of the first configuration hold all records and take writes, are listed as learners, and never vote or lead:
 // with too few voters left nothing is written, however many non-voters are up.
 func TestNonVotersNeverVote(t *testing.T) {
+	t.Parallel()
 	g := newControlGroup(t, 3, 3, nil)
 	ctx := within(t)
 	revision, err := TransactTo(ctx, g.address(4), []Write{{Key: "settings/a", Value: []byte("1")}})
@@ -59,6 +60,7 @@
 
 // The time after which a voter stands for election is the one that is set.
 func TestElectionTime(t *testing.T) {
+	t.Parallel()
 	const long = 3 * time.Second
 	g := newControlGroup(t, 3, 0, func(_ int, o *Options) { o.Election = long })
 	leader := g.leader()
--- a/internal/store/session_fault_test.go
+++ b/internal/store/session_fault_test.go
@@ -186,6 +186,7 @@
 
 // A replica that holds less than the client says so after a short wait; one that reaches it within that wait serves.
 func TestReplicaBehind(t *testing.T) {
+	t.Parallel()
 	g := newControlGroup(t, 3, 1, nil)
 	revision := g.put("settings/a", "1")
 	require.NoError(t, g.nodes[3].fsm.wait(within(t), revision))
@@ -334,6 +335,7 @@
 
 // A member that has no leader yet and has not replayed serves no session.
 func TestNotReadyServesNoSession(t *testing.T) {
+	t.Parallel()
 	g := newControlGroup(t, 1, 0, func(_ int, o *Options) {
 		o.Peers = append(o.Peers, Peer{Node: "absent", Address: "127.0.0.1:1"})
 	})
