--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -74,7 +74,7 @@
 	return Decision{Admitted: true}
 }
 
-// Defer gives a slot to a client whose session has to end, and tells in what time it is.
+// Defer gives a slot to a client whose session has to end, and reports in what time it is.
 func (c *Controller) Defer(now control.Micros, r Request) (comeBackIn control.Micros) {
 	c.advance(now)
 	if s, held := c.slots[r.Client]; held && s.at > c.now {
@@ -100,10 +100,10 @@
 	}
 }
 
-// holds tells whether a slot is still its client's.
+// holds reports whether a slot is still its client's.
 func (c *Controller) holds(s slot) bool { return c.slots[s.client] == s }
 
-// harmless tells whether a request can be admitted now so that all who come at their slots are admitted too. One without a
+// harmless reports whether a request can be admitted now so that all who come at their slots are admitted too. One without a
 // slot of its own must also leave the tokens for those who are late.
 func (c *Controller) harmless(r Request, held bool) bool {
 	tokens := c.tokens
@@ -135,7 +135,7 @@
 	return true
 }
 
-// assign gives a client the first slot behind all others, and tells in what time it is.
+// assign gives a client the first slot behind all others, and reports in what time it is.
 func (c *Controller) assign(r Request) control.Micros {
 	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.Snapshot}
 	for _, other := range c.expected {
--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -134,10 +134,10 @@
 	})
 }
 
-// lateCrowd plays clients that come at once, obey, and are late by up to so much each time. It gives how often one was
+// playLate plays clients that come at once, obey, and are late by up to so much each time. It gives how often one was
 // refused at most. None is ever asked to wait for longer than the slower rate needs for all of them: each slot is at most
 // 1 / rate after the one before it, and 1 us a slot is for rounding up.
-func lateCrowd(t *rapid.T, l Limits, clients int, late control.Micros) (mostRefused int) {
+func playLate(t *rapid.T, l Limits, clients int, late control.Micros) (mostRefused int) {
 	var queue []arrival
 	for i := range clients {
 		queue = append(queue, arrival{request: Request{fmt.Sprint(i), true}})
@@ -159,7 +159,7 @@
 // Clients that obey are all admitted, however late they are below Grace.
 func TestLateClientsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lateCrowd(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(Grace)-1).Draw(t, "late")))
+		playLate(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(Grace)-1).Draw(t, "late")))
 	})
 }
 
@@ -170,7 +170,7 @@
 		l := limits(t)
 		spare := func(burst int, rate float64) float64 { return float64(max(burst, MinBurst)-2) / rate }
 		late := min(spare(l.SessionsBurst, l.SessionsPerSecond), spare(l.SnapshotsBurst, l.SnapshotsPerSecond), float64(Grace)/1e6)
-		require.LessOrEqual(t, lateCrowd(t, l, rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(late*1e6)), 1)
+		require.LessOrEqual(t, playLate(t, l, rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(late*1e6)), 1)
 	})
 }
 
--- a/control/admission/bucket.go
+++ b/control/admission/bucket.go
@@ -21,7 +21,7 @@
 	b.snapshots.advance(now)
 }
 
-// hold tells whether there is a token for a session, and one for a snapshot if it needs one.
+// hold reports whether there is a token for a session, and one for a snapshot if it needs one.
 func (b *buckets) hold(snapshot bool) bool {
 	return b.sessions.holds() && (!snapshot || b.snapshots.holds())
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -61,7 +61,7 @@
 
 // Refused says that a write does not check and was not committed.
 type Refused struct {
-	Text   string // FILE:LINE:COLUMN: key: what is wrong, where the check tells it
+	Text   string // FILE:LINE:COLUMN: key: what is wrong, where the check says so
 	advice string
 }
 
@@ -173,7 +173,7 @@
 	return untyped(r.Fault)
 }
 
-// permanent tells whether another try with the same request must fail alike.
+// permanent reports whether another try with the same request must fail alike.
 func permanent(err error) bool {
 	var refused *Refused
 	var request *BadRequest
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -113,7 +113,7 @@
 	return slices.Clone(rest), max(h.applied, revision), true
 }
 
-// state tells from which revision on sessions may resume, up to which everything is in, and when a served record, or the
+// state reports from which revision on sessions may resume, up to which everything is in, and when a served record, or the
 // whole state, last changed.
 func (h *history) state() (floor, applied, last uint64) {
 	h.mu.Lock()
@@ -121,7 +121,7 @@
 	return h.floor, h.applied, h.last
 }
 
-// wasReset tells whether a revision is before the last reset.
+// wasReset reports whether a revision is before the last reset.
 func (h *history) wasReset(revision uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// run serves the session. The error is what the client is still to be told, or errSessionEnds.
+// run serves the session. The error is what is still to be sent to the client, or errSessionEnds.
 func (s *session) run() error {
 	if err := s.open(); err != nil {
 		return err
@@ -43,15 +43,15 @@
 	s.server.running.Go(s.readReports) // until the connection is closed
 	err := s.send()
 	if !errors.Is(err, errSessionEnds) {
-		s.tellLast(err)
+		s.endWith(err)
 	}
 	return errSessionEnds
 }
 
-// tellLast tells the client why its session ends, and waits until it has left: a connection that is closed while reports
+// endWith sends the client the reason why its session ends, and waits until it has left: a connection that is closed while reports
 // of the client are unread is reset, and what was written last may be lost.
-func (s *session) tellLast(err error) {
-	tell(s.conn, err)
+func (s *session) endWith(err error) {
+	sendFault(s.conn, err)
 	if half, ok := s.conn.(*net.TCPConn); ok {
 		half.CloseWrite()
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// tell writes an error as the last line of a connection.
-func tell(c net.Conn, err error) {
+// sendFault writes an error as the last line of a connection.
+func sendFault(c net.Conn, err error) {
 	var r result
 	r.fail(err)
 	c.SetWriteDeadline(time.Now().Add(writeWithin))
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -155,10 +155,10 @@
 	s.running.Done()
 }
 
-// serveSession serves one watch session until it ends, and tells the client why, where it can still be told.
+// serveSession serves one watch session until it ends, and sends the client the reason where it still can.
 func (n *Node) serveSession(c net.Conn, in *lineReader, request WatchRequest) {
 	if err := n.runSession(c, in, request); !errors.Is(err, errSessionEnds) {
-		tell(c, err)
+		sendFault(c, err)
 	}
 }
 
@@ -267,5 +267,5 @@
 	return time.Since(last)
 }
 
-// errSessionEnds says that a session is over and that the client is not told more.
+// errSessionEnds says that a session is over and that nothing more is sent to the client.
 var errSessionEnds = errors.New("the session ends")
