--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -30,6 +30,7 @@
 	Descriptors int           // that the gatekeeper may hold
 	Gatekeepers int           // of the fleet, as its settings say
 	Callers     int           // connections of callers to the gatekeeper
+	Setup       time.Duration // that a set-up takes at a server; 0: it answers at once
 	StateEvery  time.Duration // servers tell their state so often
 	Warm        time.Duration
 	Length      time.Duration
@@ -46,7 +47,7 @@
 	chainDepth   = 19
 	chainSamples = 100000
 	longestMicro = 60e6
-	calmMost     = time.Millisecond // a direct call of a calm pair took no longer
+	calmLeast    = 100 // calm pairs of a run: of fewer no 99th percentile is taken
 	fineDigits   = 3
 )
 
@@ -75,13 +76,14 @@
 	DiffP50      float64   `json:"difference_of_p50_ms"`
 	DiffP99      float64   `json:"difference_of_p99_ms"`
 	DiffP999     float64   `json:"difference_of_p999_ms"`
-	Calm         *Calm     `json:"calm,omitempty"`               // nil: there is no such pair
+	Calm         *Calm     `json:"calm,omitempty"`               // nil: there are fewer than 100 such pairs
 	Chain        []float64 `json:"chain_of_19_p50_p99_ms"`       // sums of 19 paired differences, drawn with the run's seed
 	ThroughChain []float64 `json:"chain_of_19_whole_p50_p99_ms"` // sums of 19 whole latencies through a gatekeeper
 }
 
-// Calm holds the differences of the pairs whose direct call took up to a millisecond: while the direct call, the control, was
-// disturbed, the machine was busy with something else. Nothing is left out for what the call through the gatekeeper took.
+// Calm holds the differences of the pairs during which the machine was calm (see machine.calm): other work kept neither the
+// gatekeeper nor the laboratory from a core. How long the calls took is no criterion, but a pair that takes long is more likely
+// to meet such a wait.
 type Calm struct {
 	Pairs int       `json:"pairs"`
 	P50   float64   `json:"p50_ms"`
@@ -97,6 +99,7 @@
 	PerSecond    float64 `json:"calls_per_s"`
 	Descriptors  int     `json:"descriptor_limit"`
 	StateEvery   float64 `json:"state_every_s"`
+	Setup        float64 `json:"setup_ms"`
 	Seed         uint64  `json:"seed"`
 	Seconds      float64 `json:"seconds"`
 	Load         string  `json:"load_average_before"`
@@ -125,7 +128,7 @@
 	if l.Active <= 0 || l.Active > l.Servers {
 		return nil, ErrNoServers
 	}
-	r := &Run{Servers: l.Servers, Active: l.Active, PerSecond: l.PerSecond, Descriptors: l.Descriptors, Seed: l.Seed, StateEvery: l.StateEvery.Seconds(),
+	r := &Run{Servers: l.Servers, Active: l.Active, PerSecond: l.PerSecond, Descriptors: l.Descriptors, Seed: l.Seed, StateEvery: l.StateEvery.Seconds(), Setup: milliseconds(l.Setup),
 		Seconds: l.Length.Seconds(), Load: LoadAverage()}
 	addresses, closeServers, err := l.startServers()
 	defer closeServers()
@@ -148,8 +151,8 @@
 	return r, l.play(ctx, r, gatekeeper, addresses)
 }
 
-// startServers starts the stand-ins, each with a listener of its own in this process. A set-up costs them no time, so that
-// what is measured is the way to them.
+// startServers starts the stand-ins, each with a listener of its own in this process. Where a set-up costs them no time, what
+// is measured is the way to them.
 func (l Latency) startServers() (addresses []string, closeAll func(), err error) {
 	var ends []func()
 	closeAll = func() {
@@ -158,7 +161,7 @@
 		}
 	}
 	for i := range l.Servers {
-		s, err := lab.NewServer(lab.Work{Full: serverFull}, l.Seed+uint64(i))
+		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: serverFull}, l.Seed+uint64(i))
 		if err != nil {
 			return nil, closeAll, err
 		}
@@ -192,10 +195,13 @@
 		return fmt.Errorf("the gatekeeper ended: %w", err)
 	}
 	waited, measured := gatekeeper.waited(), time.Now()
+	done := make(chan struct{})
+	samples, finished := sampleMachine(gatekeeper, done)
 	l.send(ctx, began, pairs, first, l.Warm+l.Length, to, from, late)
 	sleepOrDone(ctx, began.Add(l.Warm+l.Length))
 	after, err := gatekeeper.processor()
 	if err != nil {
+		close(done)
 		return fmt.Errorf("the gatekeeper ended: %w", err)
 	}
 	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
@@ -204,9 +210,11 @@
 	r.ResidentMB, r.PeakMB = float64(now)/1024, float64(peak)/1024
 	r.Held = gatekeeper.descriptors()
 	settle(ctx, to.arm, from.arm)
+	close(done)
+	finished()
 	r.CallersEnded, r.NoConnection = to.closed.Load(), gatekeeper.failed.Load()
 	r.Late = float64(late.ValueAtQuantile(99)) / 1000
-	r.evaluate(to.arm, from.arm, first)
+	r.evaluate(to.arm, from.arm, first, samples)
 	return ctx.Err()
 }
 
@@ -258,7 +266,7 @@
 }
 
 // evaluate works out the figures from the pairs from one on. Both arms number their calls by pair.
-func (r *Run) evaluate(to, from *arm, first int) {
+func (r *Run) evaluate(to, from *arm, first int, samples machine) {
 	to.mu.Lock()
 	defer to.mu.Unlock()
 	from.mu.Lock()
@@ -274,7 +282,7 @@
 		if through[i].ended == stood && direct[i].ended == stood {
 			r.differences = append(r.differences, milliseconds(through[i].took-direct[i].took))
 			whole = append(whole, milliseconds(through[i].took))
-			if direct[i].took <= calmMost {
+			if samples.calm(through[i], direct[i]) {
 				calm = append(calm, milliseconds(through[i].took-direct[i].took))
 			}
 		}
@@ -295,7 +303,7 @@
 }
 
 func calmOf(differences []float64, seed uint64) *Calm {
-	if len(differences) == 0 {
+	if len(differences) < calmLeast {
 		return nil
 	}
 	q := Quantiles(differences, quantiles...)
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -8,19 +8,22 @@
 
 	"beammux/control"
 	"beammux/control/fleetview"
+	"beammux/control/outlier"
 	"beammux/control/quota"
-	"beammux/control/verdict"
+	"beammux/internal/ejection"
 	"beammux/internal/fleet"
 	"beammux/internal/limits"
 	"beammux/internal/routing"
-	"beammux/internal/verdicts"
 )
 
 // figures lays the core's counts out in the Prometheus text exposition. The library writes the form; the counts are the
 // core's own, read when asked, so a figure is never older than the call that reads it. VictoriaMetrics/metrics is
 // used for the writing: small, with no protobuf and a set per gatekeeper, which keeps gatekeepers in one test process
 // apart. Rejected: prometheus/client_golang, which brings protobuf, a global registry and collectors for seven figures.
-type figures struct{ set *metrics.Set }
+type figures struct {
+	set    *metrics.Set
+	limits []string // the names of the figures of the rules in force
+}
 
 func newFigures(f *routing.Figures, classes []string) *figures {
 	set := metrics.NewSet()
@@ -77,11 +80,17 @@
 	})
 }
 
-// addLimits adds what the limits of the fleet hold at this gatekeeper, rule by rule. A rule that is gone tells 0.
-func (f *figures) addLimits(in quota.Limits, l *limits.Limiter) {
+// setLimits shows what the limits of the fleet hold at this gatekeeper, rule by rule, in place of the rules before.
+func (f *figures) setLimits(in quota.Limits, l *limits.Limiter) {
+	for _, name := range f.limits {
+		f.set.UnregisterMetric(name)
+	}
+	f.limits = nil
 	for _, r := range in.Rules {
 		of := func(name string, value func(quota.Status) float64) {
-			f.set.GetOrCreateGauge(fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name), func() float64 {
+			figure := fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name)
+			f.limits = append(f.limits, figure)
+			f.set.GetOrCreateGauge(figure, func() float64 {
 				for _, s := range l.Status().Rules {
 					if s.Name == r.Name {
 						return value(s)
@@ -93,29 +102,29 @@
 		of("rate", func(s quota.Status) float64 { return s.Rate })
 		of("demand", func(s quota.Status) float64 { return s.Demand })
 		of("standing", func(s quota.Status) float64 { return float64(s.Standing) })
-		of("taken_total", func(s quota.Status) float64 { return float64(s.Taken) })
-		of("turned_away_total", func(s quota.Status) float64 { return float64(s.Turned) })
+		of("taken_total", func(s quota.Status) float64 { return float64(s.Admitted) })
+		of("turned_away_total", func(s quota.Status) float64 { return float64(s.Refused) })
 		if r.Mode == quota.Leased {
-			of("lease_seconds", func(s quota.Status) float64 { return float64(s.LeaseFor) / 1e6 })
+			of("lease_seconds", func(s quota.Status) float64 { return float64(s.LeaseRemaining) / 1e6 })
 		}
 	}
 }
 
-// addVerdicts adds the verdicts of the fleet that are in force here.
-func (f *figures) addVerdicts(j *verdicts.Judge) {
-	for _, p := range []verdict.Phase{verdict.Out, verdict.Trial} {
+// addEjections adds the ejections that are in force here. The metric names are fixed by docs/verdicts.md.
+func (f *figures) addEjections(monitor *ejection.Monitor) {
+	for _, p := range []outlier.Phase{outlier.Ejected, outlier.Trial} {
 		f.set.NewGauge(fmt.Sprintf("proxy_fleet_verdicts{phase=%q}", p), func() float64 {
-			now, _ := j.Count(p)
+			now, _ := monitor.Count(p)
 			return float64(now)
 		})
 	}
 	f.set.NewGauge("proxy_fleet_convictions_total", func() float64 {
-		_, ever := j.Count(verdict.Out)
-		return float64(ever)
+		_, total := monitor.Count(outlier.Ejected)
+		return float64(total)
 	})
-	f.set.NewGauge("proxy_fleet_callers_turned_away_total", func() float64 { return float64(j.Turned()) })
-	f.set.NewGauge("proxy_fleet_busy_numbers", func() float64 { return float64(len(j.Status().Numbers)) })
-	f.set.NewGauge("proxy_fleet_apart", func() float64 { return float64(len(j.Status().Apart)) })
+	f.set.NewGauge("proxy_fleet_callers_turned_away_total", func() float64 { return float64(monitor.BlockedConnections()) })
+	f.set.NewGauge("proxy_fleet_busy_numbers", func() float64 { return float64(len(monitor.Status().Numbers)) })
+	f.set.NewGauge("proxy_fleet_apart", func() float64 { return float64(len(monitor.Status().Isolated)) })
 }
 
 func (f *figures) write(w io.Writer) { f.set.WritePrometheus(w) }
