--- a/internal/store/session_client.go
+++ b/internal/store/session_client.go
@@ -139,16 +139,12 @@
 	return s.conn.Read(p)
 }
 
-// sendReports sends each report as it comes, and the last one with each heartbeat. It begins with the first heartbeat: a
-// control machine that refuses the session must not find anything unread when it closes the connection, since then its
-// answer may be lost. It ends when a report can't be sent: the control machine's last words may still be on their way.
+// sendReports sends each report as it comes, and the last one with each heartbeat. It always takes reports, so that who
+// makes them is never held up, but sends none before the first heartbeat: a control machine that refuses the session must not
+// find anything unread when it closes the connection, since then its answer may be lost. What can't be sent is left to the
+// reader, for which the reason may still be on its way.
 func (w *watch) sendReports(ctx context.Context, inForce uint64, reports <-chan WatchReport) {
-	last := WatchReport{InForce: inForce}
-	select {
-	case <-ctx.Done():
-		return
-	case <-w.beats:
-	}
+	last, sends := WatchReport{InForce: inForce}, false
 	for {
 		select {
 		case <-ctx.Done():
@@ -160,14 +156,19 @@
 			}
 			last = report
 		case <-w.beats:
+			sends = true
 		}
-		line, err := json.Marshal(last)
-		if err != nil { // strings and numbers
-			panic(err)
-		}
-		w.conn.SetWriteDeadline(time.Now().Add(writeWithin))
-		if _, err := w.conn.Write(append(line, '\n')); err != nil {
-			return
+		if sends {
+			w.send(last)
 		}
 	}
 }
+
+func (w *watch) send(r WatchReport) {
+	line, err := json.Marshal(r)
+	if err != nil { // strings and numbers
+		panic(err)
+	}
+	w.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+	w.conn.Write(append(line, '\n'))
+}
--- a/internal/store/session_fault_test.go
+++ b/internal/store/session_fault_test.go
@@ -114,20 +114,31 @@
 // big is a value that is more than a connection holds.
 var big = strings.Repeat("x", 128<<10)
 
-// A client that reads too slowly is cut off with *WatcherTooSlow, and resumes with all that there is.
+// A client that reads too slowly is cut off with *WatcherTooSlow, also if it goes on sending reports before it has read
+// that, and resumes with all that there is.
 func TestSlowWatcher(t *testing.T) {
 	g := slowGroup(t)
 	g.put("settings/a", "begin")
 	var last uint64
-	slowed := false
-	err := WatchSession(within(t), dialSmall, g.address(0), WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "slow"}}, nil, func(e WatchEvent) error {
+	reports := make(chan WatchReport)
+	begun, changes := false, 0
+	err := WatchSession(within(t), dialSmall, g.address(0), WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "slow"}}, reports, func(e WatchEvent) error {
 		require.GreaterOrEqual(t, e.Revision, last)
 		last = e.Revision
-		if !slowed { // meanwhile it does not read
-			slowed = true
+		switch {
+		case e.Kind == Heartbeat && !begun:
+			begun = true
+			g.put("settings/a", "first")
+		case e.Kind == Change && changes == 0: // meanwhile it does not read
+			changes++
 			for i := range 8 {
 				g.put("settings/a", fmt.Sprint(i, big))
 			}
+		case e.Kind == Change:
+			for range 10 {
+				reports <- WatchReport{InForce: e.Revision}
+				time.Sleep(20 * time.Millisecond)
+			}
 		}
 		return nil
 	})
--- a/internal/store/session_life_test.go
+++ b/internal/store/session_life_test.go
@@ -5,7 +5,9 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -14,6 +16,9 @@
 	"go.uber.org/goleak"
 )
 
+// reasonBehind is the size of a value that a small connection holds whole, but not in the buffer of the side that is to read.
+const reasonBehind = 36 << 10
+
 // A change is sent when it is applied, not with the next heartbeat; a session whose prefixes it has nothing of is not woken.
 func TestChangeIsSentAtOnce(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = time.Hour }))
@@ -61,6 +66,64 @@
 	require.Empty(t, c.ended)
 }
 
+// A report that is made before the first heartbeat holds nobody up, and is sent with it.
+func TestReportFromSnapshot(t *testing.T) {
+	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = 2 * time.Second }))
+	g.put("settings/a", "1")
+	reports := make(chan WatchReport)
+	ctx, cancel := context.WithCancel(within(t))
+	defer cancel()
+	ended := make(chan error, 1)
+	go func() {
+		ended <- WatchSession(ctx, nil, g.address(0), WatchRequest{Prefixes: []string{"settings/"}}, reports, func(e WatchEvent) error {
+			if e.Kind == Snapshot {
+				reports <- WatchReport{InForce: e.Revision}
+			}
+			return nil
+		})
+	}()
+	require.Eventually(t, func() bool {
+		listed, err := SessionsFrom(within(t), nil, g.address(0))
+		return err == nil && len(listed) == 1 && listed[0].Report.InForce > 0
+	}, 5*time.Second, 10*time.Millisecond)
+	cancel()
+	require.ErrorIs(t, <-ended, context.Canceled)
+}
+
+// The reason why a session ends reaches a client that has not read all before it yet, and goes on reporting meanwhile: the
+// control machine must not close a connection on which reports come in, which would discard what is still to be sent.
+func TestReasonReachesClientThatReports(t *testing.T) {
+	g := slowGroup(t)
+	held := g.put("settings/a", big[:reasonBehind])
+	data, err := json.Marshal(command{Op: opWatch, Watch: &WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "reports"}}})
+	require.NoError(t, err)
+	c, err := dialSmall(t.Context(), "tcp", g.address(0))
+	require.NoError(t, err)
+	defer c.Close()
+	_, err = c.Write(append(append([]byte{forwardByte}, data...), '\n'))
+	require.NoError(t, err)
+	require.Eventually(t, func() bool {
+		listed, err := SessionsFrom(within(t), nil, g.address(0))
+		return err == nil && len(listed) == 1 && listed[0].Sent == held
+	}, 5*time.Second, 5*time.Millisecond)
+	require.NoError(t, g.nodes[0].fsm.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"version":1,"applied":%d}`, held+100)))))
+	for range 5 { // while the reason is on its way
+		time.Sleep(20 * time.Millisecond)
+		c.Write([]byte("{}\n"))
+	}
+	c.SetReadDeadline(time.Now().Add(10 * time.Second))
+	in := json.NewDecoder(c)
+	for {
+		var r result
+		require.NoError(t, in.Decode(&r))
+		if r.Fault != "" {
+			var back *ComeBack
+			require.ErrorAs(t, r.error(""), &back)
+			return
+		}
+	}
+}
+
 // A client ends a session whose control machine falls silent, such as one that is paused.
 func TestSilentControlMachineIsLeft(t *testing.T) {
 	t.Parallel()
