--- a/cmd/beammux/lab_latency.go
+++ b/cmd/beammux/lab_latency.go
@@ -96,7 +96,7 @@
 	for _, f := range report.Fits {
 		fmt.Printf("%s: %.4f + %.2f us x %s, no run off by more than %.4f\n", f.Name, f.Fixed, 1e6*f.Slope, f.Of, f.Worst)
 	}
-	return finishReport(report, err, c.JSON, before)
+	return finishReport(report, err, c.JSON, before, earlier)
 }
 
 const latencyHead = "servers  calls/s  seed   load  direct p50/p99/p99.9 ms    through p50/p99/p99.9 ms   added p50/p99/p99.9 ms    " +
@@ -140,12 +140,17 @@
 	if err == nil && len(report.Series) == 0 {
 		return fmt.Errorf("--only: no series has %q in its name", c.Only)
 	}
-	return finishReport(report, err, c.JSON, before)
+	return finishReport(report, err, c.JSON, before, nil)
 }
 
-// finishReport writes what was measured, also where the run was stopped before its time.
-func finishReport(report *latencylab.Report, err error, file, before string) error {
-	report.Stamp("bin/beammux "+strings.Join(os.Args[1:], " "), latencylab.Beside(before, latencylab.LoadAverage(), runtime.NumCPU()), time.Now())
+// finishReport writes what was measured, also where the run was stopped before its time. earlier is the report that was added
+// to, nil without one.
+func finishReport(report *latencylab.Report, err error, file, before string, earlier *latencylab.Report) error {
+	command := "bin/beammux " + strings.Join(os.Args[1:], " ")
+	if earlier != nil && earlier.Command() != "" {
+		command = earlier.Command() + "; " + command
+	}
+	report.Stamp(command, latencylab.Beside(before, latencylab.LoadAverage(), runtime.NumCPU()), time.Now())
 	if file != "" {
 		if e := report.WriteFile(file); e != nil {
 			return e
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -258,12 +258,16 @@
 	require.InDelta(t, 0.001, report.Fits[0].Slope, 1e-9)
 
 	file := filepath.Join(t.TempDir(), "r.json")
+	report.Runs[0].Load, report.Runs[1].Load = "12.4 and 3.0", "2.6 and 1.0"
 	report.Stamp("command", "nothing", time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC))
 	require.NoError(t, report.WriteFile(file))
 	back, err := ReadFile(file)
 	require.NoError(t, err)
 	require.Equal(t, report.Series, back.Series)
 	require.Equal(t, "2026-12-02", back.Series[0].Date)
+	require.Equal(t, "command", back.Command())
+	require.Contains(t, back.Series[0].Beside, "before the 6 runs: 3 to 12;")
+	require.Empty(t, (&Report{}).Command())
 	_, err = ReadFile(filepath.Join(t.TempDir(), "none"))
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -5,7 +5,10 @@
 import (
 	"encoding/json"
 	"fmt"
+	"math"
 	"os"
+	"runtime"
+	"strconv"
 	"strings"
 	"time"
 )
@@ -35,14 +38,39 @@
 	Runs   []*Run   `json:"runs,omitempty"`
 }
 
-// Stamp sets the command, the date and what ran beside the measurement on all series.
+// Stamp sets the commands, the date and what ran beside the measurement on all series. Where the report holds runs, what ran
+// beside them is taken from the load averages that they noted.
 func (r *Report) Stamp(command, beside string, now time.Time) {
+	if len(r.Runs) > 0 {
+		beside = besideRuns(r.Runs)
+	}
 	for i := range r.Series {
 		r.Series[i].Command, r.Series[i].Beside = command, beside
 		r.Series[i].Date = now.UTC().Format(time.DateOnly)
 	}
 }
 
+// Command gives the command that the series of a report came by; "" where it has none.
+func (r *Report) Command() string {
+	if len(r.Series) == 0 {
+		return ""
+	}
+	return r.Series[0].Command
+}
+
+// besideRuns tells the range of the load averages before runs.
+func besideRuns(runs []*Run) string {
+	least, most := math.Inf(1), 0.0
+	for _, r := range runs {
+		first, _, _ := strings.Cut(r.Load, " ")
+		if load, err := strconv.ParseFloat(first, 64); err == nil {
+			least, most = min(least, load), max(most, load)
+		}
+	}
+	return fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.0f to %.0f; other work ran on the machine",
+		runtime.NumCPU(), len(runs), least, most)
+}
+
 // WriteFile writes the report as indented JSON.
 func (r *Report) WriteFile(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
