--- a/internal/fleetcheck/delays.go
+++ b/internal/fleetcheck/delays.go
@@ -20,8 +20,8 @@
 // way to the gatekeeper, just after the call was sent, and from the moment that the answer was due.
 //
 // The waits of all threads of a process are added up, since one may wait after the other on the way of one answer. Threads that
-// wait beside each other count each, so more may be excused than the process stood still. An answer that never comes is never
-// excused, nor is one while whose time nothing waited.
+// wait beside each other count each, up to the time between two looks beside the longest wait. An answer that never comes is
+// never excused, nor is one while whose time nothing waited.
 type delays struct {
 	waits map[string][]wait
 	late  map[string]control.Micros    // first answer to calls whose time was up
--- a/internal/fleetlab/delays.go
+++ b/internal/fleetlab/delays.go
@@ -65,12 +65,20 @@
 
 // noteDelay notes what a process waited in the time since the last look, in all and at most by one of its threads.
 func (f *fleet) noteDelay(process string, waited, longest, since time.Duration) {
+	waited = stalled(waited, longest, since)
 	if waited >= leastDelay {
 		f.runs.note(fleetcheck.Delayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
 			Class: strconv.FormatInt(longest.Microseconds(), 10)})
 	}
 }
 
+// stalled bounds what an answer can have lost to the waits of a process that ended since the last look. Waits that follow each
+// other add up; those of threads that waited beside each other do not. All of them ended in that time, and one that began before
+// it did so by no more than the longest.
+func stalled(waited, longest, since time.Duration) time.Duration {
+	return min(waited, longest+since)
+}
+
 // runQueue is how long each thread of a process had waited for a processor when it was last looked at.
 type runQueue map[string]time.Duration
 
--- a/internal/fleetlab/delays_test.go
+++ b/internal/fleetlab/delays_test.go
@@ -52,3 +52,11 @@
 	require.Greater(t, waited, lasts*3/4*(each-1)/2*time.Duration(runtime.NumCPU())/2)
 	require.Greater(t, longest, lasts/8)
 }
+
+// Ten threads that waited beside each other for 40 ms of 50 held the process up for no longer than it can have stood still.
+func TestWaitsBesideEachOtherAreBounded(t *testing.T) {
+	const ms = time.Millisecond
+	require.Equal(t, 90*ms, stalled(400*ms, 40*ms, 50*ms))
+	require.Equal(t, 30*ms, stalled(30*ms, 20*ms, 50*ms), "one after the other")
+	require.Equal(t, 200*ms, stalled(200*ms, 200*ms, 50*ms), "one that began long before")
+}
