--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -128,7 +128,7 @@
 	c.unanswered++
 	c.figures.Open.Store(int64(len(c.calls)))
 	c.noteTaken(k, arrived)
-	k.deadlineTimer = c.After(span(deadline-c.clock.now())+decisionGrace, func() { c.deadlinePassed(k) })
+	k.deadlineTimer = c.After(span(deadline-c.clock.now()), func() { c.deadlineReached(k) })
 	var quota control.Quota
 	if c.quotas != nil {
 		if k.quota = c.quotas.For(&s); k.quota != nil {
@@ -140,6 +140,14 @@
 		FirstChoice: s.FirstChoice, WasCut: s.WasCut, Limits: limits, Excess: s.Excess})
 }
 
+// deadlineReached gives the module its grace from here on, not from the deadline: where the whole process stood still, the
+// module's own timers are due at the same moment and may come in any order.
+func (c *Core) deadlineReached(k *call) {
+	if c.calls[k.ID] == k && !k.established {
+		k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
+	}
+}
+
 // deadlinePassed fails a call for which the module gave no final answer in time.
 func (c *Core) deadlinePassed(k *call) {
 	if c.calls[k.ID] != k || k.established {
