--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -23,10 +23,11 @@
 	To      control.Micros `json:"to"`
 	Before  float64        `json:"stood_before"` // part of the tries, over the 3 s before it
 	During  float64        `json:"stood_during"`
-	Took    control.Micros `json:"settled_us"` // from its end; -1: not within the run, or nothing to tell it by
-	Noticed control.Micros `json:"noticed_us"` // from its begin until all views of those that ran held them alone; -1: not before its end
-	Agreed  control.Micros `json:"agreed_us"`  // from its end (and all being ready) until all views are the same and hold all; -1: not in the run
-	Overlap bool           `json:"overlapped"` // another fault was on before it settled
+	Took    control.Micros `json:"settled_us"`         // from its end; -1: not within the run, or nothing to tell it by
+	Noticed control.Micros `json:"noticed_us"`         // from its begin until all views of those that ran held them alone; -1: not before its end
+	Agreed  control.Micros `json:"agreed_us"`          // from its end (and all being ready) until all views are the same and hold all; -1: not in the run
+	Whole   control.Micros `json:"whole_at,omitempty"` // when that was; 0: not in the run
+	Overlap bool           `json:"overlapped"`         // another fault was on before it settled
 }
 
 // Bucket is what came of the tries of a tenth of a second, by when they were sent.
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -26,12 +26,13 @@
 
 // VerdictStats is what a run shows of its verdicts.
 type VerdictStats struct {
-	Convicted int     `json:"convicted"`             // servers, each time it began at the first member
-	Wrongful  int     `json:"wrongful"`              // of those that nothing was wrong with
-	First     float64 `json:"first_out_s"`           // from the first fault of a server to the first member that keeps away; -1: never
-	All       float64 `json:"all_out_s"`             // and to the last one that runs
-	Numbers   int     `json:"numbers_held_busy"`     // each at each member counts
-	Sent      int     `json:"setups_while_kept_out"` // by a gatekeeper to a server that it held out
+	Convicted int     `json:"convicted"`              // servers, each time it began at the first member
+	Called    int     `json:"convicted_while_called"` // of those before the callers' last try
+	Wrongful  int     `json:"wrongful"`               // of those that nothing was wrong with
+	First     float64 `json:"first_out_s"`            // from the first fault of a server to the first member that keeps away; -1: never
+	All       float64 `json:"all_out_s"`              // and to the last one that runs
+	Numbers   int     `json:"numbers_held_busy"`      // each at each member counts
+	Sent      int     `json:"setups_while_kept_out"`  // by a gatekeeper to a server that it held out
 }
 
 type outSpan struct {
@@ -50,18 +51,20 @@
 	ill      map[uint32]int
 	began    control.Micros // of the first fault of a server
 
-	running  map[string]control.Micros // since when it runs
-	trouble  int
-	calm     control.Micros // since when no link between gatekeepers is in trouble
-	out      map[string]map[uint32]*outSpan
-	past     map[string]map[uint32][]outSpan
-	first    map[uint32]control.Micros // when the first member came to hold it out, 0: none does
-	checked  map[uint32]bool
-	sent     []history.Event
-	firstOut control.Micros
-	allOut   control.Micros
-	stats    VerdictStats
-	front    string
+	running   map[string]control.Micros // since when it runs
+	trouble   int
+	calm      control.Micros // since when no link between gatekeepers is in trouble
+	out       map[string]map[uint32]*outSpan
+	past      map[string]map[uint32][]outSpan
+	first     map[uint32]control.Micros // when the first member came to hold it out, 0: none does
+	checked   map[uint32]bool
+	sent      []history.Event
+	firstOut  control.Micros
+	allOut    control.Micros
+	stats     VerdictStats
+	front     string
+	convicted []control.Micros // convictions, each when it began at the first member
+	tried     control.Micros   // the callers' last try
 }
 
 // NewVerdicts makes the rule. suspects gives, by the name of each fault, the servers that may rightly seem ill because of it.
@@ -111,6 +114,8 @@
 		} else {
 			v.trouble--
 		}
+	case Tried:
+		v.tried = e.At
 	case Judged:
 		v.judged(e, broke)
 	}
@@ -158,6 +163,7 @@
 			mine[id] = &outSpan{from: e.At}
 			if !v.heldBy(id, e.Process) {
 				v.stats.Convicted++
+				v.convicted = append(v.convicted, e.At)
 				v.first[id], v.checked[id] = e.At, false
 				if v.ill[id] == 0 && (v.illTo[id] == 0 || e.At-v.illTo[id] > afterIll) {
 					v.stats.Wrongful++
@@ -238,6 +244,11 @@
 			}
 		}
 	}
+	for _, at := range v.convicted {
+		if at <= v.tried {
+			v.stats.Called++
+		}
+	}
 	for _, by := range v.busyBy {
 		v.stats.Numbers += len(by)
 	}
--- a/internal/fleetcheck/views.go
+++ b/internal/fleetcheck/views.go
@@ -148,7 +148,7 @@
 			}
 		}
 		if at := c.agree.since(from+1, c.now, next); at >= 0 {
-			f.Agreed = at - from
+			f.Agreed, f.Whole = at-from, at
 		}
 	}
 	return faults
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -186,6 +186,10 @@
 		}
 		defer enough()
 	}
+	looking, looked := context.WithCancel(context.Background())
+	defer looked()
+	kept.Go(func() { f.watchProcessors(looking) })
+	kept.Go(func() { f.watchTimers(looking) })
 	f.busy.Go(func() { f.timeline(faults) })
 	f.callers.Play(ctx)
 	cancel()
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -55,6 +55,9 @@
 	if s.Joined > 0 {
 		fmt.Fprintf(&b, "all views of the fleet agree %.2f s after all were ready\n", s.Joined)
 	}
+	if d := s.Disturbance; d.Count > 0 {
+		fmt.Fprintf(&b, "disturbance: held up for a processor %d times, the longest %d ms (%s)\n", d.Count, d.Longest/1000, d.Process)
+	}
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 	if len(s.Faults) > 0 {
 		fmt.Fprintln(w, "\nfault\tstood before\tduring\tsettled after\tnoticed after\tviews agree after\t")
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -28,11 +28,12 @@
 	ServerFull
 	ServerGivenUp // by CANCEL or the end of its connection
 	ServerCut     // the server died with it
+	LateAnswer    // the first answer to a try that was told as Unanswered; Body tells which
 	seenKinds
 )
 
 var seenNames = [seenKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
-	"setup", "answered", "full", "given up", "cut"}
+	"setup", "answered", "full", "given up", "cut", "late answer"}
 
 func (k SeenKind) String() string { return seenNames[k] }
 
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -163,12 +163,13 @@
 	served  map[string]float64
 	slow    [2]float64 // offered and served of calls that began while servers were slow
 
-	pick  func(*rand.Rand) (home, dest int) // a first call's gatekeeper and first choice; nil: any
-	again func(*rand.Rand) int              // a further try's gatekeeper, -1 for the next; nil: the next
-	key   func(*rand.Rand) string           // number of a first call, "" for any; nil: any
-	dice  *rand.Rand                        // of again
-	seen  func(Seen)                        // nil: nobody
-	past  map[string]SeenKind               // final answers of tries that are over, kept while somebody hears of them
+	pick    func(*rand.Rand) (home, dest int) // a first call's gatekeeper and first choice; nil: any
+	again   func(*rand.Rand) int              // a further try's gatekeeper, -1 for the next; nil: the next
+	key     func(*rand.Rand) string           // number of a first call, "" for any; nil: any
+	dice    *rand.Rand                        // of again
+	seen    func(Seen)                        // nil: nobody
+	past    map[string]SeenKind               // final answers of tries that are over, kept while somebody hears of them
+	expired map[string]int                    // tries that had no answer in time, with their gatekeepers, until one comes
 }
 
 // tell is called with the lock held.
@@ -208,7 +209,7 @@
 }
 
 func newDay(o Overload) *day {
-	return &day{Overload: o, began: time.Now(), calls: map[string]*try{}, delays: hdrhistogram.New(1, 20000, 3),
+	return &day{Overload: o, began: time.Now(), calls: map[string]*try{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
 		out: &Outcome{ByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
 }
 
@@ -347,6 +348,7 @@
 			d.out.Unanswered++
 			delete(d.calls, id)
 			d.tell(Seen{Kind: Unanswered, Call: id, Gatekeeper: k.at})
+			d.expired[id] = k.at
 			d.redial(c, 0)
 		}
 	})
@@ -418,6 +420,7 @@
 	defer d.mu.Unlock()
 	k := d.calls[m.ID]
 	if k == nil {
+		d.heardLate(m)
 		if _, over := d.past[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && d.past[m.ID] != Stood {
 			d.tell(Seen{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
 		}
@@ -460,6 +463,16 @@
 	}
 }
 
+// heardLate tells of the first answer to a try whose caller had given up by then. The lock is held.
+func (d *day) heardLate(m jsonl.Message) {
+	at, expired := d.expired[m.ID]
+	if !expired || m.Type != "ready" && m.Type != "close" {
+		return
+	}
+	delete(d.expired, m.ID)
+	d.tell(Seen{Kind: LateAnswer, Call: m.ID, Gatekeeper: at, Body: m.Type})
+}
+
 func (d *day) result(servers []*Server) *Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
