--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -50,11 +50,12 @@
 	Judged                    // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
 	Late                      // Call has the first answer of Process after its time was up
 	Delayed                   // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
+	Changed                   // Process logged that server Peer (its number) came into phase What of a verdict
 	kinds
 )
 
 var kindNames = [kinds]string{"", "ready", "asked", "stopped", "crashed", "paused", "woken", "troubled", "healed", "logged", "tried",
-	"stood", "refused", "failed", "second", "expired", "broken", "unsent", "given", "fault from", "fault to", "viewed", "heard", "limited", "moved", "judged", "late", "delayed"}
+	"stood", "refused", "failed", "second", "expired", "broken", "unsent", "given", "fault from", "fault to", "viewed", "heard", "limited", "moved", "judged", "late", "delayed", "changed"}
 
 func (k Kind) String() string {
 	if k >= kinds {
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -1,7 +1,9 @@
 package fleetcheck
 
 import (
+	"cmp"
 	"fmt"
+	"slices"
 	"testing"
 
 	"beammux/control"
@@ -385,6 +387,16 @@
 	for when := control.Micros(8000); when <= 14000; when += 200 {
 		both = append(both, judged(when, "g1", "3"), judged(when, "g2", "3"))
 	}
+	phase := func(when control.Micros, phase string) Event {
+		e := at(when, Changed, "g1")
+		e.Peer, e.What = "3", phase
+		return e
+	}
+	tried := func(phases ...Event) []Event {
+		all := append(slices.Clone(both), phases...)
+		slices.SortStableFunc(all, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+		return all
+	}
 	var one []Event
 	for when := control.Micros(8000); when <= 14000; when += 200 {
 		one = append(one, judged(when, "g1", "3"), judged(when, "g2", ""))
@@ -398,6 +410,9 @@
 		{run(true, 0, one...), 1},
 		{run(true, 10000, both...), 1},
 		{run(true, 8300, both...), 0},
+		{run(true, 10050, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 0}, // a trial between two readings
+		{run(true, 10120, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 1},
+		{run(true, 10005, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 1},
 		{run(true, 0, append([]Event{way(7900, Troubled, "g1", "g2")}, one...)...), 0},
 	} {
 		if row.got.Count != row.want {
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -63,8 +63,9 @@
 	allOut    control.Micros
 	stats     VerdictStats
 	front     string
-	convicted []control.Micros // convictions, each when it began at the first member
-	tried     control.Micros   // the callers' last try
+	convicted []control.Micros                    // convictions, each when it began at the first member
+	phases    map[string]map[uint32][]phaseChange // as gatekeepers logged them
+	tried     control.Micros                      // the callers' last try
 }
 
 // NewVerdicts makes the rule. suspects gives, by the name of each fault, the servers that may rightly seem ill because of it.
@@ -75,6 +76,42 @@
 		first: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{First: -1, All: -1}}
 }
 
+// phaseChange is the phase of a verdict on a server from a time on.
+type phaseChange struct {
+	at    control.Micros
+	phase string
+}
+
+const trialPhase = "trial"
+
+// changed notes a phase that a gatekeeper logged.
+func (v *Verdicts) changed(e *Event) {
+	n, err := strconv.ParseUint(e.Peer, 10, 32)
+	if err != nil {
+		return
+	}
+	if v.phases == nil {
+		v.phases = map[string]map[uint32][]phaseChange{}
+	}
+	if v.phases[e.Process] == nil {
+		v.phases[e.Process] = map[uint32][]phaseChange{}
+	}
+	id := uint32(n)
+	v.phases[e.Process][id] = append(v.phases[e.Process][id], phaseChange{e.At, e.What})
+}
+
+// onTrial tells whether a gatekeeper tried a server at a time. A trial that fails at once is over between two readings.
+func (v *Verdicts) onTrial(process string, id uint32, at control.Micros) bool {
+	phase := ""
+	for _, c := range v.phases[process][id] {
+		if c.at > at {
+			break
+		}
+		phase = c.phase
+	}
+	return phase == trialPhase
+}
+
 // Rule implements Invariant.
 func (v *Verdicts) Rule() string { return RuleVerdicts }
 
@@ -116,6 +153,8 @@
 		}
 	case Tried:
 		v.tried = e.At
+	case Changed:
+		v.changed(e)
 	case Judged:
 		v.judged(e, broke)
 	}
@@ -238,7 +277,7 @@
 	}
 	for _, e := range v.sent {
 		for _, s := range v.past[e.Node][e.Server] {
-			if e.At > s.from+keptSlack && e.At < s.to-keptSlack {
+			if e.At > s.from+keptSlack && e.At < s.to-keptSlack && !v.onTrial(e.Node, e.Server, e.At) {
 				v.stats.Sent++
 				broke(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it held out", e.Server)})
 			}
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -209,12 +209,16 @@
 	return events, nil
 }
 
+// verdictChanged is what a gatekeeper logs with the server and its phase (package ejection).
+const verdictChanged = "verdict: changed"
+
 // logged reads a line of a gatekeeper's log. What is no JSON comes from the runtime: a panic, and the stacks after it.
 func logged(text []byte, last control.Micros) fleetcheck.Event {
 	var l struct {
 		Time             time.Time
 		Level, Msg, Call string
 		Member, Health   string
+		Server, Phase    any
 	}
 	if json.Unmarshal(text, &l) != nil {
 		e := fleetcheck.Event{At: last, Kind: fleetcheck.Logged, What: strings.TrimSpace(string(text))}
@@ -223,6 +227,9 @@
 		}
 		return e
 	}
+	if l.Msg == verdictChanged {
+		return fleetcheck.Event{At: control.Micros(l.Time.UnixMicro()), Kind: fleetcheck.Changed, Peer: fmt.Sprint(l.Server), What: fmt.Sprint(l.Phase)}
+	}
 	return fleetcheck.Event{At: control.Micros(l.Time.UnixMicro()), Kind: fleetcheck.Logged, Level: l.Level, What: l.Msg, Call: l.Call, Peer: l.Member, Health: l.Health}
 }
 
--- a/internal/fleetlab/trial_test.go
+++ b/internal/fleetlab/trial_test.go
@@ -24,8 +24,8 @@
 // must hold in a further play. What failed in all of them has failed. A play that was not disturbed, or that broke a rule which
 // holds whatever the machine does, is final.
 const (
-	playsMost   = 5                // of one script
-	againMost   = 16               // plays beyond the first of each script, over all tests of the process
+	playsMost   = 3                // of one script
+	againMost   = 8                // plays beyond the first of each script, over all tests of the process
 	atOnce      = 3                // larger fleets, that is of six processes with their servers and callers
 	againLeaves = 40 * time.Second // of the test's time, beside the length of the script
 	calmFor     = 2 * time.Second
