--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -14,7 +14,7 @@
 func (m *Model) tables() map[string]func() (string, error) {
 	all := map[string]func() (string, error){
 		"inputs": m.inputTable, "derived": m.derivedTable, "measured": m.measuredTable, "series": m.seriesTable,
-		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "placement": m.placementTable,
+		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "fault-runs": m.faultTable, "placement": m.placementTable,
 		"quorum": quorumTable, "write-latency": m.writeLatencyTable, "commands": m.commandTable,
 	}
 	for _, role := range roles {
@@ -126,7 +126,7 @@
 	return markdown([]string{"series", "unit", "size counts", "size: median", "values", "date"}, rows), nil
 }
 
-// commandTable gives the command that measures each group of series again, and what ran beside it.
+// commandTable gives the commands that measure the series again, and what ran beside them. The files name it for each series.
 func (m *Model) commandTable() (string, error) {
 	byCommand := map[string][]string{}
 	var commands []string
@@ -140,7 +140,11 @@
 	var rows [][]string
 	for _, command := range commands {
 		names := byCommand[command]
-		rows = append(rows, []string{strings.Join(names, ", "), "`" + command + "`", m.series[names[0]].Beside})
+		series := names[0]
+		if len(names) > 1 {
+			series += fmt.Sprintf(" and %d more", len(names)-1)
+		}
+		rows = append(rows, []string{series, "`" + command + "`", m.series[names[0]].Beside})
 	}
 	return markdown([]string{"series", "command", "what ran beside it"}, rows), nil
 }
@@ -232,7 +236,14 @@
 func (m *Model) failureTable() (string, error) {
 	var rows [][]string
 	for _, f := range failureRows {
-		cells := []string{f.What, f.Lost, f.GoesOn, f.Right, f.Load, f.Run}
+		shown := []string{f.Tests}
+		if len(f.Kinds) > 0 {
+			shown = append(shown, m.shown(f.Kinds))
+		}
+		if f.NotRun != "" {
+			shown = append(shown, f.NotRun+": "+notRun)
+		}
+		cells := []string{f.What, f.Lost, f.GoesOn, f.Right, f.Load, strings.Join(slices.DeleteFunc(shown, func(s string) bool { return s == "" }), "; ")}
 		for i := range cells {
 			var err error
 			if cells[i], err = m.fill(cells[i]); err != nil {
