--- /dev/null
+++ b/internal/capacity/program_test.go
@@ -0,0 +1,104 @@
+package capacity
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"beammux/control"
+	"beammux/control/quota"
+	"beammux/control/registers"
+	"beammux/control/session"
+	"beammux/internal/fleet"
+	"beammux/internal/ops"
+	"beammux/internal/protocol/sip"
+)
+
+// Inputs that are constants of the program are those of the code, as far as the code exports them.
+func TestInputsOfTheProgram(t *testing.T) {
+	in, err := ParseInputs(inputsFile, []byte(sources(t)[inputsFile]))
+	require.NoError(t, err)
+	seconds := func(m control.Micros) float64 { return float64(m) / 1e6 }
+	for name, want := range map[string]float64{
+		"lease_every":            seconds(quota.RenewInterval),
+		"heartbeat_within":       seconds(session.DefaultHeartbeatWithin),
+		"register_every":         seconds(fleet.Topics[registers.Rates].Every),
+		"register_stale":         seconds(fleet.Topics[registers.Rates].Stale),
+		"evidence_every":         seconds(fleet.Topics[registers.Evidence].Every),
+		"evidence_stale":         seconds(fleet.Topics[registers.Evidence].Stale),
+		"connections_per_server": float64((&sip.PlatformDialer{}).MaxConns("")),
+		"own_descriptors":        24 + ops.ConnsMost + 1,
+	} {
+		got, ok := in.Value(name)
+		require.True(t, ok, name)
+		require.Equal(t, want, got, name)
+	}
+}
+
+var packagePath = regexp.MustCompile(`\b(internal|control)(/[a-z]+)+`)
+
+// Tests that the page names are there.
+func TestNamedTestsAreThere(t *testing.T) {
+	named := regexp.MustCompile(`Test\w+`)
+	found := 0
+	for _, f := range failureRows {
+		for _, name := range named.FindAllString(f.Tests, -1) {
+			found++
+			require.True(t, testIsThere(t, name), name)
+		}
+	}
+	require.Greater(t, found, 8)
+	require.False(t, testIsThere(t, "TestNoneOfThisName"))
+}
+
+// testIsThere looks for a test function in the packages that the page names tests of.
+func testIsThere(t *testing.T, name string) bool {
+	t.Helper()
+	for _, pattern := range []string{"*_test.go", "../../control/session/*_test.go", "../../cmd/beammux/*_test.go"} {
+		files, err := filepath.Glob(pattern)
+		require.NoError(t, err)
+		for _, file := range files {
+			text, err := os.ReadFile(file)
+			require.NoError(t, err)
+			if strings.Contains(string(text), "func "+name+"(t *testing.T)") {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// Packages that the page names are there.
+func TestCarriersAreThere(t *testing.T) {
+	named := 0
+	there := func(text string) {
+		for _, path := range packagePath.FindAllString(text, -1) {
+			named++
+			info, err := os.Stat("../../" + path)
+			require.NoError(t, err, text)
+			require.True(t, info.IsDir(), text)
+		}
+	}
+	for _, role := range roles {
+		for _, row := range role.Rows {
+			there(row.Carrier)
+		}
+	}
+	for _, f := range failureRows {
+		there(f.Right + f.Tests)
+	}
+	for _, one := range sources(t) {
+		in, err := ParseInputs(inputsFile, []byte(one))
+		if err != nil {
+			continue
+		}
+		for _, i := range in.Inputs {
+			there(i.About)
+		}
+	}
+	require.Greater(t, named, 30)
+}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -36,7 +36,7 @@
 	}
 	n.limits = l
 	n.core.SetQuotas(l)
-	n.figures.addLimits(o.Limits, l)
+	n.figures.setLimits(o.Limits, l)
 	n.log.WithField("rules", len(o.Limits.Rules)).Info("limits of the fleet in force")
 	return nil
 }
@@ -69,7 +69,7 @@
 	if n.limits != nil {
 		n.limits.Close()
 	}
-	if n.judge != nil {
-		n.judge.Close()
+	if n.outliers != nil {
+		n.outliers.Close()
 	}
 }
--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -1,23 +1,25 @@
 package hollow
 
 import (
-	"context"
 	"fmt"
+	"time"
 
 	"beammux/control"
 	"beammux/control/scope"
 	"beammux/control/session"
 	"beammux/internal/config"
 	"beammux/internal/follow"
-	"beammux/internal/store"
 )
 
+// staleAfter is the age from which what a gatekeeper holds counts as behind: a few heartbeats of a second each.
+const staleAfter = 5 * time.Second
+
 // followed is the follower of one gatekeeper.
 type followed struct{ *follow.Follower }
 
 func (f followed) state() followState {
 	s := f.Status()
-	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica}
+	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica, behind: s.Age < 0 || s.Age > staleAfter || s.InForce < s.Seen}
 }
 
 // openFollower follows the settings of a gatekeeper. apply is called with what each candidate holds.
@@ -76,9 +78,3 @@
 	}
 	return c.Site, nil
 }
-
-// watchAll opens a session that follows every settings record.
-func watchAll(ctx context.Context, d store.Dial, address string) {
-	r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: "watcher that reads nothing"}}
-	store.WatchSession(ctx, d, address, r, nil, func(store.WatchEvent) error { return nil })
-}
