--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -8,6 +8,8 @@
 	"io"
 	"net"
 	"time"
+
+	"github.com/hashicorp/raft"
 )
 
 // write commits a command at the leader, wherever that is, and waits until it is applied here too, so that who wrote
@@ -76,7 +78,32 @@
 	if addr == "" || n.layer == nil {
 		return result{}, ErrNoLeader
 	}
-	return forward(ctx, through(n.via, string(addr)), data)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go n.whileLeader(ctx, addr, cancel)
+	r, err := forward(ctx, through(n.via, string(addr)), data)
+	if now, _ := n.raft.LeaderWithID(); err != nil && now != addr {
+		return r, ErrNoLeader
+	}
+	return r, err
+}
+
+// whileLeader calls stop once another member than the one at an address leads, or none: a leader that was cut off does not
+// answer, and the connection to it need not break.
+func (n *Node) whileLeader(ctx context.Context, addr raft.ServerAddress, stop func()) {
+	tick := time.NewTicker(retryAfter)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		if now, _ := n.raft.LeaderWithID(); now != addr {
+			stop()
+			return
+		}
+	}
 }
 
 // through is where a member's address is reached.
@@ -127,6 +154,7 @@
 		return r, err
 	}
 	defer c.Close()
+	defer context.AfterFunc(ctx, func() { c.Close() })()
 	deadline := time.Now().Add(2 * applyWithin)
 	if at, ok := ctx.Deadline(); ok && at.Before(deadline) {
 		deadline = at
--- a/internal/store/nonvoter_test.go
+++ b/internal/store/nonvoter_test.go
@@ -70,3 +70,22 @@
 	require.Eventually(t, func() bool { return g.nodes[(leader+1)%3].Leader() || g.nodes[(leader+2)%3].Leader() }, 10*long, 10*time.Millisecond)
 	require.Greater(t, time.Since(closedAt), long*8/10, "followers heard of the leader up to a tenth of the time before")
 }
+
+// A write through a member whose leader was cut off is not lost to that: it goes to the next leader as soon as there is one.
+func TestWriteWhileLeaderIsCutOff(t *testing.T) {
+	g := newControlGroup(t, 3, 0, nil)
+	g.putAll("settings/a", "1")
+	for range 3 {
+		leader := g.leader()
+		through := g.address((leader + 1) % 3)
+		require.Eventually(t, func() bool {
+			s, err := StatusFrom(within(t), through)
+			return err == nil && s.Leader == g.address(leader)
+		}, 5*time.Second, time.Millisecond)
+		g.cut(leader, true)
+		_, err := TransactTo(within(t), through, []Write{{Key: "settings/a", Value: []byte("2")}})
+		require.NoError(t, err)
+		g.cut(leader, false)
+		require.Eventually(t, func() bool { return !g.nodes[leader].Leader() }, 5*time.Second, time.Millisecond)
+	}
+}
