--- a/control/control_test.go
+++ b/control/control_test.go
@@ -8,104 +8,6 @@
 	"testing"
 )
 
-func testSettings() Settings {
-	return Settings{
-		Fronts: 4, Here: -1, AttemptsCap: 4, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
-		ReleaseGuard: 3e5, ResendGap: 4e5, OverShareWorth: 0.1,
-		Report: []Field{Spare, Total, WaitMs}, FallMultiple: 2, StartCapacity: 0.3, FallTime: 2e6, WarmWithin: 13e6,
-		Classes: []Class{
-			{Aim: 1.5e6, Deadline: 9e6, Worth: 1, LateWorth: 0.25},
-			{Aim: 1.2e6, Deadline: 6e6, Worth: 8, LateWorth: 0.25},
-		},
-	}
-}
-
-// front drives one controller by hand and keeps its actions.
-type front struct {
-	t    *testing.T
-	c    *Controller
-	now  Micros
-	acts []Action
-	tick Micros
-	n    int
-}
-
-func newFront(t *testing.T, set Settings) *front {
-	f := &front{t: t, c: New(set, 7), now: 1e9}
-	f.do(Start{})
-	return f
-}
-
-func (f *front) do(e Event) []Action {
-	acts := append([]Action(nil), f.c.Handle(f.now, e)...)
-	for _, a := range acts {
-		if a.Do == Defer && a.Key == "tick" {
-			f.tick = a.At
-		}
-	}
-	f.acts = append(f.acts, acts...)
-	return acts
-}
-
-// pass lets time go by, with the timers that were asked for.
-func (f *front) pass(span Micros) {
-	end := f.now + span
-	for f.tick > 0 && f.tick <= end {
-		f.now, f.tick = f.tick, 0
-		f.do(Timer{"tick"})
-	}
-	f.now = end
-}
-
-func (f *front) servers(entries ...Entry) { f.do(List{Entries: entries}) }
-
-// call offers a call and gives the first server it went to, or 0 if it was refused.
-func (f *front) call(class, choice int) (string, uint32) {
-	f.n++
-	id := fmt.Sprintf("c%04d", f.n)
-	for _, a := range f.do(Call{ID: id, Class: class, DropDead: f.now + 3e6, FirstChoice: choice}) {
-		if a.Do == Send {
-			return id, a.Server
-		}
-	}
-	return id, 0
-}
-
-func (f *front) answer(id string, s uint32, took Micros) {
-	f.pass(took)
-	f.do(Opened{ID: id, Server: s, Took: took})
-}
-
-// warmFront makes a front with two servers that has had enough calls answered at both to have rates.
-func warmFront(t *testing.T) *front {
-	f := newFront(t, testSettings())
-	f.servers(two...)
-	for i := range 60 {
-		id, s := f.call(0, i%2)
-		f.answer(id, s, 5e4)
-	}
-	f.acts = nil
-	f.c.born -= 2 * startSpan // it has been up for a while
-	return f
-}
-
-// report ends an old call at a server with a report of its wait.
-func (f *front) report(s uint32, waitMs float64) {
-	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
-}
-
-func (f *front) count(do Do) int {
-	n := 0
-	for _, a := range f.acts {
-		if a.Do == do {
-			n++
-		}
-	}
-	return n
-}
-
-var two = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready}}
-
 func TestLadderHasHysteresis(t *testing.T) {
 	for _, row := range []struct {
 		name  string
@@ -124,10 +26,10 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			c := New(testSettings(), 1)
-			s := c.fresh(&server{id: 1})
+			s := c.reset(&server{id: 1})
 			for _, w := range row.waits {
-				s.wait = w * c.gate
-				c.settle(s)
+				s.wait = w * c.gateWait
+				c.updateLevel(s)
 			}
 			if s.level != row.want {
 				t.Errorf("level %d, want %d", s.level, row.want)
@@ -151,7 +53,7 @@
 		{name: "all gated", ten: 4, twenty: 2, wantNone: true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newFront(t, testSettings())
+			f := newGatekeeper(t, testSettings())
 			f.servers(two...)
 			f.c.find(10).level, f.c.find(20).level = row.ten, row.twenty
 			_, s := f.call(0, 1)
@@ -163,7 +65,7 @@
 }
 
 func TestNoServersRefuses(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	if _, s := f.call(0, 0); s != 0 || f.count(Refuse) != 1 {
 		t.Error("a call without servers must be refused at once")
 	}
@@ -171,7 +73,7 @@
 
 // Lost set-ups must not gate a server: a later one that was answered proves them lost (incident i03d8bc).
 func TestLostSetupIsNoWait(t *testing.T) {
-	f := warmFront(t)
+	f := warmGatekeeper(t)
 	f.do(List{Delta: true, Entries: []Entry{{Server: 20, Cell: two[1].Cell, State: Draining}}}) // the other may not help out
 	lost, s := f.call(0, 0)
 	f.pass(2e5)
@@ -205,7 +107,7 @@
 	if n := c.witnesses(); n != 1 {
 		t.Errorf("%d witnesses without loss", n)
 	}
-	c.loss = 0.25
+	c.lossRate = 0.25
 	if n := c.witnesses(); n != 3 {
 		t.Errorf("%d witnesses at a quarter lost", n)
 	}
@@ -213,7 +115,7 @@
 
 // A server that answers nothing while listed ready is gated by the age of its set-ups, and they go elsewhere.
 func TestSilentServerIsGated(t *testing.T) {
-	f := warmFront(t) // signs of life are due
+	f := warmGatekeeper(t) // signs of life are due
 	silent, s := f.call(0, 0)
 	if s != 10 {
 		t.Fatalf("went to %d", s)
@@ -231,11 +133,11 @@
 }
 
 func TestFullGatesAndNoAgentPassesOver(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	id, _ := f.call(0, 0)
 	acts := f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	if f.c.find(10).level != 0 || acts[0].Do != Send || acts[0].Server != 20 {
+	if f.c.find(10).level != 0 || acts[0].Kind != Send || acts[0].Server != 20 {
 		t.Errorf("no agent: level %d, %v", f.c.find(10).level, acts)
 	}
 	f.do(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
@@ -246,7 +148,7 @@
 	}
 	sent := false
 	for _, a := range acts {
-		sent = sent || a.Do == Send && a.Server == 20
+		sent = sent || a.Kind == Send && a.Server == 20
 	}
 	if !sent {
 		t.Errorf("processor full: no second choice in %v", acts)
@@ -254,7 +156,7 @@
 }
 
 func TestMissingValuesAreNotIdleness(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	f.report(10, 900)
 	f.report(10, 900)
@@ -268,7 +170,7 @@
 
 // The silent fall is one step, never faster than the design page's floor of 0.5 s.
 func TestSilentFallIsStepped(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	f.call(0, 1) // keeps the clock going
 	f.report(10, 5000)
@@ -296,9 +198,9 @@
 	const fronts = 300
 	sent, most := 0, 0
 	set := testSettings()
-	set.Fronts = fronts
+	set.Gatekeepers = fronts
 	for i := range fronts {
-		f := &front{t: t, c: New(set, uint64(i)), now: 1e9}
+		f := &gatekeeper{t: t, c: New(set, uint64(i)), now: 1e9}
 		f.servers(two[0])
 		f.report(10, 900)
 		f.report(10, 0)
@@ -318,7 +220,7 @@
 
 // Set-ups out are bounded before any answer tells of a wait (colombo overload: 5 s gated after a drain).
 func TestRoomBoundsSetupsOut(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two[0])
 	sent := 0
 	for range 50 {
@@ -332,14 +234,14 @@
 }
 
 func TestThinningSparesDearCalls(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	for i := range 200 {
 		id, s := f.call(min(1, i%10/9), i%2)
 		f.answer(id, s, 5e4)
 	}
 	for _, s := range f.c.servers {
-		s.thin, s.lastWait = 0.6, 0
+		s.shed, s.waitAtTick = 0.6, 0
 	}
 	kept := [2]int{}
 	for i := range 100 {
@@ -357,9 +259,9 @@
 func TestBusyNumberAndTenantLoseWorth(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaPerS: 50}, {QuotaPerS: 50}}
-	f := newFront(t, set)
+	f := newGatekeeper(t, set)
 	f.servers(two...)
-	f.do(Call{ID: "a", Key: "busy", DropDead: f.now + 3e6})
+	f.do(Call{ID: "a", Key: "busy", Deadline: f.now + 3e6})
 	f.do(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
 	if f.count(Refuse) != 1 {
 		t.Error("a busy number is final")
@@ -380,13 +282,13 @@
 		t.Errorf("busy number worth %v of %v", w, plain)
 	}
 	for range 50 {
-		f.c.count(&call{Call: Call{Tenant: 0}})
+		f.c.countArrival(&call{Call: Call{Tenant: 0}})
 	}
 	if w := f.c.worthOf(&call{Call: Call{Tenant: 0}}); w >= plain*0.8 {
 		t.Errorf("tenant far over its share worth %v of %v", w, plain)
 	}
 	for range 5 { // ten calls in a hundred, by a tenant whose share is half
-		f.c.count(&call{Call: Call{Tenant: 1}})
+		f.c.countArrival(&call{Call: Call{Tenant: 1}})
 	}
 	if w := f.c.worthOf(&call{Call: Call{Tenant: 1}}); w < plain {
 		t.Errorf("tenant inside its share worth %v of %v", w, plain)
@@ -408,7 +310,7 @@
 			{Server: 30, Cell: 0, State: Ready}}}, 30},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newFront(t, testSettings())
+			f := newGatekeeper(t, testSettings())
 			f.servers(two...)
 			f.do(row.list)
 			if _, s := f.call(0, 0); s != row.want {
@@ -419,7 +321,7 @@
 }
 
 func TestRestartForgetsOldProcessor(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	f.report(10, 5000)
 	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e6}}})
@@ -434,7 +336,7 @@
 func TestFewAgentsTakeFewSecondChoices(t *testing.T) {
 	taken := 0
 	for seed := range uint64(400) {
-		f := &front{t: t, c: New(testSettings(), seed), now: 1e9}
+		f := &gatekeeper{t: t, c: New(testSettings(), seed), now: 1e9}
 		f.servers(two...)
 		f.do(Status{Server: 10, Code: OK, Report: []float64{1, 100, -1}})
 		f.do(Status{Server: 20, Code: OK, Report: []float64{60, 100, -1}})
@@ -448,7 +350,7 @@
 }
 
 func TestUnknownClassIsSafe(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	id, _ := f.call(9, 0)
 	f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
@@ -469,7 +371,7 @@
 		{[]float64{0.8}, 0}, {[]float64{0.86}, 1}, {[]float64{0.96}, 2}, {[]float64{0.96, 0.9}, 2},
 		{[]float64{0.96, 0.84}, 1}, {[]float64{0.86, 0.8}, 1}, {[]float64{0.96, 0.7}, 0}, {[]float64{0.9, -1}, 1},
 	} {
-		f := newFront(t, set)
+		f := newGatekeeper(t, set)
 		f.servers(two...)
 		for _, v := range row.use {
 			f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
@@ -485,14 +387,14 @@
 func TestRepeatedReportIsNoNewSight(t *testing.T) {
 	set := testSettings()
 	set.Report = []Field{Spare, Total, Busy, Queue}
-	f := newFront(t, set)
+	f := newGatekeeper(t, set)
 	f.servers(two...)
 	s := f.c.find(10)
 	told := func(busy, queue float64) {
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
 	}
 	told(0.4, 2)
-	f.c.see(s, 1e5)
+	f.c.observeWait(s, 1e5)
 	want := s.wait
 	for range 3 {
 		told(0.4, 2)
@@ -509,24 +411,24 @@
 // most of the calls again, and not all at once.
 func TestServerOutOfTheGateTakesMostCalls(t *testing.T) {
 	set := testSettings()
-	set.Report, set.Fronts = []Field{Busy}, 8
-	f := newFront(t, set)
+	set.Report, set.Gatekeepers = []Field{Busy}, 8
+	f := newGatekeeper(t, set)
 	f.servers(two...)
 	for _, v := range []float64{1, 0.5} {
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 	}
-	if s := f.c.find(10); s.level != 0 || s.thin < 0.2 || s.thin > 0.5 {
-		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.thin)
+	if s := f.c.find(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
+		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.shed)
 	}
 }
 
 // Guards against a gatekeeper that refuses calls just after its start, when its own rates say nothing yet: a few set-ups
 // may be out at each server, of the second choice too. Later the room is what its rates bring.
 func TestYoungFrontHasRoom(t *testing.T) {
-	f := &front{t: t, c: New(testSettings(), 1), now: 1e9}
+	f := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
 	f.do(Start{})
 	f.servers(two...)
-	f.c.unit = 0.01 // from a first answer
+	f.c.bestRate = 0.01 // from a first answer
 	sent := 0
 	for range 12 {
 		if _, s := f.call(0, 0); s != 0 {
@@ -536,19 +438,19 @@
 	if sent < 6 || sent > 10 {
 		t.Errorf("%d set-ups sent at once by a front that has just started, want a few at each server", sent)
 	}
-	g := &front{t: t, c: New(testSettings(), 1), now: 1e9}
+	g := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
 	g.do(Start{})
 	g.servers(two...)
-	g.pass(2 * startSpan)
+	g.pass(2 * startTime)
 	g.do(Timer{"tick"})
-	if n := g.c.roomOf(g.c.find(10)); n != roomFloor {
-		t.Errorf("room for %d at a server of which nothing is known, want %d", n, roomFloor)
+	if n := g.c.inFlightLimit(g.c.find(10)); n != minInFlight {
+		t.Errorf("room for %d at a server of which nothing is known, want %d", n, minInFlight)
 	}
 }
 
 // A set-up lost by chance may go to the same server again: with one server it was called off only to be refused.
 func TestLostSetupMayGoToTheSameServer(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(two[0])
 	lost, _ := f.call(0, 0)
 	f.pass(2e5)
@@ -565,7 +467,7 @@
 
 // Servers that are equal are taken in turn by chance: by their numbers, all fronts would herd to one.
 func TestEqualServersAreNotHerdedTo(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	f.servers(Entry{Server: 1, Cell: 1, State: Ready}, Entry{Server: 2, Cell: 2, State: Ready},
 		Entry{Server: 3, Cell: 3, State: Ready})
 	seen := map[uint32]int{}
@@ -578,19 +480,19 @@
 }
 
 func TestStateIsBounded(t *testing.T) {
-	f := newFront(t, testSettings())
+	f := newGatekeeper(t, testSettings())
 	for i := range 2000 {
 		f.servers(Entry{Server: uint32(100 + i), Cell: 0, State: Ready, Since: f.now})
 		f.n++
 		id := fmt.Sprintf("k%05d", f.n)
-		f.do(Call{ID: id, Key: id, DropDead: f.now + 3e6})
+		f.do(Call{ID: id, Key: id, Deadline: f.now + 3e6})
 		f.pass(5e4)
 		f.do(Resolved{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
 	}
 	c := f.c
-	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busy) > busyMax {
+	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busyNumbers) > maxBusyNumbers {
 		t.Errorf("left: %d calls, %d waiting, %d servers, %d busy numbers", len(c.calls), len(c.waiting),
-			len(c.servers), len(c.busy))
+			len(c.servers), len(c.busyNumbers))
 	}
 }
 
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -10,7 +10,7 @@
 type fleet struct {
 	t    *testing.T
 	rng  *rand.Rand
-	fs   []*front
+	fs   []*gatekeeper
 	now  Micros
 	due  []due
 	sent map[uint32][]Micros
@@ -23,7 +23,7 @@
 
 type due struct {
 	at    Micros
-	f     *front
+	f     *gatekeeper
 	event Event
 }
 
@@ -39,16 +39,16 @@
 }
 
 // start makes a front that knows nothing yet but the list and each pool's agents.
-func (fl *fleet) start(seed uint64, fronts int, list ...Entry) *front {
+func (fl *fleet) start(seed uint64, fronts int, list ...Entry) *gatekeeper {
 	set := *fl.set
-	set.Fronts = fronts
-	f := &front{t: fl.t, c: New(set, seed), now: fl.now}
+	set.Gatekeepers = fronts
+	f := &gatekeeper{t: fl.t, c: New(set, seed), now: fl.now}
 	f.do(Start{})
 	fl.list(f, list...)
 	return f
 }
 
-func (fl *fleet) list(f *front, list ...Entry) {
+func (fl *fleet) list(f *gatekeeper, list ...Entry) {
 	f.now = max(f.now, fl.now)
 	f.servers(list...)
 	for _, e := range list {
@@ -83,15 +83,15 @@
 	}
 }
 
-func (fl *fleet) watch(f *front, acts []Action, answer func(uint32, string, int) (Micros, Event)) {
+func (fl *fleet) watch(f *gatekeeper, acts []Action, answer func(uint32, string, int) (Micros, Event)) {
 	for _, a := range acts {
-		if a.Do != Send {
+		if a.Kind != Send {
 			continue
 		}
 		fl.sent[a.Server] = append(fl.sent[a.Server], f.now)
 		try := 0
 		if k := f.c.calls[a.ID]; k != nil {
-			try = k.tries - 1
+			try = k.attempts - 1
 		}
 		if wait, e := answer(a.Server, a.ID, try); e != nil {
 			d := due{at: f.now + wait, f: f, event: e}
@@ -123,7 +123,7 @@
 }
 
 // gate reports a long wait at a server.
-func gate(f *front, s uint32) {
+func gate(f *gatekeeper, s uint32) {
 	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
 }
 
@@ -202,7 +202,7 @@
 func TestSecondChoicesKeepToShare(t *testing.T) {
 	const fronts, perS = 300, 300.0
 	fl := newFleet(t, fronts, 1, four...)
-	small := func(f *front) {
+	small := func(f *gatekeeper) {
 		f.do(Status{Server: 40, Code: OK, Report: []float64{28, 30, -1}})
 	}
 	for _, f := range fl.fs {
@@ -229,7 +229,7 @@
 // A front that stood still learns nothing of servers from the age of what was out, and gives calls that came meanwhile
 // what is left of their callers' patience.
 func TestOwnStallIsNoWait(t *testing.T) {
-	f := warmFront(t)
+	f := warmGatekeeper(t)
 	id, s := f.call(0, 0)
 	f.now += 1.8e6 // no tick, no event
 	f.do(Timer{"tick"})
@@ -237,14 +237,14 @@
 	if l, w := f.c.find(s).level, f.c.find(s).wait; l != 0 || w > 5e4 {
 		t.Errorf("level %d, wait %.0f us after the front's own stall", l, w)
 	}
-	f.do(Call{ID: "old", DropDead: f.now + 3e6 - 1.7e6, FirstChoice: 0})
-	f.do(Call{ID: "new", DropDead: f.now + 3e6, FirstChoice: 1})
-	if o, n := f.c.calls["old"], f.c.calls["new"]; o == nil || n == nil || !o.late || n.late {
+	f.do(Call{ID: "old", Deadline: f.now + 3e6 - 1.7e6, FirstChoice: 0})
+	f.do(Call{ID: "new", Deadline: f.now + 3e6, FirstChoice: 1})
+	if o, n := f.c.calls["old"], f.c.calls["new"]; o == nil || n == nil || !o.pastTarget || n.pastTarget {
 		t.Error("calls that came during a stall are not told by their callers' patience")
 	}
 	f.pass(1e5)
-	f.do(Call{ID: "short", DropDead: f.now + 1.3e6, FirstChoice: 0})
-	if k := f.c.calls["short"]; k != nil && k.late {
+	f.do(Call{ID: "short", Deadline: f.now + 1.3e6, FirstChoice: 0})
+	if k := f.c.calls["short"]; k != nil && k.pastTarget {
 		t.Error("a short patience without a stall was taken for lateness")
 	}
 }
@@ -252,14 +252,14 @@
 // With a call in seconds a lost set-up is not overtaken by another: an end that tells of a short wait proves it lost,
 // so that it neither gates its server nor takes its room until its caller gives up (asra-call-hub-later big-2).
 func TestReportOvertakesLostSetup(t *testing.T) {
-	f := warmFront(t)
+	f := warmGatekeeper(t)
 	lost, s := f.call(0, 0)
 	f.pass(9e5)
 	f.report(s, 3)
 	f.report(s, 3)
 	f.pass(1e5)
-	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.loss == 0 || f.c.find(s).level != 0 {
-		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.find(s).level, f.c.loss)
+	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.lossRate == 0 || f.c.find(s).level != 0 {
+		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.find(s).level, f.c.lossRate)
 	}
 	slow, s := f.call(0, 1)
 	f.pass(9e5)
@@ -273,12 +273,12 @@
 
 // Thinning fades by what is seen: with news in seconds, silence alone let every front back at once.
 func TestSilenceIsNoEase(t *testing.T) {
-	seen, silent := newFront(t, testSettings()), newFront(t, testSettings())
-	for _, f := range []*front{seen, silent} {
+	seen, silent := newGatekeeper(t, testSettings()), newGatekeeper(t, testSettings())
+	for _, f := range []*gatekeeper{seen, silent} {
 		f.servers(two...)
 		f.call(0, 1)
 		s := f.c.find(10)
-		s.thin, s.fadedAt = 0.9, f.now
+		s.shed, s.shedAt = 0.9, f.now
 		for range 20 {
 			f.pass(1e5)
 			if f == seen {
@@ -286,25 +286,25 @@
 			}
 		}
 	}
-	if a, b := seen.c.find(10).thin, silent.c.find(10).thin; a > 0.5 || b < 0.7 {
+	if a, b := seen.c.find(10).shed, silent.c.find(10).shed; a > 0.5 || b < 0.7 {
 		t.Errorf("thinned part after 2 s: %.2f with news of short waits, %.2f without news", a, b)
 	}
 }
 
 // Odd settings and lists stay harmless: nothing known, no servers, one front, repeated and reordered entries.
 func TestOddInputIsHarmless(t *testing.T) {
-	for _, set := range []Settings{{}, {Fronts: 1}, {Fronts: -3, AttemptsCap: -1, Here: -1},
+	for _, set := range []Settings{{}, {Gatekeepers: 1}, {Gatekeepers: -3, AttemptsCap: -1, OwnCell: -1},
 		{Classes: []Class{{}}, Tenants: []Tenant{{}}, Report: []Field{Field(99)}}} {
 		c := New(set, 0)
 		at := Micros(0)
 		for _, e := range []Event{Start{}, Call{ID: "a"}, Timer{"tick"}, Timer{"?"}, List{Failed: true},
 			List{Entries: []Entry{two[1], two[0], two[0], {Server: 10, State: Gone}, two[1]}}, Call{ID: "b", Class: -1,
-				Tenant: 7, DropDead: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
+				Tenant: 7, Deadline: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
 				Report: []float64{1, 2, 3, 4, 5}}, Status{Server: 20, Code: OK, Report: nil}, Peer{}, Withdrawn{},
-			List{}, Timer{"tick"}, Call{ID: "c", DropDead: 1 << 40}, nil} {
+			List{}, Timer{"tick"}, Call{ID: "c", Deadline: 1 << 40}, nil} {
 			at += 7e5
 			for _, a := range c.Handle(at, e) {
-				if a.Do == Send && a.Server == 10 {
+				if a.Kind == Send && a.Server == 10 {
 					t.Error("sent to a server listed gone")
 				}
 			}
@@ -327,7 +327,7 @@
 		{[]float64{900, 800, 3}, false}, // one is quick: it is not common
 		{[]float64{900, 800}, false},    // two of eight are too few
 	} {
-		f := newFront(t, testSettings())
+		f := newGatekeeper(t, testSettings())
 		f.servers(list...)
 		f.pass(2e6)
 		for i, w := range row.waits {
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -91,6 +91,7 @@
 	OtherCores  float64        `json:"other_cores"` // used by everything else on the machine
 	Command     string         `json:"command"`
 	Date        string         `json:"date"`
+	Program     string         `json:"program"`
 }
 
 // faultRunOf takes from a report what a table of failures needs.
@@ -99,7 +100,7 @@
 		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.Healed.P99, HealedMaxS: r.Settings.Healed.Max,
 		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.CutOff, StuckLeft: r.Settings.StuckNotCut,
 		ControlCPU: r.Control.CPUShare.Max, ControlRSS: r.Control.ResidentBytes.Max, OtherCores: r.Machine.OtherCores,
-		Command: seriesCommand(r.Command), Date: r.Date}
+		Command: seriesCommand(r.Command), Date: r.Date, Program: r.Program}
 	for rule, n := range r.Judge.Counts {
 		if n > 0 {
 			f.Broken[rule] = n
@@ -166,7 +167,7 @@
 	return append(all,
 		figure{"sessions_max_over_share", "1", ofControl, func(r *Report) (float64, bool) { return r.Control.MaxOverShare, r.Shape.Control > 0 }},
 		figure{"session_bytes_per_s_sent", "B/s", ofControl, func(r *Report) (float64, bool) { return r.Control.SessionsPerS, r.Shape.Control > 0 }},
-		figure{"all_met", "s", ofGatekeepers, func(r *Report) (float64, bool) { return r.Membership.AllMetS, r.Shape.Control == 0 }},
+		figure{"all_met", "s", ofGatekeepers, func(r *Report) (float64, bool) { return r.Membership.AllMetS, r.Membership.AllMetS > 0 }},
 		figure{"fewest_met", "1", ofGatekeepers, func(r *Report) (float64, bool) { return float64(r.Membership.FewestUp), r.Shape.Control == 0 }},
 	)
 }
