--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -51,6 +51,7 @@
 // is left to its owner.
 type Conn struct {
 	net.Conn
+	socket syscall.RawConn // nil where Conn is no socket
 	mu     sync.Mutex
 	queue  []Packet
 	bytes  int
@@ -68,12 +69,12 @@
 	taking atomic.Bool  // its owner has bytes that it has not gone through: it has not come back for more
 }
 
-// Read reads from the connection, and notes that something has come and that the other side has left.
+// Read reads from the connection, and notes that something has come and that the other side has left. It is called from one
+// goroutine at a time.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.taking.Store(false)
-	n, err := c.Conn.Read(p)
+	n, err := c.receive(p)
 	if n > 0 {
-		c.taking.Store(true)
 		c.began.Store(true)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -86,23 +87,68 @@
 // for a close: TCP tells the two apart for nobody who reads.
 func (c *Conn) Left() bool { return c.left.Load() }
 
+// receive reads once, and sets taking for what it returns. On a socket taking is set before the kernel gives the bytes up, so
+// that at each instant one of the two accounts for them; unread relies on that.
+func (c *Conn) receive(p []byte) (n int, err error) {
+	if c.socket == nil || len(p) == 0 {
+		n, err = c.Conn.Read(p)
+		c.taking.Store(n > 0)
+		return n, err
+	}
+	var fault error
+	err = c.socket.Read(func(fd uintptr) (done bool) {
+		c.taking.Store(true)
+		n, fault = readDescriptor(int(fd), p)
+		c.taking.Store(n > 0)
+		return fault != syscall.EAGAIN
+	})
+	switch {
+	case err != nil:
+		return 0, err
+	case fault != nil:
+		return 0, &net.OpError{Op: "read", Net: c.LocalAddr().Network(), Source: c.LocalAddr(), Addr: c.RemoteAddr(),
+			Err: os.NewSyscallError("read", fault)}
+	case n == 0:
+		return 0, io.EOF
+	}
+	return n, nil
+}
+
+// readDescriptor is read(2), repeated where a signal interrupted it. It gives no bytes with an error. It is package syscall's, as
+// in package net, so that the race detector takes a read for later than the write that it follows.
+func readDescriptor(fd int, p []byte) (int, error) {
+	for {
+		n, err := syscall.Read(fd, p)
+		if err != syscall.EINTR {
+			return max(n, 0), err
+		}
+	}
+}
+
 // unread tells whether bytes of the other side lie in the kernel, or with an owner who has not gone through them: a close now
-// would drop them. On a connection that is no socket there are none in the kernel.
-func (c *Conn) unread() bool {
-	if c.taking.Load() {
-		return true
+// would drop them. On a connection that is no socket there are none in the kernel. The kernel is asked first: bytes that have
+// left it by then have set taking.
+func (c *Conn) unread() bool { return c.inKernel() > 0 || c.taking.Load() }
+
+// inKernel is the number of bytes that have come and not been read from the socket.
+func (c *Conn) inKernel() (n int) {
+	if c.socket != nil {
+		c.socket.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
 	}
-	sc, ok := c.Conn.(syscall.Conn)
+	return n
+}
+
+// socketOf gives access to the descriptor of a connection, nil if it has none.
+func socketOf(nc net.Conn) syscall.RawConn {
+	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return false
+		return nil
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return false
+		return nil
 	}
-	n := 0
-	raw.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
-	return n > 0
+	return raw
 }
 
 // Spoke notes that a whole message has come.
@@ -170,7 +216,7 @@
 
 // NewConn starts the writer of a connection. onGone, if not nil, is called once after the connection is closed.
 func NewConn(nc net.Conn, onGone func()) *Conn {
-	c := &Conn{Conn: nc, wake: make(chan struct{}, 1), gone: make(chan struct{}), onGone: onGone}
+	c := &Conn{Conn: nc, socket: socketOf(nc), wake: make(chan struct{}, 1), gone: make(chan struct{}), onGone: onGone}
 	c.used.Store(time.Now().UnixNano())
 	go c.write()
 	return c
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"os"
 	"runtime"
+	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -166,3 +168,114 @@
 	<-served
 	l.wg.Wait()
 }
+
+// stepped is a connection whose reader stops once bytes have left the kernel for it, before it gets them, and whose owner can
+// have something done just before the kernel is asked how much lies there.
+type stepped struct {
+	*net.TCPConn
+	took, goOn  chan struct{}
+	beforeCount func()
+}
+
+func (s *stepped) pause() {
+	s.took <- struct{}{}
+	<-s.goOn
+}
+
+func (s *stepped) Read(p []byte) (int, error) {
+	n, err := s.TCPConn.Read(p)
+	s.pause()
+	return n, err
+}
+
+func (s *stepped) SyscallConn() (syscall.RawConn, error) {
+	raw, err := s.TCPConn.SyscallConn()
+	return &steppedSocket{raw, s}, err
+}
+
+type steppedSocket struct {
+	syscall.RawConn
+	conn *stepped
+}
+
+func (s *steppedSocket) Read(try func(fd uintptr) bool) error {
+	return s.RawConn.Read(func(fd uintptr) bool {
+		done := try(fd)
+		if done {
+			s.conn.pause()
+		}
+		return done
+	})
+}
+
+func (s *steppedSocket) Control(f func(fd uintptr)) error {
+	if s.conn.beforeCount != nil {
+		s.conn.beforeCount()
+	}
+	return s.RawConn.Control(f)
+}
+
+// Bytes that leave the kernel for a reader keep their connection at every instant: neither between the kernel's giving them up
+// and the reader's having them, nor when that happens in the middle of the look for them, is the connection idle.
+func TestBytesOnTheWayToTheReaderKeepAConnection(t *testing.T) {
+	for _, when := range []string{"before the look", "during the look"} {
+		t.Run(when, func(t *testing.T) {
+			plain, far := pair(t)
+			s := &stepped{TCPConn: plain.Conn.(*net.TCPConn), took: make(chan struct{}), goOn: make(chan struct{})}
+			near := NewConn(s, nil)
+			defer near.Close()
+			read := make(chan string, 1)
+			arrive := func() {
+				io.WriteString(far, "open")
+				<-s.took
+			}
+			go func() {
+				b := make([]byte, 9)
+				n, _ := near.Read(b)
+				read <- string(b[:n])
+			}()
+			if when == "before the look" {
+				arrive()
+			} else {
+				s.beforeCount = sync.OnceFunc(arrive)
+			}
+			idle := near.FinishIdle()
+			close(s.goOn)
+			require.Equal(t, "open", <-read)
+			require.False(t, idle, "closed over bytes that its reader has taken")
+			require.True(t, near.Hold(), "what was read is refused")
+		})
+	}
+}
+
+// A reader's error says what ended its reading, on a socket as on any other connection.
+func TestErrorsOfARead(t *testing.T) {
+	for how, end := range map[string]struct {
+		by   func(near *Conn, far *net.TCPConn)
+		want error
+	}{
+		"close of the other side": {func(_ *Conn, far *net.TCPConn) { far.Close() }, io.EOF},
+		"reset":                   {func(_ *Conn, far *net.TCPConn) { far.SetLinger(0); far.Close() }, syscall.ECONNRESET},
+		"close of this side":      {func(near *Conn, _ *net.TCPConn) { near.Close() }, net.ErrClosed},
+		"deadline":                {func(near *Conn, _ *net.TCPConn) { near.SetReadDeadline(time.Now()) }, os.ErrDeadlineExceeded},
+	} {
+		t.Run(how, func(t *testing.T) {
+			near, far := pair(t)
+			io.WriteString(far, "last")
+			b := make([]byte, 9)
+			n, err := near.Read(b)
+			require.NoError(t, err)
+			require.Equal(t, "last", string(b[:n]))
+			ended := make(chan error, 1)
+			go func() { n, err = near.Read(b); ended <- err }()
+			end.by(near, far)
+			require.ErrorIs(t, <-ended, end.want)
+			require.Zero(t, n)
+			require.Equal(t, how != "deadline", near.Left())
+			require.False(t, near.taking.Load())
+			if broken := net.Error(nil); end.want != io.EOF {
+				require.ErrorAs(t, err, &broken)
+			}
+		})
+	}
+}
