--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -86,6 +86,12 @@
 // A listener that stops hands on what the machine had accepted by then: whole requests may lie on those connections, and a
 // close resets them.
 func TestStopHandsOnWhatWasAccepted(t *testing.T) {
+	for _, late := range []time.Duration{0, 2 * acceptFor} { // Serve has processor time only so long after Stop
+		t.Run(late.String(), func(t *testing.T) { stopHandsOn(t, late) })
+	}
+}
+
+func stopHandsOn(t *testing.T, late time.Duration) {
 	l, err := Listen("127.0.0.1:0", NewBudget(64, 8))
 	require.NoError(t, err)
 	const callers = 16
@@ -96,6 +102,7 @@
 		io.WriteString(c, "whole")
 	}
 	l.Stop()
+	time.Sleep(late)
 	taken := make(chan string, callers)
 	l.Serve(func(c *Conn) { // returns once it has stopped
 		b := make([]byte, 5)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -89,6 +89,10 @@
 // whole requests; a close resets them.
 const acceptFor = 20 * time.Millisecond
 
+// acceptAgain is how many times acceptFor begins anew where it is over and accepted connections still wait: this process may have
+// had no processor time meanwhile. New connections go on coming, so it is bounded.
+const acceptAgain = 8
+
 // Stop ends the listener once it has handed on every connection that the machine had accepted. It does not wait for that.
 func (l *Listener) Stop() {
 	if t, ok := l.Listener.(*net.TCPListener); !ok || t.SetDeadline(time.Now().Add(acceptFor)) != nil {
@@ -96,11 +100,34 @@
 	}
 }
 
+// waiting tells whether the machine has accepted a connection that is not handed on yet.
+func (l *Listener) waiting() (is bool) {
+	socket, ok := l.Listener.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return false
+	}
+	raw.Control(func(fd uintptr) {
+		n, _ := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
+		is = n > 0
+	})
+	return is
+}
+
 // Serve accepts until the listener is closed or stopped. When the budget is used up, a connection on which nothing is owed makes
 // room for a new one; where there is none, the new one is closed.
 func (l *Listener) Serve(handle func(*Conn)) {
+	again := 0
 	for {
 		nc, err := l.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) && again < acceptAgain && l.waiting() {
+			again++
+			l.Stop()
+			continue
+		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // stopped
 			l.Close()
 			return
