--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -51,22 +51,23 @@
 // is left to its owner.
 type Conn struct {
 	net.Conn
-	socket syscall.RawConn // nil where Conn is no socket
-	mu     sync.Mutex
-	queue  []Packet
-	bytes  int
-	ending bool  // close once the queue is written
-	err    error // set when closed
-	wake   chan struct{}
-	gone   chan struct{}
-	onGone func()
-	held   atomic.Int32 // set-ups open on it
-	calls  atomic.Int32 // calls that stand and came on it
-	used   atomic.Int64 // when it was last used, in Unix nanoseconds
-	spoke  atomic.Bool  // a whole message has come on it
-	began  atomic.Bool  // a byte has come on it
-	left   atomic.Bool  // the other side has ended or broken it, as far as was read
-	taking atomic.Bool  // its owner has bytes that it has not gone through: it has not come back for more
+	socket  syscall.RawConn // nil where Conn is no socket
+	reading socketRead
+	mu      sync.Mutex
+	queue   []Packet
+	bytes   int
+	ending  bool  // close once the queue is written
+	err     error // set when closed
+	wake    chan struct{}
+	gone    chan struct{}
+	onGone  func()
+	held    atomic.Int32 // set-ups open on it
+	calls   atomic.Int32 // calls that stand and came on it
+	used    atomic.Int64 // when it was last used, in Unix nanoseconds
+	spoke   atomic.Bool  // a whole message has come on it
+	began   atomic.Bool  // a byte has come on it
+	left    atomic.Bool  // the other side has ended or broken it, as far as was read
+	taking  atomic.Bool  // its owner has bytes that it has not gone through: it has not come back for more
 }
 
 // Read reads from the connection, and notes that something has come and that the other side has left. It is called from one
@@ -95,13 +96,10 @@
 		c.taking.Store(n > 0)
 		return n, err
 	}
-	var fault error
-	err = c.socket.Read(func(fd uintptr) (done bool) {
-		c.taking.Store(true)
-		n, fault = readDescriptor(int(fd), p)
-		c.taking.Store(n > 0)
-		return fault != syscall.EAGAIN
-	})
+	c.reading.into = p
+	err = c.socket.Read(c.reading.once)
+	n, fault := c.reading.n, c.reading.fault
+	c.reading.into = nil
 	switch {
 	case err != nil:
 		return 0, err
@@ -114,6 +112,22 @@
 	return n, nil
 }
 
+// socketRead is one read of a socket. It belongs to the goroutine that reads, and is kept so that a read allocates nothing.
+type socketRead struct {
+	into  []byte
+	n     int
+	fault error
+	once  func(fd uintptr) (done bool) // reads what is there; false: nothing is
+}
+
+// readOnce is socketRead.once.
+func (c *Conn) readOnce(fd uintptr) (done bool) {
+	c.taking.Store(true)
+	c.reading.n, c.reading.fault = readDescriptor(int(fd), c.reading.into)
+	c.taking.Store(c.reading.n > 0)
+	return c.reading.fault != syscall.EAGAIN
+}
+
 // readDescriptor is read(2), repeated where a signal interrupted it. It gives no bytes with an error. It is package syscall's, as
 // in package net, so that the race detector takes a read for later than the write that it follows.
 func readDescriptor(fd int, p []byte) (int, error) {
@@ -217,6 +231,7 @@
 // NewConn starts the writer of a connection. onGone, if not nil, is called once after the connection is closed.
 func NewConn(nc net.Conn, onGone func()) *Conn {
 	c := &Conn{Conn: nc, socket: socketOf(nc), wake: make(chan struct{}, 1), gone: make(chan struct{}), onGone: onGone}
+	c.reading.once = c.readOnce
 	c.used.Store(time.Now().UnixNano())
 	go c.write()
 	return c
