--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -86,7 +86,9 @@
 	}
 	v := s.server.currentView()
 	s.setTarget(v.newest(s.request.Prefixes))
+	s.mu.Lock()
 	s.report.InForce = s.request.After
+	s.mu.Unlock()
 	s.setCursor(s.request.After)
 	if !snapshot {
 		return nil
