--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -80,6 +80,8 @@
 	established   bool
 	establishedAt control.Micros
 	deadlineTimer *time.Timer
+	graceEnds     control.Micros // of the module, past the deadline
+	graces        int            // granted anew
 	quota         Quota
 	admission     *admission // nil: nothing bounds it
 	lateAnswer    bool       // an abandoned attempt was answered late by the server where another is in flight
@@ -87,6 +89,8 @@
 
 const (
 	decisionGrace     = 15 * time.Millisecond // past a caller's deadline; then the core itself answers
+	graceStall        = 5 * time.Millisecond  // a timer that is later by so much says that the process stood still
+	maxGraces         = 20                    // granted anew to one call
 	endedCallLifetime = 2 * time.Minute       // ids of calls that are over: a repeated release is passed on once
 	maxEndedCalls     = 1 << 16               // so many at most, the newest, whatever the callers do
 )
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -144,13 +144,31 @@
 // module's own timers are due at the same moment and may come in any order.
 func (c *Core) deadlineReached(k *call) {
 	if c.calls[k.ID] == k && !k.established {
-		k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
+		c.grantGrace(k)
 	}
 }
 
+// grantGrace gives the module its grace from now on.
+func (c *Core) grantGrace(k *call) {
+	k.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
+	k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
+}
+
+// stalledInGrace tells whether the process stood still during the grace, so that the module did not have it, and grants it
+// anew, maxGraces times at most.
+func (c *Core) stalledInGrace(k *call) bool {
+	late := c.clock.now() - k.graceEnds
+	if late < control.Micros(graceStall.Microseconds()) || k.graces >= maxGraces {
+		return false
+	}
+	k.graces++
+	c.grantGrace(k)
+	return true
+}
+
 // deadlinePassed fails a call for which the module gave no final answer in time.
 func (c *Core) deadlinePassed(k *call) {
-	if c.calls[k.ID] != k || k.established {
+	if c.calls[k.ID] != k || k.established || c.stalledInGrace(k) {
 		return
 	}
 	c.log.WithField("call", k.ID).Error("no decision by the deadline: call failed")
