--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -21,6 +21,7 @@
 	Beside  string  `json:"beside"`
 	Points  []Point `json:"points"`
 
+	words  []string   // what the runs said ran beside them, each once
 	others [2]float64 // cores that other processes used: least and most over the runs
 }
 
@@ -52,9 +53,10 @@
 	}
 	s.others[0], s.others[1] = min(s.others[0], r.Machine.OtherCores), max(s.others[1], r.Machine.OtherCores)
 	s.Beside = fmt.Sprintf("other processes used %.1f to %.1f of %d cores", s.others[0], s.others[1], r.Machine.Cores)
-	if r.Beside != "" {
-		s.Beside = r.Beside + "; " + s.Beside
+	if r.Beside != "" && !slices.Contains(s.words, r.Beside) {
+		s.words = append(s.words, r.Beside)
 	}
+	s.Beside = strings.Join(append(slices.Clone(s.words), s.Beside), "; ")
 }
 
 // Point is one size: a value for each seed, in the seeds' order.
