--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -401,14 +401,7 @@
 			own.votesUntil[d.self] = s.voteUntil
 		}
 		// In force by the votes of minWitnesses members at whoever receives them, also where the own evidence alone would not do.
-		votes, until := 0, control.Micros(0)
-		for _, at := range own.votesUntil {
-			if at > now && (s.startedAt == 0 || now-s.startedAt > maxVoteAge) { // votes on the process before do not count
-				votes++
-				until = max(until, at)
-			}
-		}
-		if votes >= minWitnesses {
+		if votes, until := s.votes(now, now, own); votes >= minWitnesses {
 			if s.voteUntil <= now {
 				s.reason = fmt.Sprintf("by the votes of %d members", votes)
 			}
@@ -434,11 +427,16 @@
 				successes++
 			}
 		}
+		votes, until := s.votes(now, now+trialStepTime, own) // the end of a vote on the ejection before does not count
 		switch {
 		case failures >= minWitnesses || failures > 0 && successes == 0 && s.step == 0:
 			s.ejectionTime = min(2*s.ejectionTime, MaxEjectionTime)
 			s.phase, s.since, s.until = Ejected, now, own.lastFailure+s.ejectionTime
+			s.voteUntil = s.until // members in a later step of their trial may not see the failures
 			s.reason = fmt.Sprintf("tried and failed %d members", failures)
+		case votes >= minWitnesses: // others eject it anew and send nothing there: no further failures can end this trial
+			s.phase, s.since, s.until = Ejected, now, until
+			s.reason = fmt.Sprintf("on trial, and by the votes of %d members", votes)
 		case failures == 0 && successes > 0 && now-s.since >= trialStepTime:
 			s.since = now
 			if s.step++; s.step == len(trialLimits) {
@@ -448,6 +446,21 @@
 	}
 }
 
+// votes counts the members that vote for ejection until after a time, and gives the end of the last vote. Votes on the process
+// before the server's last start do not count.
+func (s *server) votes(now, after control.Micros, own *fleetEvidence) (count int, until control.Micros) {
+	if s.startedAt > 0 && now-s.startedAt <= maxVoteAge {
+		return 0, 0
+	}
+	for _, at := range own.votesUntil {
+		if at > after {
+			count++
+			until = max(until, at)
+		}
+	}
+	return count, until
+}
+
 // limitEjected readmits the servers with the lowest failure rates where too many are ejected.
 func (d *Detector) limitEjected(ids []uint32, listed int) {
 	var ejected []uint32
