--- a/cmd/beammux/control_test.go
+++ b/cmd/beammux/control_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -15,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"beammux/internal/lab"
+	"beammux/internal/porttest"
 )
 
 // controlGroup is a group of control machines in processes of their own.
@@ -23,24 +23,11 @@
 	processes                    []*exec.Cmd
 }
 
-// freeAddresses gives addresses at which nothing listens just now.
-func freeAddresses(t *testing.T, count int) []string {
-	t.Helper()
-	var all []string
-	for range count {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		defer l.Close() // until all are drawn
-		all = append(all, l.Addr().String())
-	}
-	return all
-}
-
 // startControl starts so many control machines, the last one without a vote, which prove settings against a gatekeeper's
 // configuration, and waits until all are ready.
 func startControl(t *testing.T, count int, configuration string) *controlGroup {
 	t.Helper()
-	g := &controlGroup{addresses: freeAddresses(t, count), processes: make([]*exec.Cmd, count), ops: make([]string, count)}
+	g := &controlGroup{addresses: porttest.ReserveAll(t, count), processes: make([]*exec.Cmd, count), ops: make([]string, count)}
 	dir := t.TempDir()
 	var peers []map[string]any
 	for i, address := range g.addresses {
--- a/cmd/beammux/endings_test.go
+++ b/cmd/beammux/endings_test.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"beammux/internal/porttest"
 )
 
 const oneClass = `{"classes":[{"name":"menu-view","repeat":"read_like","aim-us":1500000,"deadline-us":9000000,"worth":1}],
@@ -107,14 +109,8 @@
 // Nine in ten processes that start again are ready within 10 s, also while discovery is down: here each of ten, killed with a
 // set-up open, by the clients' own test.
 func TestReadyWithDiscoveryDown(t *testing.T) {
-	down, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	bus := down.Addr().String()
-	down.Close()
-	place, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	listen := place.Addr().String()
-	place.Close()
+	bus := porttest.Reserve(t)
+	listen := porttest.Reserve(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, `{"listen":%q,"bus":%q,"settings":%s}`, listen, bus, oneClass), 0o600))
 	const starts, limit = 10, 10 * time.Second
--- a/cmd/beammux/fleet_test.go
+++ b/cmd/beammux/fleet_test.go
@@ -3,13 +3,14 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
+
+	"beammux/internal/porttest"
 )
 
 // `fleet members` and `fleet view` show what a running gatekeeper's view holds; a gatekeeper without a fleet and one that
@@ -78,12 +79,7 @@
 			t.Errorf("ended with %v", err)
 		}
 	}
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	probe.Close()
-	if _, errs, code := run(t, "fleet", "members", "--admin", probe.Addr().String()); code != exitNoAnswer || !strings.Contains(errs, "does not answer") {
+	if _, errs, code := run(t, "fleet", "members", "--admin", porttest.Reserve(t)); code != exitNoAnswer || !strings.Contains(errs, "does not answer") {
 		t.Errorf("nobody: exit %d, %s", code, errs)
 	}
 }
--- a/cmd/beammux/restart_test.go
+++ b/cmd/beammux/restart_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -14,6 +13,7 @@
 	"testing"
 	"time"
 
+	"beammux/internal/porttest"
 	"beammux/internal/store"
 )
 
@@ -22,12 +22,7 @@
 // replayed its log.
 func TestReadAtOnceAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := probe.Addr().String()
-	probe.Close()
+	addr := porttest.Reserve(t)
 	deploy, _ := json.Marshal(map[string]any{"store": map[string]any{"node": "n0", "listen": addr, "dir": filepath.Join(dir, "store"),
 		"peers": []map[string]string{{"node": "n0", "address": addr}}}})
 	deployFile, configFile := filepath.Join(dir, "beammux.json"), filepath.Join(dir, "config.json")
@@ -89,13 +84,7 @@
 	dir := t.TempDir()
 	var peers []map[string]string
 	for _, node := range []string{"a", "b"} {
-		probe, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer probe.Close() // until all addresses are drawn
-		peers = append(peers, map[string]string{"node": node, "address": probe.Addr().String()})
-		probe.Close()
+		peers = append(peers, map[string]string{"node": node, "address": porttest.Reserve(t)})
 	}
 	command := func(at int) *exec.Cmd {
 		deploy, _ := json.Marshal(map[string]any{"store": map[string]any{"node": peers[at]["node"], "listen": peers[at]["address"], "peers": peers}})
--- a/cmd/beammux/serve_test.go
+++ b/cmd/beammux/serve_test.go
@@ -14,6 +14,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"beammux/internal/porttest"
 )
 
 // As the program itself, when a test starts it.
@@ -128,12 +130,7 @@
 // A hand-over: a second process with the same callers' address and another operators' address starts beside the first,
 // says ready, and the first ends cleanly on SIGTERM while the second goes on serving.
 func TestHandOver(t *testing.T) {
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := probe.Addr().String()
-	probe.Close()
+	listen := porttest.Reserve(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"listen":%q,"settings":%s}`, listen, `{"classes":[{"name":"menu-view","repeat":"read_like"}]}`)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/internal/controlmachine/machine_test.go
+++ b/internal/controlmachine/machine_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -14,6 +13,7 @@
 
 	"beammux/control"
 	"beammux/internal/config"
+	"beammux/internal/porttest"
 	"beammux/internal/store"
 )
 
@@ -49,10 +49,7 @@
 
 func alone(t *testing.T) *config.Machine {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	address := l.Addr().String()
-	require.NoError(t, l.Close())
+	address := porttest.Reserve(t)
 	return &config.Machine{Name: "c1", Admin: "127.0.0.1:0", Store: config.Store{Node: "c1", Listen: address,
 		Peers: []config.StorePeer{{Node: "c1", Address: address}}}}
 }
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -14,6 +14,7 @@
 
 	"beammux/control/scope"
 	"beammux/control/session"
+	"beammux/internal/porttest"
 	"beammux/internal/relay"
 	"beammux/internal/store"
 )
@@ -42,8 +43,7 @@
 	var listeners []net.Listener
 	var peers []store.Peer
 	for i := range voters + nonVoters {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
+		l := porttest.Listen(t)
 		listeners = append(listeners, l)
 		c.own = append(c.own, l.Addr().String())
 		peers = append(peers, store.Peer{Node: name(i), Address: c.own[i], NonVoter: i >= voters})
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -19,6 +19,7 @@
 	"beammux/control/drain"
 	"beammux/control/quota"
 	"beammux/internal/config"
+	"beammux/internal/porttest"
 	"beammux/internal/protocol/sip"
 	"beammux/internal/protocol/sip/siptest"
 	"beammux/internal/routing"
@@ -259,10 +260,7 @@
 // Idle clients fill the descriptors while the event bus is down: its reconnect and the dials keep their part, so the list
 // comes, and a caller gets in and is served, at the cost of idle ones.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	hold, err := net.Listen("tcp", "127.0.0.1:0") // the bus's address, which is down at first
-	require.NoError(t, err)
-	bus := hold.Addr().String()
-	hold.Close()
+	bus := porttest.Reserve(t) // nobody listens there at first
 	cfg, err := config.Load(testConfig(t))
 	require.NoError(t, err)
 	cfg.Sockets, cfg.Bus = 96, bus
--- a/internal/store/member_test.go
+++ b/internal/store/member_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"beammux/internal/porttest"
 )
 
 // crew is a group on loopback whose members come, go and move.
@@ -23,7 +25,7 @@
 	c := &crew{t: t, root: t.TempDir(), nodes: map[string]*Node{}, addrs: map[string]string{}}
 	var listeners []net.Listener
 	for i := range size {
-		l := c.listen("127.0.0.1:0")
+		l := porttest.Listen(c.t)
 		listeners = append(listeners, l)
 		c.peers = append(c.peers, Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
 	}
@@ -33,15 +35,6 @@
 	return c
 }
 
-func (c *crew) listen(addr string) net.Listener {
-	c.t.Helper()
-	l, err := net.Listen("tcp", addr)
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	return l
-}
-
 func (c *crew) start(name string, l net.Listener, o Options) *Node {
 	c.t.Helper()
 	o.Node, o.Listener, o.Dir, o.Log = name, l, filepath.Join(c.root, name), quiet()
@@ -102,7 +95,7 @@
 		t.Fatal(err)
 	}
 	c.must("remove", MemberChange{Do: MemberRemove, Node: "n2"})
-	l := c.listen("127.0.0.1:0")
+	l := porttest.Listen(c.t)
 	n3 := c.start("n3", l, Options{Join: true})
 	if _, err := c.change(MemberChange{Do: MemberPromote, Node: "n3"}); err == nil || !strings.Contains(err.Error(), "add it first") {
 		t.Fatal(err)
@@ -126,7 +119,7 @@
 	for i, p := range c.peers {
 		c.put(fmt.Sprint("move/", i))
 		c.stop(p.Node)
-		l := c.listen("127.0.0.1:0")
+		l := porttest.Listen(c.t)
 		c.must("move", MemberChange{Do: MemberAdd, Node: p.Node, Address: l.Addr().String()})
 		n := c.start(p.Node, l, Options{Join: true}) // its files know the group
 		has(t, n, fmt.Sprint("move/", i), []byte(fmt.Sprint("move/", i)))
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -13,6 +13,7 @@
 	"go.uber.org/goleak"
 
 	"beammux/control/advice"
+	"beammux/internal/porttest"
 	"beammux/internal/relay"
 )
 
@@ -32,8 +33,7 @@
 	g := &controlGroup{t: t, configure: configure, network: relay.New(1)}
 	t.Cleanup(g.network.Close)
 	for i := range voters + nonVoters {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
+		l := porttest.Listen(t)
 		g.listeners = append(g.listeners, l)
 		g.peers = append(g.peers, Peer{Node: fmt.Sprint("c", i), Address: l.Addr().String(), NonVoter: i >= voters})
 	}
