--- a/control/control.go
+++ b/control/control.go
@@ -243,7 +243,7 @@
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-// note writes a log line about a server, at most one in noteInterval.
+// note writes a log line about a process of a server, at most one in noteInterval.
 func (c *Controller) note(s *server, format string, args ...any) {
 	if s.notedAt == 0 || c.now-s.notedAt >= noteInterval {
 		s.notedAt = c.now
@@ -308,7 +308,7 @@
 
 func (c *Controller) reset(s *server) *server {
 	*s = server{id: s.id, inFlight: s.inFlight, spare: -1, waitSeenAt: c.now, rateAt: c.now,
-		notedAt: s.notedAt, total: s.total, maxInFlight: -1}
+		total: s.total, maxInFlight: -1}
 	s.slotEnd = c.now + Micros(c.rng.Float64()*float64(c.shareSlot)) // not all gatekeepers at once
 	s.shareDrawn = spread(s.id, c.set.Position)
 	if c.set.Position < 0 { // not known: each for itself
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -331,6 +331,26 @@
 	}
 }
 
+// The log says of each process of a server that it is cold, also where something was logged of the former one just before: a
+// server that was lost while it was gated starts again within the interval between two lines.
+func TestColdStartIsLoggedAfterAGate(t *testing.T) {
+	f := newGatekeeper(t, testSettings())
+	f.servers(two...)
+	f.report(10, 5000)
+	if n := f.notes("server 10 gated"); n != 1 {
+		t.Fatalf("gated %d times", n)
+	}
+	f.pass(noteInterval / 2)
+	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5}}})
+	if n := f.notes("server 10 is cold"); n != 1 {
+		t.Errorf("logged %d times that it is cold, want once", n)
+	}
+	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5}}})
+	if n := f.notes("server 10 is cold"); n != 1 {
+		t.Errorf("logged %d times for one process, want once", n)
+	}
+}
+
 // A pool told to have few free agents gets few second choices, and is still tried: when all fronts passed it over until
 // the next telling, a second later, its processor and agents idled every other second (hunt day h0182d3).
 func TestFewAgentsTakeFewSecondChoices(t *testing.T) {
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 )
 
@@ -44,6 +45,16 @@
 	return acts
 }
 
+// notes counts the log lines that begin with a text.
+func (f *gatekeeper) notes(prefix string) (n int) {
+	for _, a := range f.acts {
+		if a.Kind == Note && strings.HasPrefix(a.Text, prefix) {
+			n++
+		}
+	}
+	return n
+}
+
 // pass advances the time, with the timers that were asked for.
 func (f *gatekeeper) pass(span Micros) {
 	end := f.now + span
