--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -109,6 +109,7 @@
 	Late         float64 `json:"schedule_late_p99_ms"`
 	CorePart     float64 `json:"core_part"`      // processor time of the gatekeeper a second
 	WaitPart     float64 `json:"core_wait_part"` // time that threads of the gatekeeper waited for a core, a second
+	Stolen       float64 `json:"stolen_cores"`   // processor time that the host of a virtual machine took from it, a second; -1: not known
 	PerCall      float64 `json:"us_per_call"`    // all of it divided by the calls
 	ResidentMB   float64 `json:"resident_mb"`
 	PeakMB       float64 `json:"resident_peak_mb"`
@@ -198,6 +199,7 @@
 		return fmt.Errorf("the gatekeeper ended: %w", err)
 	}
 	waited, measured := gatekeeper.waited(), time.Now()
+	stolen, stolenErr := stolenTime()
 	done := make(chan struct{})
 	samples, finished := sampleMachine(gatekeeper, done)
 	l.send(ctx, began, pairs, first, l.Warm+l.Length, to, from, late)
@@ -209,6 +211,7 @@
 	}
 	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
 	r.WaitPart = (gatekeeper.waited() - waited).Seconds() / time.Since(measured).Seconds()
+	r.Stolen = stolenCores(stolen, stolenErr, time.Since(measured))
 	now, peak := gatekeeper.resident()
 	r.ResidentMB, r.PeakMB = float64(now)/1024, float64(peak)/1024
 	r.Held = gatekeeper.descriptors()
@@ -222,7 +225,7 @@
 }
 
 // send offers the pairs from one on that are due before a time, and returns the place of the first that is not. It keeps its
-// thread, since it sleeps by the kernel's timer.
+// thread, which runs without a pause at some hundred calls a second (see waitUntil).
 func (l Latency) send(ctx context.Context, began time.Time, pairs []pair, from int, until time.Duration, to *through, direct *direct, late *hdrhistogram.Histogram) int {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -236,10 +239,10 @@
 			one, two = two, one
 		}
 		at := began.Add(p.at)
-		behind := sleepUntil(at)
+		behind := waitUntil(at)
 		one(at, p.server)
 		at = at.Add(p.gap)
-		behind = max(behind, sleepUntil(at))
+		behind = max(behind, waitUntil(at))
 		two(at, p.server)
 		if late != nil {
 			late.RecordValue(behind.Microseconds())
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"math"
 	"math/rand/v2"
 	"os"
@@ -164,6 +165,29 @@
 	}
 }
 
+func TestParseStolen(t *testing.T) {
+	stolen, err := parseStolen("cpu  13612 0 3469 118657 1038 0 511 772 0 0\ncpu0 1 2 3 4 5 6 7 8 9 10\n")
+	require.NoError(t, err)
+	require.Equal(t, 7720*time.Millisecond, stolen)
+	for _, bad := range []string{"", "cpu 1 2 3", "intr 1 2 3 4 5 6 7 8 9", "cpu 1 2 3 4 5 6 7 x 9"} {
+		_, err := parseStolen(bad)
+		require.Error(t, err, bad)
+	}
+	require.InDelta(t, -1, stolenCores(0, errors.New("no such file"), time.Second), 0, "not known")
+}
+
+// The sender is never early, and what is overdue does not wait.
+func TestWaitUntil(t *testing.T) {
+	for _, span := range []time.Duration{0, 100 * time.Microsecond, 2 * spinFor} {
+		at := time.Now().Add(span)
+		late := waitUntil(at)
+		require.False(t, time.Now().Before(at))
+		require.GreaterOrEqual(t, late, time.Duration(0))
+		require.LessOrEqual(t, late, time.Since(at))
+	}
+	require.GreaterOrEqual(t, waitUntil(time.Now().Add(-time.Second)), time.Second)
+}
+
 func TestMeasureTakesTheMedian(t *testing.T) {
 	calls := 0
 	op := operation(func(n int) time.Duration {
@@ -259,6 +283,7 @@
 
 	file := filepath.Join(t.TempDir(), "r.json")
 	report.Runs[0].Load, report.Runs[1].Load = "12.4 and 3.0", "2.6 and 1.0"
+	report.Runs[1].Stolen = 1.5
 	report.Stamp("command", "nothing", time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC))
 	require.NoError(t, report.WriteFile(file))
 	back, err := ReadFile(file)
@@ -266,7 +291,7 @@
 	require.Equal(t, report.Series, back.Series)
 	require.Equal(t, "2026-12-02", back.Series[0].Date)
 	require.Equal(t, "command", back.Command())
-	require.Contains(t, back.Series[0].Beside, "before the 6 runs: 3 to 12;")
+	require.Contains(t, back.Series[0].Beside, "before the 6 runs: 2.6 to 12.4; the host took up to 1.5 cores")
 	require.Empty(t, (&Report{}).Command())
 	_, err = ReadFile(filepath.Join(t.TempDir(), "none"))
 	require.ErrorIs(t, err, os.ErrNotExist)
--- a/internal/latencylab/process.go
+++ b/internal/latencylab/process.go
@@ -180,6 +180,36 @@
 	return time.Duration(user+system) * (time.Second / clockTicks), err
 }
 
+// stolenTime is the time so far in which a core of this machine had work and its host ran something else (proc(5), /proc/stat).
+func stolenTime() (time.Duration, error) {
+	text, err := os.ReadFile("/proc/stat")
+	if err != nil {
+		return 0, err
+	}
+	return parseStolen(string(text))
+}
+
+// parseStolen reads the eighth figure of the first line of /proc/stat: "cpu user nice system idle iowait irq softirq steal ...".
+func parseStolen(text string) (time.Duration, error) {
+	const place = 8
+	line, _, _ := strings.Cut(text, "\n")
+	fields := strings.Fields(line)
+	if len(fields) <= place || fields[0] != "cpu" {
+		return 0, fmt.Errorf("no stolen time in %q", line)
+	}
+	ticks, err := strconv.ParseInt(fields[place], 10, 64)
+	return time.Duration(ticks) * (time.Second / clockTicks), err
+}
+
+// stolenCores is the time stolen since a reading, a second; -1 where the system does not tell it.
+func stolenCores(before time.Duration, beforeErr error, span time.Duration) float64 {
+	after, err := stolenTime()
+	if beforeErr != nil || err != nil {
+		return -1
+	}
+	return (after - before).Seconds() / span.Seconds()
+}
+
 // resident gives the resident memory now and at its peak, in KiB.
 func (p *process) resident() (now, peak int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
--- a/internal/latencylab/schedule.go
+++ b/internal/latencylab/schedule.go
@@ -34,15 +34,21 @@
 	}
 }
 
-// sleepUntil sleeps by the kernel's timer, which is finer than the runtime's while the process is idle. It returns how late
-// it woke.
-func sleepUntil(at time.Time) time.Duration {
+// spinFor is the end of each wait that the sender spends running, not asleep. A sender that sleeps until a call is due wakes
+// late by the time that the machine takes to run an idle core again, which on a virtual machine is milliseconds at the 99th
+// percentile: latencies count from the scheduled time, so that would be measured instead of the calls.
+const spinFor = 5 * time.Millisecond
+
+// waitUntil returns at a time, and how late it does. It sleeps by the kernel's timer, and runs for the last spinFor.
+func waitUntil(at time.Time) (late time.Duration) {
 	for {
 		left := time.Until(at)
 		if left <= 0 {
 			return -left
 		}
-		pause := syscall.NsecToTimespec(left.Nanoseconds())
-		syscall.Nanosleep(&pause, nil)
+		if left > spinFor {
+			pause := syscall.NsecToTimespec((left - spinFor).Nanoseconds())
+			syscall.Nanosleep(&pause, nil)
+		}
 	}
 }
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -58,17 +58,22 @@
 	return r.Series[0].Command
 }
 
-// besideRuns tells the range of the load averages before runs.
+// besideRuns tells what ran on the machine beside runs: the load averages before them, and what its host took from it.
 func besideRuns(runs []*Run) string {
 	least, most := math.Inf(1), 0.0
+	mostStolen := 0.0
 	for _, r := range runs {
 		first, _, _ := strings.Cut(r.Load, " ")
 		if load, err := strconv.ParseFloat(first, 64); err == nil {
 			least, most = min(least, load), max(most, load)
 		}
+		mostStolen = max(mostStolen, r.Stolen)
 	}
-	return fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.0f to %.0f; other work ran on the machine",
-		runtime.NumCPU(), len(runs), least, most)
+	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), least, most)
+	if mostStolen > 0 { // runs of earlier versions do not tell it
+		text += fmt.Sprintf("; the host took up to %.1f cores", mostStolen)
+	}
+	return text
 }
 
 // WriteFile writes the report as indented JSON.
@@ -105,5 +110,5 @@
 
 // Beside describes what else ran, from the load averages before and after a measurement.
 func Beside(before, after string, cores int) string {
-	return fmt.Sprintf("load average (1 min, 5 min) of %d cores: %s before, %s after; other work ran on the machine", cores, before, after)
+	return fmt.Sprintf("load average (1 min, 5 min) of %d cores: %s before, %s after", cores, before, after)
 }
