--- a/cmd/beammux/store.go
+++ b/cmd/beammux/store.go
@@ -25,7 +25,8 @@
 	Member  storeMemberCmd  `cmd:"" help:"Change the members of a running group, one at a time."`
 	Watch   storeWatchCmd   `cmd:"" help:"Print changes as they are committed."`
 	Backup  storeBackupCmd  `cmd:"" help:"Write all records of a running group to a file."`
-	Restore storeRestoreCmd `cmd:"" help:"Write the records of a backup into a running group."`
+	Restore storeRestoreCmd `cmd:"" help:"Write the records of a backup into a running group, and raise its revisions above the backup's."`
+	Raise   storeRaiseCmd   `cmd:"" help:"Lift the revisions of a group that was made anew above what its clients hold."`
 	Verify  storeVerifyCmd  `cmd:"" help:"Read a member's files and say whether they are whole; nothing is changed."`
 	Dump    storeDumpCmd    `cmd:"" help:"Print the records in a member's files."`
 }
@@ -91,6 +92,10 @@
 		}
 		fmt.Fprintf(w, "member\t%s, %s\nleader\t%s\nready\t%s\nterm\t%d\nrecords\t%d\napplied\t%d of %d\nsnapshot\tto %d\n", s.Node,
 			strings.ToLower(s.State), leader, ready, s.Term, s.Records, s.Applied, s.Last, s.Snapshot)
+		fmt.Fprintf(w, "revision\t%d\n", s.Revision)
+		if s.Held > 0 {
+			fmt.Fprintf(w, "held by a client\t%d: this group was made anew; lift it above that (beammux store raise %d)\n", s.Held, s.Held)
+		}
 		if s.Contact > 0 {
 			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", s.Contact.Milliseconds())
 		}
@@ -354,6 +359,7 @@
 type storeRestoreCmd struct {
 	File string `arg:"" help:"Backup."`
 	Over bool   `help:"Also write over records that the group holds; else those stay."`
+	Keep bool   `name:"keep-revisions" help:"Do not raise the revisions: the group has lived on since the backup."`
 	member
 }
 
@@ -363,14 +369,44 @@
 		return err
 	}
 	return c.ask(func(ctx context.Context) error {
-		written, kept, err := b.Restore(ctx, c.Store, c.Over)
+		done, err := b.Restore(ctx, c.Store, store.RestoreOptions{Over: c.Over, KeepRevisions: c.Keep})
+		if err != nil {
+			return err
+		}
+		if c.JSON {
+			return printJSON(struct {
+				File string `json:"file"`
+				store.Restored
+			}{c.File, done})
+		}
+		fmt.Printf("%s: %d records written, %d left as they are%s\n", c.File, done.Written, done.Kept, raisedTo(done.Revision))
+		return nil
+	})
+}
+
+// raisedTo says to which revision a group was raised, if it was.
+func raisedTo(revision uint64) string {
+	if revision == 0 {
+		return ""
+	}
+	return fmt.Sprintf("; revisions go on from %d", revision)
+}
+
+type storeRaiseCmd struct {
+	Above uint64 `arg:"" help:"Revision: the highest that a client holds (fleet view, or store status)."`
+	member
+}
+
+func (c storeRaiseCmd) Run() error {
+	return c.ask(func(ctx context.Context) error {
+		revision, err := store.RaiseTo(ctx, c.Store, c.Above)
 		if err != nil {
 			return err
 		}
 		if c.JSON {
-			return printJSON(map[string]any{"file": c.File, "written": written, "kept": kept})
+			return printJSON(map[string]uint64{"revision": revision})
 		}
-		fmt.Printf("%s: %d records written, %d left as they are\n", c.File, written, kept)
+		fmt.Printf("the group is at revision %d\n", revision)
 		return nil
 	})
 }
--- a/cmd/beammux/store_test.go
+++ b/cmd/beammux/store_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"beammux/internal/porttest"
 	"beammux/internal/store"
 )
 
@@ -24,21 +25,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var peers []store.Peer
-	var listeners []net.Listener
-	for i := range all {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	for i, address := range porttest.ReserveAll(t, all) {
+		peers = append(peers, store.Peer{Node: fmt.Sprint("n", i), Address: address})
+	}
+	for i, peer := range peers[:up] {
+		l, err := net.Listen("tcp", peer.Address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		listeners = append(listeners, l)
-		peers = append(peers, store.Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
-	}
-	for i := range all {
-		if i >= up {
-			listeners[i].Close()
-			continue
-		}
-		n, err := store.Open(store.Options{Node: peers[i].Node, Listener: listeners[i], Peers: peers, Dir: dir, Log: log})
+		n, err := store.Open(store.Options{Node: peer.Node, Listener: l, Peers: peers, Dir: dir, Log: log})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,12 +141,7 @@
 // a member that has no leader answers reads and writes with "not ready", never "no such record".
 func TestStoreWithoutALeader(t *testing.T) {
 	addr, _ := members(t, 1, 2, "")
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	nobody := l.Addr().String()
-	l.Close()
+	nobody := porttest.Reserve(t)
 	for _, row := range []struct {
 		addr, want string
 		code       int
@@ -250,13 +240,31 @@
 	if len(b.List("")) != 1 {
 		t.Error("a damaged backup was written")
 	}
-	if out, errs, code := run(t, "store", "restore", file, "--store", to); code != 0 || !strings.Contains(out, "19 records written, 1 left") {
+	before, _ := b.Get("k3")
+	out, errs, code := run(t, "store", "restore", file, "--store", to)
+	if code != 0 || !strings.Contains(out, "19 records written, 1 left as they are; revisions go on from ") {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
+	raised, _ := b.Get("k3")
+	if raised.Revision <= before.Revision+store.RestoreMargin || !strings.Contains(out, fmt.Sprintf("from %d\n", raised.Revision)) {
+		t.Errorf("revision %d after %d: %s", raised.Revision, before.Revision, out)
+	}
 	if r, _ := b.Get("k3"); string(r.Value) != "own" {
 		t.Errorf("%s", r.Value)
 	}
-	if _, errs, code := run(t, "store", "restore", file, "--store", to, "--over"); code != 0 {
+	if _, errs, code := run(t, "store", "restore", file, "--store", to, "--over", "--keep-revisions"); code != 0 {
+		t.Errorf("exit %d, %s", code, errs)
+	}
+	if r, _ := b.Get("k3"); r.Revision > raised.Revision+10 {
+		t.Errorf("revision %d, raised though it was to be kept", r.Revision)
+	}
+	if out, errs, code := run(t, "store", "raise", fmt.Sprint(3*raised.Revision), "--store", to); code != 0 || out != fmt.Sprintf("the group is at revision %d\n", 3*raised.Revision+1) {
+		t.Errorf("exit %d, %s%s", code, out, errs)
+	}
+	if out, errs, code := run(t, "store", "status", "--store", to); code != 0 || !strings.Contains(strings.Join(strings.Fields(out), " "), fmt.Sprintf(" revision %d ", 3*raised.Revision+1)) {
+		t.Errorf("exit %d, %s%s", code, out, errs)
+	}
+	if _, errs, code := run(t, "store", "raise", fmt.Sprint(uint64(store.MaxRaise)+1), "--store", to); code == 0 || !strings.Contains(errs, "at most") || strings.Count(errs, "\n") != 1 {
 		t.Errorf("exit %d, %s", code, errs)
 	}
 	for i := range 20 {
--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides how fast a control machine takes new sessions, and how fast it sends snapshots. Both are bounded
-// by token buckets. A client that is refused gets a slot, a time of its own at which the buckets will hold its tokens, and is
+// Package admission decides how many sessions a control machine holds, how fast it takes new ones, and how fast it sends
+// snapshots. Both rates are bounded by token buckets. A client that is refused gets a slot, a time of its own at which the buckets will hold its tokens, and is
 // asked to come back then. Slots are as far apart as the rates allow, so that the refused arrive at the rate at which they
 // are admitted, not all at once again, and nobody else is admitted at the cost of a slot: a client that comes at its slot is
 // admitted. The package is pure: time is passed in. A controller is not safe for concurrent use.
@@ -10,6 +10,7 @@
 // Limits of one control machine. Rates are per second; with a rate of 0 the bucket bounds nothing. A burst of less than
 // MinBurst counts as MinBurst.
 type Limits struct {
+	Sessions           int // most at a time; 0: no bound
 	SessionsPerSecond  float64
 	SessionsBurst      int
 	SnapshotsPerSecond float64
@@ -34,12 +35,15 @@
 // Decision is the answer to a Request.
 type Decision struct {
 	Admitted   bool
-	ComeBackIn control.Micros // if not admitted; at least 1
+	Full       bool           // as many sessions are open as may be: the client is to go elsewhere, and holds no slot
+	ComeBackIn control.Micros // if not admitted and not full; at least 1
 }
 
 // Controller decides on requests.
 type Controller struct {
 	now    control.Micros
+	most   int // open sessions; 0: no bound
+	open   int
 	tokens buckets
 	slots  map[string]slot
 	// expected are the slots from now on, and late those before whose clients did not come yet. Both are ordered by time; a
@@ -56,12 +60,17 @@
 
 // New makes a controller with full buckets.
 func New(l Limits) *Controller {
-	return &Controller{tokens: newBuckets(l), slots: map[string]slot{}}
+	return &Controller{most: l.Sessions, tokens: newBuckets(l), slots: map[string]slot{}}
 }
 
-// Admit decides on a request at a time. A time before that of an earlier call counts as that one.
+// Admit decides on a request at a time. A time before that of an earlier call counts as that one. Each session that is admitted
+// has to be ended with End.
 func (c *Controller) Admit(now control.Micros, r Request) Decision {
 	c.advance(now)
+	if c.most > 0 && c.open >= c.most {
+		delete(c.slots, r.Client)
+		return Decision{Full: true}
+	}
 	s, held := c.slots[r.Client]
 	if held && s.at > c.now { // too early: the slot stays as it is
 		return Decision{ComeBackIn: s.at - c.now}
@@ -71,9 +80,13 @@
 		return Decision{ComeBackIn: c.assign(r)}
 	}
 	c.tokens.spend(r.Snapshot)
+	c.open++
 	return Decision{Admitted: true}
 }
 
+// End says that a session which was admitted is over.
+func (c *Controller) End() { c.open-- }
+
 // Defer gives a slot to a client whose session has to end, and reports in what time it is.
 func (c *Controller) Defer(now control.Micros, r Request) (comeBackIn control.Micros) {
 	c.advance(now)
--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -16,7 +16,8 @@
 func limits(t *rapid.T) Limits {
 	rate := func(name string) float64 { return float64(rapid.IntRange(1, 200).Draw(t, name)) / 2 }
 	burst := func(name string) int { return rapid.IntRange(0, 20).Draw(t, name) }
-	return Limits{rate("sessions/s"), burst("sessions burst"), rate("snapshots/s"), burst("snapshots burst")}
+	return Limits{SessionsPerSecond: rate("sessions/s"), SessionsBurst: burst("sessions burst"),
+		SnapshotsPerSecond: rate("snapshots/s"), SnapshotsBurst: burst("snapshots burst")}
 }
 
 // admissions are the times of what was admitted.
@@ -83,6 +84,35 @@
 	})
 }
 
+// Whatever clients do, no more sessions are open than may be; a client is told that the machine is full exactly while they are,
+// and then holds no slot.
+func TestNeverMoreSessionsThanMayBe(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		l := limits(t)
+		l.Sessions = rapid.IntRange(1, 8).Draw(t, "sessions")
+		c, now, open := New(l), control.Micros(0), 0
+		for range rapid.IntRange(1, 150).Draw(t, "steps") {
+			now += control.Micros(rapid.IntRange(0, 200_000).Draw(t, "later"))
+			if open > 0 && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
+				c.End()
+				open--
+				continue
+			}
+			r := Request{Client: fmt.Sprint(rapid.IntRange(1, 20).Draw(t, "client")), Snapshot: rapid.Bool().Draw(t, "snapshot")}
+			d := c.Admit(now, r)
+			require.Equal(t, open == l.Sessions, d.Full)
+			if d.Full {
+				require.Equal(t, Decision{Full: true}, d)
+				require.NotContains(t, c.slots, r.Client)
+			}
+			if d.Admitted {
+				open++
+			}
+			require.LessOrEqual(t, open, l.Sessions)
+		}
+	})
+}
+
 // arrival is a client that comes at a time.
 type arrival struct {
 	at      control.Micros
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -54,6 +54,7 @@
 	health   health
 	sessions map[fleetSession]bool
 	mostLoad int
+	most     int // sessions that it holds at a time; 0: no bound
 	// Admission: a token bucket that answers "come back in", spread over the time that the refused need. Rate 0: none.
 	rate, burst, tokens float64
 	refused             float64 // promised a place later
@@ -200,6 +201,10 @@
 		f.end(c, a.Session, End{Reason: Lost})
 		return
 	}
+	if r.most > 0 && len(r.sessions) >= r.most {
+		f.end(c, a.Session, End{Reason: Full})
+		return
+	}
 	if wait := r.admit(f.now); wait > 0 {
 		f.end(c, a.Session, End{ComeBack, wait})
 		return
@@ -358,6 +363,40 @@
 	return 3
 }
 
+// With a bound of twice a machine's share the machine that is left in a zone takes no more than that: the rest go on to the
+// region's other zone at once, none is left without a session, and all come back once the lost machine has returned.
+func TestFleetWithFullMachines(t *testing.T) {
+	const most = 2 * fleetClients / fleetReplicas
+	timing := Timing{}.WithDefaults()
+	const slack = control.Micros(300e3)
+	for seed := range fleetSeeds() {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			f := newFleet(seed, 10e6)
+			for _, r := range f.replicas {
+				r.most = most
+			}
+			f.runFor(10e6)
+			f.runUntil(t, 5e6, "started", f.settled)
+			f.runFor(timing.StableAfter + 10e6)
+
+			lost, left := f.in("zone-1")[0], f.in("zone-1")[1]
+			f.fail(refuses, lost)
+			took := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.connected)
+			require.Equal(t, most, left.mostLoad, "%d gatekeepers of its zone would go there", zoneClients)
+			require.LessOrEqual(t, f.mostLoad(), most)
+			f.runFor(2 * timing.ReturnEvery)
+			require.True(t, f.connected())
+			require.LessOrEqual(t, f.mostLoad(), most, "they look for room in their zone, and find none")
+
+			f.recover(lost)
+			back := f.runUntil(t, timing.ReturnEvery+slack, "all are back where they prefer to be", f.settled)
+			require.LessOrEqual(t, f.mostLoad(), most)
+			t.Logf("all have a session again in %.2f s, and are back in %.2f s", float64(took)/1e6, float64(back)/1e6)
+		})
+	}
+}
+
 // Failures of control machines with all 2,200 gatekeepers: how much load the others get at most, how long it takes until all
 // have a session again, and how many new sessions a second a machine gets; then the same for the return.
 func TestFleetFailures(t *testing.T) {
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -119,6 +119,7 @@
 	ComeBack               // the replica admits no more sessions for a time
 	Behind                 // the replica holds less than the revision asked for
 	Refused                // the replica is no control machine, or broke the protocol
+	Full                   // the replica holds as many sessions as it may: the others are tried
 
 	noAnswer // no event in time
 )
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -25,6 +25,7 @@
 
 // Admission bounds what a control machine takes on at a time. A figure that is 0 is left to the store's default.
 type Admission struct {
+	Sessions       int     // at a time
 	SessionsPerS   float64 // new sessions, a second
 	SessionsBurst  int
 	SnapshotsPerS  float64 // snapshots sent, a second
@@ -109,9 +110,10 @@
 }
 
 func (m *Machine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
-	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst")
+	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst", "sessions")
 	m.Admission = Admission{
 		SessionsPerS: f.Number(a[0], leastAdmission, mostAdmission), SessionsBurst: int(f.Whole(a[1], 1, mostAdmission)),
 		SnapshotsPerS: f.Number(a[2], leastAdmission, mostAdmission), SnapshotsBurst: int(f.Whole(a[3], 1, mostAdmission)),
+		Sessions: int(f.Whole(a[4], 1, mostAdmission)),
 	}
 }
--- a/internal/controlmachine/machine.go
+++ b/internal/controlmachine/machine.go
@@ -108,6 +108,7 @@
 // admission fills in what the file leaves out.
 func admission(a config.Admission) store.AdmissionOptions {
 	return store.AdmissionOptions{
+		Sessions:          a.Sessions,
 		SessionsPerSecond: cmp.Or(a.SessionsPerS, sessionsPerS), SessionsBurst: cmp.Or(a.SessionsBurst, sessionsBurst),
 		SnapshotsPerSecond: cmp.Or(a.SnapshotsPerS, snapshotsPerS), SnapshotsBurst: cmp.Or(a.SnapshotsBurst, snapshotsBurst),
 	}
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -253,6 +253,7 @@
 	var slow *store.WatcherTooSlow
 	var control *store.NotControl
 	var request *store.BadRequest
+	var full *store.SessionsFull
 	switch {
 	case errors.As(err, &back):
 		return session.End{Reason: session.ComeBack, After: micros(back.After)}
@@ -260,6 +261,8 @@
 		return session.End{Reason: session.Behind}
 	case errors.As(err, &slow):
 		return session.End{Reason: session.TooSlow}
+	case errors.As(err, &full):
+		return session.End{Reason: session.Full}
 	case errors.As(err, &control), errors.As(err, &request):
 		return session.End{Reason: session.Refused}
 	}
--- a/internal/scalelab/changes.go
+++ b/internal/scalelab/changes.go
@@ -31,6 +31,8 @@
 	began   time.Time
 	cutOff  func(region string) bool // regions that the script has cut off
 
+	turn sync.Mutex // held while a change is written, and while the script has the store without its records
+
 	mu        sync.Mutex
 	rng       *rand.Rand
 	refusable bool // the script has marked changes now
@@ -47,6 +49,8 @@
 // put writes one change and returns when it is acknowledged. After an error it writes the same change again, at another
 // machine: the answer may have been lost, and then the change stands at two revisions with the same content.
 func (w *writer) put(ctx context.Context, mayRefuse bool) (judge.Change, error) {
+	w.turn.Lock()
+	defer w.turn.Unlock()
 	w.mu.Lock()
 	marker := uint64(len(w.changes) + 1)
 	c := judge.Change{Marker: marker, Refusable: mayRefuse && w.refusable && marker%refusableEvery == 0}
@@ -75,6 +79,14 @@
 	}
 }
 
+// restamped notes that the records of the last change stand at a further revision.
+func (w *writer) restamped(revision uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	last := &w.changes[len(w.changes)-1]
+	last.Restamped = append(last.Restamped, revision)
+}
+
 // try writes a change at a machine that runs and is not cut off.
 func (w *writer) try(ctx context.Context, calls, limits []byte) (uint64, error) {
 	var able []*machine
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -230,6 +230,19 @@
 	m.process.Kill()
 }
 
+// lose kills every machine and removes what it kept.
+func (c *controlPlane) lose() error {
+	for _, m := range c.machines {
+		m.kill()
+	}
+	for _, m := range c.machines {
+		if err := os.RemoveAll(filepath.Join(c.options.Dir, m.Name)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // pause stops the machine's process, or lets it go on.
 func (m *machine) pause(paused bool) error {
 	m.mu.Lock()
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -11,6 +11,7 @@
 
 	"beammux/internal/scalelab/hollow"
 	"beammux/internal/scalelab/script"
+	"beammux/internal/store"
 )
 
 // restartDown is how long a gatekeeper that is restarted is down.
@@ -110,6 +111,8 @@
 		return l.stuck(f, rng)
 	case script.PauseControl, script.PauseLeader:
 		return l.pause(ctx, f, rng)
+	case script.RemakeControl:
+		return l.remake(ctx, f)
 	case script.Latency:
 		return fmt.Sprintf("%v each way between regions", f.Delay), wait(ctx, l.options.Length)
 	case script.StartAtOnce:
@@ -134,6 +137,36 @@
 	return nil
 }
 
+// remake loses every control machine with its disk. A group that is made anew gets the records of a backup that was taken
+// before, as an operator would restore it; no change is written meanwhile.
+func (l *laboratory) remake(ctx context.Context, f script.Fault) (string, error) {
+	l.writer.turn.Lock()
+	defer l.writer.turn.Unlock()
+	leader, err := l.plane.leader(ctx)
+	if err != nil {
+		return "", err
+	}
+	backup, err := store.BackupFrom(ctx, leader.Address)
+	if err != nil {
+		return "", err
+	}
+	if err := l.plane.lose(); err != nil {
+		return "", err
+	}
+	if err := wait(ctx, f.For); err != nil {
+		return "", err
+	}
+	if err := l.plane.startAll(ctx); err != nil {
+		return "", err
+	}
+	done, err := backup.Restore(ctx, l.plane.machines[0].Address, store.RestoreOptions{})
+	if err != nil {
+		return "", err
+	}
+	l.writer.restamped(done.Revision)
+	return fmt.Sprintf("%d records of a backup at revision %d, restored at %d", done.Written, backup.Revision, done.Revision), nil
+}
+
 // cutRegion cuts a region off, the gatekeepers' way and the control machines', and heals it.
 func (l *laboratory) cutRegion(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	region := f.Region
--- a/internal/scalelab/judge/judge.go
+++ b/internal/scalelab/judge/judge.go
@@ -17,6 +17,8 @@
 	Began     time.Duration // when the write was first tried, since the run began
 	Committed time.Duration // when it was acknowledged
 	Refusable bool          // the gatekeepers in Log.Refusing must refuse it
+	// Restamped are further revisions at which its records stand: those of a store that was made anew with them.
+	Restamped []uint64
 }
 
 // Section is what one section of a candidate held.
@@ -161,16 +163,22 @@
 // each revision above the change before it and up to the acknowledged one may carry it.
 type span struct {
 	above, upTo uint64
+	restamped   []uint64
 	refusable   bool
 }
 
+// holds tells whether records of the change can have a revision.
+func (s span) holds(revision uint64) bool {
+	return revision > s.above && revision <= s.upTo || slices.Contains(s.restamped, revision)
+}
+
 func newChecker(l Log, v *Verdict) *checker {
 	c := &checker{Log: l, verdict: v, byMarker: map[uint64]span{}, applied: map[string][]Applied{}, outages: map[string][]Outage{}}
 	c.Changes = slices.Clone(l.Changes)
 	slices.SortFunc(c.Changes, func(a, b Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	before := uint64(0)
 	for _, change := range c.Changes {
-		c.byMarker[change.Marker] = span{before, change.Revision, change.Refusable}
+		c.byMarker[change.Marker] = span{before, change.Revision, change.Restamped, change.Refusable}
 		before = change.Revision
 	}
 	for _, a := range l.Applied {
@@ -232,7 +240,7 @@
 	}
 	for _, s := range a.Sections {
 		known, ok := c.byMarker[s.Marker]
-		if !ok || s.Revision <= known.above || s.Revision > known.upTo || s.Revision > a.Revision {
+		if !ok || !known.holds(s.Revision) || s.Revision > a.Revision {
 			c.broken(Unknown, a, fmt.Sprintf("change %d at revision %d in candidate %d", s.Marker, s.Revision, a.Revision))
 			break
 		}
--- a/internal/scalelab/judge/judge_test.go
+++ b/internal/scalelab/judge/judge_test.go
@@ -17,7 +17,9 @@
 	}
 	return Log{
 		Gatekeepers: []string{"a", "b"}, Refusing: map[string]bool{"b": true}, Sections: 2, End: 60 * second, Within: 17 * second,
-		Changes: []Change{{1, 10, 1 * second, 1 * second, false}, {2, 20, 5 * second, 5 * second, true}, {3, 30, 9 * second, 10 * second, false}},
+		Changes: []Change{{Marker: 1, Revision: 10, Began: 1 * second, Committed: 1 * second},
+			{Marker: 2, Revision: 20, Began: 5 * second, Committed: 5 * second, Refusable: true},
+			{Marker: 3, Revision: 30, Began: 9 * second, Committed: 10 * second}},
 		Applied: []Applied{
 			{"a", 1, 2 * second, 10, section(1, 10)}, {"a", 1, 6 * second, 20, section(2, 20)}, {"a", 1, 11 * second, 30, section(3, 30)},
 			{"b", 1, 2 * second, 10, section(1, 10)}, {"b", 1, 12 * second, 31, section(3, 30)},
@@ -34,6 +36,18 @@
 	require.Zero(t, v.Open)
 }
 
+// The records of a change may come again at a revision at which they were restored, and at no other.
+func TestRestoredRecords(t *testing.T) {
+	l := good()
+	l.Applied = append(l.Applied, Applied{"a", 1, 14 * second, 5000, []Section{{3, 5000}, {3, 5000}}})
+	require.Positive(t, Check(l).Counts[Unknown])
+	l.Changes[2].Restamped = []uint64{5000}
+	v := Check(l)
+	require.True(t, v.Held(), "%v", v.First)
+	l.Applied = append(l.Applied, Applied{"a", 1, 15 * second, 5001, []Section{{3, 5001}, {3, 5001}}})
+	require.Positive(t, Check(l).Counts[Unknown])
+}
+
 // Each rule is broken on purpose, and found; no other rule is reported with it.
 func TestEachRuleIsFound(t *testing.T) {
 	for _, row := range []struct {
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -53,6 +53,7 @@
 
 // Admission is a control machine's rate of new sessions and snapshots.
 type Admission struct {
+	Sessions       int     `json:"sessions,omitempty"` // at a time; 0: no bound
 	SessionsPerS   float64 `json:"sessions_per_s"`
 	SessionsBurst  int     `json:"sessions_burst"`
 	SnapshotsPerS  float64 `json:"snapshots_per_s"`
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -80,6 +80,28 @@
 	requireNoProcess(t, o.Dir)
 }
 
+// All control machines are lost with their disks. A group that is made anew from a backup begins with lower revisions than the
+// gatekeepers hold; raised above them by the restore, it is followed by all again, nobody goes back, and changes after it come
+// into force in time.
+func TestRemadeControlPlane(t *testing.T) {
+	if testing.Short() {
+		t.Skip("starts processes for half a minute")
+	}
+	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 30, Control: 3, Voters: 3, Regions: 3, Zones: 3, Services: 5, Hollow: 2,
+		Seed: 5, Length: 14 * time.Second, ChangesADay: 2800, Factor: 40, RecordBytes: recordBytes,
+		Faults:    []script.Fault{{Kind: script.RemakeControl, At: 3 * time.Second, For: time.Second}},
+		Admission: Admission{SessionsPerS: 50, SessionsBurst: 50, SnapshotsPerS: 50, SnapshotsBurst: 50}}
+	r, err := Run(t.Context(), o)
+	require.NoError(t, err)
+	t.Log("\n" + r.Table())
+	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
+	require.Len(t, r.Faults, 1)
+	require.Contains(t, r.Faults[0].What, "2 records of a backup")
+	require.GreaterOrEqual(t, r.Settings.Changes, 10)
+	require.Zero(t, r.Settings.Unjudged)
+	requireNoProcess(t, o.Dir)
+}
+
 // requireNoProcess says that no process works in a folder any more.
 func requireNoProcess(t *testing.T, dir string) {
 	t.Helper()
--- a/internal/scalelab/script/script.go
+++ b/internal/scalelab/script/script.go
@@ -36,6 +36,8 @@
 	StuckWatcher Kind = "stuck-watcher" // Count watchers that read nothing, from At on
 	PauseControl Kind = "pause-control" // a control machine that does not lead is stopped for For, and goes on
 	PauseLeader  Kind = "pause-leader"  // the same with the leader
+	// RemakeControl loses all control machines with their disks; after For a new group has the records of a backup.
+	RemakeControl Kind = "remake-control"
 )
 
 // Bounds of a script.
@@ -68,6 +70,8 @@
 	StuckWatcher: {At: 5 * time.Second, Count: 4},
 	PauseControl: {At: 10 * time.Second, For: 10 * time.Second},
 	PauseLeader:  {At: 10 * time.Second, For: 10 * time.Second},
+
+	RemakeControl: {At: 10 * time.Second, For: 5 * time.Second},
 }
 
 // Kinds lists the kinds by name.
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -24,8 +24,10 @@
 	LeaderNode string        `json:"leader_node"` // "" while there is none
 	Leader     string        `json:"leader"`      // its address
 	Term       uint64        `json:"term"`
-	Applied    uint64        `json:"applied"` // index of the last entry that is in the records
-	Last       uint64        `json:"last"`    // and of the last in the log
+	Applied    uint64        `json:"applied"`        // index of the last entry that is in the records
+	Revision   uint64        `json:"revision"`       // of the records
+	Held       uint64        `json:"held,omitempty"` // highest revision that a client of a session said it holds, where that is above Revision
+	Last       uint64        `json:"last"`           // and of the last in the log
 	Snapshot   uint64        `json:"snapshot"`
 	Contact    time.Duration `json:"last_contact_ns"` // since word from the leader; 0 at the leader
 	Records    int           `json:"records"`
@@ -33,13 +35,18 @@
 	Members    []Member      `json:"members"`
 
 	Transactions bool `json:"transactions"` // this version carries out transactions
+	Raises       bool `json:"raises"`       // and raises revisions
 }
 
 // Status tells how this member stands.
 func (n *Node) Status() Status {
 	leader, id := n.raft.LeaderWithID()
 	s := Status{Node: n.id, State: n.raft.State().String(), LeaderNode: string(id), Leader: string(leader), Term: n.raft.CurrentTerm(),
-		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{}, Transactions: true}
+		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{},
+		Revision: n.fsm.lastRevision(), Transactions: true, Raises: true}
+	if n.sessions != nil {
+		s.Held = n.sessions.heldAbove(s.Revision)
+	}
 	if !n.Leader() && !n.raft.LastContact().IsZero() {
 		s.Contact = time.Since(n.raft.LastContact())
 	}
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -25,7 +25,9 @@
 	case r.Conflict:
 		return 0, ErrRevision
 	case c.Op == opTransact && r.Done != transactionConfirmed:
-		return 0, &EarlierVersion{transactions, "leading the group"}
+		return 0, &EarlierVersion{transactions, leadingMember}
+	case c.Op == opRaise && r.Done != raiseConfirmed:
+		return 0, &EarlierVersion{raises, leadingMember}
 	}
 	return r.Revision, n.fsm.wait(ctx, r.Revision)
 }
--- a/internal/store/durable_test.go
+++ b/internal/store/durable_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"beammux/internal/porttest"
 	"beammux/internal/store/journal"
 )
 
@@ -46,10 +47,7 @@
 	var peers []Peer
 	var listeners []net.Listener
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
+		l := porttest.Listen(t)
 		listeners = append(listeners, l)
 		peers = append(peers, Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
 	}
@@ -230,10 +228,10 @@
 	if err := restore(`{"applied":7,"records":[{"key":"inventory","value":"eA==","revision":5}]}`); err != nil {
 		t.Fatal(err)
 	}
-	if r, ok := m.get("inventory"); !ok || r.Revision != 5 || string(r.Value) != "x" || m.applied != 7 {
-		t.Errorf("%+v, applied %d", r, m.applied)
+	if r, ok := m.get("inventory"); !ok || r.Revision != 5 || string(r.Value) != "x" || m.index != 7 || m.revision != 7 {
+		t.Errorf("%+v, index %d, revision %d", r, m.index, m.revision)
 	}
-	if err := restore(`{"version":2,"applied":9}`); err == nil || !strings.Contains(err.Error(), "version 2") {
+	if err := restore(`{"version":3,"applied":9}`); err == nil || !strings.Contains(err.Error(), "version 3") {
 		t.Error(err)
 	}
 	if _, ok := m.get("inventory"); !ok {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -34,7 +34,21 @@
 
 // Advice implements advice.Error.
 func (e *ReplicaBehind) Advice() string {
-	return "the client moves on to another control machine; if all of them answer so, the store was made anew: write its records again until its revision is above the client's, or remove the client's kept settings"
+	return "the client moves on to another control machine; if all of them answer so, the store was made anew: raise its revision above the client's (beammux store raise)"
+}
+
+// SessionsFull is a control machine's answer to a session beyond the most that it is set to hold.
+type SessionsFull struct {
+	Most int // sessions
+}
+
+func (e *SessionsFull) Error() string {
+	return fmt.Sprintf("the control machine holds %d sessions, the most that it may", e.Most)
+}
+
+// Advice implements advice.Error.
+func (e *SessionsFull) Advice() string {
+	return "the client moves on to another control machine; if all of them are full, raise admission.sessions or add one"
 }
 
 // WatcherTooSlow says that a session was cut off because changes came faster than its client read them. The client resumes.
@@ -109,6 +123,8 @@
 	codeRefused  = "refused"
 	codeRequest  = "request"
 	codeEarlier  = "earlier-version"
+	codeAway     = "member-away"
+	codeFull     = "full"
 )
 
 // wireFault carries a typed error to a client, beside its text.
@@ -132,6 +148,8 @@
 	var refused *Refused
 	var request *BadRequest
 	var earlier *EarlierVersion
+	var away *MemberAway
+	var full *SessionsFull
 	switch {
 	case errors.As(err, &back):
 		r.Typed = &wireFault{Code: codeComeBack, After: back.After}
@@ -147,6 +165,10 @@
 		r.Typed = &wireFault{Code: codeRequest}
 	case errors.As(err, &earlier):
 		r.Typed = &wireFault{Code: codeEarlier, What: earlier.What, Member: earlier.Member}
+	case errors.As(err, &away):
+		r.Typed = &wireFault{Code: codeAway, What: away.Cause, Member: away.Member}
+	case errors.As(err, &full):
+		r.Typed = &wireFault{Code: codeFull, Have: uint64(full.Most)}
 	}
 }
 
@@ -168,6 +190,10 @@
 			return &BadRequest{r.Fault}
 		case codeEarlier:
 			return &EarlierVersion{r.Typed.What, r.Typed.Member}
+		case codeAway:
+			return &MemberAway{r.Typed.Member, r.Typed.What}
+		case codeFull:
+			return &SessionsFull{int(r.Typed.Have)}
 		}
 	}
 	return untyped(r.Fault)
@@ -178,7 +204,8 @@
 	var refused *Refused
 	var request *BadRequest
 	var earlier *EarlierVersion
-	return errors.As(err, &refused) || errors.As(err, &request) || errors.As(err, &earlier)
+	var away *MemberAway
+	return errors.As(err, &refused) || errors.As(err, &request) || errors.As(err, &earlier) || errors.As(err, &away)
 }
 
 // newRefused makes a check's error one that says so, with its text and advice.
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -202,6 +202,6 @@
 		m.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(text)})
 	}
 	require.Equal(t, []Record{{"a", []byte("2"), 2}}, m.list(""))
-	require.Equal(t, uint64(6), m.index())
+	require.Equal(t, uint64(6), m.lastIndex())
 
 }
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -31,6 +31,9 @@
 	// opReduce replaces a record by what its reducer makes of it and of the command's value, alike at every member.
 	opReduce = "reduce"
 
+	// opRaise lifts the revisions of the group above one (command.At).
+	opRaise = "raise"
+
 	// Decided and carried out at the leader.
 	opMember = "member"
 )
@@ -85,8 +88,10 @@
 	mu       sync.Mutex
 	records  map[string]Record
 	reducers map[string]Reducer // by key
-	applied  uint64
-	more     chan struct{} // closed and renewed when applied grows
+	index    uint64             // of the last entry applied
+	revision uint64             // of the records: the index and the offset
+	offset   uint64             // by which revisions are above indexes, see raise
+	more     chan struct{}      // closed and renewed when revision grows
 	watchers []*watcher
 	history  *history // nil where no sessions are served
 }
@@ -105,7 +110,11 @@
 	err := json.Unmarshal(l.Data, &c)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := result{Revision: l.Index}
+	m.index = l.Index
+	if err == nil && c.Op == opRaise {
+		return m.raise(c.At)
+	}
+	r := result{Revision: l.Index + m.offset}
 	var changes []change
 	if err != nil {
 		r.Fault = err.Error()
@@ -113,7 +122,7 @@
 		changes = m.changes(&c, &r)
 	}
 	m.carryOut(changes)
-	m.moved(l.Index, changes)
+	m.moved(r.Revision, changes)
 	return r
 }
 
@@ -186,32 +195,39 @@
 	})
 }
 
-func (m *machine) moved(index uint64, changes []change) {
+func (m *machine) moved(revision uint64, changes []change) {
 	if m.history != nil { // before advance: who waits for a revision finds it in the history
-		m.history.append(index, changes)
+		m.history.append(revision, changes)
 	}
-	m.advance(index)
+	m.advance(revision)
 }
 
-func (m *machine) advance(index uint64) {
-	m.applied = index
+func (m *machine) advance(revision uint64) {
+	m.revision = revision
 	close(m.more)
 	m.more = make(chan struct{})
 }
 
-// index is that of the last entry that the machine itself has applied; raft's own count runs ahead of it, since it counts
+// lastIndex is that of the last entry that the machine itself has applied; raft's own count runs ahead of it, since it counts
 // entries handed over.
-func (m *machine) index() uint64 {
+func (m *machine) lastIndex() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.index
+}
+
+// lastRevision is the revision of the records.
+func (m *machine) lastRevision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.applied
+	return m.revision
 }
 
 // wait returns once a revision is applied here.
 func (m *machine) wait(ctx context.Context, revision uint64) error {
 	for {
 		m.mu.Lock()
-		done, more := m.applied >= revision, m.more
+		done, more := m.revision >= revision, m.more
 		m.mu.Unlock()
 		if done {
 			return nil
@@ -250,7 +266,7 @@
 			all = append(all, r)
 		}
 	}
-	revision = m.applied
+	revision = m.revision
 	m.mu.Unlock()
 	slices.SortFunc(all, func(a, b Record) int { return strings.Compare(a.Key, b.Key) })
 	return all, revision
@@ -273,19 +289,30 @@
 	}
 }
 
-// snapshotVersion is that of the form below. Version 0, which had no such field and is otherwise the same, is read too.
-const snapshotVersion = 1
+// Versions of the form below. Version 0, which had no such field and is otherwise that of plainSnapshot, is read too. A group
+// whose revisions were raised writes raisedSnapshot, which programs that know nothing of that must not take for the other.
+const (
+	plainSnapshot  = 1
+	raisedSnapshot = 2
+)
 
 type snapshot struct {
 	Version int      `json:"version"`
-	Applied uint64   `json:"applied"`
+	Applied uint64   `json:"applied"`          // revision
+	Offset  uint64   `json:"offset,omitempty"` // of revisions above indexes
 	Records []Record `json:"records"`
 }
 
 // Snapshot implements raft.FSM.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	records, applied := m.listAt("")
-	return &snapshot{snapshotVersion, applied, records}, nil
+	records, revision := m.listAt("")
+	m.mu.Lock() // raft applies nothing meanwhile
+	defer m.mu.Unlock()
+	s := &snapshot{Version: plainSnapshot, Applied: revision, Offset: m.offset, Records: records}
+	if s.Offset > 0 {
+		s.Version = raisedSnapshot
+	}
+	return s, nil
 }
 
 // Restore implements raft.FSM. Watchers hear of what differs.
@@ -295,8 +322,11 @@
 	if err := json.NewDecoder(in).Decode(&s); err != nil {
 		return err
 	}
-	if s.Version > snapshotVersion {
-		return fmt.Errorf("store: snapshot of version %d, this program reads up to version %d", s.Version, snapshotVersion)
+	if s.Version > raisedSnapshot {
+		return fmt.Errorf("store: snapshot of version %d, this program reads up to version %d", s.Version, raisedSnapshot)
+	}
+	if s.Offset > s.Applied {
+		return fmt.Errorf("store: snapshot at revision %d with an offset of %d", s.Applied, s.Offset)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -313,11 +343,12 @@
 			m.tell(Record{Key: key, Revision: s.Applied})
 		}
 	}
-	applied := max(m.applied, s.Applied)
+	m.offset, m.index = s.Offset, max(m.index, s.Applied-s.Offset)
+	revision := max(m.revision, s.Applied)
 	if m.history != nil {
-		m.history.reset(applied)
+		m.history.reset(revision)
 	}
-	m.advance(applied)
+	m.advance(revision)
 	return nil
 }
 
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -233,7 +233,7 @@
 	if !n.leaderKnown() {
 		return false
 	}
-	if n.fsm.index() < n.lastCommand(max(n.replay, n.raft.CommitIndex())) {
+	if n.fsm.lastIndex() < n.lastCommand(max(n.replay, n.raft.CommitIndex())) {
 		return false
 	}
 	n.caught.Store(true)
@@ -244,7 +244,7 @@
 // none. Only commands reach the machine: no-ops and changes of members do not, so the machine's index stops below them.
 func (n *Node) lastCommand(upTo uint64) uint64 {
 	var l raft.Log
-	for i, applied := upTo, n.fsm.index(); i > applied; i-- {
+	for i, applied := upTo, n.fsm.lastIndex(); i > applied; i-- {
 		if n.logs.GetLog(i, &l) != nil { // taken into a snapshot: applied with it
 			return 0
 		}
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -68,6 +68,11 @@
 	if !n.leaderKnown() { // the caller waits, within its own time-out
 		return ErrNotReady
 	}
+	if cmd.Op == opRaise {
+		r.Revision, err = n.Raise(ctx, cmd.At)
+		r.Done = raiseConfirmed
+		return err
+	}
 	cmd.Hop = true
 	if cmd.Op == opReduce {
 		*r, err = n.committed(ctx, cmd)
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -20,6 +20,8 @@
 	wake    chan struct{}
 	gone    chan struct{} // the client has left, or is silent
 	cursor  uint64        // all up to this revision is sent; of the writing goroutine alone
+	// admitted tells that the session counts among those that are open; of the writing goroutine alone.
+	admitted bool
 
 	mu          sync.Mutex
 	sent        uint64 // the cursor, for others
@@ -37,6 +39,7 @@
 
 // run serves the session. The error is what is still to be sent to the client, or errSessionEnds.
 func (s *session) run() error {
+	defer s.release()
 	if err := s.open(); err != nil {
 		return err
 	}
@@ -48,6 +51,12 @@
 	return errSessionEnds
 }
 
+func (s *session) release() {
+	if s.admitted {
+		s.server.release()
+	}
+}
+
 // endWith sends the client the reason why its session ends, and waits until it has left: a connection that is closed while reports
 // of the client are unread is reset, and what was written last may be lost.
 func (s *session) endWith(err error) {
@@ -75,6 +84,7 @@
 	if err := s.server.check(s.request); err != nil {
 		return err
 	}
+	s.server.noteHeld(s.request.After)
 	if err := s.server.reached(s.request.After); err != nil {
 		return err
 	}
@@ -84,6 +94,7 @@
 	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, Snapshot: snapshot}); err != nil {
 		return err
 	}
+	s.admitted = true
 	v := s.server.currentView()
 	s.setTarget(v.newest(s.request.Prefixes))
 	s.mu.Lock()
--- a/internal/store/session_bench_test.go
+++ b/internal/store/session_bench_test.go
@@ -44,7 +44,7 @@
 				one := &session{server: n.sessions, conn: discard{got: sent.Done}, since: time.Now(), wake: make(chan struct{}, 1), gone: make(chan struct{}),
 					request: WatchRequest{Prefixes: []string{"settings/all/", fmt.Sprint("settings/gatekeeper/g", i, "/")}}}
 				require.NoError(b, n.sessions.add(one))
-				one.setCursor(n.fsm.index())
+				one.setCursor(n.fsm.lastRevision())
 				go func() {
 					defer n.sessions.remove(one)
 					one.send()
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -43,6 +43,7 @@
 	sessions map[*session]struct{}
 	byPrefix map[string]map[*session]struct{}
 	fleet    *FleetCounts // last gathered; not changed once it is here
+	held     uint64       // highest revision that a client has said it holds
 
 	viewMu sync.Mutex
 	view   *view
@@ -188,6 +189,23 @@
 	return nil
 }
 
+// noteHeld takes down the revision that a client says it holds.
+func (s *sessionServer) noteHeld(revision uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.held = max(s.held, revision)
+}
+
+// heldAbove is the highest revision that a client has said it holds, 0 where that is not above a revision.
+func (s *sessionServer) heldAbove(revision uint64) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.held <= revision {
+		return 0
+	}
+	return s.held
+}
+
 // reached waits a short time for the replica to be ready and to hold a revision.
 func (s *sessionServer) reached(after uint64) error {
 	ctx, cancel := context.WithTimeout(s.ctx, behindWithin)
@@ -200,21 +218,31 @@
 	case notReady:
 		return ErrNotReady
 	case behind:
-		return &ReplicaBehind{s.node.fsm.index(), after}
+		return &ReplicaBehind{s.node.fsm.lastRevision(), after}
 	}
 	return nil
 }
 
-// admitted asks the controller for a session.
+// admitted asks the controller for a session. One that is admitted is to be ended with release.
 func (s *sessionServer) admitted(r admission.Request) error {
 	s.admitMu.Lock()
 	defer s.admitMu.Unlock()
-	if d := s.admit.Admit(s.clock(), r); !d.Admitted {
+	switch d := s.admit.Admit(s.clock(), r); {
+	case d.Full:
+		return &SessionsFull{s.options.Admission.Sessions}
+	case !d.Admitted:
 		return &ComeBack{duration(d.ComeBackIn)}
 	}
 	return nil
 }
 
+// release ends a session that was admitted.
+func (s *sessionServer) release() {
+	s.admitMu.Lock()
+	defer s.admitMu.Unlock()
+	s.admit.End()
+}
+
 // comeBack gives a client that must begin anew, with a snapshot, the time for that.
 func (s *sessionServer) comeBack(client string) error {
 	s.admitMu.Lock()
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -25,6 +25,9 @@
 // transactionConfirmed is in the answer to a transaction of a member that knows them.
 const transactionConfirmed = "transaction"
 
+// leadingMember stands for the name of the leader, where its answer does not tell it.
+const leadingMember = "leading the group"
+
 // checkTransaction refuses what no member can carry out. Every member also asks it when it applies a transaction, so it
 // must not change its mind with a later version.
 func checkTransaction(writes []Write) error {
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -110,6 +110,7 @@
 
 // AdmissionOptions bound how fast a control machine takes sessions. Rates are per second; a rate of 0 bounds nothing.
 type AdmissionOptions struct {
+	Sessions           int // most at a time; 0: as many as the program can hold
 	SessionsPerSecond  float64
 	SessionsBurst      int
 	SnapshotsPerSecond float64
