--- a/cmd/beammux/lab_scale.go
+++ b/cmd/beammux/lab_scale.go
@@ -32,7 +32,7 @@
 	Factor        float64       `help:"They come so many times as often." default:"20"`
 	RecordBytes   int           `help:"Bytes of each of the two records of a change." default:"1024"`
 	With          string        `help:"What the gatekeepers have beside configuration, with commas between: membership, registers, limits."`
-	Faults        string        `help:"Kinds with + between them, or a YAML file: kill-leader, kill-zone, cut-region, latency, restart, start-at-once, refuse, stuck-watcher, pause-control, pause-leader, remake-control."`
+	Faults        string        `help:"Kinds with + between them, or a YAML file: kill-leader, kill-zone, cut-region, latency, restart, start-at-once, refuse, stuck-watcher, pause-control, pause-leader, lose-rack, lose-zone, remake-control."`
 	Site          string        `help:"A gatekeeper's configuration by which changes are checked; none if not set." type:"path"`
 	Sessions      float64       `help:"New sessions a second that a control machine admits." default:"50"`
 	Snapshots     float64       `help:"And snapshots." default:"50"`
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -291,6 +291,17 @@
 
 // zonePair gives two machines of a zone that the seed draws; nil where no zone has two that run.
 func (c *controlPlane) zonePair(rng *rand.Rand) []*machine {
+	if machines := c.drawZone(rng, 2); machines != nil {
+		return machines[:2]
+	}
+	return nil
+}
+
+// zoneMachines gives the machines of a zone that the seed draws; nil where none runs.
+func (c *controlPlane) zoneMachines(rng *rand.Rand) []*machine { return c.drawZone(rng, 1) }
+
+// drawZone gives the machines that run in a zone that the seed draws among those with so many at the least; nil: there is none.
+func (c *controlPlane) drawZone(rng *rand.Rand, least int) []*machine {
 	zones := map[string][]*machine{}
 	for _, m := range c.machines {
 		if m.up() {
@@ -298,11 +309,11 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(zones))
-	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < 2 })
+	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < least })
 	if len(names) == 0 {
 		return nil
 	}
-	return zones[names[rng.IntN(len(names))]][:2]
+	return zones[names[rng.IntN(len(names))]]
 }
 
 // end ends every process that runs.
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -111,6 +111,8 @@
 		return l.stuck(f, rng)
 	case script.PauseControl, script.PauseLeader:
 		return l.pause(ctx, f, rng)
+	case script.LoseRack, script.LoseZone:
+		return l.losePlace(ctx, f, rng)
 	case script.RemakeControl:
 		return l.remake(ctx, f)
 	case script.Latency:
@@ -137,6 +139,32 @@
 	return nil
 }
 
+// losePlace loses a rack, or all of a zone that the seed draws: control machines and gatekeepers at once. They come back
+// together, the machines with their disks.
+func (l *laboratory) losePlace(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
+	machines := l.plane.zoneMachines(rng)
+	if len(machines) == 0 {
+		return "", fmt.Errorf("no zone has a control machine that runs")
+	}
+	zone, most := machines[0].Zone, len(l.plan.gatekeepers)
+	if f.Kind == script.LoseRack {
+		machines, most = machines[:1], f.Count
+	}
+	lost := 0
+	for i, g := range l.plan.gatekeepers {
+		if g.Zone != zone || lost == most {
+			continue
+		}
+		lost++
+		command := hollow.Command{Do: hollow.Restart, Name: g.Name, Down: f.For}
+		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
+			return "", err
+		}
+	}
+	what := fmt.Sprintf("%d gatekeepers and %d control machines of %s", lost, len(machines), zone)
+	return what, l.killed(ctx, f.For, machines...)
+}
+
 // remake loses every control machine with its disk. A group that is made anew gets the records of a backup that was taken
 // before, as an operator would restore it; no change is written meanwhile.
 func (l *laboratory) remake(ctx context.Context, f script.Fault) (string, error) {
--- a/internal/scalelab/script/script.go
+++ b/internal/scalelab/script/script.go
@@ -36,6 +36,8 @@
 	StuckWatcher Kind = "stuck-watcher" // Count watchers that read nothing, from At on
 	PauseControl Kind = "pause-control" // a control machine that does not lead is stopped for For, and goes on
 	PauseLeader  Kind = "pause-leader"  // the same with the leader
+	LoseRack     Kind = "lose-rack"     // Count gatekeepers of a zone and a control machine there are lost at once, for For
+	LoseZone     Kind = "lose-zone"     // all gatekeepers and control machines of a zone, the same
 	// RemakeControl loses all control machines with their disks; after For a new group has the records of a backup.
 	RemakeControl Kind = "remake-control"
 )
@@ -54,7 +56,7 @@
 	For    time.Duration
 	Kind   Kind
 	Region string        // of cut-region; "": drawn by the seed
-	Count  int           // of restart and stuck-watcher
+	Count  int           // of restart, stuck-watcher and lose-rack
 	Delay  time.Duration // of latency
 }
 
@@ -70,6 +72,8 @@
 	StuckWatcher: {At: 5 * time.Second, Count: 4},
 	PauseControl: {At: 10 * time.Second, For: 10 * time.Second},
 	PauseLeader:  {At: 10 * time.Second, For: 10 * time.Second},
+	LoseRack:     {At: 10 * time.Second, For: 20 * time.Second, Count: 40},
+	LoseZone:     {At: 10 * time.Second, For: 20 * time.Second},
 
 	RemakeControl: {At: 10 * time.Second, For: 5 * time.Second},
 }
