--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -55,6 +55,8 @@
 	isolatedPeerFailureRate = 0.2 // failure rate that the other members see at these, at most
 	isolatedMinServers      = 3   // servers with evidence of the member
 
+	leastSuccess = 0.01 // of a member that has had an answer, however long ago
+
 	firstProbers   = 1                       // members that send a set-up at the start of a trial
 	addProberEvery = control.Micros(2000000) // one member more for each such time without an outcome
 )
@@ -158,97 +160,132 @@
 	return &Detector{self: self, maxEjected: maxEjected, servers: map[uint32]*server{}}
 }
 
+// memberEvidence is what one member has observed of one server, of its present process alone.
+type memberEvidence struct {
+	member                   string
+	successes, failures      float64
+	succeeded, failed        bool
+	lastSuccess, lastFailure control.Micros // where it succeeded, and where it failed
+	failureStreak            int
+	voteUntil                control.Micros // end of its vote for ejection; 0: it does not vote
+}
+
+// observed is an observation of a member as it counts now: what it saw before the start of the server's process does not.
+func observed(now control.Micros, e *Evidence, o *Observation, startedAt control.Micros) memberEvidence {
+	m := memberEvidence{member: e.Member}
+	if o.SuccessAge >= 0 && now-e.Age-o.SuccessAge >= startedAt {
+		m.succeeded, m.lastSuccess = true, now-e.Age-o.SuccessAge
+		m.successes = max(o.Successes, leastSuccess)
+	}
+	if o.FailureAge >= 0 && now-e.Age-o.FailureAge >= startedAt {
+		m.failed, m.lastFailure = true, now-e.Age-o.FailureAge
+		m.failures, m.failureStreak = max(0, o.Failures), max(1, o.FailureStreak)
+	}
+	if left := min(o.VoteRemaining, MaxEjectionTime) - e.Age; left > 0 {
+		m.voteUntil = now + left
+	}
+	return m
+}
+
+// enough tells whether there is enough of it to count the member among the observers of the server.
+func (m *memberEvidence) enough() bool { return m.successes+m.failures >= minMemberFailures }
+
+// witness tells whether the member is a witness against the server.
+func (m *memberEvidence) witness() bool {
+	return m.enough() && m.failures >= minMemberFailures && m.failures >= minMemberFailureRate*(m.successes+m.failures)
+}
+
 // fleetEvidence is the evidence of all members on one server, without that of isolated members.
 type fleetEvidence struct {
-	successes, failures          float64
-	observers, witnesses         []string // members with enough evidence, and those of them that see it fail
-	lastSuccess, lastFailure     control.Micros
-	lastSuccessBy, lastFailureBy map[string]control.Micros // by member
-	streakBy                     map[string]int
-	votesUntil                   map[string]control.Micros // by member
-	succeeded, failed            bool
-	congested                    bool // this member's own control module holds it at a congestion level
-}
-
-func (e *fleetEvidence) failureRate() float64 {
-	if e.successes+e.failures <= 0 {
+	successes, failures      float64
+	members                  []memberEvidence
+	observers                int      // members with enough evidence
+	witnesses                []string // those of them that see it fail
+	lastSuccess, lastFailure control.Micros
+	succeeded, failed        bool
+	congested                bool // this member's own control module holds it at a congestion level
+}
+
+func (e *fleetEvidence) add(m memberEvidence) {
+	e.members = append(e.members, m)
+	e.successes += m.successes
+	e.failures += m.failures
+	if m.enough() {
+		e.observers++
+	}
+	if m.witness() {
+		e.witnesses = append(e.witnesses, m.member)
+	}
+	if m.succeeded && (!e.succeeded || m.lastSuccess > e.lastSuccess) {
+		e.succeeded, e.lastSuccess = true, m.lastSuccess
+	}
+	if m.failed && (!e.failed || m.lastFailure > e.lastFailure) {
+		e.failed, e.lastFailure = true, m.lastFailure
+	}
+}
+
+// vote sets the end of a member's vote for ejection.
+func (e *fleetEvidence) vote(member string, until control.Micros) {
+	for i := range e.members {
+		if e.members[i].member == member {
+			e.members[i].voteUntil = until
+			return
+		}
+	}
+	e.members = append(e.members, memberEvidence{member: member, voteUntil: until})
+}
+
+func (e *fleetEvidence) failureRate() float64 { return failureRate(e.successes, e.failures) }
+
+func failureRate(successes, failures float64) float64 {
+	if successes+failures <= 0 {
 		return 0
 	}
-	return e.failures / (e.successes + e.failures)
+	return failures / (successes + failures)
 }
 
-// combine adds up the evidence of all members but those excluded, by server. What was observed before a server's last start
-// does not count: that was another process.
+// combine adds up the evidence of all members but those excluded, by server.
 func combine(now control.Micros, all []Evidence, list []Server, excluded []string) map[uint32]*fleetEvidence {
-	out := map[uint32]*fleetEvidence{}
+	combined := map[uint32]*fleetEvidence{}
 	startedAt, congested := map[uint32]control.Micros{}, map[uint32]bool{}
 	for _, s := range list {
 		startedAt[s.ID], congested[s.ID] = s.Since, s.Level > 0
 	}
-	for _, e := range all {
+	for i := range all {
+		e := &all[i]
 		if slices.Contains(excluded, e.Member) {
 			continue
 		}
-		for _, s := range e.Servers {
-			total := out[s.Server]
+		for k := range e.Servers {
+			o := &e.Servers[k]
+			total := combined[o.Server]
 			if total == nil {
-				total = &fleetEvidence{lastSuccessBy: map[string]control.Micros{}, lastFailureBy: map[string]control.Micros{}, streakBy: map[string]int{}, votesUntil: map[string]control.Micros{}, congested: congested[s.Server]}
-				out[s.Server] = total
-			}
-			successes, failures := max(0, s.Successes), max(0, s.Failures)
-			if s.SuccessAge < 0 || now-e.Age-s.SuccessAge < startedAt[s.Server] {
-				successes, s.SuccessAge = 0, -1
-			}
-			if s.FailureAge < 0 || now-e.Age-s.FailureAge < startedAt[s.Server] {
-				failures, s.FailureAge = 0, -1
-			}
-			if left := min(s.VoteRemaining, MaxEjectionTime) - e.Age; left > 0 {
-				total.votesUntil[e.Member] = now + left
-			}
-			if s.SuccessAge >= 0 {
-				successes = max(successes, 0.01)
-			}
-			total.successes, total.failures = total.successes+successes, total.failures+failures
-			if successes+failures >= minMemberFailures {
-				total.observers = append(total.observers, e.Member)
-				if failures >= minMemberFailures && failures >= minMemberFailureRate*(successes+failures) {
-					total.witnesses = append(total.witnesses, e.Member)
-				}
-			}
-			if s.SuccessAge >= 0 {
-				at := now - e.Age - s.SuccessAge
-				total.lastSuccessBy[e.Member] = at
-				if total.lastSuccess = max(total.lastSuccess, at); !total.succeeded {
-					total.lastSuccess, total.succeeded = at, true
-				}
-			}
-			if s.FailureAge >= 0 {
-				at := now - e.Age - s.FailureAge
-				total.lastFailureBy[e.Member], total.streakBy[e.Member] = at, max(1, s.FailureStreak)
-				if total.lastFailure = max(total.lastFailure, at); !total.failed {
-					total.lastFailure, total.failed = at, true
-				}
+				total = &fleetEvidence{members: make([]memberEvidence, 0, len(all)), congested: congested[o.Server]}
+				combined[o.Server] = total
 			}
+			total.add(observed(now, e, o, startedAt[o.Server]))
 		}
 	}
-	return out
+	return combined
 }
 
-// isolatedMembers finds members for which most servers fail that do not fail the others.
-func isolatedMembers(now control.Micros, all []Evidence, list []Server) (isolated []string) {
+// isolatedMembers finds members for which most servers fail that do not fail the others. The evidence of the others on a server
+// is that of all members without the one's own, so the members are gone through once, however many they are.
+func isolatedMembers(all []Evidence, everyone map[uint32]*fleetEvidence) (isolated []string) {
 	if len(all) < 3 { // of two, nobody can tell which
 		return nil
 	}
+	own := sumByMember(everyone)
 	for _, e := range all {
-		others := combine(now, all, list, []string{e.Member})
 		observed, failing := 0, 0
 		for _, s := range e.Servers {
-			o := others[s.Server]
-			if s.Successes+s.Failures < minMemberFailures || o == nil || o.successes+o.failures < 1 {
+			total, own := everyone[s.Server], own[memberServer{e.Member, s.Server}]
+			successes, failures := total.successes-own.successes, total.failures-own.failures
+			if s.Successes+s.Failures < minMemberFailures || successes+failures < 1 {
 				continue
 			}
 			observed++
-			if s.Failures >= minMemberFailureRate*(s.Successes+s.Failures) && o.failureRate() < isolatedPeerFailureRate {
+			if s.Failures >= minMemberFailureRate*(s.Successes+s.Failures) && failureRate(successes, failures) < isolatedPeerFailureRate {
 				failing++
 			}
 		}
@@ -259,15 +296,65 @@
 	return isolated
 }
 
-// healthyPeers counts the other servers with evidence, and those of them that answer and have no recent attempt that failed
-// or is overdue. Where too few are healthy (ok is false) no server is an outlier: that is overload, or a shared fault.
-func healthyPeers(now control.Micros, id uint32, evidence map[uint32]*fleetEvidence) (healthy, peers int, ok bool) {
-	for other, o := range evidence {
-		if other != id && o.successes+o.failures >= 1 {
-			peers++
-			if o.succeeded && now-o.lastSuccess < recent && !(o.failed && now-o.lastFailure < recent) && !o.congested {
-				healthy++
-			}
+type memberServer struct {
+	member string
+	server uint32
+}
+
+type outcomes struct{ successes, failures float64 }
+
+// sumByMember adds up what each member has observed of each server; a member may name one more than once.
+func sumByMember(everyone map[uint32]*fleetEvidence) map[memberServer]outcomes {
+	sums := map[memberServer]outcomes{}
+	for id, total := range everyone {
+		for i := range total.members {
+			m := &total.members[i]
+			sum := sums[memberServer{m.member, id}]
+			sums[memberServer{m.member, id}] = outcomes{sum.successes + m.successes, sum.failures + m.failures}
+		}
+	}
+	return sums
+}
+
+// round is the evidence of one update.
+type round struct {
+	now      control.Micros
+	evidence map[uint32]*fleetEvidence
+	peers    int // servers with evidence
+	healthy  int // those of them that answer and have no recent attempt that failed or is overdue
+}
+
+func newRound(now control.Micros, evidence map[uint32]*fleetEvidence) *round {
+	r := &round{now: now, evidence: evidence}
+	for _, e := range evidence {
+		if e.isPeer() {
+			r.peers++
+		}
+		if e.isHealthy(now) {
+			r.healthy++
+		}
+	}
+	return r
+}
+
+// isPeer tells whether there is enough evidence on a server to compare others with it.
+func (e *fleetEvidence) isPeer() bool { return e.successes+e.failures >= 1 }
+
+// isHealthy tells whether a peer answers and has no recent attempt that failed or is overdue.
+func (e *fleetEvidence) isHealthy(now control.Micros) bool {
+	return e.isPeer() && e.succeeded && now-e.lastSuccess < recent && !(e.failed && now-e.lastFailure < recent) && !e.congested
+}
+
+// healthyPeers counts the other servers with evidence, and those of them that are healthy. Where too few are healthy (ok is
+// false) no server is an outlier: that is overload, or a shared fault.
+func (r *round) healthyPeers(id uint32) (healthy, peers int, ok bool) {
+	healthy, peers = r.healthy, r.peers
+	if own := r.evidence[id]; own != nil {
+		if own.isPeer() {
+			peers--
+		}
+		if own.isHealthy(r.now) {
+			healthy--
 		}
 	}
 	return healthy, peers, peers > 0 && float64(healthy) >= minHealthyPeers*float64(peers)
@@ -275,25 +362,25 @@
 
 // isHanging tells whether a server has ceased to answer all members while its peers answer, and why: answers due at its own
 // rate did not come, and attempts sent since its last answer have none. By chance so many are missing once in 1,000 gaps.
-func isHanging(now control.Micros, id uint32, evidence map[uint32]*fleetEvidence) (bool, string) {
-	own := evidence[id]
+func (r *round) isHanging(id uint32) (bool, string) {
+	own := r.evidence[id]
 	if !own.succeeded {
 		return false, ""
 	}
 	// The rate is that at its last answer: the decay since then is undone.
-	gap := float64(now-own.lastSuccess) / float64(DecayTime)
+	gap := float64(r.now-own.lastSuccess) / float64(DecayTime)
 	due := own.successes * math.Exp(min(gap, 3)) * gap
 	members, streak := 0, 0
-	for name, at := range own.lastFailureBy {
-		if at > own.lastSuccess {
+	for i := range own.members {
+		if m := &own.members[i]; m.failed && m.lastFailure > own.lastSuccess {
 			members++
-			streak += own.streakBy[name]
+			streak += m.failureStreak
 		}
 	}
 	if members < minWitnesses || streak < minUnanswered || due < minMissingAnswers {
 		return false, ""
 	}
-	healthy, peers, ok := healthyPeers(now, id, evidence)
+	healthy, peers, ok := r.healthyPeers(id)
 	if !ok {
 		return false, ""
 	}
@@ -302,21 +389,21 @@
 }
 
 // isOutlier tells whether the evidence makes a server an outlier, and why.
-func isOutlier(now control.Micros, id uint32, evidence map[uint32]*fleetEvidence) (bool, string) {
-	if hanging, reason := isHanging(now, id, evidence); hanging {
+func (r *round) isOutlier(id uint32) (bool, string) {
+	if hanging, reason := r.isHanging(id); hanging {
 		return true, reason
 	}
-	own := evidence[id]
-	if _, _, ok := healthyPeers(now, id, evidence); !ok {
+	own := r.evidence[id]
+	if _, _, ok := r.healthyPeers(id); !ok {
 		return false, ""
 	}
-	if len(own.witnesses) < minWitnesses || float64(len(own.witnesses)) < minWitnessShare*float64(len(own.observers)) || own.failures < minFleetFailures || own.failureRate() < minFleetFailureRate {
+	if len(own.witnesses) < minWitnesses || float64(len(own.witnesses)) < minWitnessShare*float64(own.observers) || own.failures < minFleetFailures || own.failureRate() < minFleetFailureRate {
 		return false, ""
 	}
 	var peers []float64
-	for other, o := range evidence {
-		if other != id && o.successes+o.failures >= 1 {
-			peers = append(peers, o.failureRate())
+	for other, e := range r.evidence {
+		if other != id && e.isPeer() {
+			peers = append(peers, e.failureRate())
 		}
 	}
 	if len(peers) == 0 {
@@ -328,14 +415,16 @@
 		return false, ""
 	}
 	return true, fmt.Sprintf("%.0f%% of the attempts of %d of %d members fail there, %.0f%% at the median of its %d peers",
-		100*own.failureRate(), len(own.witnesses), len(own.observers), 100*median, len(peers))
+		100*own.failureRate(), len(own.witnesses), own.observers, 100*median, len(peers))
 }
 
 // Update takes the evidence that counts now, the servers on the list and the members that are up, and returns what changed.
 func (d *Detector) Update(now control.Micros, all []Evidence, list []Server, up []string) (changes []Change) {
 	d.now = now
-	d.isolated = isolatedMembers(now, all, list)
-	evidence := combine(now, all, list, d.isolated)
+	evidence := combine(now, all, list, nil)
+	if d.isolated = isolatedMembers(all, evidence); len(d.isolated) > 0 {
+		evidence = combine(now, all, list, d.isolated)
+	}
 	limitBefore := map[uint32]int{}
 	ids := make([]uint32, 0, len(d.servers))
 	for id, s := range d.servers {
@@ -368,9 +457,10 @@
 	}
 	slices.Sort(ids)
 	phaseBefore := map[uint32]Phase{}
+	r := newRound(now, evidence)
 	for _, id := range ids {
 		phaseBefore[id] = d.servers[id].phase
-		d.advance(now, id, d.servers[id], evidence)
+		d.advance(r, id)
 	}
 	d.limitEjected(ids, len(list))
 	for _, id := range ids {
@@ -386,9 +476,9 @@
 }
 
 // advance moves a server through the phases by the evidence.
-func (d *Detector) advance(now control.Micros, id uint32, s *server, evidence map[uint32]*fleetEvidence) {
-	own := evidence[id]
-	outlier, reason := isOutlier(now, id, evidence)
+func (d *Detector) advance(r *round, id uint32) {
+	s, own, now := d.servers[id], r.evidence[id], r.now
+	outlier, reason := r.isOutlier(id)
 	switch s.phase {
 	case Healthy:
 		if s.since > 0 && now-s.since > 2*MaxEjectionTime {
@@ -398,7 +488,7 @@
 			s.voteUntil, s.reason = max(s.voteUntil, own.lastFailure+s.ejectionTime), reason
 		}
 		if s.voteUntil > now {
-			own.votesUntil[d.self] = s.voteUntil
+			own.vote(d.self, s.voteUntil)
 		}
 		// In force by the votes of minWitnesses members at whoever receives them, also where the own evidence alone would not do.
 		if votes, until := s.votes(now, now, own); votes >= minWitnesses {
@@ -416,17 +506,7 @@
 			s.reason = "its verdict has ended without fresh evidence: it is tried"
 		}
 	case Trial:
-		failures, successes := 0, 0
-		for _, at := range own.lastFailureBy {
-			if at > s.since {
-				failures++
-			}
-		}
-		for _, at := range own.lastSuccessBy {
-			if at > s.since {
-				successes++
-			}
-		}
+		failures, successes := own.outcomesSince(s.since)
 		votes, until := s.votes(now, now+trialStepTime, own) // the end of a vote on the ejection before does not count
 		switch {
 		case failures >= minWitnesses || failures > 0 && successes == 0 && s.step == 0:
@@ -452,8 +532,8 @@
 	if s.startedAt > 0 && now-s.startedAt <= maxVoteAge {
 		return 0, 0
 	}
-	for _, at := range own.votesUntil {
-		if at > after {
+	for i := range own.members {
+		if at := own.members[i].voteUntil; at > after {
 			count++
 			until = max(until, at)
 		}
@@ -461,6 +541,20 @@
 	return count, until
 }
 
+// outcomesSince counts the members with a failure after a time, and those with a success.
+func (e *fleetEvidence) outcomesSince(since control.Micros) (failures, successes int) {
+	for i := range e.members {
+		m := &e.members[i]
+		if m.failed && m.lastFailure > since {
+			failures++
+		}
+		if m.succeeded && m.lastSuccess > since {
+			successes++
+		}
+	}
+	return failures, successes
+}
+
 // limitEjected readmits the servers with the lowest failure rates where too many are ejected.
 func (d *Detector) limitEjected(ids []uint32, listed int) {
 	var ejected []uint32
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -336,3 +336,74 @@
 	require.Len(t, d.Update(now+5e6, []CallerEvidence{says("a", 0, 2, 6e6), says("b", 0, 2, 7e6)}), 1, "it holds while what brought it is forgotten")
 	require.Empty(t, d.Update(now+9e6, nil), "and ends")
 }
+
+// drawEvidence draws what members publish: some see a server fail that others do not, some lie, some name a server twice.
+func drawEvidence(t *rapid.T) (all []Evidence, list []Server) {
+	for i := range rapid.IntRange(1, 6).Draw(t, "servers") {
+		list = append(list, Server{ID: uint32(i + 1), Since: control.Micros(rapid.IntRange(0, 2).Draw(t, "since")) * 99e5})
+	}
+	for i := range rapid.IntRange(1, 6).Draw(t, "members") {
+		e := Evidence{Member: fmt.Sprint("g", i), Age: control.Micros(rapid.IntRange(0, 1e6).Draw(t, "age"))}
+		for range rapid.IntRange(0, 8).Draw(t, "observations") {
+			e.Servers = append(e.Servers, Observation{Server: uint32(rapid.IntRange(1, len(list)).Draw(t, "server")),
+				Successes: float64(rapid.IntRange(0, 64).Draw(t, "successes")) / 16, Failures: float64(rapid.IntRange(0, 64).Draw(t, "failures")) / 16,
+				SuccessAge: control.Micros(rapid.IntRange(-1, 4).Draw(t, "success age")) * 5e5, FailureAge: control.Micros(rapid.IntRange(-1, 4).Draw(t, "failure age")) * 5e5})
+		}
+		all = append(all, e)
+	}
+	return all, list
+}
+
+// isolatedByHand compares each member with all others, gone through anew for each.
+func isolatedByHand(now control.Micros, all []Evidence, list []Server) (isolated []string) {
+	if len(all) < 3 {
+		return nil
+	}
+	for _, e := range all {
+		others := combine(now, all, list, []string{e.Member})
+		seen, failing := 0, 0
+		for _, s := range e.Servers {
+			o := others[s.Server]
+			if s.Successes+s.Failures < minMemberFailures || o == nil || o.successes+o.failures < 1 {
+				continue
+			}
+			seen++
+			if s.Failures >= minMemberFailureRate*(s.Successes+s.Failures) && o.failureRate() < isolatedPeerFailureRate {
+				failing++
+			}
+		}
+		if seen >= isolatedMinServers && float64(failing) > isolatedFailingShare*float64(seen) {
+			isolated = append(isolated, e.Member)
+		}
+	}
+	return isolated
+}
+
+// Isolated members, and healthy peers, are the same whether the evidence of the others is added up for each or taken from the
+// whole.
+func TestSumsAreThoseOfTheOthers(t *testing.T) {
+	const now = control.Micros(1e7)
+	found := 0
+	rapid.Check(t, func(t *rapid.T) {
+		all, list := drawEvidence(t)
+		everyone := combine(now, all, list, nil)
+		want := isolatedByHand(now, all, list)
+		found += len(want)
+		require.Equal(t, want, isolatedMembers(all, everyone))
+		r := newRound(now, everyone)
+		for _, l := range list {
+			peers, healthy := 0, 0
+			for other, e := range everyone {
+				if other != l.ID && e.isPeer() {
+					peers++
+				}
+				if other != l.ID && e.isHealthy(now) {
+					healthy++
+				}
+			}
+			gotHealthy, gotPeers, _ := r.healthyPeers(l.ID)
+			require.Equal(t, [2]int{healthy, peers}, [2]int{gotHealthy, gotPeers})
+		}
+	})
+	require.Positive(t, found, "no draw had an isolated member")
+}
