--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -312,9 +312,15 @@
 	}
 }
 
-// waitsFor tells whether a replica that admits no session now is waited for, so that others aren't tried.
+// waitsFor tells whether a replica that admits no session now is waited for, so that others aren't tried. It has promised a
+// place, and keeps room for it: a gatekeeper that asked the others meanwhile would have a place at each of them, and after an
+// outage all of these together are many times what the replicas admit.
 func (m *Machine) waitsFor(rank int, e End) bool {
-	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.refusals[rank] < SameTries && m.connect.round == 0
+	tries := SameTries
+	if m.connect.round > 0 {
+		tries = LaterTries
+	}
+	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.refusals[rank] < tries
 }
 
 // start begins an attempt if one is due.
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -52,8 +52,11 @@
 const HeartbeatsMissed = 3
 
 // SameTries is how often in a row a replica that says "come back in" a short time is asked in the first round before the next
-// one is tried. In later rounds each is asked once.
-const SameTries = 3
+// one is tried, and LaterTries in later rounds: once, and at the time that it said.
+const (
+	SameTries  = 3
+	LaterTries = 2
+)
 
 // WithDefaults gives the timing with defaults in place of its zero fields.
 func (t Timing) WithDefaults() Timing {
