--- a/cmd/beammux/lab_scale.go
+++ b/cmd/beammux/lab_scale.go
@@ -31,7 +31,7 @@
 	ChangesPerDay float64       `help:"Changes of configuration a day." default:"2800"`
 	Factor        float64       `help:"They come so many times as often." default:"20"`
 	RecordBytes   int           `help:"Bytes of each of the two records of a change." default:"1024"`
-	With          string        `help:"What the gatekeepers have beside configuration, with commas between: membership, registers, limits."`
+	With          string        `help:"What the gatekeepers have beside configuration, with commas between: membership, registers, limits; groups splits the gossip by service."`
 	Faults        string        `help:"Kinds with + between them, or a YAML file: kill-leader, kill-zone, cut-region, latency, restart, start-at-once, refuse, stuck-watcher, pause-control, pause-leader, lose-rack, lose-zone, remake-control."`
 	Site          string        `help:"A gatekeeper's configuration by which changes are checked; none if not set." type:"path"`
 	Sessions      float64       `help:"New sessions a second that a control machine admits." default:"50"`
@@ -61,8 +61,10 @@
 			o.With.Registers = true
 		case "limits":
 			o.With.Limits = true
+		case "groups":
+			o.With.Groups = true
 		default:
-			return o, fmt.Errorf("--with: %q is none of membership, registers, limits", part)
+			return o, fmt.Errorf("--with: %q is none of membership, registers, limits, groups", part)
 		}
 	}
 	if o.Program, err = os.Executable(); err != nil {
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -130,6 +130,8 @@
 	{rulesOnly, `{"fleet":{"zone":"a","bind":"host:7946"}}`, `1:22: fleet.bind: "host:7946" is not IP:PORT`},
 	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","sedes":[]}}`, `1:43: fleet.sedes: unknown key; did you mean "seeds"?`},
 	{rulesOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","key_file":"none"}}`, `1:43: fleet.key_file: open none: no such file or directory`},
+	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","group":7}}`, `1:43: fleet.group: is a number, must be a string`},
+	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","group":"` + strings.Repeat("x", 65) + `"}}`, `1:43: fleet.group: has 65 characters, over 64`},
 	{rulesOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","reap_after":"soon"}}`, `1:43: fleet.reap_after: "soon" is no span of a second or more, as 90s or 10m`},
 	{formOnly, `{"store":{"via":[{"address":"a:1"}]}}`, `1:18: store.via[0]: address or through is missing`},
 	{formOnly, `{"store":{"join":1}}`, `1:11: store.join: is a number, must be true or false`},
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -45,6 +45,7 @@
 // Fleet says how this gatekeeper takes part in the fleet's gossip.
 type Fleet struct {
 	Name, Zone, Region, Bind, Advertise string
+	Group                               string // of the gossip; "": the one without a name
 	Seeds                               []string
 	Keys                                [][]byte // of the gossip's encryption; nil: none
 	Via                                 map[string]string
@@ -226,7 +227,7 @@
 // fleet reads the section of the gossip.
 func (d *Deploy) fleet(v *jsonfile.Value, site *control.Site) {
 	f := d.file
-	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts")
+	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group")
 	if m[9] != nil {
 		d.limits(m[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
 		if len(v.Keys()) == 1 { // limits alone: no gossip
@@ -234,13 +235,13 @@
 		}
 	}
 	c := &Fleet{Name: f.String(m[0]), Zone: f.String(m[1]), Region: f.String(m[2]), Bind: f.String(m[3]), Advertise: f.String(m[4]),
-		Via: readVia(f, m[7])}
+		Via: readVia(f, m[7]), Group: f.String(m[11])}
 	if v.Kind != jsonfile.Object {
 		return
 	}
-	for i, name := range []string{c.Name, c.Zone, c.Region} {
-		if len(name) > mostFleetName {
-			f.Fault(m[i].Path, fmt.Sprintf("has %d characters, over %d", len(name), mostFleetName))
+	for _, name := range []*jsonfile.Value{m[0], m[1], m[2], m[11]} {
+		if text := f.String(name); len(text) > mostFleetName {
+			f.Fault(name.Path, fmt.Sprintf("has %d characters, over %d", len(text), mostFleetName))
 		}
 	}
 	if m[1] == nil || m[1].Kind == jsonfile.String && c.Zone == "" {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,15 +53,18 @@
 // Options of a member.
 type Options struct {
 	Name, Zone, Region, Program string
-	Bind                        string            // IP:PORT of the gossip, UDP and TCP; port 0: any
-	Advertise                   string            // IP:PORT at which others reach it; "": where it listens
-	Seeds                       []string          // addresses of members to join; one that answers is enough
-	Keys                        [][]byte          // of the gossip's encryption, the first encrypts; nil: not encrypted
-	Via                         map[string]string // where this member reaches others, by what they advertise
-	ReapAfter                   time.Duration     // 0: DefaultReapAfter
-	State                       fleetview.State   // with which it begins
-	Summaries                   func() []fleetview.Summary
-	Log                         logrus.FieldLogger
+	// Group is the gossip that this member takes part in, as that of its service: members of other groups, and of none, are
+	// not met, also where a seed or an address is one of theirs. "": the gossip without a name.
+	Group     string
+	Bind      string            // IP:PORT of the gossip, UDP and TCP; port 0: any
+	Advertise string            // IP:PORT at which others reach it; "": where it listens
+	Seeds     []string          // addresses of members to join; one that answers is enough
+	Keys      [][]byte          // of the gossip's encryption, the first encrypts; nil: not encrypted
+	Via       map[string]string // where this member reaches others, by what they advertise
+	ReapAfter time.Duration     // 0: DefaultReapAfter
+	State     fleetview.State   // with which it begins
+	Summaries func() []fleetview.Summary
+	Log       logrus.FieldLogger
 }
 
 // Fleet is this gatekeeper's part of the gossip.
@@ -158,6 +161,7 @@
 		Start: f.incarnation, Seq: 1, State: o.State, Address: net.JoinHostPort(f.net.host.String(), fmt.Sprint(f.net.port))}, f.now(), control.Micros(o.ReapAfter.Microseconds()))
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.Logger = o.Name, f.net, f.logger()
+	c.Label = o.Group // in every packet and stream; those with another one are dropped
 	c.ProbeInterval, c.ProbeTimeout, c.AwarenessMaxMultiplier = probeInterval, probeTimeout, 4
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -74,6 +74,39 @@
 	until(t, "a and c agree", func() bool { return a.Status().Hash == again.Status().Hash })
 }
 
+// Members of two groups, and one of none, are given each other's addresses as seeds: each meets those of its own group alone,
+// and no register crosses.
+func TestGroups(t *testing.T) {
+	first := []*Fleet{member(t, Options{Name: "a1", Group: "a"}), member(t, Options{Name: "b1", Group: "b"}), member(t, Options{Name: "c1"})}
+	var seeds []string
+	for _, f := range first {
+		seeds = append(seeds, f.Addr())
+	}
+	second := []*Fleet{member(t, Options{Name: "a2", Group: "a", Seeds: seeds}), member(t, Options{Name: "b2", Group: "b", Seeds: seeds}),
+		member(t, Options{Name: "c2", Seeds: seeds})}
+	for i := range first {
+		value := []byte(second[i].options.Name)
+		if err := second[i].Publish(registers.Rates, value); err != nil {
+			t.Fatal(err)
+		}
+		until(t, "each group has met and reads its register", func() bool {
+			read := first[i].Read(registers.Rates)
+			return first[i].Up() == 2 && second[i].Up() == 2 && len(read) == 1 && string(read[0].Value) == string(value)
+		})
+	}
+	time.Sleep(2 * rejoinInterval) // in which each tries the others' seeds again
+	for i := range first {
+		for _, f := range []*Fleet{first[i], second[i]} {
+			if members := f.Status().Members; len(members) != 2 {
+				t.Errorf("%s knows %d members: %+v", f.options.Name, len(members), members)
+			}
+			if read := f.Read(registers.Rates); len(read) > 1 {
+				t.Errorf("%s reads %d registers", f.options.Name, len(read))
+			}
+		}
+	}
+}
+
 // Who has no key, or another one, is not let in; while keys change, members with both talk to either.
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -110,8 +110,8 @@
 
 // join opens the gossip, and publishes a register where the run has it so.
 func (g *gatekeeper) join(ctx context.Context) error {
-	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Program: "hollow", Bind: g.Bind,
-		Seeds: g.process.config.Seeds, Log: quiet()})
+	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Group: g.Group, Program: "hollow", Bind: g.Bind,
+		Seeds: g.process.config.Groups[g.Group].Seeds, Log: quiet()})
 	if err != nil {
 		return err
 	}
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -190,6 +190,8 @@
 		if f.Met < 0 || met < f.Met {
 			f.Met = met
 		}
+		members := p.config.Groups[g.Group].Members
+		f.Missing, f.Strangers = max(f.Missing, members-met), max(f.Strangers, met-members)
 	}
 	return f
 }
--- a/internal/scalelab/hollow/wire.go
+++ b/internal/scalelab/hollow/wire.go
@@ -20,7 +20,14 @@
 	Registers   bool          `json:"registers"`  // one register of registerBytes a second for each
 	Limits      bool          `json:"limits"`     // internal/limits, with leases through the control machines
 	Parts       int           `json:"parts"`      // gatekeepers that share the limits
-	Seeds       []string      `json:"seeds"`      // of the gossip
+	// Groups are the gossips that the gatekeepers take part in, by name; one without a name where it is not split by service.
+	Groups map[string]Group `json:"groups"`
+}
+
+// Group is one gossip.
+type Group struct {
+	Seeds   []string `json:"seeds"`
+	Members int      `json:"members"`
 }
 
 // Gatekeeper is one hollow gatekeeper.
@@ -31,6 +38,7 @@
 	Service string `json:"service"`
 	Refuses bool   `json:"refuses,omitempty"` // changes that are marked as refusable, as a differing site would
 	Bind    string `json:"bind,omitempty"`    // of the gossip
+	Group   string `json:"group,omitempty"`   // that it takes part in
 }
 
 // Replica is a control machine.
@@ -111,6 +119,8 @@
 	InForce     int            `json:"in_force"`           // gatekeepers that have any settings in force
 	Behind      int            `json:"behind"`             // gatekeepers that say of themselves that they may be behind
 	Met         int            `json:"met"`                // fewest members that a gatekeeper holds to be up
+	Missing     int            `json:"missing"`            // most members of its gossip that a gatekeeper does not hold to be up
+	Strangers   int            `json:"strangers"`          // most members beyond those of its gossip that a gatekeeper holds to be up
 }
 
 // Counters are those of each gatekeeper.
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -49,7 +49,10 @@
 }
 
 // With says what a gatekeeper's control side has beside configuration.
-type With struct{ Membership, Registers, Limits bool }
+type With struct {
+	Membership, Registers, Limits bool
+	Groups                        bool // the gossip is split by service
+}
 
 // Admission is a control machine's rate of new sessions and snapshots.
 type Admission struct {
@@ -83,6 +86,8 @@
 		return errors.New("--control: 0 needs --with membership, and no limits")
 	case o.With.Registers && !o.With.Membership:
 		return errors.New("--with: registers ride on membership")
+	case o.With.Groups && !o.With.Membership:
+		return errors.New("--with: groups are those of membership")
 	}
 	if end := script.End(o.Faults); end > o.Length {
 		return fmt.Errorf("--length: %v, and the faults end at %v", o.Length, end)
@@ -126,6 +131,9 @@
 		if o.With.Membership {
 			g.Bind = "127.0.0.1:0"
 		}
+		if o.With.Groups {
+			g.Group = g.Service
+		}
 		p.gatekeepers = append(p.gatekeepers, g)
 	}
 	return p
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -150,6 +150,8 @@
 type MembershipFigures struct {
 	AllMetS  float64 `json:"all_met_s"`  // until each held all to be up; -1: not within the time given
 	FewestUp int     `json:"fewest_met"` // that a gatekeeper held to be up, at the end
+	// MostMissing are the members of its gossip that a gatekeeper did not hold to be up, at the end.
+	MostMissing int `json:"most_missing"`
 }
 
 // JudgeFigures are the judge's.
@@ -227,7 +229,7 @@
 			f.UntilS, f.What, f.SlowestS, f.SaidBehind, f.SaidBehindEnd, f.SessionsOverShare)
 	}
 	if r.Shape.Control == 0 {
-		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d of %d\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Shape.Gatekeepers)
+		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d, %d of its gossip missing at most\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Membership.MostMissing)
 	}
 	for _, p := range r.Judge.Problems {
 		fmt.Fprintf(&b, "problem: %s\n", p)
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -171,13 +171,13 @@
 	if l.plane != nil {
 		machines = l.plane.machines
 	}
-	seeds, err := l.seeds()
+	groups, err := l.groups()
 	if err != nil {
 		return err
 	}
 	for i := range o.Hollow {
 		c := hollowConfig(o, l.plan, machines, l.began, i)
-		c.Seeds = seeds
+		c.Groups = groups
 		h, err := startHollow(o, i, c, l.record)
 		if err != nil {
 			return err
@@ -187,23 +187,35 @@
 	return nil
 }
 
-// gossipSeeds is how many gatekeepers have a fixed address that the others join.
+// gossipSeeds is how many gatekeepers of a gossip have a fixed address that the others join.
 const gossipSeeds = 3
 
-// seeds gives the first gatekeepers fixed addresses of the gossip.
-func (l *laboratory) seeds() (seeds []string, err error) {
+// groups lays out the gossips, and gives the first gatekeepers of each fixed addresses.
+func (l *laboratory) groups() (map[string]hollow.Group, error) {
+	groups := map[string]hollow.Group{}
 	if !l.options.With.Membership {
-		return nil, nil
+		return groups, nil
+	}
+	var seeds []*hollow.Gatekeeper
+	for i := range l.plan.gatekeepers {
+		g := &l.plan.gatekeepers[i]
+		group := groups[g.Group]
+		if group.Members++; group.Members <= gossipSeeds {
+			seeds = append(seeds, g)
+		}
+		groups[g.Group] = group
 	}
-	ports, err := freePorts(gossipSeeds, l.options.Seed+uint64(os.Getpid())+1000)
+	ports, err := freePorts(len(seeds), l.options.Seed+uint64(os.Getpid())+1000)
 	if err != nil {
 		return nil, err
 	}
-	for i := range min(gossipSeeds, len(l.plan.gatekeepers)) {
-		l.plan.gatekeepers[i].Bind = fmt.Sprintf("127.0.0.1:%d", ports[i])
-		seeds = append(seeds, l.plan.gatekeepers[i].Bind)
+	for i, g := range seeds {
+		g.Bind = fmt.Sprintf("127.0.0.1:%d", ports[i])
+		group := groups[g.Group]
+		group.Seeds = append(group.Seeds, g.Bind)
+		groups[g.Group] = group
 	}
-	return seeds, nil
+	return groups, nil
 }
 
 // awaitStart returns once every gatekeeper has the first settings; without a control plane, once all have met, or have not
@@ -217,13 +229,13 @@
 	var said time.Duration
 	for {
 		now := time.Since(l.began)
-		have, met := l.have()
+		have, met, missing := l.have()
 		if now-said >= progressEvery {
 			said = now
 			l.options.progress(now, fmt.Sprintf("%d of %d have settings, fewest members met %d", have, l.options.Gatekeepers, met))
 		}
 		switch {
-		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && met >= l.options.Gatekeepers:
+		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && missing == 0:
 			l.started = now - from
 			return nil
 		case now-from > limit && l.plane == nil:
@@ -244,8 +256,9 @@
 	}
 }
 
-// have counts gatekeepers with settings in force, and the fewest members that one has met.
-func (l *laboratory) have() (have, met int) {
+// have counts gatekeepers with settings in force, the fewest members that one has met, and the most of its gossip that one has
+// not; -1 for both where not every process has told yet.
+func (l *laboratory) have() (have, met, missing int) {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
 	met = -1
@@ -253,11 +266,12 @@
 		if met < 0 || p.Met < met {
 			met = p.Met
 		}
+		missing = max(missing, p.Missing)
 	}
 	if len(l.record.pulses) < l.options.Hollow {
-		met = -1
+		met, missing = -1, -1
 	}
-	return len(l.record.inForce), met
+	return len(l.record.inForce), met, missing
 }
 
 // alive tells whether a process ended by itself, or the record holds a fault.
@@ -348,7 +362,7 @@
 func (l *laboratory) tellProgress() {
 	at := time.Since(l.began)
 	if l.writer == nil {
-		_, met := l.have()
+		_, met, _ := l.have()
 		l.options.progress(at, fmt.Sprintf("fewest members met %d of %d", met, l.options.Gatekeepers))
 		return
 	}
@@ -426,6 +440,13 @@
 			}
 		}
 	}
+	l.record.mu.Lock()
+	for _, p := range l.record.pulses {
+		if p.Strangers > 0 {
+			problems = append(problems, fmt.Sprintf("a gatekeeper met %d members that are not of its gossip", p.Strangers))
+		}
+	}
+	l.record.mu.Unlock()
 	for i, h := range l.hollows {
 		if h.process.Over() {
 			problems = append(problems, fmt.Sprintf("hollow%d ended by itself: %v", i+1, h.process.State()))
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -137,6 +137,29 @@
 	require.Equal(t, 220, refusing)
 }
 
+// With groups each service is a gossip of its own, with seeds of its own.
+func TestGroupsByService(t *testing.T) {
+	o := Options{Gatekeepers: 2200, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, With: With{Membership: true, Groups: true}}
+	l := &laboratory{options: &o, plan: lay(&o)}
+	groups, err := l.groups()
+	require.NoError(t, err)
+	require.Len(t, groups, 65)
+	members, seeds := 0, map[string]bool{}
+	for name, g := range groups {
+		require.Contains(t, []int{30, 31, 32, 33, 34, 35, 36}, g.Members, name)
+		members += g.Members
+		require.Len(t, g.Seeds, gossipSeeds)
+		for _, seed := range g.Seeds {
+			require.False(t, seeds[seed])
+			seeds[seed] = true
+		}
+	}
+	require.Equal(t, 2200, members)
+	for _, g := range l.plan.gatekeepers {
+		require.Equal(t, g.Service, g.Group)
+	}
+}
+
 func TestOptionsAreBounded(t *testing.T) {
 	good := Options{Gatekeepers: 50, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, Hollow: 6, Length: time.Minute, ChangesADay: 2800, Factor: 20}
 	require.NoError(t, good.Check())
@@ -149,6 +172,7 @@
 		"--changes-per-day":                  func(o *Options) { o.Factor = 1e9 },
 		"--control: 0 needs":                 func(o *Options) { o.Control, o.Voters = 0, 0 },
 		"registers ride on membership":       func(o *Options) { o.With.Registers = true },
+		"groups are those of membership":     func(o *Options) { o.With.Groups = true },
 		"and the faults end at 2m0s":         func(o *Options) { o.Faults = []script.Fault{{At: time.Minute, For: time.Minute}} },
 		"--processes: 17 is not 1 to 16":     func(o *Options) { o.Hollow = 17 },
 		"--record-bytes: -1 is not 0 to 104": func(o *Options) { o.RecordBytes = -1 },
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -57,7 +57,7 @@
 	for _, w := range []struct {
 		on   bool
 		name string
-	}{{o.With.Membership, "membership"}, {o.With.Registers, "registers"}, {o.With.Limits, "limits"}} {
+	}{{o.With.Membership, "membership"}, {o.With.Registers, "registers"}, {o.With.Limits, "limits"}, {o.With.Groups, "groups"}} {
 		if w.on {
 			s.With = append(s.With, w.name)
 		}
@@ -283,7 +283,7 @@
 	if l.plane == nil {
 		m.AllMetS = seconds(l.started)
 	}
-	_, m.FewestUp = l.have()
+	_, m.FewestUp, m.MostMissing = l.have()
 	return m
 }
 
