--- a/cmd/beammux/lab_scale.go
+++ b/cmd/beammux/lab_scale.go
@@ -32,6 +32,7 @@
 	Factor        float64       `help:"They come so many times as often." default:"20"`
 	RecordBytes   int           `help:"Bytes of each of the two records of a change." default:"1024"`
 	With          string        `help:"What the gatekeepers have beside configuration, with commas between: membership, registers, limits; groups splits the gossip by service."`
+	RegisterBytes float64       `help:"Bytes of registers that a gatekeeper sends a second, at most; 0: no bound."`
 	Faults        string        `help:"Kinds with + between them, or a YAML file: kill-leader, kill-zone, cut-region, latency, restart, start-at-once, refuse, stuck-watcher, pause-control, pause-leader, lose-rack, lose-zone, remake-control."`
 	Site          string        `help:"A gatekeeper's configuration by which changes are checked; none if not set." type:"path"`
 	Sessions      float64       `help:"New sessions a second that a control machine admits." default:"50"`
@@ -49,7 +50,7 @@
 	}
 	o = scalelab.Options{Gatekeepers: c.Gatekeepers, Control: c.Control, Voters: min(c.Voters, c.Control), Regions: c.Regions, Zones: c.Zones,
 		Services: c.Services, Hollow: min(c.Processes, c.Gatekeepers), Seed: c.Seed, Length: c.Length, ChangesADay: c.ChangesPerDay, Factor: c.Factor,
-		RecordBytes: c.RecordBytes, Faults: faults, Site: c.Site, Beside: c.Beside, Command: "beammux " + strings.Join(os.Args[1:], " "),
+		RecordBytes: c.RecordBytes, RegisterBytes: c.RegisterBytes, Faults: faults, Site: c.Site, Beside: c.Beside, Command: "beammux " + strings.Join(os.Args[1:], " "),
 		Admission: scalelab.Admission{Sessions: c.MostSessions, SessionsPerS: c.Sessions, SessionsBurst: int(c.Sessions),
 			SnapshotsPerS: c.Snapshots, SnapshotsBurst: int(c.Snapshots)},
 		Progress: func(at time.Duration, what string) { fmt.Fprintf(os.Stderr, "lab: %6.1f s: %s\n", at.Seconds(), what) }}
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -130,6 +130,7 @@
 	{rulesOnly, `{"fleet":{"zone":"a","bind":"host:7946"}}`, `1:22: fleet.bind: "host:7946" is not IP:PORT`},
 	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","sedes":[]}}`, `1:43: fleet.sedes: unknown key; did you mean "seeds"?`},
 	{rulesOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","key_file":"none"}}`, `1:43: fleet.key_file: open none: no such file or directory`},
+	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","register_bytes_per_s":10}}`, `1:43: fleet.register_bytes_per_s: 10 is under 1000`},
 	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","group":7}}`, `1:43: fleet.group: is a number, must be a string`},
 	{formOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","group":"` + strings.Repeat("x", 65) + `"}}`, `1:43: fleet.group: has 65 characters, over 64`},
 	{rulesOnly, `{"fleet":{"zone":"a","bind":"127.0.0.1:0","reap_after":"soon"}}`, `1:43: fleet.reap_after: "soon" is no span of a second or more, as 90s or 10m`},
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -45,7 +45,8 @@
 // Fleet says how this gatekeeper takes part in the fleet's gossip.
 type Fleet struct {
 	Name, Zone, Region, Bind, Advertise string
-	Group                               string // of the gossip; "": the one without a name
+	Group                               string  // of the gossip; "": the one without a name
+	RegisterBytes                       float64 // of registers sent a second, at most; 0: no bound
 	Seeds                               []string
 	Keys                                [][]byte // of the gossip's encryption; nil: none
 	Via                                 map[string]string
@@ -227,7 +228,7 @@
 // fleet reads the section of the gossip.
 func (d *Deploy) fleet(v *jsonfile.Value, site *control.Site) {
 	f := d.file
-	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group")
+	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group", "register_bytes_per_s")
 	if m[9] != nil {
 		d.limits(m[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
 		if len(v.Keys()) == 1 { // limits alone: no gossip
@@ -235,7 +236,8 @@
 		}
 	}
 	c := &Fleet{Name: f.String(m[0]), Zone: f.String(m[1]), Region: f.String(m[2]), Bind: f.String(m[3]), Advertise: f.String(m[4]),
-		Via: readVia(f, m[7]), Group: f.String(m[11])}
+		Via: readVia(f, m[7]), Group: f.String(m[11]),
+		RegisterBytes: f.Number(m[12], fleet.MinRegisterBytes, mostRegisterBytes)}
 	if v.Kind != jsonfile.Object {
 		return
 	}
@@ -291,7 +293,10 @@
 	mostOut  = 0.5
 )
 
-const mostFleetName = 64
+const (
+	mostFleetName     = 64
+	mostRegisterBytes = 1e9
+)
 
 // Bounds of the figures in the file. Those of the deployment are narrower; the proof knows them.
 const (
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -55,16 +55,17 @@
 	Name, Zone, Region, Program string
 	// Group is the gossip that this member takes part in, as that of its service: members of other groups, and of none, are
 	// not met, also where a seed or an address is one of theirs. "": the gossip without a name.
-	Group     string
-	Bind      string            // IP:PORT of the gossip, UDP and TCP; port 0: any
-	Advertise string            // IP:PORT at which others reach it; "": where it listens
-	Seeds     []string          // addresses of members to join; one that answers is enough
-	Keys      [][]byte          // of the gossip's encryption, the first encrypts; nil: not encrypted
-	Via       map[string]string // where this member reaches others, by what they advertise
-	ReapAfter time.Duration     // 0: DefaultReapAfter
-	State     fleetview.State   // with which it begins
-	Summaries func() []fleetview.Summary
-	Log       logrus.FieldLogger
+	Group         string
+	Bind          string            // IP:PORT of the gossip, UDP and TCP; port 0: any
+	Advertise     string            // IP:PORT at which others reach it; "": where it listens
+	Seeds         []string          // addresses of members to join; one that answers is enough
+	Keys          [][]byte          // of the gossip's encryption, the first encrypts; nil: not encrypted
+	Via           map[string]string // where this member reaches others, by what they advertise
+	ReapAfter     time.Duration     // 0: DefaultReapAfter
+	RegisterBytes float64           // of registers sent a second, at most; 0: no bound
+	State         fleetview.State   // with which it begins
+	Summaries     func() []fleetview.Summary
+	Log           logrus.FieldLogger
 }
 
 // Fleet is this gatekeeper's part of the gossip.
@@ -88,6 +89,7 @@
 
 	incarnation uint64 // of this member, Unix ms
 	registers   *memberlist.TransmitLimitedQueue
+	budget      *registerBudget // of registers sent
 
 	registersMu  sync.Mutex // never held while mu is taken
 	registerBook *registers.Book
@@ -177,6 +179,7 @@
 	}
 	f.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: f.membersUp}
 	f.registers = &memberlist.TransmitLimitedQueue{RetransmitMult: registerRetransmitMult, NumNodes: f.membersUp}
+	f.budget = newRegisterBudget(f.registers, o.RegisterBytes)
 	if f.list, err = memberlist.Create(c); err != nil {
 		nt.Shutdown()
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -445,7 +448,7 @@
 	for _, text := range all {
 		limit -= overhead + len(text)
 	}
-	return append(all, d.registers.GetBroadcasts(overhead, limit)...)
+	return append(all, d.budget.take(time.Now(), overhead, limit)...)
 }
 
 // LocalState implements memberlist.Delegate: whole states hold what everybody sees.
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -110,7 +110,7 @@
 
 // join opens the gossip, and publishes a register where the run has it so.
 func (g *gatekeeper) join(ctx context.Context) error {
-	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Group: g.Group, Program: "hollow", Bind: g.Bind,
+	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Group: g.Group, Program: "hollow", Bind: g.Bind, RegisterBytes: g.process.config.RegisterBytes,
 		Seeds: g.process.config.Groups[g.Group].Seeds, Log: quiet()})
 	if err != nil {
 		return err
@@ -202,11 +202,16 @@
 	s, met := g.state()
 	gossip := g.gossip.Load()
 	g.mu.Lock()
+	fresh, oldest := 0, control.Micros(0)
 	if g.fleet != nil {
 		gossip += g.fleet.Status().Bytes
+		for _, r := range g.fleet.Read(registers.Rates) {
+			fresh++
+			oldest = max(oldest, r.Age)
+		}
 	}
 	g.mu.Unlock()
-	return GatekeeperCounts{Name: g.Name, Sent: g.traffic.sent.Load(), Received: g.traffic.received.Load(), Opened: g.traffic.opened.Load(),
+	return GatekeeperCounts{Fresh: fresh, Oldest: int64(oldest), Name: g.Name, Sent: g.traffic.sent.Load(), Received: g.traffic.received.Load(), Opened: g.traffic.opened.Load(),
 		Gossip: gossip, Leases: g.leases.sent.Load() + g.leases.received.Load(), InForce: s.inForce, Highest: s.highest, Met: met}
 }
 
--- a/internal/scalelab/hollow/wire.go
+++ b/internal/scalelab/hollow/wire.go
@@ -7,19 +7,20 @@
 
 // Config is the first line of the standard input.
 type Config struct {
-	Began       int64         `json:"began"` // of the run, Unix ns: times of events count from it
-	Gatekeepers []Gatekeeper  `json:"gatekeepers"`
-	Replicas    []Replica     `json:"replicas"` // control machines; none: no configuration is followed
-	Dir         string        `json:"dir"`      // each gatekeeper keeps its last good settings in a folder of its own in it; "": none does
-	Seed        uint64        `json:"seed"`
-	Shaped      bool          `json:"shaped"` // connections between regions can be delayed
-	Latency     time.Duration `json:"latency"`
-	StartOver   time.Duration `json:"start_over"` // the gatekeepers start spread over this
-	Site        string        `json:"site"`       // a gatekeeper's configuration, by which settings are checked; "": not checked
-	Membership  bool          `json:"membership"` // internal/fleet
-	Registers   bool          `json:"registers"`  // one register of registerBytes a second for each
-	Limits      bool          `json:"limits"`     // internal/limits, with leases through the control machines
-	Parts       int           `json:"parts"`      // gatekeepers that share the limits
+	Began         int64         `json:"began"` // of the run, Unix ns: times of events count from it
+	Gatekeepers   []Gatekeeper  `json:"gatekeepers"`
+	Replicas      []Replica     `json:"replicas"` // control machines; none: no configuration is followed
+	Dir           string        `json:"dir"`      // each gatekeeper keeps its last good settings in a folder of its own in it; "": none does
+	Seed          uint64        `json:"seed"`
+	Shaped        bool          `json:"shaped"` // connections between regions can be delayed
+	Latency       time.Duration `json:"latency"`
+	StartOver     time.Duration `json:"start_over"`     // the gatekeepers start spread over this
+	Site          string        `json:"site"`           // a gatekeeper's configuration, by which settings are checked; "": not checked
+	Membership    bool          `json:"membership"`     // internal/fleet
+	RegisterBytes float64       `json:"register_bytes"` // that each sends a second at most; 0: no bound
+	Registers     bool          `json:"registers"`      // one register of registerBytes a second for each
+	Limits        bool          `json:"limits"`         // internal/limits, with leases through the control machines
+	Parts         int           `json:"parts"`          // gatekeepers that share the limits
 	// Groups are the gossips that the gatekeepers take part in, by name; one without a name where it is not split by service.
 	Groups map[string]Group `json:"groups"`
 }
@@ -141,5 +142,7 @@
 	Leases   int64  `json:"leases"` // bytes both ways of lease requests
 	InForce  uint64 `json:"in_force"`
 	Highest  uint64 `json:"highest"`
-	Met      int    `json:"met"` // members that it holds to be up
+	Met      int    `json:"met"`             // members that it holds to be up
+	Fresh    int    `json:"fresh"`           // members whose register of rates counts here, its own among them
+	Oldest   int64  `json:"oldest_register"` // us, the oldest of these
 }
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -184,7 +184,7 @@
 // hollowConfig is what a hollow process is told at its start.
 func hollowConfig(o *Options, p plan, machines []*machine, began time.Time, n int) hollow.Config {
 	c := hollow.Config{Began: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartOver: o.startOver(), Parts: len(p.gatekeepers),
-		Membership: o.With.Membership, Registers: o.With.Registers, Limits: o.With.Limits}
+		Membership: o.With.Membership, Registers: o.With.Registers, RegisterBytes: o.RegisterBytes, Limits: o.With.Limits}
 	for _, f := range o.Faults {
 		if f.Kind == script.Latency {
 			c.Shaped, c.Latency = true, f.Delay
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -39,13 +39,15 @@
 	ChangesADay float64
 	Factor      float64 // changes come so many times as often
 	RecordBytes int     // of each of the two records of a change
-	Faults      []script.Fault
-	With        With
-	Admission   Admission
-	Site        string // a gatekeeper's configuration by which changes are checked; "": by their form alone
-	Beside      string // what else ran on the machine, as the caller knows it
-	Command     string // as it was called, for the report
-	Progress    func(at time.Duration, what string)
+	// RegisterBytes bounds what a gatekeeper sends of registers, bytes a second; 0: no bound.
+	RegisterBytes float64
+	Faults        []script.Fault
+	With          With
+	Admission     Admission
+	Site          string // a gatekeeper's configuration by which changes are checked; "": by their form alone
+	Beside        string // what else ran on the machine, as the caller knows it
+	Command       string // as it was called, for the report
+	Progress      func(at time.Duration, what string)
 }
 
 // With says what a gatekeeper's control side has beside configuration.
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -152,6 +152,10 @@
 	FewestUp int     `json:"fewest_met"` // that a gatekeeper held to be up, at the end
 	// MostMissing are the members of its gossip that a gatekeeper did not hold to be up, at the end.
 	MostMissing int `json:"most_missing"`
+	// Fresh is how many members' registers count at a gatekeeper, over those of its gossip, and Oldest the age of the oldest
+	// of them in seconds; over the gatekeepers, at the end of the measured time. With registers alone.
+	Fresh  Spread `json:"registers_that_count_part"`
+	Oldest Spread `json:"oldest_register_s"`
 }
 
 // JudgeFigures are the judge's.
@@ -230,6 +234,9 @@
 	}
 	if r.Shape.Control == 0 {
 		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d, %d of its gossip missing at most\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Membership.MostMissing)
+		if r.Membership.Fresh.Of > 0 {
+			fmt.Fprintf(&b, "registers: part of the gossip's that counts p50 %.3f, mean %.3f; the oldest p50 %.2f s, p99 %.2f s\n", r.Membership.Fresh.P50, r.Membership.Fresh.Mean, r.Membership.Oldest.P50, r.Membership.Oldest.P99)
+		}
 	}
 	for _, p := range r.Judge.Problems {
 		fmt.Fprintf(&b, "problem: %s\n", p)
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -284,9 +284,31 @@
 		m.AllMetS = seconds(l.started)
 	}
 	_, m.FewestUp, m.MostMissing = l.have()
+	if l.options.With.Registers {
+		m.Fresh, m.Oldest = l.registerFigures()
+	}
 	return m
 }
 
+// registerFigures tell what each gatekeeper knew of its gossip's registers at the end of the measured time.
+func (l *laboratory) registerFigures() (fresh, oldest Spread) {
+	members, groupOf := map[string]int{}, map[string]string{}
+	for _, g := range l.plan.gatekeepers {
+		members[g.Group]++
+		groupOf[g.Name] = g.Group
+	}
+	var parts, ages []float64
+	l.record.mu.Lock()
+	defer l.record.mu.Unlock()
+	for _, c := range l.record.counters[atEnd] {
+		for _, g := range c.Gatekeepers {
+			parts = append(parts, float64(g.Fresh)/float64(members[groupOf[g.Name]]))
+			ages = append(ages, float64(g.Oldest)/1e6)
+		}
+	}
+	return spreadOf(parts), spreadOf(ages)
+}
+
 // firstMarker is of the change that is written before the gatekeepers start.
 const firstMarker = 1
 
