--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -313,6 +313,38 @@
 	}
 }
 
+// With more servers on the list than there are descriptors, a caller still gets in and every set-up gets its answer: connections to
+// servers leave a part of the descriptors to callers.
+func TestMoreServersThanDescriptors(t *testing.T) {
+	cfg, err := config.Load(testConfig(t))
+	require.NoError(t, err)
+	cfg.Sockets = 96
+	log, _ := logtest.NewNullLogger()
+	n := startNode(t, cfg, &config.Deploy{}, log)
+	server := siptest.New(t, slowly(0))
+	var hosts []routing.Host
+	for i := range 3 * cfg.Sockets {
+		hosts = append(hosts, routing.Host{Name: fmt.Sprint("s-", i), Addr: server.Addr("TCP"), State: control.Ready})
+	}
+	n.applied(routing.Update{Whole: true, Hosts: hosts})
+	time.Sleep(500 * time.Millisecond) // in which the servers are dialled
+	served := 0
+	for i := range 20 {
+		c, err := net.Dial("tcp", n.Addr())
+		require.NoError(t, err)
+		open(c, fmt.Sprintf("%016x", i+1), fmt.Sprint(i), 2000)
+		c.SetReadDeadline(time.Now().Add(4 * time.Second))
+		line, err := bufio.NewReader(c).ReadString('\n')
+		c.Close()
+		require.NoError(t, err, "set-up %d got no answer", i)
+		if strings.Contains(line, `"ready"`) {
+			served++
+		}
+	}
+	t.Logf("%d of 20 served", served)
+	require.Positive(t, served)
+}
+
 // Two classes in turn on one connection, over one line: at the server each set-up is of its own class, number and description,
 // and each answer goes back to its own call.
 func TestCallsInTurnKeepTheirOwn(t *testing.T) {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -8,7 +8,6 @@
 	"os"
 	"slices"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -18,41 +17,73 @@
 // ErrBudget says that no descriptor is to spare.
 var ErrBudget = errors.New("descriptor budget is used up")
 
-// Budget counts descriptors, so that the process stays under its limit. The last part is kept for servers: callers
-// that come in great number must not keep the gatekeeper from dialling.
+// Budget counts descriptors, so that the process stays under its limit. A part of it is kept for each side: callers that come in
+// great number must not keep the gatekeeper from dialling, and connections to a great many servers must leave room for callers.
 type Budget struct {
-	max, reserve int64
-	used         atomic.Int64
+	max, reserve int
+
+	mu              sync.Mutex
+	callers, dialed int // descriptors held
 }
 
-// NewBudget allows max descriptors in all, of which callers may not take the last reserve.
-func NewBudget(max, reserve int) *Budget { return &Budget{max: int64(max), reserve: int64(reserve)} }
+// NewBudget allows max descriptors in all. Callers may not take the last reserve of them while they hold as many themselves,
+// and connections that are dialled may not take more than all but the reserve.
+func NewBudget(max, reserve int) *Budget { return &Budget{max: max, reserve: reserve} }
 
-func (b *Budget) take(limit int64) bool {
-	if b.used.Add(1) > limit {
-		b.used.Add(-1)
+// takeCaller counts a descriptor for a caller, if there is one to spare.
+func (b *Budget) takeCaller() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	used := b.callers + b.dialed
+	if used >= b.max || used >= b.max-b.reserve && b.callers >= b.reserve {
 		return false
 	}
+	b.callers++
 	return true
 }
 
-// Used is the number of descriptors held.
-func (b *Budget) Used() int { return int(b.used.Load()) }
+func (b *Budget) giveCaller() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.callers--
+}
+
+// takeDialed counts a descriptor for a connection to be dialled, if there is one to spare.
+func (b *Budget) takeDialed() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.callers+b.dialed >= b.max || b.dialed >= b.max-b.reserve {
+		return false
+	}
+	b.dialed++
+	return true
+}
+
+func (b *Budget) giveDialed() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.dialed--
+}
 
-func (b *Budget) give() { b.used.Add(-1) }
+// Used is the number of descriptors held.
+func (b *Budget) Used() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.callers + b.dialed
+}
 
 // Dial opens a TCP connection within a time.
 func (b *Budget) Dial(ctx context.Context, addr string, timeout time.Duration) (*Conn, error) {
-	if !b.take(b.max) {
+	if !b.takeDialed() {
 		return nil, ErrBudget
 	}
 	d := net.Dialer{Timeout: timeout}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		b.give()
+		b.giveDialed()
 		return nil, err
 	}
-	return NewConn(nc, b.give), nil
+	return NewConn(nc, b.giveDialed), nil
 }
 
 var shared = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -143,11 +174,11 @@
 			nc.Close()
 			continue
 		}
-		if !l.budget.take(l.budget.max-l.budget.reserve) && !(l.makeRoom() && l.budget.take(l.budget.max-l.budget.reserve)) {
+		if !l.budget.takeCaller() && !(l.makeRoom() && l.budget.takeCaller()) {
 			nc.Close()
 			continue
 		}
-		c := NewConn(nc, l.budget.give)
+		c := NewConn(nc, l.budget.giveCaller)
 		l.mu.Lock()
 		l.conns[c] = struct{}{}
 		l.mu.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -49,3 +49,31 @@
 		}
 	}
 }
+
+// Neither side can take the part of the other: with servers without end callers still get the reserve, with callers without end
+// the gatekeeper can still dial as many, and all together never pass the limit.
+func TestBudgetKeepsAPartForEachSide(t *testing.T) {
+	const max, reserve = 40, 5
+	take := func(more func() bool) (n int) {
+		for more() {
+			n++
+		}
+		return n
+	}
+	b := NewBudget(max, reserve)
+	if dialed, callers := take(b.takeDialed), take(b.takeCaller); dialed != max-reserve || callers != reserve || b.Used() != max {
+		t.Errorf("%d dialled first, then %d callers, %d in all", dialed, callers, b.Used())
+	}
+	b.giveDialed()
+	if b.takeCaller() || !b.takeDialed() {
+		t.Error("a descriptor of the servers went to a caller that holds its part")
+	}
+	b = NewBudget(max, reserve)
+	if callers, dialed := take(b.takeCaller), take(b.takeDialed); callers != max-reserve || dialed != reserve || b.Used() != max {
+		t.Errorf("%d callers first, then %d dialled, %d in all", callers, dialed, b.Used())
+	}
+	b.giveCaller()
+	if !b.takeDialed() && !b.takeCaller() {
+		t.Error("a descriptor that was given back is lost")
+	}
+}
