--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -201,7 +201,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s.Kind {
-	case lab.Tried, lab.Stood, lab.Refused, lab.Failed:
+	case lab.Tried, lab.Established, lab.Refused, lab.Failed:
 		c.ended[s.Call] = s.Kind
 	case lab.Unsent, lab.SecondAnswer, lab.Unanswered, lab.Broken:
 		c.other[s.Kind]++
@@ -322,7 +322,7 @@
 
 	<-played
 	ends := seen.noneLost(t)
-	require.Greater(t, ends[lab.Stood], 50)
+	require.Greater(t, ends[lab.Established], 50)
 	require.Positive(t, ends[lab.Refused], "the limit turned nobody away")
 	hangUp()
 	for _, g := range all {
--- a/cmd/beammux/fleet.go
+++ b/cmd/beammux/fleet.go
@@ -78,7 +78,7 @@
 	}
 	Calls struct {
 		Members int
-		Classes map[string]struct{ Arrived, Stood, Refused, Failed float64 }
+		Classes map[string]struct{ Arrived, Established, Refused, Failed float64 }
 	}
 	Limits *struct {
 		Rules []struct {
@@ -126,7 +126,7 @@
 		fmt.Fprintf(w, "\ncalls a second, by %d members\tarrived\tstood\trefused\tfailed\n", s.Calls.Members)
 		for _, name := range slices.Sorted(maps.Keys(s.Calls.Classes)) {
 			c := s.Calls.Classes[name]
-			fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", name, c.Arrived, c.Stood, c.Refused, c.Failed)
+			fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", name, c.Arrived, c.Established, c.Refused, c.Failed)
 		}
 	}
 	if s.Limits != nil && len(s.Limits.Rules)+len(s.Limits.Faults) > 0 {
--- a/cmd/beammux/lab_latency.go
+++ b/cmd/beammux/lab_latency.go
@@ -114,7 +114,7 @@
 		fmt.Printf("%41s", "no call was answered")
 	}
 	fmt.Printf(" %6.4f %6.4f %4.0f %5d  %d of %d (%d refused, %d failed, %d without a connection)\n", r.CorePart, r.WaitPart, r.ResidentMB,
-		r.Held, r.Through.Calls-r.Through.Stood, r.Through.Calls, r.Through.Refused, r.Through.Failed, r.Through.Unsent)
+		r.Held, r.Through.Calls-r.Through.Established, r.Through.Calls, r.Through.Refused, r.Through.Failed, r.Through.Unsent)
 }
 
 // labDecisionCmd measures the pure steps at growing sizes.
--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -161,7 +161,7 @@
 		add("attempt %d to server %d", e.Attempt, e.Server)
 	case history.Ended:
 		add("attempt %d at server %d: %s after %d ms", e.Attempt, e.Server, e.Code, e.Span/1000)
-	case history.Stood:
+	case history.Established:
 		add("at server %d after %d ms", e.Server, e.Span/1000)
 	case history.Refused:
 		add("told to wait %d ms", e.Span/1000)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -157,7 +157,7 @@
 		} else if sv.State != control.Ready {
 			mark = Warn
 		}
-		add(mark, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", cut(s.server(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Stood, sv.Full)
+		add(mark, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", cut(s.server(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
 	}
 	more(add, len(servers)-room, "servers")
 	nodes := s.Fleet.NodeList()
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -34,7 +34,7 @@
 		for class := range 3 {
 			id := fmt.Sprint(n, class)
 			event(history.Event{Kind: history.Taken, Call: id, Class: class, Span: 9e6, Node: node})
-			event(history.Event{Kind: []history.Kind{history.Stood, history.Refused, history.Failed}[class], Call: id, Server: 2, Node: node})
+			event(history.Event{Kind: []history.Kind{history.Established, history.Refused, history.Failed}[class], Call: id, Server: 2, Node: node})
 		}
 	}
 	return s
--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -21,10 +21,10 @@
 // What is what was seen.
 type What uint8
 
-// What is counted. Arrived and Refused, Failed, Stood are of calls; the rest are of attempts at a server.
+// What is counted. Arrived and Refused, Failed, Established are of calls; the rest are of attempts at a server.
 const (
 	Arrived What = iota
-	Stood
+	Established
 	Refused
 	Failed
 	Sent
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -140,7 +140,7 @@
 
 // Observe implements routing.Observer.
 func (m *Monitor) Observe(now control.Micros, s counting.Seen) {
-	if s.What == counting.Busy || s.What == counting.Stood {
+	if s.What == counting.Busy || s.What == counting.Established {
 		m.observeNumber(now, s)
 		return
 	}
--- a/internal/ejection/numbers.go
+++ b/internal/ejection/numbers.go
@@ -24,13 +24,13 @@
 	defer m.tallyMu.Unlock()
 	t := m.numberTallies[s.Number]
 	switch {
-	case t == nil && (s.What == counting.Stood || len(m.numberTallies) >= maxNumbers || len(s.Number) > maxNumberLength):
+	case t == nil && (s.What == counting.Established || len(m.numberTallies) >= maxNumbers || len(s.Number) > maxNumberLength):
 		return
 	case t == nil:
 		t = &numberTally{lastSuccess: -1}
 		m.numberTallies[s.Number] = t
 	}
-	if s.What == counting.Stood {
+	if s.What == counting.Established {
 		t.lastSuccess = now
 		return
 	}
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -23,34 +23,34 @@
 
 // The kinds, with the fields that each uses beside At and Place.
 const (
-	Ready     Kind = iota + 1 // Process takes callers
-	Asked                     // Process was told to end (SIGTERM)
-	Stopped                   // Process was ended on purpose, or ended after it was asked
-	Crashed                   // Process ended by itself; What says how
-	Paused                    // Process was stopped (SIGSTOP)
-	Woken                     // and goes on (SIGCONT)
-	Troubled                  // what goes from Process to Peer is in trouble, or a connection opened that way
-	Healed                    // and is no more
-	Logged                    // Process wrote a line of its log; Level, What
-	Tried                     // Call was sent to Process; Span is the caller's time
-	Stood                     // Call has its final answer from Process; What is its description
-	Refused                   // Call has its final answer
-	Failed                    // Call has its final answer
-	Second                    // Call has a further final answer; What tells which
-	Expired                   // Call's time was up without an answer
-	Broken                    // Call's connection ended without an answer
-	Unsent                    // Call found no gatekeeper
-	Given                     // server Process answered Call: it stands; What is the description
-	FaultFrom                 // a fault begins; What names it
-	FaultTo                   // it is over; What names it
-	Viewed                    // Process holds the fleet to be What (a hash), with the members Peer up (names with spaces between)
-	Heard                     // Process counts what members Peer tell of calls; Value arrive a second in all, the oldest is Span old at least
-	Limited                   // the files of gatekeepers Process (names with spaces between) let Value calls a second through, and a burst of Class
-	Moved                     // from now on first calls come to gatekeepers Process (names with + between)
-	Judged                    // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
-	Late                      // Call has the first answer of Process after its time was up
-	Delayed                   // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
-	Changed                   // Process logged that server Peer (its number) came into phase What of a verdict
+	Ready       Kind = iota + 1 // Process takes callers
+	Asked                       // Process was told to end (SIGTERM)
+	Stopped                     // Process was ended on purpose, or ended after it was asked
+	Crashed                     // Process ended by itself; What says how
+	Paused                      // Process was stopped (SIGSTOP)
+	Woken                       // and goes on (SIGCONT)
+	Troubled                    // what goes from Process to Peer is in trouble, or a connection opened that way
+	Healed                      // and is no more
+	Logged                      // Process wrote a line of its log; Level, What
+	Tried                       // Call was sent to Process; Span is the caller's time
+	Established                 // Call has its final answer from Process; What is its description
+	Refused                     // Call has its final answer
+	Failed                      // Call has its final answer
+	Second                      // Call has a further final answer; What tells which
+	Expired                     // Call's time was up without an answer
+	Broken                      // Call's connection ended without an answer
+	Unsent                      // Call found no gatekeeper
+	Given                       // server Process answered Call: it stands; What is the description
+	FaultFrom                   // a fault begins; What names it
+	FaultTo                     // it is over; What names it
+	Viewed                      // Process holds the fleet to be What (a hash), with the members Peer up (names with spaces between)
+	Heard                       // Process counts what members Peer tell of calls; Value arrive a second in all, the oldest is Span old at least
+	Limited                     // the files of gatekeepers Process (names with spaces between) let Value calls a second through, and a burst of Class
+	Moved                       // from now on first calls come to gatekeepers Process (names with + between)
+	Judged                      // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
+	Late                        // Call has the first answer of Process after its time was up
+	Delayed                     // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
+	Changed                     // Process logged that server Peer (its number) came into phase What of a verdict
 	kinds
 )
 
@@ -210,14 +210,14 @@
 
 // Stats counts what callers met with.
 type Stats struct {
-	Tries      int `json:"tries"`
-	Stood      int `json:"stood"`
-	Refused    int `json:"refused"`
-	Failed     int `json:"failed"`
-	Unanswered int `json:"unanswered"`
-	Broken     int `json:"broken"`
-	Unsent     int `json:"unsent"`
-	Gated      int `json:"setups_to_gated_servers"`
+	Tries       int `json:"tries"`
+	Established int `json:"stood"`
+	Refused     int `json:"refused"`
+	Failed      int `json:"failed"`
+	Unanswered  int `json:"unanswered"`
+	Broken      int `json:"broken"`
+	Unsent      int `json:"unsent"`
+	Gated       int `json:"setups_to_gated_servers"`
 }
 
 // New makes a checker. The names of the callers' processes begin with front, those of no other do; capacities gives the set-ups a
@@ -296,7 +296,7 @@
 		c.stats.Tries++
 		c.tries[e.Call] = try{*e, e.Process}
 		c.course.tried(e)
-	case Stood, Refused, Failed:
+	case Established, Refused, Failed:
 		c.answered(e, evidence)
 	case Second:
 		c.second(e, evidence("a second final answer: "+e.What))
@@ -370,8 +370,8 @@
 	}
 	c.answers[e.Call] = try{*e, k.gatekeeper}
 	switch e.Kind {
-	case Stood:
-		c.stats.Stood++
+	case Established:
+		c.stats.Established++
 		if body, ok := c.given[e.Call]; !ok || body != e.What {
 			c.broke(RuleServed, evidence(fmt.Sprintf("served %q, and the servers answered %q", e.What, body)))
 		}
@@ -380,7 +380,7 @@
 	default:
 		c.stats.Failed++
 	}
-	c.course.over(e, e.Kind == Stood)
+	c.course.over(e, e.Kind == Established)
 	if late := e.At - (k.At + k.Span + AnswerSlack); late > 0 {
 		c.suspects = append(c.suspects, suspect{RuleFinal, k.At, k.At + k.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's time", late/1000))})
 	}
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -71,9 +71,9 @@
 		excused int
 		events  []Event
 	}{
-		"served":                 {RuleServed, 0, 0, []Event{ready, tried, given, called(1200, Stood, "d")}},
-		"served by none":         {RuleServed, 1, 0, []Event{ready, tried, called(1200, Stood, "d")}},
-		"served another's":       {RuleServed, 1, 0, []Event{ready, tried, given, called(1200, Stood, "e")}},
+		"served":                 {RuleServed, 0, 0, []Event{ready, tried, given, called(1200, Established, "d")}},
+		"served by none":         {RuleServed, 1, 0, []Event{ready, tried, called(1200, Established, "d")}},
+		"served another's":       {RuleServed, 1, 0, []Event{ready, tried, given, called(1200, Established, "e")}},
 		"two answers":            {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Failed, "")}},
 		"told twice":             {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Second, "ready")}},
 		"released unknown":       {RuleFinal, 1, 0, []Event{ready, tried, given, called(1200, Refused, ""), called(1900, Second, "close")}},
@@ -146,7 +146,7 @@
 			{At: 1, Kind: history.Told, Server: 7, State: control.Draining},
 			{At: 1000 * ms, Kind: history.Taken, Call: "c", Span: 1000 * ms},
 			{At: 1100 * ms, Kind: history.Sent, Call: "c", Server: 7},
-			{At: 2600 * ms, Kind: history.Stood, Call: "c", Server: 7},
+			{At: 2600 * ms, Kind: history.Established, Call: "c", Server: 7},
 		} {
 			e.Node = "g1"
 			c.Record(&e, Place{"records/g1", i})
@@ -181,7 +181,7 @@
 			}
 			e := Event{At: when * ms, Kind: Tried, Process: "g2", Call: string(rune(when)), Span: 100 * ms}
 			events = append(events, e)
-			e.Kind, e.At = Stood, e.At+1
+			e.Kind, e.At = Established, e.At+1
 			if when >= 4000 && when < until {
 				e.Kind = Refused
 			}
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -32,8 +32,10 @@
 
 // Bucket is what came of the tries of a tenth of a second, by when they were sent.
 type Bucket struct {
-	At                                  control.Micros
-	Tries, Stood, Refused, Failed, Lost int
+	At                    control.Micros
+	Tries                 int
+	Established           int `json:"Stood"`
+	Refused, Failed, Lost int
 }
 
 type course struct {
@@ -71,7 +73,7 @@
 	delete(c.at, e.Call)
 	switch row := &c.rows[i]; {
 	case stood:
-		row.Stood++
+		row.Established++
 	case e.Kind == Refused:
 		row.Refused++
 	case e.Kind == Failed:
@@ -118,7 +120,7 @@
 	for _, b := range c.rows {
 		if b.At+bucketOf > from && b.At < to {
 			tries += b.Tries
-			stood += b.Stood
+			stood += b.Established
 		}
 	}
 	if tries < leastTries {
--- a/internal/fleetlab/load.go
+++ b/internal/fleetlab/load.go
@@ -40,7 +40,7 @@
 	for i := range f.s.Servers {
 		zones[i%f.s.Zones][1] = append(zones[i%f.s.Zones][1], i)
 	}
-	kinds := map[lab.SeenKind]fleetcheck.Kind{lab.Tried: fleetcheck.Tried, lab.Stood: fleetcheck.Stood, lab.Refused: fleetcheck.Refused,
+	kinds := map[lab.SeenKind]fleetcheck.Kind{lab.Tried: fleetcheck.Tried, lab.Established: fleetcheck.Established, lab.Refused: fleetcheck.Refused,
 		lab.Failed: fleetcheck.Failed, lab.SecondAnswer: fleetcheck.Second, lab.Unanswered: fleetcheck.Expired,
 		lab.Broken: fleetcheck.Broken, lab.Unsent: fleetcheck.Unsent, lab.LateAnswer: fleetcheck.Late}
 	return lab.Load{Seed: f.s.Seed, Gatekeepers: f.s.Gatekeepers, Servers: f.s.Servers, Length: time.Duration(f.s.Length),
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -48,7 +48,7 @@
 	}
 	t := s.Stats
 	fmt.Fprintf(&b, "tries %d: stood %d, refused %d, failed %d, unanswered %d, connection ended %d; found no gatekeeper %d; set-ups to gated servers %d\n",
-		t.Tries, t.Stood, t.Refused, t.Failed, t.Unanswered, t.Broken, t.Unsent, t.Gated)
+		t.Tries, t.Established, t.Refused, t.Failed, t.Unanswered, t.Broken, t.Unsent, t.Gated)
 	if len(s.Starts) > 0 {
 		fmt.Fprintf(&b, "ready after: first start %.2f to %.2f s\n", slices.Min(s.Starts), slices.Max(s.Starts))
 	}
@@ -102,7 +102,7 @@
 	for i := 0; i < len(s.Course); i += perPoint {
 		var sum fleetcheck.Bucket
 		for _, b := range s.Course[i:min(i+perPoint, len(s.Course))] {
-			sum.Stood += b.Stood
+			sum.Established += b.Established
 			sum.Refused += b.Refused
 			sum.Failed += b.Failed + b.Lost
 		}
@@ -113,7 +113,7 @@
 				on++
 			}
 		}
-		for k, v := range []int{sum.Stood, sum.Refused, sum.Failed, on} {
+		for k, v := range []int{sum.Established, sum.Refused, sum.Failed, on} {
 			values[k] = append(values[k], float64(v))
 		}
 		labels = append(labels, fmt.Sprintf("%.1f", float64(at-s.Course[0].At)/1e6))
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -186,7 +186,7 @@
 		if control.Guarded.Has(e.Code) {
 			n.ended[e.Call] = ending{e.At, e.Attempt}
 		}
-	case Stood, Refused, Failed:
+	case Established, Refused, Failed:
 		c.answered(n, e)
 	case Gone:
 		delete(n.calls, e.Call)
@@ -242,7 +242,7 @@
 }
 
 func (c *Checker) answered(n *checked, e *Event) {
-	if e.Kind == Stood {
+	if e.Kind == Established {
 		c.stood(e)
 	}
 	k := n.calls[e.Call]
@@ -255,7 +255,7 @@
 	case e.At > k.deadline+c.limit():
 		c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, fmt.Sprintf("%s %d ms after its caller had given up", e.Kind, (e.At-k.deadline)/1000)})
 	}
-	if e.Kind != Stood && k.attempt >= 0 {
+	if e.Kind != Established && k.attempt >= 0 {
 		c.breaks(RuleOne, Evidence{e.Node, e.Call, k.server, e.At, fmt.Sprintf("%s while attempt %d is out at server %d", e.Kind, k.attempt, k.server)})
 	}
 	k.answered, k.attempt = true, -1
--- a/internal/history/event.go
+++ b/internal/history/event.go
@@ -9,25 +9,25 @@
 
 // The kinds, with the fields of Event that each uses beside At, Kind and Seq.
 const (
-	Started   Kind = 1 + iota // Rules, Name (version of limits): the first event of a start
-	Taken                     // Call, Class, Value (worth), Span (time its caller gives it), Again
-	Sent                      // Call, Attempt, Server, Level (held when it was decided): the first byte of a set-up is about to go out
-	Ended                     // Call, Attempt, Server, Code, Span (since it was sent): an attempt is over without standing
-	Stood                     // Call, Attempt, Server, Span (since the call was taken): final answer, the call stands
-	Refused                   // Call, Span (wait told): final answer
-	Failed                    // Call: final answer
-	Gone                      // Call: withdrawn by its caller before the final answer; none is owed
-	Released                  // Call, Server, N (cause): a call that stood is over
-	Viewed                    // Server, Level, Span (wait believed), Value (part of the calls kept from it)
-	Reported                  // Server, Values: a load report as it was believed, in the order of Rules.Reports
-	Told                      // Server, Name, State, N (cell), Since: what the list says of a server
-	Reloaded                  // Name (version of limits in force)
-	Used                      // Values: memory in bytes, descriptors, calls open
-	Draining                  // a planned end has begun
-	Finished                  // a planned end is over; nothing follows but the next start
-	Dropped                   // N (events lost), Span (since the first of them): the queue was full
-	Continued                 // Rules, Name: records begin here with a later segment, since older ones were removed
-	Admitted                  // Call, Class: limits of the fleet let it in
+	Started     Kind = 1 + iota // Rules, Name (version of limits): the first event of a start
+	Taken                       // Call, Class, Value (worth), Span (time its caller gives it), Again
+	Sent                        // Call, Attempt, Server, Level (held when it was decided): the first byte of a set-up is about to go out
+	Ended                       // Call, Attempt, Server, Code, Span (since it was sent): an attempt is over without standing
+	Established                 // Call, Attempt, Server, Span (since the call was taken): final answer, the call stands
+	Refused                     // Call, Span (wait told): final answer
+	Failed                      // Call: final answer
+	Gone                        // Call: withdrawn by its caller before the final answer; none is owed
+	Released                    // Call, Server, N (cause): a call that stood is over
+	Viewed                      // Server, Level, Span (wait believed), Value (part of the calls kept from it)
+	Reported                    // Server, Values: a load report as it was believed, in the order of Rules.Reports
+	Told                        // Server, Name, State, N (cell), Since: what the list says of a server
+	Reloaded                    // Name (version of limits in force)
+	Used                        // Values: memory in bytes, descriptors, calls open
+	Draining                    // a planned end has begun
+	Finished                    // a planned end is over; nothing follows but the next start
+	Dropped                     // N (events lost), Span (since the first of them): the queue was full
+	Continued                   // Rules, Name: records begin here with a later segment, since older ones were removed
+	Admitted                    // Call, Class: limits of the fleet let it in
 	kinds
 )
 
@@ -43,7 +43,7 @@
 }
 
 // Final tells whether a kind is a final answer.
-func (k Kind) Final() bool { return k == Stood || k == Refused || k == Failed }
+func (k Kind) Final() bool { return k == Established || k == Refused || k == Failed }
 
 // Event is one thing that happened at one gatekeeper. Times and spans are in microseconds, At as Unix time by the clock
 // of that gatekeeper. Fields that a kind doesn't use are zero.
--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -79,7 +79,7 @@
 	State       control.State  `json:"-"`
 	Since       control.Micros `json:"since,omitempty"`
 	Sent        int            `json:"sent"`
-	Stood       int            `json:"stood"`
+	Established int            `json:"stood"`
 	Full        int            `json:"full"`
 	TimedOut    int            `json:"timed_out"`
 	Cut         int            `json:"cut"`
@@ -273,7 +273,7 @@
 		f.server(e.Server).Sent++
 	case Ended:
 		f.ended(f.server(e.Server), e.Code)
-	case Stood, Refused, Failed, Gone:
+	case Established, Refused, Failed, Gone:
 		f.final(n, e)
 	case Viewed:
 		f.viewed(n, e)
@@ -339,8 +339,8 @@
 
 // final counts what came of a call where it was taken. One whose taking is not recorded is left out.
 func (f *Fleet) final(n *Node, e *Event) {
-	if e.Kind == Stood {
-		f.server(e.Server).Stood++
+	if e.Kind == Established {
+		f.server(e.Server).Established++
 	}
 	k, ok := n.calls[e.Call]
 	if !ok {
@@ -354,7 +354,7 @@
 		f.count(n, k.at, k.class, Counts{Failed: 1})
 	case Gone:
 		f.count(n, k.at, k.class, Counts{Gone: 1})
-	case Stood:
+	case Established:
 		took, class := e.Span, f.class(k.class)
 		if class.Aim == 0 || took <= class.Aim {
 			f.count(n, k.at, k.class, Counts{Served: 1})
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -78,7 +78,7 @@
 
 func (s *story) final(at control.Micros, call string, kind Kind) *story {
 	e := Event{Kind: kind, Call: call, Server: 1}
-	if n := s.f.Nodes["n1"]; n != nil && kind == Stood {
+	if n := s.f.Nodes["n1"]; n != nil && kind == Established {
 		e.Span = 1e12 + at*ms - n.calls[call].at
 	}
 	return s.at(at, e)
@@ -97,7 +97,7 @@
 func TestVerdicts(t *testing.T) {
 	good := func() *story {
 		return newStory(nil).told(1, 1, control.Ready, 0).taken(10, "a").sent(11, "a", 0, 1).ended(500, "a", 0, control.TimedOut).
-			sent(800, "a", 1, 1).final(900, "a", Stood)
+			sent(800, "a", 1, 1).final(900, "a", Established)
 	}
 	for name, row := range map[string]struct {
 		s    *story
@@ -113,17 +113,17 @@
 		"answered twice":                   {good().final(950, "a", Refused), "bhhhh"},
 		"sent after its answer":            {good().sent(1900, "a", 2, 1), "bhhhh"},
 		"taken twice":                      {good().taken(1000, "b").taken(1100, "b").final(1200, "b", Refused), "bhhhh"},
-		"two attempts at once":             {good().taken(1000, "b").sent(1001, "b", 0, 1).sent(1002, "b", 1, 2).final(1003, "b", Stood), "hbhhh"},
+		"two attempts at once":             {good().taken(1000, "b").sent(1001, "b", 0, 1).sent(1002, "b", 1, 2).final(1003, "b", Established), "hbhhh"},
 		"refused while an attempt is out":  {good().taken(1000, "b").sent(1001, "b", 0, 1).final(1003, "b", Refused), "hbhhh"},
-		"a copy that was on its way":       {good().taken(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Stood), "hhhhh"},
+		"a copy that was on its way":       {good().taken(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
 		"gone while it was on its way":     {good().taken(1000, "b").ended(1001, "b", 0, control.Cancelled).final(1001, "b", Gone).sent(1002, "b", 0, 1).final(9000, "c", Refused), "hhhhh"},
 		"gone, and sent once more":         {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1002, "b", 0, control.Cancelled).final(1002, "b", Gone).sent(1003, "b", 1, 1).final(9000, "c", Refused), "hhhhb"},
-		"drained, within the grace":        {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Stood), "hhhhh"},
-		"drained, after the grace":         {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Stood), "hhbhh"},
-		"drained and gone: from the first": {good().told(1000, 1, control.Draining, 0).told(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Stood), "hhbhh"},
-		"up again":                         {good().told(1000, 1, control.Draining, 0).told(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Stood), "hhhhh"},
-		"sent again within the guard":      {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cut).sent(1399, "b", 1, 1).final(1400, "b", Stood), "hhhhb"},
-		"full needs no guard":              {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Full).sent(1101, "b", 1, 1).final(1400, "b", Stood), "hhhhh"},
+		"drained, within the grace":        {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Established), "hhhhh"},
+		"drained, after the grace":         {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"drained and gone: from the first": {good().told(1000, 1, control.Draining, 0).told(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"up again":                         {good().told(1000, 1, control.Draining, 0).told(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
+		"sent again within the guard":      {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cut).sent(1399, "b", 1, 1).final(1400, "b", Established), "hhhhb"},
+		"full needs no guard":              {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Full).sent(1101, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
 		"ended as planned, one still open": {good().taken(1000, "b").at(1200, Event{Kind: Finished}), "bhhhh"},
 		"a planned restart hides nothing":  {good().at(1200, Event{Kind: Finished}).gap(1200, 2000, Restart, false).at(2000, Event{Kind: Started, Rules: rules()}).taken(2001, "b").final(2002, "b", Refused), "hhhhh"},
 		"a crash hides":                    {good().taken(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: rules()}).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
@@ -151,7 +151,7 @@
 		s := newStory(capacity).told(1, 1, control.Ready, 0).told(1, 2, control.Ready, 20000)
 		for i := range 400 { // server 1 is seen to answer 40 a second
 			call := fmt.Sprint("w", i)
-			s.taken(control.Micros(i*25+10), call).final(control.Micros(i*25+11), call, Stood)
+			s.taken(control.Micros(i*25+10), call).final(control.Micros(i*25+11), call, Established)
 		}
 		for i := range perS * 3 { // 3 s, from both gatekeepers
 			e := Event{Kind: Sent, Call: fmt.Sprint("c", i), Server: 2, Node: []string{"n1", "n2"}[i%2]}
@@ -246,9 +246,9 @@
 		s.at(at, Event{Kind: Taken, Call: call, Class: i % 2, Span: 9000 * ms})
 		switch i % 4 {
 		case 0:
-			s.final(at+100, call, Stood)
+			s.final(at+100, call, Established)
 		case 1:
-			s.final(at+2100, call, Stood) // late for both classes
+			s.final(at+2100, call, Established) // late for both classes
 		case 2:
 			s.final(at+1, call, Refused)
 		default:
@@ -286,7 +286,7 @@
 	if class, part := f.WorstClass(); class != 1 || part != 0 {
 		t.Errorf("worst class %d, %g", class, part)
 	}
-	if sv := f.Servers[1]; sv.Gated != 1 || sv.LongestWait != 9e6 || sv.Stood != 2*n {
+	if sv := f.Servers[1]; sv.Gated != 1 || sv.LongestWait != 9e6 || sv.Established != 2*n {
 		t.Errorf("%+v", sv)
 	}
 }
@@ -312,7 +312,7 @@
 	for i := range 600 { // one a second; those of 300 to 309 are refused, and dear
 		call, at := fmt.Sprint("c", i), control.Micros(i*1000+500)
 		bad := i >= 300 && i < 310
-		class, kind := 0, Stood
+		class, kind := 0, Established
 		if bad {
 			class, kind = 1, Refused
 		}
--- a/internal/history/rates.go
+++ b/internal/history/rates.go
@@ -24,7 +24,7 @@
 	switch e.Kind {
 	case Taken:
 		c.Offered++
-	case Stood:
+	case Established:
 		c.Served++
 	case Refused:
 		c.Refused++
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -16,7 +16,7 @@
 const (
 	Tried        SeenKind = iota // a set-up was written to a gatekeeper; Span is what the caller gives it
 	Unsent                       // no gatekeeper was up
-	Stood                        // final answer: the call stands; Body is its description
+	Established                  // final answer: the call stands; Body is its description
 	Refused                      // final answer
 	Failed                       // final answer
 	SecondAnswer                 // a further final answer; Body tells which
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -115,7 +115,7 @@
 		note(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
 	default:
 		note(at, history.Event{Kind: history.Sent, Call: id, Server: server})
-		note(at, history.Event{Kind: history.Stood, Call: id, Server: server, Span: control.Micros(60000 + rng.ExpFloat64()*50000)})
+		note(at, history.Event{Kind: history.Established, Call: id, Server: server, Span: control.Micros(60000 + rng.ExpFloat64()*50000)})
 		note(at, history.Event{Kind: history.Reported, Server: server, Values: []float64{rng.Float64(), 3}})
 		note(at, history.Event{Kind: history.Released, Call: id, Server: server, N: 16})
 	}
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -185,7 +185,7 @@
 	if d.seen == nil {
 		return true
 	}
-	if was, again := d.past[id]; again && (was != Stood || kind == Stood) {
+	if was, again := d.past[id]; again && (was != Established || kind == Established) {
 		d.tell(Seen{Kind: SecondAnswer, Call: id, Gatekeeper: k.at, Body: kind.String()})
 		return false
 	}
@@ -421,17 +421,17 @@
 	k := d.calls[m.ID]
 	if k == nil {
 		d.heardLate(m)
-		if _, over := d.past[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && d.past[m.ID] != Stood {
+		if _, over := d.past[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && d.past[m.ID] != Established {
 			d.tell(Seen{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
 		}
 		return
 	}
 	switch {
 	case m.Type == "ready" && k.stood:
-		d.final(k, m.ID, Stood, m.Text)
+		d.final(k, m.ID, Established, m.Text)
 	case m.Type == "ready":
 		k.over.Stop()
-		d.final(k, m.ID, Stood, m.Text)
+		d.final(k, m.ID, Established, m.Text)
 		k.stood = true
 		took := time.Since(k.began)
 		d.delays.RecordValue(took.Milliseconds())
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -53,15 +53,15 @@
 
 // Arm holds the latencies of one way, in milliseconds from the scheduled time of each call.
 type Arm struct {
-	Calls   int     `json:"calls"`
-	Stood   int     `json:"stood"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Unsent  int     `json:"unsent"` // no connection to the gatekeeper was open
-	Silent  int     `json:"silent"` // no answer
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	P999    float64 `json:"p999_ms"`
+	Calls       int     `json:"calls"`
+	Established int     `json:"stood"`
+	Refused     int     `json:"refused"`
+	Failed      int     `json:"failed"`
+	Unsent      int     `json:"unsent"` // no connection to the gatekeeper was open
+	Silent      int     `json:"silent"` // no answer
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
+	P999        float64 `json:"p999_ms"`
 }
 
 // Added is what the gatekeeper adds, in milliseconds. Paired quantiles are those of the differences within pairs, through
@@ -323,7 +323,7 @@
 		a.Calls++
 		switch c.ended {
 		case stood:
-			a.Stood++
+			a.Established++
 			h.RecordValue(c.took.Microseconds())
 		case refused:
 			a.Refused++
@@ -335,7 +335,7 @@
 			a.Silent++
 		}
 	}
-	if a.Stood > 0 {
+	if a.Established > 0 {
 		a.P50, a.P99, a.P999 = micros(h, 50), micros(h, 99), micros(h, 99.9)
 	}
 	return a
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -259,7 +259,7 @@
 	for _, rate := range []float64{0, 100, 200} {
 		for _, limit := range []int{PlannedDescriptors, 4096} {
 			r := &Run{Servers: 34, PerSecond: rate, Descriptors: limit, Seconds: 1, CorePart: 0.1 + rate/1000, ResidentMB: 20}
-			r.Through.Calls, r.Through.Stood = int(rate), int(rate)
+			r.Through.Calls, r.Through.Established = int(rate), int(rate)
 			if rate > 0 {
 				r.Added = &Added{P99: rate, Chain: []float64{1, 2}}
 			}
@@ -317,8 +317,8 @@
 		r, err := l.Run(t.Context())
 		require.NoError(t, err)
 		require.Positive(t, r.Through.Calls)
-		require.Equal(t, r.Through.Calls, r.Through.Stood)
-		require.Equal(t, r.Direct.Calls, r.Direct.Stood)
+		require.Equal(t, r.Through.Calls, r.Through.Established)
+		require.Equal(t, r.Direct.Calls, r.Direct.Established)
 		require.Equal(t, r.Through.Calls, r.Added.Pairs)
 		require.Positive(t, r.Added.P50)
 		require.Positive(t, r.ResidentMB)
@@ -329,11 +329,11 @@
 		l.Servers, l.Descriptors = 60, 64
 		r, err := l.Run(t.Context())
 		require.NoError(t, err)
-		require.Zero(t, r.Through.Stood)
+		require.Zero(t, r.Through.Established)
 		require.Nil(t, r.Added)
 		require.Positive(t, r.CallersEnded)
 		require.LessOrEqual(t, r.Held, 64)
-		require.Equal(t, r.Direct.Calls, r.Direct.Stood)
+		require.Equal(t, r.Direct.Calls, r.Direct.Established)
 	})
 	t.Run("the process is gone after its end", func(t *testing.T) {
 		p, err := startGatekeeper(t.Context(), program, t.TempDir(), gatekeeperLimits{64, 64}, 1,
--- a/internal/latencylab/plan.go
+++ b/internal/latencylab/plan.go
@@ -90,7 +90,7 @@
 	{"calm_chain19_p50", "ms", calm(func(c *Calm) float64 { return c.Chain[0] })},
 	{"calm_chain19_p99", "ms", calm(func(c *Calm) float64 { return c.Chain[1] })},
 	{"not_answered", "part", func(r *Run) (float64, bool) {
-		return 1 - float64(r.Through.Stood)/float64(max(1, r.Through.Calls)), r.Through.Calls > 0
+		return 1 - float64(r.Through.Established)/float64(max(1, r.Through.Calls)), r.Through.Calls > 0
 	}},
 }
 
@@ -186,7 +186,7 @@
 	for _, r := range runs {
 		if r.Servers == size {
 			rates[r.PerSecond] = true
-			x, y = append(x, float64(r.Through.Stood)/r.Seconds), append(y, r.CorePart)
+			x, y = append(x, float64(r.Through.Established)/r.Seconds), append(y, r.CorePart)
 		}
 	}
 	if len(rates) < ratesForFit {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -82,10 +82,10 @@
 
 // ClassRates are calls of one class, a second.
 type ClassRates struct {
-	Arrived float64 `cbor:"1,keyasint" json:"arrived"`
-	Stood   float64 `cbor:"2,keyasint" json:"stood"`
-	Refused float64 `cbor:"3,keyasint" json:"refused"`
-	Failed  float64 `cbor:"4,keyasint" json:"failed"`
+	Arrived     float64 `cbor:"1,keyasint" json:"arrived"`
+	Established float64 `cbor:"2,keyasint" json:"stood"`
+	Refused     float64 `cbor:"3,keyasint" json:"refused"`
+	Failed      float64 `cbor:"4,keyasint" json:"failed"`
 }
 
 // FleetRates are calls of the whole fleet, as its members tell them.
@@ -120,7 +120,7 @@
 				name = n.cfg.Site.ClassNames[i]
 			}
 			if c[counting.Arrived] > leastRate {
-				own[name] = ClassRates{rounded(c[counting.Arrived]), rounded(c[counting.Stood]), rounded(c[counting.Refused]), rounded(c[counting.Failed])}
+				own[name] = ClassRates{rounded(c[counting.Arrived]), rounded(c[counting.Established]), rounded(c[counting.Refused]), rounded(c[counting.Failed])}
 			}
 		}
 		if text, err := sortedCBOR.Marshal(own); err == nil {
@@ -159,7 +159,7 @@
 		all.Oldest = max(all.Oldest, r.Age)
 		for name, c := range told {
 			sum := all.Classes[name]
-			all.Classes[name] = ClassRates{sum.Arrived + c.Arrived, sum.Stood + c.Stood, sum.Refused + c.Refused, sum.Failed + c.Failed}
+			all.Classes[name] = ClassRates{sum.Arrived + c.Arrived, sum.Established + c.Established, sum.Refused + c.Refused, sum.Failed + c.Failed}
 		}
 	}
 	return all
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -266,7 +266,7 @@
 			if m["text"] != "for "+key.(string) {
 				t.Errorf("call %v was answered with %v", key, m["text"])
 			}
-			r.answer(key.(string), history.Stood)
+			r.answer(key.(string), history.Established)
 		case "close":
 			r.answer(key.(string), history.Refused)
 		}
@@ -295,7 +295,7 @@
 		if e.Msg.Status < 300 && string(e.Msg.Body) != "for "+key {
 			t.Errorf("call %s was answered with %q", key, e.Msg.Body)
 		}
-		kind := history.Stood
+		kind := history.Established
 		if e.Msg.Status >= 300 {
 			kind = history.Refused
 		}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -453,7 +453,7 @@
 	at := control.Micros(1e12)
 	for b.Loop() {
 		at += 5000
-		for _, k := range []history.Kind{history.Taken, history.Sent, history.Stood, history.Viewed, history.Reported, history.Released} {
+		for _, k := range []history.Kind{history.Taken, history.Sent, history.Established, history.Viewed, history.Reported, history.Released} {
 			r.Record(history.Event{At: at, Kind: k, Call: "9b1f03aa5c7e2d41", Server: 77, Span: 12345})
 		}
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -149,7 +149,7 @@
 	for i := range 600 {
 		at := start + control.Micros(i)*second
 		events = append(events, history.Event{At: at, Kind: history.Taken, Call: fmt.Sprint(i), Span: second},
-			history.Event{At: at + 5, Kind: history.Stood, Call: fmt.Sprint(i), Server: 7, Span: 5})
+			history.Event{At: at + 5, Kind: history.Established, Call: fmt.Sprint(i), Server: 7, Span: 5})
 	}
 	events = append(events, history.Event{At: start + 600*second, Kind: history.Finished})
 	write(t, dir, "n1", events...)
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -102,9 +102,9 @@
 	k.established, k.establishedAt = true, c.clock.now()
 	c.unanswered--
 	c.figures.Class(k.Class).Success.Add(1)
-	c.observe(counting.Stood, &k.Setup, 0)
+	c.observe(counting.Established, &k.Setup, 0)
 	c.observe(counting.Answered, &k.Setup, a.server)
-	c.note(history.Event{Kind: history.Stood, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
+	c.note(history.Event{Kind: history.Established, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
 	delivered := k.caller.Answer(body)
 	c.handle(control.Opened{ID: k.ID, Attempt: a.number, Server: a.server, Took: k.establishedAt - a.sentAt})
 	if !delivered && c.calls[k.ID] == k {
