--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -147,6 +147,18 @@
 	return n
 }
 
+// Transactions counts the transactions (RFC 3261, 17.2.3: the branch of the topmost Via) of the messages that fit. Over UDP a
+// request that is not answered within T1 comes again in the same one.
+func (p *Party) Transactions(fits func(*sip.Message) bool) int {
+	seen := map[string]bool{}
+	for _, e := range p.Log() {
+		if fits(e.Msg) {
+			seen[e.Msg.Get("Via")] = true
+		}
+	}
+	return len(seen)
+}
+
 // Wait gives the first message that fits, waiting for it.
 func (p *Party) Wait(what string, fits func(*sip.Message) bool) Entry {
 	p.t.Helper()
