--- a/internal/ejection/callers.go
+++ b/internal/ejection/callers.go
@@ -11,7 +11,7 @@
 	"beammux/control/registers"
 )
 
-// ObserveCaller counts a connection from a caller's address: wellFormed if it brought a whole message. It fits jsonl.Front.Seen.
+// ObserveCaller counts a connection from a caller's address: wellFormed if it brought a whole message. It fits jsonl.Front.Seen and sip.Options.Seen.
 func (m *Monitor) ObserveCaller(address string, wellFormed bool) {
 	now := m.options.Now()
 	m.tallyMu.Lock()
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -179,9 +179,13 @@
 		deadlines = append(deadlines, c.Deadline)
 	}
 	records := newDialogs(n.store, n.cfg.Name, n.log)
-	n.agent = sip.NewAgent(n.core, sip.Options{Classes: n.cfg.Site.ClassNames, Deadlines: deadlines,
+	o := sip.Options{Classes: n.cfg.Site.ClassNames, Deadlines: deadlines,
 		DefaultClass: n.deploy.DefaultClass, Reports: n.cfg.Site.ReportNames, DialTimeout: network.timeout, Budget: network.budget,
-		Dialogs: records, Log: n.log})
+		Dialogs: records, Log: n.log}
+	if n.outliers != nil {
+		o.Seen, o.Away = n.outliers.ObserveCaller, n.outliers.Blocked
+	}
+	n.agent = sip.NewAgent(n.core, o)
 	if err := n.agent.Listen(n.deploy.SIPUDP, n.deploy.SIPTCP); err != nil {
 		return err
 	}
--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -38,7 +38,12 @@
 	DialTimeout  time.Duration
 	Budget       *transport.Budget
 	Dialogs      Dialogs // may be nil
-	Log          logrus.FieldLogger
+	// Seen, if not nil, is called once for each caller's TCP connection, with its address and whether it brought a whole message
+	// first: false for one that can't be read, and for none in time. From any goroutine.
+	Seen func(address string, wellFormed bool)
+	// Away, if not nil, tells whether TCP connections from a caller's address are closed at once.
+	Away func(address string) bool
+	Log  logrus.FieldLogger
 }
 
 // Agent is a back-to-back user agent: SIP callers on one side, the core's connections to SIP servers on the other. All of
@@ -90,6 +95,7 @@
 			}
 			return err
 		}
+		l.Away = a.Away
 		a.tcp = l
 	}
 	return nil
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -33,13 +33,23 @@
 }
 
 func newBench(t *testing.T, deadline time.Duration, servers ...routing.Host) *bench {
+	t.Helper()
+	return newBenchWith(t, deadline, nil, servers...)
+}
+
+// newBenchWith is newBench with more of the agent's options set.
+func newBenchWith(t *testing.T, deadline time.Duration, configure func(*sip.Options), servers ...routing.Host) *bench {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	set := settings(deadline)
 	core := routing.NewCore(set, 1, nil, log)
-	agent := sip.NewAgent(core, sip.Options{Classes: []string{"menu-view"}, Deadlines: []control.Micros{set.Classes[0].Deadline},
-		DefaultClass: "menu-view", Timers: quick, DialTimeout: time.Second, Budget: transport.NewBudget(100, 10), Log: log})
+	o := sip.Options{Classes: []string{"menu-view"}, Deadlines: []control.Micros{set.Classes[0].Deadline},
+		DefaultClass: "menu-view", Timers: quick, DialTimeout: time.Second, Budget: transport.NewBudget(100, 10), Log: log}
+	if configure != nil {
+		configure(&o)
+	}
+	agent := sip.NewAgent(core, o)
 	if err := agent.Listen("127.0.0.1:0", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"os"
 	"strings"
 	"time"
 
@@ -104,10 +105,30 @@
 	return m, err
 }
 
-func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil) }
+// serveTCP reads a caller's connection.
+func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil, a.observer(c)) }
 
-// readTCP reads a connection until it ends. server is not nil on a connection to a server.
-func (a *Agent) readTCP(c *transport.Conn, server *serverConn) {
+// observer gives a function that tells Options.Seen once what a caller's connection has brought. Datagrams are not observed: anybody
+// can write another's address into them.
+func (a *Agent) observer(c *transport.Conn) func(wellFormed bool) {
+	if a.Seen == nil {
+		return nil
+	}
+	reported := false
+	return func(wellFormed bool) {
+		if !reported {
+			reported = true
+			a.Seen(transport.AddressOf(c.RemoteAddr()), wellFormed)
+		}
+	}
+}
+
+// readTCP reads a connection until it ends. server is not nil on a connection to a server; seen is not nil on a caller's that is
+// observed, and called with whether its first message could be read.
+func (a *Agent) readTCP(c *transport.Conn, server *serverConn, seen func(wellFormed bool)) {
+	if seen == nil {
+		seen = func(bool) {}
+	}
 	key, first := c.RemoteAddr().String(), true
 	a.Post(func() { a.conns[key] = c })
 	if server == nil { // a caller that says nothing must not hold a descriptor for good
@@ -118,6 +139,7 @@
 		m, err := r.Next()
 		if err == nil {
 			c.Spoke()
+			seen(true)
 			if first {
 				first = false
 				c.SetReadDeadline(time.Time{})
@@ -131,9 +153,13 @@
 			continue
 		}
 		if err == ErrMalformed || err == ErrTooLong || err == ErrStopped {
+			seen(false)
 			a.Log.WithField("peer", key).WithError(err).Warn("SIP: bad message, connection closed")
 			a.reject(m, &tcpFlow{agent: a, conn: c}, err) // at once: the connection is closed when this returns
 		}
+		if errors.Is(err, os.ErrDeadlineExceeded) { // it has said nothing
+			seen(false)
+		}
 		a.Post(func() {
 			if a.conns[key] == c {
 				delete(a.conns, key)
@@ -176,7 +202,7 @@
 	go func() {
 		c, err := a.Budget.Dial(context.Background(), addr, a.DialTimeout)
 		if err == nil {
-			go a.readTCP(c, nil)
+			go a.readTCP(c, nil, nil)
 		}
 		a.Post(func() { then(c, err) })
 	}()
--- a/internal/protocol/sip/uac.go
+++ b/internal/protocol/sip/uac.go
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	if conn != nil {
-		go a.readTCP(conn, l)
+		go a.readTCP(conn, l, nil)
 	}
 	return l, nil
 }
