--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -66,7 +66,7 @@
 	{What: "gossip by service, registers bounded: bytes sent, most", Unit: "B/s", Need: `at("gossip_bytes_per_s_sent_max of gatekeepers with membership+registers+groups", gatekeepers)`, Budget: "gatekeeper_bytes", Carrier: groupsCarrier},
 	{What: "gossip by service: processor", Unit: "% of a core", Need: `100 * at("cpu_share_max of gatekeepers with membership+registers+groups", gatekeepers)`, Budget: "gatekeeper_processor", Carrier: groupsCarrier},
 	{What: "gossip by service: memory", Unit: "B", Need: `at("resident_max of gatekeepers with membership+registers+groups", gatekeepers)`, Budget: "gatekeeper_memory", Carrier: groupsCarrier},
-	{What: "gossip by service: age of the oldest register, p99", Unit: "s", Need: `at("oldest_register_p99 of gatekeepers with membership+registers+groups", gatekeepers)`, Carrier: groupsCarrier},
+	{What: "gossip by service: registers that count, mean part", Unit: "part", Need: `at("registers_that_count_part_mean of gatekeepers with membership+registers+groups", gatekeepers)`, Carrier: groupsCarrier},
 	{What: "gossip by service: registers of rates, pace", Unit: "s", Need: "group_register_pace", Budget: "register_stale", Carrier: groupsCarrier},
 	{What: "gossip by service: registers of outlier ejection, pace", Unit: "s", Need: "group_evidence_pace", Budget: "evidence_stale", Carrier: groupsCarrier},
 	{What: "registers of rates: pace", Unit: "s", Need: "register_pace", Budget: "register_stale", Carrier: registersCarrier},
