--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -95,7 +95,7 @@
 	switch e.Kind {
 	case history.Ended:
 		l.Code = e.Code.String()
-	case history.Told:
+	case history.Listed:
 		l.List = e.State.String()
 	}
 	return l
@@ -171,7 +171,7 @@
 		add("server %d at level %d, wait %d ms", e.Server, e.Level, e.Span/1000)
 	case history.Reported:
 		add("server %d %v", e.Server, e.Values)
-	case history.Told:
+	case history.Listed:
 		add("server %d (%s) %s", e.Server, printable(e.Name), e.State)
 	case history.Started, history.Reloaded, history.Continued:
 		add("limits %s", printable(e.Name))
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -28,7 +28,7 @@
 		node := fmt.Sprint("g", n)
 		event(history.Event{Kind: history.Started, Rules: rules, Node: node})
 		for i := range servers {
-			event(history.Event{Kind: history.Told, Server: uint32(i + 1), Name: fmt.Sprint("s-", i+1), State: control.Ready, Node: node})
+			event(history.Event{Kind: history.Listed, Server: uint32(i + 1), Name: fmt.Sprint("s-", i+1), State: control.Ready, Node: node})
 		}
 		event(history.Event{Kind: history.Viewed, Server: 1, Level: 2, Span: 2e6, Node: node})
 		for class := range 3 {
@@ -90,7 +90,7 @@
 func TestHostileNames(t *testing.T) {
 	s := NewState("live")
 	for _, e := range []history.Event{{Kind: history.Started, Rules: &history.Rules{Classes: []history.Class{{Name: "\x1b[2J"}}}},
-		{Kind: history.Told, Server: 1, Name: "\x1b]0;x\x07"}, {Kind: history.Viewed, Server: 1, Level: 3}, {Kind: history.Reloaded, Name: "\r\n\x1b[31m"}} {
+		{Kind: history.Listed, Server: 1, Name: "\x1b]0;x\x07"}, {Kind: history.Viewed, Server: 1, Level: 3}, {Kind: history.Reloaded, Name: "\r\n\x1b[31m"}} {
 		e.Node, e.At = "n\x1b[1m", 1e12
 		s.Item(record.Item{Event: &e})
 	}
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -17,7 +17,7 @@
 const (
 	verdictWithin = control.Micros(4000000) // from the first reading at one member to each other that is reached
 	joinWithin    = control.Micros(6000000) // a member that has just started, or woke, hears the others only then
-	afterIll      = control.Micros(8000000) // evidence of what a server did is remembered so long
+	faultMemory   = control.Micros(8000000) // evidence of what a server did is remembered so long
 	keptSlack     = control.Micros(600000)  // a set-up may be on its way, and a reading is as old as its pace
 )
 
@@ -130,7 +130,7 @@
 		}
 	case FaultTo:
 		if n := v.numbers[e.What]; n != "" {
-			v.busyTo[n] = e.At + afterIll
+			v.busyTo[n] = e.At + faultMemory
 		}
 		for _, id := range v.suspects[e.What] {
 			v.ill[id]--
@@ -204,7 +204,7 @@
 				v.stats.Convicted++
 				v.convicted = append(v.convicted, e.At)
 				v.first[id], v.checked[id] = e.At, false
-				if v.ill[id] == 0 && (v.illTo[id] == 0 || e.At-v.illTo[id] > afterIll) {
+				if v.ill[id] == 0 && (v.illTo[id] == 0 || e.At-v.illTo[id] > faultMemory) {
 					v.stats.Wrongful++
 					broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("holds server %d out, and nothing was wrong with it", id)})
 				}
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -253,7 +253,7 @@
 				f.engaged.Store(&fault)
 				held = append(held, v)
 			case fault.Kind == "ill":
-				v.s.Ill(fault.Part)
+				v.s.FailPart(fault.Part)
 				held = append(held, v)
 			case v.state != "up": // another fault has it
 			case fault.Kind == "lose":
@@ -284,7 +284,7 @@
 				case "hang":
 					v.s.Hang(false)
 				case "ill":
-					v.s.Ill(0)
+					v.s.FailPart(0)
 				}
 				v.mu.Unlock()
 			case "lose":
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -190,7 +190,7 @@
 		c.answered(n, e)
 	case Gone:
 		delete(n.calls, e.Call)
-	case Told:
+	case Listed:
 		c.told(n, e)
 	case Finished:
 		for id, k := range n.calls {
--- a/internal/history/event.go
+++ b/internal/history/event.go
@@ -20,7 +20,7 @@
 	Released                    // Call, Server, N (cause): a call that stood is over
 	Viewed                      // Server, Level, Span (wait believed), Value (part of the calls kept from it)
 	Reported                    // Server, Values: a load report as it was believed, in the order of Rules.Reports
-	Told                        // Server, Name, State, N (cell), Since: what the list says of a server
+	Listed                      // Server, Name, State, N (cell), Since: what the list says of a server
 	Reloaded                    // Name (version of limits in force)
 	Used                        // Values: memory in bytes, descriptors, calls open
 	Draining                    // a planned end has begun
--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -277,7 +277,7 @@
 		f.final(n, e)
 	case Viewed:
 		f.viewed(n, e)
-	case Told:
+	case Listed:
 		f.told(e)
 	case Reloaded:
 		n.Version = e.Name
@@ -309,7 +309,7 @@
 		}
 	case Reloaded:
 		n.Version = e.Name
-	case Told:
+	case Listed:
 		f.told(e)
 	}
 	f.Episodes, f.Left, f.open = episodes, left, map[episodeKey]*Episode{}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -73,7 +73,7 @@
 	if since > 0 {
 		since = 1e12 + since*ms
 	}
-	return s.at(at, Event{Kind: Told, Server: server, Name: fmt.Sprint("s-", server), State: state, Since: since})
+	return s.at(at, Event{Kind: Listed, Server: server, Name: fmt.Sprint("s-", server), State: state, Since: since})
 }
 
 func (s *story) final(at control.Micros, call string, kind Kind) *story {
@@ -329,7 +329,7 @@
 	s := newStory(map[uint32]float64{2: 10})
 	for i := range 40 {
 		node := fmt.Sprint("n", i%4)
-		s.at(control.Micros(100+i*10), Event{Kind: Told, Server: 2, Name: "s-2", State: control.Ready, Since: 1e12 + 50*ms + control.Micros(i%4)*20*ms, Node: node})
+		s.at(control.Micros(100+i*10), Event{Kind: Listed, Server: 2, Name: "s-2", State: control.Ready, Since: 1e12 + 50*ms + control.Micros(i%4)*20*ms, Node: node})
 		s.at(control.Micros(101+i*10), Event{Kind: Sent, Call: fmt.Sprint(i), Server: 2, Node: node})
 	}
 	if got := s.verdicts(); got != "hhhbh" {
@@ -345,13 +345,13 @@
 		got = append(got, strings.TrimSpace(fmt.Sprintf("%s %s %d %s", m.What, m.Node, m.Server, m.Detail)))
 	}
 	for _, node := range []string{"n1", "n2"} {
-		for _, e := range []Event{{Kind: Told, Server: 1, Name: "s-1", State: control.Ready}, {Kind: Told, Server: 1, Name: "s-1", State: control.Draining},
-			{Kind: Told, Server: 2, Name: "s-2", State: control.Ready, Since: 5}} {
+		for _, e := range []Event{{Kind: Listed, Server: 1, Name: "s-1", State: control.Ready}, {Kind: Listed, Server: 1, Name: "s-1", State: control.Draining},
+			{Kind: Listed, Server: 2, Name: "s-2", State: control.Ready, Since: 5}} {
 			e.Node = node
 			s.at(100, e)
 		}
 	}
-	s.at(100, Event{Kind: Told, Server: 2, Name: "s-2", State: control.Ready, Since: 5 + 90*ms, Node: "n3"}) // by its own clock
+	s.at(100, Event{Kind: Listed, Server: 2, Name: "s-2", State: control.Ready, Since: 5 + 90*ms, Node: "n3"}) // by its own clock
 	s.at(200, Event{Kind: Viewed, Server: 1, Level: 2}).at(300, Event{Kind: Viewed, Server: 1, Level: 1}).at(400, Event{Kind: Reloaded, Name: "v2"})
 	s.gap(500, 600, Lost, true)
 	want := "server  1 draining; server  2 started anew; gated n1 1; open again n1 1; reloaded n1 0 v2; gap n1 0 dropped"
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -60,7 +60,7 @@
 		}
 		note(at, history.Event{Kind: history.Started, Rules: rules, Name: "none"})
 		for s := range uint32(3) {
-			note(at, history.Event{Kind: history.Told, Server: s + 1, Name: fmt.Sprintf("s-%08x", s+1), State: control.Ready, N: int64(s)})
+			note(at, history.Event{Kind: history.Listed, Server: s + 1, Name: fmt.Sprintf("s-%08x", s+1), State: control.Ready, N: int64(s)})
 		}
 		return nil
 	}
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -44,7 +44,7 @@
 	Wasted     int                `json:"wasted"`              // worked on after they had been given up
 	Full       int                `json:"turned_away"`         // by servers
 	Hung       int                `json:"setups_on_hanging_servers"`
-	Ill        int                `json:"setups_failed_by_ill_servers"`
+	FailedPart int                `json:"setups_failed_by_ill_servers"`
 	Offered    float64            `json:"worth_offered"`
 	Served     float64            `json:"worth_served"` // part of it
 	ByClass    map[string]float64 `json:"served_by_class"`
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -228,8 +228,8 @@
 	s.mu.Unlock()
 }
 
-// Ill lets the server fail a part of the set-ups (500).
-func (s *Server) Ill(part float64) {
+// FailPart lets the server fail a part of the set-ups (500).
+func (s *Server) FailPart(part float64) {
 	s.mu.Lock()
 	s.ill = part
 	s.mu.Unlock()
@@ -257,7 +257,7 @@
 	o.Wasted += s.wasted
 	o.Full += s.full
 	o.Hung += s.hung
-	o.Ill += s.failed
+	o.FailedPart += s.failed
 	for id := range s.ids {
 		ids[id] = true
 	}
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -159,7 +159,7 @@
 func (o *observer) drained(server string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.see(o.servers, history.Event{Kind: history.Told, Server: o.number(server), Name: server, State: control.Draining})
+	o.see(o.servers, history.Event{Kind: history.Listed, Server: o.number(server), Name: server, State: control.Draining})
 }
 
 func (o *observer) answer(key string, kind history.Kind) {
--- a/internal/report/build.go
+++ b/internal/report/build.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		e := item.Event
-		state := e.Kind == history.Started || e.Kind == history.Continued || e.Kind == history.Told || e.Kind == history.Reloaded
+		state := e.Kind == history.Started || e.Kind == history.Continued || e.Kind == history.Listed || e.Kind == history.Reloaded
 		if e.At > to || e.At < early && !state {
 			continue
 		}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -77,7 +77,7 @@
 	dir := t.TempDir()
 	bad := "<script>alert(1)</script>\x1b[31m\x00\"'&"
 	write(t, dir, bad,
-		history.Event{At: start + 1, Kind: history.Told, Server: 1, Name: bad, State: control.Ready},
+		history.Event{At: start + 1, Kind: history.Listed, Server: 1, Name: bad, State: control.Ready},
 		history.Event{At: start + 2, Kind: history.Taken, Call: bad, Span: second},
 		history.Event{At: start + 3, Kind: history.Refused, Call: bad},
 		history.Event{At: start + 4, Kind: history.Refused, Call: bad},
@@ -145,7 +145,7 @@
 func TestRanges(t *testing.T) {
 	dir := t.TempDir()
 	var events []history.Event
-	events = append(events, history.Event{At: start + 1, Kind: history.Told, Server: 7, Name: "s-7", State: control.Ready})
+	events = append(events, history.Event{At: start + 1, Kind: history.Listed, Server: 7, Name: "s-7", State: control.Ready})
 	for i := range 600 {
 		at := start + control.Micros(i)*second
 		events = append(events, history.Event{At: at, Kind: history.Taken, Call: fmt.Sprint(i), Span: second},
@@ -176,7 +176,7 @@
 	for n := range 3 {
 		name := fmt.Sprint("n", n+1)
 		write(t, dir, name,
-			history.Event{At: start + 1, Kind: history.Told, Server: 7, Name: "s-7", State: control.Ready},
+			history.Event{At: start + 1, Kind: history.Listed, Server: 7, Name: "s-7", State: control.Ready},
 			history.Event{At: start + 10*second, Kind: history.Viewed, Server: 7, Level: 3, Span: 2 * second},
 			history.Event{At: start + 12*second, Kind: history.Viewed, Server: 7, Level: 1, Span: second / 10},
 			history.Event{At: start + 20*second, Kind: history.Draining}, history.Event{At: start + 21*second, Kind: history.Finished})
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -138,7 +138,7 @@
 
 // record notes in the records what the list says of a server.
 func (l *List) record(name string, e control.Entry) {
-	l.core.note(history.Event{Kind: history.Told, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
+	l.core.note(history.Event{Kind: history.Listed, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
 }
 
 func (l *List) remove(h *listed) {
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -121,7 +121,7 @@
 	}
 	ask(l.Post, func() (told []history.Event) {
 		for name, h := range l.hosts {
-			told = append(told, history.Event{At: now, Kind: history.Told, Server: h.id, Name: name, State: h.State, N: int64(h.Cell), Since: h.since})
+			told = append(told, history.Event{At: now, Kind: history.Listed, Server: h.id, Name: name, State: h.State, N: int64(h.Cell), Since: h.since})
 		}
 		return told
 	})
