--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -21,8 +21,10 @@
 
 // Spread is the least, the median and the most of some measurements; N 0 where there is none.
 type Spread struct {
-	N                   int
-	Least, Median, Most float64
+	N      int     `json:"N"`
+	Least  float64 `json:"Least"`
+	Median float64 `json:"Median"`
+	Most   float64 `json:"Most"`
 }
 
 func spread(values []float64) Spread {
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -49,7 +49,8 @@
 	Served     float64            `json:"worth_served"` // part of it
 	ByClass    map[string]float64 `json:"served_by_class"`
 	SlowServed float64            `json:"served_of_calls_in_the_slow_span"`
-	P50, P99   float64            // set-up delay of calls that stood, from their first try, seconds
+	P50        float64            `json:"P50"` // set-up delay of calls that stood, from their first try, seconds
+	P99        float64            `json:"P99"` // set-up delay of calls that stood, from their first try, seconds
 	Refused    int                `json:"tries_refused"`
 	Failed     int                `json:"tries_failed"`
 	Unanswered int                `json:"tries_unanswered"`
--- a/internal/protocol/sip/dialog.go
+++ b/internal/protocol/sip/dialog.go
@@ -10,17 +10,17 @@
 
 // dialog is one end of a call that stands (RFC 3261, 12). Its exported fields are what the store keeps of it.
 type dialog struct {
-	ID        string // the core's id of the call
-	Server    bool   // towards a server: this end sent the INVITE
-	CallID    string
-	Local     string // From of requests sent in it, with tag
-	Remote    string // To of requests sent in it, with tag
-	LocalSeq  uint32
-	RemoteSeq uint32
-	Target    string   // remote target: the other side's Contact
-	Routes    []string // route set, nearest first
-	InviteSeq uint32
-	Proto     string // transport of the set-up
+	ID        string   `json:"ID"`     // the core's id of the call
+	Server    bool     `json:"Server"` // towards a server: this end sent the INVITE
+	CallID    string   `json:"CallID"`
+	Local     string   `json:"Local"`  // From of requests sent in it, with tag
+	Remote    string   `json:"Remote"` // To of requests sent in it, with tag
+	LocalSeq  uint32   `json:"LocalSeq"`
+	RemoteSeq uint32   `json:"RemoteSeq"`
+	Target    string   `json:"Target"` // remote target: the other side's Contact
+	Routes    []string `json:"Routes"` // route set, nearest first
+	InviteSeq uint32   `json:"InviteSeq"`
+	Proto     string   `json:"Proto"` // transport of the set-up
 
 	flow  flow
 	conn  *serverConn // of a server's dialog; nil after a restart
