--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -161,7 +161,7 @@
 			for i := range fronts {
 				set.Position = i
 				c := New(set, uint64(i))
-				c.now, c.startedAt, c.bestRate, c.seenBestRate = 1e9, 0, 30/float64(fronts), 30/float64(fronts)
+				c.now, c.startedAt, c.bestRate, c.bestRateSinceStart = 1e9, 0, 30/float64(fronts), 30/float64(fronts)
 				c.applyEntry(Entry{Server: 7, State: Ready})
 				cs = append(cs, c)
 			}
@@ -172,7 +172,7 @@
 					for w := range windows {
 						c.now = 1e9 + Micros(slot*windows+w+1)*c.shareSlot
 						c.withinShare(c.servers[0])
-						sum += float64(c.servers[0].slotLeft)
+						sum += float64(c.servers[0].slotRemaining)
 					}
 				}
 				worst = max(worst, math.Abs(sum-mean*float64(windows)))
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -55,7 +55,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			f := newGatekeeper(t, testSettings())
 			f.servers(two...)
-			f.c.find(10).level, f.c.find(20).level = row.ten, row.twenty
+			f.c.findServer(10).level, f.c.findServer(20).level = row.ten, row.twenty
 			_, s := f.call(0, 1)
 			if s != row.want || row.wantNone != (f.count(Refuse) == 1) {
 				t.Errorf("went to %d with %d refusals", s, f.count(Refuse))
@@ -83,7 +83,7 @@
 	}
 	f.answer(id, 10, 5e4)
 	f.pass(6e5)
-	if l := f.c.find(10).level; l != 0 {
+	if l := f.c.findServer(10).level; l != 0 {
 		t.Errorf("level %d after one lost set-up", l)
 	}
 	if f.count(Cancel) != 1 {
@@ -96,7 +96,7 @@
 	if f.count(Send) != 1 {
 		t.Errorf("%d resends after the guard, want 1", f.count(Send))
 	}
-	if f.now-at < f.c.set.ReleaseGuard {
+	if f.now-at < f.c.settings.ReleaseGuard {
 		t.Error("resent within the release guard")
 	}
 }
@@ -104,11 +104,11 @@
 // With many set-ups lost by chance, one without an answer proves nothing (incident i03d8bc).
 func TestWitnessesFollowLoss(t *testing.T) {
 	c := New(testSettings(), 1)
-	if n := c.witnesses(); n != 1 {
+	if n := c.requiredUnanswered(); n != 1 {
 		t.Errorf("%d witnesses without loss", n)
 	}
 	c.lossRate = 0.25
-	if n := c.witnesses(); n != 3 {
+	if n := c.requiredUnanswered(); n != 3 {
 		t.Errorf("%d witnesses at a quarter lost", n)
 	}
 }
@@ -121,7 +121,7 @@
 		t.Fatalf("went to %d", s)
 	}
 	f.pass(9.5e5)
-	if l := f.c.find(10).level; l < gateLevel {
+	if l := f.c.findServer(10).level; l < gateLevel {
 		t.Errorf("level %d with a set-up unanswered for long", l)
 	}
 	if _, s := f.call(0, 0); s != 20 {
@@ -137,13 +137,13 @@
 	f.servers(two...)
 	id, _ := f.call(0, 0)
 	acts := f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	if f.c.find(10).level != 0 || acts[0].Kind != Send || acts[0].Server != 20 {
-		t.Errorf("no agent: level %d, %v", f.c.find(10).level, acts)
+	if f.c.findServer(10).level != 0 || acts[0].Kind != Send || acts[0].Server != 20 {
+		t.Errorf("no agent: level %d, %v", f.c.findServer(10).level, acts)
 	}
 	f.do(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
 	id, _ = f.call(0, 0)
 	acts = f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
-	if f.c.find(10).level < gateLevel {
+	if f.c.findServer(10).level < gateLevel {
 		t.Error("processor full did not gate")
 	}
 	sent := false
@@ -160,10 +160,10 @@
 	f.servers(two...)
 	f.report(10, 900)
 	f.report(10, 900)
-	was := f.c.find(10).wait
+	was := f.c.findServer(10).wait
 	f.report(10, -1)
 	f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true})
-	if f.c.find(10).wait != was {
+	if f.c.findServer(10).wait != was {
 		t.Error("a missing value moved the wait")
 	}
 }
@@ -174,13 +174,13 @@
 	f.servers(two...)
 	f.call(0, 1) // keeps the clock going
 	f.report(10, 5000)
-	last, at := f.c.find(10).level, f.now
+	last, at := f.c.findServer(10).level, f.now
 	if last != topLevel {
 		t.Fatalf("level %d", last)
 	}
 	for range 100 {
 		f.pass(5e4)
-		if l := f.c.find(10).level; l != last {
+		if l := f.c.findServer(10).level; l != last {
 			if last-l != 1 || f.now-at < 5e5 {
 				t.Errorf("fell from %d to %d in %d us", last, l, f.now-at)
 			}
@@ -245,9 +245,9 @@
 	}
 	kept := [2]int{}
 	for i := range 100 {
-		k := &call{Call: Call{Class: i % 2}}
+		k := &pendingCall{Call: Call{Class: i % 2}}
 		k.worth = f.c.worthOf(k)
-		if f.c.route(k) != nil {
+		if f.c.selectServer(k) != nil {
 			kept[i%2]++
 		}
 	}
@@ -277,20 +277,20 @@
 	}
 	f.now -= 2e6
 	f.c.now = f.now
-	plain := f.c.worthOf(&call{Call: Call{Key: "other", Tenant: 1}})
-	if w := f.c.worthOf(&call{Call: Call{Key: "busy", Tenant: 1}}); w >= plain/2 {
+	plain := f.c.worthOf(&pendingCall{Call: Call{Key: "other", Tenant: 1}})
+	if w := f.c.worthOf(&pendingCall{Call: Call{Key: "busy", Tenant: 1}}); w >= plain/2 {
 		t.Errorf("busy number worth %v of %v", w, plain)
 	}
 	for range 50 {
-		f.c.countArrival(&call{Call: Call{Tenant: 0}})
+		f.c.countArrival(&pendingCall{Call: Call{Tenant: 0}})
 	}
-	if w := f.c.worthOf(&call{Call: Call{Tenant: 0}}); w >= plain*0.8 {
+	if w := f.c.worthOf(&pendingCall{Call: Call{Tenant: 0}}); w >= plain*0.8 {
 		t.Errorf("tenant far over its share worth %v of %v", w, plain)
 	}
 	for range 5 { // ten calls in a hundred, by a tenant whose share is half
-		f.c.countArrival(&call{Call: Call{Tenant: 1}})
+		f.c.countArrival(&pendingCall{Call: Call{Tenant: 1}})
 	}
-	if w := f.c.worthOf(&call{Call: Call{Tenant: 1}}); w < plain {
+	if w := f.c.worthOf(&pendingCall{Call: Call{Tenant: 1}}); w < plain {
 		t.Errorf("tenant inside its share worth %v of %v", w, plain)
 	}
 }
@@ -325,9 +325,9 @@
 	f.servers(two...)
 	f.report(10, 5000)
 	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e6}}})
-	s := f.c.find(10)
-	if s.level != 0 || !f.c.cold(s) || s.wait != 0 {
-		t.Errorf("level %d, cold %v, wait %v after a restart", s.level, f.c.cold(s), s.wait)
+	s := f.c.findServer(10)
+	if s.level != 0 || !f.c.isCold(s) || s.wait != 0 {
+		t.Errorf("level %d, cold %v, wait %v after a restart", s.level, f.c.isCold(s), s.wait)
 	}
 }
 
@@ -340,7 +340,7 @@
 	if n := f.notes("server 10 gated"); n != 1 {
 		t.Fatalf("gated %d times", n)
 	}
-	f.pass(noteInterval / 2)
+	f.pass(logInterval / 2)
 	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5}}})
 	if n := f.notes("server 10 is cold"); n != 1 {
 		t.Errorf("logged %d times that it is cold, want once", n)
@@ -396,7 +396,7 @@
 		for _, v := range row.use {
 			f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 		}
-		if l := f.c.find(10).level; l != row.want {
+		if l := f.c.findServer(10).level; l != row.want {
 			t.Errorf("use %v: level %d, want %d", row.use, l, row.want)
 		}
 	}
@@ -409,7 +409,7 @@
 	set.Report = []Field{Spare, Total, Busy, Queue}
 	f := newGatekeeper(t, set)
 	f.servers(two...)
-	s := f.c.find(10)
+	s := f.c.findServer(10)
 	told := func(busy, queue float64) {
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
 	}
@@ -419,8 +419,8 @@
 	for range 3 {
 		told(0.4, 2)
 	}
-	if s.wait != want || s.spare != 50 {
-		t.Errorf("wait %.0f us after a repeated report, want %.0f; %.0f free agents", s.wait, want, s.spare)
+	if s.wait != want || s.freeAgents != 50 {
+		t.Errorf("wait %.0f us after a repeated report, want %.0f; %.0f free agents", s.wait, want, s.freeAgents)
 	}
 	if told(0.4, 0); s.wait >= want {
 		t.Errorf("wait %.0f us after a new report of no queue, it was %.0f", s.wait, want)
@@ -437,7 +437,7 @@
 	for _, v := range []float64{1, 0.5} {
 		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 	}
-	if s := f.c.find(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
+	if s := f.c.findServer(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
 		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.shed)
 	}
 }
@@ -461,9 +461,9 @@
 	g := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
 	g.do(Start{})
 	g.servers(two...)
-	g.pass(2 * startTime)
+	g.pass(2 * startPhase)
 	g.do(Timer{"tick"})
-	if n := g.c.inFlightLimit(g.c.find(10)); n != minInFlight {
+	if n := g.c.inFlightLimit(g.c.findServer(10)); n != minInFlight {
 		t.Errorf("room for %d at a server of which nothing is known, want %d", n, minInFlight)
 	}
 }
@@ -492,7 +492,7 @@
 		Entry{Server: 3, Cell: 3, State: Ready})
 	seen := map[uint32]int{}
 	for range 60 {
-		seen[f.c.route(&call{Call: Call{FirstChoice: 9}}).id]++
+		seen[f.c.selectServer(&pendingCall{Call: Call{FirstChoice: 9}}).id]++
 	}
 	if len(seen) != 3 {
 		t.Errorf("calls without a first choice went to %v", seen)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -165,7 +165,7 @@
 				return quick(s, id, try)
 			})
 		}
-		set := fl.fs[0].c.set
+		set := fl.fs[0].c.settings
 		worst := fl.most(50, set.FallTime, func(from Micros) float64 {
 			part := set.StartCapacity + (1-set.StartCapacity)*float64(from-started)/float64(set.WarmWithin)
 			return set.FallMultiple * part * perServer * float64(set.FallTime) / 1e6
@@ -234,7 +234,7 @@
 	f.now += 1.8e6 // no tick, no event
 	f.do(Timer{"tick"})
 	f.do(Opened{ID: id, Server: s, Took: 1.8e6})
-	if l, w := f.c.find(s).level, f.c.find(s).wait; l != 0 || w > 5e4 {
+	if l, w := f.c.findServer(s).level, f.c.findServer(s).wait; l != 0 || w > 5e4 {
 		t.Errorf("level %d, wait %.0f us after the front's own stall", l, w)
 	}
 	f.do(Call{ID: "old", Deadline: f.now + 3e6 - 1.7e6, FirstChoice: 0})
@@ -258,8 +258,8 @@
 	f.report(s, 3)
 	f.report(s, 3)
 	f.pass(1e5)
-	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.lossRate == 0 || f.c.find(s).level != 0 {
-		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.find(s).level, f.c.lossRate)
+	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.lossRate == 0 || f.c.findServer(s).level != 0 {
+		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.findServer(s).level, f.c.lossRate)
 	}
 	slow, s := f.call(0, 1)
 	f.pass(9e5)
@@ -277,8 +277,8 @@
 	for _, f := range []*gatekeeper{seen, silent} {
 		f.servers(two...)
 		f.call(0, 1)
-		s := f.c.find(10)
-		s.shed, s.shedAt = 0.9, f.now
+		s := f.c.findServer(10)
+		s.shed, s.shedLoweredAt = 0.9, f.now
 		for range 20 {
 			f.pass(1e5)
 			if f == seen {
@@ -286,7 +286,7 @@
 			}
 		}
 	}
-	if a, b := seen.c.find(10).shed, silent.c.find(10).shed; a > 0.5 || b < 0.7 {
+	if a, b := seen.c.findServer(10).shed, silent.c.findServer(10).shed; a > 0.5 || b < 0.7 {
 		t.Errorf("thinned part after 2 s: %.2f with news of short waits, %.2f without news", a, b)
 	}
 }
@@ -334,7 +334,7 @@
 			f.report(list[i].Server, w)
 		}
 		f.pass(1e5)
-		if got := f.c.find(60).level >= gateLevel; got != row.gated {
+		if got := f.c.findServer(60).level >= gateLevel; got != row.gated {
 			t.Errorf("waits of %v: silent server gated %v", row.waits, got)
 		}
 	}
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -93,7 +93,7 @@
 		f.answer(id, s, 5e4)
 	}
 	f.acts = nil
-	f.c.startedAt -= 2 * startTime // it has been up for a while
+	f.c.startedAt -= 2 * startPhase // it has been up for a while
 	return f
 }
 
--- a/control/learned.go
+++ b/control/learned.go
@@ -26,34 +26,34 @@
 
 // Learned returns what this gatekeeper has learned.
 func (c *Controller) Learned() Learned {
-	l := Learned{At: c.now, Base: c.baseDelay, Loss: c.lossRate, Unit: c.bestRate, Mix: append([]float64(nil), c.worthMix[:]...)}
-	for _, s := range c.servers {
-		if s.state != Gone {
-			l.Servers = append(l.Servers, LearnedServer{s.id, s.since, s.wait, min(max(s.shed, 0), 1), s.spare, s.total})
+	learned := Learned{At: c.now, Base: c.baseDelay, Loss: c.lossRate, Unit: c.bestRate, Mix: append([]float64(nil), c.worthMix[:]...)}
+	for _, srv := range c.servers {
+		if srv.state != Gone {
+			learned.Servers = append(learned.Servers, LearnedServer{srv.id, srv.since, srv.wait, min(max(srv.shed, 0), 1), srv.freeAgents, srv.totalAgents})
 		}
 	}
-	return l
+	return learned
 }
 
-// recall restores what was learned. The list takes precedence: a server that is not on it, has started since,
+// restoreLearned restores what was learned. The list takes precedence: a server that is not on it, has started since,
 // or is cold gets nothing, and a cold server's budget counts by what has been seen since this start alone.
-func (c *Controller) recall(l Learned) {
-	c.baseDelay, c.lossRate, c.bestRate = max(l.Base, 0), min(max(l.Loss, 0), 1), max(c.bestRate, l.Unit)
+func (c *Controller) restoreLearned(learned Learned) {
+	c.baseDelay, c.lossRate, c.bestRate = max(learned.Base, 0), min(max(learned.Loss, 0), 1), max(c.bestRate, learned.Unit)
 	c.worthTotal, c.mixDecayedAt = 0, c.now
 	for i := range c.worthMix {
-		if i < len(l.Mix) {
-			c.worthMix[i] = max(l.Mix[i], 0)
+		if i < len(learned.Mix) {
+			c.worthMix[i] = max(learned.Mix[i], 0)
 		}
 		c.worthTotal += c.worthMix[i]
 	}
-	for _, k := range l.Servers {
-		s := c.find(k.Server)
-		if s == nil || s.state != Ready || s.since != k.Since || c.cold(s) {
+	for _, saved := range learned.Servers {
+		srv := c.findServer(saved.Server)
+		if srv == nil || srv.state != Ready || srv.since != saved.Since || c.isCold(srv) {
 			continue
 		}
-		s.wait, s.waitAtTick, s.shed = max(k.Wait, 0), max(k.Wait, 0), min(max(k.Shed, 0), 1)
-		s.waitSeenAt, s.shedAt = c.now, c.now
-		s.spare, s.total = k.Spare, max(k.Total, 0)
-		c.updateLevel(s)
+		srv.wait, srv.waitAtTick, srv.shed = max(saved.Wait, 0), max(saved.Wait, 0), min(max(saved.Shed, 0), 1)
+		srv.waitObservedAt, srv.shedLoweredAt = c.now, c.now
+		srv.freeAgents, srv.totalAgents = saved.Spare, max(saved.Total, 0)
+		c.updateLevel(srv)
 	}
 }
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -317,7 +317,7 @@
 		for at := Micros(1e9); at < 1e9+25e6; at += Micros(rng.ExpFloat64() * 1e6 / capacity) {
 			f := fs[min(rng.IntN(fronts), rng.IntN(fronts))]
 			f.pass(at - f.now)
-			if at > started && f.c.find(30) == nil {
+			if at > started && f.c.findServer(30) == nil {
 				f.servers(two[0], Entry{Server: 20, Cell: 1, State: Gone}, Entry{Server: 30, Cell: 1, State: Ready,
 					Since: started})
 			}
--- a/control/settings.go
+++ b/control/settings.go
@@ -20,13 +20,13 @@
 }
 
 // SettingsError names the key that is at fault.
-type SettingsError struct{ Key, What string }
+type SettingsError struct{ Key, Problem string }
 
 func (e *SettingsError) Error() string {
 	if e.Key == "" {
-		return e.What
+		return e.Problem
 	}
-	return "key " + e.Key + " " + e.What
+	return "key " + e.Key + " " + e.Problem
 }
 
 var fieldNames = map[string]Field{
@@ -55,7 +55,7 @@
 		return nil, &SettingsError{"", "not a JSON object"}
 	}
 	var d decoder
-	s := &Site{Settings: Settings{
+	site := &Site{Settings: Settings{
 		Gatekeepers: d.int(v, "balancers"), Position: -1, OwnCell: -1, OverShareWorth: d.float(v, "over-share-worth"),
 		AttemptsCap: d.int(v, "bounds", "attempts-cap"), Cancel: d.bool(v, "bounds", "cancel"),
 		RetryAfter: d.bool(v, "bounds", "retry-after"), SubscribeList: d.text(v, "discovery") == "subscribe",
@@ -64,47 +64,47 @@
 		FallMultiple: d.float(v, "guarantees", "fall-multiple"), FallTime: d.micros(v, "guarantees", "fall-us"),
 		StartCapacity: d.float(v, "guarantees", "start-capacity"), WarmWithin: d.micros(v, "guarantees", "warm-within-us"),
 	}}
-	s.TellsWait = d.bool(v, "extra", "tells-wait")
-	s.SecondCopies = d.bool(v, "bounds", "second-copies")
-	s.DialTimeout, s.KeepAlive = d.micros(v, "bounds", "dial-timeout-us"), d.micros(v, "bounds", "keepalive-us")
-	s.AnswerSlack = d.micros(v, "guarantees", "answer-slack-us")
-	s.DrainGrace = d.micros(v, "guarantees", "drain-grace-us")
+	site.TellsWait = d.bool(v, "extra", "tells-wait")
+	site.SecondCopies = d.bool(v, "bounds", "second-copies")
+	site.DialTimeout, site.KeepAlive = d.micros(v, "bounds", "dial-timeout-us"), d.micros(v, "bounds", "keepalive-us")
+	site.AnswerSlack = d.micros(v, "guarantees", "answer-slack-us")
+	site.DrainGrace = d.micros(v, "guarantees", "drain-grace-us")
 	if v.Exists("position") {
-		s.Position = d.int(v, "position")
+		site.Position = d.int(v, "position")
 	}
 	if v.Exists("extra", "here") {
-		s.OwnCell = d.int(v, "extra", "here")
+		site.OwnCell = d.int(v, "extra", "here")
 	}
 	pools := d.array(v, "extra", "skilled-pools")
-	for k, c := range d.array(v, "classes") {
-		d.prefix = fmt.Sprintf("classes[%d].", k)
-		name := d.text(c, "repeat")
+	for i, classValue := range d.array(v, "classes") {
+		d.prefix = fmt.Sprintf("classes[%d].", i)
+		name := d.text(classValue, "repeat")
 		repeat, ok := repeatNames[name]
 		if !ok {
-			d.fault("repeat", fmt.Sprintf("is not known: %q", name))
+			d.fail("repeat", fmt.Sprintf("is not known: %q", name))
 		}
-		class := Class{LatencyTarget: d.micros(c, "aim-us"), Deadline: d.micros(c, "deadline-us"),
-			Worth: d.float(c, "worth"), LateWorth: d.float(c, "late-worth"), Repeat: repeat}
-		s.ClassNames = append(s.ClassNames, d.text(c, "name"))
+		class := Class{LatencyTarget: d.micros(classValue, "aim-us"), Deadline: d.micros(classValue, "deadline-us"),
+			Worth: d.float(classValue, "worth"), LateWorth: d.float(classValue, "late-worth"), Repeat: repeat}
+		site.ClassNames = append(site.ClassNames, d.text(classValue, "name"))
 		d.prefix = ""
-		if k < len(pools) && pools[k].Type() != fastjson.TypeNull {
+		if i < len(pools) && pools[i].Type() != fastjson.TypeNull {
 			class.Pools = []int{}
-			for _, p := range d.array(pools[k]) {
-				class.Pools = append(class.Pools, d.int(p))
+			for _, pool := range d.array(pools[i]) {
+				class.Pools = append(class.Pools, d.int(pool))
 			}
 		}
-		s.Classes = append(s.Classes, class)
+		site.Classes = append(site.Classes, class)
 	}
-	for _, t := range d.array(v, "tenants") {
-		s.Tenants = append(s.Tenants, Tenant{QuotaPerS: d.float(t, "quota-per-s")})
-		s.TenantNames = append(s.TenantNames, string(t.GetStringBytes("name")))
+	for _, tenant := range d.array(v, "tenants") {
+		site.Tenants = append(site.Tenants, Tenant{QuotaPerS: d.float(tenant, "quota-per-s")})
+		site.TenantNames = append(site.TenantNames, string(tenant.GetStringBytes("name")))
 	}
-	for _, f := range d.array(v, "report", "fields") {
-		name := d.text(f)
-		s.ReportNames = append(s.ReportNames, name)
-		s.Report = append(s.Report, FieldNamed(name))
+	for _, field := range d.array(v, "report", "fields") {
+		name := d.text(field)
+		site.ReportNames = append(site.ReportNames, name)
+		site.Report = append(site.Report, FieldNamed(name))
 	}
-	return s, d.err
+	return site, d.err
 }
 
 // decoder reads typed values and keeps the first fault.
@@ -113,25 +113,25 @@
 	err    error
 }
 
-func (d *decoder) fault(key, what string) {
+func (d *decoder) fail(key, problem string) {
 	if d.err == nil {
-		d.err = &SettingsError{d.prefix + key, what}
+		d.err = &SettingsError{d.prefix + key, problem}
 	}
 }
 
-// at gives the value under the keys if it has the type; one that is absent or null is nil.
-func (d *decoder) at(v *fastjson.Value, keys []string, kinds ...fastjson.Type) *fastjson.Value {
+// lookup gives the value under the keys if it has the type; one that is absent or null is nil.
+func (d *decoder) lookup(v *fastjson.Value, keys []string, kinds ...fastjson.Type) *fastjson.Value {
 	key := ""
-	for i, k := range keys {
+	for i, name := range keys {
 		if v.Type() != fastjson.TypeObject {
-			d.fault(key, "has a wrong type")
+			d.fail(key, "has a wrong type")
 			return nil
 		}
 		if i > 0 {
 			key += "."
 		}
-		key += k
-		if v = v.Get(k); v == nil || v.Type() == fastjson.TypeNull {
+		key += name
+		if v = v.Get(name); v == nil || v.Type() == fastjson.TypeNull {
 			return nil
 		}
 	}
@@ -140,12 +140,12 @@
 			return v
 		}
 	}
-	d.fault(key, "has a wrong type")
+	d.fail(key, "has a wrong type")
 	return nil
 }
 
 func (d *decoder) float(v *fastjson.Value, keys ...string) float64 {
-	if v = d.at(v, keys, fastjson.TypeNumber); v == nil {
+	if v = d.lookup(v, keys, fastjson.TypeNumber); v == nil {
 		return 0
 	}
 	return v.GetFloat64()
@@ -158,19 +158,19 @@
 func (d *decoder) int(v *fastjson.Value, keys ...string) int { return int(d.float(v, keys...)) }
 
 func (d *decoder) bool(v *fastjson.Value, keys ...string) bool {
-	v = d.at(v, keys, fastjson.TypeTrue, fastjson.TypeFalse)
+	v = d.lookup(v, keys, fastjson.TypeTrue, fastjson.TypeFalse)
 	return v != nil && v.GetBool()
 }
 
 func (d *decoder) text(v *fastjson.Value, keys ...string) string {
-	if v = d.at(v, keys, fastjson.TypeString); v == nil {
+	if v = d.lookup(v, keys, fastjson.TypeString); v == nil {
 		return ""
 	}
 	return string(v.GetStringBytes())
 }
 
 func (d *decoder) array(v *fastjson.Value, keys ...string) []*fastjson.Value {
-	if v = d.at(v, keys, fastjson.TypeArray); v == nil {
+	if v = d.lookup(v, keys, fastjson.TypeArray); v == nil {
 		return nil
 	}
 	return v.GetArray()
--- a/control/view.go
+++ b/control/view.go
@@ -12,8 +12,8 @@
 
 // Views appends the estimates of each server on its list, in order of their numbers.
 func (c *Controller) Views(views []View) []View {
-	for _, s := range c.servers {
-		views = append(views, View{s.id, s.level, Micros(s.wait), s.shed, s.lastHeard, s.since})
+	for _, srv := range c.servers {
+		views = append(views, View{srv.id, srv.level, Micros(srv.wait), srv.shed, srv.lastHeard, srv.since})
 	}
 	return views
 }
