--- a/control/interface.go
+++ b/control/interface.go
@@ -1,64 +1,65 @@
-// Package control decides, for one gatekeeper, where each call goes or that it is refused.
-//
-// This file is the whole interface: settings, events, actions and types. The decisions are in control.go.
+// Package control decides for one gatekeeper to which server each call is sent, or that it is refused.
+// It is a deterministic state machine: Controller.Handle takes an event and returns actions. It does no I/O and reads no
+// clock. The settings, events, actions and types are in interface.go.
 package control
 
-// Micros is a time or a span in whole microseconds. Clock times come from the caller alone.
+// Micros is a time or a duration in whole microseconds. Times are passed in by the caller of Handle.
 type Micros int64
 
-// Repeat says how far a class's set-ups may be sent again.
+// Repeat is the condition under which set-ups of a class may be sent again.
 type Repeat int
 
-// A ReadLike call may be sent again freely; a Keyed one within its key's scope; an Once one only while nothing ran.
+// The values of Repeat: a ReadLike call may be sent again freely, a Keyed one within the scope of its key, an Once one only
+// if no server has worked on it.
 const (
 	ReadLike Repeat = iota
 	Keyed
 	Once
 )
 
-// Field names one value of a load report.
+// Field identifies one value of a load report.
 type Field int
 
-// The values that a report can hold. Ignored is one that the module does not use.
+// The values of a load report. An Ignored value is not used by this package.
 const (
 	Ignored Field = iota
 	Spare         // free agents of the pool
 	Total         // agents of the pool
 	WaitMs        // wait at the processor, milliseconds
 	Queue         // messages waiting at the processor
-	Busy          // used part of the processor, 0 to 1
+	Busy          // processor utilization, 0 to 1
 )
 
-// Class describes one class of call.
+// Class describes a class of calls.
 type Class struct {
 	LatencyTarget, Deadline Micros
-	Worth, LateWorth        float64
+	Worth, LateWorth        float64 // worth of a call; factor on it past the latency target or on a repeat
 	Repeat                  Repeat
-	Pools                   []int // cells that can take it; nil means all
+	Pools                   []int // cells that can take the class; nil means all
 }
 
-// Tenant describes one customer account.
+// Tenant describes a customer account.
 type Tenant struct {
-	QuotaPerS float64
+	QuotaPerS float64 // calls per second; a tenant's share is its part of the sum over all tenants
 }
 
-// Settings are the facts that a gatekeeper knows when it starts.
+// Settings holds the configuration of a gatekeeper, fixed at its start.
 type Settings struct {
-	Gatekeepers, Position             int // how many there are, and the index of this one among them, from 0, or -1 where it is not known
-	OwnCell                           int // cell of the own exchange, which takes no calls; -1: none
+	Gatekeepers, Position             int // number of gatekeepers; index of this one from 0, -1 if not known
+	OwnCell                           int // cell of the own exchange, which takes no calls; -1 if none
 	Classes                           []Class
 	Tenants                           []Tenant
-	OverShareWorth                    float64
-	AttemptsCap                       int
-	Cancel, RetryAfter, SubscribeList bool
+	OverShareWorth                    float64 // factor on the worth of calls beyond a tenant's share
+	AttemptsCap                       int     // attempts per call at most
+	Cancel, RetryAfter, SubscribeList bool    // may cancel attempts; send Retry-After; follow changes of the list
 	MaxRetryAfter                     Micros
-	ReleaseGuard, ResendGap           Micros
-	Report                            []Field
-	FallMultiple, StartCapacity       float64
-	FallTime, WarmWithin              Micros
+	ReleaseGuard, ResendGap           Micros  // wait after an outcome in Guarded; resend interval, 0 if not known
+	Report                            []Field // order of the values in a load report
+	FallMultiple, StartCapacity       float64 // cold budget in parts of capacity; initial part of warm capacity
+	FallTime, WarmWithin              Micros  // window of the cold budget; time from start until warm
 }
 
-// State is what the list says of a server.
+// State is the state of a server on the list.
 type State int
 
 // The states of a server.
@@ -68,10 +69,10 @@
 	Draining
 )
 
-// Outcomes is a set of ends of an attempt.
+// Outcomes is a set of Codes.
 type Outcomes uint16
 
-// OutcomesOf makes a set.
+// OutcomesOf returns the set of the given codes.
 func OutcomesOf(codes ...Code) (set Outcomes) {
 	for _, c := range codes {
 		set |= 1 << c
@@ -79,39 +80,40 @@
 	return set
 }
 
-// Has tells whether an end is in the set.
+// Has reports whether the set contains a code.
 func (o Outcomes) Has(c Code) bool { return o>>c&1 != 0 }
 
-// Sets of ends that the rules turn on.
+// Sets of codes that the rules refer to.
 const (
-	Guarded    = Outcomes(1<<TimedOut | 1<<Cut | 1<<Cancelled)                // the release guard counts from these
-	MayHaveRun = Guarded | 1<<Failed                                          // a server may have worked on it
-	Retryable  = MayHaveRun | 1<<Full | 1<<Unreachable | Outcomes(1<<NotSent) // after these a call can be tried again
+	Guarded    = Outcomes(1<<TimedOut | 1<<Cut | 1<<Cancelled)                // the release guard starts at these
+	MayHaveRun = Guarded | 1<<Failed                                          // a server may have worked on the call
+	Retryable  = MayHaveRun | 1<<Full | 1<<Unreachable | Outcomes(1<<NotSent) // a further attempt is possible after these
 )
 
-// Limits bound the attempts of one call where the operators' file sets any. They stay the same while the call lives.
-// Zero figures leave a bound to the settings and the caller. Package retry makes them and proves them against the rules.
+// Limits bound the attempts of one call as configured by the operators, and do not change during the call. A zero value
+// leaves the bound to the settings and the caller. Package retry creates them and proves them against the rules.
 type Limits struct {
-	Attempts       int      // the first included, never over Settings.AttemptsCap
-	AttemptTimeout Micros   // after which an attempt is given up; 0: at the call's end
-	Wait, Jitter   Micros   // between an attempt and the next: at least Wait, and up to Jitter more, drawn evenly
-	GiveUp         Micros   // of a call from its arrival, applied to Deadline by who takes it in
-	RetryOn        Outcomes // ends after which a further attempt may go
-	Budget         Budget   // nil: further attempts are not counted
+	Attempts       int      // number including the first, at most Settings.AttemptsCap
+	AttemptTimeout Micros   // time after which an attempt is abandoned; 0: at the end of the call
+	Wait, Jitter   Micros   // before the next attempt: Wait plus a uniform random part of Jitter
+	GiveUp         Micros   // time limit of a call from its arrival; the receiver of the call applies it to Deadline
+	RetryOn        Outcomes // outcomes after which a further attempt is allowed
+	Budget         Budget   // nil: retries are not limited
 }
 
-// Budget bounds the further attempts of all calls of a gatekeeper together.
+// Budget bounds the retries of all calls of a gatekeeper together.
 type Budget interface {
-	First(now Micros, class int)     // a first attempt goes out
-	Take(now Micros, class int) bool // a further one wants to; false: the call is to be refused
+	First(now Micros, class int)     // counts a first attempt
+	Take(now Micros, class int) bool // takes one retry; false: the call must be refused
 }
 
-// Quota bounds calls by limits of the operators. It is asked once a call, when its first attempt has found a server: so it is
-// never asked for what is refused anyway, and never after a server has worked on the call.
+// Quota bounds the rate of calls by the operators' limits. Take is called once per call, when a server has been selected for
+// its first attempt: never for a call that is refused anyway, nor after a server has worked on the call.
 type Quota interface {
-	Take(now Micros) (ok bool, wait Micros) // not ok: the call is to be refused, with the advice to stay away for wait
+	Take(now Micros) (ok bool, wait Micros) // not ok: the call must be refused with Retry-After wait
 }
 
+// String returns the name of the state.
 func (s State) String() string { return [...]string{"gone", "up", "draining"}[min(max(int(s), 0), 2)] }
 
 // Entry is one server in a list.
@@ -122,32 +124,32 @@
 	Since  Micros // last start, 0 if long ago
 }
 
-// Event is one of the types below.
+// Event is one of the event types of this package, such as Start, List and Call.
 type Event interface{}
 
-// Start is the first event of a controller's life.
+// Start is the first event of a controller.
 type Start struct{}
 
-// List brings a list of servers: all of them, or where Delta is set only those that changed. Failed has no entries.
+// List is a list of servers: all of them, or the changed ones if Delta is set. It has no entries if Failed is set.
 type List struct {
 	Delta, Failed bool
 	Entries       []Entry
 }
 
-// Call is a new call that needs one final answer before Deadline.
+// Call is a new call, which needs exactly one final answer before Deadline.
 type Call struct {
 	ID                      string
 	Class, Tenant           int
 	Key                     string
 	Deadline                Micros
-	FirstChoice             int // cell
-	Repeat, Transit, WasCut bool
-	Excess                  bool    // more than its listener admits: to be refused at once
-	Limits                  *Limits // nil: those of the settings
+	FirstChoice             int     // preferred cell
+	Repeat, Transit, WasCut bool    // not the caller's first try; only to FirstChoice; set up again after a cut
+	Excess                  bool    // over the limit of its listener: refused immediately
+	Limits                  *Limits // nil: the limits of the settings
 	Quota                   Quota   // nil: none
 }
 
-// Opened says that a set-up succeeded: the call is established.
+// Opened reports that a set-up succeeded: the call is established.
 type Opened struct {
 	ID      string
 	Attempt int
@@ -155,21 +157,22 @@
 	Took    Micros
 }
 
-// Code tells how an attempt ended.
+// Code is the outcome of an attempt.
 type Code int
 
-// The ends of an attempt.
+// The outcomes of an attempt.
 const (
-	OK Code = iota
-	Failed
-	Full
-	TimedOut
-	Unreachable
-	Cut
-	Cancelled
-	NotSent
+	OK          Code = iota
+	Failed           // the server answered with a failure
+	Full             // the server refused the set-up, see Reason
+	TimedOut         // no answer in time
+	Unreachable      // no connection to the server
+	Cut              // the connection was lost while the attempt was in flight
+	Cancelled        // the gatekeeper cancelled it
+	NotSent          // it did not leave the gatekeeper
 )
 
+// String returns the name of the code, or "unknown".
 func (c Code) String() string {
 	if int(c) < 0 || int(c) >= len(codeNames) {
 		return "unknown"
@@ -179,27 +182,27 @@
 
 var codeNames = [...]string{"ok", "failed", "full", "timed_out", "unreachable", "cut", "cancelled", "not_sent"}
 
-// Reasons that go with a Code.
+// Values of Resolved.Reason, which qualify a Code.
 const (
-	NoAgent       = 1
-	ProcessorFull = 3
-	LinesBusy     = 4
+	NoAgent       = 1 // Full: no free agent in the pool
+	ProcessorFull = 3 // Full: the processor is overloaded
+	LinesBusy     = 4 // Failed: all lines of the number are busy
 )
 
-// Resolved is the end of an attempt.
+// Resolved reports the end of an attempt.
 type Resolved struct {
 	ID         string
 	Attempt    int
 	Server     uint32
 	Code       Code
 	Took       Micros
-	Settled    bool
-	Reason     int // without RetryAfter
+	Settled    bool // the call needs no further attempt or answer
+	Reason     int  // qualifies Code, 0 if none
 	RetryAfter Micros
-	Report     []float64
+	Report     []float64 // load report in the order of Settings.Report, -1 for a missing value
 }
 
-// Status is the answer to a probe, or a report sent unasked (Took is 0 then).
+// Status is the answer to a probe, or an unsolicited report (Took is 0 then).
 type Status struct {
 	Server uint32
 	Code   Code
@@ -207,23 +210,23 @@
 	Report []float64
 }
 
-// InFlightLimit bounds the set-ups that this gatekeeper may have in flight at a server which the fleet has ejected: 0 none, under 0
-// any number. It only keeps set-ups away: the module's own rules hold beside it.
+// InFlightLimit limits the set-ups that this gatekeeper may have in flight to a server that the fleet has ejected: 0 means
+// none, a negative value no limit. It applies in addition to the limits of this package.
 type InFlightLimit struct {
 	Server uint32
 	Max    int
 }
 
-// BusyNumber says that the fleet holds all lines of a number to be busy, by an answer at a time.
+// BusyNumber reports that, according to the fleet, all lines of a number were busy at a time.
 type BusyNumber struct {
 	Key string
 	At  Micros
 }
 
-// Withdrawn says that nothing more is owed for a call.
+// Withdrawn reports that a call no longer needs a final answer.
 type Withdrawn struct{ ID string }
 
-// Timer is the return of a Defer.
+// Timer reports that the timer requested by a Defer action has fired.
 type Timer struct{ Key string }
 
 // Peer is a message from another gatekeeper.
@@ -232,18 +235,18 @@
 	Data []byte
 }
 
-// ActionKind says what an Action does.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions.
+// The kinds of actions.
 const (
-	Send   ActionKind = iota // start a set-up of ID at Server, given up after Wait (0: at the call's end)
-	Refuse                   // final answer, turned away; Wait is the advice to stay away (0: none)
-	Fail                     // final answer, given up
-	Cancel                   // stop waiting for Attempt of ID
-	Defer                    // ask for Timer Key at time At
-	Watch                    // subscribe to list changes
-	Note                     // log line Text
+	Send   ActionKind = iota // start a set-up of ID at Server, abandoned after Wait (0: at the end of the call)
+	Refuse                   // final answer: refused; Wait is the Retry-After time (0: none)
+	Fail                     // final answer: failed
+	Cancel                   // cancel Attempt of ID
+	Defer                    // request Timer Key at time At
+	Watch                    // subscribe to changes of the list
+	Note                     // write log line Text
 )
 
 // Action is one decision. Fields that its Kind does not use are zero.
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,30 +1,31 @@
 package control
 
-// Learned is what a gatekeeper has learned of its servers and its traffic, without any call: what it saves at its end and may
-// restore at its next start. Package warm says how much of it still counts then.
+// Learned is what a gatekeeper has learned about its servers and its traffic; it holds no calls. A gatekeeper saves it when
+// it stops and may restore it at its next start. Package warm ages and checks it in between.
 type Learned struct {
-	At      Micros          `json:"at"`   // when it was so, Unix microseconds
-	Base    float64         `json:"base"` // us; lowest set-up delay seen
+	At      Micros          `json:"at"`   // time of the estimates, Unix microseconds
+	Base    float64         `json:"base"` // us; lowest set-up delay observed
 	Loss    float64         `json:"loss"` // part of the set-ups that were lost
-	Unit    float64         `json:"unit"` // own answers a second for each agent of a warm server, at best
+	Unit    float64         `json:"unit"` // highest own rate of answers per agent of a warm server, per second
 	Mix     []float64       `json:"mix"`  // recent arrivals by worth
 	Servers []LearnedServer `json:"servers"`
 }
 
-// LearnedServer is what is known of one server.
+// LearnedServer is the saved estimate of one server.
 type LearnedServer struct {
 	Server uint32  `json:"server"`
-	Since  Micros  `json:"since"` // its last start, 0 if long ago
-	Wait   float64 `json:"wait"`  // us; estimate of the wait at its processor
-	Shed   float64 `json:"thin"`  // part of the calls, the least worth first, kept from it
+	Since  Micros  `json:"since"` // last start, 0 if long ago
+	Wait   float64 `json:"wait"`  // us; estimate of the wait at the processor
+	Shed   float64 `json:"thin"`  // part of the calls, those of least worth, that are not sent to it
 	Spare  float64 `json:"spare"` // free agents, -1 if not known
 	Total  float64 `json:"total"` // agents, 0 if not known
 }
 
-// Recall is an event: it gives a gatekeeper that has just started, and has its list, what it had learned before, already aged.
+// Recall is an event that restores the aged Learned of an earlier run in a gatekeeper that has just started and has received
+// its list of servers.
 type Recall struct{ Learned }
 
-// Learned returns what this gatekeeper has learned.
+// Learned returns the current estimates of this gatekeeper.
 func (c *Controller) Learned() Learned {
 	learned := Learned{At: c.now, Base: c.baseDelay, Loss: c.lossRate, Unit: c.bestRate, Mix: append([]float64(nil), c.worthMix[:]...)}
 	for _, srv := range c.servers {
@@ -35,8 +36,8 @@
 	return learned
 }
 
-// restoreLearned restores what was learned. The list takes precedence: a server that is not on it, has started since,
-// or is cold gets nothing, and a cold server's budget counts by what has been seen since this start alone.
+// restoreLearned restores saved estimates. The list takes precedence: a server that is not on it, has started since, or is
+// cold keeps its initial estimate, and the budget of a cold server depends on rates observed since this start only.
 func (c *Controller) restoreLearned(learned Learned) {
 	c.baseDelay, c.lossRate, c.bestRate = max(learned.Base, 0), min(max(learned.Loss, 0), 1), max(c.bestRate, learned.Unit)
 	c.worthTotal, c.mixDecayedAt = 0, c.now
--- a/control/settings.go
+++ b/control/settings.go
@@ -6,20 +6,20 @@
 	"github.com/valyala/fastjson"
 )
 
-// Site is one settings object, read once: what the module needs and what the programs around it need.
+// Site is a decoded settings object: the settings of this package and those of the programs around it.
 type Site struct {
 	Settings
 	ClassNames             []string
 	TenantNames            []string
-	ReportNames            []string // as in the object; Settings.Report has the same order
+	ReportNames            []string // field names as written; same order as Settings.Report
 	TellsWait              bool
-	SecondCopies           bool // two attempts of one call may be out at once
+	SecondCopies           bool // two attempts of one call may be in flight at once
 	DialTimeout, KeepAlive Micros
 	AnswerSlack            Micros
 	DrainGrace             Micros
 }
 
-// SettingsError names the key that is at fault.
+// SettingsError reports an invalid value of a settings key. Key is empty if the whole object is invalid.
 type SettingsError struct{ Key, Problem string }
 
 func (e *SettingsError) Error() string {
@@ -31,16 +31,16 @@
 
 var fieldNames = map[string]Field{
 	"spare": Spare, "total": Total, "lat_ms": WaitMs, "q": Queue, "busy": Busy,
-	// the operators' own words for the same values
+	// the operators' names for the same values
 	"x0": Spare, "x1": Total, "latency_ms": WaitMs, "queue": Queue, "util": Busy,
 }
 
-// FieldNamed gives the value that a report's field name stands for; Ignored for one not used.
+// FieldNamed returns the field with a given name in the settings, or Ignored if the name is not known.
 func FieldNamed(name string) Field { return fieldNames[name] }
 
 var repeatNames = map[string]Repeat{"read_like": ReadLike, "idempotency_key": Keyed, "non_idempotent": Once}
 
-// ParseSite reads a settings object from its text.
+// ParseSite parses the JSON text of a settings object.
 func ParseSite(text string) (*Site, error) {
 	v, err := fastjson.Parse(text)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return DecodeSite(v)
 }
 
-// DecodeSite reads a settings object. Unknown keys are passed over, absent ones are zero.
+// DecodeSite decodes a settings object. Unknown keys are ignored, absent ones are zero.
 func DecodeSite(v *fastjson.Value) (*Site, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil, &SettingsError{"", "not a JSON object"}
@@ -107,7 +107,7 @@
 	return site, d.err
 }
 
-// decoder reads typed values and keeps the first fault.
+// decoder reads typed values and keeps the first error.
 type decoder struct {
 	prefix string
 	err    error
@@ -119,7 +119,7 @@
 	}
 }
 
-// lookup gives the value under the keys if it has the type; one that is absent or null is nil.
+// lookup returns the value at a path of keys if it has one of the types, or nil if it is absent, null or of another type.
 func (d *decoder) lookup(v *fastjson.Value, keys []string, kinds ...fastjson.Type) *fastjson.Value {
 	key := ""
 	for i, name := range keys {
