--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -11,138 +11,138 @@
 	"testing"
 )
 
-// ramp is one seeded cold start under a whole fleet: the traffic is spread unevenly over the fronts, one of the servers is a
-// fifth of the others' size, a tenth of the fronts has just started and one in twenty starts again within the ramp, all of
-// them know rates of their own only.
-type ramp struct {
-	fronts, sent int
-	over, worst  float64 // most set-ups beyond the budget of a window, in roots of it; and that window as a part of its allowance
+// rampResult is the result of one seeded cold start with a whole fleet: the traffic is spread unevenly over the gatekeepers,
+// one server has a fifth of the others' size, a tenth of the gatekeepers have just started and one in twenty restarts during
+// the ramp. Each gatekeeper knows only its own rates.
+type rampResult struct {
+	fleetSize, sent          int
+	worstExcess, worstWindow float64 // greatest excess over the budget of a window, in square roots of it; largest window in parts of its allowance
 }
 
-const rampPerServer = 60.0 // set-ups a second that a warm server can do; all that is offered to it
+const rampServerRate = 60.0 // capacity of a warm server in set-ups per second, all of which is offered
 
-// play gives the worst window of a ramp. Where gated is set the other servers are kept gated, so that all calls press on the cold
-// one; where small is set the cold one is the small one.
-func play(t *testing.T, fronts int, seed uint64, gated, small bool) ramp {
+// runRamp returns the worst window of a ramp. If gated is set, the other servers are kept gated, so that all calls compete
+// for the cold one; if small is set, the cold server is the small one.
+func runRamp(t *testing.T, fleetSize int, seed uint64, gated, small bool) rampResult {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 77))
-	weights, sum := make([]float64, fronts), 0.0
+	weights, sum := make([]float64, fleetSize), 0.0
 	for i := range weights {
 		weights[i] = math.Exp(0.8 * rng.NormFloat64())
 		sum += weights[i]
 	}
-	id := uint32(1000 + seed) // its place in the fronts' lots hangs on it
-	lines := map[uint32]float64{40: 1000, id: 1000}
-	part := 1.0
+	id := uint32(1000 + seed) // determines the share offsets of the gatekeepers
+	agents := map[uint32]float64{40: 1000, id: 1000}
+	relativeSize := 1.0
 	if small {
-		part = 0.2
-		lines[40], lines[id] = 200, 200
+		relativeSize = 0.2
+		agents[40], agents[id] = 200, 200
 	}
-	perS := rampPerServer * (3 + part)
+	perS := rampServerRate * (3 + relativeSize)
 	fl := &fleet{t: t, rng: rng, now: 1e9, sent: map[uint32][]Micros{}}
-	fl.lines = lines
-	fl.pick = func() int {
+	fl.agents = agents
+	fl.pickGatekeeper = func() int {
 		at := rng.Float64() * sum
 		for i, w := range weights {
 			if at -= w; at < 0 {
 				return i
 			}
 		}
-		return fronts - 1
+		return fleetSize - 1
 	}
-	fl.choose = func() int {
-		at := rng.Float64() * (3 + part)
+	fl.pickFirstChoice = func() int {
+		at := rng.Float64() * (3 + relativeSize)
 		return min(int(at), 3)
 	}
-	set := testSettings()
-	set.Gatekeepers, set.FallTime = fronts, 1e6
-	fl.set = &set
-	for i := range fronts {
-		fl.set.Position = i
-		fl.fs = append(fl.fs, fl.start(seed*1000+uint64(i), fronts, four...))
+	settings := testSettings()
+	settings.Gatekeepers, settings.FallTime = fleetSize, 1e6
+	fl.settings = &settings
+	for i := range fleetSize {
+		fl.settings.Position = i
+		fl.gatekeepers = append(fl.gatekeepers, fl.start(seed*1000+uint64(i), fleetSize, fourServers...))
 	}
-	fl.run(12e6, perS, 4, quick)
+	fl.run(12e6, perS, 4, answerQuickly)
 	started := fl.now - 3e5
-	cold := slices.Clone(four)
+	cold := slices.Clone(fourServers)
 	cold[3] = Entry{Server: id, Cell: 3, State: Ready, Since: started}
-	begin := func(i int) {
-		fl.set.Position = i
-		fl.fs[i] = fl.start(9000+seed*1000+uint64(i), fronts, cold...)
+	restart := func(i int) {
+		fl.settings.Position = i
+		fl.gatekeepers[i] = fl.start(9000+seed*1000+uint64(i), fleetSize, cold...)
 	}
-	for i, f := range fl.fs {
+	for i, gk := range fl.gatekeepers {
 		if i%10 == 0 {
-			begin(i)
+			restart(i)
 		} else {
-			fl.list(f, cold...)
+			fl.list(gk, cold...)
 		}
 	}
 	for second := range 12 {
-		for i, f := range fl.fs {
+		for i, gk := range fl.gatekeepers {
 			if second > 0 && rng.IntN(240) == 0 {
-				begin(i)
+				restart(i)
 			}
-			for _, s := range []uint32{10, 20, 30} {
+			for _, server := range []uint32{10, 20, 30} {
 				if gated {
-					gate(f, s)
+					reportLongWait(gk, server)
 				}
 			}
 		}
-		fl.run(1e6, perS, 4, quick)
+		fl.run(1e6, perS, 4, answerQuickly)
 	}
-	r := ramp{fronts: fronts, sent: len(fl.sent[id])}
+	result := rampResult{fleetSize: fleetSize, sent: len(fl.sent[id])}
 	sent := fl.sent[id]
 	slices.Sort(sent)
-	r.over = math.Inf(-1)
+	result.worstExcess = math.Inf(-1)
 	for i, from := range sent {
-		n := 0.0
+		count := 0.0
 		for _, at := range sent[i:] {
-			if at >= from+set.FallTime {
+			if at >= from+settings.FallTime {
 				break
 			}
-			n++
+			count++
 		}
-		warmed := min(1, float64(from-started)/float64(set.WarmWithin))
-		budget := set.FallMultiple * (set.StartCapacity + (1-set.StartCapacity)*warmed) * rampPerServer * part * float64(set.FallTime) / 1e6
-		r.over = max(r.over, (n-budget-2)/math.Sqrt(budget))
-		r.worst = max(r.worst, n/(budget+2*math.Sqrt(budget)+2))
+		warmed := min(1, float64(from-started)/float64(settings.WarmWithin))
+		budget := settings.FallMultiple * (settings.StartCapacity + (1-settings.StartCapacity)*warmed) * rampServerRate * relativeSize * float64(settings.FallTime) / 1e6
+		result.worstExcess = max(result.worstExcess, (count-budget-2)/math.Sqrt(budget))
+		result.worstWindow = max(result.worstWindow, count/(budget+2*math.Sqrt(budget)+2))
 	}
-	return r
+	return result
 }
 
-// The letter's term: what all processes send a cold server in any window of the settings' length stays within its budget of N
-// calls, but for 2 x root of N + 2, with 20, 30 and 300 processes. COLD_RAMPS sets how many ramps of each kind are played.
-func TestColdSumOfTheFleet(t *testing.T) {
+// The set-ups that all gatekeepers together send a cold server in any window of FallTime stay within its budget of N calls,
+// except for 2*sqrt(N) + 2, with 20, 30 and 300 gatekeepers. COLD_RAMPS sets the number of ramps per case.
+func TestFleetKeepsColdBudgetInRamp(t *testing.T) {
 	ramps := 8
 	if n, err := strconv.Atoi(os.Getenv("COLD_RAMPS")); err == nil {
 		ramps = n
 	}
-	for _, fronts := range []int{20, 30, 300} {
+	for _, fleetSize := range []int{20, 30, 300} {
 		for _, gated := range []bool{false, true} {
 			for _, small := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%d fronts, gated %v, small %v", fronts, gated, small), func(t *testing.T) {
-					played := make([]ramp, ramps)
+				t.Run(fmt.Sprintf("%d gatekeepers, gated %v, small %v", fleetSize, gated, small), func(t *testing.T) {
+					results := make([]rampResult, ramps)
 					var wg sync.WaitGroup
-					turns := make(chan struct{}, 2) // other tests of the machine need its cores too
+					semaphore := make(chan struct{}, 2) // leaves processor cores to other tests
 					for seed := range ramps {
-						turns <- struct{}{}
+						semaphore <- struct{}{}
 						wg.Go(func() {
-							played[seed] = play(t, fronts, uint64(seed), gated, small)
-							<-turns
+							results[seed] = runRamp(t, fleetSize, uint64(seed), gated, small)
+							<-semaphore
 						})
 					}
 					wg.Wait()
-					breaks, sent, worst, over := 0, 0, 0.0, math.Inf(-1)
-					for _, r := range played {
-						if r.worst > 1 {
-							breaks++
+					violations, sent, worstWindow, worstExcess := 0, 0, 0.0, math.Inf(-1)
+					for _, result := range results {
+						if result.worstWindow > 1 {
+							violations++
 						}
-						sent += r.sent
-						worst, over = max(worst, r.worst), max(over, r.over)
+						sent += result.sent
+						worstWindow, worstExcess = max(worstWindow, result.worstWindow), max(worstExcess, result.worstExcess)
 					}
-					t.Logf("%d ramps: %d over the allowance, worst window %.2f of it, %.2f roots over N + 2, %d set-ups a ramp",
-						ramps, breaks, worst, over, sent/ramps)
-					if breaks > 0 || sent == 0 {
-						t.Errorf("%d of %d ramps over the allowance", breaks, ramps)
+					t.Logf("%d ramps: %d over the allowance, worst window %.2f of it, %.2f square roots over N + 2, %d set-ups per ramp",
+						ramps, violations, worstWindow, worstExcess, sent/ramps)
+					if violations > 0 || sent == 0 {
+						t.Errorf("%d of %d ramps over the allowance", violations, ramps)
 					}
 				})
 			}
@@ -150,25 +150,25 @@
 	}
 }
 
-// Systematic sampling: where all fronts know the same rate and ask in each slot, the lots of all of them together are within three
-// of their mean in any row of slots. Drawn each by itself they scattered by the root of their number: 7 beside a mean of 30.
-func TestLotsOfAFleetAddUp(t *testing.T) {
-	for _, fronts := range []int{20, 30, 300} {
-		set := testSettings()
-		set.Gatekeepers = fronts
-		total := func(windows int) (worst float64) {
-			var cs []*Controller
-			for i := range fronts {
-				set.Position = i
-				c := New(set, uint64(i))
-				c.now, c.startedAt, c.bestRate, c.bestRateSinceStart = 1e9, 0, 30/float64(fronts), 30/float64(fronts)
+// Systematic sampling: if all gatekeepers know the same rate and use each slot, the sum of their shares over consecutive
+// slots is within 3 of its mean. Independent random shares would deviate by the square root: 7 at a mean of 30.
+func TestSharesOfFleetSumToMean(t *testing.T) {
+	for _, fleetSize := range []int{20, 30, 300} {
+		settings := testSettings()
+		settings.Gatekeepers = fleetSize
+		worstDeviation := func(windows int) (worst float64) {
+			var controllers []*Controller
+			for i := range fleetSize {
+				settings.Position = i
+				c := New(settings, uint64(i))
+				c.now, c.startedAt, c.bestRate, c.bestRateSinceStart = 1e9, 0, 30/float64(fleetSize), 30/float64(fleetSize)
 				c.applyEntry(Entry{Server: 7, State: Ready})
-				cs = append(cs, c)
+				controllers = append(controllers, c)
 			}
-			mean := shareFactor * 30 * float64(set.FallTime/2+1) / 1e6
+			mean := shareFactor * 30 * float64(settings.FallTime/2+1) / 1e6
 			for slot := range 40 {
 				sum := 0.0
-				for _, c := range cs {
+				for _, c := range controllers {
 					for w := range windows {
 						c.now = 1e9 + Micros(slot*windows+w+1)*c.shareSlot
 						c.withinShare(c.servers[0])
@@ -180,8 +180,8 @@
 			return worst
 		}
 		for _, windows := range []int{1, 2, 5} {
-			if off := total(windows); off > 3 {
-				t.Errorf("%d fronts, rows of %d slots: %.1f lots off the mean", fronts, windows, off)
+			if deviation := worstDeviation(windows); deviation > 3 {
+				t.Errorf("%d gatekeepers, %d consecutive slots: sum of shares deviates from the mean by %.1f", fleetSize, windows, deviation)
 			}
 		}
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -79,17 +79,17 @@
 	state          State
 	since          Micros
 	level          int
-	wait           float64        // us; estimate of the wait at the processor
-	waitObservedAt Micros         // time of the latest observation of the wait
-	silentFallTime Micros         // time without observations after which the level falls by one
-	shed           float64        // part of the calls, those of least worth, that are not sent to it
-	waitAtTick     float64        // us; wait at the last tick
-	shedLoweredAt  Micros         // when an observation last lowered shed
-	inFlight       []*pendingCall // calls with an unanswered set-up, oldest first
-	freeAgents     float64        // -1 if not known
-	totalAgents    float64        // 0 if not known: the only measure of a server's size
-	reported       [2]float64     // queue and utilization of its processor in the latest report
-	rate           float64        // own set-ups answered per second, at rateUpdatedAt
+	wait           float64     // us; estimate of the wait at the processor
+	waitObservedAt Micros      // time of the latest observation of the wait
+	silentFallTime Micros      // time without observations after which the level falls by one
+	shed           float64     // part of the calls, those of least worth, that are not sent to it
+	waitAtTick     float64     // us; wait at the last tick
+	shedLoweredAt  Micros      // when an observation last lowered shed
+	inFlight       []*openCall // calls with an unanswered set-up, oldest first
+	freeAgents     float64     // -1 if not known
+	totalAgents    float64     // 0 if not known: the only measure of a server's size
+	reported       [2]float64  // queue and utilization of its processor in the latest report
+	rate           float64     // own set-ups answered per second, at rateUpdatedAt
 	rateUpdatedAt  Micros
 	slotEnd        Micros  // end of the current slot of this gatekeeper's share
 	slotRemaining  int     // set-ups remaining in this slot
@@ -100,8 +100,8 @@
 	maxInFlight    int // InFlightLimit.Max of this server
 }
 
-// pendingCall is a call without a final answer.
-type pendingCall struct {
+// openCall is a call without a final answer.
+type openCall struct {
 	Call
 	worth        float64
 	attempts     int
@@ -127,12 +127,12 @@
 	gateWait           float64 // us; level 2 onset
 	shareSlot          Micros  // slot of a share: half of FallTime
 	servers            []*server
-	calls              map[string]*pendingCall
-	waiting            []*pendingCall // calls held until heldUntil, in order of arrival
-	baseDelay          float64        // us; lowest set-up delay observed
-	lossRate           float64        // part of the set-ups that were lost
-	bestRate           float64        // highest own rate of answers per agent of a warm server, per second
-	bestRateSinceStart float64        // bestRate without restored values: for cold servers
+	calls              map[string]*openCall
+	waiting            []*openCall // calls held until heldUntil, in order of arrival
+	baseDelay          float64     // us; lowest set-up delay observed
+	lossRate           float64     // part of the set-ups that were lost
+	bestRate           float64     // highest own rate of answers per agent of a warm server, per second
+	bestRateSinceStart float64     // bestRate without restored values: for cold servers
 	lastTick           Micros
 	startedAt          Micros
 	stall              Micros   // how long this process stalled before this event
@@ -156,7 +156,7 @@
 // New returns the controller of one gatekeeper. The same settings, seed and events give the same actions.
 func New(settings Settings, seed uint64) *Controller {
 	c := &Controller{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x5ab1e)),
-		calls: map[string]*pendingCall{}}
+		calls: map[string]*openCall{}}
 	c.gateWait, c.shareSlot = math.Inf(1), defaultShareSlot
 	if settings.FallTime > 0 {
 		c.shareSlot = settings.FallTime/2 + 1
@@ -521,13 +521,13 @@
 }
 
 // earliestElsewhere returns when a call whose attempt is cancelled now can be established elsewhere.
-func (c *Controller) earliestElsewhere(call *pendingCall) Micros {
+func (c *Controller) earliestElsewhere(call *openCall) Micros {
 	guard := max(c.settings.ReleaseGuard, call.Limits.Wait+call.Limits.Jitter)
 	return c.now + guard + Micros(c.baseDelay) + 3*tickInterval
 }
 
 // cancelAttempt cancels a call's attempt if a further attempt can still succeed.
-func (c *Controller) cancelAttempt(call *pendingCall) {
+func (c *Controller) cancelAttempt(call *openCall) {
 	if !c.settings.Cancel || call.cancelled || c.class(call).Repeat != ReadLike ||
 		!c.mayRetry(call, Cancelled) || c.earliestElsewhere(call) > call.Deadline {
 		return
@@ -600,7 +600,7 @@
 	if c.calls[e.ID] != nil {
 		return
 	}
-	call := &pendingCall{Call: e, target: e.Deadline}
+	call := &openCall{Call: e, target: e.Deadline}
 	if call.Limits == nil {
 		call.Limits = &c.defaultLimits
 	}
@@ -627,7 +627,7 @@
 }
 
 // dispatch sends a call to the selected server, or refuses it if there is none.
-func (c *Controller) dispatch(call *pendingCall) {
+func (c *Controller) dispatch(call *openCall) {
 	srv := c.selectServer(call)
 	if srv == nil {
 		c.refuse(call)
@@ -650,18 +650,18 @@
 }
 
 // detach ends the attempt in flight of a call.
-func (c *Controller) detach(call *pendingCall) {
+func (c *Controller) detach(call *openCall) {
 	if call.server != nil {
 		call.server.inFlight = slices.DeleteFunc(call.server.inFlight,
-			func(o *pendingCall) bool { return o == call })
+			func(o *openCall) bool { return o == call })
 		call.server = nil
 	}
 }
 
-func (c *Controller) remove(call *pendingCall) {
+func (c *Controller) remove(call *openCall) {
 	c.detach(call)
 	if call.waiting {
-		c.waiting = slices.DeleteFunc(c.waiting, func(o *pendingCall) bool { return o == call })
+		c.waiting = slices.DeleteFunc(c.waiting, func(o *openCall) bool { return o == call })
 	}
 	delete(c.calls, call.ID)
 }
@@ -727,7 +727,7 @@
 }
 
 // observeAttemptEnd updates the estimate of a server from the end of an attempt.
-func (c *Controller) observeAttemptEnd(srv *server, call *pendingCall, e Resolved) {
+func (c *Controller) observeAttemptEnd(srv *server, call *openCall, e Resolved) {
 	if c.applyReport(srv, e.Report) {
 		// A server with a short reported wait has answered earlier set-ups, or they are lost.
 		srv.lastAnswered = max(srv.lastAnswered, c.now-Micros(c.baseDelay+waitsPerSetup*srv.wait)-reportSlack)
@@ -747,7 +747,7 @@
 
 // retry schedules a further attempt at or after from if the limits and rules allow it and it can succeed in
 // time; else it refuses the call. The budget is consulted last: refused calls take nothing from it.
-func (c *Controller) retry(call *pendingCall, code Code, from Micros) {
+func (c *Controller) retry(call *openCall, code Code, from Micros) {
 	limits := call.Limits
 	from = max(from, c.now+limits.Wait)
 	if limits.Jitter > 0 {
@@ -769,13 +769,13 @@
 }
 
 // mayRetry reports whether a call's limits allow another attempt after one that ended with code.
-func (c *Controller) mayRetry(call *pendingCall, code Code) bool {
+func (c *Controller) mayRetry(call *openCall, code Code) bool {
 	return call.attempts < max(1, min(call.Limits.Attempts, c.settings.AttemptsCap)) &&
 		call.Limits.RetryOn.Has(code)
 }
 
 // markPastTarget lowers the worth of a call, once, if an attempt sent at from misses its latency target.
-func (c *Controller) markPastTarget(call *pendingCall, from Micros) {
+func (c *Controller) markPastTarget(call *openCall, from Micros) {
 	if from+Micros(c.baseDelay) > call.target && !call.pastTarget {
 		call.pastTarget = true
 		call.worth *= c.class(call).LateWorth
@@ -783,7 +783,7 @@
 }
 
 // class returns a call's class. A class unknown to the settings has no worth and is never sent twice.
-func (c *Controller) class(call *pendingCall) Class {
+func (c *Controller) class(call *openCall) Class {
 	if call.Class >= 0 && call.Class < len(c.settings.Classes) {
 		return c.settings.Classes[call.Class]
 	}
@@ -858,7 +858,7 @@
 }
 
 // worthOf returns the current worth of a call.
-func (c *Controller) worthOf(call *pendingCall) float64 {
+func (c *Controller) worthOf(call *openCall) float64 {
 	class := c.class(call)
 	worth := class.Worth
 	if call.Repeat && !call.WasCut { // a cut call has the target of a first try
@@ -893,7 +893,7 @@
 }
 
 // countArrival adds a new call to the mixes of worth and of tenants.
-func (c *Controller) countArrival(call *pendingCall) {
+func (c *Controller) countArrival(call *openCall) {
 	fade := math.Exp(-float64(c.now-c.mixDecayedAt) / mixTime)
 	c.mixDecayedAt, c.worthTotal = c.now, c.worthTotal*fade+1
 	for i := range c.worthMix {
@@ -909,7 +909,7 @@
 }
 
 // rank returns the part of recent calls that are worth less than this one, with ties broken at random.
-func (c *Controller) rank(call *pendingCall) float64 {
+func (c *Controller) rank(call *openCall) float64 {
 	below, bucket := 0.0, worthBucket(call.worth)
 	for i := range bucket {
 		below += c.worthMix[i]
@@ -940,7 +940,7 @@
 
 // selectServer returns the first choice if it is at level 0, else another server at level 0, else one at
 // level 1, or nil if no server accepts the call.
-func (c *Controller) selectServer(call *pendingCall) *server {
+func (c *Controller) selectServer(call *openCall) *server {
 	rank := c.rank(call)
 	var best *server
 	bestDraw := math.Inf(1)
@@ -971,7 +971,7 @@
 }
 
 // accepts reports whether a server can take a call of a given rank now.
-func (c *Controller) accepts(srv *server, call *pendingCall, rank float64) bool {
+func (c *Controller) accepts(srv *server, call *openCall, rank float64) bool {
 	switch {
 	case srv.state != Ready, srv.level >= gateLevel, slices.Contains(call.tried, srv.id),
 		srv.cell == c.settings.OwnCell:
@@ -992,7 +992,7 @@
 }
 
 // refuse ends a call: as failed if it may have run and must not run twice, else as refused.
-func (c *Controller) refuse(call *pendingCall) {
+func (c *Controller) refuse(call *openCall) {
 	c.remove(call)
 	if call.mayHaveRun && c.class(call).Repeat != ReadLike {
 		c.emit(Action{Kind: Fail, ID: call.ID})
@@ -1003,7 +1003,7 @@
 }
 
 // refuseWithWait refuses a call that no server has worked on, with the time after which to retry.
-func (c *Controller) refuseWithWait(call *pendingCall, wait Micros) {
+func (c *Controller) refuseWithWait(call *openCall, wait Micros) {
 	c.remove(call)
 	a := Action{Kind: Refuse, ID: call.ID}
 	if c.settings.RetryAfter {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestLadderHasHysteresis(t *testing.T) {
+func TestLevelHasHysteresis(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		waits []float64 // in level 2 onsets
@@ -53,138 +53,138 @@
 		{name: "all gated", ten: 4, twenty: 2, wantNone: true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newGatekeeper(t, testSettings())
-			f.servers(two...)
-			f.c.findServer(10).level, f.c.findServer(20).level = row.ten, row.twenty
-			_, s := f.call(0, 1)
-			if s != row.want || row.wantNone != (f.count(Refuse) == 1) {
-				t.Errorf("went to %d with %d refusals", s, f.count(Refuse))
+			gk := newGatekeeper(t, testSettings())
+			gk.servers(twoServers...)
+			gk.c.findServer(10).level, gk.c.findServer(20).level = row.ten, row.twenty
+			_, s := gk.openCall(0, 1)
+			if s != row.want || row.wantNone != (gk.count(Refuse) == 1) {
+				t.Errorf("went to %d with %d refusals", s, gk.count(Refuse))
 			}
 		})
 	}
 }
 
 func TestNoServersRefuses(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	if _, s := f.call(0, 0); s != 0 || f.count(Refuse) != 1 {
-		t.Error("a call without servers must be refused at once")
+	gk := newGatekeeper(t, testSettings())
+	if _, s := gk.openCall(0, 0); s != 0 || gk.count(Refuse) != 1 {
+		t.Error("a call without servers must be refused immediately")
 	}
 }
 
-// Lost set-ups must not gate a server: a later one that was answered proves them lost (incident i03d8bc).
-func TestLostSetupIsNoWait(t *testing.T) {
-	f := warmGatekeeper(t)
-	f.do(List{Delta: true, Entries: []Entry{{Server: 20, Cell: two[1].Cell, State: Draining}}}) // the other may not help out
-	lost, s := f.call(0, 0)
-	f.pass(2e5)
-	id, s2 := f.call(0, 0)
+// Lost set-ups must not gate a server: an answer to a later set-up proves them lost (incident i03d8bc).
+func TestLostSetupDoesNotRaiseWait(t *testing.T) {
+	gk := warmGatekeeper(t)
+	gk.handle(List{Delta: true, Entries: []Entry{{Server: 20, Cell: twoServers[1].Cell, State: Draining}}}) // no alternative
+	lost, s := gk.openCall(0, 0)
+	gk.advance(2e5)
+	id, s2 := gk.openCall(0, 0)
 	if s != 10 || s2 != 10 {
 		t.Fatalf("went to %d and %d", s, s2)
 	}
-	f.answer(id, 10, 5e4)
-	f.pass(6e5)
-	if l := f.c.findServer(10).level; l != 0 {
+	gk.answer(id, 10, 5e4)
+	gk.advance(6e5)
+	if l := gk.c.findServer(10).level; l != 0 {
 		t.Errorf("level %d after one lost set-up", l)
 	}
-	if f.count(Cancel) != 1 {
-		t.Fatalf("%d cancels of the lost set-up, want 1", f.count(Cancel))
+	if gk.count(Cancel) != 1 {
+		t.Fatalf("%d cancels of the lost set-up, want 1", gk.count(Cancel))
 	}
-	f.do(Resolved{ID: lost, Server: 10, Code: Cancelled})
-	at := f.now
-	f.acts = nil
-	f.pass(1e6)
-	if f.count(Send) != 1 {
-		t.Errorf("%d resends after the guard, want 1", f.count(Send))
+	gk.handle(Resolved{ID: lost, Server: 10, Code: Cancelled})
+	cancelledAt := gk.now
+	gk.actions = nil
+	gk.advance(1e6)
+	if gk.count(Send) != 1 {
+		t.Errorf("%d resends after the guard, want 1", gk.count(Send))
 	}
-	if f.now-at < f.c.settings.ReleaseGuard {
+	if gk.now-cancelledAt < gk.c.settings.ReleaseGuard {
 		t.Error("resent within the release guard")
 	}
 }
 
-// With many set-ups lost by chance, one without an answer proves nothing (incident i03d8bc).
-func TestWitnessesFollowLoss(t *testing.T) {
+// If many set-ups are lost, a single unanswered one is no evidence of a wait (incident i03d8bc).
+func TestRequiredUnansweredFollowsLossRate(t *testing.T) {
 	c := New(testSettings(), 1)
 	if n := c.requiredUnanswered(); n != 1 {
-		t.Errorf("%d witnesses without loss", n)
+		t.Errorf("%d unanswered set-ups required without loss", n)
 	}
 	c.lossRate = 0.25
 	if n := c.requiredUnanswered(); n != 3 {
-		t.Errorf("%d witnesses at a quarter lost", n)
+		t.Errorf("%d unanswered set-ups required with a quarter lost", n)
 	}
 }
 
-// A server that answers nothing while listed ready is gated by the age of its set-ups, and they go elsewhere.
+// A ready server that answers nothing is gated by the age of its set-ups, and they are sent elsewhere.
 func TestSilentServerIsGated(t *testing.T) {
-	f := warmGatekeeper(t) // signs of life are due
-	silent, s := f.call(0, 0)
+	gk := warmGatekeeper(t) // has rates, so signs of life are expected
+	silent, s := gk.openCall(0, 0)
 	if s != 10 {
 		t.Fatalf("went to %d", s)
 	}
-	f.pass(9.5e5)
-	if l := f.c.findServer(10).level; l < gateLevel {
-		t.Errorf("level %d with a set-up unanswered for long", l)
+	gk.advance(9.5e5)
+	if l := gk.c.findServer(10).level; l < gateLevel {
+		t.Errorf("level %d with a set-up that is unanswered for 950 ms", l)
 	}
-	if _, s := f.call(0, 0); s != 20 {
+	if _, s := gk.openCall(0, 0); s != 20 {
 		t.Errorf("next call went to %d", s)
 	}
-	if f.count(Cancel) != 1 {
-		t.Fatalf("set-up %s was not called off", silent)
+	if gk.count(Cancel) != 1 {
+		t.Fatalf("set-up %s was not cancelled", silent)
 	}
 }
 
-func TestFullGatesAndNoAgentPassesOver(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
-	id, _ := f.call(0, 0)
-	acts := f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	if f.c.findServer(10).level != 0 || acts[0].Kind != Send || acts[0].Server != 20 {
-		t.Errorf("no agent: level %d, %v", f.c.findServer(10).level, acts)
-	}
-	f.do(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
-	id, _ = f.call(0, 0)
-	acts = f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
-	if f.c.findServer(10).level < gateLevel {
+func TestProcessorFullGatesAndNoAgentDoesNot(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
+	id, _ := gk.openCall(0, 0)
+	actions := gk.handle(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
+	if gk.c.findServer(10).level != 0 || actions[0].Kind != Send || actions[0].Server != 20 {
+		t.Errorf("no agent: level %d, %v", gk.c.findServer(10).level, actions)
+	}
+	gk.handle(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
+	id, _ = gk.openCall(0, 0)
+	actions = gk.handle(Resolved{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
+	if gk.c.findServer(10).level < gateLevel {
 		t.Error("processor full did not gate")
 	}
 	sent := false
-	for _, a := range acts {
+	for _, a := range actions {
 		sent = sent || a.Kind == Send && a.Server == 20
 	}
 	if !sent {
-		t.Errorf("processor full: no second choice in %v", acts)
+		t.Errorf("processor full: no second choice in %v", actions)
 	}
 }
 
-func TestMissingValuesAreNotIdleness(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
-	f.report(10, 900)
-	f.report(10, 900)
-	was := f.c.findServer(10).wait
-	f.report(10, -1)
-	f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true})
-	if f.c.findServer(10).wait != was {
-		t.Error("a missing value moved the wait")
+func TestMissingValuesKeepWait(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
+	gk.reportWait(10, 900)
+	gk.reportWait(10, 900)
+	before := gk.c.findServer(10).wait
+	gk.reportWait(10, -1)
+	gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true})
+	if gk.c.findServer(10).wait != before {
+		t.Error("a missing value changed the wait")
 	}
 }
 
-// The silent fall is one step, never faster than the design page's floor of 0.5 s.
+// Without observations the level falls one step at a time, never faster than the floor of 0.5 s in docs/design.md.
 func TestSilentFallIsStepped(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
-	f.call(0, 1) // keeps the clock going
-	f.report(10, 5000)
-	last, at := f.c.findServer(10).level, f.now
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
+	gk.openCall(0, 1) // keeps the ticks going
+	gk.reportWait(10, 5000)
+	last, fellAt := gk.c.findServer(10).level, gk.now
 	if last != topLevel {
 		t.Fatalf("level %d", last)
 	}
 	for range 100 {
-		f.pass(5e4)
-		if l := f.c.findServer(10).level; l != last {
-			if last-l != 1 || f.now-at < 5e5 {
-				t.Errorf("fell from %d to %d in %d us", last, l, f.now-at)
+		gk.advance(5e4)
+		if l := gk.c.findServer(10).level; l != last {
+			if last-l != 1 || gk.now-fellAt < 5e5 {
+				t.Errorf("fell from %d to %d in %d us", last, l, gk.now-fellAt)
 			}
-			last, at = l, f.now
+			last, fellAt = l, gk.now
 		}
 	}
 	if last != 0 {
@@ -192,105 +192,106 @@
 	}
 }
 
-// Fronts that have just left a gate all at once send a small part of their calls, and one in doubt at most: one
-// set-up each would fill the queue again where there are hundreds of fronts (standard day big-1 of asra-call-hub-later).
-func TestReentryIsGraded(t *testing.T) {
-	const fronts = 300
+// Gatekeepers whose server has just left the gate send a small part of their calls, and few each. One set-up each from
+// hundreds of gatekeepers would fill its queue again.
+func TestReentryShedsCalls(t *testing.T) {
+	const fleetSize = 300
 	sent, most := 0, 0
-	set := testSettings()
-	set.Gatekeepers = fronts
-	for i := range fronts {
-		f := &gatekeeper{t: t, c: New(set, uint64(i)), now: 1e9}
-		f.servers(two[0])
-		f.report(10, 900)
-		f.report(10, 0)
-		f.report(10, 0)
+	settings := testSettings()
+	settings.Gatekeepers = fleetSize
+	for i := range fleetSize {
+		gk := &gatekeeper{t: t, c: New(settings, uint64(i)), now: 1e9}
+		gk.servers(twoServers[0])
+		gk.reportWait(10, 900)
+		gk.reportWait(10, 0)
+		gk.reportWait(10, 0)
 		n := 0
 		for range 4 {
-			if _, s := f.call(0, 0); s != 0 {
+			if _, s := gk.openCall(0, 0); s != 0 {
 				n++
 			}
 		}
 		sent, most = sent+n, max(most, n)
 	}
-	if sent == 0 || sent > fronts*2/3 || most > 2 {
-		t.Errorf("%d of %d set-ups sent just after the gate, %d by one front", sent, 4*fronts, most)
+	if sent == 0 || sent > fleetSize*2/3 || most > 2 {
+		t.Errorf("%d of %d set-ups sent just after the gate, %d by one gatekeeper", sent, 4*fleetSize, most)
 	}
 }
 
-// Set-ups out are bounded before any answer tells of a wait (colombo overload: 5 s gated after a drain).
-func TestRoomBoundsSetupsOut(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two[0])
+// Set-ups in flight are limited before any answer shows a wait. Without that limit a server was gated for 5 s after another
+// was drained.
+func TestInFlightLimitBoundsFirstSetups(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers[0])
 	sent := 0
 	for range 50 {
-		if _, s := f.call(0, 0); s != 0 {
+		if _, s := gk.openCall(0, 0); s != 0 {
 			sent++
 		}
 	}
 	if sent > 5 {
-		t.Errorf("%d set-ups sent at once to a server never heard of", sent)
+		t.Errorf("%d set-ups sent at once to a server without any answer", sent)
 	}
 }
 
-func TestThinningSparesDearCalls(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
+func TestSheddingSparesCallsOfGreaterWorth(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
 	for i := range 200 {
-		id, s := f.call(min(1, i%10/9), i%2)
-		f.answer(id, s, 5e4)
+		id, s := gk.openCall(min(1, i%10/9), i%2)
+		gk.answer(id, s, 5e4)
 	}
-	for _, s := range f.c.servers {
+	for _, s := range gk.c.servers {
 		s.shed, s.waitAtTick = 0.6, 0
 	}
 	kept := [2]int{}
 	for i := range 100 {
-		k := &pendingCall{Call: Call{Class: i % 2}}
-		k.worth = f.c.worthOf(k)
-		if f.c.selectServer(k) != nil {
+		call := &openCall{Call: Call{Class: i % 2}}
+		call.worth = gk.c.worthOf(call)
+		if gk.c.selectServer(call) != nil {
 			kept[i%2]++
 		}
 	}
 	if kept[1] != 50 || kept[0] == 0 || kept[0] > 35 {
-		t.Errorf("thinned by 0.6: kept %d of 50 cheap and %d of 50 dear calls", kept[0], kept[1])
+		t.Errorf("shed part 0.6: kept %d of 50 calls of low worth and %d of 50 of high worth", kept[0], kept[1])
 	}
 }
 
-func TestBusyNumberAndTenantLoseWorth(t *testing.T) {
-	set := testSettings()
-	set.Tenants = []Tenant{{QuotaPerS: 50}, {QuotaPerS: 50}}
-	f := newGatekeeper(t, set)
-	f.servers(two...)
-	f.do(Call{ID: "a", Key: "busy", Deadline: f.now + 3e6})
-	f.do(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
-	if f.count(Refuse) != 1 {
-		t.Error("a busy number is final")
-	}
-	f.do(BusyNumber{Key: "told", At: f.now - 4e6}) // by the fleet
-	f.do(BusyNumber{Key: "busy", At: f.now - 4e6}) // older than what is known here
-	if !f.c.isBusy("told") || !f.c.isBusy("busy") {
-		t.Error("a number that the fleet holds to be busy is not")
-	}
-	f.now += 2e6
-	if f.c.now = f.now; f.c.isBusy("told") || !f.c.isBusy("busy") {
-		t.Error("it counts from the answer that said so")
-	}
-	f.now -= 2e6
-	f.c.now = f.now
-	plain := f.c.worthOf(&pendingCall{Call: Call{Key: "other", Tenant: 1}})
-	if w := f.c.worthOf(&pendingCall{Call: Call{Key: "busy", Tenant: 1}}); w >= plain/2 {
+func TestBusyNumberAndTenantOverShareLoseWorth(t *testing.T) {
+	settings := testSettings()
+	settings.Tenants = []Tenant{{QuotaPerS: 50}, {QuotaPerS: 50}}
+	gk := newGatekeeper(t, settings)
+	gk.servers(twoServers...)
+	gk.handle(Call{ID: "a", Key: "busy", Deadline: gk.now + 3e6})
+	gk.handle(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
+	if gk.count(Refuse) != 1 {
+		t.Error("a call to a busy number must be refused without a retry")
+	}
+	gk.handle(BusyNumber{Key: "reported", At: gk.now - 4e6}) // from the fleet
+	gk.handle(BusyNumber{Key: "busy", At: gk.now - 4e6})     // older than the local answer
+	if !gk.c.isBusy("reported") || !gk.c.isBusy("busy") {
+		t.Error("a number reported busy by the fleet is not busy")
+	}
+	gk.now += 2e6
+	if gk.c.now = gk.now; gk.c.isBusy("reported") || !gk.c.isBusy("busy") {
+		t.Error("a number must count as busy from the time of the answer")
+	}
+	gk.now -= 2e6
+	gk.c.now = gk.now
+	plain := gk.c.worthOf(&openCall{Call: Call{Key: "other", Tenant: 1}})
+	if w := gk.c.worthOf(&openCall{Call: Call{Key: "busy", Tenant: 1}}); w >= plain/2 {
 		t.Errorf("busy number worth %v of %v", w, plain)
 	}
 	for range 50 {
-		f.c.countArrival(&pendingCall{Call: Call{Tenant: 0}})
+		gk.c.countArrival(&openCall{Call: Call{Tenant: 0}})
 	}
-	if w := f.c.worthOf(&pendingCall{Call: Call{Tenant: 0}}); w >= plain*0.8 {
+	if w := gk.c.worthOf(&openCall{Call: Call{Tenant: 0}}); w >= plain*0.8 {
 		t.Errorf("tenant far over its share worth %v of %v", w, plain)
 	}
-	for range 5 { // ten calls in a hundred, by a tenant whose share is half
-		f.c.countArrival(&pendingCall{Call: Call{Tenant: 1}})
+	for range 5 { // about a tenth of the calls, from a tenant whose share is half
+		gk.c.countArrival(&openCall{Call: Call{Tenant: 1}})
 	}
-	if w := f.c.worthOf(&pendingCall{Call: Call{Tenant: 1}}); w < plain {
+	if w := gk.c.worthOf(&openCall{Call: Call{Tenant: 1}}); w < plain {
 		t.Errorf("tenant inside its share worth %v of %v", w, plain)
 	}
 }
@@ -299,200 +300,200 @@
 	for _, row := range []struct {
 		name string
 		list List
-		want uint32 // where a call for cell 0 goes next
+		want uint32 // server of the next call for cell 0
 	}{
 		{"drains", List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Draining}}}, 20},
 		{"gone", List{Delta: true, Entries: []Entry{{Server: 10, State: Gone}}}, 20},
-		{"missing from a full list", List{Entries: two[1:]}, 20},
-		{"failed call keeps the list", List{Failed: true}, 10},
+		{"missing from a full list", List{Entries: twoServers[1:]}, 20},
+		{"failed fetch keeps the list", List{Failed: true}, 10},
 		{"unknown server gone", List{Delta: true, Entries: []Entry{{Server: 99, State: Gone}}}, 10},
 		{"cell of a new server", List{Delta: true, Entries: []Entry{{Server: 10, State: Gone},
 			{Server: 30, Cell: 0, State: Ready}}}, 30},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			f := newGatekeeper(t, testSettings())
-			f.servers(two...)
-			f.do(row.list)
-			if _, s := f.call(0, 0); s != row.want {
+			gk := newGatekeeper(t, testSettings())
+			gk.servers(twoServers...)
+			gk.handle(row.list)
+			if _, s := gk.openCall(0, 0); s != row.want {
 				t.Errorf("went to %d, want %d", s, row.want)
 			}
 		})
 	}
 }
 
-func TestRestartForgetsOldProcessor(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
-	f.report(10, 5000)
-	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e6}}})
-	s := f.c.findServer(10)
-	if s.level != 0 || !f.c.isCold(s) || s.wait != 0 {
-		t.Errorf("level %d, cold %v, wait %v after a restart", s.level, f.c.isCold(s), s.wait)
+func TestRestartResetsEstimates(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
+	gk.reportWait(10, 5000)
+	gk.handle(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: gk.now - 1e6}}})
+	s := gk.c.findServer(10)
+	if s.level != 0 || !gk.c.isCold(s) || s.wait != 0 {
+		t.Errorf("level %d, cold %v, wait %v after a restart", s.level, gk.c.isCold(s), s.wait)
 	}
 }
 
-// The log says of each process of a server that it is cold, also where something was logged of the former one just before: a
-// server that was lost while it was gated starts again within the interval between two lines.
-func TestColdStartIsLoggedAfterAGate(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
-	f.report(10, 5000)
-	if n := f.notes("server 10 gated"); n != 1 {
+// Each process of a server is logged as cold, even within logInterval of a log line about its predecessor: a server that was
+// lost while gated can restart within that time.
+func TestColdStartIsLoggedAfterGating(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
+	gk.reportWait(10, 5000)
+	if n := gk.countNotes("server 10 gated"); n != 1 {
 		t.Fatalf("gated %d times", n)
 	}
-	f.pass(logInterval / 2)
-	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5}}})
-	if n := f.notes("server 10 is cold"); n != 1 {
+	gk.advance(logInterval / 2)
+	gk.handle(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: gk.now - 1e5}}})
+	if n := gk.countNotes("server 10 is cold"); n != 1 {
 		t.Errorf("logged %d times that it is cold, want once", n)
 	}
-	f.do(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5}}})
-	if n := f.notes("server 10 is cold"); n != 1 {
+	gk.handle(List{Delta: true, Entries: []Entry{{Server: 10, Cell: 0, State: Ready, Since: gk.now - 1e5}}})
+	if n := gk.countNotes("server 10 is cold"); n != 1 {
 		t.Errorf("logged %d times for one process, want once", n)
 	}
 }
 
-// A pool told to have few free agents gets few second choices, and is still tried: when all fronts passed it over until
-// the next telling, a second later, its processor and agents idled every other second (hunt day h0182d3).
-func TestFewAgentsTakeFewSecondChoices(t *testing.T) {
+// A pool with few free agents gets few second choices, but not none: when all gatekeepers avoided it until its next report a
+// second later, its processor and agents were idle every other second.
+func TestPoolWithFewFreeAgentsTakesFewSecondChoices(t *testing.T) {
 	taken := 0
 	for seed := range uint64(400) {
-		f := &gatekeeper{t: t, c: New(testSettings(), seed), now: 1e9}
-		f.servers(two...)
-		f.do(Status{Server: 10, Code: OK, Report: []float64{1, 100, -1}})
-		f.do(Status{Server: 20, Code: OK, Report: []float64{60, 100, -1}})
-		if _, s := f.call(1, 9); s == 10 {
+		gk := &gatekeeper{t: t, c: New(testSettings(), seed), now: 1e9}
+		gk.servers(twoServers...)
+		gk.handle(Status{Server: 10, Code: OK, Report: []float64{1, 100, -1}})
+		gk.handle(Status{Server: 20, Code: OK, Report: []float64{60, 100, -1}})
+		if _, s := gk.openCall(1, 9); s == 10 {
 			taken++
 		}
 	}
 	if taken == 0 || taken > 60 {
-		t.Errorf("%d of 400 second choices went to a pool with one agent in a hundred left", taken)
+		t.Errorf("%d of 400 second choices went to a pool with 1 of 100 agents free", taken)
 	}
 }
 
 func TestUnknownClassIsSafe(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
-	id, _ := f.call(9, 0)
-	f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	f.do(Resolved{ID: id, Attempt: 1, Server: 20, Code: TimedOut})
-	if f.count(Fail) != 1 {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
+	id, _ := gk.openCall(9, 0)
+	gk.handle(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
+	gk.handle(Resolved{ID: id, Attempt: 1, Server: 20, Code: TimedOut})
+	if gk.count(Fail) != 1 {
 		t.Error("a call of an unknown class that may have run must end as failed")
 	}
 }
 
-// Use of the processor has the design page's ladder: levels 1 and 2 set in at 0.85 and 0.95 and abate at 0.75 and 0.85.
-func TestUseLadder(t *testing.T) {
-	set := testSettings()
-	set.Report = []Field{Busy}
+// Processor utilization has the thresholds of docs/design.md: levels 1 and 2 begin at 0.85 and 0.95 and end at 0.75 and 0.85.
+func TestUtilizationThresholds(t *testing.T) {
+	settings := testSettings()
+	settings.Report = []Field{Busy}
 	for _, row := range []struct {
-		use  []float64
-		want int
+		utilization []float64
+		want        int
 	}{
 		{[]float64{0.8}, 0}, {[]float64{0.86}, 1}, {[]float64{0.96}, 2}, {[]float64{0.96, 0.9}, 2},
 		{[]float64{0.96, 0.84}, 1}, {[]float64{0.86, 0.8}, 1}, {[]float64{0.96, 0.7}, 0}, {[]float64{0.9, -1}, 1},
 	} {
-		f := newGatekeeper(t, set)
-		f.servers(two...)
-		for _, v := range row.use {
-			f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
+		gk := newGatekeeper(t, settings)
+		gk.servers(twoServers...)
+		for _, v := range row.utilization {
+			gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 		}
-		if l := f.c.findServer(10).level; l != row.want {
-			t.Errorf("use %v: level %d, want %d", row.use, l, row.want)
+		if l := gk.c.findServer(10).level; l != row.want {
+			t.Errorf("utilization %v: level %d, want %d", row.utilization, l, row.want)
 		}
 	}
 }
 
-// Guards against an old report that outweighs newer delays: each message repeats the figures of the last measurement, and
-// an idle server's of a while ago emptied the estimate of a wait seen since.
-func TestRepeatedReportIsNoNewSight(t *testing.T) {
-	set := testSettings()
-	set.Report = []Field{Spare, Total, Busy, Queue}
-	f := newGatekeeper(t, set)
-	f.servers(two...)
-	s := f.c.findServer(10)
-	told := func(busy, queue float64) {
-		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
-	}
-	told(0.4, 2)
-	f.c.observeWait(s, 1e5)
+// Guards against an old report that overrides newer delays: each message repeats the figures of the last measurement, and
+// those of a server that was idle then reset a wait that had been observed since.
+func TestRepeatedReportIsIgnored(t *testing.T) {
+	settings := testSettings()
+	settings.Report = []Field{Spare, Total, Busy, Queue}
+	gk := newGatekeeper(t, settings)
+	gk.servers(twoServers...)
+	s := gk.c.findServer(10)
+	reportUtilization := func(busy, queue float64) {
+		gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
+	}
+	reportUtilization(0.4, 2)
+	gk.c.observeWait(s, 1e5)
 	want := s.wait
 	for range 3 {
-		told(0.4, 2)
+		reportUtilization(0.4, 2)
 	}
 	if s.wait != want || s.freeAgents != 50 {
 		t.Errorf("wait %.0f us after a repeated report, want %.0f; %.0f free agents", s.wait, want, s.freeAgents)
 	}
-	if told(0.4, 0); s.wait >= want {
-		t.Errorf("wait %.0f us after a new report of no queue, it was %.0f", s.wait, want)
+	if reportUtilization(0.4, 0); s.wait >= want {
+		t.Errorf("wait %.0f us after a new report of no queue, before it was %.0f", s.wait, want)
 	}
 }
 
-// Guards against a short gate, as one noisy report makes it, costing seconds of refusals: a server just out of it gets
-// most of the calls again, and not all at once.
-func TestServerOutOfTheGateTakesMostCalls(t *testing.T) {
-	set := testSettings()
-	set.Report, set.Gatekeepers = []Field{Busy}, 8
-	f := newGatekeeper(t, set)
-	f.servers(two...)
+// Guards against seconds of refusals after a short gate, such as one noisy report causes: a server that has just reopened
+// gets most of its calls again, but not all at once.
+func TestReopenedServerTakesMostCalls(t *testing.T) {
+	settings := testSettings()
+	settings.Report, settings.Gatekeepers = []Field{Busy}, 8
+	gk := newGatekeeper(t, settings)
+	gk.servers(twoServers...)
 	for _, v := range []float64{1, 0.5} {
-		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
+		gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 	}
-	if s := f.c.findServer(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
-		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.shed)
+	if s := gk.c.findServer(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
+		t.Errorf("level %d, shed part %.2f just after the gate", s.level, s.shed)
 	}
 }
 
-// Guards against a gatekeeper that refuses calls just after its start, when its own rates say nothing yet: a few set-ups
-// may be out at each server, of the second choice too. Later the room is what its rates bring.
-func TestYoungFrontHasRoom(t *testing.T) {
-	f := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
-	f.do(Start{})
-	f.servers(two...)
-	f.c.bestRate = 0.01 // from a first answer
+// Guards against a gatekeeper that refuses calls just after its start, when its rates are not reliable yet: a few set-ups may
+// be in flight to each server, also to second choices. Later the limit follows its rates.
+func TestInFlightLimitAfterStart(t *testing.T) {
+	gk := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
+	gk.handle(Start{})
+	gk.servers(twoServers...)
+	gk.c.bestRate = 0.01 // from a first answer
 	sent := 0
 	for range 12 {
-		if _, s := f.call(0, 0); s != 0 {
+		if _, s := gk.openCall(0, 0); s != 0 {
 			sent++
 		}
 	}
 	if sent < 6 || sent > 10 {
-		t.Errorf("%d set-ups sent at once by a front that has just started, want a few at each server", sent)
+		t.Errorf("%d set-ups sent at once by a gatekeeper that has just started, want a few at each server", sent)
 	}
-	g := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
-	g.do(Start{})
-	g.servers(two...)
-	g.pass(2 * startPhase)
-	g.do(Timer{"tick"})
-	if n := g.c.inFlightLimit(g.c.findServer(10)); n != minInFlight {
-		t.Errorf("room for %d at a server of which nothing is known, want %d", n, minInFlight)
+	later := &gatekeeper{t: t, c: New(testSettings(), 1), now: 1e9}
+	later.handle(Start{})
+	later.servers(twoServers...)
+	later.advance(2 * startPhase)
+	later.handle(Timer{"tick"})
+	if n := later.c.inFlightLimit(later.c.findServer(10)); n != minInFlight {
+		t.Errorf("in-flight limit %d at a server without estimates, want %d", n, minInFlight)
 	}
 }
 
-// A set-up lost by chance may go to the same server again: with one server it was called off only to be refused.
+// A lost set-up may be sent to the same server again. With a single server it was cancelled only to be refused.
 func TestLostSetupMayGoToTheSameServer(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two[0])
-	lost, _ := f.call(0, 0)
-	f.pass(2e5)
-	id, _ := f.call(0, 0)
-	f.answer(id, 10, 5e4)
-	f.pass(1e5)
-	f.do(Resolved{ID: lost, Server: 10, Code: Cancelled})
-	f.acts = nil
-	f.pass(5e5)
-	if f.count(Send) != 1 || f.count(Refuse) != 0 {
-		t.Errorf("%d sends and %d refusals of a lost set-up", f.count(Send), f.count(Refuse))
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers[0])
+	lost, _ := gk.openCall(0, 0)
+	gk.advance(2e5)
+	id, _ := gk.openCall(0, 0)
+	gk.answer(id, 10, 5e4)
+	gk.advance(1e5)
+	gk.handle(Resolved{ID: lost, Server: 10, Code: Cancelled})
+	gk.actions = nil
+	gk.advance(5e5)
+	if gk.count(Send) != 1 || gk.count(Refuse) != 0 {
+		t.Errorf("%d sends and %d refusals of a lost set-up", gk.count(Send), gk.count(Refuse))
 	}
 }
 
-// Servers that are equal are taken in turn by chance: by their numbers, all fronts would herd to one.
-func TestEqualServersAreNotHerdedTo(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(Entry{Server: 1, Cell: 1, State: Ready}, Entry{Server: 2, Cell: 2, State: Ready},
+// Equal servers are selected at random: in order of their numbers, all gatekeepers would select the same one.
+func TestEqualServersShareCallsAtRandom(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(Entry{Server: 1, Cell: 1, State: Ready}, Entry{Server: 2, Cell: 2, State: Ready},
 		Entry{Server: 3, Cell: 3, State: Ready})
 	seen := map[uint32]int{}
 	for range 60 {
-		seen[f.c.selectServer(&pendingCall{Call: Call{FirstChoice: 9}}).id]++
+		seen[gk.c.selectServer(&openCall{Call: Call{FirstChoice: 9}}).id]++
 	}
 	if len(seen) != 3 {
 		t.Errorf("calls without a first choice went to %v", seen)
@@ -500,23 +501,23 @@
 }
 
 func TestStateIsBounded(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
+	gk := newGatekeeper(t, testSettings())
 	for i := range 2000 {
-		f.servers(Entry{Server: uint32(100 + i), Cell: 0, State: Ready, Since: f.now})
-		f.n++
-		id := fmt.Sprintf("k%05d", f.n)
-		f.do(Call{ID: id, Key: id, Deadline: f.now + 3e6})
-		f.pass(5e4)
-		f.do(Resolved{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
-	}
-	c := f.c
+		gk.servers(Entry{Server: uint32(100 + i), Cell: 0, State: Ready, Since: gk.now})
+		gk.callCount++
+		id := fmt.Sprintf("k%05d", gk.callCount)
+		gk.handle(Call{ID: id, Key: id, Deadline: gk.now + 3e6})
+		gk.advance(5e4)
+		gk.handle(Resolved{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
+	}
+	c := gk.c
 	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busyNumbers) > maxBusyNumbers {
 		t.Errorf("left: %d calls, %d waiting, %d servers, %d busy numbers", len(c.calls), len(c.waiting),
 			len(c.servers), len(c.busyNumbers))
 	}
 }
 
-// Rule limits of this project: the module's size and its line length.
+// Limits of this project on the size and the line length of the module.
 func TestModuleLimits(t *testing.T) {
 	file, err := os.Open("control.go")
 	if err != nil {
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -6,103 +6,104 @@
 	"testing"
 )
 
-// fleet drives hundreds of controllers with sparse traffic and answers their set-ups late or never.
+// fleet feeds hundreds of controllers with sparse traffic and answers their set-ups late or never.
 type fleet struct {
-	t    *testing.T
-	rng  *rand.Rand
-	fs   []*gatekeeper
-	now  Micros
-	due  []due
-	sent map[uint32][]Micros
+	t           *testing.T
+	rng         *rand.Rand
+	gatekeepers []*gatekeeper
+	now         Micros
+	scheduled   []scheduled
+	sent        map[uint32][]Micros
 
-	set    *Settings          // of the fronts that start
-	lines  map[uint32]float64 // of a server, 1000 where not named
-	pick   func() int         // the front of the next call; nil: any
-	choose func() int         // its first choice; nil: any
+	settings        *Settings          // settings of gatekeepers that start
+	agents          map[uint32]float64 // by server; 1000 if absent
+	pickGatekeeper  func() int         // index of the gatekeeper of the next call; nil: random
+	pickFirstChoice func() int         // first choice of the next call; nil: random
 }
 
-type due struct {
+type scheduled struct {
 	at    Micros
-	f     *gatekeeper
+	gk    *gatekeeper
 	event Event
 }
 
-func newFleet(t *testing.T, fronts int, seed uint64, list ...Entry) *fleet {
+func newFleet(t *testing.T, size int, seed uint64, list ...Entry) *fleet {
 	fl := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: 1e9, sent: map[uint32][]Micros{}}
-	set := testSettings()
-	fl.set = &set
-	for i := range fronts {
-		fl.set.Position = i
-		fl.fs = append(fl.fs, fl.start(seed*1000+uint64(i), fronts, list...))
+	settings := testSettings()
+	fl.settings = &settings
+	for i := range size {
+		fl.settings.Position = i
+		fl.gatekeepers = append(fl.gatekeepers, fl.start(seed*1000+uint64(i), size, list...))
 	}
 	return fl
 }
 
-// start makes a front that knows nothing yet but the list and each pool's agents.
-func (fl *fleet) start(seed uint64, fronts int, list ...Entry) *gatekeeper {
-	set := *fl.set
-	set.Gatekeepers = fronts
-	f := &gatekeeper{t: fl.t, c: New(set, seed), now: fl.now}
-	f.do(Start{})
-	fl.list(f, list...)
-	return f
+// start returns a gatekeeper that knows only the list and the agents of each pool.
+func (fl *fleet) start(seed uint64, size int, list ...Entry) *gatekeeper {
+	settings := *fl.settings
+	settings.Gatekeepers = size
+	gk := &gatekeeper{t: fl.t, c: New(settings, seed), now: fl.now}
+	gk.handle(Start{})
+	fl.list(gk, list...)
+	return gk
 }
 
-func (fl *fleet) list(f *gatekeeper, list ...Entry) {
-	f.now = max(f.now, fl.now)
-	f.servers(list...)
+func (fl *fleet) list(gk *gatekeeper, list ...Entry) {
+	gk.now = max(gk.now, fl.now)
+	gk.servers(list...)
 	for _, e := range list {
-		lines := fl.lines[e.Server]
-		if lines == 0 {
-			lines = 1000
+		agents := fl.agents[e.Server]
+		if agents == 0 {
+			agents = 1000
 		}
-		f.do(Status{Server: e.Server, Code: OK, Report: []float64{0.9 * lines, lines, -1}})
+		gk.handle(Status{Server: e.Server, Code: OK, Report: []float64{0.9 * agents, agents, -1}})
 	}
 }
 
-// run offers calls at a rate to random fronts for a time; answer gives the event for a set-up, or nil for none.
-func (fl *fleet) run(span Micros, perS float64, choices int, answer func(s uint32, id string, n int) (Micros, Event)) {
+// run offers calls at a rate of perS to random gatekeepers for a time. answer returns the event that answers a set-up and its
+// delay, or nil for no answer.
+func (fl *fleet) run(span Micros, perS float64, cells int, answer func(s uint32, id string, n int) (Micros, Event)) {
 	for end := fl.now + span; fl.now < end; {
 		fl.now += Micros(1 + fl.rng.ExpFloat64()*1e6/perS)
-		for len(fl.due) > 0 && fl.due[0].at <= fl.now {
-			d := fl.due[0]
-			fl.due = fl.due[1:]
-			d.f.pass(max(d.at, d.f.now) - d.f.now)
-			fl.watch(d.f, d.f.do(d.event), answer)
+		for len(fl.scheduled) > 0 && fl.scheduled[0].at <= fl.now {
+			next := fl.scheduled[0]
+			fl.scheduled = fl.scheduled[1:]
+			next.gk.advance(max(next.at, next.gk.now) - next.gk.now)
+			fl.handleSends(next.gk, next.gk.handle(next.event), answer)
 		}
-		pick, choose := func() int { return fl.rng.IntN(len(fl.fs)) }, func() int { return fl.rng.IntN(choices) }
-		if fl.pick != nil {
-			pick, choose = fl.pick, fl.choose
+		pickGatekeeper, pickFirstChoice := func() int { return fl.rng.IntN(len(fl.gatekeepers)) }, func() int { return fl.rng.IntN(cells) }
+		if fl.pickGatekeeper != nil {
+			pickGatekeeper, pickFirstChoice = fl.pickGatekeeper, fl.pickFirstChoice
 		}
-		f := fl.fs[pick()]
-		before := len(f.acts)
-		f.pass(max(fl.now, f.now) - f.now)
-		f.call(0, choose())
-		fl.watch(f, f.acts[before:], answer)
-		f.acts = f.acts[:0]
+		gk := fl.gatekeepers[pickGatekeeper()]
+		before := len(gk.actions)
+		gk.advance(max(fl.now, gk.now) - gk.now)
+		gk.openCall(0, pickFirstChoice())
+		fl.handleSends(gk, gk.actions[before:], answer)
+		gk.actions = gk.actions[:0]
 	}
 }
 
-func (fl *fleet) watch(f *gatekeeper, acts []Action, answer func(uint32, string, int) (Micros, Event)) {
-	for _, a := range acts {
+func (fl *fleet) handleSends(gk *gatekeeper, actions []Action, answer func(uint32, string, int) (Micros, Event)) {
+	for _, a := range actions {
 		if a.Kind != Send {
 			continue
 		}
-		fl.sent[a.Server] = append(fl.sent[a.Server], f.now)
-		try := 0
-		if k := f.c.calls[a.ID]; k != nil {
-			try = k.attempts - 1
+		fl.sent[a.Server] = append(fl.sent[a.Server], gk.now)
+		attempt := 0
+		if call := gk.c.calls[a.ID]; call != nil {
+			attempt = call.attempts - 1
 		}
-		if wait, e := answer(a.Server, a.ID, try); e != nil {
-			d := due{at: f.now + wait, f: f, event: e}
-			i, _ := slices.BinarySearchFunc(fl.due, d, func(x, y due) int { return int(x.at - y.at) })
-			fl.due = slices.Insert(fl.due, i, d)
+		if wait, e := answer(a.Server, a.ID, attempt); e != nil {
+			d := scheduled{at: gk.now + wait, gk: gk, event: e}
+			i, _ := slices.BinarySearchFunc(fl.scheduled, d, func(x, y scheduled) int { return int(x.at - y.at) })
+			fl.scheduled = slices.Insert(fl.scheduled, i, d)
 		}
 	}
 }
 
-// most gives the largest number of set-ups to a server in any window, as a part of what limit allows there.
-func (fl *fleet) most(s uint32, window Micros, limit func(from Micros) float64) float64 {
+// worstWindow returns the greatest number of set-ups to a server in any window, in parts of the limit there.
+func (fl *fleet) worstWindow(s uint32, window Micros, limit func(from Micros) float64) float64 {
 	worst, sent := 0.0, fl.sent[s]
 	slices.Sort(sent)
 	for i, from := range sent {
@@ -118,203 +119,205 @@
 	return worst
 }
 
-func quick(s uint32, id string, try int) (Micros, Event) {
-	return 3e4, Opened{ID: id, Attempt: try, Server: s, Took: 3e4}
+func answerQuickly(s uint32, id string, attempt int) (Micros, Event) {
+	return 3e4, Opened{ID: id, Attempt: attempt, Server: s, Took: 3e4}
 }
 
-// gate reports a long wait at a server.
-func gate(f *gatekeeper, s uint32) {
-	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
+// reportLongWait ends an earlier call with a report of a long wait at a server.
+func reportLongWait(gk *gatekeeper, server uint32) {
+	gk.handle(Resolved{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
 }
 
-var four = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready},
+var fourServers = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready},
 	{Server: 30, Cell: 2, State: Ready}, {Server: 40, Cell: 3, State: Ready}}
 
-// Rule 4 binds all fronts together: hundreds with a call in seconds each, some just started, keep a cold server within
-// its budget in every window, also when every other server is gated and all calls could go there. One set-up each
-// broke it (standard days of the later deployments, untouched module: 2.8 to 4.7 times what the server could do).
-func TestColdBudgetOfHundredsOfFronts(t *testing.T) {
+// The cold budget applies to the sum over all gatekeepers: hundreds of them with a call every few seconds each, some just
+// started, stay within it in every window, even if every other server is gated and all calls could go to the cold one. One
+// set-up from each gatekeeper was 2.8 to 4.7 times the capacity of the server.
+func TestColdBudgetOfHundredsOfGatekeepers(t *testing.T) {
 	for seed := range uint64(4) {
-		const fronts, perServer = 260, 75.0
-		fl := newFleet(t, fronts, seed, four...)
-		fl.run(12e6, 4*perServer, 4, quick)
+		const fleetSize, perServer = 260, 75.0
+		fl := newFleet(t, fleetSize, seed, fourServers...)
+		fl.run(12e6, 4*perServer, 4, answerQuickly)
 		started := fl.now - 1e6
-		cold := slices.Clone(four)
+		cold := slices.Clone(fourServers)
 		cold[3] = Entry{Server: 50, Cell: 3, State: Ready, Since: started}
-		for i, f := range fl.fs {
+		for i, gk := range fl.gatekeepers {
 			if i%10 == 0 {
-				fl.set.Position = i
-				fl.fs[i] = fl.start(9000+uint64(i), fronts, cold...)
+				fl.settings.Position = i
+				fl.gatekeepers[i] = fl.start(9000+uint64(i), fleetSize, cold...)
 			} else {
-				fl.list(f, cold...)
+				fl.list(gk, cold...)
 			}
 		}
 		gated := seed >= 2
 		for range 10 {
-			for _, f := range fl.fs {
+			for _, gk := range fl.gatekeepers {
 				for _, s := range []uint32{10, 20, 30} {
 					if gated {
-						gate(f, s)
+						reportLongWait(gk, s)
 					}
 				}
 			}
-			fl.run(1e6, 4*perServer, 4, func(s uint32, id string, try int) (Micros, Event) {
+			fl.run(1e6, 4*perServer, 4, func(s uint32, id string, attempt int) (Micros, Event) {
 				if s == 50 && seed%2 == 1 {
-					return 0, nil // hears nothing of the cold server
+					return 0, nil // the cold server does not answer
 				}
-				return quick(s, id, try)
+				return answerQuickly(s, id, attempt)
 			})
 		}
-		set := fl.fs[0].c.settings
-		worst := fl.most(50, set.FallTime, func(from Micros) float64 {
-			part := set.StartCapacity + (1-set.StartCapacity)*float64(from-started)/float64(set.WarmWithin)
-			return set.FallMultiple * part * perServer * float64(set.FallTime) / 1e6
+		settings := fl.gatekeepers[0].c.settings
+		worst := fl.worstWindow(50, settings.FallTime, func(from Micros) float64 {
+			part := settings.StartCapacity + (1-settings.StartCapacity)*float64(from-started)/float64(settings.WarmWithin)
+			return settings.FallMultiple * part * perServer * float64(settings.FallTime) / 1e6
 		})
 		t.Logf("seed %d: %.2f of the budget", seed, worst)
 		if worst > 1 || worst == 0 {
-			t.Errorf("seed %d: %.2f of what the rule allows in a window", seed, worst)
+			t.Errorf("seed %d: %.2f of the budget in the worst window", seed, worst)
 		}
 	}
 }
 
-// A server that turns set-ups away is tried by a small part of what it can do, however many fronts there are: a trial
-// from each in turn kept three of eight servers jammed for 35 s (asra-call-hub-later big-1).
-func TestReentryIsBoundedByTheServer(t *testing.T) {
-	const fronts, perServer = 260, 75.0
-	fl := newFleet(t, fronts, 1, four...)
-	fl.run(12e6, 4*perServer, 4, quick)
-	full := func(s uint32, id string, try int) (Micros, Event) {
+// A server that refuses set-ups receives only a small part of its capacity as trials, however many gatekeepers there are.
+// Trials from each gatekeeper in turn kept three of eight servers overloaded for 35 s.
+func TestReentryIsBoundedByServerCapacity(t *testing.T) {
+	const fleetSize, perServer = 260, 75.0
+	fl := newFleet(t, fleetSize, 1, fourServers...)
+	fl.run(12e6, 4*perServer, 4, answerQuickly)
+	full := func(s uint32, id string, attempt int) (Micros, Event) {
 		if s == 40 {
-			return 3e4, Resolved{ID: id, Attempt: try, Server: s, Code: Full, Reason: ProcessorFull,
+			return 3e4, Resolved{ID: id, Attempt: attempt, Server: s, Code: Full, Reason: ProcessorFull,
 				Report: []float64{900, 1000, 2500}}
 		}
-		return quick(s, id, try)
+		return answerQuickly(s, id, attempt)
 	}
-	fl.run(12e6, 4*perServer, 4, full) // every front meets it
+	fl.run(12e6, 4*perServer, 4, full) // every gatekeeper is refused by it
 	fl.sent[40] = nil
 	fl.run(10e6, 4*perServer, 4, full)
 	if n := float64(len(fl.sent[40])) / 10; n > perServer/3 || n == 0 {
-		t.Errorf("%.0f trials a second of a server that can take %.0f when well", n, perServer)
+		t.Errorf("%.0f trials per second of a server with a capacity of %.0f", n, perServer)
 	}
 }
 
-// Second choices of all fronts together keep to a small server's share: it was jammed for 20 s (incident ib2ba7a).
+// Second choices of all gatekeepers together stay within a small server's share. Without that limit one was overloaded for 20
+// s (incident ib2ba7a).
 func TestSecondChoicesKeepToShare(t *testing.T) {
-	const fronts, perS = 300, 300.0
-	fl := newFleet(t, fronts, 1, four...)
-	small := func(f *gatekeeper) {
-		f.do(Status{Server: 40, Code: OK, Report: []float64{28, 30, -1}})
+	const fleetSize, perS = 300, 300.0
+	fl := newFleet(t, fleetSize, 1, fourServers...)
+	small := func(gk *gatekeeper) {
+		gk.handle(Status{Server: 40, Code: OK, Report: []float64{28, 30, -1}})
 	}
-	for _, f := range fl.fs {
-		small(f)
+	for _, gk := range fl.gatekeepers {
+		small(gk)
 	}
-	fl.run(12e6, perS, 3, quick)
+	fl.run(12e6, perS, 3, answerQuickly)
 	fl.sent[40] = nil
 	for range 5 {
-		for _, f := range fl.fs {
+		for _, gk := range fl.gatekeepers {
 			for _, s := range []uint32{10, 20, 30} {
-				gate(f, s)
+				reportLongWait(gk, s)
 			}
-			small(f)
-			f.do(Resolved{ID: "old", Server: 40, Code: OK, Settled: true, Report: []float64{28, 30, 1}})
+			small(gk)
+			gk.handle(Resolved{ID: "old", Server: 40, Code: OK, Settled: true, Report: []float64{28, 30, 1}})
 		}
-		fl.run(1e6, perS, 3, quick)
+		fl.run(1e6, perS, 3, answerQuickly)
 	}
 	own := perS * 30 / 3030
 	if n := float64(len(fl.sent[40])) / 5; n > 3*own || n == 0 {
-		t.Errorf("%.1f second choices a second to a server whose share is %.1f", n, own)
+		t.Errorf("%.1f second choices per second to a server whose share is %.1f", n, own)
 	}
 }
 
-// A front that stood still learns nothing of servers from the age of what was out, and gives calls that came meanwhile
-// what is left of their callers' patience.
-func TestOwnStallIsNoWait(t *testing.T) {
-	f := warmGatekeeper(t)
-	id, s := f.call(0, 0)
-	f.now += 1.8e6 // no tick, no event
-	f.do(Timer{"tick"})
-	f.do(Opened{ID: id, Server: s, Took: 1.8e6})
-	if l, w := f.c.findServer(s).level, f.c.findServer(s).wait; l != 0 || w > 5e4 {
-		t.Errorf("level %d, wait %.0f us after the front's own stall", l, w)
+// A gatekeeper whose process stalled takes no wait from the age of its set-ups in flight, and calls that arrived meanwhile
+// have only the rest of their callers' patience.
+func TestOwnStallDoesNotRaiseWait(t *testing.T) {
+	gk := warmGatekeeper(t)
+	id, s := gk.openCall(0, 0)
+	gk.now += 1.8e6 // no tick, no event
+	gk.handle(Timer{"tick"})
+	gk.handle(Opened{ID: id, Server: s, Took: 1.8e6})
+	if l, w := gk.c.findServer(s).level, gk.c.findServer(s).wait; l != 0 || w > 5e4 {
+		t.Errorf("level %d, wait %.0f us after the gatekeeper's own stall", l, w)
 	}
-	f.do(Call{ID: "old", Deadline: f.now + 3e6 - 1.7e6, FirstChoice: 0})
-	f.do(Call{ID: "new", Deadline: f.now + 3e6, FirstChoice: 1})
-	if o, n := f.c.calls["old"], f.c.calls["new"]; o == nil || n == nil || !o.pastTarget || n.pastTarget {
-		t.Error("calls that came during a stall are not told by their callers' patience")
+	gk.handle(Call{ID: "old", Deadline: gk.now + 3e6 - 1.7e6, FirstChoice: 0})
+	gk.handle(Call{ID: "new", Deadline: gk.now + 3e6, FirstChoice: 1})
+	if o, n := gk.c.calls["old"], gk.c.calls["new"]; o == nil || n == nil || !o.pastTarget || n.pastTarget {
+		t.Error("calls that arrived during a stall are not recognized by the rest of their callers' patience")
 	}
-	f.pass(1e5)
-	f.do(Call{ID: "short", Deadline: f.now + 1.3e6, FirstChoice: 0})
-	if k := f.c.calls["short"]; k != nil && k.pastTarget {
-		t.Error("a short patience without a stall was taken for lateness")
+	gk.advance(1e5)
+	gk.handle(Call{ID: "short", Deadline: gk.now + 1.3e6, FirstChoice: 0})
+	if call := gk.c.calls["short"]; call != nil && call.pastTarget {
+		t.Error("a call with a short deadline was marked past its target without a stall")
 	}
 }
 
-// With a call in seconds a lost set-up is not overtaken by another: an end that tells of a short wait proves it lost,
-// so that it neither gates its server nor takes its room until its caller gives up (asra-call-hub-later big-2).
-func TestReportOvertakesLostSetup(t *testing.T) {
-	f := warmGatekeeper(t)
-	lost, s := f.call(0, 0)
-	f.pass(9e5)
-	f.report(s, 3)
-	f.report(s, 3)
-	f.pass(1e5)
-	if k := f.c.calls[lost]; k == nil || !k.lost || f.c.lossRate == 0 || f.c.findServer(s).level != 0 {
-		t.Errorf("lost set-up not told by a report: level %d, loss %.2f", f.c.findServer(s).level, f.c.lossRate)
+// With a call every few seconds, a lost set-up is not overtaken by another. An answer that reports a short wait proves it
+// lost, so that it neither gates its server nor uses up the in-flight limit until its deadline.
+func TestReportRevealsLostSetup(t *testing.T) {
+	gk := warmGatekeeper(t)
+	lost, s := gk.openCall(0, 0)
+	gk.advance(9e5)
+	gk.reportWait(s, 3)
+	gk.reportWait(s, 3)
+	gk.advance(1e5)
+	if call := gk.c.calls[lost]; call == nil || !call.lost || gk.c.lossRate == 0 || gk.c.findServer(s).level != 0 {
+		t.Errorf("lost set-up not detected from a report: level %d, loss %.2f", gk.c.findServer(s).level, gk.c.lossRate)
 	}
-	slow, s := f.call(0, 1)
-	f.pass(9e5)
-	f.report(s, 600)
-	f.report(s, 600)
-	f.pass(1e5)
-	if k := f.c.calls[slow]; k != nil && k.lost {
-		t.Error("a set-up waiting at a pressed server was taken for lost")
+	slow, s := gk.openCall(0, 1)
+	gk.advance(9e5)
+	gk.reportWait(s, 600)
+	gk.reportWait(s, 600)
+	gk.advance(1e5)
+	if call := gk.c.calls[slow]; call != nil && call.lost {
+		t.Error("a set-up waiting at a loaded server was taken for lost")
 	}
 }
 
-// Thinning fades by what is seen: with news in seconds, silence alone let every front back at once.
-func TestSilenceIsNoEase(t *testing.T) {
-	seen, silent := newGatekeeper(t, testSettings()), newGatekeeper(t, testSettings())
-	for _, f := range []*gatekeeper{seen, silent} {
-		f.servers(two...)
-		f.call(0, 1)
-		s := f.c.findServer(10)
-		s.shed, s.shedLoweredAt = 0.9, f.now
+// Shedding decreases with observations only. With observations every few seconds, a decrease by time alone let every
+// gatekeeper return at once.
+func TestShedPartStaysWithoutObservations(t *testing.T) {
+	observed, unobserved := newGatekeeper(t, testSettings()), newGatekeeper(t, testSettings())
+	for _, gk := range []*gatekeeper{observed, unobserved} {
+		gk.servers(twoServers...)
+		gk.openCall(0, 1)
+		s := gk.c.findServer(10)
+		s.shed, s.shedLoweredAt = 0.9, gk.now
 		for range 20 {
-			f.pass(1e5)
-			if f == seen {
-				f.report(10, 2)
+			gk.advance(1e5)
+			if gk == observed {
+				gk.reportWait(10, 2)
 			}
 		}
 	}
-	if a, b := seen.c.findServer(10).shed, silent.c.findServer(10).shed; a > 0.5 || b < 0.7 {
-		t.Errorf("thinned part after 2 s: %.2f with news of short waits, %.2f without news", a, b)
+	if a, b := observed.c.findServer(10).shed, unobserved.c.findServer(10).shed; a > 0.5 || b < 0.7 {
+		t.Errorf("shed part after 2 s: %.2f with reports of short waits, %.2f without reports", a, b)
 	}
 }
 
-// Odd settings and lists stay harmless: nothing known, no servers, one front, repeated and reordered entries.
-func TestOddInputIsHarmless(t *testing.T) {
-	for _, set := range []Settings{{}, {Gatekeepers: 1}, {Gatekeepers: -3, AttemptsCap: -1, OwnCell: -1},
+// Invalid settings and lists do no harm: empty settings, no servers, a single gatekeeper, repeated and unordered entries.
+func TestInvalidInputIsHarmless(t *testing.T) {
+	for _, settings := range []Settings{{}, {Gatekeepers: 1}, {Gatekeepers: -3, AttemptsCap: -1, OwnCell: -1},
 		{Classes: []Class{{}}, Tenants: []Tenant{{}}, Report: []Field{Field(99)}}} {
-		c := New(set, 0)
-		at := Micros(0)
+		c := New(settings, 0)
+		now := Micros(0)
 		for _, e := range []Event{Start{}, Call{ID: "a"}, Timer{"tick"}, Timer{"?"}, List{Failed: true},
-			List{Entries: []Entry{two[1], two[0], two[0], {Server: 10, State: Gone}, two[1]}}, Call{ID: "b", Class: -1,
+			List{Entries: []Entry{twoServers[1], twoServers[0], twoServers[0], {Server: 10, State: Gone}, twoServers[1]}}, Call{ID: "b", Class: -1,
 				Tenant: 7, Deadline: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
 				Report: []float64{1, 2, 3, 4, 5}}, Status{Server: 20, Code: OK, Report: nil}, Peer{}, Withdrawn{},
 			List{}, Timer{"tick"}, Call{ID: "c", Deadline: 1 << 40}, nil} {
-			at += 7e5
-			for _, a := range c.Handle(at, e) {
+			now += 7e5
+			for _, a := range c.Handle(now, e) {
 				if a.Kind == Send && a.Server == 10 {
-					t.Error("sent to a server listed gone")
+					t.Error("sent to a server that is listed as gone")
 				}
 			}
 		}
 	}
 }
 
-// A slowdown of all servers shows at the few that a front hears of within a second; the others were sent to until they
-// were heard of too, seconds later, and their queues ran to 2 s (incident i18e8ed).
-func TestCommonSlowdownReachesSilentServers(t *testing.T) {
+// A slowdown of all servers shows at the few that a gatekeeper has observed within a second. The unobserved ones received
+// calls until they were observed too, seconds later, and their queues grew to 2 s (incident i18e8ed).
+func TestCommonSlowdownGatesUnobservedServers(t *testing.T) {
 	var list []Entry
 	for i := range 8 {
 		list = append(list, Entry{Server: uint32(10 * (i + 1)), Cell: i, State: Ready})
@@ -324,18 +327,18 @@
 		gated bool
 	}{
 		{[]float64{900, 800, 900}, true},
-		{[]float64{900, 800, 3}, false}, // one is quick: it is not common
-		{[]float64{900, 800}, false},    // two of eight are too few
+		{[]float64{900, 800, 3}, false}, // one server is fast: not common
+		{[]float64{900, 800}, false},    // two of eight servers are too few
 	} {
-		f := newGatekeeper(t, testSettings())
-		f.servers(list...)
-		f.pass(2e6)
+		gk := newGatekeeper(t, testSettings())
+		gk.servers(list...)
+		gk.advance(2e6)
 		for i, w := range row.waits {
-			f.report(list[i].Server, w)
+			gk.reportWait(list[i].Server, w)
 		}
-		f.pass(1e5)
-		if got := f.c.findServer(60).level >= gateLevel; got != row.gated {
-			t.Errorf("waits of %v: silent server gated %v", row.waits, got)
+		gk.advance(1e5)
+		if got := gk.c.findServer(60).level >= gateLevel; got != row.gated {
+			t.Errorf("waits of %v: unobserved server gated %v", row.waits, got)
 		}
 	}
 }
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -18,36 +18,36 @@
 	}
 }
 
-// gatekeeper drives one controller by hand and keeps its actions.
+// gatekeeper feeds one controller with events and records its actions.
 type gatekeeper struct {
-	t    *testing.T
-	c    *Controller
-	now  Micros
-	acts []Action
-	tick Micros
-	n    int
+	t         *testing.T
+	c         *Controller
+	now       Micros
+	actions   []Action
+	nextTick  Micros
+	callCount int
 }
 
-func newGatekeeper(t *testing.T, set Settings) *gatekeeper {
-	f := &gatekeeper{t: t, c: New(set, 7), now: 1e9}
-	f.do(Start{})
-	return f
+func newGatekeeper(t *testing.T, settings Settings) *gatekeeper {
+	gk := &gatekeeper{t: t, c: New(settings, 7), now: 1e9}
+	gk.handle(Start{})
+	return gk
 }
 
-func (f *gatekeeper) do(e Event) []Action {
-	acts := append([]Action(nil), f.c.Handle(f.now, e)...)
-	for _, a := range acts {
+func (gk *gatekeeper) handle(e Event) []Action {
+	actions := append([]Action(nil), gk.c.Handle(gk.now, e)...)
+	for _, a := range actions {
 		if a.Kind == Defer && a.Key == "tick" {
-			f.tick = a.At
+			gk.nextTick = a.At
 		}
 	}
-	f.acts = append(f.acts, acts...)
-	return acts
+	gk.actions = append(gk.actions, actions...)
+	return actions
 }
 
-// notes counts the log lines that begin with a text.
-func (f *gatekeeper) notes(prefix string) (n int) {
-	for _, a := range f.acts {
+// countNotes counts the log lines with a prefix.
+func (gk *gatekeeper) countNotes(prefix string) (n int) {
+	for _, a := range gk.actions {
 		if a.Kind == Note && strings.HasPrefix(a.Text, prefix) {
 			n++
 		}
@@ -55,23 +55,23 @@
 	return n
 }
 
-// pass advances the time, with the timers that were asked for.
-func (f *gatekeeper) pass(span Micros) {
-	end := f.now + span
-	for f.tick > 0 && f.tick <= end {
-		f.now, f.tick = f.tick, 0
-		f.do(Timer{"tick"})
+// advance moves the time forward by span and fires the requested timers on the way.
+func (gk *gatekeeper) advance(span Micros) {
+	end := gk.now + span
+	for gk.nextTick > 0 && gk.nextTick <= end {
+		gk.now, gk.nextTick = gk.nextTick, 0
+		gk.handle(Timer{"tick"})
 	}
-	f.now = end
+	gk.now = end
 }
 
-func (f *gatekeeper) servers(entries ...Entry) { f.do(List{Entries: entries}) }
+func (gk *gatekeeper) servers(entries ...Entry) { gk.handle(List{Entries: entries}) }
 
-// call offers a call and gives the first server it went to, or 0 if it was refused.
-func (f *gatekeeper) call(class, choice int) (string, uint32) {
-	f.n++
-	id := fmt.Sprintf("c%04d", f.n)
-	for _, a := range f.do(Call{ID: id, Class: class, Deadline: f.now + 3e6, FirstChoice: choice}) {
+// openCall offers a new call and returns its ID and the first server that it was sent to, or 0 if it was refused.
+func (gk *gatekeeper) openCall(class, firstChoice int) (string, uint32) {
+	gk.callCount++
+	id := fmt.Sprintf("c%04d", gk.callCount)
+	for _, a := range gk.handle(Call{ID: id, Class: class, Deadline: gk.now + 3e6, FirstChoice: firstChoice}) {
 		if a.Kind == Send {
 			return id, a.Server
 		}
@@ -79,37 +79,37 @@
 	return id, 0
 }
 
-func (f *gatekeeper) answer(id string, s uint32, took Micros) {
-	f.pass(took)
-	f.do(Opened{ID: id, Server: s, Took: took})
+func (gk *gatekeeper) answer(id string, s uint32, took Micros) {
+	gk.advance(took)
+	gk.handle(Opened{ID: id, Server: s, Took: took})
 }
 
-// warmGatekeeper makes a gatekeeper with two servers that has had enough calls answered at both to have rates.
+// warmGatekeeper returns a gatekeeper that has had enough calls answered by two servers to know rates.
 func warmGatekeeper(t *testing.T) *gatekeeper {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
 	for i := range 60 {
-		id, s := f.call(0, i%2)
-		f.answer(id, s, 5e4)
+		id, s := gk.openCall(0, i%2)
+		gk.answer(id, s, 5e4)
 	}
-	f.acts = nil
-	f.c.startedAt -= 2 * startPhase // it has been up for a while
-	return f
+	gk.actions = nil
+	gk.c.startedAt -= 2 * startPhase // past its start phase
+	return gk
 }
 
-// report ends an old call at a server with a report of its wait.
-func (f *gatekeeper) report(s uint32, waitMs float64) {
-	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
+// reportWait ends an earlier call at a server with a report of the wait.
+func (gk *gatekeeper) reportWait(server uint32, waitMs float64) {
+	gk.handle(Resolved{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
 }
 
-func (f *gatekeeper) count(do ActionKind) int {
+func (gk *gatekeeper) count(kind ActionKind) int {
 	n := 0
-	for _, a := range f.acts {
-		if a.Kind == do {
+	for _, a := range gk.actions {
+		if a.Kind == kind {
 			n++
 		}
 	}
 	return n
 }
 
-var two = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready}}
+var twoServers = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready}}
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -2,80 +2,81 @@
 
 import "testing"
 
-// What a front gives up it takes back: the same view of each server, and a call goes the same way as before.
-func TestRecall(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	f.servers(two...)
+// A gatekeeper that restores the saved estimates of another has the same estimates and levels of its servers.
+func TestRestoreLearned(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	gk.servers(twoServers...)
 	for i := range 200 {
-		id, s := f.call(0, 0)
+		id, s := gk.openCall(0, 0)
 		if s != 0 {
-			f.answer(id, s, 50000+Micros(i)*1500)
+			gk.answer(id, s, 50000+Micros(i)*1500)
 		}
-		f.pass(20000)
+		gk.advance(20000)
 	}
-	l := f.c.Learned()
-	if len(l.Servers) != 2 || l.Base == 0 || l.Unit == 0 || l.Servers[0].Wait+l.Servers[1].Wait == 0 {
-		t.Fatalf("%+v", l)
+	saved := gk.c.Learned()
+	if len(saved.Servers) != 2 || saved.Base == 0 || saved.Unit == 0 || saved.Servers[0].Wait+saved.Servers[1].Wait == 0 {
+		t.Fatalf("%+v", saved)
 	}
-	g := newGatekeeper(t, testSettings())
-	g.now = f.now
-	g.servers(two...)
-	g.do(Recall{l})
-	got := g.c.Learned()
-	if got.Base != l.Base || got.Unit != l.Unit || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] {
-		t.Errorf("got  %+v\nwant %+v", got, l)
+	restored := newGatekeeper(t, testSettings())
+	restored.now = gk.now
+	restored.servers(twoServers...)
+	restored.handle(Recall{saved})
+	got := restored.c.Learned()
+	if got.Base != saved.Base || got.Unit != saved.Unit || got.Servers[0] != saved.Servers[0] || got.Servers[1] != saved.Servers[1] {
+		t.Errorf("got  %+v\nwant %+v", got, saved)
 	}
-	before, after := f.c.Views(nil), g.c.Views(nil)
+	before, after := gk.c.Views(nil), restored.c.Views(nil)
 	for i := range before {
 		if before[i].Level != after[i].Level {
-			t.Errorf("server %d at level %d, was at %d", before[i].Server, after[i].Level, before[i].Level)
+			t.Errorf("server %d restored at level %d, want %d", before[i].Server, after[i].Level, before[i].Level)
 		}
 	}
 }
 
-// The list is believed before the memory: servers that are gone, drain, have started since or are cold are known anew.
-func TestListIsBelievedBeforeTheMemory(t *testing.T) {
-	f := newGatekeeper(t, testSettings())
-	cold := f.now - 1e6
-	f.servers(Entry{Server: 10, Cell: 0, State: Ready}, Entry{Server: 11, Cell: 0, State: Draining},
-		Entry{Server: 12, Cell: 1, State: Ready, Since: f.now - 100e6}, Entry{Server: 13, Cell: 1, State: Ready, Since: cold})
-	l := Learned{Base: 50000}
+// The list takes precedence over restored estimates: servers that are gone, draining, restarted or cold keep their initial
+// estimates.
+func TestListPrecedesRestoredEstimates(t *testing.T) {
+	gk := newGatekeeper(t, testSettings())
+	cold := gk.now - 1e6
+	gk.servers(Entry{Server: 10, Cell: 0, State: Ready}, Entry{Server: 11, Cell: 0, State: Draining},
+		Entry{Server: 12, Cell: 1, State: Ready, Since: gk.now - 100e6}, Entry{Server: 13, Cell: 1, State: Ready, Since: cold})
+	saved := Learned{Base: 50000}
 	for id := range uint32(6) {
-		l.Servers = append(l.Servers, LearnedServer{Server: 10 + id, Wait: 9e5, Shed: 0.9, Total: 40, Spare: 1})
+		saved.Servers = append(saved.Servers, LearnedServer{Server: 10 + id, Wait: 9e5, Shed: 0.9, Total: 40, Spare: 1})
 	}
-	l.Servers[3].Since = cold
-	f.do(Recall{l})
-	for _, v := range f.c.Views(nil) {
-		if recalled := v.Wait > 0; recalled != (v.Server == 10) {
-			t.Errorf("server %d: wait %d", v.Server, v.Wait)
+	saved.Servers[3].Since = cold
+	gk.handle(Recall{saved})
+	for _, view := range gk.c.Views(nil) {
+		if recalled := view.Wait > 0; recalled != (view.Server == 10) {
+			t.Errorf("server %d: wait %d", view.Server, view.Wait)
 		}
 	}
-	if len(f.c.Views(nil)) != 4 {
-		t.Error("the memory made a server")
+	if len(gk.c.Views(nil)) != 4 {
+		t.Error("the saved estimates added a server to the list")
 	}
 }
 
-// However wrong a memory is, a cold server gets no more set-ups than without it: its budget counts by what has been seen
-// since the start.
-func TestWrongMemoryAtAColdServer(t *testing.T) {
-	sent := func(l *Learned) (n int) {
-		f := newGatekeeper(t, testSettings())
-		f.servers(Entry{Server: 10, Cell: 0, State: Ready, Since: f.now - 1e5})
-		if l != nil {
-			f.do(Recall{*l})
+// However wrong the restored rates are, a cold server gets no more set-ups than without them: its budget depends on rates
+// observed since the start only.
+func TestWrongRestoredRateKeepsColdBudget(t *testing.T) {
+	sent := func(saved *Learned) (n int) {
+		gk := newGatekeeper(t, testSettings())
+		gk.servers(Entry{Server: 10, Cell: 0, State: Ready, Since: gk.now - 1e5})
+		if saved != nil {
+			gk.handle(Recall{*saved})
 		}
-		for range 600 { // 3 s at 200 a second, all answered at once
-			if id, s := f.call(0, 0); s != 0 {
+		for range 600 { // 3 s at 200 per second, each answered after 1 ms
+			if id, s := gk.openCall(0, 0); s != 0 {
 				n++
-				f.answer(id, s, 1000)
+				gk.answer(id, s, 1000)
 			}
-			f.pass(4000)
+			gk.advance(4000)
 		}
 		return n
 	}
 	without := sent(nil)
 	with := sent(&Learned{Base: 1, Unit: 1e4, Servers: []LearnedServer{{Server: 10, Total: 1e6, Spare: 1e6}}})
 	if without == 0 || with > without {
-		t.Errorf("%d set-ups without a memory, %d with one that is wrong", without, with)
+		t.Errorf("%d set-ups without saved estimates, %d with wrong ones", without, with)
 	}
 }
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -8,278 +8,278 @@
 	"testing"
 )
 
-// world feeds one controller seeded random legal events and checks the rules at each action.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	c       *Controller
-	set     Settings
-	now     Micros
-	timers  []Action
-	calls   map[string]*owed
-	order   []string
-	servers map[uint32]State
-	ids     []uint32
-	log     []Action
-	next    int
+// simulation feeds one controller with seeded random legal events and checks the rules at each action.
+type simulation struct {
+	t         *testing.T
+	rng       *rand.Rand
+	c         *Controller
+	settings  Settings
+	now       Micros
+	timers    []Action
+	calls     map[string]*simulatedCall
+	callOrder []string
+	servers   map[uint32]State
+	serverIDs []uint32
+	actions   []Action
+	callCount int
 }
 
-type owed struct {
-	drop, blocked Micros
-	class         int
-	out           bool
-	attempt       int
-	server        uint32
-	sentAt        Micros
-	ends          int // final answers
-	over, ran     bool
-	cancelled     bool
-	limits        *Limits
-	waitTo        Micros // by its limits
-	last          Code   // end of its latest attempt
+type simulatedCall struct {
+	deadline, blockedUntil Micros
+	class                  int
+	inFlight               bool
+	attempt                int
+	server                 uint32
+	sentAt                 Micros
+	finalAnswers           int // number of final answers
+	finished, mayHaveRun   bool
+	cancelled              bool
+	limits                 *Limits
+	waitUntil              Micros // end of the wait that its limits require
+	lastCode               Code   // outcome of its latest attempt
 }
 
-// stinted is a budget that grants by chance. It checks that it is asked once for each further attempt.
-type stinted struct {
-	w     *world
-	asked int
+// randomBudget grants retries at random. It checks that Take is called at the current time and counts the calls.
+type randomBudget struct {
+	sim       *simulation
+	takeCalls int
 }
 
-func (b *stinted) First(Micros, int) {}
-func (b *stinted) Take(now Micros, _ int) bool {
-	if now != b.w.now {
-		b.w.t.Fatal("the budget was asked at another time")
+func (b *randomBudget) First(Micros, int) {}
+func (b *randomBudget) Take(now Micros, _ int) bool {
+	if now != b.sim.now {
+		b.sim.t.Fatal("the budget was consulted with a time other than now")
 	}
-	b.asked++
-	return b.w.rng.IntN(3) > 0
+	b.takeCalls++
+	return b.sim.rng.IntN(3) > 0
 }
 
-// limits draws a call's limits; a third of the calls bring none.
-func (w *world) limits() *Limits {
-	if w.rng.IntN(3) == 0 {
+// limits returns random limits of a call; a third of the calls have none.
+func (sim *simulation) limits() *Limits {
+	if sim.rng.IntN(3) == 0 {
 		return nil
 	}
-	l := &Limits{Attempts: 1 + w.rng.IntN(6), AttemptTimeout: Micros(w.rng.IntN(2) * 800000), Wait: Micros(w.rng.IntN(3) * 200000),
-		Jitter: Micros(w.rng.IntN(2) * 150000), RetryOn: Outcomes(w.rng.Uint32()) & Retryable}
-	if w.rng.IntN(2) == 0 {
-		l.Budget = &stinted{w: w}
+	l := &Limits{Attempts: 1 + sim.rng.IntN(6), AttemptTimeout: Micros(sim.rng.IntN(2) * 800000), Wait: Micros(sim.rng.IntN(3) * 200000),
+		Jitter: Micros(sim.rng.IntN(2) * 150000), RetryOn: Outcomes(sim.rng.Uint32()) & Retryable}
+	if sim.rng.IntN(2) == 0 {
+		l.Budget = &randomBudget{sim: sim}
 	}
 	return l
 }
 
-// limited checks a send against the call's limits.
-func (w *world) limited(k *owed, a Action) {
-	if k.limits == nil {
+// checkLimits checks a set-up against the limits of its call.
+func (sim *simulation) checkLimits(call *simulatedCall, a Action) {
+	if call.limits == nil {
 		if a.Wait != 0 {
-			w.t.Fatalf("%s has no limits but a time-out", a.ID)
+			sim.t.Fatalf("%s has no limits but an attempt timeout", a.ID)
 		}
 		return
 	}
-	l, n := k.limits, k.attempt+2 // attempts with this one
-	budget, _ := l.Budget.(*stinted)
+	l, n := call.limits, call.attempt+2 // attempts including this one
+	budget, _ := l.Budget.(*randomBudget)
 	switch {
 	case a.Wait != l.AttemptTimeout:
-		w.t.Fatalf("%s has a time-out of %d, want %d", a.ID, a.Wait, l.AttemptTimeout)
+		sim.t.Fatalf("%s has an attempt timeout of %d, want %d", a.ID, a.Wait, l.AttemptTimeout)
 	case n > max(1, l.Attempts):
-		w.t.Fatalf("%s sent %d times of %d", a.ID, n, l.Attempts)
-	case n > 1 && !l.RetryOn.Has(k.last):
-		w.t.Fatalf("%s sent again after end %d, which its limits leave out", a.ID, k.last)
-	case w.now < k.waitTo:
-		w.t.Fatalf("%s sent again %d us before its wait was over", a.ID, k.waitTo-w.now)
-	case budget != nil && budget.asked != n-1:
-		w.t.Fatalf("%s: attempt %d, and its budget was asked %d times", a.ID, n, budget.asked)
+		sim.t.Fatalf("%s sent %d times, limit %d", a.ID, n, l.Attempts)
+	case n > 1 && !l.RetryOn.Has(call.lastCode):
+		sim.t.Fatalf("%s sent again after code %d, which its limits exclude", a.ID, call.lastCode)
+	case sim.now < call.waitUntil:
+		sim.t.Fatalf("%s sent again %d us before the end of its wait", a.ID, call.waitUntil-sim.now)
+	case budget != nil && budget.takeCalls != n-1:
+		sim.t.Fatalf("%s: attempt %d, but its budget was consulted %d times", a.ID, n, budget.takeCalls)
 	}
 }
 
-func (w *world) handle(e Event) {
-	acts := slices.Clone(w.c.Handle(w.now, e))
-	for _, a := range acts {
-		w.log = append(w.log, a)
-		w.check(a)
+func (sim *simulation) handle(e Event) {
+	emitted := slices.Clone(sim.c.Handle(sim.now, e))
+	for _, a := range emitted {
+		sim.actions = append(sim.actions, a)
+		sim.check(a)
 	}
 }
 
-func (w *world) check(a Action) {
-	k := w.calls[a.ID]
+func (sim *simulation) check(a Action) {
+	call := sim.calls[a.ID]
 	switch a.Kind {
 	case Send:
 		switch {
-		case k == nil:
-			w.t.Fatalf("send of unknown call %s", a.ID)
-		case k.over:
-			w.t.Fatalf("rule 1: send of %s, which is over", a.ID)
-		case k.out:
-			w.t.Fatalf("rule 2: two attempts out for %s", a.ID)
-		case w.servers[a.Server] != Ready:
-			w.t.Fatalf("rule 3: send to server %d in state %d", a.Server, w.servers[a.Server])
-		case w.now < k.blocked:
-			w.t.Fatalf("rule 5: %s resent %d us early", a.ID, k.blocked-w.now)
-		case k.attempt+1 >= w.set.AttemptsCap:
-			w.t.Fatalf("%s sent more than %d times", a.ID, w.set.AttemptsCap)
-		case k.ran && w.set.Classes[k.class].Repeat != ReadLike:
-			w.t.Fatalf("%s may have run and was sent again", a.ID)
+		case call == nil:
+			sim.t.Fatalf("send of unknown call %s", a.ID)
+		case call.finished:
+			sim.t.Fatalf("rule 1: send of %s after its final answer", a.ID)
+		case call.inFlight:
+			sim.t.Fatalf("rule 2: two attempts in flight for %s", a.ID)
+		case sim.servers[a.Server] != Ready:
+			sim.t.Fatalf("rule 3: send to server %d in state %d", a.Server, sim.servers[a.Server])
+		case sim.now < call.blockedUntil:
+			sim.t.Fatalf("rule 5: %s sent again %d us before the end of the release guard", a.ID, call.blockedUntil-sim.now)
+		case call.attempt+1 >= sim.settings.AttemptsCap:
+			sim.t.Fatalf("%s sent more than %d times", a.ID, sim.settings.AttemptsCap)
+		case call.mayHaveRun && sim.settings.Classes[call.class].Repeat != ReadLike:
+			sim.t.Fatalf("%s may have run and was sent again", a.ID)
 		}
-		w.limited(k, a)
-		k.out, k.server, k.sentAt, k.cancelled = true, a.Server, w.now, false
-		k.attempt++
+		sim.checkLimits(call, a)
+		call.inFlight, call.server, call.sentAt, call.cancelled = true, a.Server, sim.now, false
+		call.attempt++
 	case Refuse, Fail:
-		if k == nil || k.over || k.out {
-			w.t.Fatalf("rule 1: final answer for %s, which is over, out or unknown", a.ID)
+		if call == nil || call.finished || call.inFlight {
+			sim.t.Fatalf("rule 1: final answer for %s, which is finished, in flight or unknown", a.ID)
 		}
-		if a.Kind == Refuse && k.ran && w.set.Classes[k.class].Repeat != ReadLike {
-			w.t.Fatalf("%s may have run and was refused", a.ID)
+		if a.Kind == Refuse && call.mayHaveRun && sim.settings.Classes[call.class].Repeat != ReadLike {
+			sim.t.Fatalf("%s may have run and was refused", a.ID)
 		}
-		k.over = true
-		k.ends++
+		call.finished = true
+		call.finalAnswers++
 	case Cancel:
-		if k == nil || a.Attempt > k.attempt || !w.set.Cancel {
-			w.t.Fatalf("cancel of attempt %d of %s", a.Attempt, a.ID)
+		if call == nil || a.Attempt > call.attempt || !sim.settings.Cancel {
+			sim.t.Fatalf("unexpected cancel of attempt %d of %s", a.Attempt, a.ID)
 		}
-		k.cancelled = true
+		call.cancelled = true
 	case Defer:
-		w.timers = append(w.timers, a)
+		sim.timers = append(sim.timers, a)
 	}
 }
 
-// until runs timers and deadlines up to a time.
-func (w *world) until(end Micros) {
+// runUntil processes timers and deadlines up to a time.
+func (sim *simulation) runUntil(end Micros) {
 	for {
-		at, timer, late := end, -1, ""
-		for i, a := range w.timers {
+		at, timer, expired := end, -1, ""
+		for i, a := range sim.timers {
 			if a.At < at {
 				at, timer = a.At, i
 			}
 		}
-		for _, id := range w.order {
-			if k := w.calls[id]; !k.over && k.drop <= at {
-				at, timer, late = k.drop, -1, id
+		for _, id := range sim.callOrder {
+			if call := sim.calls[id]; !call.finished && call.deadline <= at {
+				at, timer, expired = call.deadline, -1, id
 			}
 		}
-		w.now = max(w.now, at)
+		sim.now = max(sim.now, at)
 		switch {
-		case late != "":
-			k := w.calls[late]
-			if !k.out {
-				w.t.Fatalf("rule 1: %s had no answer when its caller gave up", late)
+		case expired != "":
+			call := sim.calls[expired]
+			if !call.inFlight {
+				sim.t.Fatalf("rule 1: %s had no final answer by its deadline", expired)
 			}
-			w.end(late, TimedOut, 0)
-			if !k.over {
-				w.t.Fatalf("rule 1: %s had no answer after its last time-out", late)
+			sim.end(expired, TimedOut, 0)
+			if !call.finished {
+				sim.t.Fatalf("rule 1: %s had no final answer after its last timeout", expired)
 			}
 		case timer >= 0:
-			a := w.timers[timer]
-			w.timers = slices.Delete(w.timers, timer, timer+1)
-			w.handle(Timer{a.Key})
+			a := sim.timers[timer]
+			sim.timers = slices.Delete(sim.timers, timer, timer+1)
+			sim.handle(Timer{a.Key})
 		default:
 			return
 		}
 	}
 }
 
-// end resolves the attempt of a call that is out.
-func (w *world) end(id string, code Code, reason int) {
-	k := w.calls[id]
-	k.out, k.last = false, code
-	if k.limits != nil {
-		k.waitTo = w.now + k.limits.Wait
+// end ends the attempt in flight of a call.
+func (sim *simulation) end(id string, code Code, reason int) {
+	call := sim.calls[id]
+	call.inFlight, call.lastCode = false, code
+	if call.limits != nil {
+		call.waitUntil = sim.now + call.limits.Wait
 	}
 	if code == TimedOut || code == Cut || code == Cancelled {
-		k.blocked = w.now + w.set.ReleaseGuard
-		k.ran = true
+		call.blockedUntil = sim.now + sim.settings.ReleaseGuard
+		call.mayHaveRun = true
 	}
 	if code == Failed {
-		k.ran = true
+		call.mayHaveRun = true
 	}
-	var row []float64
-	if w.rng.IntN(2) == 0 {
-		row = []float64{float64(w.rng.IntN(50) - 1), 60, float64(w.rng.IntN(900) - 1)}
+	var report []float64
+	if sim.rng.IntN(2) == 0 {
+		report = []float64{float64(sim.rng.IntN(50) - 1), 60, float64(sim.rng.IntN(900) - 1)}
 	}
-	w.handle(Resolved{ID: id, Attempt: k.attempt, Server: k.server, Code: code, Took: w.now - k.sentAt, Reason: reason,
-		Report: row})
+	sim.handle(Resolved{ID: id, Attempt: call.attempt, Server: call.server, Code: code, Took: sim.now - call.sentAt, Reason: reason,
+		Report: report})
 }
 
-func (w *world) step() {
-	w.until(w.now + Micros(w.rng.IntN(30000)))
-	var out []string
-	for _, id := range w.order {
-		if k := w.calls[id]; k.out {
-			out = append(out, id)
+func (sim *simulation) step() {
+	sim.runUntil(sim.now + Micros(sim.rng.IntN(30000)))
+	var inFlight []string
+	for _, id := range sim.callOrder {
+		if call := sim.calls[id]; call.inFlight {
+			inFlight = append(inFlight, id)
 		}
 	}
-	switch r := w.rng.IntN(20); {
+	switch r := sim.rng.IntN(20); {
 	case r < 9:
-		w.next++
-		id := fmt.Sprintf("%08d", w.next)
-		k := &owed{drop: w.now + Micros(1+w.rng.IntN(3e6)), class: w.rng.IntN(len(w.set.Classes)), attempt: -1,
-			limits: w.limits()}
-		w.calls[id] = k
-		w.order = append(w.order, id)
-		w.handle(Call{ID: id, Class: k.class, Key: fmt.Sprint("n", w.rng.IntN(5)), Deadline: k.drop,
-			FirstChoice: w.rng.IntN(3), Repeat: w.rng.IntN(4) == 0, WasCut: w.rng.IntN(9) == 0, Limits: k.limits})
-	case r < 13 && len(out) > 0:
-		id := out[w.rng.IntN(len(out))]
-		k := w.calls[id]
-		k.out, k.over = false, true
-		k.ends++
-		w.handle(Opened{ID: id, Attempt: k.attempt, Server: k.server, Took: w.now - k.sentAt})
-	case r < 16 && len(out) > 0:
-		id := out[w.rng.IntN(len(out))]
+		sim.callCount++
+		id := fmt.Sprintf("%08d", sim.callCount)
+		call := &simulatedCall{deadline: sim.now + Micros(1+sim.rng.IntN(3e6)), class: sim.rng.IntN(len(sim.settings.Classes)), attempt: -1,
+			limits: sim.limits()}
+		sim.calls[id] = call
+		sim.callOrder = append(sim.callOrder, id)
+		sim.handle(Call{ID: id, Class: call.class, Key: fmt.Sprint("n", sim.rng.IntN(5)), Deadline: call.deadline,
+			FirstChoice: sim.rng.IntN(3), Repeat: sim.rng.IntN(4) == 0, WasCut: sim.rng.IntN(9) == 0, Limits: call.limits})
+	case r < 13 && len(inFlight) > 0:
+		id := inFlight[sim.rng.IntN(len(inFlight))]
+		call := sim.calls[id]
+		call.inFlight, call.finished = false, true
+		call.finalAnswers++
+		sim.handle(Opened{ID: id, Attempt: call.attempt, Server: call.server, Took: sim.now - call.sentAt})
+	case r < 16 && len(inFlight) > 0:
+		id := inFlight[sim.rng.IntN(len(inFlight))]
 		codes := []Code{Failed, Full, Unreachable, Cut, NotSent}
-		if w.calls[id].cancelled {
+		if sim.calls[id].cancelled {
 			codes = []Code{Cancelled}
 		}
-		w.end(id, codes[w.rng.IntN(len(codes))], w.rng.IntN(5))
-	case r == 16 && len(out) > 0:
-		id := out[w.rng.IntN(len(out))]
-		w.calls[id].over = true
-		w.handle(Withdrawn{ID: id})
+		sim.end(id, codes[sim.rng.IntN(len(codes))], sim.rng.IntN(5))
+	case r == 16 && len(inFlight) > 0:
+		id := inFlight[sim.rng.IntN(len(inFlight))]
+		sim.calls[id].finished = true
+		sim.handle(Withdrawn{ID: id})
 	case r == 17:
-		s := w.ids[w.rng.IntN(len(w.ids))]
-		e := Entry{Server: s, Cell: int(s) % 3, State: State(w.rng.IntN(3))}
-		if w.rng.IntN(2) == 0 {
-			e.Since = w.now - Micros(w.rng.IntN(3e6))
+		s := sim.serverIDs[sim.rng.IntN(len(sim.serverIDs))]
+		e := Entry{Server: s, Cell: int(s) % 3, State: State(sim.rng.IntN(3))}
+		if sim.rng.IntN(2) == 0 {
+			e.Since = sim.now - Micros(sim.rng.IntN(3e6))
 		}
-		w.servers[s] = e.State
-		w.handle(List{Delta: true, Entries: []Entry{e}})
-	case r == 18: // a late or foreign event: passed over
-		w.handle(Resolved{ID: "none", Attempt: 3, Server: 99, Code: Full, Reason: ProcessorFull})
-		w.handle(Opened{ID: "none", Server: 98, Took: 5})
-		w.handle(Peer{From: 1, Data: []byte{9, 9}})
+		sim.servers[s] = e.State
+		sim.handle(List{Delta: true, Entries: []Entry{e}})
+	case r == 18: // late or unknown event: ignored
+		sim.handle(Resolved{ID: "none", Attempt: 3, Server: 99, Code: Full, Reason: ProcessorFull})
+		sim.handle(Opened{ID: "none", Server: 98, Took: 5})
+		sim.handle(Peer{From: 1, Data: []byte{9, 9}})
 	default:
-		w.handle(Status{Server: w.ids[0], Code: OK, Report: []float64{float64(w.rng.IntN(9)), 60, -1}})
+		sim.handle(Status{Server: sim.serverIDs[0], Code: OK, Report: []float64{float64(sim.rng.IntN(9)), 60, -1}})
 	}
-	w.order = slices.DeleteFunc(w.order, func(id string) bool { return w.calls[id].over && !w.calls[id].out })
+	sim.callOrder = slices.DeleteFunc(sim.callOrder, func(id string) bool { return sim.calls[id].finished && !sim.calls[id].inFlight })
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newSimulation(t *testing.T, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	set := testSettings()
-	set.Classes = append(set.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Once}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Keyed})
+	settings := testSettings()
+	settings.Classes = append(settings.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Once}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Keyed})
 	if seed%3 == 0 {
-		set.Report, set.Cancel, set.ResendGap = nil, false, 0
+		settings.Report, settings.Cancel, settings.ResendGap = nil, false, 0
 	}
-	w := &world{t: t, rng: rng, set: set, c: New(set, seed), now: 5e8, calls: map[string]*owed{},
-		servers: map[uint32]State{}, ids: []uint32{3, 4, 5, 6}}
-	w.handle(Start{})
+	sim := &simulation{t: t, rng: rng, settings: settings, c: New(settings, seed), now: 5e8, calls: map[string]*simulatedCall{},
+		servers: map[uint32]State{}, serverIDs: []uint32{3, 4, 5, 6}}
+	sim.handle(Start{})
 	var list []Entry
-	for _, s := range w.ids {
-		w.servers[s] = Ready
+	for _, s := range sim.serverIDs {
+		sim.servers[s] = Ready
 		list = append(list, Entry{Server: s, Cell: int(s) % 3, State: Ready})
 	}
-	w.handle(List{Entries: list})
-	return w
+	sim.handle(List{Entries: list})
+	return sim
 }
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		w := newWorld(t, seed)
+		sim := newSimulation(t, seed)
 		for range 1500 {
-			w.step()
+			sim.step()
 		}
-		w.until(w.now + 5e6)
-		for id, k := range w.calls {
-			if !k.over || k.ends > 1 {
-				t.Fatalf("seed %d: rule 1: call %s over %v with %d answers", seed, id, k.over, k.ends)
+		sim.runUntil(sim.now + 5e6)
+		for id, call := range sim.calls {
+			if !call.finished || call.finalAnswers > 1 {
+				t.Fatalf("seed %d: rule 1: call %s finished %v with %d final answers", seed, id, call.finished, call.finalAnswers)
 			}
 		}
 	}
@@ -287,46 +287,46 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		a, b := newWorld(t, seed), newWorld(t, seed)
+		a, b := newSimulation(t, seed), newSimulation(t, seed)
 		for range 800 {
 			a.step()
 			b.step()
 		}
-		if !reflect.DeepEqual(a.log, b.log) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+		if !reflect.DeepEqual(a.actions, b.actions) {
+			t.Fatalf("seed %d: the same events led to different actions", seed)
 		}
 	}
 }
 
-// The cold budget: fronts of unequal traffic that wake together send a cold server less than the rule allows in any
-// window, whether it answers or not.
+// Gatekeepers with unequal traffic that see a cold server at the same time send it less than the rule allows in any window,
+// whether it answers or not.
 func TestColdBudget(t *testing.T) {
 	for seed := range uint64(12) {
-		const capacity, fronts = 40.0, 6
+		const capacity, fleetSize = 40.0, 6
 		rng := rand.New(rand.NewPCG(seed, 2))
-		set := testSettings()
-		set.Gatekeepers = fronts
-		var fs []*gatekeeper
-		for i := range fronts {
-			f := &gatekeeper{t: t, c: New(set, seed*100+uint64(i)), now: 1e9}
-			f.do(List{Entries: two})
-			fs = append(fs, f)
+		settings := testSettings()
+		settings.Gatekeepers = fleetSize
+		var gatekeepers []*gatekeeper
+		for i := range fleetSize {
+			gk := &gatekeeper{t: t, c: New(settings, seed*100+uint64(i)), now: 1e9}
+			gk.handle(List{Entries: twoServers})
+			gatekeepers = append(gatekeepers, gk)
 		}
 		started := Micros(1e9 + 10e6)
 		var sent []Micros
-		for at := Micros(1e9); at < 1e9+25e6; at += Micros(rng.ExpFloat64() * 1e6 / capacity) {
-			f := fs[min(rng.IntN(fronts), rng.IntN(fronts))]
-			f.pass(at - f.now)
-			if at > started && f.c.findServer(30) == nil {
-				f.servers(two[0], Entry{Server: 20, Cell: 1, State: Gone}, Entry{Server: 30, Cell: 1, State: Ready,
+		for arrival := Micros(1e9); arrival < 1e9+25e6; arrival += Micros(rng.ExpFloat64() * 1e6 / capacity) {
+			gk := gatekeepers[min(rng.IntN(fleetSize), rng.IntN(fleetSize))]
+			gk.advance(arrival - gk.now)
+			if arrival > started && gk.c.findServer(30) == nil {
+				gk.servers(twoServers[0], Entry{Server: 20, Cell: 1, State: Gone}, Entry{Server: 30, Cell: 1, State: Ready,
 					Since: started})
 			}
-			id, s := f.call(0, rng.IntN(2))
+			id, s := gk.openCall(0, rng.IntN(2))
 			if s == 30 {
-				sent = append(sent, at)
+				sent = append(sent, arrival)
 			}
 			if s != 0 && (s != 30 || seed%2 == 0) {
-				f.answer(id, s, 3e4)
+				gk.answer(id, s, 3e4)
 			}
 		}
 		if len(sent) == 0 {
@@ -334,13 +334,13 @@
 		}
 		for i, from := range sent {
 			n := 0
-			for _, at := range sent[i:] {
-				if at < from+set.FallTime {
+			for _, arrival := range sent[i:] {
+				if arrival < from+settings.FallTime {
 					n++
 				}
 			}
-			part := set.StartCapacity + (1-set.StartCapacity)*float64(from-started)/float64(set.WarmWithin)
-			if limit := set.FallMultiple * part * capacity * float64(set.FallTime) / 1e6; from < started+set.WarmWithin &&
+			part := settings.StartCapacity + (1-settings.StartCapacity)*float64(from-started)/float64(settings.WarmWithin)
+			if limit := settings.FallMultiple * part * capacity * float64(settings.FallTime) / 1e6; from < started+settings.WarmWithin &&
 				float64(n) > limit {
 				t.Fatalf("seed %d: %d set-ups in a window that allows %.0f", seed, n, limit)
 			}
--- a/control/pure_test.go
+++ b/control/pure_test.go
@@ -11,19 +11,19 @@
 	"testing"
 )
 
-// Decisions do no I/O and read no clock: neither this package nor those below it import what does.
+// The decisions do no I/O and read no clock: neither this package nor those below it import a package that does.
 func TestDecisionsArePure(t *testing.T) {
 	checkImports(t, 6, []string{"."}, "beammux/control")
 }
 
-// The judges of recorded runs are no decisions, but as pure.
+// The checkers of recorded runs do no I/O and read no clock either.
 func TestJudgesArePure(t *testing.T) {
 	checkImports(t, 6, []string{"../internal/history", "../internal/fleetcheck"}, "beammux/control", "beammux/internal/history")
 }
 
 // checkImports fails the test for each import below the folders that does I/O, reads a clock or is a package of this module
-// outside the allowed ones; and if it finds fewer source files than expected.
-func checkImports(t *testing.T, leastFiles int, folders []string, allowed ...string) {
+// outside the allowed ones, and if it finds fewer than minFiles source files.
+func checkImports(t *testing.T, minFiles int, folders []string, allowed ...string) {
 	t.Helper()
 	forbidden := []string{"net", "os", "io", "time", "syscall", "bufio", "log", "math/rand"}
 	files := 0
@@ -32,12 +32,12 @@
 			return err
 		}
 		files++
-		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		if err != nil {
 			return err
 		}
-		for _, i := range f.Imports {
-			name, _ := strconv.Unquote(i.Path.Value)
+		for _, spec := range file.Imports {
+			name, _ := strconv.Unquote(spec.Path.Value)
 			root, _, _ := strings.Cut(name, "/")
 			if slices.Contains(forbidden, name) || slices.Contains([]string{"net", "os", "io", "log"}, root) ||
 				strings.HasPrefix(name, "beammux/") && !slices.ContainsFunc(allowed, func(a string) bool { return name == a || strings.HasPrefix(name, a+"/") }) {
@@ -51,7 +51,7 @@
 			t.Error(err)
 		}
 	}
-	if files < leastFiles {
-		t.Errorf("%d files read, expected %d at least", files, leastFiles)
+	if files < minFiles {
+		t.Errorf("%d files read, want at least %d", files, minFiles)
 	}
 }
