--- a/control/interface.go
+++ b/control/interface.go
@@ -1,6 +1,3 @@
-// Package control decides for one gatekeeper to which server each call is sent, or that it is refused.
-// It is a deterministic state machine: Controller.Handle takes an event and returns actions. It does no I/O and reads no
-// clock. The settings, events, actions and types are in interface.go.
 package control
 
 // Micros is a time or a duration in whole microseconds. Times are passed in by the caller of Handle.
