--- a/control/calls.go
+++ b/control/calls.go
@@ -2,6 +2,7 @@
 
 import "slices"
 
+// Parameter of refusals.
 const (
 	minRetryAfterShare = 0.5 // least Retry-After in parts of its maximum; the rest is random
 )
@@ -45,6 +46,7 @@
 	}
 }
 
+// handleCall takes in a new call and dispatches it, or refuses it if it exceeds the limit of its listener.
 func (c *Controller) handleCall(e Call) {
 	if c.calls[e.ID] != nil {
 		return
@@ -107,6 +109,7 @@
 	}
 }
 
+// remove drops a call from all lists.
 func (c *Controller) remove(call *openCall) {
 	c.detach(call)
 	if call.waiting {
@@ -115,6 +118,8 @@
 	delete(c.calls, call.ID)
 }
 
+// handleEstablished takes the delay and the rate of the server from an established call, and removes the
+// call.
 func (c *Controller) handleEstablished(e Opened) {
 	call := c.calls[e.ID]
 	if srv := c.findServer(e.Server); srv != nil {
@@ -136,6 +141,7 @@
 	}
 }
 
+// handleAttemptEnd updates the server of an ended attempt and retries, refuses or removes its call.
 func (c *Controller) handleAttemptEnd(e Resolved) {
 	call := c.calls[e.ID]
 	if call != nil && (call.server == nil || call.attempts-1 != e.Attempt) {
@@ -175,7 +181,8 @@
 	}
 }
 
-// observeAttemptEnd updates the estimate of a server from the end of an attempt.
+// observeAttemptEnd updates the estimate of a server from the end of an attempt. call is nil if the attempt
+// was no longer in flight.
 func (c *Controller) observeAttemptEnd(srv *server, call *openCall, e Resolved) {
 	if c.applyReport(srv, e.Report) {
 		// A server with a short reported wait has answered earlier set-ups, or they are lost.
@@ -194,8 +201,9 @@
 	}
 }
 
-// retry schedules a further attempt at or after from if the limits and rules allow it and it can succeed in
-// time; else it refuses the call. The budget is consulted last: refused calls take nothing from it.
+// retry schedules a further attempt of a call at or after from if its limits and the rules allow it and it
+// can succeed in time; otherwise it refuses the call. The budget is consulted last, so that refused calls
+// take nothing from it.
 func (c *Controller) retry(call *openCall, code Code, from Micros) {
 	limits := call.Limits
 	from = max(from, c.now+limits.Wait)
--- a/control/control.go
+++ b/control/control.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 )
 
+// Periods of ticks and log lines.
 const (
 	tickInterval = 50000 // us; period at which levels and held calls are updated
 	logInterval  = 2e6   // us; least time between two log lines about one server
@@ -131,6 +132,7 @@
 	}
 }
 
+// emit appends an action to the result of Handle.
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
 // logServer emits a log line about a server, at most one per logInterval and process of the server.
@@ -141,6 +143,7 @@
 	}
 }
 
+// handleTimer subscribes to the list again after a failure, or processes a tick.
 func (c *Controller) handleTimer(e Timer) {
 	switch e.Key {
 	case "watch":
@@ -151,6 +154,8 @@
 	}
 }
 
+// onTick updates all servers, the best rates and the base delay, and dispatches the held calls that are
+// due.
 func (c *Controller) onTick() {
 	span := c.now - c.lastTick
 	c.lastTick = c.now
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -79,9 +79,9 @@
 	return id, 0
 }
 
-func (gk *gatekeeper) answer(id string, s uint32, took Micros) {
-	gk.advance(took)
-	gk.handle(Opened{ID: id, Server: s, Took: took})
+func (gk *gatekeeper) answer(id string, s uint32, elapsed Micros) {
+	gk.advance(elapsed)
+	gk.handle(Opened{ID: id, Server: s, Took: elapsed})
 }
 
 // warmGatekeeper returns a gatekeeper that has had enough calls answered by two servers to know rates.
--- a/control/load.go
+++ b/control/load.go
@@ -93,8 +93,8 @@
 }
 
 // waitOfDelay converts a set-up delay, or the age of an unanswered set-up, to a wait at the processor.
-func (c *Controller) waitOfDelay(took Micros) float64 {
-	return max(0, float64(took)-c.baseDelay) / waitsPerSetup
+func (c *Controller) waitOfDelay(elapsed Micros) float64 {
+	return max(0, float64(elapsed)-c.baseDelay) / waitsPerSetup
 }
 
 // applyReport applies a load report, where -1 marks a missing value, and reports whether it held the wait.
@@ -144,7 +144,8 @@
 	return false
 }
 
-// observeUtilization applies a reported processor utilization by the thresholds of docs/design.md.
+// observeUtilization applies a reported processor utilization by the thresholds of docs/design.md: levels 1
+// and 2 begin at utilizationOnset and utilizationGate and end utilizationHysteresis lower.
 func (c *Controller) observeUtilization(srv *server, utilization float64) {
 	switch {
 	case utilization >= utilizationGate:
@@ -159,15 +160,15 @@
 	c.observeWaitAtLeast(srv, 0)
 }
 
-// handleStatus applies the answer to a probe or an unsolicited report.
+// handleStatus applies the answer to a probe, or an unsolicited report.
 func (c *Controller) handleStatus(e Status) {
 	if srv := c.findServer(e.Server); srv != nil && e.Code == OK {
 		c.applyReport(srv, e.Report)
 	}
 }
 
-// updateServer updates a server on a tick: ages of set-ups, decay of the level without observations,
-// shedding.
+// updateServer updates a server on a tick: the ages of its unanswered set-ups, the decay of its level
+// without observations, and shedding. span is the time since the last tick.
 func (c *Controller) updateServer(srv *server, span Micros) {
 	unanswered := 0
 	for _, call := range srv.inFlight {
@@ -206,9 +207,9 @@
 		}
 		srv.waitAtTick = min(srv.waitAtTick, srv.wait)
 	}
-	// Exception, thinning: below the gate an unbounded sender overruns a server between reports. While the
-	// wait exceeds its target, a growing part of the calls, those of least worth, is shed; it stays while
-	// the wait does.
+	// Exception, shedding: below the gate an unbounded sender overruns a server between reports. While the
+	// wait exceeds its target, a growing part of the calls, those of least worth, is shed. The part is
+	// constant while the wait is.
 	target, wait := shedTarget*c.gateWait, min(srv.wait, c.gateWait)
 	srv.shed += shedSlope * (wait - srv.waitAtTick) / target
 	if srv.level < gateLevel { // no observations at a gated server
--- a/control/selection.go
+++ b/control/selection.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// Parameter of the selection.
 const (
 	headroomPower = 4 // power by which headroom falls with the wait
 )
--- a/control/server_list.go
+++ b/control/server_list.go
@@ -33,6 +33,7 @@
 	maxInFlight    int // InFlightLimit.Max of this server
 }
 
+// findServer returns the server with a number, or nil. The servers are sorted by number.
 func (c *Controller) findServer(id uint32) *server {
 	i, ok := slices.BinarySearchFunc(c.servers, id,
 		func(srv *server, id uint32) int { return cmp.Compare(srv.id, id) })
@@ -42,6 +43,8 @@
 	return nil
 }
 
+// applyList applies a full or partial list of servers. A server that is gone is kept until no set-up to it
+// is in flight, then dropped.
 func (c *Controller) applyList(list List) {
 	if list.Failed {
 		if c.settings.SubscribeList {
@@ -63,6 +66,7 @@
 	c.servers = slices.DeleteFunc(c.servers, gone)
 }
 
+// applyEntry adds or updates one server of the list.
 func (c *Controller) applyEntry(e Entry) {
 	srv := c.findServer(e.Server)
 	if srv == nil {
@@ -84,6 +88,7 @@
 	}
 }
 
+// reset sets a server to its initial estimate; the set-ups in flight and the number of agents remain.
 func (c *Controller) reset(srv *server) *server {
 	*srv = server{id: srv.id, inFlight: srv.inFlight, freeAgents: -1, waitObservedAt: c.now,
 		rateUpdatedAt: c.now, totalAgents: srv.totalAgents, maxInFlight: -1}
--- a/control/share.go
+++ b/control/share.go
@@ -2,6 +2,7 @@
 
 import "math"
 
+// Parameters of the shares of servers, the budgets of cold servers and the in-flight limit.
 const (
 	bestRateTime     = 90e6 // us; time constant of the best own rate at a warm server
 	minInFlight      = 1    // set-ups that a gatekeeper may always have in flight at an open server
@@ -15,8 +16,9 @@
 	defaultShareSlot = 1e6  // us; slot of a share if the settings have no FallTime
 )
 
-// inFlightLimit returns the most set-ups in flight to a server: the answers expected during a set-up just
-// below the gate. Exception: an unbounded sender overruns the server before an answer shows it.
+// inFlightLimit returns the greatest number of set-ups in flight to a server: the answers expected, at this
+// gatekeeper's rate, in the duration of a set-up just below the gate. Exception: an
+// unbounded sender overruns the server before an answer shows it.
 func (c *Controller) inFlightLimit(srv *server) int {
 	floor := minInFlight
 	if c.justStarted() {
@@ -33,6 +35,7 @@
 // warmRate returns the expected rate of answers of a server if warm: the best per agent times its agents.
 func (c *Controller) warmRate(srv *server) float64 { return c.bestRate * max(1, srv.totalAgents) }
 
+// isCold reports whether a server started less than WarmWithin ago.
 func (c *Controller) isCold(srv *server) bool {
 	return srv.since > 0 && c.now-srv.since < c.settings.WarmWithin
 }
@@ -66,6 +69,7 @@
 	return srv.slotRemaining > 0
 }
 
+// currentRate returns the own rate of answers of a server, per second, decayed to now.
 func (c *Controller) currentRate(srv *server) float64 {
 	return srv.rate * math.Exp(-float64(c.now-srv.rateUpdatedAt)/rateTime)
 }
--- a/control/worth.go
+++ b/control/worth.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// Parameters of the worth of calls.
 const (
 	mixTime         = 10e6 // us; time constant of the mixes of worth and of tenants
 	busyMemory      = 5e6  // us; time for which a number counts as busy after such an answer
@@ -78,6 +79,7 @@
 	return (below + c.rng.Float64()*c.worthMix[bucket]) / max(c.worthTotal, 1)
 }
 
+// markBusy records that all lines of a number were busy at a time, and drops expired entries.
 func (c *Controller) markBusy(key string, answeredAt Micros) {
 	if key == "" {
 		return
@@ -94,6 +96,7 @@
 	c.busyNumbers = append(c.busyNumbers, busyNumber{key, answeredAt})
 }
 
+// isBusy reports whether all lines of a number were busy within busyMemory.
 func (c *Controller) isBusy(key string) bool {
 	return slices.ContainsFunc(c.busyNumbers,
 		func(b busyNumber) bool { return b.key == key && c.now-b.answeredAt <= busyMemory })
