--- a/control/calls.go
+++ b/control/calls.go
@@ -33,7 +33,7 @@
 
 // cancelAttempt cancels a call's attempt if a further attempt can still succeed.
 func (c *Controller) cancelAttempt(call *openCall) {
-	if !c.settings.Cancel || call.cancelled || c.class(call).Repeat != ReadLike ||
+	if !c.settings.Cancel || call.cancelled || c.class(call).Repeat != Idempotent ||
 		!c.mayRetry(call, Cancelled) || c.earliestElsewhere(call) > call.Deadline {
 		return
 	}
@@ -120,11 +120,11 @@
 
 // handleEstablished takes the delay and the rate of the server from an established call, and removes the
 // call.
-func (c *Controller) handleEstablished(e Opened) {
+func (c *Controller) handleEstablished(e CallEstablished) {
 	call := c.calls[e.ID]
 	if srv := c.findServer(e.Server); srv != nil {
-		if c.baseDelay == 0 || float64(e.Took) < c.baseDelay {
-			c.baseDelay = float64(e.Took)
+		if c.baseDelay == 0 || float64(e.Elapsed) < c.baseDelay {
+			c.baseDelay = float64(e.Elapsed)
 		}
 		c.lossRate -= c.lossRate / lossMemory
 		srv.lastHeard = c.now
@@ -132,8 +132,8 @@
 		if call != nil && call.server == srv && call.delayUnknown {
 			srv.lastAnswered = max(srv.lastAnswered, call.sentAt)
 		} else {
-			srv.lastAnswered = max(srv.lastAnswered, c.now-e.Took)
-			c.observeWait(srv, c.waitOfDelay(e.Took))
+			srv.lastAnswered = max(srv.lastAnswered, c.now-e.Elapsed)
+			c.observeWait(srv, c.waitOfDelay(e.Elapsed))
 		}
 	}
 	if call != nil {
@@ -142,7 +142,7 @@
 }
 
 // handleAttemptEnd updates the server of an ended attempt and retries, refuses or removes its call.
-func (c *Controller) handleAttemptEnd(e Resolved) {
+func (c *Controller) handleAttemptEnd(e AttemptEnded) {
 	call := c.calls[e.ID]
 	if call != nil && (call.server == nil || call.attempts-1 != e.Attempt) {
 		call = nil // the attempt is no longer in flight
@@ -183,7 +183,7 @@
 
 // observeAttemptEnd updates the estimate of a server from the end of an attempt. call is nil if the attempt
 // was no longer in flight.
-func (c *Controller) observeAttemptEnd(srv *server, call *openCall, e Resolved) {
+func (c *Controller) observeAttemptEnd(srv *server, call *openCall, e AttemptEnded) {
 	if c.applyReport(srv, e.Report) {
 		// A server with a short reported wait has answered earlier set-ups, or they are lost.
 		srv.lastAnswered = max(srv.lastAnswered, c.now-Micros(c.baseDelay+waitsPerSetup*srv.wait)-reportSlack)
@@ -197,7 +197,7 @@
 	case e.Code == Unreachable:
 		c.observeWaitAtLeast(srv, onset[topLevel]*c.gateWait)
 	case e.Code == TimedOut && call != nil && !c.overtaken(srv, call.sentAt):
-		c.observeWaitAtLeast(srv, c.waitOfDelay(e.Took))
+		c.observeWaitAtLeast(srv, c.waitOfDelay(e.Elapsed))
 	}
 }
 
@@ -210,7 +210,7 @@
 	if limits.Jitter > 0 {
 		from = max(from, c.now+limits.Wait+Micros(c.rng.Int64N(int64(limits.Jitter)+1)))
 	}
-	if !c.mayRetry(call, code) || call.mayHaveRun && c.class(call).Repeat != ReadLike ||
+	if !c.mayRetry(call, code) || call.mayHaveRun && c.class(call).Repeat != Idempotent ||
 		from+Micros(c.baseDelay)+2*tickInterval >= call.Deadline ||
 		limits.Budget != nil && !limits.Budget.Take(c.now, call.Class) {
 		c.refuse(call)
@@ -244,13 +244,13 @@
 	if call.Class >= 0 && call.Class < len(c.settings.Classes) {
 		return c.settings.Classes[call.Class]
 	}
-	return Class{Repeat: Once}
+	return Class{Repeat: NonIdempotent}
 }
 
 // refuse ends a call: as failed if it may have run and must not run twice, else as refused.
 func (c *Controller) refuse(call *openCall) {
 	c.remove(call)
-	if call.mayHaveRun && c.class(call).Repeat != ReadLike {
+	if call.mayHaveRun && c.class(call).Repeat != Idempotent {
 		c.emit(Action{Kind: Fail, ID: call.ID})
 		return
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -84,9 +84,9 @@
 		c.applyList(e)
 	case Call:
 		c.handleCall(e)
-	case Opened:
+	case CallEstablished:
 		c.handleEstablished(e)
-	case Resolved:
+	case AttemptEnded:
 		c.handleAttemptEnd(e)
 	case Status:
 		c.handleStatus(e)
@@ -121,7 +121,7 @@
 	c.stall = gap
 	if c.now-c.loggedAt >= logInterval {
 		c.loggedAt = c.now
-		c.emit(Action{Kind: Note, Text: fmt.Sprintf("process stalled for %d ms", gap/1000)})
+		c.emit(Action{Kind: Log, Text: fmt.Sprintf("process stalled for %d ms", gap/1000)})
 	}
 	for _, srv := range c.servers {
 		srv.waitObservedAt, srv.lastHeard, srv.lastAnswered =
@@ -139,7 +139,7 @@
 func (c *Controller) logServer(srv *server, format string, args ...any) {
 	if srv.loggedAt == 0 || c.now-srv.loggedAt >= logInterval {
 		srv.loggedAt = c.now
-		c.emit(Action{Kind: Note, Text: fmt.Sprintf("server %d ", srv.id) + fmt.Sprintf(format, args...)})
+		c.emit(Action{Kind: Log, Text: fmt.Sprintf("server %d ", srv.id) + fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -209,6 +209,6 @@
 		if c.now-c.lastTick > 4*tickInterval {
 			c.lastTick = c.now
 		}
-		c.emit(Action{Kind: Defer, At: c.now + tickInterval, Key: "tick"})
+		c.emit(Action{Kind: SetTimer, At: c.now + tickInterval, Key: "tick"})
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -89,7 +89,7 @@
 	if gk.count(Cancel) != 1 {
 		t.Fatalf("%d cancels of the lost set-up, want 1", gk.count(Cancel))
 	}
-	gk.handle(Resolved{ID: lost, Server: 10, Code: Cancelled})
+	gk.handle(AttemptEnded{ID: lost, Server: 10, Code: Cancelled})
 	cancelledAt := gk.now
 	gk.actions = nil
 	gk.advance(1e6)
@@ -136,13 +136,13 @@
 	gk := newGatekeeper(t, testSettings())
 	gk.servers(twoServers...)
 	id, _ := gk.openCall(0, 0)
-	actions := gk.handle(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
+	actions := gk.handle(AttemptEnded{ID: id, Server: 10, Code: Full, Reason: NoAgent})
 	if gk.c.findServer(10).level != 0 || actions[0].Kind != Send || actions[0].Server != 20 {
 		t.Errorf("no agent: level %d, %v", gk.c.findServer(10).level, actions)
 	}
-	gk.handle(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
+	gk.handle(CallEstablished{ID: id, Attempt: 1, Server: 20, Elapsed: 5e4})
 	id, _ = gk.openCall(0, 0)
-	actions = gk.handle(Resolved{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
+	actions = gk.handle(AttemptEnded{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
 	if gk.c.findServer(10).level < gateLevel {
 		t.Error("processor full did not gate")
 	}
@@ -162,7 +162,7 @@
 	gk.reportWait(10, 900)
 	before := gk.c.findServer(10).wait
 	gk.reportWait(10, -1)
-	gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true})
+	gk.handle(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true})
 	if gk.c.findServer(10).wait != before {
 		t.Error("a missing value changed the wait")
 	}
@@ -263,7 +263,7 @@
 	gk := newGatekeeper(t, settings)
 	gk.servers(twoServers...)
 	gk.handle(Call{ID: "a", Key: "busy", Deadline: gk.now + 3e6})
-	gk.handle(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
+	gk.handle(AttemptEnded{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
 	if gk.count(Refuse) != 1 {
 		t.Error("a call to a busy number must be refused without a retry")
 	}
@@ -374,8 +374,8 @@
 	gk := newGatekeeper(t, testSettings())
 	gk.servers(twoServers...)
 	id, _ := gk.openCall(9, 0)
-	gk.handle(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	gk.handle(Resolved{ID: id, Attempt: 1, Server: 20, Code: TimedOut})
+	gk.handle(AttemptEnded{ID: id, Server: 10, Code: Full, Reason: NoAgent})
+	gk.handle(AttemptEnded{ID: id, Attempt: 1, Server: 20, Code: TimedOut})
 	if gk.count(Fail) != 1 {
 		t.Error("a call of an unknown class that may have run must end as failed")
 	}
@@ -395,7 +395,7 @@
 		gk := newGatekeeper(t, settings)
 		gk.servers(twoServers...)
 		for _, v := range row.utilization {
-			gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
+			gk.handle(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 		}
 		if l := gk.c.findServer(10).level; l != row.want {
 			t.Errorf("utilization %v: level %d, want %d", row.utilization, l, row.want)
@@ -412,7 +412,7 @@
 	gk.servers(twoServers...)
 	s := gk.c.findServer(10)
 	reportUtilization := func(busy, queue float64) {
-		gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
+		gk.handle(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
 	}
 	reportUtilization(0.4, 2)
 	gk.c.observeWait(s, 1e5)
@@ -436,7 +436,7 @@
 	gk := newGatekeeper(t, settings)
 	gk.servers(twoServers...)
 	for _, v := range []float64{1, 0.5} {
-		gk.handle(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
+		gk.handle(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 	}
 	if s := gk.c.findServer(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
 		t.Errorf("level %d, shed part %.2f just after the gate", s.level, s.shed)
@@ -478,7 +478,7 @@
 	id, _ := gk.openCall(0, 0)
 	gk.answer(id, 10, 5e4)
 	gk.advance(1e5)
-	gk.handle(Resolved{ID: lost, Server: 10, Code: Cancelled})
+	gk.handle(AttemptEnded{ID: lost, Server: 10, Code: Cancelled})
 	gk.actions = nil
 	gk.advance(5e5)
 	if gk.count(Send) != 1 || gk.count(Refuse) != 0 {
@@ -508,7 +508,7 @@
 		id := fmt.Sprintf("k%05d", gk.callCount)
 		gk.handle(Call{ID: id, Key: id, Deadline: gk.now + 3e6})
 		gk.advance(5e4)
-		gk.handle(Resolved{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
+		gk.handle(AttemptEnded{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
 	}
 	c := gk.c
 	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busyNumbers) > maxBusyNumbers {
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -120,12 +120,12 @@
 }
 
 func answerQuickly(s uint32, id string, attempt int) (Micros, Event) {
-	return 3e4, Opened{ID: id, Attempt: attempt, Server: s, Took: 3e4}
+	return 3e4, CallEstablished{ID: id, Attempt: attempt, Server: s, Elapsed: 3e4}
 }
 
 // reportLongWait ends an earlier call with a report of a long wait at a server.
 func reportLongWait(gk *gatekeeper, server uint32) {
-	gk.handle(Resolved{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
+	gk.handle(AttemptEnded{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
 }
 
 var fourServers = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready},
@@ -186,7 +186,7 @@
 	fl.run(12e6, 4*perServer, 4, answerQuickly)
 	full := func(s uint32, id string, attempt int) (Micros, Event) {
 		if s == 40 {
-			return 3e4, Resolved{ID: id, Attempt: attempt, Server: s, Code: Full, Reason: ProcessorFull,
+			return 3e4, AttemptEnded{ID: id, Attempt: attempt, Server: s, Code: Full, Reason: ProcessorFull,
 				Report: []float64{900, 1000, 2500}}
 		}
 		return answerQuickly(s, id, attempt)
@@ -218,7 +218,7 @@
 				reportLongWait(gk, s)
 			}
 			small(gk)
-			gk.handle(Resolved{ID: "old", Server: 40, Code: OK, Settled: true, Report: []float64{28, 30, 1}})
+			gk.handle(AttemptEnded{ID: "old", Server: 40, Code: OK, Settled: true, Report: []float64{28, 30, 1}})
 		}
 		fl.run(1e6, perS, 3, answerQuickly)
 	}
@@ -235,7 +235,7 @@
 	id, s := gk.openCall(0, 0)
 	gk.now += 1.8e6 // no tick, no event
 	gk.handle(Timer{"tick"})
-	gk.handle(Opened{ID: id, Server: s, Took: 1.8e6})
+	gk.handle(CallEstablished{ID: id, Server: s, Elapsed: 1.8e6})
 	if l, w := gk.c.findServer(s).level, gk.c.findServer(s).wait; l != 0 || w > 5e4 {
 		t.Errorf("level %d, wait %.0f us after the gatekeeper's own stall", l, w)
 	}
@@ -302,7 +302,7 @@
 		now := Micros(0)
 		for _, e := range []Event{Start{}, Call{ID: "a"}, Timer{"tick"}, Timer{"?"}, List{Failed: true},
 			List{Entries: []Entry{twoServers[1], twoServers[0], twoServers[0], {Server: 10, State: Gone}, twoServers[1]}}, Call{ID: "b", Class: -1,
-				Tenant: 7, Deadline: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
+				Tenant: 7, Deadline: 5}, Call{ID: "b"}, CallEstablished{ID: "x", Server: 20}, AttemptEnded{ID: "x", Server: 20, Attempt: -1,
 				Report: []float64{1, 2, 3, 4, 5}}, Status{Server: 20, Code: OK, Report: nil}, Peer{}, Withdrawn{},
 			List{}, Timer{"tick"}, Call{ID: "c", Deadline: 1 << 40}, nil} {
 			now += 7e5
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -37,7 +37,7 @@
 func (gk *gatekeeper) handle(e Event) []Action {
 	actions := append([]Action(nil), gk.c.Handle(gk.now, e)...)
 	for _, a := range actions {
-		if a.Kind == Defer && a.Key == "tick" {
+		if a.Kind == SetTimer && a.Key == "tick" {
 			gk.nextTick = a.At
 		}
 	}
@@ -48,7 +48,7 @@
 // countNotes counts the log lines with a prefix.
 func (gk *gatekeeper) countNotes(prefix string) (n int) {
 	for _, a := range gk.actions {
-		if a.Kind == Note && strings.HasPrefix(a.Text, prefix) {
+		if a.Kind == Log && strings.HasPrefix(a.Text, prefix) {
 			n++
 		}
 	}
@@ -81,7 +81,7 @@
 
 func (gk *gatekeeper) answer(id string, s uint32, elapsed Micros) {
 	gk.advance(elapsed)
-	gk.handle(Opened{ID: id, Server: s, Took: elapsed})
+	gk.handle(CallEstablished{ID: id, Server: s, Elapsed: elapsed})
 }
 
 // warmGatekeeper returns a gatekeeper that has had enough calls answered by two servers to know rates.
@@ -99,7 +99,7 @@
 
 // reportWait ends an earlier call at a server with a report of the wait.
 func (gk *gatekeeper) reportWait(server uint32, waitMs float64) {
-	gk.handle(Resolved{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
+	gk.handle(AttemptEnded{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
 }
 
 func (gk *gatekeeper) count(kind ActionKind) int {
--- a/control/interface.go
+++ b/control/interface.go
@@ -9,9 +9,9 @@
 // The values of Repeat: a ReadLike call may be sent again freely, a Keyed one within the scope of its key, an Once one only
 // if no server has worked on it.
 const (
-	ReadLike Repeat = iota
-	Keyed
-	Once
+	Idempotent Repeat = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
 // Field identifies one value of a load report.
@@ -146,12 +146,12 @@
 	Quota                   Quota   // nil: none
 }
 
-// Opened reports that a set-up succeeded: the call is established.
-type Opened struct {
+// CallEstablished reports that a set-up succeeded: the call is established.
+type CallEstablished struct {
 	ID      string
 	Attempt int
 	Server  uint32
-	Took    Micros
+	Elapsed Micros
 }
 
 // Code is the outcome of an attempt.
@@ -186,13 +186,13 @@
 	LinesBusy     = 4 // Failed: all lines of the number are busy
 )
 
-// Resolved reports the end of an attempt.
-type Resolved struct {
+// AttemptEnded reports the end of an attempt.
+type AttemptEnded struct {
 	ID         string
 	Attempt    int
 	Server     uint32
 	Code       Code
-	Took       Micros
+	Elapsed    Micros
 	Settled    bool // the call needs no further attempt or answer
 	Reason     int  // qualifies Code, 0 if none
 	RetryAfter Micros
@@ -201,10 +201,10 @@
 
 // Status is the answer to a probe, or an unsolicited report (Took is 0 then).
 type Status struct {
-	Server uint32
-	Code   Code
-	Took   Micros
-	Report []float64
+	Server  uint32
+	Code    Code
+	Elapsed Micros
+	Report  []float64
 }
 
 // InFlightLimit limits the set-ups that this gatekeeper may have in flight to a server that the fleet has ejected: 0 means
@@ -237,13 +237,13 @@
 
 // The kinds of actions.
 const (
-	Send   ActionKind = iota // start a set-up of ID at Server, abandoned after Wait (0: at the end of the call)
-	Refuse                   // final answer: refused; Wait is the Retry-After time (0: none)
-	Fail                     // final answer: failed
-	Cancel                   // cancel Attempt of ID
-	Defer                    // request Timer Key at time At
-	Watch                    // subscribe to changes of the list
-	Note                     // write log line Text
+	Send     ActionKind = iota // start a set-up of ID at Server, abandoned after Wait (0: at the end of the call)
+	Refuse                     // final answer: refused; Wait is the Retry-After time (0: none)
+	Fail                       // final answer: failed
+	Cancel                     // cancel Attempt of ID
+	SetTimer                   // request Timer Key at time At
+	Watch                      // subscribe to changes of the list
+	Log                        // write log line Text
 )
 
 // Action is one decision. Fields that its Kind does not use are zero.
--- a/control/learned.go
+++ b/control/learned.go
@@ -3,12 +3,12 @@
 // Learned is what a gatekeeper has learned about its servers and its traffic; it holds no calls. A gatekeeper saves it when
 // it stops and may restore it at its next start. Package warm ages and checks it in between.
 type Learned struct {
-	At      Micros          `json:"at"`   // time of the estimates, Unix microseconds
-	Base    float64         `json:"base"` // us; lowest set-up delay observed
-	Loss    float64         `json:"loss"` // part of the set-ups that were lost
-	Unit    float64         `json:"unit"` // highest own rate of answers per agent of a warm server, per second
-	Mix     []float64       `json:"mix"`  // recent arrivals by worth
-	Servers []LearnedServer `json:"servers"`
+	At        Micros          `json:"at"`   // time of the estimates, Unix microseconds
+	BaseDelay float64         `json:"base"` // us; lowest set-up delay observed
+	LossRate  float64         `json:"loss"` // part of the set-ups that were lost
+	BestRate  float64         `json:"unit"` // highest own rate of answers per agent of a warm server, per second
+	WorthMix  []float64       `json:"mix"`  // recent arrivals by worth
+	Servers   []LearnedServer `json:"servers"`
 }
 
 // LearnedServer is the saved estimate of one server.
@@ -27,7 +27,7 @@
 
 // Learned returns the current estimates of this gatekeeper.
 func (c *Controller) Learned() Learned {
-	learned := Learned{At: c.now, Base: c.baseDelay, Loss: c.lossRate, Unit: c.bestRate, Mix: append([]float64(nil), c.worthMix[:]...)}
+	learned := Learned{At: c.now, BaseDelay: c.baseDelay, LossRate: c.lossRate, BestRate: c.bestRate, WorthMix: append([]float64(nil), c.worthMix[:]...)}
 	for _, srv := range c.servers {
 		if srv.state != Gone {
 			learned.Servers = append(learned.Servers, LearnedServer{srv.id, srv.since, srv.wait, min(max(srv.shed, 0), 1), srv.freeAgents, srv.totalAgents})
@@ -39,11 +39,11 @@
 // restoreLearned restores saved estimates. The list takes precedence: a server that is not on it, has started since, or is
 // cold keeps its initial estimate, and the budget of a cold server depends on rates observed since this start only.
 func (c *Controller) restoreLearned(learned Learned) {
-	c.baseDelay, c.lossRate, c.bestRate = max(learned.Base, 0), min(max(learned.Loss, 0), 1), max(c.bestRate, learned.Unit)
+	c.baseDelay, c.lossRate, c.bestRate = max(learned.BaseDelay, 0), min(max(learned.LossRate, 0), 1), max(c.bestRate, learned.BestRate)
 	c.worthTotal, c.mixDecayedAt = 0, c.now
 	for i := range c.worthMix {
-		if i < len(learned.Mix) {
-			c.worthMix[i] = max(learned.Mix[i], 0)
+		if i < len(learned.WorthMix) {
+			c.worthMix[i] = max(learned.WorthMix[i], 0)
 		}
 		c.worthTotal += c.worthMix[i]
 	}
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -14,7 +14,7 @@
 		gk.advance(20000)
 	}
 	saved := gk.c.Learned()
-	if len(saved.Servers) != 2 || saved.Base == 0 || saved.Unit == 0 || saved.Servers[0].Wait+saved.Servers[1].Wait == 0 {
+	if len(saved.Servers) != 2 || saved.BaseDelay == 0 || saved.BestRate == 0 || saved.Servers[0].Wait+saved.Servers[1].Wait == 0 {
 		t.Fatalf("%+v", saved)
 	}
 	restored := newGatekeeper(t, testSettings())
@@ -22,7 +22,7 @@
 	restored.servers(twoServers...)
 	restored.handle(Recall{saved})
 	got := restored.c.Learned()
-	if got.Base != saved.Base || got.Unit != saved.Unit || got.Servers[0] != saved.Servers[0] || got.Servers[1] != saved.Servers[1] {
+	if got.BaseDelay != saved.BaseDelay || got.BestRate != saved.BestRate || got.Servers[0] != saved.Servers[0] || got.Servers[1] != saved.Servers[1] {
 		t.Errorf("got  %+v\nwant %+v", got, saved)
 	}
 	before, after := gk.c.Views(nil), restored.c.Views(nil)
@@ -40,7 +40,7 @@
 	cold := gk.now - 1e6
 	gk.servers(Entry{Server: 10, Cell: 0, State: Ready}, Entry{Server: 11, Cell: 0, State: Draining},
 		Entry{Server: 12, Cell: 1, State: Ready, Since: gk.now - 100e6}, Entry{Server: 13, Cell: 1, State: Ready, Since: cold})
-	saved := Learned{Base: 50000}
+	saved := Learned{BaseDelay: 50000}
 	for id := range uint32(6) {
 		saved.Servers = append(saved.Servers, LearnedServer{Server: 10 + id, Wait: 9e5, Shed: 0.9, Total: 40, Spare: 1})
 	}
@@ -75,7 +75,7 @@
 		return n
 	}
 	without := sent(nil)
-	with := sent(&Learned{Base: 1, Unit: 1e4, Servers: []LearnedServer{{Server: 10, Total: 1e6, Spare: 1e6}}})
+	with := sent(&Learned{BaseDelay: 1, BestRate: 1e4, Servers: []LearnedServer{{Server: 10, Total: 1e6, Spare: 1e6}}})
 	if without == 0 || with > without {
 		t.Errorf("%d set-ups without saved estimates, %d with wrong ones", without, with)
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -116,7 +116,7 @@
 			sim.t.Fatalf("rule 5: %s sent again %d us before the end of the release guard", a.ID, call.blockedUntil-sim.now)
 		case call.attempt+1 >= sim.settings.AttemptsCap:
 			sim.t.Fatalf("%s sent more than %d times", a.ID, sim.settings.AttemptsCap)
-		case call.mayHaveRun && sim.settings.Classes[call.class].Repeat != ReadLike:
+		case call.mayHaveRun && sim.settings.Classes[call.class].Repeat != Idempotent:
 			sim.t.Fatalf("%s may have run and was sent again", a.ID)
 		}
 		sim.checkLimits(call, a)
@@ -126,7 +126,7 @@
 		if call == nil || call.finished || call.inFlight {
 			sim.t.Fatalf("rule 1: final answer for %s, which is finished, in flight or unknown", a.ID)
 		}
-		if a.Kind == Refuse && call.mayHaveRun && sim.settings.Classes[call.class].Repeat != ReadLike {
+		if a.Kind == Refuse && call.mayHaveRun && sim.settings.Classes[call.class].Repeat != Idempotent {
 			sim.t.Fatalf("%s may have run and was refused", a.ID)
 		}
 		call.finished = true
@@ -136,7 +136,7 @@
 			sim.t.Fatalf("unexpected cancel of attempt %d of %s", a.Attempt, a.ID)
 		}
 		call.cancelled = true
-	case Defer:
+	case SetTimer:
 		sim.timers = append(sim.timers, a)
 	}
 }
@@ -194,7 +194,7 @@
 	if sim.rng.IntN(2) == 0 {
 		report = []float64{float64(sim.rng.IntN(50) - 1), 60, float64(sim.rng.IntN(900) - 1)}
 	}
-	sim.handle(Resolved{ID: id, Attempt: call.attempt, Server: call.server, Code: code, Took: sim.now - call.sentAt, Reason: reason,
+	sim.handle(AttemptEnded{ID: id, Attempt: call.attempt, Server: call.server, Code: code, Elapsed: sim.now - call.sentAt, Reason: reason,
 		Report: report})
 }
 
@@ -221,7 +221,7 @@
 		call := sim.calls[id]
 		call.inFlight, call.finished = false, true
 		call.finalAnswers++
-		sim.handle(Opened{ID: id, Attempt: call.attempt, Server: call.server, Took: sim.now - call.sentAt})
+		sim.handle(CallEstablished{ID: id, Attempt: call.attempt, Server: call.server, Elapsed: sim.now - call.sentAt})
 	case r < 16 && len(inFlight) > 0:
 		id := inFlight[sim.rng.IntN(len(inFlight))]
 		codes := []Code{Failed, Full, Unreachable, Cut, NotSent}
@@ -242,8 +242,8 @@
 		sim.servers[s] = e.State
 		sim.handle(List{Delta: true, Entries: []Entry{e}})
 	case r == 18: // late or unknown event: ignored
-		sim.handle(Resolved{ID: "none", Attempt: 3, Server: 99, Code: Full, Reason: ProcessorFull})
-		sim.handle(Opened{ID: "none", Server: 98, Took: 5})
+		sim.handle(AttemptEnded{ID: "none", Attempt: 3, Server: 99, Code: Full, Reason: ProcessorFull})
+		sim.handle(CallEstablished{ID: "none", Server: 98, Elapsed: 5})
 		sim.handle(Peer{From: 1, Data: []byte{9, 9}})
 	default:
 		sim.handle(Status{Server: sim.serverIDs[0], Code: OK, Report: []float64{float64(sim.rng.IntN(9)), 60, -1}})
@@ -254,7 +254,7 @@
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := testSettings()
-	settings.Classes = append(settings.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Once}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Keyed})
+	settings.Classes = append(settings.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: NonIdempotent}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: IdempotentByKey})
 	if seed%3 == 0 {
 		settings.Report, settings.Cancel, settings.ResendGap = nil, false, 0
 	}
--- a/control/server_list.go
+++ b/control/server_list.go
@@ -48,7 +48,7 @@
 func (c *Controller) applyList(list List) {
 	if list.Failed {
 		if c.settings.SubscribeList {
-			c.emit(Action{Kind: Defer, At: c.now + silentFallBase, Key: "watch"})
+			c.emit(Action{Kind: SetTimer, At: c.now + silentFallBase, Key: "watch"})
 		}
 		return
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -35,10 +35,10 @@
 	"x0": Spare, "x1": Total, "latency_ms": WaitMs, "queue": Queue, "util": Busy,
 }
 
-// FieldNamed returns the field with a given name in the settings, or Ignored if the name is not known.
-func FieldNamed(name string) Field { return fieldNames[name] }
+// ParseField returns the field with a given name in the settings, or Ignored if the name is not known.
+func ParseField(name string) Field { return fieldNames[name] }
 
-var repeatNames = map[string]Repeat{"read_like": ReadLike, "idempotency_key": Keyed, "non_idempotent": Once}
+var repeatNames = map[string]Repeat{"read_like": Idempotent, "idempotency_key": IdempotentByKey, "non_idempotent": NonIdempotent}
 
 // ParseSite parses the JSON text of a settings object.
 func ParseSite(text string) (*Site, error) {
@@ -102,7 +102,7 @@
 	for _, field := range d.array(v, "report", "fields") {
 		name := d.text(field)
 		site.ReportNames = append(site.ReportNames, name)
-		site.Report = append(site.Report, FieldNamed(name))
+		site.Report = append(site.Report, ParseField(name))
 	}
 	return site, d.err
 }
