--- a/control/interface.go
+++ b/control/interface.go
@@ -6,8 +6,8 @@
 // Repeat is the condition under which set-ups of a class may be sent again.
 type Repeat int
 
-// The values of Repeat: a ReadLike call may be sent again freely, a Keyed one within the scope of its key, an Once one only
-// if no server has worked on it.
+// The values of Repeat: an Idempotent call may be sent again freely, an IdempotentByKey one within the scope of its key, a
+// NonIdempotent one only if no server has worked on it.
 const (
 	Idempotent Repeat = iota
 	IdempotentByKey
@@ -179,14 +179,14 @@
 
 var codeNames = [...]string{"ok", "failed", "full", "timed_out", "unreachable", "cut", "cancelled", "not_sent"}
 
-// Values of Resolved.Reason, which qualify a Code.
+// Values of AttemptEnded.Reason, which qualify a Code.
 const (
 	NoAgent       = 1 // Full: no free agent in the pool
 	ProcessorFull = 3 // Full: the processor is overloaded
 	LinesBusy     = 4 // Failed: all lines of the number are busy
 )
 
-// AttemptEnded reports the end of an attempt.
+// AttemptEnded reports the end of an attempt, or with Settled the end of an established call.
 type AttemptEnded struct {
 	ID         string
 	Attempt    int
@@ -199,7 +199,7 @@
 	Report     []float64 // load report in the order of Settings.Report, -1 for a missing value
 }
 
-// Status is the answer to a probe, or an unsolicited report (Took is 0 then).
+// Status is the answer to a probe, or an unsolicited report (Elapsed is 0 then).
 type Status struct {
 	Server  uint32
 	Code    Code
@@ -223,7 +223,7 @@
 // Withdrawn reports that a call no longer needs a final answer.
 type Withdrawn struct{ ID string }
 
-// Timer reports that the timer requested by a Defer action has fired.
+// Timer reports that the timer requested by a SetTimer action has fired.
 type Timer struct{ Key string }
 
 // Peer is a message from another gatekeeper.
--- a/control/load.go
+++ b/control/load.go
@@ -168,7 +168,7 @@
 }
 
 // updateServer updates a server on a tick: the ages of its unanswered set-ups, the decay of its level
-// without observations, and shedding. span is the time since the last tick.
+// without observations, and shedding. span is the time since the last tick, at most four tick intervals.
 func (c *Controller) updateServer(srv *server, span Micros) {
 	unanswered := 0
 	for _, call := range srv.inFlight {
--- a/control/share.go
+++ b/control/share.go
@@ -17,8 +17,8 @@
 )
 
 // inFlightLimit returns the greatest number of set-ups in flight to a server: the answers expected, at this
-// gatekeeper's rate, in the duration of a set-up just below the gate. Exception: an
-// unbounded sender overruns the server before an answer shows it.
+// gatekeeper's rate, in the duration of a set-up just below the gate. Exception: an unbounded sender
+// overruns the server before an answer shows it.
 func (c *Controller) inFlightLimit(srv *server) int {
 	floor := minInFlight
 	if c.justStarted() {
