--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -21,12 +21,14 @@
 	pickFirstChoice func() int         // first choice of the next call; nil: random
 }
 
+// scheduled is an event that a gatekeeper receives at a time.
 type scheduled struct {
 	at    Micros
 	gk    *gatekeeper
 	event Event
 }
 
+// newFleet returns a fleet of a size with a list of servers.
 func newFleet(t *testing.T, size int, seed uint64, list ...Entry) *fleet {
 	fl := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: 1e9, sent: map[uint32][]Micros{}}
 	settings := testSettings()
@@ -48,6 +50,7 @@
 	return gk
 }
 
+// list gives a gatekeeper the list and a report of the agents of each server.
 func (fl *fleet) list(gk *gatekeeper, list ...Entry) {
 	gk.now = max(gk.now, fl.now)
 	gk.servers(list...)
@@ -84,6 +87,7 @@
 	}
 }
 
+// handleSends records the set-ups among the actions and schedules their answers.
 func (fl *fleet) handleSends(gk *gatekeeper, actions []Action, answer func(uint32, string, int) (Micros, Event)) {
 	for _, a := range actions {
 		if a.Kind != Send {
@@ -119,6 +123,7 @@
 	return worst
 }
 
+// answerQuickly answers a set-up after 30 ms.
 func answerQuickly(s uint32, id string, attempt int) (Micros, Event) {
 	return 3e4, CallEstablished{ID: id, Attempt: attempt, Server: s, Elapsed: 3e4}
 }
@@ -128,6 +133,7 @@
 	gk.handle(AttemptEnded{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
 }
 
+// fourServers are four ready servers in cells 0 to 3.
 var fourServers = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready},
 	{Server: 30, Cell: 2, State: Ready}, {Server: 40, Cell: 3, State: Ready}}
 
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -79,6 +79,7 @@
 	return id, 0
 }
 
+// answer establishes a call after a time.
 func (gk *gatekeeper) answer(id string, s uint32, elapsed Micros) {
 	gk.advance(elapsed)
 	gk.handle(CallEstablished{ID: id, Server: s, Elapsed: elapsed})
@@ -102,6 +103,7 @@
 	gk.handle(AttemptEnded{ID: "old", Server: server, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
 }
 
+// count returns the number of recorded actions of a kind.
 func (gk *gatekeeper) count(kind ActionKind) int {
 	n := 0
 	for _, a := range gk.actions {
@@ -112,4 +114,5 @@
 	return n
 }
 
+// twoServers are two ready servers in cells 0 and 1.
 var twoServers = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready}}
--- a/control/interface.go
+++ b/control/interface.go
@@ -136,8 +136,8 @@
 // Call is a new call, which needs exactly one final answer before Deadline.
 type Call struct {
 	ID                      string
-	Class, Tenant           int
-	Key                     string
+	Class, Tenant           int    // indexes in the settings
+	Key                     string // called number, "" if not known
 	Deadline                Micros
 	FirstChoice             int     // preferred cell
 	Repeat, Transit, WasCut bool    // not the caller's first try; only to FirstChoice; set up again after a cut
@@ -149,9 +149,9 @@
 // CallEstablished reports that a set-up succeeded: the call is established.
 type CallEstablished struct {
 	ID      string
-	Attempt int
+	Attempt int // counted from 0
 	Server  uint32
-	Elapsed Micros
+	Elapsed Micros // from the set-up to its answer
 }
 
 // Code is the outcome of an attempt.
@@ -177,6 +177,7 @@
 	return codeNames[c]
 }
 
+// codeNames are the names of the codes in settings and messages.
 var codeNames = [...]string{"ok", "failed", "full", "timed_out", "unreachable", "cut", "cancelled", "not_sent"}
 
 // Values of AttemptEnded.Reason, which qualify a Code.
@@ -189,12 +190,12 @@
 // AttemptEnded reports the end of an attempt, or with Settled the end of an established call.
 type AttemptEnded struct {
 	ID         string
-	Attempt    int
+	Attempt    int // counted from 0
 	Server     uint32
 	Code       Code
-	Elapsed    Micros
-	Settled    bool // the call needs no further attempt or answer
-	Reason     int  // qualifies Code, 0 if none
+	Elapsed    Micros // from the start of the attempt
+	Settled    bool   // the call needs no further attempt or answer
+	Reason     int    // qualifies Code, 0 if none
 	RetryAfter Micros
 	Report     []float64 // load report in the order of Settings.Report, -1 for a missing value
 }
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -24,6 +24,7 @@
 	callCount int
 }
 
+// simulatedCall is the state of a call as the rules require it.
 type simulatedCall struct {
 	deadline, blockedUntil Micros
 	class                  int
--- a/control/settings.go
+++ b/control/settings.go
@@ -15,13 +15,14 @@
 	TellsWait              bool
 	SecondCopies           bool // two attempts of one call may be in flight at once
 	DialTimeout, KeepAlive Micros
-	AnswerSlack            Micros
-	DrainGrace             Micros
+	AnswerSlack            Micros // time past its deadline that a final answer may take
+	DrainGrace             Micros // time after the start of a drain within which set-ups may still be sent
 }
 
 // SettingsError reports an invalid value of a settings key. Key is empty if the whole object is invalid.
 type SettingsError struct{ Key, Problem string }
 
+// Error implements the error interface.
 func (e *SettingsError) Error() string {
 	if e.Key == "" {
 		return e.Problem
@@ -29,6 +30,7 @@
 	return "key " + e.Key + " " + e.Problem
 }
 
+// fieldNames maps the names of report fields in the settings.
 var fieldNames = map[string]Field{
 	"spare": Spare, "total": Total, "lat_ms": WaitMs, "q": Queue, "busy": Busy,
 	// the operators' names for the same values
@@ -38,6 +40,7 @@
 // ParseField returns the field with a given name in the settings, or Ignored if the name is not known.
 func ParseField(name string) Field { return fieldNames[name] }
 
+// repeatNames maps the names of repeat conditions in the settings.
 var repeatNames = map[string]Repeat{"read_like": Idempotent, "idempotency_key": IdempotentByKey, "non_idempotent": NonIdempotent}
 
 // ParseSite parses the JSON text of a settings object.
@@ -113,6 +116,7 @@
 	err    error
 }
 
+// fail records an error of a key unless there is an earlier one.
 func (d *decoder) fail(key, problem string) {
 	if d.err == nil {
 		d.err = &SettingsError{d.prefix + key, problem}
