--- a/control/outlier/callers.go
+++ b/control/outlier/callers.go
@@ -7,15 +7,15 @@
 	"beammux/control"
 )
 
-// Thresholds for blocking callers' addresses.
+// Thresholds for blocking the addresses of callers.
 const (
-	CallerBlockTime      = control.Micros(10000000) // a block lasts so long from the lastFailure failed connection
-	minCallerFailures    = 2.5                      // decayed failed connections that make a member a witness
-	minCallerFailureRate = 0.9                      // part of an address's connections that must have failed
+	CallerBlockTime      = control.Micros(10000000) // duration of a block, from the newest failed connection
+	minCallerFailures    = 2.5                      // decayed failed connections for a member to be a witness
+	minCallerFailureRate = 0.9                      // fraction of an address's connections that must have failed
 )
 
-// CallerObservation is what one member has observed of one caller's address. A connection is a success if it brought a whole
-// message, a failure if it brought one that can't be parsed or none in time. Counts decay over DecayTime.
+// CallerObservation is the evidence of one member on one caller's address. A connection succeeds if a complete message arrives
+// on it. It fails if a message can't be parsed, or if none arrives in time. Counts decay over DecayTime.
 type CallerObservation struct {
 	Address    string         `cbor:"1,keyasint"`
 	Successes  float64        `cbor:"2,keyasint,omitempty"`
@@ -23,36 +23,38 @@
 	FailureAge control.Micros `cbor:"4,keyasint"`
 }
 
-// CallerEvidence is what one member that is up published of callers, at least Age ago.
+// CallerEvidence holds the observations of callers of one member that is up, published at least Age ago.
 type CallerEvidence struct {
 	Member  string
 	Age     control.Micros
 	Callers []CallerObservation
 }
 
-// BlockedCaller is an address whose connections are closed at once.
+// BlockedCaller is an address whose connections are closed as soon as they are accepted.
 type BlockedCaller struct {
 	Address   string         `json:"address"`
 	Remaining control.Micros `json:"left_us"`
 	Witnesses []string       `json:"witnesses"`
 }
 
-// CallerFilter holds which addresses are blocked. It is not safe for concurrent use.
+// CallerFilter decides which callers' addresses are blocked. It is not safe for concurrent use.
 type CallerFilter struct {
 	blocked map[string]*callerBlock
 }
 
+// callerBlock is the block of one address.
 type callerBlock struct {
 	until     control.Micros
 	witnesses []string
 }
 
-// NewCallerFilter makes a filter that blocks nobody.
+// NewCallerFilter returns a filter that blocks no address.
 func NewCallerFilter() *CallerFilter { return &CallerFilter{blocked: map[string]*callerBlock{}} }
 
-// Update takes the evidence that counts now and returns the addresses that are blocked. An address is blocked when nearly all
-// of its connections to the fleet fail and at least minWitnesses members are witnesses. An address that good callers share,
-// as behind a proxy or a translator, is not. Connections that were closed are no evidence, so a block ends by itself.
+// Update applies the evidence that is valid now and returns the blocked addresses in order. An address is blocked when nearly
+// all of its connections to the fleet fail and at least minWitnesses members are witnesses. An address that well-behaved
+// callers share, such as that of a proxy or a NAT, is not blocked. Connections closed by a block are not evidence, so a block
+// ends by itself.
 func (f *CallerFilter) Update(now control.Micros, all []CallerEvidence) (blockedNow []BlockedCaller) {
 	type sum struct {
 		successes, failures float64
@@ -78,16 +80,16 @@
 		if len(s.witnesses) < minWitnesses || s.failures < minCallerFailureRate*(s.successes+s.failures) || now-s.lastFailure >= CallerBlockTime {
 			continue
 		}
-		if t := f.blocked[address]; t == nil || s.lastFailure+CallerBlockTime > t.until {
+		if block := f.blocked[address]; block == nil || s.lastFailure+CallerBlockTime > block.until {
 			f.blocked[address] = &callerBlock{s.lastFailure + CallerBlockTime, s.witnesses}
 		}
 	}
-	for address, t := range f.blocked {
-		if now >= t.until {
+	for address, block := range f.blocked {
+		if now >= block.until {
 			delete(f.blocked, address)
 			continue
 		}
-		blockedNow = append(blockedNow, BlockedCaller{address, t.until - now, slices.Clone(t.witnesses)})
+		blockedNow = append(blockedNow, BlockedCaller{address, block.until - now, slices.Clone(block.witnesses)})
 	}
 	slices.SortFunc(blockedNow, func(a, b BlockedCaller) int { return cmp.Compare(a.Address, b.Address) })
 	return blockedNow
--- a/control/outlier/evidence.go
+++ b/control/outlier/evidence.go
@@ -8,60 +8,61 @@
 	"beammux/control"
 )
 
-// memberEvidence is what one member has observed of one server, of its present process alone.
+// memberEvidence is the evidence of one member on one server. It covers the server's current process only.
 type memberEvidence struct {
 	member                   string
 	successes, failures      float64
 	succeeded, failed        bool
-	lastSuccess, lastFailure control.Micros // where it succeeded, and where it failed
+	lastSuccess, lastFailure control.Micros // valid if succeeded, and if failed
 	failureStreak            int
-	voteUntil                control.Micros // end of its vote for ejection; 0: it does not vote
+	voteUntil                control.Micros // end of the member's vote for ejection; 0: no vote
 }
 
-// observed is an observation of a member as it counts now: what it saw before the start of the server's process does not.
-func observed(now control.Micros, e *Evidence, o *Observation, startedAt control.Micros) memberEvidence {
+// newMemberEvidence converts a member's observation to evidence as of now. Events before the start of the server's process are ignored.
+func newMemberEvidence(now control.Micros, e *Evidence, o *Observation, startedAt control.Micros) memberEvidence {
 	m := memberEvidence{member: e.Member}
 	if o.SuccessAge >= 0 && now-e.Age-o.SuccessAge >= startedAt {
 		m.succeeded, m.lastSuccess = true, now-e.Age-o.SuccessAge
-		m.successes = max(o.Successes, leastSuccess)
+		m.successes = max(o.Successes, minSuccesses)
 	}
 	if o.FailureAge >= 0 && now-e.Age-o.FailureAge >= startedAt {
 		m.failed, m.lastFailure = true, now-e.Age-o.FailureAge
 		m.failures, m.failureStreak = max(0, o.Failures), max(1, o.FailureStreak)
 	}
-	if left := min(o.VoteRemaining, MaxEjectionTime) - e.Age; left > 0 {
-		m.voteUntil = now + left
+	if remaining := min(o.VoteRemaining, MaxEjectionTime) - e.Age; remaining > 0 {
+		m.voteUntil = now + remaining
 	}
 	return m
 }
 
-// enough tells whether there is enough of it to count the member among the observers of the server.
-func (m *memberEvidence) enough() bool { return m.successes+m.failures >= minMemberFailures }
+// isObserver reports whether there is enough evidence to count the member as an observer of the server.
+func (m *memberEvidence) isObserver() bool { return m.successes+m.failures >= minMemberFailures }
 
-// witness tells whether the member is a witness against the server.
-func (m *memberEvidence) witness() bool {
-	return m.enough() && m.failures >= minMemberFailures && m.failures >= minMemberFailureRate*(m.successes+m.failures)
+// isWitness reports whether the member is a witness against the server.
+func (m *memberEvidence) isWitness() bool {
+	return m.isObserver() && m.failures >= minMemberFailures && m.failures >= minMemberFailureRate*(m.successes+m.failures)
 }
 
-// fleetEvidence is the evidence of all members on one server, without that of isolated members.
+// fleetEvidence is the evidence of all members on one server; isolated members are excluded.
 type fleetEvidence struct {
 	successes, failures      float64
 	members                  []memberEvidence
 	observers                int      // members with enough evidence
-	witnesses                []string // those of them that see it fail
+	witnesses                []string // observers that see the server fail
 	lastSuccess, lastFailure control.Micros
 	succeeded, failed        bool
-	congested                bool // this member's own control module holds it at a congestion level
+	congested                bool // this member's control module estimates a congestion level above 0
 }
 
+// add includes the evidence of one member in the totals.
 func (e *fleetEvidence) add(m memberEvidence) {
 	e.members = append(e.members, m)
 	e.successes += m.successes
 	e.failures += m.failures
-	if m.enough() {
+	if m.isObserver() {
 		e.observers++
 	}
-	if m.witness() {
+	if m.isWitness() {
 		e.witnesses = append(e.witnesses, m.member)
 	}
 	if m.succeeded && (!e.succeeded || m.lastSuccess > e.lastSuccess) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// vote sets the end of a member's vote for ejection.
-func (e *fleetEvidence) vote(member string, until control.Micros) {
+// recordVote records a member's vote for ejection and its end.
+func (e *fleetEvidence) recordVote(member string, until control.Micros) {
 	for i := range e.members {
 		if e.members[i].member == member {
 			e.members[i].voteUntil = until
@@ -83,8 +84,10 @@
 	e.members = append(e.members, memberEvidence{member: member, voteUntil: until})
 }
 
+// failureRate returns the failure rate of the fleet's attempts at the server.
 func (e *fleetEvidence) failureRate() float64 { return failureRate(e.successes, e.failures) }
 
+// failureRate returns the fraction of attempts that failed, and 0 if there were none.
 func failureRate(successes, failures float64) float64 {
 	if successes+failures <= 0 {
 		return 0
@@ -92,7 +95,7 @@
 	return failures / (successes + failures)
 }
 
-// combine adds up the evidence of all members but those excluded, by server.
+// combine sums the evidence of all members by server, except that of the excluded members.
 func combine(now control.Micros, all []Evidence, list []Server, excluded []string) map[uint32]*fleetEvidence {
 	combined := map[uint32]*fleetEvidence{}
 	startedAt, congested := map[uint32]control.Micros{}, map[uint32]bool{}
@@ -104,23 +107,23 @@
 		if slices.Contains(excluded, e.Member) {
 			continue
 		}
-		for k := range e.Servers {
-			o := &e.Servers[k]
+		for j := range e.Servers {
+			o := &e.Servers[j]
 			total := combined[o.Server]
 			if total == nil {
 				total = &fleetEvidence{members: make([]memberEvidence, 0, len(all)), congested: congested[o.Server]}
 				combined[o.Server] = total
 			}
-			total.add(observed(now, e, o, startedAt[o.Server]))
+			total.add(newMemberEvidence(now, e, o, startedAt[o.Server]))
 		}
 	}
 	return combined
 }
 
-// isolatedMembers finds members for which most servers fail that do not fail the others. The evidence of the others on a server
-// is that of all members without the one's own, so the members are gone through once, however many they are.
+// isolatedMembers returns the members for which most servers fail that do not fail for the other members. The evidence of the
+// others on a server is the total of all members minus the member's own, so that one pass over the members suffices.
 func isolatedMembers(all []Evidence, everyone map[uint32]*fleetEvidence) (isolated []string) {
-	if len(all) < 3 { // of two, nobody can tell which
+	if len(all) < 3 { // of two members that disagree, neither can be singled out
 		return nil
 	}
 	own := sumByMember(everyone)
@@ -144,14 +147,16 @@
 	return isolated
 }
 
+// memberServer identifies the evidence of one member on one server.
 type memberServer struct {
 	member string
 	server uint32
 }
 
+// outcomes holds decayed counts of attempts.
 type outcomes struct{ successes, failures float64 }
 
-// sumByMember adds up what each member has observed of each server; a member may name one more than once.
+// sumByMember sums the evidence of each member on each server, since a member may list a server more than once.
 func sumByMember(everyone map[uint32]*fleetEvidence) map[memberServer]outcomes {
 	sums := map[memberServer]outcomes{}
 	for id, total := range everyone {
@@ -164,12 +169,12 @@
 	return sums
 }
 
-// round is the evidence of one update.
+// round holds the evidence of one update.
 type round struct {
 	now      control.Micros
 	evidence map[uint32]*fleetEvidence
 	peers    int // servers with evidence
-	healthy  int // those of them that answer and have no recent attempt that failed or is overdue
+	healthy  int // peers that answer and have no recent attempt that failed or is overdue
 }
 
 func newRound(now control.Micros, evidence map[uint32]*fleetEvidence) *round {
@@ -185,67 +190,68 @@
 	return r
 }
 
-// isPeer tells whether there is enough evidence on a server to compare others with it.
+// isPeer reports whether there is enough evidence on a server to compare other servers with it.
 func (e *fleetEvidence) isPeer() bool { return e.successes+e.failures >= 1 }
 
-// isHealthy tells whether a peer answers and has no recent attempt that failed or is overdue.
+// isHealthy reports whether a peer answers, is not congested, and has no recent attempt that failed or is overdue.
 func (e *fleetEvidence) isHealthy(now control.Micros) bool {
-	return e.isPeer() && e.succeeded && now-e.lastSuccess < recent && !(e.failed && now-e.lastFailure < recent) && !e.congested
+	return e.isPeer() && e.succeeded && now-e.lastSuccess < maxRecentAge && !(e.failed && now-e.lastFailure < maxRecentAge) && !e.congested
 }
 
-// healthyPeers counts the other servers with evidence, and those of them that are healthy. Where too few are healthy (ok is
-// false) no server is an outlier: that is overload, or a shared fault.
+// healthyPeers counts the other servers with evidence, and the healthy ones among them. It reports ok as false if too few are
+// healthy. No server is an outlier then, since the cause is overload or a shared fault.
 func (r *round) healthyPeers(id uint32) (healthy, peers int, ok bool) {
 	healthy, peers = r.healthy, r.peers
-	if own := r.evidence[id]; own != nil {
-		if own.isPeer() {
+	if evidence := r.evidence[id]; evidence != nil {
+		if evidence.isPeer() {
 			peers--
 		}
-		if own.isHealthy(r.now) {
+		if evidence.isHealthy(r.now) {
 			healthy--
 		}
 	}
 	return healthy, peers, peers > 0 && float64(healthy) >= minHealthyPeers*float64(peers)
 }
 
-// isHanging tells whether a server has ceased to answer all members while its peers answer, and why: answers due at its own
-// rate did not come, and attempts sent since its last answer have none. By chance so many are missing once in 1,000 gaps.
+// isHanging reports whether a server has stopped answering all members while its peers answer, with the reason: answers
+// expected at its own rate did not arrive, and attempts sent since its last answer are unanswered. By chance, as many answers
+// are missing in one of 1,000 gaps.
 func (r *round) isHanging(id uint32) (bool, string) {
-	own := r.evidence[id]
-	if !own.succeeded {
+	evidence := r.evidence[id]
+	if !evidence.succeeded {
 		return false, ""
 	}
-	// The rate is that at its last answer: the decay since then is undone.
-	gap := float64(r.now-own.lastSuccess) / float64(DecayTime)
-	due := own.successes * math.Exp(min(gap, 3)) * gap
+	// The expected rate is the one at the last answer, so the decay since then is undone.
+	gap := float64(r.now-evidence.lastSuccess) / float64(DecayTime)
+	expected := evidence.successes * math.Exp(min(gap, 3)) * gap
 	members, streak := 0, 0
-	for i := range own.members {
-		if m := &own.members[i]; m.failed && m.lastFailure > own.lastSuccess {
+	for i := range evidence.members {
+		if m := &evidence.members[i]; m.failed && m.lastFailure > evidence.lastSuccess {
 			members++
 			streak += m.failureStreak
 		}
 	}
-	if members < minWitnesses || streak < minUnanswered || due < minMissingAnswers {
+	if members < minWitnesses || streak < minUnanswered || expected < minMissingAnswers {
 		return false, ""
 	}
 	healthy, peers, ok := r.healthyPeers(id)
 	if !ok {
 		return false, ""
 	}
-	return true, fmt.Sprintf("%.0f answers are missing, %d attempts of %d members have had none, and %d of its %d peers answer as they do",
-		due, streak, members, healthy, peers)
+	return true, fmt.Sprintf("%.0f expected answers are missing, %d attempts of %d members are unanswered, and %d of %d peers are healthy",
+		expected, streak, members, healthy, peers)
 }
 
-// isOutlier tells whether the evidence makes a server an outlier, and why.
+// isOutlier reports whether the evidence makes a server an outlier, with the reason.
 func (r *round) isOutlier(id uint32) (bool, string) {
 	if hanging, reason := r.isHanging(id); hanging {
 		return true, reason
 	}
-	own := r.evidence[id]
+	evidence := r.evidence[id]
 	if _, _, ok := r.healthyPeers(id); !ok {
 		return false, ""
 	}
-	if len(own.witnesses) < minWitnesses || float64(len(own.witnesses)) < minWitnessShare*float64(own.observers) || own.failures < minFleetFailures || own.failureRate() < minFleetFailureRate {
+	if len(evidence.witnesses) < minWitnesses || float64(len(evidence.witnesses)) < minWitnessShare*float64(evidence.observers) || evidence.failures < minFleetFailures || evidence.failureRate() < minFleetFailureRate {
 		return false, ""
 	}
 	var peers []float64
@@ -259,14 +265,14 @@
 	}
 	slices.Sort(peers)
 	median := peers[len(peers)/2]
-	if median > maxUnquestionedMedian && own.failureRate() < minMedianMultiple*median {
+	if median > medianMultipleThreshold && evidence.failureRate() < minMedianMultiple*median {
 		return false, ""
 	}
-	return true, fmt.Sprintf("%.0f%% of the attempts of %d of %d members fail there, %.0f%% at the median of its %d peers",
-		100*own.failureRate(), len(own.witnesses), own.observers, 100*median, len(peers))
+	return true, fmt.Sprintf("%.0f%% of the attempts fail, %d of %d members are witnesses, the median failure rate is %.0f%% at %d peers",
+		100*evidence.failureRate(), len(evidence.witnesses), evidence.observers, 100*median, len(peers))
 }
 
-// outcomesSince counts the members with a failure after a time, and those with a success.
+// outcomesSince counts the members with a failure later than since, and those with a success.
 func (e *fleetEvidence) outcomesSince(since control.Micros) (failures, successes int) {
 	for i := range e.members {
 		m := &e.members[i]
