--- a/control/outlier/evidence.go
+++ b/control/outlier/evidence.go
@@ -202,11 +202,11 @@
 // healthy. No server is an outlier then, since the cause is overload or a shared fault.
 func (r *round) healthyPeers(id uint32) (healthy, peers int, ok bool) {
 	healthy, peers = r.healthy, r.peers
-	if evidence := r.evidence[id]; evidence != nil {
-		if evidence.isPeer() {
+	if total := r.evidence[id]; total != nil {
+		if total.isPeer() {
 			peers--
 		}
-		if evidence.isHealthy(r.now) {
+		if total.isHealthy(r.now) {
 			healthy--
 		}
 	}
@@ -217,16 +217,16 @@
 // expected at its own rate did not arrive, and attempts sent since its last answer are unanswered. By chance, as many answers
 // are missing in one of 1,000 gaps.
 func (r *round) isHanging(id uint32) (bool, string) {
-	evidence := r.evidence[id]
-	if !evidence.succeeded {
+	total := r.evidence[id]
+	if !total.succeeded {
 		return false, ""
 	}
 	// The expected rate is the one at the last answer, so the decay since then is undone.
-	gap := float64(r.now-evidence.lastSuccess) / float64(DecayTime)
-	expected := evidence.successes * math.Exp(min(gap, 3)) * gap
+	gap := float64(r.now-total.lastSuccess) / float64(DecayTime)
+	expected := total.successes * math.Exp(min(gap, 3)) * gap
 	members, streak := 0, 0
-	for i := range evidence.members {
-		if m := &evidence.members[i]; m.failed && m.lastFailure > evidence.lastSuccess {
+	for i := range total.members {
+		if m := &total.members[i]; m.failed && m.lastFailure > total.lastSuccess {
 			members++
 			streak += m.failureStreak
 		}
@@ -247,11 +247,11 @@
 	if hanging, reason := r.isHanging(id); hanging {
 		return true, reason
 	}
-	evidence := r.evidence[id]
+	total := r.evidence[id]
 	if _, _, ok := r.healthyPeers(id); !ok {
 		return false, ""
 	}
-	if len(evidence.witnesses) < minWitnesses || float64(len(evidence.witnesses)) < minWitnessShare*float64(evidence.observers) || evidence.failures < minFleetFailures || evidence.failureRate() < minFleetFailureRate {
+	if len(total.witnesses) < minWitnesses || float64(len(total.witnesses)) < minWitnessShare*float64(total.observers) || total.failures < minFleetFailures || total.failureRate() < minFleetFailureRate {
 		return false, ""
 	}
 	var peers []float64
@@ -265,11 +265,11 @@
 	}
 	slices.Sort(peers)
 	median := peers[len(peers)/2]
-	if median > medianMultipleThreshold && evidence.failureRate() < minMedianMultiple*median {
+	if median > medianMultipleThreshold && total.failureRate() < minMedianMultiple*median {
 		return false, ""
 	}
 	return true, fmt.Sprintf("%.0f%% of the attempts fail, %d of %d members are witnesses, the median failure rate is %.0f%% at %d peers",
-		100*evidence.failureRate(), len(evidence.witnesses), evidence.observers, 100*median, len(peers))
+		100*total.failureRate(), len(total.witnesses), total.observers, 100*median, len(peers))
 }
 
 // outcomesSince counts the members with a failure later than since, and those with a success.
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -183,22 +183,22 @@
 	}
 	for _, listed := range list {
 		id := listed.ID
-		serverEvidence := evidence[id]
+		total := evidence[id]
 		s := d.servers[id]
-		if s == nil && serverEvidence == nil {
+		if s == nil && total == nil {
 			continue
 		}
 		if s == nil {
 			s = &server{ejectionTime: BaseEjectionTime, startedAt: listed.Since}
 			d.servers[id] = s
 		}
-		if serverEvidence == nil {
-			serverEvidence = &fleetEvidence{}
-			evidence[id] = serverEvidence
+		if total == nil {
+			total = &fleetEvidence{}
+			evidence[id] = total
 		}
 		ids = append(ids, id)
 		limitBefore[id] = d.inFlightLimit(id, s, up)
-		s.failureRate, s.witnesses = serverEvidence.failureRate(), serverEvidence.witnesses
+		s.failureRate, s.witnesses = total.failureRate(), total.witnesses
 	}
 	slices.Sort(ids)
 	phaseBefore := map[uint32]Phase{}
@@ -222,42 +222,42 @@
 
 // advance applies the evidence to the phase of a server.
 func (d *Detector) advance(r *round, id uint32) {
-	s, evidence, now := d.servers[id], r.evidence[id], r.now
+	s, total, now := d.servers[id], r.evidence[id], r.now
 	outlier, reason := r.isOutlier(id)
 	switch s.phase {
 	case Healthy:
 		if s.since > 0 && now-s.since > 2*MaxEjectionTime {
 			s.ejectionTime = BaseEjectionTime // healthy for long: earlier failed trials no longer count
 		}
-		if outlier && now-evidence.lastFailure < s.ejectionTime {
-			s.voteUntil, s.reason = max(s.voteUntil, evidence.lastFailure+s.ejectionTime), reason
+		if outlier && now-total.lastFailure < s.ejectionTime {
+			s.voteUntil, s.reason = max(s.voteUntil, total.lastFailure+s.ejectionTime), reason
 		}
 		if s.voteUntil > now {
-			evidence.recordVote(d.self, s.voteUntil)
+			total.recordVote(d.self, s.voteUntil)
 		}
 		// The votes of minWitnesses members eject the server at every member that receives them, even if the evidence that the
 		// member itself holds would not suffice.
-		if votes, until := s.votes(now, now, evidence); votes >= minWitnesses {
+		if votes, until := s.votes(now, now, total); votes >= minWitnesses {
 			if s.voteUntil <= now {
 				s.reason = fmt.Sprintf("%d members vote to eject it", votes)
 			}
 			s.phase, s.since, s.until = Ejected, now, until
 		}
 	case Ejected:
-		if evidence.failed {
-			s.until = max(s.until, min(evidence.lastFailure, now)+s.ejectionTime)
+		if total.failed {
+			s.until = max(s.until, min(total.lastFailure, now)+s.ejectionTime)
 		}
 		if now >= s.until {
 			s.phase, s.since, s.step, s.voteUntil = Trial, now, 0, 0
 			s.reason = "the ejection ended without fresh evidence: on trial"
 		}
 	case Trial:
-		failures, successes := evidence.outcomesSince(s.since)
-		votes, until := s.votes(now, now+trialStepTime, evidence) // votes about to end belong to the previous ejection and do not count
+		failures, successes := total.outcomesSince(s.since)
+		votes, until := s.votes(now, now+trialStepTime, total) // votes about to end belong to the previous ejection and do not count
 		switch {
 		case failures >= minWitnesses || failures > 0 && successes == 0 && s.step == 0:
 			s.ejectionTime = min(2*s.ejectionTime, MaxEjectionTime)
-			s.phase, s.since, s.until = Ejected, now, evidence.lastFailure+s.ejectionTime
+			s.phase, s.since, s.until = Ejected, now, total.lastFailure+s.ejectionTime
 			s.voteUntil = s.until // members in a later step of their trial may not see the failures
 			s.reason = fmt.Sprintf("the trial failed at %d members", failures)
 		case votes >= minWitnesses: // the voters eject it again and send it nothing: no further failures can end this trial
@@ -274,12 +274,12 @@
 
 // votes returns the number of members whose vote for ejection ends later than after, and the end of the last such vote.
 // Votes about the server process before the last start do not count.
-func (s *server) votes(now, after control.Micros, evidence *fleetEvidence) (count int, until control.Micros) {
+func (s *server) votes(now, after control.Micros, total *fleetEvidence) (count int, until control.Micros) {
 	if s.startedAt > 0 && now-s.startedAt <= maxVoteAge {
 		return 0, 0
 	}
-	for i := range evidence.members {
-		if end := evidence.members[i].voteUntil; end > after {
+	for i := range total.members {
+		if end := total.members[i].voteUntil; end > after {
 			count++
 			until = max(until, end)
 		}
@@ -338,11 +338,11 @@
 // ejection returns the current ejection state of a known server.
 func (d *Detector) ejection(now control.Micros, id uint32) Ejection {
 	s := d.servers[id]
-	ejection := Ejection{Server: id, Phase: s.phase, Step: s.step, FailureRate: s.failureRate, Witnesses: slices.Clone(s.witnesses), Reason: s.reason}
+	result := Ejection{Server: id, Phase: s.phase, Step: s.step, FailureRate: s.failureRate, Witnesses: slices.Clone(s.witnesses), Reason: s.reason}
 	if s.phase == Ejected {
-		ejection.Remaining = max(0, s.until-now)
+		result.Remaining = max(0, s.until-now)
 	}
-	return ejection
+	return result
 }
 
 // Ejections returns the servers that are ejected or on trial, sorted by ID.
--- a/control/registers/errors.go
+++ b/control/registers/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// TooLarge says that a value is over its topic's bound. It was not taken.
+// TooLarge reports that a value exceeds the size bound of its topic. The value was rejected.
 type TooLarge struct {
 	Topic       Topic
 	Origin      string
@@ -10,62 +10,62 @@
 }
 
 func (e *TooLarge) Error() string {
-	return fmt.Sprintf("registers: %s of %s has %d bytes, over %d", e.Topic, e.Origin, e.Bytes, e.Most)
+	return fmt.Sprintf("registers: value of topic %s from %s has %d bytes, the limit is %d", e.Topic, e.Origin, e.Bytes, e.Most)
 }
 
 // Advice implements advice.Error.
 func (e *TooLarge) Advice() string {
-	return "name fewer rules or numbers in the section of this topic, or look whether " + e.Origin + " runs the same version"
+	return "configure fewer rules or numbers in the section of this topic, or check whether " + e.Origin + " runs the same version"
 }
 
-// BadOrigin says that a register names no possible origin.
+// BadOrigin reports that the name of a register's origin is empty or too long.
 type BadOrigin struct{ Bytes int }
 
 func (e *BadOrigin) Error() string {
-	return fmt.Sprintf("registers: an origin's name of %d bytes; it must have 1 to %d", e.Bytes, maxNameLength)
+	return fmt.Sprintf("registers: origin name has %d bytes, must have 1 to %d", e.Bytes, maxNameLength)
 }
 
 // Advice implements advice.Error.
 func (e *BadOrigin) Advice() string {
-	return "something that is no gatekeeper talks on the gossip port: look who, and set key_file"
+	return "a program that is not a gatekeeper sends to the gossip port: find it, and set key_file"
 }
 
-// Crowded says that registers of too many origins are held already.
+// Crowded reports that a register was rejected because its topic already holds the greatest number of origins.
 type Crowded struct {
 	Origin string
 	Most   int
 }
 
 func (e *Crowded) Error() string {
-	return fmt.Sprintf("registers: no room for %s: %d origins are held", e.Origin, e.Most)
+	return fmt.Sprintf("registers: register from %s rejected: %d origins are held already", e.Origin, e.Most)
 }
 
 // Advice implements advice.Error.
 func (e *Crowded) Advice() string {
-	return "more gatekeepers than this version carries, or names that change at each start: give each a name that stays"
+	return "there are more gatekeepers than this version supports, or their names change at each start: give each a permanent name"
 }
 
-// Doubled says that somebody else publishes under this member's name, with a later start than its own.
+// Doubled reports that another process publishes under this member's name, with a later start than its own.
 type Doubled struct {
 	Origin     string
 	Start, Own uint64
 }
 
 func (e *Doubled) Error() string {
-	return fmt.Sprintf("registers: %s of start %d publishes under the name of this member, which started at %d", e.Origin, e.Start, e.Own)
+	return fmt.Sprintf("registers: another process publishes as %s with start %d, this member has start %d", e.Origin, e.Start, e.Own)
 }
 
 // Advice implements advice.Error.
 func (e *Doubled) Advice() string {
-	return "two gatekeepers have one name: give each its own; or this machine's clock was set back: set it right and restart"
+	return "two gatekeepers have the same name: give each its own; or this machine's clock was set back: correct it and restart"
 }
 
-// Unset says that a topic was published that this book does not carry.
+// Unset reports that a value was put under a topic that has no spec.
 type Unset struct{ Topic Topic }
 
-func (e *Unset) Error() string { return fmt.Sprintf("registers: topic %s is not carried", e.Topic) }
+func (e *Unset) Error() string { return fmt.Sprintf("registers: topic %s has no spec", e.Topic) }
 
 // Advice implements advice.Error.
 func (e *Unset) Advice() string {
-	return "a defect of this program: report it with the version; nothing was told to the fleet"
+	return "this is a bug: report it with the version; nothing was published to the fleet"
 }
--- a/control/registers/registers.go
+++ b/control/registers/registers.go
@@ -1,11 +1,12 @@
-// Package registers keeps what the gatekeepers of a fleet publish to each other: one register for each topic and origin, of which
-// the newest wins, by the origin's start and the sequence within it. That is a state-based CRDT (a map of last-writer-wins
-// registers with a single writer each): merging is commutative, associative and idempotent, so gossip in any order, twice or
-// late never counts a thing twice. It does no I/O and reads no clock.
+// Package registers stores the values that the gatekeepers of a fleet publish to each other by gossip: one register for each
+// topic and origin. The newest value wins, by the start of the origin's process and the sequence number within it. This is a
+// state-based CRDT, a map of last-writer-wins registers with a single writer each. Merging is commutative, associative and
+// idempotent, so gossip may arrive in any order, more than once or late without being counted twice. The package does no I/O
+// and reads no clock.
 //
-// Ages. A register carries how old it is at least: its age when it was sent. Time on the wire is not in it, so a register is
-// never younger than it is held to be by more than that time; of two copies of one register the older age is the truer one.
-// What is older than its topic's Stale no longer counts, and neither does what a member that is not up has said.
+// Ages: a register carries its age at the time it was sent. The time on the wire is not included, so a register may be older
+// than its age says by that time, and of two copies of one register the greater age is more accurate. A register older than
+// the Stale age of its topic no longer counts, nor does a register whose origin is not up.
 package registers
 
 import (
@@ -16,21 +17,22 @@
 	"beammux/control"
 )
 
-// Topic names what a register is about. Numbers are part of the wire and never used again.
+// Topic identifies the subject of a register. The numbers are part of the wire format and are never reused.
 type Topic uint8
 
-// The topics.
+// Topics of registers.
 const (
-	Rates    Topic = 1 // calls a second by outcome and class
-	Limits   Topic = 2 // demand under shared limits
-	Evidence Topic = 3 // of servers, numbers and callers
-	Ranges   Topic = 4 // where in the number range load lies
-	Numbers  Topic = 5 // whose lines are all busy
-	Callers  Topic = 6 // that send what can't be read
+	Rates    Topic = 1 // calls per second by outcome and class
+	Limits   Topic = 2 // demand under limits shared by the fleet
+	Evidence Topic = 3 // successes and failures by server
+	Ranges   Topic = 4 // distribution of load over the number range
+	Numbers  Topic = 5 // numbers whose lines are all busy
+	Callers  Topic = 6 // callers that send unreadable messages
 )
 
 var topicNames = map[Topic]string{Rates: "rates", Limits: "limits", Evidence: "evidence", Ranges: "ranges", Numbers: "numbers", Callers: "callers"}
 
+// String returns the topic's name in messages.
 func (t Topic) String() string {
 	if name, ok := topicNames[t]; ok {
 		return name
@@ -41,66 +43,69 @@
 // MarshalText implements encoding.TextMarshaler.
 func (t Topic) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// Spec bounds a topic.
+// Spec sets the size bound and the timing of a topic.
 type Spec struct {
-	Bytes   int            // most of a value
-	Every   control.Micros // least time between changes that are sent, times the members by membersAtFullPace
-	Refresh control.Micros // an unchanged value is sent again after this, since silence must not pass for no change
-	Stale   control.Micros // a register of this age no longer counts
+	Bytes   int            // greatest size of a value
+	Every   control.Micros // least time between sent changes; grows in proportion above membersAtFullPace members
+	Refresh control.Micros // time after which an unchanged value is sent again, so that silence is not taken for no change
+	Stale   control.Micros // age after which a register no longer counts
 }
 
-// Bounds of a book.
+// Bounds of a Book.
 const (
-	maxOrigins        = 1024 // of others, for each topic
+	maxOrigins        = 1024 // other members held for each topic
 	maxNameLength     = 64   // bytes of an origin's name
-	membersAtFullPace = 16   // up to so many members publish at a topic's full pace; of more, each does so less often
+	membersAtFullPace = 16   // fleet size up to which each member publishes every Spec.Every; in larger fleets each does so less often
 )
 
-// Register is the state of one origin under one topic.
+// Register is the value of one origin under one topic.
 type Register struct {
 	Topic  Topic
 	Origin string
-	Start  uint64         // of the origin's process: a later start wins over any sequence of an earlier one
-	Seq    uint64         // counts the origin's values under the topic, from 1
-	Age    control.Micros // at least so old when it was handed over
+	Start  uint64         // start of the origin's process; a later start wins over any sequence number of an earlier one
+	Seq    uint64         // sequence number of the value at the origin under the topic, from 1
+	Age    control.Micros // least age when the register was handed over
 	Value  []byte
 }
 
-// newer tells whether a comes after b from the same origin.
+// newer reports whether a supersedes b, given that both have the same origin.
 func newer(a, b *Register) bool { return a.Start > b.Start || a.Start == b.Start && a.Seq > b.Seq }
 
-type received struct {
+// heldRegister is a register held by this member.
+type heldRegister struct {
 	Register
-	publishedAt control.Micros // at the latest, by this member's clock
+	publishedAt control.Micros // latest possible time of publication, by this member's clock
 }
 
+// ownRegister is a register of which this member is the origin.
 type ownRegister struct {
-	received
-	handedOverAt control.Micros // when it was last handed over
+	heldRegister
+	handedOverAt control.Micros // time when Due last returned it
 	changed      bool
 }
 
 // Book holds the registers of one member. It is not safe for concurrent use.
 type Book struct {
-	self     string
-	start    uint64
-	specs    map[Topic]Spec
-	own      map[Topic]*ownRegister
-	others   map[Topic]map[string]*received
-	newCount int64
-	oldCount int64
+	self            string
+	start           uint64
+	specs           map[Topic]Spec
+	own             map[Topic]*ownRegister
+	others          map[Topic]map[string]*heldRegister
+	acceptedCount   int64
+	supersededCount int64
 }
 
-// New makes the book of a member. Topics that are not in specs are not kept: a member of an older build passes over them.
+// New returns the empty book of the member named self, whose process has the given start. Topics without a spec are ignored, so
+// that an older build can run beside a newer one with more topics.
 func New(self string, start uint64, specs map[Topic]Spec) *Book {
-	b := &Book{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*received{}}
+	b := &Book{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*heldRegister{}}
 	for t := range specs {
-		b.others[t] = map[string]*received{}
+		b.others[t] = map[string]*heldRegister{}
 	}
 	return b
 }
 
-// Put sets this member's own value under a topic. The book keeps the slice.
+// Put sets this member's own value under a topic. The book keeps a reference to the slice. Errors are *Unset and *TooLarge.
 func (b *Book) Put(now control.Micros, t Topic, value []byte) error {
 	spec, ok := b.specs[t]
 	if !ok {
@@ -109,51 +114,54 @@
 	if len(value) > spec.Bytes {
 		return &TooLarge{t, b.self, len(value), spec.Bytes}
 	}
-	o := b.own[t]
-	if o == nil {
-		o = &ownRegister{received: received{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.Refresh}
-		b.own[t] = o
+	register := b.own[t]
+	if register == nil {
+		register = &ownRegister{heldRegister: heldRegister{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.Refresh}
+		b.own[t] = register
 	}
-	// The sequence counts what is sent: a value that was not sent yet is replaced in its place. A value that is put again is
-	// as fresh as a new one, and is sent again at Refresh.
-	if !o.changed && !slices.Equal(o.Value, value) {
-		o.changed = true
+	// The sequence number counts sent values, so a value that was not sent yet is replaced without a new number. An equal value
+	// renews the publication time and is sent again after Refresh.
+	if !register.changed && !slices.Equal(register.Value, value) {
+		register.changed = true
 	}
-	o.Value, o.publishedAt = value, now
+	register.Value, register.publishedAt = value, now
 	return nil
 }
 
-// Due returns the own registers to be sent now in a fleet of so many members: changed ones at their topic's pace, the others
-// after Refresh.
+// Due returns this member's registers that are to be sent now, in a fleet of the given size: changed ones at the pace of their
+// topic, the others after Refresh.
 func (b *Book) Due(now control.Micros, members int) (due []Register) {
 	for _, t := range b.topics() {
-		o, spec := b.own[t], b.specs[t]
-		if o == nil {
+		register, spec := b.own[t], b.specs[t]
+		if register == nil {
 			continue
 		}
 		interval := control.Micros(max(1, float64(members)/membersAtFullPace) * float64(spec.Every))
-		since := now - o.handedOverAt
-		if !(o.changed && since >= interval || since >= max(interval, spec.Refresh)) {
+		since := now - register.handedOverAt
+		if !(register.changed && since >= interval || since >= max(interval, spec.Refresh)) {
 			continue
 		}
-		o.Seq++
-		o.handedOverAt, o.changed = now, false
-		due = append(due, o.copy(now))
+		register.Seq++
+		register.handedOverAt, register.changed = now, false
+		due = append(due, register.copy(now))
 	}
 	return due
 }
 
-func (h *received) copy(now control.Micros) Register {
+// copy returns the register with its age as of now.
+func (h *heldRegister) copy(now control.Micros) Register {
 	r := h.Register
 	r.Age = max(0, now-h.publishedAt)
 	return r
 }
 
+// topics returns the topics in order.
 func (b *Book) topics() []Topic { return slices.Sorted(maps.Keys(b.specs)) }
 
-// Merge takes a received register. It returns whether that is new, and to be passed on. Topics that the book does not carry
-// are ignored without an error: a newer build may have more.
-func (b *Book) Merge(now control.Micros, r Register) (news bool, err error) {
+// Merge applies a received register. It reports whether the register is new, so that it is to be passed on. Topics without a
+// spec are ignored without an error, since a newer build may have more. Errors are *BadOrigin, *TooLarge, *Doubled and
+// *Crowded.
+func (b *Book) Merge(now control.Micros, r Register) (isNew bool, err error) {
 	spec, ok := b.specs[r.Topic]
 	if !ok {
 		return false, nil
@@ -166,73 +174,74 @@
 	case r.Origin == b.self && r.Start > b.start:
 		return false, &Doubled{r.Origin, r.Start, b.start}
 	case r.Origin == b.self || r.Age < 0 || r.Age > spec.Stale:
-		return false, nil // of an earlier process of this name; or nobody counts it any more
+		return false, nil // from an earlier process of this member, or with an age at which no member counts it
 	}
-	at := now - r.Age
-	h := b.others[r.Topic][r.Origin]
+	published := now - r.Age
+	held := b.others[r.Topic][r.Origin]
 	switch {
-	case h == nil:
+	case held == nil:
 		if len(b.others[r.Topic]) >= maxOrigins {
 			return false, &Crowded{r.Origin, maxOrigins}
 		}
-	case newer(&r, &h.Register):
+	case newer(&r, &held.Register):
 	default:
-		b.oldCount++
-		if r.Start == h.Start && r.Seq == h.Seq {
-			h.publishedAt = min(h.publishedAt, at)
+		b.supersededCount++
+		if r.Start == held.Start && r.Seq == held.Seq {
+			held.publishedAt = min(held.publishedAt, published)
 		}
 		return false, nil
 	}
 	r.Age = 0
-	b.others[r.Topic][r.Origin] = &received{r, at}
-	b.newCount++
+	b.others[r.Topic][r.Origin] = &heldRegister{r, published}
+	b.acceptedCount++
 	return true, nil
 }
 
-// State returns every register that still counts by its age, for another member's Merge.
+// State returns all registers that are not stale, for Merge at another member.
 func (b *Book) State(now control.Micros) (all []Register) {
 	for _, t := range b.topics() {
-		if o := b.own[t]; o != nil && o.Seq > 0 && !o.changed && now-o.publishedAt <= b.specs[t].Stale {
-			all = append(all, o.copy(now))
+		if register := b.own[t]; register != nil && register.Seq > 0 && !register.changed && now-register.publishedAt <= b.specs[t].Stale {
+			all = append(all, register.copy(now))
 		}
 		for _, name := range b.origins(t) {
-			if h := b.others[t][name]; now-h.publishedAt <= b.specs[t].Stale {
-				all = append(all, h.copy(now))
+			if held := b.others[t][name]; now-held.publishedAt <= b.specs[t].Stale {
+				all = append(all, held.copy(now))
 			}
 		}
 	}
 	return all
 }
 
+// origins returns the other members with a register under a topic, sorted by name.
 func (b *Book) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
 
-// Read returns what counts under a topic now: the own value, and those of members that are up with that start and not older
-// than Stale; by origin.
+// Read returns the registers that count under a topic now, sorted by origin. These are this member's own and those of origins
+// that up reports to be up with that start; none is older than Stale.
 func (b *Book) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
 	stale := b.specs[t].Stale
-	if o := b.own[t]; o != nil && now-o.publishedAt <= stale {
-		all = append(all, o.copy(now))
+	if register := b.own[t]; register != nil && now-register.publishedAt <= stale {
+		all = append(all, register.copy(now))
 	}
 	for _, name := range b.origins(t) {
-		if h := b.others[t][name]; now-h.publishedAt <= stale && up(name, h.Start) {
-			all = append(all, h.copy(now))
+		if held := b.others[t][name]; now-held.publishedAt <= stale && up(name, held.Start) {
+			all = append(all, held.copy(now))
 		}
 	}
 	slices.SortFunc(all, func(a, b Register) int { return cmp.Compare(a.Origin, b.Origin) })
 	return all
 }
 
-// Forget drops what has long ceased to count, so that names of the past use no memory. Copies of it that still circulate are
-// older than Stale and are not accepted again.
+// Forget deletes registers that have been stale for long, so that names of former members use no memory. Copies that still
+// circulate are older than Stale and are not accepted again.
 func (b *Book) Forget(now control.Micros) {
 	for t, all := range b.others {
-		for name, h := range all {
-			if now-h.publishedAt > 4*b.specs[t].Stale {
+		for name, held := range all {
+			if now-held.publishedAt > 4*b.specs[t].Stale {
 				delete(all, name)
 			}
 		}
 	}
 }
 
-// Counts returns how many received registers were new, and how many were duplicates or late.
-func (b *Book) Counts() (news, old int64) { return b.newCount, b.oldCount }
+// Counts returns the number of received registers that were new, and of those that were duplicates or superseded.
+func (b *Book) Counts() (accepted, superseded int64) { return b.acceptedCount, b.supersededCount }
