--- a/control/quota/bucket.go
+++ b/control/quota/bucket.go
@@ -6,22 +6,23 @@
 	"beammux/control"
 )
 
-// bucket is a token bucket whose rate and capacity change while it is used. Tokens come by the rate alone, and what exceeds the
-// capacity is lost. So over any time it gives at most what it held at the beginning plus its rate times the time.
+// bucket is a token bucket whose rate and capacity may change while it is in use. Tokens are added only by the rate, and tokens
+// above the capacity are lost. Over any time, the bucket therefore yields at most its initial tokens plus rate times time.
 //
-// A part of its tokens is reserved for calls of the greatest worth: it fills with the same part of the rate, and other calls
-// take only what lies above it.
+// A share of the tokens is reserved for calls of the greatest worth. The reserve fills with the same share of the rate, and
+// other calls take only tokens beyond the reserve.
 type bucket struct {
-	rate          float64 // tokens a second
+	rate          float64 // tokens per second
 	capacity      float64
 	tokens        float64
-	reservedShare float64 // part of the rate and of the capacity that is reserved
-	reserved      float64
+	reservedShare float64 // share of the rate and of the capacity that is reserved
+	reserved      float64 // tokens in the reserve
 	updatedAt     control.Micros
 }
 
+// refill adds the tokens due since the last update.
 func (b *bucket) refill(now control.Micros) {
-	if now <= b.updatedAt { // the first use, or a clock that went back
+	if now <= b.updatedAt { // no time has passed, or the clock was set back
 		return
 	}
 	refill := b.rate * float64(now-b.updatedAt) / 1e6
@@ -30,10 +31,10 @@
 	b.reserved = min(b.maxReserved(), b.reserved+b.reservedShare*refill)
 }
 
-// maxReserved leaves room for one call without access to the reserve.
+// maxReserved returns the capacity of the reserve. It leaves one token for calls without access to the reserve.
 func (b *bucket) maxReserved() float64 { return max(0, min(b.reservedShare*b.capacity, b.capacity-1)) }
 
-// set changes rate and capacity as of a time.
+// set changes the rate and the capacity as of now.
 func (b *bucket) set(now control.Micros, rate, capacity float64) {
 	b.refill(now)
 	b.rate, b.capacity = rate, capacity
@@ -41,9 +42,10 @@
 	b.reserved = min(b.reserved, b.maxReserved())
 }
 
-// whole is a token but for what floating point loses.
+// wholeToken is one token, less an allowance for floating-point errors.
 const wholeToken = 1 - 1e-9
 
+// has reports whether a token is available, including the reserve if fromReserve is set.
 func (b *bucket) has(fromReserve bool) bool {
 	if fromReserve {
 		return b.tokens >= wholeToken
@@ -51,6 +53,7 @@
 	return b.tokens-b.reserved >= wholeToken
 }
 
+// take removes one token.
 func (b *bucket) take(fromReserve bool) {
 	b.tokens--
 	if fromReserve {
@@ -59,7 +62,8 @@
 	b.reserved = min(b.reserved, max(0, b.tokens))
 }
 
-// wait is the time until a call could go if no other came, +Inf where none ever can at this rate.
+// wait returns the microseconds until a token is available if no other call takes one, or +Inf if the rate or the capacity never
+// yields one.
 func (b *bucket) wait(fromReserve bool) float64 {
 	missing, rate := 1-b.tokens, b.rate
 	if !fromReserve {
--- a/control/quota/near.go
+++ b/control/quota/near.go
@@ -6,40 +6,41 @@
 	"beammux/control"
 )
 
-// The near mode. Each member publishes a claim for each rule: the rate that it wants to spend. A claim grows at most by the
-// whole limit in GrowTime, and a member spends at most the lowest rate that it has claimed over the last SettleTime. So whoever
-// has received a claim not older than SettleTime knows of no less than the member spends; to an older claim as much is added as
-// it may have grown since. Let v be the vector of the rates that the members spend by, and w what one of them takes it for.
-// Then w >= v in each place but its own, and its max-min share, which falls as the others' wants rise, is at most its share by
-// v: the sum over all members is at most the limit. Members without a report are taken to want without bound, so a member that
-// is cut off spends its fixed part.
+// Mode Near. Each member publishes a claim for each rule: the rate that it wants to use. A claim grows at most by the whole
+// limit in GrowTime, and a member uses at most the lowest rate that it has claimed over the last SettleTime. A claim received
+// within SettleTime is therefore no lower than the rate that its member uses; an older claim is raised by the amount that it
+// may have grown since. Let v be the vector of the members' rates, and w one member's estimate of it. Then w >= v in each
+// component but the member's own, and its max-min share, which falls as the others' claims rise, is at most its share by v.
+// So the sum over all members is at most the limit. A member without a report is assumed to claim without bound, so a
+// partitioned member uses its fixed share of 1/Parts.
 //
-// Ages count from when a register was sent, and include all but the time on the wire itself. TransitAllowance is added to each
-// age for that. If a register is on its way for d, its claim may be underestimated by the growth over d - TransitAllowance.
-// Bound, for n members of which each register is on its way for at most d, with e = max(0, d - TransitAllowance):
+// Ages count from the time a register was sent and exclude only the time on the wire, for which TransitAllowance is added to
+// each age. If a register is in transit for time d, its claim may be underestimated by the growth over d - TransitAllowance.
+// The bound for n members, with registers in transit for at most d and e = max(0, d - TransitAllowance), is
 //
 //	calls admitted over t <= per_s x t + burst + (n-1) x min(1, n x e / GrowTime) x per_s x t
 //
-// which is the strict bound while e is 0. Between partitions there are no reports at all: then each member spends its fixed
-// part, and the bound is the strict one again, as long as no more than Parts members run.
+// This equals the strict bound per_s x t + burst while e is 0. Between partitions there are no reports at all: each member uses
+// its fixed share, and the strict bound holds again as long as no more than Parts members run.
 
-// claim is one shared capacity in near mode, at this member.
+// claim is this member's claim on one shared capacity in mode Near, with the others' claims.
 type claim struct {
-	history  []announcement // of the last SettleTime, and the one before it
-	latest   float64        // as last announced
+	history  []announcement // announcements of the last SettleTime, and the one before them
+	latest   float64        // value of the last announcement
 	latestAt control.Micros
 
-	othersWant []float64 // what the others are assumed to want, as of reportedAt
-	othersOpen float64   // slots in use at them
+	othersWant []float64 // claims that the other members are assumed to have, as of reportedAt
+	othersOpen float64   // slots in use at the other members
 	reportedAt control.Micros
 }
 
+// announcement is a published value of a claim.
 type announcement struct {
-	at    control.Micros
-	value float64
+	publishedAt control.Micros
+	value       float64
 }
 
-// announce updates the claim towards what is wanted, growing as fast as it may, and returns what to publish.
+// announce moves the claim towards want, limited by the allowed growth, and returns the value to publish.
 func (c *claim) announce(now control.Micros, want, limit float64) float64 {
 	grown := c.latest + limit*float64(now-c.latestAt)/float64(GrowTime)
 	if c.latestAt == 0 {
@@ -47,22 +48,22 @@
 	}
 	c.latest, c.latestAt = max(0, min(want, grown)), now
 	c.history = append(c.history, announcement{now, c.latest})
-	for len(c.history) > 1 && c.history[1].at <= now-SettleTime {
+	for len(c.history) > 1 && c.history[1].publishedAt <= now-SettleTime {
 		c.history = c.history[1:]
 	}
 	return c.latest
 }
 
-// spendable is what this member may spend: the lowest claim over the last SettleTime. It is 0 for a member that has no claim so
-// old, or has announced nothing for SettleTime/2, as after a suspension.
+// spendable returns what this member may use: the lowest claim over the last SettleTime. It returns 0 for a member that has no
+// claim of that age, or that has announced nothing for SettleTime/2, for example while it was suspended.
 func (c *claim) spendable(now control.Micros) float64 {
-	if len(c.history) == 0 || c.history[0].at > now-SettleTime || c.history[len(c.history)-1].at < now-SettleTime/2 {
+	if len(c.history) == 0 || c.history[0].publishedAt > now-SettleTime || c.history[len(c.history)-1].publishedAt < now-SettleTime/2 {
 		return 0
 	}
 	least := math.Inf(1)
 	for i, s := range c.history {
-		// An announcement holds until the next one: the last before the span counts in it.
-		if i+1 < len(c.history) && c.history[i+1].at <= now-SettleTime {
+		// An announcement holds until the next one, so the last one before the interval counts as well.
+		if i+1 < len(c.history) && c.history[i+1].publishedAt <= now-SettleTime {
 			continue
 		}
 		least = min(least, s.value)
@@ -70,23 +71,23 @@
 	return least
 }
 
-// Claims are what a member publishes of one rule.
+// Claims holds what a member publishes about one rule.
 type Claims struct {
-	Rate     float64 `cbor:"1,keyasint,omitempty"` // a second
+	Rate     float64 `cbor:"1,keyasint,omitempty"` // calls per second
 	Open     float64 `cbor:"2,keyasint,omitempty"` // slots
-	Standing float64 `cbor:"3,keyasint,omitempty"` // of them in use
+	Standing float64 `cbor:"3,keyasint,omitempty"` // slots in use
 }
 
-// Report is what another member that is up published, at least Age ago.
+// Report holds the claims of another member that is up, published at least Age ago.
 type Report struct {
 	Origin string
 	Age    control.Micros
 	Claims map[string]Claims // by rule
 }
 
-// OwnClaims returns what this member is to publish now, by rule. It must be called every SettleTime/8 or more often.
+// OwnClaims returns the claims that this member is to publish now, by rule. It must be called at least every SettleTime/8.
 func (m *Member) OwnClaims(now control.Micros) map[string]Claims {
-	out := map[string]Claims{}
+	claims := map[string]Claims{}
 	for _, s := range m.states {
 		if s.Mode != Near {
 			continue
@@ -97,14 +98,14 @@
 		}
 		if s.Open > 0 {
 			c.Standing = float64(s.open)
-			c.Open = s.slotClaim.announce(now, math.Ceil(float64(s.open)+spareSlots+s.refusedOpen.read(now)), float64(s.Open))
+			c.Open = s.slotClaim.announce(now, math.Ceil(float64(s.open)+spareSlots+s.refusedBySlots.read(now)), float64(s.Open))
 		}
-		out[s.Name] = c
+		claims[s.Name] = c
 	}
-	return out
+	return claims
 }
 
-// roundUp keeps about two and a half digits: a claim that hardly moves need not be published again.
+// roundUp rounds up to about two and a half digits, so that a claim that hardly changes need not be published again.
 func roundUp(v float64) float64 {
 	if v <= 0 {
 		return 0
@@ -113,7 +114,7 @@
 	return math.Ceil(v/step) * step
 }
 
-// ApplyReports takes what the others published and sets what this member may spend until the next call.
+// ApplyReports applies the claims of the other members and sets what this member may use until the next call of ApplyReports.
 func (m *Member) ApplyReports(now control.Micros, all []Report) {
 	for _, s := range m.states {
 		if s.Mode != Near {
@@ -124,7 +125,7 @@
 		for _, r := range all {
 			c, ok := r.Claims[s.Name]
 			if !ok {
-				continue // it does not have the rule yet: as a member without a report
+				continue // the member does not have the rule yet and counts as one without a report
 			}
 			mayHaveGrown := float64(max(0, r.Age+TransitAllowance+ReportLifetime-SettleTime)) / float64(GrowTime)
 			rates = append(rates, c.Rate+mayHaveGrown*s.PerS)
@@ -136,12 +137,12 @@
 	}
 }
 
-// refreshNear sets bucket and slots by the claims. Reports are used as they are for ReportLifetime; after that the others are
-// assumed to grow, also for time in which this was not called.
+// refreshNear sets a rule's bucket and slots from the claims. Reports are used unchanged for ReportLifetime. After that the
+// others' claims are assumed to grow, including during time in which refreshNear was not called.
 func (m *Member) refreshNear(now control.Micros, s *ruleState) {
-	at, overdue := now, max(0, now-s.rateClaim.reportedAt-ReportLifetime)
+	refreshedAt, overdue := now, max(0, now-s.rateClaim.reportedAt-ReportLifetime)
 	if overdue > 0 {
-		at = s.rateClaim.reportedAt + ReportLifetime
+		refreshedAt = s.rateClaim.reportedAt + ReportLifetime
 	}
 	rate := m.share(s.rateClaim.spendable(now), s.PerS, s.rateClaim.othersWant, overdue)
 	capacity := 0.0
@@ -149,23 +150,23 @@
 		parts := float64(m.limits.Parts)
 		capacity = floorTokens + max(0, s.Burst-parts*floorTokens)*min(1, rate/s.PerS)
 	}
-	s.bucket.set(at, rate*(1-Drift), capacity)
+	s.bucket.set(refreshedAt, rate*(1-Drift), capacity)
 	s.bucket.refill(now)
 	s.slots = math.Floor(min(m.share(s.slotClaim.spendable(now), float64(s.Open), s.slotClaim.othersWant, overdue), float64(s.Open)-s.slotClaim.othersOpen) + 1e-9)
 }
 
-// share is this member's part of a limit, by its own spendable rate and what the others wanted as of a time overdue ago.
+// share returns this member's share of a limit, given its own spendable value and the others' claims as of a time overdue ago.
 func (m *Member) share(own, limit float64, others []float64, overdue control.Micros) float64 {
 	grown := float64(overdue) / float64(GrowTime) * limit // since the reports
 	wants := []float64{own}
-	sum := own
+	claimed := own
 	for _, w := range others {
 		wants = append(wants, w+grown)
-		sum += w + grown
+		claimed += w + grown
 	}
 	unknown := max(0, m.limits.Parts-len(wants))
-	if l := fairLevel(limit, wants, unknown); !math.IsInf(l, 1) {
-		return min(own, l)
+	if level := fairLevel(limit, wants, unknown); !math.IsInf(level, 1) {
+		return min(own, level)
 	}
-	return own + (limit-sum)/float64(len(wants)) // what nobody claims is shared equally
+	return own + (limit-claimed)/float64(len(wants)) // the unclaimed rest is shared equally
 }
--- a/control/quota/share.go
+++ b/control/quota/share.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// level is the water level of max-min fairness: what each may have at most, so that the sum of min(want, level) over all
-// wants, and level for each of so many unknown ones, is the capacity. It is +Inf where the wants fit and nobody is unknown.
+// fairLevel returns the water level of max-min fairness: the greatest share of one holder, such that the sum of min(want, level)
+// over all wants, plus level for each of the unknown wants, equals the capacity. It returns +Inf if all wants fit and none is
+// unknown.
 func fairLevel(capacity float64, wants []float64, unknown int) float64 {
 	w := slices.Sorted(slices.Values(wants))
 	left := capacity
@@ -23,12 +24,12 @@
 	return max(0, left/float64(unknown))
 }
 
-// shares deals a capacity out by max-min fairness.
+// fairShares divides a capacity among wants by max-min fairness.
 func fairShares(capacity float64, wants []float64) []float64 {
 	l := fairLevel(capacity, wants, 0)
-	out := make([]float64, len(wants))
+	shares := make([]float64, len(wants))
 	for i, w := range wants {
-		out[i] = min(w, l)
+		shares[i] = min(w, l)
 	}
-	return out
+	return shares
 }
--- a/control/quota/silence_test.go
+++ b/control/quota/silence_test.go
@@ -8,43 +8,44 @@
 	"beammux/control"
 )
 
-// A pause of 80 ms in what 100 calls a second bring to a member, as where it or its callers are held up for a moment, costs
-// it no share of a near limit: its claim would be gone for SettleTime and more. Demand that has ended is let go all the same.
-func TestShortSilenceKeepsTheShare(t *testing.T) {
+// A gap of 80 ms in a load of 100 calls per second, as when the process or its callers are briefly delayed, does not reduce a
+// member's share of a limit in mode Near. A reduced claim would be unavailable for SettleTime or longer. The share of a member
+// whose demand has ended is still released.
+func TestShortSilenceKeepsShare(t *testing.T) {
 	const step, seconds = control.Micros(10_000), 10
 	now := control.Micros(1e6)
 	limits := Limits{Rules: []Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: Near, PerS: 20, Burst: 12}}, Parts: 2}
 	a, b := NewMember("a", 1, limits, now), NewMember("b", 1, limits, now)
-	taken := map[*Member]int{}
-	call := func(m *Member) {
+	admitted := map[*Member]int{}
+	offerCall := func(m *Member) {
 		m.Arrived(now, -1, 0, "x")
 		if c, ok, _ := m.Take(now, -1, 0, "x"); ok {
 			m.Done(c)
-			taken[m]++
+			admitted[m]++
 		}
 	}
 	run := func(seconds int, paused func(inSecond control.Micros) bool) {
 		for end := now + control.Micros(seconds)*1e6; now < end; now += step {
 			inSecond := now % 1e6
 			if !paused(inSecond) {
-				call(a)
+				offerCall(a)
 			}
-			call(b)
+			offerCall(b)
 			if inSecond%(SettleTime/10) == 0 {
-				ofA, ofB := a.OwnClaims(now), b.OwnClaims(now)
-				a.ApplyReports(now, []Report{{Origin: "b", Claims: ofB}})
-				b.ApplyReports(now, []Report{{Origin: "a", Claims: ofA}})
+				claimsOfA, claimsOfB := a.OwnClaims(now), b.OwnClaims(now)
+				a.ApplyReports(now, []Report{{Origin: "b", Claims: claimsOfB}})
+				b.ApplyReports(now, []Report{{Origin: "a", Claims: claimsOfA}})
 			}
 		}
 	}
 	run(3, func(control.Micros) bool { return false })
-	clear(taken)
+	clear(admitted)
 	run(seconds, func(inSecond control.Micros) bool { return inSecond > 420_000 && inSecond <= 500_000 })
-	require.Greater(t, taken[a], 9*seconds, "of 10 a second")
-	require.Greater(t, taken[b], 9*seconds)
+	require.Greater(t, admitted[a], 9*seconds, "the share is 10 per second")
+	require.Greater(t, admitted[b], 9*seconds)
 
 	run(2, func(control.Micros) bool { return true })
-	clear(taken)
+	clear(admitted)
 	run(1, func(control.Micros) bool { return true })
-	require.Greater(t, taken[b], 18, "a wants nothing any more")
+	require.Greater(t, admitted[b], 18, "the demand at a has ended")
 }
--- a/control/quota/table.go
+++ b/control/quota/table.go
@@ -9,70 +9,74 @@
 	"beammux/control"
 )
 
-// Ask is the part of a request that concerns one capacity.
+// Ask is the part of a request for one capacity.
 type Ask struct {
 	Name     string  `json:"name"`
-	Capacity float64 `json:"capacity"` // as configured at the member; the lowest of all holders counts
-	Keep     float64 `json:"keep"`     // of its lease: the member has gone down to that before it asked
+	Capacity float64 `json:"capacity"` // as configured at the member; the lowest of all holders applies
+	Keep     float64 `json:"keep"`     // rate of its lease that the member keeps; it no longer uses more when it sends the request
 	Want     float64 `json:"want"`
 }
 
-// Request asks for leases on all capacities that a member shares, and renews them.
+// Request is a member's request for new or renewed leases on all capacities that it shares.
 type Request struct {
 	Member      string         `json:"member"`
-	Incarnation uint64         `json:"start"` // of its process
-	Seq         uint64         `json:"seq"`   // counts its requests
+	Incarnation uint64         `json:"start"` // start of the member's process
+	Seq         uint64         `json:"seq"`   // sequence number of the process's requests
 	Duration    control.Micros `json:"for_us"`
 	Asks        []Ask          `json:"asks"`
 }
 
-// Lease is what a member holds of one capacity.
+// Lease is a member's share of one capacity.
 type Lease struct {
 	Name   string  `json:"name"`
 	Rate   float64 `json:"rate"`
-	Target float64 `json:"target"` // its fair share now: it goes down to that before it asks again
+	Target float64 `json:"target"` // the member's fair share now, to which it reduces its rate before the next request
 }
 
-// Answer is what a request brought.
+// Answer is the response to a Request.
 type Answer struct {
-	Seq    uint64  `json:"seq"` // of the last request that was applied: an older one was ignored
+	Seq    uint64  `json:"seq"` // of the last request that was applied; older requests are ignored
 	Leases []Lease `json:"leases"`
 }
 
-// Table is what is leased, as it lies in the store: a record of it is changed by Reduce alone.
+// Table holds all leases, as stored in the replicated store. Only Reduce changes the stored record.
 type Table struct {
-	Epoch   uint64            `json:"epoch"`  // of the leader whose clock Now is
-	Now     control.Micros    `json:"now_us"` // by that clock
+	Epoch   uint64            `json:"epoch"`  // term of the store leader whose clock Now is read from
+	Now     control.Micros    `json:"now_us"` // latest time of that clock
 	Pools   map[string]*pool  `json:"pools"`
-	LastSeq map[string]uint64 `json:"seqs"` // last request of each process
+	LastSeq map[string]uint64 `json:"seqs"` // sequence number of the last request, by process
 }
 
+// pool holds the leases on one capacity.
 type pool struct {
 	Holders map[string]*holder `json:"holders"` // by process
 }
 
+// holder is one process's lease on a capacity.
 type holder struct {
 	Capacity float64        `json:"capacity"`
 	Rate     float64        `json:"rate"`
 	Want     float64        `json:"want"`
 	Duration control.Micros `json:"for_us"`
-	Expiry   control.Micros `json:"until_us"` // by the leader's clock, with margin
+	Expiry   control.Micros `json:"until_us"` // by the leader's clock, including the margin
 }
 
-// Drift is how fast clocks of two machines may part, as a part of the time. Margin is added to it. Both are on the safe
-// side of each: a holder ends early, the table late.
+// Drift is the greatest relative drift between the clocks of two machines, and Margin is a fixed allowance on top of it. Both
+// err on the safe side: a holder ends its lease early, the table ends it late.
 const (
 	Drift  = 0.002
 	Margin = control.Micros(50000)
 )
 
+// expiryAtTable returns how long the table keeps a lease of the given duration.
 func expiryAtTable(lease control.Micros) control.Micros {
 	return lease + control.Micros(2*Drift*float64(lease)) + Margin
 }
 
-// Reduce carries a request out on a table, as the store's machine does, alike at every member. epoch is the leader's term and
-// now its monotonic clock when it took the request: after its holder sent it, so a lease ends at its holder, which counts
-// from then, before it ends here. A new leader's clock has nothing to do with the last one's: each lease begins anew with it.
+// Reduce applies an encoded request to an encoded table, as a deterministic step of the store's state machine. epoch is the
+// leader's term and now its monotonic clock at the time it received the request. That is after the holder sent the request, so
+// a lease ends at its holder, which counts from the sending, before it ends in the table. The clock of a new leader is
+// unrelated to that of the previous one, so all leases restart with a new leader. Errors are *Unreadable and *StaleEpochError.
 func Reduce(old, request []byte, epoch uint64, now control.Micros) (table, answer []byte, err error) {
 	t := &Table{}
 	if len(old) > 0 {
@@ -92,12 +96,12 @@
 		answer, err = json.Marshal(a)
 	}
 	if err != nil {
-		return nil, nil, &Unreadable{"table of leases", err} // a number that is none
+		return nil, nil, &Unreadable{"table of leases", err} // a number that JSON can't represent, such as NaN
 	}
 	return table, answer, nil
 }
 
-// Take is Reduce on a table that is read.
+// Apply is Reduce on a decoded table and request.
 func (t *Table) Apply(r Request, epoch uint64, now control.Micros) (*Answer, error) {
 	if epoch < t.Epoch {
 		return nil, &StaleEpochError{epoch, t.Epoch}
@@ -115,69 +119,70 @@
 	}
 	t.Now = max(t.Now, now)
 	t.expire()
-	who := fmt.Sprintf("%s@%d", r.Member, r.Incarnation)
-	a := &Answer{Seq: t.LastSeq[who]}
+	holderName := fmt.Sprintf("%s@%d", r.Member, r.Incarnation)
+	a := &Answer{Seq: t.LastSeq[holderName]}
 	if r.Seq > a.Seq {
 		a.Seq = r.Seq
-		t.LastSeq[who] = r.Seq
+		t.LastSeq[holderName] = r.Seq
 		for _, ask := range r.Asks {
-			t.grant(who, &r, ask)
+			t.grant(holderName, &r, ask)
 		}
 	}
 	for _, ask := range r.Asks {
 		p := t.Pools[ask.Name]
-		if p == nil || p.Holders[who] == nil {
+		if p == nil || p.Holders[holderName] == nil {
 			continue
 		}
-		a.Leases = append(a.Leases, Lease{ask.Name, p.Holders[who].Rate, p.target(who)})
+		a.Leases = append(a.Leases, Lease{ask.Name, p.Holders[holderName].Rate, p.target(holderName)})
 	}
 	return a, nil
 }
 
-// expire drops leases that have ended, and what is left of processes without any.
+// expire deletes leases that have ended, and the sequence numbers of processes without a lease.
 func (t *Table) expire() {
 	live := map[string]bool{}
 	for name, p := range t.Pools {
-		for who, h := range p.Holders {
+		for holderName, h := range p.Holders {
 			if h.Expiry <= t.Now {
-				delete(p.Holders, who)
+				delete(p.Holders, holderName)
 			} else {
-				live[who] = true
+				live[holderName] = true
 			}
 		}
 		if len(p.Holders) == 0 {
 			delete(t.Pools, name)
 		}
 	}
-	for who := range t.LastSeq {
-		if !live[who] {
-			delete(t.LastSeq, who)
+	for holderName := range t.LastSeq {
+		if !live[holderName] {
+			delete(t.LastSeq, holderName)
 		}
 	}
 }
 
-// grant renews a holder's lease: it never grows by more than nobody else holds. A late copy of a request of a process whose
-// lease has ended finds nothing to keep.
-func (t *Table) grant(who string, r *Request, ask Ask) {
+// grant renews a holder's lease. The lease grows at most by the capacity that is not leased. A delayed copy of a request from a
+// process whose lease has ended has no lease to keep.
+func (t *Table) grant(holderName string, r *Request, ask Ask) {
 	p := t.Pools[ask.Name]
 	if p == nil {
 		p = &pool{Holders: map[string]*holder{}}
 		t.Pools[ask.Name] = p
 	}
-	h := p.Holders[who]
+	h := p.Holders[holderName]
 	if h == nil {
 		h = &holder{}
-		p.Holders[who] = h
+		p.Holders[holderName] = h
 	}
 	h.Capacity, h.Want, h.Duration = ask.Capacity, max(0, ask.Want), r.Duration
 	h.Expiry = t.Now + expiryAtTable(r.Duration)
 	h.Rate = max(0, min(h.Rate, ask.Keep))
-	if target := p.target(who); target > h.Rate {
+	if target := p.target(holderName); target > h.Rate {
 		h.Rate += max(0, min(target-h.Rate, p.capacity()-p.leased()))
 	}
 }
 
-// capacity is the least that a holder names: while files differ, as during a reload, the tighter one counts.
+// capacity returns the least capacity that a holder requested, so that the lower limit applies while the members' settings
+// differ, as during a reload.
 func (p *pool) capacity() float64 {
 	least := -1.0
 	for _, h := range p.Holders {
@@ -188,21 +193,24 @@
 	return max(0, least)
 }
 
+// names returns the holders in order.
 func (p *pool) names() []string { return slices.Sorted(maps.Keys(p.Holders)) }
 
-// held is summed in the order of names, since the order of a sum shows in its last digits.
+// leased returns the sum of all leases. It adds in the order of names, since the order of floating-point additions affects the
+// result, which must be the same at every member of the store.
 func (p *pool) leased() (sum float64) {
-	for _, who := range p.names() {
-		sum += p.Holders[who].Rate
+	for _, holderName := range p.names() {
+		sum += p.Holders[holderName].Rate
 	}
 	return sum
 }
 
-func (p *pool) target(who string) float64 {
+// target returns a holder's fair share of the capacity.
+func (p *pool) target(holderName string) float64 {
 	names := p.names()
 	wants := make([]float64, len(names))
 	for i, name := range names {
 		wants[i] = p.Holders[name].Want
 	}
-	return fairShares(p.capacity(), wants)[slices.Index(names, who)]
+	return fairShares(p.capacity(), wants)[slices.Index(names, holderName)]
 }
