--- a/control/retry/budget.go
+++ b/control/retry/budget.go
@@ -3,47 +3,47 @@
 import "beammux/control"
 
 const (
-	windowSlots = 10                  // of the moving window
-	slotSpan    = control.Micros(1e6) // of each
-	windowS     = 10                  // all of it in seconds
+	windowSlots = 10                  // slots of the sliding window
+	slotSpan    = control.Micros(1e6) // duration of a slot
+	windowS     = 10                  // duration of the window in seconds
 )
 
-// Budget bounds the further attempts of all calls together, so that retries can't multiply an overload. A further
-// attempt needs both:
+// Budget bounds the retries of all calls together, so that retries can't amplify an overload. A retry must be allowed by both:
 //
-//   - the window: over the last 10 s, further attempts are at most Ratio of the first attempts, or MinPerS times 10 s
-//     where that is more;
-//   - the bucket: it holds Burst at most and fills at the pace that the window allows, so what the window leaves isn't
-//     sent in one moment.
+//   - the window: over the last 10 s, the retries are at most Ratio times the first attempts, or MinPerS times 10 s if that
+//     is more;
+//   - the bucket: it holds at most Burst tokens and fills at the rate that the window allows, so that the retries allowed by
+//     the window are not sent all at once.
 //
-// The dearer classes go last: what a class's own first attempts brought into the window is kept for it against classes
-// worth less, as far as it has not used it, and a part of the bucket is kept in the same proportion. Classes worth less
-// keep nothing against it, so it may use the whole budget.
+// Classes of greater worth have priority. The share of the window earned by a class's own first attempts is reserved for it
+// against classes of less worth, as far as the class has not used it, and a share of the bucket is reserved in the same
+// proportion. Classes of less worth have no reserve against the class, so it may use the whole budget.
 //
-// A clock that steps back loses nothing and brings nothing; one that steps ahead empties the window.
+// A clock that steps back neither adds to the budget nor takes from it; one that steps ahead empties the window.
 type Budget struct {
-	figures BudgetFigures
-	worth   []float64 // by class
+	config BudgetFigures
+	worth  []float64 // by class
 	*counts
 }
 
-// counts outlive a change of the figures.
+// counts is the state of a budget, which is kept when the configuration changes.
 type counts struct {
-	slots        [windowSlots][]tally // by class
-	sum          []tally              // over the window, by class
-	first, again int                  // over the window and all classes
-	slot         int64                // number of the current slot
-	last         control.Micros       // latest time told
-	shift        control.Micros       // what the clock has stepped back in all
-	tokens       float64
-	begun        bool
+	slots          [windowSlots][]tally // by class
+	sum            []tally              // of the window, by class
+	first, retries int                  // of the window and all classes
+	slot           int64                // number of the current slot
+	latest         control.Micros       // latest time, after correction by shift
+	shift          control.Micros       // total of the clock's backward steps
+	tokens         float64
+	started        bool // the first time is known
 }
 
-type tally struct{ first, again int }
+// tally counts first attempts and retries.
+type tally struct{ first, retries int }
 
-// NewBudget makes a full budget for the classes of the settings. Not safe for concurrent use.
+// NewBudget returns a budget with a full bucket for the classes of the settings. It is not safe for concurrent use.
 func NewBudget(f BudgetFigures, classes []control.Class) *Budget {
-	b := &Budget{figures: f, counts: &counts{sum: make([]tally, len(classes)), tokens: float64(f.Burst)}}
+	b := &Budget{config: f, counts: &counts{sum: make([]tally, len(classes)), tokens: float64(f.Burst)}}
 	for i := range b.slots {
 		b.slots[i] = make([]tally, len(classes))
 	}
@@ -63,58 +63,58 @@
 	}
 }
 
-// Take asks for a further attempt of a class and counts it if it may go.
+// Take reports whether a retry of a class is allowed now, and counts it if so.
 func (b *Budget) Take(now control.Micros, class int) bool {
 	b.advance(now)
 	if class < 0 || class >= len(b.sum) {
 		return false
 	}
 	allowed := b.allowed()
-	kept, part := 0.0, 0.0
+	reserved, reservedShare := 0.0, 0.0
 	if b.first > 0 {
-		for d, t := range b.sum {
-			if b.worth[d] > b.worth[class] {
-				own := float64(t.first) / float64(b.first)
-				part += own
-				kept += max(0, allowed*own-float64(t.again))
+		for other, count := range b.sum {
+			if b.worth[other] > b.worth[class] {
+				earnedShare := float64(count.first) / float64(b.first)
+				reservedShare += earnedShare
+				reserved += max(0, allowed*earnedShare-float64(count.retries))
 			}
 		}
 	}
-	if float64(b.again+1)+kept > allowed || b.tokens-1 < part*float64(b.figures.Burst-1) {
+	if float64(b.retries+1)+reserved > allowed || b.tokens-1 < reservedShare*float64(b.config.Burst-1) {
 		return false
 	}
 	b.tokens--
-	b.again++
-	b.sum[class].again++
-	b.slots[b.slot%windowSlots][class].again++
+	b.retries++
+	b.sum[class].retries++
+	b.slots[b.slot%windowSlots][class].retries++
 	return true
 }
 
-// allowed is the most further attempts in the window.
+// allowed returns the greatest number of retries in the window.
 func (b *Budget) allowed() float64 {
-	return max(b.figures.Ratio*float64(b.first), float64(b.figures.MinPerS*windowS))
+	return max(b.config.Ratio*float64(b.first), float64(b.config.MinPerS*windowS))
 }
 
-// advance brings the window and the bucket up to a time.
+// advance brings the window and the bucket up to date.
 func (b *Budget) advance(now control.Micros) {
 	now += b.shift
-	if !b.begun {
-		b.begun, b.last, b.slot = true, now, int64(now/slotSpan)
+	if !b.started {
+		b.started, b.latest, b.slot = true, now, int64(now/slotSpan)
 	}
-	if now < b.last { // the clock stepped back: go on from where it was
-		b.shift += b.last - now
-		now = b.last
+	if now < b.latest { // the clock stepped back: continue from the latest time
+		b.shift += b.latest - now
+		now = b.latest
 	}
-	pace := b.allowed() / windowS
-	b.tokens = min(b.tokens+pace*float64(now-b.last)/1e6, float64(b.figures.Burst))
-	b.last = now
+	rate := b.allowed() / windowS
+	b.tokens = min(b.tokens+rate*float64(now-b.latest)/1e6, float64(b.config.Burst))
+	b.latest = now
 	slot := int64(now / slotSpan)
 	for n := min(slot-b.slot, windowSlots); n > 0; n-- {
-		for class, t := range b.slots[(slot-n+1)%windowSlots] {
-			b.sum[class].first -= t.first
-			b.sum[class].again -= t.again
-			b.first -= t.first
-			b.again -= t.again
+		for class, count := range b.slots[(slot-n+1)%windowSlots] {
+			b.sum[class].first -= count.first
+			b.sum[class].retries -= count.retries
+			b.first -= count.first
+			b.retries -= count.retries
 			b.slots[(slot-n+1)%windowSlots][class] = tally{}
 		}
 	}
--- a/control/retry/diff.go
+++ b/control/retry/diff.go
@@ -8,29 +8,29 @@
 
 // Change is one difference between two policies for calls of one class.
 type Change struct {
-	Class  string `json:"class,omitempty"` // none: for all calls
-	Route  string `json:"route,omitempty"` // name; none: calls that no route takes
-	What   string `json:"what"`            // a figure, match, order, budget or second_copies
-	Before string `json:"before"`          // empty: there was none
-	After  string `json:"after"`           // empty: there is none any more
+	Class  string `json:"class,omitempty"` // empty: all calls
+	Route  string `json:"route,omitempty"` // name of the route; empty: calls that match no route
+	What   string `json:"what"`            // a parameter, or match, order, budget or second_copies
+	Before string `json:"before"`          // empty: not present before
+	After  string `json:"after"`           // empty: not present after
 }
 
-// Diff tells what a new policy changes for which class and route. Routes are known by their names. Either may be nil: then
-// all is as the settings say.
+// Diff returns the changes from one policy to another, by class and route. Routes are identified by name. A nil policy has the
+// limits of the settings.
 func Diff(before, after *Policy, rules Rules) (changes []Change) {
-	plain := func(p *Policy) *Policy {
+	defaults := func(p *Policy) *Policy {
 		if p == nil {
 			p, _ = Compile(&File{}, rules)
 		}
 		return p
 	}
-	before, after = plain(before), plain(after)
+	before, after = defaults(before), defaults(after)
 	add := func(class, route, what, x, y string) {
 		if x != y {
 			changes = append(changes, Change{class, route, what, x, y})
 		}
 	}
-	figures := func(class, route string, x, y *Resolved) {
+	addValues := func(class, route string, x, y *Resolved) {
 		for f := range Figures {
 			add(class, route, f.String(), f.Text(x.Values[f]), f.Text(y.Values[f]))
 		}
@@ -38,44 +38,44 @@
 	add("", "", "second_copies", fmt.Sprint(before.file.SecondCopies), fmt.Sprint(after.file.SecondCopies))
 	add("", "", "budget", before.file.Budget.String(), after.file.Budget.String())
 	for c, class := range rules.Names {
-		figures(class, "", before.plain[c], after.plain[c])
-		was, is := before.named(c), after.named(c)
-		for _, name := range is {
-			y := after.routes[c][slices.Index(is, name)].Resolved
-			if i := slices.Index(was, name); i >= 0 {
+		addValues(class, "", before.defaults[c], after.defaults[c])
+		namesBefore, namesAfter := before.routeNames(c), after.routeNames(c)
+		for _, name := range namesAfter {
+			y := after.routes[c][slices.Index(namesAfter, name)].Resolved
+			if i := slices.Index(namesBefore, name); i >= 0 {
 				x := before.routes[c][i].Resolved
 				add(class, name, "match", before.file.Routes[x.Route].Match.String(), after.file.Routes[y.Route].Match.String())
-				figures(class, name, x, y)
-			} else { // its calls had the limits of their class
+				addValues(class, name, x, y)
+			} else { // before, these calls had the limits of their class
 				add(class, name, "match", "", after.file.Routes[y.Route].Match.String())
-				figures(class, name, before.plain[c], y)
+				addValues(class, name, before.defaults[c], y)
 			}
 		}
-		for i, name := range was {
-			if !slices.Contains(is, name) {
+		for i, name := range namesBefore {
+			if !slices.Contains(namesAfter, name) {
 				x := before.routes[c][i].Resolved
 				add(class, name, "match", before.file.Routes[x.Route].Match.String(), "")
-				figures(class, name, x, after.plain[c])
+				addValues(class, name, x, after.defaults[c])
 			}
 		}
-		missing := func(of []string) func(string) bool {
-			return func(name string) bool { return !slices.Contains(of, name) }
+		missing := func(others []string) func(string) bool {
+			return func(name string) bool { return !slices.Contains(others, name) }
 		}
-		x, y := slices.DeleteFunc(slices.Clone(was), missing(is)), slices.DeleteFunc(slices.Clone(is), missing(was))
+		x, y := slices.DeleteFunc(slices.Clone(namesBefore), missing(namesAfter)), slices.DeleteFunc(slices.Clone(namesAfter), missing(namesBefore))
 		add(class, "", "order", strings.Join(x, ", "), strings.Join(y, ", "))
 	}
 	return changes
 }
 
-// named gives the names of the routes that can take a class's calls, in order.
-func (p *Policy) named(class int) (names []string) {
+// routeNames returns the names of the routes that can match calls of a class, in order.
+func (p *Policy) routeNames(class int) (names []string) {
 	for _, r := range p.routes[class] {
 		names = append(names, r.Name)
 	}
 	return names
 }
 
-// String gives a match as words.
+// String describes the matched calls.
 func (m Match) String() string {
 	var words []string
 	if m.Class != "" {
@@ -96,7 +96,7 @@
 	return strings.Join(words, ", ")
 }
 
-// String gives a budget as words; a nil one as none.
+// String describes the budget; a nil one is "none".
 func (b *BudgetFigures) String() string {
 	if b == nil {
 		return "none"
--- a/control/retry/match.go
+++ b/control/retry/match.go
@@ -6,40 +6,44 @@
 	"strings"
 )
 
-// matcher is a Match made ready. The class is looked at before.
+// matcher is a Match prepared for fast evaluation. It does not include the class, which the caller has compared before.
 type matcher struct {
 	number string
-	prefix bool // number is the beginning of the numbers that match
+	prefix bool // number is a prefix of the matching numbers
 	first  int  // cell, or anyCell
 	again  int8 // 0 no, 1 yes, -1 any
 }
 
+// anyCell is the value of matcher.first that matches all cells.
 const anyCell = -1 << 31
 
+// newMatcher returns the matcher of a Match.
 func newMatcher(m Match) matcher {
-	r := matcher{first: anyCell, again: -1}
-	r.number, r.prefix = strings.CutSuffix(m.Number, "*")
+	result := matcher{first: anyCell, again: -1}
+	result.number, result.prefix = strings.CutSuffix(m.Number, "*")
 	if m.Number == "" {
-		r.prefix = true
+		result.prefix = true
 	}
 	if m.FirstChoice != nil {
-		r.first = *m.FirstChoice
+		result.first = *m.FirstChoice
 	}
 	if m.Again != nil {
-		r.again = 0
+		result.again = 0
 		if *m.Again {
-			r.again = 1
+			result.again = 1
 		}
 	}
-	return r
+	return result
 }
 
-func (m *matcher) admits(cell int, again int8) bool {
+// matchesExceptNumber reports whether the conditions other than the number match.
+func (m *matcher) matchesExceptNumber(cell int, again int8) bool {
 	return (m.first == anyCell || m.first == cell) && (m.again < 0 || m.again == again)
 }
 
-func (m *matcher) takes(number string, cell int, again int8) bool {
-	if !m.admits(cell, again) {
+// matches reports whether all conditions match.
+func (m *matcher) matches(number string, cell int, again int8) bool {
+	if !m.matchesExceptNumber(cell, again) {
 		return false
 	}
 	if m.prefix {
@@ -48,19 +52,20 @@
 	return number == m.number
 }
 
-// numbers tells whether every number that o takes is one that m takes.
-func (m *matcher) numbers(o *matcher) bool {
+// coversNumbers reports whether m matches every number that o matches.
+func (m *matcher) coversNumbers(other *matcher) bool {
 	if m.prefix {
-		return strings.HasPrefix(o.number, m.number)
+		return strings.HasPrefix(other.number, m.number)
 	}
-	return !o.prefix && o.number == m.number
+	return !other.prefix && other.number == m.number
 }
 
-// covered finds routes that never match, since earlier ones take all their calls. Classes, cells that the routes name
-// (and one that stands for the others) and the two kinds of "again" are gone through one by one, so routes that only
-// together take all are found. Numbers have no end, so there only a single earlier route can take all of a beginning.
-func (p *Policy) covered() (faults []Fault) {
-	cells := []int{anyCell + 1} // stands for those that no route names
+// coveredRoutes returns a fault for each route that never matches, because earlier routes match all its calls. It enumerates the classes,
+// the cells that the routes name (plus one that represents all others) and both values of "again", so it also finds routes that
+// are covered only by several earlier ones together. Numbers can't be enumerated, so the numbers of a route are covered only if
+// a single earlier route matches all of them.
+func (p *Policy) coveredRoutes() (faults []Fault) {
+	cells := []int{anyCell + 1} // represents all cells that no route names
 	for _, r := range p.file.Routes {
 		if r.FirstChoice != nil && !slices.Contains(cells, *r.FirstChoice) {
 			cells = append(cells, *r.FirstChoice)
@@ -70,39 +75,39 @@
 	for i, r := range p.file.Routes {
 		matchers[i] = newMatcher(r.Match)
 	}
-	// taker gives the first route before i that takes all such calls of route i, or -1.
-	taker := func(i int, class string, cell int, again int8) int {
-		for at := range i {
-			o, c := &matchers[at], p.file.Routes[at].Class
-			if (c == "" || c == class) && o.admits(cell, again) && o.numbers(&matchers[i]) {
-				return at
+	// taker returns the first route before i that matches all such calls of route i, or -1.
+	coveringRoute := func(i int, class string, cell int, again int8) int {
+		for earlier := range i {
+			other, c := &matchers[earlier], p.file.Routes[earlier].Class
+			if (c == "" || c == class) && other.matchesExceptNumber(cell, again) && other.coversNumbers(&matchers[i]) {
+				return earlier
 			}
 		}
 		return -1
 	}
 	for i, r := range p.file.Routes {
-		left, by := false, []int{}
+		reachable, coveredBy := false, []int{}
 		for _, class := range p.rules.Names {
 			for _, cell := range cells {
 				for again := range int8(2) {
-					if r.Class != "" && r.Class != class || !matchers[i].admits(cell, again) {
+					if r.Class != "" && r.Class != class || !matchers[i].matchesExceptNumber(cell, again) {
 						continue
 					}
-					at := taker(i, class, cell, again)
-					left = left || at < 0
-					if at >= 0 && !slices.Contains(by, at) {
-						by = append(by, at)
+					earlier := coveringRoute(i, class, cell, again)
+					reachable = reachable || earlier < 0
+					if earlier >= 0 && !slices.Contains(coveredBy, earlier) {
+						coveredBy = append(coveredBy, earlier)
 					}
 				}
 			}
 		}
-		if left || len(by) == 0 {
+		if reachable || len(coveredBy) == 0 {
 			continue
 		}
-		slices.Sort(by)
+		slices.Sort(coveredBy)
 		var names []string
-		for _, at := range by {
-			names = append(names, fmt.Sprintf("routes[%d] (%q)", at, p.file.Routes[at].Name))
+		for _, earlier := range coveredBy {
+			names = append(names, fmt.Sprintf("routes[%d] (%q)", earlier, p.file.Routes[earlier].Name))
 		}
 		faults = append(faults, Fault{Path: fmt.Sprintf("calls.routes[%d]", i),
 			What: fmt.Sprintf("%q can never match: %s before it takes all its calls", r.Name, strings.Join(names, " with "))})
--- a/control/retry/proof.go
+++ b/control/retry/proof.go
@@ -8,27 +8,28 @@
 	"beammux/control"
 )
 
-// Figures of the running gatekeeper that the proof counts with.
+// Delays of a running gatekeeper that the proof allows for.
 const (
-	SocketSlack = control.Micros(50000)  // by so much an end may be told late on sockets
-	TickSlack   = control.Micros(50000)  // by so much the module may be late to send what it held
-	plainStand  = control.Micros(500000) // T1 of RFC 3261, 17.1.1.1, where the settings name no gap of their own
+	SocketSlack      = control.Micros(50000)  // greatest delay until the end of an attempt is reported by its socket
+	TickSlack        = control.Micros(50000)  // greatest delay until the control module sends a waiting attempt
+	defaultResendGap = control.Micros(500000) // T1 of RFC 3261, section 17.1.1.1, used if the settings have no ResendGap
 )
 
-// ends are the ways in which an attempt fails. A time-out comes first: of courses alike it is the one to show.
+// ends lists the outcomes of a failed attempt. The time-out is first, since it is the one to show among courses that are
+// otherwise alike.
 var ends = []control.Code{control.TimedOut, control.Cut, control.Cancelled, control.Failed, control.Full, control.Unreachable, control.NotSent}
 
 // Step is one attempt within a course. Times count from the arrival of the call.
 type Step struct {
-	Start, End control.Micros // End is when it is known to have ended
+	Start, End control.Micros // End is the time at which the end is known
 	Code       control.Code
-	Wait       control.Micros // from End to the next attempt; 0 after the last
+	Wait       control.Micros // time from End to the next attempt; 0 after the last
 }
 
-// Course is one way that a call can go when every attempt fails.
+// Course is one possible sequence of attempts of a call when every attempt fails.
 type Course []Step
 
-// End is when the last attempt of the course is known to have ended.
+// End returns the time at which the end of the last attempt is known, or 0 without attempts.
 func (c Course) End() control.Micros {
 	if len(c) == 0 {
 		return 0
@@ -36,7 +37,7 @@
 	return c[len(c)-1].End
 }
 
-// String gives the course in one line, in milliseconds.
+// String formats the course in one line, with times in milliseconds.
 func (c Course) String() string {
 	var parts []string
 	for i, s := range c {
@@ -45,17 +46,17 @@
 	return strings.Join(parts, ", ")
 }
 
-// proof goes through the courses of calls and gathers the rules that any of them breaks. A fault of one value is told
-// once, with the first calls that it was seen for.
+// proof explores the courses of calls and collects a fault for each rule that a course breaks. A fault of one value is reported
+// once, for the first calls that it was found for.
 type proof struct {
-	rules  Rules
-	found  []Fault
-	more   []int // calls of further routes or classes that the same fault was seen for
-	done   map[proven]bool
-	breach func(rule breach, c Course)
+	rules   Rules
+	found   []Fault
+	similar []int // by fault: number of further routes or classes with the same fault
+	done    map[proven]bool
+	breach  func(rule breach, c Course)
 }
 
-// proven marks what needs no second proof: the same values from the same places in a class of the same rules.
+// proven identifies limits that need to be proven only once: the same values of the same origin, for a class with the same rules.
 type proven struct {
 	Values
 	from     [Figures]string
@@ -63,39 +64,42 @@
 	deadline control.Micros
 }
 
+// breach is a rule that a course breaks.
 type breach int
 
 const (
-	outlasts breach = iota // an attempt is out when the caller has given up
-	noTime                 // an attempt begins too late to stand
-	tooSoon                // sent again within the release guard
-	repeated               // sent again though it may have run and must not be repeated
+	outlastsCall       breach = iota // an attempt is in flight when the call is given up
+	startsTooLate                    // an attempt starts too late to be established before the call is given up
+	withinReleaseGuard               // a retry is sent within the release guard
+	forbiddenRepeat                  // a retry is sent although an attempt may have run and the class forbids repetition
 )
 
 func newProof(rules Rules) *proof {
 	return &proof{rules: rules, done: map[proven]bool{}}
 }
 
+// faults returns all faults found.
 func (p *proof) faults() []Fault {
-	for i, n := range p.more {
+	for i, n := range p.similar {
 		if n > 0 {
-			p.found[i].What += fmt.Sprintf(" (and %d more like it)", n)
+			p.found[i].What += fmt.Sprintf(" (and %d more with the same fault)", n)
 		}
 	}
 	return p.found
 }
 
+// fault records a fault of a parameter, once for each place in the file.
 func (p *proof) fault(r *Resolved, f Figure, what string) {
 	path := r.From[f] + "." + f.String()
-	i := slices.IndexFunc(p.found, func(o Fault) bool { return o.Path == path })
+	i := slices.IndexFunc(p.found, func(other Fault) bool { return other.Path == path })
 	if i >= 0 {
-		p.more[i]++
+		p.similar[i]++
 		return
 	}
-	p.found, p.more = append(p.found, Fault{Path: path, What: what}), append(p.more, 0)
+	p.found, p.similar = append(p.found, Fault{Path: path, What: what}), append(p.similar, 0)
 }
 
-// cause picks the figure to blame: the first of those that the file sets.
+// cause returns the parameter to name in a fault: the first of the given ones that the file sets, else the first.
 func cause(r *Resolved, figures ...Figure) Figure {
 	for _, f := range figures {
 		if r.Set(f) {
@@ -105,7 +109,7 @@
 	return figures[0]
 }
 
-// check proves the limits of one class's calls by one route.
+// check proves the limits of the calls of one class that match one route.
 func (p *proof) check(r *Resolved) {
 	class := p.rules.Classes[r.Class]
 	key := proven{r.Values, r.From, class.Repeat, class.Deadline}
@@ -113,19 +117,19 @@
 		return
 	}
 	p.done[key] = true
-	who := p.rules.who(r)
+	subject := p.rules.subject(r)
 	ms := func(m control.Micros) string { return fmt.Sprintf("%d ms", m/1000) }
-	l := &r.Limits
-	if r.Set(Attempts) && l.Attempts > p.rules.AttemptsCap {
-		p.fault(r, Attempts, fmt.Sprintf("%d is over %d, the most that the deployment allows", l.Attempts, p.rules.AttemptsCap))
-		l.Attempts = p.rules.AttemptsCap // the file is refused; what else breaks a rule is told too
+	limits := &r.Limits
+	if r.Set(Attempts) && limits.Attempts > p.rules.AttemptsCap {
+		p.fault(r, Attempts, fmt.Sprintf("%d is over %d, the most that the deployment allows", limits.Attempts, p.rules.AttemptsCap))
+		limits.Attempts = p.rules.AttemptsCap // the file is refused anyway; continue with a valid value to find other faults
 	}
 	if slices.Min(r.Values[:]) < 0 {
 		return
 	}
-	if r.Set(GiveUp) && l.GiveUp > class.Deadline && class.Deadline > 0 {
-		p.fault(r, GiveUp, fmt.Sprintf("%s outlasts the callers: %s are given up by them after %s", ms(l.GiveUp), who, ms(class.Deadline)))
-		l.GiveUp = class.Deadline
+	if r.Set(GiveUp) && limits.GiveUp > class.Deadline && class.Deadline > 0 {
+		p.fault(r, GiveUp, fmt.Sprintf("%s outlasts the callers: %s are given up by them after %s", ms(limits.GiveUp), subject, ms(class.Deadline)))
+		limits.GiveUp = class.Deadline
 	}
 	seen := map[breach]bool{}
 	p.breach = func(b breach, c Course) {
@@ -133,34 +137,35 @@
 			return
 		}
 		seen[b] = true
-		at := c[len(c)-1]
+		last := c[len(c)-1]
 		switch b {
-		case outlasts:
+		case outlastsCall:
 			p.fault(r, cause(r, AttemptTimeout, GiveUp), fmt.Sprintf("an attempt of %s lasts %s and outlasts the call, which is given up after %s",
-				who, ms(l.AttemptTimeout), ms(l.GiveUp)))
-		case noTime:
+				subject, ms(limits.AttemptTimeout), ms(limits.GiveUp)))
+		case startsTooLate:
 			p.fault(r, cause(r, Attempts, AttemptTimeout), fmt.Sprintf("attempt %d of %s has no time left to stand: sent %s after the call came, "+
-				"with %s until it is given up at %s (%s needed): %s", len(c), who, ms(at.Start), ms(max(0, l.GiveUp-at.Start)), ms(l.GiveUp),
-				ms(p.stand(r)), c[:len(c)-1]))
-		case tooSoon:
+				"with %s until it is given up at %s (%s needed): %s", len(c), subject, ms(last.Start), ms(max(0, limits.GiveUp-last.Start)), ms(limits.GiveUp),
+				ms(p.minSetupTime(r)), c[:len(c)-1]))
+		case withinReleaseGuard:
 			p.fault(r, cause(r, RetryWait), fmt.Sprintf("%s sends %s again within %s (the release guard) of an attempt that may have run: %s",
-				ms(l.Wait), who, ms(p.rules.ReleaseGuard), c))
-		case repeated:
-			p.fault(r, cause(r, RetryOn), fmt.Sprintf("%s would be repeated, which their class forbids once an attempt may have run: %s", who, c))
+				ms(limits.Wait), subject, ms(p.rules.ReleaseGuard), c))
+		case forbiddenRepeat:
+			p.fault(r, cause(r, RetryOn), fmt.Sprintf("%s would be repeated, which their class forbids once an attempt may have run: %s", subject, c))
 		}
 	}
-	if l.AttemptTimeout > 0 && l.GiveUp > 0 && l.AttemptTimeout > l.GiveUp {
-		p.breach(outlasts, Course{{End: l.AttemptTimeout, Code: control.TimedOut}})
+	if limits.AttemptTimeout > 0 && limits.GiveUp > 0 && limits.AttemptTimeout > limits.GiveUp {
+		p.breach(outlastsCall, Course{{End: limits.AttemptTimeout, Code: control.TimedOut}})
 		return
 	}
 	p.explore(r, func(Course) {})
 }
 
-// stand is the least time in which a set-up can stand: until it would be sent again, or its time-out if shorter.
-func (p *proof) stand(r *Resolved) control.Micros {
+// minSetupTime returns the least time that a set-up needs to be established: the time until it would be retransmitted, or its time-out if
+// that is shorter.
+func (p *proof) minSetupTime(r *Resolved) control.Micros {
 	least := p.rules.ResendGap
 	if least <= 0 {
-		least = plainStand
+		least = defaultResendGap
 	}
 	if t := r.Limits.AttemptTimeout; t > 0 {
 		least = min(least, t)
@@ -168,81 +173,82 @@
 	return least
 }
 
-// explore goes through every course of a call: every order of ends, each at its earliest and its latest, waits with no
-// jitter and with all of it, slack of sockets and of the module left out and in. Courses that have come to the same
-// point (attempts sent, time, whether one may have run) go on alike, so each point is gone on from once.
+// explore visits every course of a call: every sequence of outcomes, each at its earliest and its latest time, with the least and
+// the greatest jitter, and with and without the slack of sockets and of the control module. Courses that reach the same point
+// (attempts sent, time, whether one may have run) continue alike, so each point is explored once.
 func (p *proof) explore(r *Resolved, visit func(Course)) {
 	type point struct {
-		tries int
-		start control.Micros
-		ran   bool
+		tries      int
+		start      control.Micros
+		mayHaveRun bool
 	}
-	l, class := r.Limits, p.rules.Classes[r.Class]
-	limit := l.AttemptTimeout
-	if limit == 0 || l.GiveUp > 0 && limit > l.GiveUp {
-		limit = l.GiveUp
+	limits, class := r.Limits, p.rules.Classes[r.Class]
+	maxDuration := limits.AttemptTimeout
+	if maxDuration == 0 || limits.GiveUp > 0 && maxDuration > limits.GiveUp {
+		maxDuration = limits.GiveUp
 	}
-	been := map[point]bool{}
+	visited := map[point]bool{}
 	var course Course
-	var from func(start control.Micros, ran bool)
-	from = func(start control.Micros, ran bool) {
-		at := point{len(course), start, ran}
-		if been[at] {
+	var exploreFrom func(start control.Micros, mayHaveRun bool)
+	exploreFrom = func(start control.Micros, mayHaveRun bool) {
+		current := point{len(course), start, mayHaveRun}
+		if visited[current] {
 			return
 		}
-		been[at] = true
-		// Without a time-out of its own an attempt lasts to the call's end, and a further one goes only where it can stand.
-		if late := l.GiveUp > 0 && start+p.stand(r) > l.GiveUp; late && len(course) > 0 {
-			if l.AttemptTimeout > 0 {
-				p.breach(noTime, append(slices.Clone(course), Step{Start: start}))
+		visited[current] = true
+		// An attempt without a time-out of its own lasts until the end of the call. A retry is sent only if it has the time to be
+		// established.
+		if late := limits.GiveUp > 0 && start+p.minSetupTime(r) > limits.GiveUp; late && len(course) > 0 {
+			if limits.AttemptTimeout > 0 {
+				p.breach(startsTooLate, append(slices.Clone(course), Step{Start: start}))
 			}
 			return
 		}
 		for _, code := range ends {
-			end := start + limit
-			if l.GiveUp > 0 {
-				end = min(end, l.GiveUp)
+			end := start + maxDuration
+			if limits.GiveUp > 0 {
+				end = min(end, limits.GiveUp)
 			}
 			times := []control.Micros{end + SocketSlack, end, start}
 			if code == control.TimedOut {
 				times = times[:2]
 			}
-			ran := ran || control.MayHaveRun.Has(code)
+			mayHaveRun := mayHaveRun || control.MayHaveRun.Has(code)
 			for _, end := range times {
 				course = append(course, Step{Start: start, End: end, Code: code})
 				visit(course)
-				if len(course) < l.Attempts && l.RetryOn.Has(code) && (code != control.TimedOut || l.AttemptTimeout > 0) {
-					if ran && class.Repeat != control.ReadLike {
-						p.breach(repeated, course)
+				if len(course) < limits.Attempts && limits.RetryOn.Has(code) && (code != control.TimedOut || limits.AttemptTimeout > 0) {
+					if mayHaveRun && class.Repeat != control.ReadLike {
+						p.breach(forbiddenRepeat, course)
 					}
-					for _, w := range p.waits(l, code) {
-						course[len(course)-1].Wait = w
-						if control.Guarded.Has(code) && w < p.rules.ReleaseGuard {
-							p.breach(tooSoon, course)
+					for _, wait := range p.waits(limits, code) {
+						course[len(course)-1].Wait = wait
+						if control.Guarded.Has(code) && wait < p.rules.ReleaseGuard {
+							p.breach(withinReleaseGuard, course)
 							continue
 						}
-						from(end+w, ran)
+						exploreFrom(end+wait, mayHaveRun)
 					}
 				}
 				course = course[:len(course)-1]
 			}
 		}
 	}
-	from(0, false)
+	exploreFrom(0, false)
 }
 
-// waits gives the longest and the shortest wait after an end. A wait that the file sets is taken at its word; else the
-// module waits for the release guard where the rules ask for it.
-func (p *proof) waits(l control.Limits, code control.Code) []control.Micros {
-	least, most := l.Wait, l.Wait+l.Jitter
-	if l.Wait == 0 && control.Guarded.Has(code) {
-		least = p.rules.ReleaseGuard
-		most = max(most, least)
+// waits returns the longest and the shortest wait after an outcome. A wait set by the file is used as it is. Otherwise the control
+// module waits for the release guard if the outcome requires it.
+func (p *proof) waits(limits control.Limits, code control.Code) []control.Micros {
+	shortest, longest := limits.Wait, limits.Wait+limits.Jitter
+	if limits.Wait == 0 && control.Guarded.Has(code) {
+		shortest = p.rules.ReleaseGuard
+		longest = max(longest, shortest)
 	}
-	return []control.Micros{most + TickSlack, least}
+	return []control.Micros{longest + TickSlack, shortest}
 }
 
-// Worst gives the course that ends last, and so keeps a caller waiting longest without an answer.
+// Worst returns the course that ends last, and so keeps a caller waiting longest for an answer.
 func (p *Policy) Worst(r *Resolved) (worst Course) {
 	proof := newProof(p.rules)
 	proof.breach = func(breach, Course) {}
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -1,9 +1,9 @@
-// Package retry holds what the operators' file says on time-outs and attempts: the limits of each call, which rule of
-// the file gives them, the budget of further attempts, and the proof that no course of a call under them breaks a rule.
+// Package retry implements the retry policy of the deploy file: the limits of each call, the part of the file that sets each of
+// them, the retry budget, and a proof that no possible sequence of attempts of a call under these limits breaks a rule.
 //
-// It does no I/O and reads no clock. Whether a call is tried again is decided by package control, which asks the limits
-// that a call brings along. The terms are those of retry policies in proxies: an attempt has a time-out, a call has a
-// number of attempts, outcomes on which to retry, a wait (back-off) with jitter, and all calls share a retry budget.
+// The package does no I/O and reads no clock. Package control decides whether a call is retried, by the limits attached to the
+// call. The terms are those of retry policies in proxies: an attempt has a time-out, a call has a number of attempts, outcomes
+// on which to retry, and a wait (back-off) with jitter, and all calls share a retry budget.
 package retry
 
 import (
@@ -17,32 +17,33 @@
 	"beammux/control"
 )
 
-// Figure names one of the values that the file can set.
+// Figure identifies one parameter of the retry policy.
 type Figure int
 
-// The figures. Their names in the file are those of String.
+// Parameters of the retry policy. String returns their keys in the file.
 const (
-	Attempts       Figure = iota // most attempts of a call, the first included
-	AttemptTimeout               // microseconds after which an attempt is given up
-	RetryWait                    // microseconds between the end of an attempt and the next
-	RetryJitter                  // microseconds: the most that is added to the wait, drawn evenly
+	Attempts       Figure = iota // greatest number of attempts of a call, including the first
+	AttemptTimeout               // microseconds after which an attempt is abandoned
+	RetryWait                    // microseconds between the end of an attempt and the next attempt
+	RetryJitter                  // microseconds: greatest addition to the wait, drawn from a uniform distribution
 	GiveUp                       // microseconds from a call's arrival to its final answer
-	RetryOn                      // a control.Outcomes
-	Figures                      // their number
+	RetryOn                      // outcomes on which to retry, as control.Outcomes
+	Figures                      // number of parameters
 )
 
-var figureNames = [Figures]string{"attempts", "attempt_timeout_ms", "retry_wait_ms", "retry_jitter_ms", "give_up_ms", "retry_on"}
+var parameterKeys = [Figures]string{"attempts", "attempt_timeout_ms", "retry_wait_ms", "retry_jitter_ms", "give_up_ms", "retry_on"}
 
-func (f Figure) String() string { return figureNames[f] }
+// String returns the parameter's key in the file.
+func (f Figure) String() string { return parameterKeys[f] }
 
-// Values are figures that one part of the file sets; 0 is one that it leaves open.
+// Values holds the parameters that one part of the file sets; 0: not set.
 type Values [Figures]int64
 
-// Unreadable stands for a figure that the file sets to what is none. Such a file is refused; the proof leaves out what
-// hangs on the figure.
+// Unreadable is the value of a parameter that the file sets to an invalid value. Such a file is refused. The proof skips limits
+// with such a value.
 const Unreadable = -1
 
-// Text gives a value as the file would say it.
+// Text formats a value as in the file.
 func (f Figure) Text(v int64) string {
 	switch f {
 	case Attempts:
@@ -50,17 +51,17 @@
 	case RetryOn:
 		return strings.Join(OutcomeNames(control.Outcomes(v)), " ")
 	case AttemptTimeout, GiveUp:
-		if v == 0 { // to the call's end
+		if v == 0 { // until the end of the call
 			return "-"
 		}
 	}
 	return strconv.FormatInt(v/1000, 10)
 }
 
-// outcomes are the ends that the file can name, by the names of control.Code.
+// outcomes lists the outcomes of an attempt that the file may name, by the names of control.Code.
 var outcomes = []control.Code{control.Full, control.Unreachable, control.NotSent, control.TimedOut, control.Cut, control.Cancelled, control.Failed}
 
-// OutcomeNames gives the words of the file for a set of ends, or for all of them where the set is empty.
+// OutcomeNames returns the names in the file of a set of outcomes, or of all outcomes if the set is empty.
 func OutcomeNames(set control.Outcomes) (names []string) {
 	for _, o := range outcomes {
 		if set == 0 || set.Has(o) {
@@ -70,7 +71,7 @@
 	return names
 }
 
-// OutcomeNamed gives the end that a word of the file stands for.
+// OutcomeNamed returns the outcome with a name in the file, and whether there is one.
 func OutcomeNamed(name string) (control.Code, bool) {
 	for _, o := range outcomes {
 		if o.String() == name {
@@ -80,35 +81,35 @@
 	return 0, false
 }
 
-// Match says which calls a route takes. What is left out takes all.
+// Match selects the calls of a route. A condition that is not set matches all calls.
 type Match struct {
 	Class       string // "": any
-	Number      string // number called: whole, or its first digits before a final "*"; "": any
-	FirstChoice *int   // cell; nil: any
-	Again       *bool  // whether the call was cut before and comes again; nil: any
+	Number      string // called number, or a prefix followed by "*"; "": any
+	FirstChoice *int   // cell of first choice; nil: any
+	Again       *bool  // whether the call was cut before and is set up again; nil: any
 }
 
-// Route sets figures for the calls that it matches.
+// Route sets parameters for the calls that it matches.
 type Route struct {
 	Name string
 	Match
 	Values
 }
 
-// ClassValues are the figures of one class.
+// ClassValues sets parameters for the calls of one class.
 type ClassValues struct {
 	Name string
 	Values
 }
 
-// BudgetFigures bound the further attempts of all calls together over a moving window of 10 s.
+// BudgetFigures configures the retry budget, which bounds the retries of all calls together over a sliding window of 10 s.
 type BudgetFigures struct {
-	Ratio   float64 // of the first attempts, over 0 to 1
-	MinPerS int     // that are always allowed, a second; 1 to 10,000
-	Burst   int     // that may go at the same moment; 1 to 10,000
+	Ratio   float64 // retries allowed per first attempt; above 0, at most 1
+	MinPerS int     // retries per second that are always allowed; 1 to 10,000
+	Burst   int     // retries allowed at the same moment; 1 to 10,000
 }
 
-// File is the section "calls" of the operators' file as it stands there.
+// File is the parsed section "calls" of the deploy file.
 type File struct {
 	Defaults     Values
 	Classes      []ClassValues
@@ -117,79 +118,81 @@
 	SecondCopies bool
 }
 
-// Rules are what the deployment's settings say on attempts.
+// Rules holds the settings of the deployment that bound a retry policy.
 type Rules struct {
-	Names        []string // of the classes
+	Names        []string // class names
 	Classes      []control.Class
 	AttemptsCap  int
 	ReleaseGuard control.Micros
-	ResendGap    control.Micros // 0: nothing is sent again
+	ResendGap    control.Micros // interval after which a set-up is retransmitted; 0: never
 	SecondCopies bool
 }
 
-// RulesOf takes the rules out of the settings.
+// RulesOf extracts the rules from the settings.
 func RulesOf(s *control.Site) Rules {
 	return Rules{Names: s.ClassNames, Classes: s.Classes, AttemptsCap: s.AttemptsCap, ReleaseGuard: s.ReleaseGuard,
 		ResendGap: s.ResendGap, SecondCopies: s.SecondCopies}
 }
 
-// Fault is one reason to refuse a file. Path names the value that is at fault, as in calls.routes[0].attempts. Where
-// Word is set it is a name that is not known, and Known has those that are.
+// Fault is one reason to refuse a file. Path locates the value at fault, as in calls.routes[0].attempts, and What describes the
+// fault. If Word is set, it is an unknown name, and Known holds the known names.
 type Fault struct {
 	Path, What string
 	Word       string
 	Known      []string
 }
 
-// Settings is the origin of a value that the file does not set.
+// Settings is the origin, in Resolved.From, of a value that the file does not set.
 const Settings = "settings"
 
-// Resolved are the limits of the calls of one class that one route takes, or none.
+// Resolved holds the limits of the calls of one class that match one route, or that match no route.
 type Resolved struct {
 	Class  int
-	Route  int // place in the file, -1 for calls that no route takes
-	Name   string
+	Route  int    // index in the file; -1: calls that match no route
+	Name   string // name of the route
 	Limits control.Limits
-	Values Values          // in force; 0 where nothing bounds a figure
-	From   [Figures]string // where each value came from: the path of a part of the file, or Settings
+	Values Values          // values in force; 0: no bound
+	From   [Figures]string // origin of each value: the path of a part of the file, or Settings
 }
 
-// Policy answers which limits a call has. It is immutable but for the counts of its budget, which is used by one
-// goroutine alone. A nil Policy gives no limits: those of the settings hold.
+// Policy determines the limits of calls. It is immutable except for the counts of its budget, which only one goroutine may use.
+// A nil Policy returns no limits, and those of the settings apply.
 type Policy struct {
-	file    File
-	rules   Rules
-	plain   []*Resolved // by class
-	routes  [][]route   // by class: those that can take a call of it, in order
-	budget  *Budget
-	version string
+	file     File
+	rules    Rules
+	defaults []*Resolved // by class: limits of calls that match no route
+	routes   [][]route   // by class: routes that can match a call of the class, in order
+	budget   *Budget
+	version  string
 }
 
+// route is a route of the file with its limits for one class.
 type route struct {
 	matcher
 	*Resolved
 }
 
-// Compile resolves and proves a file. With any fault there is no policy.
+// Compile builds the policy of a file and proves it. It returns either the policy or all faults found. Without a file it returns
+// neither.
 func Compile(file *File, rules Rules) (*Policy, []Fault) {
 	if file == nil {
 		return nil, nil
 	}
 	p := &Policy{file: *file, rules: rules}
-	faults := p.names()
+	faults := p.nameFaults()
 	if file.SecondCopies && !rules.SecondCopies {
 		faults = append(faults, Fault{Path: "calls.second_copies", What: "true is refused: a call would have two attempts " +
 			"out at once, which the deployment's settings (bounds.second-copies) forbid"})
 	}
-	faults = append(faults, p.covered()...)
+	faults = append(faults, p.coveredRoutes()...)
 	if file.Budget != nil {
 		p.budget = NewBudget(*file.Budget, rules.Classes)
 	}
 	proof := newProof(rules)
 	for c := range rules.Classes {
-		plain := p.resolve(c, -1)
-		p.plain = append(p.plain, plain)
-		proof.check(plain)
+		defaults := p.resolve(c, -1)
+		p.defaults = append(p.defaults, defaults)
+		proof.check(defaults)
 		var routes []route
 		for r := range file.Routes {
 			if m := file.Routes[r].Match; m.Class == "" || m.Class == rules.Names[c] {
@@ -207,21 +210,21 @@
 	return p, nil
 }
 
-// names looks for classes that the settings don't name and for routes of one name.
-func (p *Policy) names() (faults []Fault) {
-	known := func(path, name string) {
+// nameFaults returns a fault for each class that the settings do not name and for each route with the name of an earlier one.
+func (p *Policy) nameFaults() (faults []Fault) {
+	requireKnown := func(path, name string) {
 		if !slices.Contains(p.rules.Names, name) {
 			faults = append(faults, Fault{Path: path, What: "the settings name no such class: " + strconv.Quote(name),
 				Word: name, Known: p.rules.Names})
 		}
 	}
 	for _, c := range p.file.Classes {
-		known("calls.classes."+c.Name, c.Name)
+		requireKnown("calls.classes."+c.Name, c.Name)
 	}
 	for i, r := range p.file.Routes {
 		path := fmt.Sprintf("calls.routes[%d]", i)
 		if r.Class != "" {
-			known(path+".match.class", r.Class)
+			requireKnown(path+".match.class", r.Class)
 		}
 		for j, other := range p.file.Routes[:i] {
 			if other.Name == r.Name {
@@ -233,57 +236,57 @@
 	return faults
 }
 
-// resolve works out the limits of a class's calls that a route takes: each figure is the route's, else the class's, else
-// the default, else what the settings say.
-func (p *Policy) resolve(class, at int) *Resolved {
-	k := p.rules.Classes[class]
-	r := &Resolved{Class: class, Route: at, Values: Values{Attempts: int64(p.rules.AttemptsCap), GiveUp: int64(k.Deadline),
+// resolve determines the limits of the calls of a class that match a route. Each parameter is taken from the route, else from the
+// class, else from the defaults, else from the settings.
+func (p *Policy) resolve(class, routeIndex int) *Resolved {
+	classSettings := p.rules.Classes[class]
+	r := &Resolved{Class: class, Route: routeIndex, Values: Values{Attempts: int64(p.rules.AttemptsCap), GiveUp: int64(classSettings.Deadline),
 		RetryOn: int64(control.Retryable)}}
-	if k.Repeat != control.ReadLike { // it may not be repeated once it may have run
+	if classSettings.Repeat != control.ReadLike { // a call of this class must not be repeated if it may have run
 		r.Values[RetryOn] = int64(control.Retryable &^ control.MayHaveRun)
 	}
 	for f := range Figures {
 		r.From[f] = Settings
 	}
-	take := func(path string, v Values) {
-		for f, x := range v {
-			if x != 0 {
-				r.Values[f], r.From[f] = x, path
+	apply := func(path string, v Values) {
+		for f, value := range v {
+			if value != 0 {
+				r.Values[f], r.From[f] = value, path
 			}
 		}
 	}
-	take("calls.defaults", p.file.Defaults)
+	apply("calls.defaults", p.file.Defaults)
 	for _, c := range p.file.Classes {
 		if c.Name == p.rules.Names[class] {
-			take("calls.classes."+c.Name, c.Values)
+			apply("calls.classes."+c.Name, c.Values)
 		}
 	}
-	if at >= 0 {
-		r.Name = p.file.Routes[at].Name
-		take(fmt.Sprintf("calls.routes[%d]", at), p.file.Routes[at].Values)
+	if routeIndex >= 0 {
+		r.Name = p.file.Routes[routeIndex].Name
+		apply(fmt.Sprintf("calls.routes[%d]", routeIndex), p.file.Routes[routeIndex].Values)
 	}
-	us := func(f Figure) control.Micros { return control.Micros(r.Values[f]) }
-	r.Limits = control.Limits{Attempts: int(r.Values[Attempts]), AttemptTimeout: us(AttemptTimeout), Wait: us(RetryWait),
-		Jitter: us(RetryJitter), GiveUp: us(GiveUp), RetryOn: control.Outcomes(r.Values[RetryOn])}
+	micros := func(f Figure) control.Micros { return control.Micros(r.Values[f]) }
+	r.Limits = control.Limits{Attempts: int(r.Values[Attempts]), AttemptTimeout: micros(AttemptTimeout), Wait: micros(RetryWait),
+		Jitter: micros(RetryJitter), GiveUp: micros(GiveUp), RetryOn: control.Outcomes(r.Values[RetryOn])}
 	if p.budget != nil {
 		r.Limits.Budget = p.budget
 	}
 	return r
 }
 
-// Set tells whether the file sets a figure, by the route, the class or the defaults.
+// Set reports whether the file sets a parameter, in the route, the class or the defaults.
 func (r *Resolved) Set(f Figure) bool { return r.From[f] != Settings }
 
-// who names the calls that limits are for.
-func (u *Rules) who(r *Resolved) string {
+// subject describes the calls that the limits are for.
+func (u *Rules) subject(r *Resolved) string {
 	if r.Route < 0 {
 		return u.Names[r.Class] + " calls"
 	}
 	return fmt.Sprintf("%s calls by route %q", u.Names[r.Class], r.Name)
 }
 
-// For gives the limits of a call: those of the first route that matches, else its class's. It allocates nothing. A class
-// that the settings don't name has none.
+// For returns the limits of a call: those of the first matching route, else those of its class. It does not allocate. A class
+// unknown to the settings has no limits.
 func (p *Policy) For(class int, number string, firstChoice int, again bool) *control.Limits {
 	if r := p.Resolve(class, number, firstChoice, again); r != nil {
 		return &r.Limits
@@ -291,30 +294,31 @@
 	return nil
 }
 
-// Resolve is For with where each value came from.
+// Resolve is like For, and also returns the origin of each value.
 func (p *Policy) Resolve(class int, number string, firstChoice int, again bool) *Resolved {
-	if p == nil || class < 0 || class >= len(p.plain) {
+	if p == nil || class < 0 || class >= len(p.defaults) {
 		return nil
 	}
-	var cut int8
+	var wasCut int8
 	if again {
-		cut = 1
+		wasCut = 1
 	}
 	routes := p.routes[class]
 	for i := range routes {
-		if routes[i].takes(number, firstChoice, cut) {
+		if routes[i].matches(number, firstChoice, wasCut) {
 			return routes[i].Resolved
 		}
 	}
-	return p.plain[class]
+	return p.defaults[class]
 }
 
-// All gives the limits of each class without a route and of each route with each class that it takes, in file order.
+// All returns the limits of each class without a route, and of each route with each class that it can match, in the order of the
+// file.
 func (p *Policy) All() (all []*Resolved) {
 	if p == nil {
 		return nil
 	}
-	all = append(all, p.plain...)
+	all = append(all, p.defaults...)
 	for _, routes := range p.routes {
 		for _, r := range routes {
 			all = append(all, r.Resolved)
@@ -323,11 +327,11 @@
 	return all
 }
 
-// File gives what the policy was made of.
+// File returns the file that the policy was compiled from.
 func (p *Policy) File() *File { return &p.file }
 
-// Version names the limits in force: 16 hex digits (XXH64) over all that a call can be given, or "none" without a policy.
-// Spaces, order of keys and names of routes don't change it.
+// Version returns a hash of all limits that a call can have, as 16 hex digits (XXH64), or "none" without a policy. White space, the
+// order of keys and the names of routes do not affect it.
 func (p *Policy) Version() string {
 	if p == nil {
 		return "none"
@@ -335,6 +339,7 @@
 	return p.version
 }
 
+// hash computes Version from the limits, the conditions of the routes and the budget.
 func (p *Policy) hash() string {
 	h := xxhash.New()
 	for _, r := range p.All() {
@@ -357,8 +362,8 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Adopt goes on with the counts of the policy that was in force before, so that a reload is no fresh start for the
-// budget. Calls that began under the old one still count in it and in this one, since both share the counts.
+// Adopt continues with the budget counts of the policy that was in force before, so that a reload does not reset the budget. Both
+// policies then share the counts, so calls that began under the old policy count in both.
 func (p *Policy) Adopt(old *Policy) {
 	if p != nil && old != nil && p.budget != nil && old.budget != nil {
 		p.budget.counts = old.budget.counts
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -14,8 +14,8 @@
 	"beammux/control"
 )
 
-// The same steps each time: a verdict must not change from run to run. With -short rapid draws a fifth of the cases, too few for
-// the tests that count what they met, so it is asked for five times as many: -short draws the same cases.
+// TestMain fixes the random seed, so that results do not change from run to run. With -short, rapid draws a fifth of the cases,
+// too few for tests that require each kind of case to occur. The number of cases is multiplied by 5 to draw the same ones.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -41,7 +41,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// Each figure comes from the first route that matches, else from the class, the defaults, the settings.
+// Each parameter comes from the first route that matches, else from the class, the defaults or the settings.
 func TestPrecedence(t *testing.T) {
 	p := compile(t, File{
 		Defaults: Values{Attempts: 3, GiveUp: 8e6},
@@ -80,14 +80,14 @@
 		t.Errorf("from %v, want %v", r.From, want)
 	}
 	if p.For(-1, "1", 0, false) != nil || p.For(3, "1", 0, false) != nil || (*Policy)(nil).For(0, "1", 0, false) != nil {
-		t.Error("limits for a class that the settings don't name, or without a policy")
+		t.Error("got limits for an unknown class, or without a policy")
 	}
 	if once := p.For(2, "1", 0, false); once.RetryOn&control.MayHaveRun != 0 || !once.RetryOn.Has(control.Full) {
-		t.Errorf("a class that may not be repeated is tried again on %v", OutcomeNames(once.RetryOn))
+		t.Errorf("a class that must not be repeated is retried on %v", OutcomeNames(once.RetryOn))
 	}
 }
 
-// The version tells what is in force, not how it is written.
+// The version depends on the limits in force, not on how the file expresses them.
 func TestVersion(t *testing.T) {
 	a := compile(t, File{Defaults: Values{Attempts: 3}})
 	same := compile(t, File{Classes: []ClassValues{{"menu-view", Values{Attempts: 3}}, {"diet-order", Values{Attempts: 3}}, {"billing", Values{Attempts: 3}}}})
@@ -99,21 +99,21 @@
 	}
 	versions := []string{a.Version(), other.Version(), matched.Version(), rematched.Version()}
 	if slices.Sort(versions); len(slices.Compact(versions)) != 4 {
-		t.Errorf("versions %v are not four", versions)
+		t.Errorf("versions %v are not all different", versions)
 	}
 }
 
-// span bounds the figures that are drawn.
-type span struct{ least, most Values }
+// bounds holds the bounds of drawn parameters.
+type bounds struct{ least, most Values }
 
 var (
-	anyFigures = span{Values{1, 1, 1, 1, 1, 1}, Values{6, 4000, 500, 300, 9500, 1 << 8}}
-	// Most files of these are good, with some that are just not.
-	likelyGood = span{Values{1, 50, 250, 1, 7000, int64(control.Retryable &^ control.MayHaveRun)},
+	anyValues = bounds{Values{1, 1, 1, 1, 1, 1}, Values{6, 4000, 500, 300, 9500, 1 << 8}}
+	// Most files with these values are valid, and some are narrowly invalid.
+	mostlyValid = bounds{Values{1, 50, 250, 1, 7000, int64(control.Retryable &^ control.MayHaveRun)},
 		Values{4, 2200, 500, 300, 9000, int64(control.Retryable &^ control.MayHaveRun)}}
 )
 
-func genValues(t *rapid.T, label string, in span) (v Values) {
+func genValues(t *rapid.T, label string, in bounds) (v Values) {
 	for f, most := range in.most {
 		if rapid.IntRange(0, 2).Draw(t, label+" sets "+Figure(f).String()) == 0 {
 			continue
@@ -130,12 +130,12 @@
 	return v
 }
 
-func genFile(t *rapid.T, in span) *File {
+func genFile(t *rapid.T, in bounds) *File {
 	f := &File{Defaults: genValues(t, "defaults", in), SecondCopies: rapid.IntRange(0, 9).Draw(t, "copies") == 0}
 	for _, name := range rules().Names {
 		if rapid.Bool().Draw(t, name) {
 			f.Classes = append(f.Classes, ClassValues{name, genValues(t, name, in)})
-			if v := &f.Classes[len(f.Classes)-1].Values; in == likelyGood && name != "billing" && rapid.Bool().Draw(t, "may run") {
+			if v := &f.Classes[len(f.Classes)-1].Values; in == mostlyValid && name != "billing" && rapid.Bool().Draw(t, "may run") {
 				v[RetryOn] = int64(control.Retryable)
 			}
 		}
@@ -154,9 +154,9 @@
 	return f
 }
 
-// walk plays one call by its limits as the module does, with ends, times and jitter drawn at random, and gives the first
-// rule that is broken. It shares nothing with the proof: the limits are taken at their word.
-func walk(t *rapid.T, r *Resolved, u Rules) string {
+// simulate simulates one call under its limits as the control module would run it, with random outcomes, times and jitter. It returns
+// the first rule that is broken, or "". It shares no code with the proof.
+func simulate(t *rapid.T, r *Resolved, u Rules) string {
 	l, class := r.Limits, u.Classes[r.Class]
 	if l.Attempts > u.AttemptsCap {
 		return "attempts"
@@ -166,21 +166,21 @@
 	}
 	ran := false
 	for now, n := control.Micros(0), 1; ; n++ {
-		most := l.GiveUp - now
+		longest := l.GiveUp - now
 		if l.AttemptTimeout > 0 {
-			if most < min(u.ResendGap, l.AttemptTimeout) {
+			if longest < min(u.ResendGap, l.AttemptTimeout) {
 				return "no time"
 			}
-			most = min(most, l.AttemptTimeout)
-		} else if most < u.ResendGap {
+			longest = min(longest, l.AttemptTimeout)
+		} else if longest < u.ResendGap {
 			return ""
 		}
 		code := rapid.SampledFrom(ends).Draw(t, "end")
-		took := most
+		duration := longest
 		if code != control.TimedOut {
-			took = control.Micros(rapid.Int64Range(0, int64(most)).Draw(t, "took"))
+			duration = control.Micros(rapid.Int64Range(0, int64(longest)).Draw(t, "took"))
 		}
-		now += took + control.Micros(rapid.Int64Range(0, int64(SocketSlack)).Draw(t, "late"))
+		now += duration + control.Micros(rapid.Int64Range(0, int64(SocketSlack)).Draw(t, "late"))
 		ran = ran || control.MayHaveRun.Has(code)
 		if n >= l.Attempts || !l.RetryOn.Has(code) || code == control.TimedOut && l.AttemptTimeout == 0 {
 			return ""
@@ -199,34 +199,34 @@
 	}
 }
 
-// For random files that load takes, no random course breaks a rule.
-func TestGoodFilesBreakNoRule(t *testing.T) {
-	good := 0
+// For random files that Compile accepts, no random course breaks a rule.
+func TestValidFilesBreakNoRule(t *testing.T) {
+	valid := 0
 	rapid.Check(t, func(t *rapid.T) {
-		p, faults := Compile(genFile(t, likelyGood), rules())
+		p, faults := Compile(genFile(t, mostlyValid), rules())
 		if len(faults) > 0 {
 			return
 		}
-		good++
+		valid++
 		for _, r := range p.All() {
 			for range 20 {
-				if broken := walk(t, r, rules()); broken != "" {
-					t.Fatalf("%s: %s, limits %+v", broken, p.rules.who(r), r.Limits)
+				if broken := simulate(t, r, rules()); broken != "" {
+					t.Fatalf("%s: %s, limits %+v", broken, p.rules.subject(r), r.Limits)
 				}
 			}
 		}
 	})
-	t.Logf("%d good files", good)
-	if good < 20 {
-		t.Errorf("only %d good files: nothing was tested", good)
+	t.Logf("%d valid files", valid)
+	if valid < 20 {
+		t.Errorf("only %d valid files: too few to test", valid)
 	}
 }
 
-// For random files under which some course breaks a rule, load refuses; and what it refuses names a figure of the file.
-func TestBadFilesAreRefused(t *testing.T) {
-	bad := map[string]int{}
+// Compile refuses random files under which some course breaks a rule, and each fault names a value of the file.
+func TestInvalidFilesAreRefused(t *testing.T) {
+	brokenRules := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		f := genFile(t, anyFigures)
+		f := genFile(t, anyValues)
 		_, faults := Compile(f, rules())
 		for _, fault := range faults {
 			if !strings.HasPrefix(fault.Path, "calls.") || strings.HasPrefix(fault.Path, Settings) || fault.What == "" {
@@ -234,9 +234,9 @@
 			}
 		}
 		if f.SecondCopies {
-			bad["copies"]++
+			brokenRules["copies"]++
 			if len(faults) == 0 {
-				t.Fatal("second copies were taken")
+				t.Fatal("second copies were accepted")
 			}
 			return
 		}
@@ -248,31 +248,31 @@
 				}
 				r := p.resolve(class, route)
 				for range 10 {
-					if broken := walk(t, r, rules()); broken != "" {
-						bad[broken]++
+					if broken := simulate(t, r, rules()); broken != "" {
+						brokenRules[broken]++
 						if len(faults) == 0 {
-							t.Fatalf("taken, though %s: %+v", broken, r.Limits)
+							t.Fatalf("accepted, although the limits break the rule %q: %+v", broken, r.Limits)
 						}
 					}
 				}
 			}
 		}
 	})
-	t.Log(bad)
+	t.Log(brokenRules)
 	for _, rule := range []string{"copies", "attempts", "outlasts", "no time", "too soon", "repeated"} {
-		if bad[rule] == 0 {
-			t.Errorf("no file broke the rule %q: it was not tested", rule)
+		if brokenRules[rule] == 0 {
+			t.Errorf("no file broke the rule %q, so it was not tested", rule)
 		}
 	}
 }
 
-// A route is refused just when no call gets to it.
+// A route is refused if and only if no call reaches it.
 func TestCoveredRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := genFile(t, anyFigures)
+		f := genFile(t, anyValues)
 		p := &Policy{file: *f, rules: rules()}
 		refused := map[string]bool{}
-		for _, fault := range p.covered() {
+		for _, fault := range p.coveredRoutes() {
 			refused[fault.Path] = true
 		}
 		matchers := make([]matcher, len(f.Routes))
@@ -286,7 +286,7 @@
 					for again := range int8(2) {
 						if i := slices.IndexFunc(f.Routes, func(r Route) bool {
 							m := newMatcher(r.Match)
-							return (r.Class == "" || r.Class == class) && m.takes(number, cell, again)
+							return (r.Class == "" || r.Class == class) && m.matches(number, cell, again)
 						}); i >= 0 {
 							reached[i] = true
 						}
@@ -302,9 +302,9 @@
 	})
 }
 
-// Over any run of calls, the budget keeps to its window, never sends more at once than its burst, and always gives the
-// least that it promises to the dearest class.
-func TestBudgetKeepsToItsWindow(t *testing.T) {
+// Over random sequences of calls, the budget allows no more retries than its window permits, and no more at the same moment than
+// its burst.
+func TestBudgetBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := BudgetFigures{Ratio: float64(rapid.IntRange(1, 10).Draw(t, "tenths")) / 10,
 			MinPerS: rapid.IntRange(1, 3).Draw(t, "least"), Burst: rapid.IntRange(1, 20).Draw(t, "burst")}
@@ -313,10 +313,10 @@
 			slot  int64
 			again bool
 		}
-		var past []event
+		var events []event
 		now := control.Micros(1e12)
-		within := func() (first, again int) {
-			for _, e := range past {
+		countWindow := func() (first, again int) {
+			for _, e := range events {
 				if e.slot > int64(now/slotSpan)-windowSlots {
 					if e.again {
 						again++
@@ -336,58 +336,58 @@
 			class := rapid.IntRange(0, 2).Draw(t, "class")
 			if rapid.IntRange(0, 3).Draw(t, "first") > 0 {
 				b.First(now, class)
-				past = append(past, event{int64(now / slotSpan), false})
+				events = append(events, event{int64(now / slotSpan), false})
 				continue
 			}
 			if !b.Take(now, class) {
 				continue
 			}
-			past = append(past, event{int64(now / slotSpan), true})
-			first, again := within()
+			events = append(events, event{int64(now / slotSpan), true})
+			first, again := countWindow()
 			if most := max(f.Ratio*float64(first), 10*float64(f.MinPerS)); float64(again) > most {
-				t.Fatalf("%d further attempts in the window, %g allowed after %d first ones", again, most, first)
+				t.Fatalf("%d retries in the window, %g allowed after %d first attempts", again, most, first)
 			}
 			if atOnce++; atOnce > f.Burst {
-				t.Fatalf("%d at once, burst %d", atOnce, f.Burst)
+				t.Fatalf("%d retries at the same moment, burst %d", atOnce, f.Burst)
 			}
 		}
 	})
 }
 
-// A budget drained by one class still has what dearer calls brought into it.
-func TestDearerCallsGoLast(t *testing.T) {
+// When one class has exhausted the budget, classes of greater worth still have the share that their own calls earned.
+func TestBudgetPriority(t *testing.T) {
 	b := NewBudget(BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
 	now := control.Micros(1e12)
-	for i := range 1000 { // a fifth of them diet-order: 200 further attempts in all, 40 of them earned by these
+	for i := range 1000 { // a fifth of them diet-order: 200 retries in total, 40 of them earned by diet-order calls
 		b.First(now, i%5/4)
 	}
 	now += 9e6
-	cheap, dear := 0, 0
+	lessWorth, moreWorth := 0, 0
 	for b.Take(now, 0) {
-		cheap++
+		lessWorth++
 	}
 	for b.Take(now, 1) {
-		dear++
+		moreWorth++
 	}
-	if cheap != 160 || dear != 40 {
-		t.Errorf("%d cheap and %d dear further attempts, want 160 and 40", cheap, dear)
+	if lessWorth != 160 || moreWorth != 40 {
+		t.Errorf("%d retries of the class of less worth and %d of the other, want 160 and 40", lessWorth, moreWorth)
 	}
 	b = NewBudget(BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
 	for i := range 1000 {
 		b.First(now, i%5/4)
 	}
-	for dear = 0; b.Take(now, 1); dear++ {
+	for moreWorth = 0; b.Take(now, 1); moreWorth++ {
 	}
-	if dear != 200 {
-		t.Errorf("diet-order calls alone got %d of 200", dear)
+	if moreWorth != 200 {
+		t.Errorf("diet-order calls alone got %d of 200", moreWorth)
 	}
 	if b.Take(now, -1) || b.Take(now, 9) {
-		t.Error("a class that the settings don't name got a further attempt")
+		t.Error("an unknown class got a retry")
 	}
 }
 
-// A clock that steps back brings no new budget and takes none away for good; one that steps ahead empties the window.
-func TestBudgetOverClockSteps(t *testing.T) {
+// A clock that steps back neither adds to the budget nor takes from it permanently; one that steps ahead empties the window.
+func TestBudgetClockSteps(t *testing.T) {
 	for _, step := range []control.Micros{-3600e6, 3600e6} {
 		b := NewBudget(BudgetFigures{Ratio: 0.5, MinPerS: 1, Burst: 5}, rules().Classes)
 		now := control.Micros(1e13)
@@ -399,35 +399,35 @@
 		}
 		now += step
 		if got := b.Take(now, 0); got != (step > 0) {
-			t.Errorf("after a step of %d s a further attempt is allowed: %t", step/1e6, got)
+			t.Errorf("after a step of %d s a retry is allowed: %t", step/1e6, got)
 		}
 		taken := 0
-		for range 20 { // 20 s go by
+		for range 20 { // for 20 s
 			now += 1e6
 			for b.Take(now, 0) {
 				taken++
 			}
 		}
 		if taken < 18 || taken > 25 {
-			t.Errorf("after a step of %d s, %d further attempts in 20 s at 1 a second and a burst of 5", step/1e6, taken)
+			t.Errorf("after a step of %d s, %d retries in 20 s at 1 per second and a burst of 5", step/1e6, taken)
 		}
 	}
 }
 
-// A reload goes on with the counts.
-func TestAdopt(t *testing.T) {
+// A reload keeps the counts of the budget.
+func TestReloadKeepsBudgetCounts(t *testing.T) {
 	old := compile(t, File{Budget: &BudgetFigures{0.2, 1, 2}})
 	now := control.Micros(1e12)
 	for old.budget.Take(now, 1) {
 	}
-	young := compile(t, File{Budget: &BudgetFigures{0.2, 1, 100}})
-	young.Adopt(old)
-	if young.budget.Take(now, 1) {
+	reloaded := compile(t, File{Budget: &BudgetFigures{0.2, 1, 100}})
+	reloaded.Adopt(old)
+	if reloaded.budget.Take(now, 1) {
 		t.Error("a reload filled the bucket")
 	}
 	compile(t, File{}).Adopt(old)
 	(*Policy)(nil).Adopt(old)
-	young.Adopt(nil)
+	reloaded.Adopt(nil)
 }
 
 func TestDiff(t *testing.T) {
@@ -454,11 +454,11 @@
 	}
 }
 
-// The worst course is the longest there is.
+// The worst course is the longest possible one.
 func TestWorstCourse(t *testing.T) {
 	p := compile(t, File{Defaults: Values{Attempts: 3, AttemptTimeout: 2e6, RetryWait: 300000, RetryJitter: 100000}})
 	want := "attempt 1 at 0 timed_out at 2050, attempt 2 at 2500 timed_out at 4550, attempt 3 at 5000 timed_out at 7050"
-	if got := p.Worst(p.plain[0]).String(); got != want {
+	if got := p.Worst(p.defaults[0]).String(); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 }
@@ -471,7 +471,7 @@
 	return f
 }
 
-// Resolving costs a call nothing that the collector must clear.
+// Determining the limits of a call does not allocate.
 func TestResolveDoesNotAllocate(t *testing.T) {
 	p := compile(t, routes200())
 	if n := testing.AllocsPerRun(100, func() { p.For(1, "7f199a", 3, false) }); n != 0 {
