--- a/control/outlier/evidence.go
+++ b/control/outlier/evidence.go
@@ -18,7 +18,8 @@
 	voteUntil                control.Micros // end of the member's vote for ejection; 0: no vote
 }
 
-// newMemberEvidence converts a member's observation to evidence as of now. Events before the start of the server's process are ignored.
+// newMemberEvidence converts a member's observation to evidence as of now. Events before the start of the server's process are
+// ignored.
 func newMemberEvidence(now control.Micros, e *Evidence, o *Observation, startedAt control.Micros) memberEvidence {
 	m := memberEvidence{member: e.Member}
 	if o.SuccessAge >= 0 && now-e.Age-o.SuccessAge >= startedAt {
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -14,8 +14,8 @@
 	"beammux/control/advice"
 )
 
-// strictBound checks the strict bound: every call must find a token in a bucket of the whole limit, by true time. This is equivalent
-// to no time window of length t having more than per_s x t + burst calls.
+// strictBound checks the strict bound: every call must find a token in a bucket of the whole limit, by true time. This is
+// equivalent to no time window of length t having more than per_s x t + burst calls.
 type strictBound struct {
 	perS, burst, tokens float64
 	at                  control.Micros
@@ -110,13 +110,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"time":  func(t *rapid.T) { now += control.Micros(rapid.IntRange(0, 300_000).Draw(t, "us")) },
 			"pause": func(t *rapid.T) { now += control.Micros(rapid.IntRange(0, 4_000_000).Draw(t, "us")) },
-			"spend": func(t *rapid.T) { offerCalls(member.Draw(t, "who"), 30) },
-			"all spend": func(*rapid.T) {
+			"calls": func(t *rapid.T) { offerCalls(member.Draw(t, "who"), 30) },
+			"calls at all members": func(*rapid.T) {
 				for i := range n {
 					offerCalls(i, 30)
 				}
 			},
-			"ask": func(t *rapid.T) { sendRequest(member.Draw(t, "who")) },
+			"request": func(t *rapid.T) { sendRequest(member.Draw(t, "who")) },
 			"request arrives": func(t *rapid.T) { // any request, repeatedly and late
 				if len(requests) == 0 {
 					t.Skip("none")
@@ -181,7 +181,7 @@
 			clocks[i] = drawClock(t)
 			members[i] = NewMember(fmt.Sprint("g", i), starts[i], limits, clocks[i].now(now))
 			for k := range n {
-				received[i][k], received[k][i] = publication{}, publication{} // a restarted member has no reports, and the others drop theirs of it
+				received[i][k], received[k][i] = publication{}, publication{} // after a restart, reports of and at the member are lost
 			}
 		}
 		for i := range n {
@@ -351,7 +351,7 @@
 	r.Reserve = 0.25
 	m := NewMember("g", 1, Limits{Rules: []Rule{r}, Parts: 1, Dear: []bool{false, true}}, 0)
 	admitted := [2]int{}
-	for now := control.Micros(0); now < 60e6; now += 10_000 { // alternately 100 per second of the plain class and 20 of the class with the reserve
+	for now := control.Micros(0); now < 60e6; now += 10_000 { // 100 calls per second of class 0 and 20 of class 1, which has the reserve
 		for class := range 2 {
 			if class == 1 && now%50_000 != 0 {
 				continue
--- a/control/quota/table.go
+++ b/control/quota/table.go
@@ -124,16 +124,16 @@
 	if r.Seq > a.Seq {
 		a.Seq = r.Seq
 		t.LastSeq[holderName] = r.Seq
-		for _, ask := range r.Asks {
-			t.grant(holderName, &r, ask)
+		for _, entry := range r.Asks {
+			t.grant(holderName, &r, entry)
 		}
 	}
-	for _, ask := range r.Asks {
-		p := t.Pools[ask.Name]
+	for _, entry := range r.Asks {
+		p := t.Pools[entry.Name]
 		if p == nil || p.Holders[holderName] == nil {
 			continue
 		}
-		a.Leases = append(a.Leases, Lease{ask.Name, p.Holders[holderName].Rate, p.target(holderName)})
+		a.Leases = append(a.Leases, Lease{entry.Name, p.Holders[holderName].Rate, p.target(holderName)})
 	}
 	return a, nil
 }
@@ -162,20 +162,20 @@
 
 // grant renews a holder's lease. The lease grows at most by the capacity that is not leased. A delayed copy of a request from a
 // process whose lease has ended has no lease to keep.
-func (t *Table) grant(holderName string, r *Request, ask Ask) {
-	p := t.Pools[ask.Name]
+func (t *Table) grant(holderName string, r *Request, entry Ask) {
+	p := t.Pools[entry.Name]
 	if p == nil {
 		p = &pool{Holders: map[string]*holder{}}
-		t.Pools[ask.Name] = p
+		t.Pools[entry.Name] = p
 	}
 	h := p.Holders[holderName]
 	if h == nil {
 		h = &holder{}
 		p.Holders[holderName] = h
 	}
-	h.Capacity, h.Want, h.Duration = ask.Capacity, max(0, ask.Want), r.Duration
+	h.Capacity, h.Want, h.Duration = entry.Capacity, max(0, entry.Want), r.Duration
 	h.Expiry = t.Now + expiryAtTable(r.Duration)
-	h.Rate = max(0, min(h.Rate, ask.Keep))
+	h.Rate = max(0, min(h.Rate, entry.Keep))
 	if target := p.target(holderName); target > h.Rate {
 		h.Rate += max(0, min(target-h.Rate, p.capacity()-p.leased()))
 	}
--- a/control/retry/match.go
+++ b/control/retry/match.go
@@ -60,10 +60,10 @@
 	return !other.prefix && other.number == m.number
 }
 
-// coveredRoutes returns a fault for each route that never matches, because earlier routes match all its calls. It enumerates the classes,
-// the cells that the routes name (plus one that represents all others) and both values of "again", so it also finds routes that
-// are covered only by several earlier ones together. Numbers can't be enumerated, so the numbers of a route are covered only if
-// a single earlier route matches all of them.
+// coveredRoutes returns a fault for each route that never matches, because earlier routes match all its calls. It enumerates the
+// classes, the cells that the routes name (plus one that represents all others) and both values of "again", so it also finds
+// routes that are covered only by several earlier ones together. Numbers can't be enumerated, so the numbers of a route are
+// covered only if a single earlier route matches all of them.
 func (p *Policy) coveredRoutes() (faults []Fault) {
 	cells := []int{anyCell + 1} // represents all cells that no route names
 	for _, r := range p.file.Routes {
--- a/control/retry/proof.go
+++ b/control/retry/proof.go
@@ -74,6 +74,7 @@
 	forbiddenRepeat                  // a retry is sent although an attempt may have run and the class forbids repetition
 )
 
+// newProof returns a proof without faults.
 func newProof(rules Rules) *proof {
 	return &proof{rules: rules, done: map[proven]bool{}}
 }
@@ -100,13 +101,13 @@
 }
 
 // cause returns the parameter to name in a fault: the first of the given ones that the file sets, else the first.
-func cause(r *Resolved, figures ...Figure) Figure {
-	for _, f := range figures {
+func cause(r *Resolved, parameters ...Figure) Figure {
+	for _, f := range parameters {
 		if r.Set(f) {
 			return f
 		}
 	}
-	return figures[0]
+	return parameters[0]
 }
 
 // check proves the limits of the calls of one class that match one route.
@@ -160,8 +161,8 @@
 	p.explore(r, func(Course) {})
 }
 
-// minSetupTime returns the least time that a set-up needs to be established: the time until it would be retransmitted, or its time-out if
-// that is shorter.
+// minSetupTime returns the least time that a set-up needs to be established: the time until it would be retransmitted, or its
+// time-out if that is shorter.
 func (p *proof) minSetupTime(r *Resolved) control.Micros {
 	least := p.rules.ResendGap
 	if least <= 0 {
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -154,8 +154,8 @@
 	return f
 }
 
-// simulate simulates one call under its limits as the control module would run it, with random outcomes, times and jitter. It returns
-// the first rule that is broken, or "". It shares no code with the proof.
+// simulate runs one call under its limits as the control module would, with random outcomes, times and jitter. It returns the
+// first rule that is broken, or "". It shares no code with the proof.
 func simulate(t *rapid.T, r *Resolved, u Rules) string {
 	l, class := r.Limits, u.Classes[r.Class]
 	if l.Attempts > u.AttemptsCap {
