--- a/control/quota/errors.go
+++ b/control/quota/errors.go
@@ -16,12 +16,12 @@
 
 // Unreadable reports that a lease table or a request can't be decoded or encoded.
 type Unreadable struct {
-	What string
-	Err  error
+	Document string
+	Err      error
 }
 
 func (e *Unreadable) Error() string {
-	return fmt.Sprintf("quota: cannot read the %s: %v", e.What, e.Err)
+	return fmt.Sprintf("quota: cannot read the %s: %v", e.Document, e.Err)
 }
 
 func (e *Unreadable) Unwrap() error { return e.Err }
--- a/control/quota/quota.go
+++ b/control/quota/quota.go
@@ -38,8 +38,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (m Mode) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// ModeNamed returns the mode with a name of the settings, and whether there is one.
-func ModeNamed(name string) (Mode, bool) {
+// ParseMode returns the mode with a name of the settings, and whether there is one.
+func ParseMode(name string) (Mode, bool) {
 	for i, n := range modeNames {
 		if n == name {
 			return Mode(i), true
@@ -72,9 +72,9 @@
 
 // Limits holds the rules in force.
 type Limits struct {
-	Rules []Rule
-	Parts int    // greatest number of gatekeepers that run; each is entitled to 1/Parts of a limit
-	Dear  []bool // by class: whether the class is of the greatest worth and may use the reserve
+	Rules         []Rule
+	Parts         int    // greatest number of gatekeepers that run; each is entitled to 1/Parts of a limit
+	MayUseReserve []bool // by class: whether the class is of the greatest worth and may use the reserve
 }
 
 // Parameters of the modes.
@@ -261,11 +261,11 @@
 	return max(1, math.Floor(float64(s.Open)*s.Floor/parts))
 }
 
-// Claim holds the slots of an admitted call until Done.
-type Claim struct{ states []*ruleState }
+// Permit holds the slots of an admitted call until Done.
+type Permit struct{ states []*ruleState }
 
-// Arrived counts an arriving call, whether or not it is admitted later, and reports whether any rule matches it.
-func (m *Member) Arrived(now control.Micros, tenant, class int, number string) (limited bool) {
+// CountArrival counts an arriving call, whether or not it is admitted later, and reports whether any rule matches it.
+func (m *Member) CountArrival(now control.Micros, tenant, class int, number string) (limited bool) {
 	for _, s := range m.states {
 		if s.matches(tenant, class, number) {
 			s.demand.count(now)
@@ -277,8 +277,8 @@
 
 // Take admits a call, or returns the time with jitter after which a retry may be admitted. A call is admitted if every rule that
 // matches it has a token and a slot left. The claim is nil if no rule matches.
-func (m *Member) Take(now control.Micros, tenant, class int, number string) (claim *Claim, ok bool, wait control.Micros) {
-	reserved := class >= 0 && class < len(m.limits.Dear) && m.limits.Dear[class]
+func (m *Member) Take(now control.Micros, tenant, class int, number string) (claim *Permit, ok bool, wait control.Micros) {
+	reserved := class >= 0 && class < len(m.limits.MayUseReserve) && m.limits.MayUseReserve[class]
 	longestWait := 0.0
 	var matching []*ruleState
 	for _, s := range m.states {
@@ -314,7 +314,7 @@
 		s.open++
 		s.admitted++
 	}
-	return &Claim{matching}, true, 0
+	return &Permit{matching}, true, 0
 }
 
 // wait returns the microseconds until a refused call may be admitted, given the demand of the calls that arrived before it.
@@ -330,7 +330,7 @@
 }
 
 // Done releases the slots of an admitted call. It must be called once for each claim; nil is allowed.
-func (m *Member) Done(c *Claim) {
+func (m *Member) Done(c *Permit) {
 	if c == nil {
 		return
 	}
@@ -341,9 +341,9 @@
 
 const slotPoolSuffix = " open" // appended to a rule's name for its pool of slots; names of rules contain no space
 
-// Renewal returns the next request for leases; ok is false if no rule is leased. The member first reduces its rate to its fair
+// NextRequest returns the next request for leases; ok is false if no rule is leased. The member first reduces its rate to its fair
 // share: from now on it uses no more than the request keeps, whether or not the request arrives.
-func (m *Member) Renewal(now control.Micros) (r Request, ok bool) {
+func (m *Member) NextRequest(now control.Micros) (r Request, ok bool) {
 	parts := float64(m.limits.Parts)
 	for _, s := range m.states {
 		if s.Mode != Leased {
@@ -356,7 +356,7 @@
 				demand = 0
 			}
 			s.rateLease.rate = min(s.rateLease.rate, s.rateLease.target, demand)
-			r.Asks = append(r.Asks, Ask{s.Name, s.PerS * (1 - s.Floor), s.rateLease.rate, demand})
+			r.Capacities = append(r.Capacities, CapacityRequest{s.Name, s.PerS * (1 - s.Floor), s.rateLease.rate, demand})
 		}
 		if s.Open > 0 {
 			floor := s.slotFloor(parts)
@@ -366,19 +366,19 @@
 			if s.open > 0 || s.refusedBySlots.read(now) > minDemand {
 				demand = math.Ceil(used + spareSlots + s.refusedBySlots.read(now))
 			}
-			r.Asks = append(r.Asks, Ask{s.Name + slotPoolSuffix, float64(s.Open) - parts*floor, s.slotLease.rate, demand})
+			r.Capacities = append(r.Capacities, CapacityRequest{s.Name + slotPoolSuffix, float64(s.Open) - parts*floor, s.slotLease.rate, demand})
 		}
 		m.refresh(now, s)
 	}
 	m.seq++
 	m.sentAt = now
 	r.Member, r.Incarnation, r.Seq, r.Duration = m.name, m.incarnation, m.seq, LeaseDuration
-	return r, len(r.Asks) > 0
+	return r, len(r.Capacities) > 0
 }
 
-// Renewed applies the answer to the last request. Answers to older requests are ignored, since this member may have reduced its
+// ApplyResponse applies the answer to the last request. Answers to older requests are ignored, since this member may have reduced its
 // rate since then.
-func (m *Member) Renewed(now control.Micros, a *Answer) {
+func (m *Member) ApplyResponse(now control.Micros, a *Response) {
 	if a.Seq != m.seq {
 		return
 	}
@@ -407,7 +407,7 @@
 	Open           int            `json:"open,omitempty"`
 	Rate           float64        `json:"rate"`   // calls per second that this member may admit now
 	Demand         float64        `json:"demand"` // calls per second that arrive at this member
-	Standing       int            `json:"standing"`
+	OpenCalls      int            `json:"standing"`
 	Slots          float64        `json:"slots"`
 	Admitted       int64          `json:"taken"`
 	Refused        int64          `json:"turned_away"`
@@ -420,7 +420,7 @@
 	for _, s := range m.states {
 		m.refresh(now, s)
 		st := Status{Name: s.Name, Mode: s.Mode, PerS: s.PerS, Burst: s.Burst, Open: s.Open, Rate: s.bucket.rate,
-			Demand: s.demand.read(now), Standing: s.open, Slots: s.slots, Admitted: s.admitted, Refused: s.refused}
+			Demand: s.demand.read(now), OpenCalls: s.open, Slots: s.slots, Admitted: s.admitted, Refused: s.refused}
 		if s.Mode == Leased {
 			st.LeaseRemaining = max(0, m.leasedUntil-now)
 		}
--- a/control/quota/silence_test.go
+++ b/control/quota/silence_test.go
@@ -18,7 +18,7 @@
 	a, b := NewMember("a", 1, limits, now), NewMember("b", 1, limits, now)
 	admitted := map[*Member]int{}
 	offerCall := func(m *Member) {
-		m.Arrived(now, -1, 0, "x")
+		m.CountArrival(now, -1, 0, "x")
 		if c, ok, _ := m.Take(now, -1, 0, "x"); ok {
 			m.Done(c)
 			admitted[m]++
--- a/control/quota/table.go
+++ b/control/quota/table.go
@@ -9,8 +9,8 @@
 	"beammux/control"
 )
 
-// Ask is the part of a request for one capacity.
-type Ask struct {
+// CapacityRequest is the part of a request for one capacity.
+type CapacityRequest struct {
 	Name     string  `json:"name"`
 	Capacity float64 `json:"capacity"` // as configured at the member; the lowest of all holders applies
 	Keep     float64 `json:"keep"`     // rate of its lease that the member keeps; it no longer uses more when it sends the request
@@ -19,11 +19,11 @@
 
 // Request is a member's request for new or renewed leases on all capacities that it shares.
 type Request struct {
-	Member      string         `json:"member"`
-	Incarnation uint64         `json:"start"` // start of the member's process
-	Seq         uint64         `json:"seq"`   // sequence number of the process's requests
-	Duration    control.Micros `json:"for_us"`
-	Asks        []Ask          `json:"asks"`
+	Member      string            `json:"member"`
+	Incarnation uint64            `json:"start"` // start of the member's process
+	Seq         uint64            `json:"seq"`   // sequence number of the process's requests
+	Duration    control.Micros    `json:"for_us"`
+	Capacities  []CapacityRequest `json:"asks"`
 }
 
 // Lease is a member's share of one capacity.
@@ -33,8 +33,8 @@
 	Target float64 `json:"target"` // the member's fair share now, to which it reduces its rate before the next request
 }
 
-// Answer is the response to a Request.
-type Answer struct {
+// Response is the response to a Request.
+type Response struct {
 	Seq    uint64  `json:"seq"` // of the last request that was applied; older requests are ignored
 	Leases []Lease `json:"leases"`
 }
@@ -102,7 +102,7 @@
 }
 
 // Apply is Reduce on a decoded table and request.
-func (t *Table) Apply(r Request, epoch uint64, now control.Micros) (*Answer, error) {
+func (t *Table) Apply(r Request, epoch uint64, now control.Micros) (*Response, error) {
 	if epoch < t.Epoch {
 		return nil, &StaleEpochError{epoch, t.Epoch}
 	}
@@ -120,15 +120,15 @@
 	t.Now = max(t.Now, now)
 	t.expire()
 	holderName := fmt.Sprintf("%s@%d", r.Member, r.Incarnation)
-	a := &Answer{Seq: t.LastSeq[holderName]}
+	a := &Response{Seq: t.LastSeq[holderName]}
 	if r.Seq > a.Seq {
 		a.Seq = r.Seq
 		t.LastSeq[holderName] = r.Seq
-		for _, entry := range r.Asks {
+		for _, entry := range r.Capacities {
 			t.grant(holderName, &r, entry)
 		}
 	}
-	for _, entry := range r.Asks {
+	for _, entry := range r.Capacities {
 		p := t.Pools[entry.Name]
 		if p == nil || p.Holders[holderName] == nil {
 			continue
@@ -162,7 +162,7 @@
 
 // grant renews a holder's lease. The lease grows at most by the capacity that is not leased. A delayed copy of a request from a
 // process whose lease has ended has no lease to keep.
-func (t *Table) grant(holderName string, r *Request, entry Ask) {
+func (t *Table) grant(holderName string, r *Request, entry CapacityRequest) {
 	p := t.Pools[entry.Name]
 	if p == nil {
 		p = &pool{Holders: map[string]*holder{}}
--- a/control/registers/errors.go
+++ b/control/registers/errors.go
@@ -4,13 +4,13 @@
 
 // TooLarge reports that a value exceeds the size bound of its topic. The value was rejected.
 type TooLarge struct {
-	Topic       Topic
-	Origin      string
-	Bytes, Most int
+	Topic      Topic
+	Origin     string
+	Bytes, Max int
 }
 
 func (e *TooLarge) Error() string {
-	return fmt.Sprintf("registers: value of topic %s from %s has %d bytes, the limit is %d", e.Topic, e.Origin, e.Bytes, e.Most)
+	return fmt.Sprintf("registers: value of topic %s from %s has %d bytes, the limit is %d", e.Topic, e.Origin, e.Bytes, e.Max)
 }
 
 // Advice implements advice.Error.
@@ -33,11 +33,11 @@
 // Crowded reports that a register was rejected because its topic already holds the greatest number of origins.
 type Crowded struct {
 	Origin string
-	Most   int
+	Max    int
 }
 
 func (e *Crowded) Error() string {
-	return fmt.Sprintf("registers: register from %s rejected: %d origins are held already", e.Origin, e.Most)
+	return fmt.Sprintf("registers: register from %s rejected: %d origins are held already", e.Origin, e.Max)
 }
 
 // Advice implements advice.Error.
@@ -47,12 +47,12 @@
 
 // Doubled reports that another process publishes under this member's name, with a later start than its own.
 type Doubled struct {
-	Origin     string
-	Start, Own uint64
+	Origin          string
+	Start, OwnStart uint64
 }
 
 func (e *Doubled) Error() string {
-	return fmt.Sprintf("registers: another process publishes as %s with start %d, this member has start %d", e.Origin, e.Start, e.Own)
+	return fmt.Sprintf("registers: another process publishes as %s with start %d, this member has start %d", e.Origin, e.Start, e.OwnStart)
 }
 
 // Advice implements advice.Error.
--- a/control/registers/registers.go
+++ b/control/registers/registers.go
@@ -45,10 +45,10 @@
 
 // Spec sets the size bound and the timing of a topic.
 type Spec struct {
-	Bytes   int            // greatest size of a value
-	Every   control.Micros // least time between sent changes; grows in proportion above membersAtFullPace members
-	Refresh control.Micros // time after which an unchanged value is sent again, so that silence is not taken for no change
-	Stale   control.Micros // age after which a register no longer counts
+	MaxBytes        int            // greatest size of a value
+	MinInterval     control.Micros // least time between sent changes; grows in proportion above membersAtFullPace members
+	RefreshInterval control.Micros // time after which an unchanged value is sent again, so that silence is not taken for no change
+	MaxAge          control.Micros // age after which a register no longer counts
 }
 
 // Bounds of a Book.
@@ -84,8 +84,8 @@
 	changed      bool
 }
 
-// Book holds the registers of one member. It is not safe for concurrent use.
-type Book struct {
+// Replica holds the registers of one member. It is not safe for concurrent use.
+type Replica struct {
 	self            string
 	start           uint64
 	specs           map[Topic]Spec
@@ -97,8 +97,8 @@
 
 // New returns the empty book of the member named self, whose process has the given start. Topics without a spec are ignored, so
 // that an older build can run beside a newer one with more topics.
-func New(self string, start uint64, specs map[Topic]Spec) *Book {
-	b := &Book{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*heldRegister{}}
+func New(self string, start uint64, specs map[Topic]Spec) *Replica {
+	b := &Replica{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*heldRegister{}}
 	for t := range specs {
 		b.others[t] = map[string]*heldRegister{}
 	}
@@ -106,17 +106,17 @@
 }
 
 // Put sets this member's own value under a topic. The book keeps a reference to the slice. Errors are *Unset and *TooLarge.
-func (b *Book) Put(now control.Micros, t Topic, value []byte) error {
+func (b *Replica) Put(now control.Micros, t Topic, value []byte) error {
 	spec, ok := b.specs[t]
 	if !ok {
 		return &Unset{t}
 	}
-	if len(value) > spec.Bytes {
-		return &TooLarge{t, b.self, len(value), spec.Bytes}
+	if len(value) > spec.MaxBytes {
+		return &TooLarge{t, b.self, len(value), spec.MaxBytes}
 	}
 	register := b.own[t]
 	if register == nil {
-		register = &ownRegister{heldRegister: heldRegister{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.Refresh}
+		register = &ownRegister{heldRegister: heldRegister{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.RefreshInterval}
 		b.own[t] = register
 	}
 	// The sequence number counts sent values, so a value that was not sent yet is replaced without a new number. An equal value
@@ -130,15 +130,15 @@
 
 // Due returns this member's registers that are to be sent now, in a fleet of the given size: changed ones at the pace of their
 // topic, the others after Refresh.
-func (b *Book) Due(now control.Micros, members int) (due []Register) {
+func (b *Replica) Due(now control.Micros, members int) (due []Register) {
 	for _, t := range b.topics() {
 		register, spec := b.own[t], b.specs[t]
 		if register == nil {
 			continue
 		}
-		interval := control.Micros(max(1, float64(members)/membersAtFullPace) * float64(spec.Every))
+		interval := control.Micros(max(1, float64(members)/membersAtFullPace) * float64(spec.MinInterval))
 		since := now - register.handedOverAt
-		if !(register.changed && since >= interval || since >= max(interval, spec.Refresh)) {
+		if !(register.changed && since >= interval || since >= max(interval, spec.RefreshInterval)) {
 			continue
 		}
 		register.Seq++
@@ -156,12 +156,12 @@
 }
 
 // topics returns the topics in order.
-func (b *Book) topics() []Topic { return slices.Sorted(maps.Keys(b.specs)) }
+func (b *Replica) topics() []Topic { return slices.Sorted(maps.Keys(b.specs)) }
 
 // Merge applies a received register. It reports whether the register is new, so that it is to be passed on. Topics without a
 // spec are ignored without an error, since a newer build may have more. Errors are *BadOrigin, *TooLarge, *Doubled and
 // *Crowded.
-func (b *Book) Merge(now control.Micros, r Register) (isNew bool, err error) {
+func (b *Replica) Merge(now control.Micros, r Register) (isNew bool, err error) {
 	spec, ok := b.specs[r.Topic]
 	if !ok {
 		return false, nil
@@ -169,11 +169,11 @@
 	switch {
 	case r.Origin == "" || len(r.Origin) > maxNameLength:
 		return false, &BadOrigin{len(r.Origin)}
-	case len(r.Value) > spec.Bytes:
-		return false, &TooLarge{r.Topic, r.Origin, len(r.Value), spec.Bytes}
+	case len(r.Value) > spec.MaxBytes:
+		return false, &TooLarge{r.Topic, r.Origin, len(r.Value), spec.MaxBytes}
 	case r.Origin == b.self && r.Start > b.start:
 		return false, &Doubled{r.Origin, r.Start, b.start}
-	case r.Origin == b.self || r.Age < 0 || r.Age > spec.Stale:
+	case r.Origin == b.self || r.Age < 0 || r.Age > spec.MaxAge:
 		return false, nil // from an earlier process of this member, or with an age at which no member counts it
 	}
 	published := now - r.Age
@@ -198,13 +198,13 @@
 }
 
 // State returns all registers that are not stale, for Merge at another member.
-func (b *Book) State(now control.Micros) (all []Register) {
+func (b *Replica) State(now control.Micros) (all []Register) {
 	for _, t := range b.topics() {
-		if register := b.own[t]; register != nil && register.Seq > 0 && !register.changed && now-register.publishedAt <= b.specs[t].Stale {
+		if register := b.own[t]; register != nil && register.Seq > 0 && !register.changed && now-register.publishedAt <= b.specs[t].MaxAge {
 			all = append(all, register.copy(now))
 		}
 		for _, name := range b.origins(t) {
-			if held := b.others[t][name]; now-held.publishedAt <= b.specs[t].Stale {
+			if held := b.others[t][name]; now-held.publishedAt <= b.specs[t].MaxAge {
 				all = append(all, held.copy(now))
 			}
 		}
@@ -213,12 +213,12 @@
 }
 
 // origins returns the other members with a register under a topic, sorted by name.
-func (b *Book) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
+func (b *Replica) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
 
 // Read returns the registers that count under a topic now, sorted by origin. These are this member's own and those of origins
 // that up reports to be up with that start; none is older than Stale.
-func (b *Book) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
-	stale := b.specs[t].Stale
+func (b *Replica) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
+	stale := b.specs[t].MaxAge
 	if register := b.own[t]; register != nil && now-register.publishedAt <= stale {
 		all = append(all, register.copy(now))
 	}
@@ -231,12 +231,12 @@
 	return all
 }
 
-// Forget deletes registers that have been stale for long, so that names of former members use no memory. Copies that still
+// Prune deletes registers that have been stale for long, so that names of former members use no memory. Copies that still
 // circulate are older than Stale and are not accepted again.
-func (b *Book) Forget(now control.Micros) {
+func (b *Replica) Prune(now control.Micros) {
 	for t, all := range b.others {
 		for name, held := range all {
-			if now-held.publishedAt > 4*b.specs[t].Stale {
+			if now-held.publishedAt > 4*b.specs[t].MaxAge {
 				delete(all, name)
 			}
 		}
@@ -244,4 +244,4 @@
 }
 
 // Counts returns the number of received registers that were new, and of those that were duplicates or superseded.
-func (b *Book) Counts() (accepted, superseded int64) { return b.acceptedCount, b.supersededCount }
+func (b *Replica) Counts() (accepted, superseded int64) { return b.acceptedCount, b.supersededCount }
--- a/control/registers/registers_test.go
+++ b/control/registers/registers_test.go
@@ -14,7 +14,7 @@
 )
 
 // specs has one topic, with a bound of 8 bytes.
-var specs = map[Topic]Spec{Rates: {Bytes: 8, Every: 1e5, Refresh: 1e6, Stale: 3e6}}
+var specs = map[Topic]Spec{Rates: {MaxBytes: 8, MinInterval: 1e5, RefreshInterval: 1e6, MaxAge: 3e6}}
 
 // allUp reports every origin as up.
 func allUp(string, uint64) bool { return true }
@@ -25,7 +25,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const memberCount = 4
 		now := control.Micros(1e9)
-		var books [memberCount]*Book
+		var books [memberCount]*Replica
 		starts, published := [memberCount]uint64{}, [memberCount]byte{}
 		skew := [memberCount]control.Micros{0, 5e8, -3e8, 7} // the members' clocks are independent
 		name := func(i int) string { return fmt.Sprint("g", i) }
@@ -128,7 +128,7 @@
 	isNew, err = b.Merge(10e6, r)
 	require.False(t, isNew, "too old to be accepted")
 	require.NoError(t, err)
-	b.Forget(30e6)
+	b.Prune(30e6)
 	require.Empty(t, b.others[Rates])
 }
 
--- a/control/retry/budget.go
+++ b/control/retry/budget.go
@@ -21,7 +21,7 @@
 //
 // A clock that steps back neither adds to the budget nor takes from it; one that steps ahead empties the window.
 type Budget struct {
-	config BudgetFigures
+	config BudgetConfig
 	worth  []float64 // by class
 	*counts
 }
@@ -42,7 +42,7 @@
 type tally struct{ first, retries int }
 
 // NewBudget returns a budget with a full bucket for the classes of the settings. It is not safe for concurrent use.
-func NewBudget(f BudgetFigures, classes []control.Class) *Budget {
+func NewBudget(f BudgetConfig, classes []control.Class) *Budget {
 	b := &Budget{config: f, counts: &counts{sum: make([]tally, len(classes)), tokens: float64(f.Burst)}}
 	for i := range b.slots {
 		b.slots[i] = make([]tally, len(classes))
--- a/control/retry/diff.go
+++ b/control/retry/diff.go
@@ -8,11 +8,11 @@
 
 // Change is one difference between two policies for calls of one class.
 type Change struct {
-	Class  string `json:"class,omitempty"` // empty: all calls
-	Route  string `json:"route,omitempty"` // name of the route; empty: calls that match no route
-	What   string `json:"what"`            // a parameter, or match, order, budget or second_copies
-	Before string `json:"before"`          // empty: not present before
-	After  string `json:"after"`           // empty: not present after
+	Class    string `json:"class,omitempty"` // empty: all calls
+	Route    string `json:"route,omitempty"` // name of the route; empty: calls that match no route
+	Property string `json:"what"`            // a parameter, or match, order, budget or second_copies
+	Before   string `json:"before"`          // empty: not present before
+	After    string `json:"after"`           // empty: not present after
 }
 
 // Diff returns the changes from one policy to another, by class and route. Routes are identified by name. A nil policy has the
@@ -31,8 +31,8 @@
 		}
 	}
 	addValues := func(class, route string, x, y *Resolved) {
-		for f := range Figures {
-			add(class, route, f.String(), f.Text(x.Values[f]), f.Text(y.Values[f]))
+		for f := range ParameterCount {
+			add(class, route, f.String(), f.FormatValue(x.Values[f]), f.FormatValue(y.Values[f]))
 		}
 	}
 	add("", "", "second_copies", fmt.Sprint(before.file.SecondCopies), fmt.Sprint(after.file.SecondCopies))
@@ -97,7 +97,7 @@
 }
 
 // String describes the budget; a nil one is "none".
-func (b *BudgetFigures) String() string {
+func (b *BudgetConfig) String() string {
 	if b == nil {
 		return "none"
 	}
--- a/control/retry/proof.go
+++ b/control/retry/proof.go
@@ -59,7 +59,7 @@
 // proven identifies limits that need to be proven only once: the same values of the same origin, for a class with the same rules.
 type proven struct {
 	Values
-	from     [Figures]string
+	from     [ParameterCount]string
 	repeat   control.Repeat
 	deadline control.Micros
 }
@@ -90,7 +90,7 @@
 }
 
 // fault records a fault of a parameter, once for each place in the file.
-func (p *proof) fault(r *Resolved, f Figure, what string) {
+func (p *proof) fault(r *Resolved, f Parameter, what string) {
 	path := r.From[f] + "." + f.String()
 	i := slices.IndexFunc(p.found, func(other Fault) bool { return other.Path == path })
 	if i >= 0 {
@@ -101,9 +101,9 @@
 }
 
 // cause returns the parameter to name in a fault: the first of the given ones that the file sets, else the first.
-func cause(r *Resolved, parameters ...Figure) Figure {
+func cause(r *Resolved, parameters ...Parameter) Parameter {
 	for _, f := range parameters {
-		if r.Set(f) {
+		if r.IsSet(f) {
 			return f
 		}
 	}
@@ -121,14 +121,14 @@
 	subject := p.rules.subject(r)
 	ms := func(m control.Micros) string { return fmt.Sprintf("%d ms", m/1000) }
 	limits := &r.Limits
-	if r.Set(Attempts) && limits.Attempts > p.rules.AttemptsCap {
+	if r.IsSet(Attempts) && limits.Attempts > p.rules.AttemptsCap {
 		p.fault(r, Attempts, fmt.Sprintf("%d is over %d, the most that the deployment allows", limits.Attempts, p.rules.AttemptsCap))
 		limits.Attempts = p.rules.AttemptsCap // the file is refused anyway; continue with a valid value to find other faults
 	}
 	if slices.Min(r.Values[:]) < 0 {
 		return
 	}
-	if r.Set(GiveUp) && limits.GiveUp > class.Deadline && class.Deadline > 0 {
+	if r.IsSet(GiveUp) && limits.GiveUp > class.Deadline && class.Deadline > 0 {
 		p.fault(r, GiveUp, fmt.Sprintf("%s outlasts the callers: %s are given up by them after %s", ms(limits.GiveUp), subject, ms(class.Deadline)))
 		limits.GiveUp = class.Deadline
 	}
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -17,34 +17,34 @@
 	"beammux/control"
 )
 
-// Figure identifies one parameter of the retry policy.
-type Figure int
+// Parameter identifies one parameter of the retry policy.
+type Parameter int
 
 // Parameters of the retry policy. String returns their keys in the file.
 const (
-	Attempts       Figure = iota // greatest number of attempts of a call, including the first
-	AttemptTimeout               // microseconds after which an attempt is abandoned
-	RetryWait                    // microseconds between the end of an attempt and the next attempt
-	RetryJitter                  // microseconds: greatest addition to the wait, drawn from a uniform distribution
-	GiveUp                       // microseconds from a call's arrival to its final answer
-	RetryOn                      // outcomes on which to retry, as control.Outcomes
-	Figures                      // number of parameters
+	Attempts       Parameter = iota // greatest number of attempts of a call, including the first
+	AttemptTimeout                  // microseconds after which an attempt is abandoned
+	RetryWait                       // microseconds between the end of an attempt and the next attempt
+	RetryJitter                     // microseconds: greatest addition to the wait, drawn from a uniform distribution
+	GiveUp                          // microseconds from a call's arrival to its final answer
+	RetryOn                         // outcomes on which to retry, as control.Outcomes
+	ParameterCount                  // number of parameters
 )
 
-var parameterKeys = [Figures]string{"attempts", "attempt_timeout_ms", "retry_wait_ms", "retry_jitter_ms", "give_up_ms", "retry_on"}
+var parameterKeys = [ParameterCount]string{"attempts", "attempt_timeout_ms", "retry_wait_ms", "retry_jitter_ms", "give_up_ms", "retry_on"}
 
 // String returns the parameter's key in the file.
-func (f Figure) String() string { return parameterKeys[f] }
+func (f Parameter) String() string { return parameterKeys[f] }
 
 // Values holds the parameters that one part of the file sets; 0: not set.
-type Values [Figures]int64
+type Values [ParameterCount]int64
 
-// Unreadable is the value of a parameter that the file sets to an invalid value. Such a file is refused. The proof skips limits
+// InvalidValue is the value of a parameter that the file sets to an invalid value. Such a file is refused. The proof skips limits
 // with such a value.
-const Unreadable = -1
+const InvalidValue = -1
 
-// Text formats a value as in the file.
-func (f Figure) Text(v int64) string {
+// FormatValue formats a value as in the file.
+func (f Parameter) FormatValue(v int64) string {
 	switch f {
 	case Attempts:
 		return strconv.FormatInt(v, 10)
@@ -71,8 +71,8 @@
 	return names
 }
 
-// OutcomeNamed returns the outcome with a name in the file, and whether there is one.
-func OutcomeNamed(name string) (control.Code, bool) {
+// ParseOutcome returns the outcome with a name in the file, and whether there is one.
+func ParseOutcome(name string) (control.Code, bool) {
 	for _, o := range outcomes {
 		if o.String() == name {
 			return o, true
@@ -102,8 +102,8 @@
 	Values
 }
 
-// BudgetFigures configures the retry budget, which bounds the retries of all calls together over a sliding window of 10 s.
-type BudgetFigures struct {
+// BudgetConfig configures the retry budget, which bounds the retries of all calls together over a sliding window of 10 s.
+type BudgetConfig struct {
 	Ratio   float64 // retries allowed per first attempt; above 0, at most 1
 	MinPerS int     // retries per second that are always allowed; 1 to 10,000
 	Burst   int     // retries allowed at the same moment; 1 to 10,000
@@ -114,7 +114,7 @@
 	Defaults     Values
 	Classes      []ClassValues
 	Routes       []Route
-	Budget       *BudgetFigures
+	Budget       *BudgetConfig
 	SecondCopies bool
 }
 
@@ -128,8 +128,8 @@
 	SecondCopies bool
 }
 
-// RulesOf extracts the rules from the settings.
-func RulesOf(s *control.Site) Rules {
+// RulesFromSettings extracts the rules from the settings.
+func RulesFromSettings(s *control.Site) Rules {
 	return Rules{Names: s.ClassNames, Classes: s.Classes, AttemptsCap: s.AttemptsCap, ReleaseGuard: s.ReleaseGuard,
 		ResendGap: s.ResendGap, SecondCopies: s.SecondCopies}
 }
@@ -137,13 +137,13 @@
 // Fault is one reason to refuse a file. Path locates the value at fault, as in calls.routes[0].attempts, and What describes the
 // fault. If Word is set, it is an unknown name, and Known holds the known names.
 type Fault struct {
-	Path, What string
-	Word       string
-	Known      []string
+	Path, What  string
+	UnknownName string
+	KnownNames  []string
 }
 
-// Settings is the origin, in Resolved.From, of a value that the file does not set.
-const Settings = "settings"
+// FromSettings is the origin, in Resolved.From, of a value that the file does not set.
+const FromSettings = "settings"
 
 // Resolved holds the limits of the calls of one class that match one route, or that match no route.
 type Resolved struct {
@@ -151,8 +151,8 @@
 	Route  int    // index in the file; -1: calls that match no route
 	Name   string // name of the route
 	Limits control.Limits
-	Values Values          // values in force; 0: no bound
-	From   [Figures]string // origin of each value: the path of a part of the file, or Settings
+	Values Values                 // values in force; 0: no bound
+	From   [ParameterCount]string // origin of each value: the path of a part of the file, or Settings
 }
 
 // Policy determines the limits of calls. It is immutable except for the counts of its budget, which only one goroutine may use.
@@ -215,7 +215,7 @@
 	requireKnown := func(path, name string) {
 		if !slices.Contains(p.rules.Names, name) {
 			faults = append(faults, Fault{Path: path, What: "the settings name no such class: " + strconv.Quote(name),
-				Word: name, Known: p.rules.Names})
+				UnknownName: name, KnownNames: p.rules.Names})
 		}
 	}
 	for _, c := range p.file.Classes {
@@ -245,8 +245,8 @@
 	if classSettings.Repeat != control.ReadLike { // a call of this class must not be repeated if it may have run
 		r.Values[RetryOn] = int64(control.Retryable &^ control.MayHaveRun)
 	}
-	for f := range Figures {
-		r.From[f] = Settings
+	for f := range ParameterCount {
+		r.From[f] = FromSettings
 	}
 	apply := func(path string, v Values) {
 		for f, value := range v {
@@ -265,7 +265,7 @@
 		r.Name = p.file.Routes[routeIndex].Name
 		apply(fmt.Sprintf("calls.routes[%d]", routeIndex), p.file.Routes[routeIndex].Values)
 	}
-	micros := func(f Figure) control.Micros { return control.Micros(r.Values[f]) }
+	micros := func(f Parameter) control.Micros { return control.Micros(r.Values[f]) }
 	r.Limits = control.Limits{Attempts: int(r.Values[Attempts]), AttemptTimeout: micros(AttemptTimeout), Wait: micros(RetryWait),
 		Jitter: micros(RetryJitter), GiveUp: micros(GiveUp), RetryOn: control.Outcomes(r.Values[RetryOn])}
 	if p.budget != nil {
@@ -274,8 +274,8 @@
 	return r
 }
 
-// Set reports whether the file sets a parameter, in the route, the class or the defaults.
-func (r *Resolved) Set(f Figure) bool { return r.From[f] != Settings }
+// IsSet reports whether the file sets a parameter, in the route, the class or the defaults.
+func (r *Resolved) IsSet(f Parameter) bool { return r.From[f] != FromSettings }
 
 // subject describes the calls that the limits are for.
 func (u *Rules) subject(r *Resolved) string {
@@ -362,9 +362,9 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Adopt continues with the budget counts of the policy that was in force before, so that a reload does not reset the budget. Both
+// InheritCounts continues with the budget counts of the policy that was in force before, so that a reload does not reset the budget. Both
 // policies then share the counts, so calls that began under the old policy count in both.
-func (p *Policy) Adopt(old *Policy) {
+func (p *Policy) InheritCounts(old *Policy) {
 	if p != nil && old != nil && p.budget != nil && old.budget != nil {
 		p.budget.counts = old.budget.counts
 	}
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	r := p.Resolve(1, "7f3a", 3, false)
-	want := [Figures]string{"calls.classes.diet-order", "calls.routes[0]", Settings, Settings, "calls.defaults", Settings}
+	want := [ParameterCount]string{"calls.classes.diet-order", "calls.routes[0]", FromSettings, FromSettings, "calls.defaults", FromSettings}
 	if r.From != want {
 		t.Errorf("from %v, want %v", r.From, want)
 	}
@@ -91,7 +91,7 @@
 func TestVersion(t *testing.T) {
 	a := compile(t, File{Defaults: Values{Attempts: 3}})
 	same := compile(t, File{Classes: []ClassValues{{"menu-view", Values{Attempts: 3}}, {"diet-order", Values{Attempts: 3}}, {"billing", Values{Attempts: 3}}}})
-	other := compile(t, File{Defaults: Values{Attempts: 3}, Budget: &BudgetFigures{0.2, 1, 10}})
+	other := compile(t, File{Defaults: Values{Attempts: 3}, Budget: &BudgetConfig{0.2, 1, 10}})
 	matched := compile(t, File{Defaults: Values{Attempts: 3}, Routes: []Route{{"r", Match{Number: "1"}, Values{}}}})
 	rematched := compile(t, File{Defaults: Values{Attempts: 3}, Routes: []Route{{"r", Match{Number: "2"}, Values{}}}})
 	if a.Version() != same.Version() || len(a.Version()) != 16 || (*Policy)(nil).Version() != "none" {
@@ -115,11 +115,11 @@
 
 func genValues(t *rapid.T, label string, in bounds) (v Values) {
 	for f, most := range in.most {
-		if rapid.IntRange(0, 2).Draw(t, label+" sets "+Figure(f).String()) == 0 {
+		if rapid.IntRange(0, 2).Draw(t, label+" sets "+Parameter(f).String()) == 0 {
 			continue
 		}
 		v[f] = rapid.Int64Range(in.least[f], most).Draw(t, label)
-		switch Figure(f) {
+		switch Parameter(f) {
 		case Attempts:
 		case RetryOn:
 			v[f] &= int64(control.Retryable)
@@ -229,7 +229,7 @@
 		f := genFile(t, anyValues)
 		_, faults := Compile(f, rules())
 		for _, fault := range faults {
-			if !strings.HasPrefix(fault.Path, "calls.") || strings.HasPrefix(fault.Path, Settings) || fault.What == "" {
+			if !strings.HasPrefix(fault.Path, "calls.") || strings.HasPrefix(fault.Path, FromSettings) || fault.What == "" {
 				t.Fatalf("%+v", fault)
 			}
 		}
@@ -306,7 +306,7 @@
 // its burst.
 func TestBudgetBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := BudgetFigures{Ratio: float64(rapid.IntRange(1, 10).Draw(t, "tenths")) / 10,
+		f := BudgetConfig{Ratio: float64(rapid.IntRange(1, 10).Draw(t, "tenths")) / 10,
 			MinPerS: rapid.IntRange(1, 3).Draw(t, "least"), Burst: rapid.IntRange(1, 20).Draw(t, "burst")}
 		b := NewBudget(f, rules().Classes)
 		type event struct {
@@ -356,7 +356,7 @@
 
 // When one class has exhausted the budget, classes of greater worth still have the share that their own calls earned.
 func TestBudgetPriority(t *testing.T) {
-	b := NewBudget(BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
+	b := NewBudget(BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
 	now := control.Micros(1e12)
 	for i := range 1000 { // a fifth of them diet-order: 200 retries in total, 40 of them earned by diet-order calls
 		b.First(now, i%5/4)
@@ -372,7 +372,7 @@
 	if lessWorth != 160 || moreWorth != 40 {
 		t.Errorf("%d retries of the class of less worth and %d of the other, want 160 and 40", lessWorth, moreWorth)
 	}
-	b = NewBudget(BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
+	b = NewBudget(BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
 	for i := range 1000 {
 		b.First(now, i%5/4)
 	}
@@ -389,7 +389,7 @@
 // A clock that steps back neither adds to the budget nor takes from it permanently; one that steps ahead empties the window.
 func TestBudgetClockSteps(t *testing.T) {
 	for _, step := range []control.Micros{-3600e6, 3600e6} {
-		b := NewBudget(BudgetFigures{Ratio: 0.5, MinPerS: 1, Burst: 5}, rules().Classes)
+		b := NewBudget(BudgetConfig{Ratio: 0.5, MinPerS: 1, Burst: 5}, rules().Classes)
 		now := control.Micros(1e13)
 		for range 5 {
 			b.First(now, 0)
@@ -416,25 +416,25 @@
 
 // A reload keeps the counts of the budget.
 func TestReloadKeepsBudgetCounts(t *testing.T) {
-	old := compile(t, File{Budget: &BudgetFigures{0.2, 1, 2}})
+	old := compile(t, File{Budget: &BudgetConfig{0.2, 1, 2}})
 	now := control.Micros(1e12)
 	for old.budget.Take(now, 1) {
 	}
-	reloaded := compile(t, File{Budget: &BudgetFigures{0.2, 1, 100}})
-	reloaded.Adopt(old)
+	reloaded := compile(t, File{Budget: &BudgetConfig{0.2, 1, 100}})
+	reloaded.InheritCounts(old)
 	if reloaded.budget.Take(now, 1) {
 		t.Error("a reload filled the bucket")
 	}
-	compile(t, File{}).Adopt(old)
-	(*Policy)(nil).Adopt(old)
-	reloaded.Adopt(nil)
+	compile(t, File{}).InheritCounts(old)
+	(*Policy)(nil).InheritCounts(old)
+	reloaded.InheritCounts(nil)
 }
 
 func TestDiff(t *testing.T) {
 	a := compile(t, File{Defaults: Values{Attempts: 3}, Routes: []Route{{"gone", Match{Number: "1"}, Values{Attempts: 2}},
 		{"x", Match{Number: "2"}, Values{}}, {"y", Match{Number: "3"}, Values{}}}})
 	b := compile(t, File{Defaults: Values{Attempts: 3}, Classes: []ClassValues{{"diet-order", Values{Attempts: 4}}},
-		Routes: []Route{{"y", Match{Number: "3*"}, Values{}}, {"x", Match{Number: "2"}, Values{}}}, Budget: &BudgetFigures{0.1, 1, 10}})
+		Routes: []Route{{"y", Match{Number: "3*"}, Values{}}, {"x", Match{Number: "2"}, Values{}}}, Budget: &BudgetConfig{0.1, 1, 10}})
 	if d := Diff(a, a, rules()); len(d) != 0 {
 		t.Errorf("a file differs from itself: %v", d)
 	}
@@ -492,7 +492,7 @@
 }
 
 func BenchmarkBudget(b *testing.B) {
-	budget := NewBudget(BudgetFigures{0.2, 1, 10}, rules().Classes)
+	budget := NewBudget(BudgetConfig{0.2, 1, 10}, rules().Classes)
 	now := control.Micros(1e12)
 	b.ReportAllocs()
 	for b.Loop() {
