--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -101,7 +101,7 @@
 	return Healthy
 }
 
-// succeedExcept records successes of every member at every server except those in without.
+// succeedExcept records successes of every member at every server that is not excluded.
 func (f *fleet) succeedExcept(excluded ...uint32) {
 	for _, name := range f.names {
 		for _, s := range f.list {
@@ -248,9 +248,9 @@
 		honestWitnesses := map[uint32]map[string]bool{} // members that really saw a failure
 		lastFailure := map[uint32]control.Micros{}
 		t.Repeat(map[string]func(*rapid.T){
-			"good": func(t *rapid.T) { f.observe(f.names[member.Draw(t, "who")], id.Draw(t, "server"), 2, 0) },
+			"good": func(t *rapid.T) { f.observe(f.names[member.Draw(t, "member")], id.Draw(t, "server"), 2, 0) },
 			"bad": func(t *rapid.T) {
-				observer, s := f.names[member.Draw(t, "who")], id.Draw(t, "server")
+				observer, s := f.names[member.Draw(t, "member")], id.Draw(t, "server")
 				f.observe(observer, s, 0, rapid.Float64Range(1, 6).Draw(t, "bad"))
 				lastFailure[s] = f.now
 				if honestWitnesses[s] == nil {
@@ -266,7 +266,7 @@
 			},
 			"time": func(t *rapid.T) { f.advance(control.Micros(rapid.IntRange(1, 30).Draw(t, "rounds")) * 200_000) },
 			"restart": func(t *rapid.T) {
-				name := f.names[member.Draw(t, "who")]
+				name := f.names[member.Draw(t, "member")]
 				f.detectors[name], f.observations[name] = New(name, 0.3), map[uint32]*Observation{}
 			},
 			"": func(t *rapid.T) {
--- a/control/quota/quota.go
+++ b/control/quota/quota.go
@@ -115,7 +115,7 @@
 	rateClaim, slotClaim claim
 }
 
-// leasedShare is this member's lease on one capacity: the leased rate, and its fair share as of the last answer.
+// leasedShare is this member's lease on one capacity: the leased rate, and its fair share as of the last response.
 type leasedShare struct {
 	rate, target float64
 }
@@ -276,8 +276,8 @@
 }
 
 // Take admits a call, or returns the time with jitter after which a retry may be admitted. A call is admitted if every rule that
-// matches it has a token and a slot left. The claim is nil if no rule matches.
-func (m *Member) Take(now control.Micros, tenant, class int, number string) (claim *Permit, ok bool, wait control.Micros) {
+// matches it has a token and a slot left. The permit is nil if no rule matches.
+func (m *Member) Take(now control.Micros, tenant, class int, number string) (permit *Permit, ok bool, wait control.Micros) {
 	reserved := class >= 0 && class < len(m.limits.MayUseReserve) && m.limits.MayUseReserve[class]
 	longestWait := 0.0
 	var matching []*ruleState
@@ -329,12 +329,12 @@
 	return max(minWait, min(w, maxWait))
 }
 
-// Done releases the slots of an admitted call. It must be called once for each claim; nil is allowed.
-func (m *Member) Done(c *Permit) {
-	if c == nil {
+// Done releases the slots of an admitted call. It must be called once for each permit; nil is allowed.
+func (m *Member) Done(permit *Permit) {
+	if permit == nil {
 		return
 	}
-	for _, s := range c.states {
+	for _, s := range permit.states {
 		s.open--
 	}
 }
@@ -376,20 +376,20 @@
 	return r, len(r.Capacities) > 0
 }
 
-// ApplyResponse applies the answer to the last request. Answers to older requests are ignored, since this member may have reduced its
-// rate since then.
-func (m *Member) ApplyResponse(now control.Micros, a *Response) {
-	if a.Seq != m.seq {
+// ApplyResponse applies the response to the last request. Responses to older requests are ignored, since this member may have
+// reduced its rate since then.
+func (m *Member) ApplyResponse(now control.Micros, response *Response) {
+	if response.Seq != m.seq {
 		return
 	}
 	m.leasedUntil = max(m.leasedUntil, m.sentAt+control.Micros(float64(LeaseDuration)*(1-Drift)))
-	for _, l := range a.Leases {
-		name, open := strings.CutSuffix(l.Name, slotPoolSuffix)
+	for _, lease := range response.Leases {
+		name, open := strings.CutSuffix(lease.Name, slotPoolSuffix)
 		if s := m.byName[name]; s != nil && s.Mode == Leased {
 			if open {
-				s.slotLease = leasedShare{l.Rate, l.Target}
+				s.slotLease = leasedShare{lease.Rate, lease.Target}
 			} else {
-				s.rateLease = leasedShare{l.Rate, l.Target}
+				s.rateLease = leasedShare{lease.Rate, lease.Target}
 			}
 		}
 	}
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -101,8 +101,8 @@
 			for range most {
 				m, at := members[i], clocks[i].now(now)
 				m.CountArrival(at, -1, 0, anyCall)
-				if claim, ok, _ := m.Take(at, -1, 0, anyCall); ok {
-					m.Done(claim)
+				if permit, ok, _ := m.Take(at, -1, 0, anyCall); ok {
+					m.Done(permit)
 					bound.take(t, now)
 				}
 			}
@@ -110,13 +110,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"time":  func(t *rapid.T) { now += control.Micros(rapid.IntRange(0, 300_000).Draw(t, "us")) },
 			"pause": func(t *rapid.T) { now += control.Micros(rapid.IntRange(0, 4_000_000).Draw(t, "us")) },
-			"calls": func(t *rapid.T) { offerCalls(member.Draw(t, "who"), 30) },
+			"calls": func(t *rapid.T) { offerCalls(member.Draw(t, "member"), 30) },
 			"calls at all members": func(*rapid.T) {
 				for i := range n {
 					offerCalls(i, 30)
 				}
 			},
-			"request": func(t *rapid.T) { sendRequest(member.Draw(t, "who")) },
+			"request": func(t *rapid.T) { sendRequest(member.Draw(t, "member")) },
 			"request arrives": func(t *rapid.T) { // any request, repeatedly and late
 				if len(requests) == 0 {
 					t.Skip("none")
@@ -130,7 +130,7 @@
 				receiveAnswer(max(0, len(answers)-1-rapid.IntRange(0, 12).Draw(t, "answer")))
 			},
 			"rounds": func(t *rapid.T) { // with demand at some members, and lost requests or answers at some
-				busy, answersLost, requestsLost := subset.Draw(t, "busy"), subset.Draw(t, "deaf"), subset.Draw(t, "mute")
+				busy, answersLost, requestsLost := subset.Draw(t, "busy"), subset.Draw(t, "answers lost"), subset.Draw(t, "requests lost")
 				for k := range rapid.IntRange(1, 16).Draw(t, "rounds") {
 					now += 100_000
 					for i := range n {
@@ -150,7 +150,7 @@
 					}
 				}
 			},
-			"restart": func(t *rapid.T) { restart(member.Draw(t, "who")) },
+			"restart": func(t *rapid.T) { restart(member.Draw(t, "member")) },
 			"leader": func(t *rapid.T) {
 				epoch++
 				leader = drawClock(t)
@@ -213,8 +213,8 @@
 				at := clocks[i].now(now)
 				for range busy[i] {
 					m.CountArrival(at, -1, 0, anyCall)
-					if claim, ok, _ := m.Take(at, -1, 0, anyCall); ok {
-						m.Done(claim)
+					if permit, ok, _ := m.Take(at, -1, 0, anyCall); ok {
+						m.Done(permit)
 						bound.take(t, now)
 					}
 				}
@@ -246,10 +246,10 @@
 					busy[i] = rapid.IntRange(0, 6).Draw(t, "calls")
 				}
 			},
-			"cut":   func(t *rapid.T) { i := rapid.IntRange(0, n-1).Draw(t, "who"); partitioned[i] = !partitioned[i] },
-			"pause": func(t *rapid.T) { i := rapid.IntRange(0, n-1).Draw(t, "who"); paused[i] = !paused[i] },
+			"cut":   func(t *rapid.T) { i := rapid.IntRange(0, n-1).Draw(t, "member"); partitioned[i] = !partitioned[i] },
+			"pause": func(t *rapid.T) { i := rapid.IntRange(0, n-1).Draw(t, "member"); paused[i] = !paused[i] },
 			"restart": func(t *rapid.T) {
-				restart(rapid.IntRange(0, n-1).Draw(t, "who"))
+				restart(rapid.IntRange(0, n-1).Draw(t, "member"))
 			},
 		})
 
@@ -328,19 +328,19 @@
 	few.Name, few.Number, few.PerS, few.Open = "few", "555", 0, 2
 	m := NewMember("g", 1, Limits{Rules: []Rule{all, few}, Parts: 1}, 0)
 	now := control.Micros(10e6)
-	take := func(number string) *Permit {
+	admit := func(number string) *Permit {
 		c, ok, _ := m.Take(now, -1, 0, number)
 		require.Equal(t, ok, c != nil)
 		return c
 	}
-	first := take("5551")
+	first := admit("5551")
 	require.NotNil(t, first)
-	require.NotNil(t, take("5552"))
-	require.Nil(t, take("5553"), "two calls are open")
-	require.NotNil(t, take("444"), "the rule does not match")
+	require.NotNil(t, admit("5552"))
+	require.Nil(t, admit("5553"), "two calls are open")
+	require.NotNil(t, admit("444"), "the rule does not match")
 	require.InDelta(t, 9, m.Status(now)[0].Burst-3, 1e-9)
 	m.Done(first)
-	require.NotNil(t, take("5554"))
+	require.NotNil(t, admit("5554"))
 	require.Equal(t, int64(1), m.Status(now)[1].Refused)
 	require.Equal(t, 2, m.Status(now)[1].OpenCalls)
 }
@@ -374,11 +374,11 @@
 	for range 20 {
 		m.CountArrival(now, -1, 0, anyCall)
 	}
-	q, _ := m.NextRequest(now)
+	request, _ := m.NextRequest(now)
 	table := &Table{}
-	a, err := table.Apply(q, 1, 5)
+	response, err := table.Apply(request, 1, 5)
 	require.NoError(t, err)
-	m.ApplyResponse(now, a)
+	m.ApplyResponse(now, response)
 	require.Positive(t, m.Status(now)[0].LeaseRemaining)
 	require.Greater(t, m.Status(now)[0].Rate, 10.0)
 	now += 60e6
@@ -424,7 +424,7 @@
 		return Limits{Parts: 1, Rules: []Rule{{Name: "a", Tenant: tenant, Class: -1, Prefix: true, Open: 1}}}
 	}
 	m := NewMember("g", 1, rule(0), 1e9)
-	claim, ok, _ := m.Take(1e9, 0, 0, "1")
+	first, ok, _ := m.Take(1e9, 0, 0, "1")
 	if !ok {
 		t.Fatal("the first tenant's first call is refused")
 	}
@@ -436,6 +436,6 @@
 	if !ok {
 		t.Error("the first tenant's calls count against the second")
 	}
-	m.Done(claim)
+	m.Done(first)
 	m.Done(second)
 }
--- a/control/quota/table.go
+++ b/control/quota/table.go
@@ -77,7 +77,7 @@
 // leader's term and now its monotonic clock at the time it received the request. That is after the holder sent the request, so
 // a lease ends at its holder, which counts from the sending, before it ends in the table. The clock of a new leader is
 // unrelated to that of the previous one, so all leases restart with a new leader. Errors are *Unreadable and *StaleEpochError.
-func Reduce(old, request []byte, epoch uint64, now control.Micros) (table, answer []byte, err error) {
+func Reduce(old, request []byte, epoch uint64, now control.Micros) (table, response []byte, err error) {
 	t := &Table{}
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, t); err != nil {
@@ -88,17 +88,17 @@
 	if err := json.Unmarshal(request, &r); err != nil {
 		return nil, nil, &Unreadable{"request for leases", err}
 	}
-	a, err := t.Apply(r, epoch, now)
+	applied, err := t.Apply(r, epoch, now)
 	if err != nil {
 		return nil, nil, err
 	}
 	if table, err = json.Marshal(t); err == nil {
-		answer, err = json.Marshal(a)
+		response, err = json.Marshal(applied)
 	}
 	if err != nil {
 		return nil, nil, &Unreadable{"table of leases", err} // a number that JSON can't represent, such as NaN
 	}
-	return table, answer, nil
+	return table, response, nil
 }
 
 // Apply is Reduce on a decoded table and request.
@@ -120,9 +120,9 @@
 	t.Now = max(t.Now, now)
 	t.expire()
 	holderName := fmt.Sprintf("%s@%d", r.Member, r.Incarnation)
-	a := &Response{Seq: t.LastSeq[holderName]}
-	if r.Seq > a.Seq {
-		a.Seq = r.Seq
+	response := &Response{Seq: t.LastSeq[holderName]}
+	if r.Seq > response.Seq {
+		response.Seq = r.Seq
 		t.LastSeq[holderName] = r.Seq
 		for _, entry := range r.Capacities {
 			t.grant(holderName, &r, entry)
@@ -133,9 +133,9 @@
 		if p == nil || p.Holders[holderName] == nil {
 			continue
 		}
-		a.Leases = append(a.Leases, Lease{entry.Name, p.Holders[holderName].Rate, p.target(holderName)})
+		response.Leases = append(response.Leases, Lease{entry.Name, p.Holders[holderName].Rate, p.target(holderName)})
 	}
-	return a, nil
+	return response, nil
 }
 
 // expire deletes leases that have ended, and the sequence numbers of processes without a lease.
--- a/control/registers/registers.go
+++ b/control/registers/registers.go
@@ -6,7 +6,7 @@
 //
 // Ages: a register carries its age at the time it was sent. The time on the wire is not included, so a register may be older
 // than its age says by that time, and of two copies of one register the greater age is more accurate. A register older than
-// the Stale age of its topic no longer counts, nor does a register whose origin is not up.
+// the MaxAge of its topic no longer counts, nor does a register whose origin is not up.
 package registers
 
 import (
@@ -51,11 +51,11 @@
 	MaxAge          control.Micros // age after which a register no longer counts
 }
 
-// Bounds of a Book.
+// Bounds of a Replica.
 const (
 	maxOrigins        = 1024 // other members held for each topic
 	maxNameLength     = 64   // bytes of an origin's name
-	membersAtFullPace = 16   // fleet size up to which each member publishes every Spec.Every; in larger fleets each does so less often
+	membersAtFullPace = 16   // fleet size up to which each member publishes every Spec.MinInterval; in larger fleets each does so less often
 )
 
 // Register is the value of one origin under one topic.
@@ -95,7 +95,7 @@
 	supersededCount int64
 }
 
-// New returns the empty book of the member named self, whose process has the given start. Topics without a spec are ignored, so
+// New returns the empty replica of the member named self, whose process has the given start. Topics without a spec are ignored, so
 // that an older build can run beside a newer one with more topics.
 func New(self string, start uint64, specs map[Topic]Spec) *Replica {
 	b := &Replica{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*heldRegister{}}
@@ -105,7 +105,7 @@
 	return b
 }
 
-// Put sets this member's own value under a topic. The book keeps a reference to the slice. Errors are *Unset and *TooLarge.
+// Put sets this member's own value under a topic. The replica keeps a reference to the slice. Errors are *Unset and *TooLarge.
 func (b *Replica) Put(now control.Micros, t Topic, value []byte) error {
 	spec, ok := b.specs[t]
 	if !ok {
@@ -120,7 +120,7 @@
 		b.own[t] = register
 	}
 	// The sequence number counts sent values, so a value that was not sent yet is replaced without a new number. An equal value
-	// renews the publication time and is sent again after Refresh.
+	// renews the publication time and is sent again after RefreshInterval.
 	if !register.changed && !slices.Equal(register.Value, value) {
 		register.changed = true
 	}
@@ -129,7 +129,7 @@
 }
 
 // Due returns this member's registers that are to be sent now, in a fleet of the given size: changed ones at the pace of their
-// topic, the others after Refresh.
+// topic, the others after RefreshInterval.
 func (b *Replica) Due(now control.Micros, members int) (due []Register) {
 	for _, t := range b.topics() {
 		register, spec := b.own[t], b.specs[t]
@@ -216,7 +216,7 @@
 func (b *Replica) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
 
 // Read returns the registers that count under a topic now, sorted by origin. These are this member's own and those of origins
-// that up reports to be up with that start; none is older than Stale.
+// that up reports to be up with that start; none is older than MaxAge.
 func (b *Replica) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
 	stale := b.specs[t].MaxAge
 	if register := b.own[t]; register != nil && now-register.publishedAt <= stale {
@@ -232,7 +232,7 @@
 }
 
 // Prune deletes registers that have been stale for long, so that names of former members use no memory. Copies that still
-// circulate are older than Stale and are not accepted again.
+// circulate are older than MaxAge and are not accepted again.
 func (b *Replica) Prune(now control.Micros) {
 	for t, all := range b.others {
 		for name, held := range all {
--- a/control/registers/registers_test.go
+++ b/control/registers/registers_test.go
@@ -52,12 +52,12 @@
 		member := rapid.IntRange(0, memberCount-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
-				i := member.Draw(t, "who")
+				i := member.Draw(t, "member")
 				published[i]++
 				require.NoError(t, books[i].Put(now+skew[i], Rates, []byte{byte(starts[i]), published[i]}))
 			},
 			"publish": func(t *rapid.T) {
-				i := member.Draw(t, "who")
+				i := member.Draw(t, "member")
 				wire = append(wire, books[i].Due(now+skew[i], memberCount)...)
 			},
 			"deliver": func(t *rapid.T) { // any message, at any time, any number of times
@@ -70,7 +70,7 @@
 				}
 			},
 			"restart": func(t *rapid.T) {
-				i := member.Draw(t, "who")
+				i := member.Draw(t, "member")
 				restart(i)
 				for key := range seen { // a new process starts without registers
 					if key[0] == name(i) {
@@ -121,7 +121,7 @@
 	isNew, _ = b.Merge(10e6, r)
 	require.False(t, isNew)
 	require.Equal(t, control.Micros(25e5), b.Read(10e6, Rates, allUp)[0].Age)
-	require.Empty(t, b.Read(10e6+5e5+1, Rates, allUp), "older than Stale")
+	require.Empty(t, b.Read(10e6+5e5+1, Rates, allUp), "older than MaxAge")
 	require.Empty(t, b.State(10e6+5e5+1), "a stale register is not passed on")
 	require.Empty(t, b.Read(10e6, Rates, func(_ string, start uint64) bool { return start > 5 }), "its origin has restarted")
 	r.Seq, r.Age = 2, 3e6+1
@@ -132,7 +132,7 @@
 	require.Empty(t, b.others[Rates])
 }
 
-// A register is sent when it changes, at a rate that falls with the size of the fleet, and again after Refresh.
+// A register is sent when it changes, at a rate that falls with the size of the fleet, and again after RefreshInterval.
 func TestPublishingPace(t *testing.T) {
 	b := New("a", 1, specs)
 	put := func(now control.Micros, v byte) { require.NoError(t, b.Put(now, Rates, []byte{v})) }
