--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -135,7 +135,7 @@
 }
 
 // Fault is one reason to refuse a file. Path locates the value at fault, as in calls.routes[0].attempts, and What describes the
-// fault. If Word is set, it is an unknown name, and Known holds the known names.
+// fault. If the value is an unknown name, UnknownName holds it and KnownNames the known ones.
 type Fault struct {
 	Path, What  string
 	UnknownName string
@@ -152,7 +152,7 @@
 	Name   string // name of the route
 	Limits control.Limits
 	Values Values                 // values in force; 0: no bound
-	From   [ParameterCount]string // origin of each value: the path of a part of the file, or Settings
+	From   [ParameterCount]string // origin of each value: the path of a part of the file, or FromSettings
 }
 
 // Policy determines the limits of calls. It is immutable except for the counts of its budget, which only one goroutine may use.
@@ -172,8 +172,8 @@
 	*Resolved
 }
 
-// Compile builds the policy of a file and proves it. It returns either the policy or all faults found. Without a file it returns
-// neither.
+// Compile builds the policy of a file and checks that no course of a call under it breaks a rule. It returns either the policy or
+// all faults found. Without a file it returns neither.
 func Compile(file *File, rules Rules) (*Policy, []Fault) {
 	if file == nil {
 		return nil, nil
