--- a/control/retry/proof.go
+++ b/control/retry/proof.go
@@ -219,7 +219,7 @@
 				course = append(course, Step{Start: start, End: end, Code: code})
 				visit(course)
 				if len(course) < limits.Attempts && limits.RetryOn.Has(code) && (code != control.TimedOut || limits.AttemptTimeout > 0) {
-					if mayHaveRun && class.Repeat != control.ReadLike {
+					if mayHaveRun && class.Repeat != control.Idempotent {
 						p.breach(forbiddenRepeat, course)
 					}
 					for _, wait := range p.waits(limits, code) {
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -242,7 +242,7 @@
 	classSettings := p.rules.Classes[class]
 	r := &Resolved{Class: class, Route: routeIndex, Values: Values{Attempts: int64(p.rules.AttemptsCap), GiveUp: int64(classSettings.Deadline),
 		RetryOn: int64(control.Retryable)}}
-	if classSettings.Repeat != control.ReadLike { // a call of this class must not be repeated if it may have run
+	if classSettings.Repeat != control.Idempotent { // a call of this class must not be repeated if it may have run
 		r.Values[RetryOn] = int64(control.Retryable &^ control.MayHaveRun)
 	}
 	for f := range ParameterCount {
