--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -7,39 +7,42 @@
 	"golang.org/x/time/rate"
 )
 
-// largestDatagram is the least burst of a budget: a register and what goes around it fit into it (Topics).
-const largestDatagram = 1400
+// maxDatagramBytes is the minimum burst of a budget, in bytes. A register of any topic fits into it with its overhead (Topics).
+const maxDatagramBytes = 1400
 
-// MinRegisterBytes is the least budget of registers, bytes a second: about one register of the largest size. How many registers
-// still count under a budget is measured for 3,500 and 4,500 alone (docs/fleet.md, docs/measured/groups.json).
+// MinRegisterBytes is the smallest register budget in bytes per second, about one register of the largest size. How many
+// registers stay fresh enough to count is known only for budgets of 3,500 and 4,500 (docs/fleet.md,
+// docs/measured/groups.json).
 const MinRegisterBytes = 1000
 
-// registerBudget bounds the bytes of registers that a member sends a second. Registers beyond it stay in the queue, where a newer
-// one of the same origin takes the place of an older one: what gets less is how often a register is retransmitted, and how
-// fresh the others have it, never the order. Fresh registers go first, by the queue's own order.
+// registerBudget bounds the register bytes that a member sends per second. Registers over the budget stay in the queue, where
+// a newer register of the same origin replaces an older one. A small budget therefore reduces how often a register is
+// retransmitted and how fresh the other members' copies are, but never reorders registers of one origin. The queue itself
+// sends the least transmitted registers first.
 type registerBudget struct {
 	queue   *memberlist.TransmitLimitedQueue
-	limiter *rate.Limiter // nil: no bound
+	limiter *rate.Limiter // nil: unlimited
 }
 
+// newRegisterBudget returns a budget for the registers in queue; 0 bytes per second means unlimited.
 func newRegisterBudget(queue *memberlist.TransmitLimitedQueue, bytesPerSecond float64) *registerBudget {
 	b := &registerBudget{queue: queue}
 	if bytesPerSecond > 0 {
-		b.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), max(largestDatagram, int(bytesPerSecond)/2))
+		b.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), max(maxDatagramBytes, int(bytesPerSecond)/2))
 	}
 	return b
 }
 
-// take gives the registers to send now, of at most so many bytes with what goes around each.
-func (b *registerBudget) take(now time.Time, overhead, limit int) [][]byte {
+// nextBroadcasts returns the registers to send at time now. Their total size, with overhead bytes added to each, is at most limit.
+func (b *registerBudget) nextBroadcasts(now time.Time, overhead, limit int) [][]byte {
 	if b.limiter == nil {
 		return b.queue.GetBroadcasts(overhead, limit)
 	}
 	messages := b.queue.GetBroadcasts(overhead, min(limit, int(b.limiter.TokensAt(now))))
-	spent := 0
+	size := 0
 	for _, m := range messages {
-		spent += overhead + len(m)
+		size += overhead + len(m)
 	}
-	b.limiter.AllowN(now, spent) // always: no more was asked for than there is
+	b.limiter.AllowN(now, size) // always allowed: spent is at most the tokens available
 	return messages
 }
--- a/internal/fleet/budget_test.go
+++ b/internal/fleet/budget_test.go
@@ -12,59 +12,59 @@
 	"beammux/control/registers"
 )
 
-// Whatever is queued and whenever it is asked for, no window of time has more bytes of registers than burst + rate x time; and
-// what is sent of an origin never goes back.
+// For random queue contents and send times, no time window has more register bytes than burst + rate * length, and the sequence
+// numbers sent for an origin never decrease.
 func TestRegisterBudget(t *testing.T) {
 	const members, overhead = 34, 2
 	rapid.Check(t, func(t *rapid.T) {
-		perSecond := float64(rapid.IntRange(MinRegisterBytes, 20_000).Draw(t, "bytes a second"))
-		burst := max(largestDatagram, int(perSecond)/2)
+		perSecond := float64(rapid.IntRange(MinRegisterBytes, 20_000).Draw(t, "bytes per second"))
+		burst := max(maxDatagramBytes, int(perSecond)/2)
 		f := &Fleet{startTime: time.Now()}
 		queue := &memberlist.TransmitLimitedQueue{RetransmitMult: registerRetransmitMult, NumNodes: func() int { return members }}
-		b := newRegisterBudget(queue, perSecond)
+		budget := newRegisterBudget(queue, perSecond)
 		now, seq := time.Unix(1000, 0), uint64(0)
-		type sent struct {
+		type batch struct {
 			at    time.Time
 			bytes int
 		}
-		var all []sent
+		var batches []batch
 		last := map[string]uint64{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "later")) * time.Millisecond)
+			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "elapsed ms")) * time.Millisecond)
 			for range rapid.IntRange(0, 6).Draw(t, "registers") {
 				seq++
 				r := registers.Register{Topic: registers.Rates, Origin: fmt.Sprint("g", rapid.IntRange(1, members).Draw(t, "origin")), Start: 1, Seq: seq,
 					Value: make([]byte, rapid.IntRange(0, 500).Draw(t, "size"))}
 				queue.QueueBroadcast(&registerBroadcast{f: f, Register: r})
 			}
-			limit := rapid.IntRange(0, largestDatagram).Draw(t, "limit")
+			limit := rapid.IntRange(0, maxDatagramBytes).Draw(t, "limit")
 			bytes := 0
-			for _, text := range b.take(now, overhead, limit) {
+			for _, text := range budget.nextBroadcasts(now, overhead, limit) {
 				bytes += overhead + len(text)
 				var r register
-				require.NoError(t, decoding.Unmarshal(text, &r))
+				require.NoError(t, decodeMode.Unmarshal(text, &r))
 				require.GreaterOrEqual(t, r.Seq, last[r.Origin])
 				last[r.Origin] = r.Seq
 			}
 			require.LessOrEqual(t, bytes, limit)
-			all = append(all, sent{now, bytes})
+			batches = append(batches, batch{now, bytes})
 		}
-		for i := range all {
+		for i := range batches {
 			sum := 0
-			for _, s := range all[i:] {
+			for _, s := range batches[i:] {
 				sum += s.bytes
-				require.LessOrEqual(t, float64(sum), float64(burst)+perSecond*s.at.Sub(all[i].at).Seconds()+1)
+				require.LessOrEqual(t, float64(sum), float64(burst)+perSecond*s.at.Sub(batches[i].at).Seconds()+1)
 			}
 		}
 	})
 }
 
-// Without a bound everything that fits is sent.
-func TestNoRegisterBudget(t *testing.T) {
+// Without a budget, everything that fits the limit is sent.
+func TestUnlimitedRegisterBudget(t *testing.T) {
 	queue := &memberlist.TransmitLimitedQueue{RetransmitMult: 1, NumNodes: func() int { return 1 }}
 	f := &Fleet{startTime: time.Now()}
 	for i := range 50 {
 		queue.QueueBroadcast(&registerBroadcast{f: f, Register: registers.Register{Topic: registers.Rates, Origin: fmt.Sprint("g", i), Start: 1, Seq: 1}})
 	}
-	require.Len(t, newRegisterBudget(queue, 0).take(time.Now(), 2, 1<<20), 50)
+	require.Len(t, newRegisterBudget(queue, 0).nextBroadcasts(time.Now(), 2, 1<<20), 50)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet keeps a gatekeeper's view of its fleet by gossip: SWIM with suspicion, refutation and incarnation numbers,
-// as hashicorp/memberlist does it. What the view is, and what changes it, is decided in control/fleetview; this package
-// delivers the events to it and publishes its own member's state and summaries.
+// Package fleet maintains a gatekeeper's membership view of its fleet by gossip: SWIM with suspicion, refutation and
+// incarnation numbers, as implemented by hashicorp/memberlist. Package control/fleetview holds the view and decides how an
+// event changes it; this package delivers the events and publishes the local member's state, summaries and registers.
 //
-// The library gives a member up for good once it is dead; here each member tries to rejoin those it lost, and its seeds, one
-// a second, so that both sides of a partition find each other when it heals.
+// memberlist stops contacting a member once it is dead. This package therefore tries to rejoin the members it lost and its
+// seeds, one per second, so that both sides of a network partition find each other after it heals.
 package fleet
 
 import (
@@ -26,77 +26,78 @@
 	"beammux/control/registers"
 )
 
-// Parameters of the protocol. A member that does not answer is given up within 2 to 9 s at 32 members, by how many confirm it.
+// Protocol parameters. With 32 members, a member that does not answer is declared dead within 2 to 9 s, depending on how many
+// others confirm the suspicion.
 const (
 	probeInterval         = 500 * time.Millisecond
 	probeTimeout          = 250 * time.Millisecond
-	suspicionMult         = 4 // times log10(members+1) times probeEvery, at the least 4 x probeEvery
-	suspicionMaxMult      = 3 // times that while nobody confirms it
+	suspicionMult         = 4 // minimum suspicion timeout: suspicionMult * max(1, log10(members)) * probeInterval
+	suspicionMaxMult      = 3 // the timeout without any confirmation is this multiple of the minimum
 	gossipInterval        = 100 * time.Millisecond
 	gossipNodes           = 3
-	pushPullInterval      = 10 * time.Second // between exchanges of whole states with one other member
+	pushPullInterval      = 10 * time.Second // between full state exchanges with one other member
 	streamTimeout         = time.Second
-	gossipToDeadTime      = 30 * time.Second // a dead member still receives gossip, so that it can refute
+	gossipToDeadTime      = 30 * time.Second // a dead member still receives gossip for this long, so that it can refute
 	rejoinInterval        = time.Second      // between attempts to rejoin an unreachable member or seed
-	unsettledTime         = 5 * time.Second  // after a change of the view, whole states are exchanged at rejoinInterval
-	summaryInterval       = time.Second      // between checks of the own summary
-	summaryRefresh        = 5 * time.Second  // between publications of an unchanged one, for each summaryRefreshMembers members
+	unsettledTime         = 5 * time.Second  // after a view change, full states are exchanged every rejoinInterval for this long
+	summaryInterval       = time.Second      // between checks whether the local summary has changed
+	summaryRefresh        = 5 * time.Second  // between publications of an unchanged summary, per summaryRefreshMembers members
 	summaryRefreshMembers = 8
 	leaveTimeout          = 500 * time.Millisecond
 	maxProgramLength      = 64
 	anyPortAttempts       = 20
 )
 
-// DefaultReapAfter is how long a dead member is remembered where the settings do not say.
+// DefaultReapAfter is how long a dead member stays in the view if Options.ReapAfter is 0.
 const DefaultReapAfter = 10 * time.Minute
 
-// Options of a member.
+// Options configure a member.
 type Options struct {
 	Name, Zone, Region, Program string
-	// Group is the gossip that this member takes part in, as that of its service: members of other groups, and of none, are
-	// not met, also where a seed or an address is one of theirs. "": the gossip without a name.
+	// Group names the gossip that this member takes part in, such as that of its service. Members of other groups, or of no
+	// group, are never joined, even if a seed or an address belongs to one of them. "" is the unnamed group.
 	Group         string
-	Bind          string            // IP:PORT of the gossip, UDP and TCP; port 0: any
-	Advertise     string            // IP:PORT at which others reach it; "": where it listens
+	Bind          string            // IP:PORT to listen on, UDP and TCP; port 0 selects a free port
+	Advertise     string            // IP:PORT at which others reach this member; "" is the listen address
 	Seeds         []string          // addresses of members to join; one that answers is enough
-	Keys          [][]byte          // of the gossip's encryption, the first encrypts; nil: not encrypted
-	Via           map[string]string // where this member reaches others, by what they advertise
-	ReapAfter     time.Duration     // 0: DefaultReapAfter
-	RegisterBytes float64           // of registers sent a second, at most; 0: no bound
-	State         fleetview.State   // with which it begins
+	Keys          [][]byte          // gossip encryption keys, the first one encrypts; nil disables encryption
+	Via           map[string]string // address to dial for a member, by its advertised address
+	ReapAfter     time.Duration     // 0 means DefaultReapAfter
+	RegisterBytes float64           // maximum register bytes sent per second; 0 means unlimited
+	State         fleetview.State   // initial state
 	Summaries     func() []fleetview.Summary
 	Log           logrus.FieldLogger
 }
 
-// Fleet is this gatekeeper's part of the gossip.
+// Fleet is the local member of the gossip.
 type Fleet struct {
-	options     Options
-	list        *memberlist.Memberlist
-	net         *transport
-	queue       *memberlist.TransmitLimitedQueue
-	log         logrus.FieldLogger
-	startTime   time.Time
-	startMicros control.Micros
-	stop        chan struct{}
-	done        sync.WaitGroup
-	once        sync.Once
+	options      Options
+	list         *memberlist.Memberlist
+	net          *transport
+	summaryQueue *memberlist.TransmitLimitedQueue
+	log          logrus.FieldLogger
+	startTime    time.Time
+	startMicros  control.Micros
+	stop         chan struct{}
+	done         sync.WaitGroup
+	once         sync.Once
 
 	mu            sync.Mutex
 	view          *fleetview.View
-	publishedAt   time.Time // when the own summary was last published
+	publishedAt   time.Time // when the local summary was last published
 	changes       int64
 	viewChangedAt time.Time // when the view last changed
 
-	incarnation uint64 // of this member, Unix ms
+	incarnation uint64 // start time of this member, Unix ms
 	registers   *memberlist.TransmitLimitedQueue
-	budget      *registerBudget // of registers sent
+	budget      *registerBudget // bounds the register bytes sent
 
-	registersMu  sync.Mutex // never held while mu is taken
+	registersMu  sync.Mutex // lock order: mu is never locked while registersMu is held
 	registerBook *registers.Book
 	faults       map[string]*Fault
 }
 
-// meta is what a member publishes of itself beside its name and address.
+// meta is the metadata that a member publishes about itself in addition to its name and address.
 type meta struct {
 	Zone    string          `cbor:"1,keyasint"`
 	Region  string          `cbor:"2,keyasint"`
@@ -106,19 +107,19 @@
 	State   fleetview.State `cbor:"6,keyasint"`
 }
 
-// summary is what a member observes of the servers.
+// summary holds a member's observations of the servers.
 type summary struct {
 	Name    string              `cbor:"1,keyasint"`
 	Start   uint64              `cbor:"2,keyasint"`
 	Seq     uint64              `cbor:"3,keyasint"`
 	Servers []fleetview.Summary `cbor:"4,keyasint"`
-	// Registers are carried by a summary without a name at the end of a whole state: a member of a build before registers
-	// ignores it.
+	// Registers is set only in a summary without a name, the last one of a full state. Builds that predate registers ignore
+	// such a summary.
 	Registers []cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// decoding reads what other members send: bounded, since it comes from the network.
-var decoding = func() cbor.DecMode {
+// decodeMode decodes messages of other members. Its limits bound the cost of a malicious or damaged message.
+var decodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxNestedLevels: 8, MaxMapPairs: 64}.DecMode()
 	if err != nil {
 		panic(err)
@@ -126,7 +127,7 @@
 	return m
 }()
 
-// Open joins the gossip. It returns once this member listens; the seeds are joined from then on.
+// Open starts a member. It returns once the member listens; the seeds are joined in the background.
 func Open(o Options) (*Fleet, error) {
 	ip, port, ok := splitHostPort(o.Bind)
 	if !ok {
@@ -142,7 +143,7 @@
 	f := &Fleet{options: o, log: o.Log, startTime: now, startMicros: control.Micros(now.UnixMicro()), stop: make(chan struct{}),
 		incarnation: uint64(now.UnixMilli()), faults: map[string]*Fault{}}
 	f.registerBook = registers.New(o.Name, f.incarnation, Topics)
-	// With port 0 the library takes any free one for TCP and asks for the same for UDP, where it may be taken.
+	// With port 0 the library picks a free TCP port and then binds the same UDP port, which may be in use: retry.
 	var nt *memberlist.NetTransport
 	var err error
 	for try := 0; try == 0 || err != nil && port == 0 && try < anyPortAttempts; try++ {
@@ -163,12 +164,12 @@
 		Start: f.incarnation, Seq: 1, State: o.State, Address: net.JoinHostPort(f.net.host.String(), fmt.Sprint(f.net.port))}, f.now(), control.Micros(o.ReapAfter.Microseconds()))
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.Logger = o.Name, f.net, f.logger()
-	c.Label = o.Group // in every packet and stream; those with another one are dropped
+	c.Label = o.Group // sent with every packet and stream; those with another label are dropped
 	c.ProbeInterval, c.ProbeTimeout, c.AwarenessMaxMultiplier = probeInterval, probeTimeout, 4
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
 	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
 	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
-	c.DeadNodeReclaimTime = time.Millisecond // a dead member's name may come back at another address
+	c.DeadNodeReclaimTime = time.Millisecond // a dead member may rejoin under its name at another address
 	c.EnableCompression = false              // messages are small
 	c.Delegate, c.Events, c.Ping, c.Conflict = (*delegate)(f), (*delegate)(f), (*delegate)(f), (*delegate)(f)
 	if len(o.Keys) > 0 {
@@ -177,7 +178,7 @@
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
-	f.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: f.membersUp}
+	f.summaryQueue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: f.membersUp}
 	f.registers = &memberlist.TransmitLimitedQueue{RetransmitMult: registerRetransmitMult, NumNodes: f.membersUp}
 	f.budget = newRegisterBudget(f.registers, o.RegisterBytes)
 	if f.list, err = memberlist.Create(c); err != nil {
@@ -190,17 +191,17 @@
 	return f, nil
 }
 
-// now is Unix microseconds that go on evenly when the clock is set.
+// now returns the Unix time in microseconds, based on the monotonic clock: a clock adjustment does not move it.
 func (f *Fleet) now() control.Micros {
 	return f.startMicros + control.Micros(time.Since(f.startTime).Microseconds())
 }
 
-// Addr is where the gossip listens.
+// Addr returns the address that the gossip listens on.
 func (f *Fleet) Addr() string {
 	return net.JoinHostPort(f.options.Bind[:strings.LastIndexByte(f.options.Bind, ':')], fmt.Sprint(f.net.GetAutoBindPort()))
 }
 
-// apply applies an event to the view and logs what changed.
+// apply applies an event to the view and logs the resulting changes.
 func (f *Fleet) apply(e fleetview.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,29 +222,30 @@
 	}
 }
 
-// membersUp is how many members are alive or suspect, this one included.
+// membersUp returns the number of members that are alive or suspect, including this one.
 func (f *Fleet) membersUp() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Count(fleetview.Alive) + f.view.Count(fleetview.Suspect)
 }
 
-// SetState publishes the state of this member. It does not wait for any other member.
+// SetState publishes the state of this member. It does not wait for other members to receive it.
 func (f *Fleet) SetState(s fleetview.State) {
-	f.setOwn(s)
+	f.setSelfState(s)
 	f.done.Go(func() { f.list.UpdateNode(leaveTimeout) })
 }
 
-func (f *Fleet) setOwn(s fleetview.State) {
+// setSelfState sets the state of this member in the local view.
+func (f *Fleet) setSelfState(s fleetview.State) {
 	f.mu.Lock()
 	servers := f.view.Self().Servers
 	f.mu.Unlock()
 	f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: s, Servers: servers}})
 }
 
-// rejoin tries to join one unreachable member or seed each rejoinInterval. Where none is, and the view has changed of late, it
-// exchanges whole states with any member instead: what gossip misses when many change at once would otherwise wait for up to
-// pushPullInterval.
+// rejoin tries to join one unreachable member or seed every rejoinInterval until Close. If there is none and the view changed
+// within unsettledTime, it exchanges full states with a random member instead: gossip loses some updates when many members
+// change at once, and those would otherwise arrive only with the next push/pull, up to pushPullInterval later.
 func (f *Fleet) rejoin() {
 	rng := rand.New(rand.NewPCG(uint64(f.startMicros), uint64(f.net.port)))
 	for first := true; ; first = false {
@@ -267,9 +269,9 @@
 			addr := unreachable[rng.IntN(len(unreachable))]
 			_, err := f.list.Join([]string{addr})
 			if err != nil {
-				f.log.WithField("address", addr).WithError(err).Debug("fleet: no answer")
+				f.log.WithField("address", addr).WithError(err).Debug("fleet: joining failed, the member or seed did not answer")
 			}
-			if first || err != nil && len(members) == 1 { // alone: the next one at once, but not in a spin
+			if first || err != nil && len(members) == 1 { // no other member known: retry soon, but without a busy loop
 				wait = rejoinInterval / 10
 			}
 		}
@@ -281,8 +283,8 @@
 	}
 }
 
-// publishSummaries publishes what this member observes of the servers when it has changed, and periodically when it has not:
-// the less often the more members there are, so that what each of them receives stays bounded.
+// publishSummaries publishes this member's summaries of the servers when they change, and periodically if they do not. The
+// refresh interval grows with the number of members, which bounds the rate at which each member receives summaries.
 func (f *Fleet) publishSummaries() {
 	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
@@ -296,30 +298,31 @@
 		if f.options.Summaries == nil {
 			continue
 		}
-		seen := f.options.Summaries()
+		observed := f.options.Summaries()
 		f.mu.Lock()
 		self := f.view.Self()
 		f.mu.Unlock()
 		refresh := time.Duration(max(1, f.membersUp()/summaryRefreshMembers)) * summaryRefresh
-		if sameLevels(self.Servers, seen) && time.Since(f.publishedAt) < refresh {
+		if sameLevels(self.Servers, observed) && time.Since(f.publishedAt) < refresh {
 			continue
 		}
 		f.publishedAt = time.Now()
-		f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: seen}})
+		f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: observed}})
 		f.mu.Lock()
 		self = f.view.Self()
 		f.mu.Unlock()
-		if text, err := cbor.Marshal(summary{Name: self.Name, Start: self.Start, Seq: self.ServersSeq, Servers: self.Servers}); err == nil {
-			f.queue.QueueBroadcast(&broadcast{self.Name, text})
+		if message, err := cbor.Marshal(summary{Name: self.Name, Start: self.Start, Seq: self.ServersSeq, Servers: self.Servers}); err == nil {
+			f.summaryQueue.QueueBroadcast(&summaryBroadcast{self.Name, message})
 		}
 	}
 }
 
+// sameLevels reports whether two lists hold the same servers at the same levels.
 func sameLevels(a, b []fleetview.Summary) bool {
 	return slices.EqualFunc(a, b, func(a, b fleetview.Summary) bool { return a.Server == b.Server && a.Level == b.Level })
 }
 
-// UpNames returns the members that are up in this one's view, itself included, by name.
+// UpNames returns the sorted names of the members that are up in the local view, including this one.
 func (f *Fleet) UpNames() (names []string) {
 	f.mu.Lock()
 	f.view.EachUp(func(m *fleetview.Member) { names = append(names, m.Name) })
@@ -328,15 +331,15 @@
 	return names
 }
 
-// Leave announces that this member leaves, and ends the gossip.
+// Leave announces that this member leaves, and stops the gossip.
 func (f *Fleet) Leave() {
-	f.setOwn(fleetview.Leaving)
-	f.list.UpdateNode(leaveTimeout) // first: by it the others distinguish leaving from dying
+	f.setSelfState(fleetview.Leaving)
+	f.list.UpdateNode(leaveTimeout) // before Leave: the published state lets others distinguish leaving from dying
 	f.list.Leave(leaveTimeout)
 	f.Close()
 }
 
-// Close ends the gossip at once.
+// Close stops the gossip immediately, without an announcement. It may be called more than once.
 func (f *Fleet) Close() {
 	f.once.Do(func() {
 		close(f.stop)
@@ -345,61 +348,68 @@
 	})
 }
 
-// Status is this member's view, as operators read it.
+// Status is the local view as reported to operators.
 type Status struct {
 	Name    string             `json:"name"`
-	View    uint64             `json:"view"` // counts the changes of this member's view
-	Hash    string             `json:"hash"` // the same at two members that agree on who is up, where and in what state
+	View    uint64             `json:"view"` // number of changes of the local view
+	Hash    string             `json:"hash"` // equal on two members that agree on which members are up, at which address and in which state
 	Members []fleetview.Member `json:"members"`
 	Packets int64              `json:"packets_sent"`
 	Streams int64              `json:"streams_opened"`
 	Bytes   int64              `json:"bytes_sent"`
 
-	Registers []RegisterStatus `json:"registers"`
-	News      int64            `json:"registers_news"`      // taken since the start
-	Old       int64            `json:"registers_not_newer"` // and heard twice or late
-	Faults    []Fault          `json:"faults"`
+	Registers         []RegisterStatus `json:"registers"`
+	NewerRegisters    int64            `json:"registers_news"`      // received registers accepted as newer, since the start
+	NotNewerRegisters int64            `json:"registers_not_newer"` // received registers dropped as duplicate or outdated
+	Faults            []Fault          `json:"faults"`
 }
 
-// Status returns the view as it is.
+// Status returns the current view, registers and faults.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
 	st := Status{Name: f.options.Name, View: f.view.Version(), Hash: fmt.Sprintf("%016x", f.view.Hash()), Members: f.view.Members(),
 		Packets: f.net.packets.Load(), Streams: f.net.streams.Load(), Bytes: f.net.bytes.Load()}
 	f.mu.Unlock()
 	st.Registers = f.registerStatus()
-	st.News, st.Old = f.RegisterCounts()
+	st.NewerRegisters, st.NotNewerRegisters = f.RegisterCounts()
 	f.registersMu.Lock()
-	for _, v := range f.faults {
-		st.Faults = append(st.Faults, *v)
+	for _, fault := range f.faults {
+		st.Faults = append(st.Faults, *fault)
 	}
 	f.registersMu.Unlock()
 	slices.SortFunc(st.Faults, func(a, b Fault) int { return strings.Compare(a.Kind, b.Kind) })
 	return st
 }
 
-// Count returns the members of a health, and how often the view has changed.
+// Count returns the number of members with health h, and how often the view has changed.
 func (f *Fleet) Count(h fleetview.Health) (members int, changes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Count(h), f.changes
 }
 
-// broadcast is a member's summary on its way; a later one takes its place.
-type broadcast struct {
-	name string
-	text []byte
+// summaryBroadcast is a queued summary of a member; a later summary of the same member replaces it.
+type summaryBroadcast struct {
+	name    string
+	message []byte
 }
 
-func (b *broadcast) Invalidates(o memberlist.Broadcast) bool {
-	other, ok := o.(*broadcast)
+// Invalidates implements memberlist.Broadcast.
+func (b *summaryBroadcast) Invalidates(o memberlist.Broadcast) bool {
+	other, ok := o.(*summaryBroadcast)
 	return ok && other.name == b.name
 }
-func (b *broadcast) Name() string    { return b.name }
-func (b *broadcast) Message() []byte { return b.text }
-func (b *broadcast) Finished()       {}
 
-// delegate implements the library's callbacks. They run with the library's locks held, and take the view's lock alone.
+// Name implements memberlist.NamedBroadcast.
+func (b *summaryBroadcast) Name() string { return b.name }
+
+// Message implements memberlist.Broadcast.
+func (b *summaryBroadcast) Message() []byte { return b.message }
+
+// Finished implements memberlist.Broadcast.
+func (b *summaryBroadcast) Finished() {}
+
+// delegate implements the callbacks of memberlist. They run with locks of memberlist held, and lock only mu and registersMu.
 type delegate Fleet
 
 func (d *delegate) fleet() *Fleet { return (*Fleet)(d) }
@@ -409,32 +419,33 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.view.Self()
-	text, err := cbor.Marshal(meta{m.Zone, m.Region, m.Program, m.Start, m.Seq, m.State})
-	if err != nil || len(text) > limit { // names are bounded where they are read
+	encoded, err := cbor.Marshal(meta{m.Zone, m.Region, m.Program, m.Start, m.Seq, m.State})
+	if err != nil || len(encoded) > limit { // not expected: the length of names is checked when the configuration is read
 		return nil
 	}
-	return text
+	return encoded
 }
 
 // NotifyMsg implements memberlist.Delegate.
-func (d *delegate) NotifyMsg(text []byte) {
-	if len(text) > 0 && text[0]>>5 == arrayType {
-		d.fleet().receiveRegister(text)
+func (d *delegate) NotifyMsg(message []byte) {
+	if len(message) > 0 && message[0]>>5 == arrayType {
+		d.fleet().receiveRegister(message)
 		return
 	}
 	var s summary
-	if decoding.Unmarshal(text, &s) == nil {
+	if decodeMode.Unmarshal(message, &s) == nil {
 		d.receiveSummary(s)
 	}
 }
 
-// arrayType is CBOR's major type of arrays (RFC 8949): registers are arrays, summaries are maps.
+// arrayType is the CBOR major type of arrays (RFC 8949). Registers are encoded as arrays, summaries as maps.
 const arrayType = 4
 
+// receiveSummary applies a summary to the view, or receives the registers that it carries.
 func (d *delegate) receiveSummary(s summary) {
 	if s.Name == "" {
-		for _, text := range s.Registers {
-			d.fleet().receiveRegister(text)
+		for _, encoded := range s.Registers {
+			d.fleet().receiveRegister(encoded)
 		}
 		return
 	}
@@ -444,55 +455,56 @@
 
 // GetBroadcasts implements memberlist.Delegate.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	all := d.queue.GetBroadcasts(overhead, limit)
-	for _, text := range all {
-		limit -= overhead + len(text)
+	messages := d.summaryQueue.GetBroadcasts(overhead, limit)
+	for _, message := range messages {
+		limit -= overhead + len(message)
 	}
-	return append(all, d.budget.take(time.Now(), overhead, limit)...)
+	return append(messages, d.budget.nextBroadcasts(time.Now(), overhead, limit)...)
 }
 
-// LocalState implements memberlist.Delegate: whole states hold what everybody sees.
+// LocalState implements memberlist.Delegate. The state holds the summaries of all members that are up, and all registers.
 func (d *delegate) LocalState(bool) []byte {
-	var all []summary
+	var summaries []summary
 	d.mu.Lock()
 	for _, m := range d.view.Members() {
 		if m.Health.Up() && m.ServersSeq > 0 {
-			all = append(all, summary{Name: m.Name, Start: m.Start, Seq: m.ServersSeq, Servers: m.Servers})
+			summaries = append(summaries, summary{Name: m.Name, Start: m.Start, Seq: m.ServersSeq, Servers: m.Servers})
 		}
 	}
 	d.mu.Unlock()
 	d.registersMu.Lock()
-	told := d.registerBook.State(d.fleet().now())
+	current := d.registerBook.State(d.fleet().now())
 	d.registersMu.Unlock()
-	if len(told) > 0 {
+	if len(current) > 0 {
 		var s summary
-		for _, r := range told {
-			s.Registers = append(s.Registers, encode(r))
+		for _, r := range current {
+			s.Registers = append(s.Registers, encodeRegister(r))
 		}
-		all = append(all, s)
+		summaries = append(summaries, s)
 	}
-	text, err := cbor.Marshal(all)
+	encoded, err := cbor.Marshal(summaries)
 	if err != nil {
 		return nil
 	}
-	return text
+	return encoded
 }
 
 // MergeRemoteState implements memberlist.Delegate.
-func (d *delegate) MergeRemoteState(text []byte, _ bool) {
-	var all []summary
-	if decoding.Unmarshal(text, &all) != nil {
+func (d *delegate) MergeRemoteState(encoded []byte, _ bool) {
+	var summaries []summary
+	if decodeMode.Unmarshal(encoded, &summaries) != nil {
 		return
 	}
-	for _, s := range all {
+	for _, s := range summaries {
 		d.receiveSummary(s)
 	}
 }
 
+// memberSeen applies the metadata of a member that joined or was updated.
 func (d *delegate) memberSeen(n *memberlist.Node) {
 	var m meta
-	if err := decoding.Unmarshal(n.Meta, &m); err != nil {
-		d.log.WithField("member", n.Name).Warn("fleet: member tells nothing that can be read of itself; is it a gatekeeper of this version?")
+	if err := decodeMode.Unmarshal(n.Meta, &m); err != nil {
+		d.log.WithField("member", n.Name).Warn("fleet: member ignored, its metadata can't be decoded; is it a gatekeeper of this version?")
 		return
 	}
 	d.fleet().apply(fleetview.Event{Kind: fleetview.Met, Name: n.Name, Member: fleetview.Member{Zone: m.Zone, Region: m.Region,
@@ -505,12 +517,12 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.memberSeen(n) }
 
-// NotifyLeave implements memberlist.EventDelegate: the library calls it for dead members and for those that left. A member
-// that left had published the state Leaving before.
+// NotifyLeave implements memberlist.EventDelegate. memberlist calls it for members that died and for members that left; a
+// member that leaves publishes the state Leaving first.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	kind := fleetview.Died
 	var m meta
-	if decoding.Unmarshal(n.Meta, &m) == nil && m.State == fleetview.Leaving {
+	if decodeMode.Unmarshal(n.Meta, &m) == nil && m.State == fleetview.Leaving {
 		kind = fleetview.Went
 	}
 	d.fleet().apply(fleetview.Event{Kind: kind, Name: n.Name})
@@ -519,7 +531,7 @@
 // NotifyConflict implements memberlist.ConflictDelegate.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	d.log.WithFields(logrus.Fields{"member": existing.Name, "address": existing.Address(), "other": other.Address()}).
-		Error("fleet: two members under one name; the later one is not taken until the first is given up")
+		Error("fleet: two members use the same name; the later one is ignored until the first one is dead")
 }
 
 // AckPayload implements memberlist.PingDelegate.
@@ -530,25 +542,27 @@
 	d.fleet().apply(fleetview.Event{Kind: fleetview.Answered, Name: n.Name})
 }
 
-// suspectLine finds in the library's log that a probe was not answered: the library reports it nowhere else (v0.7.0, state.go,
-// probeNode). TestSuspicion holds it to that.
+// suspectLine matches the log line that memberlist writes when a probe was not answered. memberlist (v0.7.0, state.go,
+// probeNode) reports suspicion in no other way. TestMembers fails if the line changes.
 var suspectLine = regexp.MustCompile(`Suspect (\S+) has failed, no acks received`)
 
-// logger passes the library's log on to this package's.
-func (f *Fleet) logger() *stdlog.Logger { return stdlog.New(libraryLog{f}, "", 0) }
+// logger returns a logger for memberlist that forwards its lines to this package's log.
+func (f *Fleet) logger() *stdlog.Logger { return stdlog.New(memberlistLog{f}, "", 0) }
 
-type libraryLog struct{ f *Fleet }
+// memberlistLog receives the log lines of memberlist and derives suspicions from them.
+type memberlistLog struct{ f *Fleet }
 
-func (l libraryLog) Write(p []byte) (int, error) {
+// Write implements io.Writer. memberlist writes one line per call.
+func (l memberlistLog) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	if m := suspectLine.FindStringSubmatch(text); m != nil {
 		l.f.apply(fleetview.Event{Kind: fleetview.Suspected, Name: m[1]})
 	}
-	switch level, what, _ := strings.Cut(text, " "); level {
+	switch level, message, _ := strings.Cut(text, " "); level {
 	case "[ERR]", "[WARN]":
-		l.f.log.Info("fleet: " + what)
+		l.f.log.Info("fleet: " + message)
 	default:
-		l.f.log.Debug("fleet: " + what)
+		l.f.log.Debug("fleet: " + message)
 	}
 	return len(p), nil
 }
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -1,4 +1,4 @@
-// Package fleettest is a gossip for tests, in which members of one process receive each other's values at once.
+// Package fleettest provides an in-process gossip for tests, in which members see each other's values immediately.
 package fleettest
 
 import (
@@ -7,14 +7,14 @@
 	"beammux/control/registers"
 )
 
-// Gossip holds the values of all members. The zero value has none.
+// Gossip holds the published value of each member. The zero value is empty and ready to use.
 type Gossip struct {
 	mu      sync.Mutex
 	values  map[string][]byte
 	members []string
 }
 
-// SetValue sets the value of a member, for all topics.
+// SetValue sets the value of a member; it is used for every topic.
 func (g *Gossip) SetValue(name string, value []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -24,17 +24,17 @@
 	g.values[name] = value
 }
 
-// SetUp names the members that are up.
+// SetUp sets the names of the members that are up.
 func (g *Gossip) SetUp(names ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members = names
 }
 
-// Member is one member's end.
+// Member returns the gossip as seen by the named member.
 func (g *Gossip) Member(name string) Member { return Member{g, name} }
 
-// Member is one member's end of a Gossip, as *fleet.Fleet is of the real one.
+// Member is one member of a Gossip. It stands in for *fleet.Fleet.
 type Member struct {
 	*Gossip
 	name string
@@ -56,12 +56,12 @@
 	return all
 }
 
-// UpNames returns the members that are up.
+// UpNames returns the names of the members that are up.
 func (m Member) UpNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.members
 }
 
-// Up counts them.
+// Up returns the number of members that are up.
 func (m Member) Up() int { return len(m.UpNames()) }
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -8,9 +8,10 @@
 	"os"
 )
 
-// Keys reads a file of gossip keys: one in a line in base64, of 16, 24 or 32 bytes (AES-128, -192, -256, as the library
-// has them). The first encrypts; all decrypt, so that keys are changed by adding the new one below, then above, then taking
-// the old one out, fleet-wide each time. Blank lines and lines that begin with # are passed over.
+// Keys reads a file of gossip encryption keys. Each line holds one key in base64, of 16, 24 or 32 bytes (AES-128, -192 or
+// -256, as memberlist supports them). The first key encrypts and every key decrypts. To rotate keys, add the new key last,
+// then move it to the top, then remove the old key, each time on the whole fleet. Blank lines and lines that begin with #
+// are ignored.
 func Keys(file string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -24,20 +25,20 @@
 		}
 		key, err := base64.StdEncoding.DecodeString(string(line))
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: is no base64", file, n)
+			return nil, fmt.Errorf("%s:%d: is not valid base64", file, n)
 		}
 		switch len(key) {
 		case 16, 24, 32:
 			keys = append(keys, key)
 		default:
-			return nil, fmt.Errorf("%s:%d: a key of %d bytes; it must have 16, 24 or 32", file, n, len(key))
+			return nil, fmt.Errorf("%s:%d: a key of %d bytes; a key must have 16, 24 or 32 bytes", file, n, len(key))
 		}
 	}
 	if err := in.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if len(keys) == 0 {
-		return nil, fmt.Errorf("%s: holds no key", file)
+		return nil, fmt.Errorf("%s: contains no key", file)
 	}
 	return keys, nil
 }
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -15,8 +15,8 @@
 	"beammux/control/registers"
 )
 
-// Topics are what members publish to each other, with its bounds. A register and what goes around it must fit into a datagram of
-// the gossip (1,400 bytes with encryption).
+// Topics lists the register topics that members publish, with their limits. A register with its overhead must fit into one
+// gossip datagram (1,400 bytes including encryption).
 var Topics = map[registers.Topic]registers.Spec{
 	registers.Rates:    {Bytes: 512, Every: 1e6, Refresh: 2e6, Stale: 6e6},
 	registers.Evidence: {Bytes: 1024, Every: 100e3, Refresh: 500e3, Stale: 3e6},
@@ -26,40 +26,43 @@
 }
 
 const (
-	registerInterval       = 50 * time.Millisecond // between checks for own registers that are due
-	registerRetransmitMult = 2                     // a register is retransmitted by each member so many times log10(members+1)
-	maxFaults              = 16                    // kinds of faults that are kept for operators
+	registerInterval       = 50 * time.Millisecond // between checks for local registers that are due
+	registerRetransmitMult = 2                     // each member sends a register registerRetransmitMult * log10(members+1) times
+	maxFaults              = 16                    // number of fault kinds kept for operators
 )
 
-// register is a register on the wire: an array, which members of builds before registers can't read as a summary and drop.
+// register is the wire format of a register: a CBOR array, so that builds that predate registers fail to decode it as a
+// summary and drop it. The order of the fields is part of the format.
 type register struct {
 	_      struct{} `cbor:",toarray"`
 	Topic  registers.Topic
 	Origin string
 	Start  uint64
 	Seq    uint64
-	Age    float64 // us; as a float64 it always has the same length
+	Age    float64 // microseconds; a float64 always has the same encoded length
 	Value  []byte
 }
 
-// Unreadable says that a message of the gossip could not be read. It was dropped, alone.
+// Unreadable reports that a received register could not be decoded. Only that register was dropped.
 type Unreadable struct {
-	Bytes int
+	Bytes int // size of the encoded register
 	Err   error
 }
 
+// Error implements error.
 func (e *Unreadable) Error() string {
-	return fmt.Sprintf("fleet: a register of %d bytes can't be read: %v", e.Bytes, e.Err)
+	return fmt.Sprintf("fleet: a register of %d bytes can't be decoded: %v", e.Bytes, e.Err)
 }
 
+// Unwrap returns the decoding error.
 func (e *Unreadable) Unwrap() error { return e.Err }
 
 // Advice implements advice.Error.
 func (e *Unreadable) Advice() string {
-	return "look whether a gatekeeper of another version or another program gossips here (beammux fleet members, column program)"
+	return "check whether a gatekeeper of another version or another program takes part in this gossip (beammux fleet members, column program)"
 }
 
-// Fault is a kind of error that the gossip met with, as operators read it.
+// Fault counts the errors of one kind in the gossip, as reported to operators.
 type Fault struct {
 	Kind   string `json:"kind"`
 	Count  int64  `json:"count"`
@@ -68,35 +71,41 @@
 	Advice string `json:"advice"`
 }
 
-// registerBroadcast is a queued register; a later one of its origin replaces it.
+// registerBroadcast is a queued register; a later register of the same topic and origin replaces it.
 type registerBroadcast struct {
 	f *Fleet
 	registers.Register
-	at control.Micros // when its Age was so
+	ageTime control.Micros // time at which Register.Age was determined
 }
 
+// Invalidates implements memberlist.Broadcast.
 func (b *registerBroadcast) Invalidates(o memberlist.Broadcast) bool {
 	other, ok := o.(*registerBroadcast)
 	return ok && other.Topic == b.Topic && other.Origin == b.Origin
 }
 
-// Message is asked for when it is about to be sent: the age is that of now, not of when it was queued.
+// Message implements memberlist.Broadcast. It is called immediately before sending and encodes the age at that time, not the
+// age when the register was queued.
 func (b *registerBroadcast) Message() []byte {
 	r := b.Register
-	r.Age += b.f.now() - b.at
-	return encode(r)
+	r.Age += b.f.now() - b.ageTime
+	return encodeRegister(r)
 }
+
+// Finished implements memberlist.Broadcast.
 func (b *registerBroadcast) Finished() {}
 
-func encode(r registers.Register) []byte {
-	text, err := cbor.Marshal(register{Topic: r.Topic, Origin: r.Origin, Start: r.Start, Seq: r.Seq, Age: float64(r.Age), Value: r.Value})
-	if err != nil { // numbers, a string and bytes
+// encodeRegister returns the wire format of a register.
+func encodeRegister(r registers.Register) []byte {
+	encoded, err := cbor.Marshal(register{Topic: r.Topic, Origin: r.Origin, Start: r.Start, Seq: r.Seq, Age: float64(r.Age), Value: r.Value})
+	if err != nil { // impossible: the fields are numbers, a string and bytes
 		panic(err)
 	}
-	return text
+	return encoded
 }
 
-// Publish sets this member's value under a topic. It is sent when it has changed, at the topic's pace. The slice is kept.
+// Publish sets this member's value for a topic. A changed value is sent at the rate that the topic's Spec allows. Publish
+// retains the slice.
 func (f *Fleet) Publish(t registers.Topic, value []byte) error {
 	f.registersMu.Lock()
 	err := f.registerBook.Put(f.now(), t, value)
@@ -107,8 +116,8 @@
 	return err
 }
 
-// Read returns what counts under a topic now, by origin: this member's own value, and those published by members that are up
-// and not older than the topic's Stale.
+// Read returns the valid registers of a topic, one per origin: this member's own, and those of members that are up which are
+// not older than Spec.Stale of the topic.
 func (f *Fleet) Read(t registers.Topic) []registers.Register {
 	starts := map[string]uint64{}
 	f.mu.Lock()
@@ -119,13 +128,13 @@
 	return f.registerBook.Read(f.now(), t, func(origin string, start uint64) bool { return starts[origin] == start })
 }
 
-// Up returns how many members are up in this one's view, itself included.
+// Up returns the number of members that are up in the local view, including this one.
 func (f *Fleet) Up() int { return f.membersUp() }
 
-// Start is this member's incarnation, as its registers carry it.
+// Start returns this member's incarnation, its start time in Unix milliseconds, which its registers carry as Start.
 func (f *Fleet) Start() uint64 { return f.incarnation }
 
-// publishRegisters hands due registers to the gossip until Close.
+// publishRegisters queues local registers that are due, until Close.
 func (f *Fleet) publishRegisters() {
 	tick := time.NewTicker(registerInterval)
 	defer tick.Stop()
@@ -146,66 +155,68 @@
 	}
 }
 
+// broadcastRegister queues a register for sending to other members.
 func (f *Fleet) broadcastRegister(r registers.Register) {
 	f.registers.QueueBroadcast(&registerBroadcast{f, r, f.now()})
 }
 
-// receiveRegister merges a received register, and passes it on if it is new.
-func (f *Fleet) receiveRegister(text []byte) {
+// receiveRegister merges a received register, and forwards it if it is newer than the stored one.
+func (f *Fleet) receiveRegister(encoded []byte) {
 	var r register
-	if err := decoding.Unmarshal(text, &r); err != nil {
-		f.recordFault(&Unreadable{len(text), err})
+	if err := decodeMode.Unmarshal(encoded, &r); err != nil {
+		f.recordFault(&Unreadable{len(encoded), err})
 		return
 	}
-	one := registers.Register{Topic: r.Topic, Origin: r.Origin, Start: r.Start, Seq: r.Seq, Age: control.Micros(max(-1, min(r.Age, 1e15))), Value: r.Value}
+	received := registers.Register{Topic: r.Topic, Origin: r.Origin, Start: r.Start, Seq: r.Seq, Age: control.Micros(max(-1, min(r.Age, 1e15))), Value: r.Value}
 	f.registersMu.Lock()
-	news, err := f.registerBook.Merge(f.now(), one)
+	isNewer, err := f.registerBook.Merge(f.now(), received)
 	f.registersMu.Unlock()
 	switch {
 	case err != nil:
 		f.recordFault(err)
-	case news:
-		f.broadcastRegister(one)
+	case isNewer:
+		f.broadcastRegister(received)
 	}
 }
 
-// recordFault counts an error by its kind, and logs the first of each kind and then at most one each faultLogInterval.
+// recordFault counts an error by its kind. It logs the first error of each kind, and then at most one per faultLogInterval.
 func (f *Fleet) recordFault(err error) {
-	kind := kindOf(err)
+	kind := errorKind(err)
 	f.registersMu.Lock()
-	v := f.faults[kind]
-	if v == nil && len(f.faults) < maxFaults {
-		v = &Fault{Kind: kind}
-		f.faults[kind] = v
+	fault := f.faults[kind]
+	if fault == nil && len(f.faults) < maxFaults {
+		fault = &Fault{Kind: kind}
+		f.faults[kind] = fault
 	}
-	if v == nil {
+	if fault == nil {
 		f.registersMu.Unlock()
 		return
 	}
-	v.Count++
-	logNow := v.Count == 1 || int64(f.now())-v.At > int64(faultLogInterval/time.Microsecond)
-	v.Last, v.Advice = err.Error(), advice.Of(err)
+	fault.Count++
+	logNow := fault.Count == 1 || int64(f.now())-fault.At > int64(faultLogInterval/time.Microsecond)
+	fault.Last, fault.Advice = err.Error(), advice.Of(err)
 	if logNow {
-		v.At = int64(f.now())
+		fault.At = int64(f.now())
 	}
 	f.registersMu.Unlock()
 	if logNow {
-		f.log.WithError(err).WithFields(logrus.Fields{"kind": kind, "advice": v.Advice}).Warn("fleet: message dropped")
+		f.log.WithError(err).WithFields(logrus.Fields{"kind": kind, "advice": fault.Advice}).Warn("fleet: register dropped")
 	}
 }
 
+// faultLogInterval is the minimum time between two log lines about faults of the same kind.
 const faultLogInterval = 10 * time.Second
 
-// kindOf names an error by its type.
-func kindOf(err error) string {
-	var a advice.Error
-	if errors.As(err, &a) {
-		return fmt.Sprintf("%T", a)[1:]
+// errorKind returns the type name of the error in the chain that has an Advice method, or "error" if there is none.
+func errorKind(err error) string {
+	var advised advice.Error
+	if errors.As(err, &advised) {
+		return fmt.Sprintf("%T", advised)[1:]
 	}
 	return "error"
 }
 
-// RegisterStatus is one register as operators read it.
+// RegisterStatus describes one register, as reported to operators.
 type RegisterStatus struct {
 	Topic  registers.Topic `json:"topic"`
 	Origin string          `json:"origin"`
@@ -215,20 +226,21 @@
 	Bytes  int             `json:"bytes"`
 }
 
-func (f *Fleet) registerStatus() (all []RegisterStatus) {
+// registerStatus returns the valid registers of all topics, in the order of the topics.
+func (f *Fleet) registerStatus() (statuses []RegisterStatus) {
 	for t := registers.Topic(1); t != 0; t++ {
 		if _, ok := Topics[t]; !ok {
 			continue
 		}
 		for _, r := range f.Read(t) {
-			all = append(all, RegisterStatus{r.Topic, r.Origin, r.Start, r.Seq, r.Age, len(r.Value)})
+			statuses = append(statuses, RegisterStatus{r.Topic, r.Origin, r.Start, r.Seq, r.Age, len(r.Value)})
 		}
 	}
-	return all
+	return statuses
 }
 
-// RegisterCounts returns how many received registers were new, and how many were duplicates or late.
-func (f *Fleet) RegisterCounts() (news, old int64) {
+// RegisterCounts returns how many received registers were newer than the stored ones, and how many were duplicates or outdated.
+func (f *Fleet) RegisterCounts() (newer, notNewer int64) {
 	f.registersMu.Lock()
 	defer f.registersMu.Unlock()
 	return f.registerBook.Counts()
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -9,8 +9,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's own, with three things added: what a member advertises need not be where it listens, members
-// may be reached through other addresses (a forwarded port, a relay), and what is sent is counted.
+// transport extends memberlist.NetTransport in three ways: the advertised address may differ from the listen address, members
+// may be dialed at another address than they advertise (a forwarded port, a relay), and sent packets, streams and bytes are
+// counted.
 type transport struct {
 	*memberlist.NetTransport
 	host net.IP
@@ -23,9 +24,10 @@
 // FinalAdvertiseAddr implements memberlist.Transport.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) { return t.host, t.port, nil }
 
-func (t *transport) through(addr string) string {
-	if to, ok := t.via[addr]; ok {
-		return to
+// dialAddress returns the address to dial for an advertised address.
+func (t *transport) dialAddress(addr string) string {
+	if target, ok := t.via[addr]; ok {
+		return target
 	}
 	return addr
 }
@@ -34,7 +36,7 @@
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	t.packets.Add(1)
 	t.bytes.Add(int64(len(b)))
-	a.Addr = t.through(a.Addr)
+	a.Addr = t.dialAddress(a.Addr)
 	return t.NetTransport.WriteToAddress(b, a)
 }
 
@@ -46,7 +48,7 @@
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.streams.Add(1)
-	a.Addr = t.through(a.Addr)
+	a.Addr = t.dialAddress(a.Addr)
 	c, err := t.NetTransport.DialAddressTimeout(a, timeout)
 	if err != nil {
 		return nil, err
@@ -59,18 +61,20 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
+// countedConn counts the bytes written to a stream.
 type countedConn struct {
 	net.Conn
 	t *transport
 }
 
+// Write implements net.Conn.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.t.bytes.Add(int64(n))
 	return n, err
 }
 
-// splitHostPort reads HOST:PORT with an IP address.
+// splitHostPort parses IP:PORT and reports whether addr has that form.
 func splitHostPort(addr string) (net.IP, int, bool) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -81,7 +85,7 @@
 	return ip, n, err == nil && ip != nil && n >= 0 && n <= 65535
 }
 
-// CheckAddress says what is wrong with an address that the gossip listens on or advertises: it must be IP:PORT.
+// CheckAddress returns an error unless addr has the form IP:PORT that the bind and advertise addresses of the gossip require.
 func CheckAddress(addr string) error {
 	if _, _, ok := splitHostPort(addr); !ok {
 		return &net.AddrError{Err: "is not IP:PORT", Addr: addr}
