--- a/internal/controlmachine/machine.go
+++ b/internal/controlmachine/machine.go
@@ -1,5 +1,5 @@
-// Package controlmachine runs a control machine: a member of the replicated store that serves no callers. It checks what
-// operators write, and serves the sessions in which gatekeepers follow their settings.
+// Package controlmachine runs a control machine: a member of the replicated store that serves no callers. It validates the
+// settings that operators write, and serves the watch sessions over which gatekeepers follow their settings.
 package controlmachine
 
 import (
@@ -25,34 +25,33 @@
 )
 
 const (
-	sayEvery = 10 * time.Second       // how often a start that goes on waiting for the group says so
-	drainFor = 500 * time.Millisecond // between "not ready" and the end: for those who ask whether it is ready
+	waitLogInterval = 10 * time.Second       // between log lines of a start that waits for the group
+	drainDelay      = 500 * time.Millisecond // between reporting "not ready" and closing, so that readiness probes notice it
 )
 
-// What a control machine takes on at a time, where its file does not say: the sessions of the largest fleet that is planned
-// for (2,200 gatekeepers) within 11 s at one machine.
+// Default admission limits. One machine admits the sessions of the largest planned fleet (2,200 gatekeepers) within 11 s.
 const (
-	sessionsPerS   = 200
-	sessionsBurst  = 200
-	snapshotsPerS  = 200
-	snapshotsBurst = 200
+	defaultSessionsPerSecond  = 200
+	defaultSessionsBurst      = 200
+	defaultSnapshotsPerSecond = 200
+	defaultSnapshotsBurst     = 200
 )
 
 // Machine is a running control machine.
 type Machine struct {
-	cfg     *config.Machine
-	log     logrus.FieldLogger
-	store   *store.Node
-	server  *ops.Server // nil: off
-	figures *figures
-	site    atomic.Pointer[control.Site] // that writes are proved against; nil: their form alone is checked
-	up      atomic.Bool
-	ending  atomic.Bool
+	cfg      *config.Machine
+	log      logrus.FieldLogger
+	store    *store.Node
+	server   *ops.Server // nil: no operators' address
+	gauges   *gauges
+	site     atomic.Pointer[control.Site] // writes are validated against it; nil: only their structure is checked
+	caughtUp atomic.Bool                  // the member has caught up with its group
+	closing  atomic.Bool                  // Drain or Close was called
 }
 
-// Start brings a control machine up, and returns once it has replayed its log and caught up with a leader, however long that
-// takes, or when begin ends. The operators' address opens first, and says not ready until then.
-func Start(begin context.Context, cfg *config.Machine, log logrus.FieldLogger) (_ *Machine, err error) {
+// Start starts a control machine. It returns once the machine has replayed its log and caught up with a leader, without a time
+// limit, or when startCtx is done. The operators' address is opened first and reports not ready until then.
+func Start(startCtx context.Context, cfg *config.Machine, log logrus.FieldLogger) (_ *Machine, err error) {
 	m := &Machine{cfg: cfg, log: log}
 	m.site.Store(cfg.Site)
 	defer func() {
@@ -63,24 +62,24 @@
 	if err = m.openStore(); err != nil {
 		return nil, err
 	}
-	m.figures = newFigures(m)
+	m.gauges = newGauges(m)
 	if cfg.Admin != "" {
 		if m.server, err = ops.ListenProcess(cfg.Admin, m, log); err != nil {
 			return nil, err
 		}
 		log.WithField("listen", m.server.Addr()).Info("operators' address serving")
 	}
-	if err = m.awaitStore(begin); err != nil {
+	if err = m.awaitStore(startCtx); err != nil {
 		return nil, err
 	}
-	m.up.Store(true)
+	m.caughtUp.Store(true)
 	st := m.store.Status()
-	log.WithFields(logrus.Fields{"listen": cfg.Store.Listen, "records": st.Records, "applied": st.Applied, "votes": votes(st),
+	log.WithFields(logrus.Fields{"listen": cfg.Store.Listen, "records": st.Records, "applied": st.Applied, "votes": isVoter(st),
 		"proved": cfg.Site != nil}).Info("control machine ready")
 	return m, nil
 }
 
-// openStore opens this machine's member of the store, which takes connections from then on.
+// openStore opens this machine's member of the store, which accepts connections from then on.
 func (m *Machine) openStore() error {
 	s := m.cfg.Store
 	o := store.Options{Node: s.Node, Dir: s.Dir, Sync: s.Sync, Join: s.Join, Via: s.Via, Log: m.log,
@@ -88,7 +87,7 @@
 		Reducers: map[string]store.Reducer{limits.LeaseKey: quota.Reduce},
 		Check:    func(writes []store.Write) error { return Check(writes, m.site.Load()) },
 		Serve: &store.ServeOptions{Name: m.cfg.Name, Zone: m.cfg.Zone, Region: m.cfg.Region, Prefix: scope.Prefix,
-			Admission: admission(m.cfg.Admission)},
+			Admission: admissionOptions(m.cfg.Admission)},
 	}
 	for _, p := range s.Peers {
 		o.Peers = append(o.Peers, store.Peer{Node: p.Node, Address: p.Address, NonVoter: p.NonVoter})
@@ -105,37 +104,37 @@
 	return nil
 }
 
-// admission fills in what the file leaves out.
-func admission(a config.Admission) store.AdmissionOptions {
+// admissionOptions returns the store's admission options, with defaults for rates that the file does not set.
+func admissionOptions(a config.Admission) store.AdmissionOptions {
 	return store.AdmissionOptions{
 		Sessions:          a.Sessions,
-		SessionsPerSecond: cmp.Or(a.SessionsPerS, sessionsPerS), SessionsBurst: cmp.Or(a.SessionsBurst, sessionsBurst),
-		SnapshotsPerSecond: cmp.Or(a.SnapshotsPerS, snapshotsPerS), SnapshotsBurst: cmp.Or(a.SnapshotsBurst, snapshotsBurst),
+		SessionsPerSecond: cmp.Or(a.SessionsPerS, defaultSessionsPerSecond), SessionsBurst: cmp.Or(a.SessionsBurst, defaultSessionsBurst),
+		SnapshotsPerSecond: cmp.Or(a.SnapshotsPerS, defaultSnapshotsPerSecond), SnapshotsBurst: cmp.Or(a.SnapshotsBurst, defaultSnapshotsBurst),
 	}
 }
 
-// awaitStore waits until the member is ready, and says every few seconds that it waits.
-func (m *Machine) awaitStore(begin context.Context) error {
-	began := time.Now()
+// awaitStore waits until the member is ready or startCtx is done, and logs a warning every waitLogInterval.
+func (m *Machine) awaitStore(startCtx context.Context) error {
+	startTime := time.Now()
 	for {
-		ctx, cancel := context.WithTimeout(begin, sayEvery)
+		ctx, cancel := context.WithTimeout(startCtx, waitLogInterval)
 		err := m.store.WaitReady(ctx)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		if begin.Err() != nil {
-			return fmt.Errorf("start ended while it waited for the group: %w", context.Cause(begin))
+		if startCtx.Err() != nil {
+			return fmt.Errorf("start canceled while waiting for the group: %w", context.Cause(startCtx))
 		}
-		m.log.WithError(err).WithFields(logrus.Fields{"waited_ms": time.Since(began).Milliseconds(),
-			"advice": "bring a majority of the voting control machines up; gatekeepers go on with their last good settings"}).
+		m.log.WithError(err).WithFields(logrus.Fields{"waited_ms": time.Since(startTime).Milliseconds(),
+			"advice": "start a majority of the voting control machines; gatekeepers keep their last good settings meanwhile"}).
 			Warn("control machine: not ready, the start waits for the group")
 	}
 }
 
-// Check refuses writes of settings records that no gatekeeper could take. Other records, and deletes, are not looked at.
-// The error has a line for each fault, with the record's key in place of the file's name. site may be nil: then only the
-// form is checked.
+// Check validates writes of settings records and returns an error if gatekeepers would refuse them. Deletes and writes of other
+// records are not checked. The error has one line per fault, which names the record's key in place of a file. If site is nil,
+// only their structure is checked.
 func Check(writes []store.Write, site *control.Site) error {
 	var faults jsonfile.Faults
 	for _, w := range writes {
@@ -157,25 +156,25 @@
 	return faults
 }
 
-// Reload reads the file again and proves what is written from now on against the gatekeeper's configuration that it names.
-// All else takes effect at the next start. A bad file leaves all as it was.
+// Reload reads the machine's file again. Later writes are validated against the gatekeeper configuration that the file names;
+// other changes take effect at the next start. An invalid file is logged and changes nothing.
 func (m *Machine) Reload(file string) {
 	cfg, err := config.LoadMachine(file)
 	if err != nil {
 		for line := range strings.SplitSeq(err.Error(), "\n") {
-			m.log.WithField("error", line).Error("reload: file is bad, last good one kept")
+			m.log.WithField("error", line).Error("reload: file is invalid, the last good one stays in force")
 		}
 		return
 	}
 	m.site.Store(cfg.Site)
 	m.log.WithFields(logrus.Fields{"gatekeeper": cfg.Gatekeeper, "proved": cfg.Site != nil}).
-		Info("reloaded the gatekeeper's configuration that settings are proved against; other changes take effect at the next start")
+		Info("reloaded the gatekeeper configuration that settings are validated against; other changes take effect at the next start")
 }
 
-// Ready implements ops.Process: yes once the member has caught up with its group, and until it ends.
-func (m *Machine) Ready() bool { return m.up.Load() && !m.ending.Load() }
+// Ready implements ops.Process. It reports whether the member has caught up with its group and is not shutting down.
+func (m *Machine) Ready() bool { return m.caughtUp.Load() && !m.closing.Load() }
 
-// OperatorsAddr is where the operators' address listens, or "" where it is off.
+// OperatorsAddr returns the listen address for operators, or "" if there is none.
 func (m *Machine) OperatorsAddr() string {
 	if m.server == nil {
 		return ""
@@ -183,22 +182,22 @@
 	return m.server.Addr()
 }
 
-// Drain says not ready for a short while, then ends the machine. Its gatekeepers move to other control machines by
-// themselves, each after a wait of its own.
+// Drain reports not ready for drainDelay, then closes the machine. Its gatekeepers reconnect to other control machines, each
+// after its own random delay.
 func (m *Machine) Drain() {
-	m.ending.Store(true)
+	m.closing.Store(true)
 	m.log.Info("draining: sessions move to other control machines")
 	if err := m.store.StepDown(); err != nil {
-		m.log.WithError(err).Warn("store: the lead was not handed on, the group elects a leader by itself")
+		m.log.WithError(err).Warn("store: leadership was not transferred; the group elects a new leader")
 	}
-	time.Sleep(drainFor)
+	time.Sleep(drainDelay)
 	m.Close()
 	m.log.Info("drained")
 }
 
-// Close ends the machine at once.
+// Close shuts the machine down immediately.
 func (m *Machine) Close() {
-	m.ending.Store(true)
+	m.closing.Store(true)
 	if m.server != nil {
 		m.server.Close()
 	}
--- a/internal/controlmachine/machine_test.go
+++ b/internal/controlmachine/machine_test.go
@@ -17,6 +17,7 @@
 	"beammux/internal/store"
 )
 
+// testSite returns a site that allows at most three attempts per call.
 func testSite(t *testing.T) *control.Site {
 	t.Helper()
 	s, err := control.ParseSite(`{"bounds":{"attempts-cap":3},"classes":[{"name":"menu-view","repeat":"read_like","deadline-us":9000000}]}`)
@@ -24,7 +25,7 @@
 	return s
 }
 
-// All faults of all writes are told; deletes and other records are not looked at; without a site only the form counts.
+// Check reports all faults of all writes, and skips deletes and other records. Without a site it checks only the structure.
 func TestCheck(t *testing.T) {
 	writes := []store.Write{
 		{Key: "settings/all/calls", Value: []byte(`{"defaults":{"attempts":4}}`)},
@@ -47,18 +48,19 @@
 	require.NoError(t, Check(writes[2:5], testSite(t)))
 }
 
-func alone(t *testing.T) *config.Machine {
+// singleMachineConfig returns the configuration of a group of one control machine.
+func singleMachineConfig(t *testing.T) *config.Machine {
 	t.Helper()
 	address := porttest.Reserve(t)
 	return &config.Machine{Name: "c1", Admin: "127.0.0.1:0", Store: config.Store{Node: "c1", Listen: address,
 		Peers: []config.StorePeer{{Node: "c1", Address: address}}}}
 }
 
-// A machine says ready once it is, and not while it ends; nothing of it is left then.
-func TestMachineComesAndGoes(t *testing.T) {
+// A machine reports ready after its start and not ready while it drains, and leaves no goroutine behind.
+func TestMachineReadiness(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	log, lines := logtest.NewNullLogger()
-	m, err := Start(t.Context(), alone(t), log)
+	m, err := Start(t.Context(), singleMachineConfig(t), log)
 	require.NoError(t, err)
 	require.True(t, m.Ready())
 	require.NotEmpty(t, m.OperatorsAddr())
@@ -66,22 +68,22 @@
 	m.WriteFigures(&figures)
 	require.Contains(t, figures.String(), "proxy_control_ready 1\n")
 	require.Contains(t, figures.String(), "proxy_control_leads 1\n")
-	ended := make(chan struct{})
-	go func() { defer close(ended); m.Drain() }()
+	drained := make(chan struct{})
+	go func() { defer close(drained); m.Drain() }()
 	require.Eventually(t, func() bool { return !m.Ready() }, 5*time.Second, time.Millisecond)
-	<-ended
+	<-drained
 	require.Equal(t, "drained", lines.LastEntry().Message)
 }
 
-// A start that waits for its group ends with its context, says why, and leaves nothing behind.
-func TestStartEnds(t *testing.T) {
+// A start that waits for its group returns an error when its context is done, and leaves no goroutine behind.
+func TestStartCanceled(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	cfg := alone(t)
+	cfg := singleMachineConfig(t)
 	cfg.Store.Peers = append(cfg.Store.Peers, config.StorePeer{Node: "c2", Address: "127.0.0.1:1"})
 	log, _ := logtest.NewNullLogger()
 	log.SetLevel(logrus.PanicLevel)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	_, err := Start(ctx, cfg, log)
-	require.ErrorContains(t, err, "start ended while it waited for the group")
+	require.ErrorContains(t, err, "start canceled while waiting for the group")
 }
