--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -19,53 +19,55 @@
 	"beammux/internal/store"
 )
 
-// controls is a group of control machines in this process, each reached through links that can be cut.
-type controls struct {
-	t        *testing.T
-	net      *relay.Network
-	nodes    []*store.Node
-	own      []string // addresses at which they listen
-	replicas []session.Replica
-	mu       sync.Mutex
-	last     uint64 // revision of the last change that was acknowledged
+// controlGroup is a group of control machines in this process. All connections to and between them run over links that a test can
+// cut.
+type controlGroup struct {
+	t         *testing.T
+	net       *relay.Network
+	nodes     []*store.Node
+	addresses []string // listen addresses, by index of the machine
+	replicas  []session.Replica
+	mu        sync.Mutex
+	last      uint64 // revision of the last acknowledged change
 }
 
-// timing for control machines that send a heartbeat each 50 ms. The bounds leave room for a busy machine.
+// realTiming suits control machines that send a heartbeat every 50 ms. The timeouts tolerate a heavily loaded machine.
 var realTiming = session.Timing{
 	StartWithin: 50e3, ConnectWithin: 3e6, HeartbeatWithin: 2e6, BackoffBase: 50e3, BackoffCap: 500e3, StableAfter: 500e3, ReturnEvery: 1e6,
 	LeaderlessAfter: 3e6, LeaderlessHold: 1e6, BehindWait: 50e3, ComeBackWait: 5e6, FaultHold: 1e6,
 }
 
-// startControls starts voters and then non-voters. Machine i is in zone zi, all in region r1.
-func startControls(t *testing.T, voters, nonVoters int, serve store.ServeOptions) *controls {
+// startControls starts the given numbers of voters and non-voters, in this order. Machine i is named ci and is in zone zi; all
+// are in region r1.
+func startControls(t *testing.T, voters, nonVoters int, serve store.ServeOptions) *controlGroup {
 	t.Helper()
-	c := &controls{t: t, net: relay.New(1)}
+	c := &controlGroup{t: t, net: relay.New(1)}
 	var listeners []net.Listener
 	var peers []store.Peer
 	for i := range voters + nonVoters {
 		l := porttest.Listen(t)
 		listeners = append(listeners, l)
-		c.own = append(c.own, l.Addr().String())
-		peers = append(peers, store.Peer{Node: name(i), Address: c.own[i], NonVoter: i >= voters})
+		c.addresses = append(c.addresses, l.Addr().String())
+		peers = append(peers, store.Peer{Node: name(i), Address: c.addresses[i], NonVoter: i >= voters})
 	}
 	vias := make([]map[string]string, len(peers))
 	for i := range peers {
 		vias[i] = map[string]string{}
 		for j := range peers {
 			if i != j {
-				vias[i][c.own[j]] = c.link(name(i), name(j))
+				vias[i][c.addresses[j]] = c.link(name(i), name(j))
 			}
 		}
 		c.replicas = append(c.replicas, session.Replica{Name: name(i), Address: c.link("g", name(i)), Zone: fmt.Sprint("z", i), Region: "r1"})
 	}
 	for i := range peers {
-		c.net.Up(name(i), "store", c.own[i])
+		c.net.Up(name(i), "store", c.addresses[i])
 	}
 	for i := range peers {
 		o := serve
 		o.Name, o.Zone, o.Region, o.Prefix = name(i), fmt.Sprint("z", i), "r1", scope.Prefix
 		o.HeartbeatEvery, o.ReportEvery = 50*time.Millisecond, 50*time.Millisecond
-		n, err := store.Open(store.Options{Node: name(i), Listener: listeners[i], Peers: peers, Via: vias[i], Serve: &o, Log: quiet()})
+		n, err := store.Open(store.Options{Node: name(i), Listener: listeners[i], Peers: peers, Via: vias[i], Serve: &o, Log: discardLogger()})
 		require.NoError(t, err)
 		c.nodes = append(c.nodes, n)
 	}
@@ -78,28 +80,32 @@
 	return c
 }
 
+// name returns the name of machine i.
 func name(i int) string { return fmt.Sprint("c", i) }
 
-func (c *controls) link(from, to string) string {
+// link returns the address of a link between two parties.
+func (c *controlGroup) link(from, to string) string {
 	l, err := c.net.TCP(from, to, "store")
 	require.NoError(c.t, err)
 	return l.Addr()
 }
 
-func (c *controls) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// context returns a context that is done after testTimeout.
+func (c *controlGroup) context() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.t.Cleanup(cancel)
 	return ctx
 }
 
-// write writes values through a member, by key behind the prefix; an empty value deletes.
-func (c *controls) write(through int, values map[string]string) uint64 {
+// write writes values through a member in one transaction and returns its revision. Keys are given without scope.Prefix; an
+// empty value deletes.
+func (c *controlGroup) write(through int, values map[string]string) uint64 {
 	c.t.Helper()
 	var writes []store.Write
 	for key, value := range values {
 		writes = append(writes, store.Write{Key: scope.Prefix + key, Value: []byte(value), Delete: value == ""})
 	}
-	revision, err := store.TransactTo(c.context(), c.own[through], writes)
+	revision, err := store.TransactTo(c.context(), c.addresses[through], writes)
 	require.NoError(c.t, err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,23 +113,25 @@
 	return revision
 }
 
-// all writes one value to three sections at three scopes in one transaction: whoever follows must never see two values.
-func (c *controls) all(through int, value string) uint64 {
+// writeAll writes one value to three sections at three scopes in one transaction. A candidate with different values would mix
+// two transactions.
+func (c *controlGroup) writeAll(through int, value string) uint64 {
 	c.t.Helper()
 	return c.write(through, map[string]string{"all/calls": value, "zone/z0/limits": value, "gatekeeper/g1/inventory": value})
 }
 
-// checked is what a gatekeeper put in force; it checks that no candidate goes back or mixes two transactions of controls.all.
-type checked struct {
+// checkedCandidates records the candidates that a gatekeeper put in force. It fails the test if a candidate has a lower revision
+// than the one before or mixes two transactions of controlGroup.writeAll. It refuses the value "bad".
+type checkedCandidates struct {
 	t  *testing.T
 	mu sync.Mutex
-	// wait, where set, holds an Apply until it is closed.
+	// wait blocks apply until it is closed, if it is set.
 	wait  chan struct{}
 	list  []Candidate
-	floor uint64 // what a process before this one had in force
+	floor uint64 // revision that was in force before a restart
 }
 
-func (a *checked) apply(c Candidate) error {
+func (a *checkedCandidates) apply(c Candidate) error {
 	a.mu.Lock()
 	wait := a.wait
 	a.mu.Unlock()
@@ -142,11 +150,11 @@
 	for _, r := range c.Sections {
 		values[string(r.Value)] = true
 		if r.Revision > c.Revision {
-			a.t.Errorf("%s is of revision %d, the candidate of %d", r.Key, r.Revision, c.Revision)
+			a.t.Errorf("%s has revision %d, later than its candidate's revision %d", r.Key, r.Revision, c.Revision)
 		}
 	}
 	if len(values) > 1 {
-		a.t.Errorf("a mix of %v at revision %d", values, c.Revision)
+		a.t.Errorf("different values %v at revision %d", values, c.Revision)
 	}
 	if values["bad"] {
 		return errBad
@@ -155,8 +163,8 @@
 	return nil
 }
 
-// value is what is in force.
-func (a *checked) value() string {
+// value returns the value in force of section calls, or "" if nothing was put in force.
+func (a *checkedCandidates) value() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.list) == 0 {
@@ -165,8 +173,8 @@
 	return string(a.list[len(a.list)-1].Sections["calls"].Value)
 }
 
-// revision is the last one that was put in force; 0 without any.
-func (a *checked) revision() uint64 {
+// revision returns the revision that was last put in force, including before a restart; 0 if there is none.
+func (a *checkedCandidates) revision() uint64 {
 	if a == nil {
 		return 0
 	}
@@ -178,16 +186,18 @@
 	return a.list[len(a.list)-1].Revision
 }
 
-func (a *checked) applied() int {
+// applied returns the number of candidates that were put in force.
+func (a *checkedCandidates) applied() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.list)
 }
 
-func (c *controls) follow(a *checked, o Options) *Follower {
+// follow opens a follower for gatekeeper g1 in zone z0 and closes it when the test ends.
+func (c *controlGroup) follow(a *checkedCandidates, o Options) *Follower {
 	c.t.Helper()
 	o.Self = scope.Target{Name: "g1", Region: "r1", Zone: "z0"}
-	o.Replicas, o.Apply, o.Log, o.Seed = c.replicas, a.apply, quiet(), 1
+	o.Replicas, o.Apply, o.Log, o.Seed = c.replicas, a.apply, discardLogger(), 1
 	if o.Timing == (session.Timing{}) {
 		o.Timing = realTiming
 	}
@@ -197,104 +207,105 @@
 	return f
 }
 
-// has waits until a value is in force at a revision.
-func has(t *testing.T, f *Follower, a *checked, value string, revision uint64) Status {
+// waitForValue waits until a value is in force at a revision or a later one.
+func waitForValue(t *testing.T, f *Follower, a *checkedCandidates, value string, revision uint64) Status {
 	t.Helper()
 	return waitFor(t, f, "value "+value, func(s Status) bool { return s.InForce >= revision && s.Seen >= revision && a.value() == value })
 }
 
-// A transaction is one candidate; a refused one leaves the last good one in force, is reported upstream with its fault, and is
-// followed by the next good one. Upstream knows what each gatekeeper holds.
-func TestControlChanges(t *testing.T) {
+// Each transaction yields one candidate. After a refusal the last good candidate stays in force, the control machine receives
+// the fault, and the next good candidate is put in force. The control machines count which gatekeepers hold the settings.
+func TestChanges(t *testing.T) {
 	c := startControls(t, 3, 0, store.ServeOptions{})
-	first := c.all(0, "1")
-	a := &checked{t: t}
+	first := c.writeAll(0, "1")
+	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
-	s := has(t, f, a, "1", first)
+	s := waitForValue(t, f, a, "1", first)
 	require.Equal(t, "c0", s.Replica)
 	require.Len(t, s.Sections, 3)
-	second := c.all(1, "2")
-	has(t, f, a, "2", second)
+	second := c.writeAll(1, "2")
+	waitForValue(t, f, a, "2", second)
 
-	bad := c.all(2, "bad")
+	bad := c.writeAll(2, "bad")
 	s = waitFor(t, f, "refused", func(s Status) bool { return s.Refused != nil })
 	require.Equal(t, &Refused{Revision: bad, Fault: errBad.Error()}, s.Refused)
 	require.Less(t, s.InForce, bad)
 	require.Equal(t, "2", a.value())
-	s = waitFor(t, f, "counted upstream", func(s Status) bool { return s.Fleet != nil && s.Fleet.Refused == 1 })
+	s = waitFor(t, f, "refusal in the counts", func(s Status) bool { return s.Fleet != nil && s.Fleet.Refused == 1 })
 	require.Equal(t, 1, s.Fleet.Sessions)
-	sessions, err := store.SessionsFrom(c.context(), nil, c.own[0])
+	sessions, err := store.SessionsFrom(c.context(), nil, c.addresses[0])
 	require.NoError(t, err)
 	require.Len(t, sessions, 1)
 	require.Equal(t, "g1", sessions[0].Name)
 	require.Equal(t, store.WatchReport{InForce: s.InForce, Refused: bad, Fault: errBad.Error()}, sessions[0].Report)
 
-	third := c.all(0, "3")
-	s = has(t, f, a, "3", third)
+	third := c.writeAll(0, "3")
+	s = waitForValue(t, f, a, "3", third)
 	require.Nil(t, s.Refused)
-	waitFor(t, f, "counted upstream", func(s Status) bool { return s.Fleet.Refused == 0 && s.Fleet.Holding == 1 })
+	waitFor(t, f, "settings in force in the counts", func(s Status) bool { return s.Fleet.Refused == 0 && s.Fleet.Holding == 1 })
 	require.Equal(t, 3, a.applied())
 
-	// What other gatekeepers resolve to is none of this one's: its revision moves on, nothing is put in force.
+	// Records of other scopes and records overridden by a narrower scope advance the revision, but no candidate is applied.
 	other := c.write(0, map[string]string{"zone/z9/calls": "x"})
-	waitFor(t, f, "the revision moves on", func(s Status) bool { return s.InForce >= other })
+	waitFor(t, f, "revision of a record of another scope", func(s Status) bool { return s.InForce >= other })
 	hidden := c.write(0, map[string]string{"all/limits": "3"})
-	waitFor(t, f, "the revision moves on", func(s Status) bool { return s.InForce >= hidden })
+	waitFor(t, f, "revision of an overridden record", func(s Status) bool { return s.InForce >= hidden })
 	require.Equal(t, 3, a.applied())
-	// A deleted record uncovers the wider one.
+	// After a record was deleted, the one of the wider scope applies.
 	uncovered := c.write(0, map[string]string{"zone/z0/limits": ""})
-	s = waitFor(t, f, "uncovered", func(s Status) bool { return s.InForce >= uncovered })
+	s = waitFor(t, f, "record of the wider scope", func(s Status) bool { return s.InForce >= uncovered })
 	require.Contains(t, s.Sections, Section{"limits", "settings/all/limits", hidden})
 }
 
-// The control machine of the session is killed, and so are others: the gatekeeper moves on, misses nothing and goes back to nothing.
-func TestControlKilled(t *testing.T) {
+// When the control machine of its session is closed, and then another one, the gatekeeper reconnects to the remaining ones. It
+// misses no change and never goes back to an older revision.
+func TestControlMachineClosed(t *testing.T) {
 	c := startControls(t, 3, 2, store.ServeOptions{})
-	a := &checked{t: t}
+	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
-	has(t, f, a, "1", c.all(0, "1"))
+	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
 	require.Equal(t, "c0", f.Status().Replica)
 	c.nodes[0].Close()
-	has(t, f, a, "2", c.all(4, "2"))
+	waitForValue(t, f, a, "2", c.writeAll(4, "2"))
 	s := f.Status()
 	require.NotEqual(t, "c0", s.Replica)
 	killed, err := strconv.Atoi(s.Replica[1:])
 	require.NoError(t, err)
-	if killed >= 3 { // a voter more would cost the majority
+	if killed >= 3 { // only a non-voter: closing a second voter would lose the majority
 		c.nodes[killed].Close()
 	}
-	has(t, f, a, "3", c.all(1, "3"))
+	waitForValue(t, f, a, "3", c.writeAll(1, "3"))
 	require.Equal(t, 3, a.applied())
 }
 
-// A control machine that is silent, with its connections open, is left without a heartbeat in time; once it answers again the
-// gatekeeper returns to it.
-func TestControlPaused(t *testing.T) {
+// A gatekeeper leaves a control machine that sends no heartbeats while its connections stay open. It returns when the machine
+// answers again.
+func TestControlMachineUnresponsive(t *testing.T) {
 	c := startControls(t, 3, 0, store.ServeOptions{})
-	a := &checked{t: t}
+	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
-	has(t, f, a, "1", c.all(1, "1"))
+	waitForValue(t, f, a, "1", c.writeAll(1, "1"))
 	c.net.Cut([]string{"c0"}, []string{"g"}, true)
 	c.net.Cut([]string{"g"}, []string{"c0"}, true)
-	has(t, f, a, "2", c.all(1, "2"))
+	waitForValue(t, f, a, "2", c.writeAll(1, "2"))
 	require.NotEqual(t, "c0", f.Status().Replica)
 	c.net.Heal()
 	waitFor(t, f, "returned", func(s Status) bool { return s.Replica == "c0" })
-	has(t, f, a, "3", c.all(1, "3"))
+	waitForValue(t, f, a, "3", c.writeAll(1, "3"))
 	require.Equal(t, 3, a.applied())
 }
 
-// The preferred control machine lags: it is cut off from the others. The gatekeeper, which holds more than it, never takes what
-// it has, goes on without it, and returns when it has caught up.
-func TestControlLags(t *testing.T) {
+// The preferred control machine is partitioned from the others and lags behind the gatekeeper. The gatekeeper ignores its older
+// records, uses other control machines, and returns when it has caught up.
+func TestControlMachineLags(t *testing.T) {
 	c := startControls(t, 3, 1, store.ServeOptions{})
-	self := scope.Target{Name: "g1", Region: "r1", Zone: "z3"} // of c3, which has no vote
+	self := scope.Target{Name: "g1", Region: "r1", Zone: "z3"} // in the zone of c3, a non-voter
 	timing := realTiming
-	timing.LeaderlessAfter = 3600e6 // only what it holds is wrong with it
-	var a *checked
+	timing.LeaderlessAfter = 3600e6 // so that only its old records, not the missing leader, rule it out
+	var a *checkedCandidates
 	open := func(dir string) *Follower {
-		a = &checked{t: t, floor: a.revision()}
-		f, err := Open(Options{Self: self, Replicas: c.replicas, Apply: a.apply, Log: quiet(), Seed: 1, Timing: timing, Dir: dir})
+		a = &checkedCandidates{t: t, floor: a.revision()}
+		f, err := Open(Options{Self: self, Replicas: c.replicas, Apply: a.apply, Log: discardLogger(), Seed: 1, Timing: timing, Dir: dir})
 		require.NoError(t, err)
 		t.Cleanup(f.Close)
 		return f
@@ -302,79 +313,79 @@
 	dir := t.TempDir()
 	f := open(dir)
 	one := c.write(0, map[string]string{"all/calls": "1"})
-	has(t, f, a, "1", one)
-	waitFor(t, f, "preferred", func(s Status) bool { return s.Replica == "c3" })
+	waitForValue(t, f, a, "1", one)
+	waitFor(t, f, "session with the preferred machine", func(s Status) bool { return s.Replica == "c3" })
 
 	others := []string{"c0", "c1", "c2"}
 	c.net.Cut(others, []string{"c3"}, true)
 	c.net.Cut([]string{"c3"}, others, true)
 	two := c.write(0, map[string]string{"all/calls": "2"})
-	c.net.SetDoor("g", "c3", relay.Refuse) // it moves to another
-	has(t, f, a, "2", two)
+	c.net.SetDoor("g", "c3", relay.Refuse) // forces the follower to another machine
+	waitForValue(t, f, a, "2", two)
 	c.net.SetDoor("g", "c3", relay.Open)
 	f.Close()
 
-	f = open(dir) // with what it holds kept, it meets the one that lags first
+	f = open(dir) // with saved settings, it connects to the lagging machine first
 	require.GreaterOrEqual(t, f.Status().InForce, two)
-	waitFor(t, f, "another", func(s Status) bool { return s.Connected && s.Replica != "c3" })
+	waitFor(t, f, "session with another machine", func(s Status) bool { return s.Connected && s.Replica != "c3" })
 	f.Close()
-	require.NoError(t, removeAll(dir, settingsFile)) // only the highest revision seen is left
+	require.NoError(t, removeAll(dir, settingsFile)) // leaves only the highest revision seen
 	f = open(dir)
 	require.GreaterOrEqual(t, f.Status().Seen, two)
-	waitFor(t, f, "another", func(s Status) bool { return s.Connected && s.Replica != "c3" })
-	has(t, f, a, "2", two)
+	waitFor(t, f, "session with another machine", func(s Status) bool { return s.Connected && s.Replica != "c3" })
+	waitForValue(t, f, a, "2", two)
 	c.net.Heal()
-	waitFor(t, f, "returned", func(s Status) bool { return s.Replica == "c3" })
-	has(t, f, a, "3", c.write(0, map[string]string{"all/calls": "3"}))
+	waitFor(t, f, "return to the preferred machine", func(s Status) bool { return s.Replica == "c3" })
+	waitForValue(t, f, a, "3", c.write(0, map[string]string{"all/calls": "3"}))
 }
 
-// A gatekeeper that can't keep up is cut off, resumes, and has the last state, whole.
-func TestControlCutsOff(t *testing.T) {
+// A gatekeeper that can't keep up with the changes is disconnected, resumes, and puts the complete last state in force.
+func TestSlowFollowerDisconnected(t *testing.T) {
 	c := startControls(t, 3, 0, store.ServeOptions{HistorySize: 4})
-	a := &checked{t: t}
+	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{Timing: session.Timing{BackoffBase: 50e3, HeartbeatWithin: 60e6, ConnectWithin: 60e6, ReturnEvery: 3600e6}})
-	has(t, f, a, "1", c.all(0, "1"))
+	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
 	hold := make(chan struct{})
 	a.mu.Lock()
 	a.wait = hold
 	a.mu.Unlock()
 	var last uint64
 	const changes = 80
-	for i := range changes { // 16 MB in all, so that they don't fit what lies between
+	for i := range changes { // 16 MB in total, more than the buffers of the connection hold
 		last = c.write(0, map[string]string{"all/calls": fmt.Sprint(100+i, strings.Repeat("x", 200<<10)), "zone/z0/limits": "", "gatekeeper/g1/inventory": ""})
 	}
 	a.mu.Lock()
 	a.wait = nil
 	a.mu.Unlock()
 	close(hold)
-	waitFor(t, f, "the last state", func(s Status) bool { return s.InForce >= last })
-	require.Less(t, a.applied(), changes*3/4, "it was not cut off")
+	waitFor(t, f, "last state in force", func(s Status) bool { return s.InForce >= last })
+	require.Less(t, a.applied(), changes*3/4, "the follower was not disconnected")
 	require.Equal(t, fmt.Sprint(100+changes-1), a.value()[:3])
 }
 
-// With all control machines gone a gatekeeper goes on with what it has, says how old that is, over a restart too, and follows
-// again when they are back.
-func TestControlGone(t *testing.T) {
+// While no control machine is reachable, a gatekeeper keeps its settings and reports their age, also after a restart. It follows
+// again when they are reachable.
+func TestNoControlMachineReachable(t *testing.T) {
 	c := startControls(t, 3, 0, store.ServeOptions{})
-	a := &checked{t: t}
+	a := &checkedCandidates{t: t}
 	dir := t.TempDir()
 	f := c.follow(a, Options{Dir: dir})
-	one := c.all(0, "1")
-	has(t, f, a, "1", one)
+	one := c.writeAll(0, "1")
+	waitForValue(t, f, a, "1", one)
 	for i := range 3 {
 		c.net.SetDoor("g", name(i), relay.Refuse)
 	}
 	gone := time.Now()
-	s := waitFor(t, f, "gone", func(s Status) bool { return !s.Connected && s.Fault != "" })
+	s := waitFor(t, f, "session lost", func(s Status) bool { return !s.Connected && s.Fault != "" })
 	require.NotEmpty(t, s.Fault)
 	require.GreaterOrEqual(t, s.InForce, one)
-	two := c.all(0, "2") // it can't know
-	waitFor(t, f, "older", func(s Status) bool { return s.Age > 300*time.Millisecond })
+	two := c.writeAll(0, "2") // can't reach the follower
+	waitFor(t, f, "growing age", func(s Status) bool { return s.Age > 300*time.Millisecond })
 	f.Close()
 
-	again := &checked{t: t, floor: one}
+	again := &checkedCandidates{t: t, floor: one}
 	f = c.follow(again, Options{Dir: dir})
-	s = f.Status() // at once
+	s = f.Status() // valid immediately after Open
 	require.Equal(t, "1", again.value())
 	require.GreaterOrEqual(t, s.InForce, one)
 	require.GreaterOrEqual(t, s.Seen, one)
@@ -383,36 +394,36 @@
 	require.GreaterOrEqual(t, s.Age, 300*time.Millisecond)
 	require.LessOrEqual(t, s.Age, time.Since(gone)+time.Second)
 	require.Len(t, s.Sections, 3)
-	waitFor(t, f, "still tries", func(s Status) bool { return s.Fault != "" })
+	waitFor(t, f, "fault of a failed attempt", func(s Status) bool { return s.Fault != "" })
 	for i := range 3 {
 		c.net.SetDoor("g", name(i), relay.Open)
 	}
-	s = has(t, f, again, "2", two)
+	s = waitForValue(t, f, again, "2", two)
 	require.False(t, s.Kept)
 	require.Empty(t, s.Fault)
 	require.Equal(t, 2, again.applied())
 }
 
-// The side of the session has lost the leader: the gatekeeper goes on, says how old its settings are, moves to a control machine
-// that has one if it can, and else has the changes as soon as there is a leader again.
-func TestControlWithoutLeader(t *testing.T) {
+// The control machine of the session loses contact with the leader. The gatekeeper keeps its settings and reports their age. It
+// moves to a control machine that is in contact with a leader as soon as one is reachable.
+func TestControlMachineWithoutLeader(t *testing.T) {
 	c := startControls(t, 3, 0, store.ServeOptions{})
-	a := &checked{t: t}
+	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
-	has(t, f, a, "1", c.all(0, "1"))
-	waitFor(t, f, "preferred", func(s Status) bool { return s.Replica == "c0" })
+	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
+	waitFor(t, f, "session with the preferred machine", func(s Status) bool { return s.Replica == "c0" })
 	others := []string{"c1", "c2"}
 	c.net.Cut([]string{"c0"}, others, true)
 	c.net.Cut(others, []string{"c0"}, true)
-	c.net.Cut([]string{"g"}, others, true) // and the gatekeeper with it
+	c.net.Cut([]string{"g"}, others, true) // keeps the gatekeeper from reaching the side with the leader
 	c.net.Cut(others, []string{"g"}, true)
-	two := c.all(1, "2")
-	waitFor(t, f, "old", func(s Status) bool { return s.Age > 3*time.Second })
+	two := c.writeAll(1, "2")
+	waitFor(t, f, "age of 3 s", func(s Status) bool { return s.Age > 3*time.Second })
 	require.True(t, f.Status().Connected)
 	require.Equal(t, "1", a.value())
 	c.net.Cut([]string{"g"}, others, false)
 	c.net.Cut(others, []string{"g"}, false)
-	s := has(t, f, a, "2", two)
+	s := waitForValue(t, f, a, "2", two)
 	require.NotEqual(t, "c0", s.Replica)
 	c.net.Heal()
 	waitFor(t, f, "returned", func(s Status) bool { return s.Replica == "c0" && s.Age < time.Second })
--- a/internal/follow/disk.go
+++ b/internal/follow/disk.go
@@ -16,65 +16,65 @@
 	"beammux/control/scope"
 )
 
-// The files of a directory. Each is replaced whole: a line with the form's name and version and the checksum of the rest,
-// then JSON.
+// The files in Options.Dir. Each is replaced atomically. Its first line holds the name and version of the format and the
+// checksum of the rest, which is JSON.
 const (
-	settingsFile = "settings" // kept: synced before it replaces the last one
-	triedFile    = "tried"    // kept with Tries: while a candidate is being put in force. Not synced: it outlives the process, not the machine
-	seenFile     = "seen"     // seen: now and then, not synced
+	settingsFile = "settings" // a savedState, synced before it replaces the previous file
+	triedFile    = "tried"    // a savedState with Trying, while a candidate is being applied. Not synced: it must survive the process, not the machine
+	seenFile     = "seen"     // a savedSeen, written every seenInterval and at the end, not synced
 )
 
 const (
-	fileForm = "beammux-settings 1"
-	filePerm = 0o600
-	dirPerm  = 0o700
+	fileFormat = "beammux-settings 1"
+	filePerm   = 0o600
+	dirPerm    = 0o700
 )
 
-// seenEvery is how often the highest revision seen is written while nothing else changes.
-const seenEvery = time.Minute
+// seenInterval is the time between writes of the highest revision seen while nothing else changes.
+const seenInterval = time.Minute
 
-// maxTries is how often a candidate is put in force that ended the process each time.
+// maxTries is the number of times that a candidate is applied if the process ends each time.
 const maxTries = 2
 
-// kept is what is kept of a gatekeeper's settings.
-type kept struct {
+// savedState is the state of a gatekeeper's settings as saved on disk.
+type savedState struct {
 	Self     scope.Target   `json:"self"`
-	At       time.Time      `json:"at"`       // of the last word that what was held before is current
+	At       time.Time      `json:"at"`       // when the records before the last change were last confirmed as current
 	Revision uint64         `json:"revision"` // at which the records last changed
 	Records  []scope.Record `json:"records"`
-	Good     Candidate      `json:"good"`
+	Good     Candidate      `json:"good"` // the last candidate that was put in force
 	Refused  *refusal       `json:"refused,omitempty"`
-	Trying   *Candidate     `json:"trying,omitempty"` // of triedFile
-	Tries    int            `json:"tries,omitempty"`  // of triedFile
+	Trying   *Candidate     `json:"trying,omitempty"` // the candidate being applied; only in triedFile
+	Tries    int            `json:"tries,omitempty"`  // number of times that Trying was applied; only in triedFile
 }
 
-// seen says that the records of a revision were current up to a later one, and when that was last said.
-type seen struct {
-	At      time.Time `json:"at"`
-	Records uint64    `json:"records"`
-	Seen    uint64    `json:"seen"`
+// savedSeen records that the records of a revision were current up to a later revision.
+type savedSeen struct {
+	At      time.Time `json:"at"`      // when this was last confirmed
+	Records uint64    `json:"records"` // revision at which the records last changed
+	Seen    uint64    `json:"seen"`    // highest revision seen
 }
 
-// disk keeps files in a directory.
+// disk reads and writes the files of a directory.
 type disk struct {
-	dir    string
-	log    logrus.FieldLogger
-	fault  string    // of the last file that was read or written, if it failed
-	seenAt time.Time // when seenFile was written
+	dir           string
+	log           logrus.FieldLogger
+	fault         string    // last error; cleared by the next successful write
+	seenWriteTime time.Time // when seenFile was last written
 }
 
-// write replaces a file whole or not at all.
+// write replaces a file atomically.
 func (d *disk) write(name string, content any, sync bool) {
 	err := writeFile(d.dir, name, content, sync)
 	if err == nil {
 		d.fault = ""
 		return
 	}
-	d.failed(&FileError{filepath.Join(d.dir, name), err})
+	d.recordFault(&FileError{filepath.Join(d.dir, name), err})
 }
 
-// failed notes a fault, and logs it where it is a new one.
-func (d *disk) failed(err interface {
+// recordFault records a fault, and logs it if it differs from the previous one.
+func (d *disk) recordFault(err interface {
 	error
 	Advice() string
 }) {
@@ -84,17 +84,18 @@
 	d.fault = err.Error()
 }
 
+// writeFile replaces a file by writing a temporary file and renaming it. With sync, the file and the rename are durable.
 func writeFile(dir, name string, content any, sync bool) error {
 	body, err := json.Marshal(content)
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(dir, freshPattern(name))
+	f, err := os.CreateTemp(dir, tempPattern(name))
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	_, err = f.Write(append(fmt.Appendf(nil, "%s %016x\n", fileForm, xxhash.Sum64(body)), body...))
+	_, err = f.Write(append(fmt.Appendf(nil, "%s %016x\n", fileFormat, xxhash.Sum64(body)), body...))
 	if err == nil && sync {
 		err = f.Sync()
 	}
@@ -113,7 +114,7 @@
 	return syncDir(dir)
 }
 
-// syncDir makes a rename in a directory outlast the machine.
+// syncDir makes a rename in a directory durable across a crash of the machine.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return f.Sync()
 }
 
-// read reads a file, and tells whether it is there and whole. A damaged one is logged, and as good as none.
+// read reads a file and reports whether it exists and is intact. A damaged file is logged and treated as missing.
 func (d *disk) read(name string, content any) bool {
 	file := filepath.Join(d.dir, name)
 	text, err := os.ReadFile(file)
@@ -131,77 +132,79 @@
 		return false
 	}
 	if err != nil {
-		d.failed(&FileError{file, err})
+		d.recordFault(&FileError{file, err})
 		return false
 	}
 	if err := parse(text, content); err != nil {
-		d.failed(&DamagedError{file, err.Error()})
+		d.recordFault(&DamagedError{file, err.Error()})
 		return false
 	}
 	return true
 }
 
+// parse verifies the first line of a file and decodes the rest.
 func parse(text []byte, content any) error {
 	head, body, ok := bytes.Cut(text, []byte("\n"))
-	if !ok || string(head) != fmt.Sprintf("%s %016x", fileForm, xxhash.Sum64(body)) {
-		return errors.New("its first line is not that of this version, or its checksum is wrong")
+	if !ok || string(head) != fmt.Sprintf("%s %016x", fileFormat, xxhash.Sum64(body)) {
+		return errors.New("unknown format version or wrong checksum in the first line")
 	}
 	return json.Unmarshal(body, content)
 }
 
-// leftoverAfter is how old a file must be that a killed process was about to put in place of another, so that it is removed. A
-// younger one may be of a process that hands over to this one.
-const leftoverAfter = time.Minute
+// leftoverAge is the age from which a temporary file is taken for one of a killed process and removed. A younger one may belong
+// to a process that is handing over to this one.
+const leftoverAge = time.Minute
 
-// removeLeftovers removes what killed processes left half-written.
+// removeLeftovers removes temporary files of killed processes.
 func (d *disk) removeLeftovers() {
 	for _, name := range [...]string{settingsFile, triedFile, seenFile} {
-		files, _ := filepath.Glob(filepath.Join(d.dir, freshPattern(name)))
+		files, _ := filepath.Glob(filepath.Join(d.dir, tempPattern(name)))
 		for _, file := range files {
-			if info, err := os.Stat(file); err == nil && time.Since(info.ModTime()) > leftoverAfter {
+			if info, err := os.Stat(file); err == nil && time.Since(info.ModTime()) > leftoverAge {
 				os.Remove(file)
 			}
 		}
 	}
 }
 
-// freshPattern is that of the names of files that are written to take the place of one.
-func freshPattern(name string) string { return "." + name + "-*" }
+// tempPattern returns the name pattern of the temporary files that replace a file.
+func tempPattern(name string) string { return "." + name + "-*" }
 
+// remove removes a file if it exists.
 func (d *disk) remove(name string) {
 	if err := os.Remove(filepath.Join(d.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		d.failed(&FileError{filepath.Join(d.dir, name), err})
+		d.recordFault(&FileError{filepath.Join(d.dir, name), err})
 	}
 }
 
-// restore puts in force what the directory keeps. It gives the revision up to which the kept records are current, 0 where
+// restore puts the saved settings in force. It returns the revision up to which the saved records are known to be current, 0 if
 // there are none, and the highest revision seen.
-func (f *Follower) restore() (held, highest uint64) {
+func (f *Follower) restore() (held, highestSeen uint64) {
 	if f.options.Dir == "" {
 		return 0, 0
 	}
 	f.disk = &disk{dir: f.options.Dir, log: f.log}
 	if err := os.MkdirAll(f.disk.dir, dirPerm); err != nil {
-		f.disk.failed(&FileError{f.disk.dir, err})
+		f.disk.recordFault(&FileError{f.disk.dir, err})
 	}
 	f.disk.removeLeftovers()
 	defer func() { f.settings.beforeApply, f.settings.changed = f.saveTrying, f.save }()
 
-	var last seen
+	var last savedSeen
 	f.disk.read(seenFile, &last)
-	k, ok := f.readKept()
+	saved, ok := f.readSavedState()
 	if !ok {
 		return 0, last.Seen
 	}
-	f.settings.restore(k)
-	if k.Trying != nil {
-		f.tryAgain(k)
+	f.settings.restore(saved)
+	if saved.Trying != nil {
+		f.retryCandidate(saved)
 	}
-	f.settings.enforceGood()
-	held = k.Revision
-	f.wordAt = k.At
-	if last.Records == k.Revision && last.Seen >= held {
-		held, f.wordAt = last.Seen, last.At
+	f.settings.applyLastGood()
+	held = saved.Revision
+	f.leaderContactTime = saved.At
+	if last.Records == saved.Revision && last.Seen >= held {
+		held, f.leaderContactTime = last.Seen, last.At
 	}
 	if f.settings.refused == nil {
 		f.settings.inForce.Revision = max(f.settings.inForce.Revision, held)
@@ -210,62 +213,65 @@
 	return held, max(held, last.Seen)
 }
 
-// readKept reads the kept state: that of a candidate that was being put in force when the process ended, if it is newer.
-func (f *Follower) readKept() (kept, bool) {
-	var k, trying kept
+// readSavedState reads the saved state. triedFile takes precedence if it is newer: its candidate was being applied when the
+// process ended.
+func (f *Follower) readSavedState() (savedState, bool) {
+	var k, tried savedState
 	ok := f.readOwn(settingsFile, &k)
-	if f.readOwn(triedFile, &trying) && trying.Trying != nil && trying.Revision > k.Revision {
-		return trying, true
+	if f.readOwn(triedFile, &tried) && tried.Trying != nil && tried.Revision > k.Revision {
+		return tried, true
 	}
 	return k, ok
 }
 
-// readOwn reads a state that was kept for this gatekeeper, under the names that it has now.
-func (f *Follower) readOwn(name string, k *kept) bool {
-	if !f.disk.read(name, k) {
+// readOwn reads a saved state and reports whether it is intact and was saved by a gatekeeper with the same name, region, zone
+// and service as this one.
+func (f *Follower) readOwn(name string, saved *savedState) bool {
+	if !f.disk.read(name, saved) {
 		return false
 	}
-	if k.Self == f.options.Self {
+	if saved.Self == f.options.Self {
 		return true
 	}
-	f.disk.failed(&DamagedError{filepath.Join(f.disk.dir, name), fmt.Sprintf("it is of %+v, this gatekeeper is %+v", k.Self, f.options.Self)})
-	*k = kept{}
+	f.disk.recordFault(&DamagedError{filepath.Join(f.disk.dir, name), fmt.Sprintf("it belongs to %+v, this gatekeeper is %+v", saved.Self, f.options.Self)})
+	*saved = savedState{}
 	return false
 }
 
-// tryAgain puts a candidate in force that was being put in force when the process ended.
-func (f *Follower) tryAgain(k kept) {
-	if k.Tries >= maxTries {
-		f.settings.refuse(*k.Trying, &CrashedError{k.Tries})
+// retryCandidate applies the candidate that was being applied when the process ended, or refuses it after maxTries.
+func (f *Follower) retryCandidate(saved savedState) {
+	if saved.Tries >= maxTries {
+		f.settings.refuse(*saved.Trying, &CrashedError{saved.Tries})
 	} else {
-		k.Tries++
-		f.disk.write(triedFile, k, true)
-		f.settings.try(*k.Trying)
+		saved.Tries++
+		f.disk.write(triedFile, saved, true)
+		f.settings.tryCandidate(*saved.Trying)
 	}
 	f.save()
 }
 
-// save keeps the state.
+// save saves the state and removes triedFile.
 func (f *Follower) save() {
-	f.disk.write(settingsFile, f.kept(), true)
+	f.disk.write(settingsFile, f.savedState(), true)
 	f.disk.remove(triedFile)
 }
 
-// saveTrying keeps the state before a candidate is tried: if the process ends meanwhile, it is tried first at the next start,
-// so that the process doesn't go back behind what may have been in force.
+// saveTrying saves the state before candidate c is applied. If the process ends meanwhile, the next start applies c first: c may
+// have been in force already, and settings must not go back to an older revision.
 func (f *Follower) saveTrying(c Candidate) {
-	k := f.kept()
-	k.Trying, k.Tries = &c, 1
-	f.disk.write(triedFile, k, false)
+	saved := f.savedState()
+	saved.Trying, saved.Tries = &c, 1
+	f.disk.write(triedFile, saved, false)
 }
 
-func (f *Follower) kept() kept {
+// savedState returns the state to save.
+func (f *Follower) savedState() savedState {
 	s := f.settings
-	return kept{Self: s.self, At: f.word(), Revision: s.recordsAt, Records: s.sorted(), Good: s.good, Refused: s.refused}
+	return savedState{Self: s.self, At: f.lastLeaderContact(), Revision: s.recordsRevision, Records: s.sortedRecords(), Good: s.lastGood, Refused: s.refused}
 }
 
-// saveSeen keeps the highest revision seen.
+// saveSeen saves the highest revision seen.
 func (f *Follower) saveSeen() {
-	f.disk.write(seenFile, seen{f.word(), f.settings.recordsAt, f.machine.Seen()}, false)
-	f.disk.seenAt = time.Now()
+	f.disk.write(seenFile, savedSeen{f.lastLeaderContact(), f.settings.recordsRevision, f.machine.Seen()}, false)
+	f.disk.seenWriteTime = time.Now()
 }
--- a/internal/follow/disk_test.go
+++ b/internal/follow/disk_test.go
@@ -16,7 +16,7 @@
 	"beammux/internal/store"
 )
 
-// copyDir copies a directory as it is at this moment, as a process that is killed would leave it.
+// copyDir returns a copy of a directory in its current state, as a process killed now would leave it.
 func copyDir(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -24,13 +24,14 @@
 	return to
 }
 
-// keptDir is a directory with the records of revision 5 in force, seen up to 8.
-func keptDir(t *testing.T) (dir string, in Candidate) {
+// savedDir returns a directory saved by a follower, and the candidate that was in force: its records last changed at revision 5,
+// and the highest revision seen is 8.
+func savedDir(t *testing.T) (dir string, in Candidate) {
 	t.Helper()
-	s, a, dir := newScripted(t), &applied{}, t.TempDir()
-	f := start(t, s, a, Options{Dir: dir})
+	s, a, dir := newFakeStore(t), &appliedCandidates{}, t.TempDir()
+	f := startFollower(t, s, a, Options{Dir: dir})
 	c := s.next()
-	c.snapshot(5, limits("all", "1", 3), limits("zone/z1", "2", 5))
+	c.snapshot(5, limitsRecord("all", "1", 3), limitsRecord("zone/z1", "2", 5))
 	c.heartbeat(8)
 	c.report(store.WatchReport{InForce: 8})
 	f.Close()
@@ -38,11 +39,12 @@
 	return dir, a.all()[0]
 }
 
-// What was in force is so at Open, before any control machine is asked, and the session goes on from what was seen.
-func TestKept(t *testing.T) {
-	dir, in := keptDir(t)
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{Dir: dir})
+// Open puts the saved settings in force before it contacts any control machine. The session resumes from the highest revision
+// seen.
+func TestRestoresSavedState(t *testing.T) {
+	dir, in := savedDir(t)
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{Dir: dir})
 	require.Equal(t, []Candidate{in}, a.all())
 	st := f.Status()
 	require.Equal(t, uint64(8), st.InForce)
@@ -54,42 +56,42 @@
 	c.heartbeat(9)
 	c.report(store.WatchReport{InForce: 9})
 	require.False(t, f.Status().Kept)
-	c.change(10, deleted("zone/z1", 10)) // the wider record was kept too
+	c.change(10, limitsDeletion("zone/z1", 10)) // the record of the wider scope was saved too
 	c.report(store.WatchReport{InForce: 10})
-	require.Equal(t, []Candidate{in, candidate(10, limits("all", "1", 3))}, a.all())
+	require.Equal(t, []Candidate{in, candidate(10, limitsRecord("all", "1", 3))}, a.all())
 }
 
-// A gatekeeper that was killed has no seenFile, or an old one: it goes on from the records that it has.
-func TestKeptWithoutSeen(t *testing.T) {
-	dir, in := keptDir(t)
+// A killed gatekeeper may leave no seenFile: the next start resumes from the revision of the saved records.
+func TestRestoresWithoutSeenFile(t *testing.T) {
+	dir, in := savedDir(t)
 	require.NoError(t, removeAll(dir, seenFile))
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{Dir: dir})
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{Dir: dir})
 	require.Equal(t, []Candidate{in}, a.all())
 	require.Equal(t, uint64(5), f.Status().Seen)
 	require.Equal(t, uint64(5), s.next().request.After)
 }
 
-// Records that are older than what was seen are put in force, but not gone on from: a snapshot comes first, and an older one is
-// not taken.
-func TestSeenOutlivesRecords(t *testing.T) {
+// Saved records older than the highest revision seen are put in force, but the session does not resume from them. It requests a
+// snapshot and rejects one that is older than the highest revision seen.
+func TestSeenRevisionAheadOfRecords(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		dir, in := keptDir(t)
+		dir, in := savedDir(t)
 		old := copyDir(t, dir)
-		s, a := newScripted(t), &applied{}
-		f := start(t, s, a, Options{Dir: dir})
+		s, a := newFakeStore(t), &appliedCandidates{}
+		f := startFollower(t, s, a, Options{Dir: dir})
 		c := s.next()
-		c.change(12, limits("all", "3", 12), deleted("zone/z1", 12))
+		c.change(12, limitsRecord("all", "3", 12), limitsDeletion("zone/z1", 12))
 		c.report(store.WatchReport{InForce: 12})
 		f.Close()
 		if lost {
 			require.NoError(t, removeAll(dir, settingsFile))
-		} else { // it could not be written
+		} else { // as if settingsFile could not be written
 			require.NoError(t, os.Rename(filepath.Join(old, settingsFile), filepath.Join(dir, settingsFile)))
 		}
 
-		s, a = newScripted(t), &applied{}
-		f = start(t, s, a, Options{Dir: dir})
+		s, a = newFakeStore(t), &appliedCandidates{}
+		f = startFollower(t, s, a, Options{Dir: dir})
 		require.Equal(t, uint64(12), f.Status().Seen)
 		if lost {
 			require.Empty(t, a.all())
@@ -98,33 +100,34 @@
 		}
 		c = s.next()
 		require.Equal(t, uint64(0), c.request.After)
-		c.snapshot(11, limits("all", "1", 3))
+		c.snapshot(11, limitsRecord("all", "1", 3))
 		next := s.next()
 		require.NotEqual(t, c.address, next.address)
 		before := len(a.all())
-		next.snapshot(12, limits("all", "3", 12))
+		next.snapshot(12, limitsRecord("all", "3", 12))
 		next.report(store.WatchReport{InForce: 12})
-		require.Equal(t, candidate(12, limits("all", "3", 12)), a.all()[before])
+		require.Equal(t, candidate(12, limitsRecord("all", "3", 12)), a.all()[before])
 		f.Close()
 	}
 }
 
-// A refused candidate is neither put in force nor tried again by a restart; the last good one is, and the fault still told.
-func TestRefusedIsKept(t *testing.T) {
-	dir, in := keptDir(t)
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{Dir: dir})
+// After a restart, a refused candidate isn't tried again: the last good one is put in force, and the status still reports the
+// refusal.
+func TestRefusalSurvivesRestart(t *testing.T) {
+	dir, in := savedDir(t)
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{Dir: dir})
 	c := s.next()
-	c.change(12, limits("zone/z1", "bad", 12))
+	c.change(12, limitsRecord("zone/z1", "bad", 12))
 	c.report(store.WatchReport{InForce: 8, Refused: 12, Fault: errBad.Error()})
 	c.heartbeat(14)
 	st := waitFor(t, f, "seen", func(s Status) bool { return s.Seen == 14 })
 	require.Equal(t, uint64(8), st.InForce)
 	f.Close()
 
-	s = newScripted(t)
+	s = newFakeStore(t)
 	var tried []Candidate
-	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		tried = append(tried, c)
 		return nil
 	}}, s.watch)
@@ -136,21 +139,21 @@
 	require.Equal(t, &Refused{Revision: 12, Fault: errBad.Error()}, st.Refused)
 	c = s.next()
 	require.Equal(t, uint64(14), c.request.After)
-	c.snapshot(15, limits("all", "1", 3), limits("zone/z1", "bad", 12)) // as before
+	c.snapshot(15, limitsRecord("all", "1", 3), limitsRecord("zone/z1", "bad", 12)) // the same refused record
 	c.report(store.WatchReport{InForce: in.Revision, Refused: 12, Fault: errBad.Error()})
-	c.change(16, limits("zone/z1", "good", 16))
+	c.change(16, limitsRecord("zone/z1", "good", 16))
 	c.report(store.WatchReport{InForce: 16})
 	f.Close()
-	require.Equal(t, []Candidate{in, candidate(16, limits("zone/z1", "good", 16))}, tried)
+	require.Equal(t, []Candidate{in, candidate(16, limitsRecord("zone/z1", "good", 16))}, tried)
 }
 
-// The process is killed while a candidate is put in force, before or after it was: at the next start that one is tried first, so
-// nothing goes back; if the process ends with it again it is not tried a third time.
+// The process is killed while it applies a candidate, which may or may not be in force by then. The next start applies that
+// candidate first, so that settings never go back. If the process ends again, the candidate isn't applied a third time.
 func TestKilledWhileApplying(t *testing.T) {
-	dir, in := keptDir(t)
-	s, a := newScripted(t), &applied{}
+	dir, in := savedDir(t)
+	s, a := newFakeStore(t), &appliedCandidates{}
 	killed := ""
-	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		if c.Revision == 12 {
 			killed = copyDir(t, dir)
 		}
@@ -158,26 +161,26 @@
 	}}, s.watch)
 	require.NoError(t, err)
 	c := s.next()
-	c.change(12, limits("zone/z1", "3", 12))
+	c.change(12, limitsRecord("zone/z1", "3", 12))
 	c.report(store.WatchReport{InForce: 12})
 	f.Close()
 
 	again := ""
 	var tried []Candidate
-	second := newScripted(t)
-	f, err = open(Options{Self: self, Replicas: replicas(3), Dir: copyDir(t, killed), Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	second := newFakeStore(t)
+	f, err = open(Options{Self: self, Replicas: replicas(3), Dir: copyDir(t, killed), Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		tried = append(tried, c)
 		return nil
 	}}, second.watch)
 	require.NoError(t, err)
-	require.Equal(t, []Candidate{candidate(12, limits("zone/z1", "3", 12))}, tried)
+	require.Equal(t, []Candidate{candidate(12, limitsRecord("zone/z1", "3", 12))}, tried)
 	require.Equal(t, uint64(12), f.Status().InForce)
 	require.Equal(t, uint64(12), second.next().request.After)
 	f.Close()
 
-	// It is refused then: the last good one is put in force.
-	third, b := newScripted(t), &applied{}
-	f, err = open(Options{Self: self, Replicas: replicas(3), Dir: killed, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	// The candidate is refused at the next start: the last good one is put in force.
+	third, b := newFakeStore(t), &appliedCandidates{}
+	f, err = open(Options{Self: self, Replicas: replicas(3), Dir: killed, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		if c.Revision == 12 {
 			again = copyDir(t, killed)
 			return errBad
@@ -189,19 +192,20 @@
 	require.Equal(t, &Refused{Revision: 12, Fault: errBad.Error()}, f.Status().Refused)
 	f.Close()
 
-	// It has ended the process twice.
-	b = &applied{}
-	f = start(t, newScripted(t), b, Options{Dir: again})
+	// The candidate has ended the process twice: it is refused without being applied.
+	b = &appliedCandidates{}
+	f = startFollower(t, newFakeStore(t), b, Options{Dir: again})
 	require.Equal(t, []Candidate{in}, b.all())
 	require.Contains(t, f.Status().Refused.Fault, "ended 2 times")
 	require.NotEmpty(t, f.Status().Refused.Advice)
 }
 
-// If the last good candidate is refused at the start (the deploy file has changed) the gatekeeper runs on its file, and says so.
-func TestKeptRefused(t *testing.T) {
-	dir, in := keptDir(t)
-	s := newScripted(t)
-	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick,
+// If the saved candidate is refused at the start, because the deploy file has changed, the gatekeeper uses its own file and the
+// status reports the refusal.
+func TestSavedCandidateRefused(t *testing.T) {
+	dir, in := savedDir(t)
+	s := newFakeStore(t)
+	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming,
 		Apply: func(Candidate) error { return errBad }}, s.watch)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
@@ -215,20 +219,20 @@
 	require.Equal(t, uint64(0), st.InForce)
 	f.Close()
 
-	a := &applied{}
-	start(t, newScripted(t), a, Options{Dir: dir}) // and with the old file again
+	a := &appliedCandidates{}
+	startFollower(t, newFakeStore(t), a, Options{Dir: dir}) // with the former deploy file, which accepts the candidate
 	require.Equal(t, []Candidate{in}, a.all())
 }
 
-// A damaged file, whichever and however, is said so and ignored, and written anew.
+// A damaged file, whichever file and whatever damage, is reported in the status, ignored and overwritten.
 func TestDamagedFiles(t *testing.T) {
-	dir, in := keptDir(t)
+	dir, in := savedDir(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, name := range []string{settingsFile, seenFile} {
 		whole, err := os.ReadFile(filepath.Join(dir, name))
 		require.NoError(t, err)
 		damages := map[string][]byte{"empty": {}, "half": whole[:len(whole)/2], "no body": whole[:strings.IndexByte(string(whole), '\n')+1],
-			"longer": append(append([]byte{}, whole...), ' '), "later version": []byte(strings.Replace(string(whole), fileForm, "beammux-settings 2", 1))}
+			"longer": append(append([]byte{}, whole...), ' '), "later version": []byte(strings.Replace(string(whole), fileFormat, "beammux-settings 2", 1))}
 		for range 20 {
 			at, bit := random.IntN(len(whole)), byte(1)<<random.IntN(8)
 			flipped := append([]byte{}, whole...)
@@ -238,23 +242,23 @@
 		for what, text := range damages {
 			damaged := copyDir(t, dir)
 			require.NoError(t, os.WriteFile(filepath.Join(damaged, name), text, filePerm))
-			s, a := newScripted(t), &applied{}
-			f := start(t, s, a, Options{Dir: damaged})
+			s, a := newFakeStore(t), &appliedCandidates{}
+			f := startFollower(t, s, a, Options{Dir: damaged})
 			st := f.Status()
 			require.Contains(t, st.DirFault, name, "%s %q", name, what)
 			if name == settingsFile {
 				require.Empty(t, a.all(), "%s %q", name, what)
 				require.Equal(t, uint64(8), st.Seen)
-				s.next().snapshot(9, limits("all", "1", 3), limits("zone/z1", "2", 5))
+				s.next().snapshot(9, limitsRecord("all", "1", 3), limitsRecord("zone/z1", "2", 5))
 			} else {
 				require.Equal(t, []Candidate{in}, a.all())
 				require.Equal(t, uint64(5), st.Seen)
-				s.next().change(9, limits("zone/z1", "2", 9))
+				s.next().change(9, limitsRecord("zone/z1", "2", 9))
 			}
 			waitFor(t, f, "in force", func(s Status) bool { return s.InForce == 9 && s.DirFault == "" })
 			f.Close()
-			a = &applied{}
-			f = start(t, newScripted(t), a, Options{Dir: damaged})
+			a = &appliedCandidates{}
+			f = startFollower(t, newFakeStore(t), a, Options{Dir: damaged})
 			require.Len(t, a.all(), 1)
 			require.Empty(t, f.Status().DirFault)
 			f.Close()
@@ -262,30 +266,30 @@
 	}
 }
 
-// A file that is of a gatekeeper of another zone is not put in force.
-func TestOtherGatekeeper(t *testing.T) {
-	dir, _ := keptDir(t)
-	s, a := newScripted(t), &applied{}
+// Settings that were saved by a gatekeeper of another zone are not put in force.
+func TestFilesOfOtherGatekeeper(t *testing.T) {
+	dir, _ := savedDir(t)
+	s, a := newFakeStore(t), &appliedCandidates{}
 	moved := self
 	moved.Zone = "z2"
-	f, err := open(Options{Self: moved, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: a.apply}, s.watch)
+	f, err := open(Options{Self: moved, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: a.apply}, s.watch)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	require.Empty(t, a.all())
 	require.Contains(t, f.Status().DirFault, "z2")
-	require.Equal(t, uint64(8), f.Status().Seen) // revisions are the store's
+	require.Equal(t, uint64(8), f.Status().Seen) // revisions are those of the store, whichever gatekeeper saw them
 	require.Equal(t, uint64(0), s.next().request.After)
 }
 
-// A directory that can't be used keeps nobody from following.
+// An unusable directory is reported in the status and does not prevent following.
 func TestUnusableDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, filePerm))
 	for _, dir := range []string{file, filepath.Join(file, "below")} {
-		s, a := newScripted(t), &applied{}
-		f := start(t, s, a, Options{Dir: dir})
+		s, a := newFakeStore(t), &appliedCandidates{}
+		f := startFollower(t, s, a, Options{Dir: dir})
 		require.NotEmpty(t, f.Status().DirFault)
-		s.next().snapshot(5, limits("all", "1", 3))
+		s.next().snapshot(5, limitsRecord("all", "1", 3))
 		waitFor(t, f, "in force", func(s Status) bool { return s.InForce == 5 })
 		require.Contains(t, f.Status().DirFault, file)
 		f.Close()
@@ -295,14 +299,15 @@
 	require.ErrorIs(t, fault, os.ErrPermission)
 }
 
-// At no moment of many changes is there a directory from which a start fails, goes back or mixes two revisions.
-func TestKilledAnywhere(t *testing.T) {
+// A process killed at any point of a series of changes leaves a directory from which a start neither fails, nor goes back to an
+// older revision, nor mixes two revisions.
+func TestKilledAtAnyPoint(t *testing.T) {
 	dir := t.TempDir()
-	s := newScripted(t)
+	s := newFakeStore(t)
 	var copies []string
 	var force []uint64
 	last := uint64(0)
-	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		copies, force = append(copies, copyDir(t, dir)), append(force, last)
 		if c.Revision%5 == 0 {
 			return errBad
@@ -315,19 +320,19 @@
 	c := s.next()
 	c.snapshot(1)
 	for revision := uint64(2); revision < 30; revision++ {
-		c.change(revision, limits("all", "v", revision))
+		c.change(revision, limitsRecord("all", "v", revision))
 	}
 	f.Close()
 	require.Greater(t, len(copies), 40)
 	for i, dir := range copies {
 		var in []Candidate
-		f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+		f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 			if c.Revision%5 == 0 {
 				return errBad
 			}
 			in = append(in, c)
 			return nil
-		}}, newScripted(t).watch)
+		}}, newFakeStore(t).watch)
 		require.NoError(t, err)
 		f.Close()
 		if force[i] == 0 && len(in) == 0 {
@@ -339,8 +344,9 @@
 	}
 }
 
+// Invalid options are rejected with advice. A follower without control machines is valid.
 func TestOptions(t *testing.T) {
-	good := Options{Self: self, Replicas: replicas(2), Apply: func(Candidate) error { return nil }, Log: quiet()}
+	good := Options{Self: self, Replicas: replicas(2), Apply: func(Candidate) error { return nil }, Log: discardLogger()}
 	for _, spoil := range []func(*Options){
 		func(o *Options) { o.Apply = nil },
 		func(o *Options) { o.Log = nil },
@@ -356,17 +362,17 @@
 		require.Greater(t, len(advice.Of(err)), 25)
 	}
 	good.Replicas = nil
-	f, err := Open(good) // nobody to follow: it stays as it is
+	f, err := Open(good) // no control machine to follow
 	require.NoError(t, err)
 	require.Equal(t, time.Duration(-1), f.Status().Age)
 	f.Close()
 	f.Close()
 }
 
-// A file is replaced, never written over: who reads meanwhile, or a process that is killed, has the old one or the new one whole.
-// What a killed process left half-written goes away.
-func TestReplacesWhole(t *testing.T) {
-	dir, _ := keptDir(t)
+// Files are replaced by renaming, never written in place: a concurrent reader and a killed process see either the old or the
+// new file complete. Old temporary files of killed processes are removed.
+func TestFilesReplacedAtomically(t *testing.T) {
+	dir, _ := savedDir(t)
 	before, err := os.ReadFile(filepath.Join(dir, settingsFile))
 	require.NoError(t, err)
 	old, err := os.Open(filepath.Join(dir, settingsFile))
@@ -375,13 +381,13 @@
 	leftover, fresh := filepath.Join(dir, ".settings-1"), filepath.Join(dir, ".settings-2")
 	require.NoError(t, os.WriteFile(leftover, before[:10], filePerm))
 	require.NoError(t, os.WriteFile(fresh, before[:10], filePerm))
-	long := time.Now().Add(-2 * leftoverAfter)
+	long := time.Now().Add(-2 * leftoverAge)
 	require.NoError(t, os.Chtimes(leftover, long, long))
 
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{Dir: dir})
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{Dir: dir})
 	c := s.next()
-	c.change(9, limits("all", "9", 9), deleted("zone/z1", 9))
+	c.change(9, limitsRecord("all", "9", 9), limitsDeletion("zone/z1", 9))
 	c.report(store.WatchReport{InForce: 9})
 	f.Close()
 	still, err := io.ReadAll(old)
@@ -399,12 +405,12 @@
 	require.Equal(t, []string{".settings-2", seenFile, settingsFile}, names)
 }
 
-// The process is killed after a refusal was kept and before the file of the candidate was removed: that one is not tried again.
-func TestLeftoverTried(t *testing.T) {
-	dir, in := keptDir(t)
-	s := newScripted(t)
+// The process is killed after it saved a refusal and before it removed triedFile: the candidate isn't tried again.
+func TestLeftoverTriedFile(t *testing.T) {
+	dir, in := savedDir(t)
+	s := newFakeStore(t)
 	var tried []byte
-	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	f, err := open(Options{Self: self, Replicas: replicas(3), Dir: dir, Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		if c.Revision < 12 {
 			return nil
 		}
@@ -413,15 +419,15 @@
 	}}, s.watch)
 	require.NoError(t, err)
 	c := s.next()
-	c.change(12, limits("zone/z1", "3", 12))
+	c.change(12, limitsRecord("zone/z1", "3", 12))
 	c.report(store.WatchReport{InForce: 8, Refused: 12, Fault: errBad.Error()})
 	f.Close()
 	require.NotEmpty(t, tried)
 	require.NoFileExists(t, filepath.Join(dir, triedFile))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, triedFile), tried, filePerm))
 
-	a := &applied{}
-	f = start(t, newScripted(t), a, Options{Dir: dir})
+	a := &appliedCandidates{}
+	f = startFollower(t, newFakeStore(t), a, Options{Dir: dir})
 	require.Equal(t, []Candidate{in}, a.all())
 	require.Equal(t, uint64(12), f.Status().Refused.Revision)
 }
--- a/internal/follow/errors.go
+++ b/internal/follow/errors.go
@@ -2,75 +2,83 @@
 
 import "fmt"
 
-// OptionsError says that a follower can't be opened with its options.
-type OptionsError struct{ What string }
+// OptionsError reports invalid Options.
+type OptionsError struct{ Reason string }
 
-func (e *OptionsError) Error() string { return "follow: " + e.What }
+// Error implements error.
+func (e *OptionsError) Error() string { return "follow: " + e.Reason }
 
 // Advice implements advice.Error.
 func (e *OptionsError) Advice() string {
-	return `look at "control" in the deploy file: each of its replicas has a name of its own and an address`
+	return `check "control" in the deploy file: each of its replicas needs a unique name and an address`
 }
 
-// FileError says that a file of the directory can't be read or written. The follower goes on without it.
+// FileError reports that a file in Options.Dir could not be read or written. The follower continues without it.
 type FileError struct {
 	File string
 	Err  error
 }
 
+// Error implements error.
 func (e *FileError) Error() string { return fmt.Sprintf("follow: %s: %v", e.File, e.Err) }
 
+// Unwrap returns the error of the file operation.
 func (e *FileError) Unwrap() error { return e.Err }
 
 // Advice implements advice.Error.
 func (e *FileError) Advice() string {
-	return "settings are followed all the same, but a restart without a control machine starts from the deploy file: look at the directory's disk and rights"
+	return "settings are still followed, but a restart without a control machine starts from the deploy file: check the disk and the permissions of the directory"
 }
 
-// DamagedError says that a file of the directory holds no settings of this gatekeeper. It is ignored, and written anew with the
-// next change.
+// DamagedError reports that a file in Options.Dir is damaged or belongs to another gatekeeper. The file is ignored and
+// overwritten with the next change.
 type DamagedError struct {
-	File string
-	What string
+	File   string
+	Reason string
 }
 
-func (e *DamagedError) Error() string { return fmt.Sprintf("follow: %s: %s", e.File, e.What) }
+// Error implements error.
+func (e *DamagedError) Error() string { return fmt.Sprintf("follow: %s: %s", e.File, e.Reason) }
 
 // Advice implements advice.Error.
 func (e *DamagedError) Advice() string {
-	return "nothing to do while a control machine answers: the file is ignored and written anew; if it happens again look at the disk"
+	return "no action is needed while a control machine answers: the file is ignored and overwritten; if this happens again, check the disk"
 }
 
-// CrashedError says that the process ended each time while a candidate was being put in force.
+// CrashedError reports that the process ended each time that a candidate was being put in force.
 type CrashedError struct{ Tries int }
 
+// Error implements error.
 func (e *CrashedError) Error() string {
 	return fmt.Sprintf("follow: the process ended %d times while these settings were put in force", e.Tries)
 }
 
 // Advice implements advice.Error.
 func (e *CrashedError) Advice() string {
-	return "write the record anew, or its last good value; report what the process printed when it ended"
+	return "write the record again, or its last good value; report the output of the process at its end"
 }
 
-// NoAnswerError says that a control machine did not answer, or sent no heartbeat, in time.
+// NoAnswerError reports that a control machine did not answer or send a heartbeat in time.
 type NoAnswerError struct{}
 
-func (e *NoAnswerError) Error() string { return "no answer in time" }
+// Error implements error.
+func (e *NoAnswerError) Error() string { return "no answer or heartbeat in time" }
 
 // Advice implements advice.Error.
 func (e *NoAnswerError) Advice() string {
-	return "see whether the control machine runs and whether this machine reaches it; another one is tried meanwhile"
+	return "check that the control machine is running and reachable from this machine; another one is tried meanwhile"
 }
 
-// UnusableError says that an event of a control machine was not taken: it is older than what was seen, or breaks the protocol.
+// UnusableError reports that an event of a control machine was rejected, because it is older than the highest revision seen or
+// violates the protocol.
 type UnusableError struct{ Revision, Seen uint64 }
 
+// Error implements error.
 func (e *UnusableError) Error() string {
-	return fmt.Sprintf("it is at revision %d, and %d was seen", e.Revision, e.Seen)
+	return fmt.Sprintf("unusable event at revision %d; the highest revision seen is %d", e.Revision, e.Seen)
 }
 
 // Advice implements advice.Error.
 func (e *UnusableError) Advice() string {
-	return "another control machine is tried; if all of them are behind, their store was made anew: see docs/design-delivery.md, Revisions"
+	return "another control machine is tried; if all of them are behind, their store was recreated: see docs/design-delivery.md, Revisions"
 }
--- a/internal/follow/faults_test.go
+++ b/internal/follow/faults_test.go
@@ -15,36 +15,38 @@
 	"beammux/internal/store"
 )
 
-// faulted is one gatekeeper of TestControlFaults.
-type faulted struct {
-	self     scope.Target
-	dir      string
-	checked  *checked
-	follower *Follower
+// testGatekeeper is one gatekeeper of TestControlFaults.
+type testGatekeeper struct {
+	self              scope.Target
+	dir               string
+	checkedCandidates *checkedCandidates
+	follower          *Follower
 }
 
-func (g *faulted) open(t *testing.T, c *controls) {
+// open opens the gatekeeper's follower, as after a restart.
+func (g *testGatekeeper) open(t *testing.T, c *controlGroup) {
 	t.Helper()
-	floor := g.checked.revision()
+	floor := g.checkedCandidates.revision()
 	if g.dir == "" {
-		floor = 0 // it starts from its file
+		floor = 0 // without a directory, a restart begins with the gatekeeper's own file
 	}
-	g.checked = &checked{t: t, floor: floor}
-	f, err := Open(Options{Self: g.self, Replicas: c.replicas, Dir: g.dir, Apply: g.checked.apply, Log: quiet(), Seed: 1, Timing: realTiming})
+	g.checkedCandidates = &checkedCandidates{t: t, floor: floor}
+	f, err := Open(Options{Self: g.self, Replicas: c.replicas, Dir: g.dir, Apply: g.checkedCandidates.apply, Log: discardLogger(), Seed: 1, Timing: realTiming})
 	require.NoError(t, err)
 	g.follower = f
 	if floor > 0 {
-		require.GreaterOrEqual(t, g.checked.revision(), floor, "%s started without what it had in force", g.self.Name)
+		require.GreaterOrEqual(t, g.checkedCandidates.revision(), floor, "%s started without the settings that were in force", g.self.Name)
 	}
 }
 
-// unansweredFor is how long a write that got no answer may still be carried out, at a member that has taken it.
-const unansweredFor = 4 * time.Second
+// unansweredWriteTime is the time within which a write that got no answer may still be committed by the member that accepted it.
+const unansweredWriteTime = 4 * time.Second
 
-// Random faults at random control machines (silent, refusing, parted from the others) with changes, some of them refused, and
-// gatekeepers that restart: no gatekeeper ever goes back, holds a refused change or a mix of two (checked.apply), also over a
-// restart; and once all is healed all have the last good one.
-func TestControlFaults(t *testing.T) {
+// Random faults of random control machines (unresponsive, refusing connections, partitioned from the others) during changes,
+// some of which are refused, and restarts of gatekeepers. No gatekeeper goes back to an older revision, puts a refused change in
+// force or mixes two changes (checkedCandidates.apply), also after a restart. After all faults end, all gatekeepers have the
+// last good change in force.
+func TestRandomFaults(t *testing.T) {
 	const machines, gatekeepers = 5, 8
 	faults := 40
 	if testing.Short() {
@@ -52,9 +54,9 @@
 	}
 	c := startControls(t, 3, 2, store.ServeOptions{HistorySize: 8})
 	random := rand.New(rand.NewPCG(7, 7))
-	var all []*faulted
+	var all []*testGatekeeper
 	for i := range gatekeepers {
-		g := &faulted{self: scope.Target{Name: fmt.Sprint("g", i), Region: "r1", Zone: fmt.Sprint("z", i%machines)}}
+		g := &testGatekeeper{self: scope.Target{Name: fmt.Sprint("g", i), Region: "r1", Zone: fmt.Sprint("z", i%machines)}}
 		if i%4 != 3 {
 			g.dir = t.TempDir()
 		}
@@ -68,7 +70,7 @@
 	})
 	one := c.write(0, map[string]string{"all/calls": "0", "all/limits": "0"})
 	for _, g := range all {
-		has(t, g.follower, g.checked, "0", one)
+		waitForValue(t, g.follower, g.checkedCandidates, "0", one)
 	}
 	written, refused := 0, 0
 	write := func(n int) {
@@ -80,7 +82,7 @@
 		for _, key := range []string{"all/calls", "all/limits"} {
 			writes = append(writes, store.Write{Key: scope.Prefix + key, Value: []byte(value)})
 		}
-		// Without a majority it fails, or is carried out without an answer: both are right.
+		// Without a majority the write fails or is committed without an answer; both are correct.
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		if _, err := c.nodes[n%3].Transact(ctx, writes); err == nil {
@@ -123,37 +125,38 @@
 	for i := range machines {
 		c.net.SetDoor("g", name(i), relay.Open)
 	}
-	time.Sleep(unansweredFor)
+	time.Sleep(unansweredWriteTime)
 	healed := time.Now()
 	last := c.write(0, map[string]string{"all/calls": "last", "all/limits": "last"})
 	for _, g := range all {
-		has(t, g.follower, g.checked, "last", last)
+		waitForValue(t, g.follower, g.checkedCandidates, "last", last)
 	}
-	t.Logf("%d changes (%d of them refused) through %d steps; all in force %.2f s after the last change", written, refused, faults, time.Since(healed).Seconds())
+	t.Logf("%d changes (%d of them refused) in %d steps; all in force %.2f s after the last change", written, refused, faults, time.Since(healed).Seconds())
 	require.Greater(t, written, faults/2)
-	require.True(t, refused > 0 || testing.Short(), "no refused change came about")
+	require.True(t, refused > 0 || testing.Short(), "no refused change was written")
 }
 
-// A control machine that admits four sessions a second sends the others away, and all have one when they were told to come.
-func TestControlAdmits(t *testing.T) {
+// A control machine that admits four sessions per second tells further gatekeepers when to retry, and all of them have a session
+// in time.
+func TestAdmissionLimit(t *testing.T) {
 	c := startControls(t, 1, 0, store.ServeOptions{Admission: store.AdmissionOptions{SessionsPerSecond: 4, SessionsBurst: 1}})
 	one := c.write(0, map[string]string{"all/calls": "1"})
 	const gatekeepers = 8
 	begun := time.Now()
 	var started []func()
 	for i := range gatekeepers {
-		a := &checked{t: t}
-		f, err := Open(Options{Self: scope.Target{Name: fmt.Sprint("g", i)}, Replicas: c.replicas, Apply: a.apply, Log: quiet(), Seed: 1,
+		a := &checkedCandidates{t: t}
+		f, err := Open(Options{Self: scope.Target{Name: fmt.Sprint("g", i)}, Replicas: c.replicas, Apply: a.apply, Log: discardLogger(), Seed: 1,
 			Timing: session.Timing{BackoffBase: 10e3, BackoffCap: 10e3}})
 		require.NoError(t, err)
 		t.Cleanup(f.Close)
-		started = append(started, func() { has(t, f, a, "1", one) })
+		started = append(started, func() { waitForValue(t, f, a, "1", one) })
 	}
 	for _, wait := range started {
 		wait()
 	}
 	took := time.Since(begun)
 	t.Logf("%d gatekeepers in %v", gatekeepers, took)
-	require.Greater(t, took, (gatekeepers-2)*time.Second/4, "they were not held back")
+	require.Greater(t, took, (gatekeepers-2)*time.Second/4, "the rate of sessions was not limited")
 	require.Less(t, took, 10*time.Second)
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -20,19 +20,19 @@
 	"beammux/internal/store"
 )
 
-// patience is how long a test waits for what must come; only a failure takes so long.
-const patience = 20 * time.Second
+// testTimeout is the timeout of conditions that tests wait for. Only failing tests reach it.
+const testTimeout = 20 * time.Second
 
 var self = scope.Target{Name: "g1", Region: "r1", Zone: "z1", Service: "billing"}
 
-// scripted stands in for store.WatchSession: the test plays the control machines.
-type scripted struct {
-	t     *testing.T
-	calls chan *call
+// fakeStore replaces store.WatchSession, so that a test controls the events of each session.
+type fakeStore struct {
+	t        *testing.T
+	sessions chan *fakeSession
 }
 
-// call is one session that the follower has opened.
-type call struct {
+// fakeSession is one session that the follower has opened.
+type fakeSession struct {
 	t       *testing.T
 	address string
 	request store.WatchRequest
@@ -40,15 +40,16 @@
 	events  chan store.WatchEvent
 	handled chan error
 	end     chan error
-	closed  <-chan struct{} // the follower has closed it
+	closed  <-chan struct{} // closed when the follower closes the session
 }
 
-func newScripted(t *testing.T) *scripted { return &scripted{t, make(chan *call)} }
+func newFakeStore(t *testing.T) *fakeStore { return &fakeStore{t, make(chan *fakeSession)} }
 
-func (s *scripted) watch(ctx context.Context, _ store.Dial, address string, r store.WatchRequest, reports <-chan store.WatchReport, handle func(store.WatchEvent) error) error {
-	c := &call{s.t, address, r, reports, make(chan store.WatchEvent), make(chan error), make(chan error), ctx.Done()}
+// watch is a watchFunc.
+func (s *fakeStore) watch(ctx context.Context, _ store.Dial, address string, r store.WatchRequest, reports <-chan store.WatchReport, handle func(store.WatchEvent) error) error {
+	c := &fakeSession{s.t, address, r, reports, make(chan store.WatchEvent), make(chan error), make(chan error), ctx.Done()}
 	select {
-	case s.calls <- c:
+	case s.sessions <- c:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -71,62 +72,66 @@
 	}
 }
 
-// next is the next session that the follower opens.
-func (s *scripted) next() *call {
+// next waits for the next session that the follower opens.
+func (s *fakeStore) next() *fakeSession {
 	s.t.Helper()
 	select {
-	case c := <-s.calls:
+	case c := <-s.sessions:
 		return c
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(s.t, "no session was opened")
 		return nil
 	}
 }
 
-// send sends an event and waits until the follower has taken it from the session.
-func (c *call) send(e store.WatchEvent) {
+// send sends an event and waits until the follower has handled it or closed the session.
+func (c *fakeSession) send(e store.WatchEvent) {
 	c.t.Helper()
 	select {
 	case c.events <- e:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(c.t, "the event was not read")
 	}
 	select {
 	case err := <-c.handled:
 		require.NoError(c.t, err)
-	case <-c.closed: // for what it brought
-	case <-time.After(patience):
+	case <-c.closed: // because of the event
+	case <-time.After(testTimeout):
 		require.FailNow(c.t, "the event was not handled")
 	}
 }
 
-func (c *call) snapshot(revision uint64, records ...scope.Record) {
+// snapshot sends a snapshot with the given records.
+func (c *fakeSession) snapshot(revision uint64, records ...scope.Record) {
 	c.t.Helper()
-	c.send(store.WatchEvent{Kind: store.Snapshot, Revision: revision, Records: stored(records)})
+	c.send(store.WatchEvent{Kind: store.Snapshot, Revision: revision, Records: storeRecords(records)})
 }
 
-func (c *call) change(revision uint64, records ...scope.Record) {
+// change sends a change of the given records.
+func (c *fakeSession) change(revision uint64, records ...scope.Record) {
 	c.t.Helper()
-	c.send(store.WatchEvent{Kind: store.Change, Revision: revision, Records: stored(records)})
+	c.send(store.WatchEvent{Kind: store.Change, Revision: revision, Records: storeRecords(records)})
 }
 
-func stored(records []scope.Record) (list []store.Record) {
+// storeRecords converts records to those of the store.
+func storeRecords(records []scope.Record) (list []store.Record) {
 	for _, r := range records {
 		list = append(list, store.Record{Key: r.Key, Value: r.Value, Revision: r.Revision})
 	}
 	return list
 }
 
-func (c *call) heartbeat(revision uint64) {
+// heartbeat sends a heartbeat.
+func (c *fakeSession) heartbeat(revision uint64) {
 	c.t.Helper()
 	c.send(store.WatchEvent{Kind: store.Heartbeat, Revision: revision})
 }
 
-// report waits for a report.
-func (c *call) report(want store.WatchReport) {
+// report waits until the follower sends the wanted report.
+func (c *fakeSession) report(want store.WatchReport) {
 	c.t.Helper()
 	var last store.WatchReport
-	deadline := time.After(patience)
+	deadline := time.After(testTimeout)
 	for {
 		select {
 		case last = <-c.reports:
@@ -135,20 +140,20 @@
 			}
 		case <-deadline:
 			require.Equal(c.t, want, last)
-			require.FailNow(c.t, "no report came")
+			require.FailNow(c.t, "no report was sent")
 		}
 	}
 }
 
-// applied is what a gatekeeper put in force. It refuses values that are "bad".
-type applied struct {
+// appliedCandidates records the candidates that a gatekeeper put in force. It refuses the value "bad".
+type appliedCandidates struct {
 	mu   sync.Mutex
 	list []Candidate
 }
 
 var errBad = errors.New("limits.json:1:2: parts: bad")
 
-func (a *applied) apply(c Candidate) error {
+func (a *appliedCandidates) apply(c Candidate) error {
 	for _, r := range c.Sections {
 		if string(r.Value) == "bad" {
 			return errBad
@@ -160,18 +165,20 @@
 	return nil
 }
 
-func (a *applied) all() []Candidate {
+func (a *appliedCandidates) all() []Candidate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]Candidate{}, a.list...)
 }
 
-func quiet() logrus.FieldLogger {
+// discardLogger returns a logger that discards its output.
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
+// replicas returns n control machines; machine i is named ci and is in zone z(i+1).
 func replicas(n int) []session.Replica {
 	var all []session.Replica
 	for i := range n {
@@ -180,16 +187,17 @@
 	return all
 }
 
-var quick = session.Timing{StartWithin: 1e3, BackoffBase: 1e3, BackoffCap: 10e3, BehindWait: 1e3, ConnectWithin: 20e6, HeartbeatWithin: 20e6, ReturnEvery: 3600e6}
+var quickTiming = session.Timing{StartWithin: 1e3, BackoffBase: 1e3, BackoffCap: 10e3, BehindWait: 1e3, ConnectWithin: 20e6, HeartbeatWithin: 20e6, ReturnEvery: 3600e6}
 
-func start(t *testing.T, s *scripted, a *applied, o Options) *Follower {
+// startFollower opens a follower with fake sessions and closes it when the test ends.
+func startFollower(t *testing.T, s *fakeStore, a *appliedCandidates, o Options) *Follower {
 	t.Helper()
-	o.Self, o.Apply, o.Log, o.Seed = self, a.apply, quiet(), 1
+	o.Self, o.Apply, o.Log, o.Seed = self, a.apply, discardLogger(), 1
 	if o.Replicas == nil {
 		o.Replicas = replicas(3)
 	}
 	if o.Timing == (session.Timing{}) {
-		o.Timing = quick
+		o.Timing = quickTiming
 	}
 	f, err := open(o, s.watch)
 	require.NoError(t, err)
@@ -197,14 +205,17 @@
 	return f
 }
 
-func limits(scopeOf, value string, revision uint64) scope.Record {
+// limitsRecord returns a record of section limits.
+func limitsRecord(scopeOf, value string, revision uint64) scope.Record {
 	return scope.Record{Key: scope.Prefix + scopeOf + "/limits", Value: []byte(value), Revision: revision}
 }
 
-func deleted(scopeOf string, revision uint64) scope.Record {
+// limitsDeletion returns the deletion of a record of section limits.
+func limitsDeletion(scopeOf string, revision uint64) scope.Record {
 	return scope.Record{Key: scope.Prefix + scopeOf + "/limits", Revision: revision}
 }
 
+// candidate returns a candidate with the last of the records in section limits.
 func candidate(revision uint64, records ...scope.Record) Candidate {
 	c := Candidate{revision, map[string]scope.Record{}}
 	for _, r := range records {
@@ -213,51 +224,52 @@
 	return c
 }
 
-// waitFor waits until the status is as wanted.
-func waitFor(t *testing.T, f *Follower, what string, ok func(Status) bool) Status {
+// waitFor waits until ok returns true for the status, and returns that status.
+func waitFor(t *testing.T, f *Follower, condition string, holds func(Status) bool) Status {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		s := f.Status()
-		if ok(s) {
+		if holds(s) {
 			return s
 		}
 		if time.Now().After(deadline) {
-			require.FailNow(t, what+" did not come", "%+v, refused %+v, fleet %+v", s, s.Refused, s.Fleet)
+			require.FailNow(t, condition+" was not reached in time", "%+v, refused %+v, fleet %+v", s, s.Refused, s.Fleet)
 		}
 	}
 }
 
-// A change is put in force when what this gatekeeper resolves to has changed, else the revision alone moves on.
+// A candidate is applied when the records that apply to this gatekeeper have changed; otherwise only the revision advances.
 func TestFollow(t *testing.T) {
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{})
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{})
 	require.Equal(t, time.Duration(-1), f.Status().Age)
 	c := s.next()
 	require.Equal(t, "c0", c.address)
 	require.Equal(t, store.WatchRequest{
 		Prefixes: self.Prefixes(), Session: store.SessionInfo{Name: "g1", Region: "r1", Zone: "z1", Service: "billing"},
 	}, c.request)
-	all, zone := limits("all", "1", 3), limits("zone/z1", "2", 6)
+	all, zone := limitsRecord("all", "1", 3), limitsRecord("zone/z1", "2", 6)
 	c.snapshot(5, all)
 	c.report(store.WatchReport{InForce: 5})
 	c.change(6, zone)
 	c.report(store.WatchReport{InForce: 6})
-	c.change(7, limits("all", "3", 7))
+	c.change(7, limitsRecord("all", "3", 7))
 	c.report(store.WatchReport{InForce: 7})
 	c.heartbeat(9)
 	c.report(store.WatchReport{InForce: 9})
-	c.change(10, deleted("zone/z1", 10))
+	c.change(10, limitsDeletion("zone/z1", 10))
 	c.report(store.WatchReport{InForce: 10})
-	require.Equal(t, []Candidate{candidate(5, all), candidate(6, zone), candidate(10, limits("all", "3", 7))}, a.all())
+	require.Equal(t, []Candidate{candidate(5, all), candidate(6, zone), candidate(10, limitsRecord("all", "3", 7))}, a.all())
 	st := f.Status()
 	require.True(t, st.Connected)
 	require.Equal(t, "c0", st.Replica)
 	require.Equal(t, uint64(10), st.Seen)
 	require.Equal(t, []Section{{"limits", "settings/all/limits", 7}}, st.Sections)
 	require.GreaterOrEqual(t, st.Age, time.Duration(0))
-	require.Less(t, st.Age, patience)
+	require.Less(t, st.Age, testTimeout)
 }
 
+// removeAll removes files of a directory.
 func removeAll(dir string, names ...string) error {
 	for _, name := range names {
 		if err := os.Remove(filepath.Join(dir, name)); err != nil {
@@ -267,12 +279,12 @@
 	return nil
 }
 
-// An Apply that takes longer than heartbeats may does not end the session whose heartbeats wait meanwhile.
+// An Apply that takes longer than the heartbeat timeout does not close the session, since its heartbeats were only waiting.
 func TestSlowApply(t *testing.T) {
-	s := newScripted(t)
-	timing := quick
+	s := newFakeStore(t)
+	timing := quickTiming
 	timing.HeartbeatWithin = 300e3
-	f, err := open(Options{Self: self, Replicas: replicas(3), Log: quiet(), Seed: 1, Timing: timing, Apply: func(Candidate) error {
+	f, err := open(Options{Self: self, Replicas: replicas(3), Log: discardLogger(), Seed: 1, Timing: timing, Apply: func(Candidate) error {
 		time.Sleep(time.Second)
 		return nil
 	}}, s.watch)
@@ -281,11 +293,11 @@
 	c := s.next()
 	stop := make(chan struct{})
 	defer close(stop)
-	go func() { // as the connection would hold them
+	go func() { // keeps sending events, as a connection would buffer them
 		for revision := uint64(5); ; revision++ {
 			e := store.WatchEvent{Kind: store.Heartbeat, Revision: revision}
 			if revision == 5 {
-				e = store.WatchEvent{Kind: store.Snapshot, Revision: revision, Records: stored([]scope.Record{limits("all", "1", 3)})}
+				e = store.WatchEvent{Kind: store.Snapshot, Revision: revision, Records: storeRecords([]scope.Record{limitsRecord("all", "1", 3)})}
 			}
 			select {
 			case c.events <- e:
@@ -298,7 +310,7 @@
 	}()
 	waitFor(t, f, "heartbeats after Apply", func(s Status) bool { return s.InForce >= 20 })
 	select {
-	case <-s.calls:
+	case <-s.sessions:
 		require.Fail(t, "another session was opened")
 	case <-c.closed:
 		require.Fail(t, "the session was closed")
@@ -306,17 +318,18 @@
 	}
 }
 
-// The age counts from the last word of a control machine that had its leader's word itself.
+// Status.Age counts from the last time at which a control machine was in contact with its leader, and is not increased by a
+// heartbeat that reports an older contact.
 func TestAge(t *testing.T) {
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{})
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{})
 	c := s.next()
 	c.snapshot(5)
 	c.send(store.WatchEvent{Kind: store.Heartbeat, Revision: 5, Age: time.Hour})
-	st := waitFor(t, f, "a word", func(s Status) bool { return s.Age >= 0 })
-	require.InDelta(t, time.Hour, st.Age, float64(patience))
+	st := waitFor(t, f, "a heartbeat", func(s Status) bool { return s.Age >= 0 })
+	require.InDelta(t, time.Hour, st.Age, float64(testTimeout))
 	c.send(store.WatchEvent{Kind: store.Heartbeat, Revision: 5, Age: time.Second})
-	waitFor(t, f, "a younger one", func(s Status) bool { return s.Age < time.Minute })
+	waitFor(t, f, "a heartbeat with a later leader contact", func(s Status) bool { return s.Age < time.Minute })
 	c.send(store.WatchEvent{Kind: store.Heartbeat, Revision: 6, Age: 2 * time.Hour})
 	st = waitFor(t, f, "revision 6", func(s Status) bool { return s.Seen == 6 })
 	require.Less(t, st.Age, time.Minute)
@@ -324,27 +337,27 @@
 
 var errReset = errors.New("connection reset")
 
-// Each end of a session is told in the status with its advice, and the next one goes as the end demands.
-func TestEnds(t *testing.T) {
+// The status reports why a session ended, with advice. The kind of end decides which control machine is tried next, and when.
+func TestSessionEnds(t *testing.T) {
 	for _, end := range []struct {
 		err  error
-		same bool // the same control machine is asked again, or resumed
-		left bool // it is left out of the next round
+		same bool // the next session is with the same control machine
+		left bool // the control machine is excluded from the next round
 	}{
 		{&store.ComeBack{After: 50 * time.Millisecond}, true, false},
 		{&store.ReplicaBehind{Have: 1, Want: 2}, false, true},
-		{&store.WatcherTooSlow{}, false, false}, // at once: the session had not lasted
+		{&store.WatcherTooSlow{}, false, false}, // another machine, since the session was too short to be resumed
 		{&store.NotControl{Address: "c0"}, false, true},
 		{&store.BadRequest{Text: "no"}, false, true},
 		{errReset, false, false},
 	} {
-		s, a := newScripted(t), &applied{}
-		timing := quick
+		s, a := newFakeStore(t), &appliedCandidates{}
+		timing := quickTiming
 		timing.FaultHold, timing.BackoffBase = 3600e6, 50e3
 		if end.left {
 			timing.BehindWait = 3600e6
 		}
-		f := start(t, s, a, Options{Timing: timing})
+		f := startFollower(t, s, a, Options{Timing: timing})
 		c := s.next()
 		begun := time.Now()
 		c.end <- end.err
@@ -368,19 +381,19 @@
 	}
 }
 
-// Events of a session that was given up, and records of other scopes, change nothing.
-func TestForeignRecords(t *testing.T) {
-	s, a := newScripted(t), &applied{}
-	f := start(t, s, a, Options{})
+// Records of other scopes and keys, and events of a session with an older revision, change nothing.
+func TestIgnoresForeignRecords(t *testing.T) {
+	s, a := newFakeStore(t), &appliedCandidates{}
+	f := startFollower(t, s, a, Options{})
 	c := s.next()
-	c.snapshot(5, limits("zone/z9", "x", 3), scope.Record{Key: "other/all/limits", Value: []byte("x"), Revision: 4},
+	c.snapshot(5, limitsRecord("zone/z9", "x", 3), scope.Record{Key: "other/all/limits", Value: []byte("x"), Revision: 4},
 		scope.Record{Key: "settings/all/later", Value: []byte("x"), Revision: 5})
 	waitFor(t, f, "in force", func(s Status) bool { return s.InForce == 5 })
 	require.Empty(t, a.all())
 	require.Equal(t, []Section{}, f.Status().Sections)
-	c.change(7, limits("zone/z1", "1", 7))
+	c.change(7, limitsRecord("zone/z1", "1", 7))
 	waitFor(t, f, "in force", func(s Status) bool { return s.InForce == 7 })
-	c.heartbeat(6) // it goes back
+	c.heartbeat(6) // lower than the highest revision seen
 	next := s.next()
 	require.NotEqual(t, c.address, next.address)
 	require.Equal(t, uint64(7), next.request.After)
@@ -388,24 +401,24 @@
 	require.Contains(t, f.Status().Fault, "revision 6")
 }
 
-// While a refused value stays nothing is tried again; the same value written anew is.
-func TestRefusedIsTriedOnce(t *testing.T) {
-	s := newScripted(t)
+// A refused record isn't tried again while it stays in the store; a new write of the same value is.
+func TestRefusedCandidateTriedOnce(t *testing.T) {
+	s := newFakeStore(t)
 	var tried []uint64
-	f, err := open(Options{Self: self, Replicas: replicas(3), Log: quiet(), Seed: 1, Timing: quick, Apply: func(c Candidate) error {
+	f, err := open(Options{Self: self, Replicas: replicas(3), Log: discardLogger(), Seed: 1, Timing: quickTiming, Apply: func(c Candidate) error {
 		tried = append(tried, c.Revision)
 		return errBad
 	}}, s.watch)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	c := s.next()
-	c.snapshot(5, limits("all", "bad", 5))
+	c.snapshot(5, limitsRecord("all", "bad", 5))
 	c.heartbeat(6)
-	c.snapshot(7, limits("all", "bad", 5))
+	c.snapshot(7, limitsRecord("all", "bad", 5))
 	c.change(8, scope.Record{Key: "settings/zone/z9/calls", Value: []byte("x"), Revision: 8})
-	c.change(9, limits("all", "bad", 9))
+	c.change(9, limitsRecord("all", "bad", 9))
 	c.report(store.WatchReport{Refused: 9, Fault: errBad.Error()})
-	c.change(10, deleted("all", 10)) // as it was before: nothing to put in force
+	c.change(10, limitsDeletion("all", 10)) // no sections, as before the refusal: nothing to apply
 	c.report(store.WatchReport{InForce: 10})
 	f.Close()
 	require.Equal(t, []uint64{5, 9}, tried)
--- a/internal/follow/idle_test.go
+++ b/internal/follow/idle_test.go
@@ -23,9 +23,11 @@
 	"beammux/internal/store"
 )
 
-// controlEnv makes the test binary a control machine: it prints its address and serves until its input ends.
+// controlEnv is the environment variable that makes the test binary run as a control machine: it prints its address and serves
+// until its standard input is closed.
 const controlEnv = "BEAMMUX_FOLLOW_TEST_CONTROL"
 
+// TestMain runs the tests, or a control machine if controlEnv is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(controlEnv) != "" {
 		if err := serveControl(); err != nil {
@@ -37,13 +39,14 @@
 	goleak.VerifyTestMain(m)
 }
 
+// serveControl serves as a control machine until standard input is closed.
 func serveControl() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	address := l.Addr().String()
-	n, err := store.Open(store.Options{Node: "c0", Listener: l, Peers: []store.Peer{{Node: "c0", Address: address}}, Log: quiet(),
+	n, err := store.Open(store.Options{Node: "c0", Listener: l, Peers: []store.Peer{{Node: "c0", Address: address}}, Log: discardLogger(),
 		Serve: &store.ServeOptions{Name: "c0", Prefix: scope.Prefix}})
 	if err != nil {
 		return err
@@ -54,7 +57,7 @@
 	return err
 }
 
-// controlProcess starts a control machine as a process of its own, and gives its address.
+// controlProcess starts a control machine in a separate process and returns its address.
 func controlProcess(tb testing.TB) string {
 	tb.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
@@ -74,7 +77,7 @@
 	return strings.TrimSpace(line)
 }
 
-// countedConn counts bytes.
+// countedConn counts the bytes read and written.
 type countedConn struct {
 	net.Conn
 	read, written *atomic.Int64
@@ -92,7 +95,8 @@
 	return n, err
 }
 
-func cpu() time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -100,7 +104,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() uint64 {
+// heapBytes returns the bytes of live heap objects and stacks.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -108,16 +113,17 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// idle is what followers cost while nothing changes, for each.
-type idle struct {
-	bytes, goroutines, cpuMicros, read, written float64 // heap and stacks; the last three a second
+// idleCost is the cost of one follower while nothing changes.
+type idleCost struct {
+	bytes, goroutines, cpuMicros, read, written float64 // bytes of heap and stacks; cpuMicros, read and written are per second
 }
 
-// measureIdle opens followers that share a control machine in another process, each with 20 kB of settings, and lets them be.
-func measureIdle(tb testing.TB, followers int, length time.Duration) idle {
+// measureIdle opens followers, each with 20 kB of settings, that share a control machine in another process. It measures their
+// cost over the given length of time without changes.
+func measureIdle(tb testing.TB, followers int, length time.Duration) idleCost {
 	tb.Helper()
 	address := controlProcess(tb)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	revision, err := store.TransactTo(ctx, address, []store.Write{{Key: scope.Prefix + "all/inventory", Value: []byte(strings.Repeat("x", 20<<10))}})
 	require.NoError(tb, err)
@@ -126,13 +132,13 @@
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countedConn{c, &read, &written}, err
 	}
-	bytesBefore, goroutinesBefore := heap(), runtime.NumGoroutine()
+	bytesBefore, goroutinesBefore := heapBytes(), runtime.NumGoroutine()
 	var all []*Follower
 	for i := range followers {
 		f, err := Open(Options{
 			Self:     scope.Target{Name: fmt.Sprintf("gatekeeper-%04d", i), Region: "r", Zone: "z", Service: "s"},
 			Replicas: []session.Replica{{Name: "c0", Address: address, Zone: "z", Region: "r"}},
-			Dial:     dial, Apply: func(Candidate) error { return nil }, Log: quiet(), Seed: 1,
+			Dial:     dial, Apply: func(Candidate) error { return nil }, Log: discardLogger(), Seed: 1,
 			Timing: session.Timing{HeartbeatWithin: 30e6, ConnectWithin: 30e6},
 		})
 		require.NoError(tb, err)
@@ -144,40 +150,41 @@
 		}
 	}()
 	for _, f := range all {
-		for deadline := time.Now().Add(patience); f.Status().InForce < revision; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(testTimeout); f.Status().InForce < revision; time.Sleep(time.Millisecond) {
 			require.True(tb, time.Now().Before(deadline))
 		}
 	}
 	time.Sleep(2 * time.Second)
-	var m idle
-	cpuBefore, readBefore, writtenBefore, begun := cpu(), read.Load(), written.Load(), time.Now()
+	var m idleCost
+	cpuBefore, readBefore, writtenBefore, begun := cpuTime(), read.Load(), written.Load(), time.Now()
 	time.Sleep(length)
 	each := func(total float64) float64 { return total / float64(followers) }
 	seconds := time.Since(begun).Seconds()
-	m.cpuMicros = each(float64((cpu() - cpuBefore).Microseconds()) / seconds)
+	m.cpuMicros = each(float64((cpuTime() - cpuBefore).Microseconds()) / seconds)
 	m.read = each(float64(read.Load()-readBefore) / seconds)
 	m.written = each(float64(written.Load()-writtenBefore) / seconds)
 	m.goroutines = each(float64(runtime.NumGoroutine() - goroutinesBefore))
-	m.bytes = each(float64(heap()) - float64(bytesBefore))
+	m.bytes = each(float64(heapBytes()) - float64(bytesBefore))
 	return m
 }
 
-// While nothing changes a follower costs heartbeats alone: a small part of what control may spend at a gatekeeper (6 KB/s, 1.8% of
-// a core, 32 MB).
+// While nothing changes, a follower only handles heartbeats. They must cost a small part of the budget for control traffic of a
+// gatekeeper (6 KB/s, 1.8% of a core, 32 MB).
 func TestIdle(t *testing.T) {
 	if testing.Short() {
-		t.Skip("measures for some seconds")
+		t.Skip("measures for several seconds")
 	}
 	m := measureIdle(t, 20, 3*time.Second)
-	t.Logf("each: %.0f bytes, %.1f goroutines, %.0f us of a core a second, %.0f B/s read, %.0f B/s written", m.bytes, m.goroutines, m.cpuMicros, m.read, m.written)
-	require.Less(t, m.read+m.written, 600., "bytes a second: a tenth of the budget")
+	t.Logf("per follower: %.0f bytes, %.1f goroutines, %.0f us of a core per second, %.0f B/s read, %.0f B/s written", m.bytes, m.goroutines, m.cpuMicros, m.read, m.written)
+	require.Less(t, m.read+m.written, 600., "bytes per second: a tenth of the budget")
 	require.Positive(t, m.read, "no heartbeats were counted")
 	require.Less(t, m.cpuMicros, 1800., "processor time: a tenth of the budget")
 	require.Less(t, m.goroutines, 6.)
 	require.Less(t, m.bytes, float64(1<<20))
 }
 
-// BenchmarkIdle measures what a follower costs while nothing changes, 300 in one process. Run it with -benchtime 1x.
+// BenchmarkIdle measures the cost per follower while nothing changes, with 300 followers in one process. Run it with
+// -benchtime 1x.
 func BenchmarkIdle(b *testing.B) {
 	m := measureIdle(b, 300, 10*time.Second)
 	b.ReportMetric(m.bytes, "B/follower")
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -15,65 +15,65 @@
 	"beammux/internal/store"
 )
 
-// watchFunc is store.WatchSession.
+// watchFunc has the signature of store.WatchSession; tests replace it.
 type watchFunc func(ctx context.Context, dial store.Dial, address string, r store.WatchRequest, reports <-chan store.WatchReport, handle func(store.WatchEvent) error) error
 
-// watched is one session that runs.
-type watched struct {
+// watchSession is an open watch session.
+type watchSession struct {
 	replica session.Replica
 	cancel  context.CancelFunc
-	reports chan store.WatchReport // holds at most the newest
+	reports chan store.WatchReport // buffers at most the newest report
 	last    store.WatchReport
-	// reported tells that last was given to the session.
+	// reported reports whether last was passed to the session.
 	reported bool
 }
 
-// arrival is what a session brought: an event, or its end.
-type arrival struct {
-	session uint64
+// sessionMessage is a message from a session's goroutine: an event, or the end of the session.
+type sessionMessage struct {
+	session uint64            // ID of the session
 	event   *store.WatchEvent // nil: the session has ended
-	end     error
+	end     error             // reason of the end
 }
 
-// run carries out what the session machine decides, until the context ends.
+// run handles session events and executes the actions of the session machine, until ctx is done.
 func (f *Follower) run(ctx context.Context) {
 	defer f.work.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if at, ok := f.machine.Wake(); ok {
-			timer.Reset(time.Duration(at-f.now()) * time.Microsecond)
+		if wakeTime, ok := f.machine.Wake(); ok {
+			timer.Reset(time.Duration(wakeTime-f.now()) * time.Microsecond)
 		}
 		select {
 		case <-ctx.Done():
-			f.leave()
+			f.closeSessions()
 			return
-		case a := <-f.arrivals:
-			f.take(ctx, a)
+		case message := <-f.messages:
+			f.handleMessage(ctx, message)
 		case <-timer.C:
-			f.takeWaiting(ctx)
-			f.carryOut(ctx, f.machine.Tick(f.now()), nil)
+			f.handlePending(ctx)
+			f.execute(ctx, f.machine.Tick(f.now()), nil)
 		}
-		f.publish()
-		f.report()
+		f.updateStatus()
+		f.sendReport()
 	}
 }
 
-// takeWaiting takes what each session has waiting. It counts before what is due: an Apply that took long must not end the
-// session whose heartbeats waited meanwhile.
-func (f *Follower) takeWaiting(ctx context.Context) {
+// handlePending handles one pending message per session, if there are any. It runs before the session machine checks its
+// timeouts: a slow Apply must not close the session whose heartbeats were waiting in the meantime.
+func (f *Follower) handlePending(ctx context.Context) {
 	for range len(f.open) {
 		select {
-		case a := <-f.arrivals:
-			f.take(ctx, a)
+		case message := <-f.messages:
+			f.handleMessage(ctx, message)
 		default:
 			return
 		}
 	}
 }
 
-// leave ends all sessions.
-func (f *Follower) leave() {
+// closeSessions closes all sessions and saves the highest revision seen.
+func (f *Follower) closeSessions() {
 	for _, w := range f.open {
 		w.cancel()
 	}
@@ -82,26 +82,28 @@
 	}
 }
 
-func (f *Follower) take(ctx context.Context, a arrival) {
-	if a.event != nil {
+// handleMessage handles an event or the end of a session.
+func (f *Follower) handleMessage(ctx context.Context, message sessionMessage) {
+	if message.event != nil {
 		e := session.Event{
-			Kind: kindOf(a.event.Kind), Revision: a.event.Revision, Leaderless: micros(a.event.Age), Every: micros(a.event.Every),
+			Kind: eventKind(message.event.Kind), Revision: message.event.Revision, Leaderless: micros(message.event.Age), Every: micros(message.event.Every),
 		}
-		f.carryOut(ctx, f.machine.Heard(f.now(), a.session, e), a.event)
-		f.heard(a)
+		f.execute(ctx, f.machine.Heard(f.now(), message.session, e), message.event)
+		f.recordContact(message)
 		return
 	}
-	w := f.open[a.session]
+	w := f.open[message.session]
 	if w == nil {
 		return
 	}
 	w.cancel()
-	delete(f.open, a.session)
-	f.setFault(w, a.end)
-	f.carryOut(ctx, f.machine.Ended(f.now(), a.session, endOf(a.end)), nil)
+	delete(f.open, message.session)
+	f.setFault(w, message.end)
+	f.execute(ctx, f.machine.Ended(f.now(), message.session, sessionEnd(message.end)), nil)
 }
 
-func kindOf(k store.WatchKind) session.EventKind {
+// eventKind converts the kind of a watch event.
+func eventKind(k store.WatchKind) session.EventKind {
 	switch k {
 	case store.Snapshot:
 		return session.Snapshot
@@ -111,22 +113,23 @@
 	return session.Heartbeat
 }
 
-// carryOut carries out actions; the event is the one that led to them, if any.
-func (f *Follower) carryOut(ctx context.Context, actions []session.Action, e *store.WatchEvent) {
+// execute executes the actions of the session machine. e is the event that caused them, or nil.
+func (f *Follower) execute(ctx context.Context, actions []session.Action, e *store.WatchEvent) {
 	for _, a := range actions {
 		switch a.Do {
 		case session.Connect:
 			f.connect(ctx, a)
 		case session.Close:
-			f.close(a.Session, e)
+			f.closeSession(a.Session, e)
 		case session.Accept:
 			f.accept(e)
 		}
 	}
 }
 
-// close ends a session that the machine gave up: by an event, or since none came.
-func (f *Follower) close(id uint64, e *store.WatchEvent) {
+// closeSession closes a session at the request of the session machine, because of the unusable event e or, if e is nil,
+// because of a timeout.
+func (f *Follower) closeSession(id uint64, e *store.WatchEvent) {
 	w := f.open[id]
 	if w == nil {
 		return
@@ -140,15 +143,16 @@
 	}
 }
 
-// setFault notes why a session has ended. The status tells it while there is no other session.
-func (f *Follower) setFault(w *watched, err error) {
+// setFault records why a session has ended. The status reports it until another session is established.
+func (f *Follower) setFault(w *watchSession, err error) {
 	f.fault = fmt.Sprintf("%s (%s): %v", w.replica.Name, w.replica.Address, err)
 	f.advice = advice.Of(err)
 }
 
+// connect opens the session that an action requests, in its own goroutine.
 func (f *Follower) connect(ctx context.Context, a session.Action) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watched{replica: a.Replica, cancel: cancel, reports: make(chan store.WatchReport, 1)}
+	w := &watchSession{replica: a.Replica, cancel: cancel, reports: make(chan store.WatchReport, 1)}
 	f.open[a.Session] = w
 	self := f.options.Self
 	request := store.WatchRequest{
@@ -158,22 +162,22 @@
 	f.work.Add(1)
 	go func() {
 		defer f.work.Done()
-		hand := func(a arrival) error {
+		deliver := func(a sessionMessage) error {
 			select {
-			case f.arrivals <- a:
+			case f.messages <- a:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
 		err := f.watch(ctx, f.options.Dial, w.replica.Address, request, w.reports, func(e store.WatchEvent) error {
-			return hand(arrival{session: a.Session, event: &e})
+			return deliver(sessionMessage{session: a.Session, event: &e})
 		})
-		hand(arrival{session: a.Session, end: err})
+		deliver(sessionMessage{session: a.Session, end: err})
 	}()
 }
 
-// accept takes over the records of an event, whole.
+// accept applies all records of an event to the settings.
 func (f *Follower) accept(e *store.WatchEvent) {
 	before := f.settings.refused
 	switch e.Kind {
@@ -190,6 +194,7 @@
 	}
 }
 
+// records converts the records of an event.
 func records(e *store.WatchEvent) []scope.Record {
 	list := make([]scope.Record, 0, len(e.Records))
 	for _, r := range e.Records {
@@ -198,21 +203,22 @@
 	return list
 }
 
-// heard notes what an event of the current session says.
-func (f *Follower) heard(a arrival) {
-	if w := f.current(); w == nil || w != f.open[a.session] {
+// recordContact records the leader contact of a heartbeat on the current session, and saves the highest revision seen every
+// seenInterval. Events of other sessions are ignored.
+func (f *Follower) recordContact(message sessionMessage) {
+	if w := f.currentSession(); w == nil || w != f.open[message.session] {
 		return
 	}
-	if a.event.Kind == store.Heartbeat {
-		f.setWord(time.Now().Add(-a.event.Age), a.event.Fleet)
+	if message.event.Kind == store.Heartbeat {
+		f.recordLeaderContact(time.Now().Add(-message.event.Age), message.event.Fleet)
 	}
-	if f.disk != nil && time.Since(f.disk.seenAt) >= seenEvery {
+	if f.disk != nil && time.Since(f.disk.seenWriteTime) >= seenInterval {
 		f.saveSeen()
 	}
 }
 
-// current is the current session; nil: there is none.
-func (f *Follower) current() *watched {
+// currentSession returns the current session, or nil if there is none.
+func (f *Follower) currentSession() *watchSession {
 	replica, ok := f.machine.Current()
 	if !ok {
 		return nil
@@ -225,9 +231,9 @@
 	return nil
 }
 
-// report brings the newest report to the current session, if it differs from the last. The status tells the same already.
-func (f *Follower) report() {
-	w := f.current()
+// sendReport passes a report to the current session if it differs from the last one. The status has been updated before.
+func (f *Follower) sendReport() {
+	w := f.currentSession()
 	if w == nil {
 		return
 	}
@@ -246,27 +252,28 @@
 	w.reports <- r
 }
 
-// endOf tells the session machine why a session has ended.
-func endOf(err error) session.End {
-	var back *store.ComeBack
-	var behind *store.ReplicaBehind
-	var slow *store.WatcherTooSlow
-	var control *store.NotControl
-	var request *store.BadRequest
-	var full *store.SessionsFull
+// sessionEnd converts the error that ended a session to the form of the session machine.
+func sessionEnd(err error) session.End {
+	var comeBack *store.ComeBack
+	var replicaBehind *store.ReplicaBehind
+	var tooSlow *store.WatcherTooSlow
+	var notControl *store.NotControl
+	var badRequest *store.BadRequest
+	var sessionsFull *store.SessionsFull
 	switch {
-	case errors.As(err, &back):
-		return session.End{Reason: session.ComeBack, After: micros(back.After)}
-	case errors.As(err, &behind):
+	case errors.As(err, &comeBack):
+		return session.End{Reason: session.ComeBack, After: micros(comeBack.After)}
+	case errors.As(err, &replicaBehind):
 		return session.End{Reason: session.Behind}
-	case errors.As(err, &slow):
+	case errors.As(err, &tooSlow):
 		return session.End{Reason: session.TooSlow}
-	case errors.As(err, &full):
+	case errors.As(err, &sessionsFull):
 		return session.End{Reason: session.Full}
-	case errors.As(err, &control), errors.As(err, &request):
+	case errors.As(err, &notControl), errors.As(err, &badRequest):
 		return session.End{Reason: session.Refused}
 	}
 	return session.End{Reason: session.Lost}
 }
 
+// micros converts a duration.
 func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
--- a/internal/follow/settings.go
+++ b/internal/follow/settings.go
@@ -10,61 +10,63 @@
 	"beammux/control/scope"
 )
 
-// settings are the records of a gatekeeper's scopes, what of them is in force, and what was refused.
+// settings holds the records of a gatekeeper's scopes, the candidate in force and the last refusal.
 type settings struct {
 	self  scope.Target
 	apply func(Candidate) error
-	// beforeApply and changed, where set, keep the state on disk: before a candidate is tried, and when the state has changed.
+	// beforeApply and changed save the state on disk if they are set: beforeApply before a candidate is tried, changed after the
+	// state has changed.
 	beforeApply func(Candidate)
 	changed     func()
 
-	records   map[string]scope.Record // by key
-	recordsAt uint64                  // the revision at which they last changed
-	inForce   Candidate
-	since     time.Time // of inForce's sections; zero: none was ever put in force
-	listed    []Section // inForce's sections, for the status; replaced, never changed
-	good      Candidate // the last one that was put in force, now or before a restart
-	refused   *refusal  // what the records resolve to, if that can't be put in force
+	records         map[string]scope.Record // by key
+	recordsRevision uint64                  // revision at which records last changed
+	inForce         Candidate
+	since           time.Time // when the sections of inForce were put in force; zero: none ever were
+	sectionList     []Section // sections of inForce, shared with Status: replaced, never modified
+	lastGood        Candidate // the last candidate that was put in force, including before a restart
+	refused         *refusal  // the candidate that the records resolve to, if it was refused
 }
 
-// refusal is a candidate that could not be put in force. While the records resolve to it, it isn't tried again.
+// refusal is a candidate that could not be put in force. It isn't tried again while the records resolve to it.
 type refusal struct {
 	Revision uint64              `json:"revision"`
 	Fault    string              `json:"fault"`
 	Advice   string              `json:"advice,omitempty"`
-	Sections map[string]identity `json:"sections"`
+	Sections map[string]recordID `json:"sections"`
 }
 
-// identity tells a record from every other one of the store.
-type identity struct {
+// recordID identifies one version of a record in the store.
+type recordID struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-func identities(sections map[string]scope.Record) map[string]identity {
-	ids := make(map[string]identity, len(sections))
+// recordIDs returns the identity of each section's record.
+func recordIDs(sections map[string]scope.Record) map[string]recordID {
+	ids := make(map[string]recordID, len(sections))
 	for name, r := range sections {
-		ids[name] = identity{r.Key, r.Revision}
+		ids[name] = recordID{r.Key, r.Revision}
 	}
 	return ids
 }
 
-// replace takes over a snapshot: all records at a revision.
+// replace replaces all records by those of a snapshot at a revision.
 func (s *settings) replace(revision uint64, records []scope.Record) {
-	fresh := make(map[string]scope.Record, len(records))
+	newRecords := make(map[string]scope.Record, len(records))
 	for _, r := range records {
 		if len(r.Value) > 0 {
-			fresh[r.Key] = r
+			newRecords[r.Key] = r
 		}
 	}
-	same := maps.EqualFunc(s.records, fresh, func(a, b scope.Record) bool { return a.Revision == b.Revision })
-	if !same {
-		s.records, s.recordsAt = fresh, revision
+	unchanged := maps.EqualFunc(s.records, newRecords, func(a, b scope.Record) bool { return a.Revision == b.Revision })
+	if !unchanged {
+		s.records, s.recordsRevision = newRecords, revision
 	}
-	s.evaluate(revision, !same)
+	s.evaluate(revision, !unchanged)
 }
 
-// change takes over the records of one transaction; those without a value are deleted.
+// change applies the records of one transaction. A record without a value is deleted.
 func (s *settings) change(revision uint64, records []scope.Record) {
 	for _, r := range records {
 		if len(r.Value) == 0 {
@@ -73,14 +75,15 @@
 			s.records[r.Key] = r
 		}
 	}
-	s.recordsAt = revision
+	s.recordsRevision = revision
 	s.evaluate(revision, true)
 }
 
-// advance notes that nothing has changed up to a revision.
+// advance records that the records have not changed up to a revision.
 func (s *settings) advance(revision uint64) { s.evaluate(revision, false) }
 
-// evaluate puts in force what the records resolve to, if that has changed.
+// evaluate resolves the records and tries the resulting candidate, if it differs from the one in force and from the one that was
+// refused. changed reports whether the records have changed.
 func (s *settings) evaluate(revision uint64, changed bool) {
 	if !changed {
 		if s.refused == nil {
@@ -88,10 +91,10 @@
 		}
 		return
 	}
-	sections := scope.Resolve(s.self, s.sorted())
-	ids := identities(sections)
+	sections := scope.Resolve(s.self, s.sortedRecords())
+	ids := recordIDs(sections)
 	switch {
-	case maps.Equal(ids, identities(s.inForce.Sections)):
+	case maps.Equal(ids, recordIDs(s.inForce.Sections)):
 		s.inForce.Revision = revision
 		s.refused = nil
 	case s.refused != nil && maps.Equal(ids, s.refused.Sections):
@@ -100,53 +103,55 @@
 		if s.beforeApply != nil {
 			s.beforeApply(c)
 		}
-		s.try(c)
+		s.tryCandidate(c)
 	}
 	if s.changed != nil {
 		s.changed()
 	}
 }
 
-// try has a candidate put in force, or notes that it was refused.
-func (s *settings) try(c Candidate) bool {
+// tryCandidate applies a candidate, records whether it was put in force or refused, and reports whether it was put in force.
+func (s *settings) tryCandidate(c Candidate) bool {
 	if err := s.apply(c); err != nil {
 		s.refuse(c, err)
 		return false
 	}
-	s.inForce, s.good, s.refused = c, c, nil
-	s.since, s.listed = time.Now(), sectionsOf(c)
+	s.inForce, s.lastGood, s.refused = c, c, nil
+	s.since, s.sectionList = time.Now(), listSections(c)
 	return true
 }
 
+// refuse records that a candidate was refused with err.
 func (s *settings) refuse(c Candidate, err error) {
-	s.refused = &refusal{c.Revision, err.Error(), advice.Of(err), identities(c.Sections)}
+	s.refused = &refusal{c.Revision, err.Error(), advice.Of(err), recordIDs(c.Sections)}
 }
 
-// restore takes over a kept state. Nothing of it is in force yet.
-func (s *settings) restore(k kept) {
-	for _, r := range k.Records {
+// restore loads a saved state without putting any candidate in force.
+func (s *settings) restore(saved savedState) {
+	for _, r := range saved.Records {
 		s.records[r.Key] = r
 	}
-	s.recordsAt, s.good, s.refused = k.Revision, k.Good, k.Refused
+	s.recordsRevision, s.lastGood, s.refused = saved.Revision, saved.Good, saved.Refused
 }
 
-// enforceGood puts the last good candidate in force, unless a newer one is.
-func (s *settings) enforceGood() {
-	if s.inForce.Revision >= s.good.Revision {
+// applyLastGood puts the last good candidate in force, unless the one in force is at least as new. It keeps a refusal that was recorded
+// before.
+func (s *settings) applyLastGood() {
+	if s.inForce.Revision >= s.lastGood.Revision {
 		return
 	}
-	if len(s.good.Sections) == 0 {
-		s.inForce = s.good
+	if len(s.lastGood.Sections) == 0 {
+		s.inForce = s.lastGood
 		return
 	}
-	newer := s.refused // what the records resolve to, where that was refused already
-	s.try(s.good)
-	if newer != nil {
-		s.refused = newer
+	previousRefusal := s.refused // refers to the current records and takes precedence over a refusal of s.good
+	s.tryCandidate(s.lastGood)
+	if previousRefusal != nil {
+		s.refused = previousRefusal
 	}
 }
 
-// sorted gives the records in the order of their keys.
-func (s *settings) sorted() []scope.Record {
+// sortedRecords returns the records in the order of their keys.
+func (s *settings) sortedRecords() []scope.Record {
 	return slices.SortedFunc(maps.Values(s.records), func(a, b scope.Record) int { return strings.Compare(a.Key, b.Key) })
 }
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -9,84 +9,88 @@
 	"beammux/internal/store"
 )
 
-// Status is how a follower stands.
+// Status is the state of a follower.
 type Status struct {
-	// InForce is the revision up to which what is in force is current; 0: nothing of the store is in force.
+	// InForce is the revision up to which the settings in force are known to be current; 0 if no settings of the store are in
+	// force.
 	InForce uint64 `json:"in_force"`
-	// Seen is the highest revision that any control machine said to this gatekeeper, also before a restart with Dir.
+	// Seen is the highest revision received from any control machine, including those before a restart if Options.Dir is set.
 	Seen uint64 `json:"seen"`
-	// Since is when the sections in force were put in force; zero: never.
+	// Since is when the sections in force were put in force; the zero time if none ever were.
 	Since time.Time `json:"since,omitzero"`
-	// Age is the time since a control machine with a leader last said that what is held is current; -1: never.
+	// Age is the time since a control machine in contact with its leader last confirmed that the records are current; -1 if
+	// none has.
 	Age time.Duration `json:"age_ns"`
-	// Connected tells whether there is a session, and Replica with which control machine.
+	// Connected reports whether there is a session. Replica names its control machine.
 	Connected bool   `json:"connected"`
 	Replica   string `json:"replica,omitempty"`
-	// Kept tells that what is in force comes from Dir, and that there was no session since the start.
+	// Kept reports whether the settings in force were loaded from Options.Dir, and no session was established since the start.
 	Kept     bool      `json:"kept,omitempty"`
-	Sections []Section `json:"sections"` // in force
+	Sections []Section `json:"sections"` // the sections in force
 	Refused  *Refused  `json:"refused,omitempty"`
-	// Fleet is what the control machines last said of all gatekeepers; nil: nothing yet.
+	// Fleet holds the counts over all gatekeepers that a control machine last reported; nil if none has.
 	Fleet *store.FleetCounts `json:"fleet,omitempty"`
-	// Fault is why there is no session, and Advice what an operator can do about it.
+	// Fault is the reason why there is no session. Advice is what an operator can do about it.
 	Fault  string `json:"fault,omitempty"`
 	Advice string `json:"advice,omitempty"`
-	// DirFault is what is wrong with Dir.
+	// DirFault is the last error with a file of Options.Dir; the next successful write clears it.
 	DirFault string `json:"dir_fault,omitempty"`
 }
 
-// Section is the record of a section in force.
+// Section identifies the record of a section in force.
 type Section struct {
 	Section  string `json:"section"`
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-// Refused is a candidate that was not put in force.
+// Refused describes a candidate that was not put in force.
 type Refused struct {
 	Revision uint64 `json:"revision"`
 	Fault    string `json:"fault"`
 	Advice   string `json:"advice,omitempty"`
 }
 
-// Status tells how the follower stands. Safe for concurrent use.
+// Status returns the state of the follower. It is safe for concurrent use.
 func (f *Follower) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.status
 	s.Age = -1
-	if !f.wordAt.IsZero() {
-		s.Age = max(0, time.Since(f.wordAt))
+	if !f.leaderContactTime.IsZero() {
+		s.Age = max(0, time.Since(f.leaderContactTime))
 	}
 	return s
 }
 
-// setWord notes that a control machine with word from its leader at a time said that what is held is current.
-func (f *Follower) setWord(at time.Time, fleet *store.FleetCounts) {
+// recordLeaderContact records that the records were current at a time at which a control machine was in contact with its
+// leader. counts are the counts of the fleet that came with this, or nil.
+func (f *Follower) recordLeaderContact(contactTime time.Time, counts *store.FleetCounts) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at.After(f.wordAt) {
-		f.wordAt = at
+	if contactTime.After(f.leaderContactTime) {
+		f.leaderContactTime = contactTime
 	}
-	if fleet != nil {
-		f.status.Fleet = fleet
+	if counts != nil {
+		f.status.Fleet = counts
 	}
 }
 
-// word is when a control machine with a leader last said that what is held is current; zero: never.
-func (f *Follower) word() time.Time {
+// lastLeaderContact returns the last time at which a control machine in contact with its leader confirmed that the records are
+// current; the zero time if none has.
+func (f *Follower) lastLeaderContact() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.wordAt
+	return f.leaderContactTime
 }
 
-// publish brings the status up to date, and logs when the session has changed.
-func (f *Follower) publish() {
+// updateStatus updates the status, and logs a change of the session.
+func (f *Follower) updateStatus() {
 	replica, connected := f.machine.Current()
 	f.mu.Lock()
 	s := &f.status
-	wasConnected, was := s.Connected, s.Replica
-	s.InForce, s.Since, s.Sections = f.settings.inForce.Revision, f.settings.since, f.settings.listed
+	wasConnected, previousReplica := s.Connected, s.Replica
+	s.InForce, s.Since, s.Sections = f.settings.inForce.Revision, f.settings.since, f.settings.sectionList
 	s.Seen = f.machine.Seen()
 	s.Connected, s.Replica = connected, replica.Name
 	s.Fault, s.Advice = f.fault, f.advice
@@ -99,15 +103,15 @@
 	s.Refused = f.settings.refused.status()
 	f.mu.Unlock()
 	switch {
-	case connected && (!wasConnected || was != replica.Name):
-		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.Seen()}).Info("settings are followed")
+	case connected && (!wasConnected || previousReplica != replica.Name):
+		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.Seen()}).Info("following settings from a control machine")
 	case !connected && wasConnected:
-		f.log.WithFields(logrus.Fields{"replica": was, "fault": f.fault, "advice": f.advice}).
-			Warn("no control machine is connected: settings stay as they are")
+		f.log.WithFields(logrus.Fields{"replica": previousReplica, "fault": f.fault, "advice": f.advice}).
+			Warn("not connected to any control machine: settings stay as they are")
 	}
 }
 
-// status is a refusal as the status tells it.
+// status returns the refusal in the form reported by Status.
 func (r *refusal) status() *Refused {
 	if r == nil {
 		return nil
@@ -115,8 +119,8 @@
 	return &Refused{r.Revision, r.Fault, r.Advice}
 }
 
-// sectionsOf lists the sections of a candidate in the order of scope.Sections.
-func sectionsOf(c Candidate) []Section {
+// listSections returns the sections of a candidate in the order of scope.Sections.
+func listSections(c Candidate) []Section {
 	list := []Section{}
 	for _, name := range scope.Sections() {
 		if r, ok := c.Sections[name]; ok {
