--- a/internal/controlmachine/machine.go
+++ b/internal/controlmachine/machine.go
@@ -81,26 +81,26 @@
 
 // openStore opens this machine's member of the store, which accepts connections from then on.
 func (m *Machine) openStore() error {
-	s := m.cfg.Store
-	o := store.Options{Node: s.Node, Dir: s.Dir, Sync: s.Sync, Join: s.Join, Via: s.Via, Log: m.log,
+	storeConfig := m.cfg.Store
+	options := store.Options{Node: storeConfig.Node, Dir: storeConfig.Dir, Sync: storeConfig.Sync, Join: storeConfig.Join, Via: storeConfig.Via, Log: m.log,
 		Election: m.cfg.Election,
 		Reducers: map[string]store.Reducer{limits.LeaseKey: quota.Reduce},
 		Check:    func(writes []store.Write) error { return Check(writes, m.site.Load()) },
 		Serve: &store.ServeOptions{Name: m.cfg.Name, Zone: m.cfg.Zone, Region: m.cfg.Region, Prefix: scope.Prefix,
 			Admission: admissionOptions(m.cfg.Admission)},
 	}
-	for _, p := range s.Peers {
-		o.Peers = append(o.Peers, store.Peer{Node: p.Node, Address: p.Address, NonVoter: p.NonVoter})
+	for _, peer := range storeConfig.Peers {
+		options.Peers = append(options.Peers, store.Peer{Node: peer.Node, Address: peer.Address, NonVoter: peer.NonVoter})
 	}
 	var err error
-	if o.Listener, err = net.Listen("tcp", s.Listen); err != nil {
+	if options.Listener, err = net.Listen("tcp", storeConfig.Listen); err != nil {
 		return err
 	}
-	if m.store, err = store.Open(o); err != nil {
-		o.Listener.Close()
+	if m.store, err = store.Open(options); err != nil {
+		options.Listener.Close()
 		return err
 	}
-	m.log.WithField("listen", o.Listener.Addr().String()).Info("store listening")
+	m.log.WithField("listen", options.Listener.Addr().String()).Info("store listening")
 	return nil
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -144,45 +144,45 @@
 		incarnation: uint64(now.UnixMilli()), faults: map[string]*Fault{}}
 	f.registerBook = registers.New(o.Name, f.incarnation, Topics)
 	// With port 0 the library picks a free TCP port and then binds the same UDP port, which may be in use: retry.
-	var nt *memberlist.NetTransport
+	var netTransport *memberlist.NetTransport
 	var err error
-	for try := 0; try == 0 || err != nil && port == 0 && try < anyPortAttempts; try++ {
-		nt, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{ip.String()}, BindPort: port,
+	for attempt := 0; attempt == 0 || err != nil && port == 0 && attempt < anyPortAttempts; attempt++ {
+		netTransport, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{ip.String()}, BindPort: port,
 			Logger: f.logger()})
 	}
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f.net = &transport{NetTransport: nt, host: ip, port: nt.GetAutoBindPort(), via: o.Via}
+	f.net = &transport{NetTransport: netTransport, host: ip, port: netTransport.GetAutoBindPort(), via: o.Via}
 	if o.Advertise != "" {
 		if f.net.host, f.net.port, ok = splitHostPort(o.Advertise); !ok {
-			nt.Shutdown()
+			netTransport.Shutdown()
 			return nil, fmt.Errorf("fleet: advertise %q is not IP:PORT", o.Advertise)
 		}
 	}
 	f.view = fleetview.New(fleetview.Member{Name: o.Name, Zone: o.Zone, Region: o.Region, Program: o.Program,
 		Start: f.incarnation, Seq: 1, State: o.State, Address: net.JoinHostPort(f.net.host.String(), fmt.Sprint(f.net.port))}, f.now(), control.Micros(o.ReapAfter.Microseconds()))
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Logger = o.Name, f.net, f.logger()
-	c.Label = o.Group // sent with every packet and stream; those with another label are dropped
-	c.ProbeInterval, c.ProbeTimeout, c.AwarenessMaxMultiplier = probeInterval, probeTimeout, 4
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
-	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
-	c.DeadNodeReclaimTime = time.Millisecond // a dead member may rejoin under its name at another address
-	c.EnableCompression = false              // messages are small
-	c.Delegate, c.Events, c.Ping, c.Conflict = (*delegate)(f), (*delegate)(f), (*delegate)(f), (*delegate)(f)
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Transport, config.Logger = o.Name, f.net, f.logger()
+	config.Label = o.Group // sent with every packet and stream; those with another label are dropped
+	config.ProbeInterval, config.ProbeTimeout, config.AwarenessMaxMultiplier = probeInterval, probeTimeout, 4
+	config.SuspicionMult, config.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
+	config.GossipInterval, config.GossipNodes, config.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
+	config.PushPullInterval, config.TCPTimeout = pushPullInterval, streamTimeout
+	config.DeadNodeReclaimTime = time.Millisecond // a dead member may rejoin under its name at another address
+	config.EnableCompression = false              // messages are small
+	config.Delegate, config.Events, config.Ping, config.Conflict = (*delegate)(f), (*delegate)(f), (*delegate)(f), (*delegate)(f)
 	if len(o.Keys) > 0 {
-		if c.Keyring, err = memberlist.NewKeyring(o.Keys, o.Keys[0]); err != nil {
-			nt.Shutdown()
+		if config.Keyring, err = memberlist.NewKeyring(o.Keys, o.Keys[0]); err != nil {
+			netTransport.Shutdown()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
-	f.summaryQueue = &memberlist.TransmitLimitedQueue{RetransmitMult: c.RetransmitMult, NumNodes: f.membersUp}
+	f.summaryQueue = &memberlist.TransmitLimitedQueue{RetransmitMult: config.RetransmitMult, NumNodes: f.membersUp}
 	f.registers = &memberlist.TransmitLimitedQueue{RetransmitMult: registerRetransmitMult, NumNodes: f.membersUp}
 	f.budget = newRegisterBudget(f.registers, o.RegisterBytes)
-	if f.list, err = memberlist.Create(c); err != nil {
-		nt.Shutdown()
+	if f.list, err = memberlist.Create(config); err != nil {
+		netTransport.Shutdown()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	f.done.Go(f.rejoin)
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -64,11 +64,11 @@
 
 // Fault counts the errors of one kind in the gossip, as reported to operators.
 type Fault struct {
-	Kind   string `json:"kind"`
-	Count  int64  `json:"count"`
-	Last   string `json:"last"`
-	At     int64  `json:"at_us"`
-	Advice string `json:"advice"`
+	Kind     string `json:"kind"`
+	Count    int64  `json:"count"`
+	Last     string `json:"last"`  // message of the last error
+	LoggedAt int64  `json:"at_us"` // when an error of this kind was last logged, Unix microseconds
+	Advice   string `json:"advice"`
 }
 
 // registerBroadcast is a queued register; a later register of the same topic and origin replaces it.
@@ -193,10 +193,10 @@
 		return
 	}
 	fault.Count++
-	logNow := fault.Count == 1 || int64(f.now())-fault.At > int64(faultLogInterval/time.Microsecond)
+	logNow := fault.Count == 1 || int64(f.now())-fault.LoggedAt > int64(faultLogInterval/time.Microsecond)
 	fault.Last, fault.Advice = err.Error(), advice.Of(err)
 	if logNow {
-		fault.At = int64(f.now())
+		fault.LoggedAt = int64(f.now())
 	}
 	f.registersMu.Unlock()
 	if logNow {
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -126,9 +126,9 @@
 	t  *testing.T
 	mu sync.Mutex
 	// wait blocks apply until it is closed, if it is set.
-	wait  chan struct{}
-	list  []Candidate
-	floor uint64 // revision that was in force before a restart
+	wait        chan struct{}
+	list        []Candidate
+	minRevision uint64 // revision that was in force before a restart
 }
 
 func (a *checkedCandidates) apply(c Candidate) error {
@@ -143,8 +143,8 @@
 	if n := len(a.list); n > 0 && c.Revision <= a.list[n-1].Revision {
 		a.t.Errorf("revision %d after %d", c.Revision, a.list[n-1].Revision)
 	}
-	if c.Revision < a.floor {
-		a.t.Errorf("revision %d after %d before the restart", c.Revision, a.floor)
+	if c.Revision < a.minRevision {
+		a.t.Errorf("revision %d after %d before the restart", c.Revision, a.minRevision)
 	}
 	values := map[string]bool{}
 	for _, r := range c.Sections {
@@ -181,7 +181,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.list) == 0 {
-		return a.floor
+		return a.minRevision
 	}
 	return a.list[len(a.list)-1].Revision
 }
@@ -304,7 +304,7 @@
 	timing.LeaderlessAfter = 3600e6 // so that only its old records, not the missing leader, rule it out
 	var a *checkedCandidates
 	open := func(dir string) *Follower {
-		a = &checkedCandidates{t: t, floor: a.revision()}
+		a = &checkedCandidates{t: t, minRevision: a.revision()}
 		f, err := Open(Options{Self: self, Replicas: c.replicas, Apply: a.apply, Log: discardLogger(), Seed: 1, Timing: timing, Dir: dir})
 		require.NoError(t, err)
 		t.Cleanup(f.Close)
@@ -375,7 +375,7 @@
 	for i := range 3 {
 		c.net.SetDoor("g", name(i), relay.Refuse)
 	}
-	gone := time.Now()
+	lostTime := time.Now()
 	s := waitFor(t, f, "session lost", func(s Status) bool { return !s.Connected && s.Fault != "" })
 	require.NotEmpty(t, s.Fault)
 	require.GreaterOrEqual(t, s.InForce, one)
@@ -383,7 +383,7 @@
 	waitFor(t, f, "growing age", func(s Status) bool { return s.Age > 300*time.Millisecond })
 	f.Close()
 
-	again := &checkedCandidates{t: t, floor: one}
+	again := &checkedCandidates{t: t, minRevision: one}
 	f = c.follow(again, Options{Dir: dir})
 	s = f.Status() // valid immediately after Open
 	require.Equal(t, "1", again.value())
@@ -392,7 +392,7 @@
 	require.True(t, s.Kept)
 	require.False(t, s.Connected)
 	require.GreaterOrEqual(t, s.Age, 300*time.Millisecond)
-	require.LessOrEqual(t, s.Age, time.Since(gone)+time.Second)
+	require.LessOrEqual(t, s.Age, time.Since(lostTime)+time.Second)
 	require.Len(t, s.Sections, 3)
 	waitFor(t, f, "fault of a failed attempt", func(s Status) bool { return s.Fault != "" })
 	for i := range 3 {
--- a/internal/follow/disk.go
+++ b/internal/follow/disk.go
@@ -216,12 +216,12 @@
 // readSavedState reads the saved state. triedFile takes precedence if it is newer: its candidate was being applied when the
 // process ended.
 func (f *Follower) readSavedState() (savedState, bool) {
-	var k, tried savedState
-	ok := f.readOwn(settingsFile, &k)
-	if f.readOwn(triedFile, &tried) && tried.Trying != nil && tried.Revision > k.Revision {
+	var saved, tried savedState
+	ok := f.readOwn(settingsFile, &saved)
+	if f.readOwn(triedFile, &tried) && tried.Trying != nil && tried.Revision > saved.Revision {
 		return tried, true
 	}
-	return k, ok
+	return saved, ok
 }
 
 // readOwn reads a saved state and reports whether it is intact and was saved by a gatekeeper with the same name, region, zone
--- a/internal/follow/faults_test.go
+++ b/internal/follow/faults_test.go
@@ -26,16 +26,16 @@
 // open opens the gatekeeper's follower, as after a restart.
 func (g *testGatekeeper) open(t *testing.T, c *controlGroup) {
 	t.Helper()
-	floor := g.checkedCandidates.revision()
+	minRevision := g.checkedCandidates.revision()
 	if g.dir == "" {
-		floor = 0 // without a directory, a restart begins with the gatekeeper's own file
+		minRevision = 0 // without a directory, a restart begins with the gatekeeper's own file
 	}
-	g.checkedCandidates = &checkedCandidates{t: t, floor: floor}
+	g.checkedCandidates = &checkedCandidates{t: t, minRevision: minRevision}
 	f, err := Open(Options{Self: g.self, Replicas: c.replicas, Dir: g.dir, Apply: g.checkedCandidates.apply, Log: discardLogger(), Seed: 1, Timing: realTiming})
 	require.NoError(t, err)
 	g.follower = f
-	if floor > 0 {
-		require.GreaterOrEqual(t, g.checkedCandidates.revision(), floor, "%s started without the settings that were in force", g.self.Name)
+	if minRevision > 0 {
+		require.GreaterOrEqual(t, g.checkedCandidates.revision(), minRevision, "%s started without the settings that were in force", g.self.Name)
 	}
 }
 
@@ -136,8 +136,8 @@
 	require.True(t, refused > 0 || testing.Short(), "no refused change was written")
 }
 
-// A control machine that admits four sessions per second tells further gatekeepers when to retry, and all of them have a session
-// in time.
+// A control machine that admits four sessions per second sends further gatekeepers a retry delay, and all of them get a session after
+// that delay.
 func TestAdmissionLimit(t *testing.T) {
 	c := startControls(t, 1, 0, store.ServeOptions{Admission: store.AdmissionOptions{SessionsPerSecond: 4, SessionsBurst: 1}})
 	one := c.write(0, map[string]string{"all/calls": "1"})
--- a/internal/follow/settings.go
+++ b/internal/follow/settings.go
@@ -134,8 +134,8 @@
 	s.recordsRevision, s.lastGood, s.refused = saved.Revision, saved.Good, saved.Refused
 }
 
-// applyLastGood puts the last good candidate in force, unless the one in force is at least as new. It keeps a refusal that was recorded
-// before.
+// applyLastGood puts the last good candidate in force, unless the one in force is at least as new. It keeps a refusal that was
+// recorded before.
 func (s *settings) applyLastGood() {
 	if s.inForce.Revision >= s.lastGood.Revision {
 		return
@@ -144,7 +144,7 @@
 		s.inForce = s.lastGood
 		return
 	}
-	previousRefusal := s.refused // refers to the current records and takes precedence over a refusal of s.good
+	previousRefusal := s.refused // refers to the current records and takes precedence over a refusal of s.lastGood
 	s.tryCandidate(s.lastGood)
 	if previousRefusal != nil {
 		s.refused = previousRefusal
