--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -96,7 +96,7 @@
 		}
 		waitUntil(t, "the members of each group join and read their register", func() bool {
 			read := first[i].Read(registers.Rates)
-			return first[i].Up() == 2 && second[i].Up() == 2 && len(read) == 1 && string(read[0].Value) == string(value)
+			return first[i].UpCount() == 2 && second[i].UpCount() == 2 && len(read) == 1 && string(read[0].Value) == string(value)
 		})
 	}
 	time.Sleep(2 * rejoinInterval) // long enough for each member to try the other groups' seeds again
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -63,5 +63,5 @@
 	return m.members
 }
 
-// Up returns the number of members that are up.
-func (m Member) Up() int { return len(m.UpNames()) }
+// UpCount returns the number of members that are up.
+func (m Member) UpCount() int { return len(m.UpNames()) }
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -128,8 +128,8 @@
 	return f.registerBook.Read(f.now(), t, func(origin string, start uint64) bool { return starts[origin] == start })
 }
 
-// Up returns the number of members that are up in the local view, including this one.
-func (f *Fleet) Up() int { return f.membersUp() }
+// UpCount returns the number of members that are up in the local view, including this one.
+func (f *Fleet) UpCount() int { return f.membersUp() }
 
 // Start returns this member's incarnation, its start time in Unix milliseconds, which its registers carry as Start.
 func (f *Fleet) Start() uint64 { return f.incarnation }
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -389,7 +389,7 @@
 	require.Equal(t, "1", again.value())
 	require.GreaterOrEqual(t, s.InForce, one)
 	require.GreaterOrEqual(t, s.Seen, one)
-	require.True(t, s.Kept)
+	require.True(t, s.RestoredFromDir)
 	require.False(t, s.Connected)
 	require.GreaterOrEqual(t, s.Age, 300*time.Millisecond)
 	require.LessOrEqual(t, s.Age, time.Since(lostTime)+time.Second)
@@ -399,7 +399,7 @@
 		c.net.SetDoor("g", name(i), relay.Open)
 	}
 	s = waitForValue(t, f, again, "2", two)
-	require.False(t, s.Kept)
+	require.False(t, s.RestoredFromDir)
 	require.Empty(t, s.Fault)
 	require.Equal(t, 2, again.applied())
 }
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -24,10 +24,10 @@
 	// Connected reports whether there is a session. Replica names its control machine.
 	Connected bool   `json:"connected"`
 	Replica   string `json:"replica,omitempty"`
-	// Kept reports whether the settings in force were loaded from Options.Dir, and no session was established since the start.
-	Kept     bool      `json:"kept,omitempty"`
-	Sections []Section `json:"sections"` // the sections in force
-	Refused  *Refused  `json:"refused,omitempty"`
+	// RestoredFromDir reports whether the settings in force were loaded from Options.Dir, and no session was established since the start.
+	RestoredFromDir bool      `json:"kept,omitempty"`
+	Sections        []Section `json:"sections"` // the sections in force
+	Refused         *Refused  `json:"refused,omitempty"`
 	// Fleet holds the counts over all gatekeepers that a control machine last reported; nil if none has.
 	Fleet *store.FleetCounts `json:"fleet,omitempty"`
 	// Fault is the reason why there is no session. Advice is what an operator can do about it.
@@ -95,7 +95,7 @@
 	s.Connected, s.Replica = connected, replica.Name
 	s.Fault, s.Advice = f.fault, f.advice
 	if connected {
-		s.Fault, s.Advice, s.Kept = "", "", false
+		s.Fault, s.Advice, s.RestoredFromDir = "", "", false
 	}
 	if f.disk != nil {
 		s.DirFault = f.disk.fault
