--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -211,7 +211,7 @@
 		log := f.log.WithFields(logrus.Fields{"member": c.Name, "health": c.Health.String(), "state": c.State.String(), "view": f.view.Version()})
 		switch {
 		case c.Reaped:
-			log.Info("fleet: member forgotten")
+			log.Info("fleet: member removed from the view")
 		case c.Fresh:
 			log.Info("fleet: member met")
 		case c.Health == fleetview.Dead:
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -37,9 +37,9 @@
 	LeaderlessAfter: 3e6, LeaderlessHold: 1e6, BehindWait: 50e3, ComeBackWait: 5e6, FaultHold: 1e6,
 }
 
-// startControls starts the given numbers of voters and non-voters, in this order. Machine i is named ci and is in zone zi; all
+// startControlGroup starts the given numbers of voters and non-voters, in this order. Machine i is named ci and is in zone zi; all
 // are in region r1.
-func startControls(t *testing.T, voters, nonVoters int, serve store.ServeOptions) *controlGroup {
+func startControlGroup(t *testing.T, voters, nonVoters int, serve store.ServeOptions) *controlGroup {
 	t.Helper()
 	c := &controlGroup{t: t, net: relay.New(1)}
 	var listeners []net.Listener
@@ -216,7 +216,7 @@
 // Each transaction yields one candidate. After a refusal the last good candidate stays in force, the control machine receives
 // the fault, and the next good candidate is put in force. The control machines count which gatekeepers hold the settings.
 func TestChanges(t *testing.T) {
-	c := startControls(t, 3, 0, store.ServeOptions{})
+	c := startControlGroup(t, 3, 0, store.ServeOptions{})
 	first := c.writeAll(0, "1")
 	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
@@ -260,7 +260,7 @@
 // When the control machine of its session is closed, and then another one, the gatekeeper reconnects to the remaining ones. It
 // misses no change and never goes back to an older revision.
 func TestControlMachineClosed(t *testing.T) {
-	c := startControls(t, 3, 2, store.ServeOptions{})
+	c := startControlGroup(t, 3, 2, store.ServeOptions{})
 	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
 	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
@@ -281,7 +281,7 @@
 // A gatekeeper leaves a control machine that sends no heartbeats while its connections stay open. It returns when the machine
 // answers again.
 func TestControlMachineUnresponsive(t *testing.T) {
-	c := startControls(t, 3, 0, store.ServeOptions{})
+	c := startControlGroup(t, 3, 0, store.ServeOptions{})
 	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
 	waitForValue(t, f, a, "1", c.writeAll(1, "1"))
@@ -298,7 +298,7 @@
 // The preferred control machine is partitioned from the others and lags behind the gatekeeper. The gatekeeper ignores its older
 // records, uses other control machines, and returns when it has caught up.
 func TestControlMachineLags(t *testing.T) {
-	c := startControls(t, 3, 1, store.ServeOptions{})
+	c := startControlGroup(t, 3, 1, store.ServeOptions{})
 	self := scope.Target{Name: "g1", Region: "r1", Zone: "z3"} // in the zone of c3, a non-voter
 	timing := realTiming
 	timing.LeaderlessAfter = 3600e6 // so that only its old records, not the missing leader, rule it out
@@ -341,7 +341,7 @@
 
 // A gatekeeper that can't keep up with the changes is disconnected, resumes, and puts the complete last state in force.
 func TestSlowFollowerDisconnected(t *testing.T) {
-	c := startControls(t, 3, 0, store.ServeOptions{HistorySize: 4})
+	c := startControlGroup(t, 3, 0, store.ServeOptions{HistorySize: 4})
 	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{Timing: session.Timing{BackoffBase: 50e3, HeartbeatWithin: 60e6, ConnectWithin: 60e6, ReturnEvery: 3600e6}})
 	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
@@ -366,7 +366,7 @@
 // While no control machine is reachable, a gatekeeper keeps its settings and reports their age, also after a restart. It follows
 // again when they are reachable.
 func TestNoControlMachineReachable(t *testing.T) {
-	c := startControls(t, 3, 0, store.ServeOptions{})
+	c := startControlGroup(t, 3, 0, store.ServeOptions{})
 	a := &checkedCandidates{t: t}
 	dir := t.TempDir()
 	f := c.follow(a, Options{Dir: dir})
@@ -407,7 +407,7 @@
 // The control machine of the session loses contact with the leader. The gatekeeper keeps its settings and reports their age. It
 // moves to a control machine that is in contact with a leader as soon as one is reachable.
 func TestControlMachineWithoutLeader(t *testing.T) {
-	c := startControls(t, 3, 0, store.ServeOptions{})
+	c := startControlGroup(t, 3, 0, store.ServeOptions{})
 	a := &checkedCandidates{t: t}
 	f := c.follow(a, Options{})
 	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
--- a/internal/follow/faults_test.go
+++ b/internal/follow/faults_test.go
@@ -52,7 +52,7 @@
 	if testing.Short() {
 		faults = 15
 	}
-	c := startControls(t, 3, 2, store.ServeOptions{HistorySize: 8})
+	c := startControlGroup(t, 3, 2, store.ServeOptions{HistorySize: 8})
 	random := rand.New(rand.NewPCG(7, 7))
 	var all []*testGatekeeper
 	for i := range gatekeepers {
@@ -139,7 +139,7 @@
 // A control machine that admits four sessions per second sends further gatekeepers a retry delay, and all of them get a session after
 // that delay.
 func TestAdmissionLimit(t *testing.T) {
-	c := startControls(t, 1, 0, store.ServeOptions{Admission: store.AdmissionOptions{SessionsPerSecond: 4, SessionsBurst: 1}})
+	c := startControlGroup(t, 1, 0, store.ServeOptions{Admission: store.AdmissionOptions{SessionsPerSecond: 4, SessionsBurst: 1}})
 	one := c.write(0, map[string]string{"all/calls": "1"})
 	const gatekeepers = 8
 	begun := time.Now()
