--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -93,7 +93,7 @@
 	budget      *registerBudget // bounds the register bytes sent
 
 	registersMu  sync.Mutex // lock order: mu is never locked while registersMu is held
-	registerBook *registers.Book
+	registerBook *registers.Replica
 	faults       map[string]*Fault
 }
 
