--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -41,11 +41,11 @@
 
 // Controller decides on requests.
 type Controller struct {
-	now    control.Micros
-	most   int // open sessions; 0: no bound
-	open   int
-	tokens buckets
-	slots  map[string]slot
+	now         control.Micros
+	maxSessions int // open sessions; 0: no bound
+	open        int
+	tokens      buckets
+	slots       map[string]slot
 	// expected are the slots from now on, and late those before whose clients did not come yet. Both are ordered by time; a
 	// slot that its client has used or lost is left in them until its turn, and is not in slots any more.
 	expected, late []slot
@@ -60,14 +60,14 @@
 
 // New makes a controller with full buckets.
 func New(l Limits) *Controller {
-	return &Controller{most: l.Sessions, tokens: newBuckets(l), slots: map[string]slot{}}
+	return &Controller{maxSessions: l.Sessions, tokens: newBuckets(l), slots: map[string]slot{}}
 }
 
 // Admit decides on a request at a time. A time before that of an earlier call counts as that one. Each session that is admitted
 // has to be ended with End.
 func (c *Controller) Admit(now control.Micros, r Request) Decision {
 	c.advance(now)
-	if c.most > 0 && c.open >= c.most {
+	if c.maxSessions > 0 && c.open >= c.maxSessions {
 		delete(c.slots, r.Client)
 		return Decision{Full: true}
 	}
@@ -76,10 +76,10 @@
 		return Decision{ComeBackIn: s.at - c.now}
 	}
 	delete(c.slots, r.Client)
-	if !c.harmless(r, held) {
-		return Decision{ComeBackIn: c.assign(r)}
+	if !c.canAdmit(r, held) {
+		return Decision{ComeBackIn: c.assignSlot(r)}
 	}
-	c.tokens.spend(r.Snapshot)
+	c.tokens.takeTokens(r.Snapshot)
 	c.open++
 	return Decision{Admitted: true}
 }
@@ -94,7 +94,7 @@
 		return s.at - c.now
 	}
 	delete(c.slots, r.Client)
-	return c.assign(r)
+	return c.assignSlot(r)
 }
 
 // advance brings the buckets up to a time, and gives up slots whose clients did not come.
@@ -105,61 +105,61 @@
 		c.late = append(c.late, c.expected[0])
 		c.expected = c.expected[1:]
 	}
-	for len(c.late) > 0 && (!c.holds(c.late[0]) || c.late[0].at+Grace < c.now) {
-		if c.holds(c.late[0]) {
+	for len(c.late) > 0 && (!c.isCurrent(c.late[0]) || c.late[0].at+Grace < c.now) {
+		if c.isCurrent(c.late[0]) {
 			delete(c.slots, c.late[0].client)
 		}
 		c.late = c.late[1:]
 	}
 }
 
-// holds reports whether a slot is still its client's.
-func (c *Controller) holds(s slot) bool { return c.slots[s.client] == s }
+// isCurrent reports whether a slot is still its client's.
+func (c *Controller) isCurrent(s slot) bool { return c.slots[s.client] == s }
 
-// harmless reports whether a request can be admitted now so that all who come at their slots are admitted too. One without a
+// canAdmit reports whether a request can be admitted now so that all who come at their slots are admitted too. One without a
 // slot of its own must also leave the tokens for those who are late.
-func (c *Controller) harmless(r Request, held bool) bool {
+func (c *Controller) canAdmit(r Request, held bool) bool {
 	tokens := c.tokens
-	if !tokens.hold(r.Snapshot) {
+	if !tokens.hasTokens(r.Snapshot) {
 		return false
 	}
-	tokens.spend(r.Snapshot)
+	tokens.takeTokens(r.Snapshot)
 	if !held {
 		for _, s := range c.late {
-			if !c.holds(s) {
+			if !c.isCurrent(s) {
 				continue
 			}
-			if !tokens.hold(s.snapshot) {
+			if !tokens.hasTokens(s.snapshot) {
 				return false
 			}
-			tokens.spend(s.snapshot)
+			tokens.takeTokens(s.snapshot)
 		}
 	}
 	for _, s := range c.expected {
-		if !c.holds(s) {
+		if !c.isCurrent(s) {
 			continue
 		}
 		tokens.advance(s.at)
-		if !tokens.hold(s.snapshot) {
+		if !tokens.hasTokens(s.snapshot) {
 			return false
 		}
-		tokens.spend(s.snapshot)
+		tokens.takeTokens(s.snapshot)
 	}
 	return true
 }
 
-// assign gives a client the first slot behind all others, and reports in what time it is.
-func (c *Controller) assign(r Request) control.Micros {
+// assignSlot gives a client the first slot behind all others, and reports in what time it is.
+func (c *Controller) assignSlot(r Request) control.Micros {
 	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.Snapshot}
 	for _, other := range c.expected {
-		if !c.holds(other) {
+		if !c.isCurrent(other) {
 			continue
 		}
 		tokens.advance(other.at)
-		tokens.spend(other.snapshot)
+		tokens.takeTokens(other.snapshot)
 		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.Snapshot))
 	}
-	s.at = max(s.at, tokens.ready(r.Snapshot))
+	s.at = max(s.at, tokens.readyAt(r.Snapshot))
 	if r.Client != "" && len(c.slots) < MaxSlots {
 		c.slots[r.Client] = s
 		c.expected = append(c.expected, s)
--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -23,28 +23,28 @@
 // admissions are the times of what was admitted.
 type admissions struct{ sessions, snapshots []control.Micros }
 
-func (a *admissions) note(now control.Micros, r Request) {
+func (a *admissions) record(now control.Micros, r Request) {
 	a.sessions = append(a.sessions, now)
 	if r.Snapshot {
 		a.snapshots = append(a.snapshots, now)
 	}
 }
 
-// withinRate fails where a window holds more than the burst and what the rate gives in it.
-func withinRate(t require.TestingT, what string, at []control.Micros, rate float64, burst int) {
-	for i := range at {
-		for j := i; j < len(at); j++ {
-			most := float64(max(burst, MinBurst)) + rate*float64(at[j]-at[i])/1e6 + 1e-3
-			require.LessOrEqual(t, float64(j-i+1), most, "%s from %d to %d us", what, at[i], at[j])
+// requireWithinRate fails where a window holds more than the burst and what the rate gives in it.
+func requireWithinRate(t require.TestingT, kind string, times []control.Micros, rate float64, burst int) {
+	for i := range times {
+		for j := i; j < len(times); j++ {
+			most := float64(max(burst, MinBurst)) + rate*float64(times[j]-times[i])/1e6 + 1e-3
+			require.LessOrEqual(t, float64(j-i+1), most, "%s from %d to %d us", kind, times[i], times[j])
 		}
 	}
 }
 
-// spread fails where two slots are closer than the rates allow.
-func spread(t require.TestingT, c *Controller, l Limits) {
+// requireSlotsSpaced fails where two slots are closer than the rates allow.
+func requireSlotsSpaced(t require.TestingT, c *Controller, l Limits) {
 	last, lastSnapshot := slot{at: -1e9}, slot{at: -1e9}
 	for _, s := range c.expected {
-		if !c.holds(s) {
+		if !c.isCurrent(s) {
 			continue
 		}
 		require.GreaterOrEqual(t, float64(s.at-last.at), 1e6/l.SessionsPerSecond)
@@ -57,7 +57,7 @@
 }
 
 // Whatever clients do, no window of time has more sessions or snapshots admitted than burst + rate x time.
-func TestNeverMoreThanTheRate(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
 		c, now := New(l), control.Micros(0)
@@ -68,7 +68,7 @@
 			if r.Client == "0" {
 				r.Client = ""
 			}
-			spread(t, c, l)
+			requireSlotsSpaced(t, c, l)
 			if rapid.IntRange(0, 9).Draw(t, "deferred") == 0 {
 				require.Positive(t, c.Defer(now, r))
 				continue
@@ -76,17 +76,17 @@
 			d := c.Admit(now, r)
 			require.NotEqual(t, d.Admitted, d.ComeBackIn > 0)
 			if d.Admitted {
-				a.note(now, r)
+				a.record(now, r)
 			}
 		}
-		withinRate(t, "sessions", a.sessions, l.SessionsPerSecond, l.SessionsBurst)
-		withinRate(t, "snapshots", a.snapshots, l.SnapshotsPerSecond, l.SnapshotsBurst)
+		requireWithinRate(t, "sessions", a.sessions, l.SessionsPerSecond, l.SessionsBurst)
+		requireWithinRate(t, "snapshots", a.snapshots, l.SnapshotsPerSecond, l.SnapshotsBurst)
 	})
 }
 
 // Whatever clients do, no more sessions are open than may be; a client is told that the machine is full exactly while they are,
 // and then holds no slot.
-func TestNeverMoreSessionsThanMayBe(t *testing.T) {
+func TestSessionLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
 		l.Sessions = rapid.IntRange(1, 8).Draw(t, "sessions")
@@ -115,42 +115,42 @@
 
 // arrival is a client that comes at a time.
 type arrival struct {
-	at      control.Micros
-	request Request
-	refused int // times so far
-	obeys   bool
+	at        control.Micros
+	request   Request
+	refused   int // times so far
+	compliant bool
 }
 
-// play plays arrivals in order of time. back gives what a refused client does next; nil: it does not come again.
-func play(c *Controller, queue []arrival, back func(a arrival, d Decision) *arrival, admitted func(arrival)) {
+// simulate plays arrivals in order of time. back gives what a refused client does next; nil: it does not come again.
+func simulate(c *Controller, queue []arrival, onRefused func(a arrival, d Decision) *arrival, onAdmitted func(arrival)) {
 	for len(queue) > 0 {
 		slices.SortStableFunc(queue, func(a, b arrival) int { return int(a.at - b.at) })
 		next := queue[0]
 		queue = queue[1:]
 		d := c.Admit(next.at, next.request)
 		if d.Admitted {
-			admitted(next)
+			onAdmitted(next)
 			continue
 		}
 		next.refused++
-		if again := back(next, d); again != nil {
+		if again := onRefused(next, d); again != nil {
 			queue = append(queue, *again)
 		}
 	}
 }
 
 // A client that comes at its slot is admitted then, whatever others do: come early, late, never, or as newcomers.
-func TestWhoComesAtItsSlotIsAdmitted(t *testing.T) {
+func TestAdmittedAtSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
 		c := New(l)
 		var queue []arrival
 		for i := range rapid.IntRange(1, 60).Draw(t, "clients") {
-			queue = append(queue, arrival{at: control.Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), obeys: rapid.Bool().Draw(t, "obeys"),
+			queue = append(queue, arrival{at: control.Micros(rapid.IntRange(0, 2_000_000).Draw(t, "at")), compliant: rapid.Bool().Draw(t, "obeys"),
 				request: Request{fmt.Sprint(i), rapid.Bool().Draw(t, "snapshot")}})
 		}
-		play(c, queue, func(a arrival, d Decision) *arrival {
-			if a.obeys {
+		simulate(c, queue, func(a arrival, d Decision) *arrival {
+			if a.compliant {
 				require.Equal(t, 1, a.refused, "client %s was refused at its slot", a.request.Client)
 				a.at += d.ComeBackIn
 				return &a
@@ -164,10 +164,10 @@
 	})
 }
 
-// playLate plays clients that come at once, obey, and are late by up to so much each time. It gives how often one was
+// simulateLate plays clients that come at once, obey, and are late by up to so much each time. It gives how often one was
 // refused at most. None is ever asked to wait for longer than the slower rate needs for all of them: each slot is at most
 // 1 / rate after the one before it, and 1 us a slot is for rounding up.
-func playLate(t *rapid.T, l Limits, clients int, late control.Micros) (mostRefused int) {
+func simulateLate(t *rapid.T, l Limits, clients int, maxLateness control.Micros) (maxRefused int) {
 	var queue []arrival
 	for i := range clients {
 		queue = append(queue, arrival{request: Request{fmt.Sprint(i), true}})
@@ -175,32 +175,32 @@
 	slowest := min(l.SessionsPerSecond, l.SnapshotsPerSecond)
 	longest := control.Micros(float64(clients)/slowest*1e6) + control.Micros(clients)
 	count := 0
-	play(New(l), queue, func(a arrival, d Decision) *arrival {
-		mostRefused = max(mostRefused, a.refused)
+	simulate(New(l), queue, func(a arrival, d Decision) *arrival {
+		maxRefused = max(maxRefused, a.refused)
 		require.Less(t, a.refused, 50, "client %s starves", a.request.Client)
 		require.LessOrEqual(t, d.ComeBackIn, longest)
-		a.at += d.ComeBackIn + control.Micros(rapid.IntRange(0, int(late)).Draw(t, "late by"))
+		a.at += d.ComeBackIn + control.Micros(rapid.IntRange(0, int(maxLateness)).Draw(t, "late by"))
 		return &a
 	}, func(arrival) { count++ })
 	require.Equal(t, clients, count)
-	return mostRefused
+	return maxRefused
 }
 
 // Clients that obey are all admitted, however late they are below Grace.
 func TestLateClientsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		playLate(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(Grace)-1).Draw(t, "late")))
+		simulateLate(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(Grace)-1).Draw(t, "late")))
 	})
 }
 
 // Clients that are late by no more than (burst - 2) / rate are admitted when they first come back: until then the bucket
 // keeps the tokens of all that are late and has room for the one that is coming.
-func TestALittleLateCostsNothing(t *testing.T) {
+func TestSlightlyLateClientsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
 		spare := func(burst int, rate float64) float64 { return float64(max(burst, MinBurst)-2) / rate }
 		late := min(spare(l.SessionsBurst, l.SessionsPerSecond), spare(l.SnapshotsBurst, l.SnapshotsPerSecond), float64(Grace)/1e6)
-		require.LessOrEqual(t, playLate(t, l, rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(late*1e6)), 1)
+		require.LessOrEqual(t, simulateLate(t, l, rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(late*1e6)), 1)
 	})
 }
 
@@ -223,7 +223,7 @@
 }
 
 // Who comes early keeps its slot and gains nothing by it.
-func TestEarlyKeepsItsSlot(t *testing.T) {
+func TestEarlyClientKeepsSlot(t *testing.T) {
 	c := New(Limits{SessionsPerSecond: 1})
 	for i := range MinBurst {
 		require.True(t, c.Admit(0, Request{Client: fmt.Sprint(i)}).Admitted)
@@ -237,7 +237,7 @@
 }
 
 // Slots of clients that never come are given up after Grace, and hold back nobody but newcomers until then.
-func TestSlotsAreGivenUp(t *testing.T) {
+func TestUnusedSlotsExpire(t *testing.T) {
 	c := New(Limits{SessionsPerSecond: 1})
 	for i := range MinBurst + 3 {
 		c.Admit(0, Request{Client: fmt.Sprint(i)})
@@ -249,7 +249,7 @@
 }
 
 // Without rates everything is admitted.
-func TestUnbounded(t *testing.T) {
+func TestUnlimited(t *testing.T) {
 	c := New(Limits{})
 	for i := range 1000 {
 		require.True(t, c.Admit(0, Request{fmt.Sprint(i), true}).Admitted)
--- a/control/admission/bucket.go
+++ b/control/admission/bucket.go
@@ -6,8 +6,8 @@
 	"beammux/control"
 )
 
-// roundOff is how much a bucket may lack of a token that it should hold by its own arithmetic.
-const roundOff = 1e-6
+// roundingTolerance is how much a bucket may lack of a token that it should hold by its own arithmetic.
+const roundingTolerance = 1e-6
 
 // buckets are the two of a controller. They are a value: a copy is a trial of what is to come.
 type buckets struct{ sessions, snapshots bucket }
@@ -21,23 +21,23 @@
 	b.snapshots.advance(now)
 }
 
-// hold reports whether there is a token for a session, and one for a snapshot if it needs one.
-func (b *buckets) hold(snapshot bool) bool {
-	return b.sessions.holds() && (!snapshot || b.snapshots.holds())
+// hasTokens reports whether there is a token for a session, and one for a snapshot if it needs one.
+func (b *buckets) hasTokens(snapshot bool) bool {
+	return b.sessions.hasToken() && (!snapshot || b.snapshots.hasToken())
 }
 
-func (b *buckets) spend(snapshot bool) {
-	b.sessions.spend()
+func (b *buckets) takeTokens(snapshot bool) {
+	b.sessions.takeToken()
 	if snapshot {
-		b.snapshots.spend()
+		b.snapshots.takeToken()
 	}
 }
 
-// ready is the time from which on the buckets hold the tokens for a session.
-func (b *buckets) ready(snapshot bool) control.Micros {
-	at := b.sessions.ready()
+// readyAt is the time from which on the buckets hold the tokens for a session.
+func (b *buckets) readyAt(snapshot bool) control.Micros {
+	at := b.sessions.readyAt()
 	if snapshot {
-		at = max(at, b.snapshots.ready())
+		at = max(at, b.snapshots.readyAt())
 	}
 	return at
 }
@@ -54,8 +54,8 @@
 // bucket is a token bucket. Without a rate it always holds a token.
 type bucket struct {
 	perMicro, burst, tokens float64
-	at                      control.Micros
-	begun                   bool
+	updatedAt               control.Micros
+	started                 bool
 }
 
 func newBucket(perSecond float64, burst int) bucket {
@@ -64,32 +64,32 @@
 	return b
 }
 
-func (b *bucket) bounds() bool { return b.perMicro > 0 }
+func (b *bucket) limited() bool { return b.perMicro > 0 }
 
 func (b *bucket) advance(now control.Micros) {
-	if b.begun {
-		b.tokens = min(b.burst, b.tokens+b.perMicro*float64(now-b.at))
+	if b.started {
+		b.tokens = min(b.burst, b.tokens+b.perMicro*float64(now-b.updatedAt))
 	}
-	b.begun, b.at = true, now
+	b.started, b.updatedAt = true, now
 }
 
-func (b *bucket) holds() bool { return !b.bounds() || b.tokens >= 1-roundOff }
+func (b *bucket) hasToken() bool { return !b.limited() || b.tokens >= 1-roundingTolerance }
 
-func (b *bucket) spend() {
-	if b.bounds() {
+func (b *bucket) takeToken() {
+	if b.limited() {
 		b.tokens--
 	}
 }
 
-func (b *bucket) ready() control.Micros {
-	if b.holds() {
-		return b.at
+func (b *bucket) readyAt() control.Micros {
+	if b.hasToken() {
+		return b.updatedAt
 	}
-	return b.at + control.Micros(math.Ceil((1-b.tokens)/b.perMicro))
+	return b.updatedAt + control.Micros(math.Ceil((1-b.tokens)/b.perMicro))
 }
 
 func (b *bucket) spacing() control.Micros {
-	if !b.bounds() {
+	if !b.limited() {
 		return 0
 	}
 	return control.Micros(math.Ceil(1 / b.perMicro))
--- a/control/advice/advice.go
+++ b/control/advice/advice.go
@@ -12,9 +12,9 @@
 
 // Of gives the advice of the first error in a chain that has any; "" where none has.
 func Of(err error) string {
-	var a Error
-	if errors.As(err, &a) {
-		return a.Advice()
+	var adviser Error
+	if errors.As(err, &adviser) {
+		return adviser.Advice()
 	}
 	return ""
 }
--- a/control/advice/advice_test.go
+++ b/control/advice/advice_test.go
@@ -20,17 +20,17 @@
 	"internal/counting", "internal/ejection", "internal/fleet", "internal/follow", "internal/limits", "internal/node", "internal/store",
 }
 
-// shortest advice that can tell anything.
-const shortest = 25
+// minAdviceLength advice that can tell anything.
+const minAdviceLength = 25
 
 // Every error type of the fleet's parts says what an operator can do, and no new part makes errors that are no types.
-func TestEveryErrorAdvises(t *testing.T) {
+func TestEveryErrorTypeHasAdvice(t *testing.T) {
 	types := 0
 	for _, dir := range packages {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
 		require.NoError(t, err)
 		require.NotEmpty(t, files, dir)
-		errorsOf, advises := map[string]bool{}, map[string]bool{}
+		hasError, hasAdvice := map[string]bool{}, map[string]bool{}
 		for _, file := range files {
 			if strings.HasSuffix(file, "_test.go") {
 				continue
@@ -44,18 +44,18 @@
 				if !ok || m.Recv == nil || len(m.Recv.List) != 1 {
 					continue
 				}
-				of := receiver(m.Recv.List[0].Type)
+				typeName := receiverName(m.Recv.List[0].Type)
 				switch m.Name.Name {
 				case "Error":
-					errorsOf[of] = true
+					hasError[typeName] = true
 				case "Advice":
-					advises[of] = longest(m.Body) >= shortest
+					hasAdvice[typeName] = longestString(m.Body) >= minAdviceLength
 				}
 			}
 		}
-		for name := range errorsOf {
+		for name := range hasError {
 			types++
-			if !advises[name] {
+			if !hasAdvice[name] {
 				t.Errorf("%s.%s gives no advice", dir, name)
 			}
 		}
@@ -63,7 +63,7 @@
 	require.Greater(t, types, 5)
 }
 
-func receiver(e ast.Expr) string {
+func receiverName(e ast.Expr) string {
 	if p, ok := e.(*ast.StarExpr); ok {
 		e = p.X
 	}
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// longest is the length of the longest text in a body.
-func longest(body *ast.BlockStmt) (n int) {
+// longestString is the length of the longest text in a body.
+func longestString(body *ast.BlockStmt) (n int) {
 	ast.Inspect(body, func(x ast.Node) bool {
 		if l, ok := x.(*ast.BasicLit); ok && l.Kind == token.STRING {
 			n = max(n, len(l.Value)-2)
@@ -84,13 +84,13 @@
 	return n
 }
 
-type sample struct{}
+type sampleError struct{}
 
-func (sample) Error() string  { return "it broke" }
-func (sample) Advice() string { return "mend it" }
+func (sampleError) Error() string  { return "it broke" }
+func (sampleError) Advice() string { return "mend it" }
 
 func TestOf(t *testing.T) {
-	require.Equal(t, "mend it", Of(fmt.Errorf("at the start: %w", sample{})))
+	require.Equal(t, "mend it", Of(fmt.Errorf("at the start: %w", sampleError{})))
 	require.Empty(t, Of(errors.New("plain")))
 	require.Empty(t, Of(nil))
 }
--- a/control/drain/drain_test.go
+++ b/control/drain/drain_test.go
@@ -55,7 +55,7 @@
 
 // Whatever the course: nothing is closed while serving, nothing with an answer owed, an idle connection after the quiet
 // time, and one whose calls stand at the cut.
-func TestCloseOverCourses(t *testing.T) {
+func TestConnectionModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d Drain
 		now := control.Micros(0)
@@ -88,7 +88,7 @@
 }
 
 // A process that ends releases nothing, and takes no rejoin.
-func TestEnd(t *testing.T) {
+func TestEndingProcess(t *testing.T) {
 	var d Drain
 	d.End(1_000_000)
 	d.Rejoin(2_000_000)
--- a/control/fleetview/fleetview.go
+++ b/control/fleetview/fleetview.go
@@ -125,15 +125,15 @@
 
 // View is the view of one member. It is not safe for use by several goroutines.
 type View struct {
-	self    string
-	reap    control.Micros
-	members map[string]*Member
-	version uint64
+	self      string
+	reapAfter control.Micros
+	members   map[string]*Member
+	version   uint64
 }
 
 // New makes the view of a member that knows itself alone; dead members and those that left are forgotten after reap.
-func New(self Member, now, reap control.Micros) *View {
-	v := &View{self: self.Name, reap: reap, members: map[string]*Member{}, version: 1}
+func New(self Member, now, reapAfter control.Micros) *View {
+	v := &View{self: self.Name, reapAfter: reapAfter, members: map[string]*Member{}, version: 1}
 	self.Health, self.Since = Alive, now
 	v.members[self.Name] = &self
 	return v
@@ -150,9 +150,9 @@
 	}
 	switch e.Kind {
 	case Own:
-		return v.own(now, m, e)
+		return v.applyLocalState(now, m, e)
 	case Met:
-		return v.met(now, m, e)
+		return v.applyAlive(now, m, e)
 	case Published:
 		if m != nil && e.Member.Start == m.Start && e.Member.ServersSeq > m.ServersSeq {
 			m.ServersSeq, m.ServersAt, m.Servers = e.Member.ServersSeq, now, slices.Clone(e.Member.Servers)
@@ -162,15 +162,15 @@
 	if m == nil {
 		return nil
 	}
-	to := map[Kind]Health{Suspected: Suspect, Answered: Alive, Died: Dead, Went: Left}[e.Kind]
+	health := map[Kind]Health{Suspected: Suspect, Answered: Alive, Died: Dead, Went: Left}[e.Kind]
 	if e.Kind == Suspected && m.Health != Alive || e.Kind == Answered && m.Health != Suspect ||
 		(e.Kind == Died || e.Kind == Went) && !m.Health.Up() {
 		return nil // a dead member comes back by Met alone
 	}
-	return v.turn(now, m, to, false)
+	return v.setHealth(now, m, health, false)
 }
 
-func (v *View) own(now control.Micros, m *Member, e Event) []Change {
+func (v *View) applyLocalState(now control.Micros, m *Member, e Event) []Change {
 	m.ServersAt, m.Servers = now, slices.Clone(e.Member.Servers)
 	m.ServersSeq++
 	if m.State == e.Member.State {
@@ -182,52 +182,52 @@
 	return []Change{{Name: m.Name, Health: m.Health, State: m.State}}
 }
 
-// met takes what a member says of itself. Only what is newer counts: a later start, or more said since the same start. A
+// applyAlive takes what a member says of itself. Only what is newer counts: a later start, or more said since the same start. A
 // member that was given up and is met again is alive again.
-func (v *View) met(now control.Micros, m *Member, e Event) []Change {
-	n := e.Member
-	n.Name = e.Name
+func (v *View) applyAlive(now control.Micros, m *Member, e Event) []Change {
+	received := e.Member
+	received.Name = e.Name
 	switch {
-	case m == nil || n.Start > m.Start:
-		n.Health, n.Since, n.Servers, n.ServersSeq, n.ServersAt = Alive, now, nil, 0, 0
-		v.members[e.Name] = &n
+	case m == nil || received.Start > m.Start:
+		received.Health, received.Since, received.Servers, received.ServersSeq, received.ServersAt = Alive, now, nil, 0, 0
+		v.members[e.Name] = &received
 		v.version++
-		return []Change{{Name: n.Name, Health: Alive, State: n.State, Fresh: true}}
-	case n.Start < m.Start:
+		return []Change{{Name: received.Name, Health: Alive, State: received.State, Fresh: true}}
+	case received.Start < m.Start:
 		return nil
 	}
 	if m.Health != Alive {
-		changes := v.turn(now, m, Alive, false)
-		v.said(m, n)
+		changes := v.setHealth(now, m, Alive, false)
+		v.updateMetadata(m, received)
 		changes[0].State = m.State
 		return changes
 	}
-	if !v.said(m, n) {
+	if !v.updateMetadata(m, received) {
 		return nil
 	}
 	v.version++
 	return []Change{{Name: m.Name, Health: m.Health, State: m.State}}
 }
 
-// said takes what a member newly says of itself, and tells whether that changes the view.
-func (v *View) said(m *Member, n Member) bool {
-	if n.Seq <= m.Seq {
+// updateMetadata takes what a member newly says of itself, and tells whether that changes the view.
+func (v *View) updateMetadata(m *Member, received Member) bool {
+	if received.Seq <= m.Seq {
 		return false
 	}
-	moved := m.State != n.State || m.Zone != n.Zone || m.Region != n.Region || m.Program != n.Program
-	m.Seq, m.State, m.Zone, m.Region, m.Program, m.Address = n.Seq, n.State, n.Zone, n.Region, n.Program, n.Address
-	return moved
+	viewChanged := m.State != received.State || m.Zone != received.Zone || m.Region != received.Region || m.Program != received.Program
+	m.Seq, m.State, m.Zone, m.Region, m.Program, m.Address = received.Seq, received.State, received.Zone, received.Region, received.Program, received.Address
+	return viewChanged
 }
 
-func (v *View) turn(now control.Micros, m *Member, to Health, reaped bool) []Change {
-	m.Health, m.Since = to, now
+func (v *View) setHealth(now control.Micros, m *Member, health Health, reaped bool) []Change {
+	m.Health, m.Since = health, now
 	v.version++
-	return []Change{{Name: m.Name, Health: to, State: m.State, Reaped: reaped}}
+	return []Change{{Name: m.Name, Health: health, State: m.State, Reaped: reaped}}
 }
 
 func (v *View) tick(now control.Micros) (changes []Change) {
-	for _, name := range v.names() {
-		if m := v.members[name]; !m.Health.Up() && now-m.Since >= v.reap {
+	for _, name := range v.sortedNames() {
+		if m := v.members[name]; !m.Health.Up() && now-m.Since >= v.reapAfter {
 			delete(v.members, name)
 			v.version++
 			changes = append(changes, Change{Name: name, Health: m.Health, State: m.State, Reaped: true})
@@ -236,7 +236,7 @@
 	return changes
 }
 
-func (v *View) names() []string {
+func (v *View) sortedNames() []string {
 	names := make([]string, 0, len(v.members))
 	for name := range v.members {
 		names = append(names, name)
@@ -252,22 +252,22 @@
 // and what is said of servers is not in it: those differ from member to member and moment to moment.
 func (v *View) Hash() uint64 {
 	h := fnv.New64a()
-	var n [8]byte
-	text := func(s string) {
-		binary.BigEndian.PutUint64(n[:], uint64(len(s)))
-		h.Write(n[:])
+	var buffer [8]byte
+	writeString := func(s string) {
+		binary.BigEndian.PutUint64(buffer[:], uint64(len(s)))
+		h.Write(buffer[:])
 		h.Write([]byte(s))
 	}
-	for _, name := range v.names() {
+	for _, name := range v.sortedNames() {
 		m := v.members[name]
 		if !m.Health.Up() {
 			continue
 		}
 		for _, s := range []string{m.Name, m.Zone, m.Region, m.Program} {
-			text(s)
+			writeString(s)
 		}
-		binary.BigEndian.PutUint64(n[:], m.Start)
-		h.Write(n[:])
+		binary.BigEndian.PutUint64(buffer[:], m.Start)
+		h.Write(buffer[:])
 		h.Write([]byte{byte(m.State)})
 	}
 	return h.Sum64()
@@ -275,14 +275,14 @@
 
 // Members gives copies of all members, sorted by name.
 func (v *View) Members() []Member {
-	out := make([]Member, 0, len(v.members))
+	members := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
 		c := *m
 		c.Servers = slices.Clone(m.Servers)
-		out = append(out, c)
+		members = append(members, c)
 	}
-	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
 }
 
 // EachUp hands each member that is up to f, which must not keep or change it.
@@ -310,7 +310,7 @@
 // Lost gives the addresses of members that are dead and not yet forgotten: who was cut off from them tries them again. One
 // that left is not waited for.
 func (v *View) Lost() (addresses []string) {
-	for _, name := range v.names() {
+	for _, name := range v.sortedNames() {
 		if m := v.members[name]; m.Health == Dead && m.Address != "" {
 			addresses = append(addresses, m.Address)
 		}
--- a/control/fleetview/fleetview_test.go
+++ b/control/fleetview/fleetview_test.go
@@ -13,12 +13,12 @@
 
 func self() Member { return Member{Name: "me", Zone: "a", Start: 5, State: Ready} }
 
-func met(name string, start, seq uint64, s State) Event {
+func aliveEvent(name string, start, seq uint64, s State) Event {
 	return Event{Kind: Met, Name: name, Member: Member{Start: start, Seq: seq, State: s, Zone: "a", Address: name + ":1"}}
 }
 
 // What a member's course of events makes of it, step by step.
-func TestCourseOfAMember(t *testing.T) {
+func TestMemberLifecycle(t *testing.T) {
 	v := New(self(), 0, 1000)
 	for i, step := range []struct {
 		at     control.Micros
@@ -27,10 +27,10 @@
 		state  State
 		change bool
 	}{
-		{1, met("x", 10, 1, Ready), Alive, Ready, true},
-		{2, met("x", 10, 1, Draining), Alive, Ready, false}, // nothing new said
-		{3, met("x", 10, 2, Draining), Alive, Draining, true},
-		{4, met("x", 10, 1, Ready), Alive, Draining, false}, // older
+		{1, aliveEvent("x", 10, 1, Ready), Alive, Ready, true},
+		{2, aliveEvent("x", 10, 1, Draining), Alive, Ready, false}, // nothing new said
+		{3, aliveEvent("x", 10, 2, Draining), Alive, Draining, true},
+		{4, aliveEvent("x", 10, 1, Ready), Alive, Draining, false}, // older
 		{5, Event{Kind: Suspected, Name: "x"}, Suspect, Draining, true},
 		{6, Event{Kind: Answered, Name: "x"}, Alive, Draining, true},
 		{7, Event{Kind: Answered, Name: "x"}, Alive, Draining, false},
@@ -39,9 +39,9 @@
 		{10, Event{Kind: Suspected, Name: "x"}, Dead, Draining, false},
 		{11, Event{Kind: Answered, Name: "x"}, Dead, Draining, false},
 		{12, Event{Kind: Went, Name: "x"}, Dead, Draining, false},
-		{13, met("x", 10, 2, Draining), Alive, Draining, true}, // refuted
-		{14, met("x", 11, 1, Ready), Alive, Ready, true},       // the same name, a new start
-		{15, met("x", 10, 9, Leaving), Alive, Ready, false},    // from before it
+		{13, aliveEvent("x", 10, 2, Draining), Alive, Draining, true}, // refuted
+		{14, aliveEvent("x", 11, 1, Ready), Alive, Ready, true},       // the same name, a new start
+		{15, aliveEvent("x", 10, 9, Leaving), Alive, Ready, false},    // from before it
 		{16, Event{Kind: Went, Name: "x"}, Left, Ready, true},
 		{1015, Event{Kind: Tick}, Left, Ready, false},
 	} {
@@ -56,19 +56,19 @@
 	}
 }
 
-func TestSummariesAreTheNewest(t *testing.T) {
+func TestNewestSummariesAreKept(t *testing.T) {
 	v := New(self(), 0, 1000)
-	v.Apply(1, met("x", 10, 1, Ready))
-	told := func(start, seq uint64, level int) {
+	v.Apply(1, aliveEvent("x", 10, 1, Ready))
+	publish := func(start, seq uint64, level int) {
 		v.Apply(2, Event{Kind: Published, Name: "x", Member: Member{Start: start, ServersSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
 	}
-	told(10, 2, 3)
-	told(10, 1, 0) // overtaken
-	told(9, 5, 0)  // of another start
+	publish(10, 2, 3)
+	publish(10, 1, 0) // overtaken
+	publish(9, 5, 0)  // of another start
 	if got := v.Members()[1].Servers; len(got) != 1 || got[0].Level != 3 {
 		t.Errorf("%+v", got)
 	}
-	v.Apply(3, met("x", 11, 1, Ready))
+	v.Apply(3, aliveEvent("x", 11, 1, Ready))
 	if got := v.Members()[1].Servers; got != nil {
 		t.Errorf("a new start keeps what the old one said: %+v", got)
 	}
@@ -95,7 +95,7 @@
 				start, seq := uint64(rapid.IntRange(1, 3).Draw(r, "start")), uint64(rapid.IntRange(1, 3).Draw(r, "seq"))
 				state := State(rapid.IntRange(0, 3).Draw(r, "state"))
 				if e.Kind == Met {
-					e = met(name, start, seq, state)
+					e = aliveEvent(name, start, seq, state)
 				}
 				before := maps.Clone(model)
 				f, known := model[name]
@@ -157,7 +157,7 @@
 				slices.Reverse(names)
 				for _, name := range names {
 					f := model[name]
-					other.Apply(0, met(name, f.start, f.seq, f.state))
+					other.Apply(0, aliveEvent(name, f.start, f.seq, f.state))
 					if !f.health.Up() {
 						other.Apply(0, Event{Kind: Died, Name: name})
 					}
@@ -173,11 +173,11 @@
 }
 
 // Whatever two members differ in, their hashes do too.
-func TestHashTellsDifferences(t *testing.T) {
+func TestHashDistinguishesViews(t *testing.T) {
 	hashes := map[uint64]string{}
 	for name, events := range map[string][]Event{
-		"alone": nil, "x": {met("x", 1, 1, Ready)}, "x draining": {met("x", 1, 1, Draining)}, "x later": {met("x", 2, 1, Ready)},
-		"y": {met("y", 1, 1, Ready)}, "both": {met("x", 1, 1, Ready), met("y", 1, 1, Ready)},
+		"alone": nil, "x": {aliveEvent("x", 1, 1, Ready)}, "x draining": {aliveEvent("x", 1, 1, Draining)}, "x later": {aliveEvent("x", 2, 1, Ready)},
+		"y": {aliveEvent("y", 1, 1, Ready)}, "both": {aliveEvent("x", 1, 1, Ready), aliveEvent("y", 1, 1, Ready)},
 	} {
 		v := New(self(), 0, 1000)
 		for _, e := range events {
@@ -189,7 +189,7 @@
 		hashes[v.Hash()] = name
 	}
 	v, w := New(self(), 0, 1000), New(self(), 0, 1000)
-	v.Apply(0, met("x", 1, 1, Ready))
+	v.Apply(0, aliveEvent("x", 1, 1, Ready))
 	v.Apply(1, Event{Kind: Died, Name: "x"})
 	if v.Hash() != w.Hash() || fmt.Sprint(v.Lost()) != "[x:1]" {
 		t.Errorf("a dead member counts, or is not looked for: %v", v.Lost())
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -14,13 +14,13 @@
 	"slices"
 )
 
-const mostKey = 128 // bytes of a key; what is longer is cut there
+const maxKeyLength = 128 // bytes of a key; what is longer is cut there
 
 type slot struct {
 	hash uint64
 	err  float64
 	len  uint8
-	key  [mostKey]byte
+	key  [maxKeyLength]byte
 }
 
 // entry is one of the index, with the hash beside it: looking for one reads nothing else.
@@ -37,23 +37,23 @@
 
 // Summary is a Space-Saving summary. Adding allocates nothing. It is not safe for use by several goroutines.
 type Summary struct {
-	seed  maphash.Seed
-	slots []slot
-	heap  []node  // the least count first
-	at    []int32 // by slot: its place in the heap
-	index []entry // by hash, open addressing with linear probes
-	total float64
+	seed      maphash.Seed
+	slots     []slot
+	heap      []node  // the least count first
+	heapIndex []int32 // by slot: its place in the heap
+	index     []entry // by hash, open addressing with linear probes
+	total     float64
 }
 
 // New makes a summary of so many slots, at least 1.
 func New(slots int) *Summary {
 	slots = max(slots, 1)
 	return &Summary{seed: maphash.MakeSeed(), slots: make([]slot, 0, slots), heap: make([]node, 0, slots),
-		at: make([]int32, slots), index: make([]entry, 4<<bits.Len(uint(slots-1)))}
+		heapIndex: make([]int32, slots), index: make([]entry, 4<<bits.Len(uint(slots-1)))}
 }
 
-// find gives the place of a hash in the index, or the free one where it would go.
-func (s *Summary) find(hash uint64) int {
+// lookup gives the place of a hash in the index, or the free one where it would go.
+func (s *Summary) lookup(hash uint64) int {
 	mask := len(s.index) - 1
 	for i := int(hash) & mask; ; i = (i + 1) & mask {
 		if v := &s.index[i]; v.slot == 0 || v.hash == hash {
@@ -62,8 +62,8 @@
 	}
 }
 
-// drop frees a place of the index and moves up what probed past it.
-func (s *Summary) drop(i int) {
+// deleteEntry frees a place of the index and moves up what probed past it.
+func (s *Summary) deleteEntry(i int) {
 	mask := len(s.index) - 1
 	for k := (i + 1) & mask; s.index[k].slot != 0; k = (k + 1) & mask {
 		if home := int(s.index[k].hash) & mask; (k-home)&mask >= (k-i)&mask {
@@ -75,54 +75,54 @@
 
 // Add counts a key with a weight. Two keys of one 64-bit hash (seeded anew at each start) count as one.
 func (s *Summary) Add(key string, weight float64) {
-	if len(key) > mostKey {
-		key = key[:mostKey]
+	if len(key) > maxKeyLength {
+		key = key[:maxKeyLength]
 	}
 	s.total += weight
 	hash := maphash.String(s.seed, key)
-	place := s.find(hash)
-	if v := s.index[place].slot; v != 0 {
-		at := int(s.at[v-1])
-		s.heap[at].count += weight
-		s.down(at)
+	entryIndex := s.lookup(hash)
+	if v := s.index[entryIndex].slot; v != 0 {
+		position := int(s.heapIndex[v-1])
+		s.heap[position].count += weight
+		s.siftDown(position)
 		return
 	}
 	n := len(s.slots)
 	if n < cap(s.slots) {
 		s.slots = append(s.slots, slot{hash: hash})
 		s.heap = append(s.heap, node{weight, int32(n)})
-		s.at[n] = int32(n)
-		s.index[place] = entry{hash, int32(n) + 1}
-		s.take(int32(n), key)
-		s.up(n)
+		s.heapIndex[n] = int32(n)
+		s.index[entryIndex] = entry{hash, int32(n) + 1}
+		s.setKey(int32(n), key)
+		s.siftUp(n)
 		return
 	}
 	least := &s.heap[0]
 	i := least.slot
-	s.drop(s.find(s.slots[i].hash))
+	s.deleteEntry(s.lookup(s.slots[i].hash))
 	s.slots[i].hash, s.slots[i].err = hash, least.count
-	s.index[s.find(hash)] = entry{hash, i + 1}
+	s.index[s.lookup(hash)] = entry{hash, i + 1}
 	least.count += weight
-	s.take(i, key)
-	s.down(0)
+	s.setKey(i, key)
+	s.siftDown(0)
 }
 
-func (s *Summary) take(i int32, key string) {
+func (s *Summary) setKey(i int32, key string) {
 	s.slots[i].len = uint8(copy(s.slots[i].key[:], key))
 }
 
 func (s *Summary) swap(a, b int) {
 	s.heap[a], s.heap[b] = s.heap[b], s.heap[a]
-	s.at[s.heap[a].slot], s.at[s.heap[b].slot] = int32(a), int32(b)
+	s.heapIndex[s.heap[a].slot], s.heapIndex[s.heap[b].slot] = int32(a), int32(b)
 }
 
-func (s *Summary) up(i int) {
+func (s *Summary) siftUp(i int) {
 	for p := (i - 1) / 2; i > 0 && s.heap[i].count < s.heap[p].count; i, p = p, (p-1)/2 {
 		s.swap(i, p)
 	}
 }
 
-func (s *Summary) down(i int) {
+func (s *Summary) siftDown(i int) {
 	for {
 		least := i
 		for c := 2*i + 1; c <= 2*i+2 && c < len(s.heap); c++ {
@@ -149,7 +149,7 @@
 
 // Rated gives a copy whose weights are multiplied by a factor over 0. A copy is read only: it is not added to.
 func (s *Summary) Rated(factor float64) *Summary {
-	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), at: slices.Clone(s.at), total: s.total}
+	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), heapIndex: slices.Clone(s.heapIndex), total: s.total}
 	if len(s.slots) < cap(s.slots) {
 		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // it has room left: nothing was put out
 	} else {
@@ -167,20 +167,20 @@
 }
 
 // Top gives the keys that are held, the heaviest first, at most so many.
-func (s *Summary) Top(most int) []Counter {
+func (s *Summary) Top(limit int) []Counter {
 	all := make([]Counter, 0, len(s.slots))
 	for i := range s.slots {
 		v := &s.slots[i]
-		all = append(all, Counter{string(v.key[:v.len]), s.heap[s.at[i]].count, v.err})
+		all = append(all, Counter{string(v.key[:v.len]), s.heap[s.heapIndex[i]].count, v.err})
 	}
-	return top(all, most)
+	return top(all, limit)
 }
 
-func top(all []Counter, most int) []Counter {
+func top(all []Counter, limit int) []Counter {
 	slices.SortFunc(all, func(a, b Counter) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key))
 	})
-	return all[:min(most, len(all))]
+	return all[:min(limit, len(all))]
 }
 
 // Total is the weight of all that was counted.
@@ -196,7 +196,7 @@
 
 // Merge adds summaries up: counts of a key are summed, and where a summary does not hold it, its Slack goes into count and
 // error, so that the bounds hold for the sum (Cafaro, Pulimeno and Tempesta, 2016).
-func Merge(most int, parts ...*Summary) []Counter {
+func Merge(limit int, parts ...*Summary) []Counter {
 	type sum struct{ count, err float64 }
 	sums := map[string]*sum{}
 	slack := 0.0
@@ -218,5 +218,5 @@
 	for key, v := range sums {
 		all = append(all, Counter{key, v.count, max(0, v.err)})
 	}
-	return top(all, most)
+	return top(all, limit)
 }
--- a/control/heavy/heavy_test.go
+++ b/control/heavy/heavy_test.go
@@ -62,7 +62,7 @@
 }
 
 // 100,000 numbers called once each stay in the memory of the slots, and a number called often among them is found.
-func TestManyNumbersOnce(t *testing.T) {
+func TestFrequentKeyAmongManyUniqueKeys(t *testing.T) {
 	s := New(64)
 	keys := make([]string, 100_000)
 	for i := range keys {
--- a/control/locality/locality.go
+++ b/control/locality/locality.go
@@ -17,16 +17,16 @@
 
 // Settings are the figures of the decision. The zero value of each is replaced by the default in parentheses.
 type Settings struct {
-	Zone, Region  string
-	Overprovision float64        // a level takes all traffic while its health times this is 1 or more (1.4)
-	Panic         float64        // with less health than this in all levels together, distance counts no more (0.25)
-	FailBelow     float64        // part of a zone's servers that can take set-ups, below which a member votes it failed (0.4)
-	RestoreAbove  float64        // and from which it votes it restored (0.7)
-	FailAfter     control.Micros // for so long without a break (500 ms)
-	RestoreAfter  control.Micros // (2 s)
-	OwnAfter      control.Micros // a member that alone can't use a zone goes by its own view after this (2 s)
-	StartCapacity float64        // of a cold server: the settings' start-capacity
-	WarmWithin    control.Micros // the settings' warm-within
+	Zone, Region       string
+	Overprovision      float64        // a level takes all traffic while its health times this is 1 or more (1.4)
+	Panic              float64        // with less health than this in all levels together, distance counts no more (0.25)
+	FailBelow          float64        // part of a zone's servers that can take set-ups, below which a member votes it failed (0.4)
+	RestoreAbove       float64        // and from which it votes it restored (0.7)
+	FailAfter          control.Micros // for so long without a break (500 ms)
+	RestoreAfter       control.Micros // (2 s)
+	LocalOverrideAfter control.Micros // a member that alone can't use a zone goes by its own view after this (2 s)
+	StartCapacity      float64        // of a cold server: the settings' start-capacity
+	WarmWithin         control.Micros // the settings' warm-within
 }
 
 func (s Settings) withDefaults() Settings {
@@ -36,7 +36,7 @@
 	s.RestoreAbove = cmp.Or(s.RestoreAbove, 0.7)
 	s.FailAfter = cmp.Or(s.FailAfter, 500000)
 	s.RestoreAfter = cmp.Or(s.RestoreAfter, 2000000)
-	s.OwnAfter = cmp.Or(s.OwnAfter, 2000000)
+	s.LocalOverrideAfter = cmp.Or(s.LocalOverrideAfter, 2000000)
 	return s
 }
 
@@ -45,8 +45,8 @@
 
 // The priorities.
 const (
-	OwnZone Priority = iota
-	OwnRegion
+	SameZone Priority = iota
+	SameRegion
 	Elsewhere
 	Priorities
 )
@@ -64,7 +64,7 @@
 type Server struct {
 	ID           uint32
 	Zone, Region string
-	Able         bool // it takes set-ups: ready on the list, below level 2
+	Available    bool // it takes set-ups: ready on the list, below level 2
 }
 
 // Vote is what one member holds of a zone.
@@ -94,36 +94,36 @@
 	return stateNames[s]
 }
 
-// By tells who decided a zone's state.
-type By uint8
+// Decider tells who decided a zone's state.
+type Decider uint8
 
 // Who decides.
 const (
-	Common By = iota // the members' votes
-	Own              // this member alone: it is cut off from the fleet, or from the zone alone
+	DecidedByVotes Decider = iota // the members' votes
+	DecidedLocally                // this member alone: it is cut off from the fleet, or from the zone alone
 )
 
-func (b By) String() string { return [...]string{"common", "own"}[min(int(b), 1)] }
+func (b Decider) String() string { return [...]string{"common", "own"}[min(int(b), 1)] }
 
 // Zone is a zone as it is held now.
 type Zone struct {
-	Name, Region string
-	Priority     Priority
-	Servers      int
-	Health       float64 // median of the members' votes, or the own one
-	State        State
-	By           By
-	Since        control.Micros // of the state
-	For, Against int            // members that vote it failed, and not
-	Share        float64        // most of this member's traffic that it may get: less than 1 while it returns
+	Name, Region              string
+	Priority                  Priority
+	Servers                   int
+	Health                    float64 // median of the members' votes, or the own one
+	State                     State
+	DecidedBy                 Decider
+	Since                     control.Micros // of the state
+	VotesFailed, VotesHealthy int            // members that vote it failed, and not
+	MaxShare                  float64        // most of this member's traffic that it may get: less than 1 while it returns
 }
 
 // Input is what is known at one moment.
 type Input struct {
 	Servers []Server
 	Votes   []Vote // of the other members that are up; each told with its last summary
-	Others  int    // members that should be there beside this one: with none of them up, it is cut off
-	Up      int    // of them, those that are up
+	Peers   int    // members that should be there beside this one: with none of them up, it is cut off
+	PeersUp int    // of them, those that are up
 }
 
 // Output is what follows.
@@ -137,48 +137,48 @@
 
 // Balancer is the decision of one member. It is not safe for use by several goroutines.
 type Balancer struct {
-	set   Settings
-	zones map[string]*zone
+	settings Settings
+	zones    map[string]*zoneState
 }
 
-type zone struct {
+type zoneState struct {
 	Zone
-	own      float64        // health as this member sees it
-	vote     bool           // this member's: failed
-	since    control.Micros // the own health is beyond the other threshold since then; 0: it is not
-	disagree control.Micros // the own vote is failed and the common state is not, since then; 0: no
-	seen     bool
+	localHealth        float64        // health as this member sees it
+	votesFailed        bool           // this member's: failed
+	pastThresholdSince control.Micros // the own health is beyond the other threshold since then; 0: it is not
+	disagreesSince     control.Micros // the own vote is failed and the common state is not, since then; 0: no
+	listed             bool
 }
 
 // New makes a balancer.
 func New(s Settings) *Balancer {
-	return &Balancer{set: s.withDefaults(), zones: map[string]*zone{}}
+	return &Balancer{settings: s.withDefaults(), zones: map[string]*zoneState{}}
 }
 
 // Step takes what is known at a time. Times never go back.
 func (b *Balancer) Step(now control.Micros, in Input) Output {
-	b.own(now, in.Servers)
+	b.updateLocalVotes(now, in.Servers)
 	var out Output
-	cut := in.Others > 0 && in.Up == 0
-	for _, name := range b.names() {
+	isolated := in.Peers > 0 && in.PeersUp == 0
+	for _, name := range b.sortedNames() {
 		z := b.zones[name]
-		was := z.Zone
-		b.decide(now, z, in.Votes, cut)
-		z.Share = b.share(now, z)
-		if z.State != was.State || z.By != was.By {
-			if z.State != was.State {
+		previous := z.Zone
+		b.decide(now, z, in.Votes, isolated)
+		z.MaxShare = b.maxShare(now, z)
+		if z.State != previous.State || z.DecidedBy != previous.DecidedBy {
+			if z.State != previous.State {
 				z.Since = now
 			}
 			out.Changes = append(out.Changes, z.Zone)
 		}
 		out.Zones = append(out.Zones, z.Zone)
-		out.Votes = append(out.Votes, Vote{Zone: name, Health: z.own, Failed: z.vote})
+		out.Votes = append(out.Votes, Vote{Zone: name, Health: z.localHealth, Failed: z.votesFailed})
 	}
 	out.Loads, out.Panic = b.loads(out.Zones)
 	return out
 }
 
-func (b *Balancer) names() []string {
+func (b *Balancer) sortedNames() []string {
 	names := make([]string, 0, len(b.zones))
 	for name := range b.zones {
 		names = append(names, name)
@@ -189,51 +189,51 @@
 
 func (b *Balancer) priority(zone, region string) Priority {
 	switch {
-	case zone == b.set.Zone:
-		return OwnZone
-	case region != "" && region == b.set.Region:
-		return OwnRegion
+	case zone == b.settings.Zone:
+		return SameZone
+	case region != "" && region == b.settings.Region:
+		return SameRegion
 	}
 	return Elsewhere
 }
 
-// own takes this member's view of each zone, and its vote with hysteresis.
-func (b *Balancer) own(now control.Micros, servers []Server) {
+// updateLocalVotes takes this member's view of each zone, and its vote with hysteresis.
+func (b *Balancer) updateLocalVotes(now control.Micros, servers []Server) {
 	for _, z := range b.zones {
-		z.seen, z.Servers, z.own = false, 0, 0
+		z.listed, z.Servers, z.localHealth = false, 0, 0
 	}
 	for _, s := range servers {
 		z := b.zones[s.Zone]
 		if z == nil {
-			z = &zone{Zone: Zone{Name: s.Zone, Since: now}}
+			z = &zoneState{Zone: Zone{Name: s.Zone, Since: now}}
 			b.zones[s.Zone] = z
 		}
-		if !z.seen {
-			z.seen, z.Region, z.Priority = true, s.Region, b.priority(s.Zone, s.Region)
+		if !z.listed {
+			z.listed, z.Region, z.Priority = true, s.Region, b.priority(s.Zone, s.Region)
 		}
 		z.Servers++
-		if s.Able {
-			z.own++
+		if s.Available {
+			z.localHealth++
 		}
 	}
 	for name, z := range b.zones {
-		if !z.seen { // the list names no server there any more
+		if !z.listed { // the list names no server there any more
 			delete(b.zones, name)
 			continue
 		}
-		z.own /= float64(z.Servers)
-		beyond, after := z.own < b.set.FailBelow, b.set.FailAfter
-		if z.vote {
-			beyond, after = z.own >= b.set.RestoreAbove, b.set.RestoreAfter
+		z.localHealth /= float64(z.Servers)
+		pastThreshold, delay := z.localHealth < b.settings.FailBelow, b.settings.FailAfter
+		if z.votesFailed {
+			pastThreshold, delay = z.localHealth >= b.settings.RestoreAbove, b.settings.RestoreAfter
 		}
 		switch {
-		case !beyond:
-			z.since = 0
-		case z.since == 0:
-			z.since = max(now, 1)
+		case !pastThreshold:
+			z.pastThresholdSince = 0
+		case z.pastThresholdSince == 0:
+			z.pastThresholdSince = max(now, 1)
 		}
-		if beyond && now-z.since >= after {
-			z.vote, z.since = !z.vote, 0
+		if pastThreshold && now-z.pastThresholdSince >= delay {
+			z.votesFailed, z.pastThresholdSince = !z.votesFailed, 0
 		}
 	}
 }
@@ -242,73 +242,73 @@
 // included, and restored once less than half do. With just half, which is a split view, it stays what it is. A member that
 // is cut off from the fleet goes by its own vote, and so does one that alone can't use a zone for some time: it may be its
 // own links that are cut, and it must not refuse what others could carry.
-func (b *Balancer) decide(now control.Micros, z *zone, votes []Vote, cut bool) {
-	z.For, z.Against = 0, 0
-	health := []float64{z.own}
+func (b *Balancer) decide(now control.Micros, z *zoneState, votes []Vote, isolated bool) {
+	z.VotesFailed, z.VotesHealthy = 0, 0
+	health := []float64{z.localHealth}
 	count := func(failed bool) {
 		if failed {
-			z.For++
+			z.VotesFailed++
 		} else {
-			z.Against++
+			z.VotesHealthy++
 		}
 	}
-	count(z.vote)
+	count(z.votesFailed)
 	for _, v := range votes {
 		if v.Zone == z.Name {
 			count(v.Failed)
 			health = append(health, v.Health)
 		}
 	}
-	failed := z.State == Failed && z.By == Common
+	failed := z.State == Failed && z.DecidedBy == DecidedByVotes
 	switch {
-	case z.For > z.Against:
+	case z.VotesFailed > z.VotesHealthy:
 		failed = true
-	case z.For < z.Against:
+	case z.VotesFailed < z.VotesHealthy:
 		failed = false
-	case z.By == Own: // a split view after a time of its own: its own vote breaks it
-		failed = z.vote
+	case z.DecidedBy == DecidedLocally: // a split view after a time of its own: its own vote breaks it
+		failed = z.votesFailed
 	}
-	by := Common
+	decider := DecidedByVotes
 	switch {
-	case cut:
-		failed, by = z.vote, Own
-		z.disagree = 0
-	case !z.vote || failed:
-		z.disagree = 0
-	case z.disagree == 0:
-		z.disagree = max(now, 1)
+	case isolated:
+		failed, decider = z.votesFailed, DecidedLocally
+		z.disagreesSince = 0
+	case !z.votesFailed || failed:
+		z.disagreesSince = 0
+	case z.disagreesSince == 0:
+		z.disagreesSince = max(now, 1)
 	}
-	if z.disagree > 0 && now-z.disagree >= b.set.OwnAfter {
-		failed, by = true, Own
+	if z.disagreesSince > 0 && now-z.disagreesSince >= b.settings.LocalOverrideAfter {
+		failed, decider = true, DecidedLocally
 	}
-	z.By = by
+	z.DecidedBy = decider
 	switch {
 	case failed:
 		z.State = Failed
 	case z.State == Failed:
 		z.State, z.Since = Returning, now
-	case z.State == Returning && now-z.Since >= b.set.WarmWithin:
+	case z.State == Returning && now-z.Since >= b.settings.WarmWithin:
 		z.State = Healthy
 	}
-	z.Health = z.own
-	if by == Common {
+	z.Health = z.localHealth
+	if decider == DecidedByVotes {
 		slices.Sort(health)
 		z.Health = health[(len(health)-1)/2]
 	}
 }
 
-// share is the most of a member's traffic that a zone may get: none while it is failed; while it returns, what its servers
+// maxShare is the most of a member's traffic that a zone may get: none while it is failed; while it returns, what its servers
 // can do by now if they came back cold (the settings' start-capacity, rising evenly until they are warm).
-func (b *Balancer) share(now control.Micros, z *zone) float64 {
+func (b *Balancer) maxShare(now control.Micros, z *zoneState) float64 {
 	switch z.State {
 	case Failed:
 		return 0
 	case Returning:
-		if b.set.WarmWithin <= 0 {
+		if b.settings.WarmWithin <= 0 {
 			return 1
 		}
-		age := min(float64(now-z.Since)/float64(b.set.WarmWithin), 1)
-		return b.set.StartCapacity + (1-b.set.StartCapacity)*age
+		age := min(float64(now-z.Since)/float64(b.settings.WarmWithin), 1)
+		return b.settings.StartCapacity + (1-b.settings.StartCapacity)*age
 	}
 	return 1
 }
@@ -317,42 +317,42 @@
 // times the overprovisioning factor allows, the next one what is left. What a returning zone adds to its level is held to
 // its share. Where all levels together can't take all, those without a returning zone get the rest (Envoy normalizes over
 // all); with none of those, the parts stay under 1, and what is over them is refused.
-func (b *Balancer) loads(zones []Zone) (loads [Priorities]float64, panic bool) {
-	var all, health [Priorities]float64
-	var returns [Priorities]bool
-	able, servers := 0.0, 0.0
+func (b *Balancer) loads(zones []Zone) (loads [Priorities]float64, panicMode bool) {
+	var levelServers, health [Priorities]float64
+	var hasReturning [Priorities]bool
+	availableServers, servers := 0.0, 0.0
 	for _, z := range zones {
 		n := float64(z.Servers)
-		all[z.Priority] += n
+		levelServers[z.Priority] += n
 		servers += n
 		switch z.State {
 		case Healthy:
-			health[z.Priority] += b.set.Overprovision * z.Health * n
-			able += z.Health * n
+			health[z.Priority] += b.settings.Overprovision * z.Health * n
+			availableServers += z.Health * n
 		case Returning:
-			health[z.Priority] += min(b.set.Overprovision*z.Health, z.Share) * n
-			returns[z.Priority] = true
-			able += z.Health * n
+			health[z.Priority] += min(b.settings.Overprovision*z.Health, z.MaxShare) * n
+			hasReturning[z.Priority] = true
+			availableServers += z.Health * n
 		}
 	}
-	if servers == 0 || able/servers < b.set.Panic {
+	if servers == 0 || availableServers/servers < b.settings.Panic {
 		return loads, true
 	}
-	left, whole := 1.0, 0.0
+	remaining, steadyHealth := 1.0, 0.0
 	for p := range loads {
-		if all[p] > 0 {
-			health[p] = min(health[p]/all[p], 1)
+		if levelServers[p] > 0 {
+			health[p] = min(health[p]/levelServers[p], 1)
 		}
-		loads[p] = min(left, health[p])
-		left -= loads[p]
-		if !returns[p] {
-			whole += health[p]
+		loads[p] = min(remaining, health[p])
+		remaining -= loads[p]
+		if !hasReturning[p] {
+			steadyHealth += health[p]
 		}
 	}
-	if left > 0 && whole > 0 {
+	if remaining > 0 && steadyHealth > 0 {
 		for p := range loads {
-			if !returns[p] {
-				loads[p] += left * health[p] / whole
+			if !hasReturning[p] {
+				loads[p] += remaining * health[p] / steadyHealth
 			}
 		}
 	}
--- a/control/locality/locality_test.go
+++ b/control/locality/locality_test.go
@@ -10,16 +10,16 @@
 	"beammux/control"
 )
 
-const sec = control.Micros(1000000)
+const second = control.Micros(1000000)
 
-var plain = Settings{Zone: "a", Region: "r", StartCapacity: 0.33, WarmWithin: 15 * sec}
+var testSettings = Settings{Zone: "a", Region: "r", StartCapacity: 0.33, WarmWithin: 15 * second}
 
 // servers makes four servers a zone, of which some are able: a and b are in region r, c in another.
 func servers(able map[string]int) (out []Server) {
 	for i, zone := range []string{"a", "b", "c"} {
 		region := map[string]string{"a": "r", "b": "r", "c": "q"}[zone]
 		for k := range 4 {
-			out = append(out, Server{ID: uint32(10*i + k), Zone: zone, Region: region, Able: k < able[zone]})
+			out = append(out, Server{ID: uint32(10*i + k), Zone: zone, Region: region, Available: k < able[zone]})
 		}
 	}
 	return out
@@ -36,7 +36,7 @@
 	return out
 }
 
-func find(t *testing.T, o Output, name string) Zone {
+func findZone(t *testing.T, o Output, name string) Zone {
 	t.Helper()
 	for _, z := range o.Zones {
 		if z.Name == name {
@@ -65,7 +65,7 @@
 		{map[string]int{"a": 1, "b": 1, "c": 0}, [Priorities]float64{}, true},
 		{map[string]int{"a": 2, "b": 1, "c": 0}, [Priorities]float64{0.7, 0.3, 0}, false},
 	} {
-		o := New(plain).Step(0, Input{Servers: servers(row.able)}) // the hysteresis has not run out: no zone is failed yet
+		o := New(testSettings).Step(0, Input{Servers: servers(row.able)}) // the hysteresis has not run out: no zone is failed yet
 		ok := o.Panic == row.panic
 		for p := range o.Loads {
 			ok = ok && (row.panic || near(o.Loads[p], row.loads[p]))
@@ -78,13 +78,13 @@
 
 // A zone is declared failed by more than half of the members' votes and restored by more than half; a split view leaves it.
 func TestVotes(t *testing.T) {
-	b := New(plain)
+	b := New(testSettings)
 	all := servers(map[string]int{"a": 4, "b": 4, "c": 4})
 	state := func(at control.Micros, failed, not int, want State) Output {
 		t.Helper()
-		o := b.Step(at, Input{Servers: all, Votes: votes("a", failed, not), Others: failed + not, Up: failed + not})
-		if z := find(t, o, "a"); z.State != want || z.By != Common {
-			t.Fatalf("%d for and %d against, and this one against: %v by %v", failed, not, z.State, z.By)
+		o := b.Step(at, Input{Servers: all, Votes: votes("a", failed, not), Peers: failed + not, PeersUp: failed + not})
+		if z := findZone(t, o, "a"); z.State != want || z.DecidedBy != DecidedByVotes {
+			t.Fatalf("%d for and %d against, and this one against: %v by %v", failed, not, z.State, z.DecidedBy)
 		}
 		return o
 	}
@@ -100,7 +100,7 @@
 
 // The member's own vote has hysteresis both ways, and a flapping zone does not turn it.
 func TestHysteresis(t *testing.T) {
-	b := New(plain)
+	b := New(testSettings)
 	step := func(at control.Micros, able int) bool {
 		o := b.Step(at, Input{Servers: servers(map[string]int{"a": able, "b": 4, "c": 4})})
 		return o.Votes[0].Failed
@@ -110,9 +110,9 @@
 		able   int
 		failed bool
 	}{
-		{0, 4, false}, {1 * sec, 1, false}, {1*sec + 499999, 1, false}, {1*sec + 500000, 1, true},
-		{2 * sec, 2, true}, {3 * sec, 3, true}, {4 * sec, 2, true}, {5 * sec, 3, true}, {7*sec - 1, 4, true}, {7 * sec, 4, false},
-		{8 * sec, 1, false}, {8*sec + 400000, 2, false}, {8*sec + 800000, 1, false}, {9*sec + 299999, 1, false}, {9*sec + 300000, 1, true},
+		{0, 4, false}, {1 * second, 1, false}, {1*second + 499999, 1, false}, {1*second + 500000, 1, true},
+		{2 * second, 2, true}, {3 * second, 3, true}, {4 * second, 2, true}, {5 * second, 3, true}, {7*second - 1, 4, true}, {7 * second, 4, false},
+		{8 * second, 1, false}, {8*second + 400000, 2, false}, {8*second + 800000, 1, false}, {9*second + 299999, 1, false}, {9*second + 300000, 1, true},
 	} {
 		if got := step(row.at, row.able); got != row.failed {
 			t.Fatalf("step %d at %d with %d able: failed %v", i, row.at, row.able, got)
@@ -122,53 +122,53 @@
 
 // Traffic returns to a restored zone by stages: no more than a cold zone can do, rising until it is warm.
 func TestStagedReturn(t *testing.T) {
-	b := New(plain)
+	b := New(testSettings)
 	all := servers(map[string]int{"a": 4, "b": 4, "c": 4})
-	b.Step(0, Input{Servers: all, Votes: votes("a", 3, 0), Others: 3, Up: 3})
+	b.Step(0, Input{Servers: all, Votes: votes("a", 3, 0), Peers: 3, PeersUp: 3})
 	at := func(now control.Micros) Output {
-		return b.Step(now, Input{Servers: all, Votes: votes("a", 0, 3), Others: 3, Up: 3})
+		return b.Step(now, Input{Servers: all, Votes: votes("a", 0, 3), Peers: 3, PeersUp: 3})
 	}
-	if o := at(1 * sec); find(t, o, "a").State != Returning || !near(o.Loads[OwnZone], 0.33) || !near(o.Loads[OwnRegion], 0.67) {
+	if o := at(1 * second); findZone(t, o, "a").State != Returning || !near(o.Loads[SameZone], 0.33) || !near(o.Loads[SameRegion], 0.67) {
 		t.Errorf("at first: %+v %v", o.Zones, o.Loads)
 	}
-	if o := at(1*sec + 7500000); !near(o.Loads[OwnZone], 0.665) {
+	if o := at(1*second + 7500000); !near(o.Loads[SameZone], 0.665) {
 		t.Errorf("half way: %v", o.Loads)
 	}
-	if o := at(16 * sec); find(t, o, "a").State != Healthy || !near(o.Loads[OwnZone], 1) {
+	if o := at(16 * second); findZone(t, o, "a").State != Healthy || !near(o.Loads[SameZone], 1) {
 		t.Errorf("warm: %+v %v", o.Zones, o.Loads)
 	}
 }
 
 // A member that is cut off from the fleet goes by its own view and says so, and goes back to the common one; so does one
 // that alone can't use a zone that the others can.
-func TestOwnView(t *testing.T) {
-	b := New(plain)
+func TestLocalOverride(t *testing.T) {
+	b := New(testSettings)
 	all := map[string]int{"a": 4, "b": 4, "c": 4}
-	lost := map[string]int{"a": 0, "b": 4, "c": 4}
+	without := map[string]int{"a": 0, "b": 4, "c": 4}
 	others := votes("a", 0, 3)
-	b.Step(0, Input{Servers: servers(all), Votes: others, Others: 3, Up: 3})
-	b.Step(1*sec, Input{Servers: servers(lost), Votes: others, Others: 3, Up: 3})
+	b.Step(0, Input{Servers: servers(all), Votes: others, Peers: 3, PeersUp: 3})
+	b.Step(1*second, Input{Servers: servers(without), Votes: others, Peers: 3, PeersUp: 3})
 	var o Output
-	for now := 1*sec + 100000; now < 1*sec+2500000; now += 100000 { // its vote turns after 0.5 s, its patience ends 2 s later
-		o = b.Step(now, Input{Servers: servers(lost), Votes: others, Others: 3, Up: 3})
-		if z := find(t, o, "a"); z.State != Healthy || z.By != Common {
+	for now := 1*second + 100000; now < 1*second+2500000; now += 100000 { // its vote turns after 0.5 s, its patience ends 2 s later
+		o = b.Step(now, Input{Servers: servers(without), Votes: others, Peers: 3, PeersUp: 3})
+		if z := findZone(t, o, "a"); z.State != Healthy || z.DecidedBy != DecidedByVotes {
 			t.Fatalf("at %d: %+v", now, z)
 		}
 	}
-	o = b.Step(1*sec+2500000, Input{Servers: servers(lost), Votes: others, Others: 3, Up: 3})
-	if z := find(t, o, "a"); z.State != Failed || z.By != Own || o.Loads[OwnRegion] != 1 {
+	o = b.Step(1*second+2500000, Input{Servers: servers(without), Votes: others, Peers: 3, PeersUp: 3})
+	if z := findZone(t, o, "a"); z.State != Failed || z.DecidedBy != DecidedLocally || o.Loads[SameRegion] != 1 {
 		t.Errorf("alone with it: %+v %v", z, o.Loads)
 	}
-	for now := 4 * sec; now <= 7*sec; now += sec {
-		o = b.Step(now, Input{Servers: servers(all), Votes: others, Others: 3, Up: 3})
+	for now := 4 * second; now <= 7*second; now += second {
+		o = b.Step(now, Input{Servers: servers(all), Votes: others, Peers: 3, PeersUp: 3})
 	}
-	if z := find(t, o, "a"); z.State != Returning || z.By != Common {
+	if z := findZone(t, o, "a"); z.State != Returning || z.DecidedBy != DecidedByVotes {
 		t.Errorf("its links are back: %+v", z)
 	}
-	c := New(plain)
-	c.Step(0, Input{Servers: servers(lost), Others: 3})
-	o = c.Step(1*sec, Input{Servers: servers(lost), Others: 3})
-	if z := find(t, o, "a"); z.State != Failed || z.By != Own {
+	c := New(testSettings)
+	c.Step(0, Input{Servers: servers(without), Peers: 3})
+	o = c.Step(1*second, Input{Servers: servers(without), Peers: 3})
+	if z := findZone(t, o, "a"); z.State != Failed || z.DecidedBy != DecidedLocally {
 		t.Errorf("cut off: %+v", z)
 	}
 }
@@ -178,19 +178,19 @@
 // gets no more than its servers can do cold; and two members with the same votes hold every zone alike.
 func TestLoadsOverAllSequences(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		one, two := New(plain), New(plain)
+		first, second := New(testSettings), New(testSettings)
 		now := control.Micros(1)
 		r.Repeat(map[string]func(*rapid.T){"step": func(r *rapid.T) {
 			now += control.Micros(rapid.IntRange(0, 3_000_000).Draw(r, "passed"))
 			able := map[string]int{}
-			var told []Vote
+			var received []Vote
 			for _, zone := range []string{"a", "b", "c"} {
 				able[zone] = rapid.IntRange(0, 4).Draw(r, zone)
-				told = append(told, votes(zone, rapid.IntRange(0, 3).Draw(r, "for "+zone), rapid.IntRange(0, 3).Draw(r, "against "+zone))...)
+				received = append(received, votes(zone, rapid.IntRange(0, 3).Draw(r, "for "+zone), rapid.IntRange(0, 3).Draw(r, "against "+zone))...)
 			}
-			in := Input{Servers: servers(able), Votes: told, Others: 6, Up: 6}
-			o := one.Step(now, in)
-			other := two.Step(now, in)
+			in := Input{Servers: servers(able), Votes: received, Peers: 6, PeersUp: 6}
+			o := first.Step(now, in)
+			other := second.Step(now, in)
 			for i, z := range o.Zones {
 				if w := other.Zones[i]; z != w {
 					r.Fatalf("two members differ: %+v and %+v", z, w)
@@ -214,7 +214,7 @@
 							failed++
 						case Returning:
 							returning++
-							share = z.Share
+							share = z.MaxShare
 						case Healthy:
 							healthy++
 							free = free || z.Health > 0
--- a/control/member/member.go
+++ b/control/member/member.go
@@ -27,8 +27,8 @@
 	Changing bool // a change is not committed yet
 }
 
-// BehindMost is how many entries a learner may lack when it gets its vote: less than a second of a busy store.
-const BehindMost = 64
+// MaxPromotionLag is how many entries a learner may lack when it gets its vote: less than a second of a busy store.
+const MaxPromotionLag = 64
 
 // Do names what a change does.
 type Do string
@@ -114,8 +114,8 @@
 		return Nothing, nil
 	case !m.Up:
 		return Nothing, refuse(false, "%s does not answer: as a voter it would count for the majority and not make one", node)
-	case m.Behind > BehindMost:
-		return Nothing, refuse(false, "%s lacks %d entries, %d at most: wait until it has them", node, m.Behind, BehindMost)
+	case m.Behind > MaxPromotionLag:
+		return Nothing, refuse(false, "%s lacks %d entries, %d at most: wait until it has them", node, m.Behind, MaxPromotionLag)
 	}
 	return Promote, nil
 }
--- a/control/member/member_test.go
+++ b/control/member/member_test.go
@@ -24,11 +24,11 @@
 	os.Exit(m.Run())
 }
 
-func group(words ...string) *Group {
+func group(members ...string) *Group {
 	g := &Group{Leader: "n0"}
-	for i, w := range words {
-		g.Members = append(g.Members, Member{Node: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: strings.Contains(w, "v"), Up: strings.Contains(w, "u"),
-			Behind: map[bool]uint64{true: 1000}[strings.Contains(w, "b")]})
+	for i, flags := range members {
+		g.Members = append(g.Members, Member{Node: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: strings.Contains(flags, "v"), Up: strings.Contains(flags, "u"),
+			Behind: map[bool]uint64{true: 1000}[strings.Contains(flags, "b")]})
 	}
 	return g
 }
@@ -70,15 +70,15 @@
 
 // A model: whatever operators ask for, in whatever order members come and go, a group that could write before a change that
 // was not forced can write after it, and no vote is ever given to a member that is down or far behind.
-func TestNoChangeLosesTheMajority(t *testing.T) {
+func TestNoChangeLosesMajority(t *testing.T) {
 	changes := map[Do]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		g := group("vu", "vu", "vu")
-		writes := func() bool { all, up := g.voters(""); return up >= majority(all) }
+		writable := func() bool { all, up := g.voters(""); return up >= majority(all) }
 		for range rapid.IntRange(50, 150).Draw(t, "steps") {
 			node := fmt.Sprint("n", rapid.IntRange(0, 4).Draw(t, "node"))
 			m := g.find(node)
-			before := writes()
+			before := writable()
 			var do Do
 			var err error
 			address := ""
@@ -112,14 +112,14 @@
 			case MoveOne:
 				m.Address = address
 			case Promote:
-				if !m.Up || m.Behind > BehindMost {
+				if !m.Up || m.Behind > MaxPromotionLag {
 					t.Fatalf("a vote for %+v", *m)
 				}
 				m.Voter = true
 			case RemoveIt:
 				g.Members = slices.DeleteFunc(g.Members, func(o Member) bool { return o.Node == node })
 			}
-			if before && !writes() {
+			if before && !writable() {
 				t.Fatalf("after %s of %s nothing can be written: %+v", do, node, g.Members)
 			}
 			if all, _ := g.voters(""); all == 0 {
--- a/control/scope/errors.go
+++ b/control/scope/errors.go
@@ -24,10 +24,10 @@
 }
 
 func (e *KeyError) Error() string {
-	return fmt.Sprintf("scope: key %q %s", e.Key, e.what())
+	return fmt.Sprintf("scope: key %q %s", e.Key, e.description())
 }
 
-func (e *KeyError) what() string {
+func (e *KeyError) description() string {
 	switch e.Fault {
 	case NoPrefix:
 		return fmt.Sprintf("does not begin with %q", Prefix)
--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -61,11 +61,11 @@
 func (k Key) String() string { return scopePrefix(k.Kind, k.Of) + k.Section }
 
 // scopePrefix is what all keys of one scope begin with.
-func scopePrefix(kind Kind, of string) string {
+func scopePrefix(kind Kind, name string) string {
 	if kind == All {
 		return Prefix + kind.String() + "/"
 	}
-	return Prefix + kind.String() + "/" + of + "/"
+	return Prefix + kind.String() + "/" + name + "/"
 }
 
 // ParseKey reads the key of a settings record. The error is a *KeyError.
@@ -80,14 +80,14 @@
 		return Key{}, &KeyError{key, NoScope}
 	}
 	k := Key{Kind: Kind(kind)}
-	want := 3
+	wantParts := 3
 	if k.Kind == All {
-		want = 2
+		wantParts = 2
 	}
-	if len(parts) != want {
+	if len(parts) != wantParts {
 		return Key{}, &KeyError{key, NoForm}
 	}
-	k.Section = parts[want-1]
+	k.Section = parts[wantParts-1]
 	if k.Kind != All {
 		k.Of = parts[1]
 		if !validName(k.Of) {
@@ -121,15 +121,15 @@
 // Check tells whether the names of a target can stand in keys. The error is a *NameError.
 func (t Target) Check() error {
 	for kind := Region; kind <= Gatekeeper; kind++ {
-		if of := t.of(kind); of != "" && !validName(of) {
-			return &NameError{kind, of}
+		if name := t.scopeName(kind); name != "" && !validName(name) {
+			return &NameError{kind, name}
 		}
 	}
 	return nil
 }
 
-// of is the name of the target's scope of a kind, "" where it has none.
-func (t Target) of(kind Kind) string {
+// scopeName is the name of the target's scope of a kind, "" where it has none.
+func (t Target) scopeName(kind Kind) string {
 	switch kind {
 	case Region:
 		return t.Region
@@ -147,15 +147,15 @@
 func (t Target) Prefixes() []string {
 	prefixes := []string{scopePrefix(All, "")}
 	for kind := Region; kind <= Gatekeeper; kind++ {
-		if of := t.of(kind); of != "" {
-			prefixes = append(prefixes, scopePrefix(kind, of))
+		if name := t.scopeName(kind); name != "" {
+			prefixes = append(prefixes, scopePrefix(kind, name))
 		}
 	}
 	return prefixes
 }
 
-// holds tells whether a key is of one of the target's scopes.
-func (t Target) holds(k Key) bool { return k.Kind == All || k.Of == t.of(k.Kind) }
+// covers tells whether a key is of one of the target's scopes.
+func (t Target) covers(k Key) bool { return k.Kind == All || k.Of == t.scopeName(k.Kind) }
 
 // Record is one record of the store.
 type Record struct {
@@ -172,7 +172,7 @@
 	newest := make(map[Key]Record, len(records))
 	for _, r := range records {
 		k, err := ParseKey(r.Key)
-		if err != nil || !t.holds(k) {
+		if err != nil || !t.covers(k) {
 			continue
 		}
 		if other, ok := newest[k]; ok && other.Revision >= r.Revision {
--- a/control/scope/scope_test.go
+++ b/control/scope/scope_test.go
@@ -22,15 +22,15 @@
 
 func TestParseKey(t *testing.T) {
 	for key, want := range map[string]Key{
-		"settings/all/calls":                    {All, "", SectionCalls},
-		"settings/region/R/calls":               {Region, "R", SectionCalls},
-		"settings/zone/Z/limits":                {Zone, "Z", SectionLimits},
-		"settings/service/S.a-b/inventory":      {Service, "S.a-b", SectionInventory},
-		"settings/gatekeeper/G:1/calls":         {Gatekeeper, "G:1", SectionCalls},
-		"settings/gatekeeper/gåta/calls":        {Gatekeeper, "gåta", SectionCalls},
-		"settings/region/all/inventory":         {Region, "all", SectionInventory},
-		"settings/service/calls/limits":         {Service, "calls", SectionLimits},
-		"settings/zone/" + long(128) + "/calls": {Zone, long(128), SectionCalls},
+		"settings/all/calls":                       {All, "", SectionCalls},
+		"settings/region/R/calls":                  {Region, "R", SectionCalls},
+		"settings/zone/Z/limits":                   {Zone, "Z", SectionLimits},
+		"settings/service/S.a-b/inventory":         {Service, "S.a-b", SectionInventory},
+		"settings/gatekeeper/G:1/calls":            {Gatekeeper, "G:1", SectionCalls},
+		"settings/gatekeeper/gåta/calls":           {Gatekeeper, "gåta", SectionCalls},
+		"settings/region/all/inventory":            {Region, "all", SectionInventory},
+		"settings/service/calls/limits":            {Service, "calls", SectionLimits},
+		"settings/zone/" + repeatX(128) + "/calls": {Zone, repeatX(128), SectionCalls},
 	} {
 		got, err := ParseKey(key)
 		require.NoError(t, err, key)
@@ -38,28 +38,28 @@
 		require.Equal(t, key, got.String())
 	}
 	for key, want := range map[string]KeyFault{
-		"":                                      NoPrefix,
-		"settings":                              NoPrefix,
-		"Settings/all/calls":                    NoPrefix,
-		"inventory/all/calls":                   NoPrefix,
-		"settings/":                             NoScope,
-		"settings//calls":                       NoScope,
-		"settings/rack/r1/calls":                NoScope,
-		"settings/All/calls":                    NoScope,
-		"settings/all":                          NoForm,
-		"settings/all/x/calls":                  NoForm,
-		"settings/zone/calls":                   NoForm,
-		"settings/zone/a/b/calls":               NoForm,
-		"settings/zone/n1/calls/":               NoForm,
-		"settings/zone//calls":                  NoName,
-		"settings/zone/a b/calls":               NoName,
-		"settings/zone/a\x00/calls":             NoName,
-		"settings/zone/a\xff/calls":             NoName,
-		"settings/zone/" + long(129) + "/calls": NoName,
-		"settings/all/":                         NoSection,
-		"settings/all/verdicts":                 NoSection,
-		"settings/zone/n1/":                     NoSection,
-		"settings/zone/n1/Calls":                NoSection,
+		"":                                         NoPrefix,
+		"settings":                                 NoPrefix,
+		"Settings/all/calls":                       NoPrefix,
+		"inventory/all/calls":                      NoPrefix,
+		"settings/":                                NoScope,
+		"settings//calls":                          NoScope,
+		"settings/rack/r1/calls":                   NoScope,
+		"settings/All/calls":                       NoScope,
+		"settings/all":                             NoForm,
+		"settings/all/x/calls":                     NoForm,
+		"settings/zone/calls":                      NoForm,
+		"settings/zone/a/b/calls":                  NoForm,
+		"settings/zone/n1/calls/":                  NoForm,
+		"settings/zone//calls":                     NoName,
+		"settings/zone/a b/calls":                  NoName,
+		"settings/zone/a\x00/calls":                NoName,
+		"settings/zone/a\xff/calls":                NoName,
+		"settings/zone/" + repeatX(129) + "/calls": NoName,
+		"settings/all/":                            NoSection,
+		"settings/all/verdicts":                    NoSection,
+		"settings/zone/n1/":                        NoSection,
+		"settings/zone/n1/Calls":                   NoSection,
 	} {
 		_, err := ParseKey(key)
 		var fault *KeyError
@@ -70,12 +70,12 @@
 	}
 }
 
-func long(n int) string { return strings.Repeat("x", n) }
+func repeatX(n int) string { return strings.Repeat("x", n) }
 
 func TestTargetCheck(t *testing.T) {
 	require.NoError(t, target.Check())
 	require.NoError(t, Target{}.Check())
-	for _, bad := range []Target{{Name: "a/b"}, {Region: "a b"}, {Zone: "\n"}, {Service: long(129)}} {
+	for _, bad := range []Target{{Name: "a/b"}, {Region: "a b"}, {Zone: "\n"}, {Service: repeatX(129)}} {
 		err := bad.Check()
 		var fault *NameError
 		require.ErrorAs(t, err, &fault)
@@ -103,8 +103,8 @@
 	require.Empty(t, Resolve(target, nil))
 }
 
-// naive is the rule as it is written: from the widest scope to the narrowest, each key's newest record replaces what was there.
-func naive(t Target, records []Record) map[string]Record {
+// naiveResolve is the rule as it is written: from the widest scope to the narrowest, each key's newest record replaces what was there.
+func naiveResolve(t Target, records []Record) map[string]Record {
 	resolved := map[string]Record{}
 	for _, prefix := range t.Prefixes() {
 		for _, section := range Sections() {
@@ -141,7 +141,7 @@
 			records = append(records, Record{k.String(), value, uint64(i + 1)})
 		}
 		mixed := rapid.Permutation(records).Draw(t, "mixed")
-		want := naive(who, records)
+		want := naiveResolve(who, records)
 		if diff := cmp.Diff(want, Resolve(who, mixed)); diff != "" {
 			t.Fatal(diff)
 		}
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -30,34 +30,34 @@
 
 // fleet is a deployment in virtual time.
 type fleet struct {
-	now      control.Micros
-	due      dueHeap
-	ordered  uint64
-	random   *rand.Rand
-	replicas []*fleetReplica
-	byName   map[string]*fleetReplica
-	clients  []*fleetClient
-	timing   Timing
-	opened   map[string]map[control.Micros]int // new sessions by replica and window
+	now       control.Micros
+	events    eventHeap
+	lastOrder uint64
+	random    *rand.Rand
+	replicas  []*fleetReplica
+	byName    map[string]*fleetReplica
+	clients   []*fleetClient
+	timing    Timing
+	opened    map[string]map[control.Micros]int // new sessions by replica and window
 }
 
 // health is how a control machine stands.
 type health int
 
 const (
-	up      health = iota
-	refuses        // the process has ended: connections are reset
-	silent         // the machine is off: nothing is answered
+	up          health = iota
+	resetting          // the process has ended: connections are reset
+	unreachable        // the machine is off: nothing is answered
 )
 
 type fleetReplica struct {
 	Replica
-	health   health
-	sessions map[fleetSession]bool
-	mostLoad int
-	most     int              // sessions that it holds at a time; 0: no bound
-	limits   admission.Limits // of its admission; none: whoever comes is taken
-	admitter *admission.Controller
+	health      health
+	sessions    map[fleetSession]bool
+	peakLoad    int
+	maxSessions int              // sessions that it holds at a time; 0: no bound
+	limits      admission.Limits // of its admission; none: whoever comes is taken
+	admitter    *admission.Controller
 }
 
 type fleetSession struct {
@@ -66,43 +66,43 @@
 }
 
 type fleetClient struct {
-	machine *Machine
-	open    map[uint64]*fleetReplica
-	waking  bool
-	wakeAt  control.Micros
-	name    string
+	machine       *Machine
+	open          map[uint64]*fleetReplica
+	tickScheduled bool
+	tickAt        control.Micros
+	name          string
 }
 
-type dueEvent struct {
+type timedEvent struct {
 	at    control.Micros
 	order uint64
 	do    func()
 }
 
-type dueHeap []dueEvent
+type eventHeap []timedEvent
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueEvent)) }
-func (h *dueHeap) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timedEvent)) }
+func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
 func (f *fleet) after(d control.Micros, do func()) {
-	f.ordered++
-	heap.Push(&f.due, dueEvent{f.now + d, f.ordered, do})
+	f.lastOrder++
+	heap.Push(&f.events, timedEvent{f.now + d, f.lastOrder, do})
 }
 
 // runFor lets virtual time pass.
 func (f *fleet) runFor(d control.Micros) {
 	end := f.now + d
-	for len(f.due) > 0 && f.due[0].at <= end {
-		e := heap.Pop(&f.due).(dueEvent)
+	for len(f.events) > 0 && f.events[0].at <= end {
+		e := heap.Pop(&f.events).(timedEvent)
 		f.now = e.at
 		e.do()
 	}
@@ -110,14 +110,14 @@
 }
 
 // runUntil lets time pass until a condition holds, and gives how long that took; the test fails if it does not within a time.
-func (f *fleet) runUntil(t *testing.T, within control.Micros, what string, holds func() bool) control.Micros {
+func (f *fleet) runUntil(t *testing.T, within control.Micros, description string, condition func() bool) control.Micros {
 	t.Helper()
-	begun := f.now
-	for !holds() {
-		require.Less(t, f.now-begun, within, what)
+	start := f.now
+	for !condition() {
+		require.Less(t, f.now-start, within, description)
 		f.runFor(50e3)
 	}
-	return f.now - begun
+	return f.now - start
 }
 
 // latency is that of a round trip in a data centre or between regions.
@@ -146,7 +146,7 @@
 		f.clients = append(f.clients, c)
 		f.after(control.Micros(f.random.Float64()*float64(startWithin)), func() {
 			c.machine = New(f.now, Options{Self: scope.Target{Name: c.name, Zone: zone, Region: region}, Replicas: list, Random: f.random.Float64})
-			f.step(c, nil)
+			f.execute(c, nil)
 		})
 	}
 	for _, r := range f.replicas {
@@ -155,8 +155,8 @@
 	return f
 }
 
-// step carries out actions of a client, and has it woken when it wants to be.
-func (f *fleet) step(c *fleetClient, actions []Action) {
+// execute carries out actions of a client, and has it woken when it wants to be.
+func (f *fleet) execute(c *fleetClient, actions []Action) {
 	for _, a := range actions {
 		switch a.Do {
 		case Connect:
@@ -168,39 +168,39 @@
 			delete(c.open, a.Session)
 		}
 	}
-	f.wake(c)
+	f.scheduleTick(c)
 }
 
-// wake has a client's machine ticked when it wants to be. A call that is due earlier already looks again then.
-func (f *fleet) wake(c *fleetClient) {
+// scheduleTick has a client's machine ticked when it wants to be. A call that is due earlier already looks again then.
+func (f *fleet) scheduleTick(c *fleetClient) {
 	at, _ := c.machine.Wake()
-	if c.waking && c.wakeAt <= at {
+	if c.tickScheduled && c.tickAt <= at {
 		return
 	}
-	c.waking, c.wakeAt = true, at
+	c.tickScheduled, c.tickAt = true, at
 	f.after(max(0, at-f.now), func() {
-		if !c.waking || c.wakeAt != at {
+		if !c.tickScheduled || c.tickAt != at {
 			return // an earlier call took its place
 		}
-		c.waking = false
+		c.tickScheduled = false
 		if due, _ := c.machine.Wake(); due > f.now {
-			f.wake(c)
+			f.scheduleTick(c)
 			return
 		}
-		f.step(c, c.machine.Tick(f.now))
+		f.execute(c, c.machine.Tick(f.now))
 	})
 }
 
 // arrive is an attempt's arrival at a replica.
 func (f *fleet) arrive(c *fleetClient, r *fleetReplica, a Action) {
-	if c.open[a.Session] == nil || r.health == silent {
+	if c.open[a.Session] == nil || r.health == unreachable {
 		return
 	}
-	if r.health == refuses {
+	if r.health == resetting {
 		f.end(c, a.Session, End{Reason: Lost})
 		return
 	}
-	if r.most > 0 && len(r.sessions) >= r.most {
+	if r.maxSessions > 0 && len(r.sessions) >= r.maxSessions {
 		f.end(c, a.Session, End{Reason: Full})
 		return
 	}
@@ -209,17 +209,17 @@
 		return
 	}
 	r.sessions[fleetSession{c, a.Session}] = true
-	r.mostLoad = max(r.mostLoad, len(r.sessions))
+	r.peakLoad = max(r.peakLoad, len(r.sessions))
 	f.opened[r.Name][f.now/loadWindow]++
 	kind := Heartbeat
 	if a.After == 0 {
 		kind = Snapshot
 	}
-	f.step(c, c.machine.Heard(f.now, a.Session, Event{Kind: kind, Revision: 1}))
+	f.execute(c, c.machine.Heard(f.now, a.Session, Event{Kind: kind, Revision: 1}))
 }
 
-// admits sets the rate and the burst at which a replica takes sessions, and sends snapshots.
-func (r *fleetReplica) admits(rate float64, burst int) {
+// limitAdmission sets the rate and the burst at which a replica takes sessions, and sends snapshots.
+func (r *fleetReplica) limitAdmission(rate float64, burst int) {
 	r.limits = admission.Limits{SessionsPerSecond: rate, SessionsBurst: burst, SnapshotsPerSecond: rate, SnapshotsBurst: burst}
 	r.admitter = admission.New(r.limits)
 }
@@ -235,7 +235,7 @@
 func (f *fleet) end(c *fleetClient, session uint64, e End) {
 	if r := c.open[session]; r != nil {
 		delete(c.open, session)
-		f.step(c, c.machine.Ended(f.now, session, e))
+		f.execute(c, c.machine.Ended(f.now, session, e))
 	}
 }
 
@@ -243,7 +243,7 @@
 	if r.health == up {
 		for _, s := range r.list() {
 			if r.sessions[s] {
-				f.step(s.client, s.client.machine.Heard(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
+				f.execute(s.client, s.client.machine.Heard(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
 			}
 		}
 	}
@@ -263,20 +263,20 @@
 		r.health = how
 		sessions += len(r.sessions)
 		for _, s := range r.list() {
-			if how == refuses {
+			if how == resetting {
 				f.after(f.latency(), func() { f.end(s.client, s.id, End{Reason: Lost}) })
 			}
 		}
 		r.sessions = map[fleetSession]bool{}
 	}
-	f.watchLoads()
+	f.resetPeaks()
 	return sessions
 }
 
-// watchLoads begins to take the highest loads and new sessions anew.
-func (f *fleet) watchLoads() {
+// resetPeaks begins to take the highest loads and new sessions anew.
+func (f *fleet) resetPeaks() {
 	for _, r := range f.replicas {
-		r.mostLoad = len(r.sessions)
+		r.peakLoad = len(r.sessions)
 		f.opened[r.Name] = map[control.Micros]int{}
 	}
 }
@@ -288,11 +288,11 @@
 			r.admitter = admission.New(r.limits) // a new process
 		}
 	}
-	f.watchLoads()
+	f.resetPeaks()
 }
 
-// in gives the control machines of a zone or region.
-func (f *fleet) in(place string) (list []*fleetReplica) {
+// replicasIn gives the control machines of a zone or region.
+func (f *fleet) replicasIn(place string) (list []*fleetReplica) {
 	for _, r := range f.replicas {
 		if r.Zone == place || r.Region == place {
 			list = append(list, r)
@@ -301,8 +301,8 @@
 	return list
 }
 
-// connected tells whether all gatekeepers have a session at a machine that is up.
-func (f *fleet) connected() bool {
+// allConnected tells whether all gatekeepers have a session at a machine that is up.
+func (f *fleet) allConnected() bool {
 	for _, c := range f.clients {
 		if c.machine == nil {
 			return false
@@ -315,8 +315,8 @@
 	return true
 }
 
-// settled tells whether all gatekeepers have theirs at the machine that they prefer.
-func (f *fleet) settled() bool {
+// allAtPreferred tells whether all gatekeepers have theirs at the machine that they prefer.
+func (f *fleet) allAtPreferred() bool {
 	for _, c := range f.clients {
 		if c.machine.current == nil || c.machine.current.rank > 0 || c.machine.attempt != nil {
 			return false
@@ -325,16 +325,16 @@
 	return true
 }
 
-// mostLoad is the highest load of any machine since the loads are watched.
-func (f *fleet) mostLoad() (most int) {
+// peakLoad is the highest load of any machine since the loads are watched.
+func (f *fleet) peakLoad() (most int) {
 	for _, r := range f.replicas {
-		most = max(most, r.mostLoad)
+		most = max(most, r.peakLoad)
 	}
 	return most
 }
 
-// peak is the most new sessions that any machine had within a second, and within a window.
-func (f *fleet) peak() (second, window int) {
+// peakNewSessions is the most new sessions that any machine had within a second, and within a window.
+func (f *fleet) peakNewSessions() (second, window int) {
 	for _, windows := range f.opened {
 		for at, n := range windows {
 			sum := 0
@@ -347,10 +347,10 @@
 	return second, window
 }
 
-// chance is the most that n clients come to at one of several places by chance: five standard deviations over the mean.
-func chance(n int, part float64) int {
-	mean := float64(n) * part
-	return int(math.Ceil(mean + 5*math.Sqrt(mean*(1-part))))
+// binomialBound is the most that n clients come to at one of several places by chance: five standard deviations over the mean.
+func binomialBound(n int, probability float64) int {
+	mean := float64(n) * probability
+	return int(math.Ceil(mean + 5*math.Sqrt(mean*(1-probability))))
 }
 
 const zoneClients = (fleetClients + 5) / 6
@@ -366,7 +366,7 @@
 // With a bound of twice a machine's share the machine that is left in a zone takes no more than that: the rest go on to the
 // region's other zone at once, none is left without a session, and all come back once the lost machine has returned.
 func TestFleetWithFullMachines(t *testing.T) {
-	const most = 2 * fleetClients / fleetReplicas
+	const maxSessions = 2 * fleetClients / fleetReplicas
 	timing := Timing{}.WithDefaults()
 	const slack = control.Micros(300e3)
 	for seed := range fleetSeeds() {
@@ -374,25 +374,25 @@
 			t.Parallel()
 			f := newFleet(seed, 10e6)
 			for _, r := range f.replicas {
-				r.most = most
+				r.maxSessions = maxSessions
 			}
 			f.runFor(10e6)
-			f.runUntil(t, 5e6, "started", f.settled)
+			f.runUntil(t, 5e6, "started", f.allAtPreferred)
 			f.runFor(timing.StableAfter + 10e6)
 
-			lost, left := f.in("zone-1")[0], f.in("zone-1")[1]
-			f.fail(refuses, lost)
-			took := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.connected)
-			require.Equal(t, most, left.mostLoad, "%d gatekeepers of its zone would go there", zoneClients)
-			require.LessOrEqual(t, f.mostLoad(), most)
+			lost, left := f.replicasIn("zone-1")[0], f.replicasIn("zone-1")[1]
+			f.fail(resetting, lost)
+			elapsed := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.allConnected)
+			require.Equal(t, maxSessions, left.peakLoad, "%d gatekeepers of its zone would go there", zoneClients)
+			require.LessOrEqual(t, f.peakLoad(), maxSessions)
 			f.runFor(2 * timing.ReturnEvery)
-			require.True(t, f.connected())
-			require.LessOrEqual(t, f.mostLoad(), most, "they look for room in their zone, and find none")
+			require.True(t, f.allConnected())
+			require.LessOrEqual(t, f.peakLoad(), maxSessions, "they look for room in their zone, and find none")
 
 			f.recover(lost)
-			back := f.runUntil(t, timing.ReturnEvery+slack, "all are back where they prefer to be", f.settled)
-			require.LessOrEqual(t, f.mostLoad(), most)
-			t.Logf("all have a session again in %.2f s, and are back in %.2f s", float64(took)/1e6, float64(back)/1e6)
+			returnElapsed := f.runUntil(t, timing.ReturnEvery+slack, "all are back where they prefer to be", f.allAtPreferred)
+			require.LessOrEqual(t, f.peakLoad(), maxSessions)
+			t.Logf("all have a session again in %.2f s, and are back in %.2f s", float64(elapsed)/1e6, float64(returnElapsed)/1e6)
 		})
 	}
 }
@@ -410,37 +410,37 @@
 		silent   int // of these the most that get no answer, where machines are silent: see silentSkip
 		peak     int // most new sessions a second at a machine
 	}{
-		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.in("zone-1")[:1] }, zoneClients, 1, 0, chance(zoneClients, 0.5)},
-		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.in("zone-0")[:1] }, chance(zoneClients, 0.5), 1, 0, chance(zoneClients, 1./6)},
-		{"two of three in a zone", func(f *fleet) []*fleetReplica { return f.in("zone-0")[:2] }, zoneClients, 2, 1, chance(zoneClients, 2./3)},
-		{"a zone", func(f *fleet) []*fleetReplica { return f.in("zone-1") }, chance(zoneClients, 1./3) * 2, 2, 1, chance(zoneClients, 1./3)},
+		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1")[:1] }, zoneClients, 1, 0, binomialBound(zoneClients, 0.5)},
+		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:1] }, binomialBound(zoneClients, 0.5), 1, 0, binomialBound(zoneClients, 1./6)},
+		{"two of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:2] }, zoneClients, 2, 1, binomialBound(zoneClients, 2./3)},
+		{"a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1") }, binomialBound(zoneClients, 1./3) * 2, 2, 1, binomialBound(zoneClients, 1./3)},
 		// The machines of the other regions take a ninth each, beside their own: half of a zone's, or half of the third machine's zone.
-		{"a region", func(f *fleet) []*fleetReplica { return f.in("region-0") }, chance(zoneClients, 0.5) + chance(2*zoneClients, 1./8), 5, 2, chance(2*zoneClients, 1./8)},
+		{"a region", func(f *fleet) []*fleetReplica { return f.replicasIn("region-0") }, binomialBound(zoneClients, 0.5) + binomialBound(2*zoneClients, 1./8), 5, 2, binomialBound(2*zoneClients, 1./8)},
 	} {
-		for _, how := range []health{refuses, silent} {
+		for _, how := range []health{resetting, unreachable} {
 			for seed := range fleetSeeds() {
-				t.Run(fmt.Sprint(failure.name, "/", map[health]string{refuses: "killed", silent: "silent"}[how], "/", seed), func(t *testing.T) {
+				t.Run(fmt.Sprint(failure.name, "/", map[health]string{resetting: "killed", unreachable: "silent"}[how], "/", seed), func(t *testing.T) {
 					t.Parallel()
 					f := newFleet(seed, 10e6)
 					f.runFor(10e6)
-					f.runUntil(t, 5e6, "started", f.settled)
+					f.runUntil(t, 5e6, "started", f.allAtPreferred)
 					f.runFor(timing.StableAfter + 10e6)
 					require.Equal(t, fleetClients, f.sessions())
 
 					lost := failure.lost(f)
 					moved := f.fail(how, lost...)
 					within := control.Micros(failure.attempts)*timing.BackoffBase + slack
-					if how == silent {
+					if how == unreachable {
 						unanswered := control.Micros(failure.silent)
 						within = timing.HeartbeatWithin + unanswered*timing.ConnectWithin + (unanswered+1)*timing.BackoffBase + slack
 					}
-					took := f.runUntil(t, within, "all have a session again", f.connected)
-					second, window := f.peak()
-					t.Logf("%d moved in %.2f s; most load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(took)/1e6, f.mostLoad(), second, window)
-					require.LessOrEqual(t, f.mostLoad(), failure.mostLoad, "load")
+					elapsed := f.runUntil(t, within, "all have a session again", f.allConnected)
+					second, window := f.peakNewSessions()
+					t.Logf("%d moved in %.2f s; most load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(elapsed)/1e6, f.peakLoad(), second, window)
+					require.LessOrEqual(t, f.peakLoad(), failure.mostLoad, "load")
 					require.LessOrEqual(t, second, failure.peak, "new sessions in a second")
-					if how == refuses { // spread evenly over BackoffBase, by chance
-						require.LessOrEqual(t, window, chance(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
+					if how == resetting { // spread evenly over BackoffBase, by chance
+						require.LessOrEqual(t, window, binomialBound(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
 					}
 
 					f.runFor(timing.ReturnEvery + timing.ReturnEvery/2)
@@ -448,19 +448,19 @@
 					f.recover(lost...)
 					// Each looks within ReturnEvery at all machines that it prefers, after a look that may just be under way.
 					within = timing.ReturnEvery + slack
-					if how == silent {
+					if how == unreachable {
 						within += control.Micros(failure.attempts) * timing.ConnectWithin
 					}
-					took = f.runUntil(t, within, "all are back where they prefer to be", f.settled)
-					second, window = f.peak()
-					t.Logf("back in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(took)/1e6, second, window)
+					elapsed = f.runUntil(t, within, "all are back where they prefer to be", f.allAtPreferred)
+					second, window = f.peakNewSessions()
+					t.Logf("back in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(elapsed)/1e6, second, window)
 					// Spread over the second half of ReturnEvery at the least. Where no answer comes a look takes a time, and those
 					// that are looking just then go on to another machine within ConnectWithin.
 					spread := float64(timing.ReturnEvery) / 2e6
-					most := chance(zoneClients, 1/spread)
-					if how == silent {
+					most := binomialBound(zoneClients, 1/spread)
+					if how == unreachable {
 						looking := float64(failure.attempts) * float64(timing.ConnectWithin) / (0.75 * float64(timing.ReturnEvery))
-						most += chance(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
+						most += binomialBound(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
 					}
 					require.LessOrEqual(t, second, most, "new sessions in a second at the return")
 					require.Equal(t, fleetClients, f.sessions())
@@ -479,47 +479,47 @@
 }
 
 // All gatekeepers start at once, at machines that admit 50 sessions a second: all have one within the time that the rate needs.
-func TestFleetStartsAtOnce(t *testing.T) {
+func TestFleetSimultaneousStart(t *testing.T) {
 	for seed := range fleetSeeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(seed, 1)
 			const rate, burst = 50, 50
 			for _, r := range f.replicas {
-				r.admits(rate, burst)
+				r.limitAdmission(rate, burst)
 			}
-			most := chance(zoneClients, 0.5)
+			most := binomialBound(zoneClients, 0.5)
 			needed := control.Micros(float64(most-burst) / rate * 1e6)
-			took := f.runUntil(t, needed+Timing{}.WithDefaults().BackoffBase+2e6, "started", f.connected)
-			second, _ := f.peak()
-			t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
+			elapsed := f.runUntil(t, needed+Timing{}.WithDefaults().BackoffBase+2e6, "started", f.allConnected)
+			second, _ := f.peakNewSessions()
+			t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
 			require.LessOrEqual(t, second, rate+burst)
-			require.LessOrEqual(t, f.mostLoad(), zoneClients)
+			require.LessOrEqual(t, f.peakLoad(), zoneClients)
 		})
 	}
 }
 
 // With all machines gone for ten minutes every gatekeeper goes on to try, at a pace bounded by the backoff, and all are back soon
 // after the machines are.
-func TestFleetWithoutControl(t *testing.T) {
+func TestFleetFullOutage(t *testing.T) {
 	timing := Timing{}.WithDefaults()
 	f := newFleet(1, 10e6)
 	f.runFor(30e6)
-	f.fail(refuses, f.replicas...)
+	f.fail(resetting, f.replicas...)
 	f.runFor(600e6)
 	f.recover(f.replicas...)
-	took := f.runUntil(t, timing.BackoffCap+500e3, "all have a session again", f.connected)
-	second, _ := f.peak()
-	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
+	elapsed := f.runUntil(t, timing.BackoffCap+500e3, "all have a session again", f.allConnected)
+	second, _ := f.peakNewSessions()
+	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
 	// Of waits drawn evenly up to BackoffCap the rest is at its densest at its beginning: two in BackoffCap; at any machine.
-	require.LessOrEqual(t, second, chance(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
-	f.runUntil(t, timing.ReturnEvery+500e3, "all are back where they prefer to be", f.settled)
+	require.LessOrEqual(t, second, binomialBound(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
+	f.runUntil(t, timing.ReturnEvery+500e3, "all are back where they prefer to be", f.allAtPreferred)
 }
 
 // The same with machines that admit 50 sessions a second each and promise the others a place: after an outage of any length all
 // have a session again within the time that changes are allowed. A gatekeeper that has a place soon must wait for it: one that
 // asked the other machines meanwhile took a place at each, and all places together were 13 times as many as gatekeepers.
-func TestFleetAfterAnOutageWithAdmission(t *testing.T) {
+func TestFleetOutageWithAdmission(t *testing.T) {
 	const inForceWithin = control.Micros(17e6)
 	for _, outage := range []control.Micros{5e6, 12e6, 30e6, 600e6} {
 		for seed := range fleetSeeds() {
@@ -527,16 +527,16 @@
 				t.Parallel()
 				f := newFleet(seed, 10e6)
 				for _, r := range f.replicas {
-					r.admits(50, 50)
+					r.limitAdmission(50, 50)
 				}
 				f.runFor(40e6)
 				require.Equal(t, fleetClients, f.sessions())
-				f.fail(refuses, f.replicas...)
+				f.fail(resetting, f.replicas...)
 				f.runFor(outage)
 				f.recover(f.replicas...)
-				took := f.runUntil(t, inForceWithin, "all have a session again", f.connected)
-				second, _ := f.peak()
-				t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
+				elapsed := f.runUntil(t, inForceWithin, "all have a session again", f.allConnected)
+				second, _ := f.peakNewSessions()
+				t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
 			})
 		}
 	}
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -11,34 +11,34 @@
 // have a session at all or, beside a current one, to move to a better replica: the current session goes on until the
 // attempt has brought its first event. Not safe for concurrent use.
 type Machine struct {
-	timing   Timing
-	random   func() float64
-	replicas []Replica        // by rank
-	tiers    []int            // by rank
-	holds    []control.Micros // by rank: not tried before
-	refusals []int            // by rank: how often in a row it admitted no session
-	lastID   uint64
-	actions  []Action
-
-	current *link
-	attempt *link
-	connect search // for a session at all
-	better  search // for a better one than the current
-
-	seen    uint64 // highest revision seen
-	records bool   // the gatekeeper holds the records of its prefixes, at revision seen
+	timing              Timing
+	random              func() float64
+	replicas            []Replica        // by rank
+	tiers               []int            // by rank
+	holdUntil           []control.Micros // by rank: not tried before
+	consecutiveRefusals []int            // by rank: how often in a row it admitted no session
+	lastID              uint64
+	actions             []Action
+
+	current       *link
+	attempt       *link
+	connectSearch search // for a session at all
+	betterSearch  search // for a better one than the current
+
+	highestRevision uint64 // highest revision seen
+	hasRecords      bool   // the gatekeeper holds the records of its prefixes, at revision seen
 }
 
 // link is one session, open or being opened.
 type link struct {
-	id       uint64
-	rank     int
-	after    uint64
-	begun    control.Micros // of an attempt its start; of the current session when it became that
-	heard    control.Micros // the last event
-	events   int
-	revision uint64
-	every    control.Micros // the replica's heartbeat interval, as far as it has said so
+	id                uint64
+	rank              int
+	startRevision     uint64
+	startedAt         control.Micros // of an attempt its start; of the current session when it became that
+	lastEventAt       control.Micros // the last event
+	events            int
+	revision          uint64
+	heartbeatInterval control.Micros // the replica's heartbeat interval, as far as it has said so
 	// leaderless tells that the replica has long been without a leader.
 	leaderless bool
 }
@@ -47,20 +47,20 @@
 func New(now control.Micros, o Options) *Machine {
 	m := &Machine{
 		timing: o.Timing.WithDefaults(), random: o.Random, replicas: Rank(o.Self, o.Replicas),
-		holds: make([]control.Micros, len(o.Replicas)), refusals: make([]int, len(o.Replicas)),
-		connect: newSearch(len(o.Replicas)), better: newSearch(len(o.Replicas)),
-		seen: max(o.Seen, o.Held), records: o.Held > 0 && o.Held >= o.Seen,
+		holdUntil: make([]control.Micros, len(o.Replicas)), consecutiveRefusals: make([]int, len(o.Replicas)),
+		connectSearch: newSearch(len(o.Replicas)), betterSearch: newSearch(len(o.Replicas)),
+		highestRevision: max(o.Seen, o.Held), hasRecords: o.Held > 0 && o.Held >= o.Seen,
 	}
 	for rank, r := range m.replicas {
-		m.holds[rank] = now
+		m.holdUntil[rank] = now
 		m.tiers = append(m.tiers, tier(o.Self, r))
 	}
-	m.connect.at = now + control.Micros(m.random()*float64(m.timing.StartWithin))
+	m.connectSearch.nextAttemptAt = now + control.Micros(m.random()*float64(m.timing.StartWithin))
 	return m
 }
 
 // Seen is the highest revision seen.
-func (m *Machine) Seen() uint64 { return m.seen }
+func (m *Machine) Seen() uint64 { return m.highestRevision }
 
 // Current gives the replica of the current session, and whether there is one.
 func (m *Machine) Current() (Replica, bool) {
@@ -81,25 +81,25 @@
 	}
 	switch {
 	case m.attempt != nil:
-		next = min(next, m.attempt.begun+m.timing.ConnectWithin)
+		next = min(next, m.attempt.startedAt+m.timing.ConnectWithin)
 	case m.current == nil:
-		next = m.connect.at
-	case m.searching():
-		next = min(next, m.better.at)
+		next = m.connectSearch.nextAttemptAt
+	case m.betterMayExist():
+		next = min(next, m.betterSearch.nextAttemptAt)
 	}
 	return next, true
 }
 
-// maxEvery is the longest heartbeat interval that a replica is believed.
-const maxEvery control.Micros = 30e6
+// maxHeartbeatInterval is the longest heartbeat interval that a replica is believed.
+const maxHeartbeatInterval control.Micros = 30e6
 
 // heartbeatDue is when the current session is given up unless an event comes.
 func (m *Machine) heartbeatDue() control.Micros {
-	return m.current.heard + max(m.timing.HeartbeatWithin, HeartbeatsMissed*m.current.every)
+	return m.current.lastEventAt + max(m.timing.HeartbeatWithin, HeartbeatsMissed*m.current.heartbeatInterval)
 }
 
-// searching tells whether there may be a better replica than that of the current session.
-func (m *Machine) searching() bool {
+// betterMayExist tells whether there may be a better replica than that of the current session.
+func (m *Machine) betterMayExist() bool {
 	return m.current.leaderless && len(m.replicas) > 1 || m.current.rank > 0
 }
 
@@ -110,31 +110,31 @@
 		return nil
 	}
 	if m.current != nil && now >= m.heartbeatDue() {
-		m.do(Action{Do: Close, Session: m.current.id})
-		m.lost(now, End{Reason: noAnswer})
+		m.emit(Action{Do: Close, Session: m.current.id})
+		m.handleCurrentEnd(now, End{Reason: timedOut})
 	}
-	if m.attempt != nil && now >= m.attempt.begun+m.timing.ConnectWithin {
-		m.do(Action{Do: Close, Session: m.attempt.id})
-		m.failed(now, End{Reason: noAnswer})
+	if m.attempt != nil && now >= m.attempt.startedAt+m.timing.ConnectWithin {
+		m.emit(Action{Do: Close, Session: m.attempt.id})
+		m.handleAttemptEnd(now, End{Reason: timedOut})
 	}
-	m.start(now)
+	m.startIfDue(now)
 	return m.actions
 }
 
 // Ended hands in that a session has ended that was not closed.
 func (m *Machine) Ended(now control.Micros, session uint64, e End) []Action {
 	m.actions = nil
-	m.ended(now, session, e)
-	m.start(now)
+	m.handleEnd(now, session, e)
+	m.startIfDue(now)
 	return m.actions
 }
 
-func (m *Machine) ended(now control.Micros, session uint64, e End) {
+func (m *Machine) handleEnd(now control.Micros, session uint64, e End) {
 	switch {
 	case m.current != nil && m.current.id == session:
-		m.lost(now, e)
+		m.handleCurrentEnd(now, e)
 	case m.attempt != nil && m.attempt.id == session:
-		m.failed(now, e)
+		m.handleAttemptEnd(now, e)
 	}
 }
 
@@ -150,22 +150,22 @@
 	default:
 		return nil // it was closed
 	}
-	if l.breaks(e) {
-		m.do(Action{Do: Close, Session: l.id})
-		m.ended(now, session, End{Reason: Refused})
-		m.start(now)
+	if l.violatesProtocol(e) {
+		m.emit(Action{Do: Close, Session: l.id})
+		m.handleEnd(now, session, End{Reason: Refused})
+		m.startIfDue(now)
 		return m.actions
 	}
-	l.heard, l.revision = now, e.Revision
+	l.lastEventAt, l.revision = now, e.Revision
 	l.events++
 	if e.Kind == Heartbeat {
-		l.every = min(e.Every, maxEvery)
+		l.heartbeatInterval = min(e.Every, maxHeartbeatInterval)
 		m.setLeaderless(now, l, e.Leaderless > m.timing.LeaderlessAfter)
 	}
-	if l == m.current || m.adopt(now, e.Kind) {
+	if l == m.current || m.tryPromoteAttempt(now, e.Kind) {
 		m.accept(e)
 	}
-	m.start(now)
+	m.startIfDue(now)
 	return m.actions
 }
 
@@ -177,64 +177,64 @@
 	}
 	l.leaderless = leaderless
 	if l == m.current {
-		m.searchBetter(now)
+		m.restartBetterSearch(now)
 	}
 }
 
-// searchBetter begins a search for a better replica than that of the current session.
-func (m *Machine) searchBetter(now control.Micros) {
-	m.better.restart()
-	m.better.at = now + m.betterWait()
+// restartBetterSearch begins a search for a better replica than that of the current session.
+func (m *Machine) restartBetterSearch(now control.Micros) {
+	m.betterSearch.restart()
+	m.betterSearch.nextAttemptAt = now + m.betterDelay()
 }
 
-// betterWait draws the time until the next attempts to move: with a replica without a leader the backoff, else that of a
+// betterDelay draws the time until the next attempts to move: with a replica without a leader the backoff, else that of a
 // return to a preferred one.
-func (m *Machine) betterWait() control.Micros {
+func (m *Machine) betterDelay() control.Micros {
 	if m.current.leaderless {
-		return m.backoff(&m.better)
+		return m.backoff(&m.betterSearch)
 	}
 	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnEvery))
 }
 
-// breaks tells whether an event breaks the protocol: a session's revisions never fall, and one without a revision to go on
+// violatesProtocol tells whether an event breaks the protocol: a session's revisions never fall, and one without a revision to go on
 // from begins with a snapshot.
-func (l *link) breaks(e Event) bool {
-	return l.events > 0 && e.Revision < l.revision || l.events == 0 && l.after == 0 && e.Kind != Snapshot
+func (l *link) violatesProtocol(e Event) bool {
+	return l.events > 0 && e.Revision < l.revision || l.events == 0 && l.startRevision == 0 && e.Kind != Snapshot
 }
 
-// adopt makes the attempt the current session if it is as new as what was seen and better than the current one.
-func (m *Machine) adopt(now control.Micros, kind EventKind) bool {
-	l := m.attempt
+// tryPromoteAttempt makes the attempt the current session if it is as new as what was seen and better than the current one.
+func (m *Machine) tryPromoteAttempt(now control.Micros, kind EventKind) bool {
+	attempt := m.attempt
 	switch {
-	case l.revision < l.after, l.revision < m.seen && l.after == 0: // older than what was asked for; a snapshot that is too old
-		m.do(Action{Do: Close, Session: l.id})
-		m.failed(now, End{Reason: Behind})
+	case attempt.revision < attempt.startRevision, attempt.revision < m.highestRevision && attempt.startRevision == 0: // older than what was asked for; a snapshot that is too old
+		m.emit(Action{Do: Close, Session: attempt.id})
+		m.handleAttemptEnd(now, End{Reason: Behind})
 		return false
-	case l.revision < m.seen: // the current session has moved on meanwhile: this one must draw level within ConnectWithin
+	case attempt.revision < m.highestRevision: // the current session has moved on meanwhile: this one must draw level within ConnectWithin
 		return false
-	case m.current != nil && kind != Heartbeat && l.revision == m.seen: // only a heartbeat tells whether it has a leader
+	case m.current != nil && kind != Heartbeat && attempt.revision == m.highestRevision: // only a heartbeat tells whether it has a leader
 		return false
-	case m.current != nil && !m.improves(l):
-		m.do(Action{Do: Close, Session: l.id})
-		if l.leaderless {
-			m.holds[l.rank] = now + m.timing.LeaderlessHold
+	case m.current != nil && !m.isBetter(attempt):
+		m.emit(Action{Do: Close, Session: attempt.id})
+		if attempt.leaderless {
+			m.holdUntil[attempt.rank] = now + m.timing.LeaderlessHold
 		}
-		m.failed(now, End{Reason: Lost})
+		m.handleAttemptEnd(now, End{Reason: Lost})
 		return false
 	}
 	if m.current != nil {
-		m.do(Action{Do: Close, Session: m.current.id})
-		m.settle(now)
+		m.emit(Action{Do: Close, Session: m.current.id})
+		m.resetBackoffIfStable(now)
 	}
-	m.current, m.attempt = l, nil
-	l.begun = now
-	m.refusals[l.rank] = 0
-	m.searchBetter(now)
+	m.current, m.attempt = attempt, nil
+	attempt.startedAt = now
+	m.consecutiveRefusals[attempt.rank] = 0
+	m.restartBetterSearch(now)
 	return true
 }
 
-// improves tells whether an attempt is better than the current session.
-func (m *Machine) improves(l *link) bool {
+// isBetter tells whether an attempt is better than the current session.
+func (m *Machine) isBetter(l *link) bool {
 	if m.current.leaderless != l.leaderless {
 		return m.current.leaderless
 	}
@@ -243,142 +243,142 @@
 
 // accept takes an event of the current session, unless it brings nothing new.
 func (m *Machine) accept(e Event) {
-	if e.Kind != Snapshot && e.Revision <= m.seen {
+	if e.Kind != Snapshot && e.Revision <= m.highestRevision {
 		return
 	}
-	m.seen, m.records = e.Revision, true
-	m.do(Action{Do: Accept, Session: m.current.id})
+	m.highestRevision, m.hasRecords = e.Revision, true
+	m.emit(Action{Do: Accept, Session: m.current.id})
 }
 
-// lost ends the current session. After the backoff another replica is tried; one that cut off a session that had lasted,
+// handleCurrentEnd ends the current session. After the backoff another replica is tried; one that cut off a session that had lasted,
 // since this gatekeeper was too slow, is asked again itself.
-func (m *Machine) lost(now control.Micros, e End) {
-	lasted := m.settle(now)
+func (m *Machine) handleCurrentEnd(now control.Micros, e End) {
+	lasted := m.resetBackoffIfStable(now)
 	rank := m.current.rank
 	m.current = nil
-	m.connect.note(m.tiers[rank], e.Reason == noAnswer)
+	m.connectSearch.recordFailure(m.tiers[rank], e.Reason == timedOut)
 	m.hold(now, rank, e)
-	if m.waitsFor(rank, e) {
-		m.connect.at = m.holds[rank]
+	if m.shouldWaitFor(rank, e) {
+		m.connectSearch.nextAttemptAt = m.holdUntil[rank]
 		return
 	}
-	m.connect.tried[rank] = e.Reason != TooSlow || !lasted
-	m.retry(now)
+	m.connectSearch.tried[rank] = e.Reason != TooSlow || !lasted
+	m.scheduleRetry(now)
 }
 
-// settle resets the backoff if the current session has lasted, and tells whether it has.
-func (m *Machine) settle(now control.Micros) bool {
-	if now-m.current.begun < m.timing.StableAfter {
+// resetBackoffIfStable resets the backoff if the current session has lasted, and tells whether it has.
+func (m *Machine) resetBackoffIfStable(now control.Micros) bool {
+	if now-m.current.startedAt < m.timing.StableAfter {
 		return false
 	}
-	m.connect.restart()
-	clear(m.refusals)
+	m.connectSearch.restart()
+	clear(m.consecutiveRefusals)
 	return true
 }
 
-// failed ends the attempt.
-func (m *Machine) failed(now control.Micros, e End) {
+// handleAttemptEnd ends the attempt.
+func (m *Machine) handleAttemptEnd(now control.Micros, e End) {
 	rank := m.attempt.rank
 	m.attempt = nil
 	m.hold(now, rank, e)
 	if m.current != nil {
-		m.better.tried[rank] = true
-		m.better.at = now
+		m.betterSearch.tried[rank] = true
+		m.betterSearch.nextAttemptAt = now
 		if m.current.leaderless {
-			m.better.at += m.backoff(&m.better)
+			m.betterSearch.nextAttemptAt += m.backoff(&m.betterSearch)
 		}
 		return
 	}
-	m.connect.note(m.tiers[rank], e.Reason == noAnswer)
-	if m.waitsFor(rank, e) {
-		m.connect.at = m.holds[rank]
+	m.connectSearch.recordFailure(m.tiers[rank], e.Reason == timedOut)
+	if m.shouldWaitFor(rank, e) {
+		m.connectSearch.nextAttemptAt = m.holdUntil[rank]
 		return
 	}
-	m.refusals[rank] = 0
-	m.connect.tried[rank] = true
-	m.retry(now)
+	m.consecutiveRefusals[rank] = 0
+	m.connectSearch.tried[rank] = true
+	m.scheduleRetry(now)
 }
 
 // hold keeps a replica from being tried for as long as the end of its session demands.
 func (m *Machine) hold(now control.Micros, rank int, e End) {
 	switch e.Reason {
 	case ComeBack:
-		m.refusals[rank]++
-		m.holds[rank] = now + max(e.After, m.timing.BehindWait) // never at once, whatever the replica says
+		m.consecutiveRefusals[rank]++
+		m.holdUntil[rank] = now + max(e.After, m.timing.BehindWait) // never at once, whatever the replica says
 	case Refused:
-		m.holds[rank] = now + m.timing.FaultHold
+		m.holdUntil[rank] = now + m.timing.FaultHold
 	case Behind:
-		m.holds[rank] = now + m.timing.BehindWait + control.Micros(m.random()*float64(m.timing.BehindWait))
+		m.holdUntil[rank] = now + m.timing.BehindWait + control.Micros(m.random()*float64(m.timing.BehindWait))
 	}
 }
 
-// waitsFor tells whether a replica that admits no session now is waited for, so that others aren't tried. It has promised a
+// shouldWaitFor tells whether a replica that admits no session now is waited for, so that others aren't tried. It has promised a
 // place, and keeps room for it: a gatekeeper that asked the others meanwhile would have a place at each of them, and after an
 // outage all of these together are many times what the replicas admit.
-func (m *Machine) waitsFor(rank int, e End) bool {
-	tries := SameTries
-	if m.connect.round > 0 {
-		tries = LaterTries
+func (m *Machine) shouldWaitFor(rank int, e End) bool {
+	maxAttempts := SameTries
+	if m.connectSearch.round > 0 {
+		maxAttempts = LaterTries
 	}
-	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.refusals[rank] < tries
+	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.consecutiveRefusals[rank] < maxAttempts
 }
 
-// start begins an attempt if one is due.
-func (m *Machine) start(now control.Micros) {
+// startIfDue begins an attempt if one is due.
+func (m *Machine) startIfDue(now control.Micros) {
 	switch {
 	case m.attempt != nil:
-	case m.current == nil && now >= m.connect.at:
-		m.startAny(now)
-	case m.current != nil && m.searching() && now >= m.better.at:
-		m.startBetter(now)
+	case m.current == nil && now >= m.connectSearch.nextAttemptAt:
+		m.startConnect(now)
+	case m.current != nil && m.betterMayExist() && now >= m.betterSearch.nextAttemptAt:
+		m.startMove(now)
 	}
 }
 
-// startAny tries the best replica that was not tried in this round. Those on hold are left out; if all others were tried the
+// startConnect tries the best replica that was not tried in this round. Those on hold are left out; if all others were tried the
 // next round begins, and if all are on hold the first that is off hold is waited for.
-func (m *Machine) startAny(now control.Micros) {
-	rank := m.pickAny(now)
-	if rank < 0 && slices.Contains(m.connect.tried, true) {
-		m.connect.nextRound()
-		rank = m.pickAny(now)
+func (m *Machine) startConnect(now control.Micros) {
+	rank := m.pickToConnect(now)
+	if rank < 0 && slices.Contains(m.connectSearch.tried, true) {
+		m.connectSearch.nextRound()
+		rank = m.pickToConnect(now)
 	}
 	if rank < 0 {
-		m.connect.at = m.earliestHold()
+		m.connectSearch.nextAttemptAt = m.earliestHoldEnd()
 		return
 	}
-	m.open(now, rank)
+	m.openSession(now, rank)
 }
 
-// retry sets the time of the next attempt.
-func (m *Machine) retry(now control.Micros) {
-	if !slices.Contains(m.connect.tried, false) {
-		m.connect.nextRound()
+// scheduleRetry sets the time of the next attempt.
+func (m *Machine) scheduleRetry(now control.Micros) {
+	if !slices.Contains(m.connectSearch.tried, false) {
+		m.connectSearch.nextRound()
 	}
-	m.connect.at = now + m.backoff(&m.connect)
+	m.connectSearch.nextAttemptAt = now + m.backoff(&m.connectSearch)
 }
 
-// startBetter tries a better replica than that of the current session, and ends the round when each was tried.
-func (m *Machine) startBetter(now control.Micros) {
-	below := m.current.rank
+// startMove tries a better replica than that of the current session, and ends the round when each was tried.
+func (m *Machine) startMove(now control.Micros) {
+	rankLimit := m.current.rank
 	if m.current.leaderless {
-		below = len(m.replicas)
+		rankLimit = len(m.replicas)
 	}
-	if rank := m.pick(now, &m.better, below, m.current.rank); rank >= 0 {
-		m.open(now, rank)
+	if rank := m.pick(now, &m.betterSearch, rankLimit, m.current.rank); rank >= 0 {
+		m.openSession(now, rank)
 		return
 	}
-	m.better.nextRound()
-	m.better.at = now + m.betterWait()
+	m.betterSearch.nextRound()
+	m.betterSearch.nextAttemptAt = now + m.betterDelay()
 }
 
-func (m *Machine) open(now control.Micros, rank int) {
+func (m *Machine) openSession(now control.Micros, rank int) {
 	m.lastID++
-	after := m.seen
-	if !m.records {
+	after := m.highestRevision
+	if !m.hasRecords {
 		after = 0
 	}
-	m.attempt = &link{id: m.lastID, rank: rank, after: after, begun: now, heard: now}
-	m.do(Action{Do: Connect, Session: m.lastID, Replica: m.replicas[rank], After: after})
+	m.attempt = &link{id: m.lastID, rank: rank, startRevision: after, startedAt: now, lastEventAt: now}
+	m.emit(Action{Do: Connect, Session: m.lastID, Replica: m.replicas[rank], After: after})
 }
 
-func (m *Machine) do(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
--- a/control/session/model_test.go
+++ b/control/session/model_test.go
@@ -32,19 +32,19 @@
 
 // model is a store of replicas that lag, the sessions of one gatekeeper, and what the gatekeeper holds.
 type model struct {
-	t        *rapid.T
-	now      control.Micros
-	machine  *Machine
-	timing   Timing
-	log      []transaction // revision 1 is the first
-	replicas []*modelReplica
-	index    map[string]int
-	sessions []*modelSession
-	holds    []control.Micros // by "come back in"
-	held     map[string]string
-	at       uint64 // revision of held
-	highest  uint64
-	accepted int
+	t            *rapid.T
+	now          control.Micros
+	machine      *Machine
+	timing       Timing
+	log          []transaction // revision 1 is the first
+	replicas     []*modelReplica
+	index        map[string]int
+	sessions     []*modelSession
+	holdUntil    []control.Micros // by "come back in"
+	heldRecords  map[string]string
+	heldRevision uint64 // revision of held
+	highest      uint64
+	accepted     int
 }
 
 // state is what the log makes of nothing up to a revision.
@@ -66,40 +66,40 @@
 	}
 }
 
-// carryOut carries out actions; records takes over those of the event that led to them.
-func (m *model) carryOut(actions []Action, revision uint64, records func()) {
+// execute carries out actions; records takes over those of the event that led to them.
+func (m *model) execute(actions []Action, revision uint64, applyRecords func()) {
 	for _, a := range actions {
 		switch a.Do {
 		case Connect:
 			i := m.index[a.Replica.Name]
-			if m.now < m.holds[i] {
-				m.t.Fatalf("%s is tried %d us before it said to come back", a.Replica.Name, m.holds[i]-m.now)
+			if m.now < m.holdUntil[i] {
+				m.t.Fatalf("%s is tried %d us before it said to come back", a.Replica.Name, m.holdUntil[i]-m.now)
 			}
-			if a.After != 0 && a.After != m.at {
-				m.t.Fatalf("a session goes on from %d, held is %d", a.After, m.at)
+			if a.After != 0 && a.After != m.heldRevision {
+				m.t.Fatalf("a session goes on from %d, held is %d", a.After, m.heldRevision)
 			}
 			m.sessions = append(m.sessions, &modelSession{id: a.Session, replica: i, after: a.After, sent: a.After})
 			if len(m.sessions) > 2 {
 				m.t.Fatalf("%d sessions at a time", len(m.sessions))
 			}
 		case Close:
-			m.drop(a.Session)
+			m.removeSession(a.Session)
 		case Accept:
-			records()
-			m.at = revision
+			applyRecords()
+			m.heldRevision = revision
 			m.accepted++
 			if revision < m.highest {
 				m.t.Fatalf("accepted %d after %d", revision, m.highest)
 			}
 			m.highest = revision
-			if want := m.state(revision); !maps.Equal(want, m.held) {
-				m.t.Fatalf("at revision %d the store holds %v, the gatekeeper %v", revision, want, m.held)
+			if want := m.state(revision); !maps.Equal(want, m.heldRecords) {
+				m.t.Fatalf("at revision %d the store holds %v, the gatekeeper %v", revision, want, m.heldRecords)
 			}
 		}
 	}
 }
 
-func (m *model) drop(id uint64) {
+func (m *model) removeSession(id uint64) {
 	for i, s := range m.sessions {
 		if s.id == id {
 			m.sessions = append(m.sessions[:i:i], m.sessions[i+1:]...)
@@ -117,7 +117,7 @@
 		m.end(s, End{Reason: Lost})
 	case 1:
 		after := control.Micros(rapid.IntRange(0, 20e6).Draw(m.t, "come back"))
-		m.holds[s.replica] = m.now + after
+		m.holdUntil[s.replica] = m.now + after
 		m.end(s, End{ComeBack, after})
 	default:
 		if r.applied < s.after {
@@ -128,15 +128,15 @@
 		if s.after == 0 || rapid.IntRange(0, 3).Draw(m.t, "history") == 0 {
 			s.sent = r.applied
 			state := m.state(r.applied)
-			m.event(s, Snapshot, r.applied, func() { m.held = state })
+			m.event(s, Snapshot, r.applied, func() { m.heldRecords = state })
 			return
 		}
-		m.next(s)
+		m.sendNext(s)
 	}
 }
 
-// next sends the next change of a session, or a heartbeat.
-func (m *model) next(s *modelSession) {
+// sendNext sends the next change of a session, or a heartbeat.
+func (m *model) sendNext(s *modelSession) {
 	r := m.replicas[s.replica]
 	if s.sent >= r.applied {
 		m.event(s, Heartbeat, s.sent, func() {})
@@ -144,17 +144,17 @@
 	}
 	s.sent++
 	tx := m.log[s.sent-1]
-	m.event(s, Change, s.sent, func() { apply(m.held, tx) })
+	m.event(s, Change, s.sent, func() { apply(m.heldRecords, tx) })
 }
 
 func (m *model) event(s *modelSession, kind EventKind, revision uint64, records func()) {
 	e := Event{Kind: kind, Revision: revision, Leaderless: m.replicas[s.replica].leaderless}
-	m.carryOut(m.machine.Heard(m.now, s.id, e), revision, records)
+	m.execute(m.machine.Heard(m.now, s.id, e), revision, records)
 }
 
 func (m *model) end(s *modelSession, e End) {
-	m.drop(s.id)
-	m.carryOut(m.machine.Ended(m.now, s.id, e), 0, nil)
+	m.removeSession(s.id)
+	m.execute(m.machine.Ended(m.now, s.id, e), 0, nil)
 }
 
 // Transactions, lagging replicas, sessions that are refused, break and overlap, restarts with and without the records: what a
@@ -162,7 +162,7 @@
 // honoured, there are two sessions at most, and the machine never spins.
 func TestSessionModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{t: t, held: map[string]string{}, index: map[string]int{}}
+		m := &model{t: t, heldRecords: map[string]string{}, index: map[string]int{}}
 		m.timing = Timing{StableAfter: 2e6}.WithDefaults()
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 5).Draw(t, "replicas") {
@@ -171,17 +171,17 @@
 			m.index[r.Name] = i
 			m.replicas = append(m.replicas, &modelReplica{})
 		}
-		m.holds = make([]control.Micros, len(replicas))
-		boot := func(held uint64) {
+		m.holdUntil = make([]control.Micros, len(replicas))
+		restart := func(held uint64) {
 			m.machine = New(m.now, Options{
 				Self: scope.Target{Name: "g", Zone: "z0", Region: "r0"}, Replicas: replicas, Timing: m.timing,
 				Random: func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") }, Held: held, Seen: m.highest,
 			})
 			m.sessions = nil
-			clear(m.holds)
+			clear(m.holdUntil)
 		}
-		boot(0)
-		some := func(opened bool) *modelSession {
+		restart(0)
+		drawSession := func(opened bool) *modelSession {
 			var list []*modelSession
 			for _, s := range m.sessions {
 				if s.opened == opened {
@@ -209,12 +209,12 @@
 			"leader": func(t *rapid.T) {
 				rapid.SampledFrom(m.replicas).Draw(t, "replica").leaderless = control.Micros(rapid.SampledFrom([]int{0, 1e6, 9e6}).Draw(t, "leaderless"))
 			},
-			"open":  func(*rapid.T) { m.open(some(false)) },
-			"open2": func(*rapid.T) { m.open(some(false)) },
-			"event": func(*rapid.T) { m.next(some(true)) },
-			"more":  func(*rapid.T) { m.next(some(true)) },
+			"open":  func(*rapid.T) { m.open(drawSession(false)) },
+			"open2": func(*rapid.T) { m.open(drawSession(false)) },
+			"event": func(*rapid.T) { m.sendNext(drawSession(true)) },
+			"more":  func(*rapid.T) { m.sendNext(drawSession(true)) },
 			"break": func(t *rapid.T) {
-				m.end(some(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, Refused}).Draw(t, "reason")})
+				m.end(drawSession(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, Refused}).Draw(t, "reason")})
 			},
 			"late": func(t *rapid.T) { // of a session that was closed, or never was
 				id := uint64(rapid.IntRange(0, 50).Draw(t, "id"))
@@ -223,28 +223,28 @@
 						t.Skip("it is open")
 					}
 				}
-				m.carryOut(m.machine.Heard(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("a closed session's event is accepted") })
-				m.carryOut(m.machine.Ended(m.now, id, End{}), 0, nil)
+				m.execute(m.machine.Heard(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("a closed session's event is accepted") })
+				m.execute(m.machine.Ended(m.now, id, End{}), 0, nil)
 			},
 			"wake": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "times") {
 					at, ok := m.machine.Wake()
 					require.True(t, ok)
 					m.now = max(m.now, at)
-					m.carryOut(m.machine.Tick(m.now), 0, nil)
+					m.execute(m.machine.Tick(m.now), 0, nil)
 				}
 			},
 			"time": func(t *rapid.T) {
 				m.now += control.Micros(rapid.IntRange(0, 3e6).Draw(t, "us"))
-				m.carryOut(m.machine.Tick(m.now), 0, nil)
+				m.execute(m.machine.Tick(m.now), 0, nil)
 			},
 			"restart": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "records kept") {
-					boot(m.at)
+					restart(m.heldRevision)
 					return
 				}
-				m.held, m.at = map[string]string{}, 0
-				boot(0)
+				m.heldRecords, m.heldRevision = map[string]string{}, 0
+				restart(0)
 			},
 			"": func(t *rapid.T) { // a machine that was ticked wants to be so later: at most one step for each draw of zero
 				if at, ok := m.machine.Wake(); !ok || at < m.now-max(m.timing.HeartbeatWithin, m.timing.ConnectWithin) {
@@ -270,11 +270,11 @@
 		timing := Timing{}.WithDefaults()
 		m := New(0, Options{Replicas: replicas, Random: func() float64 { return random }, Held: 1, Seen: 1})
 		reason := rapid.SampledFrom([]Reason{Lost, TooSlow, Behind, Refused, ComeBack}).Draw(t, "reason")
-		const length = 600e6
+		const duration = 600e6
 		steps, attempts := 0, 0
 		for {
 			at, _ := m.Wake()
-			if at > length {
+			if at > duration {
 				break
 			}
 			steps++
@@ -291,7 +291,7 @@
 		if reason == ComeBack {
 			perBackoff = LaterTries
 		}
-		most := perBackoff*length/(0.4*float64(timing.BackoffCap)) + float64(n)*(SameTries+4)
+		most := perBackoff*duration/(0.4*float64(timing.BackoffCap)) + float64(n)*(SameTries+4)
 		require.Less(t, float64(attempts), most, reason)
 		require.Less(t, float64(steps), 2.5*most, reason)
 	})
--- a/control/session/rank_test.go
+++ b/control/session/rank_test.go
@@ -52,16 +52,16 @@
 		first[ranked[0].Name]++
 		second[[2]string{ranked[0].Name, ranked[1].Name}]++
 	}
-	within := func(count int, all float64, part float64) {
+	requireWithin := func(count int, all float64, part float64) {
 		require.InDelta(t, all*part, count, 5*math.Sqrt(all*part*(1-part)))
 	}
 	require.Len(t, first, machines)
 	for _, count := range first {
-		within(count, gatekeepers, 1./machines)
+		requireWithin(count, gatekeepers, 1./machines)
 	}
 	require.Len(t, second, machines*(machines-1))
 	for pair, count := range second {
-		within(count, float64(first[pair[0]]), 1./(machines-1))
+		requireWithin(count, float64(first[pair[0]]), 1./(machines-1))
 	}
 }
 
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -124,7 +124,7 @@
 	Refused                // the replica is no control machine, or broke the protocol
 	Full                   // the replica holds as many sessions as it may: the others are tried
 
-	noAnswer // no event in time
+	timedOut // no event in time
 )
 
 // End is the end of a session.
--- a/control/warm/warm_test.go
+++ b/control/warm/warm_test.go
@@ -31,7 +31,7 @@
 func TestHalfLives(t *testing.T) {
 	for _, row := range []struct {
 		age                                float64 // s
-		wait, thin, spare, mix, unit, base float64
+		wait, shed, spare, mix, unit, base float64
 	}{
 		{0, 400000, 0.5, 12, 2, 4, 60000}, {3, 200000, 0.5 * math.Exp2(-3.0/8), 12, 2 * math.Exp2(-0.05), 4 * math.Exp2(-3.0/1800), 60000},
 		{6, 100000, 0.5 * math.Exp2(-6.0/8), -1, 2 * math.Exp2(-0.1), 4 * math.Exp2(-6.0/1800), 60000},
@@ -43,7 +43,7 @@
 		if len(l.Mix) > 0 {
 			mix = l.Mix[1]
 		}
-		if !ok || doubt != None || !near(s.Wait, row.wait) || !near(s.Shed, row.thin) || s.Spare != row.spare || !near(mix, row.mix) ||
+		if !ok || doubt != NoDoubt || !near(s.Wait, row.wait) || !near(s.Shed, row.shed) || s.Spare != row.spare || !near(mix, row.mix) ||
 			!near(l.Unit, row.unit) || l.Base != row.base || s.Total != 40 || s.Since != 5 || s.Server != 7 {
 			t.Errorf("after %g s: %+v, %q", row.age, l, doubt)
 		}
@@ -61,27 +61,27 @@
 		ok       bool
 	}{
 		"none": {nil, "a", NoMemory, false}, "two days old": {memory(now - 2*86400e6), "a", TooOld, false},
-		"clock far back": {memory(now + 3600e6), "a", ClockBack, true}, "clock a little back": {memory(now + 500000), "a", None, true},
-		"no time": {memory(0), "a", NoTime, true}, "other settings": {memory(now - 1e6), "b", OtherRules, false},
-		"no number": {bad, "a", NoSuchValue, false},
+		"clock far back": {memory(now + 3600e6), "a", ClockBehind, true}, "clock a little back": {memory(now + 500000), "a", NoDoubt, true},
+		"no time": {memory(0), "a", NoTimestamp, true}, "other settings": {memory(now - 1e6), "b", SettingsChanged, false},
+		"no number": {bad, "a", InvalidValue, false},
 	} {
 		l, doubt, ok := Recall(row.m, now, row.settings)
 		if doubt != row.doubt || ok != row.ok {
 			t.Errorf("%s: %q, %t", name, doubt, ok)
 		}
 		for _, s := range l.Servers {
-			if (doubt == ClockBack || doubt == NoTime) && (s.Wait != 0 || s.Shed != 0 || s.Spare != -1 || l.Loss != 0 || len(l.Mix) != 0 || l.Unit != 2) {
+			if (doubt == ClockBehind || doubt == NoTimestamp) && (s.Wait != 0 || s.Shed != 0 || s.Spare != -1 || l.Loss != 0 || len(l.Mix) != 0 || l.Unit != 2) {
 				t.Errorf("%s: %+v", name, l)
 			}
 		}
-		if doubt == OtherRules && (len(l.Servers) != 0 || len(l.Mix) != 0 || l.Base != 0 || l.Unit != 0 || l.Loss != 0) {
+		if doubt == SettingsChanged && (len(l.Servers) != 0 || len(l.Mix) != 0 || l.Base != 0 || l.Unit != 0 || l.Loss != 0) {
 			t.Errorf("%s: %+v", name, l)
 		}
 	}
 }
 
 // Whatever a memory holds, what is recalled is sound, and nothing of it is more than it was.
-func TestNeverMoreThanItWas(t *testing.T) {
+func TestRestoredNeverExceedsSaved(t *testing.T) {
 	value := func(t *rapid.T, label string) float64 {
 		return rapid.OneOf(rapid.Float64Range(0, 1), rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, -5, 1e300})).Draw(t, label)
 	}
@@ -95,7 +95,7 @@
 		if !ok {
 			return
 		}
-		if !sound(got) || got.Base > l.Base || got.Unit > l.Unit || got.Loss > l.Loss || got.Servers[0].Wait > s.Wait || got.Servers[0].Shed > s.Shed {
+		if !valid(got) || got.Base > l.Base || got.Unit > l.Unit || got.Loss > l.Loss || got.Servers[0].Wait > s.Wait || got.Servers[0].Shed > s.Shed {
 			t.Fatalf("%+v of %+v", got, *l)
 		}
 	})
