--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -1,53 +1,56 @@
-// Package admission decides how many sessions a control machine holds, how fast it takes new ones, and how fast it sends
-// snapshots. Both rates are bounded by token buckets. A client that is refused gets a slot, a time of its own at which the buckets will hold its tokens, and is
-// asked to come back then. Slots are as far apart as the rates allow, so that the refused arrive at the rate at which they
-// are admitted, not all at once again, and nobody else is admitted at the cost of a slot: a client that comes at its slot is
-// admitted. The package is pure: time is passed in. A controller is not safe for concurrent use.
+// Package admission decides how many sessions a control machine holds, how fast it admits new ones, and how fast it sends
+// snapshots. Both rates are limited by token buckets. A refused client gets a slot, a time at which the buckets will hold
+// its tokens, and is asked to retry then. Slots are spaced as the rates require, so that refused clients return at the
+// rate at which they are admitted instead of all at once, and no other client is admitted at the expense of a slot: a
+// client that retries at its slot is admitted. The package is pure: the time is passed in.
 package admission
 
 import "beammux/control"
 
-// Limits of one control machine. Rates are per second; with a rate of 0 the bucket bounds nothing. A burst of less than
+// Limits holds the limits of one control machine. Rates are per second; a rate of 0 means no limit. A burst below
 // MinBurst counts as MinBurst.
 type Limits struct {
-	Sessions           int // most at a time; 0: no bound
+	Sessions           int // maximum number of open sessions; 0: no limit
 	SessionsPerSecond  float64
 	SessionsBurst      int
 	SnapshotsPerSecond float64
 	SnapshotsBurst     int
 }
 
+// Parameters of the admission.
 const (
-	// MinBurst is the least burst. With less, a client that comes a moment after its slot would cost the next its token.
+	// MinBurst is the smallest burst. With a smaller one, a client that arrives a moment after its slot would take the
+	// token of the next client.
 	MinBurst = 2
-	// Grace is how long after its slot a client is still expected. Then its slot is given up.
+	// Grace is how long after its slot a client is still expected. After that the slot expires.
 	Grace = control.Micros(5e6)
-	// MaxSlots is how many refused clients can hold a slot.
+	// MaxSlots is the maximum number of refused clients that hold a slot.
 	MaxSlots = 16384
 )
 
-// Request is a client that asks for a session.
+// Request is a request for a session.
 type Request struct {
-	Client   string // a name by which the client is known again; "": it can hold no slot
-	Snapshot bool   // it needs a snapshot, not only the changes since a revision
+	Client   string // name that identifies the client on retries; "": the client cannot hold a slot
+	Snapshot bool   // the client needs a snapshot, not only the changes since a revision
 }
 
-// Decision is the answer to a Request.
+// Decision is the response to a Request.
 type Decision struct {
 	Admitted   bool
-	Full       bool           // as many sessions are open as may be: the client is to go elsewhere, and holds no slot
-	ComeBackIn control.Micros // if not admitted and not full; at least 1
+	Full       bool           // the session limit is reached: the client must go elsewhere and holds no slot
+	ComeBackIn control.Micros // time until the slot, if neither Admitted nor Full; at least 1
 }
 
-// Controller decides on requests.
+// Controller decides on requests. It is not safe for concurrent use.
 type Controller struct {
 	now         control.Micros
-	maxSessions int // open sessions; 0: no bound
+	maxSessions int // maximum number of open sessions; 0: no limit
 	open        int
 	tokens      buckets
 	slots       map[string]slot
-	// expected are the slots from now on, and late those before whose clients did not come yet. Both are ordered by time; a
-	// slot that its client has used or lost is left in them until its turn, and is not in slots any more.
+	// expected holds the slots from now on, and late the earlier ones whose clients have not arrived yet. Both are
+	// ordered by time. A slot that its client has used or lost is removed from slots at once, and from these lists only
+	// when its turn comes.
 	expected, late []slot
 }
 
@@ -58,13 +61,13 @@
 	snapshot bool
 }
 
-// New makes a controller with full buckets.
+// New returns a controller with full buckets.
 func New(l Limits) *Controller {
 	return &Controller{maxSessions: l.Sessions, tokens: newBuckets(l), slots: map[string]slot{}}
 }
 
-// Admit decides on a request at a time. A time before that of an earlier call counts as that one. Each session that is admitted
-// has to be ended with End.
+// Admit decides on a request at a time. A time before that of an earlier call counts as the earlier one. Each admitted
+// session must be released with Release.
 func (c *Controller) Admit(now control.Micros, r Request) Decision {
 	c.advance(now)
 	if c.maxSessions > 0 && c.open >= c.maxSessions {
@@ -72,7 +75,7 @@
 		return Decision{Full: true}
 	}
 	s, held := c.slots[r.Client]
-	if held && s.at > c.now { // too early: the slot stays as it is
+	if held && s.at > c.now { // too early: the client keeps its slot
 		return Decision{ComeBackIn: s.at - c.now}
 	}
 	delete(c.slots, r.Client)
@@ -84,10 +87,10 @@
 	return Decision{Admitted: true}
 }
 
-// End says that a session which was admitted is over.
+// End records that an admitted session has ended.
 func (c *Controller) End() { c.open-- }
 
-// Defer gives a slot to a client whose session has to end, and reports in what time it is.
+// Defer gives a slot to a client whose session must end, and returns the time until the slot.
 func (c *Controller) Defer(now control.Micros, r Request) (comeBackIn control.Micros) {
 	c.advance(now)
 	if s, held := c.slots[r.Client]; held && s.at > c.now {
@@ -97,7 +100,7 @@
 	return c.assignSlot(r)
 }
 
-// advance brings the buckets up to a time, and gives up slots whose clients did not come.
+// advance advances the buckets to a time and expires the slots whose clients did not arrive.
 func (c *Controller) advance(now control.Micros) {
 	c.now = max(c.now, now)
 	c.tokens.advance(c.now)
@@ -113,11 +116,11 @@
 	}
 }
 
-// isCurrent reports whether a slot is still its client's.
+// isCurrent reports whether a slot still belongs to its client.
 func (c *Controller) isCurrent(s slot) bool { return c.slots[s.client] == s }
 
-// canAdmit reports whether a request can be admitted now so that all who come at their slots are admitted too. One without a
-// slot of its own must also leave the tokens for those who are late.
+// canAdmit reports whether a request can be admitted now without taking tokens from clients that arrive at their slots. A
+// client without a slot must also leave tokens for the late clients.
 func (c *Controller) canAdmit(r Request, held bool) bool {
 	tokens := c.tokens
 	if !tokens.hasTokens(r.Snapshot) {
@@ -148,7 +151,7 @@
 	return true
 }
 
-// assignSlot gives a client the first slot behind all others, and reports in what time it is.
+// assignSlot gives a client the first slot after all others, and returns the time until the slot.
 func (c *Controller) assignSlot(r Request) control.Micros {
 	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.Snapshot}
 	for _, other := range c.expected {
--- a/control/admission/bucket.go
+++ b/control/admission/bucket.go
@@ -6,10 +6,10 @@
 	"beammux/control"
 )
 
-// roundingTolerance is how much a bucket may lack of a token that it should hold by its own arithmetic.
+// roundingTolerance is the part of a token that a bucket may lack because of floating-point rounding.
 const roundingTolerance = 1e-6
 
-// buckets are the two of a controller. They are a value: a copy is a trial of what is to come.
+// buckets are the two buckets of a controller. The type is a value: a copy simulates future operations.
 type buckets struct{ sessions, snapshots bucket }
 
 func newBuckets(l Limits) buckets {
@@ -21,7 +21,7 @@
 	b.snapshots.advance(now)
 }
 
-// hasTokens reports whether there is a token for a session, and one for a snapshot if it needs one.
+// hasTokens reports whether there is a token for a session and, if it needs a snapshot, one for that too.
 func (b *buckets) hasTokens(snapshot bool) bool {
 	return b.sessions.hasToken() && (!snapshot || b.snapshots.hasToken())
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-// readyAt is the time from which on the buckets hold the tokens for a session.
+// readyAt returns the time from which on the buckets hold the tokens for a session.
 func (b *buckets) readyAt(snapshot bool) control.Micros {
 	at := b.sessions.readyAt()
 	if snapshot {
@@ -42,7 +42,7 @@
 	return at
 }
 
-// spacing is the least time between the slots of two sessions, of which both may need snapshots.
+// spacing returns the shortest time between the slots of two sessions; snapshots means that both need one.
 func (b *buckets) spacing(snapshots bool) control.Micros {
 	spacing := b.sessions.spacing()
 	if snapshots {
--- a/control/advice/advice.go
+++ b/control/advice/advice.go
@@ -1,16 +1,16 @@
-// Package advice says what an operator can do about an error. Errors of the fleet's parts are types of their own, each with
-// an Advice; log lines and GET /api/fleet carry it beside the error.
+// Package advice connects errors with advice for the operator. The errors of the fleet packages are types of their own
+// with an Advice method; log lines and GET /api/fleet show the advice beside the error.
 package advice
 
 import "errors"
 
-// Error is an error that says what an operator can do about it, in one sentence.
+// Error is an error with one sentence of advice on what an operator can do about it.
 type Error interface {
 	error
 	Advice() string
 }
 
-// Of gives the advice of the first error in a chain that has any; "" where none has.
+// Of returns the advice of the first error in a chain that has any, or "" if none has.
 func Of(err error) string {
 	var adviser Error
 	if errors.As(err, &adviser) {
--- a/control/drain/drain.go
+++ b/control/drain/drain.go
@@ -1,76 +1,79 @@
 // Package drain decides what a gatekeeper does while operators send its clients away (evacuate) and take them back
-// (rejoin): whether it says it is ready, and which of its callers' connections it closes. It does no I/O and reads no
-// clock; the node asks it with the time and carries out what it says.
+// (rejoin): whether it reports ready, and which connections of its callers it closes. It does no I/O and reads no clock;
+// the node calls it with the time and executes its decisions.
 //
-// After the first "not ready" the front still leads new connections here for a short while, and uses kept connections
-// for as long as they are open. So nothing is refused for the drain: every request that comes is served by the same rules
-// as before, and a connection is closed once nothing is owed on it and it has been quiet for a moment. The moment is
-// short against the 4 s by which no connection may be held idle, and long enough that a set-up that the front is
-// writing on a fresh connection is read, not cut.
+// After the first "not ready" the front still routes new connections here for a short while, and uses kept connections
+// for as long as they are open. So nothing is refused because of the drain: every request is served by the same rules as
+// before, and a connection is closed once no answer is pending on it and it has been quiet for a moment. That moment is
+// short compared to the 4 s after which no connection may be held idle, and long enough that a set-up that the front is
+// writing on a new connection is read and not cut off.
 //
-// Rejected: refusing set-ups once evacuated. It turns clients away that another gatekeeper would have served, and the
-// front stops sending by itself; closing idle connections is what it needs to move kept clients.
+// Rejected alternative: refusing set-ups once evacuated. It would turn away clients that another gatekeeper would have
+// served, and the front stops sending by itself; to move kept clients, the front needs idle connections to be closed.
 package drain
 
 import "beammux/control"
 
-// Quiet is how long a connection with nothing owed on it stays open once the gatekeeper is evacuated. Cut is when
-// calls that still stand on a connection are released, so that it can close.
+// Delays of the drain. QuietPeriod is how long a connection without a pending answer stays open after its last use, or after
+// the evacuation if that was later. ReleaseDelay is the time from the evacuation until calls that still stand on a
+// connection are released, so that it can be closed.
 const (
 	Quiet control.Micros = 300_000
 	Cut   control.Micros = 2_000_000
 )
 
-// Drain is the state of one gatekeeper: serving, or evacuated since a time. The zero value serves.
+// Drain is the state of one gatekeeper: serving, or evacuated since a time. The zero value is serving.
 type Drain struct {
 	evacuated bool
 	ending    bool
 	since     control.Micros
 }
 
-// Evacuate sends clients away from now on. A second call changes nothing: the first time holds.
+// Evacuate starts sending clients away. Further calls have no effect: the time of the first one counts.
 func (d *Drain) Evacuate(now control.Micros) {
 	if !d.evacuated {
 		d.evacuated, d.since = true, now
 	}
 }
 
-// End is Evacuate for a process that ends: there is no rejoin, and no call is released for it. What stands goes on without the
-// process; its connections stay while that lives, since releases that come meanwhile are told there.
+// End is Evacuate for a process that is shutting down: it cannot rejoin, and no call is released for the drain. Standing
+// calls outlive the process; their connections stay open as long as it runs, since releases that arrive in that time are
+// sent on them.
 func (d *Drain) End(now control.Micros) {
 	d.Evacuate(now)
 	d.ending = true
 }
 
-// Rejoin takes clients again at once, unless the process ends.
+// Rejoin takes clients again immediately, unless the process is shutting down.
 func (d *Drain) Rejoin(now control.Micros) {
 	if d.evacuated && !d.ending {
 		d.evacuated, d.since = false, now
 	}
 }
 
-// Ready tells whether the gatekeeper says that it takes clients.
+// Ready reports whether the gatekeeper takes clients.
 func (d *Drain) Ready() bool { return !d.evacuated }
 
-// Evacuated tells whether clients are sent away, and since when.
+// Evacuated reports whether clients are sent away, and since when.
 func (d *Drain) Evacuated() (bool, control.Micros) { return d.evacuated, d.since }
 
-// Verdict is what becomes of one caller's connection.
+// Verdict is the decision on one caller's connection.
 type Verdict int
 
+// The decisions on a connection.
 const (
 	Keep    Verdict = iota
-	Close           // nothing is owed on it: closed once what is queued is written
-	Release         // the calls that came on it and stand are released towards both sides, then it is closed
+	Close           // no answer is pending: close it once the queued data is written
+	Release         // release the calls that stand on it towards both sides, then close it
 )
 
-// Connection decides of a caller's connection. used: when it last carried a message or an answer; owed: a set-up on it
-// waits for its answer; standing: a call that came on it stands.
+// Connection decides on a caller's connection. lastUsed is when it last carried a message or an answer; answerPending
+// means that a set-up on it waits for its answer; callStanding means that a call set up on it still stands.
 //
-// The front holds against the gatekeeper any connection still open 4 s after the evacuate that is idle or has carried a
-// request in the last 2 s. So up to Cut a connection whose calls stand is kept, and their releases are told there as they
-// come; from Cut on those calls are released by the gatekeeper and the connection closes, which leaves 2 s for the
-// answers still owed on the others.
+// The front counts against the gatekeeper any connection that is still open 4 s after the evacuation and is idle or has
+// carried a request in the last 2 s. So until ReleaseDelay a connection with standing calls is kept, and their releases
+// are sent on it as they arrive; after that the gatekeeper releases these calls and closes the connection, which leaves 2
+// s for the answers still pending on the others.
 func (d *Drain) Connection(now, used control.Micros, owed, standing bool) Verdict {
 	switch {
 	case !d.evacuated || owed:
--- a/control/fleetview/fleetview.go
+++ b/control/fleetview/fleetview.go
@@ -1,9 +1,9 @@
-// Package fleetview is one gatekeeper's view of its fleet: who is a member, in which zone, in what state, and what each
-// sees of the menu servers. It does no I/O and reads no clock: events in, changes out. What tells the events (gossip, by
-// SWIM with suspicion and incarnation numbers) is package fleet's.
+// Package fleetview holds one gatekeeper's view of its fleet: the members, their zones and states, and what each member
+// reports about the menu servers. It does no I/O and reads no clock: events go in, changes come out. The events are
+// produced by package fleet (gossip by SWIM with suspicion and incarnation numbers).
 //
-// What a member says of a server is a hint. It is kept here for decisions of the fleet; the module's own rules on cold and
-// gated servers never give way to it, and nothing here reaches the module.
+// A member's report about a server is a hint. It is kept here for decisions of the fleet; it never overrides the module's
+// own rules on cold and gated servers, and nothing in this package reaches the module.
 package fleetview
 
 import (
@@ -15,19 +15,20 @@
 	"beammux/control"
 )
 
-// State is what a member says of itself.
+// State is the state that a member reports of itself.
 type State uint8
 
-// The states.
+// The states of a member.
 const (
 	Starting State = iota
 	Ready
-	Draining // evacuated: it sends its clients away
-	Leaving  // it ends as planned
+	Draining // evacuated: the member sends its clients away
+	Leaving  // the member is shutting down as planned
 )
 
 var stateNames = [...]string{"starting", "ready", "draining", "leaving"}
 
+// String returns the name of the state.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "unknown"
@@ -38,22 +39,23 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Health is what the fleet holds of a member.
+// Health is the health of a member as judged by the fleet.
 type Health uint8
 
-// The healths.
+// The healths of a member.
 const (
 	Alive   Health = iota
-	Suspect        // it did not answer this member's probe; it may refute
-	Dead           // it did not refute in time
-	Left           // it said that it leaves
+	Suspect        // the member did not answer a probe of this member; it may refute the suspicion
+	Dead           // the member did not refute the suspicion in time
+	Left           // the member announced that it leaves
 )
 
 var healthNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// Healths are all of them, in order.
+// Healths lists all healths, in order.
 var Healths = []Health{Alive, Suspect, Dead, Left}
 
+// String returns the name of the health.
 func (h Health) String() string {
 	if int(h) >= len(healthNames) {
 		return "unknown"
@@ -64,66 +66,67 @@
 // MarshalText implements encoding.TextMarshaler.
 func (h Health) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// Up tells whether a member counts as one that takes part: alive, or suspected and not yet given up.
+// Up reports whether a member with this health takes part in the fleet: it is alive, or suspected and not yet declared
+// dead.
 func (h Health) Up() bool { return h == Alive || h == Suspect }
 
-// Summary is what a member sees of one menu server.
+// Summary is what a member reports about one menu server.
 type Summary struct {
 	Server uint32         `cbor:"1,keyasint" json:"server"`
-	Level  int            `cbor:"2,keyasint" json:"level"`  // congestion level, 0 to 4; it is gated at 2 or more
-	Age    control.Micros `cbor:"3,keyasint" json:"age_us"` // since the member heard of the server, as of the summary's time
+	Level  int            `cbor:"2,keyasint" json:"level"`  // congestion level, 0 to 4; the server is gated at 2 or more
+	Age    control.Micros `cbor:"3,keyasint" json:"age_us"` // time since the member last received data about the server, when the summary was made
 }
 
-// Member is one gatekeeper as this one knows it.
+// Member is one gatekeeper as seen by this one.
 type Member struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
 	Program string `json:"program"`  // version of the program
-	Start   uint64 `json:"start_ms"` // Unix ms of its start: a later one under the same name is a new member
-	Seq     uint64 `json:"seq"`      // counts what it has said of itself since its start
+	Start   uint64 `json:"start_ms"` // start time in Unix ms; a later start under the same name is a new member
+	Seq     uint64 `json:"seq"`      // sequence number of its own metadata since its start
 	State   State  `json:"state"`
 	Address string `json:"address"`
 
 	Health     Health         `json:"health"`
-	Since      control.Micros `json:"since_us"` // of its health
+	Since      control.Micros `json:"since_us"` // when the health last changed
 	Servers    []Summary      `json:"servers"`
 	ServersSeq uint64         `json:"servers_seq"`
 	ServersAt  control.Micros `json:"servers_at_us"`
 }
 
-// Kind tells what an event is.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds, with the fields of Event that each uses beside Name.
+// The kinds of events. The comments name the fields of Event that each uses besides Name.
 const (
-	Met       Kind = iota + 1 // Member: it is alive, and says this of itself
-	Suspected                 // its probe was not answered
-	Answered                  // it answered a probe
-	Died                      // the fleet has given it up
-	Went                      // it left
-	Published                 // Member.Start, ToldSeq, Servers: what it sees of servers
-	Own                       // Member.State, Servers: what this member says of itself
+	Met       Kind = iota + 1 // the member is alive; Member: its own metadata
+	Suspected                 // the member did not answer a probe
+	Answered                  // the member answered a probe
+	Died                      // the fleet has declared the member dead
+	Went                      // the member left
+	Published                 // the member published summaries; Member.Start, ServersSeq, Servers
+	Own                       // state of the local member; Member.State, Servers
 	Tick                      // time has passed
 )
 
-// Event is something that this member received or noticed.
+// Event is an event that this member received or detected.
 type Event struct {
 	Kind   Kind
 	Name   string
 	Member Member
 }
 
-// Change is one change of the view: who became what. Reaped members are gone from it.
+// Change is one change of the view. A reaped member is no longer part of the view.
 type Change struct {
 	Name   string
 	Health Health
 	State  State
 	Reaped bool
-	Fresh  bool // it was not known, or comes back with a new start
+	Fresh  bool // the member was unknown or has returned with a new start
 }
 
-// View is the view of one member. It is not safe for use by several goroutines.
+// View is the view of one member. It is not safe for concurrent use.
 type View struct {
 	self      string
 	reapAfter control.Micros
@@ -131,7 +134,8 @@
 	version   uint64
 }
 
-// New makes the view of a member that knows itself alone; dead members and those that left are forgotten after reap.
+// New returns the view of a member that knows only itself. Dead members and members that left are forgotten after
+// reapAfter.
 func New(self Member, now, reapAfter control.Micros) *View {
 	v := &View{self: self.Name, reapAfter: reapAfter, members: map[string]*Member{}, version: 1}
 	self.Health, self.Since = Alive, now
@@ -139,14 +143,14 @@
 	return v
 }
 
-// Apply takes one event and gives what it changed.
+// Apply processes one event and returns the resulting changes.
 func (v *View) Apply(now control.Micros, e Event) []Change {
 	if e.Kind == Tick {
 		return v.tick(now)
 	}
 	m := v.members[e.Name]
 	if e.Name == v.self && e.Kind != Own {
-		return nil // what others say of this member is refuted, not believed
+		return nil // reports of others about this member are refuted, not applied
 	}
 	switch e.Kind {
 	case Own:
@@ -165,11 +169,12 @@
 	health := map[Kind]Health{Suspected: Suspect, Answered: Alive, Died: Dead, Went: Left}[e.Kind]
 	if e.Kind == Suspected && m.Health != Alive || e.Kind == Answered && m.Health != Suspect ||
 		(e.Kind == Died || e.Kind == Went) && !m.Health.Up() {
-		return nil // a dead member comes back by Met alone
+		return nil // only EventAlive revives a dead member
 	}
 	return v.setHealth(now, m, health, false)
 }
 
+// applyLocalState applies the state and the server summaries of this member itself.
 func (v *View) applyLocalState(now control.Micros, m *Member, e Event) []Change {
 	m.ServersAt, m.Servers = now, slices.Clone(e.Member.Servers)
 	m.ServersSeq++
@@ -182,8 +187,8 @@
 	return []Change{{Name: m.Name, Health: m.Health, State: m.State}}
 }
 
-// applyAlive takes what a member says of itself. Only what is newer counts: a later start, or more said since the same start. A
-// member that was given up and is met again is alive again.
+// applyAlive applies a member's own metadata. Only newer metadata counts: that of a later start, or with a higher
+// sequence number of the same start. A dead member is alive again.
 func (v *View) applyAlive(now control.Micros, m *Member, e Event) []Change {
 	received := e.Member
 	received.Name = e.Name
@@ -209,7 +214,7 @@
 	return []Change{{Name: m.Name, Health: m.Health, State: m.State}}
 }
 
-// updateMetadata takes what a member newly says of itself, and tells whether that changes the view.
+// updateMetadata applies newer metadata of a member and reports whether this changes the view.
 func (v *View) updateMetadata(m *Member, received Member) bool {
 	if received.Seq <= m.Seq {
 		return false
@@ -219,12 +224,14 @@
 	return viewChanged
 }
 
+// setHealth sets the health of a member and returns the change.
 func (v *View) setHealth(now control.Micros, m *Member, health Health, reaped bool) []Change {
 	m.Health, m.Since = health, now
 	v.version++
 	return []Change{{Name: m.Name, Health: health, State: m.State, Reaped: reaped}}
 }
 
+// tick forgets members that have been dead or gone for reapAfter.
 func (v *View) tick(now control.Micros) (changes []Change) {
 	for _, name := range v.sortedNames() {
 		if m := v.members[name]; !m.Health.Up() && now-m.Since >= v.reapAfter {
@@ -236,6 +243,7 @@
 	return changes
 }
 
+// sortedNames returns the names of all members, sorted.
 func (v *View) sortedNames() []string {
 	names := make([]string, 0, len(v.members))
 	for name := range v.members {
@@ -245,11 +253,13 @@
 	return names
 }
 
-// Version counts the changes of this member's view, itself included. Versions of two members say nothing of each other.
+// Version returns the number of changes of this view, including the initial one. Versions of different members' views are
+// not comparable.
 func (v *View) Version() uint64 { return v.version }
 
-// Hash is the same for two members that agree on who is up, where and in what state. What is merely suspected, who is dead,
-// and what is said of servers is not in it: those differ from member to member and moment to moment.
+// Hash returns a hash that is equal for two members whose views agree on which members are up, and on their places and
+// states. Suspicions, dead members and server summaries are not included: they differ between members and change from
+// moment to moment. Members of different versions compare it, so its input must not change.
 func (v *View) Hash() uint64 {
 	h := fnv.New64a()
 	var buffer [8]byte
@@ -273,7 +283,7 @@
 	return h.Sum64()
 }
 
-// Members gives copies of all members, sorted by name.
+// Members returns copies of all members, sorted by name.
 func (v *View) Members() []Member {
 	members := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
@@ -285,7 +295,7 @@
 	return members
 }
 
-// EachUp hands each member that is up to f, which must not keep or change it.
+// EachUp calls f for each member that is up; f must not retain or modify it.
 func (v *View) EachUp(f func(*Member)) {
 	for _, m := range v.members {
 		if m.Health.Up() {
@@ -294,10 +304,10 @@
 	}
 }
 
-// Self gives this member.
+// Self returns this member.
 func (v *View) Self() Member { return *v.members[v.self] }
 
-// Count gives how many members are of a health.
+// Count returns the number of members with a given health.
 func (v *View) Count(h Health) (n int) {
 	for _, m := range v.members {
 		if m.Health == h {
@@ -307,8 +317,8 @@
 	return n
 }
 
-// Lost gives the addresses of members that are dead and not yet forgotten: who was cut off from them tries them again. One
-// that left is not waited for.
+// Lost returns the addresses of members that are dead and not yet forgotten. A member that was partitioned from them
+// tries to rejoin through these addresses. Members that left are not included.
 func (v *View) Lost() (addresses []string) {
 	for _, name := range v.sortedNames() {
 		if m := v.members[name]; m.Health == Dead && m.Address != "" {
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -1,10 +1,10 @@
-// Package heavy finds heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal and El Abbadi, 2005), over weights, so
-// that forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009) gives rates: what is counted later weighs more, and all
-// weights shrink alike with time, so that neither order nor bounds change while nothing is counted. It does no I/O and reads
-// no clock.
+// Package heavy finds heavy hitters in bounded memory. It implements Space-Saving (Metwally, Agrawal and El Abbadi, 2005)
+// over weights, so that forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009) gives rates: later counts weigh
+// more, and all weights shrink alike with time, so that neither the order nor the bounds change while nothing is counted.
+// It does no I/O and reads no clock.
 //
-// With k slots and a total weight W, a key's Count is never under its true weight and at most Err over it, Err is at most W/k,
-// and every key of a true weight over W/k is held.
+// With k slots and a total weight W, the Count of a key is at least its true weight and at most Err more, Err is at most
+// W/k, and every key with a true weight above W/k is tracked.
 package heavy
 
 import (
@@ -14,8 +14,9 @@
 	"slices"
 )
 
-const maxKeyLength = 128 // bytes of a key; what is longer is cut there
+const maxKeyLength = 128 // bytes; longer keys are truncated
 
+// slot holds one tracked key.
 type slot struct {
 	hash uint64
 	err  float64
@@ -23,36 +24,36 @@
 	key  [maxKeyLength]byte
 }
 
-// entry is one of the index, with the hash beside it: looking for one reads nothing else.
+// entry is an entry of the hash index. It contains the hash, so that a lookup reads nothing else.
 type entry struct {
 	hash uint64
-	slot int32 // and 1; 0: free
+	slot int32 // slot number plus 1; 0: free
 }
 
-// node is an entry of the heap; counts lie here, side by side, since ordering reads little else.
+// node is a node of the heap. The counts are stored here, side by side, since ordering reads little else.
 type node struct {
 	count float64
 	slot  int32
 }
 
-// Summary is a Space-Saving summary. Adding allocates nothing. It is not safe for use by several goroutines.
+// Summary is a Space-Saving summary. Add does not allocate. A Summary is not safe for concurrent use.
 type Summary struct {
 	seed      maphash.Seed
 	slots     []slot
-	heap      []node  // the least count first
-	heapIndex []int32 // by slot: its place in the heap
-	index     []entry // by hash, open addressing with linear probes
+	heap      []node  // min-heap by count
+	heapIndex []int32 // by slot: position in the heap
+	index     []entry // hash table with open addressing and linear probing
 	total     float64
 }
 
-// New makes a summary of so many slots, at least 1.
+// New returns a summary with a number of slots, at least 1.
 func New(slots int) *Summary {
 	slots = max(slots, 1)
 	return &Summary{seed: maphash.MakeSeed(), slots: make([]slot, 0, slots), heap: make([]node, 0, slots),
 		heapIndex: make([]int32, slots), index: make([]entry, 4<<bits.Len(uint(slots-1)))}
 }
 
-// lookup gives the place of a hash in the index, or the free one where it would go.
+// lookup returns the position of a hash in the index, or the free position where it would be inserted.
 func (s *Summary) lookup(hash uint64) int {
 	mask := len(s.index) - 1
 	for i := int(hash) & mask; ; i = (i + 1) & mask {
@@ -62,7 +63,7 @@
 	}
 }
 
-// deleteEntry frees a place of the index and moves up what probed past it.
+// deleteEntry frees a position of the index and moves back the entries that were probed past it.
 func (s *Summary) deleteEntry(i int) {
 	mask := len(s.index) - 1
 	for k := (i + 1) & mask; s.index[k].slot != 0; k = (k + 1) & mask {
@@ -73,7 +74,7 @@
 	s.index[i] = entry{}
 }
 
-// Add counts a key with a weight. Two keys of one 64-bit hash (seeded anew at each start) count as one.
+// Add counts a key with a weight. Two keys with the same 64-bit hash (its seed is random for each summary) count as one.
 func (s *Summary) Add(key string, weight float64) {
 	if len(key) > maxKeyLength {
 		key = key[:maxKeyLength]
@@ -107,6 +108,7 @@
 	s.siftDown(0)
 }
 
+// setKey stores the key of a slot.
 func (s *Summary) setKey(i int32, key string) {
 	s.slots[i].len = uint8(copy(s.slots[i].key[:], key))
 }
@@ -138,7 +140,7 @@
 	}
 }
 
-// Scale multiplies all weights by a factor over 0: the landmark of forward decay moves.
+// Scale multiplies all weights by a positive factor, which moves the landmark of forward decay.
 func (s *Summary) Scale(factor float64) {
 	s.total *= factor
 	for i := range s.slots {
@@ -162,11 +164,11 @@
 // Counter is one key that is held.
 type Counter struct {
 	Key   string
-	Count float64 // at least the key's true weight
-	Err   float64 // and at most so much over it
+	Count float64 // at least the true weight of the key
+	Err   float64 // largest amount by which Count exceeds the true weight
 }
 
-// Top gives the keys that are held, the heaviest first, at most so many.
+// Top returns the tracked keys, heaviest first, up to a limit.
 func (s *Summary) Top(limit int) []Counter {
 	all := make([]Counter, 0, len(s.slots))
 	for i := range s.slots {
@@ -183,10 +185,10 @@
 	return all[:min(limit, len(all))]
 }
 
-// Total is the weight of all that was counted.
+// Total returns the total weight of everything counted.
 func (s *Summary) Total() float64 { return s.total }
 
-// Slack is the most that the true weight of a key which is not held can be.
+// Slack returns the upper bound on the true weight of a key that is not tracked.
 func (s *Summary) Slack() float64 {
 	if len(s.slots) < cap(s.slots) {
 		return 0
@@ -194,8 +196,9 @@
 	return s.heap[0].count
 }
 
-// Merge adds summaries up: counts of a key are summed, and where a summary does not hold it, its Slack goes into count and
-// error, so that the bounds hold for the sum (Cafaro, Pulimeno and Tempesta, 2016).
+// Merge adds up summaries. The counts of a key are summed; where a summary does not track it, the bound MaxUntracked of
+// that summary is added to count and error, so that the bounds hold for the sum (Cafaro, Pulimeno and Tempesta, 2016). At
+// most limit keys are returned, heaviest first.
 func Merge(limit int, parts ...*Summary) []Counter {
 	type sum struct{ count, err float64 }
 	sums := map[string]*sum{}
--- a/control/locality/locality.go
+++ b/control/locality/locality.go
@@ -1,11 +1,11 @@
-// Package locality decides how much of a gatekeeper's traffic goes to the menu servers of which distance: its own zone, its
-// own region, elsewhere. It does no I/O and reads no clock. Which server of a distance takes a call stays the module's
-// decision, and its rules on gated and cold servers hold whatever is decided here.
+// Package locality decides how much of a gatekeeper's traffic goes to the menu servers of each distance: its own zone,
+// its own region, elsewhere. It does no I/O and reads no clock. The choice of a server within a distance stays with the
+// module, and its rules on gated and cold servers apply whatever is decided here.
 //
-// Terms and the sharing-out are those of Envoy's locality-weighted load balancing with priority levels: health of a level,
-// overprovisioning factor, panic threshold. What is added: a zone is declared failed and restored in common, by the votes
-// that the members tell each other; both ways have hysteresis; and traffic returns to a restored zone no faster than its
-// servers get warm.
+// The terms and the distribution are those of Envoy's locality-weighted load balancing with priority levels: health of a
+// level, overprovisioning factor, panic threshold. Three things are added: a zone is declared failed and restored
+// jointly, by votes that the members exchange; both directions have hysteresis; and traffic returns to a restored zone no
+// faster than its servers warm up.
 package locality
 
 import (
@@ -15,18 +15,18 @@
 	"beammux/control"
 )
 
-// Settings are the figures of the decision. The zero value of each is replaced by the default in parentheses.
+// Settings configures a Balancer. Zero values are replaced by the defaults in parentheses.
 type Settings struct {
 	Zone, Region       string
-	Overprovision      float64        // a level takes all traffic while its health times this is 1 or more (1.4)
-	Panic              float64        // with less health than this in all levels together, distance counts no more (0.25)
-	FailBelow          float64        // part of a zone's servers that can take set-ups, below which a member votes it failed (0.4)
-	RestoreAbove       float64        // and from which it votes it restored (0.7)
-	FailAfter          control.Micros // for so long without a break (500 ms)
-	RestoreAfter       control.Micros // (2 s)
-	LocalOverrideAfter control.Micros // a member that alone can't use a zone goes by its own view after this (2 s)
-	StartCapacity      float64        // of a cold server: the settings' start-capacity
-	WarmWithin         control.Micros // the settings' warm-within
+	Overprovision      float64        // a level takes all traffic while its health times this factor is at least 1 (1.4)
+	Panic              float64        // if all levels together have less health than this, distance is ignored (0.25)
+	FailBelow          float64        // a member votes a zone failed if a lower part of its servers can take set-ups (0.4)
+	RestoreAbove       float64        // and votes it restored from this part on (0.7)
+	FailAfter          control.Micros // how long health must stay below FailBelow (500 ms)
+	RestoreAfter       control.Micros // how long health must stay at RestoreAbove or more (2 s)
+	LocalOverrideAfter control.Micros // a member that alone cannot use a zone follows its own view after this time (2 s)
+	StartCapacity      float64        // capacity of a cold server, 0 to 1: the setting start-capacity
+	WarmWithin         control.Micros // time until a cold server is warm: the setting warm-within
 }
 
 func (s Settings) withDefaults() Settings {
@@ -40,10 +40,10 @@
 	return s
 }
 
-// Priority is a distance: 0 is nearest.
+// Priority is the priority level of a distance; 0 is the nearest.
 type Priority int
 
-// The priorities.
+// The priority levels, and their number.
 const (
 	SameZone Priority = iota
 	SameRegion
@@ -53,6 +53,7 @@
 
 var priorityNames = [Priorities]string{"own zone", "own region", "elsewhere"}
 
+// String returns the name of the priority level.
 func (p Priority) String() string {
 	if p < 0 || p >= Priorities {
 		return "unknown"
@@ -60,33 +61,34 @@
 	return priorityNames[p]
 }
 
-// Server is one menu server as the list and this member's module hold it.
+// Server is one menu server, by the server list and the state in this member's module.
 type Server struct {
 	ID           uint32
 	Zone, Region string
-	Available    bool // it takes set-ups: ready on the list, below level 2
+	Available    bool // it takes set-ups: ready on the list and below level 2
 }
 
-// Vote is what one member holds of a zone.
+// Vote is one member's assessment of a zone.
 type Vote struct {
 	Member string
 	Zone   string
-	Health float64 // part of the zone's servers that can take set-ups, as it sees them
-	Failed bool    // with its hysteresis
+	Health float64 // part of the zone's servers that can take set-ups, as seen by the member
+	Failed bool    // the vote, after hysteresis
 }
 
-// State is what is held of a zone in common.
+// State is the state of a zone.
 type State uint8
 
-// The states.
+// The states of a zone.
 const (
 	Healthy   State = iota
-	Failed          // no traffic goes there
-	Returning       // restored: traffic comes back by stages
+	Failed          // the zone gets no traffic
+	Returning       // restored: traffic returns gradually
 )
 
 var stateNames = [...]string{"healthy", "failed", "returning"}
 
+// String returns the name of the state.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "unknown"
@@ -94,68 +96,70 @@
 	return stateNames[s]
 }
 
-// Decider tells who decided a zone's state.
+// Decider is the origin of the decision on a zone's state.
 type Decider uint8
 
-// Who decides.
+// The origins of a decision.
 const (
-	DecidedByVotes Decider = iota // the members' votes
-	DecidedLocally                // this member alone: it is cut off from the fleet, or from the zone alone
+	DecidedByVotes Decider = iota // the members' votes decided
+	DecidedLocally                // this member decided alone: it is cut off from the fleet, or it alone cannot use the zone
 )
 
+// String returns the name of the origin.
 func (b Decider) String() string { return [...]string{"common", "own"}[min(int(b), 1)] }
 
-// Zone is a zone as it is held now.
+// Zone is the current assessment of a zone.
 type Zone struct {
 	Name, Region              string
 	Priority                  Priority
 	Servers                   int
-	Health                    float64 // median of the members' votes, or the own one
+	Health                    float64 // median of the health in the members' votes, or this member's own value
 	State                     State
 	DecidedBy                 Decider
-	Since                     control.Micros // of the state
-	VotesFailed, VotesHealthy int            // members that vote it failed, and not
-	MaxShare                  float64        // most of this member's traffic that it may get: less than 1 while it returns
+	Since                     control.Micros // when the state last changed
+	VotesFailed, VotesHealthy int            // number of members that vote the zone failed, and not failed
+	MaxShare                  float64        // largest part of this member's traffic that the zone may get: less than 1 while it returns
 }
 
-// Input is what is known at one moment.
+// Input is the input of one step.
 type Input struct {
 	Servers []Server
-	Votes   []Vote // of the other members that are up; each told with its last summary
-	Peers   int    // members that should be there beside this one: with none of them up, it is cut off
-	PeersUp int    // of them, those that are up
+	Votes   []Vote // votes of the other members that are up, as last received
+	Peers   int    // number of expected members besides this one; if none of them is up, this member is cut off
+	PeersUp int    // number of these that are up
 }
 
-// Output is what follows.
+// Output is the result of one step.
 type Output struct {
-	Votes   []Vote              // this member's own, to be told to the others; Member is not set
-	Zones   []Zone              // by name
-	Loads   [Priorities]float64 // parts of the traffic, 1 in all; meaningless in panic
-	Panic   bool                // distance counts no more: any server that is open
-	Changes []Zone              // whose state or decider has changed by this step
+	Votes   []Vote              // this member's votes, to be sent to the others; Member is not set
+	Zones   []Zone              // sorted by name
+	Loads   [Priorities]float64 // parts of the traffic by priority level, at most 1 in total; not valid in panic mode
+	Panic   bool                // panic mode: distance is ignored, any open server may be used
+	Changes []Zone              // zones whose state or decider changed in this step
 }
 
-// Balancer is the decision of one member. It is not safe for use by several goroutines.
+// Balancer makes the decisions of one member. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	zones    map[string]*zoneState
 }
 
+// zoneState is a zone with the state that only this member has of it.
 type zoneState struct {
 	Zone
-	localHealth        float64        // health as this member sees it
-	votesFailed        bool           // this member's: failed
-	pastThresholdSince control.Micros // the own health is beyond the other threshold since then; 0: it is not
-	disagreesSince     control.Micros // the own vote is failed and the common state is not, since then; 0: no
-	listed             bool
+	localHealth        float64        // health as seen by this member
+	votesFailed        bool           // this member's vote is failed
+	pastThresholdSince control.Micros // since when localHealth is past the threshold for changing the vote; 0: it is not
+	disagreesSince     control.Micros // since when this member votes failed and the majority does not; 0: they agree
+	listed             bool           // the server list names a server of the zone
 }
 
-// New makes a balancer.
+// New returns a Balancer without zones.
 func New(s Settings) *Balancer {
 	return &Balancer{settings: s.withDefaults(), zones: map[string]*zoneState{}}
 }
 
-// Step takes what is known at a time. Times never go back.
+// Step processes the input at a time and returns the decisions. Times must not decrease.
 func (b *Balancer) Step(now control.Micros, in Input) Output {
 	b.updateLocalVotes(now, in.Servers)
 	var out Output
@@ -178,6 +182,7 @@
 	return out
 }
 
+// sortedNames returns the names of all zones, sorted.
 func (b *Balancer) sortedNames() []string {
 	names := make([]string, 0, len(b.zones))
 	for name := range b.zones {
@@ -187,6 +192,7 @@
 	return names
 }
 
+// priority returns the priority level of a zone.
 func (b *Balancer) priority(zone, region string) Priority {
 	switch {
 	case zone == b.settings.Zone:
@@ -197,7 +203,7 @@
 	return Elsewhere
 }
 
-// updateLocalVotes takes this member's view of each zone, and its vote with hysteresis.
+// updateLocalVotes updates this member's view of each zone, and its votes with hysteresis.
 func (b *Balancer) updateLocalVotes(now control.Micros, servers []Server) {
 	for _, z := range b.zones {
 		z.listed, z.Servers, z.localHealth = false, 0, 0
@@ -217,7 +223,7 @@
 		}
 	}
 	for name, z := range b.zones {
-		if !z.listed { // the list names no server there any more
+		if !z.listed { // the list no longer names a server of the zone
 			delete(b.zones, name)
 			continue
 		}
@@ -238,10 +244,11 @@
 	}
 }
 
-// decide counts the votes. A zone is failed once more than half of the members that say anything of it vote so, this one
-// included, and restored once less than half do. With just half, which is a split view, it stays what it is. A member that
-// is cut off from the fleet goes by its own vote, and so does one that alone can't use a zone for some time: it may be its
-// own links that are cut, and it must not refuse what others could carry.
+// decide counts the votes and sets the state of a zone. A zone fails once more than half of the members that have an
+// opinion of it, including this one, vote it failed, and is restored once less than half do. With exactly half, a split
+// vote, the state does not change. A member that is cut off from the fleet follows its own vote, and so does a member
+// that alone cannot use a zone for LocalOverrideAfter: its own links may be cut, and it must not refuse calls that others
+// could carry.
 func (b *Balancer) decide(now control.Micros, z *zoneState, votes []Vote, isolated bool) {
 	z.VotesFailed, z.VotesHealthy = 0, 0
 	health := []float64{z.localHealth}
@@ -265,7 +272,7 @@
 		failed = true
 	case z.VotesFailed < z.VotesHealthy:
 		failed = false
-	case z.DecidedBy == DecidedLocally: // a split view after a time of its own: its own vote breaks it
+	case z.DecidedBy == DecidedLocally: // a split vote after a local decision: this member's own vote breaks the tie
 		failed = z.votesFailed
 	}
 	decider := DecidedByVotes
@@ -297,8 +304,9 @@
 	}
 }
 
-// maxShare is the most of a member's traffic that a zone may get: none while it is failed; while it returns, what its servers
-// can do by now if they came back cold (the settings' start-capacity, rising evenly until they are warm).
+// maxShare returns the largest part of a member's traffic that a zone may get: none while it is failed; while it returns,
+// the capacity that its servers have reached if they came back cold (from start-capacity, rising linearly until they are
+// warm).
 func (b *Balancer) maxShare(now control.Micros, z *zoneState) float64 {
 	switch z.State {
 	case Failed:
@@ -313,10 +321,11 @@
 	return 1
 }
 
-// loads shares the traffic out over the distances, nearest first (Envoy, priority levels): a level gets what its health
-// times the overprovisioning factor allows, the next one what is left. What a returning zone adds to its level is held to
-// its share. Where all levels together can't take all, those without a returning zone get the rest (Envoy normalizes over
-// all); with none of those, the parts stay under 1, and what is over them is refused.
+// loads distributes the traffic over the priority levels, nearest first (Envoy, priority levels): a level gets what its
+// health times the overprovisioning factor allows, the next level gets the rest. What a returning zone adds to its level
+// is limited to its share. If all levels together cannot take everything, the levels without a returning zone get the
+// remainder (Envoy normalizes over all levels). If there are none of those, the parts add up to less than 1, and the
+// excess is refused.
 func (b *Balancer) loads(zones []Zone) (loads [Priorities]float64, panicMode bool) {
 	var levelServers, health [Priorities]float64
 	var hasReturning [Priorities]bool
--- a/control/member/member.go
+++ b/control/member/member.go
@@ -1,10 +1,11 @@
-// Package member decides which changes of a store's group are safe: who may join, when a learner may vote, and who may be
-// removed. It does no I/O and reads no clock; package store asks it at the leader and carries out what it allows.
+// Package member decides which membership changes of a store's group are safe: who may join, when a learner may become a
+// voter, and who may be removed. It does no I/O and reads no clock; package store calls it on the leader and executes the
+// permitted changes.
 //
-// A group writes while a majority of its voters is up (Raft, Ongaro and Ousterhout 2014, section 6; members change one at a
-// time, Ongaro's thesis 2014, chapter 4). So a change is safe if a majority is up after it, too. A new member joins as a
-// learner, which has no vote, and votes once it has nearly all that the others have: a voter that is far behind counts
-// for the majority and can't make one.
+// A group can write while a majority of its voters is up (Raft, Ongaro and Ousterhout 2014, section 6; members change one
+// at a time, Ongaro's thesis 2014, chapter 4). So a change is safe if a majority is still up after it. A new member joins
+// as a learner without a vote and becomes a voter once it has nearly the whole log: a voter that is far behind raises the
+// majority needed without being able to contribute to it.
 package member
 
 import (
@@ -12,45 +13,47 @@
 	"slices"
 )
 
-// Member is one of a group as the leader sees it.
+// Member is a member of the group as seen by the leader.
 type Member struct {
 	Node, Address string
 	Voter         bool
-	Up            bool   // it answered just now
-	Behind        uint64 // log entries that it lacks
+	Up            bool   // it has just answered the leader
+	Behind        uint64 // number of log entries that it lacks
 }
 
-// Group is what the leader knows.
+// Group is the state of the group as known to the leader.
 type Group struct {
 	Members  []Member
 	Leader   string
-	Changing bool // a change is not committed yet
+	Changing bool // a membership change is not committed yet
 }
 
-// MaxPromotionLag is how many entries a learner may lack when it gets its vote: less than a second of a busy store.
+// MaxPromotionLag is the number of log entries that a learner may lack when it becomes a voter: less than one second of a
+// busy store.
 const MaxPromotionLag = 64
 
-// Do names what a change does.
+// Do is the kind of a membership change.
 type Do string
 
-// The changes.
+// The kinds of membership changes.
 const (
-	Nothing  Do = "nothing" // the group is so already
-	AddOne   Do = "add"     // as a learner
-	MoveOne  Do = "move"    // the same member at another address; it keeps its vote
+	Nothing  Do = "nothing" // the group is already in the requested state
+	AddOne   Do = "add"     // add the member as a learner
+	MoveOne  Do = "move"    // change the address of a member; it keeps its vote
 	Promote  Do = "promote"
 	RemoveIt Do = "remove"
 )
 
-// Refusal says why a change is not safe, and whether it can be forced.
+// Refusal reports why a change is not safe, and whether it can be forced.
 type Refusal struct {
 	Why       string
 	Forceable bool
 }
 
+// Error implements error.
 func (r *Refusal) Error() string {
 	if r.Forceable {
-		return r.Why + "; --force does it all the same"
+		return r.Why + "; use --force to do it anyway"
 	}
 	return r.Why
 }
@@ -66,7 +69,7 @@
 	return nil
 }
 
-// voters counts voters, and those of them that are up, leaving one member out.
+// voters returns the number of voters, and how many of them are up, leaving out one member.
 func (g *Group) voters(without string) (all, up int) {
 	for _, m := range g.Members {
 		if m.Voter && m.Node != without {
@@ -81,10 +84,10 @@
 
 func majority(voters int) int { return voters/2 + 1 }
 
-// Add decides on a member that wants to join, or that comes back at another address.
+// Add decides on a member that wants to join, or that returns at another address.
 func (g *Group) Add(node, address string) (Do, error) {
 	if g.Changing {
-		return Nothing, refuse(false, "another change of members is on its way: one at a time")
+		return Nothing, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	}
 	if i := slices.IndexFunc(g.Members, func(m Member) bool { return m.Address == address && m.Node != node }); i >= 0 {
 		return Nothing, refuse(false, "%s is the address of %s already", address, g.Members[i].Node)
@@ -96,36 +99,37 @@
 	case m.Address == address:
 		return Nothing, nil
 	case m.Up:
-		return Nothing, refuse(false, "%s is up at %s: two members of one name would both vote", node, m.Address)
+		return Nothing, refuse(false, "%s is up at %s: two members with one name would both vote", node, m.Address)
 	}
-	// While it moves it is not up, so nothing is lost that was there.
+	// The member is down, so changing its address does not take a running voter from the group.
 	return MoveOne, nil
 }
 
-// MayVote decides on a learner's vote.
+// MayVote decides whether a learner may become a voter.
 func (g *Group) MayVote(node string) (Do, error) {
 	m := g.find(node)
 	switch {
 	case g.Changing:
-		return Nothing, refuse(false, "another change of members is on its way: one at a time")
+		return Nothing, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	case m == nil:
 		return Nothing, refuse(false, "%s is not a member; add it first", node)
 	case m.Voter:
 		return Nothing, nil
 	case !m.Up:
-		return Nothing, refuse(false, "%s does not answer: as a voter it would count for the majority and not make one", node)
+		return Nothing, refuse(false, "%s does not answer: as a voter it would raise the majority needed without contributing to it", node)
 	case m.Behind > MaxPromotionLag:
-		return Nothing, refuse(false, "%s lacks %d entries, %d at most: wait until it has them", node, m.Behind, MaxPromotionLag)
+		return Nothing, refuse(false, "%s lacks %d entries, at most %d are allowed: wait until it has caught up", node, m.Behind, MaxPromotionLag)
 	}
 	return Promote, nil
 }
 
-// Remove decides on taking a member out. What can be forced is what leaves no majority up; taking out the last voter can't.
+// Remove decides on the removal of a member. A removal that leaves no majority up can be forced; the removal of the last
+// voter cannot.
 func (g *Group) Remove(node string, force bool) (Do, error) {
 	m := g.find(node)
 	switch {
 	case g.Changing:
-		return Nothing, refuse(false, "another change of members is on its way: one at a time")
+		return Nothing, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	case m == nil:
 		return Nothing, nil
 	case !m.Voter:
@@ -133,10 +137,10 @@
 	}
 	all, up := g.voters(node)
 	if all == 0 {
-		return Nothing, refuse(false, "%s is the last voter: without it the group is at its end", node)
+		return Nothing, refuse(false, "%s is the last voter: the group cannot exist without it", node)
 	}
 	if need := majority(all); up < need && !force {
-		return Nothing, refuse(true, "of the %d voters left %d are up and %d are needed: nothing could be written, and what only %s holds would be lost",
+		return Nothing, refuse(true, "of the %d voters left %d are up and %d are needed: the group could not write, and entries that only %s holds would be lost",
 			all, up, need, node)
 	}
 	return RemoveIt, nil
--- a/control/scope/errors.go
+++ b/control/scope/errors.go
@@ -5,28 +5,30 @@
 	"strings"
 )
 
-// KeyFault is what is wrong with a key.
+// KeyFault is the reason why a key is invalid.
 type KeyFault int
 
-// The faults of a key.
+// The reasons why a key is invalid.
 const (
-	NoPrefix  KeyFault = iota // it does not begin with Prefix
-	NoScope                   // the part after the prefix is no kind of scope
-	NoForm                    // it has too few or too many parts
-	NoName                    // the scope's name can't be one
-	NoSection                 // there is no such section
+	NoPrefix  KeyFault = iota // the key does not begin with Prefix
+	NoScope                   // the part after the prefix is not a kind of scope
+	NoForm                    // the key has too few or too many parts
+	NoName                    // the name of the scope is invalid
+	NoSection                 // the section does not exist
 )
 
-// KeyError says that a key is not that of a settings record.
+// KeyError reports that a key is not the key of a settings record.
 type KeyError struct {
 	Key   string
 	Fault KeyFault
 }
 
+// Error implements error.
 func (e *KeyError) Error() string {
 	return fmt.Sprintf("scope: key %q %s", e.Key, e.description())
 }
 
+// description returns the predicate of the error text: what is wrong with the key.
 func (e *KeyError) description() string {
 	switch e.Fault {
 	case NoPrefix:
@@ -54,14 +56,15 @@
 	return "write settings/all/SECTION, or settings/SCOPE/NAME/SECTION with SCOPE one of " + strings.Join(kindNames[1:], ", ")
 }
 
-// NameError says that a name of a gatekeeper, or of its region, zone or service, can't stand in a key.
+// NameError reports that the name of a gatekeeper, or of its region, zone or service, is not valid in a key.
 type NameError struct {
 	Kind Kind
 	Name string
 }
 
+// Error implements error.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("scope: the %s's name %q can't stand in a key", e.Kind, e.Name)
+	return fmt.Sprintf("scope: the %s's name %q is not valid in a key", e.Kind, e.Name)
 }
 
 // Advice implements advice.Error.
--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -1,6 +1,7 @@
-// Package scope decides which settings records of the store hold for one gatekeeper. A record is written for a scope: all
-// gatekeepers, those of a region, of a zone, of a service, or a single one. For each section of the settings the record of
-// the narrowest scope holds; it replaces the section of the wider scopes whole. Pure.
+// Package scope decides which settings records of the store apply to one gatekeeper. A record is written for a scope: all
+// gatekeepers, those of a region, of a zone, of a service, or a single one. For each section of the settings the record
+// of the narrowest scope applies; it replaces the section of wider scopes as a whole. The package is pure: it does no I/O
+// and reads no clock.
 package scope
 
 import (
@@ -10,19 +11,19 @@
 	"unicode/utf8"
 )
 
-// Prefix is what the keys of all settings records begin with.
+// Prefix is the common prefix of the keys of all settings records.
 const Prefix = "settings/"
 
 // The sections of the settings.
 const (
-	SectionCalls     = "calls"     // JSON, as the deploy file's key "calls"
-	SectionLimits    = "limits"    // JSON, as the deploy file's key "fleet.limits"
-	SectionInventory = "inventory" // the file ending ".csv" or ".yaml" in the first line, then the text of the file
+	SectionCalls     = "calls"     // JSON, in the format of the key "calls" of the deploy file
+	SectionLimits    = "limits"    // JSON, in the format of the key "fleet.limits" of the deploy file
+	SectionInventory = "inventory" // the file extension ".csv" or ".yaml" on the first line, followed by the text of the file
 )
 
 var sections = []string{SectionCalls, SectionLimits, SectionInventory}
 
-// Sections lists the names of all sections.
+// Sections returns the names of all sections.
 func Sections() []string { return slices.Clone(sections) }
 
 // Kind is a kind of scope. A greater kind is narrower.
@@ -39,7 +40,7 @@
 
 var kindNames = [...]string{"all", "region", "zone", "service", "gatekeeper"}
 
-// String gives the kind's name in a key.
+// String returns the name of the kind as used in keys.
 func (k Kind) String() string {
 	if k < 0 || int(k) >= len(kindNames) {
 		return "unknown"
@@ -47,20 +48,20 @@
 	return kindNames[k]
 }
 
-// MaxName is the length in bytes of the longest name of a gatekeeper, region, zone or service.
+// MaxName is the maximum length in bytes of the name of a gatekeeper, region, zone or service.
 const MaxName = 128
 
-// Key is the key of a settings record, in its parts.
+// Key is the parsed key of a settings record.
 type Key struct {
 	Kind    Kind
-	Of      string // the name of the region, zone, service or gatekeeper; "" of All
+	Of      string // name of the region, zone, service or gatekeeper; "" for All
 	Section string
 }
 
-// String gives the key as it stands in the store: settings/all/SECTION or settings/KIND/NAME/SECTION.
+// String returns the key as stored: settings/all/SECTION or settings/KIND/NAME/SECTION.
 func (k Key) String() string { return scopePrefix(k.Kind, k.Of) + k.Section }
 
-// scopePrefix is what all keys of one scope begin with.
+// scopePrefix returns the common prefix of all keys of one scope.
 func scopePrefix(kind Kind, name string) string {
 	if kind == All {
 		return Prefix + kind.String() + "/"
@@ -68,7 +69,7 @@
 	return Prefix + kind.String() + "/" + name + "/"
 }
 
-// ParseKey reads the key of a settings record. The error is a *KeyError.
+// ParseKey parses the key of a settings record. The error is a *KeyError.
 func ParseKey(key string) (Key, error) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
@@ -100,7 +101,8 @@
 	return k, nil
 }
 
-// validName tells whether a name can stand in a key: 1 to MaxName bytes of UTF-8, without a slash, spaces or control characters.
+// validName reports whether a name is valid in a key: 1 to MaxName bytes of UTF-8 without slashes, spaces and control
+// characters.
 func validName(name string) bool {
 	if name == "" || len(name) > MaxName || !utf8.ValidString(name) {
 		return false
@@ -110,7 +112,8 @@
 	})
 }
 
-// Target is a gatekeeper, as far as scopes need it. It is in no region, zone or service whose name is empty.
+// Target identifies a gatekeeper for the selection of scopes. An empty name means that it is in no such region, zone or
+// service.
 type Target struct {
 	Name    string `json:"name"`
 	Region  string `json:"region"`
@@ -118,7 +121,7 @@
 	Service string `json:"service"`
 }
 
-// Check tells whether the names of a target can stand in keys. The error is a *NameError.
+// Check returns an error if a name of the target is not valid in a key. The error is a *NameError.
 func (t Target) Check() error {
 	for kind := Region; kind <= Gatekeeper; kind++ {
 		if name := t.scopeName(kind); name != "" && !validName(name) {
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// scopeName is the name of the target's scope of a kind, "" where it has none.
+// scopeName returns the name of the target's scope of a kind, or "" if it has none.
 func (t Target) scopeName(kind Kind) string {
 	switch kind {
 	case Region:
@@ -143,7 +146,7 @@
 	return ""
 }
 
-// Prefixes gives the key prefixes of the target's scopes, widest first. Scopes without a name are left out.
+// Prefixes returns the key prefixes of the target's scopes, widest first, without those whose name is empty.
 func (t Target) Prefixes() []string {
 	prefixes := []string{scopePrefix(All, "")}
 	for kind := Region; kind <= Gatekeeper; kind++ {
@@ -154,7 +157,7 @@
 	return prefixes
 }
 
-// covers tells whether a key is of one of the target's scopes.
+// covers reports whether a key belongs to one of the target's scopes.
 func (t Target) covers(k Key) bool { return k.Kind == All || k.Of == t.scopeName(k.Kind) }
 
 // Record is one record of the store.
@@ -164,10 +167,11 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Resolve gives the records that hold for a target, by section: of the records of its scopes the narrowest. A section
-// without a record is not in the map: for it the gatekeeper's own file holds. Left out are records of other scopes, those
-// whose key can't be parsed (a later version may have written it) and those without a value, which are deleted ones. Of
-// two records of one key the one with the higher revision counts. The order of the records makes no difference.
+// Resolve returns the records that apply to a target, by section: the narrowest among the records of its scopes. A
+// section without a record is missing in the map; for it the file of the gatekeeper itself applies. Ignored are records
+// of other scopes, records whose key cannot be parsed (a later version may have written them) and records without a
+// value, which are deleted. If two records have the same key, the one with the higher revision counts. The order of the
+// records makes no difference.
 func Resolve(t Target, records []Record) map[string]Record {
 	newest := make(map[Key]Record, len(records))
 	for _, r := range records {
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -7,26 +7,27 @@
 	"beammux/control"
 )
 
-// Machine is the state of one gatekeeper's session. It has a current session, or none; and at most one attempt, either to
-// have a session at all or, beside a current one, to move to a better replica: the current session goes on until the
-// attempt has brought its first event. Not safe for concurrent use.
+// Machine is the state of one gatekeeper's session. It has at most one current session and at most one attempt to open
+// another. Without a current session the attempt establishes one; beside a current session it tries a better replica, and
+// the current session stays in use until the attempt has delivered its first event. A Machine is not safe for concurrent
+// use.
 type Machine struct {
 	timing              Timing
 	random              func() float64
 	replicas            []Replica        // by rank
 	tiers               []int            // by rank
-	holdUntil           []control.Micros // by rank: not tried before
-	consecutiveRefusals []int            // by rank: how often in a row it admitted no session
+	holdUntil           []control.Micros // by rank: the replica is not tried before this time
+	consecutiveRefusals []int            // by rank: consecutive times the replica admitted no session
 	lastID              uint64
 	actions             []Action
 
 	current       *link
 	attempt       *link
-	connectSearch search // for a session at all
-	betterSearch  search // for a better one than the current
+	connectSearch search // used while there is no current session
+	betterSearch  search // for a better replica than the current one
 
-	highestRevision uint64 // highest revision seen
-	hasRecords      bool   // the gatekeeper holds the records of its prefixes, at revision seen
+	highestRevision uint64 // highest revision received
+	hasRecords      bool   // the gatekeeper holds the records of its prefixes at highestRevision
 }
 
 // link is one session, open or being opened.
@@ -34,16 +35,16 @@
 	id                uint64
 	rank              int
 	startRevision     uint64
-	startedAt         control.Micros // of an attempt its start; of the current session when it became that
-	lastEventAt       control.Micros // the last event
+	startedAt         control.Micros // when the attempt started; for the current session, when it became current
+	lastEventAt       control.Micros // time of the last event
 	events            int
 	revision          uint64
-	heartbeatInterval control.Micros // the replica's heartbeat interval, as far as it has said so
-	// leaderless tells that the replica has long been without a leader.
+	heartbeatInterval control.Micros // interval announced by the replica; 0: not announced
+	// leaderless reports whether the replica has been without a leader for longer than LeaderlessAfter.
 	leaderless bool
 }
 
-// New makes the machine of a gatekeeper. The first attempt is due at now, or up to StartWithin later.
+// New returns the machine of a gatekeeper. The first attempt starts between now and MaxStartDelay later.
 func New(now control.Micros, o Options) *Machine {
 	m := &Machine{
 		timing: o.Timing.WithDefaults(), random: o.Random, replicas: Rank(o.Self, o.Replicas),
@@ -59,10 +60,10 @@
 	return m
 }
 
-// Seen is the highest revision seen.
+// Seen returns the highest revision received.
 func (m *Machine) Seen() uint64 { return m.highestRevision }
 
-// Current gives the replica of the current session, and whether there is one.
+// Current returns the replica of the current session and reports whether there is one.
 func (m *Machine) Current() (Replica, bool) {
 	if m.current == nil {
 		return Replica{}, false
@@ -70,7 +71,8 @@
 	return m.replicas[m.current.rank], true
 }
 
-// Wake is when Tick is to be called next, unless something happens before; false: not at all.
+// Wake returns the time at which Tick must be called next unless an event arrives before. It returns false if there are
+// no replicas, in which case Tick need not be called.
 func (m *Machine) Wake() (control.Micros, bool) {
 	if len(m.replicas) == 0 {
 		return 0, false
@@ -90,20 +92,20 @@
 	return next, true
 }
 
-// maxHeartbeatInterval is the longest heartbeat interval that a replica is believed.
+// maxHeartbeatInterval is the upper bound on a heartbeat interval announced by a replica; longer ones are cut to it.
 const maxHeartbeatInterval control.Micros = 30e6
 
-// heartbeatDue is when the current session is given up unless an event comes.
+// heartbeatDue returns the time at which the current session times out unless an event arrives.
 func (m *Machine) heartbeatDue() control.Micros {
 	return m.current.lastEventAt + max(m.timing.HeartbeatWithin, HeartbeatsMissed*m.current.heartbeatInterval)
 }
 
-// betterMayExist tells whether there may be a better replica than that of the current session.
+// betterMayExist reports whether there may be a better replica than that of the current session.
 func (m *Machine) betterMayExist() bool {
 	return m.current.leaderless && len(m.replicas) > 1 || m.current.rank > 0
 }
 
-// Tick does what is due at a time.
+// Tick processes timeouts and starts a due attempt. It returns the resulting actions in order.
 func (m *Machine) Tick(now control.Micros) []Action {
 	m.actions = nil
 	if len(m.replicas) == 0 {
@@ -121,7 +123,7 @@
 	return m.actions
 }
 
-// Ended hands in that a session has ended that was not closed.
+// Ended processes the end of a session that was not closed by a Close action, and returns the resulting actions in order.
 func (m *Machine) Ended(now control.Micros, session uint64, e End) []Action {
 	m.actions = nil
 	m.handleEnd(now, session, e)
@@ -138,7 +140,8 @@
 	}
 }
 
-// Heard hands in an event of a session. Its records are to be taken over only if Accept is among the actions.
+// Heard processes an event received on a session and returns the resulting actions in order. The records of the event
+// must be applied only if the actions contain Accept.
 func (m *Machine) Heard(now control.Micros, session uint64, e Event) []Action {
 	m.actions = nil
 	var l *link
@@ -148,7 +151,7 @@
 	case m.attempt != nil && m.attempt.id == session:
 		l = m.attempt
 	default:
-		return nil // it was closed
+		return nil // the session was already closed
 	}
 	if l.violatesProtocol(e) {
 		m.emit(Action{Do: Close, Session: l.id})
@@ -169,8 +172,8 @@
 	return m.actions
 }
 
-// setLeaderless notes whether a replica has long been without a leader. The search for a better one than the current
-// begins anew when that changes.
+// setLeaderless records whether a replica has long been without a leader. If this changes for the current replica, the
+// search for a better replica restarts.
 func (m *Machine) setLeaderless(now control.Micros, l *link, leaderless bool) {
 	if l.leaderless == leaderless {
 		return
@@ -181,14 +184,14 @@
 	}
 }
 
-// restartBetterSearch begins a search for a better replica than that of the current session.
+// restartBetterSearch restarts the search for a better replica than that of the current session.
 func (m *Machine) restartBetterSearch(now control.Micros) {
 	m.betterSearch.restart()
 	m.betterSearch.nextAttemptAt = now + m.betterDelay()
 }
 
-// betterDelay draws the time until the next attempts to move: with a replica without a leader the backoff, else that of a
-// return to a preferred one.
+// betterDelay draws the delay before the next round of attempts to move. If the current replica has no leader, it is the
+// backoff; otherwise it is between half of ReturnInterval and ReturnInterval.
 func (m *Machine) betterDelay() control.Micros {
 	if m.current.leaderless {
 		return m.backoff(&m.betterSearch)
@@ -196,23 +199,24 @@
 	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnEvery))
 }
 
-// violatesProtocol tells whether an event breaks the protocol: a session's revisions never fall, and one without a revision to go on
-// from begins with a snapshot.
+// violatesProtocol reports whether an event violates the protocol: the revisions of a session never decrease, and a
+// session without a start revision begins with a snapshot.
 func (l *link) violatesProtocol(e Event) bool {
 	return l.events > 0 && e.Revision < l.revision || l.events == 0 && l.startRevision == 0 && e.Kind != Snapshot
 }
 
-// tryPromoteAttempt makes the attempt the current session if it is as new as what was seen and better than the current one.
+// tryPromoteAttempt makes the attempt the current session if it has reached the highest revision received and is better
+// than the current session. It reports whether it did.
 func (m *Machine) tryPromoteAttempt(now control.Micros, kind EventKind) bool {
 	attempt := m.attempt
 	switch {
-	case attempt.revision < attempt.startRevision, attempt.revision < m.highestRevision && attempt.startRevision == 0: // older than what was asked for; a snapshot that is too old
+	case attempt.revision < attempt.startRevision, attempt.revision < m.highestRevision && attempt.startRevision == 0: // older than the requested revision, or an outdated snapshot
 		m.emit(Action{Do: Close, Session: attempt.id})
 		m.handleAttemptEnd(now, End{Reason: Behind})
 		return false
-	case attempt.revision < m.highestRevision: // the current session has moved on meanwhile: this one must draw level within ConnectWithin
+	case attempt.revision < m.highestRevision: // the current session has advanced since: the attempt must catch up within ConnectTimeout
 		return false
-	case m.current != nil && kind != Heartbeat && attempt.revision == m.highestRevision: // only a heartbeat tells whether it has a leader
+	case m.current != nil && kind != Heartbeat && attempt.revision == m.highestRevision: // only a heartbeat carries the leader status
 		return false
 	case m.current != nil && !m.isBetter(attempt):
 		m.emit(Action{Do: Close, Session: attempt.id})
@@ -233,7 +237,8 @@
 	return true
 }
 
-// isBetter tells whether an attempt is better than the current session.
+// isBetter reports whether an attempt is better than the current session: it has a leader where the current one has none
+// or, if both are alike in this, it has a better rank.
 func (m *Machine) isBetter(l *link) bool {
 	if m.current.leaderless != l.leaderless {
 		return m.current.leaderless
@@ -241,7 +246,7 @@
 	return l.rank < m.current.rank
 }
 
-// accept takes an event of the current session, unless it brings nothing new.
+// accept emits Accept for an event of the current session unless the event contains nothing new.
 func (m *Machine) accept(e Event) {
 	if e.Kind != Snapshot && e.Revision <= m.highestRevision {
 		return
@@ -250,8 +255,8 @@
 	m.emit(Action{Do: Accept, Session: m.current.id})
 }
 
-// handleCurrentEnd ends the current session. After the backoff another replica is tried; one that cut off a session that had lasted,
-// since this gatekeeper was too slow, is asked again itself.
+// handleCurrentEnd ends the current session and schedules the next attempt. After the backoff another replica is tried. A
+// replica that closed a stable session because this gatekeeper read too slowly is tried again itself.
 func (m *Machine) handleCurrentEnd(now control.Micros, e End) {
 	lasted := m.resetBackoffIfStable(now)
 	rank := m.current.rank
@@ -266,7 +271,7 @@
 	m.scheduleRetry(now)
 }
 
-// resetBackoffIfStable resets the backoff if the current session has lasted, and tells whether it has.
+// resetBackoffIfStable resets the backoff if the current session has lasted for StableAfter, and reports whether it has.
 func (m *Machine) resetBackoffIfStable(now control.Micros) bool {
 	if now-m.current.startedAt < m.timing.StableAfter {
 		return false
@@ -276,7 +281,7 @@
 	return true
 }
 
-// handleAttemptEnd ends the attempt.
+// handleAttemptEnd ends the attempt and schedules the next one.
 func (m *Machine) handleAttemptEnd(now control.Micros, e End) {
 	rank := m.attempt.rank
 	m.attempt = nil
@@ -299,12 +304,12 @@
 	m.scheduleRetry(now)
 }
 
-// hold keeps a replica from being tried for as long as the end of its session demands.
+// hold sets the time before which a replica is not tried again, depending on how its session ended.
 func (m *Machine) hold(now control.Micros, rank int, e End) {
 	switch e.Reason {
 	case ComeBack:
 		m.consecutiveRefusals[rank]++
-		m.holdUntil[rank] = now + max(e.After, m.timing.BehindWait) // never at once, whatever the replica says
+		m.holdUntil[rank] = now + max(e.After, m.timing.BehindWait) // never immediately, even if the replica announces a shorter time
 	case Refused:
 		m.holdUntil[rank] = now + m.timing.FaultHold
 	case Behind:
@@ -312,9 +317,10 @@
 	}
 }
 
-// shouldWaitFor tells whether a replica that admits no session now is waited for, so that others aren't tried. It has promised a
-// place, and keeps room for it: a gatekeeper that asked the others meanwhile would have a place at each of them, and after an
-// outage all of these together are many times what the replicas admit.
+// shouldWaitFor reports whether to wait for a replica that admits no session now instead of trying others. The replica
+// has reserved a slot for this gatekeeper. If the gatekeeper requested sessions from other replicas in the meantime, it
+// would hold a slot at each of them, and after an outage all these slots together would be many times what the replicas
+// admit.
 func (m *Machine) shouldWaitFor(rank int, e End) bool {
 	maxAttempts := SameTries
 	if m.connectSearch.round > 0 {
@@ -323,7 +329,7 @@
 	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.consecutiveRefusals[rank] < maxAttempts
 }
 
-// startIfDue begins an attempt if one is due.
+// startIfDue starts an attempt if one is due.
 func (m *Machine) startIfDue(now control.Micros) {
 	switch {
 	case m.attempt != nil:
@@ -334,8 +340,8 @@
 	}
 }
 
-// startConnect tries the best replica that was not tried in this round. Those on hold are left out; if all others were tried the
-// next round begins, and if all are on hold the first that is off hold is waited for.
+// startConnect tries the best replica that was not tried in this round and is not on hold. If all others were tried, the
+// next round begins; if all are on hold, the attempt is delayed until the first hold ends.
 func (m *Machine) startConnect(now control.Micros) {
 	rank := m.pickToConnect(now)
 	if rank < 0 && slices.Contains(m.connectSearch.tried, true) {
@@ -357,7 +363,7 @@
 	m.connectSearch.nextAttemptAt = now + m.backoff(&m.connectSearch)
 }
 
-// startMove tries a better replica than that of the current session, and ends the round when each was tried.
+// startMove tries a better replica than that of the current session, and ends the round once each was tried.
 func (m *Machine) startMove(now control.Micros) {
 	rankLimit := m.current.rank
 	if m.current.leaderless {
--- a/control/session/rank.go
+++ b/control/session/rank.go
@@ -7,9 +7,9 @@
 	"beammux/control/scope"
 )
 
-// Rank gives the replicas in the order in which a gatekeeper prefers them: those of its zone, then those of its region,
+// Rank returns the replicas in the order in which a gatekeeper prefers them: those of its zone, then those of its region,
 // then the others. Within each of these tiers the order is that of rendezvous hashing: gatekeepers spread evenly over a
-// tier, those of a replica that is lost spread evenly over the rest, and no others move.
+// tier, the gatekeepers of a lost replica spread evenly over the remaining ones, and no others move.
 func Rank(self scope.Target, replicas []Replica) []Replica {
 	ranked := slices.Clone(replicas)
 	slices.SortFunc(ranked, func(a, b Replica) int {
@@ -28,13 +28,14 @@
 	return ranked
 }
 
-// The tiers, the best first.
+// The tiers, best first.
 const (
 	sameZone = iota
 	sameRegion
 	elsewhere
 )
 
+// tier returns the tier of a replica for a gatekeeper.
 func tier(self scope.Target, r Replica) int {
 	switch {
 	case self.Zone != "" && r.Zone == self.Zone && r.Region == self.Region:
@@ -45,7 +46,8 @@
 	return elsewhere
 }
 
-// score is the weight of a replica for a gatekeeper: the finalizer of SplitMix64 over FNV-1a of both names.
+// score returns the rendezvous weight of a replica for a gatekeeper: the finalizer of SplitMix64 over FNV-1a of both
+// names.
 func score(gatekeeper, replica string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	h := uint64(offset)
--- a/control/session/search.go
+++ b/control/session/search.go
@@ -2,14 +2,15 @@
 
 import "beammux/control"
 
-// search goes through replicas in rounds. In a round each replica is tried once; the wait before each attempt is drawn
-// evenly from 0 up to a bound that doubles from round to round (exponential backoff with full jitter).
+// search goes through replicas in rounds. In a round each replica is tried once; the delay before each attempt is drawn
+// uniformly between 0 and a bound that doubles from round to round (exponential backoff with full jitter).
 type search struct {
-	tried         []bool // in this round, by rank
+	tried         []bool // by rank: tried in this round
 	round         int
-	nextAttemptAt control.Micros // the next attempt
+	nextAttemptAt control.Micros // time of the next attempt
 
-	// unanswered counts how many replicas in a row gave no answer at all in this round, and tier is that of the last.
+	// unanswered counts consecutive replicas in this round that did not answer at all; lastTier is the tier of the last
+	// replica tried.
 	unanswered int
 	lastTier   int
 }
@@ -22,18 +23,19 @@
 	clear(s.tried)
 }
 
-// nextRound ends a round.
+// nextRound ends the current round.
 func (s *search) nextRound() {
 	s.round++
 	s.unanswered = 0
 	clear(s.tried)
 }
 
-// maxUnansweredInRow is how many replicas in a row that give no answer lead to the next tier: a whole zone or region is likely to be
-// lost then, and each further one would cost ConnectWithin.
+// maxUnansweredInRow is the number of consecutive replicas without an answer after which the next tier is tried: the
+// whole zone or region is likely unreachable then, and each further replica of it would cost ConnectTimeout.
 const maxUnansweredInRow = 2
 
-// recordFailure takes down how an attempt at a replica of a tier has failed.
+// recordFailure records that an attempt at a replica of a tier has failed, and whether the replica was silent, that is,
+// gave no answer.
 func (s *search) recordFailure(tier int, silent bool) {
 	s.lastTier = tier
 	s.unanswered++
@@ -42,7 +44,7 @@
 	}
 }
 
-// maxDelay is the longest wait before an attempt of the present round.
+// maxDelay returns the longest delay before an attempt of the current round.
 func (s *search) maxDelay(t *Timing) control.Micros {
 	bound := t.BackoffBase
 	for range s.round {
@@ -54,13 +56,14 @@
 	return min(bound, t.BackoffCap)
 }
 
-// backoff draws the wait before an attempt.
+// backoff draws the delay before an attempt.
 func (m *Machine) backoff(s *search) control.Micros {
 	return control.Micros(m.random() * float64(s.maxDelay(&m.timing)))
 }
 
-// pickToConnect gives the best replica that may be tried now for a session at all, -1 if there is none. After silentSkip replicas in
-// a row that gave no answer it is the best one of the next tier, if there is one.
+// pickToConnect returns the rank of the best replica that may be tried now while there is no current session, or -1 if
+// there is none. After maxUnansweredInRow consecutive replicas without an answer it prefers the best replica of a later
+// tier, if there is one.
 func (m *Machine) pickToConnect(now control.Micros) int {
 	if m.connectSearch.unanswered >= maxUnansweredInRow {
 		for rank := range m.replicas {
@@ -72,8 +75,7 @@
 	return m.pick(now, &m.connectSearch, len(m.replicas), -1)
 }
 
-// pick gives the best replica that may be tried now in a round: below a rank, not tried yet, not on hold, not the one to
-// leave out; -1 if there is none.
+// pick returns the best rank below rankLimit, other than except, whose replica may be tried now; -1 if there is none.
 func (m *Machine) pick(now control.Micros, s *search, rankLimit, except int) int {
 	for rank := range rankLimit {
 		if rank != except && m.mayTry(now, s, rank) {
@@ -83,12 +85,12 @@
 	return -1
 }
 
-// mayTry tells whether a replica was not tried in a round and is not on hold.
+// mayTry reports whether a replica was not tried in the current round and is not on hold.
 func (m *Machine) mayTry(now control.Micros, s *search, rank int) bool {
 	return !s.tried[rank] && m.holdUntil[rank] <= now
 }
 
-// earliestHoldEnd is the time at which the first replica is off hold.
+// earliestHoldEnd returns the time at which the first hold ends.
 func (m *Machine) earliestHoldEnd() control.Micros {
 	earliest := m.holdUntil[0]
 	for _, until := range m.holdUntil[1:] {
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -1,6 +1,6 @@
-// Package session decides how one gatekeeper keeps a session with a control machine: which machine, when to connect, when
-// to give a session up, when to move to a better machine, and which events to accept. It is a state machine: the caller
-// hands in the time and what happened, and carries out the actions that come back. Pure.
+// Package session decides how one gatekeeper keeps a session with a control machine: which machine to use, when to
+// connect, when to give a session up, when to move to a better machine, and which events to accept. It is a pure state
+// machine: the caller passes in the time and the events, and executes the returned actions.
 package session
 
 import (
@@ -16,23 +16,23 @@
 	Region  string `json:"region"`
 }
 
-// Timing holds the times of a session. A zero field means its default.
+// Timing holds the durations that control a session. A zero field means its default.
 type Timing struct {
-	StartWithin     control.Micros // longest wait before the first attempt, for many gatekeepers that start at once
-	ConnectWithin   control.Micros // from an attempt's start to its first event
-	HeartbeatWithin control.Micros // without an event a session is given up; or after HeartbeatsMissed of them, if that is longer
-	BackoffBase     control.Micros // longest wait before an attempt in the first round
-	BackoffCap      control.Micros // longest wait before an attempt in any round
-	StableAfter     control.Micros // a session that has lasted so long resets the backoff
+	StartWithin     control.Micros // longest delay before the first attempt; spreads gatekeepers that start at the same time
+	ConnectWithin   control.Micros // longest time from the start of an attempt to its first event
+	HeartbeatWithin control.Micros // a session without an event for this long, or for MaxMissedHeartbeats intervals if that is longer, is given up
+	BackoffBase     control.Micros // longest delay before an attempt in the first round
+	BackoffCap      control.Micros // longest delay before an attempt in any round
+	StableAfter     control.Micros // a session that has lasted this long resets the backoff
 	ReturnEvery     control.Micros // longest time between two attempts to move to a preferred replica
-	LeaderlessAfter control.Micros // a replica without a leader for longer is left if another is better
-	LeaderlessHold  control.Micros // how long a replica found without a leader isn't tried in place of another such one
-	BehindWait      control.Micros // how long a replica that lags isn't tried, at least; at most twice as long. Also the shortest "come back in"
-	ComeBackWait    control.Micros // longest "come back in" that is waited for; with a longer one another replica is tried meanwhile
-	FaultHold       control.Micros // how long a replica that broke the protocol isn't tried
+	LeaderlessAfter control.Micros // a replica without a leader for longer than this is left if another one has a leader
+	LeaderlessHold  control.Micros // time before a replica found without a leader is tried again while the current one has no leader either
+	BehindWait      control.Micros // shortest time before a lagging replica is tried again (longest: twice this); also the lower bound of End.RetryAfter
+	ComeBackWait    control.Micros // longest End.RetryAfter that is waited for; with a longer one another replica is tried
+	FaultHold       control.Micros // time before a replica that violated the protocol is tried again
 }
 
-// The default times.
+// The defaults of Timing.
 const (
 	DefaultStartWithin     control.Micros = 250e3
 	DefaultConnectWithin   control.Micros = 3e6
@@ -48,17 +48,19 @@
 	DefaultFaultHold       control.Micros = 30e6
 )
 
-// HeartbeatsMissed is how many heartbeats, at the interval that the replica states, a session goes on without.
+// HeartbeatsMissed is the number of heartbeat intervals announced by the replica after which a session without an event
+// is given up.
 const HeartbeatsMissed = 3
 
-// SameTries is how often in a row a replica that says "come back in" a short time is asked in the first round before the next
-// one is tried, and LaterTries in later rounds: once, and at the time that it said.
+// FirstRoundAttempts is the number of consecutive attempts in the first round at a replica that defers the session for a
+// short time, before the next replica is tried. LaterRoundAttempts is that number in later rounds: one attempt, and a
+// second one at the announced time.
 const (
 	SameTries  = 3
 	LaterTries = 2
 )
 
-// WithDefaults gives the timing with defaults in place of its zero fields.
+// WithDefaults returns the timing with zero fields replaced by their defaults.
 func (t Timing) WithDefaults() Timing {
 	for _, f := range []struct {
 		field *control.Micros
@@ -84,69 +86,69 @@
 	return t
 }
 
-// Options say whose session it is.
+// Options configures a Machine.
 type Options struct {
 	Self     scope.Target
 	Replicas []Replica // in any order
 	Timing   Timing
-	Random   func() float64 // evenly in [0, 1)
-	Held     uint64         // up to which revision the gatekeeper holds the records of its prefixes from before; 0: it holds none
-	Seen     uint64         // highest revision that it has seen before; records of a Held below it are of no use
+	Random   func() float64 // returns uniformly distributed numbers in [0, 1)
+	Held     uint64         // revision of the stored records of the gatekeeper's prefixes; 0: it has none
+	Seen     uint64         // highest revision received before; records with a lower HeldRevision are not used
 }
 
 // EventKind is the kind of an event of a session.
 type EventKind int
 
-// The kinds of events, as the store's.
+// The kinds of events; they correspond to those of the store.
 const (
 	Snapshot  EventKind = iota // all records under the prefixes at a revision
 	Change                     // the records of one transaction
-	Heartbeat                  // no records: nothing more has changed up to a revision
+	Heartbeat                  // no records: there are no further changes up to the revision
 )
 
-// Event is what a replica sent, without its records.
+// Event describes an event received from a replica, without its records.
 type Event struct {
 	Kind       EventKind
 	Revision   uint64
-	Leaderless control.Micros // of a Heartbeat: how long the replica has been without word from a leader
-	Every      control.Micros // of a Heartbeat: the interval at which the replica sends them; 0: not said
+	Leaderless control.Micros // of a Heartbeat: time since the replica last heard from a leader
+	Every      control.Micros // of a Heartbeat: interval at which the replica sends heartbeats; 0: not announced
 }
 
-// Reason tells why a session has ended.
+// Reason is the reason why a session has ended.
 type Reason int
 
-// The reasons of an end.
+// The reasons for the end of a session.
 const (
-	Lost     Reason = iota // the connection broke, or was not made
-	TooSlow                // the replica cut it off, since the gatekeeper did not read in time
-	ComeBack               // the replica admits no more sessions for a time
-	Behind                 // the replica holds less than the revision asked for
-	Refused                // the replica is no control machine, or broke the protocol
-	Full                   // the replica holds as many sessions as it may: the others are tried
-
-	timedOut // no event in time
+	Lost     Reason = iota // the connection failed or could not be established
+	TooSlow                // the replica closed it because the gatekeeper did not read fast enough
+	ComeBack               // the replica admits no more sessions for some time
+	Behind                 // the replica has not reached the requested revision
+	Refused                // the peer is not a control machine or violated the protocol
+	Full                   // the replica has reached its session limit: other replicas are tried
+
+	timedOut // no event arrived in time
 )
 
-// End is the end of a session.
+// End describes the end of a session.
 type End struct {
 	Reason Reason
-	After  control.Micros // of ComeBack
+	After  control.Micros // of RetryLater: when the replica may be tried again
 }
 
-// Do names what an Action does.
+// Do is the kind of an Action.
 type Do int
 
-// The actions.
+// The kinds of actions.
 const (
-	Connect Do = iota // start session Session with Replica, from revision After (0: a snapshot comes first)
-	Close             // end session Session; nothing that it brings is handed in any more
-	Accept            // the event that was handed in: its records, if any, are to be taken over, whole
+	Connect Do = iota // open session Session with Replica from StartRevision (0: it begins with a snapshot)
+	Close             // close session Session; its further events are not passed to the machine
+	Accept            // apply all records, if any, of the event being handled
 )
 
-// Action is one thing to carry out. Fields that its Do does not use are zero.
+// Action is an action that the caller must execute. Fields that its kind does not use are zero.
 type Action struct {
 	Do      Do
-	Session uint64 // from 1, never used twice
+	Session uint64 // starts at 1 and is never reused
 	Replica Replica
 	After   uint64
 }
--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -1,14 +1,14 @@
-// Package warm decides how much of what a gatekeeper had learned before it ended still counts when it starts again. It does
-// no I/O and reads no clock.
+// Package warm decides how much of what a gatekeeper had learned before it ended still applies when it starts again. It
+// does no I/O and reads no clock.
 //
-// What is forgotten costs some seconds of relearning; what is remembered wrongly can do harm. So each field fades by a
-// half-life of its own, and whatever casts doubt on the memory takes away all that hangs on it:
+// Forgetting costs some seconds of relearning; remembering something wrong can do harm. So the weight of each field
+// decays with a half-life of its own, and anything that makes the saved state doubtful discards all fields that depend on
+// it:
 //
-//   - a server that restarted, was replaced or is cold is known anew: nothing of the old process counts (package control);
-//   - other settings than before: it is another deployment, and nothing is kept;
-//   - a clock that stands before the memory, or a memory without a time: its age is not known, and only what hardly ages is
-//     kept, at half its weight;
-//   - a memory older than a day: nothing is kept.
+//   - a server that restarted, was replaced or is cold starts without learned values: nothing of the old process applies (package control);
+//   - the settings have changed: it is another deployment, and nothing is kept;
+//   - the clock is behind the saved state, or the saved state has no time: its age is unknown, and only the fields that hardly age are kept, at half their weight;
+//   - the saved state is older than a day: nothing is kept.
 package warm
 
 import (
@@ -17,25 +17,25 @@
 	"beammux/control"
 )
 
-// Half-lives of what is learned, in microseconds: as long as it takes for it to be as likely wrong as right.
+// Half-lives of the learned values, in microseconds: after this time a value is as likely wrong as right.
 const (
-	waitHalfLife  = 3e6    // a queue at a processor: service in the trouble days shifts within seconds
-	shedHalfLife  = 8e6    // the part of calls kept back follows the wait slowly
+	waitHalfLife  = 3e6    // processor queue: service times shift within seconds in an incident
+	shedHalfLife  = 8e6    // shed part of the calls: follows the wait slowly
 	spareHalfLife = 5e6    // free lines
-	mixHalfLife   = 60e6   // the mix of classes
-	lossHalfLife  = 300e6  // the network's losses
-	unitHalfLife  = 1800e6 // what a server's line brings
-	baseHalfLife  = 3600e6 // the lowest set-up delay
+	mixHalfLife   = 60e6   // mix of classes
+	lossHalfLife  = 300e6  // network loss
+	unitHalfLife  = 1800e6 // answers per second for each line of a warm server
+	baseHalfLife  = 3600e6 // lowest set-up delay
 
-	maxAge         = 24 * 3600e6 // nothing older counts
-	clockTolerance = 1e6         // by so much a clock may stand before the memory without doubt: clocks of one machine are set a little
-	minWeight      = 0.05        // what has faded below this part of itself is left out
+	maxAge         = 24 * 3600e6 // older state is discarded
+	clockTolerance = 1e6         // how far the clock may be behind the saved state without doubt: the clock of a machine may be adjusted slightly
+	minWeight      = 0.05        // values with a lower weight are discarded
 )
 
-// Doubt says why a memory counts less than its age alone would let it.
+// Doubt is the reason why saved state counts less than its age alone would allow.
 type Doubt string
 
-// The doubts.
+// The reasons for doubt. The texts are logged as field values.
 const (
 	NoDoubt         Doubt = ""
 	NoMemory        Doubt = "there is none"
@@ -46,14 +46,14 @@
 	InvalidValue    Doubt = "it holds values that none can be"
 )
 
-// Memory is what is kept between two starts.
+// Memory is the state that is kept between two starts.
 type Memory struct {
-	Settings string          `json:"settings"` // names the settings that it was learned under
+	Settings string          `json:"settings"` // identifies the settings under which it was learned
 	Learned  control.Learned `json:"learned"`
 }
 
-// Recall gives what of a memory counts at a time under settings, and what casts doubt on it. With nothing to recall ok is
-// unset.
+// Recall returns the part of the saved state that still applies at a time under the given settings, and the reason for
+// doubt, if any. ok is false if there is nothing to restore.
 func Recall(m *Memory, now control.Micros, settings string) (l control.Learned, doubt Doubt, ok bool) {
 	if m == nil {
 		return l, NoMemory, false
@@ -64,7 +64,7 @@
 	if m.Settings != settings {
 		return l, SettingsChanged, false
 	}
-	age := float64(now) - float64(m.Learned.At) // as floats: any two times have a difference
+	age := float64(now) - float64(m.Learned.At) // as floats: the difference of any two times is representable
 	switch {
 	case m.Learned.At <= 0:
 		doubt, age = NoTimestamp, math.Inf(1)
@@ -80,14 +80,14 @@
 		}
 		return 0
 	}
-	slowWeight := func(halfLife float64) float64 { // for what hardly ages
+	slowWeight := func(halfLife float64) float64 { // for fields that hardly age
 		if math.IsInf(age, 1) {
 			return 0.5
 		}
 		return weight(halfLife)
 	}
 	l.At = now
-	if slowWeight(baseHalfLife) > 0 { // a delay is right or it is not: half of it would be wrong for certain
+	if slowWeight(baseHalfLife) > 0 { // a delay is right or wrong: half of it would certainly be wrong
 		l.Base = m.Learned.Base
 	}
 	l.Unit = m.Learned.Unit * slowWeight(unitHalfLife)
@@ -101,7 +101,7 @@
 	for _, s := range m.Learned.Servers {
 		server := control.LearnedServer{Server: s.Server, Since: s.Since, Spare: -1, Total: s.Total,
 			Wait: s.Wait * weight(waitHalfLife), Shed: s.Shed * weight(shedHalfLife)}
-		if weight(spareHalfLife) >= 0.5 { // free lines can't be scaled: they are known or not
+		if weight(spareHalfLife) >= 0.5 { // a number of free lines cannot be scaled: it is known or not
 			server.Spare = s.Spare
 		}
 		l.Servers = append(l.Servers, server)
@@ -109,11 +109,12 @@
 	return l, doubt, true
 }
 
-// valid tells whether every value is one that can have been learned: a damaged or foreign memory must not get in.
+// valid reports whether all values are within the range that can have been learned; damaged or foreign state must not be
+// used.
 func valid(l control.Learned) bool {
 	inRange := func(low, high float64, values ...float64) bool {
 		for _, v := range values {
-			if !(v >= low && v <= high) { // also what is no number
+			if !(v >= low && v <= high) { // also true for NaN
 				return false
 			}
 		}
