--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -20,7 +20,7 @@
 		SnapshotsPerSecond: rate("snapshots/s"), SnapshotsBurst: burst("snapshots burst")}
 }
 
-// admissions are the times of what was admitted.
+// admissions holds the times of admitted requests.
 type admissions struct{ sessions, snapshots []control.Micros }
 
 func (a *admissions) record(now control.Micros, r Request) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// requireWithinRate fails where a window holds more than the burst and what the rate gives in it.
+// requireWithinRate fails if a window of time contains more than the burst plus the rate times its length.
 func requireWithinRate(t require.TestingT, kind string, times []control.Micros, rate float64, burst int) {
 	for i := range times {
 		for j := i; j < len(times); j++ {
@@ -40,7 +40,7 @@
 	}
 }
 
-// requireSlotsSpaced fails where two slots are closer than the rates allow.
+// requireSlotsSpaced fails if two slots are closer than the rates allow.
 func requireSlotsSpaced(t require.TestingT, c *Controller, l Limits) {
 	last, lastSnapshot := slot{at: -1e9}, slot{at: -1e9}
 	for _, s := range c.expected {
@@ -56,7 +56,8 @@
 	}
 }
 
-// Whatever clients do, no window of time has more sessions or snapshots admitted than burst + rate x time.
+// For all sequences of requests, no window of time contains more admitted sessions or snapshots than burst + rate x
+// length.
 func TestRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
@@ -84,8 +85,8 @@
 	})
 }
 
-// Whatever clients do, no more sessions are open than may be; a client is told that the machine is full exactly while they are,
-// and then holds no slot.
+// For all sequences of requests, no more sessions are open than allowed. A client is refused as Full exactly while the
+// limit is reached, and then holds no slot.
 func TestSessionLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
@@ -113,15 +114,16 @@
 	})
 }
 
-// arrival is a client that comes at a time.
+// arrival is the arrival of a client at a time.
 type arrival struct {
 	at        control.Micros
 	request   Request
-	refused   int // times so far
+	refused   int // number of refusals so far
 	compliant bool
 }
 
-// simulate plays arrivals in order of time. back gives what a refused client does next; nil: it does not come again.
+// simulate processes arrivals in order of time. onRefused returns the next arrival of a refused client, or nil if it does
+// not return.
 func simulate(c *Controller, queue []arrival, onRefused func(a arrival, d Decision) *arrival, onAdmitted func(arrival)) {
 	for len(queue) > 0 {
 		slices.SortStableFunc(queue, func(a, b arrival) int { return int(a.at - b.at) })
@@ -139,7 +141,8 @@
 	}
 }
 
-// A client that comes at its slot is admitted then, whatever others do: come early, late, never, or as newcomers.
+// A client that arrives at its slot is admitted, whatever the other clients do: arrive early, late, never, or without a
+// slot.
 func TestAdmittedAtSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
@@ -164,9 +167,10 @@
 	})
 }
 
-// simulateLate plays clients that come at once, obey, and are late by up to so much each time. It gives how often one was
-// refused at most. None is ever asked to wait for longer than the slower rate needs for all of them: each slot is at most
-// 1 / rate after the one before it, and 1 us a slot is for rounding up.
+// simulateLate simulates clients that arrive at the same time, retry when asked to, and are late by up to maxLateness
+// each time. It returns the highest number of refusals of a client. No client is asked to wait longer than the slower
+// rate needs for all of them: each slot is at most 1 / rate after the one before it, and 1 us per slot allows for
+// rounding up.
 func simulateLate(t *rapid.T, l Limits, clients int, maxLateness control.Micros) (maxRefused int) {
 	var queue []arrival
 	for i := range clients {
@@ -177,7 +181,7 @@
 	count := 0
 	simulate(New(l), queue, func(a arrival, d Decision) *arrival {
 		maxRefused = max(maxRefused, a.refused)
-		require.Less(t, a.refused, 50, "client %s starves", a.request.Client)
+		require.Less(t, a.refused, 50, "client %s is never admitted", a.request.Client)
 		require.LessOrEqual(t, d.ComeBackIn, longest)
 		a.at += d.ComeBackIn + control.Micros(rapid.IntRange(0, int(maxLateness)).Draw(t, "late by"))
 		return &a
@@ -186,15 +190,15 @@
 	return maxRefused
 }
 
-// Clients that obey are all admitted, however late they are below Grace.
+// Clients that retry when asked to are all admitted as long as they are late by less than SlotGracePeriod.
 func TestLateClientsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulateLate(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(Grace)-1).Draw(t, "late")))
 	})
 }
 
-// Clients that are late by no more than (burst - 2) / rate are admitted when they first come back: until then the bucket
-// keeps the tokens of all that are late and has room for the one that is coming.
+// Clients that are late by no more than (burst - 2) / rate are admitted at their first retry: until then the bucket keeps
+// the tokens of all late clients and has room for the next one.
 func TestSlightlyLateClientsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
@@ -204,7 +208,7 @@
 	})
 }
 
-// A stampede of 2,200 is spread over the time that the rate needs, each at a time of its own.
+// 2,200 simultaneous requests are spread over the time that the rate requires, each with a slot of its own.
 func TestStampedeIsSpread(t *testing.T) {
 	const clients, rate, burst = 2200, 50, 50
 	c := New(Limits{SessionsPerSecond: rate, SessionsBurst: burst, SnapshotsPerSecond: rate, SnapshotsBurst: burst})
@@ -222,7 +226,7 @@
 	require.InDelta(t, (clients-burst)*1e6/rate, float64(back[len(back)-1]), 1e5)
 }
 
-// Who comes early keeps its slot and gains nothing by it.
+// A client that arrives early keeps its slot and gains nothing.
 func TestEarlyClientKeepsSlot(t *testing.T) {
 	c := New(Limits{SessionsPerSecond: 1})
 	for i := range MinBurst {
@@ -236,14 +240,14 @@
 	require.True(t, c.Admit(2*second, Request{Client: "b"}).Admitted)
 }
 
-// Slots of clients that never come are given up after Grace, and hold back nobody but newcomers until then.
+// Slots of clients that never return expire after SlotGracePeriod, and until then delay only new clients.
 func TestUnusedSlotsExpire(t *testing.T) {
 	c := New(Limits{SessionsPerSecond: 1})
 	for i := range MinBurst + 3 {
 		c.Admit(0, Request{Client: fmt.Sprint(i)})
 	}
 	require.Len(t, c.slots, 3)
-	require.False(t, c.Admit(4*second, Request{Client: "new"}).Admitted, "three are late and the bucket holds two")
+	require.False(t, c.Admit(4*second, Request{Client: "new"}).Admitted, "three clients are late and the bucket holds two tokens")
 	require.True(t, c.Admit(3*second+Grace+second+1, Request{Client: "newer"}).Admitted)
 	require.LessOrEqual(t, len(c.slots), 1)
 }
--- a/control/advice/advice_test.go
+++ b/control/advice/advice_test.go
@@ -14,16 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// packages whose errors must be types that advise. New packages are added here as they come.
+// packages lists the packages whose errors must be types with advice. New packages must be added here.
 var packages = []string{
 	"control/heavy", "control/outlier", "control/quota", "control/registers", "control/scope",
 	"internal/counting", "internal/ejection", "internal/fleet", "internal/follow", "internal/limits", "internal/node", "internal/store",
 }
 
-// minAdviceLength advice that can tell anything.
+// minAdviceLength is the shortest length in bytes of a useful advice text.
 const minAdviceLength = 25
 
-// Every error type of the fleet's parts says what an operator can do, and no new part makes errors that are no types.
+// Every error type of the fleet packages has advice for the operator.
 func TestEveryErrorTypeHasAdvice(t *testing.T) {
 	types := 0
 	for _, dir := range packages {
@@ -56,7 +56,7 @@
 		for name := range hasError {
 			types++
 			if !hasAdvice[name] {
-				t.Errorf("%s.%s gives no advice", dir, name)
+				t.Errorf("%s.%s has no advice", dir, name)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 	return ""
 }
 
-// longestString is the length of the longest text in a body.
+// longestString returns the length of the longest string literal in a function body.
 func longestString(body *ast.BlockStmt) (n int) {
 	ast.Inspect(body, func(x ast.Node) bool {
 		if l, ok := x.(*ast.BasicLit); ok && l.Kind == token.STRING {
@@ -86,11 +86,11 @@
 
 type sampleError struct{}
 
-func (sampleError) Error() string  { return "it broke" }
-func (sampleError) Advice() string { return "mend it" }
+func (sampleError) Error() string  { return "failure" }
+func (sampleError) Advice() string { return "repair it" }
 
 func TestOf(t *testing.T) {
-	require.Equal(t, "mend it", Of(fmt.Errorf("at the start: %w", sampleError{})))
+	require.Equal(t, "repair it", Of(fmt.Errorf("at the start: %w", sampleError{})))
 	require.Empty(t, Of(errors.New("plain")))
 	require.Empty(t, Of(nil))
 }
--- a/control/drain/drain_test.go
+++ b/control/drain/drain_test.go
@@ -19,7 +19,7 @@
 	}
 	d.Evacuate(2_000_000)
 	if ev, since := d.Evacuated(); !ev || since != 1_000_000 {
-		t.Fatalf("a second evacuate moved the time: %v %d", ev, since)
+		t.Fatalf("a second evacuate changed the time: %v %d", ev, since)
 	}
 	d.Rejoin(3_000_000)
 	if !d.Ready() {
@@ -34,27 +34,27 @@
 	}
 	d.Evacuate(10_000_000)
 	if d.Connection(10_000_000+Quiet-1, 0, false, false) != Keep {
-		t.Fatal("closed before the quiet time since the evacuate")
+		t.Fatal("closed before the quiet period since the evacuation")
 	}
 	if d.Connection(10_000_000+Quiet, 0, false, false) != Close {
-		t.Fatal("idle connection kept after the quiet time")
+		t.Fatal("idle connection kept after the quiet period")
 	}
 	if d.Connection(20_000_000, 0, true, true) != Keep {
-		t.Fatal("closed a connection on which an answer is owed")
+		t.Fatal("closed a connection with a pending answer")
 	}
 	if d.Connection(10_000_000+Quiet, 10_000_000+1, false, false) != Keep {
 		t.Fatal("closed a connection that was just used")
 	}
 	if d.Connection(10_000_000+Cut-1, 0, false, true) != Keep {
-		t.Fatal("calls that stand were released before the cut")
+		t.Fatal("standing calls were released before the release delay")
 	}
 	if d.Connection(10_000_000+Cut, 0, false, true) != Release {
-		t.Fatal("calls that stand were kept past the cut")
+		t.Fatal("standing calls were kept after the release delay")
 	}
 }
 
-// Whatever the course: nothing is closed while serving, nothing with an answer owed, an idle connection after the quiet
-// time, and one whose calls stand at the cut.
+// Property test over sequences of evacuations and rejoins: nothing is closed while serving or with an answer pending; an
+// idle connection is closed after the quiet period, and one with standing calls is released after the release delay.
 func TestConnectionModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d Drain
@@ -87,12 +87,12 @@
 	})
 }
 
-// A process that ends releases nothing, and takes no rejoin.
+// A process that is shutting down releases no calls and cannot rejoin.
 func TestEndingProcess(t *testing.T) {
 	var d Drain
 	d.End(1_000_000)
 	d.Rejoin(2_000_000)
 	if d.Ready() || d.Connection(1_000_000+2*Cut, 0, false, true) != Keep || d.Connection(1_000_000+2*Cut, 0, false, false) != Close {
-		t.Error("a process that ends rejoined, or would release what stands")
+		t.Error("a process that is shutting down rejoined, or would release standing calls")
 	}
 }
--- a/control/fleetview/fleetview_test.go
+++ b/control/fleetview/fleetview_test.go
@@ -17,7 +17,7 @@
 	return Event{Kind: Met, Name: name, Member: Member{Start: start, Seq: seq, State: s, Zone: "a", Address: name + ":1"}}
 }
 
-// What a member's course of events makes of it, step by step.
+// The health and state of a member after each event of a sequence.
 func TestMemberLifecycle(t *testing.T) {
 	v := New(self(), 0, 1000)
 	for i, step := range []struct {
@@ -28,7 +28,7 @@
 		change bool
 	}{
 		{1, aliveEvent("x", 10, 1, Ready), Alive, Ready, true},
-		{2, aliveEvent("x", 10, 1, Draining), Alive, Ready, false}, // nothing new said
+		{2, aliveEvent("x", 10, 1, Draining), Alive, Ready, false}, // same sequence number
 		{3, aliveEvent("x", 10, 2, Draining), Alive, Draining, true},
 		{4, aliveEvent("x", 10, 1, Ready), Alive, Draining, false}, // older
 		{5, Event{Kind: Suspected, Name: "x"}, Suspect, Draining, true},
@@ -39,9 +39,9 @@
 		{10, Event{Kind: Suspected, Name: "x"}, Dead, Draining, false},
 		{11, Event{Kind: Answered, Name: "x"}, Dead, Draining, false},
 		{12, Event{Kind: Went, Name: "x"}, Dead, Draining, false},
-		{13, aliveEvent("x", 10, 2, Draining), Alive, Draining, true}, // refuted
-		{14, aliveEvent("x", 11, 1, Ready), Alive, Ready, true},       // the same name, a new start
-		{15, aliveEvent("x", 10, 9, Leaving), Alive, Ready, false},    // from before it
+		{13, aliveEvent("x", 10, 2, Draining), Alive, Draining, true}, // suspicion refuted
+		{14, aliveEvent("x", 11, 1, Ready), Alive, Ready, true},       // new start under the same name
+		{15, aliveEvent("x", 10, 9, Leaving), Alive, Ready, false},    // from the earlier start
 		{16, Event{Kind: Went, Name: "x"}, Left, Ready, true},
 		{1015, Event{Kind: Tick}, Left, Ready, false},
 	} {
@@ -52,7 +52,7 @@
 		}
 	}
 	if c := v.Apply(1016, Event{Kind: Tick}); len(c) != 1 || !c[0].Reaped || v.members["x"] != nil {
-		t.Errorf("not forgotten: %+v", c)
+		t.Errorf("the member is not reaped: %+v", c)
 	}
 }
 
@@ -63,20 +63,20 @@
 		v.Apply(2, Event{Kind: Published, Name: "x", Member: Member{Start: start, ServersSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
 	}
 	publish(10, 2, 3)
-	publish(10, 1, 0) // overtaken
-	publish(9, 5, 0)  // of another start
+	publish(10, 1, 0) // older than the last one
+	publish(9, 5, 0)  // from another start
 	if got := v.Members()[1].Servers; len(got) != 1 || got[0].Level != 3 {
 		t.Errorf("%+v", got)
 	}
 	v.Apply(3, aliveEvent("x", 11, 1, Ready))
 	if got := v.Members()[1].Servers; got != nil {
-		t.Errorf("a new start keeps what the old one said: %+v", got)
+		t.Errorf("a new start keeps the summaries of the earlier one: %+v", got)
 	}
 }
 
-// Over every sequence of events: the view is what a plain model makes of them; this member is always up in its own view and
-// what others say of it changes nothing; no start is replaced by an earlier one; the version grows with every change and
-// only then; and two members that were told the same have the same hash, in whatever order they were told.
+// Model test over sequences of events: the view equals that of a simple model; this member is always up in its own view,
+// and reports about it have no effect; a start is never replaced by an earlier one; the version grows exactly when there
+// are changes; and two members that received the same facts in any order have the same hash.
 func TestAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		type fact struct {
@@ -139,7 +139,7 @@
 			},
 			"": func(r *rapid.T) {
 				if me := v.Self(); me.Health != Alive || me.State != Ready || me.Start != 5 {
-					r.Fatalf("this member became %+v", me)
+					r.Fatalf("the local member has changed: %+v", me)
 				}
 				got := map[string]fact{}
 				for _, m := range v.Members() {
@@ -150,7 +150,7 @@
 				if !maps.Equal(got, model) {
 					r.Fatalf("view %v, model %v", got, model)
 				}
-				// Another member that is told the outcome alone, in another order, agrees.
+				// Another member that receives only the final facts, in another order, has the same hash.
 				other := New(Member{Name: "you"}, 0, 50)
 				delete(other.members, "you")
 				names := slices.Sorted(maps.Keys(model))
@@ -165,14 +165,14 @@
 				me := self()
 				other.members["me"] = &me
 				if other.Hash() != v.Hash() {
-					r.Fatalf("two members with the same view differ: %+v and %+v", v.Members(), other.Members())
+					r.Fatalf("the hashes of two members with the same view differ: %+v and %+v", v.Members(), other.Members())
 				}
 			},
 		})
 	})
 }
 
-// Whatever two members differ in, their hashes do too.
+// Views that differ have different hashes; dead members do not count.
 func TestHashDistinguishesViews(t *testing.T) {
 	hashes := map[uint64]string{}
 	for name, events := range map[string][]Event{
@@ -184,7 +184,7 @@
 			v.Apply(0, e)
 		}
 		if other, taken := hashes[v.Hash()]; taken {
-			t.Errorf("%s and %s have one hash", name, other)
+			t.Errorf("%s and %s have the same hash", name, other)
 		}
 		hashes[v.Hash()] = name
 	}
@@ -192,6 +192,6 @@
 	v.Apply(0, aliveEvent("x", 1, 1, Ready))
 	v.Apply(1, Event{Kind: Died, Name: "x"})
 	if v.Hash() != w.Hash() || fmt.Sprint(v.Lost()) != "[x:1]" {
-		t.Errorf("a dead member counts, or is not looked for: %v", v.Lost())
+		t.Errorf("a dead member changes the hash, or its address is not listed: %v", v.Lost())
 	}
 }
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -149,7 +149,8 @@
 	}
 }
 
-// Rated gives a copy whose weights are multiplied by a factor over 0. A copy is read only: it is not added to.
+// Rated returns a copy whose weights are multiplied by a positive factor. The copy is read-only: nothing may be added to
+// it.
 func (s *Summary) Rated(factor float64) *Summary {
 	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), heapIndex: slices.Clone(s.heapIndex), total: s.total}
 	if len(s.slots) < cap(s.slots) {
--- a/control/heavy/heavy_test.go
+++ b/control/heavy/heavy_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The bounds hold over every sequence of keys and weights, across a moved landmark, and for the sum of several summaries.
+// The bounds hold for all sequences of keys and weights, after the landmark is moved, and for the sum of several
+// summaries.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
@@ -47,7 +48,7 @@
 					for key, w := range truth[i] {
 						whole[key] += w
 						if !held[key] && (w > p.Slack()+tiny || w > p.Total()/float64(slots)+tiny) {
-							t.Fatalf("%s of %g is not held, slack %g", key, w, p.Slack())
+							t.Fatalf("%s with weight %g is not tracked, bound %g", key, w, p.Slack())
 						}
 					}
 				}
@@ -61,7 +62,7 @@
 	})
 }
 
-// 100,000 numbers called once each stay in the memory of the slots, and a number called often among them is found.
+// 100,000 keys counted once each need no memory beyond the slots, and a frequent key among them is found.
 func TestFrequentKeyAmongManyUniqueKeys(t *testing.T) {
 	s := New(64)
 	keys := make([]string, 100_000)
--- a/control/locality/locality_test.go
+++ b/control/locality/locality_test.go
@@ -14,7 +14,8 @@
 
 var testSettings = Settings{Zone: "a", Region: "r", StartCapacity: 0.33, WarmWithin: 15 * second}
 
-// servers makes four servers a zone, of which some are able: a and b are in region r, c in another.
+// servers returns four servers per zone, of which a number is available. Zones a and b are in region r, c is in another
+// region.
 func servers(able map[string]int) (out []Server) {
 	for i, zone := range []string{"a", "b", "c"} {
 		region := map[string]string{"a": "r", "b": "r", "c": "q"}[zone]
@@ -49,7 +50,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// The sharing-out, level by level: 1.4 times the health stays near, the rest goes to the next distance.
+// Distribution by level: 1.4 times the health of a level stays there, the rest goes to the next distance.
 func TestLoads(t *testing.T) {
 	for _, row := range []struct {
 		able  map[string]int
@@ -65,7 +66,7 @@
 		{map[string]int{"a": 1, "b": 1, "c": 0}, [Priorities]float64{}, true},
 		{map[string]int{"a": 2, "b": 1, "c": 0}, [Priorities]float64{0.7, 0.3, 0}, false},
 	} {
-		o := New(testSettings).Step(0, Input{Servers: servers(row.able)}) // the hysteresis has not run out: no zone is failed yet
+		o := New(testSettings).Step(0, Input{Servers: servers(row.able)}) // within the hysteresis: no zone is failed yet
 		ok := o.Panic == row.panic
 		for p := range o.Loads {
 			ok = ok && (row.panic || near(o.Loads[p], row.loads[p]))
@@ -76,7 +77,8 @@
 	}
 }
 
-// A zone is declared failed by more than half of the members' votes and restored by more than half; a split view leaves it.
+// A zone is declared failed if more than half of the members vote so, and restored if more than half vote against it; a
+// split vote does not change it.
 func TestVotes(t *testing.T) {
 	b := New(testSettings)
 	all := servers(map[string]int{"a": 4, "b": 4, "c": 4})
@@ -84,21 +86,21 @@
 		t.Helper()
 		o := b.Step(at, Input{Servers: all, Votes: votes("a", failed, not), Peers: failed + not, PeersUp: failed + not})
 		if z := findZone(t, o, "a"); z.State != want || z.DecidedBy != DecidedByVotes {
-			t.Fatalf("%d for and %d against, and this one against: %v by %v", failed, not, z.State, z.DecidedBy)
+			t.Fatalf("%d votes failed, %d votes healthy and the local one: %v by %v", failed, not, z.State, z.DecidedBy)
 		}
 		return o
 	}
 	state(0, 1, 1, Healthy)
-	state(1, 2, 1, Healthy) // with this one's own: 2 to 2
+	state(1, 2, 1, Healthy) // 2 to 2 with the local vote
 	o := state(2, 3, 1, Failed)
 	if o.Loads != [Priorities]float64{0, 1, 0} || len(o.Changes) != 1 {
 		t.Errorf("failed: %v, changes %+v", o.Loads, o.Changes)
 	}
-	state(3, 2, 1, Failed) // a split view: it stays
+	state(3, 2, 1, Failed) // split vote: no change
 	state(4, 1, 1, Returning)
 }
 
-// The member's own vote has hysteresis both ways, and a flapping zone does not turn it.
+// A member's own vote has hysteresis in both directions, and does not change for a flapping zone.
 func TestHysteresis(t *testing.T) {
 	b := New(testSettings)
 	step := func(at control.Micros, able int) bool {
@@ -120,7 +122,7 @@
 	}
 }
 
-// Traffic returns to a restored zone by stages: no more than a cold zone can do, rising until it is warm.
+// Traffic returns to a restored zone gradually: at first as much as cold servers can take, rising until they are warm.
 func TestStagedReturn(t *testing.T) {
 	b := New(testSettings)
 	all := servers(map[string]int{"a": 4, "b": 4, "c": 4})
@@ -129,18 +131,18 @@
 		return b.Step(now, Input{Servers: all, Votes: votes("a", 0, 3), Peers: 3, PeersUp: 3})
 	}
 	if o := at(1 * second); findZone(t, o, "a").State != Returning || !near(o.Loads[SameZone], 0.33) || !near(o.Loads[SameRegion], 0.67) {
-		t.Errorf("at first: %+v %v", o.Zones, o.Loads)
+		t.Errorf("at the start of the return: %+v %v", o.Zones, o.Loads)
 	}
 	if o := at(1*second + 7500000); !near(o.Loads[SameZone], 0.665) {
-		t.Errorf("half way: %v", o.Loads)
+		t.Errorf("half of the warm-up time: %v", o.Loads)
 	}
 	if o := at(16 * second); findZone(t, o, "a").State != Healthy || !near(o.Loads[SameZone], 1) {
-		t.Errorf("warm: %+v %v", o.Zones, o.Loads)
+		t.Errorf("after the warm-up time: %+v %v", o.Zones, o.Loads)
 	}
 }
 
-// A member that is cut off from the fleet goes by its own view and says so, and goes back to the common one; so does one
-// that alone can't use a zone that the others can.
+// A member that is cut off from the fleet follows its own view, reports this, and later returns to the majority; so does
+// a member that alone cannot use a zone.
 func TestLocalOverride(t *testing.T) {
 	b := New(testSettings)
 	all := map[string]int{"a": 4, "b": 4, "c": 4}
@@ -149,7 +151,7 @@
 	b.Step(0, Input{Servers: servers(all), Votes: others, Peers: 3, PeersUp: 3})
 	b.Step(1*second, Input{Servers: servers(without), Votes: others, Peers: 3, PeersUp: 3})
 	var o Output
-	for now := 1*second + 100000; now < 1*second+2500000; now += 100000 { // its vote turns after 0.5 s, its patience ends 2 s later
+	for now := 1*second + 100000; now < 1*second+2500000; now += 100000 { // its vote changes after 0.5 s, the local override starts 2 s later
 		o = b.Step(now, Input{Servers: servers(without), Votes: others, Peers: 3, PeersUp: 3})
 		if z := findZone(t, o, "a"); z.State != Healthy || z.DecidedBy != DecidedByVotes {
 			t.Fatalf("at %d: %+v", now, z)
@@ -157,13 +159,13 @@
 	}
 	o = b.Step(1*second+2500000, Input{Servers: servers(without), Votes: others, Peers: 3, PeersUp: 3})
 	if z := findZone(t, o, "a"); z.State != Failed || z.DecidedBy != DecidedLocally || o.Loads[SameRegion] != 1 {
-		t.Errorf("alone with it: %+v %v", z, o.Loads)
+		t.Errorf("zone unusable for this member alone: %+v %v", z, o.Loads)
 	}
 	for now := 4 * second; now <= 7*second; now += second {
 		o = b.Step(now, Input{Servers: servers(all), Votes: others, Peers: 3, PeersUp: 3})
 	}
 	if z := findZone(t, o, "a"); z.State != Returning || z.DecidedBy != DecidedByVotes {
-		t.Errorf("its links are back: %+v", z)
+		t.Errorf("links restored: %+v", z)
 	}
 	c := New(testSettings)
 	c.Step(0, Input{Servers: servers(without), Peers: 3})
@@ -173,9 +175,9 @@
 	}
 }
 
-// Over every sequence of what may be known: the parts are 0 to 1 and make up 1 in all unless every distance that is left has
-// a returning zone; a distance whose zones have all failed gets nothing; a distance with one returning zone and no other
-// gets no more than its servers can do cold; and two members with the same votes hold every zone alike.
+// Property test over input sequences: each part is between 0 and 1, and the sum is 1 unless a zone is returning; a level
+// whose zones have all failed gets nothing; a level with one returning zone and no other zone gets no more than the share
+// of that zone; and two members with the same votes have the same zones.
 func TestLoadsOverAllSequences(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		first, second := New(testSettings), New(testSettings)
@@ -222,14 +224,14 @@
 					}
 				}
 				if healthy+returning == 0 && load > 0 {
-					r.Fatalf("%v gets %v: all its zones have failed", Priority(p), load)
+					r.Fatalf("%v gets %v although all its zones have failed", Priority(p), load)
 				}
 				if returning == 1 && healthy+failed == 0 && load > share+1e-9 {
-					r.Fatalf("%v gets %v: its servers can do %v", Priority(p), load, share)
+					r.Fatalf("%v gets %v, its servers can take %v", Priority(p), load, share)
 				}
 			}
 			if free && math.Abs(sum-1) > 1e-9 && !anyReturns(o) || sum > 1+1e-9 {
-				r.Fatalf("loads %v make %v", o.Loads, sum)
+				r.Fatalf("loads %v add up to %v", o.Loads, sum)
 			}
 		}})
 	})
--- a/control/member/member_test.go
+++ b/control/member/member_test.go
@@ -13,8 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// The same steps each time: a verdict must not change from run to run. With -short rapid draws a fifth of the cases, too few for
-// the tests that count what they met, so it is asked for five times as many: -short draws the same cases.
+// A fixed seed makes each run draw the same cases, so that results do not vary from run to run. With -short rapid draws a
+// fifth of the cases, too few for the tests that count what they have covered. Five times as many are requested then, so
+// that -short draws the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -41,25 +42,25 @@
 		want Do
 		why  string
 	}{
-		"a new one":                {func() (Do, error) { return group("vu", "vu").Add("n9", "a9") }, AddOne, ""},
-		"there already":            {func() (Do, error) { return group("vu", "vu").Add("n1", "a1") }, Nothing, ""},
-		"moved, and down":          {func() (Do, error) { return group("vu", "v").Add("n1", "a9") }, MoveOne, ""},
-		"moved, and still up":      {func() (Do, error) { return group("vu", "vu").Add("n1", "a9") }, Nothing, "would both vote"},
-		"another's address":        {func() (Do, error) { return group("vu", "vu").Add("n9", "a1") }, Nothing, "address of n1"},
-		"a change is on its way":   {func() (Do, error) { return changing.Add("n9", "a9") }, Nothing, "one at a time"},
-		"a learner that is ready":  {func() (Do, error) { return group("vu", "vu", "u").MayVote("n2") }, Promote, ""},
-		"a learner that is behind": {func() (Do, error) { return group("vu", "vu", "ub").MayVote("n2") }, Nothing, "lacks 1000"},
-		"a learner that is down":   {func() (Do, error) { return group("vu", "vu", "").MayVote("n2") }, Nothing, "does not answer"},
-		"a voter":                  {func() (Do, error) { return group("vu", "vu").MayVote("n1") }, Nothing, ""},
-		"a stranger's vote":        {func() (Do, error) { return group("vu").MayVote("n7") }, Nothing, "add it first"},
-		"a dead one of three":      {func() (Do, error) { return group("vu", "vu", "v").Remove("n2", false) }, RemoveIt, ""},
+		"a new member":                     {func() (Do, error) { return group("vu", "vu").Add("n9", "a9") }, AddOne, ""},
+		"already a member":                 {func() (Do, error) { return group("vu", "vu").Add("n1", "a1") }, Nothing, ""},
+		"new address, down":                {func() (Do, error) { return group("vu", "v").Add("n1", "a9") }, MoveOne, ""},
+		"new address, still up":            {func() (Do, error) { return group("vu", "vu").Add("n1", "a9") }, Nothing, "would both vote"},
+		"address of another member":        {func() (Do, error) { return group("vu", "vu").Add("n9", "a1") }, Nothing, "address of n1"},
+		"a change is in progress":          {func() (Do, error) { return changing.Add("n9", "a9") }, Nothing, "one at a time"},
+		"a learner that is ready":          {func() (Do, error) { return group("vu", "vu", "u").MayVote("n2") }, Promote, ""},
+		"a learner that is behind":         {func() (Do, error) { return group("vu", "vu", "ub").MayVote("n2") }, Nothing, "lacks 1000"},
+		"a learner that is down":           {func() (Do, error) { return group("vu", "vu", "").MayVote("n2") }, Nothing, "does not answer"},
+		"a voter":                          {func() (Do, error) { return group("vu", "vu").MayVote("n1") }, Nothing, ""},
+		"promotion of a non-member":        {func() (Do, error) { return group("vu").MayVote("n7") }, Nothing, "add it first"},
+		"removal of the one dead of three": {func() (Do, error) { return group("vu", "vu", "v").Remove("n2", false) }, RemoveIt, ""},
 		"one up of three, one dead": {func() (Do, error) { return group("vu", "vu", "v").Remove("n1", false) }, Nothing,
 			"of the 2 voters left 1 are up and 2 are needed"},
-		"the same, forced":    {func() (Do, error) { return group("vu", "vu", "v").Remove("n1", true) }, RemoveIt, ""},
-		"the last voter":      {func() (Do, error) { return group("vu", "u").Remove("n0", true) }, Nothing, "the last voter"},
-		"a learner":           {func() (Do, error) { return group("vu", "").Remove("n1", false) }, RemoveIt, ""},
-		"one that is gone":    {func() (Do, error) { return group("vu").Remove("n5", false) }, Nothing, ""},
-		"removal in a change": {func() (Do, error) { return changing.Remove("n1", true) }, Nothing, "one at a time"},
+		"the same, forced":        {func() (Do, error) { return group("vu", "vu", "v").Remove("n1", true) }, RemoveIt, ""},
+		"the last voter":          {func() (Do, error) { return group("vu", "u").Remove("n0", true) }, Nothing, "the last voter"},
+		"a learner":               {func() (Do, error) { return group("vu", "").Remove("n1", false) }, RemoveIt, ""},
+		"removal of a non-member": {func() (Do, error) { return group("vu").Remove("n5", false) }, Nothing, ""},
+		"removal during a change": {func() (Do, error) { return changing.Remove("n1", true) }, Nothing, "one at a time"},
 	} {
 		do, err := row.do()
 		if do != row.want || (err == nil) != (row.why == "") || err != nil && !strings.Contains(err.Error(), row.why) {
@@ -68,8 +69,8 @@
 	}
 }
 
-// A model: whatever operators ask for, in whatever order members come and go, a group that could write before a change that
-// was not forced can write after it, and no vote is ever given to a member that is down or far behind.
+// Model test: for any sequence of requests and failures, a group that could write before an unforced change can write
+// after it, and no member that is down or far behind becomes a voter.
 func TestNoChangeLosesMajority(t *testing.T) {
 	changes := map[Do]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -83,7 +84,7 @@
 			var err error
 			address := ""
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
-			case 0: // it fails or comes back
+			case 0: // the member fails or recovers
 				if m != nil {
 					m.Up = !m.Up
 				}
@@ -103,7 +104,7 @@
 			}
 			var refusal *Refusal
 			if err != nil && (!errors.As(err, &refusal) || do != Nothing) {
-				t.Fatalf("%s with %v", do, err)
+				t.Fatalf("change %s with error %v", do, err)
 			}
 			changes[do]++
 			switch do {
@@ -113,23 +114,23 @@
 				m.Address = address
 			case Promote:
 				if !m.Up || m.Behind > MaxPromotionLag {
-					t.Fatalf("a vote for %+v", *m)
+					t.Fatalf("%+v became a voter", *m)
 				}
 				m.Voter = true
 			case RemoveIt:
 				g.Members = slices.DeleteFunc(g.Members, func(o Member) bool { return o.Node == node })
 			}
 			if before && !writable() {
-				t.Fatalf("after %s of %s nothing can be written: %+v", do, node, g.Members)
+				t.Fatalf("after %s of %s the group cannot write: %+v", do, node, g.Members)
 			}
 			if all, _ := g.voters(""); all == 0 {
-				t.Fatalf("after %s of %s nobody votes", do, node)
+				t.Fatalf("after %s of %s there are no voters", do, node)
 			}
 		}
 	})
 	for _, do := range []Do{AddOne, MoveOne, Promote, RemoveIt} {
 		if changes[do] < 10 {
-			t.Errorf("%s happened %d times: not tested", do, changes[do])
+			t.Errorf("%s happened only %d times", do, changes[do])
 		}
 	}
 }
--- a/control/scope/scope_test.go
+++ b/control/scope/scope_test.go
@@ -83,14 +83,14 @@
 	}
 }
 
-// A narrower record replaces the section whole; a deleted one uncovers the wider one.
+// A narrower record replaces the section as a whole; without the narrower record the wider one applies again.
 func TestResolve(t *testing.T) {
 	records := []Record{
 		{"settings/all/calls", []byte("1"), 1},
 		{"settings/all/limits", []byte("2"), 2},
 		{"settings/zone/n1/calls", []byte("3"), 3},
-		{"settings/zone/n2/calls", []byte("4"), 4},       // of another zone
-		{"settings/gatekeeper/g7/later", []byte("5"), 5}, // of a later version
+		{"settings/zone/n2/calls", []byte("4"), 4},       // other zone
+		{"settings/gatekeeper/g7/later", []byte("5"), 5}, // written by a later version
 		{"settings/service/billing/calls", []byte("6"), 1},
 		{"settings/gatekeeper/g7/calls", nil, 7}, // deleted
 	}
@@ -103,7 +103,8 @@
 	require.Empty(t, Resolve(target, nil))
 }
 
-// naiveResolve is the rule as it is written: from the widest scope to the narrowest, each key's newest record replaces what was there.
+// naiveResolve implements the rule literally: from the widest scope to the narrowest, the newest record of each key
+// replaces the previous one.
 func naiveResolve(t Target, records []Record) map[string]Record {
 	resolved := map[string]Record{}
 	for _, prefix := range t.Prefixes() {
@@ -122,7 +123,7 @@
 	return resolved
 }
 
-// For random targets and records Resolve gives what the naive rule gives, in whichever order the records come.
+// For random targets and records Resolve returns the same as naiveResolve, for any order of the records.
 func TestResolveModel(t *testing.T) {
 	name := rapid.SampledFrom([]string{"", "a", "b", "all", "calls"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -137,7 +138,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "deleted") > 0 {
 				value = []byte{byte(i)}
 			}
-			// A revision of the store writes a key once.
+			// Each revision of the store writes a key at most once.
 			records = append(records, Record{k.String(), value, uint64(i + 1)})
 		}
 		mixed := rapid.Permutation(records).Draw(t, "mixed")
@@ -145,7 +146,7 @@
 		if diff := cmp.Diff(want, Resolve(who, mixed)); diff != "" {
 			t.Fatal(diff)
 		}
-		// What it resolves to needs no more than the records under the target's prefixes.
+		// The records under the target's prefixes are sufficient.
 		followed := slices.DeleteFunc(slices.Clone(records), func(r Record) bool {
 			return !slices.ContainsFunc(who.Prefixes(), func(p string) bool { return strings.HasPrefix(r.Key, p) })
 		})
@@ -155,14 +156,14 @@
 	})
 }
 
-// Every text is either refused, or is exactly the key that its parts give.
+// Every text is either rejected or equals the key formed from its parsed parts.
 func TestParseKeyModel(t *testing.T) {
 	part := rapid.SampledFrom([]string{"settings", "all", "zone", "gatekeeper", "", "n1", "calls", "limits", " ", "\x7f"})
 	rapid.Check(t, func(t *rapid.T) {
 		key := strings.Join(rapid.SliceOfN(part, 0, 6).Draw(t, "parts"), "/")
 		k, err := ParseKey(key)
 		if err == nil && k.String() != key {
-			t.Fatalf("%q is read as %+v, whose key is %q", key, k, k.String())
+			t.Fatalf("%q is parsed as %+v, whose key is %q", key, k, k.String())
 		}
 	})
 }
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -18,17 +18,17 @@
 	"beammux/control/scope"
 )
 
-// This file plays all gatekeepers of a deployment against its control machines in virtual time.
+// The tests in this file simulate all gatekeepers of a deployment and its control machines in virtual time.
 
 const (
 	fleetClients     = 2200
 	fleetReplicas    = 13
 	heartbeatEvery   = control.Micros(1e6)
-	loadWindow       = control.Micros(100e3) // sessions are counted in such windows
+	loadWindow       = control.Micros(100e3) // width of the windows in which new sessions are counted
 	windowsPerSecond = 10
 )
 
-// fleet is a deployment in virtual time.
+// fleet is a simulated deployment in virtual time.
 type fleet struct {
 	now       control.Micros
 	events    eventHeap
@@ -41,7 +41,7 @@
 	opened    map[string]map[control.Micros]int // new sessions by replica and window
 }
 
-// health is how a control machine stands.
+// health is the health of a control machine.
 type health int
 
 const (
@@ -55,8 +55,8 @@
 	health      health
 	sessions    map[fleetSession]bool
 	peakLoad    int
-	maxSessions int              // sessions that it holds at a time; 0: no bound
-	limits      admission.Limits // of its admission; none: whoever comes is taken
+	maxSessions int              // maximum number of open sessions; 0: no limit
+	limits      admission.Limits // limits of its admission; zero: every client is admitted
 	admitter    *admission.Controller
 }
 
@@ -98,7 +98,7 @@
 	heap.Push(&f.events, timedEvent{f.now + d, f.lastOrder, do})
 }
 
-// runFor lets virtual time pass.
+// runFor advances virtual time.
 func (f *fleet) runFor(d control.Micros) {
 	end := f.now + d
 	for len(f.events) > 0 && f.events[0].at <= end {
@@ -109,7 +109,8 @@
 	f.now = end
 }
 
-// runUntil lets time pass until a condition holds, and gives how long that took; the test fails if it does not within a time.
+// runUntil advances virtual time until a condition holds and returns the time that took. The test fails if it takes as
+// long as within.
 func (f *fleet) runUntil(t *testing.T, within control.Micros, description string, condition func() bool) control.Micros {
 	t.Helper()
 	start := f.now
@@ -120,11 +121,11 @@
 	return f.now - start
 }
 
-// latency is that of a round trip in a data centre or between regions.
+// latency draws the latency of a round trip within a data centre or between regions.
 func (f *fleet) latency() control.Micros { return control.Micros(1e3 + f.random.Float64()*49e3) }
 
-// newFleet places 13 control machines (three in the first zone, two in each other) and the gatekeepers evenly over 6 zones in
-// 3 regions. Gatekeepers start within a time.
+// newFleet distributes 13 control machines (three in the first zone, two in each other zone) and the gatekeepers evenly
+// over 6 zones in 3 regions. Gatekeepers start at random times within startWithin.
 func newFleet(seed uint64, startWithin control.Micros) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*fleetReplica{}, opened: map[string]map[control.Micros]int{},
@@ -155,7 +156,7 @@
 	return f
 }
 
-// execute carries out actions of a client, and has it woken when it wants to be.
+// execute executes the actions of a client and schedules its next tick.
 func (f *fleet) execute(c *fleetClient, actions []Action) {
 	for _, a := range actions {
 		switch a.Do {
@@ -171,7 +172,8 @@
 	f.scheduleTick(c)
 }
 
-// scheduleTick has a client's machine ticked when it wants to be. A call that is due earlier already looks again then.
+// scheduleTick schedules the next tick of a client's machine. If a tick is already scheduled for an earlier time, that
+// tick reschedules.
 func (f *fleet) scheduleTick(c *fleetClient) {
 	at, _ := c.machine.Wake()
 	if c.tickScheduled && c.tickAt <= at {
@@ -180,7 +182,7 @@
 	c.tickScheduled, c.tickAt = true, at
 	f.after(max(0, at-f.now), func() {
 		if !c.tickScheduled || c.tickAt != at {
-			return // an earlier call took its place
+			return // replaced by an earlier tick
 		}
 		c.tickScheduled = false
 		if due, _ := c.machine.Wake(); due > f.now {
@@ -191,7 +193,7 @@
 	})
 }
 
-// arrive is an attempt's arrival at a replica.
+// arrive processes an attempt that reaches a replica.
 func (f *fleet) arrive(c *fleetClient, r *fleetReplica, a Action) {
 	if c.open[a.Session] == nil || r.health == unreachable {
 		return
@@ -218,13 +220,13 @@
 	f.execute(c, c.machine.Heard(f.now, a.Session, Event{Kind: kind, Revision: 1}))
 }
 
-// limitAdmission sets the rate and the burst at which a replica takes sessions, and sends snapshots.
+// limitAdmission limits the rate and the burst at which a replica admits sessions and sends snapshots.
 func (r *fleetReplica) limitAdmission(rate float64, burst int) {
 	r.limits = admission.Limits{SessionsPerSecond: rate, SessionsBurst: burst, SnapshotsPerSecond: rate, SnapshotsBurst: burst}
 	r.admitter = admission.New(r.limits)
 }
 
-// admit asks the replica's own admission.
+// admit calls the replica's admission controller.
 func (r *fleetReplica) admit(now control.Micros, client string, snapshot bool) admission.Decision {
 	if r.admitter == nil {
 		return admission.Decision{Admitted: true}
@@ -250,14 +252,14 @@
 	f.after(heartbeatEvery, func() { f.heartbeats(r) })
 }
 
-// list gives the sessions in an order that doesn't depend on the map.
+// list returns the sessions in an order that does not depend on map iteration.
 func (r *fleetReplica) list() []fleetSession {
 	return slices.SortedFunc(maps.Keys(r.sessions), func(a, b fleetSession) int {
 		return cmp.Or(strings.Compare(a.client.name, b.client.name), cmp.Compare(a.id, b.id))
 	})
 }
 
-// fail ends some control machines at once.
+// fail stops some control machines at the same time and returns the number of sessions they had.
 func (f *fleet) fail(how health, replicas ...*fleetReplica) (sessions int) {
 	for _, r := range replicas {
 		r.health = how
@@ -273,7 +275,7 @@
 	return sessions
 }
 
-// resetPeaks begins to take the highest loads and new sessions anew.
+// resetPeaks restarts the recording of the highest loads and of new sessions.
 func (f *fleet) resetPeaks() {
 	for _, r := range f.replicas {
 		r.peakLoad = len(r.sessions)
@@ -291,7 +293,7 @@
 	f.resetPeaks()
 }
 
-// replicasIn gives the control machines of a zone or region.
+// replicasIn returns the control machines of a zone or region.
 func (f *fleet) replicasIn(place string) (list []*fleetReplica) {
 	for _, r := range f.replicas {
 		if r.Zone == place || r.Region == place {
@@ -301,7 +303,7 @@
 	return list
 }
 
-// allConnected tells whether all gatekeepers have a session at a machine that is up.
+// allConnected reports whether all gatekeepers have a session with a machine that is up.
 func (f *fleet) allConnected() bool {
 	for _, c := range f.clients {
 		if c.machine == nil {
@@ -315,7 +317,7 @@
 	return true
 }
 
-// allAtPreferred tells whether all gatekeepers have theirs at the machine that they prefer.
+// allAtPreferred reports whether all gatekeepers have their session with the machine that they prefer.
 func (f *fleet) allAtPreferred() bool {
 	for _, c := range f.clients {
 		if c.machine.current == nil || c.machine.current.rank > 0 || c.machine.attempt != nil {
@@ -325,7 +327,7 @@
 	return true
 }
 
-// peakLoad is the highest load of any machine since the loads are watched.
+// peakLoad returns the highest load of any machine since the last resetPeaks.
 func (f *fleet) peakLoad() (most int) {
 	for _, r := range f.replicas {
 		most = max(most, r.peakLoad)
@@ -333,7 +335,7 @@
 	return most
 }
 
-// peakNewSessions is the most new sessions that any machine had within a second, and within a window.
+// peakNewSessions returns the highest number of new sessions of any machine within one second, and within one window.
 func (f *fleet) peakNewSessions() (second, window int) {
 	for _, windows := range f.opened {
 		for at, n := range windows {
@@ -347,7 +349,8 @@
 	return second, window
 }
 
-// binomialBound is the most that n clients come to at one of several places by chance: five standard deviations over the mean.
+// binomialBound returns an upper bound on how many of n clients choose the same place if each does so with the given
+// probability: five standard deviations above the mean.
 func binomialBound(n int, probability float64) int {
 	mean := float64(n) * probability
 	return int(math.Ceil(mean + 5*math.Sqrt(mean*(1-probability))))
@@ -355,7 +358,7 @@
 
 const zoneClients = (fleetClients + 5) / 6
 
-// fleetSeeds is how many seeds a test plays.
+// fleetSeeds returns the number of seeds that a test runs with.
 func fleetSeeds() uint64 {
 	if testing.Short() {
 		return 1
@@ -363,8 +366,9 @@
 	return 3
 }
 
-// With a bound of twice a machine's share the machine that is left in a zone takes no more than that: the rest go on to the
-// region's other zone at once, none is left without a session, and all come back once the lost machine has returned.
+// Session limit of twice a machine's share: the machine that remains in a zone takes no more than that. The other
+// gatekeepers move to the other zone of the region at once, none is left without a session, and all return once the lost
+// machine is back.
 func TestFleetWithFullMachines(t *testing.T) {
 	const maxSessions = 2 * fleetClients / fleetReplicas
 	timing := Timing{}.WithDefaults()
@@ -383,38 +387,39 @@
 			lost, left := f.replicasIn("zone-1")[0], f.replicasIn("zone-1")[1]
 			f.fail(resetting, lost)
 			elapsed := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.allConnected)
-			require.Equal(t, maxSessions, left.peakLoad, "%d gatekeepers of its zone would go there", zoneClients)
+			require.Equal(t, maxSessions, left.peakLoad, "all %d gatekeepers of its zone prefer it", zoneClients)
 			require.LessOrEqual(t, f.peakLoad(), maxSessions)
 			f.runFor(2 * timing.ReturnEvery)
 			require.True(t, f.allConnected())
-			require.LessOrEqual(t, f.peakLoad(), maxSessions, "they look for room in their zone, and find none")
+			require.LessOrEqual(t, f.peakLoad(), maxSessions, "retries at the full machine of the zone are refused")
 
 			f.recover(lost)
-			returnElapsed := f.runUntil(t, timing.ReturnEvery+slack, "all are back where they prefer to be", f.allAtPreferred)
+			returnElapsed := f.runUntil(t, timing.ReturnEvery+slack, "all are at their preferred machine", f.allAtPreferred)
 			require.LessOrEqual(t, f.peakLoad(), maxSessions)
-			t.Logf("all have a session again in %.2f s, and are back in %.2f s", float64(elapsed)/1e6, float64(returnElapsed)/1e6)
+			t.Logf("all have a session again in %.2f s, and have returned in %.2f s", float64(elapsed)/1e6, float64(returnElapsed)/1e6)
 		})
 	}
 }
 
-// Failures of control machines with all 2,200 gatekeepers: how much load the others get at most, how long it takes until all
-// have a session again, and how many new sessions a second a machine gets; then the same for the return.
+// Failures of control machines with all 2,200 gatekeepers: checks the highest load of the other machines, the time until
+// all gatekeepers have a session again, and the rate of new sessions at a machine; then the same for the return of the
+// failed machines.
 func TestFleetFailures(t *testing.T) {
 	timing := Timing{}.WithDefaults()
-	const slack = control.Micros(300e3) // round trips, and the steps in which a condition is looked at
+	const slack = control.Micros(300e3) // round trips, and the interval at which conditions are checked
 	for _, failure := range []struct {
 		name     string
 		lost     func(*fleet) []*fleetReplica
-		mostLoad int // of a machine that is left
-		attempts int // the most that a gatekeeper whose machine is killed needs: at the others that are lost, and one more
-		silent   int // of these the most that get no answer, where machines are silent: see silentSkip
-		peak     int // most new sessions a second at a machine
+		mostLoad int // highest load of a remaining machine
+		attempts int // most attempts that a gatekeeper needs if its machine is killed: at the other lost machines, and one more
+		silent   int // most of these without an answer if machines are unreachable, see maxUnansweredInRow
+		peak     int // most new sessions per second at a machine
 	}{
 		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1")[:1] }, zoneClients, 1, 0, binomialBound(zoneClients, 0.5)},
 		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:1] }, binomialBound(zoneClients, 0.5), 1, 0, binomialBound(zoneClients, 1./6)},
 		{"two of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:2] }, zoneClients, 2, 1, binomialBound(zoneClients, 2./3)},
 		{"a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1") }, binomialBound(zoneClients, 1./3) * 2, 2, 1, binomialBound(zoneClients, 1./3)},
-		// The machines of the other regions take a ninth each, beside their own: half of a zone's, or half of the third machine's zone.
+		// Each machine of the other regions takes a ninth in addition to its own load: half of a zone, or half of the third machine's zone.
 		{"a region", func(f *fleet) []*fleetReplica { return f.replicasIn("region-0") }, binomialBound(zoneClients, 0.5) + binomialBound(2*zoneClients, 1./8), 5, 2, binomialBound(2*zoneClients, 1./8)},
 	} {
 		for _, how := range []health{resetting, unreachable} {
@@ -436,33 +441,33 @@
 					}
 					elapsed := f.runUntil(t, within, "all have a session again", f.allConnected)
 					second, window := f.peakNewSessions()
-					t.Logf("%d moved in %.2f s; most load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(elapsed)/1e6, f.peakLoad(), second, window)
+					t.Logf("%d moved in %.2f s; highest load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(elapsed)/1e6, f.peakLoad(), second, window)
 					require.LessOrEqual(t, f.peakLoad(), failure.mostLoad, "load")
 					require.LessOrEqual(t, second, failure.peak, "new sessions in a second")
-					if how == resetting { // spread evenly over BackoffBase, by chance
+					if how == resetting { // distributed uniformly over BackoffBase
 						require.LessOrEqual(t, window, binomialBound(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
 					}
 
 					f.runFor(timing.ReturnEvery + timing.ReturnEvery/2)
 					require.Equal(t, fleetClients, f.sessions())
 					f.recover(lost...)
-					// Each looks within ReturnEvery at all machines that it prefers, after a look that may just be under way.
+					// Each gatekeeper tries all machines that it prefers within ReturnInterval, after a round that may be in progress.
 					within = timing.ReturnEvery + slack
 					if how == unreachable {
 						within += control.Micros(failure.attempts) * timing.ConnectWithin
 					}
-					elapsed = f.runUntil(t, within, "all are back where they prefer to be", f.allAtPreferred)
+					elapsed = f.runUntil(t, within, "all are at their preferred machine", f.allAtPreferred)
 					second, window = f.peakNewSessions()
-					t.Logf("back in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(elapsed)/1e6, second, window)
-					// Spread over the second half of ReturnEvery at the least. Where no answer comes a look takes a time, and those
-					// that are looking just then go on to another machine within ConnectWithin.
+					t.Logf("returned in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(elapsed)/1e6, second, window)
+					// The returns are spread at least over the second half of ReturnInterval. If machines do not answer, an attempt takes
+					// ConnectTimeout, and gatekeepers with an attempt in progress move to the next machine within that time.
 					spread := float64(timing.ReturnEvery) / 2e6
 					most := binomialBound(zoneClients, 1/spread)
 					if how == unreachable {
 						looking := float64(failure.attempts) * float64(timing.ConnectWithin) / (0.75 * float64(timing.ReturnEvery))
 						most += binomialBound(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
 					}
-					require.LessOrEqual(t, second, most, "new sessions in a second at the return")
+					require.LessOrEqual(t, second, most, "new sessions in a second during the return")
 					require.Equal(t, fleetClients, f.sessions())
 				})
 			}
@@ -470,7 +475,7 @@
 	}
 }
 
-// sessions is how many sessions the machines have.
+// sessions returns the total number of sessions.
 func (f *fleet) sessions() (n int) {
 	for _, r := range f.replicas {
 		n += len(r.sessions)
@@ -478,7 +483,8 @@
 	return n
 }
 
-// All gatekeepers start at once, at machines that admit 50 sessions a second: all have one within the time that the rate needs.
+// All gatekeepers start at the same time, with machines that admit 50 sessions per second: all have a session within the
+// time that this rate requires.
 func TestFleetSimultaneousStart(t *testing.T) {
 	for seed := range fleetSeeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -499,8 +505,8 @@
 	}
 }
 
-// With all machines gone for ten minutes every gatekeeper goes on to try, at a pace bounded by the backoff, and all are back soon
-// after the machines are.
+// While all machines are down for ten minutes, every gatekeeper keeps trying at a rate bounded by the backoff, and all
+// have a session soon after the machines have returned.
 func TestFleetFullOutage(t *testing.T) {
 	timing := Timing{}.WithDefaults()
 	f := newFleet(1, 10e6)
@@ -511,14 +517,15 @@
 	elapsed := f.runUntil(t, timing.BackoffCap+500e3, "all have a session again", f.allConnected)
 	second, _ := f.peakNewSessions()
 	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
-	// Of waits drawn evenly up to BackoffCap the rest is at its densest at its beginning: two in BackoffCap; at any machine.
+	// For delays drawn uniformly up to BackoffCap, the density of the remaining delay is highest at 0, where it is 2/BackoffCap.
 	require.LessOrEqual(t, second, binomialBound(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
-	f.runUntil(t, timing.ReturnEvery+500e3, "all are back where they prefer to be", f.allAtPreferred)
+	f.runUntil(t, timing.ReturnEvery+500e3, "all are at their preferred machine", f.allAtPreferred)
 }
 
-// The same with machines that admit 50 sessions a second each and promise the others a place: after an outage of any length all
-// have a session again within the time that changes are allowed. A gatekeeper that has a place soon must wait for it: one that
-// asked the other machines meanwhile took a place at each, and all places together were 13 times as many as gatekeepers.
+// The same with machines that admit 50 sessions per second each and give slots to the other gatekeepers: after an outage
+// of any length all have a session again within the time allowed for a change to take effect. A gatekeeper with a slot in
+// a short time must wait for it: one that tried the other machines meanwhile held a slot at each, and there were 13 times
+// as many slots as gatekeepers.
 func TestFleetOutageWithAdmission(t *testing.T) {
 	const inForceWithin = control.Micros(17e6)
 	for _, outage := range []control.Micros{5e6, 12e6, 30e6, 600e6} {
--- a/control/session/model_test.go
+++ b/control/session/model_test.go
@@ -12,16 +12,16 @@
 	"beammux/control/scope"
 )
 
-// transaction writes values to keys; an empty value deletes.
+// transaction assigns values to keys; an empty value deletes the key.
 type transaction map[string]string
 
-// modelReplica holds the transactions up to one.
+// modelReplica holds all transactions up to applied.
 type modelReplica struct {
 	applied    uint64
 	leaderless control.Micros
 }
 
-// modelSession is one session at a replica.
+// modelSession is one session with a replica.
 type modelSession struct {
 	id      uint64
 	replica int
@@ -30,7 +30,8 @@
 	sent    uint64 // all transactions up to here have been sent
 }
 
-// model is a store of replicas that lag, the sessions of one gatekeeper, and what the gatekeeper holds.
+// model simulates a store with lagging replicas, the sessions of one gatekeeper, and the records that the gatekeeper
+// holds.
 type model struct {
 	t            *rapid.T
 	now          control.Micros
@@ -40,14 +41,14 @@
 	replicas     []*modelReplica
 	index        map[string]int
 	sessions     []*modelSession
-	holdUntil    []control.Micros // by "come back in"
+	holdUntil    []control.Micros // by replica: announced time of the next attempt
 	heldRecords  map[string]string
-	heldRevision uint64 // revision of held
+	heldRevision uint64 // revision of heldRecords
 	highest      uint64
 	accepted     int
 }
 
-// state is what the log makes of nothing up to a revision.
+// state returns the records that result from the log up to a revision.
 func (m *model) state(revision uint64) map[string]string {
 	state := map[string]string{}
 	for _, tx := range m.log[:revision] {
@@ -66,21 +67,21 @@
 	}
 }
 
-// execute carries out actions; records takes over those of the event that led to them.
+// execute executes actions; applyRecords applies the records of the event that led to them.
 func (m *model) execute(actions []Action, revision uint64, applyRecords func()) {
 	for _, a := range actions {
 		switch a.Do {
 		case Connect:
 			i := m.index[a.Replica.Name]
 			if m.now < m.holdUntil[i] {
-				m.t.Fatalf("%s is tried %d us before it said to come back", a.Replica.Name, m.holdUntil[i]-m.now)
+				m.t.Fatalf("%s is tried %d us before the announced time", a.Replica.Name, m.holdUntil[i]-m.now)
 			}
 			if a.After != 0 && a.After != m.heldRevision {
-				m.t.Fatalf("a session goes on from %d, held is %d", a.After, m.heldRevision)
+				m.t.Fatalf("a session resumes from revision %d, the gatekeeper holds %d", a.After, m.heldRevision)
 			}
 			m.sessions = append(m.sessions, &modelSession{id: a.Session, replica: i, after: a.After, sent: a.After})
 			if len(m.sessions) > 2 {
-				m.t.Fatalf("%d sessions at a time", len(m.sessions))
+				m.t.Fatalf("%d sessions are open", len(m.sessions))
 			}
 		case Close:
 			m.removeSession(a.Session)
@@ -106,17 +107,17 @@
 			return
 		}
 	}
-	m.t.Fatalf("session %d is closed, and was not open", id)
+	m.t.Fatalf("session %d is closed but was not open", id)
 }
 
-// open answers a session as its replica does: not at all, "come back in", behind, or with its first event.
+// open answers a session as its replica does: with a failure, a deferral, Behind, or the first event.
 func (m *model) open(s *modelSession) {
 	r := m.replicas[s.replica]
 	switch rapid.IntRange(0, 5).Draw(m.t, "answer") {
 	case 0:
 		m.end(s, End{Reason: Lost})
 	case 1:
-		after := control.Micros(rapid.IntRange(0, 20e6).Draw(m.t, "come back"))
+		after := control.Micros(rapid.IntRange(0, 20e6).Draw(m.t, "retry after"))
 		m.holdUntil[s.replica] = m.now + after
 		m.end(s, End{ComeBack, after})
 	default:
@@ -135,7 +136,7 @@
 	}
 }
 
-// sendNext sends the next change of a session, or a heartbeat.
+// sendNext sends the next change on a session, or a heartbeat.
 func (m *model) sendNext(s *modelSession) {
 	r := m.replicas[s.replica]
 	if s.sent >= r.applied {
@@ -157,9 +158,10 @@
 	m.execute(m.machine.Ended(m.now, s.id, e), 0, nil)
 }
 
-// Transactions, lagging replicas, sessions that are refused, break and overlap, restarts with and without the records: what a
-// gatekeeper holds is at any time exactly the store's state at one revision, and that never goes back; "come back in" is
-// honoured, there are two sessions at most, and the machine never spins.
+// Model test with transactions, lagging replicas, sessions that are refused, fail or overlap, and restarts with and
+// without stored records. At any time the gatekeeper holds exactly the state of the store at one revision, and this
+// revision never decreases; announced retry times are respected, at most two sessions are open, and the machine does not
+// spin.
 func TestSessionModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, heldRecords: map[string]string{}, index: map[string]int{}}
@@ -216,14 +218,14 @@
 			"break": func(t *rapid.T) {
 				m.end(drawSession(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, Refused}).Draw(t, "reason")})
 			},
-			"late": func(t *rapid.T) { // of a session that was closed, or never was
+			"late": func(t *rapid.T) { // events of a session that was closed or never existed
 				id := uint64(rapid.IntRange(0, 50).Draw(t, "id"))
 				for _, s := range m.sessions {
 					if s.id == id {
-						t.Skip("it is open")
+						t.Skip("the session is open")
 					}
 				}
-				m.execute(m.machine.Heard(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("a closed session's event is accepted") })
+				m.execute(m.machine.Heard(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("an event of a closed session is accepted") })
 				m.execute(m.machine.Ended(m.now, id, End{}), 0, nil)
 			},
 			"wake": func(t *rapid.T) {
@@ -246,19 +248,20 @@
 				m.heldRecords, m.heldRevision = map[string]string{}, 0
 				restart(0)
 			},
-			"": func(t *rapid.T) { // a machine that was ticked wants to be so later: at most one step for each draw of zero
+			"": func(t *rapid.T) { // after a tick, the next one is due later; only a random number of 0 allows another one at the same time
 				if at, ok := m.machine.Wake(); !ok || at < m.now-max(m.timing.HeartbeatWithin, m.timing.ConnectWithin) {
-					t.Fatalf("at %d it wants to be woken at %d, %v", m.now, at, ok)
+					t.Fatalf("at %d the next tick is due at %d, %v", m.now, at, ok)
 				}
 				if m.machine.Seen() != m.highest {
-					t.Fatalf("seen %d, accepted up to %d", m.machine.Seen(), m.highest)
+					t.Fatalf("highest revision %d, accepted up to %d", m.machine.Seen(), m.highest)
 				}
 			},
 		})
 	})
 }
 
-// With all replicas unreachable, whatever the random numbers, attempts are never more than the backoff allows on average: no spinning.
+// If all replicas are unreachable, the number of attempts is bounded by the average backoff, for all random numbers: the
+// machine does not spin.
 func TestNoSpinning(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 13).Draw(t, "replicas")
@@ -285,8 +288,9 @@
 				}
 			}
 		}
-		// In full rounds an attempt waits 0.4 of BackoffCap at least; the rounds before it is reached, and repeated questions
-		// to a replica that lags or is full, come on top. One that says when to come back is asked then, in each round.
+		// Once the cap is reached, the delay before an attempt is at least 0.4 of BackoffCap. Added to this are the rounds before
+		// that, and repeated attempts at a replica that lags or is full. A replica that announces a retry time is tried again
+		// at that time, in each round.
 		perBackoff := 1.
 		if reason == ComeBack {
 			perBackoff = LaterTries
--- a/control/session/rank_test.go
+++ b/control/session/rank_test.go
@@ -19,7 +19,7 @@
 	return list
 }
 
-// The own zone comes before the own region, and that before all others; names of zones may be the same in two regions.
+// The own zone ranks before the own region, and that before all others. Zones of two regions may have the same name.
 func TestRankTiers(t *testing.T) {
 	replicas := []Replica{
 		{Name: "far", Zone: "z9", Region: "south"}, {Name: "region", Zone: "z2", Region: "north"}, {Name: "namesake", Zone: "z1", Region: "south"},
@@ -28,7 +28,7 @@
 	got := names(Rank(scope.Target{Name: "g", Zone: "z1", Region: "north"}, replicas))
 	require.Equal(t, []string{"zone", "region"}, got[:2])
 	require.ElementsMatch(t, []string{"far", "namesake", "nowhere"}, got[2:])
-	// A gatekeeper that names neither has one tier, which those without names don't lead.
+	// For a gatekeeper without zone and region all replicas are in one tier; those without zone and region have no priority.
 	leads := 0
 	for i := range 1000 {
 		if Rank(scope.Target{Name: fmt.Sprint("g", i)}, replicas)[0].Name == "nowhere" {
@@ -38,8 +38,8 @@
 	require.InDelta(t, 200, leads, 5*math.Sqrt(1000*0.2*0.8))
 }
 
-// Gatekeepers spread evenly over a tier, and those of a lost replica over the rest: within five standard deviations of the
-// binomial distribution, over which chance alone goes once in a million.
+// Gatekeepers are spread evenly over a tier, and those of a lost replica over the remaining ones: within five standard
+// deviations of the binomial distribution, which chance alone exceeds once in a million runs.
 func TestRankSpreads(t *testing.T) {
 	const gatekeepers, machines = 6000, 6
 	var replicas []Replica
@@ -65,7 +65,7 @@
 	}
 }
 
-// A replica that is lost or comes changes nothing in the order of the others, so nobody else's clients move.
+// A replica that is lost or added does not change the order of the others, so no clients of other replicas move.
 func TestRankIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"", "a", "b"})
--- a/control/session/session_test.go
+++ b/control/session/session_test.go
@@ -10,7 +10,7 @@
 	"beammux/control/scope"
 )
 
-// harness plays one machine: the test says what happens. Draws of random numbers are all the same, half of their bound.
+// harness drives one machine with the events of a test. All random numbers are one half.
 type harness struct {
 	t       *testing.T
 	machine *Machine
@@ -19,13 +19,14 @@
 
 const half = 0.5
 
-// timing has times that can be told apart.
+// timing has distinguishable durations.
 var timing = Timing{
 	StartWithin: 1e6, ConnectWithin: 3e6, HeartbeatWithin: 5e6, BackoffBase: 1e6, BackoffCap: 6e6, StableAfter: 10e6, ReturnEvery: 60e6,
 	LeaderlessAfter: 4e6, LeaderlessHold: 30e6, BehindWait: 200e3, ComeBackWait: 5e6, FaultHold: 25e6,
 }
 
-// rankedReplicas gives replicas r0, r1, ... that a gatekeeper of their region prefers in this order: each in a tier or, within one, as ranked.
+// rankedReplicas returns n replicas, named r0, r1 and so on, in the order in which a gatekeeper of their region prefers
+// them: by tier, and within a tier as ranked.
 func rankedReplicas(n int) (scope.Target, []Replica) {
 	self := scope.Target{Name: "g", Zone: "z", Region: "r"}
 	replicas := []Replica{{Zone: "z", Region: "r"}, {Zone: "other", Region: "r"}, {Zone: "far", Region: "far"}, {Zone: "far", Region: "far"}}[:n]
@@ -41,50 +42,51 @@
 	return &harness{t: t, machine: m}
 }
 
-// tickAt goes on to when the machine wants to be called, checks the time, and gives what it does.
-func (p *harness) tickAt(want control.Micros) []Action {
-	p.t.Helper()
-	at, ok := p.machine.Wake()
-	require.True(p.t, ok)
-	require.Equal(p.t, want, at)
-	p.now = at
-	return p.machine.Tick(at)
+// tickAt checks the time of the next tick, advances to it, and returns the actions of the tick.
+func (h *harness) tickAt(want control.Micros) []Action {
+	h.t.Helper()
+	at, ok := h.machine.Wake()
+	require.True(h.t, ok)
+	require.Equal(h.t, want, at)
+	h.now = at
+	return h.machine.Tick(at)
 }
 
-// requireConnect checks that the one action is an attempt at a replica of a rank, and gives its session.
-func (p *harness) requireConnect(rank int, after uint64, actions []Action) uint64 {
-	p.t.Helper()
-	require.Len(p.t, actions, 1)
+// requireConnect checks that the only action is an attempt at the replica of a rank, and returns its session.
+func (h *harness) requireConnect(rank int, after uint64, actions []Action) uint64 {
+	h.t.Helper()
+	require.Len(h.t, actions, 1)
 	a := actions[0]
-	require.Equal(p.t, Action{Connect, a.Session, p.machine.replicas[rank], after}, a)
+	require.Equal(h.t, Action{Connect, a.Session, h.machine.replicas[rank], after}, a)
 	return a.Session
 }
 
-func (p *harness) handleEvent(session uint64, kind EventKind, revision uint64) []Action {
-	return p.machine.Heard(p.now, session, Event{Kind: kind, Revision: revision})
+func (h *harness) handleEvent(session uint64, kind EventKind, revision uint64) []Action {
+	return h.machine.Heard(h.now, session, Event{Kind: kind, Revision: revision})
 }
 
-func (p *harness) handleEnd(session uint64, reason Reason) []Action {
-	return p.machine.Ended(p.now, session, End{Reason: reason})
+func (h *harness) handleEnd(session uint64, reason Reason) []Action {
+	return h.machine.Ended(h.now, session, End{Reason: reason})
 }
 
 func acceptAction(session uint64) []Action { return []Action{{Do: Accept, Session: session}} }
 
 func closeAction(session uint64) []Action { return []Action{{Do: Close, Session: session}} }
 
-// newConnectedHarness gives a machine with a session at the replica of a rank, those before it having failed.
+// newConnectedHarness returns a machine with a session with the replica of a rank; the attempts at those before it have
+// failed.
 func newConnectedHarness(t *testing.T, n, rank int) (*harness, uint64) {
-	p := newHarness(t, n, 0, 0)
+	h := newHarness(t, n, 0, 0)
 	for r := range rank {
-		s := p.requireConnect(r, 0, p.tickAt(p.now+5e5))
-		require.Empty(t, p.handleEnd(s, Lost))
+		s := h.requireConnect(r, 0, h.tickAt(h.now+5e5))
+		require.Empty(t, h.handleEnd(s, Lost))
 	}
-	s := p.requireConnect(rank, 0, p.tickAt(p.now+5e5))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Snapshot, 10))
-	current, ok := p.machine.Current()
+	s := h.requireConnect(rank, 0, h.tickAt(h.now+5e5))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Snapshot, 10))
+	current, ok := h.machine.Current()
 	require.True(t, ok)
-	require.Equal(t, p.machine.replicas[rank], current)
-	return p, s
+	require.Equal(t, h.machine.replicas[rank], current)
+	return h, s
 }
 
 func TestWithoutReplicas(t *testing.T) {
@@ -94,7 +96,7 @@
 	require.Empty(t, m.Tick(1e9))
 }
 
-// The first attempt comes after a wait of its own, which is no backoff.
+// The delay before the first attempt is drawn from MaxStartDelay and not from the backoff.
 func TestStart(t *testing.T) {
 	self, replicas := rankedReplicas(1)
 	m := New(7, Options{Self: self, Replicas: replicas, Timing: Timing{StartWithin: 200}, Random: func() float64 { return half }})
@@ -103,359 +105,364 @@
 	require.Equal(t, control.Micros(107), at)
 }
 
-// Rounds: each replica once, after a wait up to a bound that doubles from round to round up to the cap.
+// In a round each replica is tried once, after a delay up to a bound that doubles from round to round up to the cap.
 func TestBackoff(t *testing.T) {
-	p := newHarness(t, 3, 0, 0)
+	h := newHarness(t, 3, 0, 0)
 	for _, bound := range []control.Micros{1e6, 2e6, 4e6, 6e6, 6e6} {
 		for rank := range 3 {
-			s := p.requireConnect(rank, 0, p.tickAt(p.now+bound/2))
-			require.Empty(t, p.handleEnd(s, Lost))
+			s := h.requireConnect(rank, 0, h.tickAt(h.now+bound/2))
+			require.Empty(t, h.handleEnd(s, Lost))
 		}
 	}
 }
 
-// A session that lasted resets the backoff; one that did not last doesn't.
+// A session that lasted for StableAfter resets the backoff; a shorter one does not.
 func TestBackoffReset(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 1)
-	require.Empty(t, p.handleEnd(s, Lost))
-	s = p.requireConnect(0, 10, p.tickAt(p.now+1e6)) // both were tried: the second round
-	require.Empty(t, p.handleEvent(s, Heartbeat, 10))
+	h, s := newConnectedHarness(t, 2, 1)
+	require.Empty(t, h.handleEnd(s, Lost))
+	s = h.requireConnect(0, 10, h.tickAt(h.now+1e6)) // both were tried: second round
+	require.Empty(t, h.handleEvent(s, Heartbeat, 10))
 	for range 3 {
-		p.now += 4e6
-		require.Empty(t, p.handleEvent(s, Heartbeat, 10))
+		h.now += 4e6
+		require.Empty(t, h.handleEvent(s, Heartbeat, 10))
 	}
-	require.Empty(t, p.handleEnd(s, Lost))
-	p.requireConnect(1, 10, p.tickAt(p.now+5e5))
+	require.Empty(t, h.handleEnd(s, Lost))
+	h.requireConnect(1, 10, h.tickAt(h.now+5e5))
 }
 
-// An attempt without an event, and a session without a heartbeat in time, are given up.
+// An attempt without an event and a session without a heartbeat in time are given up.
 func TestTimeouts(t *testing.T) {
-	p := newHarness(t, 2, 0, 0)
-	s := p.requireConnect(0, 0, p.tickAt(5e5))
-	require.Equal(t, closeAction(s), p.tickAt(p.now+3e6))
-	require.Empty(t, p.handleEvent(s, Snapshot, 99)) // too late: it was closed
-	s = p.requireConnect(1, 0, p.tickAt(p.now+5e5))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Snapshot, 10))
-	p.now += 4e6
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Heartbeat, 11))
-	require.Equal(t, closeAction(s), p.tickAt(p.now+5e6))
-	_, ok := p.machine.Current()
+	h := newHarness(t, 2, 0, 0)
+	s := h.requireConnect(0, 0, h.tickAt(5e5))
+	require.Equal(t, closeAction(s), h.tickAt(h.now+3e6))
+	require.Empty(t, h.handleEvent(s, Snapshot, 99)) // too late: the session was closed
+	s = h.requireConnect(1, 0, h.tickAt(h.now+5e5))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Snapshot, 10))
+	h.now += 4e6
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Heartbeat, 11))
+	require.Equal(t, closeAction(s), h.tickAt(h.now+5e6))
+	_, ok := h.machine.Current()
 	require.False(t, ok)
 }
 
-// After two replicas in a row without any answer the next tier is tried, and after each further one the next again; one that
-// answers, if only with a refusal, ends that. Those left out come last in the round.
+// After two consecutive replicas without an answer the next tier is tried, and after each further one the tier after
+// that. A replica that answers, even with a refusal, resets this. Skipped replicas are tried last in the round.
 func TestUnansweredSkipsTier(t *testing.T) {
 	self := scope.Target{Name: "g", Zone: "z", Region: "r"}
 	var replicas []Replica
 	for i, place := range [][2]string{{"z", "r"}, {"z", "r"}, {"z", "r"}, {"other", "r"}, {"other", "r"}, {"far", "far"}, {"far", "far"}} {
 		replicas = append(replicas, Replica{Name: fmt.Sprint("r", i), Zone: place[0], Region: place[1]})
 	}
-	p := &harness{t: t, machine: New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }})}
-	s := p.requireConnect(0, 0, p.tickAt(5e5))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Snapshot, 10))
-	require.Equal(t, closeAction(s), p.tickAt(p.now+5e6))
+	h := &harness{t: t, machine: New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }})}
+	s := h.requireConnect(0, 0, h.tickAt(5e5))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Snapshot, 10))
+	require.Equal(t, closeAction(s), h.tickAt(h.now+5e6))
 	for _, rank := range []int{1, 3, 5, 2, 4, 6} {
-		s = p.requireConnect(rank, 10, p.tickAt(p.now+5e5))
-		require.Equal(t, closeAction(s), p.tickAt(p.now+3e6))
+		s = h.requireConnect(rank, 10, h.tickAt(h.now+5e5))
+		require.Equal(t, closeAction(s), h.tickAt(h.now+3e6))
 	}
-	s = p.requireConnect(0, 10, p.tickAt(p.now+1e6)) // the second round
-	require.Equal(t, closeAction(s), p.tickAt(p.now+3e6))
-	s = p.requireConnect(1, 10, p.tickAt(p.now+1e6))
-	require.Empty(t, p.handleEnd(s, Lost))
-	s = p.requireConnect(2, 10, p.tickAt(p.now+1e6))
-	require.Equal(t, closeAction(s), p.tickAt(p.now+3e6))
-	s = p.requireConnect(3, 10, p.tickAt(p.now+1e6))
-	require.Equal(t, closeAction(s), p.tickAt(p.now+3e6))
-	p.requireConnect(5, 10, p.tickAt(p.now+1e6))
-}
-
-// Where the replica sends heartbeats seldom more time is given; a later statement holds.
+	s = h.requireConnect(0, 10, h.tickAt(h.now+1e6)) // second round
+	require.Equal(t, closeAction(s), h.tickAt(h.now+3e6))
+	s = h.requireConnect(1, 10, h.tickAt(h.now+1e6))
+	require.Empty(t, h.handleEnd(s, Lost))
+	s = h.requireConnect(2, 10, h.tickAt(h.now+1e6))
+	require.Equal(t, closeAction(s), h.tickAt(h.now+3e6))
+	s = h.requireConnect(3, 10, h.tickAt(h.now+1e6))
+	require.Equal(t, closeAction(s), h.tickAt(h.now+3e6))
+	h.requireConnect(5, 10, h.tickAt(h.now+1e6))
+}
+
+// The timeout grows with the heartbeat interval announced by the replica; the latest announcement counts.
 func TestSlowHeartbeats(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 7e6}))
-	at, _ := p.machine.Wake()
-	require.Equal(t, p.now+21e6, at)
-	require.Empty(t, p.machine.Tick(at-1))
-	p.now = at - 1
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1 << 62}))
-	at, _ = p.machine.Wake()
-	require.Equal(t, p.now+90e6, at)
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
-	require.Equal(t, closeAction(s), p.tickAt(p.now+5e6))
-}
-
-// "Come back in" a short time is waited for, without another replica being tried; but not for ever.
+	h, s := newConnectedHarness(t, 2, 0)
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 7e6}))
+	at, _ := h.machine.Wake()
+	require.Equal(t, h.now+21e6, at)
+	require.Empty(t, h.machine.Tick(at-1))
+	h.now = at - 1
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1 << 62}))
+	at, _ = h.machine.Wake()
+	require.Equal(t, h.now+90e6, at)
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
+	require.Equal(t, closeAction(s), h.tickAt(h.now+5e6))
+}
+
+// A short announced retry time is waited for without trying another replica, but only a limited number of times.
 func TestRetryAfterShort(t *testing.T) {
-	p := newHarness(t, 2, 0, 0)
+	h := newHarness(t, 2, 0, 0)
 	at := control.Micros(5e5)
 	for range SameTries - 1 {
-		s := p.requireConnect(0, 0, p.tickAt(at))
-		require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 5e6}))
-		at = p.now + 5e6
+		s := h.requireConnect(0, 0, h.tickAt(at))
+		require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 5e6}))
+		at = h.now + 5e6
 	}
-	s := p.requireConnect(0, 0, p.tickAt(at))
-	require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 5e6}))
-	p.requireConnect(1, 0, p.tickAt(p.now+5e5))
+	s := h.requireConnect(0, 0, h.tickAt(at))
+	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 5e6}))
+	h.requireConnect(1, 0, h.tickAt(h.now+5e5))
 }
 
-// With a longer one another replica is tried meanwhile, and the one that said it is not asked before.
+// With a long announced retry time another replica is tried meanwhile, and the deferring one is not tried before that
+// time.
 func TestRetryAfterLong(t *testing.T) {
-	p := newHarness(t, 2, 0, 0)
-	s := p.requireConnect(0, 0, p.tickAt(5e5))
-	require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 20e6}))
-	until := p.now + 20e6
-	for p.now < until {
-		at, _ := p.machine.Wake()
-		p.now = at
-		for _, a := range p.machine.Tick(at) {
+	h := newHarness(t, 2, 0, 0)
+	s := h.requireConnect(0, 0, h.tickAt(5e5))
+	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 20e6}))
+	until := h.now + 20e6
+	for h.now < until {
+		at, _ := h.machine.Wake()
+		h.now = at
+		for _, a := range h.machine.Tick(at) {
 			if at < until {
-				require.Equal(t, p.machine.replicas[1], a.Replica)
-				require.Empty(t, p.handleEnd(a.Session, Lost))
+				require.Equal(t, h.machine.replicas[1], a.Replica)
+				require.Empty(t, h.handleEnd(a.Session, Lost))
 			}
 		}
 	}
-	// And where all have said so, the first that may be asked is.
-	p = newHarness(t, 2, 0, 0)
-	s = p.requireConnect(0, 0, p.tickAt(5e5))
-	require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 20e6}))
-	s = p.requireConnect(1, 0, p.tickAt(p.now+5e5))
-	require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 30e6}))
-	require.Empty(t, p.tickAt(p.now+1e6))
-	p.requireConnect(0, 0, p.tickAt(205e5))
-}
-
-// A replica that lags has waited a moment itself: the next one is tried after the backoff, and it isn't again for a time.
+	// If all replicas have deferred the session, the one with the earliest retry time is tried.
+	h = newHarness(t, 2, 0, 0)
+	s = h.requireConnect(0, 0, h.tickAt(5e5))
+	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 20e6}))
+	s = h.requireConnect(1, 0, h.tickAt(h.now+5e5))
+	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 30e6}))
+	require.Empty(t, h.tickAt(h.now+1e6))
+	h.requireConnect(0, 0, h.tickAt(205e5))
+}
+
+// A lagging replica has itself waited before it answered: the next replica is tried after the backoff, and the lagging
+// one is not tried again for some time.
 func TestBehind(t *testing.T) {
-	p := newHarness(t, 2, 10, 10)
-	s := p.requireConnect(0, 10, p.tickAt(5e5))
-	require.Empty(t, p.handleEnd(s, Behind))
-	s = p.requireConnect(1, 10, p.tickAt(p.now+5e5))
-	require.Empty(t, p.handleEnd(s, Behind))
-	s = p.requireConnect(0, 10, p.tickAt(p.now+1e6))
-	require.Empty(t, p.handleEnd(s, Behind))
-	// Alone it is asked again after BehindWait and half of it, if the backoff is shorter.
-	p = newHarness(t, 1, 10, 10)
-	p.machine.timing.BehindWait = 2e6
-	s = p.requireConnect(0, 10, p.tickAt(5e5))
-	begun := p.now
-	require.Empty(t, p.handleEnd(s, Behind))
-	require.Empty(t, p.tickAt(p.now+1e6))
-	p.requireConnect(0, 10, p.tickAt(begun+3e6))
-}
-
-// A snapshot that is older than what was seen isn't taken; it counts as that of a replica that lags.
+	h := newHarness(t, 2, 10, 10)
+	s := h.requireConnect(0, 10, h.tickAt(5e5))
+	require.Empty(t, h.handleEnd(s, Behind))
+	s = h.requireConnect(1, 10, h.tickAt(h.now+5e5))
+	require.Empty(t, h.handleEnd(s, Behind))
+	s = h.requireConnect(0, 10, h.tickAt(h.now+1e6))
+	require.Empty(t, h.handleEnd(s, Behind))
+	// A single replica is tried again after 1.5 times BehindHold if the backoff is shorter.
+	h = newHarness(t, 1, 10, 10)
+	h.machine.timing.BehindWait = 2e6
+	s = h.requireConnect(0, 10, h.tickAt(5e5))
+	begun := h.now
+	require.Empty(t, h.handleEnd(s, Behind))
+	require.Empty(t, h.tickAt(h.now+1e6))
+	h.requireConnect(0, 10, h.tickAt(begun+3e6))
+}
+
+// A snapshot older than the highest revision received is not accepted; its replica counts as lagging.
 func TestOldSnapshot(t *testing.T) {
-	p := newHarness(t, 2, 0, 10) // the records are lost, the revision is known
-	s := p.requireConnect(0, 0, p.tickAt(5e5))
-	require.Equal(t, closeAction(s), p.handleEvent(s, Snapshot, 9))
-	s = p.requireConnect(1, 0, p.tickAt(p.now+5e5))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Snapshot, 10))
-	require.Equal(t, uint64(10), p.machine.Seen())
+	h := newHarness(t, 2, 0, 10) // the records are lost, the revision is known
+	s := h.requireConnect(0, 0, h.tickAt(5e5))
+	require.Equal(t, closeAction(s), h.handleEvent(s, Snapshot, 9))
+	s = h.requireConnect(1, 0, h.tickAt(h.now+5e5))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Snapshot, 10))
+	require.Equal(t, uint64(10), h.machine.Seen())
 }
 
-// A resumed session that answers with less than was asked for isn't taken either.
+// A resumed session that answers with a lower revision than requested is not accepted either.
 func TestOldResume(t *testing.T) {
-	p := newHarness(t, 2, 10, 10)
-	s := p.requireConnect(0, 10, p.tickAt(5e5))
-	require.Equal(t, closeAction(s), p.handleEvent(s, Heartbeat, 9))
-	require.Equal(t, uint64(10), p.machine.Seen())
+	h := newHarness(t, 2, 10, 10)
+	s := h.requireConnect(0, 10, h.tickAt(5e5))
+	require.Equal(t, closeAction(s), h.handleEvent(s, Heartbeat, 9))
+	require.Equal(t, uint64(10), h.machine.Seen())
 }
 
-// Whoever breaks the protocol isn't tried for a time: revisions that fall, a first event that is no snapshot, no control machine.
+// A replica that violates the protocol is not tried for some time: revisions that decrease, a first event that is not a
+// snapshot, a peer that is not a control machine.
 func TestProtocolViolations(t *testing.T) {
-	p, s := newConnectedHarness(t, 1, 0)
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Change, 12))
-	require.Equal(t, closeAction(s), p.handleEvent(s, Heartbeat, 11))
-	require.Equal(t, uint64(12), p.machine.Seen())
-	require.Empty(t, p.tickAt(p.now+1e6)) // the wait of the second round
-	s = p.requireConnect(0, 12, p.tickAt(p.now+24e6))
-	refusedAt := p.now
-	require.Empty(t, p.handleEnd(s, Refused))
-	require.Empty(t, p.tickAt(p.now+2e6)) // and of the third
-	p.requireConnect(0, 12, p.tickAt(refusedAt+25e6))
-
-	p = newHarness(t, 1, 0, 0)
-	s = p.requireConnect(0, 0, p.tickAt(5e5))
-	require.Equal(t, closeAction(s), p.handleEvent(s, Change, 3))
-	require.Equal(t, uint64(0), p.machine.Seen())
-}
-
-// What brings nothing new is not handed on.
+	h, s := newConnectedHarness(t, 1, 0)
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Change, 12))
+	require.Equal(t, closeAction(s), h.handleEvent(s, Heartbeat, 11))
+	require.Equal(t, uint64(12), h.machine.Seen())
+	require.Empty(t, h.tickAt(h.now+1e6)) // the delay of the second round
+	s = h.requireConnect(0, 12, h.tickAt(h.now+24e6))
+	refusedAt := h.now
+	require.Empty(t, h.handleEnd(s, Refused))
+	require.Empty(t, h.tickAt(h.now+2e6)) // and of the third round
+	h.requireConnect(0, 12, h.tickAt(refusedAt+25e6))
+
+	h = newHarness(t, 1, 0, 0)
+	s = h.requireConnect(0, 0, h.tickAt(5e5))
+	require.Equal(t, closeAction(s), h.handleEvent(s, Change, 3))
+	require.Equal(t, uint64(0), h.machine.Seen())
+}
+
+// An event that contains nothing new is not accepted.
 func TestDuplicates(t *testing.T) {
-	p, s := newConnectedHarness(t, 1, 0)
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Change, 11))
-	require.Empty(t, p.handleEvent(s, Change, 11))
-	require.Empty(t, p.handleEvent(s, Heartbeat, 11))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Heartbeat, 12))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Snapshot, 12)) // the same records again, whole
+	h, s := newConnectedHarness(t, 1, 0)
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Change, 11))
+	require.Empty(t, h.handleEvent(s, Change, 11))
+	require.Empty(t, h.handleEvent(s, Heartbeat, 11))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Heartbeat, 12))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Snapshot, 12)) // the same records again, complete
 }
 
-// A session that lasted and was cut off since the gatekeeper was slow is resumed at the same replica.
+// A stable session that was closed because the gatekeeper read too slowly is resumed at the same replica.
 func TestTooSlow(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, p.handleEnd(s, TooSlow))
-	s = p.requireConnect(1, 10, p.tickAt(p.now+5e5)) // it had not lasted
-	require.Empty(t, p.handleEvent(s, Heartbeat, 10))
+	h, s := newConnectedHarness(t, 2, 0)
+	require.Empty(t, h.handleEnd(s, TooSlow))
+	s = h.requireConnect(1, 10, h.tickAt(h.now+5e5)) // the session was not stable
+	require.Empty(t, h.handleEvent(s, Heartbeat, 10))
 	for range 3 {
-		p.now += 4e6
-		require.Empty(t, p.handleEvent(s, Heartbeat, 10))
+		h.now += 4e6
+		require.Empty(t, h.handleEvent(s, Heartbeat, 10))
 	}
-	require.Empty(t, p.handleEnd(s, TooSlow))
-	s = p.requireConnect(0, 10, p.tickAt(p.now+5e5))
-	require.Empty(t, p.handleEvent(s, Heartbeat, 10))
+	require.Empty(t, h.handleEnd(s, TooSlow))
+	s = h.requireConnect(0, 10, h.tickAt(h.now+5e5))
+	require.Empty(t, h.handleEvent(s, Heartbeat, 10))
 	for range 3 {
-		p.now += 4e6
-		require.Empty(t, p.handleEvent(s, Heartbeat, 10))
+		h.now += 4e6
+		require.Empty(t, h.handleEvent(s, Heartbeat, 10))
 	}
-	require.Empty(t, p.handleEnd(s, TooSlow))
-	p.requireConnect(0, 10, p.tickAt(p.now+5e5))
+	require.Empty(t, h.handleEnd(s, TooSlow))
+	h.requireConnect(0, 10, h.tickAt(h.now+5e5))
 }
 
-// sendHeartbeats keeps a session up until a time.
-func (p *harness) sendHeartbeats(until control.Micros, session uint64, e Event) {
-	p.t.Helper()
-	for p.now+2e6 < until {
-		p.now += 2e6
-		require.Empty(p.t, p.machine.Heard(p.now, session, e))
+// sendHeartbeats keeps a session alive until a time.
+func (h *harness) sendHeartbeats(until control.Micros, session uint64, e Event) {
+	h.t.Helper()
+	for h.now+2e6 < until {
+		h.now += 2e6
+		require.Empty(h.t, h.machine.Heard(h.now, session, e))
 	}
 }
 
-// The best replica that is back is moved to within ReturnEvery; the current session goes on until it answers.
+// The machine moves to the best reachable replica within ReturnInterval; the current session stays in use until that
+// replica answers.
 func TestReturnToPreferred(t *testing.T) {
-	p, s := newConnectedHarness(t, 3, 2)
-	first := p.now + 45e6 // half of the second half of ReturnEvery
-	p.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
-	back := p.requireConnect(0, 10, p.tickAt(first))
-	other := p.requireConnect(1, 10, p.handleEnd(back, Lost))
-	require.Empty(t, p.handleEnd(other, Lost))
-	current, _ := p.machine.Current()
-	require.Equal(t, p.machine.replicas[2], current)
-
-	second := p.now + 45e6
-	p.sendHeartbeats(second, s, Event{Kind: Heartbeat, Revision: 10})
-	back = p.requireConnect(0, 10, p.tickAt(second))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Change, 12)) // the current session moves on meanwhile
-	require.Empty(t, p.handleEvent(back, Heartbeat, 10))            // not level yet: nothing of it is taken
-	require.Empty(t, p.handleEvent(back, Change, 11))
-	require.Empty(t, p.handleEvent(back, Change, 12)) // level, but it may be without a leader
-	require.Equal(t, closeAction(s), p.handleEvent(back, Heartbeat, 12))
-	require.Empty(t, p.handleEvent(s, Change, 13))
-	require.Equal(t, acceptAction(back), p.handleEvent(back, Change, 13))
-	current, _ = p.machine.Current()
-	require.Equal(t, p.machine.replicas[0], current)
-	at, _ := p.machine.Wake()
-	require.Equal(t, p.now+5e6, at) // with the preferred one nothing more is tried
-}
-
-// One that brings something newer is taken at once, with what it brings.
+	h, s := newConnectedHarness(t, 3, 2)
+	first := h.now + 45e6 // middle of the second half of ReturnInterval
+	h.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
+	back := h.requireConnect(0, 10, h.tickAt(first))
+	other := h.requireConnect(1, 10, h.handleEnd(back, Lost))
+	require.Empty(t, h.handleEnd(other, Lost))
+	current, _ := h.machine.Current()
+	require.Equal(t, h.machine.replicas[2], current)
+
+	second := h.now + 45e6
+	h.sendHeartbeats(second, s, Event{Kind: Heartbeat, Revision: 10})
+	back = h.requireConnect(0, 10, h.tickAt(second))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Change, 12)) // the current session advances meanwhile
+	require.Empty(t, h.handleEvent(back, Heartbeat, 10))            // still behind: its events are not accepted
+	require.Empty(t, h.handleEvent(back, Change, 11))
+	require.Empty(t, h.handleEvent(back, Change, 12)) // caught up, but it may be without a leader
+	require.Equal(t, closeAction(s), h.handleEvent(back, Heartbeat, 12))
+	require.Empty(t, h.handleEvent(s, Change, 13))
+	require.Equal(t, acceptAction(back), h.handleEvent(back, Change, 13))
+	current, _ = h.machine.Current()
+	require.Equal(t, h.machine.replicas[0], current)
+	at, _ := h.machine.Wake()
+	require.Equal(t, h.now+5e6, at) // at the preferred replica no further attempts are made
+}
+
+// An attempt whose event is newer than the current session becomes the current one at once, and the event is accepted.
 func TestReturnAhead(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 1)
-	first := p.now + 45e6
-	p.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
-	back := p.requireConnect(0, 10, p.tickAt(first))
-	require.Equal(t, append(closeAction(s), acceptAction(back)...), p.handleEvent(back, Change, 11))
+	h, s := newConnectedHarness(t, 2, 1)
+	first := h.now + 45e6
+	h.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
+	back := h.requireConnect(0, 10, h.tickAt(first))
+	require.Equal(t, append(closeAction(s), acceptAction(back)...), h.handleEvent(back, Change, 11))
 }
 
-// A replica that does not draw level in time is given up, and the current session stays.
+// An attempt that does not catch up in time is given up, and the current session stays.
 func TestReturnLags(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 1)
-	first := p.now + 45e6
-	p.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
-	back := p.requireConnect(0, 10, p.tickAt(first))
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Change, 12))
-	require.Empty(t, p.handleEvent(back, Heartbeat, 10))
-	p.now += 2e6
-	require.Empty(t, p.handleEvent(s, Heartbeat, 12))
-	require.Empty(t, p.handleEvent(back, Heartbeat, 11))
-	require.Equal(t, closeAction(back), p.tickAt(first+3e6))
-	current, _ := p.machine.Current()
-	require.Equal(t, p.machine.replicas[1], current)
-}
-
-// A live session that is sent away is resumed at the same replica when it said, if that is soon.
+	h, s := newConnectedHarness(t, 2, 1)
+	first := h.now + 45e6
+	h.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
+	back := h.requireConnect(0, 10, h.tickAt(first))
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Change, 12))
+	require.Empty(t, h.handleEvent(back, Heartbeat, 10))
+	h.now += 2e6
+	require.Empty(t, h.handleEvent(s, Heartbeat, 12))
+	require.Empty(t, h.handleEvent(back, Heartbeat, 11))
+	require.Equal(t, closeAction(back), h.tickAt(first+3e6))
+	current, _ := h.machine.Current()
+	require.Equal(t, h.machine.replicas[1], current)
+}
+
+// A current session that is ended with a retry time is resumed at the same replica at that time if it is short.
 func TestCurrentSessionDeferred(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 2e6}))
-	p.requireConnect(0, 10, p.tickAt(p.now+2e6))
-	p, s = newConnectedHarness(t, 2, 0)
-	require.Empty(t, p.machine.Ended(p.now, s, End{ComeBack, 20e6}))
-	p.requireConnect(1, 10, p.tickAt(p.now+5e5))
+	h, s := newConnectedHarness(t, 2, 0)
+	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 2e6}))
+	h.requireConnect(0, 10, h.tickAt(h.now+2e6))
+	h, s = newConnectedHarness(t, 2, 0)
+	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 20e6}))
+	h.requireConnect(1, 10, h.tickAt(h.now+5e5))
 }
 
-// If the current session ends while a better one is being opened, that one is what is waited for.
+// If the current session ends while an attempt at a better replica is in progress, that attempt continues.
 func TestCurrentLostDuringReturn(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 1)
-	first := p.now + 45e6
-	p.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
-	back := p.requireConnect(0, 10, p.tickAt(first))
-	require.Empty(t, p.handleEnd(s, Lost))
-	require.Equal(t, acceptAction(back), p.handleEvent(back, Heartbeat, 11))
-	current, _ := p.machine.Current()
-	require.Equal(t, p.machine.replicas[0], current)
-}
-
-// A replica long without a leader is left only for one that has a leader; until then the session goes on.
+	h, s := newConnectedHarness(t, 2, 1)
+	first := h.now + 45e6
+	h.sendHeartbeats(first, s, Event{Kind: Heartbeat, Revision: 10})
+	back := h.requireConnect(0, 10, h.tickAt(first))
+	require.Empty(t, h.handleEnd(s, Lost))
+	require.Equal(t, acceptAction(back), h.handleEvent(back, Heartbeat, 11))
+	current, _ := h.machine.Current()
+	require.Equal(t, h.machine.replicas[0], current)
+}
+
+// A replica that has long been without a leader is left only for one that has a leader; until then the session stays in
+// use.
 func TestLeaderless(t *testing.T) {
-	p, s := newConnectedHarness(t, 3, 0)
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6})) // not yet long
-	at, _ := p.machine.Wake()
-	require.Equal(t, p.now+5e6, at)
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6 + 1}))
-	other := p.requireConnect(1, 10, p.tickAt(p.now+5e5))
-	require.Equal(t, closeAction(other), p.machine.Heard(p.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 9e6})) // no better
-	other = p.requireConnect(2, 10, p.tickAt(p.now+5e5))
-	require.Equal(t, closeAction(s), p.handleEvent(other, Heartbeat, 10))
-	current, _ := p.machine.Current()
-	require.Equal(t, p.machine.replicas[2], current)
-	// The preferred one has a leader again by the next round.
-	first := p.now + 45e6
-	p.sendHeartbeats(first, other, Event{Kind: Heartbeat, Revision: 10})
-	back := p.requireConnect(0, 10, p.tickAt(first))
-	require.Equal(t, closeAction(other), p.handleEvent(back, Heartbeat, 10))
-}
-
-// With no other replica reachable a session without a leader goes on, is tried to be replaced at the pace of the backoff, and
-// is good again once there is a leader.
+	h, s := newConnectedHarness(t, 3, 0)
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6})) // not long enough yet
+	at, _ := h.machine.Wake()
+	require.Equal(t, h.now+5e6, at)
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6 + 1}))
+	other := h.requireConnect(1, 10, h.tickAt(h.now+5e5))
+	require.Equal(t, closeAction(other), h.machine.Heard(h.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 9e6})) // not better
+	other = h.requireConnect(2, 10, h.tickAt(h.now+5e5))
+	require.Equal(t, closeAction(s), h.handleEvent(other, Heartbeat, 10))
+	current, _ := h.machine.Current()
+	require.Equal(t, h.machine.replicas[2], current)
+	// The preferred replica has a leader again in the next round.
+	first := h.now + 45e6
+	h.sendHeartbeats(first, other, Event{Kind: Heartbeat, Revision: 10})
+	back := h.requireConnect(0, 10, h.tickAt(first))
+	require.Equal(t, closeAction(other), h.handleEvent(back, Heartbeat, 10))
+}
+
+// If no other replica is reachable, a session without a leader stays in use while others are tried at the pace of the
+// backoff, and the attempts stop once there is a leader again.
 func TestLeaderlessAlone(t *testing.T) {
-	p, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	h, s := newConnectedHarness(t, 2, 0)
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
 	for _, bound := range []control.Micros{1e6, 2e6, 4e6, 6e6, 6e6} {
-		other := p.requireConnect(1, 10, p.tickAt(p.now+bound/2))
-		require.Empty(t, p.handleEnd(other, Lost))
-		require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
-		require.Empty(t, p.tickAt(p.now+bound/2))
-		require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+		other := h.requireConnect(1, 10, h.tickAt(h.now+bound/2))
+		require.Empty(t, h.handleEnd(other, Lost))
+		require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+		require.Empty(t, h.tickAt(h.now+bound/2))
+		require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
 	}
-	require.Equal(t, acceptAction(s), p.handleEvent(s, Heartbeat, 11))
-	at, _ := p.machine.Wake()
-	require.Equal(t, p.now+5e6, at)
+	require.Equal(t, acceptAction(s), h.handleEvent(s, Heartbeat, 11))
+	at, _ := h.machine.Wake()
+	require.Equal(t, h.now+5e6, at)
 }
 
-// A replica that turned out to have no leader either is not tried again for a time, others are.
+// A replica that turned out to have no leader either is not tried again for LeaderlessHold; others are.
 func TestLeaderlessHold(t *testing.T) {
-	p, s := newConnectedHarness(t, 3, 0)
-	require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
-	other := p.requireConnect(1, 10, p.tickAt(p.now+5e5))
-	require.Equal(t, closeAction(other), p.machine.Heard(p.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
-	until := p.now + timing.LeaderlessHold
+	h, s := newConnectedHarness(t, 3, 0)
+	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	other := h.requireConnect(1, 10, h.tickAt(h.now+5e5))
+	require.Equal(t, closeAction(other), h.machine.Heard(h.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	until := h.now + timing.LeaderlessHold
 	tried := map[string]int{}
-	for p.now < until+3*timing.BackoffCap {
-		at, _ := p.machine.Wake()
-		p.now = min(at, p.now+2e6)
-		if p.now < at {
-			require.Empty(t, p.machine.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	for h.now < until+3*timing.BackoffCap {
+		at, _ := h.machine.Wake()
+		h.now = min(at, h.now+2e6)
+		if h.now < at {
+			require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
 			continue
 		}
-		for _, a := range p.machine.Tick(p.now) {
+		for _, a := range h.machine.Tick(h.now) {
 			tried[a.Replica.Name]++
-			if a.Replica == p.machine.replicas[1] {
-				require.GreaterOrEqual(t, p.now, until)
+			if a.Replica == h.machine.replicas[1] {
+				require.GreaterOrEqual(t, h.now, until)
 			}
-			p.handleEnd(a.Session, Lost)
+			h.handleEnd(a.Session, Lost)
 		}
 	}
-	require.Positive(t, tried[p.machine.replicas[1].Name])
-	require.Greater(t, tried[p.machine.replicas[2].Name], 3)
+	require.Positive(t, tried[h.machine.replicas[1].Name])
+	require.Greater(t, tried[h.machine.replicas[2].Name], 3)
 }
--- a/control/warm/warm_test.go
+++ b/control/warm/warm_test.go
@@ -11,7 +11,7 @@
 	"beammux/control"
 )
 
-// The same steps each time: a verdict must not change from run to run.
+// A fixed seed makes each run draw the same cases, so that results do not vary from run to run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -27,7 +27,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
-// Each field fades by its own half-life.
+// Each field decays with its own half-life.
 func TestHalfLives(t *testing.T) {
 	for _, row := range []struct {
 		age                                float64 // s
@@ -50,7 +50,7 @@
 	}
 }
 
-// What casts doubt on a memory takes away all that hangs on it.
+// Doubtful state loses all fields that depend on the doubt.
 func TestDoubts(t *testing.T) {
 	bad := memory(now)
 	bad.Learned.Servers[0].Wait = math.NaN()
@@ -61,9 +61,9 @@
 		ok       bool
 	}{
 		"none": {nil, "a", NoMemory, false}, "two days old": {memory(now - 2*86400e6), "a", TooOld, false},
-		"clock far back": {memory(now + 3600e6), "a", ClockBehind, true}, "clock a little back": {memory(now + 500000), "a", NoDoubt, true},
+		"clock far behind": {memory(now + 3600e6), "a", ClockBehind, true}, "clock slightly behind": {memory(now + 500000), "a", NoDoubt, true},
 		"no time": {memory(0), "a", NoTimestamp, true}, "other settings": {memory(now - 1e6), "b", SettingsChanged, false},
-		"no number": {bad, "a", InvalidValue, false},
+		"not a number": {bad, "a", InvalidValue, false},
 	} {
 		l, doubt, ok := Recall(row.m, now, row.settings)
 		if doubt != row.doubt || ok != row.ok {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Whatever a memory holds, what is recalled is sound, and nothing of it is more than it was.
+// For any saved state, the restored values are valid and never greater than the saved ones.
 func TestRestoredNeverExceedsSaved(t *testing.T) {
 	value := func(t *rapid.T, label string) float64 {
 		return rapid.OneOf(rapid.Float64Range(0, 1), rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, -5, 1e300})).Draw(t, label)
