--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -82,7 +82,7 @@
 	if !c.canAdmit(r, held) {
 		return Decision{ComeBackIn: c.assignSlot(r)}
 	}
-	c.tokens.takeTokens(r.Snapshot)
+	c.tokens.take(r.Snapshot)
 	c.open++
 	return Decision{Admitted: true}
 }
@@ -126,7 +126,7 @@
 	if !tokens.hasTokens(r.Snapshot) {
 		return false
 	}
-	tokens.takeTokens(r.Snapshot)
+	tokens.take(r.Snapshot)
 	if !held {
 		for _, s := range c.late {
 			if !c.isCurrent(s) {
@@ -135,7 +135,7 @@
 			if !tokens.hasTokens(s.snapshot) {
 				return false
 			}
-			tokens.takeTokens(s.snapshot)
+			tokens.take(s.snapshot)
 		}
 	}
 	for _, s := range c.expected {
@@ -146,7 +146,7 @@
 		if !tokens.hasTokens(s.snapshot) {
 			return false
 		}
-		tokens.takeTokens(s.snapshot)
+		tokens.take(s.snapshot)
 	}
 	return true
 }
@@ -159,7 +159,7 @@
 			continue
 		}
 		tokens.advance(other.at)
-		tokens.takeTokens(other.snapshot)
+		tokens.take(other.snapshot)
 		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.Snapshot))
 	}
 	s.at = max(s.at, tokens.readyAt(r.Snapshot))
--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -34,8 +34,8 @@
 func requireWithinRate(t require.TestingT, kind string, times []control.Micros, rate float64, burst int) {
 	for i := range times {
 		for j := i; j < len(times); j++ {
-			most := float64(max(burst, MinBurst)) + rate*float64(times[j]-times[i])/1e6 + 1e-3
-			require.LessOrEqual(t, float64(j-i+1), most, "%s from %d to %d us", kind, times[i], times[j])
+			limit := float64(max(burst, MinBurst)) + rate*float64(times[j]-times[i])/1e6 + 1e-3
+			require.LessOrEqual(t, float64(j-i+1), limit, "%s from %d to %d us", kind, times[i], times[j])
 		}
 	}
 }
--- a/control/admission/bucket.go
+++ b/control/admission/bucket.go
@@ -26,10 +26,10 @@
 	return b.sessions.hasToken() && (!snapshot || b.snapshots.hasToken())
 }
 
-func (b *buckets) takeTokens(snapshot bool) {
-	b.sessions.takeToken()
+func (b *buckets) take(snapshot bool) {
+	b.sessions.take()
 	if snapshot {
-		b.snapshots.takeToken()
+		b.snapshots.take()
 	}
 }
 
@@ -75,7 +75,7 @@
 
 func (b *bucket) hasToken() bool { return !b.limited() || b.tokens >= 1-roundingTolerance }
 
-func (b *bucket) takeToken() {
+func (b *bucket) take() {
 	if b.limited() {
 		b.tokens--
 	}
--- a/control/drain/drain.go
+++ b/control/drain/drain.go
@@ -72,8 +72,8 @@
 //
 // The front counts against the gatekeeper any connection that is still open 4 s after the evacuation and is idle or has
 // carried a request in the last 2 s. So until ReleaseDelay a connection with standing calls is kept, and their releases
-// are sent on it as they arrive; after that the gatekeeper releases these calls and closes the connection, which leaves 2
-// s for the answers still pending on the others.
+// are sent on it as they arrive; after that the gatekeeper releases these calls and closes the connection, which leaves
+// 2 s for the answers still pending on the others.
 func (d *Drain) Connection(now, used control.Micros, owed, standing bool) Verdict {
 	switch {
 	case !d.evacuated || owed:
--- a/control/drain/drain_test.go
+++ b/control/drain/drain_test.go
@@ -8,7 +8,7 @@
 	"beammux/control"
 )
 
-func TestReadyFlipsOnEvacuateAndRejoin(t *testing.T) {
+func TestReady(t *testing.T) {
 	var d Drain
 	if !d.Ready() {
 		t.Fatal("a new gatekeeper is not ready")
@@ -18,8 +18,8 @@
 		t.Fatal("ready after evacuate")
 	}
 	d.Evacuate(2_000_000)
-	if ev, since := d.Evacuated(); !ev || since != 1_000_000 {
-		t.Fatalf("a second evacuate changed the time: %v %d", ev, since)
+	if evacuated, since := d.Evacuated(); !evacuated || since != 1_000_000 {
+		t.Fatalf("a second evacuate changed the time: %v %d", evacuated, since)
 	}
 	d.Rejoin(3_000_000)
 	if !d.Ready() {
@@ -67,28 +67,28 @@
 			case 1:
 				d.Rejoin(now)
 			}
-			used := now - control.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "idle"))
-			owed, standing := rapid.Bool().Draw(t, "owed"), rapid.Bool().Draw(t, "standing")
-			got := d.Connection(now, used, owed, standing)
-			ev, since := d.Evacuated()
+			lastUsed := now - control.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "idle"))
+			answerPending, callStanding := rapid.Bool().Draw(t, "owed"), rapid.Bool().Draw(t, "standing")
+			got := d.Connection(now, lastUsed, answerPending, callStanding)
+			evacuated, since := d.Evacuated()
 			want := Keep
 			switch {
-			case !ev || owed:
-			case standing && now-since >= Cut:
+			case !evacuated || answerPending:
+			case callStanding && now-since >= Cut:
 				want = Release
-			case !standing && now-used >= Quiet && now-since >= Quiet:
+			case !callStanding && now-lastUsed >= Quiet && now-since >= Quiet:
 				want = Close
 			}
-			if got != want || d.Ready() == ev {
+			if got != want || d.Ready() == evacuated {
 				t.Fatalf("at %d: %v, want %v (evacuated %v since %d, used %d, owed %v, standing %v)",
-					now, got, want, ev, since, used, owed, standing)
+					now, got, want, evacuated, since, lastUsed, answerPending, callStanding)
 			}
 		}
 	})
 }
 
 // A process that is shutting down releases no calls and cannot rejoin.
-func TestEndingProcess(t *testing.T) {
+func TestEnd(t *testing.T) {
 	var d Drain
 	d.End(1_000_000)
 	d.Rejoin(2_000_000)
--- a/control/fleetview/fleetview.go
+++ b/control/fleetview/fleetview.go
@@ -233,7 +233,7 @@
 
 // tick forgets members that have been dead or gone for reapAfter.
 func (v *View) tick(now control.Micros) (changes []Change) {
-	for _, name := range v.sortedNames() {
+	for _, name := range v.names() {
 		if m := v.members[name]; !m.Health.Up() && now-m.Since >= v.reapAfter {
 			delete(v.members, name)
 			v.version++
@@ -243,8 +243,8 @@
 	return changes
 }
 
-// sortedNames returns the names of all members, sorted.
-func (v *View) sortedNames() []string {
+// names returns the names of all members, sorted.
+func (v *View) names() []string {
 	names := make([]string, 0, len(v.members))
 	for name := range v.members {
 		names = append(names, name)
@@ -268,7 +268,7 @@
 		h.Write(buffer[:])
 		h.Write([]byte(s))
 	}
-	for _, name := range v.sortedNames() {
+	for _, name := range v.names() {
 		m := v.members[name]
 		if !m.Health.Up() {
 			continue
@@ -285,14 +285,14 @@
 
 // Members returns copies of all members, sorted by name.
 func (v *View) Members() []Member {
-	members := make([]Member, 0, len(v.members))
+	copies := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
 		c := *m
 		c.Servers = slices.Clone(m.Servers)
-		members = append(members, c)
+		copies = append(copies, c)
 	}
-	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return members
+	slices.SortFunc(copies, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return copies
 }
 
 // EachUp calls f for each member that is up; f must not retain or modify it.
@@ -308,9 +308,9 @@
 func (v *View) Self() Member { return *v.members[v.self] }
 
 // Count returns the number of members with a given health.
-func (v *View) Count(h Health) (n int) {
+func (v *View) Count(health Health) (n int) {
 	for _, m := range v.members {
-		if m.Health == h {
+		if m.Health == health {
 			n++
 		}
 	}
@@ -320,7 +320,7 @@
 // Lost returns the addresses of members that are dead and not yet forgotten. A member that was partitioned from them
 // tries to rejoin through these addresses. Members that left are not included.
 func (v *View) Lost() (addresses []string) {
-	for _, name := range v.sortedNames() {
+	for _, name := range v.names() {
 		if m := v.members[name]; m.Health == Dead && m.Address != "" {
 			addresses = append(addresses, m.Address)
 		}
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -83,9 +83,9 @@
 	hash := maphash.String(s.seed, key)
 	entryIndex := s.lookup(hash)
 	if v := s.index[entryIndex].slot; v != 0 {
-		position := int(s.heapIndex[v-1])
-		s.heap[position].count += weight
-		s.siftDown(position)
+		heapIndex := int(s.heapIndex[v-1])
+		s.heap[heapIndex].count += weight
+		s.siftDown(heapIndex)
 		return
 	}
 	n := len(s.slots)
@@ -154,7 +154,7 @@
 func (s *Summary) Rated(factor float64) *Summary {
 	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), heapIndex: slices.Clone(s.heapIndex), total: s.total}
 	if len(s.slots) < cap(s.slots) {
-		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // it has room left: nothing was put out
+		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // free slots remain: no key was evicted
 	} else {
 		c.slots = slices.Clip(c.slots)
 	}
@@ -162,7 +162,7 @@
 	return c
 }
 
-// Counter is one key that is held.
+// Counter is a tracked key with its count.
 type Counter struct {
 	Key   string
 	Count float64 // at least the true weight of the key
@@ -203,15 +203,15 @@
 func Merge(limit int, parts ...*Summary) []Counter {
 	type sum struct{ count, err float64 }
 	sums := map[string]*sum{}
-	slack := 0.0
+	maxUntracked := 0.0
 	for _, p := range parts {
-		slack += p.Slack()
+		maxUntracked += p.Slack()
 	}
 	for _, p := range parts {
 		for _, c := range p.Top(len(p.slots)) {
 			v := sums[c.Key]
 			if v == nil {
-				v = &sum{slack, slack}
+				v = &sum{maxUntracked, maxUntracked}
 				sums[c.Key] = v
 			}
 			v.count += c.Count - p.Slack()
--- a/control/locality/locality.go
+++ b/control/locality/locality.go
@@ -115,7 +115,7 @@
 	Servers                   int
 	Health                    float64 // median of the health in the members' votes, or this member's own value
 	State                     State
-	DecidedBy                 Decider
+	Decider                   Decider
 	Since                     control.Micros // when the state last changed
 	VotesFailed, VotesHealthy int            // number of members that vote the zone failed, and not failed
 	MaxShare                  float64        // largest part of this member's traffic that the zone may get: less than 1 while it returns
@@ -164,12 +164,12 @@
 	b.updateLocalVotes(now, in.Servers)
 	var out Output
 	isolated := in.Peers > 0 && in.PeersUp == 0
-	for _, name := range b.sortedNames() {
+	for _, name := range b.names() {
 		z := b.zones[name]
 		previous := z.Zone
 		b.decide(now, z, in.Votes, isolated)
 		z.MaxShare = b.maxShare(now, z)
-		if z.State != previous.State || z.DecidedBy != previous.DecidedBy {
+		if z.State != previous.State || z.Decider != previous.Decider {
 			if z.State != previous.State {
 				z.Since = now
 			}
@@ -182,8 +182,8 @@
 	return out
 }
 
-// sortedNames returns the names of all zones, sorted.
-func (b *Balancer) sortedNames() []string {
+// names returns the names of all zones, sorted.
+func (b *Balancer) names() []string {
 	names := make([]string, 0, len(b.zones))
 	for name := range b.zones {
 		names = append(names, name)
@@ -266,13 +266,13 @@
 			health = append(health, v.Health)
 		}
 	}
-	failed := z.State == Failed && z.DecidedBy == DecidedByVotes
+	failed := z.State == Failed && z.Decider == DecidedByVotes
 	switch {
 	case z.VotesFailed > z.VotesHealthy:
 		failed = true
 	case z.VotesFailed < z.VotesHealthy:
 		failed = false
-	case z.DecidedBy == DecidedLocally: // a split vote after a local decision: this member's own vote breaks the tie
+	case z.Decider == DecidedLocally: // a split vote after a local decision: this member's own vote breaks the tie
 		failed = z.votesFailed
 	}
 	decider := DecidedByVotes
@@ -288,7 +288,7 @@
 	if z.disagreesSince > 0 && now-z.disagreesSince >= b.settings.LocalOverrideAfter {
 		failed, decider = true, DecidedLocally
 	}
-	z.DecidedBy = decider
+	z.Decider = decider
 	switch {
 	case failed:
 		z.State = Failed
--- a/control/member/member.go
+++ b/control/member/member.go
@@ -70,9 +70,9 @@
 }
 
 // voters returns the number of voters, and how many of them are up, leaving out one member.
-func (g *Group) voters(without string) (all, up int) {
+func (g *Group) voters(except string) (all, up int) {
 	for _, m := range g.Members {
-		if m.Voter && m.Node != without {
+		if m.Voter && m.Node != except {
 			all++
 			if m.Up {
 				up++
--- a/control/member/member_test.go
+++ b/control/member/member_test.go
@@ -38,9 +38,9 @@
 	changing := group("vu", "vu", "vu")
 	changing.Changing = true
 	for name, row := range map[string]struct {
-		do   func() (Do, error)
-		want Do
-		why  string
+		do        func() (Do, error)
+		want      Do
+		wantError string
 	}{
 		"a new member":                     {func() (Do, error) { return group("vu", "vu").Add("n9", "a9") }, AddOne, ""},
 		"already a member":                 {func() (Do, error) { return group("vu", "vu").Add("n1", "a1") }, Nothing, ""},
@@ -63,7 +63,7 @@
 		"removal during a change": {func() (Do, error) { return changing.Remove("n1", true) }, Nothing, "one at a time"},
 	} {
 		do, err := row.do()
-		if do != row.want || (err == nil) != (row.why == "") || err != nil && !strings.Contains(err.Error(), row.why) {
+		if do != row.want || (err == nil) != (row.wantError == "") || err != nil && !strings.Contains(err.Error(), row.wantError) {
 			t.Errorf("%s: %s, %v", name, do, err)
 		}
 	}
--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -124,8 +124,8 @@
 // Check returns an error if a name of the target is not valid in a key. The error is a *NameError.
 func (t Target) Check() error {
 	for kind := Region; kind <= Gatekeeper; kind++ {
-		if name := t.scopeName(kind); name != "" && !validName(name) {
-			return &NameError{kind, name}
+		if scopeName := t.scopeName(kind); scopeName != "" && !validName(scopeName) {
+			return &NameError{kind, scopeName}
 		}
 	}
 	return nil
@@ -150,8 +150,8 @@
 func (t Target) Prefixes() []string {
 	prefixes := []string{scopePrefix(All, "")}
 	for kind := Region; kind <= Gatekeeper; kind++ {
-		if name := t.scopeName(kind); name != "" {
-			prefixes = append(prefixes, scopePrefix(kind, name))
+		if scopeName := t.scopeName(kind); scopeName != "" {
+			prefixes = append(prefixes, scopePrefix(kind, scopeName))
 		}
 	}
 	return prefixes
--- a/control/scope/scope_test.go
+++ b/control/scope/scope_test.go
@@ -127,7 +127,7 @@
 func TestResolveModel(t *testing.T) {
 	name := rapid.SampledFrom([]string{"", "a", "b", "all", "calls"})
 	rapid.Check(t, func(t *rapid.T) {
-		who := Target{name.Draw(t, "name"), name.Draw(t, "region"), name.Draw(t, "zone"), name.Draw(t, "service")}
+		self := Target{name.Draw(t, "name"), name.Draw(t, "region"), name.Draw(t, "zone"), name.Draw(t, "service")}
 		var records []Record
 		for i := range rapid.IntRange(0, 40).Draw(t, "records") {
 			k := Key{Kind(rapid.IntRange(int(All), int(Gatekeeper)).Draw(t, "kind")), "", rapid.SampledFrom(append(Sections(), "later")).Draw(t, "section")}
@@ -141,16 +141,16 @@
 			// Each revision of the store writes a key at most once.
 			records = append(records, Record{k.String(), value, uint64(i + 1)})
 		}
-		mixed := rapid.Permutation(records).Draw(t, "mixed")
-		want := naiveResolve(who, records)
-		if diff := cmp.Diff(want, Resolve(who, mixed)); diff != "" {
+		shuffled := rapid.Permutation(records).Draw(t, "mixed")
+		want := naiveResolve(self, records)
+		if diff := cmp.Diff(want, Resolve(self, shuffled)); diff != "" {
 			t.Fatal(diff)
 		}
 		// The records under the target's prefixes are sufficient.
-		followed := slices.DeleteFunc(slices.Clone(records), func(r Record) bool {
-			return !slices.ContainsFunc(who.Prefixes(), func(p string) bool { return strings.HasPrefix(r.Key, p) })
+		relevant := slices.DeleteFunc(slices.Clone(records), func(r Record) bool {
+			return !slices.ContainsFunc(self.Prefixes(), func(p string) bool { return strings.HasPrefix(r.Key, p) })
 		})
-		if diff := cmp.Diff(want, Resolve(who, followed)); diff != "" {
+		if diff := cmp.Diff(want, Resolve(self, relevant)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -328,11 +328,11 @@
 }
 
 // peakLoad returns the highest load of any machine since the last resetPeaks.
-func (f *fleet) peakLoad() (most int) {
+func (f *fleet) peakLoad() (highest int) {
 	for _, r := range f.replicas {
-		most = max(most, r.peakLoad)
+		highest = max(highest, r.peakLoad)
 	}
-	return most
+	return highest
 }
 
 // peakNewSessions returns the highest number of new sessions of any machine within one second, and within one window.
@@ -408,12 +408,12 @@
 	timing := Timing{}.WithDefaults()
 	const slack = control.Micros(300e3) // round trips, and the interval at which conditions are checked
 	for _, failure := range []struct {
-		name     string
-		lost     func(*fleet) []*fleetReplica
-		mostLoad int // highest load of a remaining machine
-		attempts int // most attempts that a gatekeeper needs if its machine is killed: at the other lost machines, and one more
-		silent   int // most of these without an answer if machines are unreachable, see maxUnansweredInRow
-		peak     int // most new sessions per second at a machine
+		name        string
+		lost        func(*fleet) []*fleetReplica
+		peakLoad    int // highest load of a remaining machine
+		attempts    int // most attempts that a gatekeeper needs if its machine is killed: at the other lost machines, and one more
+		unreachable int // most of these without an answer if machines are unreachable, see maxUnansweredInRow
+		peak        int // most new sessions per second at a machine
 	}{
 		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1")[:1] }, zoneClients, 1, 0, binomialBound(zoneClients, 0.5)},
 		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:1] }, binomialBound(zoneClients, 0.5), 1, 0, binomialBound(zoneClients, 1./6)},
@@ -436,13 +436,13 @@
 					moved := f.fail(how, lost...)
 					within := control.Micros(failure.attempts)*timing.BackoffBase + slack
 					if how == unreachable {
-						unanswered := control.Micros(failure.silent)
+						unanswered := control.Micros(failure.unreachable)
 						within = timing.HeartbeatWithin + unanswered*timing.ConnectWithin + (unanswered+1)*timing.BackoffBase + slack
 					}
 					elapsed := f.runUntil(t, within, "all have a session again", f.allConnected)
 					second, window := f.peakNewSessions()
 					t.Logf("%d moved in %.2f s; highest load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(elapsed)/1e6, f.peakLoad(), second, window)
-					require.LessOrEqual(t, f.peakLoad(), failure.mostLoad, "load")
+					require.LessOrEqual(t, f.peakLoad(), failure.peakLoad, "load")
 					require.LessOrEqual(t, second, failure.peak, "new sessions in a second")
 					if how == resetting { // distributed uniformly over BackoffBase
 						require.LessOrEqual(t, window, binomialBound(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
@@ -462,12 +462,12 @@
 					// The returns are spread at least over the second half of ReturnInterval. If machines do not answer, an attempt takes
 					// ConnectTimeout, and gatekeepers with an attempt in progress move to the next machine within that time.
 					spread := float64(timing.ReturnEvery) / 2e6
-					most := binomialBound(zoneClients, 1/spread)
+					maxNewSessions := binomialBound(zoneClients, 1/spread)
 					if how == unreachable {
 						looking := float64(failure.attempts) * float64(timing.ConnectWithin) / (0.75 * float64(timing.ReturnEvery))
-						most += binomialBound(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
+						maxNewSessions += binomialBound(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
 					}
-					require.LessOrEqual(t, second, most, "new sessions in a second during the return")
+					require.LessOrEqual(t, second, maxNewSessions, "new sessions in a second during the return")
 					require.Equal(t, fleetClients, f.sessions())
 				})
 			}
@@ -485,7 +485,7 @@
 
 // All gatekeepers start at the same time, with machines that admit 50 sessions per second: all have a session within the
 // time that this rate requires.
-func TestFleetSimultaneousStart(t *testing.T) {
+func TestFleetStartsAtOnce(t *testing.T) {
 	for seed := range fleetSeeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -494,8 +494,8 @@
 			for _, r := range f.replicas {
 				r.limitAdmission(rate, burst)
 			}
-			most := binomialBound(zoneClients, 0.5)
-			needed := control.Micros(float64(most-burst) / rate * 1e6)
+			maxClients := binomialBound(zoneClients, 0.5)
+			needed := control.Micros(float64(maxClients-burst) / rate * 1e6)
 			elapsed := f.runUntil(t, needed+Timing{}.WithDefaults().BackoffBase+2e6, "started", f.allConnected)
 			second, _ := f.peakNewSessions()
 			t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
@@ -507,7 +507,7 @@
 
 // While all machines are down for ten minutes, every gatekeeper keeps trying at a rate bounded by the backoff, and all
 // have a session soon after the machines have returned.
-func TestFleetFullOutage(t *testing.T) {
+func TestFleetWithoutControl(t *testing.T) {
 	timing := Timing{}.WithDefaults()
 	f := newFleet(1, 10e6)
 	f.runFor(30e6)
@@ -526,7 +526,7 @@
 // of any length all have a session again within the time allowed for a change to take effect. A gatekeeper with a slot in
 // a short time must wait for it: one that tried the other machines meanwhile held a slot at each, and there were 13 times
 // as many slots as gatekeepers.
-func TestFleetOutageWithAdmission(t *testing.T) {
+func TestFleetAfterAnOutageWithAdmission(t *testing.T) {
 	const inForceWithin = control.Micros(17e6)
 	for _, outage := range []control.Micros{5e6, 12e6, 30e6, 600e6} {
 		for seed := range fleetSeeds() {
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -144,28 +144,28 @@
 // must be applied only if the actions contain Accept.
 func (m *Machine) Heard(now control.Micros, session uint64, e Event) []Action {
 	m.actions = nil
-	var l *link
+	var target *link
 	switch {
 	case m.current != nil && m.current.id == session:
-		l = m.current
+		target = m.current
 	case m.attempt != nil && m.attempt.id == session:
-		l = m.attempt
+		target = m.attempt
 	default:
 		return nil // the session was already closed
 	}
-	if l.violatesProtocol(e) {
-		m.emit(Action{Do: Close, Session: l.id})
+	if target.violatesProtocol(e) {
+		m.emit(Action{Do: Close, Session: target.id})
 		m.handleEnd(now, session, End{Reason: Refused})
 		m.startIfDue(now)
 		return m.actions
 	}
-	l.lastEventAt, l.revision = now, e.Revision
-	l.events++
+	target.lastEventAt, target.revision = now, e.Revision
+	target.events++
 	if e.Kind == Heartbeat {
-		l.heartbeatInterval = min(e.Every, maxHeartbeatInterval)
-		m.setLeaderless(now, l, e.Leaderless > m.timing.LeaderlessAfter)
+		target.heartbeatInterval = min(e.Every, maxHeartbeatInterval)
+		m.setLeaderless(now, target, e.Leaderless > m.timing.LeaderlessAfter)
 	}
-	if l == m.current || m.tryPromoteAttempt(now, e.Kind) {
+	if target == m.current || m.tryPromoteAttempt(now, e.Kind) {
 		m.accept(e)
 	}
 	m.startIfDue(now)
@@ -208,20 +208,20 @@
 // tryPromoteAttempt makes the attempt the current session if it has reached the highest revision received and is better
 // than the current session. It reports whether it did.
 func (m *Machine) tryPromoteAttempt(now control.Micros, kind EventKind) bool {
-	attempt := m.attempt
+	candidate := m.attempt
 	switch {
-	case attempt.revision < attempt.startRevision, attempt.revision < m.highestRevision && attempt.startRevision == 0: // older than the requested revision, or an outdated snapshot
-		m.emit(Action{Do: Close, Session: attempt.id})
+	case candidate.revision < candidate.startRevision, candidate.revision < m.highestRevision && candidate.startRevision == 0: // older than the requested revision, or an outdated snapshot
+		m.emit(Action{Do: Close, Session: candidate.id})
 		m.handleAttemptEnd(now, End{Reason: Behind})
 		return false
-	case attempt.revision < m.highestRevision: // the current session has advanced since: the attempt must catch up within ConnectTimeout
+	case candidate.revision < m.highestRevision: // the current session has advanced since: the attempt must catch up within ConnectTimeout
 		return false
-	case m.current != nil && kind != Heartbeat && attempt.revision == m.highestRevision: // only a heartbeat carries the leader status
+	case m.current != nil && kind != Heartbeat && candidate.revision == m.highestRevision: // only a heartbeat carries the leader status
 		return false
-	case m.current != nil && !m.isBetter(attempt):
-		m.emit(Action{Do: Close, Session: attempt.id})
-		if attempt.leaderless {
-			m.holdUntil[attempt.rank] = now + m.timing.LeaderlessHold
+	case m.current != nil && !m.isBetter(candidate):
+		m.emit(Action{Do: Close, Session: candidate.id})
+		if candidate.leaderless {
+			m.holdUntil[candidate.rank] = now + m.timing.LeaderlessHold
 		}
 		m.handleAttemptEnd(now, End{Reason: Lost})
 		return false
@@ -230,9 +230,9 @@
 		m.emit(Action{Do: Close, Session: m.current.id})
 		m.resetBackoffIfStable(now)
 	}
-	m.current, m.attempt = attempt, nil
-	attempt.startedAt = now
-	m.consecutiveRefusals[attempt.rank] = 0
+	m.current, m.attempt = candidate, nil
+	candidate.startedAt = now
+	m.consecutiveRefusals[candidate.rank] = 0
 	m.restartBetterSearch(now)
 	return true
 }
@@ -379,12 +379,12 @@
 
 func (m *Machine) openSession(now control.Micros, rank int) {
 	m.lastID++
-	after := m.highestRevision
+	startRevision := m.highestRevision
 	if !m.hasRecords {
-		after = 0
+		startRevision = 0
 	}
-	m.attempt = &link{id: m.lastID, rank: rank, startRevision: after, startedAt: now, lastEventAt: now}
-	m.emit(Action{Do: Connect, Session: m.lastID, Replica: m.replicas[rank], After: after})
+	m.attempt = &link{id: m.lastID, rank: rank, startRevision: startRevision, startedAt: now, lastEventAt: now}
+	m.emit(Action{Do: Connect, Session: m.lastID, Replica: m.replicas[rank], After: startRevision})
 }
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
--- a/control/session/rank_test.go
+++ b/control/session/rank_test.go
@@ -75,11 +75,11 @@
 			replicas = append(replicas, Replica{Name: fmt.Sprint("c", i), Zone: name.Draw(t, "z"), Region: name.Draw(t, "r")})
 		}
 		ranked := Rank(self, replicas)
-		mixed := rapid.Permutation(replicas).Draw(t, "mixed")
-		require.Equal(t, ranked, Rank(self, mixed))
+		shuffled := rapid.Permutation(replicas).Draw(t, "mixed")
+		require.Equal(t, ranked, Rank(self, shuffled))
 		lost := rapid.IntRange(0, len(replicas)-1).Draw(t, "lost")
 		rest := slices.Delete(slices.Clone(ranked), lost, lost+1)
-		require.Equal(t, rest, Rank(self, slices.DeleteFunc(mixed, func(r Replica) bool { return r == ranked[lost] })))
+		require.Equal(t, rest, Rank(self, slices.DeleteFunc(shuffled, func(r Replica) bool { return r == ranked[lost] })))
 		for i := range len(ranked) - 1 {
 			require.LessOrEqual(t, tier(self, ranked[i]), tier(self, ranked[i+1]))
 		}
--- a/control/session/search.go
+++ b/control/session/search.go
@@ -9,10 +9,10 @@
 	round         int
 	nextAttemptAt control.Micros // time of the next attempt
 
-	// unanswered counts consecutive replicas in this round that did not answer at all; lastTier is the tier of the last
+	// unanswered counts consecutive replicas in this round that did not answer at all; tier is the tier of the last
 	// replica tried.
 	unanswered int
-	lastTier   int
+	tier       int
 }
 
 func newSearch(replicas int) search { return search{tried: make([]bool, replicas)} }
@@ -34,26 +34,25 @@
 // whole zone or region is likely unreachable then, and each further replica of it would cost ConnectTimeout.
 const maxUnansweredInRow = 2
 
-// recordFailure records that an attempt at a replica of a tier has failed, and whether the replica was silent, that is,
-// gave no answer.
-func (s *search) recordFailure(tier int, silent bool) {
-	s.lastTier = tier
+// recordFailure records that an attempt at a replica of a tier has failed, and whether the replica gave no answer at all.
+func (s *search) recordFailure(tier int, unanswered bool) {
+	s.tier = tier
 	s.unanswered++
-	if !silent {
+	if !unanswered {
 		s.unanswered = 0
 	}
 }
 
 // maxDelay returns the longest delay before an attempt of the current round.
 func (s *search) maxDelay(t *Timing) control.Micros {
-	bound := t.BackoffBase
+	maxDelay := t.BackoffBase
 	for range s.round {
-		if bound >= t.BackoffCap/2 {
+		if maxDelay >= t.BackoffCap/2 {
 			return t.BackoffCap
 		}
-		bound *= 2
+		maxDelay *= 2
 	}
-	return min(bound, t.BackoffCap)
+	return min(maxDelay, t.BackoffCap)
 }
 
 // backoff draws the delay before an attempt.
@@ -67,7 +66,7 @@
 func (m *Machine) pickToConnect(now control.Micros) int {
 	if m.connectSearch.unanswered >= maxUnansweredInRow {
 		for rank := range m.replicas {
-			if m.tiers[rank] > m.connectSearch.lastTier && m.mayTry(now, &m.connectSearch, rank) {
+			if m.tiers[rank] > m.connectSearch.tier && m.mayTry(now, &m.connectSearch, rank) {
 				return rank
 			}
 		}
--- a/control/session/session.go
+++ b/control/session/session.go
@@ -135,17 +135,17 @@
 	After  control.Micros // of RetryLater: when the replica may be tried again
 }
 
-// Do is the kind of an Action.
+// Do is the type of an Action.
 type Do int
 
-// The kinds of actions.
+// The types of actions.
 const (
 	Connect Do = iota // open session Session with Replica from StartRevision (0: it begins with a snapshot)
 	Close             // close session Session; its further events are not passed to the machine
 	Accept            // apply all records, if any, of the event being handled
 )
 
-// Action is an action that the caller must execute. Fields that its kind does not use are zero.
+// Action is an action that the caller must execute. Fields that its type does not use are zero.
 type Action struct {
 	Do      Do
 	Session uint64 // starts at 1 and is never reused
--- a/control/session/session_test.go
+++ b/control/session/session_test.go
@@ -38,8 +38,8 @@
 
 func newHarness(t *testing.T, n int, held, seen uint64) *harness {
 	self, replicas := rankedReplicas(n)
-	m := New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }, Held: held, Seen: seen})
-	return &harness{t: t, machine: m}
+	machine := New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }, Held: held, Seen: seen})
+	return &harness{t: t, machine: machine}
 }
 
 // tickAt checks the time of the next tick, advances to it, and returns the actions of the tick.
--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -38,7 +38,7 @@
 // The reasons for doubt. The texts are logged as field values.
 const (
 	NoDoubt         Doubt = ""
-	NoMemory        Doubt = "there is none"
+	NoSavedState    Doubt = "there is none"
 	TooOld          Doubt = "it is older than a day"
 	ClockBehind     Doubt = "the clock stands before it"
 	NoTimestamp     Doubt = "it has no time"
@@ -56,7 +56,7 @@
 // doubt, if any. ok is false if there is nothing to restore.
 func Recall(m *Memory, now control.Micros, settings string) (l control.Learned, doubt Doubt, ok bool) {
 	if m == nil {
-		return l, NoMemory, false
+		return l, NoSavedState, false
 	}
 	if !valid(m.Learned) {
 		return l, InvalidValue, false
--- a/control/warm/warm_test.go
+++ b/control/warm/warm_test.go
@@ -20,12 +20,12 @@
 
 const now = control.Micros(1.8e15)
 
-func memory(at control.Micros) *Memory {
+func savedState(at control.Micros) *Memory {
 	return &Memory{Settings: "a", Learned: control.Learned{At: at, Base: 60000, Loss: 0.02, Unit: 4, Mix: []float64{1, 2},
 		Servers: []control.LearnedServer{{Server: 7, Since: 5, Wait: 400000, Shed: 0.5, Spare: 12, Total: 40}}}}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
 // Each field decays with its own half-life.
 func TestHalfLives(t *testing.T) {
@@ -37,14 +37,14 @@
 		{6, 100000, 0.5 * math.Exp2(-6.0/8), -1, 2 * math.Exp2(-0.1), 4 * math.Exp2(-6.0/1800), 60000},
 		{60, 0, 0, -1, 1, 4 * math.Exp2(-60.0/1800), 60000}, {1800, 0, 0, -1, 0, 2, 60000}, {20000, 0, 0, -1, 0, 0, 0},
 	} {
-		l, doubt, ok := Recall(memory(now-control.Micros(row.age*1e6)), now, "a")
+		l, doubt, ok := Recall(savedState(now-control.Micros(row.age*1e6)), now, "a")
 		s := l.Servers[0]
 		mix := 0.0
 		if len(l.Mix) > 0 {
 			mix = l.Mix[1]
 		}
-		if !ok || doubt != NoDoubt || !near(s.Wait, row.wait) || !near(s.Shed, row.shed) || s.Spare != row.spare || !near(mix, row.mix) ||
-			!near(l.Unit, row.unit) || l.Base != row.base || s.Total != 40 || s.Since != 5 || s.Server != 7 {
+		if !ok || doubt != NoDoubt || !approxEqual(s.Wait, row.wait) || !approxEqual(s.Shed, row.shed) || s.Spare != row.spare || !approxEqual(mix, row.mix) ||
+			!approxEqual(l.Unit, row.unit) || l.Base != row.base || s.Total != 40 || s.Since != 5 || s.Server != 7 {
 			t.Errorf("after %g s: %+v, %q", row.age, l, doubt)
 		}
 	}
@@ -52,7 +52,7 @@
 
 // Doubtful state loses all fields that depend on the doubt.
 func TestDoubts(t *testing.T) {
-	bad := memory(now)
+	bad := savedState(now)
 	bad.Learned.Servers[0].Wait = math.NaN()
 	for name, row := range map[string]struct {
 		m        *Memory
@@ -60,9 +60,9 @@
 		doubt    Doubt
 		ok       bool
 	}{
-		"none": {nil, "a", NoMemory, false}, "two days old": {memory(now - 2*86400e6), "a", TooOld, false},
-		"clock far behind": {memory(now + 3600e6), "a", ClockBehind, true}, "clock slightly behind": {memory(now + 500000), "a", NoDoubt, true},
-		"no time": {memory(0), "a", NoTimestamp, true}, "other settings": {memory(now - 1e6), "b", SettingsChanged, false},
+		"none": {nil, "a", NoSavedState, false}, "two days old": {savedState(now - 2*86400e6), "a", TooOld, false},
+		"clock far behind": {savedState(now + 3600e6), "a", ClockBehind, true}, "clock slightly behind": {savedState(now + 500000), "a", NoDoubt, true},
+		"no time": {savedState(0), "a", NoTimestamp, true}, "other settings": {savedState(now - 1e6), "b", SettingsChanged, false},
 		"not a number": {bad, "a", InvalidValue, false},
 	} {
 		l, doubt, ok := Recall(row.m, now, row.settings)
@@ -86,7 +86,7 @@
 		return rapid.OneOf(rapid.Float64Range(0, 1), rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -1, -5, 1e300})).Draw(t, label)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		m := memory(control.Micros(rapid.Int64().Draw(t, "at")))
+		m := savedState(control.Micros(rapid.Int64().Draw(t, "at")))
 		l := &m.Learned
 		l.Base, l.Loss, l.Unit = value(t, "base"), value(t, "loss"), value(t, "unit")
 		s := &l.Servers[0]
