--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -22,23 +22,23 @@
 	// MinBurst is the smallest burst. With a smaller one, a client that arrives a moment after its slot would take the
 	// token of the next client.
 	MinBurst = 2
-	// Grace is how long after its slot a client is still expected. After that the slot expires.
-	Grace = control.Micros(5e6)
+	// SlotGracePeriod is how long after its slot a client is still expected. After that the slot expires.
+	SlotGracePeriod = control.Micros(5e6)
 	// MaxSlots is the maximum number of refused clients that hold a slot.
 	MaxSlots = 16384
 )
 
 // Request is a request for a session.
 type Request struct {
-	Client   string // name that identifies the client on retries; "": the client cannot hold a slot
-	Snapshot bool   // the client needs a snapshot, not only the changes since a revision
+	Client        string // name that identifies the client on retries; "": the client cannot hold a slot
+	NeedsSnapshot bool   // the client needs a snapshot, not only the changes since a revision
 }
 
 // Decision is the response to a Request.
 type Decision struct {
 	Admitted   bool
 	Full       bool           // the session limit is reached: the client must go elsewhere and holds no slot
-	ComeBackIn control.Micros // time until the slot, if neither Admitted nor Full; at least 1
+	RetryAfter control.Micros // time until the slot, if neither Admitted nor Full; at least 1
 }
 
 // Controller decides on requests. It is not safe for concurrent use.
@@ -76,22 +76,22 @@
 	}
 	s, held := c.slots[r.Client]
 	if held && s.at > c.now { // too early: the client keeps its slot
-		return Decision{ComeBackIn: s.at - c.now}
+		return Decision{RetryAfter: s.at - c.now}
 	}
 	delete(c.slots, r.Client)
 	if !c.canAdmit(r, held) {
-		return Decision{ComeBackIn: c.assignSlot(r)}
+		return Decision{RetryAfter: c.assignSlot(r)}
 	}
-	c.tokens.take(r.Snapshot)
+	c.tokens.take(r.NeedsSnapshot)
 	c.open++
 	return Decision{Admitted: true}
 }
 
-// End records that an admitted session has ended.
-func (c *Controller) End() { c.open-- }
+// Release records that an admitted session has ended.
+func (c *Controller) Release() { c.open-- }
 
 // Defer gives a slot to a client whose session must end, and returns the time until the slot.
-func (c *Controller) Defer(now control.Micros, r Request) (comeBackIn control.Micros) {
+func (c *Controller) Defer(now control.Micros, r Request) (retryAfter control.Micros) {
 	c.advance(now)
 	if s, held := c.slots[r.Client]; held && s.at > c.now {
 		return s.at - c.now
@@ -108,7 +108,7 @@
 		c.late = append(c.late, c.expected[0])
 		c.expected = c.expected[1:]
 	}
-	for len(c.late) > 0 && (!c.isCurrent(c.late[0]) || c.late[0].at+Grace < c.now) {
+	for len(c.late) > 0 && (!c.isCurrent(c.late[0]) || c.late[0].at+SlotGracePeriod < c.now) {
 		if c.isCurrent(c.late[0]) {
 			delete(c.slots, c.late[0].client)
 		}
@@ -123,10 +123,10 @@
 // client without a slot must also leave tokens for the late clients.
 func (c *Controller) canAdmit(r Request, held bool) bool {
 	tokens := c.tokens
-	if !tokens.hasTokens(r.Snapshot) {
+	if !tokens.hasTokens(r.NeedsSnapshot) {
 		return false
 	}
-	tokens.take(r.Snapshot)
+	tokens.take(r.NeedsSnapshot)
 	if !held {
 		for _, s := range c.late {
 			if !c.isCurrent(s) {
@@ -153,16 +153,16 @@
 
 // assignSlot gives a client the first slot after all others, and returns the time until the slot.
 func (c *Controller) assignSlot(r Request) control.Micros {
-	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.Snapshot}
+	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.NeedsSnapshot}
 	for _, other := range c.expected {
 		if !c.isCurrent(other) {
 			continue
 		}
 		tokens.advance(other.at)
 		tokens.take(other.snapshot)
-		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.Snapshot))
+		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.NeedsSnapshot))
 	}
-	s.at = max(s.at, tokens.readyAt(r.Snapshot))
+	s.at = max(s.at, tokens.readyAt(r.NeedsSnapshot))
 	if r.Client != "" && len(c.slots) < MaxSlots {
 		c.slots[r.Client] = s
 		c.expected = append(c.expected, s)
--- a/control/drain/drain.go
+++ b/control/drain/drain.go
@@ -18,8 +18,8 @@
 // the evacuation if that was later. ReleaseDelay is the time from the evacuation until calls that still stand on a
 // connection are released, so that it can be closed.
 const (
-	Quiet control.Micros = 300_000
-	Cut   control.Micros = 2_000_000
+	QuietPeriod  control.Micros = 300_000
+	ReleaseDelay control.Micros = 2_000_000
 )
 
 // Drain is the state of one gatekeeper: serving, or evacuated since a time. The zero value is serving.
@@ -36,10 +36,10 @@
 	}
 }
 
-// End is Evacuate for a process that is shutting down: it cannot rejoin, and no call is released for the drain. Standing
+// Shutdown is Evacuate for a process that is shutting down: it cannot rejoin, and no call is released for the drain. Standing
 // calls outlive the process; their connections stay open as long as it runs, since releases that arrive in that time are
 // sent on them.
-func (d *Drain) End(now control.Micros) {
+func (d *Drain) Shutdown(now control.Micros) {
 	d.Evacuate(now)
 	d.ending = true
 }
@@ -57,31 +57,31 @@
 // Evacuated reports whether clients are sent away, and since when.
 func (d *Drain) Evacuated() (bool, control.Micros) { return d.evacuated, d.since }
 
-// Verdict is the decision on one caller's connection.
-type Verdict int
+// Decision is the decision on one caller's connection.
+type Decision int
 
 // The decisions on a connection.
 const (
-	Keep    Verdict = iota
-	Close           // no answer is pending: close it once the queued data is written
-	Release         // release the calls that stand on it towards both sides, then close it
+	KeepOpen     Decision = iota
+	Close                 // no answer is pending: close it once the queued data is written
+	ReleaseCalls          // release the calls that stand on it towards both sides, then close it
 )
 
-// Connection decides on a caller's connection. lastUsed is when it last carried a message or an answer; answerPending
+// DecideConnection decides on a caller's connection. lastUsed is when it last carried a message or an answer; answerPending
 // means that a set-up on it waits for its answer; callStanding means that a call set up on it still stands.
 //
 // The front counts against the gatekeeper any connection that is still open 4 s after the evacuation and is idle or has
 // carried a request in the last 2 s. So until ReleaseDelay a connection with standing calls is kept, and their releases
 // are sent on it as they arrive; after that the gatekeeper releases these calls and closes the connection, which leaves
 // 2 s for the answers still pending on the others.
-func (d *Drain) Connection(now, used control.Micros, owed, standing bool) Verdict {
+func (d *Drain) DecideConnection(now, lastUsed control.Micros, answerPending, callStanding bool) Decision {
 	switch {
-	case !d.evacuated || owed:
-		return Keep
-	case standing && now-d.since >= Cut && !d.ending:
-		return Release
-	case !standing && now-max(used, d.since) >= Quiet:
+	case !d.evacuated || answerPending:
+		return KeepOpen
+	case callStanding && now-d.since >= ReleaseDelay && !d.ending:
+		return ReleaseCalls
+	case !callStanding && now-max(lastUsed, d.since) >= QuietPeriod:
 		return Close
 	}
-	return Keep
+	return KeepOpen
 }
--- a/control/drain/drain_test.go
+++ b/control/drain/drain_test.go
@@ -29,26 +29,26 @@
 
 func TestIdleConnectionsCloseAfterEvacuate(t *testing.T) {
 	var d Drain
-	if d.Connection(10_000_000, 0, false, false) != Keep {
+	if d.DecideConnection(10_000_000, 0, false, false) != KeepOpen {
 		t.Fatal("a serving gatekeeper closed an idle connection")
 	}
 	d.Evacuate(10_000_000)
-	if d.Connection(10_000_000+Quiet-1, 0, false, false) != Keep {
+	if d.DecideConnection(10_000_000+QuietPeriod-1, 0, false, false) != KeepOpen {
 		t.Fatal("closed before the quiet period since the evacuation")
 	}
-	if d.Connection(10_000_000+Quiet, 0, false, false) != Close {
+	if d.DecideConnection(10_000_000+QuietPeriod, 0, false, false) != Close {
 		t.Fatal("idle connection kept after the quiet period")
 	}
-	if d.Connection(20_000_000, 0, true, true) != Keep {
+	if d.DecideConnection(20_000_000, 0, true, true) != KeepOpen {
 		t.Fatal("closed a connection with a pending answer")
 	}
-	if d.Connection(10_000_000+Quiet, 10_000_000+1, false, false) != Keep {
+	if d.DecideConnection(10_000_000+QuietPeriod, 10_000_000+1, false, false) != KeepOpen {
 		t.Fatal("closed a connection that was just used")
 	}
-	if d.Connection(10_000_000+Cut-1, 0, false, true) != Keep {
+	if d.DecideConnection(10_000_000+ReleaseDelay-1, 0, false, true) != KeepOpen {
 		t.Fatal("standing calls were released before the release delay")
 	}
-	if d.Connection(10_000_000+Cut, 0, false, true) != Release {
+	if d.DecideConnection(10_000_000+ReleaseDelay, 0, false, true) != ReleaseCalls {
 		t.Fatal("standing calls were kept after the release delay")
 	}
 }
@@ -69,14 +69,14 @@
 			}
 			lastUsed := now - control.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "idle"))
 			answerPending, callStanding := rapid.Bool().Draw(t, "owed"), rapid.Bool().Draw(t, "standing")
-			got := d.Connection(now, lastUsed, answerPending, callStanding)
+			got := d.DecideConnection(now, lastUsed, answerPending, callStanding)
 			evacuated, since := d.Evacuated()
-			want := Keep
+			want := KeepOpen
 			switch {
 			case !evacuated || answerPending:
-			case callStanding && now-since >= Cut:
-				want = Release
-			case !callStanding && now-lastUsed >= Quiet && now-since >= Quiet:
+			case callStanding && now-since >= ReleaseDelay:
+				want = ReleaseCalls
+			case !callStanding && now-lastUsed >= QuietPeriod && now-since >= QuietPeriod:
 				want = Close
 			}
 			if got != want || d.Ready() == evacuated {
@@ -90,9 +90,9 @@
 // A process that is shutting down releases no calls and cannot rejoin.
 func TestEnd(t *testing.T) {
 	var d Drain
-	d.End(1_000_000)
+	d.Shutdown(1_000_000)
 	d.Rejoin(2_000_000)
-	if d.Ready() || d.Connection(1_000_000+2*Cut, 0, false, true) != Keep || d.Connection(1_000_000+2*Cut, 0, false, false) != Close {
+	if d.Ready() || d.DecideConnection(1_000_000+2*ReleaseDelay, 0, false, true) != KeepOpen || d.DecideConnection(1_000_000+2*ReleaseDelay, 0, false, false) != Close {
 		t.Error("a process that is shutting down rejoined, or would release standing calls")
 	}
 }
--- a/control/fleetview/fleetview.go
+++ b/control/fleetview/fleetview.go
@@ -52,8 +52,8 @@
 
 var healthNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// Healths lists all healths, in order.
-var Healths = []Health{Alive, Suspect, Dead, Left}
+// AllHealths lists all healths, in order.
+var AllHealths = []Health{Alive, Suspect, Dead, Left}
 
 // String returns the name of the health.
 func (h Health) String() string {
@@ -100,14 +100,14 @@
 
 // The kinds of events. The comments name the fields of Event that each uses besides Name.
 const (
-	Met       Kind = iota + 1 // the member is alive; Member: its own metadata
-	Suspected                 // the member did not answer a probe
-	Answered                  // the member answered a probe
-	Died                      // the fleet has declared the member dead
-	Went                      // the member left
-	Published                 // the member published summaries; Member.Start, ServersSeq, Servers
-	Own                       // state of the local member; Member.State, Servers
-	Tick                      // time has passed
+	EventAlive         Kind = iota + 1 // the member is alive; Member: its own metadata
+	EventSuspected                     // the member did not answer a probe
+	EventProbeAnswered                 // the member answered a probe
+	EventDead                          // the fleet has declared the member dead
+	EventLeft                          // the member left
+	EventSummaries                     // the member published summaries; Member.Start, ServersSeq, Servers
+	EventLocalState                    // state of the local member; Member.State, Servers
+	EventTick                          // time has passed
 )
 
 // Event is an event that this member received or detected.
@@ -123,7 +123,7 @@
 	Health Health
 	State  State
 	Reaped bool
-	Fresh  bool // the member was unknown or has returned with a new start
+	Joined bool // the member was unknown or has returned with a new start
 }
 
 // View is the view of one member. It is not safe for concurrent use.
@@ -145,19 +145,19 @@
 
 // Apply processes one event and returns the resulting changes.
 func (v *View) Apply(now control.Micros, e Event) []Change {
-	if e.Kind == Tick {
+	if e.Kind == EventTick {
 		return v.tick(now)
 	}
 	m := v.members[e.Name]
-	if e.Name == v.self && e.Kind != Own {
+	if e.Name == v.self && e.Kind != EventLocalState {
 		return nil // reports of others about this member are refuted, not applied
 	}
 	switch e.Kind {
-	case Own:
+	case EventLocalState:
 		return v.applyLocalState(now, m, e)
-	case Met:
+	case EventAlive:
 		return v.applyAlive(now, m, e)
-	case Published:
+	case EventSummaries:
 		if m != nil && e.Member.Start == m.Start && e.Member.ServersSeq > m.ServersSeq {
 			m.ServersSeq, m.ServersAt, m.Servers = e.Member.ServersSeq, now, slices.Clone(e.Member.Servers)
 		}
@@ -166,9 +166,9 @@
 	if m == nil {
 		return nil
 	}
-	health := map[Kind]Health{Suspected: Suspect, Answered: Alive, Died: Dead, Went: Left}[e.Kind]
-	if e.Kind == Suspected && m.Health != Alive || e.Kind == Answered && m.Health != Suspect ||
-		(e.Kind == Died || e.Kind == Went) && !m.Health.Up() {
+	health := map[Kind]Health{EventSuspected: Suspect, EventProbeAnswered: Alive, EventDead: Dead, EventLeft: Left}[e.Kind]
+	if e.Kind == EventSuspected && m.Health != Alive || e.Kind == EventProbeAnswered && m.Health != Suspect ||
+		(e.Kind == EventDead || e.Kind == EventLeft) && !m.Health.Up() {
 		return nil // only EventAlive revives a dead member
 	}
 	return v.setHealth(now, m, health, false)
@@ -197,7 +197,7 @@
 		received.Health, received.Since, received.Servers, received.ServersSeq, received.ServersAt = Alive, now, nil, 0, 0
 		v.members[e.Name] = &received
 		v.version++
-		return []Change{{Name: received.Name, Health: Alive, State: received.State, Fresh: true}}
+		return []Change{{Name: received.Name, Health: Alive, State: received.State, Joined: true}}
 	case received.Start < m.Start:
 		return nil
 	}
@@ -295,8 +295,8 @@
 	return copies
 }
 
-// EachUp calls f for each member that is up; f must not retain or modify it.
-func (v *View) EachUp(f func(*Member)) {
+// ForEachUp calls f for each member that is up; f must not retain or modify it.
+func (v *View) ForEachUp(f func(*Member)) {
 	for _, m := range v.members {
 		if m.Health.Up() {
 			f(m)
@@ -317,9 +317,9 @@
 	return n
 }
 
-// Lost returns the addresses of members that are dead and not yet forgotten. A member that was partitioned from them
+// DeadAddresses returns the addresses of members that are dead and not yet forgotten. A member that was partitioned from them
 // tries to rejoin through these addresses. Members that left are not included.
-func (v *View) Lost() (addresses []string) {
+func (v *View) DeadAddresses() (addresses []string) {
 	for _, name := range v.names() {
 		if m := v.members[name]; m.Health == Dead && m.Address != "" {
 			addresses = append(addresses, m.Address)
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -149,9 +149,9 @@
 	}
 }
 
-// Rated returns a copy whose weights are multiplied by a positive factor. The copy is read-only: nothing may be added to
+// Scaled returns a copy whose weights are multiplied by a positive factor. The copy is read-only: nothing may be added to
 // it.
-func (s *Summary) Rated(factor float64) *Summary {
+func (s *Summary) Scaled(factor float64) *Summary {
 	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), heapIndex: slices.Clone(s.heapIndex), total: s.total}
 	if len(s.slots) < cap(s.slots) {
 		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // free slots remain: no key was evicted
@@ -189,8 +189,8 @@
 // Total returns the total weight of everything counted.
 func (s *Summary) Total() float64 { return s.total }
 
-// Slack returns the upper bound on the true weight of a key that is not tracked.
-func (s *Summary) Slack() float64 {
+// MaxUntracked returns the upper bound on the true weight of a key that is not tracked.
+func (s *Summary) MaxUntracked() float64 {
 	if len(s.slots) < cap(s.slots) {
 		return 0
 	}
@@ -205,7 +205,7 @@
 	sums := map[string]*sum{}
 	maxUntracked := 0.0
 	for _, p := range parts {
-		maxUntracked += p.Slack()
+		maxUntracked += p.MaxUntracked()
 	}
 	for _, p := range parts {
 		for _, c := range p.Top(len(p.slots)) {
@@ -214,8 +214,8 @@
 				v = &sum{maxUntracked, maxUntracked}
 				sums[c.Key] = v
 			}
-			v.count += c.Count - p.Slack()
-			v.err += c.Err - p.Slack()
+			v.count += c.Count - p.MaxUntracked()
+			v.err += c.Err - p.MaxUntracked()
 		}
 	}
 	all := make([]Counter, 0, len(sums))
--- a/control/member/member.go
+++ b/control/member/member.go
@@ -18,48 +18,48 @@
 	Node, Address string
 	Voter         bool
 	Up            bool   // it has just answered the leader
-	Behind        uint64 // number of log entries that it lacks
+	Lag           uint64 // number of log entries that it lacks
 }
 
 // Group is the state of the group as known to the leader.
 type Group struct {
-	Members  []Member
-	Leader   string
-	Changing bool // a membership change is not committed yet
+	Members       []Member
+	Leader        string
+	ChangePending bool // a membership change is not committed yet
 }
 
 // MaxPromotionLag is the number of log entries that a learner may lack when it becomes a voter: less than one second of a
 // busy store.
 const MaxPromotionLag = 64
 
-// Do is the kind of a membership change.
-type Do string
+// Change is the kind of a membership change.
+type Change string
 
 // The kinds of membership changes.
 const (
-	Nothing  Do = "nothing" // the group is already in the requested state
-	AddOne   Do = "add"     // add the member as a learner
-	MoveOne  Do = "move"    // change the address of a member; it keeps its vote
-	Promote  Do = "promote"
-	RemoveIt Do = "remove"
+	NoChange       Change = "nothing" // the group is already in the requested state
+	AddLearner     Change = "add"     // add the member as a learner
+	ChangeAddress  Change = "move"    // change the address of a member; it keeps its vote
+	PromoteLearner Change = "promote"
+	RemoveMember   Change = "remove"
 )
 
-// Refusal reports why a change is not safe, and whether it can be forced.
-type Refusal struct {
-	Why       string
+// RefusedError reports why a change is not safe, and whether it can be forced.
+type RefusedError struct {
+	Reason    string
 	Forceable bool
 }
 
 // Error implements error.
-func (r *Refusal) Error() string {
+func (r *RefusedError) Error() string {
 	if r.Forceable {
-		return r.Why + "; use --force to do it anyway"
+		return r.Reason + "; use --force to do it anyway"
 	}
-	return r.Why
+	return r.Reason
 }
 
-func refuse(forceable bool, format string, args ...any) *Refusal {
-	return &Refusal{fmt.Sprintf(format, args...), forceable}
+func refuse(forceable bool, format string, args ...any) *RefusedError {
+	return &RefusedError{fmt.Sprintf(format, args...), forceable}
 }
 
 func (g *Group) find(node string) *Member {
@@ -85,63 +85,63 @@
 func majority(voters int) int { return voters/2 + 1 }
 
 // Add decides on a member that wants to join, or that returns at another address.
-func (g *Group) Add(node, address string) (Do, error) {
-	if g.Changing {
-		return Nothing, refuse(false, "another membership change is in progress; only one at a time is allowed")
+func (g *Group) Add(node, address string) (Change, error) {
+	if g.ChangePending {
+		return NoChange, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	}
 	if i := slices.IndexFunc(g.Members, func(m Member) bool { return m.Address == address && m.Node != node }); i >= 0 {
-		return Nothing, refuse(false, "%s is the address of %s already", address, g.Members[i].Node)
+		return NoChange, refuse(false, "%s is the address of %s already", address, g.Members[i].Node)
 	}
 	m := g.find(node)
 	switch {
 	case m == nil:
-		return AddOne, nil
+		return AddLearner, nil
 	case m.Address == address:
-		return Nothing, nil
+		return NoChange, nil
 	case m.Up:
-		return Nothing, refuse(false, "%s is up at %s: two members with one name would both vote", node, m.Address)
+		return NoChange, refuse(false, "%s is up at %s: two members with one name would both vote", node, m.Address)
 	}
 	// The member is down, so changing its address does not take a running voter from the group.
-	return MoveOne, nil
+	return ChangeAddress, nil
 }
 
-// MayVote decides whether a learner may become a voter.
-func (g *Group) MayVote(node string) (Do, error) {
+// Promote decides whether a learner may become a voter.
+func (g *Group) Promote(node string) (Change, error) {
 	m := g.find(node)
 	switch {
-	case g.Changing:
-		return Nothing, refuse(false, "another membership change is in progress; only one at a time is allowed")
+	case g.ChangePending:
+		return NoChange, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	case m == nil:
-		return Nothing, refuse(false, "%s is not a member; add it first", node)
+		return NoChange, refuse(false, "%s is not a member; add it first", node)
 	case m.Voter:
-		return Nothing, nil
+		return NoChange, nil
 	case !m.Up:
-		return Nothing, refuse(false, "%s does not answer: as a voter it would raise the majority needed without contributing to it", node)
-	case m.Behind > MaxPromotionLag:
-		return Nothing, refuse(false, "%s lacks %d entries, at most %d are allowed: wait until it has caught up", node, m.Behind, MaxPromotionLag)
+		return NoChange, refuse(false, "%s does not answer: as a voter it would raise the majority needed without contributing to it", node)
+	case m.Lag > MaxPromotionLag:
+		return NoChange, refuse(false, "%s lacks %d entries, at most %d are allowed: wait until it has caught up", node, m.Lag, MaxPromotionLag)
 	}
-	return Promote, nil
+	return PromoteLearner, nil
 }
 
 // Remove decides on the removal of a member. A removal that leaves no majority up can be forced; the removal of the last
 // voter cannot.
-func (g *Group) Remove(node string, force bool) (Do, error) {
+func (g *Group) Remove(node string, force bool) (Change, error) {
 	m := g.find(node)
 	switch {
-	case g.Changing:
-		return Nothing, refuse(false, "another membership change is in progress; only one at a time is allowed")
+	case g.ChangePending:
+		return NoChange, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	case m == nil:
-		return Nothing, nil
+		return NoChange, nil
 	case !m.Voter:
-		return RemoveIt, nil
+		return RemoveMember, nil
 	}
 	all, up := g.voters(node)
 	if all == 0 {
-		return Nothing, refuse(false, "%s is the last voter: the group cannot exist without it", node)
+		return NoChange, refuse(false, "%s is the last voter: the group cannot exist without it", node)
 	}
 	if need := majority(all); up < need && !force {
-		return Nothing, refuse(true, "of the %d voters left %d are up and %d are needed: the group could not write, and entries that only %s holds would be lost",
+		return NoChange, refuse(true, "of the %d voters left %d are up and %d are needed: the group could not write, and entries that only %s holds would be lost",
 			all, up, need, node)
 	}
-	return RemoveIt, nil
+	return RemoveMember, nil
 }
--- a/control/scope/errors.go
+++ b/control/scope/errors.go
@@ -10,11 +10,11 @@
 
 // The reasons why a key is invalid.
 const (
-	NoPrefix  KeyFault = iota // the key does not begin with Prefix
-	NoScope                   // the part after the prefix is not a kind of scope
-	NoForm                    // the key has too few or too many parts
-	NoName                    // the name of the scope is invalid
-	NoSection                 // the section does not exist
+	MissingPrefix  KeyFault = iota // the key does not begin with Prefix
+	UnknownScope                   // the part after the prefix is not a kind of scope
+	WrongPartCount                 // the key has too few or too many parts
+	InvalidName                    // the name of the scope is invalid
+	UnknownSection                 // the section does not exist
 )
 
 // KeyError reports that a key is not the key of a settings record.
@@ -31,13 +31,13 @@
 // description returns the predicate of the error text: what is wrong with the key.
 func (e *KeyError) description() string {
 	switch e.Fault {
-	case NoPrefix:
+	case MissingPrefix:
 		return fmt.Sprintf("does not begin with %q", Prefix)
-	case NoScope:
+	case UnknownScope:
 		return "names no scope"
-	case NoForm:
+	case WrongPartCount:
 		return "does not have the parts of a settings key"
-	case NoName:
+	case InvalidName:
 		return fmt.Sprintf("has a name that is empty, longer than %d bytes, or holds spaces or control characters", MaxName)
 	}
 	return "names no section"
@@ -46,11 +46,11 @@
 // Advice implements advice.Error.
 func (e *KeyError) Advice() string {
 	switch e.Fault {
-	case NoScope:
+	case UnknownScope:
 		return "the scope is one of " + strings.Join(kindNames[:], ", ") + ": for instance settings/zone/NAME/limits"
-	case NoName:
+	case InvalidName:
 		return "write the name of the region, zone, service or gatekeeper as its deploy file has it"
-	case NoSection:
+	case UnknownSection:
 		return "the section is one of " + strings.Join(sections, ", ")
 	}
 	return "write settings/all/SECTION, or settings/SCOPE/NAME/SECTION with SCOPE one of " + strings.Join(kindNames[1:], ", ")
--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -54,12 +54,12 @@
 // Key is the parsed key of a settings record.
 type Key struct {
 	Kind    Kind
-	Of      string // name of the region, zone, service or gatekeeper; "" for All
+	Name    string // name of the region, zone, service or gatekeeper; "" for All
 	Section string
 }
 
 // String returns the key as stored: settings/all/SECTION or settings/KIND/NAME/SECTION.
-func (k Key) String() string { return scopePrefix(k.Kind, k.Of) + k.Section }
+func (k Key) String() string { return scopePrefix(k.Kind, k.Name) + k.Section }
 
 // scopePrefix returns the common prefix of all keys of one scope.
 func scopePrefix(kind Kind, name string) string {
@@ -73,12 +73,12 @@
 func ParseKey(key string) (Key, error) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
-		return Key{}, &KeyError{key, NoPrefix}
+		return Key{}, &KeyError{key, MissingPrefix}
 	}
 	parts := strings.Split(rest, "/")
 	kind := slices.Index(kindNames[:], parts[0])
 	if kind < 0 {
-		return Key{}, &KeyError{key, NoScope}
+		return Key{}, &KeyError{key, UnknownScope}
 	}
 	k := Key{Kind: Kind(kind)}
 	wantParts := 3
@@ -86,17 +86,17 @@
 		wantParts = 2
 	}
 	if len(parts) != wantParts {
-		return Key{}, &KeyError{key, NoForm}
+		return Key{}, &KeyError{key, WrongPartCount}
 	}
 	k.Section = parts[wantParts-1]
 	if k.Kind != All {
-		k.Of = parts[1]
-		if !validName(k.Of) {
-			return Key{}, &KeyError{key, NoName}
+		k.Name = parts[1]
+		if !validName(k.Name) {
+			return Key{}, &KeyError{key, InvalidName}
 		}
 	}
 	if !slices.Contains(sections, k.Section) {
-		return Key{}, &KeyError{key, NoSection}
+		return Key{}, &KeyError{key, UnknownSection}
 	}
 	return k, nil
 }
@@ -158,7 +158,7 @@
 }
 
 // covers reports whether a key belongs to one of the target's scopes.
-func (t Target) covers(k Key) bool { return k.Kind == All || k.Of == t.scopeName(k.Kind) }
+func (t Target) covers(k Key) bool { return k.Kind == All || k.Name == t.scopeName(k.Kind) }
 
 // Record is one record of the store.
 type Record struct {
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -159,7 +159,7 @@
 // execute executes the actions of a client and schedules its next tick.
 func (f *fleet) execute(c *fleetClient, actions []Action) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Type {
 		case Connect:
 			r := f.byName[a.Replica.Name]
 			c.open[a.Session] = r
@@ -175,7 +175,7 @@
 // scheduleTick schedules the next tick of a client's machine. If a tick is already scheduled for an earlier time, that
 // tick reschedules.
 func (f *fleet) scheduleTick(c *fleetClient) {
-	at, _ := c.machine.Wake()
+	at, _ := c.machine.NextTick()
 	if c.tickScheduled && c.tickAt <= at {
 		return
 	}
@@ -185,7 +185,7 @@
 			return // replaced by an earlier tick
 		}
 		c.tickScheduled = false
-		if due, _ := c.machine.Wake(); due > f.now {
+		if due, _ := c.machine.NextTick(); due > f.now {
 			f.scheduleTick(c)
 			return
 		}
@@ -206,18 +206,18 @@
 		f.end(c, a.Session, End{Reason: Full})
 		return
 	}
-	if d := r.admit(f.now, c.name, a.After == 0); !d.Admitted {
-		f.end(c, a.Session, End{ComeBack, d.ComeBackIn})
+	if d := r.admit(f.now, c.name, a.StartRevision == 0); !d.Admitted {
+		f.end(c, a.Session, End{RetryLater, d.RetryAfter})
 		return
 	}
 	r.sessions[fleetSession{c, a.Session}] = true
 	r.peakLoad = max(r.peakLoad, len(r.sessions))
 	f.opened[r.Name][f.now/loadWindow]++
 	kind := Heartbeat
-	if a.After == 0 {
+	if a.StartRevision == 0 {
 		kind = Snapshot
 	}
-	f.execute(c, c.machine.Heard(f.now, a.Session, Event{Kind: kind, Revision: 1}))
+	f.execute(c, c.machine.HandleEvent(f.now, a.Session, Event{Kind: kind, Revision: 1}))
 }
 
 // limitAdmission limits the rate and the burst at which a replica admits sessions and sends snapshots.
@@ -231,13 +231,13 @@
 	if r.admitter == nil {
 		return admission.Decision{Admitted: true}
 	}
-	return r.admitter.Admit(now, admission.Request{Client: client, Snapshot: snapshot})
+	return r.admitter.Admit(now, admission.Request{Client: client, NeedsSnapshot: snapshot})
 }
 
 func (f *fleet) end(c *fleetClient, session uint64, e End) {
 	if r := c.open[session]; r != nil {
 		delete(c.open, session)
-		f.execute(c, c.machine.Ended(f.now, session, e))
+		f.execute(c, c.machine.HandleEnd(f.now, session, e))
 	}
 }
 
@@ -245,7 +245,7 @@
 	if r.health == up {
 		for _, s := range r.list() {
 			if r.sessions[s] {
-				f.execute(s.client, s.client.machine.Heard(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
+				f.execute(s.client, s.client.machine.HandleEvent(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
 			}
 		}
 	}
@@ -389,12 +389,12 @@
 			elapsed := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.allConnected)
 			require.Equal(t, maxSessions, left.peakLoad, "all %d gatekeepers of its zone prefer it", zoneClients)
 			require.LessOrEqual(t, f.peakLoad(), maxSessions)
-			f.runFor(2 * timing.ReturnEvery)
+			f.runFor(2 * timing.ReturnInterval)
 			require.True(t, f.allConnected())
 			require.LessOrEqual(t, f.peakLoad(), maxSessions, "retries at the full machine of the zone are refused")
 
 			f.recover(lost)
-			returnElapsed := f.runUntil(t, timing.ReturnEvery+slack, "all are at their preferred machine", f.allAtPreferred)
+			returnElapsed := f.runUntil(t, timing.ReturnInterval+slack, "all are at their preferred machine", f.allAtPreferred)
 			require.LessOrEqual(t, f.peakLoad(), maxSessions)
 			t.Logf("all have a session again in %.2f s, and have returned in %.2f s", float64(elapsed)/1e6, float64(returnElapsed)/1e6)
 		})
@@ -437,7 +437,7 @@
 					within := control.Micros(failure.attempts)*timing.BackoffBase + slack
 					if how == unreachable {
 						unanswered := control.Micros(failure.unreachable)
-						within = timing.HeartbeatWithin + unanswered*timing.ConnectWithin + (unanswered+1)*timing.BackoffBase + slack
+						within = timing.HeartbeatTimeout + unanswered*timing.ConnectTimeout + (unanswered+1)*timing.BackoffBase + slack
 					}
 					elapsed := f.runUntil(t, within, "all have a session again", f.allConnected)
 					second, window := f.peakNewSessions()
@@ -448,24 +448,24 @@
 						require.LessOrEqual(t, window, binomialBound(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
 					}
 
-					f.runFor(timing.ReturnEvery + timing.ReturnEvery/2)
+					f.runFor(timing.ReturnInterval + timing.ReturnInterval/2)
 					require.Equal(t, fleetClients, f.sessions())
 					f.recover(lost...)
 					// Each gatekeeper tries all machines that it prefers within ReturnInterval, after a round that may be in progress.
-					within = timing.ReturnEvery + slack
+					within = timing.ReturnInterval + slack
 					if how == unreachable {
-						within += control.Micros(failure.attempts) * timing.ConnectWithin
+						within += control.Micros(failure.attempts) * timing.ConnectTimeout
 					}
 					elapsed = f.runUntil(t, within, "all are at their preferred machine", f.allAtPreferred)
 					second, window = f.peakNewSessions()
 					t.Logf("returned in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(elapsed)/1e6, second, window)
 					// The returns are spread at least over the second half of ReturnInterval. If machines do not answer, an attempt takes
 					// ConnectTimeout, and gatekeepers with an attempt in progress move to the next machine within that time.
-					spread := float64(timing.ReturnEvery) / 2e6
+					spread := float64(timing.ReturnInterval) / 2e6
 					maxNewSessions := binomialBound(zoneClients, 1/spread)
 					if how == unreachable {
-						looking := float64(failure.attempts) * float64(timing.ConnectWithin) / (0.75 * float64(timing.ReturnEvery))
-						maxNewSessions += binomialBound(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
+						looking := float64(failure.attempts) * float64(timing.ConnectTimeout) / (0.75 * float64(timing.ReturnInterval))
+						maxNewSessions += binomialBound(moved, looking/(float64(timing.ConnectTimeout)/1e6)/float64(len(lost)))
 					}
 					require.LessOrEqual(t, second, maxNewSessions, "new sessions in a second during the return")
 					require.Equal(t, fleetClients, f.sessions())
@@ -519,7 +519,7 @@
 	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
 	// For delays drawn uniformly up to BackoffCap, the density of the remaining delay is highest at 0, where it is 2/BackoffCap.
 	require.LessOrEqual(t, second, binomialBound(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
-	f.runUntil(t, timing.ReturnEvery+500e3, "all are at their preferred machine", f.allAtPreferred)
+	f.runUntil(t, timing.ReturnInterval+500e3, "all are at their preferred machine", f.allAtPreferred)
 }
 
 // The same with machines that admit 50 sessions per second each and give slots to the other gatekeepers: after an outage
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -50,18 +50,18 @@
 		timing: o.Timing.WithDefaults(), random: o.Random, replicas: Rank(o.Self, o.Replicas),
 		holdUntil: make([]control.Micros, len(o.Replicas)), consecutiveRefusals: make([]int, len(o.Replicas)),
 		connectSearch: newSearch(len(o.Replicas)), betterSearch: newSearch(len(o.Replicas)),
-		highestRevision: max(o.Seen, o.Held), hasRecords: o.Held > 0 && o.Held >= o.Seen,
+		highestRevision: max(o.HighestRevision, o.HeldRevision), hasRecords: o.HeldRevision > 0 && o.HeldRevision >= o.HighestRevision,
 	}
 	for rank, r := range m.replicas {
 		m.holdUntil[rank] = now
 		m.tiers = append(m.tiers, tier(o.Self, r))
 	}
-	m.connectSearch.nextAttemptAt = now + control.Micros(m.random()*float64(m.timing.StartWithin))
+	m.connectSearch.nextAttemptAt = now + control.Micros(m.random()*float64(m.timing.MaxStartDelay))
 	return m
 }
 
-// Seen returns the highest revision received.
-func (m *Machine) Seen() uint64 { return m.highestRevision }
+// HighestRevision returns the highest revision received.
+func (m *Machine) HighestRevision() uint64 { return m.highestRevision }
 
 // Current returns the replica of the current session and reports whether there is one.
 func (m *Machine) Current() (Replica, bool) {
@@ -71,9 +71,9 @@
 	return m.replicas[m.current.rank], true
 }
 
-// Wake returns the time at which Tick must be called next unless an event arrives before. It returns false if there are
+// NextTick returns the time at which Tick must be called next unless an event arrives before. It returns false if there are
 // no replicas, in which case Tick need not be called.
-func (m *Machine) Wake() (control.Micros, bool) {
+func (m *Machine) NextTick() (control.Micros, bool) {
 	if len(m.replicas) == 0 {
 		return 0, false
 	}
@@ -83,7 +83,7 @@
 	}
 	switch {
 	case m.attempt != nil:
-		next = min(next, m.attempt.startedAt+m.timing.ConnectWithin)
+		next = min(next, m.attempt.startedAt+m.timing.ConnectTimeout)
 	case m.current == nil:
 		next = m.connectSearch.nextAttemptAt
 	case m.betterMayExist():
@@ -97,7 +97,7 @@
 
 // heartbeatDue returns the time at which the current session times out unless an event arrives.
 func (m *Machine) heartbeatDue() control.Micros {
-	return m.current.lastEventAt + max(m.timing.HeartbeatWithin, HeartbeatsMissed*m.current.heartbeatInterval)
+	return m.current.lastEventAt + max(m.timing.HeartbeatTimeout, MaxMissedHeartbeats*m.current.heartbeatInterval)
 }
 
 // betterMayExist reports whether there may be a better replica than that of the current session.
@@ -112,19 +112,19 @@
 		return nil
 	}
 	if m.current != nil && now >= m.heartbeatDue() {
-		m.emit(Action{Do: Close, Session: m.current.id})
+		m.emit(Action{Type: Close, Session: m.current.id})
 		m.handleCurrentEnd(now, End{Reason: timedOut})
 	}
-	if m.attempt != nil && now >= m.attempt.startedAt+m.timing.ConnectWithin {
-		m.emit(Action{Do: Close, Session: m.attempt.id})
+	if m.attempt != nil && now >= m.attempt.startedAt+m.timing.ConnectTimeout {
+		m.emit(Action{Type: Close, Session: m.attempt.id})
 		m.handleAttemptEnd(now, End{Reason: timedOut})
 	}
 	m.startIfDue(now)
 	return m.actions
 }
 
-// Ended processes the end of a session that was not closed by a Close action, and returns the resulting actions in order.
-func (m *Machine) Ended(now control.Micros, session uint64, e End) []Action {
+// HandleEnd processes the end of a session that was not closed by a Close action, and returns the resulting actions in order.
+func (m *Machine) HandleEnd(now control.Micros, session uint64, e End) []Action {
 	m.actions = nil
 	m.handleEnd(now, session, e)
 	m.startIfDue(now)
@@ -140,9 +140,9 @@
 	}
 }
 
-// Heard processes an event received on a session and returns the resulting actions in order. The records of the event
+// HandleEvent processes an event received on a session and returns the resulting actions in order. The records of the event
 // must be applied only if the actions contain Accept.
-func (m *Machine) Heard(now control.Micros, session uint64, e Event) []Action {
+func (m *Machine) HandleEvent(now control.Micros, session uint64, e Event) []Action {
 	m.actions = nil
 	var target *link
 	switch {
@@ -154,16 +154,16 @@
 		return nil // the session was already closed
 	}
 	if target.violatesProtocol(e) {
-		m.emit(Action{Do: Close, Session: target.id})
-		m.handleEnd(now, session, End{Reason: Refused})
+		m.emit(Action{Type: Close, Session: target.id})
+		m.handleEnd(now, session, End{Reason: ProtocolError})
 		m.startIfDue(now)
 		return m.actions
 	}
 	target.lastEventAt, target.revision = now, e.Revision
 	target.events++
 	if e.Kind == Heartbeat {
-		target.heartbeatInterval = min(e.Every, maxHeartbeatInterval)
-		m.setLeaderless(now, target, e.Leaderless > m.timing.LeaderlessAfter)
+		target.heartbeatInterval = min(e.HeartbeatInterval, maxHeartbeatInterval)
+		m.setLeaderless(now, target, e.LeaderlessFor > m.timing.LeaderlessAfter)
 	}
 	if target == m.current || m.tryPromoteAttempt(now, e.Kind) {
 		m.accept(e)
@@ -196,7 +196,7 @@
 	if m.current.leaderless {
 		return m.backoff(&m.betterSearch)
 	}
-	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnEvery))
+	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnInterval))
 }
 
 // violatesProtocol reports whether an event violates the protocol: the revisions of a session never decrease, and a
@@ -211,7 +211,7 @@
 	candidate := m.attempt
 	switch {
 	case candidate.revision < candidate.startRevision, candidate.revision < m.highestRevision && candidate.startRevision == 0: // older than the requested revision, or an outdated snapshot
-		m.emit(Action{Do: Close, Session: candidate.id})
+		m.emit(Action{Type: Close, Session: candidate.id})
 		m.handleAttemptEnd(now, End{Reason: Behind})
 		return false
 	case candidate.revision < m.highestRevision: // the current session has advanced since: the attempt must catch up within ConnectTimeout
@@ -219,7 +219,7 @@
 	case m.current != nil && kind != Heartbeat && candidate.revision == m.highestRevision: // only a heartbeat carries the leader status
 		return false
 	case m.current != nil && !m.isBetter(candidate):
-		m.emit(Action{Do: Close, Session: candidate.id})
+		m.emit(Action{Type: Close, Session: candidate.id})
 		if candidate.leaderless {
 			m.holdUntil[candidate.rank] = now + m.timing.LeaderlessHold
 		}
@@ -227,7 +227,7 @@
 		return false
 	}
 	if m.current != nil {
-		m.emit(Action{Do: Close, Session: m.current.id})
+		m.emit(Action{Type: Close, Session: m.current.id})
 		m.resetBackoffIfStable(now)
 	}
 	m.current, m.attempt = candidate, nil
@@ -252,7 +252,7 @@
 		return
 	}
 	m.highestRevision, m.hasRecords = e.Revision, true
-	m.emit(Action{Do: Accept, Session: m.current.id})
+	m.emit(Action{Type: Accept, Session: m.current.id})
 }
 
 // handleCurrentEnd ends the current session and schedules the next attempt. After the backoff another replica is tried. A
@@ -307,13 +307,13 @@
 // hold sets the time before which a replica is not tried again, depending on how its session ended.
 func (m *Machine) hold(now control.Micros, rank int, e End) {
 	switch e.Reason {
-	case ComeBack:
+	case RetryLater:
 		m.consecutiveRefusals[rank]++
-		m.holdUntil[rank] = now + max(e.After, m.timing.BehindWait) // never immediately, even if the replica announces a shorter time
-	case Refused:
+		m.holdUntil[rank] = now + max(e.RetryAfter, m.timing.BehindHold) // never immediately, even if the replica announces a shorter time
+	case ProtocolError:
 		m.holdUntil[rank] = now + m.timing.FaultHold
 	case Behind:
-		m.holdUntil[rank] = now + m.timing.BehindWait + control.Micros(m.random()*float64(m.timing.BehindWait))
+		m.holdUntil[rank] = now + m.timing.BehindHold + control.Micros(m.random()*float64(m.timing.BehindHold))
 	}
 }
 
@@ -322,11 +322,11 @@
 // would hold a slot at each of them, and after an outage all these slots together would be many times what the replicas
 // admit.
 func (m *Machine) shouldWaitFor(rank int, e End) bool {
-	maxAttempts := SameTries
+	maxAttempts := FirstRoundAttempts
 	if m.connectSearch.round > 0 {
-		maxAttempts = LaterTries
+		maxAttempts = LaterRoundAttempts
 	}
-	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.consecutiveRefusals[rank] < maxAttempts
+	return e.Reason == RetryLater && e.RetryAfter <= m.timing.MaxRetryAfter && m.consecutiveRefusals[rank] < maxAttempts
 }
 
 // startIfDue starts an attempt if one is due.
@@ -384,7 +384,7 @@
 		startRevision = 0
 	}
 	m.attempt = &link{id: m.lastID, rank: rank, startRevision: startRevision, startedAt: now, lastEventAt: now}
-	m.emit(Action{Do: Connect, Session: m.lastID, Replica: m.replicas[rank], After: startRevision})
+	m.emit(Action{Type: Connect, Session: m.lastID, Replica: m.replicas[rank], StartRevision: startRevision})
 }
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
--- a/control/session/model_test.go
+++ b/control/session/model_test.go
@@ -70,16 +70,16 @@
 // execute executes actions; applyRecords applies the records of the event that led to them.
 func (m *model) execute(actions []Action, revision uint64, applyRecords func()) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Type {
 		case Connect:
 			i := m.index[a.Replica.Name]
 			if m.now < m.holdUntil[i] {
 				m.t.Fatalf("%s is tried %d us before the announced time", a.Replica.Name, m.holdUntil[i]-m.now)
 			}
-			if a.After != 0 && a.After != m.heldRevision {
-				m.t.Fatalf("a session resumes from revision %d, the gatekeeper holds %d", a.After, m.heldRevision)
+			if a.StartRevision != 0 && a.StartRevision != m.heldRevision {
+				m.t.Fatalf("a session resumes from revision %d, the gatekeeper holds %d", a.StartRevision, m.heldRevision)
 			}
-			m.sessions = append(m.sessions, &modelSession{id: a.Session, replica: i, after: a.After, sent: a.After})
+			m.sessions = append(m.sessions, &modelSession{id: a.Session, replica: i, after: a.StartRevision, sent: a.StartRevision})
 			if len(m.sessions) > 2 {
 				m.t.Fatalf("%d sessions are open", len(m.sessions))
 			}
@@ -119,7 +119,7 @@
 	case 1:
 		after := control.Micros(rapid.IntRange(0, 20e6).Draw(m.t, "retry after"))
 		m.holdUntil[s.replica] = m.now + after
-		m.end(s, End{ComeBack, after})
+		m.end(s, End{RetryLater, after})
 	default:
 		if r.applied < s.after {
 			m.end(s, End{Reason: Behind})
@@ -149,13 +149,13 @@
 }
 
 func (m *model) event(s *modelSession, kind EventKind, revision uint64, records func()) {
-	e := Event{Kind: kind, Revision: revision, Leaderless: m.replicas[s.replica].leaderless}
-	m.execute(m.machine.Heard(m.now, s.id, e), revision, records)
+	e := Event{Kind: kind, Revision: revision, LeaderlessFor: m.replicas[s.replica].leaderless}
+	m.execute(m.machine.HandleEvent(m.now, s.id, e), revision, records)
 }
 
 func (m *model) end(s *modelSession, e End) {
 	m.removeSession(s.id)
-	m.execute(m.machine.Ended(m.now, s.id, e), 0, nil)
+	m.execute(m.machine.HandleEnd(m.now, s.id, e), 0, nil)
 }
 
 // Model test with transactions, lagging replicas, sessions that are refused, fail or overlap, and restarts with and
@@ -177,7 +177,7 @@
 		restart := func(held uint64) {
 			m.machine = New(m.now, Options{
 				Self: scope.Target{Name: "g", Zone: "z0", Region: "r0"}, Replicas: replicas, Timing: m.timing,
-				Random: func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") }, Held: held, Seen: m.highest,
+				Random: func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") }, HeldRevision: held, HighestRevision: m.highest,
 			})
 			m.sessions = nil
 			clear(m.holdUntil)
@@ -216,7 +216,7 @@
 			"event": func(*rapid.T) { m.sendNext(drawSession(true)) },
 			"more":  func(*rapid.T) { m.sendNext(drawSession(true)) },
 			"break": func(t *rapid.T) {
-				m.end(drawSession(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, Refused}).Draw(t, "reason")})
+				m.end(drawSession(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, ProtocolError}).Draw(t, "reason")})
 			},
 			"late": func(t *rapid.T) { // events of a session that was closed or never existed
 				id := uint64(rapid.IntRange(0, 50).Draw(t, "id"))
@@ -225,12 +225,12 @@
 						t.Skip("the session is open")
 					}
 				}
-				m.execute(m.machine.Heard(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("an event of a closed session is accepted") })
-				m.execute(m.machine.Ended(m.now, id, End{}), 0, nil)
+				m.execute(m.machine.HandleEvent(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("an event of a closed session is accepted") })
+				m.execute(m.machine.HandleEnd(m.now, id, End{}), 0, nil)
 			},
 			"wake": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "times") {
-					at, ok := m.machine.Wake()
+					at, ok := m.machine.NextTick()
 					require.True(t, ok)
 					m.now = max(m.now, at)
 					m.execute(m.machine.Tick(m.now), 0, nil)
@@ -249,11 +249,11 @@
 				restart(0)
 			},
 			"": func(t *rapid.T) { // after a tick, the next one is due later; only a random number of 0 allows another one at the same time
-				if at, ok := m.machine.Wake(); !ok || at < m.now-max(m.timing.HeartbeatWithin, m.timing.ConnectWithin) {
+				if at, ok := m.machine.NextTick(); !ok || at < m.now-max(m.timing.HeartbeatTimeout, m.timing.ConnectTimeout) {
 					t.Fatalf("at %d the next tick is due at %d, %v", m.now, at, ok)
 				}
-				if m.machine.Seen() != m.highest {
-					t.Fatalf("highest revision %d, accepted up to %d", m.machine.Seen(), m.highest)
+				if m.machine.HighestRevision() != m.highest {
+					t.Fatalf("highest revision %d, accepted up to %d", m.machine.HighestRevision(), m.highest)
 				}
 			},
 		})
@@ -271,20 +271,20 @@
 		}
 		random := rapid.Float64Range(0.4, 0.6).Draw(t, "random")
 		timing := Timing{}.WithDefaults()
-		m := New(0, Options{Replicas: replicas, Random: func() float64 { return random }, Held: 1, Seen: 1})
-		reason := rapid.SampledFrom([]Reason{Lost, TooSlow, Behind, Refused, ComeBack}).Draw(t, "reason")
+		m := New(0, Options{Replicas: replicas, Random: func() float64 { return random }, HeldRevision: 1, HighestRevision: 1})
+		reason := rapid.SampledFrom([]Reason{Lost, TooSlow, Behind, ProtocolError, RetryLater}).Draw(t, "reason")
 		const duration = 600e6
 		steps, attempts := 0, 0
 		for {
-			at, _ := m.Wake()
+			at, _ := m.NextTick()
 			if at > duration {
 				break
 			}
 			steps++
 			for _, a := range m.Tick(at) {
-				if a.Do == Connect {
+				if a.Type == Connect {
 					attempts++
-					require.Empty(t, m.Ended(at, a.Session, End{Reason: reason}))
+					require.Empty(t, m.HandleEnd(at, a.Session, End{Reason: reason}))
 				}
 			}
 		}
@@ -292,10 +292,10 @@
 		// that, and repeated attempts at a replica that lags or is full. A replica that announces a retry time is tried again
 		// at that time, in each round.
 		perBackoff := 1.
-		if reason == ComeBack {
-			perBackoff = LaterTries
+		if reason == RetryLater {
+			perBackoff = LaterRoundAttempts
 		}
-		most := perBackoff*duration/(0.4*float64(timing.BackoffCap)) + float64(n)*(SameTries+4)
+		most := perBackoff*duration/(0.4*float64(timing.BackoffCap)) + float64(n)*(FirstRoundAttempts+4)
 		require.Less(t, float64(attempts), most, reason)
 		require.Less(t, float64(steps), 2.5*most, reason)
 	})
--- a/control/session/session_test.go
+++ b/control/session/session_test.go
@@ -21,8 +21,8 @@
 
 // timing has distinguishable durations.
 var timing = Timing{
-	StartWithin: 1e6, ConnectWithin: 3e6, HeartbeatWithin: 5e6, BackoffBase: 1e6, BackoffCap: 6e6, StableAfter: 10e6, ReturnEvery: 60e6,
-	LeaderlessAfter: 4e6, LeaderlessHold: 30e6, BehindWait: 200e3, ComeBackWait: 5e6, FaultHold: 25e6,
+	MaxStartDelay: 1e6, ConnectTimeout: 3e6, HeartbeatTimeout: 5e6, BackoffBase: 1e6, BackoffCap: 6e6, StableAfter: 10e6, ReturnInterval: 60e6,
+	LeaderlessAfter: 4e6, LeaderlessHold: 30e6, BehindHold: 200e3, MaxRetryAfter: 5e6, FaultHold: 25e6,
 }
 
 // rankedReplicas returns n replicas, named r0, r1 and so on, in the order in which a gatekeeper of their region prefers
@@ -38,14 +38,14 @@
 
 func newHarness(t *testing.T, n int, held, seen uint64) *harness {
 	self, replicas := rankedReplicas(n)
-	machine := New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }, Held: held, Seen: seen})
+	machine := New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }, HeldRevision: held, HighestRevision: seen})
 	return &harness{t: t, machine: machine}
 }
 
 // tickAt checks the time of the next tick, advances to it, and returns the actions of the tick.
 func (h *harness) tickAt(want control.Micros) []Action {
 	h.t.Helper()
-	at, ok := h.machine.Wake()
+	at, ok := h.machine.NextTick()
 	require.True(h.t, ok)
 	require.Equal(h.t, want, at)
 	h.now = at
@@ -62,16 +62,16 @@
 }
 
 func (h *harness) handleEvent(session uint64, kind EventKind, revision uint64) []Action {
-	return h.machine.Heard(h.now, session, Event{Kind: kind, Revision: revision})
+	return h.machine.HandleEvent(h.now, session, Event{Kind: kind, Revision: revision})
 }
 
 func (h *harness) handleEnd(session uint64, reason Reason) []Action {
-	return h.machine.Ended(h.now, session, End{Reason: reason})
+	return h.machine.HandleEnd(h.now, session, End{Reason: reason})
 }
 
-func acceptAction(session uint64) []Action { return []Action{{Do: Accept, Session: session}} }
+func acceptAction(session uint64) []Action { return []Action{{Type: Accept, Session: session}} }
 
-func closeAction(session uint64) []Action { return []Action{{Do: Close, Session: session}} }
+func closeAction(session uint64) []Action { return []Action{{Type: Close, Session: session}} }
 
 // newConnectedHarness returns a machine with a session with the replica of a rank; the attempts at those before it have
 // failed.
@@ -91,7 +91,7 @@
 
 func TestWithoutReplicas(t *testing.T) {
 	m := New(0, Options{Random: func() float64 { return half }})
-	_, ok := m.Wake()
+	_, ok := m.NextTick()
 	require.False(t, ok)
 	require.Empty(t, m.Tick(1e9))
 }
@@ -99,8 +99,8 @@
 // The delay before the first attempt is drawn from MaxStartDelay and not from the backoff.
 func TestStart(t *testing.T) {
 	self, replicas := rankedReplicas(1)
-	m := New(7, Options{Self: self, Replicas: replicas, Timing: Timing{StartWithin: 200}, Random: func() float64 { return half }})
-	at, ok := m.Wake()
+	m := New(7, Options{Self: self, Replicas: replicas, Timing: Timing{MaxStartDelay: 200}, Random: func() float64 { return half }})
+	at, ok := m.NextTick()
 	require.True(t, ok)
 	require.Equal(t, control.Micros(107), at)
 }
@@ -175,16 +175,16 @@
 // The timeout grows with the heartbeat interval announced by the replica; the latest announcement counts.
 func TestSlowHeartbeats(t *testing.T) {
 	h, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 7e6}))
-	at, _ := h.machine.Wake()
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 7e6}))
+	at, _ := h.machine.NextTick()
 	require.Equal(t, h.now+21e6, at)
 	require.Empty(t, h.machine.Tick(at-1))
 	h.now = at - 1
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1 << 62}))
-	at, _ = h.machine.Wake()
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 1e6}))
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 1 << 62}))
+	at, _ = h.machine.NextTick()
 	require.Equal(t, h.now+90e6, at)
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 1e6}))
 	require.Equal(t, closeAction(s), h.tickAt(h.now+5e6))
 }
 
@@ -192,13 +192,13 @@
 func TestRetryAfterShort(t *testing.T) {
 	h := newHarness(t, 2, 0, 0)
 	at := control.Micros(5e5)
-	for range SameTries - 1 {
+	for range FirstRoundAttempts - 1 {
 		s := h.requireConnect(0, 0, h.tickAt(at))
-		require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 5e6}))
+		require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 5e6}))
 		at = h.now + 5e6
 	}
 	s := h.requireConnect(0, 0, h.tickAt(at))
-	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 5e6}))
+	require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 5e6}))
 	h.requireConnect(1, 0, h.tickAt(h.now+5e5))
 }
 
@@ -207,10 +207,10 @@
 func TestRetryAfterLong(t *testing.T) {
 	h := newHarness(t, 2, 0, 0)
 	s := h.requireConnect(0, 0, h.tickAt(5e5))
-	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 20e6}))
+	require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 20e6}))
 	until := h.now + 20e6
 	for h.now < until {
-		at, _ := h.machine.Wake()
+		at, _ := h.machine.NextTick()
 		h.now = at
 		for _, a := range h.machine.Tick(at) {
 			if at < until {
@@ -222,9 +222,9 @@
 	// If all replicas have deferred the session, the one with the earliest retry time is tried.
 	h = newHarness(t, 2, 0, 0)
 	s = h.requireConnect(0, 0, h.tickAt(5e5))
-	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 20e6}))
+	require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 20e6}))
 	s = h.requireConnect(1, 0, h.tickAt(h.now+5e5))
-	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 30e6}))
+	require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 30e6}))
 	require.Empty(t, h.tickAt(h.now+1e6))
 	h.requireConnect(0, 0, h.tickAt(205e5))
 }
@@ -241,7 +241,7 @@
 	require.Empty(t, h.handleEnd(s, Behind))
 	// A single replica is tried again after 1.5 times BehindHold if the backoff is shorter.
 	h = newHarness(t, 1, 10, 10)
-	h.machine.timing.BehindWait = 2e6
+	h.machine.timing.BehindHold = 2e6
 	s = h.requireConnect(0, 10, h.tickAt(5e5))
 	begun := h.now
 	require.Empty(t, h.handleEnd(s, Behind))
@@ -256,7 +256,7 @@
 	require.Equal(t, closeAction(s), h.handleEvent(s, Snapshot, 9))
 	s = h.requireConnect(1, 0, h.tickAt(h.now+5e5))
 	require.Equal(t, acceptAction(s), h.handleEvent(s, Snapshot, 10))
-	require.Equal(t, uint64(10), h.machine.Seen())
+	require.Equal(t, uint64(10), h.machine.HighestRevision())
 }
 
 // A resumed session that answers with a lower revision than requested is not accepted either.
@@ -264,7 +264,7 @@
 	h := newHarness(t, 2, 10, 10)
 	s := h.requireConnect(0, 10, h.tickAt(5e5))
 	require.Equal(t, closeAction(s), h.handleEvent(s, Heartbeat, 9))
-	require.Equal(t, uint64(10), h.machine.Seen())
+	require.Equal(t, uint64(10), h.machine.HighestRevision())
 }
 
 // A replica that violates the protocol is not tried for some time: revisions that decrease, a first event that is not a
@@ -273,18 +273,18 @@
 	h, s := newConnectedHarness(t, 1, 0)
 	require.Equal(t, acceptAction(s), h.handleEvent(s, Change, 12))
 	require.Equal(t, closeAction(s), h.handleEvent(s, Heartbeat, 11))
-	require.Equal(t, uint64(12), h.machine.Seen())
+	require.Equal(t, uint64(12), h.machine.HighestRevision())
 	require.Empty(t, h.tickAt(h.now+1e6)) // the delay of the second round
 	s = h.requireConnect(0, 12, h.tickAt(h.now+24e6))
 	refusedAt := h.now
-	require.Empty(t, h.handleEnd(s, Refused))
+	require.Empty(t, h.handleEnd(s, ProtocolError))
 	require.Empty(t, h.tickAt(h.now+2e6)) // and of the third round
 	h.requireConnect(0, 12, h.tickAt(refusedAt+25e6))
 
 	h = newHarness(t, 1, 0, 0)
 	s = h.requireConnect(0, 0, h.tickAt(5e5))
 	require.Equal(t, closeAction(s), h.handleEvent(s, Change, 3))
-	require.Equal(t, uint64(0), h.machine.Seen())
+	require.Equal(t, uint64(0), h.machine.HighestRevision())
 }
 
 // An event that contains nothing new is not accepted.
@@ -323,7 +323,7 @@
 	h.t.Helper()
 	for h.now+2e6 < until {
 		h.now += 2e6
-		require.Empty(h.t, h.machine.Heard(h.now, session, e))
+		require.Empty(h.t, h.machine.HandleEvent(h.now, session, e))
 	}
 }
 
@@ -351,7 +351,7 @@
 	require.Equal(t, acceptAction(back), h.handleEvent(back, Change, 13))
 	current, _ = h.machine.Current()
 	require.Equal(t, h.machine.replicas[0], current)
-	at, _ := h.machine.Wake()
+	at, _ := h.machine.NextTick()
 	require.Equal(t, h.now+5e6, at) // at the preferred replica no further attempts are made
 }
 
@@ -383,10 +383,10 @@
 // A current session that is ended with a retry time is resumed at the same replica at that time if it is short.
 func TestCurrentSessionDeferred(t *testing.T) {
 	h, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 2e6}))
+	require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 2e6}))
 	h.requireConnect(0, 10, h.tickAt(h.now+2e6))
 	h, s = newConnectedHarness(t, 2, 0)
-	require.Empty(t, h.machine.Ended(h.now, s, End{ComeBack, 20e6}))
+	require.Empty(t, h.machine.HandleEnd(h.now, s, End{RetryLater, 20e6}))
 	h.requireConnect(1, 10, h.tickAt(h.now+5e5))
 }
 
@@ -406,12 +406,12 @@
 // use.
 func TestLeaderless(t *testing.T) {
 	h, s := newConnectedHarness(t, 3, 0)
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6})) // not long enough yet
-	at, _ := h.machine.Wake()
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 4e6})) // not long enough yet
+	at, _ := h.machine.NextTick()
 	require.Equal(t, h.now+5e6, at)
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6 + 1}))
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 4e6 + 1}))
 	other := h.requireConnect(1, 10, h.tickAt(h.now+5e5))
-	require.Equal(t, closeAction(other), h.machine.Heard(h.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 9e6})) // not better
+	require.Equal(t, closeAction(other), h.machine.HandleEvent(h.now, other, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 9e6})) // not better
 	other = h.requireConnect(2, 10, h.tickAt(h.now+5e5))
 	require.Equal(t, closeAction(s), h.handleEvent(other, Heartbeat, 10))
 	current, _ := h.machine.Current()
@@ -427,32 +427,32 @@
 // backoff, and the attempts stop once there is a leader again.
 func TestLeaderlessAlone(t *testing.T) {
 	h, s := newConnectedHarness(t, 2, 0)
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	for _, bound := range []control.Micros{1e6, 2e6, 4e6, 6e6, 6e6} {
 		other := h.requireConnect(1, 10, h.tickAt(h.now+bound/2))
 		require.Empty(t, h.handleEnd(other, Lost))
-		require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+		require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 		require.Empty(t, h.tickAt(h.now+bound/2))
-		require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+		require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	}
 	require.Equal(t, acceptAction(s), h.handleEvent(s, Heartbeat, 11))
-	at, _ := h.machine.Wake()
+	at, _ := h.machine.NextTick()
 	require.Equal(t, h.now+5e6, at)
 }
 
 // A replica that turned out to have no leader either is not tried again for LeaderlessHold; others are.
 func TestLeaderlessHold(t *testing.T) {
 	h, s := newConnectedHarness(t, 3, 0)
-	require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	other := h.requireConnect(1, 10, h.tickAt(h.now+5e5))
-	require.Equal(t, closeAction(other), h.machine.Heard(h.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	require.Equal(t, closeAction(other), h.machine.HandleEvent(h.now, other, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	until := h.now + timing.LeaderlessHold
 	tried := map[string]int{}
 	for h.now < until+3*timing.BackoffCap {
-		at, _ := h.machine.Wake()
+		at, _ := h.machine.NextTick()
 		h.now = min(at, h.now+2e6)
 		if h.now < at {
-			require.Empty(t, h.machine.Heard(h.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+			require.Empty(t, h.machine.HandleEvent(h.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 			continue
 		}
 		for _, a := range h.machine.Tick(h.now) {
--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -46,15 +46,15 @@
 	InvalidValue    Doubt = "it holds values that none can be"
 )
 
-// Memory is the state that is kept between two starts.
-type Memory struct {
+// SavedState is the state that is kept between two starts.
+type SavedState struct {
 	Settings string          `json:"settings"` // identifies the settings under which it was learned
 	Learned  control.Learned `json:"learned"`
 }
 
-// Recall returns the part of the saved state that still applies at a time under the given settings, and the reason for
+// Restore returns the part of the saved state that still applies at a time under the given settings, and the reason for
 // doubt, if any. ok is false if there is nothing to restore.
-func Recall(m *Memory, now control.Micros, settings string) (l control.Learned, doubt Doubt, ok bool) {
+func Restore(m *SavedState, now control.Micros, settings string) (l control.Learned, doubt Doubt, ok bool) {
 	if m == nil {
 		return l, NoSavedState, false
 	}
