--- a/control/drain/drain_test.go
+++ b/control/drain/drain_test.go
@@ -68,7 +68,7 @@
 				d.Rejoin(now)
 			}
 			lastUsed := now - control.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "idle"))
-			answerPending, callStanding := rapid.Bool().Draw(t, "owed"), rapid.Bool().Draw(t, "standing")
+			answerPending, callStanding := rapid.Bool().Draw(t, "answer pending"), rapid.Bool().Draw(t, "call standing")
 			got := d.DecideConnection(now, lastUsed, answerPending, callStanding)
 			evacuated, since := d.Evacuated()
 			want := KeepOpen
@@ -80,7 +80,7 @@
 				want = Close
 			}
 			if got != want || d.Ready() == evacuated {
-				t.Fatalf("at %d: %v, want %v (evacuated %v since %d, used %d, owed %v, standing %v)",
+				t.Fatalf("at %d: %v, want %v (evacuated %v since %d, last used %d, answer pending %v, call standing %v)",
 					now, got, want, evacuated, since, lastUsed, answerPending, callStanding)
 			}
 		}
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -408,12 +408,12 @@
 	timing := Timing{}.WithDefaults()
 	const slack = control.Micros(300e3) // round trips, and the interval at which conditions are checked
 	for _, failure := range []struct {
-		name        string
-		lost        func(*fleet) []*fleetReplica
-		peakLoad    int // highest load of a remaining machine
-		attempts    int // most attempts that a gatekeeper needs if its machine is killed: at the other lost machines, and one more
-		unreachable int // most of these without an answer if machines are unreachable, see maxUnansweredInRow
-		peak        int // most new sessions per second at a machine
+		name            string
+		lost            func(*fleet) []*fleetReplica
+		peakLoad        int // highest load of a remaining machine
+		attempts        int // most attempts that a gatekeeper needs if its machine is killed: at the other lost machines, and one more
+		unreachable     int // most of these without an answer if machines are unreachable, see maxUnansweredInRow
+		peakNewSessions int // most new sessions per second at a machine
 	}{
 		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1")[:1] }, zoneClients, 1, 0, binomialBound(zoneClients, 0.5)},
 		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:1] }, binomialBound(zoneClients, 0.5), 1, 0, binomialBound(zoneClients, 1./6)},
@@ -443,9 +443,9 @@
 					second, window := f.peakNewSessions()
 					t.Logf("%d moved in %.2f s; highest load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(elapsed)/1e6, f.peakLoad(), second, window)
 					require.LessOrEqual(t, f.peakLoad(), failure.peakLoad, "load")
-					require.LessOrEqual(t, second, failure.peak, "new sessions in a second")
+					require.LessOrEqual(t, second, failure.peakNewSessions, "new sessions in a second")
 					if how == resetting { // distributed uniformly over BackoffBase
-						require.LessOrEqual(t, window, binomialBound(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
+						require.LessOrEqual(t, window, binomialBound(failure.peakNewSessions, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
 					}
 
 					f.runFor(timing.ReturnInterval + timing.ReturnInterval/2)
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -258,7 +258,7 @@
 // handleCurrentEnd ends the current session and schedules the next attempt. After the backoff another replica is tried. A
 // replica that closed a stable session because this gatekeeper read too slowly is tried again itself.
 func (m *Machine) handleCurrentEnd(now control.Micros, e End) {
-	lasted := m.resetBackoffIfStable(now)
+	wasStable := m.resetBackoffIfStable(now)
 	rank := m.current.rank
 	m.current = nil
 	m.connectSearch.recordFailure(m.tiers[rank], e.Reason == timedOut)
@@ -267,7 +267,7 @@
 		m.connectSearch.nextAttemptAt = m.holdUntil[rank]
 		return
 	}
-	m.connectSearch.tried[rank] = e.Reason != TooSlow || !lasted
+	m.connectSearch.tried[rank] = e.Reason != TooSlow || !wasStable
 	m.scheduleRetry(now)
 }
 
