--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -118,7 +118,7 @@
 type arrival struct {
 	at        control.Micros
 	request   Request
-	refused   int // number of refusals so far
+	refusals  int // number of refusals so far
 	compliant bool
 }
 
@@ -134,7 +134,7 @@
 			onAdmitted(next)
 			continue
 		}
-		next.refused++
+		next.refusals++
 		if again := onRefused(next, d); again != nil {
 			queue = append(queue, *again)
 		}
@@ -154,11 +154,11 @@
 		}
 		simulate(c, queue, func(a arrival, d Decision) *arrival {
 			if a.compliant {
-				require.Equal(t, 1, a.refused, "client %s was refused at its slot", a.request.Client)
+				require.Equal(t, 1, a.refusals, "client %s was refused at its slot", a.request.Client)
 				a.at += d.RetryAfter
 				return &a
 			}
-			if a.refused > 5 || rapid.Bool().Draw(t, "gives up") {
+			if a.refusals > 5 || rapid.Bool().Draw(t, "gives up") {
 				return nil
 			}
 			a.at += control.Micros(rapid.IntRange(0, int(2*d.RetryAfter)).Draw(t, "its own time"))
@@ -180,8 +180,8 @@
 	longest := control.Micros(float64(clients)/slowest*1e6) + control.Micros(clients)
 	count := 0
 	simulate(New(l), queue, func(a arrival, d Decision) *arrival {
-		maxRefused = max(maxRefused, a.refused)
-		require.Less(t, a.refused, 50, "client %s is never admitted", a.request.Client)
+		maxRefused = max(maxRefused, a.refusals)
+		require.Less(t, a.refusals, 50, "client %s is never admitted", a.request.Client)
 		require.LessOrEqual(t, d.RetryAfter, longest)
 		a.at += d.RetryAfter + control.Micros(rapid.IntRange(0, int(maxLateness)).Draw(t, "late by"))
 		return &a
--- a/control/drain/drain.go
+++ b/control/drain/drain.go
@@ -24,9 +24,9 @@
 
 // Drain is the state of one gatekeeper: serving, or evacuated since a time. The zero value is serving.
 type Drain struct {
-	evacuated bool
-	ending    bool
-	since     control.Micros
+	evacuated    bool
+	shuttingDown bool
+	since        control.Micros
 }
 
 // Evacuate starts sending clients away. Further calls have no effect: the time of the first one counts.
@@ -41,12 +41,12 @@
 // sent on them.
 func (d *Drain) Shutdown(now control.Micros) {
 	d.Evacuate(now)
-	d.ending = true
+	d.shuttingDown = true
 }
 
 // Rejoin takes clients again immediately, unless the process is shutting down.
 func (d *Drain) Rejoin(now control.Micros) {
-	if d.evacuated && !d.ending {
+	if d.evacuated && !d.shuttingDown {
 		d.evacuated, d.since = false, now
 	}
 }
@@ -78,7 +78,7 @@
 	switch {
 	case !d.evacuated || answerPending:
 		return KeepOpen
-	case callStanding && now-d.since >= ReleaseDelay && !d.ending:
+	case callStanding && now-d.since >= ReleaseDelay && !d.shuttingDown:
 		return ReleaseCalls
 	case !callStanding && now-max(lastUsed, d.since) >= QuietPeriod:
 		return Close
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -18,10 +18,10 @@
 
 // slot holds one tracked key.
 type slot struct {
-	hash uint64
-	err  float64
-	len  uint8
-	key  [maxKeyLength]byte
+	hash     uint64
+	maxError float64
+	len      uint8
+	key      [maxKeyLength]byte
 }
 
 // entry is an entry of the hash index. It contains the hash, so that a lookup reads nothing else.
@@ -101,7 +101,7 @@
 	least := &s.heap[0]
 	i := least.slot
 	s.deleteEntry(s.lookup(s.slots[i].hash))
-	s.slots[i].hash, s.slots[i].err = hash, least.count
+	s.slots[i].hash, s.slots[i].maxError = hash, least.count
 	s.index[s.lookup(hash)] = entry{hash, i + 1}
 	least.count += weight
 	s.setKey(i, key)
@@ -145,7 +145,7 @@
 	s.total *= factor
 	for i := range s.slots {
 		s.heap[i].count *= factor
-		s.slots[i].err *= factor
+		s.slots[i].maxError *= factor
 	}
 }
 
@@ -174,7 +174,7 @@
 	all := make([]Counter, 0, len(s.slots))
 	for i := range s.slots {
 		v := &s.slots[i]
-		all = append(all, Counter{string(v.key[:v.len]), s.heap[s.heapIndex[i]].count, v.err})
+		all = append(all, Counter{string(v.key[:v.len]), s.heap[s.heapIndex[i]].count, v.maxError})
 	}
 	return top(all, limit)
 }
--- a/control/scope/errors.go
+++ b/control/scope/errors.go
@@ -38,7 +38,7 @@
 	case WrongPartCount:
 		return "does not have the parts of a settings key"
 	case InvalidName:
-		return fmt.Sprintf("has a name that is empty, longer than %d bytes, or holds spaces or control characters", MaxName)
+		return fmt.Sprintf("has a name that is empty, longer than %d bytes, or holds spaces or control characters", MaxNameLength)
 	}
 	return "names no section"
 }
@@ -69,5 +69,5 @@
 
 // Advice implements advice.Error.
 func (e *NameError) Advice() string {
-	return fmt.Sprintf("choose a name of 1 to %d bytes without slashes, spaces and control characters", MaxName)
+	return fmt.Sprintf("choose a name of 1 to %d bytes without slashes, spaces and control characters", MaxNameLength)
 }
--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -48,8 +48,8 @@
 	return kindNames[k]
 }
 
-// MaxName is the maximum length in bytes of the name of a gatekeeper, region, zone or service.
-const MaxName = 128
+// MaxNameLength is the maximum length in bytes of the name of a gatekeeper, region, zone or service.
+const MaxNameLength = 128
 
 // Key is the parsed key of a settings record.
 type Key struct {
@@ -104,7 +104,7 @@
 // validName reports whether a name is valid in a key: 1 to MaxName bytes of UTF-8 without slashes, spaces and control
 // characters.
 func validName(name string) bool {
-	if name == "" || len(name) > MaxName || !utf8.ValidString(name) {
+	if name == "" || len(name) > MaxNameLength || !utf8.ValidString(name) {
 		return false
 	}
 	return !strings.ContainsFunc(name, func(r rune) bool {
--- a/control/session/session_test.go
+++ b/control/session/session_test.go
@@ -243,10 +243,10 @@
 	h = newHarness(t, 1, 10, 10)
 	h.machine.timing.BehindHold = 2e6
 	s = h.requireConnect(0, 10, h.tickAt(5e5))
-	begun := h.now
+	start := h.now
 	require.Empty(t, h.handleEnd(s, Behind))
 	require.Empty(t, h.tickAt(h.now+1e6))
-	h.requireConnect(0, 10, h.tickAt(begun+3e6))
+	h.requireConnect(0, 10, h.tickAt(start+3e6))
 }
 
 // A snapshot older than the highest revision received is not accepted; its replica counts as lagging.
