--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -88,14 +88,14 @@
 	}
 	l.At = now
 	if slowWeight(baseHalfLife) > 0 { // a delay is right or wrong: half of it would certainly be wrong
-		l.Base = m.Learned.Base
+		l.BaseDelay = m.Learned.BaseDelay
 	}
-	l.Unit = m.Learned.Unit * slowWeight(unitHalfLife)
-	l.Loss = m.Learned.Loss * weight(lossHalfLife)
+	l.BestRate = m.Learned.BestRate * slowWeight(unitHalfLife)
+	l.LossRate = m.Learned.LossRate * weight(lossHalfLife)
 	if w := weight(mixHalfLife); w > 0 {
-		l.Mix = make([]float64, len(m.Learned.Mix))
-		for i, v := range m.Learned.Mix {
-			l.Mix[i] = v * w
+		l.WorthMix = make([]float64, len(m.Learned.WorthMix))
+		for i, v := range m.Learned.WorthMix {
+			l.WorthMix[i] = v * w
 		}
 	}
 	for _, s := range m.Learned.Servers {
@@ -121,7 +121,7 @@
 		return true
 	}
 	const minute, many = 60e6, 1e6
-	if !inRange(0, minute, l.Base) || !inRange(0, 1, l.Loss) || !inRange(0, many, l.Unit) || !inRange(0, many, l.Mix...) {
+	if !inRange(0, minute, l.BaseDelay) || !inRange(0, 1, l.LossRate) || !inRange(0, many, l.BestRate) || !inRange(0, many, l.WorthMix...) {
 		return false
 	}
 	for _, s := range l.Servers {
