--- a/control/fleetview/fleetview_test.go
+++ b/control/fleetview/fleetview_test.go
@@ -13,12 +13,12 @@
 
 func self() Member { return Member{Name: "me", Zone: "a", Start: 5, State: Ready} }
 
-func met(name string, start, seq uint64, s State) Event {
+func aliveEvent(name string, start, seq uint64, s State) Event {
 	return Event{Kind: EventAlive, Name: name, Member: Member{Start: start, Seq: seq, State: s, Zone: "a", Address: name + ":1"}}
 }
 
-// What a member's course of events makes of it, step by step.
-func TestCourseOfAMember(t *testing.T) {
+// The health and state of a member after each event of a sequence.
+func TestMemberLifecycle(t *testing.T) {
 	v := New(self(), 0, 1000)
 	for i, step := range []struct {
 		at     control.Micros
@@ -27,10 +27,10 @@
 		state  State
 		change bool
 	}{
-		{1, met("x", 10, 1, Ready), Alive, Ready, true},
-		{2, met("x", 10, 1, Draining), Alive, Ready, false}, // nothing new said
-		{3, met("x", 10, 2, Draining), Alive, Draining, true},
-		{4, met("x", 10, 1, Ready), Alive, Draining, false}, // older
+		{1, aliveEvent("x", 10, 1, Ready), Alive, Ready, true},
+		{2, aliveEvent("x", 10, 1, Draining), Alive, Ready, false}, // same sequence number
+		{3, aliveEvent("x", 10, 2, Draining), Alive, Draining, true},
+		{4, aliveEvent("x", 10, 1, Ready), Alive, Draining, false}, // older
 		{5, Event{Kind: EventSuspected, Name: "x"}, Suspect, Draining, true},
 		{6, Event{Kind: EventProbeAnswered, Name: "x"}, Alive, Draining, true},
 		{7, Event{Kind: EventProbeAnswered, Name: "x"}, Alive, Draining, false},
@@ -39,9 +39,9 @@
 		{10, Event{Kind: EventSuspected, Name: "x"}, Dead, Draining, false},
 		{11, Event{Kind: EventProbeAnswered, Name: "x"}, Dead, Draining, false},
 		{12, Event{Kind: EventLeft, Name: "x"}, Dead, Draining, false},
-		{13, met("x", 10, 2, Draining), Alive, Draining, true}, // refuted
-		{14, met("x", 11, 1, Ready), Alive, Ready, true},       // the same name, a new start
-		{15, met("x", 10, 9, Leaving), Alive, Ready, false},    // from before it
+		{13, aliveEvent("x", 10, 2, Draining), Alive, Draining, true}, // suspicion refuted
+		{14, aliveEvent("x", 11, 1, Ready), Alive, Ready, true},       // new start under the same name
+		{15, aliveEvent("x", 10, 9, Leaving), Alive, Ready, false},    // from the earlier start
 		{16, Event{Kind: EventLeft, Name: "x"}, Left, Ready, true},
 		{1015, Event{Kind: EventTick}, Left, Ready, false},
 	} {
@@ -52,31 +52,31 @@
 		}
 	}
 	if c := v.Apply(1016, Event{Kind: EventTick}); len(c) != 1 || !c[0].Reaped || v.members["x"] != nil {
-		t.Errorf("not forgotten: %+v", c)
+		t.Errorf("the member is not reaped: %+v", c)
 	}
 }
 
-func TestSummariesAreTheNewest(t *testing.T) {
+func TestNewestSummariesAreKept(t *testing.T) {
 	v := New(self(), 0, 1000)
-	v.Apply(1, met("x", 10, 1, Ready))
-	told := func(start, seq uint64, level int) {
+	v.Apply(1, aliveEvent("x", 10, 1, Ready))
+	publish := func(start, seq uint64, level int) {
 		v.Apply(2, Event{Kind: EventSummaries, Name: "x", Member: Member{Start: start, ServersSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
 	}
-	told(10, 2, 3)
-	told(10, 1, 0) // overtaken
-	told(9, 5, 0)  // of another start
+	publish(10, 2, 3)
+	publish(10, 1, 0) // older than the last one
+	publish(9, 5, 0)  // from another start
 	if got := v.Members()[1].Servers; len(got) != 1 || got[0].Level != 3 {
 		t.Errorf("%+v", got)
 	}
-	v.Apply(3, met("x", 11, 1, Ready))
+	v.Apply(3, aliveEvent("x", 11, 1, Ready))
 	if got := v.Members()[1].Servers; got != nil {
-		t.Errorf("a new start keeps what the old one said: %+v", got)
+		t.Errorf("a new start keeps the summaries of the earlier one: %+v", got)
 	}
 }
 
-// Over every sequence of events: the view is what a plain model makes of them; this member is always up in its own view and
-// what others say of it changes nothing; no start is replaced by an earlier one; the version grows with every change and
-// only then; and two members that were told the same have the same hash, in whatever order they were told.
+// Model test over sequences of events: the view equals that of a simple model; this member is always up in its own view,
+// and reports about it have no effect; a start is never replaced by an earlier one; the version grows exactly when there
+// are changes; and two members that received the same facts in any order have the same hash.
 func TestAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		type fact struct {
@@ -95,7 +95,7 @@
 				start, seq := uint64(rapid.IntRange(1, 3).Draw(r, "start")), uint64(rapid.IntRange(1, 3).Draw(r, "seq"))
 				state := State(rapid.IntRange(0, 3).Draw(r, "state"))
 				if e.Kind == EventAlive {
-					e = met(name, start, seq, state)
+					e = aliveEvent(name, start, seq, state)
 				}
 				before := maps.Clone(model)
 				f, known := model[name]
@@ -139,7 +139,7 @@
 			},
 			"": func(r *rapid.T) {
 				if me := v.Self(); me.Health != Alive || me.State != Ready || me.Start != 5 {
-					r.Fatalf("this member became %+v", me)
+					r.Fatalf("the local member has changed: %+v", me)
 				}
 				got := map[string]fact{}
 				for _, m := range v.Members() {
@@ -150,14 +150,14 @@
 				if !maps.Equal(got, model) {
 					r.Fatalf("view %v, model %v", got, model)
 				}
-				// Another member that is told the outcome alone, in another order, agrees.
+				// Another member that receives only the final facts, in another order, has the same hash.
 				other := New(Member{Name: "you"}, 0, 50)
 				delete(other.members, "you")
 				names := slices.Sorted(maps.Keys(model))
 				slices.Reverse(names)
 				for _, name := range names {
 					f := model[name]
-					other.Apply(0, met(name, f.start, f.seq, f.state))
+					other.Apply(0, aliveEvent(name, f.start, f.seq, f.state))
 					if !f.health.Up() {
 						other.Apply(0, Event{Kind: EventDead, Name: name})
 					}
@@ -165,33 +165,33 @@
 				me := self()
 				other.members["me"] = &me
 				if other.Hash() != v.Hash() {
-					r.Fatalf("two members with the same view differ: %+v and %+v", v.Members(), other.Members())
+					r.Fatalf("the hashes of two members with the same view differ: %+v and %+v", v.Members(), other.Members())
 				}
 			},
 		})
 	})
 }
 
-// Whatever two members differ in, their hashes do too.
-func TestHashTellsDifferences(t *testing.T) {
+// Views that differ have different hashes; dead members do not count.
+func TestHashDistinguishesViews(t *testing.T) {
 	hashes := map[uint64]string{}
 	for name, events := range map[string][]Event{
-		"alone": nil, "x": {met("x", 1, 1, Ready)}, "x draining": {met("x", 1, 1, Draining)}, "x later": {met("x", 2, 1, Ready)},
-		"y": {met("y", 1, 1, Ready)}, "both": {met("x", 1, 1, Ready), met("y", 1, 1, Ready)},
+		"alone": nil, "x": {aliveEvent("x", 1, 1, Ready)}, "x draining": {aliveEvent("x", 1, 1, Draining)}, "x later": {aliveEvent("x", 2, 1, Ready)},
+		"y": {aliveEvent("y", 1, 1, Ready)}, "both": {aliveEvent("x", 1, 1, Ready), aliveEvent("y", 1, 1, Ready)},
 	} {
 		v := New(self(), 0, 1000)
 		for _, e := range events {
 			v.Apply(0, e)
 		}
 		if other, taken := hashes[v.Hash()]; taken {
-			t.Errorf("%s and %s have one hash", name, other)
+			t.Errorf("%s and %s have the same hash", name, other)
 		}
 		hashes[v.Hash()] = name
 	}
 	v, w := New(self(), 0, 1000), New(self(), 0, 1000)
-	v.Apply(0, met("x", 1, 1, Ready))
+	v.Apply(0, aliveEvent("x", 1, 1, Ready))
 	v.Apply(1, Event{Kind: EventDead, Name: "x"})
 	if v.Hash() != w.Hash() || fmt.Sprint(v.DeadAddresses()) != "[x:1]" {
-		t.Errorf("a dead member counts, or is not looked for: %v", v.DeadAddresses())
+		t.Errorf("a dead member changes the hash, or its address is not listed: %v", v.DeadAddresses())
 	}
 }
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -1,10 +1,10 @@
-// Package heavy finds heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal and El Abbadi, 2005), over weights, so
-// that forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009) gives rates: what is counted later weighs more, and all
-// weights shrink alike with time, so that neither order nor bounds change while nothing is counted. It does no I/O and reads
-// no clock.
+// Package heavy finds heavy hitters in bounded memory. It implements Space-Saving (Metwally, Agrawal and El Abbadi, 2005)
+// over weights, so that forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009) gives rates: later counts weigh
+// more, and all weights shrink alike with time, so that neither the order nor the bounds change while nothing is counted.
+// It does no I/O and reads no clock.
 //
-// With k slots and a total weight W, a key's Count is never under its true weight and at most Err over it, Err is at most W/k,
-// and every key of a true weight over W/k is held.
+// With k slots and a total weight W, the Count of a key is at least its true weight and at most Err more, Err is at most
+// W/k, and every key with a true weight above W/k is tracked.
 package heavy
 
 import (
@@ -14,46 +14,47 @@
 	"slices"
 )
 
-const mostKey = 128 // bytes of a key; what is longer is cut there
+const maxKeyLength = 128 // bytes; longer keys are truncated
 
+// slot holds one tracked key.
 type slot struct {
-	hash uint64
-	err  float64
-	len  uint8
-	key  [mostKey]byte
+	hash     uint64
+	maxError float64
+	len      uint8
+	key      [maxKeyLength]byte
 }
 
-// entry is one of the index, with the hash beside it: looking for one reads nothing else.
+// entry is an entry of the hash index. It contains the hash, so that a lookup reads nothing else.
 type entry struct {
 	hash uint64
-	slot int32 // and 1; 0: free
+	slot int32 // slot number plus 1; 0: free
 }
 
-// node is an entry of the heap; counts lie here, side by side, since ordering reads little else.
+// node is a node of the heap. The counts are stored here, side by side, since ordering reads little else.
 type node struct {
 	count float64
 	slot  int32
 }
 
-// Summary is a Space-Saving summary. Adding allocates nothing. It is not safe for use by several goroutines.
+// Summary is a Space-Saving summary. Add does not allocate. A Summary is not safe for concurrent use.
 type Summary struct {
-	seed  maphash.Seed
-	slots []slot
-	heap  []node  // the least count first
-	at    []int32 // by slot: its place in the heap
-	index []entry // by hash, open addressing with linear probes
-	total float64
+	seed      maphash.Seed
+	slots     []slot
+	heap      []node  // min-heap by count
+	heapIndex []int32 // by slot: position in the heap
+	index     []entry // hash table with open addressing and linear probing
+	total     float64
 }
 
-// New makes a summary of so many slots, at least 1.
+// New returns a summary with a number of slots, at least 1.
 func New(slots int) *Summary {
 	slots = max(slots, 1)
 	return &Summary{seed: maphash.MakeSeed(), slots: make([]slot, 0, slots), heap: make([]node, 0, slots),
-		at: make([]int32, slots), index: make([]entry, 4<<bits.Len(uint(slots-1)))}
+		heapIndex: make([]int32, slots), index: make([]entry, 4<<bits.Len(uint(slots-1)))}
 }
 
-// find gives the place of a hash in the index, or the free one where it would go.
-func (s *Summary) find(hash uint64) int {
+// lookup returns the position of a hash in the index, or the free position where it would be inserted.
+func (s *Summary) lookup(hash uint64) int {
 	mask := len(s.index) - 1
 	for i := int(hash) & mask; ; i = (i + 1) & mask {
 		if v := &s.index[i]; v.slot == 0 || v.hash == hash {
@@ -62,8 +63,8 @@
 	}
 }
 
-// drop frees a place of the index and moves up what probed past it.
-func (s *Summary) drop(i int) {
+// deleteEntry frees a position of the index and moves back the entries that were probed past it.
+func (s *Summary) deleteEntry(i int) {
 	mask := len(s.index) - 1
 	for k := (i + 1) & mask; s.index[k].slot != 0; k = (k + 1) & mask {
 		if home := int(s.index[k].hash) & mask; (k-home)&mask >= (k-i)&mask {
@@ -73,56 +74,57 @@
 	s.index[i] = entry{}
 }
 
-// Add counts a key with a weight. Two keys of one 64-bit hash (seeded anew at each start) count as one.
+// Add counts a key with a weight. Two keys with the same 64-bit hash (its seed is random for each summary) count as one.
 func (s *Summary) Add(key string, weight float64) {
-	if len(key) > mostKey {
-		key = key[:mostKey]
+	if len(key) > maxKeyLength {
+		key = key[:maxKeyLength]
 	}
 	s.total += weight
 	hash := maphash.String(s.seed, key)
-	place := s.find(hash)
-	if v := s.index[place].slot; v != 0 {
-		at := int(s.at[v-1])
-		s.heap[at].count += weight
-		s.down(at)
+	entryIndex := s.lookup(hash)
+	if v := s.index[entryIndex].slot; v != 0 {
+		heapIndex := int(s.heapIndex[v-1])
+		s.heap[heapIndex].count += weight
+		s.siftDown(heapIndex)
 		return
 	}
 	n := len(s.slots)
 	if n < cap(s.slots) {
 		s.slots = append(s.slots, slot{hash: hash})
 		s.heap = append(s.heap, node{weight, int32(n)})
-		s.at[n] = int32(n)
-		s.index[place] = entry{hash, int32(n) + 1}
-		s.take(int32(n), key)
-		s.up(n)
+		s.heapIndex[n] = int32(n)
+		s.index[entryIndex] = entry{hash, int32(n) + 1}
+		s.setKey(int32(n), key)
+		s.siftUp(n)
 		return
 	}
 	least := &s.heap[0]
 	i := least.slot
-	s.drop(s.find(s.slots[i].hash))
-	s.slots[i].hash, s.slots[i].err = hash, least.count
-	s.index[s.find(hash)] = entry{hash, i + 1}
+	s.deleteEntry(s.lookup(s.slots[i].hash))
+	s.slots[i].hash, s.slots[i].maxError = hash, least.count
+	s.index[s.lookup(hash)] = entry{hash, i + 1}
 	least.count += weight
-	s.take(i, key)
-	s.down(0)
+	s.setKey(i, key)
+	s.siftDown(0)
 }
 
-func (s *Summary) take(i int32, key string) {
+// setKey stores the key of a slot.
+func (s *Summary) setKey(i int32, key string) {
 	s.slots[i].len = uint8(copy(s.slots[i].key[:], key))
 }
 
 func (s *Summary) swap(a, b int) {
 	s.heap[a], s.heap[b] = s.heap[b], s.heap[a]
-	s.at[s.heap[a].slot], s.at[s.heap[b].slot] = int32(a), int32(b)
+	s.heapIndex[s.heap[a].slot], s.heapIndex[s.heap[b].slot] = int32(a), int32(b)
 }
 
-func (s *Summary) up(i int) {
+func (s *Summary) siftUp(i int) {
 	for p := (i - 1) / 2; i > 0 && s.heap[i].count < s.heap[p].count; i, p = p, (p-1)/2 {
 		s.swap(i, p)
 	}
 }
 
-func (s *Summary) down(i int) {
+func (s *Summary) siftDown(i int) {
 	for {
 		least := i
 		for c := 2*i + 1; c <= 2*i+2 && c < len(s.heap); c++ {
@@ -138,20 +140,21 @@
 	}
 }
 
-// Scale multiplies all weights by a factor over 0: the landmark of forward decay moves.
+// Scale multiplies all weights by a positive factor, which moves the landmark of forward decay.
 func (s *Summary) Scale(factor float64) {
 	s.total *= factor
 	for i := range s.slots {
 		s.heap[i].count *= factor
-		s.slots[i].err *= factor
+		s.slots[i].maxError *= factor
 	}
 }
 
-// Scaled gives a copy whose weights are multiplied by a factor over 0. A copy is read only: it is not added to.
+// Scaled returns a copy whose weights are multiplied by a positive factor. The copy is read-only: nothing may be added to
+// it.
 func (s *Summary) Scaled(factor float64) *Summary {
-	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), at: slices.Clone(s.at), total: s.total}
+	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), heapIndex: slices.Clone(s.heapIndex), total: s.total}
 	if len(s.slots) < cap(s.slots) {
-		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // it has room left: nothing was put out
+		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // free slots remain: no key was evicted
 	} else {
 		c.slots = slices.Clip(c.slots)
 	}
@@ -159,34 +162,34 @@
 	return c
 }
 
-// Counter is one key that is held.
+// Counter is a tracked key with its count.
 type Counter struct {
 	Key   string
-	Count float64 // at least the key's true weight
-	Err   float64 // and at most so much over it
+	Count float64 // at least the true weight of the key
+	Err   float64 // largest amount by which Count exceeds the true weight
 }
 
-// Top gives the keys that are held, the heaviest first, at most so many.
-func (s *Summary) Top(most int) []Counter {
+// Top returns the tracked keys, heaviest first, up to a limit.
+func (s *Summary) Top(limit int) []Counter {
 	all := make([]Counter, 0, len(s.slots))
 	for i := range s.slots {
 		v := &s.slots[i]
-		all = append(all, Counter{string(v.key[:v.len]), s.heap[s.at[i]].count, v.err})
+		all = append(all, Counter{string(v.key[:v.len]), s.heap[s.heapIndex[i]].count, v.maxError})
 	}
-	return top(all, most)
+	return top(all, limit)
 }
 
-func top(all []Counter, most int) []Counter {
+func top(all []Counter, limit int) []Counter {
 	slices.SortFunc(all, func(a, b Counter) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key))
 	})
-	return all[:min(most, len(all))]
+	return all[:min(limit, len(all))]
 }
 
-// Total is the weight of all that was counted.
+// Total returns the total weight of everything counted.
 func (s *Summary) Total() float64 { return s.total }
 
-// MaxUntracked is the most that the true weight of a key which is not held can be.
+// MaxUntracked returns the upper bound on the true weight of a key that is not tracked.
 func (s *Summary) MaxUntracked() float64 {
 	if len(s.slots) < cap(s.slots) {
 		return 0
@@ -194,20 +197,21 @@
 	return s.heap[0].count
 }
 
-// Merge adds summaries up: counts of a key are summed, and where a summary does not hold it, its Slack goes into count and
-// error, so that the bounds hold for the sum (Cafaro, Pulimeno and Tempesta, 2016).
-func Merge(most int, parts ...*Summary) []Counter {
+// Merge adds up summaries. The counts of a key are summed; where a summary does not track it, the bound MaxUntracked of
+// that summary is added to count and error, so that the bounds hold for the sum (Cafaro, Pulimeno and Tempesta, 2016). At
+// most limit keys are returned, heaviest first.
+func Merge(limit int, parts ...*Summary) []Counter {
 	type sum struct{ count, err float64 }
 	sums := map[string]*sum{}
-	slack := 0.0
+	maxUntracked := 0.0
 	for _, p := range parts {
-		slack += p.MaxUntracked()
+		maxUntracked += p.MaxUntracked()
 	}
 	for _, p := range parts {
 		for _, c := range p.Top(len(p.slots)) {
 			v := sums[c.Key]
 			if v == nil {
-				v = &sum{slack, slack}
+				v = &sum{maxUntracked, maxUntracked}
 				sums[c.Key] = v
 			}
 			v.count += c.Count - p.MaxUntracked()
@@ -218,5 +222,5 @@
 	for key, v := range sums {
 		all = append(all, Counter{key, v.count, max(0, v.err)})
 	}
-	return top(all, most)
+	return top(all, limit)
 }
--- a/control/member/member.go
+++ b/control/member/member.go
@@ -1,10 +1,11 @@
-// Package member decides which changes of a store's group are safe: who may join, when a learner may vote, and who may be
-// removed. It does no I/O and reads no clock; package store asks it at the leader and carries out what it allows.
+// Package member decides which membership changes of a store's group are safe: who may join, when a learner may become a
+// voter, and who may be removed. It does no I/O and reads no clock; package store calls it on the leader and executes the
+// permitted changes.
 //
-// A group writes while a majority of its voters is up (Raft, Ongaro and Ousterhout 2014, section 6; members change one at a
-// time, Ongaro's thesis 2014, chapter 4). So a change is safe if a majority is up after it, too. A new member joins as a
-// learner, which has no vote, and votes once it has nearly all that the others have: a voter that is far behind counts
-// for the majority and can't make one.
+// A group can write while a majority of its voters is up (Raft, Ongaro and Ousterhout 2014, section 6; members change one
+// at a time, Ongaro's thesis 2014, chapter 4). So a change is safe if a majority is still up after it. A new member joins
+// as a learner without a vote and becomes a voter once it has nearly the whole log: a voter that is far behind raises the
+// majority needed without being able to contribute to it.
 package member
 
 import (
@@ -12,45 +13,47 @@
 	"slices"
 )
 
-// Member is one of a group as the leader sees it.
+// Member is a member of the group as seen by the leader.
 type Member struct {
 	Node, Address string
 	Voter         bool
-	Up            bool   // it answered just now
-	Lag           uint64 // log entries that it lacks
+	Up            bool   // it has just answered the leader
+	Lag           uint64 // number of log entries that it lacks
 }
 
-// Group is what the leader knows.
+// Group is the state of the group as known to the leader.
 type Group struct {
 	Members       []Member
 	Leader        string
-	ChangePending bool // a change is not committed yet
+	ChangePending bool // a membership change is not committed yet
 }
 
-// BehindMost is how many entries a learner may lack when it gets its vote: less than a second of a busy store.
-const BehindMost = 64
+// MaxPromotionLag is the number of log entries that a learner may lack when it becomes a voter: less than one second of a
+// busy store.
+const MaxPromotionLag = 64
 
-// Change names what a change does.
+// Change is the kind of a membership change.
 type Change string
 
-// The changes.
+// The kinds of membership changes.
 const (
-	NoChange       Change = "nothing" // the group is so already
-	AddLearner     Change = "add"     // as a learner
-	ChangeAddress  Change = "move"    // the same member at another address; it keeps its vote
+	NoChange       Change = "nothing" // the group is already in the requested state
+	AddLearner     Change = "add"     // add the member as a learner
+	ChangeAddress  Change = "move"    // change the address of a member; it keeps its vote
 	PromoteLearner Change = "promote"
 	RemoveMember   Change = "remove"
 )
 
-// RefusedError says why a change is not safe, and whether it can be forced.
+// RefusedError reports why a change is not safe, and whether it can be forced.
 type RefusedError struct {
 	Reason    string
 	Forceable bool
 }
 
+// Error implements error.
 func (r *RefusedError) Error() string {
 	if r.Forceable {
-		return r.Reason + "; --force does it all the same"
+		return r.Reason + "; use --force to do it anyway"
 	}
 	return r.Reason
 }
@@ -66,10 +69,10 @@
 	return nil
 }
 
-// voters counts voters, and those of them that are up, leaving one member out.
-func (g *Group) voters(without string) (all, up int) {
+// voters returns the number of voters, and how many of them are up, leaving out one member.
+func (g *Group) voters(except string) (all, up int) {
 	for _, m := range g.Members {
-		if m.Voter && m.Node != without {
+		if m.Voter && m.Node != except {
 			all++
 			if m.Up {
 				up++
@@ -81,10 +84,10 @@
 
 func majority(voters int) int { return voters/2 + 1 }
 
-// Add decides on a member that wants to join, or that comes back at another address.
+// Add decides on a member that wants to join, or that returns at another address.
 func (g *Group) Add(node, address string) (Change, error) {
 	if g.ChangePending {
-		return NoChange, refuse(false, "another change of members is on its way: one at a time")
+		return NoChange, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	}
 	if i := slices.IndexFunc(g.Members, func(m Member) bool { return m.Address == address && m.Node != node }); i >= 0 {
 		return NoChange, refuse(false, "%s is the address of %s already", address, g.Members[i].Node)
@@ -96,36 +99,37 @@
 	case m.Address == address:
 		return NoChange, nil
 	case m.Up:
-		return NoChange, refuse(false, "%s is up at %s: two members of one name would both vote", node, m.Address)
+		return NoChange, refuse(false, "%s is up at %s: two members with one name would both vote", node, m.Address)
 	}
-	// While it moves it is not up, so nothing is lost that was there.
+	// The member is down, so changing its address does not take a running voter from the group.
 	return ChangeAddress, nil
 }
 
-// Promote decides on a learner's vote.
+// Promote decides whether a learner may become a voter.
 func (g *Group) Promote(node string) (Change, error) {
 	m := g.find(node)
 	switch {
 	case g.ChangePending:
-		return NoChange, refuse(false, "another change of members is on its way: one at a time")
+		return NoChange, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	case m == nil:
 		return NoChange, refuse(false, "%s is not a member; add it first", node)
 	case m.Voter:
 		return NoChange, nil
 	case !m.Up:
-		return NoChange, refuse(false, "%s does not answer: as a voter it would count for the majority and not make one", node)
-	case m.Lag > BehindMost:
-		return NoChange, refuse(false, "%s lacks %d entries, %d at most: wait until it has them", node, m.Lag, BehindMost)
+		return NoChange, refuse(false, "%s does not answer: as a voter it would raise the majority needed without contributing to it", node)
+	case m.Lag > MaxPromotionLag:
+		return NoChange, refuse(false, "%s lacks %d entries, at most %d are allowed: wait until it has caught up", node, m.Lag, MaxPromotionLag)
 	}
 	return PromoteLearner, nil
 }
 
-// Remove decides on taking a member out. What can be forced is what leaves no majority up; taking out the last voter can't.
+// Remove decides on the removal of a member. A removal that leaves no majority up can be forced; the removal of the last
+// voter cannot.
 func (g *Group) Remove(node string, force bool) (Change, error) {
 	m := g.find(node)
 	switch {
 	case g.ChangePending:
-		return NoChange, refuse(false, "another change of members is on its way: one at a time")
+		return NoChange, refuse(false, "another membership change is in progress; only one at a time is allowed")
 	case m == nil:
 		return NoChange, nil
 	case !m.Voter:
@@ -133,10 +137,10 @@
 	}
 	all, up := g.voters(node)
 	if all == 0 {
-		return NoChange, refuse(false, "%s is the last voter: without it the group is at its end", node)
+		return NoChange, refuse(false, "%s is the last voter: the group cannot exist without it", node)
 	}
 	if need := majority(all); up < need && !force {
-		return NoChange, refuse(true, "of the %d voters left %d are up and %d are needed: nothing could be written, and what only %s holds would be lost",
+		return NoChange, refuse(true, "of the %d voters left %d are up and %d are needed: the group could not write, and entries that only %s holds would be lost",
 			all, up, need, node)
 	}
 	return RemoveMember, nil
--- a/control/member/member_test.go
+++ b/control/member/member_test.go
@@ -13,8 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// The same steps each time: a verdict must not change from run to run. With -short rapid draws a fifth of the cases, too few for
-// the tests that count what they met, so it is asked for five times as many: -short draws the same cases.
+// A fixed seed makes each run draw the same cases, so that results do not vary from run to run. With -short rapid draws a
+// fifth of the cases, too few for the tests that count what they have covered. Five times as many are requested then, so
+// that -short draws the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -24,11 +25,11 @@
 	os.Exit(m.Run())
 }
 
-func group(words ...string) *Group {
+func group(members ...string) *Group {
 	g := &Group{Leader: "n0"}
-	for i, w := range words {
-		g.Members = append(g.Members, Member{Node: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: strings.Contains(w, "v"), Up: strings.Contains(w, "u"),
-			Lag: map[bool]uint64{true: 1000}[strings.Contains(w, "b")]})
+	for i, flags := range members {
+		g.Members = append(g.Members, Member{Node: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: strings.Contains(flags, "v"), Up: strings.Contains(flags, "u"),
+			Lag: map[bool]uint64{true: 1000}[strings.Contains(flags, "b")]})
 	}
 	return g
 }
@@ -37,53 +38,53 @@
 	changing := group("vu", "vu", "vu")
 	changing.ChangePending = true
 	for name, row := range map[string]struct {
-		do   func() (Change, error)
-		want Change
-		why  string
+		do        func() (Change, error)
+		want      Change
+		wantError string
 	}{
-		"a new one":                {func() (Change, error) { return group("vu", "vu").Add("n9", "a9") }, AddLearner, ""},
-		"there already":            {func() (Change, error) { return group("vu", "vu").Add("n1", "a1") }, NoChange, ""},
-		"moved, and down":          {func() (Change, error) { return group("vu", "v").Add("n1", "a9") }, ChangeAddress, ""},
-		"moved, and still up":      {func() (Change, error) { return group("vu", "vu").Add("n1", "a9") }, NoChange, "would both vote"},
-		"another's address":        {func() (Change, error) { return group("vu", "vu").Add("n9", "a1") }, NoChange, "address of n1"},
-		"a change is on its way":   {func() (Change, error) { return changing.Add("n9", "a9") }, NoChange, "one at a time"},
-		"a learner that is ready":  {func() (Change, error) { return group("vu", "vu", "u").Promote("n2") }, PromoteLearner, ""},
-		"a learner that is behind": {func() (Change, error) { return group("vu", "vu", "ub").Promote("n2") }, NoChange, "lacks 1000"},
-		"a learner that is down":   {func() (Change, error) { return group("vu", "vu", "").Promote("n2") }, NoChange, "does not answer"},
-		"a voter":                  {func() (Change, error) { return group("vu", "vu").Promote("n1") }, NoChange, ""},
-		"a stranger's vote":        {func() (Change, error) { return group("vu").Promote("n7") }, NoChange, "add it first"},
-		"a dead one of three":      {func() (Change, error) { return group("vu", "vu", "v").Remove("n2", false) }, RemoveMember, ""},
+		"a new member":                     {func() (Change, error) { return group("vu", "vu").Add("n9", "a9") }, AddLearner, ""},
+		"already a member":                 {func() (Change, error) { return group("vu", "vu").Add("n1", "a1") }, NoChange, ""},
+		"new address, down":                {func() (Change, error) { return group("vu", "v").Add("n1", "a9") }, ChangeAddress, ""},
+		"new address, still up":            {func() (Change, error) { return group("vu", "vu").Add("n1", "a9") }, NoChange, "would both vote"},
+		"address of another member":        {func() (Change, error) { return group("vu", "vu").Add("n9", "a1") }, NoChange, "address of n1"},
+		"a change is in progress":          {func() (Change, error) { return changing.Add("n9", "a9") }, NoChange, "one at a time"},
+		"a learner that is ready":          {func() (Change, error) { return group("vu", "vu", "u").Promote("n2") }, PromoteLearner, ""},
+		"a learner that is behind":         {func() (Change, error) { return group("vu", "vu", "ub").Promote("n2") }, NoChange, "lacks 1000"},
+		"a learner that is down":           {func() (Change, error) { return group("vu", "vu", "").Promote("n2") }, NoChange, "does not answer"},
+		"a voter":                          {func() (Change, error) { return group("vu", "vu").Promote("n1") }, NoChange, ""},
+		"promotion of a non-member":        {func() (Change, error) { return group("vu").Promote("n7") }, NoChange, "add it first"},
+		"removal of the one dead of three": {func() (Change, error) { return group("vu", "vu", "v").Remove("n2", false) }, RemoveMember, ""},
 		"one up of three, one dead": {func() (Change, error) { return group("vu", "vu", "v").Remove("n1", false) }, NoChange,
 			"of the 2 voters left 1 are up and 2 are needed"},
-		"the same, forced":    {func() (Change, error) { return group("vu", "vu", "v").Remove("n1", true) }, RemoveMember, ""},
-		"the last voter":      {func() (Change, error) { return group("vu", "u").Remove("n0", true) }, NoChange, "the last voter"},
-		"a learner":           {func() (Change, error) { return group("vu", "").Remove("n1", false) }, RemoveMember, ""},
-		"one that is gone":    {func() (Change, error) { return group("vu").Remove("n5", false) }, NoChange, ""},
-		"removal in a change": {func() (Change, error) { return changing.Remove("n1", true) }, NoChange, "one at a time"},
+		"the same, forced":        {func() (Change, error) { return group("vu", "vu", "v").Remove("n1", true) }, RemoveMember, ""},
+		"the last voter":          {func() (Change, error) { return group("vu", "u").Remove("n0", true) }, NoChange, "the last voter"},
+		"a learner":               {func() (Change, error) { return group("vu", "").Remove("n1", false) }, RemoveMember, ""},
+		"removal of a non-member": {func() (Change, error) { return group("vu").Remove("n5", false) }, NoChange, ""},
+		"removal during a change": {func() (Change, error) { return changing.Remove("n1", true) }, NoChange, "one at a time"},
 	} {
 		do, err := row.do()
-		if do != row.want || (err == nil) != (row.why == "") || err != nil && !strings.Contains(err.Error(), row.why) {
+		if do != row.want || (err == nil) != (row.wantError == "") || err != nil && !strings.Contains(err.Error(), row.wantError) {
 			t.Errorf("%s: %s, %v", name, do, err)
 		}
 	}
 }
 
-// A model: whatever operators ask for, in whatever order members come and go, a group that could write before a change that
-// was not forced can write after it, and no vote is ever given to a member that is down or far behind.
-func TestNoChangeLosesTheMajority(t *testing.T) {
+// Model test: for any sequence of requests and failures, a group that could write before an unforced change can write
+// after it, and no member that is down or far behind becomes a voter.
+func TestNoChangeLosesMajority(t *testing.T) {
 	changes := map[Change]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		g := group("vu", "vu", "vu")
-		writes := func() bool { all, up := g.voters(""); return up >= majority(all) }
+		writable := func() bool { all, up := g.voters(""); return up >= majority(all) }
 		for range rapid.IntRange(50, 150).Draw(t, "steps") {
 			node := fmt.Sprint("n", rapid.IntRange(0, 4).Draw(t, "node"))
 			m := g.find(node)
-			before := writes()
+			before := writable()
 			var do Change
 			var err error
 			address := ""
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
-			case 0: // it fails or comes back
+			case 0: // the member fails or recovers
 				if m != nil {
 					m.Up = !m.Up
 				}
@@ -103,7 +104,7 @@
 			}
 			var refusal *RefusedError
 			if err != nil && (!errors.As(err, &refusal) || do != NoChange) {
-				t.Fatalf("%s with %v", do, err)
+				t.Fatalf("change %s with error %v", do, err)
 			}
 			changes[do]++
 			switch do {
@@ -112,24 +113,24 @@
 			case ChangeAddress:
 				m.Address = address
 			case PromoteLearner:
-				if !m.Up || m.Lag > BehindMost {
-					t.Fatalf("a vote for %+v", *m)
+				if !m.Up || m.Lag > MaxPromotionLag {
+					t.Fatalf("%+v became a voter", *m)
 				}
 				m.Voter = true
 			case RemoveMember:
 				g.Members = slices.DeleteFunc(g.Members, func(o Member) bool { return o.Node == node })
 			}
-			if before && !writes() {
-				t.Fatalf("after %s of %s nothing can be written: %+v", do, node, g.Members)
+			if before && !writable() {
+				t.Fatalf("after %s of %s the group cannot write: %+v", do, node, g.Members)
 			}
 			if all, _ := g.voters(""); all == 0 {
-				t.Fatalf("after %s of %s nobody votes", do, node)
+				t.Fatalf("after %s of %s there are no voters", do, node)
 			}
 		}
 	})
 	for _, do := range []Change{AddLearner, ChangeAddress, PromoteLearner, RemoveMember} {
 		if changes[do] < 10 {
-			t.Errorf("%s happened %d times: not tested", do, changes[do])
+			t.Errorf("%s happened only %d times", do, changes[do])
 		}
 	}
 }
--- a/control/scope/scope_test.go
+++ b/control/scope/scope_test.go
@@ -22,15 +22,15 @@
 
 func TestParseKey(t *testing.T) {
 	for key, want := range map[string]Key{
-		"settings/all/calls":                    {All, "", SectionCalls},
-		"settings/region/R/calls":               {Region, "R", SectionCalls},
-		"settings/zone/Z/limits":                {Zone, "Z", SectionLimits},
-		"settings/service/S.a-b/inventory":      {Service, "S.a-b", SectionInventory},
-		"settings/gatekeeper/G:1/calls":         {Gatekeeper, "G:1", SectionCalls},
-		"settings/gatekeeper/gåta/calls":        {Gatekeeper, "gåta", SectionCalls},
-		"settings/region/all/inventory":         {Region, "all", SectionInventory},
-		"settings/service/calls/limits":         {Service, "calls", SectionLimits},
-		"settings/zone/" + long(128) + "/calls": {Zone, long(128), SectionCalls},
+		"settings/all/calls":                       {All, "", SectionCalls},
+		"settings/region/R/calls":                  {Region, "R", SectionCalls},
+		"settings/zone/Z/limits":                   {Zone, "Z", SectionLimits},
+		"settings/service/S.a-b/inventory":         {Service, "S.a-b", SectionInventory},
+		"settings/gatekeeper/G:1/calls":            {Gatekeeper, "G:1", SectionCalls},
+		"settings/gatekeeper/gåta/calls":           {Gatekeeper, "gåta", SectionCalls},
+		"settings/region/all/inventory":            {Region, "all", SectionInventory},
+		"settings/service/calls/limits":            {Service, "calls", SectionLimits},
+		"settings/zone/" + repeatX(128) + "/calls": {Zone, repeatX(128), SectionCalls},
 	} {
 		got, err := ParseKey(key)
 		require.NoError(t, err, key)
@@ -38,28 +38,28 @@
 		require.Equal(t, key, got.String())
 	}
 	for key, want := range map[string]KeyFault{
-		"":                                      MissingPrefix,
-		"settings":                              MissingPrefix,
-		"Settings/all/calls":                    MissingPrefix,
-		"inventory/all/calls":                   MissingPrefix,
-		"settings/":                             UnknownScope,
-		"settings//calls":                       UnknownScope,
-		"settings/rack/r1/calls":                UnknownScope,
-		"settings/All/calls":                    UnknownScope,
-		"settings/all":                          WrongPartCount,
-		"settings/all/x/calls":                  WrongPartCount,
-		"settings/zone/calls":                   WrongPartCount,
-		"settings/zone/a/b/calls":               WrongPartCount,
-		"settings/zone/n1/calls/":               WrongPartCount,
-		"settings/zone//calls":                  InvalidName,
-		"settings/zone/a b/calls":               InvalidName,
-		"settings/zone/a\x00/calls":             InvalidName,
-		"settings/zone/a\xff/calls":             InvalidName,
-		"settings/zone/" + long(129) + "/calls": InvalidName,
-		"settings/all/":                         UnknownSection,
-		"settings/all/verdicts":                 UnknownSection,
-		"settings/zone/n1/":                     UnknownSection,
-		"settings/zone/n1/Calls":                UnknownSection,
+		"":                                         MissingPrefix,
+		"settings":                                 MissingPrefix,
+		"Settings/all/calls":                       MissingPrefix,
+		"inventory/all/calls":                      MissingPrefix,
+		"settings/":                                UnknownScope,
+		"settings//calls":                          UnknownScope,
+		"settings/rack/r1/calls":                   UnknownScope,
+		"settings/All/calls":                       UnknownScope,
+		"settings/all":                             WrongPartCount,
+		"settings/all/x/calls":                     WrongPartCount,
+		"settings/zone/calls":                      WrongPartCount,
+		"settings/zone/a/b/calls":                  WrongPartCount,
+		"settings/zone/n1/calls/":                  WrongPartCount,
+		"settings/zone//calls":                     InvalidName,
+		"settings/zone/a b/calls":                  InvalidName,
+		"settings/zone/a\x00/calls":                InvalidName,
+		"settings/zone/a\xff/calls":                InvalidName,
+		"settings/zone/" + repeatX(129) + "/calls": InvalidName,
+		"settings/all/":                            UnknownSection,
+		"settings/all/verdicts":                    UnknownSection,
+		"settings/zone/n1/":                        UnknownSection,
+		"settings/zone/n1/Calls":                   UnknownSection,
 	} {
 		_, err := ParseKey(key)
 		var fault *KeyError
@@ -70,12 +70,12 @@
 	}
 }
 
-func long(n int) string { return strings.Repeat("x", n) }
+func repeatX(n int) string { return strings.Repeat("x", n) }
 
 func TestTargetCheck(t *testing.T) {
 	require.NoError(t, target.Check())
 	require.NoError(t, Target{}.Check())
-	for _, bad := range []Target{{Name: "a/b"}, {Region: "a b"}, {Zone: "\n"}, {Service: long(129)}} {
+	for _, bad := range []Target{{Name: "a/b"}, {Region: "a b"}, {Zone: "\n"}, {Service: repeatX(129)}} {
 		err := bad.Check()
 		var fault *NameError
 		require.ErrorAs(t, err, &fault)
@@ -83,14 +83,14 @@
 	}
 }
 
-// A narrower record replaces the section whole; a deleted one uncovers the wider one.
+// A narrower record replaces the section as a whole; without the narrower record the wider one applies again.
 func TestResolve(t *testing.T) {
 	records := []Record{
 		{"settings/all/calls", []byte("1"), 1},
 		{"settings/all/limits", []byte("2"), 2},
 		{"settings/zone/n1/calls", []byte("3"), 3},
-		{"settings/zone/n2/calls", []byte("4"), 4},       // of another zone
-		{"settings/gatekeeper/g7/later", []byte("5"), 5}, // of a later version
+		{"settings/zone/n2/calls", []byte("4"), 4},       // other zone
+		{"settings/gatekeeper/g7/later", []byte("5"), 5}, // written by a later version
 		{"settings/service/billing/calls", []byte("6"), 1},
 		{"settings/gatekeeper/g7/calls", nil, 7}, // deleted
 	}
@@ -103,8 +103,9 @@
 	require.Empty(t, Resolve(target, nil))
 }
 
-// naive is the rule as it is written: from the widest scope to the narrowest, each key's newest record replaces what was there.
-func naive(t Target, records []Record) map[string]Record {
+// naiveResolve implements the rule literally: from the widest scope to the narrowest, the newest record of each key
+// replaces the previous one.
+func naiveResolve(t Target, records []Record) map[string]Record {
 	resolved := map[string]Record{}
 	for _, prefix := range t.Prefixes() {
 		for _, section := range Sections() {
@@ -122,11 +123,11 @@
 	return resolved
 }
 
-// For random targets and records Resolve gives what the naive rule gives, in whichever order the records come.
+// For random targets and records Resolve returns the same as naiveResolve, for any order of the records.
 func TestResolveModel(t *testing.T) {
 	name := rapid.SampledFrom([]string{"", "a", "b", "all", "calls"})
 	rapid.Check(t, func(t *rapid.T) {
-		who := Target{name.Draw(t, "name"), name.Draw(t, "region"), name.Draw(t, "zone"), name.Draw(t, "service")}
+		self := Target{name.Draw(t, "name"), name.Draw(t, "region"), name.Draw(t, "zone"), name.Draw(t, "service")}
 		var records []Record
 		for i := range rapid.IntRange(0, 40).Draw(t, "records") {
 			k := Key{Kind(rapid.IntRange(int(All), int(Gatekeeper)).Draw(t, "kind")), "", rapid.SampledFrom(append(Sections(), "later")).Draw(t, "section")}
@@ -137,32 +138,32 @@
 			if rapid.IntRange(0, 3).Draw(t, "deleted") > 0 {
 				value = []byte{byte(i)}
 			}
-			// A revision of the store writes a key once.
+			// Each revision of the store writes a key at most once.
 			records = append(records, Record{k.String(), value, uint64(i + 1)})
 		}
-		mixed := rapid.Permutation(records).Draw(t, "mixed")
-		want := naive(who, records)
-		if diff := cmp.Diff(want, Resolve(who, mixed)); diff != "" {
+		shuffled := rapid.Permutation(records).Draw(t, "mixed")
+		want := naiveResolve(self, records)
+		if diff := cmp.Diff(want, Resolve(self, shuffled)); diff != "" {
 			t.Fatal(diff)
 		}
-		// What it resolves to needs no more than the records under the target's prefixes.
-		followed := slices.DeleteFunc(slices.Clone(records), func(r Record) bool {
-			return !slices.ContainsFunc(who.Prefixes(), func(p string) bool { return strings.HasPrefix(r.Key, p) })
+		// The records under the target's prefixes are sufficient.
+		relevant := slices.DeleteFunc(slices.Clone(records), func(r Record) bool {
+			return !slices.ContainsFunc(self.Prefixes(), func(p string) bool { return strings.HasPrefix(r.Key, p) })
 		})
-		if diff := cmp.Diff(want, Resolve(who, followed)); diff != "" {
+		if diff := cmp.Diff(want, Resolve(self, relevant)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
 }
 
-// Every text is either refused, or is exactly the key that its parts give.
+// Every text is either rejected or equals the key formed from its parsed parts.
 func TestParseKeyModel(t *testing.T) {
 	part := rapid.SampledFrom([]string{"settings", "all", "zone", "gatekeeper", "", "n1", "calls", "limits", " ", "\x7f"})
 	rapid.Check(t, func(t *rapid.T) {
 		key := strings.Join(rapid.SliceOfN(part, 0, 6).Draw(t, "parts"), "/")
 		k, err := ParseKey(key)
 		if err == nil && k.String() != key {
-			t.Fatalf("%q is read as %+v, whose key is %q", key, k, k.String())
+			t.Fatalf("%q is parsed as %+v, whose key is %q", key, k, k.String())
 		}
 	})
 }
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -18,46 +18,46 @@
 	"beammux/control/scope"
 )
 
-// This file plays all gatekeepers of a deployment against its control machines in virtual time.
+// The tests in this file simulate all gatekeepers of a deployment and its control machines in virtual time.
 
 const (
 	fleetClients     = 2200
 	fleetReplicas    = 13
 	heartbeatEvery   = control.Micros(1e6)
-	loadWindow       = control.Micros(100e3) // sessions are counted in such windows
+	loadWindow       = control.Micros(100e3) // width of the windows in which new sessions are counted
 	windowsPerSecond = 10
 )
 
-// fleet is a deployment in virtual time.
+// fleet is a simulated deployment in virtual time.
 type fleet struct {
-	now      control.Micros
-	due      dueHeap
-	ordered  uint64
-	random   *rand.Rand
-	replicas []*fleetReplica
-	byName   map[string]*fleetReplica
-	clients  []*fleetClient
-	timing   Timing
-	opened   map[string]map[control.Micros]int // new sessions by replica and window
-}
-
-// health is how a control machine stands.
+	now       control.Micros
+	events    eventHeap
+	lastOrder uint64
+	random    *rand.Rand
+	replicas  []*fleetReplica
+	byName    map[string]*fleetReplica
+	clients   []*fleetClient
+	timing    Timing
+	opened    map[string]map[control.Micros]int // new sessions by replica and window
+}
+
+// health is the health of a control machine.
 type health int
 
 const (
-	up      health = iota
-	refuses        // the process has ended: connections are reset
-	silent         // the machine is off: nothing is answered
+	up          health = iota
+	resetting          // the process has ended: connections are reset
+	unreachable        // the machine is off: nothing is answered
 )
 
 type fleetReplica struct {
 	Replica
-	health   health
-	sessions map[fleetSession]bool
-	mostLoad int
-	most     int              // sessions that it holds at a time; 0: no bound
-	limits   admission.Limits // of its admission; none: whoever comes is taken
-	admitter *admission.Controller
+	health      health
+	sessions    map[fleetSession]bool
+	peakLoad    int
+	maxSessions int              // maximum number of open sessions; 0: no limit
+	limits      admission.Limits // limits of its admission; zero: every client is admitted
+	admitter    *admission.Controller
 }
 
 type fleetSession struct {
@@ -66,65 +66,66 @@
 }
 
 type fleetClient struct {
-	machine *Machine
-	open    map[uint64]*fleetReplica
-	waking  bool
-	wakeAt  control.Micros
-	name    string
+	machine       *Machine
+	open          map[uint64]*fleetReplica
+	tickScheduled bool
+	tickAt        control.Micros
+	name          string
 }
 
-type dueEvent struct {
+type timedEvent struct {
 	at    control.Micros
 	order uint64
 	do    func()
 }
 
-type dueHeap []dueEvent
+type eventHeap []timedEvent
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueEvent)) }
-func (h *dueHeap) Pop() any {
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timedEvent)) }
+func (h *eventHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
 func (f *fleet) after(d control.Micros, do func()) {
-	f.ordered++
-	heap.Push(&f.due, dueEvent{f.now + d, f.ordered, do})
+	f.lastOrder++
+	heap.Push(&f.events, timedEvent{f.now + d, f.lastOrder, do})
 }
 
-// runFor lets virtual time pass.
+// runFor advances virtual time.
 func (f *fleet) runFor(d control.Micros) {
 	end := f.now + d
-	for len(f.due) > 0 && f.due[0].at <= end {
-		e := heap.Pop(&f.due).(dueEvent)
+	for len(f.events) > 0 && f.events[0].at <= end {
+		e := heap.Pop(&f.events).(timedEvent)
 		f.now = e.at
 		e.do()
 	}
 	f.now = end
 }
 
-// runUntil lets time pass until a condition holds, and gives how long that took; the test fails if it does not within a time.
-func (f *fleet) runUntil(t *testing.T, within control.Micros, what string, holds func() bool) control.Micros {
+// runUntil advances virtual time until a condition holds and returns the time that took. The test fails if it takes as
+// long as within.
+func (f *fleet) runUntil(t *testing.T, within control.Micros, description string, condition func() bool) control.Micros {
 	t.Helper()
-	begun := f.now
-	for !holds() {
-		require.Less(t, f.now-begun, within, what)
+	start := f.now
+	for !condition() {
+		require.Less(t, f.now-start, within, description)
 		f.runFor(50e3)
 	}
-	return f.now - begun
+	return f.now - start
 }
 
-// latency is that of a round trip in a data centre or between regions.
+// latency draws the latency of a round trip within a data centre or between regions.
 func (f *fleet) latency() control.Micros { return control.Micros(1e3 + f.random.Float64()*49e3) }
 
-// newFleet places 13 control machines (three in the first zone, two in each other) and the gatekeepers evenly over 6 zones in
-// 3 regions. Gatekeepers start within a time.
+// newFleet distributes 13 control machines (three in the first zone, two in each other zone) and the gatekeepers evenly
+// over 6 zones in 3 regions. Gatekeepers start at random times within startWithin.
 func newFleet(seed uint64, startWithin control.Micros) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*fleetReplica{}, opened: map[string]map[control.Micros]int{},
@@ -146,7 +147,7 @@
 		f.clients = append(f.clients, c)
 		f.after(control.Micros(f.random.Float64()*float64(startWithin)), func() {
 			c.machine = New(f.now, Options{Self: scope.Target{Name: c.name, Zone: zone, Region: region}, Replicas: list, Random: f.random.Float64})
-			f.step(c, nil)
+			f.execute(c, nil)
 		})
 	}
 	for _, r := range f.replicas {
@@ -155,8 +156,8 @@
 	return f
 }
 
-// step carries out actions of a client, and has it woken when it wants to be.
-func (f *fleet) step(c *fleetClient, actions []Action) {
+// execute executes the actions of a client and schedules its next tick.
+func (f *fleet) execute(c *fleetClient, actions []Action) {
 	for _, a := range actions {
 		switch a.Type {
 		case Connect:
@@ -168,39 +169,40 @@
 			delete(c.open, a.Session)
 		}
 	}
-	f.wake(c)
+	f.scheduleTick(c)
 }
 
-// wake has a client's machine ticked when it wants to be. A call that is due earlier already looks again then.
-func (f *fleet) wake(c *fleetClient) {
+// scheduleTick schedules the next tick of a client's machine. If a tick is already scheduled for an earlier time, that
+// tick reschedules.
+func (f *fleet) scheduleTick(c *fleetClient) {
 	at, _ := c.machine.NextTick()
-	if c.waking && c.wakeAt <= at {
+	if c.tickScheduled && c.tickAt <= at {
 		return
 	}
-	c.waking, c.wakeAt = true, at
+	c.tickScheduled, c.tickAt = true, at
 	f.after(max(0, at-f.now), func() {
-		if !c.waking || c.wakeAt != at {
-			return // an earlier call took its place
+		if !c.tickScheduled || c.tickAt != at {
+			return // replaced by an earlier tick
 		}
-		c.waking = false
+		c.tickScheduled = false
 		if due, _ := c.machine.NextTick(); due > f.now {
-			f.wake(c)
+			f.scheduleTick(c)
 			return
 		}
-		f.step(c, c.machine.Tick(f.now))
+		f.execute(c, c.machine.Tick(f.now))
 	})
 }
 
-// arrive is an attempt's arrival at a replica.
+// arrive processes an attempt that reaches a replica.
 func (f *fleet) arrive(c *fleetClient, r *fleetReplica, a Action) {
-	if c.open[a.Session] == nil || r.health == silent {
+	if c.open[a.Session] == nil || r.health == unreachable {
 		return
 	}
-	if r.health == refuses {
+	if r.health == resetting {
 		f.end(c, a.Session, End{Reason: Lost})
 		return
 	}
-	if r.most > 0 && len(r.sessions) >= r.most {
+	if r.maxSessions > 0 && len(r.sessions) >= r.maxSessions {
 		f.end(c, a.Session, End{Reason: Full})
 		return
 	}
@@ -209,22 +211,22 @@
 		return
 	}
 	r.sessions[fleetSession{c, a.Session}] = true
-	r.mostLoad = max(r.mostLoad, len(r.sessions))
+	r.peakLoad = max(r.peakLoad, len(r.sessions))
 	f.opened[r.Name][f.now/loadWindow]++
 	kind := Heartbeat
 	if a.StartRevision == 0 {
 		kind = Snapshot
 	}
-	f.step(c, c.machine.HandleEvent(f.now, a.Session, Event{Kind: kind, Revision: 1}))
+	f.execute(c, c.machine.HandleEvent(f.now, a.Session, Event{Kind: kind, Revision: 1}))
 }
 
-// admits sets the rate and the burst at which a replica takes sessions, and sends snapshots.
-func (r *fleetReplica) admits(rate float64, burst int) {
+// limitAdmission limits the rate and the burst at which a replica admits sessions and sends snapshots.
+func (r *fleetReplica) limitAdmission(rate float64, burst int) {
 	r.limits = admission.Limits{SessionsPerSecond: rate, SessionsBurst: burst, SnapshotsPerSecond: rate, SnapshotsBurst: burst}
 	r.admitter = admission.New(r.limits)
 }
 
-// admit asks the replica's own admission.
+// admit calls the replica's admission controller.
 func (r *fleetReplica) admit(now control.Micros, client string, snapshot bool) admission.Decision {
 	if r.admitter == nil {
 		return admission.Decision{Admitted: true}
@@ -235,7 +237,7 @@
 func (f *fleet) end(c *fleetClient, session uint64, e End) {
 	if r := c.open[session]; r != nil {
 		delete(c.open, session)
-		f.step(c, c.machine.HandleEnd(f.now, session, e))
+		f.execute(c, c.machine.HandleEnd(f.now, session, e))
 	}
 }
 
@@ -243,40 +245,40 @@
 	if r.health == up {
 		for _, s := range r.list() {
 			if r.sessions[s] {
-				f.step(s.client, s.client.machine.HandleEvent(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
+				f.execute(s.client, s.client.machine.HandleEvent(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
 			}
 		}
 	}
 	f.after(heartbeatEvery, func() { f.heartbeats(r) })
 }
 
-// list gives the sessions in an order that doesn't depend on the map.
+// list returns the sessions in an order that does not depend on map iteration.
 func (r *fleetReplica) list() []fleetSession {
 	return slices.SortedFunc(maps.Keys(r.sessions), func(a, b fleetSession) int {
 		return cmp.Or(strings.Compare(a.client.name, b.client.name), cmp.Compare(a.id, b.id))
 	})
 }
 
-// fail ends some control machines at once.
+// fail stops some control machines at the same time and returns the number of sessions they had.
 func (f *fleet) fail(how health, replicas ...*fleetReplica) (sessions int) {
 	for _, r := range replicas {
 		r.health = how
 		sessions += len(r.sessions)
 		for _, s := range r.list() {
-			if how == refuses {
+			if how == resetting {
 				f.after(f.latency(), func() { f.end(s.client, s.id, End{Reason: Lost}) })
 			}
 		}
 		r.sessions = map[fleetSession]bool{}
 	}
-	f.watchLoads()
+	f.resetPeaks()
 	return sessions
 }
 
-// watchLoads begins to take the highest loads and new sessions anew.
-func (f *fleet) watchLoads() {
+// resetPeaks restarts the recording of the highest loads and of new sessions.
+func (f *fleet) resetPeaks() {
 	for _, r := range f.replicas {
-		r.mostLoad = len(r.sessions)
+		r.peakLoad = len(r.sessions)
 		f.opened[r.Name] = map[control.Micros]int{}
 	}
 }
@@ -288,11 +290,11 @@
 			r.admitter = admission.New(r.limits) // a new process
 		}
 	}
-	f.watchLoads()
+	f.resetPeaks()
 }
 
-// in gives the control machines of a zone or region.
-func (f *fleet) in(place string) (list []*fleetReplica) {
+// replicasIn returns the control machines of a zone or region.
+func (f *fleet) replicasIn(place string) (list []*fleetReplica) {
 	for _, r := range f.replicas {
 		if r.Zone == place || r.Region == place {
 			list = append(list, r)
@@ -301,8 +303,8 @@
 	return list
 }
 
-// connected tells whether all gatekeepers have a session at a machine that is up.
-func (f *fleet) connected() bool {
+// allConnected reports whether all gatekeepers have a session with a machine that is up.
+func (f *fleet) allConnected() bool {
 	for _, c := range f.clients {
 		if c.machine == nil {
 			return false
@@ -315,8 +317,8 @@
 	return true
 }
 
-// settled tells whether all gatekeepers have theirs at the machine that they prefer.
-func (f *fleet) settled() bool {
+// allAtPreferred reports whether all gatekeepers have their session with the machine that they prefer.
+func (f *fleet) allAtPreferred() bool {
 	for _, c := range f.clients {
 		if c.machine.current == nil || c.machine.current.rank > 0 || c.machine.attempt != nil {
 			return false
@@ -325,16 +327,16 @@
 	return true
 }
 
-// mostLoad is the highest load of any machine since the loads are watched.
-func (f *fleet) mostLoad() (most int) {
+// peakLoad returns the highest load of any machine since the last resetPeaks.
+func (f *fleet) peakLoad() (highest int) {
 	for _, r := range f.replicas {
-		most = max(most, r.mostLoad)
+		highest = max(highest, r.peakLoad)
 	}
-	return most
+	return highest
 }
 
-// peak is the most new sessions that any machine had within a second, and within a window.
-func (f *fleet) peak() (second, window int) {
+// peakNewSessions returns the highest number of new sessions of any machine within one second, and within one window.
+func (f *fleet) peakNewSessions() (second, window int) {
 	for _, windows := range f.opened {
 		for at, n := range windows {
 			sum := 0
@@ -347,15 +349,16 @@
 	return second, window
 }
 
-// chance is the most that n clients come to at one of several places by chance: five standard deviations over the mean.
-func chance(n int, part float64) int {
-	mean := float64(n) * part
-	return int(math.Ceil(mean + 5*math.Sqrt(mean*(1-part))))
+// binomialBound returns an upper bound on how many of n clients choose the same place if each does so with the given
+// probability: five standard deviations above the mean.
+func binomialBound(n int, probability float64) int {
+	mean := float64(n) * probability
+	return int(math.Ceil(mean + 5*math.Sqrt(mean*(1-probability))))
 }
 
 const zoneClients = (fleetClients + 5) / 6
 
-// fleetSeeds is how many seeds a test plays.
+// fleetSeeds returns the number of seeds that a test runs with.
 func fleetSeeds() uint64 {
 	if testing.Short() {
 		return 1
@@ -363,10 +366,11 @@
 	return 3
 }
 
-// With a bound of twice a machine's share the machine that is left in a zone takes no more than that: the rest go on to the
-// region's other zone at once, none is left without a session, and all come back once the lost machine has returned.
+// Session limit of twice a machine's share: the machine that remains in a zone takes no more than that. The other
+// gatekeepers move to the other zone of the region at once, none is left without a session, and all return once the lost
+// machine is back.
 func TestFleetWithFullMachines(t *testing.T) {
-	const most = 2 * fleetClients / fleetReplicas
+	const maxSessions = 2 * fleetClients / fleetReplicas
 	timing := Timing{}.WithDefaults()
 	const slack = control.Micros(300e3)
 	for seed := range fleetSeeds() {
@@ -374,95 +378,96 @@
 			t.Parallel()
 			f := newFleet(seed, 10e6)
 			for _, r := range f.replicas {
-				r.most = most
+				r.maxSessions = maxSessions
 			}
 			f.runFor(10e6)
-			f.runUntil(t, 5e6, "started", f.settled)
+			f.runUntil(t, 5e6, "started", f.allAtPreferred)
 			f.runFor(timing.StableAfter + 10e6)
 
-			lost, left := f.in("zone-1")[0], f.in("zone-1")[1]
-			f.fail(refuses, lost)
-			took := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.connected)
-			require.Equal(t, most, left.mostLoad, "%d gatekeepers of its zone would go there", zoneClients)
-			require.LessOrEqual(t, f.mostLoad(), most)
+			lost, left := f.replicasIn("zone-1")[0], f.replicasIn("zone-1")[1]
+			f.fail(resetting, lost)
+			elapsed := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.allConnected)
+			require.Equal(t, maxSessions, left.peakLoad, "all %d gatekeepers of its zone prefer it", zoneClients)
+			require.LessOrEqual(t, f.peakLoad(), maxSessions)
 			f.runFor(2 * timing.ReturnInterval)
-			require.True(t, f.connected())
-			require.LessOrEqual(t, f.mostLoad(), most, "they look for room in their zone, and find none")
+			require.True(t, f.allConnected())
+			require.LessOrEqual(t, f.peakLoad(), maxSessions, "retries at the full machine of the zone are refused")
 
 			f.recover(lost)
-			back := f.runUntil(t, timing.ReturnInterval+slack, "all are back where they prefer to be", f.settled)
-			require.LessOrEqual(t, f.mostLoad(), most)
-			t.Logf("all have a session again in %.2f s, and are back in %.2f s", float64(took)/1e6, float64(back)/1e6)
+			returnElapsed := f.runUntil(t, timing.ReturnInterval+slack, "all are at their preferred machine", f.allAtPreferred)
+			require.LessOrEqual(t, f.peakLoad(), maxSessions)
+			t.Logf("all have a session again in %.2f s, and have returned in %.2f s", float64(elapsed)/1e6, float64(returnElapsed)/1e6)
 		})
 	}
 }
 
-// Failures of control machines with all 2,200 gatekeepers: how much load the others get at most, how long it takes until all
-// have a session again, and how many new sessions a second a machine gets; then the same for the return.
+// Failures of control machines with all 2,200 gatekeepers: checks the highest load of the other machines, the time until
+// all gatekeepers have a session again, and the rate of new sessions at a machine; then the same for the return of the
+// failed machines.
 func TestFleetFailures(t *testing.T) {
 	timing := Timing{}.WithDefaults()
-	const slack = control.Micros(300e3) // round trips, and the steps in which a condition is looked at
+	const slack = control.Micros(300e3) // round trips, and the interval at which conditions are checked
 	for _, failure := range []struct {
-		name     string
-		lost     func(*fleet) []*fleetReplica
-		mostLoad int // of a machine that is left
-		attempts int // the most that a gatekeeper whose machine is killed needs: at the others that are lost, and one more
-		silent   int // of these the most that get no answer, where machines are silent: see silentSkip
-		peak     int // most new sessions a second at a machine
+		name            string
+		lost            func(*fleet) []*fleetReplica
+		peakLoad        int // highest load of a remaining machine
+		attempts        int // most attempts that a gatekeeper needs if its machine is killed: at the other lost machines, and one more
+		unreachable     int // most of these without an answer if machines are unreachable, see maxUnansweredInRow
+		peakNewSessions int // most new sessions per second at a machine
 	}{
-		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.in("zone-1")[:1] }, zoneClients, 1, 0, chance(zoneClients, 0.5)},
-		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.in("zone-0")[:1] }, chance(zoneClients, 0.5), 1, 0, chance(zoneClients, 1./6)},
-		{"two of three in a zone", func(f *fleet) []*fleetReplica { return f.in("zone-0")[:2] }, zoneClients, 2, 1, chance(zoneClients, 2./3)},
-		{"a zone", func(f *fleet) []*fleetReplica { return f.in("zone-1") }, chance(zoneClients, 1./3) * 2, 2, 1, chance(zoneClients, 1./3)},
-		// The machines of the other regions take a ninth each, beside their own: half of a zone's, or half of the third machine's zone.
-		{"a region", func(f *fleet) []*fleetReplica { return f.in("region-0") }, chance(zoneClients, 0.5) + chance(2*zoneClients, 1./8), 5, 2, chance(2*zoneClients, 1./8)},
+		{"one of two in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1")[:1] }, zoneClients, 1, 0, binomialBound(zoneClients, 0.5)},
+		{"one of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:1] }, binomialBound(zoneClients, 0.5), 1, 0, binomialBound(zoneClients, 1./6)},
+		{"two of three in a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-0")[:2] }, zoneClients, 2, 1, binomialBound(zoneClients, 2./3)},
+		{"a zone", func(f *fleet) []*fleetReplica { return f.replicasIn("zone-1") }, binomialBound(zoneClients, 1./3) * 2, 2, 1, binomialBound(zoneClients, 1./3)},
+		// Each machine of the other regions takes a ninth in addition to its own load: half of a zone, or half of the third machine's zone.
+		{"a region", func(f *fleet) []*fleetReplica { return f.replicasIn("region-0") }, binomialBound(zoneClients, 0.5) + binomialBound(2*zoneClients, 1./8), 5, 2, binomialBound(2*zoneClients, 1./8)},
 	} {
-		for _, how := range []health{refuses, silent} {
+		for _, how := range []health{resetting, unreachable} {
 			for seed := range fleetSeeds() {
-				t.Run(fmt.Sprint(failure.name, "/", map[health]string{refuses: "killed", silent: "silent"}[how], "/", seed), func(t *testing.T) {
+				t.Run(fmt.Sprint(failure.name, "/", map[health]string{resetting: "killed", unreachable: "silent"}[how], "/", seed), func(t *testing.T) {
 					t.Parallel()
 					f := newFleet(seed, 10e6)
 					f.runFor(10e6)
-					f.runUntil(t, 5e6, "started", f.settled)
+					f.runUntil(t, 5e6, "started", f.allAtPreferred)
 					f.runFor(timing.StableAfter + 10e6)
 					require.Equal(t, fleetClients, f.sessions())
 
 					lost := failure.lost(f)
 					moved := f.fail(how, lost...)
 					within := control.Micros(failure.attempts)*timing.BackoffBase + slack
-					if how == silent {
-						unanswered := control.Micros(failure.silent)
+					if how == unreachable {
+						unanswered := control.Micros(failure.unreachable)
 						within = timing.HeartbeatTimeout + unanswered*timing.ConnectTimeout + (unanswered+1)*timing.BackoffBase + slack
 					}
-					took := f.runUntil(t, within, "all have a session again", f.connected)
-					second, window := f.peak()
-					t.Logf("%d moved in %.2f s; most load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(took)/1e6, f.mostLoad(), second, window)
-					require.LessOrEqual(t, f.mostLoad(), failure.mostLoad, "load")
-					require.LessOrEqual(t, second, failure.peak, "new sessions in a second")
-					if how == refuses { // spread evenly over BackoffBase, by chance
-						require.LessOrEqual(t, window, chance(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
+					elapsed := f.runUntil(t, within, "all have a session again", f.allConnected)
+					second, window := f.peakNewSessions()
+					t.Logf("%d moved in %.2f s; highest load %d, most new sessions at a machine %d in 1 s, %d in 0.1 s", moved, float64(elapsed)/1e6, f.peakLoad(), second, window)
+					require.LessOrEqual(t, f.peakLoad(), failure.peakLoad, "load")
+					require.LessOrEqual(t, second, failure.peakNewSessions, "new sessions in a second")
+					if how == resetting { // distributed uniformly over BackoffBase
+						require.LessOrEqual(t, window, binomialBound(failure.peakNewSessions, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
 					}
 
 					f.runFor(timing.ReturnInterval + timing.ReturnInterval/2)
 					require.Equal(t, fleetClients, f.sessions())
 					f.recover(lost...)
-					// Each looks within ReturnEvery at all machines that it prefers, after a look that may just be under way.
+					// Each gatekeeper tries all machines that it prefers within ReturnInterval, after a round that may be in progress.
 					within = timing.ReturnInterval + slack
-					if how == silent {
+					if how == unreachable {
 						within += control.Micros(failure.attempts) * timing.ConnectTimeout
 					}
-					took = f.runUntil(t, within, "all are back where they prefer to be", f.settled)
-					second, window = f.peak()
-					t.Logf("back in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(took)/1e6, second, window)
-					// Spread over the second half of ReturnEvery at the least. Where no answer comes a look takes a time, and those
-					// that are looking just then go on to another machine within ConnectWithin.
+					elapsed = f.runUntil(t, within, "all are at their preferred machine", f.allAtPreferred)
+					second, window = f.peakNewSessions()
+					t.Logf("returned in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(elapsed)/1e6, second, window)
+					// The returns are spread at least over the second half of ReturnInterval. If machines do not answer, an attempt takes
+					// ConnectTimeout, and gatekeepers with an attempt in progress move to the next machine within that time.
 					spread := float64(timing.ReturnInterval) / 2e6
-					most := chance(zoneClients, 1/spread)
-					if how == silent {
+					maxNewSessions := binomialBound(zoneClients, 1/spread)
+					if how == unreachable {
 						looking := float64(failure.attempts) * float64(timing.ConnectTimeout) / (0.75 * float64(timing.ReturnInterval))
-						most += chance(moved, looking/(float64(timing.ConnectTimeout)/1e6)/float64(len(lost)))
+						maxNewSessions += binomialBound(moved, looking/(float64(timing.ConnectTimeout)/1e6)/float64(len(lost)))
 					}
-					require.LessOrEqual(t, second, most, "new sessions in a second at the return")
+					require.LessOrEqual(t, second, maxNewSessions, "new sessions in a second during the return")
 					require.Equal(t, fleetClients, f.sessions())
 				})
 			}
@@ -470,7 +475,7 @@
 	}
 }
 
-// sessions is how many sessions the machines have.
+// sessions returns the total number of sessions.
 func (f *fleet) sessions() (n int) {
 	for _, r := range f.replicas {
 		n += len(r.sessions)
@@ -478,7 +483,8 @@
 	return n
 }
 
-// All gatekeepers start at once, at machines that admit 50 sessions a second: all have one within the time that the rate needs.
+// All gatekeepers start at the same time, with machines that admit 50 sessions per second: all have a session within the
+// time that this rate requires.
 func TestFleetStartsAtOnce(t *testing.T) {
 	for seed := range fleetSeeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -486,39 +492,40 @@
 			f := newFleet(seed, 1)
 			const rate, burst = 50, 50
 			for _, r := range f.replicas {
-				r.admits(rate, burst)
+				r.limitAdmission(rate, burst)
 			}
-			most := chance(zoneClients, 0.5)
-			needed := control.Micros(float64(most-burst) / rate * 1e6)
-			took := f.runUntil(t, needed+Timing{}.WithDefaults().BackoffBase+2e6, "started", f.connected)
-			second, _ := f.peak()
-			t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
+			maxClients := binomialBound(zoneClients, 0.5)
+			needed := control.Micros(float64(maxClients-burst) / rate * 1e6)
+			elapsed := f.runUntil(t, needed+Timing{}.WithDefaults().BackoffBase+2e6, "started", f.allConnected)
+			second, _ := f.peakNewSessions()
+			t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
 			require.LessOrEqual(t, second, rate+burst)
-			require.LessOrEqual(t, f.mostLoad(), zoneClients)
+			require.LessOrEqual(t, f.peakLoad(), zoneClients)
 		})
 	}
 }
 
-// With all machines gone for ten minutes every gatekeeper goes on to try, at a pace bounded by the backoff, and all are back soon
-// after the machines are.
+// While all machines are down for ten minutes, every gatekeeper keeps trying at a rate bounded by the backoff, and all
+// have a session soon after the machines have returned.
 func TestFleetWithoutControl(t *testing.T) {
 	timing := Timing{}.WithDefaults()
 	f := newFleet(1, 10e6)
 	f.runFor(30e6)
-	f.fail(refuses, f.replicas...)
+	f.fail(resetting, f.replicas...)
 	f.runFor(600e6)
 	f.recover(f.replicas...)
-	took := f.runUntil(t, timing.BackoffCap+500e3, "all have a session again", f.connected)
-	second, _ := f.peak()
-	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
-	// Of waits drawn evenly up to BackoffCap the rest is at its densest at its beginning: two in BackoffCap; at any machine.
-	require.LessOrEqual(t, second, chance(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
-	f.runUntil(t, timing.ReturnInterval+500e3, "all are back where they prefer to be", f.settled)
-}
-
-// The same with machines that admit 50 sessions a second each and promise the others a place: after an outage of any length all
-// have a session again within the time that changes are allowed. A gatekeeper that has a place soon must wait for it: one that
-// asked the other machines meanwhile took a place at each, and all places together were 13 times as many as gatekeepers.
+	elapsed := f.runUntil(t, timing.BackoffCap+500e3, "all have a session again", f.allConnected)
+	second, _ := f.peakNewSessions()
+	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
+	// For delays drawn uniformly up to BackoffCap, the density of the remaining delay is highest at 0, where it is 2/BackoffCap.
+	require.LessOrEqual(t, second, binomialBound(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
+	f.runUntil(t, timing.ReturnInterval+500e3, "all are at their preferred machine", f.allAtPreferred)
+}
+
+// The same with machines that admit 50 sessions per second each and give slots to the other gatekeepers: after an outage
+// of any length all have a session again within the time allowed for a change to take effect. A gatekeeper with a slot in
+// a short time must wait for it: one that tried the other machines meanwhile held a slot at each, and there were 13 times
+// as many slots as gatekeepers.
 func TestFleetAfterAnOutageWithAdmission(t *testing.T) {
 	const inForceWithin = control.Micros(17e6)
 	for _, outage := range []control.Micros{5e6, 12e6, 30e6, 600e6} {
@@ -527,16 +534,16 @@
 				t.Parallel()
 				f := newFleet(seed, 10e6)
 				for _, r := range f.replicas {
-					r.admits(50, 50)
+					r.limitAdmission(50, 50)
 				}
 				f.runFor(40e6)
 				require.Equal(t, fleetClients, f.sessions())
-				f.fail(refuses, f.replicas...)
+				f.fail(resetting, f.replicas...)
 				f.runFor(outage)
 				f.recover(f.replicas...)
-				took := f.runUntil(t, inForceWithin, "all have a session again", f.connected)
-				second, _ := f.peak()
-				t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
+				elapsed := f.runUntil(t, inForceWithin, "all have a session again", f.allConnected)
+				second, _ := f.peakNewSessions()
+				t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(elapsed)/1e6, second)
 			})
 		}
 	}
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -7,62 +7,63 @@
 	"beammux/control"
 )
 
-// Machine is the state of one gatekeeper's session. It has a current session, or none; and at most one attempt, either to
-// have a session at all or, beside a current one, to move to a better replica: the current session goes on until the
-// attempt has brought its first event. Not safe for concurrent use.
+// Machine is the state of one gatekeeper's session. It has at most one current session and at most one attempt to open
+// another. Without a current session the attempt establishes one; beside a current session it tries a better replica, and
+// the current session stays in use until the attempt has delivered its first event. A Machine is not safe for concurrent
+// use.
 type Machine struct {
-	timing   Timing
-	random   func() float64
-	replicas []Replica        // by rank
-	tiers    []int            // by rank
-	holds    []control.Micros // by rank: not tried before
-	refusals []int            // by rank: how often in a row it admitted no session
-	lastID   uint64
-	actions  []Action
-
-	current *link
-	attempt *link
-	connect search // for a session at all
-	better  search // for a better one than the current
-
-	seen    uint64 // highest revision seen
-	records bool   // the gatekeeper holds the records of its prefixes, at revision seen
+	timing              Timing
+	random              func() float64
+	replicas            []Replica        // by rank
+	tiers               []int            // by rank
+	holdUntil           []control.Micros // by rank: the replica is not tried before this time
+	consecutiveRefusals []int            // by rank: consecutive times the replica admitted no session
+	lastID              uint64
+	actions             []Action
+
+	current       *link
+	attempt       *link
+	connectSearch search // used while there is no current session
+	betterSearch  search // for a better replica than the current one
+
+	highestRevision uint64 // highest revision received
+	hasRecords      bool   // the gatekeeper holds the records of its prefixes at highestRevision
 }
 
 // link is one session, open or being opened.
 type link struct {
-	id       uint64
-	rank     int
-	after    uint64
-	begun    control.Micros // of an attempt its start; of the current session when it became that
-	heard    control.Micros // the last event
-	events   int
-	revision uint64
-	every    control.Micros // the replica's heartbeat interval, as far as it has said so
-	// leaderless tells that the replica has long been without a leader.
+	id                uint64
+	rank              int
+	startRevision     uint64
+	startedAt         control.Micros // when the attempt started; for the current session, when it became current
+	lastEventAt       control.Micros // time of the last event
+	events            int
+	revision          uint64
+	heartbeatInterval control.Micros // interval announced by the replica; 0: not announced
+	// leaderless reports whether the replica has been without a leader for longer than LeaderlessAfter.
 	leaderless bool
 }
 
-// New makes the machine of a gatekeeper. The first attempt is due at now, or up to StartWithin later.
+// New returns the machine of a gatekeeper. The first attempt starts between now and MaxStartDelay later.
 func New(now control.Micros, o Options) *Machine {
 	m := &Machine{
 		timing: o.Timing.WithDefaults(), random: o.Random, replicas: Rank(o.Self, o.Replicas),
-		holds: make([]control.Micros, len(o.Replicas)), refusals: make([]int, len(o.Replicas)),
-		connect: newSearch(len(o.Replicas)), better: newSearch(len(o.Replicas)),
-		seen: max(o.HighestRevision, o.HeldRevision), records: o.HeldRevision > 0 && o.HeldRevision >= o.HighestRevision,
+		holdUntil: make([]control.Micros, len(o.Replicas)), consecutiveRefusals: make([]int, len(o.Replicas)),
+		connectSearch: newSearch(len(o.Replicas)), betterSearch: newSearch(len(o.Replicas)),
+		highestRevision: max(o.HighestRevision, o.HeldRevision), hasRecords: o.HeldRevision > 0 && o.HeldRevision >= o.HighestRevision,
 	}
 	for rank, r := range m.replicas {
-		m.holds[rank] = now
+		m.holdUntil[rank] = now
 		m.tiers = append(m.tiers, tier(o.Self, r))
 	}
-	m.connect.at = now + control.Micros(m.random()*float64(m.timing.MaxStartDelay))
+	m.connectSearch.nextAttemptAt = now + control.Micros(m.random()*float64(m.timing.MaxStartDelay))
 	return m
 }
 
-// HighestRevision is the highest revision seen.
-func (m *Machine) HighestRevision() uint64 { return m.seen }
+// HighestRevision returns the highest revision received.
+func (m *Machine) HighestRevision() uint64 { return m.highestRevision }
 
-// Current gives the replica of the current session, and whether there is one.
+// Current returns the replica of the current session and reports whether there is one.
 func (m *Machine) Current() (Replica, bool) {
 	if m.current == nil {
 		return Replica{}, false
@@ -70,7 +71,8 @@
 	return m.replicas[m.current.rank], true
 }
 
-// NextTick is when Tick is to be called next, unless something happens before; false: not at all.
+// NextTick returns the time at which Tick must be called next unless an event arrives before. It returns false if there are
+// no replicas, in which case Tick need not be called.
 func (m *Machine) NextTick() (control.Micros, bool) {
 	if len(m.replicas) == 0 {
 		return 0, false
@@ -81,304 +83,308 @@
 	}
 	switch {
 	case m.attempt != nil:
-		next = min(next, m.attempt.begun+m.timing.ConnectTimeout)
+		next = min(next, m.attempt.startedAt+m.timing.ConnectTimeout)
 	case m.current == nil:
-		next = m.connect.at
-	case m.searching():
-		next = min(next, m.better.at)
+		next = m.connectSearch.nextAttemptAt
+	case m.betterMayExist():
+		next = min(next, m.betterSearch.nextAttemptAt)
 	}
 	return next, true
 }
 
-// maxEvery is the longest heartbeat interval that a replica is believed.
-const maxEvery control.Micros = 30e6
+// maxHeartbeatInterval is the upper bound on a heartbeat interval announced by a replica; longer ones are cut to it.
+const maxHeartbeatInterval control.Micros = 30e6
 
-// heartbeatDue is when the current session is given up unless an event comes.
+// heartbeatDue returns the time at which the current session times out unless an event arrives.
 func (m *Machine) heartbeatDue() control.Micros {
-	return m.current.heard + max(m.timing.HeartbeatTimeout, MaxMissedHeartbeats*m.current.every)
+	return m.current.lastEventAt + max(m.timing.HeartbeatTimeout, MaxMissedHeartbeats*m.current.heartbeatInterval)
 }
 
-// searching tells whether there may be a better replica than that of the current session.
-func (m *Machine) searching() bool {
+// betterMayExist reports whether there may be a better replica than that of the current session.
+func (m *Machine) betterMayExist() bool {
 	return m.current.leaderless && len(m.replicas) > 1 || m.current.rank > 0
 }
 
-// Tick does what is due at a time.
+// Tick processes timeouts and starts a due attempt. It returns the resulting actions in order.
 func (m *Machine) Tick(now control.Micros) []Action {
 	m.actions = nil
 	if len(m.replicas) == 0 {
 		return nil
 	}
 	if m.current != nil && now >= m.heartbeatDue() {
-		m.do(Action{Type: Close, Session: m.current.id})
-		m.lost(now, End{Reason: noAnswer})
+		m.emit(Action{Type: Close, Session: m.current.id})
+		m.handleCurrentEnd(now, End{Reason: timedOut})
 	}
-	if m.attempt != nil && now >= m.attempt.begun+m.timing.ConnectTimeout {
-		m.do(Action{Type: Close, Session: m.attempt.id})
-		m.failed(now, End{Reason: noAnswer})
+	if m.attempt != nil && now >= m.attempt.startedAt+m.timing.ConnectTimeout {
+		m.emit(Action{Type: Close, Session: m.attempt.id})
+		m.handleAttemptEnd(now, End{Reason: timedOut})
 	}
-	m.start(now)
+	m.startIfDue(now)
 	return m.actions
 }
 
-// HandleEnd hands in that a session has ended that was not closed.
+// HandleEnd processes the end of a session that was not closed by a Close action, and returns the resulting actions in order.
 func (m *Machine) HandleEnd(now control.Micros, session uint64, e End) []Action {
 	m.actions = nil
-	m.ended(now, session, e)
-	m.start(now)
+	m.handleEnd(now, session, e)
+	m.startIfDue(now)
 	return m.actions
 }
 
-func (m *Machine) ended(now control.Micros, session uint64, e End) {
+func (m *Machine) handleEnd(now control.Micros, session uint64, e End) {
 	switch {
 	case m.current != nil && m.current.id == session:
-		m.lost(now, e)
+		m.handleCurrentEnd(now, e)
 	case m.attempt != nil && m.attempt.id == session:
-		m.failed(now, e)
+		m.handleAttemptEnd(now, e)
 	}
 }
 
-// HandleEvent hands in an event of a session. Its records are to be taken over only if Accept is among the actions.
+// HandleEvent processes an event received on a session and returns the resulting actions in order. The records of the event
+// must be applied only if the actions contain Accept.
 func (m *Machine) HandleEvent(now control.Micros, session uint64, e Event) []Action {
 	m.actions = nil
-	var l *link
+	var target *link
 	switch {
 	case m.current != nil && m.current.id == session:
-		l = m.current
+		target = m.current
 	case m.attempt != nil && m.attempt.id == session:
-		l = m.attempt
+		target = m.attempt
 	default:
-		return nil // it was closed
+		return nil // the session was already closed
 	}
-	if l.breaks(e) {
-		m.do(Action{Type: Close, Session: l.id})
-		m.ended(now, session, End{Reason: ProtocolError})
-		m.start(now)
+	if target.violatesProtocol(e) {
+		m.emit(Action{Type: Close, Session: target.id})
+		m.handleEnd(now, session, End{Reason: ProtocolError})
+		m.startIfDue(now)
 		return m.actions
 	}
-	l.heard, l.revision = now, e.Revision
-	l.events++
+	target.lastEventAt, target.revision = now, e.Revision
+	target.events++
 	if e.Kind == Heartbeat {
-		l.every = min(e.HeartbeatInterval, maxEvery)
-		m.setLeaderless(now, l, e.LeaderlessFor > m.timing.LeaderlessAfter)
+		target.heartbeatInterval = min(e.HeartbeatInterval, maxHeartbeatInterval)
+		m.setLeaderless(now, target, e.LeaderlessFor > m.timing.LeaderlessAfter)
 	}
-	if l == m.current || m.adopt(now, e.Kind) {
+	if target == m.current || m.tryPromoteAttempt(now, e.Kind) {
 		m.accept(e)
 	}
-	m.start(now)
+	m.startIfDue(now)
 	return m.actions
 }
 
-// setLeaderless notes whether a replica has long been without a leader. The search for a better one than the current
-// begins anew when that changes.
+// setLeaderless records whether a replica has long been without a leader. If this changes for the current replica, the
+// search for a better replica restarts.
 func (m *Machine) setLeaderless(now control.Micros, l *link, leaderless bool) {
 	if l.leaderless == leaderless {
 		return
 	}
 	l.leaderless = leaderless
 	if l == m.current {
-		m.searchBetter(now)
+		m.restartBetterSearch(now)
 	}
 }
 
-// searchBetter begins a search for a better replica than that of the current session.
-func (m *Machine) searchBetter(now control.Micros) {
-	m.better.restart()
-	m.better.at = now + m.betterWait()
+// restartBetterSearch restarts the search for a better replica than that of the current session.
+func (m *Machine) restartBetterSearch(now control.Micros) {
+	m.betterSearch.restart()
+	m.betterSearch.nextAttemptAt = now + m.betterDelay()
 }
 
-// betterWait draws the time until the next attempts to move: with a replica without a leader the backoff, else that of a
-// return to a preferred one.
-func (m *Machine) betterWait() control.Micros {
+// betterDelay draws the delay before the next round of attempts to move. If the current replica has no leader, it is the
+// backoff; otherwise it is between half of ReturnInterval and ReturnInterval.
+func (m *Machine) betterDelay() control.Micros {
 	if m.current.leaderless {
-		return m.backoff(&m.better)
+		return m.backoff(&m.betterSearch)
 	}
 	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnInterval))
 }
 
-// breaks tells whether an event breaks the protocol: a session's revisions never fall, and one without a revision to go on
-// from begins with a snapshot.
-func (l *link) breaks(e Event) bool {
-	return l.events > 0 && e.Revision < l.revision || l.events == 0 && l.after == 0 && e.Kind != Snapshot
+// violatesProtocol reports whether an event violates the protocol: the revisions of a session never decrease, and a
+// session without a start revision begins with a snapshot.
+func (l *link) violatesProtocol(e Event) bool {
+	return l.events > 0 && e.Revision < l.revision || l.events == 0 && l.startRevision == 0 && e.Kind != Snapshot
 }
 
-// adopt makes the attempt the current session if it is as new as what was seen and better than the current one.
-func (m *Machine) adopt(now control.Micros, kind EventKind) bool {
-	l := m.attempt
+// tryPromoteAttempt makes the attempt the current session if it has reached the highest revision received and is better
+// than the current session. It reports whether it did.
+func (m *Machine) tryPromoteAttempt(now control.Micros, kind EventKind) bool {
+	candidate := m.attempt
 	switch {
-	case l.revision < l.after, l.revision < m.seen && l.after == 0: // older than what was asked for; a snapshot that is too old
-		m.do(Action{Type: Close, Session: l.id})
-		m.failed(now, End{Reason: Behind})
+	case candidate.revision < candidate.startRevision, candidate.revision < m.highestRevision && candidate.startRevision == 0: // older than the requested revision, or an outdated snapshot
+		m.emit(Action{Type: Close, Session: candidate.id})
+		m.handleAttemptEnd(now, End{Reason: Behind})
 		return false
-	case l.revision < m.seen: // the current session has moved on meanwhile: this one must draw level within ConnectWithin
+	case candidate.revision < m.highestRevision: // the current session has advanced since: the attempt must catch up within ConnectTimeout
 		return false
-	case m.current != nil && kind != Heartbeat && l.revision == m.seen: // only a heartbeat tells whether it has a leader
+	case m.current != nil && kind != Heartbeat && candidate.revision == m.highestRevision: // only a heartbeat carries the leader status
 		return false
-	case m.current != nil && !m.improves(l):
-		m.do(Action{Type: Close, Session: l.id})
-		if l.leaderless {
-			m.holds[l.rank] = now + m.timing.LeaderlessHold
+	case m.current != nil && !m.isBetter(candidate):
+		m.emit(Action{Type: Close, Session: candidate.id})
+		if candidate.leaderless {
+			m.holdUntil[candidate.rank] = now + m.timing.LeaderlessHold
 		}
-		m.failed(now, End{Reason: Lost})
+		m.handleAttemptEnd(now, End{Reason: Lost})
 		return false
 	}
 	if m.current != nil {
-		m.do(Action{Type: Close, Session: m.current.id})
-		m.settle(now)
+		m.emit(Action{Type: Close, Session: m.current.id})
+		m.resetBackoffIfStable(now)
 	}
-	m.current, m.attempt = l, nil
-	l.begun = now
-	m.refusals[l.rank] = 0
-	m.searchBetter(now)
+	m.current, m.attempt = candidate, nil
+	candidate.startedAt = now
+	m.consecutiveRefusals[candidate.rank] = 0
+	m.restartBetterSearch(now)
 	return true
 }
 
-// improves tells whether an attempt is better than the current session.
-func (m *Machine) improves(l *link) bool {
+// isBetter reports whether an attempt is better than the current session: it has a leader where the current one has none
+// or, if both are alike in this, it has a better rank.
+func (m *Machine) isBetter(l *link) bool {
 	if m.current.leaderless != l.leaderless {
 		return m.current.leaderless
 	}
 	return l.rank < m.current.rank
 }
 
-// accept takes an event of the current session, unless it brings nothing new.
+// accept emits Accept for an event of the current session unless the event contains nothing new.
 func (m *Machine) accept(e Event) {
-	if e.Kind != Snapshot && e.Revision <= m.seen {
+	if e.Kind != Snapshot && e.Revision <= m.highestRevision {
 		return
 	}
-	m.seen, m.records = e.Revision, true
-	m.do(Action{Type: Accept, Session: m.current.id})
+	m.highestRevision, m.hasRecords = e.Revision, true
+	m.emit(Action{Type: Accept, Session: m.current.id})
 }
 
-// lost ends the current session. After the backoff another replica is tried; one that cut off a session that had lasted,
-// since this gatekeeper was too slow, is asked again itself.
-func (m *Machine) lost(now control.Micros, e End) {
-	lasted := m.settle(now)
+// handleCurrentEnd ends the current session and schedules the next attempt. After the backoff another replica is tried. A
+// replica that closed a stable session because this gatekeeper read too slowly is tried again itself.
+func (m *Machine) handleCurrentEnd(now control.Micros, e End) {
+	wasStable := m.resetBackoffIfStable(now)
 	rank := m.current.rank
 	m.current = nil
-	m.connect.note(m.tiers[rank], e.Reason == noAnswer)
+	m.connectSearch.recordFailure(m.tiers[rank], e.Reason == timedOut)
 	m.hold(now, rank, e)
-	if m.waitsFor(rank, e) {
-		m.connect.at = m.holds[rank]
+	if m.shouldWaitFor(rank, e) {
+		m.connectSearch.nextAttemptAt = m.holdUntil[rank]
 		return
 	}
-	m.connect.tried[rank] = e.Reason != TooSlow || !lasted
-	m.retry(now)
+	m.connectSearch.tried[rank] = e.Reason != TooSlow || !wasStable
+	m.scheduleRetry(now)
 }
 
-// settle resets the backoff if the current session has lasted, and tells whether it has.
-func (m *Machine) settle(now control.Micros) bool {
-	if now-m.current.begun < m.timing.StableAfter {
+// resetBackoffIfStable resets the backoff if the current session has lasted for StableAfter, and reports whether it has.
+func (m *Machine) resetBackoffIfStable(now control.Micros) bool {
+	if now-m.current.startedAt < m.timing.StableAfter {
 		return false
 	}
-	m.connect.restart()
-	clear(m.refusals)
+	m.connectSearch.restart()
+	clear(m.consecutiveRefusals)
 	return true
 }
 
-// failed ends the attempt.
-func (m *Machine) failed(now control.Micros, e End) {
+// handleAttemptEnd ends the attempt and schedules the next one.
+func (m *Machine) handleAttemptEnd(now control.Micros, e End) {
 	rank := m.attempt.rank
 	m.attempt = nil
 	m.hold(now, rank, e)
 	if m.current != nil {
-		m.better.tried[rank] = true
-		m.better.at = now
+		m.betterSearch.tried[rank] = true
+		m.betterSearch.nextAttemptAt = now
 		if m.current.leaderless {
-			m.better.at += m.backoff(&m.better)
+			m.betterSearch.nextAttemptAt += m.backoff(&m.betterSearch)
 		}
 		return
 	}
-	m.connect.note(m.tiers[rank], e.Reason == noAnswer)
-	if m.waitsFor(rank, e) {
-		m.connect.at = m.holds[rank]
+	m.connectSearch.recordFailure(m.tiers[rank], e.Reason == timedOut)
+	if m.shouldWaitFor(rank, e) {
+		m.connectSearch.nextAttemptAt = m.holdUntil[rank]
 		return
 	}
-	m.refusals[rank] = 0
-	m.connect.tried[rank] = true
-	m.retry(now)
+	m.consecutiveRefusals[rank] = 0
+	m.connectSearch.tried[rank] = true
+	m.scheduleRetry(now)
 }
 
-// hold keeps a replica from being tried for as long as the end of its session demands.
+// hold sets the time before which a replica is not tried again, depending on how its session ended.
 func (m *Machine) hold(now control.Micros, rank int, e End) {
 	switch e.Reason {
 	case RetryLater:
-		m.refusals[rank]++
-		m.holds[rank] = now + max(e.RetryAfter, m.timing.BehindHold) // never at once, whatever the replica says
+		m.consecutiveRefusals[rank]++
+		m.holdUntil[rank] = now + max(e.RetryAfter, m.timing.BehindHold) // never immediately, even if the replica announces a shorter time
 	case ProtocolError:
-		m.holds[rank] = now + m.timing.FaultHold
+		m.holdUntil[rank] = now + m.timing.FaultHold
 	case Behind:
-		m.holds[rank] = now + m.timing.BehindHold + control.Micros(m.random()*float64(m.timing.BehindHold))
+		m.holdUntil[rank] = now + m.timing.BehindHold + control.Micros(m.random()*float64(m.timing.BehindHold))
 	}
 }
 
-// waitsFor tells whether a replica that admits no session now is waited for, so that others aren't tried. It has promised a
-// place, and keeps room for it: a gatekeeper that asked the others meanwhile would have a place at each of them, and after an
-// outage all of these together are many times what the replicas admit.
-func (m *Machine) waitsFor(rank int, e End) bool {
-	tries := FirstRoundAttempts
-	if m.connect.round > 0 {
-		tries = LaterRoundAttempts
+// shouldWaitFor reports whether to wait for a replica that admits no session now instead of trying others. The replica
+// has reserved a slot for this gatekeeper. If the gatekeeper requested sessions from other replicas in the meantime, it
+// would hold a slot at each of them, and after an outage all these slots together would be many times what the replicas
+// admit.
+func (m *Machine) shouldWaitFor(rank int, e End) bool {
+	maxAttempts := FirstRoundAttempts
+	if m.connectSearch.round > 0 {
+		maxAttempts = LaterRoundAttempts
 	}
-	return e.Reason == RetryLater && e.RetryAfter <= m.timing.MaxRetryAfter && m.refusals[rank] < tries
+	return e.Reason == RetryLater && e.RetryAfter <= m.timing.MaxRetryAfter && m.consecutiveRefusals[rank] < maxAttempts
 }
 
-// start begins an attempt if one is due.
-func (m *Machine) start(now control.Micros) {
+// startIfDue starts an attempt if one is due.
+func (m *Machine) startIfDue(now control.Micros) {
 	switch {
 	case m.attempt != nil:
-	case m.current == nil && now >= m.connect.at:
-		m.startAny(now)
-	case m.current != nil && m.searching() && now >= m.better.at:
-		m.startBetter(now)
+	case m.current == nil && now >= m.connectSearch.nextAttemptAt:
+		m.startConnect(now)
+	case m.current != nil && m.betterMayExist() && now >= m.betterSearch.nextAttemptAt:
+		m.startMove(now)
 	}
 }
 
-// startAny tries the best replica that was not tried in this round. Those on hold are left out; if all others were tried the
-// next round begins, and if all are on hold the first that is off hold is waited for.
-func (m *Machine) startAny(now control.Micros) {
-	rank := m.pickAny(now)
-	if rank < 0 && slices.Contains(m.connect.tried, true) {
-		m.connect.nextRound()
-		rank = m.pickAny(now)
+// startConnect tries the best replica that was not tried in this round and is not on hold. If all others were tried, the
+// next round begins; if all are on hold, the attempt is delayed until the first hold ends.
+func (m *Machine) startConnect(now control.Micros) {
+	rank := m.pickToConnect(now)
+	if rank < 0 && slices.Contains(m.connectSearch.tried, true) {
+		m.connectSearch.nextRound()
+		rank = m.pickToConnect(now)
 	}
 	if rank < 0 {
-		m.connect.at = m.earliestHold()
+		m.connectSearch.nextAttemptAt = m.earliestHoldEnd()
 		return
 	}
-	m.open(now, rank)
+	m.openSession(now, rank)
 }
 
-// retry sets the time of the next attempt.
-func (m *Machine) retry(now control.Micros) {
-	if !slices.Contains(m.connect.tried, false) {
-		m.connect.nextRound()
+// scheduleRetry sets the time of the next attempt.
+func (m *Machine) scheduleRetry(now control.Micros) {
+	if !slices.Contains(m.connectSearch.tried, false) {
+		m.connectSearch.nextRound()
 	}
-	m.connect.at = now + m.backoff(&m.connect)
+	m.connectSearch.nextAttemptAt = now + m.backoff(&m.connectSearch)
 }
 
-// startBetter tries a better replica than that of the current session, and ends the round when each was tried.
-func (m *Machine) startBetter(now control.Micros) {
-	below := m.current.rank
+// startMove tries a better replica than that of the current session, and ends the round once each was tried.
+func (m *Machine) startMove(now control.Micros) {
+	rankLimit := m.current.rank
 	if m.current.leaderless {
-		below = len(m.replicas)
+		rankLimit = len(m.replicas)
 	}
-	if rank := m.pick(now, &m.better, below, m.current.rank); rank >= 0 {
-		m.open(now, rank)
+	if rank := m.pick(now, &m.betterSearch, rankLimit, m.current.rank); rank >= 0 {
+		m.openSession(now, rank)
 		return
 	}
-	m.better.nextRound()
-	m.better.at = now + m.betterWait()
+	m.betterSearch.nextRound()
+	m.betterSearch.nextAttemptAt = now + m.betterDelay()
 }
 
-func (m *Machine) open(now control.Micros, rank int) {
+func (m *Machine) openSession(now control.Micros, rank int) {
 	m.lastID++
-	after := m.seen
-	if !m.records {
-		after = 0
+	startRevision := m.highestRevision
+	if !m.hasRecords {
+		startRevision = 0
 	}
-	m.attempt = &link{id: m.lastID, rank: rank, after: after, begun: now, heard: now}
-	m.do(Action{Type: Connect, Session: m.lastID, Replica: m.replicas[rank], StartRevision: after})
+	m.attempt = &link{id: m.lastID, rank: rank, startRevision: startRevision, startedAt: now, lastEventAt: now}
+	m.emit(Action{Type: Connect, Session: m.lastID, Replica: m.replicas[rank], StartRevision: startRevision})
 }
 
-func (m *Machine) do(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
