--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -9,8 +9,9 @@
 	"beammux/internal/history"
 )
 
+// send starts the attempt that the module asked for. An attempt that can't start is reported as NotSent.
 func (c *Core) send(k *call, a control.Action) {
-	if k.caller.Gone() { // its withdrawal is on the way
+	if k.caller.Gone() { // its withdrawal follows
 		c.withdraw(k)
 		return
 	}
@@ -22,7 +23,7 @@
 		left = min(left, a.Wait)
 	}
 	if at.peer == nil || left <= 0 || k.current != nil {
-		// Not on the list any more, too late, or a second copy: it never leaves.
+		// The server is no longer on the list, the deadline has passed, or another attempt is in flight: nothing is sent.
 		c.Post(func() {
 			c.handle(control.Resolved{ID: k.ID, Attempt: at.number, Server: a.Server, Code: control.NotSent})
 		})
@@ -47,7 +48,7 @@
 		Deadline: time.Now().Add(span(left)), level: c.levelOf(a.Server), givenUp: at.givenUp, caller: k.caller})
 }
 
-// endAttempt gives up the attempt in flight, if any, and reports its end.
+// endAttempt gives up the attempt in flight, if any, and reports its end to the module.
 func (c *Core) endAttempt(k *call, code control.Code, settled bool) {
 	a := k.current
 	if a == nil {
@@ -64,8 +65,8 @@
 		Took: c.clock.now() - a.sentAt, Settled: settled})
 }
 
-// observeEnd counts the end of an attempt that failed. What was never sent, or cancelled from this side, says nothing
-// of its server.
+// observeEnd reports the end of a failed attempt to the observers. An attempt that was never sent, or that this side
+// cancelled, is not reported: it is no evidence about the server.
 func (c *Core) observeEnd(k *call, a *attempt, code control.Code) {
 	switch code {
 	case control.TimedOut:
@@ -77,10 +78,11 @@
 	}
 }
 
-// OverdueAfter is how long an attempt may be in flight before it is observed as overdue. Its end may come later.
+// OverdueAfter is how long an attempt may be in flight before it is observed as overdue. An overdue attempt may still be
+// answered.
 const OverdueAfter = 400 * time.Millisecond
 
-// attemptOf returns the call whose attempt is in flight, or nil: an attempt ends once.
+// attemptOf returns the call of an attempt that is in flight, or nil. It ensures that an attempt ends only once.
 func (c *Core) attemptOf(r ref) *call {
 	k := c.calls[r.id]
 	if k == nil || k.established || k.current == nil || k.current.number != r.attempt {
@@ -89,7 +91,7 @@
 	return k
 }
 
-// answered handles the answer of a server by which the call is established.
+// answered handles the answer of a server that establishes a call.
 func (c *Core) answered(p *Peer, r ref, body []byte) {
 	k := c.attemptOf(r)
 	if k == nil {
@@ -113,8 +115,9 @@
 	c.checkDrained()
 }
 
-// lateAnswer handles the answer to a set-up that had been given up: it is released at the server, but not while another attempt
-// of the call is in flight or established there. Servers know a call by its id alone, and the release would end that one.
+// lateAnswer handles the answer to a set-up that was given up: the call is released at the server, but not while another
+// attempt of the same call is in flight or established there. Servers identify a call by its id alone, so the release would
+// end that attempt as well.
 func (c *Core) lateAnswer(p *Peer, r ref) {
 	k := c.calls[r.id]
 	switch {
@@ -125,7 +128,8 @@
 	}
 }
 
-// releaseLateAnswer releases at a server what was answered late there, now that no attempt of the call is in flight at it.
+// releaseLateAnswer releases the call at a server that answered a given-up attempt late. It is called once no attempt of
+// the call is in flight at that server.
 func (k *call) releaseLateAnswer(p *Peer) {
 	if k.lateAnswer {
 		k.lateAnswer = false
@@ -133,15 +137,15 @@
 	}
 }
 
-// Outcome is the end of an attempt as the wire saw it.
+// Outcome is how an attempt ended, as reported by the connection to the server.
 type Outcome struct {
 	Code       control.Code
 	Reason     int
 	RetryAfter control.Micros
-	Report     []float64
+	Report     []float64 // load report of the server; nil if there was none
 }
 
-// failed handles the end of an attempt without an answer.
+// failed handles the end of an attempt that did not establish the call.
 func (c *Core) failed(r ref, o Outcome) {
 	k := c.attemptOf(r)
 	if k == nil {
@@ -151,7 +155,7 @@
 	k.current = nil
 	a.expiry.Stop()
 	c.noteEnded(k, a, o.Code)
-	if o.Reason == control.LinesBusy { // the number's fault, not the server's
+	if o.Reason == control.LinesBusy { // the called number is busy; the server is not at fault
 		c.observe(counting.Busy, &k.Setup, 0)
 	} else {
 		c.observeEnd(k, a, o.Code)
@@ -162,7 +166,7 @@
 		Took: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
 }
 
-// released handles the release of an established call by its server. A repeated one is passed on once.
+// released handles the release of an established call by its server. A repeated release is passed on once.
 func (c *Core) released(p *Peer, id string, cause int, report []float64) {
 	k := c.calls[id]
 	if k == nil || !k.established {
@@ -183,7 +187,7 @@
 	c.endEstablished(k, code, cause, report)
 }
 
-// endEstablished ends an established call from the server's side.
+// endEstablished ends an established call on behalf of its server and releases it at the caller.
 func (c *Core) endEstablished(k *call, code control.Code, cause int, report []float64) {
 	a := k.current
 	c.close(k)
@@ -194,8 +198,8 @@
 		Took: c.clock.now() - a.sentAt, Settled: true, Report: report})
 }
 
-// serverDied ends the calls established at a peer before a time: the process behind it is gone. Where that is
-// not certain, the server is told that they are over.
+// serverDied ends the calls established at a peer before the given time, because the server process has ended. With tell,
+// which is set where the end of the process is not certain, the calls are released at the server as well.
 func (c *Core) serverDied(p *Peer, before control.Micros, tell bool) {
 	for _, k := range c.calls {
 		if k.established && k.current.peer == p && k.establishedAt < before {
@@ -207,7 +211,7 @@
 	}
 }
 
-// status handles a load report that the server sent unasked.
+// status handles a load report that a server sent without a request.
 func (c *Core) status(p *Peer, report []float64) {
 	c.noteReport(p.server, report)
 	c.handle(control.Status{Server: p.server, Code: control.OK, Report: report})
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -10,26 +10,26 @@
 
 // Causes (Q.850) of a release.
 const (
-	CauseNormal  = 16 // the call came to its end, or its set-up was given up
-	CauseCongest = 34 // refused: trying again is harmless
-	CauseFailed  = 41 // failed or cut
+	CauseNormal  = 16 // the call ended normally, or its set-up was given up
+	CauseCongest = 34 // the call was refused; it is safe to retry it
+	CauseFailed  = 41 // the call failed or was cut
 )
 
-// Setup is a call as a front took it in.
+// Setup is a call as received by a front.
 type Setup struct {
 	ID          string
-	Class       int    // place in the settings, -1 for one that they don't name
-	Tenant      int    // place in the settings, -1 where its front knows none
-	Key         string // number called
-	FirstChoice int    // cell
+	Class       int    // index in the settings; -1 for a class that they do not name
+	Tenant      int    // index in the settings; -1 if the front knows no tenant
+	Key         string // called number
+	FirstChoice int    // preferred cell
 	WasCut      bool
 	Left        time.Duration // how long the caller still waits
-	Body        []byte        // description, passed on unchanged
-	Excess      bool          // more than its front takes at a time: it is refused at once, and goes to no server
+	Body        []byte        // session description, passed on unchanged
+	Excess      bool          // exceeds the set-ups that the front accepts at a time: refused at once, sent to no server
 }
 
-// ValidKey tells whether a called number is valid in a request line. Servers close on what they can't read, and take
-// along what else is open on that connection.
+// ValidKey reports whether a called number is valid in a request line. A server closes the connection on a message that it
+// can't parse, which cuts the other set-ups on that connection.
 func ValidKey(key string) bool {
 	for i := range len(key) {
 		c := key[i]
@@ -40,36 +40,41 @@
 	return len(key) <= maxKey
 }
 
-// MaxBody is the longest description: with its headers it must fit into a message of 16 KiB.
+// MaxBody is the largest session description, in bytes: with its headers it must fit into a message of 16 KiB.
 const MaxBody = 15 << 10
 
-const maxKey = 128
+const maxKey = 128 // bytes of a called number
 
-// Caller is the front's end of one call. Its methods are called by the core's actor and must not block. Answer,
-// Refuse and Fail are the final answer: one of them is called once, unless the call is withdrawn first.
+// Caller is the front's side of one call. Its methods are called by the core's actor and must not block. Answer,
+// Refuse and Fail are the final answer: exactly one of them is called, once, unless the call is withdrawn first.
 type Caller interface {
-	// Gone tells whether the caller has closed its connection or cancelled. The front says so at once and withdraws the call
-	// as well: the withdrawal is what ends the call, in its turn; Gone keeps an attempt that is ahead of it in a mailbox or
-	// a write queue from beginning. Any goroutine may ask.
+	// Gone reports whether the caller has closed its connection or cancelled. It returns true as soon as the front knows, and
+	// the front withdraws the call as well. The withdrawal ends the call when the core processes it; until then Gone prevents
+	// the start of an attempt that is ahead of the withdrawal in a mailbox or a write queue. It is safe for concurrent use.
 	Gone() bool
-	Answer(body []byte) bool // the call is established; false if the caller can no longer be reached
+	// Answer reports that the call is established. It returns false if the caller can no longer be reached.
+	Answer(body []byte) bool
+	// Refuse rejects the call; the caller should not retry before wait has passed.
 	Refuse(wait time.Duration)
 	Fail()
-	Release(cause int) // an established call is over
+	// Release ends an established call with a Q.850 cause.
+	Release(cause int)
 }
 
-// Orphans takes releases of calls that the core does not know: they stood before this process started.
+// Orphans receives releases of calls that the core does not know: they were established before this process started.
 type Orphans interface{ Orphan(id string, cause int) }
 
+// attempt is one attempt of a call at one server.
 type attempt struct {
 	number  int
 	server  uint32
 	peer    *Peer
 	sentAt  control.Micros
 	expiry  *time.Timer
-	givenUp *atomic.Bool // given up: what of it was not written yet never is
+	givenUp *atomic.Bool // set once the attempt is given up: nothing of it is written after that
 }
 
+// call is a call in the core's table.
 type call struct {
 	Setup
 	caller        Caller
@@ -80,17 +85,22 @@
 	established   bool
 	establishedAt control.Micros
 	deadlineTimer *time.Timer
-	graceEnds     control.Micros // of the module, past the deadline
-	graces        int            // granted anew
+	graceEnds     control.Micros // end of the module's grace period, which follows the deadline
+	graces        int            // how often the grace period was renewed
 	quota         Quota
-	admission     *admission // nil: nothing bounds it
+	admission     *admission // nil if no quota applies
 	lateAnswer    bool       // an abandoned attempt was answered late by the server where another is in flight
 }
 
 const (
-	decisionGrace     = 15 * time.Millisecond // past a caller's deadline; then the core itself answers
-	graceStall        = 5 * time.Millisecond  // a timer that is later by so much says that the process stood still
-	maxGraces         = 20                    // granted anew to one call
-	endedCallLifetime = 2 * time.Minute       // ids of calls that are over: a repeated release is passed on once
-	maxEndedCalls     = 1 << 16               // so many at most, the newest, whatever the callers do
+	// decisionGrace is how long after a caller's deadline the module may still decide; then the core itself answers.
+	decisionGrace = 15 * time.Millisecond
+	// graceStall is the delay of a timer from which on the process is taken to have been stalled.
+	graceStall = 5 * time.Millisecond
+	// maxGraces is how often the grace period of one call is renewed.
+	maxGraces = 20
+	// endedCallLifetime is how long the id of an ended call is remembered, so that a repeated release is passed on once.
+	endedCallLifetime = 2 * time.Minute
+	// maxEndedCalls bounds the remembered ids, independent of the load from callers. The newest are kept.
+	maxEndedCalls = 1 << 16
 )
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -2,8 +2,8 @@
 
 import "beammux/control/retry"
 
-// Change is SetLimits with something else that comes into force in the same turn of the core: no call is decided between
-// the two. also must not block.
+// Change puts limits in force as SetLimits does, and calls also in the same turn of the core's actor, so that no call is
+// decided between the two. also must not block.
 func (c *Core) Change(p *retry.Policy, also func()) {
 	c.Post(func() {
 		p.Adopt(c.limits)
@@ -12,5 +12,5 @@
 	})
 }
 
-// Limits are those of calls that come now. It is called in a turn of the core.
+// Limits returns the limits of calls that arrive now. It must be called from the core's actor.
 func (c *Core) Limits() *retry.Policy { return c.limits }
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -1,7 +1,8 @@
-// Package routing is the core: calls, servers and the list, without any wire. The decisions are those of package
-// control; here they are carried out, and what happens on the wire is reported back to it.
+// Package routing is the core of the gatekeeper: it keeps the calls, the servers and the list of servers, independent of any
+// wire protocol. Package control makes the decisions; this package carries them out and reports network events back to it.
 //
-// Its actors each have one goroutine and a mailbox: the Core (the module), the List, and one Peer for each server.
+// The actors are the Core, which owns the decision module, the List, and one Peer for each server. Each has one goroutine
+// and a mailbox.
 package routing
 
 import (
@@ -10,8 +11,8 @@
 	"beammux/control"
 )
 
-// clock is the only clock of the core. It returns Unix microseconds as of its start and goes on evenly from there: when the
-// system's clock is set, waits, rates and deadlines of this process stay what they were.
+// clock is the only clock of the core. It starts from the Unix time in microseconds and then follows the monotonic clock:
+// a step of the system clock does not change the waits, rates and deadlines of this process.
 type clock struct {
 	wall      func() time.Time
 	startedAt time.Time
@@ -23,7 +24,7 @@
 	return control.Micros((c.startedAt.UnixNano() + int64(time.Since(c.startedAt))) / 1000)
 }
 
-// fromUnix converts a Unix time that another machine sent just now to this clock. 0 stays 0.
+// fromUnix converts a Unix time that another machine has just sent to this clock. It returns 0 for 0.
 func (c *clock) fromUnix(unix control.Micros) control.Micros {
 	if unix == 0 {
 		return 0
@@ -31,5 +32,5 @@
 	return max(1, c.now()-control.Micros(c.wall().UnixMicro())+unix)
 }
 
-// span turns microseconds into a time.Duration.
+// span converts microseconds to a time.Duration.
 func span(m control.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -13,27 +13,27 @@
 	"beammux/internal/history"
 )
 
-// Core is the module's actor: the only owner of the Controller, the table of calls and their timers. What races (an
-// answer, a withdrawal, a time-out) is settled by the order in which it comes here.
+// Core is the actor that owns the decision module (a control.Controller), the table of calls and their timers. Races between
+// an answer, a withdrawal and a time-out are settled by the order in which they arrive in its mailbox.
 type Core struct {
 	*actor.Actor
 	clock        clock
 	module       *control.Controller
 	log          logrus.FieldLogger
 	orphans      Orphans
-	limits       *retry.Policy // of calls that come now; nil: as the settings say
+	limits       *retry.Policy // of calls that arrive now; nil: as in the settings
 	peers        map[uint32]*Peer
 	calls        map[string]*call
 	unanswered   int // calls without a final answer
 	ended        endedCalls
-	quotas       Quotas // nil: none
+	quotas       Quotas // nil if there are none
 	releaseGuard control.Micros
-	answerBy     control.Micros // calls that come now are answered by then; 0: by their own time
+	answerBy     control.Micros // upper bound of the deadlines of new calls; 0: no bound
 	actions      []control.Action
 	handling     bool
 	drained      func() // called once no call is unanswered
 
-	recorder      Recorder // nil: off
+	recorder      Recorder // nil if nothing is recorded
 	classes       []control.Class
 	views         []control.View
 	recordedViews map[uint32]recordedView
@@ -46,7 +46,7 @@
 	countedAt control.Micros
 }
 
-// NewCore starts the module. records may be nil: then nothing is recorded.
+// NewCore creates a core and starts its module. records may be nil: then nothing is recorded.
 func NewCore(set control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
 	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(set, seed), log: log, peers: map[uint32]*Peer{},
 		calls: map[string]*call{}, releaseGuard: set.ReleaseGuard,
@@ -59,20 +59,21 @@
 // SetOrphans sets who receives releases of unknown calls. It must be called before any server is added.
 func (c *Core) SetOrphans(o Orphans) { c.Post(func() { c.orphans = o }) }
 
-// Observer receives the outcomes of calls and attempts, from any goroutine. It must not block.
+// Observer receives the outcomes of calls and attempts. It must be safe for concurrent use and must not block.
 type Observer interface {
 	Observe(now control.Micros, seen counting.Seen)
 }
 
-// SetObservers sets the observers. It must be called before any call arrives.
+// SetObservers sets the observers of calls and attempts. It must be called before any call arrives.
 func (c *Core) SetObservers(to ...Observer) { c.observers = to }
 
-// SetBusy tells the module of a number that the fleet holds to be busy, by an answer at a time of the core's clock.
+// SetBusy informs the module that the fleet considers a number busy. at is the time of the latest busy answer, by the core's
+// clock.
 func (c *Core) SetBusy(number string, at control.Micros) {
 	c.Post(func() { c.handle(control.BusyNumber{Key: number, At: at}) })
 }
 
-// SetInFlightLimit hands the module the limit for a server that the fleet ejects or readmits.
+// SetInFlightLimit passes the module the in-flight limit of a server that the fleet ejects or readmits.
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
 // observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
@@ -82,8 +83,8 @@
 	}
 }
 
-// SetLimits puts limits in force for the calls that come from now on. A call lives by those that it began with. The
-// budget's counts go on.
+// SetLimits puts limits in force for the calls that arrive from now on. A call keeps the limits that it began with. The
+// counts of the retry budget are carried over.
 func (c *Core) SetLimits(p *retry.Policy) {
 	c.Post(func() {
 		p.Adopt(c.limits)
@@ -91,15 +92,15 @@
 	})
 }
 
-// Learned hands what the module has learned to f, from the core's actor.
+// Learned calls f from the core's actor with the state that the module has learned.
 func (c *Core) Learned(f func(control.Learned)) { c.Post(func() { f(c.module.Learned()) }) }
 
-// Recall gives the module what it had learned before this start. It is called once the list is loaded.
+// Recall restores the state that the module had learned before a restart. It is called once the list is loaded.
 func (c *Core) Recall(l control.Learned) {
 	c.Post(func() { c.handle(control.Recall{Learned: l}) })
 }
 
-// Open takes in a call.
+// Open starts the handling of a new call. The caller receives one final answer.
 func (c *Core) Open(s Setup, caller Caller) {
 	at := c.clock.now()
 	c.observe(counting.Arrived, &s, 0)
@@ -109,9 +110,9 @@
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
 	deadline := arrived + control.Micros(s.Left/time.Microsecond)
 	if at, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-at < c.releaseGuard {
-		// The id is in use: the first call goes on by its own rules, and the second caller gets a failure. An id
-		// used again at once would be sent again within the release guard.
-		c.log.WithField("call", s.ID).Debug("set-up with the id of another call")
+		// The id is in use: the first call continues unchanged, and the second caller gets a failure. An id that was in use
+		// until a moment ago is rejected too: its set-up would be sent within the release guard.
+		c.log.WithField("call", s.ID).Debug("set-up rejected: its id is in use by another call")
 		c.figures.Class(s.Class).Error.Add(1)
 		caller.Fail()
 		return
@@ -140,22 +141,22 @@
 		FirstChoice: s.FirstChoice, WasCut: s.WasCut, Limits: limits, Excess: s.Excess})
 }
 
-// deadlineReached gives the module its grace from here on, not from the deadline: where the whole process stood still, the
-// module's own timers are due at the same moment and may come in any order.
+// deadlineReached starts the module's grace period now, not at the deadline: after a stall of the whole process the module's
+// own timers are due at the same moment as this one and may fire in any order.
 func (c *Core) deadlineReached(k *call) {
 	if c.calls[k.ID] == k && !k.established {
 		c.grantGrace(k)
 	}
 }
 
-// grantGrace gives the module its grace from now on.
+// grantGrace starts the module's grace period for a call.
 func (c *Core) grantGrace(k *call) {
 	k.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
 	k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
 }
 
-// stalledInGrace tells whether the process stood still during the grace, so that the module did not have it, and grants it
-// anew, maxGraces times at most.
+// stalledInGrace reports whether the process was stalled during the grace period, so that the module had no chance to use it.
+// If so, it starts the grace period again, at most maxGraces times for one call.
 func (c *Core) stalledInGrace(k *call) bool {
 	late := c.clock.now() - k.graceEnds
 	if late < control.Micros(graceStall.Microseconds()) || k.graces >= maxGraces {
@@ -166,7 +167,7 @@
 	return true
 }
 
-// deadlinePassed fails a call for which the module gave no final answer in time.
+// deadlinePassed fails a call for which the module gave no final answer within the grace period.
 func (c *Core) deadlinePassed(k *call) {
 	if c.calls[k.ID] != k || k.established || c.stalledInGrace(k) {
 		return
@@ -180,8 +181,8 @@
 	k.caller.Fail()
 }
 
-// Withdraw gives up a set-up whose caller waits no longer. An established call is left alone, and so is another
-// caller's of the same id. done, if not nil, is called with whether that came before the final answer.
+// Withdraw gives up a set-up whose caller no longer waits. An established call is left alone, and so is another
+// caller's call of the same id. done, if not nil, is called with true if the set-up was withdrawn before its final answer.
 func (c *Core) Withdraw(id string, caller Caller, done func(inTime bool)) {
 	c.Post(func() {
 		k := c.calls[id]
@@ -195,6 +196,7 @@
 	})
 }
 
+// withdraw gives up the set-up of a call that has no final answer yet.
 func (c *Core) withdraw(k *call) {
 	c.handle(control.Withdrawn{ID: k.ID})
 	c.endAttempt(k, control.Cancelled, true)
@@ -202,10 +204,10 @@
 	c.note(history.Event{Kind: history.Gone, Call: k.ID})
 }
 
-// Hangup ends a call from the caller's side. Anyone may end an established call; a set-up is given up by its own caller
-// alone, who may be nil where none is known. done is called with whether the call was known.
+// Hangup ends a call on behalf of its caller. Any caller may end an established call, but only its own caller may give up a
+// set-up; caller may be nil if it is not known. done, if not nil, is called with whether the call was known.
 func (c *Core) Hangup(id string, cause int, caller Caller, done func(known bool)) {
-	if cause < 1 || cause > 127 { // Q.850 has no others, and a server need not read them
+	if cause < 1 || cause > 127 { // outside the range of Q.850; a server need not accept it
 		cause = CauseNormal
 	}
 	c.Post(func() {
@@ -221,7 +223,7 @@
 	})
 }
 
-// releaseEstablished ends an established call from this side.
+// releaseEstablished ends an established call and releases it at its server.
 func (c *Core) releaseEstablished(k *call, cause int) {
 	a := k.current
 	a.peer.release(k.ID, cause)
@@ -231,7 +233,7 @@
 		Took: c.clock.now() - a.sentAt, Settled: true})
 }
 
-// close takes a call off the table.
+// close removes a call from the table.
 func (c *Core) close(k *call) {
 	if !k.established {
 		c.unanswered--
@@ -243,19 +245,19 @@
 	}
 	delete(c.calls, k.ID)
 	c.figures.Open.Store(int64(len(c.calls)))
-	if k.attempts > 0 { // a call that was never sent needs no release guard, and must use no memory in a flood
+	if k.attempts > 0 { // a call that was never sent needs no release guard, and must not use memory during a flood
 		c.ended.add(k.ID, c.clock.now())
 	}
 	c.checkDrained()
 }
 
-// AnswerWithin bounds the time of the calls that come from now on: each has its final answer after the span at the latest. The
-// process may be killed then.
+// AnswerWithin bounds the deadlines of the calls that arrive from now on: each has its final answer at most d after this
+// call. The process may be killed then.
 func (c *Core) AnswerWithin(d time.Duration) {
 	c.Post(func() { c.answerBy = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
-// Drained calls f once no caller is owed an answer.
+// Drained arranges for f to be called once, when every call has its final answer.
 func (c *Core) Drained(f func()) {
 	c.Post(func() {
 		c.drained = f
@@ -263,8 +265,8 @@
 	})
 }
 
-// checkDrained calls the function given to Drained if no call is unanswered. It is posted, so that the last answer has been
-// handed over by then.
+// checkDrained calls the function given to Drained if no call is unanswered. The function is posted, so that the last answer
+// has been delivered before it runs.
 func (c *Core) checkDrained() {
 	if c.unanswered > 0 || c.drained == nil {
 		return
@@ -278,10 +280,10 @@
 	})
 }
 
-// handle gives the module one event and carries out its actions. Events that the actions bring about are posted, so
-// the module is never entered twice.
+// handle passes one event to the module and carries out the resulting actions. It may be called again by an action: the
+// actions of the nested event are then appended to the list that the outer call carries out.
 func (c *Core) handle(e control.Event) {
-	c.actions = append(c.actions, c.ask(e)...) // the module reuses its slice
+	c.actions = append(c.actions, c.ask(e)...) // copied: the module reuses its slice
 	if c.handling {
 		return
 	}
@@ -296,7 +298,8 @@
 	c.countTargets(c.clock.now())
 }
 
-// ask guards against a panic in the module: one bad event must not end all calls. The overdue timer answers the call.
+// ask passes one event to the module and recovers from a panic in it: one bad event must not end all calls. The deadline
+// timer then answers the affected call.
 func (c *Core) ask(e control.Event) (actions []control.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -306,6 +309,7 @@
 	return c.module.Handle(c.clock.now(), e)
 }
 
+// act carries out one action of the module.
 func (c *Core) act(a control.Action) {
 	k := c.calls[a.ID]
 	if k != nil && k.established {
@@ -338,7 +342,7 @@
 		}
 	case control.Defer:
 		c.After(span(a.At-c.clock.now()), func() { c.handle(control.Timer{Key: a.Key}) })
-	case control.Watch: // the list comes by itself
+	case control.Watch: // nothing to do: updates of the list arrive without a request
 	case control.Note:
 		c.log.Info(a.Text)
 	}
--- a/internal/routing/ended.go
+++ b/internal/routing/ended.go
@@ -6,15 +6,15 @@
 	"beammux/control"
 )
 
-// endedCalls holds the ids of calls that are over, with the time of their end, for at least endedCallLifetime; of more than
-// maxEndedCalls ids in that time, the newest maxEndedCalls/2 at least. It has two generations: when the current one is full or old enough,
-// the previous one is dropped whole, so that nothing ever iterates over it.
+// endedCalls holds the ids of ended calls, with the time of their end, for at least endedCallLifetime. If more than
+// maxEndedCalls ids arrive in that time, it holds at least the newest maxEndedCalls/2. It has two generations: when the
+// current one is full or old enough, the previous one is dropped as a whole, so that no iteration is ever needed.
 type endedCalls struct {
 	current, previous map[string]control.Micros
 	currentSince      control.Micros // when current began
 }
 
-// add notes an end at a time. Times never fall.
+// add records that a call ended now. Successive times must not decrease.
 func (m *endedCalls) add(id string, now control.Micros) {
 	if m.current == nil || len(m.current) >= maxEndedCalls/2 || now-m.currentSince >= control.Micros(endedCallLifetime/time.Microsecond) {
 		m.previous, m.current, m.currentSince = m.current, map[string]control.Micros{}, now
@@ -22,7 +22,7 @@
 	m.current[id] = now
 }
 
-// endOf returns the time of an end that is remembered.
+// endOf returns when a call ended, if its id is still remembered.
 func (m *endedCalls) endOf(id string) (at control.Micros, ok bool) {
 	if at, ok = m.current[id]; !ok {
 		at, ok = m.previous[id]
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -6,20 +6,21 @@
 	"beammux/control"
 )
 
-// Figures are the counts that the core keeps where each outcome is decided: what the operators read. They start at 0
-// with the process. Each is read without the core's actor, so that a busy core never holds an answer back.
+// Figures are the operational counters of the core, updated where each outcome is decided. They start at 0 with the
+// process. They are read without the core's actor, so that a busy core does not delay their readers.
 type Figures struct {
-	classes  []classFigures // by place in the settings; the last one is for classes that they don't name
-	Open     atomic.Int64   // taken and not yet ended: owed an answer, or standing until its release
+	classes  []classFigures // by index in the settings; the last one is for classes that they do not name
+	Open     atomic.Int64   // calls that are unanswered, or established and not yet released
 	Targets  atomic.Int64   // servers on the list
-	Disabled atomic.Int64   // of those, the ones now avoided
+	Disabled atomic.Int64   // servers on the list that are avoided now
 }
 
+// classFigures are the counters of one class.
 type classFigures struct {
 	Success, Overload, Error, Dispatches atomic.Int64
 }
 
-// Class gives the counts of a class: its place in the settings, or -1 for one that they don't name.
+// Class returns the counters of a class, given by its index in the settings, or -1 for one that they do not name.
 func (f *Figures) Class(class int) *ClassFigures {
 	if class < 0 || class >= len(f.classes)-1 {
 		class = len(f.classes) - 1
@@ -27,15 +28,15 @@
 	return (*ClassFigures)(&f.classes[class])
 }
 
-// ClassFigures are the counts of one class.
+// ClassFigures are the counters of one class.
 type ClassFigures classFigures
 
 func newFigures(classes int) *Figures { return &Figures{classes: make([]classFigures, classes+1)} }
 
-// Figures gives the core's counts.
+// Figures returns the counters of the core. They are safe for concurrent use.
 func (c *Core) Figures() *Figures { return c.figures }
 
-// countTargets takes the list's size and the servers avoided from the module, at most every lookEvery.
+// countTargets updates the numbers of listed and of avoided servers from the module, at most once each viewInterval.
 func (c *Core) countTargets(now control.Micros) {
 	if now-c.countedAt < viewInterval {
 		return
@@ -52,6 +53,6 @@
 	c.figures.Disabled.Store(int64(disabled))
 }
 
-// Unreadable counts a set-up that a front could not read and told that it failed: class is its place in the settings,
-// or -1. The core never saw it, but its caller had its final answer.
+// Unreadable counts a set-up that a front could not parse and answered with a failure. class is its index in the settings,
+// or -1. Such a set-up never reaches the core, but its caller has received a final answer.
 func (c *Core) Unreadable(class int) { c.figures.Class(class).Error.Add(1) }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -12,23 +12,24 @@
 	"beammux/internal/history"
 )
 
-// Host is one server as a list names it.
+// Host is one server as given by a source of the list.
 type Host struct {
 	Name  string
 	Addr  string
 	Cell  int
 	State control.State
-	Since control.Micros
+	Since control.Micros // Unix time of the start of its process
 }
 
-// Update is one change of the list, or where Whole is set all that its source knows. Servers of other sources stay.
+// Update is a change of the list. With Whole it is the complete list of its source: servers of that source that it does not
+// name are removed. Servers of other sources are not affected.
 type Update struct {
 	Source string
 	Whole  bool
 	Hosts  []Host
 }
 
-// List is the actor that owns the list of servers and their peers. Buses and inventories feed it.
+// List is the actor that owns the list of servers and their peers. It is updated by event buses and inventories.
 type List struct {
 	*actor.Actor
 	core    *Core
@@ -38,6 +39,7 @@
 	idNames map[uint32]string
 }
 
+// listed is a server on the list.
 type listed struct {
 	Host
 	source string
@@ -46,14 +48,14 @@
 	since  control.Micros // Host.Since by the core's clock, converted once
 }
 
-// NewList makes an empty list whose changes go to a core.
+// NewList returns an empty list that reports its changes to core.
 func NewList(core *Core, dialer Dialer, log logrus.FieldLogger) *List {
 	return &List{Actor: actor.New(), core: core, dialer: dialer, log: log, hosts: map[string]*listed{},
 		idNames: map[uint32]string{}}
 }
 
-// End stops the list, its peers and their connections. Established calls stay as they are: nobody is notified. It is called
-// when the process ends.
+// End stops the list and its peers and closes their connections. Established calls are left alone, without any
+// notification. It is called when the process ends.
 func (l *List) End() {
 	l.Post(func() {
 		for _, h := range l.hosts {
@@ -63,7 +65,8 @@
 	})
 }
 
-// Apply takes a change. done, if not nil, is called when the module has it.
+// Apply applies a change to the list. done, if not nil, is called from the core's actor after the module has received the
+// change.
 func (l *List) Apply(u Update, done func()) {
 	l.Post(func() {
 		l.apply(u)
@@ -104,7 +107,8 @@
 	})
 }
 
-// applyHost takes one entry. The peer hears of its state before the module does, so that nothing stale slips out between.
+// applyHost applies one entry of an update. It updates the peer's state before the module's, so that nothing is sent in
+// between on the old state.
 func (l *List) applyHost(source string, h Host) (control.Entry, bool) {
 	old := l.hosts[h.Name]
 	if h.State == control.Gone {
@@ -114,7 +118,7 @@
 		l.remove(old)
 		return control.Entry{Server: old.id, Cell: h.Cell, State: control.Gone, Since: old.since}, true
 	}
-	if old != nil && old.Addr != h.Addr { // moved: what was known of the old address no longer holds
+	if old != nil && old.Addr != h.Addr { // the address has changed: start over with a new peer
 		l.remove(old)
 		old = nil
 	}
@@ -126,7 +130,7 @@
 		l.hosts[h.Name] = old
 	} else if h.Since != old.Since {
 		old.since = l.core.clock.fromUnix(h.Since)
-		if h.Since > old.Since { // a new process under the same id: established calls at the old one are over
+		if h.Since > old.Since { // the process was restarted: calls established at the old one have ended
 			p, since := old.peer, old.since
 			l.core.Post(func() { l.core.serverDied(p, since, false) })
 		}
@@ -136,7 +140,7 @@
 	return control.Entry{Server: old.id, Cell: h.Cell, State: h.State, Since: old.since}, true
 }
 
-// record notes in the records what the list says of a server.
+// record records the state of a server on the list.
 func (l *List) record(name string, e control.Entry) {
 	l.core.note(history.Event{Kind: history.Listed, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
 }
@@ -146,8 +150,8 @@
 	h.peer.set(control.Gone)
 }
 
-// serverID gives a server the number that its name holds (s-00c41f7a), else one made from the name. It stays the same
-// for as long as this process lives.
+// serverID returns the id of a server: the hexadecimal number in its name (s-00c41f7a), or else a hash of the name. The id
+// of a name does not change while this process runs.
 func (l *List) serverID(name string) uint32 {
 	_, digits, _ := strings.Cut(name, "-")
 	n, err := strconv.ParseUint(digits, 16, 32)
--- a/internal/routing/peer.go
+++ b/internal/routing/peer.go
@@ -15,7 +15,7 @@
 	"beammux/internal/history"
 )
 
-// ref names one attempt.
+// ref identifies one attempt of a call.
 type ref struct {
 	id      string
 	attempt int
@@ -28,63 +28,70 @@
 	Key      string
 	Body     []byte
 	Deadline time.Time
-	level    int          // of the server, as the module held it when it decided; known while records are kept
-	givenUp  *atomic.Bool // set once the core has given it up
+	level    int          // the server's level in the module's view at the decision; 0 without a recorder
+	givenUp  *atomic.Bool // set once the core has given up the attempt
 	caller   Caller
 }
 
-// abandoned tells whether the attempt has been given up or its caller is gone: it must not begin.
+// abandoned reports whether the attempt has been given up or its caller is gone, so that it must not begin.
 func (a *Attempt) abandoned() bool {
 	return a.givenUp != nil && a.givenUp.Load() || a.caller != nil && a.caller.Gone()
 }
 
-// NewAttempt names an attempt.
+// NewAttempt returns the attempt of a call with the given id and attempt number.
 func NewAttempt(id string, number int) Attempt { return Attempt{ref: ref{id, number}} }
 
-// ID is the call's id.
+// ID returns the id of the call.
 func (r ref) ID() string { return r.id }
 
-// Number counts the attempts of a call from 0.
+// Number returns the number of the attempt; the attempts of a call are counted from 0.
 func (r ref) Number() int { return r.attempt }
 
-// ServerConn is an open connection to one server. Its methods must not block; what happens on it is reported to the
+// ServerConn is an open connection to one server. Its methods must not block; events on it are reported to the
 // ServerEvents that it was opened with.
 type ServerConn interface {
 	// Setup sends a set-up. still is called when its first byte is about to be written; if it returns false, the set-up is
 	// reported as NotSent, and nothing of it is written.
 	Setup(a Attempt, still func() bool)
-	Cancel(id string)             // give up a set-up: no further copy is sent; a late answer is reported, or released by the connection itself
-	Release(id string, cause int) // end an established call
+	// Cancel gives up a set-up: no further copy is sent. A late answer is reported, or released by the connection itself.
+	Cancel(id string)
+	// Release ends an established call with a Q.850 cause.
+	Release(id string, cause int)
 	Close()
 }
 
-// ServerEvents receives what happens on a connection. It is safe for concurrent use.
+// ServerEvents receives the events on a connection to a server. It is safe for concurrent use.
 type ServerEvents interface {
 	Answered(r Attempt, body []byte)                 // the call is established
-	Failed(r Attempt, o Outcome)                     // the attempt is over
-	Released(id string, cause int, report []float64) // an established call is over
-	Report(report []float64)                         // sent by the server unasked
-	Down(err error)                                  // the connection is gone
+	Failed(r Attempt, o Outcome)                     // the attempt ended without an established call
+	Released(id string, cause int, report []float64) // the server ended an established call
+	Report(report []float64)                         // the server sent a load report without a request
+	Down(err error)                                  // the connection is closed
 }
 
-// Dialer opens connections.
+// Dialer opens connections to servers.
 type Dialer interface {
 	Dial(ctx context.Context, addr string, events ServerEvents) (ServerConn, error)
-	// MaxConns is how many connections to one server are of use at a time.
+	// MaxConns returns the largest useful number of concurrent connections to one server.
 	MaxConns(addr string) int
 }
 
 const (
-	minRedialWait    = 50 * time.Millisecond
-	maxRedialWait    = time.Second
-	lingerTime       = 10 * time.Second // what the core still sends to a retired peer gets its NotSent
-	warnInterval     = 10 * time.Second
-	lateAnswerTime   = 10 * time.Second // a given-up set-up may still be answered on its connection for so long
-	unreachableAfter = 4 * time.Second  // without a connection; calls established at a server that vanished must be released within 8 s
+	minRedialWait = 50 * time.Millisecond
+	maxRedialWait = time.Second
+	// lingerTime is how long a retired peer runs on, so that what the core still sends to it is reported as NotSent.
+	lingerTime = 10 * time.Second
+	// warnInterval is the least time between two log entries about failed connects to a server.
+	warnInterval = 10 * time.Second
+	// lateAnswerTime is how long after it was given up a set-up may still be answered on its connection.
+	lateAnswerTime = 10 * time.Second
+	// unreachableAfter is how long a server may be without a connection before its calls are released. Calls established at a
+	// server that vanished must be released within 8 s.
+	unreachableAfter = 4 * time.Second
 )
 
-// Peer is the actor of one server: it keeps connections to it and knows which attempts are in flight there. It opens several
-// where the dialer has use for them, so that one that breaks or falls silent takes few set-ups with it.
+// Peer is the actor of one server: it maintains the connections to it and tracks which attempts are in flight there. It opens
+// as many connections as the dialer allows, so that one that breaks or stops responding affects few set-ups.
 type Peer struct {
 	*actor.Actor
 	core   *Core
@@ -92,15 +99,15 @@
 	addr   string
 	dialer Dialer
 	log    logrus.FieldLogger
-	state  atomic.Int32 // control.State as the list says; read by writers at a packet's first byte
+	state  atomic.Int32 // control.State on the list; read by connection writers at the first byte of a packet
 
-	conns           []*peerConn // connections that are open
-	dialing         *peerConn   // the one that is being opened, or nil
-	queued          []Attempt   // wait for a connection
+	conns           []*peerConn // open connections
+	dialing         *peerConn   // connection that is being opened, or nil
+	queued          []Attempt   // attempts that wait for a connection
 	redialWait      time.Duration
-	timer           *time.Timer      // next try to dial, nil if none is due
+	timer           *time.Timer      // next dial, nil if none is scheduled
 	pendingReleases []pendingRelease // releases that wait for a connection
-	wasReset        bool             // a connection was reset since one was last opened: the process may have died
+	wasReset        bool             // a connection was reset after one was last opened: the server process may have died
 	lastClosedAt    control.Micros
 	disconnectedAt  control.Micros // when the last connection closed; 0 while one is open, and once its calls have been ended
 	warnedAt        control.Micros // when a failed connect was last logged
@@ -108,12 +115,14 @@
 	stopDial        context.CancelFunc
 }
 
+// inFlightAttempt is an attempt that was handed to a connection.
 type inFlightAttempt struct {
 	Attempt
-	sent      bool
-	abandoned bool // given up; a late answer may still come
+	sent      bool // its first byte may have been written
+	abandoned bool // given up; a late answer may still arrive
 }
 
+// pendingRelease is a release that waits for a connection.
 type pendingRelease struct {
 	id    string
 	cause int
@@ -126,7 +135,7 @@
 	return p
 }
 
-// set takes what the list says of the server. It is valid at once, also for what is queued.
+// set applies the state of the server on the list. It takes effect at once, also for queued attempts.
 func (p *Peer) set(s control.State) {
 	p.state.Store(int32(s))
 	p.Post(func() {
@@ -142,7 +151,7 @@
 
 func (p *Peer) gone() bool { return control.State(p.state.Load()) == control.Gone }
 
-// retire ends the peer of a server that the list calls gone: nothing more will come from it.
+// retire ends the peer of a server that was removed from the list: it closes the connections and ends the calls there.
 func (p *Peer) retire() {
 	p.stopDial()
 	p.stopTimer()
@@ -162,7 +171,7 @@
 	p.After(lingerTime, p.Stop)
 }
 
-// end stops the peer without a word to the core or its server.
+// end stops the peer without notifying the core or the server.
 func (p *Peer) end() {
 	p.stopDial()
 	p.Post(func() {
@@ -189,7 +198,8 @@
 	p.queued = nil
 }
 
-// connect opens one more connection, if it is of use: established calls and reports of the server need one too.
+// connect opens one more connection, up to the dialer's maximum. A connection is useful even without queued attempts:
+// releases of established calls and load reports need one too.
 func (p *Peer) connect() {
 	if p.dialing != nil || p.gone() || len(p.conns) >= p.dialer.MaxConns(p.addr) {
 		return
@@ -232,7 +242,7 @@
 // dialFailed handles a connection that could not be opened.
 func (p *Peer) dialFailed(err error) {
 	now := p.core.clock.now()
-	if p.warnedAt == 0 || span(now-p.warnedAt) >= warnInterval { // not each of the many tries
+	if p.warnedAt == 0 || span(now-p.warnedAt) >= warnInterval { // the log is limited: dials are retried frequently
 		p.warnedAt = now
 		p.log.WithError(err).Warn("no connection to server")
 	}
@@ -243,16 +253,16 @@
 	p.failQueued(control.Unreachable)
 	switch {
 	case p.wasReset && errors.Is(err, syscall.ECONNREFUSED):
-		// Reset and then refused: the process died, and its calls with it. It can't release them.
+		// Reset and then refused: the server process died, and its calls with it. It can't release them itself.
 		p.wasReset, p.disconnectedAt = false, 0
 		at := p.lastClosedAt
 		p.core.Post(func() { p.core.serverDied(p, at+1, false) })
 	case p.disconnectedAt > 0 && span(now-p.disconnectedAt) >= unreachableAfter:
-		// The machine vanished or is cut off, and nothing says so. Nobody else would release its calls; should it come
-		// back, it is told that they are over.
+		// The machine vanished or is cut off, without any notification. No other process releases its calls. If the server
+		// comes back, it receives the releases too.
 		at := p.disconnectedAt
 		p.disconnectedAt = 0
-		p.log.Warn("server vanished: its calls are released")
+		p.log.Warn("server unreachable: releasing its calls")
 		p.core.Post(func() { p.core.serverDied(p, at+1, true) })
 	}
 }
@@ -270,9 +280,9 @@
 // setup starts an attempt.
 func (p *Peer) setup(a Attempt) { p.Post(func() { p.dispatch(a) }) }
 
-// dispatch gives an attempt to the connection with the fewest in flight: one that has fallen silent collects no more than the
-// others have. It is never one where an earlier attempt of the call was given up, since its late answer would be taken for
-// this one's.
+// dispatch hands an attempt to the connection with the fewest attempts in flight, so that a connection that stopped responding
+// collects no more than the others. It skips connections on which an earlier attempt of the same call was given up: a late
+// answer to that attempt would be taken for an answer to this one.
 func (p *Peer) dispatch(a Attempt) {
 	if !p.ready() || !time.Now().Before(a.Deadline) {
 		p.fail(a, control.NotSent)
@@ -287,7 +297,7 @@
 	switch {
 	case best != nil:
 		if len(best.inFlight) > 0 && p.timer == nil {
-			p.connect() // all are in use: one more for the next
+			p.connect() // every connection is in use: open one more for the next attempt
 		}
 		best.send(a)
 	case len(p.conns) > 0 && len(p.conns) >= p.dialer.MaxConns(p.addr):
@@ -298,7 +308,7 @@
 	}
 }
 
-// cancel gives up an attempt whose end the core has settled already.
+// cancel gives up an attempt. The core has already ended it, so its end is not reported.
 func (p *Peer) cancel(r ref) {
 	p.Post(func() {
 		for i, a := range p.queued {
@@ -337,11 +347,12 @@
 	})
 }
 
+// fail reports the end of an attempt to the core.
 func (p *Peer) fail(a Attempt, code control.Code) {
 	p.core.Post(func() { p.core.failed(a.ref, Outcome{Code: code}) })
 }
 
-// removeConn removes a connection, and with it the set-ups in flight on it. Established calls are not tied to a connection.
+// removeConn removes a connection and fails the set-ups in flight on it. Established calls are not tied to a connection.
 func (p *Peer) removeConn(c *peerConn) {
 	c.closed = true
 	p.conns = slices.DeleteFunc(p.conns, func(o *peerConn) bool { return o == c })
@@ -358,18 +369,19 @@
 	c.inFlight = nil
 }
 
-// peerConn is one connection of a peer. It receives events for as long as it is one of the peer's connections.
+// peerConn is one connection of a peer. Its events are ignored once the peer has removed it.
 type peerConn struct {
 	peer     *Peer
 	conn     ServerConn
-	inFlight map[string]inFlightAttempt // by call
-	received bool                       // it has brought something
+	inFlight map[string]inFlightAttempt // by call id
+	received bool                       // a message has been received on it
 	closed   bool
 }
 
+// send hands an attempt to the connection.
 func (c *peerConn) send(a Attempt) {
 	c.inFlight[a.id] = inFlightAttempt{Attempt: a}
-	first := true // UDP asks for each copy; the connection itself sends none after a cancel
+	first := true // over UDP the check runs for each copy; the connection itself sends no copy after a cancel
 	c.conn.Setup(a, func() bool {
 		if !c.peer.ready() {
 			return false
@@ -382,7 +394,7 @@
 			c.peer.core.note(history.Event{Kind: history.Sent, Call: a.id, Attempt: a.attempt, Server: c.peer.server,
 				Level: a.level})
 		}
-		// From the first byte on the server may run the set-up: if the connection breaks now, that is a cut, not a NotSent.
+		// From the first byte on the server may execute the set-up: if the connection breaks now, the outcome is Cut, not NotSent.
 		c.ifOpen(func(*Peer) {
 			if sent, ok := c.inFlight[a.id]; ok && sent.ref == a.ref {
 				sent.sent = true
@@ -393,12 +405,14 @@
 	})
 }
 
+// forget removes an attempt from those in flight.
 func (c *peerConn) forget(r ref) {
 	if sent, ok := c.inFlight[r.id]; ok && sent.ref == r {
 		delete(c.inFlight, r.id)
 	}
 }
 
+// ifOpen posts f to the peer's actor, which runs it unless the connection has been removed by then.
 func (c *peerConn) ifOpen(f func(p *Peer)) {
 	c.peer.Post(func() {
 		if !c.closed {
@@ -407,6 +421,7 @@
 	})
 }
 
+// Answered implements ServerEvents.
 func (c *peerConn) Answered(a Attempt, body []byte) {
 	c.ifOpen(func(p *Peer) {
 		c.received = true
@@ -415,6 +430,7 @@
 	})
 }
 
+// Failed implements ServerEvents.
 func (c *peerConn) Failed(a Attempt, o Outcome) {
 	c.ifOpen(func(p *Peer) {
 		c.forget(a.ref)
@@ -422,6 +438,7 @@
 	})
 }
 
+// Released implements ServerEvents.
 func (c *peerConn) Released(id string, cause int, report []float64) {
 	c.ifOpen(func(p *Peer) {
 		c.received = true
@@ -429,6 +446,7 @@
 	})
 }
 
+// Report implements ServerEvents.
 func (c *peerConn) Report(report []float64) {
 	c.ifOpen(func(p *Peer) {
 		c.received = true
@@ -436,6 +454,7 @@
 	})
 }
 
+// Down implements ServerEvents.
 func (c *peerConn) Down(err error) {
 	c.ifOpen(func(p *Peer) {
 		p.log.WithError(err).Info("connection to server ended")
@@ -451,8 +470,8 @@
 			}
 		}
 		if c.received {
-			p.connect() // a release that the server could not send on it comes on the next one
-		} else { // it came up and brought nothing: not at once again
+			p.connect() // the server may have a release to send that it could not send on this connection
+		} else { // nothing was received on it: wait before the next dial
 			p.retry()
 		}
 	})
--- a/internal/routing/quota.go
+++ b/internal/routing/quota.go
@@ -5,19 +5,19 @@
 	"beammux/internal/history"
 )
 
-// Quotas gives what bounds a call, nil where nothing does. It is called by the core's actor for each call that comes.
+// Quotas returns the quota that applies to a call, nil if there is none. It is called by the core's actor for each new call.
 type Quotas interface{ For(s *Setup) Quota }
 
-// Quota bounds one call. Done is called once, when a call that was let in is over.
+// Quota admits or refuses one call. Done is called once, when an admitted call has ended.
 type Quota interface {
 	control.Quota
 	Done()
 }
 
-// SetQuotas names what bounds calls. It is called before any call comes.
+// SetQuotas sets the source of quotas. It must be called before any call arrives.
 func (c *Core) SetQuotas(q Quotas) { c.quotas = q }
 
-// admission asks a call's quota, and keeps what it lets in on record.
+// admission wraps the quota of a call and records its admission.
 type admission struct {
 	core     *Core
 	call     *call
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -8,17 +8,18 @@
 	"beammux/internal/history"
 )
 
-// Recorder takes what happens, in order. Record is called by actors and by writers of connections and must not block.
+// Recorder receives events in the order in which they occur. Record is called by actors and by the writers of connections
+// and must not block.
 type Recorder interface{ Record(history.Event) }
 
 const (
-	viewInterval       = control.Micros(50000)  // the module's views are looked at so often
-	minViewAge         = control.Micros(250000) // a wait that moves is recorded at most so often
-	minWaitChange      = control.Micros(5000)   // and only when it moves by this
-	minWaitChangeShare = 0.2                    // and by this part
+	viewInterval       = control.Micros(50000)  // interval of reading the module's views
+	minViewAge         = control.Micros(250000) // least time between two records of a changing wait
+	minWaitChange      = control.Micros(5000)   // least change of a wait that is recorded
+	minWaitChangeShare = 0.2                    // least change of a wait that is recorded, as a part of the wait
 )
 
-// note records an event as of now.
+// note records an event with the current time.
 func (c *Core) note(e history.Event) {
 	if c.recorder != nil {
 		e.At = c.clock.now()
@@ -26,9 +27,10 @@
 	}
 }
 
-// Note records an event that is not the core's own. Any goroutine may call it.
+// Note records an event from outside the core. It is safe for concurrent use.
 func (c *Core) Note(e history.Event) { c.note(e) }
 
+// noteTaken records the arrival of a call.
 func (c *Core) noteTaken(k *call, arrived control.Micros) {
 	if c.recorder == nil {
 		return
@@ -41,12 +43,13 @@
 		Span: k.deadline - arrived, Again: k.WasCut})
 }
 
+// noteEnded records the end of an attempt.
 func (c *Core) noteEnded(k *call, a *attempt, code control.Code) {
 	c.note(history.Event{Kind: history.Ended, Call: k.ID, Attempt: a.number, Server: a.server, Code: code, Span: c.clock.now() - a.sentAt})
 }
 
-// noteReport records a load report with new figures: messages repeat the same figures until they are measured again,
-// and the module counts them once.
+// noteReport records a load report whose values have changed. Servers repeat the same values until they measure them
+// again, and the module counts them once.
 func (c *Core) noteReport(server uint32, report []float64) {
 	if c.recorder == nil || report == nil || slices.Equal(c.reported[server], report) {
 		return
@@ -55,13 +58,14 @@
 	c.note(history.Event{Kind: history.Reported, Server: server, Values: report})
 }
 
-// recordedView is what was last recorded of the module's view of a server.
+// recordedView is the last recorded view that the module had of a server.
 type recordedView struct {
 	control.View
 	at control.Micros
 }
 
-// noteViews records where the module's view of a server has changed: its level within 50 ms, its wait now and then.
+// noteViews records changes of the module's views of servers: a change of the level within viewInterval, a change of the
+// wait at most every minViewAge.
 func (c *Core) noteViews() {
 	if c.recorder == nil {
 		return
@@ -86,7 +90,7 @@
 	}
 }
 
-// levelOf is the level that the module holds a server at, 0 where nothing is recorded.
+// levelOf returns the level of a server in the module's view. It returns 0 without a recorder.
 func (c *Core) levelOf(server uint32) int {
 	if c.recorder == nil {
 		return 0
@@ -100,14 +104,14 @@
 	return 0
 }
 
-// Views hands what the module believes of each server, and the core's time, to f from the core's actor.
+// Views calls f from the core's actor with the module's view of each server and the core's time.
 func (c *Core) Views(f func(views []control.View, now control.Micros)) {
 	c.Post(func() { f(c.module.Views(nil), c.clock.now()) })
 }
 
-const knownTimeout = 2 * time.Second
+const knownTimeout = 2 * time.Second // for each actor's reply to Known
 
-// Known gives what the core and a list know now, as the events by which it became known.
+// Known returns the current state of the core and a list, as the events that would lead to it.
 func (c *Core) Known(l *List) (events []history.Event) {
 	now := c.clock.now()
 	ask := func(post func(func()), what func() []history.Event) {
@@ -116,7 +120,7 @@
 		select {
 		case got := <-answer:
 			events = append(events, got...)
-		case <-time.After(knownTimeout): // it has ended
+		case <-time.After(knownTimeout): // the actor has stopped
 		}
 	}
 	ask(l.Post, func() (told []history.Event) {
@@ -134,5 +138,5 @@
 	return events
 }
 
-// Now is the core's time, in Unix microseconds.
+// Now returns the core's time, in Unix microseconds.
 func (c *Core) Now() control.Micros { return c.clock.now() }
