--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -10,42 +10,42 @@
 )
 
 // send starts the attempt that the module asked for. An attempt that can't start is reported as NotSent.
-func (c *Core) send(k *call, a control.Action) {
+func (c *Core) send(k *call, action control.Action) {
 	if k.caller.Gone() { // its withdrawal follows
 		c.withdraw(k)
 		return
 	}
 	now := c.clock.now()
-	at := &attempt{number: k.attempts, server: a.Server, peer: c.peers[a.Server], sentAt: now, givenUp: &atomic.Bool{}}
+	next := &attempt{number: k.attempts, server: action.Server, peer: c.peers[action.Server], sentAt: now, givenUp: &atomic.Bool{}}
 	k.attempts++
-	left := k.deadline - now
-	if a.Wait > 0 {
-		left = min(left, a.Wait)
+	timeLeft := k.deadline - now
+	if action.Wait > 0 {
+		timeLeft = min(timeLeft, action.Wait)
 	}
-	if at.peer == nil || left <= 0 || k.current != nil {
+	if next.peer == nil || timeLeft <= 0 || k.current != nil {
 		// The server is no longer on the list, the deadline has passed, or another attempt is in flight: nothing is sent.
 		c.Post(func() {
-			c.handle(control.Resolved{ID: k.ID, Attempt: at.number, Server: a.Server, Code: control.NotSent})
+			c.handle(control.Resolved{ID: k.ID, Attempt: next.number, Server: action.Server, Code: control.NotSent})
 		})
 		return
 	}
-	k.current = at
-	at.expiry = c.After(span(left), func() {
-		if c.calls[k.ID] == k && k.current == at && !k.established {
+	k.current = next
+	next.expiry = c.After(span(timeLeft), func() {
+		if c.calls[k.ID] == k && k.current == next && !k.established {
 			c.endAttempt(k, control.TimedOut, false)
 		}
 	})
-	c.figures.Class(k.Class).Dispatches.Add(1)
+	c.stats.Class(k.Class).Dispatches.Add(1)
 	if len(c.observers) > 0 {
-		c.observe(counting.Sent, &k.Setup, a.Server)
+		c.observe(counting.Sent, &k.Setup, action.Server)
 		c.After(OverdueAfter, func() {
-			if c.calls[k.ID] == k && k.current == at && !k.established {
-				c.observe(counting.Overdue, &k.Setup, a.Server)
+			if c.calls[k.ID] == k && k.current == next && !k.established {
+				c.observe(counting.Overdue, &k.Setup, action.Server)
 			}
 		})
 	}
-	at.peer.setup(Attempt{ref: ref{k.ID, at.number}, Class: k.Class, Key: k.Key, Body: k.Body,
-		Deadline: time.Now().Add(span(left)), level: c.levelOf(a.Server), givenUp: at.givenUp, caller: k.caller})
+	next.peer.setup(Attempt{attemptRef: attemptRef{k.ID, next.number}, Class: k.Class, Key: k.Key, Body: k.Body,
+		Deadline: time.Now().Add(span(timeLeft)), level: c.levelOf(action.Server), givenUp: next.givenUp, caller: k.caller})
 }
 
 // endAttempt gives up the attempt in flight, if any, and reports its end to the module.
@@ -59,7 +59,7 @@
 	a.expiry.Stop()
 	c.noteEnded(k, a, code)
 	c.observeEnd(k, a, code)
-	a.peer.cancel(ref{k.ID, a.number})
+	a.peer.cancel(attemptRef{k.ID, a.number})
 	k.releaseLateAnswer(a.peer)
 	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
 		Took: c.clock.now() - a.sentAt, Settled: settled})
@@ -83,7 +83,7 @@
 const OverdueAfter = 400 * time.Millisecond
 
 // attemptOf returns the call of an attempt that is in flight, or nil. It ensures that an attempt ends only once.
-func (c *Core) attemptOf(r ref) *call {
+func (c *Core) attemptOf(r attemptRef) *call {
 	k := c.calls[r.id]
 	if k == nil || k.established || k.current == nil || k.current.number != r.attempt {
 		return nil
@@ -92,7 +92,7 @@
 }
 
 // answered handles the answer of a server that establishes a call.
-func (c *Core) answered(p *Peer, r ref, body []byte) {
+func (c *Core) answered(p *Peer, r attemptRef, body []byte) {
 	k := c.attemptOf(r)
 	if k == nil {
 		c.lateAnswer(p, r)
@@ -103,7 +103,7 @@
 	k.deadlineTimer.Stop()
 	k.established, k.establishedAt = true, c.clock.now()
 	c.unanswered--
-	c.figures.Class(k.Class).Success.Add(1)
+	c.stats.Class(k.Class).Success.Add(1)
 	c.observe(counting.Established, &k.Setup, 0)
 	c.observe(counting.Answered, &k.Setup, a.server)
 	c.note(history.Event{Kind: history.Established, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
@@ -118,7 +118,7 @@
 // lateAnswer handles the answer to a set-up that was given up: the call is released at the server, but not while another
 // attempt of the same call is in flight or established there. Servers identify a call by its id alone, so the release would
 // end that attempt as well.
-func (c *Core) lateAnswer(p *Peer, r ref) {
+func (c *Core) lateAnswer(p *Peer, r attemptRef) {
 	k := c.calls[r.id]
 	switch {
 	case k == nil || k.current == nil || k.current.peer != p:
@@ -146,7 +146,7 @@
 }
 
 // failed handles the end of an attempt that did not establish the call.
-func (c *Core) failed(r ref, o Outcome) {
+func (c *Core) failed(r attemptRef, o Outcome) {
 	k := c.attemptOf(r)
 	if k == nil {
 		return
@@ -200,10 +200,10 @@
 
 // serverDied ends the calls established at a peer before the given time, because the server process has ended. With tell,
 // which is set where the end of the process is not certain, the calls are released at the server as well.
-func (c *Core) serverDied(p *Peer, before control.Micros, tell bool) {
+func (c *Core) serverDied(p *Peer, before control.Micros, notifyServer bool) {
 	for _, k := range c.calls {
 		if k.established && k.current.peer == p && k.establishedAt < before {
-			if tell {
+			if notifyServer {
 				p.release(k.ID, CauseNormal)
 			}
 			c.endEstablished(k, control.Cut, CauseFailed, nil)
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -86,7 +86,7 @@
 	establishedAt control.Micros
 	deadlineTimer *time.Timer
 	graceEnds     control.Micros // end of the module's grace period, which follows the deadline
-	graces        int            // how often the grace period was renewed
+	graceRenewals int            // how often the grace period was renewed
 	quota         Quota
 	admission     *admission // nil if no quota applies
 	lateAnswer    bool       // an abandoned attempt was answered late by the server where another is in flight
@@ -95,10 +95,10 @@
 const (
 	// decisionGrace is how long after a caller's deadline the module may still decide; then the core itself answers.
 	decisionGrace = 15 * time.Millisecond
-	// graceStall is the delay of a timer from which on the process is taken to have been stalled.
-	graceStall = 5 * time.Millisecond
-	// maxGraces is how often the grace period of one call is renewed.
-	maxGraces = 20
+	// stallThreshold is the delay of a timer from which on the process is taken to have been stalled.
+	stallThreshold = 5 * time.Millisecond
+	// maxGraceRenewals is how often the grace period of one call is renewed.
+	maxGraceRenewals = 20
 	// endedCallLifetime is how long the id of an ended call is remembered, so that a repeated release is passed on once.
 	endedCallLifetime = 2 * time.Minute
 	// maxEndedCalls bounds the remembered ids, independent of the load from callers. The newest are kept.
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -4,10 +4,10 @@
 
 // Change puts limits in force as SetLimits does, and calls also in the same turn of the core's actor, so that no call is
 // decided between the two. also must not block.
-func (c *Core) Change(p *retry.Policy, also func()) {
+func (c *Core) Change(policy *retry.Policy, also func()) {
 	c.Post(func() {
-		p.Adopt(c.limits)
-		c.limits = p
+		policy.Adopt(c.limits)
+		c.limits = policy
 		also()
 	})
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -17,41 +17,41 @@
 // an answer, a withdrawal and a time-out are settled by the order in which they arrive in its mailbox.
 type Core struct {
 	*actor.Actor
-	clock        clock
-	module       *control.Controller
-	log          logrus.FieldLogger
-	orphans      Orphans
-	limits       *retry.Policy // of calls that arrive now; nil: as in the settings
-	peers        map[uint32]*Peer
-	calls        map[string]*call
-	unanswered   int // calls without a final answer
-	ended        endedCalls
-	quotas       Quotas // nil if there are none
-	releaseGuard control.Micros
-	answerBy     control.Micros // upper bound of the deadlines of new calls; 0: no bound
-	actions      []control.Action
-	handling     bool
-	drained      func() // called once no call is unanswered
+	clock          clock
+	module         *control.Controller
+	log            logrus.FieldLogger
+	orphans        Orphans
+	limits         *retry.Policy // of calls that arrive now; nil: as in the settings
+	peers          map[uint32]*Peer
+	calls          map[string]*call
+	unanswered     int // calls without a final answer
+	ended          endedCalls
+	quotas         Quotas // nil if there are none
+	releaseGuard   control.Micros
+	latestDeadline control.Micros // upper bound of the deadlines of new calls; 0: no bound
+	actions        []control.Action
+	handling       bool
+	onDrained      func() // called once no call is unanswered
 
 	recorder      Recorder // nil if nothing is recorded
 	classes       []control.Class
-	views         []control.View
+	viewBuffer    []control.View
 	recordedViews map[uint32]recordedView
-	viewedAt      control.Micros
-	reported      map[uint32][]float64
+	viewsReadAt   control.Micros
+	lastReports   map[uint32][]float64
 
-	figures   *Figures
-	observers []Observer
-	counted   []control.View
-	countedAt control.Micros
+	stats            *Figures
+	observers        []Observer
+	countedViews     []control.View
+	targetsCountedAt control.Micros
 }
 
 // NewCore creates a core and starts its module. records may be nil: then nothing is recorded.
-func NewCore(set control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
-	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(set, seed), log: log, peers: map[uint32]*Peer{},
-		calls: map[string]*call{}, releaseGuard: set.ReleaseGuard,
-		recorder: records, classes: set.Classes, recordedViews: map[uint32]recordedView{}, reported: map[uint32][]float64{},
-		figures: newFigures(len(set.Classes))}
+func NewCore(settings control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
+	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(settings, seed), log: log, peers: map[uint32]*Peer{},
+		calls: map[string]*call{}, releaseGuard: settings.ReleaseGuard,
+		recorder: records, classes: settings.Classes, recordedViews: map[uint32]recordedView{}, lastReports: map[uint32][]float64{},
+		stats: newStats(len(settings.Classes))}
 	c.Post(func() { c.handle(control.Start{}) })
 	return c
 }
@@ -65,7 +65,7 @@
 }
 
 // SetObservers sets the observers of calls and attempts. It must be called before any call arrives.
-func (c *Core) SetObservers(to ...Observer) { c.observers = to }
+func (c *Core) SetObservers(receivers ...Observer) { c.observers = receivers }
 
 // SetBusy informs the module that the fleet considers a number busy. at is the time of the latest busy answer, by the core's
 // clock.
@@ -77,18 +77,18 @@
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
 // observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
-func (c *Core) observe(what counting.What, s *Setup, server uint32) {
+func (c *Core) observe(kind counting.What, s *Setup, server uint32) {
 	for _, o := range c.observers {
-		o.Observe(c.clock.now(), counting.Seen{What: what, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
+		o.Observe(c.clock.now(), counting.Seen{What: kind, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
 	}
 }
 
 // SetLimits puts limits in force for the calls that arrive from now on. A call keeps the limits that it began with. The
 // counts of the retry budget are carried over.
-func (c *Core) SetLimits(p *retry.Policy) {
+func (c *Core) SetLimits(policy *retry.Policy) {
 	c.Post(func() {
-		p.Adopt(c.limits)
-		c.limits = p
+		policy.Adopt(c.limits)
+		c.limits = policy
 	})
 }
 
@@ -96,29 +96,29 @@
 func (c *Core) Learned(f func(control.Learned)) { c.Post(func() { f(c.module.Learned()) }) }
 
 // Recall restores the state that the module had learned before a restart. It is called once the list is loaded.
-func (c *Core) Recall(l control.Learned) {
-	c.Post(func() { c.handle(control.Recall{Learned: l}) })
+func (c *Core) Recall(learned control.Learned) {
+	c.Post(func() { c.handle(control.Recall{Learned: learned}) })
 }
 
 // Open starts the handling of a new call. The caller receives one final answer.
 func (c *Core) Open(s Setup, caller Caller) {
-	at := c.clock.now()
+	arrived := c.clock.now()
 	c.observe(counting.Arrived, &s, 0)
-	c.Post(func() { c.open(s, caller, at) })
+	c.Post(func() { c.open(s, caller, arrived) })
 }
 
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
 	deadline := arrived + control.Micros(s.Left/time.Microsecond)
-	if at, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-at < c.releaseGuard {
+	if endedAt, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-endedAt < c.releaseGuard {
 		// The id is in use: the first call continues unchanged, and the second caller gets a failure. An id that was in use
 		// until a moment ago is rejected too: its set-up would be sent within the release guard.
 		c.log.WithField("call", s.ID).Debug("set-up rejected: its id is in use by another call")
-		c.figures.Class(s.Class).Error.Add(1)
+		c.stats.Class(s.Class).Error.Add(1)
 		caller.Fail()
 		return
 	}
-	if c.answerBy > 0 {
-		deadline = min(deadline, c.answerBy)
+	if c.latestDeadline > 0 {
+		deadline = min(deadline, c.latestDeadline)
 	}
 	limits := c.limits.For(s.Class, s.Key, s.FirstChoice, s.WasCut)
 	if limits != nil && limits.GiveUp > 0 {
@@ -127,8 +127,8 @@
 	k := &call{Setup: s, caller: caller, arrived: arrived, deadline: deadline}
 	c.calls[s.ID] = k
 	c.unanswered++
-	c.figures.Open.Store(int64(len(c.calls)))
-	c.noteTaken(k, arrived)
+	c.stats.Open.Store(int64(len(c.calls)))
+	c.noteArrived(k, arrived)
 	k.deadlineTimer = c.After(span(deadline-c.clock.now()), func() { c.deadlineReached(k) })
 	var quota control.Quota
 	if c.quotas != nil {
@@ -145,12 +145,12 @@
 // own timers are due at the same moment as this one and may fire in any order.
 func (c *Core) deadlineReached(k *call) {
 	if c.calls[k.ID] == k && !k.established {
-		c.grantGrace(k)
+		c.startGrace(k)
 	}
 }
 
-// grantGrace starts the module's grace period for a call.
-func (c *Core) grantGrace(k *call) {
+// startGrace starts the module's grace period for a call.
+func (c *Core) startGrace(k *call) {
 	k.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
 	k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
 }
@@ -159,11 +159,11 @@
 // If so, it starts the grace period again, at most maxGraces times for one call.
 func (c *Core) stalledInGrace(k *call) bool {
 	late := c.clock.now() - k.graceEnds
-	if late < control.Micros(graceStall.Microseconds()) || k.graces >= maxGraces {
+	if late < control.Micros(stallThreshold.Microseconds()) || k.graceRenewals >= maxGraceRenewals {
 		return false
 	}
-	k.graces++
-	c.grantGrace(k)
+	k.graceRenewals++
+	c.startGrace(k)
 	return true
 }
 
@@ -177,7 +177,7 @@
 	c.handle(control.Withdrawn{ID: k.ID})
 	c.close(k)
 	c.note(history.Event{Kind: history.Failed, Call: k.ID})
-	c.figures.Class(k.Class).Error.Add(1)
+	c.stats.Class(k.Class).Error.Add(1)
 	k.caller.Fail()
 }
 
@@ -244,7 +244,7 @@
 		k.quota.Done()
 	}
 	delete(c.calls, k.ID)
-	c.figures.Open.Store(int64(len(c.calls)))
+	c.stats.Open.Store(int64(len(c.calls)))
 	if k.attempts > 0 { // a call that was never sent needs no release guard, and must not use memory during a flood
 		c.ended.add(k.ID, c.clock.now())
 	}
@@ -254,13 +254,13 @@
 // AnswerWithin bounds the deadlines of the calls that arrive from now on: each has its final answer at most d after this
 // call. The process may be killed then.
 func (c *Core) AnswerWithin(d time.Duration) {
-	c.Post(func() { c.answerBy = c.clock.now() + control.Micros(d/time.Microsecond) })
+	c.Post(func() { c.latestDeadline = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
 // Drained arranges for f to be called once, when every call has its final answer.
 func (c *Core) Drained(f func()) {
 	c.Post(func() {
-		c.drained = f
+		c.onDrained = f
 		c.checkDrained()
 	})
 }
@@ -268,13 +268,13 @@
 // checkDrained calls the function given to Drained if no call is unanswered. The function is posted, so that the last answer
 // has been delivered before it runs.
 func (c *Core) checkDrained() {
-	if c.unanswered > 0 || c.drained == nil {
+	if c.unanswered > 0 || c.onDrained == nil {
 		return
 	}
 	c.Post(func() {
-		if c.unanswered == 0 && c.drained != nil {
-			f := c.drained
-			c.drained = nil
+		if c.unanswered == 0 && c.onDrained != nil {
+			f := c.onDrained
+			c.onDrained = nil
 			f()
 		}
 	})
@@ -282,68 +282,68 @@
 
 // handle passes one event to the module and carries out the resulting actions. It may be called again by an action: the
 // actions of the nested event are then appended to the list that the outer call carries out.
-func (c *Core) handle(e control.Event) {
-	c.actions = append(c.actions, c.ask(e)...) // copied: the module reuses its slice
+func (c *Core) handle(event control.Event) {
+	c.actions = append(c.actions, c.callModule(event)...) // copied: the module reuses its slice
 	if c.handling {
 		return
 	}
 	c.handling = true
 	for len(c.actions) > 0 {
-		a := c.actions[0]
+		action := c.actions[0]
 		c.actions = c.actions[1:]
-		c.act(a)
+		c.execute(action)
 	}
 	c.handling = false
 	c.noteViews()
 	c.countTargets(c.clock.now())
 }
 
-// ask passes one event to the module and recovers from a panic in it: one bad event must not end all calls. The deadline
+// callModule passes one event to the module and recovers from a panic in it: one bad event must not end all calls. The deadline
 // timer then answers the affected call.
-func (c *Core) ask(e control.Event) (actions []control.Action) {
+func (c *Core) callModule(event control.Event) (actions []control.Action) {
 	defer func() {
-		if p := recover(); p != nil {
-			c.log.WithField("event", fmt.Sprintf("%T", e)).Errorf("module panicked: %v", p)
+		if recovered := recover(); recovered != nil {
+			c.log.WithField("event", fmt.Sprintf("%T", event)).Errorf("module panicked: %v", recovered)
 		}
 	}()
-	return c.module.Handle(c.clock.now(), e)
+	return c.module.Handle(c.clock.now(), event)
 }
 
-// act carries out one action of the module.
-func (c *Core) act(a control.Action) {
-	k := c.calls[a.ID]
+// execute carries out one action of the module.
+func (c *Core) execute(action control.Action) {
+	k := c.calls[action.ID]
 	if k != nil && k.established {
 		k = nil
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case control.Send:
 		if k != nil {
-			c.send(k, a)
+			c.send(k, action)
 		}
 	case control.Refuse:
 		if k != nil {
 			c.close(k)
-			c.note(history.Event{Kind: history.Refused, Call: k.ID, Span: a.Wait})
-			c.figures.Class(k.Class).Overload.Add(1)
+			c.note(history.Event{Kind: history.Refused, Call: k.ID, Span: action.Wait})
+			c.stats.Class(k.Class).Overload.Add(1)
 			c.observe(counting.Refused, &k.Setup, 0)
-			k.caller.Refuse(span(a.Wait))
+			k.caller.Refuse(span(action.Wait))
 		}
 	case control.Fail:
 		if k != nil {
 			c.close(k)
 			c.note(history.Event{Kind: history.Failed, Call: k.ID})
-			c.figures.Class(k.Class).Error.Add(1)
+			c.stats.Class(k.Class).Error.Add(1)
 			c.observe(counting.Failed, &k.Setup, 0)
 			k.caller.Fail()
 		}
 	case control.Cancel:
-		if k != nil && k.current != nil && k.current.number == a.Attempt {
+		if k != nil && k.current != nil && k.current.number == action.Attempt {
 			c.endAttempt(k, control.Cancelled, false)
 		}
 	case control.Defer:
-		c.After(span(a.At-c.clock.now()), func() { c.handle(control.Timer{Key: a.Key}) })
+		c.After(span(action.At-c.clock.now()), func() { c.handle(control.Timer{Key: action.Key}) })
 	case control.Watch: // nothing to do: updates of the list arrive without a request
 	case control.Note:
-		c.log.Info(a.Text)
+		c.log.Info(action.Text)
 	}
 }
--- a/internal/routing/ended.go
+++ b/internal/routing/ended.go
@@ -15,17 +15,17 @@
 }
 
 // add records that a call ended now. Successive times must not decrease.
-func (m *endedCalls) add(id string, now control.Micros) {
-	if m.current == nil || len(m.current) >= maxEndedCalls/2 || now-m.currentSince >= control.Micros(endedCallLifetime/time.Microsecond) {
-		m.previous, m.current, m.currentSince = m.current, map[string]control.Micros{}, now
+func (e *endedCalls) add(id string, now control.Micros) {
+	if e.current == nil || len(e.current) >= maxEndedCalls/2 || now-e.currentSince >= control.Micros(endedCallLifetime/time.Microsecond) {
+		e.previous, e.current, e.currentSince = e.current, map[string]control.Micros{}, now
 	}
-	m.current[id] = now
+	e.current[id] = now
 }
 
 // endOf returns when a call ended, if its id is still remembered.
-func (m *endedCalls) endOf(id string) (at control.Micros, ok bool) {
-	if at, ok = m.current[id]; !ok {
-		at, ok = m.previous[id]
+func (e *endedCalls) endOf(id string) (at control.Micros, ok bool) {
+	if at, ok = e.current[id]; !ok {
+		at, ok = e.previous[id]
 	}
 	return at, ok
 }
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -9,8 +9,8 @@
 	"beammux/control"
 )
 
-// write lets go what waits to be written, as the connection's writer does.
-func (w *wire) write() {
+// flush runs the queued writes, as the writer of a connection does.
+func (w *fakeServer) flush() {
 	queue := w.queue
 	w.queue = nil
 	for _, f := range queue {
@@ -19,17 +19,17 @@
 	synctest.Wait()
 }
 
-// A caller that left never has an attempt begin after that, wherever its call is at that moment. Its front says so at once; the
-// withdrawal comes later, in its turn, and here it never comes.
-func TestNoAttemptBeginsForOneWhoLeft(t *testing.T) {
-	for name, play := range map[string]func(b *bench, w *wire) *caller{
-		"before the core takes it": func(b *bench, w *wire) *caller {
+// No attempt may begin for a caller that has left, wherever its call is queued at that moment. Caller.Gone returns true at once;
+// the withdrawal arrives later, and in this test it never arrives.
+func TestNoAttemptStartsAfterCallerLeft(t *testing.T) {
+	for name, run := range map[string]func(b *harness, w *fakeServer) *caller{
+		"before the core takes it": func(b *harness, w *fakeServer) *caller {
 			c := &caller{}
 			c.gone.Store(true)
 			b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
 			return c
 		},
-		"in the peer's mailbox": func(b *bench, w *wire) *caller {
+		"in the peer's mailbox": func(b *harness, w *fakeServer) *caller {
 			c, hold := &caller{}, make(chan struct{})
 			b.list.hosts["a"].peer.Post(func() { <-hold })
 			b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
@@ -38,23 +38,23 @@
 			close(hold)
 			return c
 		},
-		"in the write queue": func(b *bench, w *wire) *caller {
-			w.held = true
+		"in the write queue": func(b *harness, w *fakeServer) *caller {
+			w.writesHeld = true
 			c := b.call("1", time.Second)
 			c.gone.Store(true)
-			w.write()
-			if w.stale != 1 {
-				panic("nothing waited in the queue")
+			w.flush()
+			if w.dropped != 1 {
+				panic("no set-up was queued")
 			}
 			return c
 		},
-		"while it waits for the guard": func(b *bench, w *wire) *caller {
+		"during the release guard": func(b *harness, w *fakeServer) *caller {
 			c := b.call("1", 2*time.Second)
-			if len(w.out) != 1 {
+			if len(w.inFlight) != 1 {
 				panic("no first attempt")
 			}
-			a := w.out["1"]
-			delete(w.out, "1")
+			a := w.inFlight["1"]
+			delete(w.inFlight, "1")
 			w.events.Failed(a, Outcome{Code: control.Cut})
 			synctest.Wait()
 			c.gone.Store(true)
@@ -64,101 +64,102 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench("a", "b")
-				defer b.end()
-				c := play(b, b.wires["a"])
+				b := newHarness("a", "b")
+				defer b.stop()
+				c := run(b, b.servers["a"])
 				synctest.Wait()
 				b.sleep(50 * time.Millisecond)
-				if n := len(b.wires["a"].out) + len(b.wires["b"].out); n != 0 || c.finals != 0 {
-					t.Errorf("%d attempts began, %d final answers; want none", n, c.finals)
+				if n := len(b.servers["a"].inFlight) + len(b.servers["b"].inFlight); n != 0 || c.finalAnswers != 0 {
+					t.Errorf("%d attempts began, %d final answers; want none", n, c.finalAnswers)
 				}
 			})
 		})
 	}
 }
 
-// An attempt that was given up while it waited to be written never is: a further attempt may be out by then.
-func TestGivenUpInTheWriteQueueIsNeverWritten(t *testing.T) {
+// An attempt that is given up while it waits in the write queue must not be written: another attempt may be in flight by then.
+func TestGivenUpAttemptInWriteQueueIsNotWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
-		w.held = true
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
+		w.writesHeld = true
 		c := b.call("1", time.Second)
-		b.sleep(1200 * time.Millisecond) // its time is over: it has its answer
-		w.write()
-		if c.finals != 1 || w.stale != 1 || len(w.out) != 0 {
-			t.Errorf("finals %d, dropped %d, written %d; want 1, 1, 0", c.finals, w.stale, len(w.out))
+		b.sleep(1200 * time.Millisecond) // past the deadline: the caller has its final answer
+		w.flush()
+		if c.finalAnswers != 1 || w.dropped != 1 || len(w.inFlight) != 0 {
+			t.Errorf("final answers %d, dropped %d, written %d; want 1, 1, 0", c.finalAnswers, w.dropped, len(w.inFlight))
 		}
 	})
 }
 
-// Excess is refused at once, with the time to stay away, and goes to no server.
+// An excess set-up is refused at once, with a time to wait, and is sent to no server.
 func TestExcessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		c := &caller{}
 		b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second, Excess: true}, c)
 		synctest.Wait()
-		if c.finals != 1 || c.stood || c.wait <= 0 || len(b.wires["a"].out) != 0 {
-			t.Errorf("%d answers, wait %v, %d attempts", c.finals, c.wait, len(b.wires["a"].out))
+		if c.finalAnswers != 1 || c.established || c.wait <= 0 || len(b.servers["a"].inFlight) != 0 {
+			t.Errorf("%d answers, wait %v, %d attempts", c.finalAnswers, c.wait, len(b.servers["a"].inFlight))
 		}
 	})
 }
 
-// A flood of new ids leaves no memory of what no server has heard of, and of the rest the newest alone, for as long as the
-// guard needs and longer.
-func TestMemoryOfIDsIsBounded(t *testing.T) {
+// A flood of new call ids must not use memory for calls that were never sent to a server. Of the others only the newest are
+// remembered, for at least endedCallLifetime.
+func TestEndedCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		defer b.end()
+		b := newHarness()
+		defer b.stop()
 		for i := range 20000 {
 			b.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, Left: time.Second}, &caller{})
 		}
 		synctest.Wait()
 		if n := len(b.core.ended.current) + len(b.core.ended.previous); n != 0 {
-			t.Errorf("%d ids remembered of calls that no server has heard of", n)
+			t.Errorf("%d ids remembered of calls that were sent to no server", n)
 		}
 	})
 	var m endedCalls
-	now, most := control.Micros(1e9), 0
+	now, maxRemembered := control.Micros(1e9), 0
 	for i := range 3 * maxEndedCalls {
 		now += 50
 		m.add(fmt.Sprint(i), now)
-		most = max(most, len(m.current)+len(m.previous))
+		maxRemembered = max(maxRemembered, len(m.current)+len(m.previous))
 	}
-	if most > maxEndedCalls {
-		t.Errorf("%d ids remembered, at most %d may", most, maxEndedCalls)
+	if maxRemembered > maxEndedCalls {
+		t.Errorf("%d ids remembered, want at most %d", maxRemembered, maxEndedCalls)
 	}
 	for back := range maxEndedCalls / 2 {
 		if at, ok := m.endOf(fmt.Sprint(3*maxEndedCalls - 1 - back)); !ok || at != now-50*control.Micros(back) {
-			t.Fatalf("the end before %d others is forgotten: %v, %v", back, at, ok)
+			t.Fatalf("end of the call before the last %d is wrong or forgotten: %v, %v", back, at, ok)
 		}
 	}
 	now += control.Micros(endedCallLifetime/time.Microsecond) - 1
 	m.add("young", now)
 	if _, ok := m.endOf(fmt.Sprint(3*maxEndedCalls - 1)); !ok {
-		t.Error("forgotten before its time")
+		t.Error("id forgotten before endedCallLifetime")
 	}
 	for range 2 {
 		now += control.Micros(endedCallLifetime / time.Microsecond)
 		m.add("late", now)
 	}
 	if _, ok := m.endOf("young"); ok {
-		t.Error("remembered for ever")
+		t.Error("id remembered after 2 * endedCallLifetime")
 	}
 }
 
-// A line that comes up late carries what still waits for it, and nothing of what was given up, cancelled or left meanwhile.
-func TestLineThatComesUpLate(t *testing.T) {
+// A connection that opens late carries only the queued set-ups that are still wanted: none that was given up, cancelled or
+// left by its caller in the meantime.
+func TestQueuedAttemptsAfterSlowDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		defer b.end()
-		b.wires["a"] = newWire()
+		b := newHarness()
+		defer b.stop()
+		b.servers["a"] = newFakeServer()
 		up := make(chan struct{})
-		b.wires["a"].late = up
-		b.set("a", 0, control.Ready)
+		b.servers["a"].dialGate = up
+		b.setState("a", 0, control.Ready)
 		synctest.Wait()
 		short, cancelled, left, waits := b.call("short", 300*time.Millisecond), b.call("cancelled", 2*time.Second),
 			b.call("left", 2*time.Second), b.call("waits", 2*time.Second)
@@ -168,9 +169,9 @@
 		synctest.Wait()
 		close(up)
 		synctest.Wait()
-		w := b.wires["a"]
-		if len(w.out) != 1 || w.begun["waits"] != 1 || short.finals != 1 || cancelled.finals+waits.finals != 0 {
-			t.Errorf("out %v, begun %v, answers %d %d %d", w.out, w.begun, short.finals, cancelled.finals, waits.finals)
+		w := b.servers["a"]
+		if len(w.inFlight) != 1 || w.setups["waits"] != 1 || short.finalAnswers != 1 || cancelled.finalAnswers+waits.finalAnswers != 0 {
+			t.Errorf("in flight %v, received %v, final answers %d %d %d", w.inFlight, w.setups, short.finalAnswers, cancelled.finalAnswers, waits.finalAnswers)
 		}
 	})
 }
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -9,14 +9,14 @@
 // Figures are the operational counters of the core, updated where each outcome is decided. They start at 0 with the
 // process. They are read without the core's actor, so that a busy core does not delay their readers.
 type Figures struct {
-	classes  []classFigures // by index in the settings; the last one is for classes that they do not name
-	Open     atomic.Int64   // calls that are unanswered, or established and not yet released
-	Targets  atomic.Int64   // servers on the list
-	Disabled atomic.Int64   // servers on the list that are avoided now
+	classes  []classStats // by index in the settings; the last one is for classes that they do not name
+	Open     atomic.Int64 // calls that are unanswered, or established and not yet released
+	Targets  atomic.Int64 // servers on the list
+	Disabled atomic.Int64 // servers on the list that are avoided now
 }
 
-// classFigures are the counters of one class.
-type classFigures struct {
+// classStats are the counters of one class.
+type classStats struct {
 	Success, Overload, Error, Dispatches atomic.Int64
 }
 
@@ -29,30 +29,30 @@
 }
 
 // ClassFigures are the counters of one class.
-type ClassFigures classFigures
+type ClassFigures classStats
 
-func newFigures(classes int) *Figures { return &Figures{classes: make([]classFigures, classes+1)} }
+func newStats(classes int) *Figures { return &Figures{classes: make([]classStats, classes+1)} }
 
 // Figures returns the counters of the core. They are safe for concurrent use.
-func (c *Core) Figures() *Figures { return c.figures }
+func (c *Core) Figures() *Figures { return c.stats }
 
 // countTargets updates the numbers of listed and of avoided servers from the module, at most once each viewInterval.
 func (c *Core) countTargets(now control.Micros) {
-	if now-c.countedAt < viewInterval {
+	if now-c.targetsCountedAt < viewInterval {
 		return
 	}
-	c.countedAt = now
-	c.counted = c.module.Views(c.counted[:0])
+	c.targetsCountedAt = now
+	c.countedViews = c.module.Views(c.countedViews[:0])
 	disabled := 0
-	for _, v := range c.counted {
+	for _, v := range c.countedViews {
 		if v.Gated() {
 			disabled++
 		}
 	}
-	c.figures.Targets.Store(int64(len(c.counted)))
-	c.figures.Disabled.Store(int64(disabled))
+	c.stats.Targets.Store(int64(len(c.countedViews)))
+	c.stats.Disabled.Store(int64(disabled))
 }
 
 // Unreadable counts a set-up that a front could not parse and answered with a failure. class is its index in the settings,
 // or -1. Such a set-up never reaches the core, but its caller has received a final answer.
-func (c *Core) Unreadable(class int) { c.figures.Class(class).Error.Add(1) }
+func (c *Core) Unreadable(class int) { c.stats.Class(class).Error.Add(1) }
--- /dev/null
+++ b/internal/routing/harness_test.go
@@ -0,0 +1,191 @@
+package routing
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"sync/atomic"
+	"syscall"
+	"testing/synctest"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"beammux/control"
+)
+
+// discardLogger returns a logger that discards its output.
+func discardLogger() logrus.FieldLogger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+// fakeServer is a fake server with its connection: it records the requests that it receives, and the test sends its responses.
+type fakeServer struct {
+	dials            int
+	dialError        error         // result of the next dials
+	dialGate         chan struct{} // dials block until it is closed; nil: they do not block
+	events           ServerEvents
+	writesHeld       bool               // writes are queued
+	queue            []func()           // queued writes
+	inFlight         map[string]Attempt // set-ups in flight, by call id
+	duplicates       map[string]int     // set-ups of a call that arrived while another was in flight
+	setups           map[string]int     // set-ups received, by call id
+	activeCalls      map[string]bool    // established calls
+	releasesReceived map[string]int     // releases received, by call id
+	dropped          int                // set-ups that were dropped at their first byte
+	closed           int                // closed connections
+}
+
+func newFakeServer() *fakeServer {
+	return &fakeServer{inFlight: map[string]Attempt{}, duplicates: map[string]int{}, setups: map[string]int{}, activeCalls: map[string]bool{}, releasesReceived: map[string]int{}}
+}
+
+func (w *fakeServer) Dial(_ context.Context, _ string, e ServerEvents) (ServerConn, error) {
+	w.dials++
+	if w.dialGate != nil {
+		<-w.dialGate
+	}
+	if w.dialError != nil {
+		return nil, w.dialError
+	}
+	w.events = e
+	return fakeConn{w, e}, nil
+}
+
+// fakeConn is a connection to a fake server.
+type fakeConn struct {
+	*fakeServer
+	connEvents ServerEvents
+}
+
+func (l fakeConn) Setup(a Attempt, still func() bool) {
+	write := func() {
+		if !still() {
+			l.dropped++
+			l.connEvents.Failed(a, Outcome{Code: control.NotSent})
+			return
+		}
+		if _, twice := l.inFlight[a.ID()]; twice {
+			l.duplicates[a.ID()]++
+		}
+		l.inFlight[a.ID()] = a
+		l.setups[a.ID()]++
+	}
+	if l.writesHeld {
+		l.queue = append(l.queue, write)
+	} else {
+		write()
+	}
+}
+
+func (l fakeConn) Cancel(id string)         { delete(l.inFlight, id) }
+func (l fakeConn) Release(id string, _ int) { l.releasesReceived[id]++; delete(l.activeCalls, id) }
+func (l fakeConn) Close()                   { l.closed++ }
+
+// answer establishes a call.
+func (w *fakeServer) answer(id, body string) {
+	a := w.inFlight[id]
+	delete(w.inFlight, id)
+	w.activeCalls[id] = true
+	w.events.Answered(a, []byte(body))
+}
+
+// reset breaks the connection.
+func (w *fakeServer) reset() {
+	e := w.events
+	w.events, w.inFlight, w.queue = nil, map[string]Attempt{}, nil
+	e.Down(fmt.Errorf("read: %w", syscall.ECONNRESET))
+}
+
+// caller is a fake Caller that records the answers and releases that it receives.
+type caller struct {
+	finalAnswers, releases int
+	established            bool // the call was established
+	body                   string
+	wait                   time.Duration // of the refusal
+	unreachable            bool          // answers can't be delivered
+	gone                   atomic.Bool
+}
+
+func (c *caller) Gone() bool { return c.gone.Load() }
+func (c *caller) Answer(b []byte) bool {
+	c.finalAnswers++
+	c.established, c.body = true, string(b)
+	return !c.unreachable
+}
+func (c *caller) Refuse(wait time.Duration) { c.finalAnswers++; c.wait = wait }
+func (c *caller) Fail()                     { c.finalAnswers++ }
+func (c *caller) Release(int)               { c.releases++ }
+
+func settings() control.Settings {
+	return control.Settings{Gatekeepers: 1, OwnCell: -1, AttemptsCap: 5, Cancel: true, RetryAfter: true, MaxRetryAfter: 2e6,
+		ReleaseGuard: 300000, ResendGap: 500000, FallMultiple: 2, FallTime: 1e6, StartCapacity: 0.33, WarmWithin: 15e6,
+		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 3e6, Worth: 1, LateWorth: 0.25}}}
+}
+
+// harness is a core and a list with fake servers.
+type harness struct {
+	core     *Core
+	list     *List
+	servers  map[string]*fakeServer
+	maxConns int // connections to each server; 0 counts as 1
+}
+
+func (b *harness) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
+	return b.servers[addr].Dial(ctx, addr, e)
+}
+
+func (b *harness) MaxConns(string) int { return max(1, b.maxConns) }
+
+func newHarness(serverNames ...string) *harness {
+	b := &harness{servers: map[string]*fakeServer{}}
+	b.core = NewCore(settings(), 1, nil, discardLogger())
+	b.list = NewList(b.core, b, discardLogger())
+	for _, name := range serverNames {
+		b.servers[name] = newFakeServer()
+	}
+	for i, name := range serverNames {
+		b.setState(name, i, control.Ready)
+	}
+	synctest.Wait()
+	return b
+}
+
+func (b *harness) setState(name string, cell int, s control.State) {
+	b.list.Apply(Update{Hosts: []Host{{Name: name, Addr: name, Cell: cell, State: s}}}, nil)
+}
+
+// stop stops all actors: a synctest bubble must have no running goroutines at its end.
+func (b *harness) stop() {
+	for _, h := range b.list.hosts {
+		h.peer.Stop()
+		h.peer.stopDial()
+	}
+	b.sleep(2 * lingerTime)
+	b.list.Stop()
+	b.core.Stop()
+	synctest.Wait()
+}
+
+// sleep advances the time. It first posts to each actor, so that the test's earlier reads are ordered before the actors'
+// later writes.
+func (b *harness) sleep(d time.Duration) {
+	nothing := func() {}
+	for _, h := range b.list.hosts {
+		h.peer.Post(nothing)
+	}
+	b.core.Post(nothing)
+	synctest.Wait()
+	time.Sleep(d)
+	synctest.Wait()
+}
+
+// call opens a call whose caller waits for the given time.
+func (b *harness) call(id string, left time.Duration) *caller {
+	c := &caller{}
+	b.core.Open(Setup{ID: id, FirstChoice: 0, Left: left}, c)
+	synctest.Wait()
+	return c
+}
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -9,8 +9,8 @@
 	"beammux/control/retry"
 )
 
-// limits compiles a file for the settings of these tests.
-func limits(t testing.TB, f retry.File) *retry.Policy {
+// compileLimits compiles a limits file for the settings of these tests.
+func compileLimits(t testing.TB, f retry.File) *retry.Policy {
 	t.Helper()
 	set := settings()
 	p, faults := retry.Compile(&f, retry.Rules{Names: []string{"menu-view"}, Classes: set.Classes, AttemptsCap: set.AttemptsCap,
@@ -21,93 +21,95 @@
 	return p
 }
 
-const msec = 1000 // figures are in microseconds
+const msec = 1000 // microseconds, the unit of retry.Values
 
+// defaults returns a limits file with values for all calls.
 func defaults(v retry.Values) retry.File { return retry.File{Defaults: v} }
 
-// answered tells which server has an attempt of a call out, "" if none.
-func (b *bench) at(id string) string {
-	for name, w := range b.wires {
-		if _, ok := w.out[id]; ok {
+// serverOf returns the server at which an attempt of a call is in flight, "" if there is none.
+func (b *harness) serverOf(id string) string {
+	for name, w := range b.servers {
+		if _, ok := w.inFlight[id]; ok {
 			return name
 		}
 	}
 	return ""
 }
 
-func (b *bench) fail(id string, o Outcome) {
-	w := b.wires[b.at(id)]
-	a := w.out[id]
-	delete(w.out, id)
+// fail ends the attempt of a call that is in flight.
+func (b *harness) fail(id string, o Outcome) {
+	w := b.servers[b.serverOf(id)]
+	a := w.inFlight[id]
+	delete(w.inFlight, id)
 	w.events.Failed(a, o)
 	synctest.Wait()
 }
 
-// An attempt is given up after its time-out, the next comes after the wait and no sooner, and no more are sent than the
-// limits allow; then the call is refused at once, with advice.
-func TestLimitsInForce(t *testing.T) {
+// An attempt is given up after its time-out, the next one is sent after the retry wait and not before, and no more attempts
+// are sent than the limits allow. The call is then refused at once, with a time to wait.
+func TestLimitsApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a", "b")
-		defer b.end()
-		b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 2, retry.AttemptTimeout: 500 * msec, retry.RetryWait: 400 * msec})))
+		b := newHarness("a", "b")
+		defer b.stop()
+		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.AttemptTimeout: 500 * msec, retry.RetryWait: 400 * msec})))
 		c := b.call("1", 3*time.Second)
-		first := b.at("1")
+		first := b.serverOf("1")
 		b.sleep(499 * time.Millisecond)
-		if b.at("1") != first {
+		if b.serverOf("1") != first {
 			t.Fatal("given up before its time-out")
 		}
 		b.sleep(2 * time.Millisecond)
-		if b.at("1") != "" {
-			t.Fatal("out after its time-out")
+		if b.serverOf("1") != "" {
+			t.Fatal("still in flight after its time-out")
 		}
 		b.sleep(398 * time.Millisecond)
-		if b.at("1") != "" || c.finals != 0 {
-			t.Fatal("sent again before the wait was over")
+		if b.serverOf("1") != "" || c.finalAnswers != 0 {
+			t.Fatal("sent again before the end of the retry wait")
 		}
-		b.sleep(60 * time.Millisecond) // the module looks every 50 ms
-		if second := b.at("1"); second == "" || second == first {
+		b.sleep(60 * time.Millisecond) // the module checks for due retries every 50 ms
+		if second := b.serverOf("1"); second == "" || second == first {
 			t.Fatalf("second attempt at %q after %q", second, first)
 		}
 		b.sleep(501 * time.Millisecond)
-		if c.finals != 1 || c.stood || c.wait == 0 {
+		if c.finalAnswers != 1 || c.established || c.wait == 0 {
 			t.Errorf("after two attempts: %+v", c)
 		}
 	})
 }
 
-// A call lives by the limits it began with, also when a reload comes between two of its attempts; the next one lives by
-// the new ones.
-func TestReloadBetweenTwoAttempts(t *testing.T) {
+// A call keeps the limits that it began with, also when new limits are loaded between two of its attempts. A call that
+// arrives after the reload gets the new limits.
+func TestLimitsReloadBetweenAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a", "b")
-		defer b.end()
-		b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 300 * msec})))
+		b := newHarness("a", "b")
+		defer b.stop()
+		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 300 * msec})))
 		old := b.call("1", 2*time.Second)
 		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
-		b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 1})))
+		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1})))
 		b.sleep(400 * time.Millisecond)
-		if b.at("1") == "" || old.finals != 0 {
-			t.Errorf("a call that began with two attempts got one: %+v", old)
+		if b.serverOf("1") == "" || old.finalAnswers != 0 {
+			t.Errorf("call from before the reload got one attempt, want two: %+v", old)
 		}
 		young := b.call("2", 2*time.Second)
 		b.fail("2", Outcome{Code: control.Full, Reason: control.NoAgent})
-		if young.finals != 1 || young.wait == 0 {
-			t.Errorf("a call after the reload: %+v", young)
+		if young.finalAnswers != 1 || young.wait == 0 {
+			t.Errorf("call from after the reload: %+v, want a refusal after one attempt", young)
 		}
 	})
 }
 
-// An answer and the time-out of its attempt in the same millisecond: one of them counts. An answer that comes second is
-// released at the server, and one that comes first makes the call stand.
-func TestAnswerAndTimeOutTogether(t *testing.T) {
+// Of an answer and the time-out of its attempt in the same millisecond only the first takes effect. An answer that arrives
+// first establishes the call; one that arrives second is released at the server.
+func TestAnswerRacesAttemptTimeout(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench("a")
-			defer b.end()
-			b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 500 * msec})))
+			b := newHarness("a")
+			defer b.stop()
+			b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 500 * msec})))
 			c := b.call("1", 2*time.Second)
-			w := b.wires["a"]
-			a := w.out["1"]
+			w := b.servers["a"]
+			a := w.inFlight["1"]
 			if before {
 				b.sleep(500*time.Millisecond - time.Microsecond)
 				w.answer("1", "")
@@ -116,116 +118,117 @@
 				w.events.Answered(a, nil)
 			}
 			b.sleep(time.Second)
-			if c.finals != 1 || c.stood != before || (w.byes["1"] == 1) == before {
-				t.Errorf("answer first %t: %+v, byes %d", before, c, w.byes["1"])
+			if c.finalAnswers != 1 || c.established != before || (w.releasesReceived["1"] == 1) == before {
+				t.Errorf("answer first %t: %+v, releases %d", before, c, w.releasesReceived["1"])
 			}
 		})
 	}
 }
 
-// A caller that withdraws during the wait is owed nothing, and nothing more is sent for it.
-func TestWithdrawnDuringTheWait(t *testing.T) {
+// A caller that withdraws during the retry wait gets no final answer, and no further attempt is sent.
+func TestWithdrawDuringRetryWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a", "b")
-		defer b.end()
-		b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 3, retry.RetryWait: 500 * msec})))
+		b := newHarness("a", "b")
+		defer b.stop()
+		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 3, retry.RetryWait: 500 * msec})))
 		c := b.call("1", 2*time.Second)
 		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
 		inTime := false
 		b.core.Withdraw("1", c, func(ok bool) { inTime = ok })
 		b.sleep(2 * time.Second)
-		if !inTime || c.finals != 0 || b.at("1") != "" {
-			t.Errorf("in time %t, %+v, out at %q", inTime, c, b.at("1"))
+		if !inTime || c.finalAnswers != 0 || b.serverOf("1") != "" {
+			t.Errorf("in time %t, %+v, in flight at %q", inTime, c, b.serverOf("1"))
 		}
 	})
 }
 
-// A caller whose time is shorter than one attempt is answered in its time, and one with more time than the file gives is
-// answered in the file's.
-func TestShortestTimeHolds(t *testing.T) {
+// A caller whose deadline is shorter than one attempt is answered by that deadline, and one with a longer deadline than the
+// limits allow is answered by the limits' deadline.
+func TestShortestDeadlineApplies(t *testing.T) {
 	for left, want := range map[time.Duration]time.Duration{300 * time.Millisecond: 300 * time.Millisecond, time.Hour: 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench("a")
-			defer b.end()
-			b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 2000 * msec, retry.GiveUp: 2000 * msec})))
+			b := newHarness("a")
+			defer b.stop()
+			b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 2000 * msec, retry.GiveUp: 2000 * msec})))
 			c := b.call("1", left)
 			b.sleep(want - time.Millisecond)
-			if c.finals != 0 {
+			if c.finalAnswers != 0 {
 				t.Errorf("left %v: answered early", left)
 			}
 			b.sleep(2 * time.Millisecond)
-			if c.finals != 1 {
+			if c.finalAnswers != 1 {
 				t.Errorf("left %v: no answer after %v", left, want)
 			}
 		})
 	}
 }
 
-// A system clock that is set by an hour in the middle of a wait changes nothing for the call: it is sent again after the
-// wait, and answered in its time. A server that has started by the new clock is known to be cold.
-func TestClockStepDuringTheWait(t *testing.T) {
+// A step of the system clock by an hour during a retry wait does not affect the call: it is sent again after the wait and
+// answered by its deadline. A server that starts after the step is taken for one that has just started.
+func TestClockStepDuringRetryWait(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench("a", "b")
-			defer b.end()
-			b.core.SetLimits(limits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 500 * msec})))
+			b := newHarness("a", "b")
+			defer b.stop()
+			b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 500 * msec})))
 			c := b.call("1", 2*time.Second)
 			b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
 			b.core.Post(func() {
 				b.core.clock.wall = func() time.Time { return time.Now().Add(step) }
 			})
 			b.sleep(560 * time.Millisecond)
-			if b.at("1") == "" {
-				t.Errorf("step %v: not sent again after the wait", step)
+			if b.serverOf("1") == "" {
+				t.Errorf("step %v: not sent again after the retry wait", step)
 			}
 			b.sleep(2 * time.Second)
-			if c.finals != 1 || c.wait == 0 {
+			if c.finalAnswers != 1 || c.wait == 0 {
 				t.Errorf("step %v: %+v", step, c)
 			}
 			stepped := time.Now().Add(step).UnixMicro()
 			e, _ := b.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)})
 			if age := b.core.clock.now() - e.Since; age < 0 || age > 1000 {
-				t.Errorf("step %v: a server that has just started is taken to be %d us old", step, age)
+				t.Errorf("step %v: age of a server that has just started is %d us", step, age)
 			}
 			if again, _ := b.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)}); again.Since != e.Since {
-				t.Errorf("told twice, its start moved by %d us", again.Since-e.Since)
+				t.Errorf("repeated update moved the start of the server by %d us", again.Since-e.Since)
 			}
 		})
 	}
 }
 
-// With every server gated a call is refused at once with advice, whatever its limits allow, and takes no part of the budget.
+// With every server gated a call is refused at once with a time to wait, independent of its limits, and uses nothing of the
+// retry budget.
 func TestAllServersGatedRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
 		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
-		b.core.SetLimits(limits(t, f))
+		b.core.SetLimits(compileLimits(t, f))
 		b.call("1", 2*time.Second)
 		b.fail("1", Outcome{Code: control.Full, Reason: control.ProcessorFull}) // gates the only server; takes the budget
 		for _, id := range []string{"2", "3"} {
 			c := b.call(id, 2*time.Second)
-			if c.finals != 1 || c.wait == 0 || b.at(id) != "" {
-				t.Errorf("call %s: %+v, out at %q", id, c, b.at(id))
+			if c.finalAnswers != 1 || c.wait == 0 || b.serverOf(id) != "" {
+				t.Errorf("call %s: %+v, in flight at %q", id, c, b.serverOf(id))
 			}
 		}
 	})
 }
 
-// A call refused for the budget is answered at once, with advice.
+// A call that the retry budget does not cover is refused at once, with a time to wait.
 func TestBudgetRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a", "b", "c")
-		defer b.end()
+		b := newHarness("a", "b", "c")
+		defer b.stop()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
 		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
-		b.core.SetLimits(limits(t, f))
+		b.core.SetLimits(compileLimits(t, f))
 		first, second := b.call("1", 2*time.Second), b.call("2", 2*time.Second)
 		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
 		b.fail("2", Outcome{Code: control.Full, Reason: control.NoAgent})
-		if first.finals != 0 || second.finals != 1 || second.wait == 0 {
-			t.Errorf("first %+v, second %+v; want one held and one refused with advice", first, second)
+		if first.finalAnswers != 0 || second.finalAnswers != 1 || second.wait == 0 {
+			t.Errorf("first %+v, second %+v; want one that waits for its retry and one refused with a time to wait", first, second)
 		}
 	})
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -32,15 +32,15 @@
 // List is the actor that owns the list of servers and their peers. It is updated by event buses and inventories.
 type List struct {
 	*actor.Actor
-	core    *Core
-	dialer  Dialer
-	log     logrus.FieldLogger
-	hosts   map[string]*listed
-	idNames map[uint32]string
+	core      *Core
+	dialer    Dialer
+	log       logrus.FieldLogger
+	hosts     map[string]*listedHost
+	namesByID map[uint32]string
 }
 
-// listed is a server on the list.
-type listed struct {
+// listedHost is a server on the list.
+type listedHost struct {
 	Host
 	source string
 	id     uint32
@@ -50,8 +50,8 @@
 
 // NewList returns an empty list that reports its changes to core.
 func NewList(core *Core, dialer Dialer, log logrus.FieldLogger) *List {
-	return &List{Actor: actor.New(), core: core, dialer: dialer, log: log, hosts: map[string]*listed{},
-		idNames: map[uint32]string{}}
+	return &List{Actor: actor.New(), core: core, dialer: dialer, log: log, hosts: map[string]*listedHost{},
+		namesByID: map[uint32]string{}}
 }
 
 // End stops the list and its peers and closes their connections. Established calls are left alone, without any
@@ -59,7 +59,7 @@
 func (l *List) End() {
 	l.Post(func() {
 		for _, h := range l.hosts {
-			h.peer.end()
+			h.peer.shutdown()
 		}
 		l.Stop()
 	})
@@ -102,7 +102,7 @@
 	}
 	l.core.Post(func() {
 		l.core.peers = peers
-		l.core.countedAt = -viewInterval // the list's size is counted at once
+		l.core.targetsCountedAt = -viewInterval // the list's size is counted at once
 		l.core.handle(control.List{Delta: true, Entries: entries})
 	})
 }
@@ -110,34 +110,34 @@
 // applyHost applies one entry of an update. It updates the peer's state before the module's, so that nothing is sent in
 // between on the old state.
 func (l *List) applyHost(source string, h Host) (control.Entry, bool) {
-	old := l.hosts[h.Name]
+	entry := l.hosts[h.Name]
 	if h.State == control.Gone {
-		if old == nil {
+		if entry == nil {
 			return control.Entry{}, false
 		}
-		l.remove(old)
-		return control.Entry{Server: old.id, Cell: h.Cell, State: control.Gone, Since: old.since}, true
+		l.remove(entry)
+		return control.Entry{Server: entry.id, Cell: h.Cell, State: control.Gone, Since: entry.since}, true
 	}
-	if old != nil && old.Addr != h.Addr { // the address has changed: start over with a new peer
-		l.remove(old)
-		old = nil
+	if entry != nil && entry.Addr != h.Addr { // the address has changed: start over with a new peer
+		l.remove(entry)
+		entry = nil
 	}
-	if old == nil {
+	if entry == nil {
 		id := l.serverID(h.Name)
 		log := l.log.WithFields(logrus.Fields{"server": h.Name, "address": h.Addr})
-		old = &listed{id: id, peer: newPeer(l.core, id, h.Addr, l.dialer, log)}
-		old.since = l.core.clock.fromUnix(h.Since)
-		l.hosts[h.Name] = old
-	} else if h.Since != old.Since {
-		old.since = l.core.clock.fromUnix(h.Since)
-		if h.Since > old.Since { // the process was restarted: calls established at the old one have ended
-			p, since := old.peer, old.since
+		entry = &listedHost{id: id, peer: newPeer(l.core, id, h.Addr, l.dialer, log)}
+		entry.since = l.core.clock.fromUnix(h.Since)
+		l.hosts[h.Name] = entry
+	} else if h.Since != entry.Since {
+		entry.since = l.core.clock.fromUnix(h.Since)
+		if h.Since > entry.Since { // the process was restarted: calls established at the old one have ended
+			p, since := entry.peer, entry.since
 			l.core.Post(func() { l.core.serverDied(p, since, false) })
 		}
 	}
-	old.Host, old.source = h, source
-	old.peer.set(h.State)
-	return control.Entry{Server: old.id, Cell: h.Cell, State: h.State, Since: old.since}, true
+	entry.Host, entry.source = h, source
+	entry.peer.setState(h.State)
+	return control.Entry{Server: entry.id, Cell: h.Cell, State: h.State, Since: entry.since}, true
 }
 
 // record records the state of a server on the list.
@@ -145,9 +145,9 @@
 	l.core.note(history.Event{Kind: history.Listed, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
 }
 
-func (l *List) remove(h *listed) {
+func (l *List) remove(h *listedHost) {
 	delete(l.hosts, h.Name)
-	h.peer.set(control.Gone)
+	h.peer.setState(control.Gone)
 }
 
 // serverID returns the id of a server: the hexadecimal number in its name (s-00c41f7a), or else a hash of the name. The id
@@ -161,9 +161,9 @@
 		h.Write([]byte(name))
 		id = h.Sum32()
 	}
-	for l.idNames[id] != "" && l.idNames[id] != name {
+	for l.namesByID[id] != "" && l.namesByID[id] != name {
 		id++
 	}
-	l.idNames[id] = name
+	l.namesByID[id] = name
 	return id
 }
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -13,29 +13,29 @@
 	"beammux/control"
 )
 
-// model is what a caller may see, whatever happens at the wires.
+// model is the expected state of one call.
 type model struct {
 	caller *caller
 	opened time.Time
-	gone   bool // withdrawn by the caller
-	over   bool // released by the caller
-	begun  int  // attempts that had begun when the caller left
+	gone   bool // the caller has left or withdrawn
+	hungUp bool // the caller has hung up
+	setups int  // attempts that had begun when the caller left
 }
 
-// Random steps at two servers and many callers, against the model of a call: one final answer in time, an attempt out
-// at one server at most, one release after an answer and none before.
-func TestRandomSteps(t *testing.T) {
+// Random steps at two servers with many callers, checked against the model of a call: one final answer in time, at most one
+// attempt in flight, at most one release, and none before an answer.
+func TestCoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
-			b := newBench("a", "b")
-			defer b.end()
+			b := newHarness("a", "b")
+			defer b.stop()
 			calls := map[string]*model{}
 			const left = 900 * time.Millisecond
-			pick := func(kind string, w *wire) string {
+			pick := func(kind string, w *fakeServer) string {
 				var ids []string
 				for i := range len(calls) {
 					id := fmt.Sprint(i)
-					if _, out := w.out[id]; kind == "out" && out || kind == "stands" && w.stands[id] || kind == "" {
+					if _, inFlight := w.inFlight[id]; kind == "in flight" && inFlight || kind == "established" && w.activeCalls[id] || kind == "" {
 						ids = append(ids, id)
 					}
 				}
@@ -47,45 +47,45 @@
 			check := func() {
 				synctest.Wait()
 				for id, m := range calls {
-					_, atA := b.wires["a"].out[id]
-					_, atB := b.wires["b"].out[id]
+					_, atA := b.servers["a"].inFlight[id]
+					_, atB := b.servers["b"].inFlight[id]
 					c := m.caller
 					switch {
-					case atA && atB, b.wires["a"].copies[id] > 0, b.wires["b"].copies[id] > 0:
-						r.Fatalf("call %s is out twice", id)
-					case c.finals > 1, c.releases > 1, c.releases > 0 && !c.stood:
-						r.Fatalf("call %s: %d final answers, %d releases", id, c.finals, c.releases)
-					case c.gone.Load() && b.wires["a"].begun[id]+b.wires["b"].begun[id] > m.begun:
+					case atA && atB, b.servers["a"].duplicates[id] > 0, b.servers["b"].duplicates[id] > 0:
+						r.Fatalf("call %s has two attempts in flight", id)
+					case c.finalAnswers > 1, c.releases > 1, c.releases > 0 && !c.established:
+						r.Fatalf("call %s: %d final answers, %d releases", id, c.finalAnswers, c.releases)
+					case c.gone.Load() && b.servers["a"].setups[id]+b.servers["b"].setups[id] > m.setups:
 						r.Fatalf("call %s: an attempt began after its caller had left", id)
-					case c.finals == 0 && !m.gone && time.Since(m.opened) > left+20*time.Millisecond:
+					case c.finalAnswers == 0 && !m.gone && time.Since(m.opened) > left+20*time.Millisecond:
 						r.Fatalf("call %s has no answer after %v", id, time.Since(m.opened))
-					case m.over && (b.wires["a"].stands[id] || b.wires["b"].stands[id]) && b.wires["a"].events != nil && b.wires["b"].events != nil:
-						r.Fatalf("call %s is over and still stands at a server", id)
+					case m.hungUp && (b.servers["a"].activeCalls[id] || b.servers["b"].activeCalls[id]) && b.servers["a"].events != nil && b.servers["b"].events != nil:
+						r.Fatalf("call %s was hung up and is still established at a server", id)
 					}
 				}
 			}
 			for range rapid.IntRange(5, 60).Draw(r, "steps") {
 				name := rapid.SampledFrom([]string{"a", "b"}).Draw(r, "server")
-				w := b.wires[name]
+				w := b.servers[name]
 				switch step := rapid.IntRange(0, 13).Draw(r, "step"); step {
 				case 0, 1, 2:
 					id := fmt.Sprint(len(calls))
 					calls[id] = &model{caller: &caller{}, opened: time.Now()}
 					b.core.Open(Setup{ID: id, FirstChoice: rapid.IntRange(0, 1).Draw(r, "first"), Left: left}, calls[id].caller)
 				case 3, 4:
-					if id := pick("out", w); id != "" && w.events != nil {
+					if id := pick("in flight", w); id != "" && w.events != nil {
 						w.answer(id, "")
 					}
 				case 5:
-					if id := pick("out", w); id != "" && w.events != nil {
-						a := w.out[id]
-						delete(w.out, id)
+					if id := pick("in flight", w); id != "" && w.events != nil {
+						a := w.inFlight[id]
+						delete(w.inFlight, id)
 						code := rapid.SampledFrom([]control.Code{control.Failed, control.Full, control.Cut, control.NotSent}).Draw(r, "code")
 						w.events.Failed(a, Outcome{Code: code})
 					}
 				case 6:
-					if id := pick("stands", w); id != "" && w.events != nil {
-						delete(w.stands, id)
+					if id := pick("established", w); id != "" && w.events != nil {
+						delete(w.activeCalls, id)
 						w.events.Released(id, rapid.SampledFrom([]int{CauseNormal, CauseFailed}).Draw(r, "cause"), nil)
 					}
 				case 7:
@@ -95,34 +95,34 @@
 					}
 				case 8:
 					if id := pick("", w); id != "" {
-						calls[id].gone, calls[id].over = true, true
+						calls[id].gone, calls[id].hungUp = true, true
 						b.core.Hangup(id, CauseNormal, calls[id].caller, nil)
 					}
 				case 9:
 					if w.events != nil {
-						w.refuse = rapid.SampledFrom([]error{nil, errors.New("unreachable"), syscall.ECONNREFUSED}).Draw(r, "dial")
-						if w.refuse == syscall.ECONNREFUSED {
-							w.stands = map[string]bool{} // the process died
+						w.dialError = rapid.SampledFrom([]error{nil, errors.New("unreachable"), syscall.ECONNREFUSED}).Draw(r, "dial")
+						if w.dialError == syscall.ECONNREFUSED {
+							w.activeCalls = map[string]bool{} // the process died
 						}
 						w.reset()
 					} else {
-						w.refuse = nil
+						w.dialError = nil
 					}
 				case 10:
-					b.set(name, int(name[0]-'a'), rapid.SampledFrom([]control.State{control.Ready, control.Draining}).Draw(r, "state"))
-				case 11: // its connection has closed; the withdrawal follows, sooner or later
+					b.setState(name, int(name[0]-'a'), rapid.SampledFrom([]control.State{control.Ready, control.Draining}).Draw(r, "state"))
+				case 11: // the caller's connection has closed; the withdrawal follows after a random delay
 					if id := pick("", w); id != "" && !calls[id].gone {
 						m := calls[id]
-						m.gone, m.begun = true, b.wires["a"].begun[id]+b.wires["b"].begun[id]
+						m.gone, m.setups = true, b.servers["a"].setups[id]+b.servers["b"].setups[id]
 						m.caller.gone.Store(true)
 						time.AfterFunc(time.Duration(rapid.IntRange(0, 900).Draw(r, "late"))*time.Millisecond,
 							func() { b.core.Withdraw(id, m.caller, nil) })
 					}
-				case 12: // the other side reads slowly: what is sent waits in the queue
-					w.held = true
+				case 12: // the server reads slowly: writes are queued
+					w.writesHeld = true
 				case 13:
-					w.held = false
-					w.write()
+					w.writesHeld = false
+					w.flush()
 				}
 				check()
 				b.sleep(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
--- a/internal/routing/peer.go
+++ b/internal/routing/peer.go
@@ -15,15 +15,15 @@
 	"beammux/internal/history"
 )
 
-// ref identifies one attempt of a call.
-type ref struct {
+// attemptRef identifies one attempt of a call.
+type attemptRef struct {
 	id      string
 	attempt int
 }
 
 // Attempt is a set-up on its way to one server.
 type Attempt struct {
-	ref
+	attemptRef
 	Class    int
 	Key      string
 	Body     []byte
@@ -39,13 +39,13 @@
 }
 
 // NewAttempt returns the attempt of a call with the given id and attempt number.
-func NewAttempt(id string, number int) Attempt { return Attempt{ref: ref{id, number}} }
+func NewAttempt(id string, number int) Attempt { return Attempt{attemptRef: attemptRef{id, number}} }
 
 // ID returns the id of the call.
-func (r ref) ID() string { return r.id }
+func (r attemptRef) ID() string { return r.id }
 
 // Number returns the number of the attempt; the attempts of a call are counted from 0.
-func (r ref) Number() int { return r.attempt }
+func (r attemptRef) Number() int { return r.attempt }
 
 // ServerConn is an open connection to one server. Its methods must not block; events on it are reported to the
 // ServerEvents that it was opened with.
@@ -62,8 +62,8 @@
 
 // ServerEvents receives the events on a connection to a server. It is safe for concurrent use.
 type ServerEvents interface {
-	Answered(r Attempt, body []byte)                 // the call is established
-	Failed(r Attempt, o Outcome)                     // the attempt ended without an established call
+	Answered(a Attempt, body []byte)                 // the call is established
+	Failed(a Attempt, o Outcome)                     // the attempt ended without an established call
 	Released(id string, cause int, report []float64) // the server ended an established call
 	Report(report []float64)                         // the server sent a load report without a request
 	Down(err error)                                  // the connection is closed
@@ -105,7 +105,7 @@
 	dialing         *peerConn   // connection that is being opened, or nil
 	queued          []Attempt   // attempts that wait for a connection
 	redialWait      time.Duration
-	timer           *time.Timer      // next dial, nil if none is scheduled
+	redialTimer     *time.Timer      // next dial, nil if none is scheduled
 	pendingReleases []pendingRelease // releases that wait for a connection
 	wasReset        bool             // a connection was reset after one was last opened: the server process may have died
 	lastClosedAt    control.Micros
@@ -135,8 +135,8 @@
 	return p
 }
 
-// set applies the state of the server on the list. It takes effect at once, also for queued attempts.
-func (p *Peer) set(s control.State) {
+// setState applies the state of the server on the list. It takes effect at once, also for queued attempts.
+func (p *Peer) setState(s control.State) {
 	p.state.Store(int32(s))
 	p.Post(func() {
 		if s == control.Gone {
@@ -154,7 +154,7 @@
 // retire ends the peer of a server that was removed from the list: it closes the connections and ends the calls there.
 func (p *Peer) retire() {
 	p.stopDial()
-	p.stopTimer()
+	p.stopRedialTimer()
 	if p.dialing != nil {
 		p.dialing.closed = true
 		p.dialing = nil
@@ -171,11 +171,11 @@
 	p.After(lingerTime, p.Stop)
 }
 
-// end stops the peer without notifying the core or the server.
-func (p *Peer) end() {
+// shutdown stops the peer without notifying the core or the server.
+func (p *Peer) shutdown() {
 	p.stopDial()
 	p.Post(func() {
-		p.stopTimer()
+		p.stopRedialTimer()
 		for _, c := range p.conns {
 			c.closed = true
 			c.conn.Close()
@@ -184,10 +184,10 @@
 	})
 }
 
-func (p *Peer) stopTimer() {
-	if p.timer != nil {
-		p.timer.Stop()
-		p.timer = nil
+func (p *Peer) stopRedialTimer() {
+	if p.redialTimer != nil {
+		p.redialTimer.Stop()
+		p.redialTimer = nil
 	}
 }
 
@@ -204,7 +204,7 @@
 	if p.dialing != nil || p.gone() || len(p.conns) >= p.dialer.MaxConns(p.addr) {
 		return
 	}
-	p.stopTimer()
+	p.stopRedialTimer()
 	c := &peerConn{peer: p, inFlight: map[string]inFlightAttempt{}}
 	p.dialing = c
 	go func() {
@@ -246,7 +246,7 @@
 		p.warnedAt = now
 		p.log.WithError(err).Warn("no connection to server")
 	}
-	p.retry()
+	p.scheduleRedial()
 	if len(p.conns) > 0 {
 		return
 	}
@@ -255,23 +255,23 @@
 	case p.wasReset && errors.Is(err, syscall.ECONNREFUSED):
 		// Reset and then refused: the server process died, and its calls with it. It can't release them itself.
 		p.wasReset, p.disconnectedAt = false, 0
-		at := p.lastClosedAt
-		p.core.Post(func() { p.core.serverDied(p, at+1, false) })
+		lostAt := p.lastClosedAt
+		p.core.Post(func() { p.core.serverDied(p, lostAt+1, false) })
 	case p.disconnectedAt > 0 && span(now-p.disconnectedAt) >= unreachableAfter:
 		// The machine vanished or is cut off, without any notification. No other process releases its calls. If the server
 		// comes back, it receives the releases too.
-		at := p.disconnectedAt
+		lostAt := p.disconnectedAt
 		p.disconnectedAt = 0
 		p.log.Warn("server unreachable: releasing its calls")
-		p.core.Post(func() { p.core.serverDied(p, at+1, true) })
+		p.core.Post(func() { p.core.serverDied(p, lostAt+1, true) })
 	}
 }
 
-// retry dials again after a wait.
-func (p *Peer) retry() {
-	p.stopTimer()
-	p.timer = p.After(p.redialWait, func() {
-		p.timer = nil
+// scheduleRedial dials again after a wait.
+func (p *Peer) scheduleRedial() {
+	p.stopRedialTimer()
+	p.redialTimer = p.After(p.redialWait, func() {
+		p.redialTimer = nil
 		p.connect()
 	})
 	p.redialWait = min(2*p.redialWait, maxRedialWait)
@@ -296,7 +296,7 @@
 	}
 	switch {
 	case best != nil:
-		if len(best.inFlight) > 0 && p.timer == nil {
+		if len(best.inFlight) > 0 && p.redialTimer == nil {
 			p.connect() // every connection is in use: open one more for the next attempt
 		}
 		best.send(a)
@@ -309,18 +309,18 @@
 }
 
 // cancel gives up an attempt. The core has already ended it, so its end is not reported.
-func (p *Peer) cancel(r ref) {
+func (p *Peer) cancel(r attemptRef) {
 	p.Post(func() {
 		for i, a := range p.queued {
-			if a.ref == r {
+			if a.attemptRef == r {
 				p.queued = append(p.queued[:i:i], p.queued[i+1:]...)
 				return
 			}
 		}
 		for _, c := range p.conns {
-			if o, ok := c.inFlight[r.id]; ok && o.ref == r {
-				o.abandoned = true
-				c.inFlight[r.id] = o
+			if entry, ok := c.inFlight[r.id]; ok && entry.attemptRef == r {
+				entry.abandoned = true
+				c.inFlight[r.id] = entry
 				p.After(lateAnswerTime, func() { c.forget(r) })
 				c.conn.Cancel(r.id)
 				return
@@ -349,7 +349,7 @@
 
 // fail reports the end of an attempt to the core.
 func (p *Peer) fail(a Attempt, code control.Code) {
-	p.core.Post(func() { p.core.failed(a.ref, Outcome{Code: code}) })
+	p.core.Post(func() { p.core.failed(a.attemptRef, Outcome{Code: code}) })
 }
 
 // removeConn removes a connection and fails the set-ups in flight on it. Established calls are not tied to a connection.
@@ -396,7 +396,7 @@
 		}
 		// From the first byte on the server may execute the set-up: if the connection breaks now, the outcome is Cut, not NotSent.
 		c.ifOpen(func(*Peer) {
-			if sent, ok := c.inFlight[a.id]; ok && sent.ref == a.ref {
+			if sent, ok := c.inFlight[a.id]; ok && sent.attemptRef == a.attemptRef {
 				sent.sent = true
 				c.inFlight[a.id] = sent
 			}
@@ -406,8 +406,8 @@
 }
 
 // forget removes an attempt from those in flight.
-func (c *peerConn) forget(r ref) {
-	if sent, ok := c.inFlight[r.id]; ok && sent.ref == r {
+func (c *peerConn) forget(r attemptRef) {
+	if sent, ok := c.inFlight[r.id]; ok && sent.attemptRef == r {
 		delete(c.inFlight, r.id)
 	}
 }
@@ -425,16 +425,16 @@
 func (c *peerConn) Answered(a Attempt, body []byte) {
 	c.ifOpen(func(p *Peer) {
 		c.received = true
-		c.forget(a.ref)
-		p.core.Post(func() { p.core.answered(p, a.ref, body) })
+		c.forget(a.attemptRef)
+		p.core.Post(func() { p.core.answered(p, a.attemptRef, body) })
 	})
 }
 
 // Failed implements ServerEvents.
 func (c *peerConn) Failed(a Attempt, o Outcome) {
 	c.ifOpen(func(p *Peer) {
-		c.forget(a.ref)
-		p.core.Post(func() { p.core.failed(a.ref, o) })
+		c.forget(a.attemptRef)
+		p.core.Post(func() { p.core.failed(a.attemptRef, o) })
 	})
 }
 
@@ -472,7 +472,7 @@
 		if c.received {
 			p.connect() // the server may have a release to send that it could not send on this connection
 		} else { // nothing was received on it: wait before the next dial
-			p.retry()
+			p.scheduleRedial()
 		}
 	})
 }
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -16,7 +16,7 @@
 	viewInterval       = control.Micros(50000)  // interval of reading the module's views
 	minViewAge         = control.Micros(250000) // least time between two records of a changing wait
 	minWaitChange      = control.Micros(5000)   // least change of a wait that is recorded
-	minWaitChangeShare = 0.2                    // least change of a wait that is recorded, as a part of the wait
+	minWaitChangeRatio = 0.2                    // least change of a wait that is recorded, as a part of the wait
 )
 
 // note records an event with the current time.
@@ -30,8 +30,8 @@
 // Note records an event from outside the core. It is safe for concurrent use.
 func (c *Core) Note(e history.Event) { c.note(e) }
 
-// noteTaken records the arrival of a call.
-func (c *Core) noteTaken(k *call, arrived control.Micros) {
+// noteArrived records the arrival of a call.
+func (c *Core) noteArrived(k *call, arrived control.Micros) {
 	if c.recorder == nil {
 		return
 	}
@@ -51,17 +51,17 @@
 // noteReport records a load report whose values have changed. Servers repeat the same values until they measure them
 // again, and the module counts them once.
 func (c *Core) noteReport(server uint32, report []float64) {
-	if c.recorder == nil || report == nil || slices.Equal(c.reported[server], report) {
+	if c.recorder == nil || report == nil || slices.Equal(c.lastReports[server], report) {
 		return
 	}
-	c.reported[server] = report
+	c.lastReports[server] = report
 	c.note(history.Event{Kind: history.Reported, Server: server, Values: report})
 }
 
 // recordedView is the last recorded view that the module had of a server.
 type recordedView struct {
 	control.View
-	at control.Micros
+	recordedAt control.Micros
 }
 
 // noteViews records changes of the module's views of servers: a change of the level within viewInterval, a change of the
@@ -71,18 +71,18 @@
 		return
 	}
 	now := c.clock.now()
-	if now-c.viewedAt < viewInterval {
+	if now-c.viewsReadAt < viewInterval {
 		return
 	}
-	c.viewedAt = now
-	c.views = c.module.Views(c.views[:0])
-	for _, v := range c.views {
-		was, known := c.recordedViews[v.Server]
-		moved := v.Wait - was.Wait
-		if moved < 0 {
-			moved = -moved
+	c.viewsReadAt = now
+	c.viewBuffer = c.module.Views(c.viewBuffer[:0])
+	for _, v := range c.viewBuffer {
+		last, known := c.recordedViews[v.Server]
+		change := v.Wait - last.Wait
+		if change < 0 {
+			change = -change
 		}
-		if known && v.Level == was.Level && (now-was.at < minViewAge || moved < minWaitChange || float64(moved) < minWaitChangeShare*float64(was.Wait)) {
+		if known && v.Level == last.Level && (now-last.recordedAt < minViewAge || change < minWaitChange || float64(change) < minWaitChangeRatio*float64(last.Wait)) {
 			continue
 		}
 		c.recordedViews[v.Server] = recordedView{v, now}
@@ -95,8 +95,8 @@
 	if c.recorder == nil {
 		return 0
 	}
-	c.views = c.module.Views(c.views[:0])
-	for _, v := range c.views {
+	c.viewBuffer = c.module.Views(c.viewBuffer[:0])
+	for _, v := range c.viewBuffer {
 		if v.Server == server {
 			return v.Level
 		}
@@ -114,22 +114,22 @@
 // Known returns the current state of the core and a list, as the events that would lead to it.
 func (c *Core) Known(l *List) (events []history.Event) {
 	now := c.clock.now()
-	ask := func(post func(func()), what func() []history.Event) {
-		answer := make(chan []history.Event, 1)
-		post(func() { answer <- what() })
+	query := func(post func(func()), collect func() []history.Event) {
+		reply := make(chan []history.Event, 1)
+		post(func() { reply <- collect() })
 		select {
-		case got := <-answer:
-			events = append(events, got...)
+		case received := <-reply:
+			events = append(events, received...)
 		case <-time.After(knownTimeout): // the actor has stopped
 		}
 	}
-	ask(l.Post, func() (told []history.Event) {
+	query(l.Post, func() (listEvents []history.Event) {
 		for name, h := range l.hosts {
-			told = append(told, history.Event{At: now, Kind: history.Listed, Server: h.id, Name: name, State: h.State, N: int64(h.Cell), Since: h.since})
+			listEvents = append(listEvents, history.Event{At: now, Kind: history.Listed, Server: h.id, Name: name, State: h.State, N: int64(h.Cell), Since: h.since})
 		}
-		return told
+		return listEvents
 	})
-	ask(c.Post, func() (views []history.Event) {
+	query(c.Post, func() (views []history.Event) {
 		for _, v := range c.module.Views(nil) {
 			views = append(views, history.Event{At: now, Kind: history.Viewed, Server: v.Server, Level: v.Level, Span: v.Wait, Value: v.Shed})
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,69 +15,71 @@
 	"beammux/control"
 )
 
-// The same steps each time: a verdict must not change from run to run.
+// TestMain fixes the seed of the property-based tests, so that each run takes the same steps.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
 	os.Exit(m.Run())
 }
 
-// Guards against a stale send: a set-up that waits to be written while its server drains is never sent.
+// Guards against a stale send: a set-up that is in the write queue when its server starts to drain is not sent.
 func TestStateIsCheckedAtTheFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
-		w.held = true
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
+		w.writesHeld = true
 		c := b.call("1", time.Second)
-		b.set("a", 0, control.Draining)
+		b.setState("a", 0, control.Draining)
 		synctest.Wait()
 		for _, write := range w.queue {
 			write()
 		}
 		synctest.Wait()
-		if w.stale != 1 || len(w.out) != 0 || c.finals != 1 {
-			t.Errorf("stale %d, out %d, finals %d; want 1, 0, 1", w.stale, len(w.out), c.finals)
+		if w.dropped != 1 || len(w.inFlight) != 0 || c.finalAnswers != 1 {
+			t.Errorf("dropped %d, in flight %d, final answers %d; want 1, 0, 1", w.dropped, len(w.inFlight), c.finalAnswers)
 		}
 	})
 }
 
-// Guards against a call that only the server holds: a late answer, and an answer that can't be told, are released.
+// Guards against a call that is established only at the server: a late answer, and one that can't be delivered to the caller,
+// are released.
 func TestLateAndUndeliverableAnswersAreReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
 		c := b.call("1", time.Second)
-		late := w.out["1"]
+		late := w.inFlight["1"]
 		b.sleep(2 * time.Second)
 		w.events.Answered(late, nil)
 		synctest.Wait()
-		if c.finals != 1 || c.stood || w.byes["1"] != 1 {
-			t.Errorf("late: finals %d, stood %v, byes %d", c.finals, c.stood, w.byes["1"])
+		if c.finalAnswers != 1 || c.established || w.releasesReceived["1"] != 1 {
+			t.Errorf("late answer: final answers %d, established %v, releases %d", c.finalAnswers, c.established, w.releasesReceived["1"])
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
 		d := b.call("2", time.Second)
-		d.deaf = true
+		d.unreachable = true
 		w.answer("2", "")
 		synctest.Wait()
-		if w.byes["2"] != 1 {
-			t.Errorf("undeliverable: byes %d, want 1", w.byes["2"])
+		if w.releasesReceived["2"] != 1 {
+			t.Errorf("undeliverable answer: releases %d, want 1", w.releasesReceived["2"])
 		}
 	})
 }
 
-// Guards against calls left standing: a process that was reset and then refuses is dead, and so is one that is removed.
+// Guards against calls that are never released. A server that resets its connection and then refuses a new one is dead, and so
+// is one that is removed from the list.
 func TestCallsOfADeadServerAreReleased(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench("a")
-			defer b.end()
-			w := b.wires["a"]
+			b := newHarness("a")
+			defer b.stop()
+			w := b.servers["a"]
 			c := b.call("1", time.Second)
 			w.answer("1", "body")
 			synctest.Wait()
@@ -85,9 +87,9 @@
 				t.Fatalf("body %q", c.body)
 			}
 			if removed {
-				b.set("a", 0, control.Gone)
+				b.setState("a", 0, control.Gone)
 			} else {
-				w.refuse = syscall.ECONNREFUSED
+				w.dialError = syscall.ECONNREFUSED
 				w.reset()
 			}
 			synctest.Wait()
@@ -98,12 +100,13 @@
 	}
 }
 
-// A line that merely closes takes no standing call with it; it is opened again and brings the release.
-func TestStandingCallsOutliveConnections(t *testing.T) {
+// Closing a connection does not end the established calls. The connection is opened again, and their releases arrive on the
+// new one.
+func TestEstablishedCallsOutliveConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
 		c := b.call("1", time.Second)
 		w.answer("1", "")
 		synctest.Wait()
@@ -113,7 +116,7 @@
 			t.Fatalf("releases %d, dials %d; want 0, 2", c.releases, w.dials)
 		}
 		w.events.Released("1", CauseNormal, nil)
-		w.events.Released("1", CauseNormal, nil) // told on the next connection too
+		w.events.Released("1", CauseNormal, nil) // repeated on the next connection
 		synctest.Wait()
 		if c.releases != 1 {
 			t.Errorf("%d releases, want 1", c.releases)
@@ -121,68 +124,70 @@
 	})
 }
 
-// An attempt ends once: what the wire tells of it later changes nothing.
+// An attempt ends once: later events of it have no effect.
 func TestAttemptEndsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
 		c := b.call("1", time.Second)
-		a := w.out["1"]
+		a := w.inFlight["1"]
 		w.answer("1", "")
 		w.events.Answered(a, nil)
 		w.events.Failed(a, Outcome{Code: control.Failed})
 		synctest.Wait()
-		if c.finals != 1 || w.byes["1"] != 0 {
-			t.Errorf("finals %d, byes %d; want 1, 0", c.finals, w.byes["1"])
+		if c.finalAnswers != 1 || w.releasesReceived["1"] != 0 {
+			t.Errorf("final answers %d, releases at the server %d; want 1, 0", c.finalAnswers, w.releasesReceived["1"])
 		}
 		w.events.Released("1", CauseNormal, nil)
 		w.events.Failed(a, Outcome{Code: control.Failed})
 		synctest.Wait()
-		if c.finals != 1 || c.releases != 1 {
-			t.Errorf("finals %d, releases %d; want 1, 1", c.finals, c.releases)
+		if c.finalAnswers != 1 || c.releases != 1 {
+			t.Errorf("final answers %d, releases %d; want 1, 1", c.finalAnswers, c.releases)
 		}
 	})
 }
 
-// Guards against the last answer being lost at a planned restart: what ends the process waits until it is handed over.
-func TestDrainedComesAfterTheLastAnswer(t *testing.T) {
+// Guards against losing the last answer at a planned restart: the function given to Drained, which ends the process, is called
+// only after the answer has been delivered.
+func TestDrainedIsCalledAfterLastAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench("a")
-			defer b.end()
+			b := newHarness("a")
+			defer b.stop()
 			c := b.call("1", time.Second)
-			finals := -1
-			b.core.Drained(func() { finals = c.finals })
+			finalAnswers := -1
+			b.core.Drained(func() { finalAnswers = c.finalAnswers })
 			synctest.Wait()
-			if finals != -1 {
-				t.Fatal("drained while a call is open")
+			if finalAnswers != -1 {
+				t.Fatal("drained while a call is unanswered")
 			}
 			if answered {
-				b.wires["a"].answer("1", "")
+				b.servers["a"].answer("1", "")
 				synctest.Wait()
 			}
 			b.sleep(2 * time.Second)
-			if finals != 1 {
-				t.Errorf("drained with %d answers given, want 1", finals)
+			if finalAnswers != 1 {
+				t.Errorf("drained after %d final answers, want 1", finalAnswers)
 			}
 		})
 	}
 }
 
+// orphans counts the releases of unknown calls, by call id.
 type orphans map[string]int
 
 func (o orphans) Orphan(id string, _ int) { o[id]++ }
 
-// Guards against calls from before a restart being left standing at their callers.
+// Guards against calls from before a restart that are never released at their callers.
 func TestReleaseOfAnUnknownCallIsPassedOnOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		o := orphans{}
 		b.core.SetOrphans(o)
 		for range 2 {
-			b.wires["a"].events.Released("old", CauseNormal, nil)
+			b.servers["a"].events.Released("old", CauseNormal, nil)
 		}
 		synctest.Wait()
 		if o["old"] != 1 {
@@ -191,180 +196,181 @@
 	})
 }
 
-// An address used by a new id is a new server; one that moves gets a new line.
-func TestAddressIsReused(t *testing.T) {
+// An address that is reused under a new name is a new server, with a new connection.
+func TestAddressReusedByNewServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		w := b.wires["a"]
+		b := newHarness("a")
+		defer b.stop()
+		w := b.servers["a"]
 		b.list.Apply(Update{Hosts: []Host{{Name: "a", Addr: "a", State: control.Gone},
 			{Name: "s-00000002", Addr: "a", State: control.Ready}}}, nil)
 		synctest.Wait()
 		c := b.call("1", time.Second)
-		if w.dials != 2 || len(w.out) != 1 {
-			t.Fatalf("dials %d, out %d; want 2, 1", w.dials, len(w.out))
+		if w.dials != 2 || len(w.inFlight) != 1 {
+			t.Fatalf("dials %d, in flight %d; want 2, 1", w.dials, len(w.inFlight))
 		}
 		w.answer("1", "")
 		synctest.Wait()
-		if !c.stood {
-			t.Error("the call does not stand at the new server")
+		if !c.established {
+			t.Error("the call is not established at the new server")
 		}
 	})
 }
 
-// A whole list takes away only what its own source named.
+// A complete list removes only servers of its own source.
 func TestSourcesDoNotRemoveEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench()
-		defer b.end()
-		b.wires["a"], b.wires["b"] = newWire(), newWire()
+		b := newHarness()
+		defer b.stop()
+		b.servers["a"], b.servers["b"] = newFakeServer(), newFakeServer()
 		b.list.Apply(Update{Source: "bus", Whole: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
 		b.list.Apply(Update{Source: "file", Whole: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
 		synctest.Wait()
 		b.list.Apply(Update{Source: "file", Whole: true}, nil)
 		synctest.Wait()
-		if b.wires["a"].closed != 0 || b.wires["b"].closed != 1 {
-			t.Errorf("closed %d and %d, want 0 and 1", b.wires["a"].closed, b.wires["b"].closed)
+		if b.servers["a"].closed != 0 || b.servers["b"].closed != 1 {
+			t.Errorf("closed %d and %d, want 0 and 1", b.servers["a"].closed, b.servers["b"].closed)
 		}
 	})
 }
 
-// Guards against a second caller under an open id ending the first's call, by its own end, by a withdrawal or by hanging
-// up, and against an id that comes again within the release guard.
-func TestSecondCallerUnderAnID(t *testing.T) {
+// A second caller that uses the id of an open call must not end that call, neither by its own failure nor by withdrawing or
+// hanging up. An id that is used again within the release guard is rejected.
+func TestSecondCallerWithSameID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		first, second := b.call("1", time.Second), b.call("1", time.Second)
 		b.core.Withdraw("1", second, nil)
 		b.core.Hangup("1", CauseNormal, second, nil)
 		synctest.Wait()
-		if first.finals != 0 || second.finals != 1 || second.stood || len(b.wires["a"].out) != 1 {
-			t.Fatalf("answers %d and %d, %d set-ups out; want 0, 1, 1", first.finals, second.finals, len(b.wires["a"].out))
+		if first.finalAnswers != 0 || second.finalAnswers != 1 || second.established || len(b.servers["a"].inFlight) != 1 {
+			t.Fatalf("final answers %d and %d, %d set-ups in flight; want 0, 1, 1", first.finalAnswers, second.finalAnswers, len(b.servers["a"].inFlight))
 		}
 		b.core.Withdraw("1", first, nil)
 		third := b.call("1", time.Second)
-		if third.finals != 1 || len(b.wires["a"].out) != 0 {
-			t.Errorf("an id that comes again at once: %d answers, %d set-ups out; want 1, 0", third.finals, len(b.wires["a"].out))
+		if third.finalAnswers != 1 || len(b.servers["a"].inFlight) != 0 {
+			t.Errorf("id used again at once: %d final answers, %d set-ups in flight; want 1, 0", third.finalAnswers, len(b.servers["a"].inFlight))
 		}
 	})
 }
 
-// lineWire is a stand-in for a server with several lines, each with set-ups of its own.
-type lineWire struct {
-	lines []*wire
-	quiet bool // new lines bring nothing
-	fault error
+// multiConnServer is a fake server with several connections, each with its own set-ups.
+type multiConnServer struct {
+	conns     []*fakeServer
+	silent    bool  // no message is sent on new connections
+	dialError error // result of dials
 }
 
-func (w *lineWire) MaxConns(string) int { return 3 }
+func (w *multiConnServer) MaxConns(string) int { return 3 }
 
-func (w *lineWire) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
-	if w.fault != nil {
-		return nil, w.fault
+func (w *multiConnServer) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
+	if w.dialError != nil {
+		return nil, w.dialError
 	}
-	one := newWire()
-	w.lines = append(w.lines, one)
-	if !w.quiet {
+	one := newFakeServer()
+	w.conns = append(w.conns, one)
+	if !w.silent {
 		e.Report(nil)
 	}
 	return one.Dial(ctx, addr, e)
 }
 
-func newLineBench() (*bench, *lineWire) {
-	w := &lineWire{}
-	b := &bench{core: NewCore(settings(), 1, nil, quiet())}
-	b.list = NewList(b.core, w, quiet())
-	b.set("a", 0, control.Ready)
+func newMultiConnHarness() (*harness, *multiConnServer) {
+	w := &multiConnServer{}
+	b := &harness{core: NewCore(settings(), 1, nil, discardLogger())}
+	b.list = NewList(b.core, w, discardLogger())
+	b.setState("a", 0, control.Ready)
 	synctest.Wait()
 	return b, w
 }
 
-// Guards against one spoilt line taking all that is out at a server: set-ups are spread, and only its own are cut.
-func TestSetupsAreSpreadOverLines(t *testing.T) {
+// Guards against one broken connection cutting all set-ups in flight at a server: they are spread over the connections, and
+// only those on the broken one are cut.
+func TestSetupsAreSpreadOverConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newLineBench()
-		defer b.end()
+		b, w := newMultiConnHarness()
+		defer b.stop()
 		p := b.list.hosts["a"].peer
-		for i := range 9 { // past the module, whose room for a server it has just met is small
+		for i := range 9 { // bypasses the module, whose in-flight limit for a new server is low
 			a := NewAttempt(fmt.Sprint(i), 0)
 			a.Deadline = time.Now().Add(time.Second)
 			p.setup(a)
 			synctest.Wait()
 		}
-		if len(w.lines) != 3 {
-			t.Fatalf("%d lines, want 3", len(w.lines))
+		if len(w.conns) != 3 {
+			t.Fatalf("%d connections, want 3", len(w.conns))
 		}
-		for i, l := range w.lines {
-			if n := len(l.out); n < 2 || n > 4 {
-				t.Errorf("%d set-ups on line %d", n, i)
+		for i, l := range w.conns {
+			if n := len(l.inFlight); n < 2 || n > 4 {
+				t.Errorf("%d set-ups on connection %d", n, i)
 			}
 		}
-		w.lines[0].reset()
+		w.conns[0].reset()
 		synctest.Wait()
-		if left := len(w.lines[1].out) + len(w.lines[2].out); left < 5 || len(w.lines) != 4 {
-			t.Errorf("%d set-ups left, %d lines opened in all; want 5 or more, 4", left, len(w.lines))
+		if left := len(w.conns[1].inFlight) + len(w.conns[2].inFlight); left < 5 || len(w.conns) != 4 {
+			t.Errorf("%d set-ups left, %d connections opened in all; want 5 or more, 4", left, len(w.conns))
 		}
 	})
 }
 
-// Guards against a late answer of an attempt that was given up being taken for the call's next attempt: servers name the
-// call alone, so that one goes by another line.
-func TestNextAttemptGoesByAnotherLine(t *testing.T) {
+// Guards against taking the late answer of a given-up attempt for the answer of the call's next attempt: servers identify only
+// the call, so the next attempt uses another connection.
+func TestNextAttemptUsesAnotherConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newLineBench()
-		defer b.end()
+		b, w := newMultiConnHarness()
+		defer b.stop()
 		p := b.list.hosts["a"].peer
 		for n := range 3 {
 			a := NewAttempt("1", n)
 			a.Deadline = time.Now().Add(time.Second)
 			p.setup(a)
 			synctest.Wait()
-			p.cancel(a.ref)
+			p.cancel(a.attemptRef)
 			synctest.Wait()
 		}
-		if len(w.lines) != 3 {
-			t.Errorf("%d lines for three attempts of a call, want 3", len(w.lines))
+		if len(w.conns) != 3 {
+			t.Errorf("%d connections for three attempts of a call, want 3", len(w.conns))
 		}
 	})
 }
 
-// Guards against calls left standing at a machine that vanished: nothing says so, and its lines can't be opened anew.
-// Should it come back, it is told that they are over.
-func TestCallsOfAVanishedServerAreReleasedInTime(t *testing.T) {
+// Guards against calls that are never released because their server's machine vanished: there is no notification, and no new
+// connection can be opened. If the server comes back, it receives the releases.
+func TestCallsOfVanishedServerAreReleasedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newLineBench()
-		defer b.end()
+		b, w := newMultiConnHarness()
+		defer b.stop()
 		c := b.call("1", time.Second)
-		w.lines[0].answer("1", "")
+		w.conns[0].answer("1", "")
 		synctest.Wait()
-		w.fault = os.ErrDeadlineExceeded
-		w.lines[0].events.Down(errors.New("mute"))
+		w.dialError = os.ErrDeadlineExceeded
+		w.conns[0].events.Down(errors.New("no response"))
 		b.sleep(3 * time.Second)
 		if c.releases != 0 {
 			t.Error("released after 3 s: the server may come back")
 		}
-		b.sleep(3500 * time.Millisecond) // 1.5 s of the 8 s are for noticing that it is mute
+		b.sleep(3500 * time.Millisecond) // 1.5 s of the 8 s are for detecting that the server does not respond
 		if c.releases != 1 {
 			t.Errorf("%d releases after 6.5 s, want 1", c.releases)
 		}
-		w.fault = nil
+		w.dialError = nil
 		b.sleep(2 * time.Second)
-		if n := len(w.lines); n != 2 || w.lines[1].byes["1"] != 1 {
-			t.Errorf("%d lines; the server was not told", n)
+		if n := len(w.conns); n != 2 || w.conns[1].releasesReceived["1"] != 1 {
+			t.Errorf("%d connections; the server did not receive the release", n)
 		}
 	})
 }
 
-// Guards against the late answer of a given-up attempt ending the call that now stands at the same server by another one:
-// servers know a call by its id alone. Where the other attempt fails, what was answered late is released.
-func TestLateAnswerDoesNotEndTheCallThatStands(t *testing.T) {
-	for _, stands := range []bool{true, false} {
+// Guards against a late answer of a given-up attempt ending the call that another attempt has established at the same server:
+// servers identify a call by its id alone. If the other attempt fails, the late answer is released.
+func TestLateAnswerDoesNotReleaseEstablishedCall(t *testing.T) {
+	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b, w := newLineBench()
-			defer b.end()
+			b, w := newMultiConnHarness()
+			defer b.stop()
 			c := b.call("1", 2*time.Second)
-			first := w.lines[0].out["1"]
+			first := w.conns[0].inFlight["1"]
 			b.core.Post(func() { b.core.endAttempt(b.core.calls["1"], control.Cancelled, false) })
 			synctest.Wait()
 			b.core.Post(func() {
@@ -372,49 +378,49 @@
 				b.core.send(b.core.calls["1"], control.Action{ID: "1", Server: b.list.hosts["a"].id})
 			})
 			synctest.Wait()
-			if len(w.lines) != 2 || len(w.lines[1].out) != 1 {
-				t.Fatalf("%d lines", len(w.lines))
+			if len(w.conns) != 2 || len(w.conns[1].inFlight) != 1 {
+				t.Fatalf("%d connections, want 2, the second with one set-up in flight", len(w.conns))
 			}
-			byes := func() int { return w.lines[0].byes["1"] + w.lines[1].byes["1"] }
-			if stands {
-				w.lines[1].answer("1", "")
+			releasesReceived := func() int { return w.conns[0].releasesReceived["1"] + w.conns[1].releasesReceived["1"] }
+			if answered {
+				w.conns[1].answer("1", "")
 				synctest.Wait()
 			}
-			w.lines[0].events.Answered(first, nil)
+			w.conns[0].events.Answered(first, nil)
 			synctest.Wait()
-			if byes() != 0 {
+			if releasesReceived() != 0 {
 				t.Fatal("the other attempt was released too")
 			}
-			if stands && (!c.stood || c.releases != 0) {
-				t.Errorf("stood %v, %d releases", c.stood, c.releases)
+			if answered && (!c.established || c.releases != 0) {
+				t.Errorf("established %v, %d releases; want true, 0", c.established, c.releases)
 			}
-			if !stands {
-				w.lines[1].events.Failed(w.lines[1].out["1"], Outcome{Code: control.Failed})
+			if !answered {
+				w.conns[1].events.Failed(w.conns[1].inFlight["1"], Outcome{Code: control.Failed})
 				synctest.Wait()
-				if byes() != 1 {
-					t.Errorf("%d releases of what was answered late, want 1", byes())
+				if releasesReceived() != 1 {
+					t.Errorf("%d releases of the late answer, want 1", releasesReceived())
 				}
 			}
 		})
 	}
 }
 
-// A server that takes connections and closes them at once is not dialled again without a pause.
-func TestLineThatBroughtNothingIsNotOpenedAtOnce(t *testing.T) {
+// A server that accepts connections and closes them at once is dialled again only after a wait.
+func TestSilentConnectionIsNotRedialedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newLineBench()
-		defer b.end()
-		w.quiet = true
+		b, w := newMultiConnHarness()
+		defer b.stop()
+		w.silent = true
 		for range 3 {
-			w.lines[len(w.lines)-1].events.Down(io.EOF)
+			w.conns[len(w.conns)-1].events.Down(io.EOF)
 			synctest.Wait()
 		}
-		if n := len(w.lines); n != 2 {
-			t.Errorf("%d lines opened at one moment, want 2", n)
+		if n := len(w.conns); n != 2 {
+			t.Errorf("%d connections opened without a wait, want 2", n)
 		}
 		b.sleep(time.Second)
-		if n := len(w.lines); n != 3 {
-			t.Errorf("%d lines opened, want 3", n)
+		if n := len(w.conns); n != 3 {
+			t.Errorf("%d connections opened, want 3", n)
 		}
 	})
 }
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -9,12 +9,12 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// A process that stood still over a caller's deadline finds the core's timer and the end of the attempt due at the same
-// moment, and the runtime may run that one first. The module still has its chance to answer.
-func TestStallOverADeadlineLeavesTheModuleItsChance(t *testing.T) {
+// After a stall of the process past a caller's deadline, the core's deadline timer and the attempt's expiry are due at the same
+// moment, and the runtime may run the deadline timer first. The module must still have its grace period to answer.
+func TestStallOverDeadlineKeepsGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		logged := test.NewLocal(b.core.log.(*logrus.Logger))
 		c := b.call("1", time.Second)
 		b.core.Post(func() {
@@ -31,17 +31,17 @@
 				t.Errorf("logged %q", e.Message)
 			}
 		}
-		if c.finals != 1 || c.stood {
-			t.Errorf("finals %d, stood %v; want one answer, and that it failed", c.finals, c.stood)
+		if c.finalAnswers != 1 || c.established {
+			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
 		}
 	})
 }
 
-// A process that stands still during the module's grace has not given it the grace.
-func TestStallDuringTheGraceIsNone(t *testing.T) {
+// A stall of the process during the module's grace period renews the grace period.
+func TestStallDuringGraceRenewsGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		logged := test.NewLocal(b.core.log.(*logrus.Logger))
 		c := b.call("1", time.Second)
 		b.core.Post(func() { b.core.calls["1"].current.expiry.Stop() })
@@ -56,26 +56,27 @@
 				t.Errorf("logged %q", e.Message)
 			}
 		}
-		if c.finals != 1 || c.stood {
-			t.Errorf("finals %d, stood %v; want one answer, and that it failed", c.finals, c.stood)
+		if c.finalAnswers != 1 || c.established {
+			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
 		}
 	})
 }
 
-// A module that never decides is not waited for, however often the process stands still: the answer comes while it still does.
-func TestGraceEnds(t *testing.T) {
+// The grace period is renewed a limited number of times: a module that never decides does not delay the answer for ever, even if
+// the process stalls again and again.
+func TestGraceRenewalsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
+		b := newHarness("a")
+		defer b.stop()
 		c := b.call("1", time.Second)
 		b.core.Post(func() { b.core.calls["1"].current.expiry.Stop() })
 		b.sleep(time.Second + decisionGrace/3)
-		for range 2 * maxGraces {
-			b.core.Post(func() { time.Sleep(decisionGrace + graceStall) })
-			b.sleep(decisionGrace + graceStall)
+		for range 2 * maxGraceRenewals {
+			b.core.Post(func() { time.Sleep(decisionGrace + stallThreshold) })
+			b.sleep(decisionGrace + stallThreshold)
 		}
-		if c.finals != 1 || c.stood {
-			t.Errorf("finals %d, stood %v; want one answer, and that it failed", c.finals, c.stood)
+		if c.finalAnswers != 1 || c.established {
+			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
 		}
 	})
 }
