--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport moves bytes: listeners, dialling, connections with bounded write queues, and the budget of
-// descriptors. It knows no message.
+// Package transport provides TCP listeners, dialling, connections with bounded write queues, and a budget of file
+// descriptors. It is independent of the message formats.
 package transport
 
 import (
@@ -17,12 +17,12 @@
 
 // Limits of one connection.
 const (
-	MaxQueued    = 256 << 10               // bytes that wait to be written; beyond it the connection is given up
-	writeTimeout = 1500 * time.Millisecond // one write may take so long: guards against a peer that went silent
-	lingerFor    = 200 * time.Millisecond  // the other side has so long to close too
+	MaxQueued     = 256 << 10               // bytes in the write queue; beyond that the connection is closed
+	writeTimeout  = 1500 * time.Millisecond // for one write: guards against a peer that stopped responding
+	lingerTimeout = 200 * time.Millisecond  // how long the other side may take to close too
 )
 
-// The ways in which a Conn ends from this side.
+// Reasons for which this side closes a Conn.
 var (
 	ErrClosed   = errors.New("connection is closed")
 	ErrOverflow = errors.New("write queue is full")
@@ -31,105 +31,107 @@
 // A Packet is one message to be written.
 type Packet struct {
 	Data []byte
-	// Still is asked just before the first byte is written; the packet is dropped if it gives false. What was true
-	// when the packet was queued may no longer be.
+	// Still, if not nil, is called just before the first byte is written. If it returns false, the packet is dropped: the
+	// conditions may have changed after the packet was queued.
 	Still func() bool
-	// Done hears whether the packet went out whole: nil, ErrDropped or the fault of the connection.
+	// Done, if not nil, is called once: with nil after the whole packet is written, with ErrDropped, or with the error of the
+	// connection.
 	Done func(error)
 }
 
-// ErrDropped is told to a packet's Done when its Still gave false.
+// ErrDropped is passed to a packet's Done if its Still returned false.
 var ErrDropped = errors.New("packet dropped before its first byte")
 
+// done reports the end of the packet.
 func (p *Packet) done(err error) {
 	if p.Done != nil {
 		p.Done(err)
 	}
 }
 
-// Conn writes packets in order from a goroutine of its own, so that no caller ever waits for the other side. Reading
-// is left to its owner.
+// Conn writes packets in order from its own goroutine, so that no caller waits for the other side. Its owner reads from it.
 type Conn struct {
 	net.Conn
-	socket  syscall.RawConn // nil where Conn is no socket
-	reading socketRead
-	mu      sync.Mutex
-	queue   []Packet
-	bytes   int
-	ending  bool  // close once the queue is written
-	err     error // set when closed
-	wake    chan struct{}
-	gone    chan struct{}
-	onGone  func()
-	held    atomic.Int32 // set-ups open on it
-	calls   atomic.Int32 // calls that stand and came on it
-	used    atomic.Int64 // when it was last used, in Unix nanoseconds
-	spoke   atomic.Bool  // a whole message has come on it
-	began   atomic.Bool  // a byte has come on it
-	left    atomic.Bool  // the other side has ended or broken it, as far as was read
-	taking  atomic.Bool  // its owner has bytes that it has not gone through: it has not come back for more
+	socket          syscall.RawConn // nil if Conn is not a socket
+	readState       socketRead
+	mu              sync.Mutex
+	queue           []Packet
+	bytes           int
+	closing         bool  // close once the queue is written
+	err             error // set when closed
+	wake            chan struct{}
+	closed          chan struct{}
+	onClose         func()
+	holds           atomic.Int32 // Holds that have not ended
+	calls           atomic.Int32 // established calls that arrived on it
+	lastUsed        atomic.Int64 // when it was last used, in Unix nanoseconds
+	messageReceived atomic.Bool  // a whole message has been received
+	byteReceived    atomic.Bool  // a byte has been received
+	peerClosed      atomic.Bool  // a read has found that the other side closed or reset the connection
+	unprocessed     atomic.Bool  // the last Read returned bytes, and its owner has not called Read again
 }
 
-// Read reads from the connection, and notes that something has come and that the other side has left. It is called from one
-// goroutine at a time.
+// Read reads from the connection, and records whether any byte was received and whether the other side has closed. It must
+// not be called concurrently.
 func (c *Conn) Read(p []byte) (int, error) {
-	c.taking.Store(false)
+	c.unprocessed.Store(false)
 	n, err := c.receive(p)
 	if n > 0 {
-		c.began.Store(true)
+		c.byteReceived.Store(true)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.left.Store(true)
+		c.peerClosed.Store(true)
 	}
 	return n, err
 }
 
-// Left tells whether the other side has ended or broken the connection, as far as its owner has read. A half-close is taken
-// for a close: TCP tells the two apart for nobody who reads.
-func (c *Conn) Left() bool { return c.left.Load() }
+// Left reports whether the other side has closed or reset the connection, as far as its owner has read. A half-close counts
+// as a close: a reader can't distinguish the two in TCP.
+func (c *Conn) Left() bool { return c.peerClosed.Load() }
 
-// receive reads once, and sets taking for what it returns. On a socket taking is set before the kernel gives the bytes up, so
-// that at each instant one of the two accounts for them; unread relies on that.
+// receive reads once, and sets unprocessed if it returns bytes. On a socket, unprocessed is set before the kernel hands the bytes over,
+// so that at any time either the kernel's count or unprocessed accounts for them; unread relies on that.
 func (c *Conn) receive(p []byte) (n int, err error) {
 	if c.socket == nil || len(p) == 0 {
 		n, err = c.Conn.Read(p)
-		c.taking.Store(n > 0)
+		c.unprocessed.Store(n > 0)
 		return n, err
 	}
-	c.reading.into = p
-	err = c.socket.Read(c.reading.once)
-	n, fault := c.reading.n, c.reading.fault
-	c.reading.into = nil
+	c.readState.buffer = p
+	err = c.socket.Read(c.readState.once)
+	n, readErr := c.readState.n, c.readState.readErr
+	c.readState.buffer = nil
 	switch {
 	case err != nil:
 		return 0, err
-	case fault != nil:
+	case readErr != nil:
 		return 0, &net.OpError{Op: "read", Net: c.LocalAddr().Network(), Source: c.LocalAddr(), Addr: c.RemoteAddr(),
-			Err: os.NewSyscallError("read", fault)}
+			Err: os.NewSyscallError("read", readErr)}
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// socketRead is one read of a socket. It belongs to the goroutine that reads, and is kept so that a read allocates nothing.
+// socketRead is the state of one read of a socket. It belongs to the reading goroutine and is reused, so that a read
+// allocates nothing.
 type socketRead struct {
-	into  []byte
-	n     int
-	fault error
-	once  func(fd uintptr) (done bool) // reads what is there; false: nothing is
+	buffer  []byte
+	n       int
+	readErr error
+	once    func(fd uintptr) (done bool) // reads the available bytes; false if there are none
 }
 
 // readOnce is socketRead.once.
 func (c *Conn) readOnce(fd uintptr) (done bool) {
-	c.taking.Store(true)
-	c.reading.n, c.reading.fault = readDescriptor(int(fd), c.reading.into)
-	c.taking.Store(c.reading.n > 0)
-	return c.reading.fault != syscall.EAGAIN
+	c.unprocessed.Store(true)
+	c.readState.n, c.readState.readErr = readDescriptor(int(fd), c.readState.buffer)
+	c.unprocessed.Store(c.readState.n > 0)
+	return c.readState.readErr != syscall.EAGAIN
 }
 
-// readDescriptor is read(2), repeated where a signal interrupted it. It gives no bytes with an error. It is package syscall's, as
-// in package net, so that the race detector takes a read for later than the write that it follows.
+// readDescriptor calls read(2) and repeats it if a signal interrupts it. It returns no bytes together with an error. It uses
+// package syscall, as package net does, so that the race detector orders a read after the write that it receives.
 func readDescriptor(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
@@ -139,20 +141,20 @@
 	}
 }
 
-// unread tells whether bytes of the other side lie in the kernel, or with an owner who has not gone through them: a close now
-// would drop them. On a connection that is no socket there are none in the kernel. The kernel is asked first: bytes that have
-// left it by then have set taking.
-func (c *Conn) unread() bool { return c.inKernel() > 0 || c.taking.Load() }
+// unread reports whether there are received bytes that a close would lose: in the kernel's buffer, or read by the owner and
+// not yet processed. A connection that is not a socket has no bytes in the kernel. The kernel is checked first: bytes that
+// were read before that check have set unprocessed.
+func (c *Conn) unread() bool { return c.kernelBytes() > 0 || c.unprocessed.Load() }
 
-// inKernel is the number of bytes that have come and not been read from the socket.
-func (c *Conn) inKernel() (n int) {
+// kernelBytes returns the number of received bytes that have not been read from the socket.
+func (c *Conn) kernelBytes() (n int) {
 	if c.socket != nil {
 		c.socket.Control(func(fd uintptr) { n, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
 	}
 	return n
 }
 
-// socketOf gives access to the descriptor of a connection, nil if it has none.
+// socketOf returns access to the descriptor of a connection, or nil if it has none.
 func socketOf(nc net.Conn) syscall.RawConn {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -165,62 +167,62 @@
 	return raw
 }
 
-// Spoke notes that a whole message has come.
+// Spoke records that a whole message was received.
 func (c *Conn) Spoke() {
-	c.spoke.Store(true)
-	c.used.Store(time.Now().UnixNano())
+	c.messageReceived.Store(true)
+	c.lastUsed.Store(time.Now().UnixNano())
 }
 
-// Hold notes that something is owed on the connection: it is not closed to make room. Each Hold is ended by one Unhold.
-// It gives false and notes nothing where this side has already begun to close: what was read since then must not be
-// acted on, since its sender sees the close and sends it again elsewhere.
+// Hold marks the connection as having an unanswered message, so that it is not closed as idle. Each Hold is ended by one
+// Unhold. Hold returns false and has no effect if this side has already begun to close the connection: the message must then
+// not be processed, because its sender sees the close and sends it again elsewhere.
 func (c *Conn) Hold() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending || c.err != nil {
+	if c.closing || c.err != nil {
 		return false
 	}
-	c.held.Add(1)
+	c.holds.Add(1)
 	return true
 }
 
 // Unhold ends a Hold.
 func (c *Conn) Unhold() {
-	c.used.Store(time.Now().UnixNano())
-	c.held.Add(-1)
+	c.lastUsed.Store(time.Now().UnixNano())
+	c.holds.Add(-1)
 }
 
-// Used tells when the connection last carried a message or an answer.
-func (c *Conn) Used() time.Time { return time.Unix(0, c.used.Load()) }
+// Used returns when the connection last carried a message or an answer.
+func (c *Conn) Used() time.Time { return time.Unix(0, c.lastUsed.Load()) }
 
-// Held tells whether something is owed on the connection.
-func (c *Conn) Held() bool { return c.held.Load() > 0 }
+// Held reports whether the connection has an unanswered message.
+func (c *Conn) Held() bool { return c.holds.Load() > 0 }
 
-// Call notes a call that came on the connection and stands (1), or its end (-1). Nothing is owed on the connection then,
-// but its end is best told there.
-func (c *Conn) Call(change int32) {
-	c.used.Store(time.Now().UnixNano())
-	c.calls.Add(change)
+// Call adds change to the number of established calls that arrived on the connection: 1 for a new one, -1 for one that has
+// ended. An established call does not hold the connection, but its release is preferably sent there.
+func (c *Conn) Call(delta int32) {
+	c.lastUsed.Store(time.Now().UnixNano())
+	c.calls.Add(delta)
 }
 
-// InUse tells whether anything is owed on the connection or stands.
+// InUse reports whether the connection has an unanswered message or an established call.
 func (c *Conn) InUse() bool { return c.Held() || c.calls.Load() > 0 }
 
-// less tells whether a connection would be missed less than another.
-func (c *Conn) less(o *Conn) bool {
+// closesBefore reports whether c should be closed before o to make room.
+func (c *Conn) closesBefore(o *Conn) bool {
 	if a, b := c.rank(), o.rank(); a != b {
 		return a < b
 	}
-	return c.used.Load() < o.used.Load()
+	return c.lastUsed.Load() < o.lastUsed.Load()
 }
 
-// rank orders connections by how much they would be missed: nothing came on it yet; a message is being written (a
-// true request may take 2 s); it has spoken, but no call of it stands; a call of it stands.
+// rank returns how valuable a connection is, in this order: nothing was received yet; a message is being received (a real
+// request may take 2 s); a message was received, but there is no established call; there is an established call.
 func (c *Conn) rank() int {
 	switch {
-	case !c.spoke.Load() && !c.began.Load():
+	case !c.messageReceived.Load() && !c.byteReceived.Load():
 		return 0
-	case !c.spoke.Load():
+	case !c.messageReceived.Load():
 		return 1
 	case c.calls.Load() <= 0:
 		return 2
@@ -228,22 +230,22 @@
 	return 3
 }
 
-// NewConn starts the writer of a connection. onGone, if not nil, is called once after the connection is closed.
-func NewConn(nc net.Conn, onGone func()) *Conn {
-	c := &Conn{Conn: nc, socket: socketOf(nc), wake: make(chan struct{}, 1), gone: make(chan struct{}), onGone: onGone}
-	c.reading.once = c.readOnce
-	c.used.Store(time.Now().UnixNano())
-	go c.write()
+// NewConn wraps a connection and starts its writer. onGone, if not nil, is called once after the connection is closed.
+func NewConn(nc net.Conn, onClose func()) *Conn {
+	c := &Conn{Conn: nc, socket: socketOf(nc), wake: make(chan struct{}, 1), closed: make(chan struct{}), onClose: onClose}
+	c.readState.once = c.readOnce
+	c.lastUsed.Store(time.Now().UnixNano())
+	go c.writeLoop()
 	return c
 }
 
-// Send queues a packet. It never blocks.
+// Send queues a packet for writing. It never blocks. It closes the connection and returns ErrOverflow if the queue is full.
 func (c *Conn) Send(p Packet) error {
 	c.mu.Lock()
 	err := c.err
 	switch {
 	case err != nil:
-	case c.ending:
+	case c.closing:
 		err = ErrClosed
 	case c.bytes+len(p.Data) > MaxQueued:
 		err = ErrOverflow
@@ -256,23 +258,25 @@
 		c.fail(err)
 	}
 	if err == nil {
-		c.poke()
+		c.wakeWriter()
 	}
 	return err
 }
 
-func (c *Conn) poke() {
+// wakeWriter wakes the writer.
+func (c *Conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Conn) write() {
+// writeLoop is the writer's loop. It ends when the connection is closed.
+func (c *Conn) writeLoop() {
 	for {
 		select {
 		case <-c.wake:
-		case <-c.gone:
+		case <-c.closed:
 		}
 		for {
 			c.mu.Lock()
@@ -286,9 +290,9 @@
 				return
 			}
 			if len(c.queue) == 0 {
-				ending := c.ending
+				closing := c.closing
 				c.mu.Unlock()
-				if ending {
+				if closing {
 					c.linger()
 					c.fail(ErrClosed)
 					continue
@@ -313,11 +317,11 @@
 	}
 }
 
-// linger ends the sending side and reads what the other side still sends: a close with unread input would reset the
-// connection, and the last answer would be lost with it.
+// linger closes the sending side and discards the remaining input: a close with unread input would reset the connection and
+// lose the last answer.
 func (c *Conn) linger() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.Conn.SetReadDeadline(time.Now().Add(lingerFor))
+		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.Copy(io.Discard, io.LimitReader(c.Conn, MaxQueued))
 	}
 }
@@ -334,13 +338,13 @@
 		return
 	}
 	c.Conn.Close()
-	close(c.gone)
-	if c.onGone != nil {
-		c.onGone()
+	close(c.closed)
+	if c.onClose != nil {
+		c.onClose()
 	}
 }
 
-// Close ends the connection at once; what is queued is not written.
+// Close closes the connection at once, without writing the queued packets.
 func (c *Conn) Close() error {
 	c.fail(ErrClosed)
 	return nil
@@ -349,36 +353,38 @@
 // Finish closes the connection once its queue is written.
 func (c *Conn) Finish() {
 	c.mu.Lock()
-	c.ending = true
+	c.closing = true
 	c.mu.Unlock()
-	c.poke()
+	c.wakeWriter()
 }
 
-// FinishIdle is Finish for a connection on which nothing is owed and nothing has come that is not read yet; on any other it
-// does nothing and gives false. It is at one with Hold: either the set-up that crosses the close is held and the connection
-// stays, or Hold refuses it.
+// FinishIdle calls Finish if the connection is idle, that is, without an unanswered message and without unprocessed input.
+// Otherwise it has no effect and returns false. It is atomic with Hold: if a set-up arrives at the same time, either it is
+// held and the connection stays open, or Hold returns false.
 func (c *Conn) FinishIdle() bool {
-	idle := !c.unread() && c.endIdle()
+	idle := !c.unread() && c.markClosingIfIdle()
 	if idle {
-		c.poke()
+		c.wakeWriter()
 	}
 	return idle
 }
 
-func (c *Conn) endIdle() bool {
+// markClosingIfIdle marks the connection for closing unless it has an unanswered message. It reports whether it did.
+func (c *Conn) markClosingIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle := c.held.Load() == 0
-	c.ending = c.ending || idle
+	idle := c.holds.Load() == 0
+	c.closing = c.closing || idle
 	return idle
 }
 
-// unfit tells whether the connection is closed, or has something queued that a close would drop.
-func (c *Conn) unfit() bool {
+// closedOrQueued reports whether the connection can't be closed to make room: it is closed already, or has queued packets that a close
+// would drop.
+func (c *Conn) closedOrQueued() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err != nil || len(c.queue) > 0
 }
 
-// Gone is closed when the connection is.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+// Gone returns a channel that is closed when the connection is closed.
+func (c *Conn) Gone() <-chan struct{} { return c.closed }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -15,65 +15,66 @@
 	"pgregory.net/rapid"
 )
 
-// The same steps each time: a verdict must not change from run to run.
+// TestMain fixes the seed of the property-based tests, so that each run takes the same steps.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
 	os.Exit(m.Run())
 }
 
-// Guards against a silent peer (its machine gone) blocking whoever sends: Send returns, and the connection is given up.
-func TestSilentPeerBlocksNobody(t *testing.T) {
+// Guards against a peer that stopped responding (its machine is down) blocking the sender: Send returns, and the connection is
+// closed.
+func TestUnresponsivePeerDoesNotBlockSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer far.Close()
 		c := NewConn(near, nil)
-		faults := 0
+		failures := 0
 		for range 3 {
 			c.Send(Packet{Data: []byte("x"), Done: func(err error) {
 				if err != nil {
-					faults++
+					failures++
 				}
 			}})
 		}
 		time.Sleep(writeTimeout + time.Millisecond)
 		synctest.Wait()
-		if faults != 3 || c.Send(Packet{}) == nil {
-			t.Errorf("%d of 3 packets were told their fault", faults)
+		if failures != 3 || c.Send(Packet{}) == nil {
+			t.Errorf("Done was called with an error for %d of 3 packets", failures)
 		}
 	})
 }
 
-func TestOverfullQueueClosesTheConnection(t *testing.T) {
+func TestFullQueueClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer far.Close()
-		gone := 0
-		c := NewConn(near, func() { gone++ })
+		closed := 0
+		c := NewConn(near, func() { closed++ })
 		var err error
 		for i := 0; i <= MaxQueued+1 && err == nil; i += 1 << 10 {
 			err = c.Send(Packet{Data: make([]byte, 1<<10)})
 		}
 		synctest.Wait()
 		if err == nil && c.Send(Packet{Data: make([]byte, MaxQueued)}) != ErrOverflow {
-			t.Error("the queue has no bound")
+			t.Error("write queue is not bounded")
 		}
 		synctest.Wait()
-		if gone != 1 {
-			t.Errorf("closed %d times, want once", gone)
+		if closed != 1 {
+			t.Errorf("closed %d times, want once", closed)
 		}
 	})
 }
 
-// Random steps against a model of the connection: open, ending or closed; packets go out in order, whole, or their Done
-// says why not; Still is asked at the first byte and not before.
+// Random steps, checked against a model of the connection, which is open, ending or closed. Packets are written in order and
+// whole, or their Done gets an error. Still is called at the first byte and not before.
 func TestConnAgainstModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			near, far := net.Pipe()
 			c := NewConn(near, nil)
 			var want, got bytes.Buffer
-			var told, sent int
+			var doneCalls, sent int
 			still := true
 			reading := make(chan struct{}, 99)
 			read := make(chan struct{})
@@ -93,18 +94,18 @@
 				switch rapid.IntRange(0, 9).Draw(r, "step") {
 				case 0, 1, 2, 3, 4:
 					b := byte(i)
-					var asked, held bool
-					err := c.Send(Packet{Data: []byte{b}, Still: func() bool { asked, held = true, still; return still }, Done: func(err error) {
-						told++
+					var stillCalled, stillResult bool
+					err := c.Send(Packet{Data: []byte{b}, Still: func() bool { stillCalled, stillResult = true, still; return still }, Done: func(err error) {
+						doneCalls++
 						if err == nil {
 							want.WriteByte(b)
 						}
-						if err == nil && !(asked && held) || errors.Is(err, ErrDropped) && held {
-							r.Fatalf("ended with %v, asked %v, still %v", err, asked, held)
+						if err == nil && !(stillCalled && stillResult) || errors.Is(err, ErrDropped) && stillResult {
+							r.Fatalf("Done called with %v; Still called %v, returned %v", err, stillCalled, stillResult)
 						}
 					}})
 					if (err == nil) != open {
-						r.Fatalf("Send gives %v, open %v", err, open)
+						r.Fatalf("Send returned %v, open %v", err, open)
 					}
 					if err == nil {
 						sent++
@@ -122,23 +123,23 @@
 					open = false
 				}
 				synctest.Wait()
-				if open && told < got.Len() {
-					r.Fatalf("%d packets told of %d read", told, got.Len())
+				if open && doneCalls < got.Len() {
+					r.Fatalf("Done called for %d packets, %d read", doneCalls, got.Len())
 				}
 			}
 			close(reading)
 			c.Finish()
 			<-read
 			synctest.Wait()
-			if told != sent || !bytes.Equal(want.Bytes(), got.Bytes()) {
-				r.Fatalf("%d of %d packets told; wrote %v, read %v", told, sent, want.Bytes(), got.Bytes())
+			if doneCalls != sent || !bytes.Equal(want.Bytes(), got.Bytes()) {
+				r.Fatalf("Done called for %d of %d packets; wrote %v, read %v", doneCalls, sent, want.Bytes(), got.Bytes())
 			}
 			far.Close()
 		})
 	})
 }
 
-// Guards against a last answer lost by the reset that a close with unread input brings.
+// Guards against losing the last answer to the reset that a close with unread input causes.
 func TestLastAnswerArrivesDespiteUnreadInput(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -167,8 +168,8 @@
 	}
 }
 
-// Guards against callers taking the descriptors that servers need.
-func TestBudgetKeepsAReserve(t *testing.T) {
+// Guards against callers using up the descriptors that are needed for connections to servers.
+func TestBudgetKeepsReserveForDialing(t *testing.T) {
 	b := NewBudget(4, 2)
 	l, err := Listen("127.0.0.1:0", b)
 	if err != nil {
@@ -185,7 +186,7 @@
 		}
 		defer c.Close()
 		conns = append(conns, c)
-		if i < 2 { // the next one comes once this one is held
+		if i < 2 { // wait until this one is held
 			near := <-held
 			defer near.Close()
 		}
@@ -205,9 +206,10 @@
 	}
 }
 
-// Guards against callers that say nothing, or are done and stay, keeping others out: they make room, first who never
-// spoke, then who has no call, the longest idle first. A connection on which something is owed is never closed.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+// Guards against callers that send nothing, or stay connected after their answer, keeping others out: their connections are
+// closed to make room, first those without any message, then those without an established call, each time the longest idle
+// first. A connection with an unanswered message is never closed.
+func TestIdleConnectionsAreClosedToMakeRoom(t *testing.T) {
 	b := NewBudget(6, 1)
 	l, err := Listen("127.0.0.1:0", b)
 	if err != nil {
@@ -224,14 +226,14 @@
 		t.Cleanup(func() { c.Close() })
 		return <-taken
 	}
-	owed, calling, idle, recent, silent := connect(), connect(), connect(), connect(), connect()
-	for i, c := range []*Conn{owed, calling, idle, recent} {
+	unanswered, calling, idle, recent, silent := connect(), connect(), connect(), connect(), connect()
+	for i, c := range []*Conn{unanswered, calling, idle, recent} {
 		c.Spoke()
-		c.used.Store(int64(i + 1))
+		c.lastUsed.Store(int64(i + 1))
 	}
-	owed.Hold()
+	unanswered.Hold()
 	calling.Call(1)
-	calling.used.Store(2)
+	calling.lastUsed.Store(2)
 	for i, want := range []*Conn{silent, idle, recent, calling} {
 		c := connect()
 		c.Spoke()
@@ -239,19 +241,19 @@
 		select {
 		case <-want.Gone():
 		case <-time.After(10 * time.Second):
-			t.Fatalf("step %d closed another", i)
+			t.Fatalf("step %d closed another connection", i)
 		}
 	}
 	select {
-	case <-owed.Gone():
-		t.Error("closed a connection on which an answer is owed")
+	case <-unanswered.Gone():
+		t.Error("closed a connection with an unanswered message")
 	default:
 	}
 }
 
-// In a crowd that never sends a byte, a true request that takes its time to be written is not what makes room: the
-// older connections that sent nothing go first, even a newer silent one before it.
-func TestSlowWriterOutlastsTheSilentCrowd(t *testing.T) {
+// Among many connections that never send a byte, the connection of a real request that is written slowly is not closed to make
+// room: connections that sent nothing are closed first, even newer ones.
+func TestSlowWriterOutlastsSilentConnections(t *testing.T) {
 	b := NewBudget(4, 1)
 	l, err := Listen("127.0.0.1:0", b)
 	if err != nil {
@@ -274,10 +276,10 @@
 	}
 	writer, slow := connect()
 	io.WriteString(writer, `{"msg":"open","sid":`)
-	for !slow.began.Load() {
+	for !slow.byteReceived.Load() {
 		runtime.Gosched()
 	}
-	slow.used.Store(1) // the oldest of all
+	slow.lastUsed.Store(1) // the oldest of all
 	_, silent := connect()
 	_, silent2 := connect()
 	for _, want := range []*Conn{silent, silent2} {
@@ -285,9 +287,9 @@
 		select {
 		case <-want.Gone():
 		case <-slow.Gone():
-			t.Fatal("the slow writer made room before a silent connection")
+			t.Fatal("the connection of the slow writer was closed before a silent one")
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing made room")
+			t.Fatal("no connection was closed to make room")
 		}
 	}
 }
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-// pair gives both ends of a connection over loopback; nobody reads the near one.
+// pair returns both ends of a loopback connection. The near end is not read.
 func pair(t *testing.T) (near *Conn, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,68 +30,68 @@
 	return near, c.(*net.TCPConn)
 }
 
-// until waits for what the kernel brings about.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor waits for a condition that depends on the kernel, for at most 10 s.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !is(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not in 10 s", what)
+	for deadline := time.Now().Add(10 * time.Second); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: condition not met in 10 s", what)
 		}
 	}
 }
 
-// A connection on which bytes have come that nobody has read yet may hold a set-up: it is not closed as idle, neither at the
-// end of a drain nor to make room. Past that the end is not held up by it.
-func TestUnreadBytesKeepAConnection(t *testing.T) {
+// A connection with received bytes that have not been read may carry a set-up: it is not closed as idle, neither at the end of
+// a drain nor to make room. With force, unread bytes do not delay the close.
+func TestConnectionWithUnreadBytesIsNotIdle(t *testing.T) {
 	near, far := pair(t)
 	l := &Listener{conns: map[*Conn]struct{}{near: {}}}
 	io.WriteString(far, "open")
-	until(t, "bytes", near.unread)
+	waitFor(t, "bytes", near.unread)
 	if near.FinishIdle() || l.FinishIdle(false) || l.makeRoom() {
-		t.Fatal("closed over bytes that were not read")
+		t.Fatal("closed with unread bytes")
 	}
 	io.ReadFull(near, make([]byte, 4))
 	if !near.Hold() || l.FinishIdle(true) || l.makeRoom() {
-		t.Fatal("closed under a set-up that was read")
+		t.Fatal("closed while a set-up is held")
 	}
 	near.Unhold()
 	if l.FinishIdle(false) {
-		t.Fatal("closed over bytes that its owner has not gone through")
+		t.Fatal("closed with bytes that its owner has not processed")
 	}
 	io.WriteString(far, "more")
-	until(t, "bytes", near.unread)
+	waitFor(t, "bytes", near.unread)
 	if !l.FinishIdle(true) || near.Hold() {
-		t.Fatal("bytes that nobody reads hold up the end")
+		t.Fatal("unread bytes prevent a forced close")
 	}
 }
 
-// makeRoom goes on to the next idle connection where the first has bytes to be read.
-func TestRoomIsMadeByTheNextIdleOne(t *testing.T) {
+// makeRoom skips an idle connection with unread bytes and closes the next one.
+func TestMakeRoomSkipsConnectionWithUnreadBytes(t *testing.T) {
 	first, far := pair(t)
 	second, _ := pair(t)
-	first.used.Store(1)
+	first.lastUsed.Store(1)
 	io.WriteString(far, "open")
-	until(t, "bytes", first.unread)
+	waitFor(t, "bytes", first.unread)
 	l := &Listener{conns: map[*Conn]struct{}{first: {}, second: {}}}
 	if !l.makeRoom() {
-		t.Fatal("no room")
+		t.Fatal("makeRoom closed no connection")
 	}
 	select {
 	case <-second.Gone():
 	default:
-		t.Error("the one with bytes was closed")
+		t.Error("closed the connection with unread bytes")
 	}
 }
 
-// A listener that stops hands on what the machine had accepted by then: whole requests may lie on those connections, and a
-// close resets them.
-func TestStopHandsOnWhatWasAccepted(t *testing.T) {
-	for _, late := range []time.Duration{0, 2 * acceptFor} { // Serve has processor time only so long after Stop
-		t.Run(late.String(), func(t *testing.T) { stopHandsOn(t, late) })
+// A stopped listener serves the connections that are in the kernel's accept queue: they may carry whole requests, and closing
+// the listener would reset them.
+func TestStopServesAcceptQueue(t *testing.T) {
+	for _, late := range []time.Duration{0, 2 * acceptDrainTime} { // delay between Stop and the start of Serve
+		t.Run(late.String(), func(t *testing.T) { testStopServesAcceptQueue(t, late) })
 	}
 }
 
-func stopHandsOn(t *testing.T, late time.Duration) {
+func testStopServesAcceptQueue(t *testing.T, late time.Duration) {
 	l, err := Listen("127.0.0.1:0", NewBudget(64, 8))
 	require.NoError(t, err)
 	const callers = 16
@@ -104,7 +104,7 @@
 	l.Stop()
 	time.Sleep(late)
 	taken := make(chan string, callers)
-	l.Serve(func(c *Conn) { // returns once it has stopped
+	l.Serve(func(c *Conn) { // returns once the listener has stopped
 		b := make([]byte, 5)
 		io.ReadFull(c, b)
 		taken <- string(b)
@@ -114,7 +114,7 @@
 		case got := <-taken:
 			require.Equal(t, "whole", got)
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d of %d connections handed on", i, callers)
+			t.Fatalf("%d of %d connections served", i, callers)
 		}
 	}
 	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Left tells of a close and of a reset, and of no time-out.
+// Left reports a close and a reset, but not a time-out.
 func TestLeft(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		near, far := pair(t)
@@ -139,13 +139,13 @@
 		}
 		near.Read(make([]byte, 1))
 		if !near.Left() {
-			t.Errorf("reset %v: not seen", reset)
+			t.Errorf("reset %v: Left returned false", reset)
 		}
 	}
 }
 
-// Descriptors and goroutines of connections that end in any way are given back.
-func TestNothingIsLeftBehind(t *testing.T) {
+// However a connection ends, its descriptor and its goroutines are released.
+func TestConnectionsLeakNothing(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	b := NewBudget(64, 8)
 	l, err := Listen("127.0.0.1:0", b)
@@ -170,42 +170,44 @@
 			defer c.Close()
 		}
 	}
-	until(t, "descriptors", func() bool { return b.Used() == 0 })
+	waitFor(t, "descriptors", func() bool { return b.Used() == 0 })
 	l.Stop()
 	<-served
 	l.wg.Wait()
 }
 
-// stepped is a connection whose reader stops once bytes have left the kernel for it, before it gets them, and whose owner can
-// have something done just before the kernel is asked how much lies there.
-type stepped struct {
+// pausingConn is a connection whose reader pauses after it has taken bytes from the kernel and before it returns them. It can also
+// run a function just before the kernel's count of unread bytes is queried.
+type pausingConn struct {
 	*net.TCPConn
-	took, goOn  chan struct{}
-	beforeCount func()
+	taken, resume chan struct{}
+	beforeCount   func()
 }
 
-func (s *stepped) pause() {
-	s.took <- struct{}{}
-	<-s.goOn
+// pause signals that bytes were taken, and waits for resume.
+func (s *pausingConn) pause() {
+	s.taken <- struct{}{}
+	<-s.resume
 }
 
-func (s *stepped) Read(p []byte) (int, error) {
+func (s *pausingConn) Read(p []byte) (int, error) {
 	n, err := s.TCPConn.Read(p)
 	s.pause()
 	return n, err
 }
 
-func (s *stepped) SyscallConn() (syscall.RawConn, error) {
+func (s *pausingConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := s.TCPConn.SyscallConn()
-	return &steppedSocket{raw, s}, err
+	return &pausingSocket{raw, s}, err
 }
 
-type steppedSocket struct {
+// pausingSocket is the raw socket of a stepped connection.
+type pausingSocket struct {
 	syscall.RawConn
-	conn *stepped
+	conn *pausingConn
 }
 
-func (s *steppedSocket) Read(try func(fd uintptr) bool) error {
+func (s *pausingSocket) Read(try func(fd uintptr) bool) error {
 	return s.RawConn.Read(func(fd uintptr) bool {
 		done := try(fd)
 		if done {
@@ -215,58 +217,58 @@
 	})
 }
 
-func (s *steppedSocket) Control(f func(fd uintptr)) error {
+func (s *pausingSocket) Control(f func(fd uintptr)) error {
 	if s.conn.beforeCount != nil {
 		s.conn.beforeCount()
 	}
 	return s.RawConn.Control(f)
 }
 
-// Bytes that leave the kernel for a reader keep their connection at every instant: neither between the kernel's giving them up
-// and the reader's having them, nor when that happens in the middle of the look for them, is the connection idle.
-func TestBytesOnTheWayToTheReaderKeepAConnection(t *testing.T) {
-	for _, when := range []string{"before the look", "during the look"} {
+// A connection must not count as idle while bytes move from the kernel to the reader: neither after the kernel has handed them
+// over and before the reader has them, nor if they are handed over in the middle of the check for unread bytes.
+func TestConnectionWithBytesInTransitIsNotIdle(t *testing.T) {
+	for _, when := range []string{"before the check", "during the check"} {
 		t.Run(when, func(t *testing.T) {
 			plain, far := pair(t)
-			s := &stepped{TCPConn: plain.Conn.(*net.TCPConn), took: make(chan struct{}), goOn: make(chan struct{})}
+			s := &pausingConn{TCPConn: plain.Conn.(*net.TCPConn), taken: make(chan struct{}), resume: make(chan struct{})}
 			near := NewConn(s, nil)
 			defer near.Close()
 			read := make(chan string, 1)
 			arrive := func() {
 				io.WriteString(far, "open")
-				<-s.took
+				<-s.taken
 			}
 			go func() {
 				b := make([]byte, 9)
 				n, _ := near.Read(b)
 				read <- string(b[:n])
 			}()
-			if when == "before the look" {
+			if when == "before the check" {
 				arrive()
 			} else {
 				s.beforeCount = sync.OnceFunc(arrive)
 			}
 			idle := near.FinishIdle()
-			close(s.goOn)
+			close(s.resume)
 			require.Equal(t, "open", <-read)
-			require.False(t, idle, "closed over bytes that its reader has taken")
-			require.True(t, near.Hold(), "what was read is refused")
+			require.False(t, idle, "closed with bytes that its reader has taken")
+			require.True(t, near.Hold(), "Hold refuses a message that was read")
 		})
 	}
 }
 
-// A reader's error says what ended its reading, on a socket as on any other connection.
-func TestErrorsOfARead(t *testing.T) {
-	for how, end := range map[string]struct {
-		by   func(near *Conn, far *net.TCPConn)
-		want error
+// Read returns the same errors on a socket as on any other connection.
+func TestReadErrors(t *testing.T) {
+	for name, end := range map[string]struct {
+		cause func(near *Conn, far *net.TCPConn)
+		want  error
 	}{
-		"close of the other side": {func(_ *Conn, far *net.TCPConn) { far.Close() }, io.EOF},
+		"close by the other side": {func(_ *Conn, far *net.TCPConn) { far.Close() }, io.EOF},
 		"reset":                   {func(_ *Conn, far *net.TCPConn) { far.SetLinger(0); far.Close() }, syscall.ECONNRESET},
-		"close of this side":      {func(near *Conn, _ *net.TCPConn) { near.Close() }, net.ErrClosed},
+		"close by this side":      {func(near *Conn, _ *net.TCPConn) { near.Close() }, net.ErrClosed},
 		"deadline":                {func(near *Conn, _ *net.TCPConn) { near.SetReadDeadline(time.Now()) }, os.ErrDeadlineExceeded},
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
 			io.WriteString(far, "last")
 			b := make([]byte, 9)
@@ -275,13 +277,13 @@
 			require.Equal(t, "last", string(b[:n]))
 			ended := make(chan error, 1)
 			go func() { n, err = near.Read(b); ended <- err }()
-			end.by(near, far)
+			end.cause(near, far)
 			require.ErrorIs(t, <-ended, end.want)
 			require.Zero(t, n)
-			require.Equal(t, how != "deadline", near.Left())
-			require.False(t, near.taking.Load())
-			if broken := net.Error(nil); end.want != io.EOF {
-				require.ErrorAs(t, err, &broken)
+			require.Equal(t, name != "deadline", near.Left())
+			require.False(t, near.unprocessed.Load())
+			if netErr := net.Error(nil); end.want != io.EOF {
+				require.ErrorAs(t, err, &netErr)
 			}
 		})
 	}
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A read of a connection allocates nothing: it is on the way of each message.
+// A read of a connection allocates nothing: it is on the path of every message.
 func TestReadAllocatesNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -14,23 +14,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrBudget says that no descriptor is to spare.
-var ErrBudget = errors.New("descriptor budget is used up")
+// ErrBudget is returned if no file descriptor is available.
+var ErrBudget = errors.New("file descriptor budget is exhausted")
 
-// Budget counts descriptors, so that the process stays under its limit. A part of it is kept for each side: callers that come in
-// great number must not keep the gatekeeper from dialling, and connections to a great many servers must leave room for callers.
+// Budget counts file descriptors, so that the process stays under its limit. A part is reserved for each side: a large number
+// of callers must not keep the gatekeeper from dialling, and connections to a large number of servers must leave room for
+// callers.
 type Budget struct {
 	max, reserve int
 
 	mu              sync.Mutex
-	callers, dialed int // descriptors held
+	callers, dialed int // descriptors in use
 }
 
-// NewBudget allows max descriptors in all. Callers may not take the last reserve of them while they hold as many themselves,
-// and connections that are dialled may not take more than all but the reserve.
+// NewBudget returns a budget of max descriptors in total. Callers that hold at least reserve descriptors may not take any of the
+// last reserve, and dialled connections may take at most max-reserve.
 func NewBudget(max, reserve int) *Budget { return &Budget{max: max, reserve: reserve} }
 
-// takeCaller counts a descriptor for a caller, if there is one to spare.
+// takeCaller takes a descriptor for a caller and reports whether one was available.
 func (b *Budget) takeCaller() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,13 +43,14 @@
 	return true
 }
 
-func (b *Budget) giveCaller() {
+// releaseCaller returns the descriptor of a caller.
+func (b *Budget) releaseCaller() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.callers--
 }
 
-// takeDialed counts a descriptor for a connection to be dialled, if there is one to spare.
+// takeDialed takes a descriptor for a dialled connection and reports whether one was available.
 func (b *Budget) takeDialed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,20 +61,21 @@
 	return true
 }
 
-func (b *Budget) giveDialed() {
+// releaseDialed returns the descriptor of a dialled connection.
+func (b *Budget) releaseDialed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dialed--
 }
 
-// Used is the number of descriptors held.
+// Used returns the number of descriptors in use.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.callers + b.dialed
 }
 
-// Dial opens a TCP connection within a time.
+// Dial opens a TCP connection. It returns ErrBudget if no descriptor is available.
 func (b *Budget) Dial(ctx context.Context, addr string, timeout time.Duration) (*Conn, error) {
 	if !b.takeDialed() {
 		return nil, ErrBudget
@@ -80,13 +83,14 @@
 	d := net.Dialer{Timeout: timeout}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		b.giveDialed()
+		b.releaseDialed()
 		return nil, err
 	}
-	return NewConn(nc, b.giveDialed), nil
+	return NewConn(nc, b.releaseDialed), nil
 }
 
-var shared = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// reusePort binds with SO_REUSEPORT.
+var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
@@ -94,7 +98,7 @@
 	return err
 }}
 
-// Listener takes in connections and hands each to a handler in a goroutine of its own.
+// Listener accepts connections and runs a handler for each in its own goroutine.
 type Listener struct {
 	net.Listener
 	budget *Budget
@@ -102,37 +106,37 @@
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
 
-	// Away, if not nil, tells whether a caller's address is turned away at the door. It is set before Serve.
+	// Away, if not nil, reports whether connections from an address are closed at once. It must be set before Serve.
 	Away func(address string) bool
 }
 
 // Listen binds a TCP address. The address may be shared with another process that binds it the same way
-// (SO_REUSEPORT): at a hand-over the new process takes its share of new connections while the old one drains.
+// (SO_REUSEPORT): during a restart the new process accepts its share of new connections while the old one drains.
 func Listen(addr string, budget *Budget) (*Listener, error) {
-	l, err := shared.Listen(context.Background(), "tcp", addr)
+	l, err := reusePort.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	return &Listener{Listener: l, budget: budget, conns: map[*Conn]struct{}{}}, nil
 }
 
-// acceptFor is how long a listener that stops goes on taking what the machine has accepted for it. Those connections may hold
-// whole requests; a close resets them.
-const acceptFor = 20 * time.Millisecond
+// acceptDrainTime is how long a stopped listener continues to accept the connections in the kernel's accept queue. These may carry
+// whole requests, and closing the listener would reset them.
+const acceptDrainTime = 20 * time.Millisecond
 
-// acceptAgain is how many times acceptFor begins anew where it is over and accepted connections still wait: this process may have
-// had no processor time meanwhile. New connections go on coming, so it is bounded.
-const acceptAgain = 8
+// maxDrainRepeats is how many times acceptFor is repeated while connections remain in the accept queue: this process may have had no
+// processor time meanwhile. It is bounded because new connections continue to arrive.
+const maxDrainRepeats = 8
 
-// Stop ends the listener once it has handed on every connection that the machine had accepted. It does not wait for that.
+// Stop closes the listener after it has accepted the connections in the kernel's accept queue. It does not wait for that.
 func (l *Listener) Stop() {
-	if t, ok := l.Listener.(*net.TCPListener); !ok || t.SetDeadline(time.Now().Add(acceptFor)) != nil {
+	if t, ok := l.Listener.(*net.TCPListener); !ok || t.SetDeadline(time.Now().Add(acceptDrainTime)) != nil {
 		l.Close()
 	}
 }
 
-// waiting tells whether the machine has accepted a connection that is not handed on yet.
-func (l *Listener) waiting() (is bool) {
+// hasPending reports whether there are connections in the kernel's accept queue.
+func (l *Listener) hasPending() (pending bool) {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -143,19 +147,19 @@
 	}
 	raw.Control(func(fd uintptr) {
 		n, _ := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-		is = n > 0
+		pending = n > 0
 	})
-	return is
+	return pending
 }
 
-// Serve accepts until the listener is closed or stopped. When the budget is used up, a connection on which nothing is owed makes
-// room for a new one; where there is none, the new one is closed.
+// Serve accepts connections until the listener is closed or stopped. If the descriptor budget is exhausted, it closes an idle
+// connection to make room for a new one; if there is no idle connection, it closes the new one.
 func (l *Listener) Serve(handle func(*Conn)) {
-	again := 0
+	repeats := 0
 	for {
 		nc, err := l.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) && again < acceptAgain && l.waiting() {
-			again++
+		if errors.Is(err, os.ErrDeadlineExceeded) && repeats < maxDrainRepeats && l.hasPending() {
+			repeats++
 			l.Stop()
 			continue
 		}
@@ -166,7 +170,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors or memory for the moment
+		if err != nil { // temporarily out of descriptors or memory
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -178,7 +182,7 @@
 			nc.Close()
 			continue
 		}
-		c := NewConn(nc, l.budget.giveCaller)
+		c := NewConn(nc, l.budget.releaseCaller)
 		l.mu.Lock()
 		l.conns[c] = struct{}{}
 		l.mu.Unlock()
@@ -194,7 +198,7 @@
 	}
 }
 
-// AddressOf gives the address of a caller without its port.
+// AddressOf returns the IP address of a caller, without its port.
 func AddressOf(a net.Addr) string {
 	if t, ok := a.(*net.TCPAddr); ok {
 		return t.IP.String()
@@ -202,55 +206,56 @@
 	return a.String()
 }
 
-// makeRoom closes the connection that is missed least: the oldest of those that never sent a whole message, else the one
-// that has been idle longest, best one without a call that stands. Callers that say nothing, or have had their answer and
-// stay, must not keep others out. One with bytes that are not read yet may hold a set-up, and is passed over.
+// makeRoom closes the least valuable connection and reports whether it found one: the oldest of those that never sent a whole
+// message, else the one that has been idle longest, preferably without an established call. Callers that send nothing, or stay
+// connected after their answer, must not keep others out. A connection with unread bytes may carry a set-up and is skipped.
 func (l *Listener) makeRoom() bool {
-	passed := map[*Conn]bool{}
+	skipped := map[*Conn]bool{}
 	for {
-		var least *Conn
+		var candidate *Conn
 		l.mu.Lock()
 		for c := range l.conns {
-			if c.Held() || c.unfit() || passed[c] {
+			if c.Held() || c.closedOrQueued() || skipped[c] {
 				continue
 			}
-			if least == nil || c.less(least) {
-				least = c
+			if candidate == nil || c.closesBefore(candidate) {
+				candidate = c
 			}
 		}
 		l.mu.Unlock()
-		if least == nil {
+		if candidate == nil {
 			return false
 		}
-		if !least.unread() && least.endIdle() {
-			least.Close()
+		if !candidate.unread() && candidate.markClosingIfIdle() {
+			candidate.Close()
 			return true
 		}
-		passed[least] = true
+		skipped[candidate] = true
 	}
 }
 
-func (l *Listener) open() []*Conn {
+// openConns returns the open connections.
+func (l *Listener) openConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.conns))
 }
 
-// FinishIdle ends every connection on which nothing is owed, as Conn.FinishIdle does. It tells whether that was all of them:
-// what is read from a connection that stays is owed an answer. With force, bytes that are not read yet are no reason to stay.
+// FinishIdle closes every idle connection, as Conn.FinishIdle does. It reports whether these were all: requests on a connection
+// that stays open must still be answered. With force, connections with unread bytes count as idle too.
 func (l *Listener) FinishIdle(force bool) (all bool) {
 	all = true
-	for _, c := range l.open() {
-		if !c.FinishIdle() && !(force && c.endIdle()) {
+	for _, c := range l.openConns() {
+		if !c.FinishIdle() && !(force && c.markClosingIfIdle()) {
 			all = false
 		}
 	}
 	return all
 }
 
-// Finish closes every connection that is open once its queue is written, and waits for that, but not longer than a time.
+// Finish closes every open connection once its queue is written, and waits for that, at most for limit.
 func (l *Listener) Finish(limit time.Duration) {
-	conns := l.open()
+	conns := l.openConns()
 	timeout := time.After(limit)
 	for _, c := range conns {
 		c.Finish()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A new process binds the clients' address while the old one still listens, and each takes connections on it; when
-// the old one closes, the new one takes them all.
+// A new process can bind the clients' address while the old one still listens, and both accept connections; when the old one
+// closes its listener, the new one accepts all of them.
 func TestTwoListenersShareAnAddress(t *testing.T) {
 	old, err := Listen("127.0.0.1:0", NewBudget(64, 8))
 	if err != nil {
@@ -45,14 +45,14 @@
 		}
 		c.Close()
 		if who := <-taken; who != "next" {
-			t.Fatalf("a closed listener took a connection")
+			t.Fatalf("a closed listener accepted a connection")
 		}
 	}
 }
 
-// Neither side can take the part of the other: with servers without end callers still get the reserve, with callers without end
-// the gatekeeper can still dial as many, and all together never pass the limit.
-func TestBudgetKeepsAPartForEachSide(t *testing.T) {
+// Neither side can use up the descriptors of the other: with unlimited servers, callers still get the reserve; with unlimited
+// callers, the gatekeeper can still dial as many connections; and the total never exceeds the limit.
+func TestBudgetReservesPartForEachSide(t *testing.T) {
 	const max, reserve = 40, 5
 	take := func(more func() bool) (n int) {
 		for more() {
@@ -62,18 +62,18 @@
 	}
 	b := NewBudget(max, reserve)
 	if dialed, callers := take(b.takeDialed), take(b.takeCaller); dialed != max-reserve || callers != reserve || b.Used() != max {
-		t.Errorf("%d dialled first, then %d callers, %d in all", dialed, callers, b.Used())
+		t.Errorf("%d dialled first, then %d callers, %d in total", dialed, callers, b.Used())
 	}
-	b.giveDialed()
+	b.releaseDialed()
 	if b.takeCaller() || !b.takeDialed() {
-		t.Error("a descriptor of the servers went to a caller that holds its part")
+		t.Error("a descriptor of the servers' part was given to a caller")
 	}
 	b = NewBudget(max, reserve)
 	if callers, dialed := take(b.takeCaller), take(b.takeDialed); callers != max-reserve || dialed != reserve || b.Used() != max {
-		t.Errorf("%d callers first, then %d dialled, %d in all", callers, dialed, b.Used())
+		t.Errorf("%d callers first, then %d dialled, %d in total", callers, dialed, b.Used())
 	}
-	b.giveCaller()
+	b.releaseCaller()
 	if !b.takeDialed() && !b.takeCaller() {
-		t.Error("a descriptor that was given back is lost")
+		t.Error("a released descriptor is not available again")
 	}
 }
