--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,4 +1,4 @@
-// Package actor gives the one building block of concurrency here: a goroutine with a mailbox.
+// Package actor provides actors: goroutines that run the functions in their mailbox one after the other.
 package actor
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Actor runs what is posted to it, one at a time and in order. The mailbox is not bounded: actors post to each other
-// both ways, and a full mailbox would lock two of them together. What flows in is bounded at the connections.
+// Actor runs the functions posted to it, one at a time and in order. The mailbox is not bounded: actors post to each other in
+// both directions, so a full mailbox could deadlock two of them. The input is bounded at the connections instead.
 type Actor struct {
 	mu    sync.Mutex
 	queue []func()
@@ -23,7 +23,7 @@
 	return a
 }
 
-// Post hands over f to be run. It never blocks.
+// Post adds f to the mailbox. It never blocks.
 func (a *Actor) Post(f func()) {
 	a.mu.Lock()
 	a.queue = append(a.queue, f)
@@ -34,11 +34,13 @@
 	}
 }
 
-// After posts f when a span has passed. A timer stopped late may still have posted: f must look again.
+// After posts f after the duration d. A timer that is stopped late may already have posted f, so f must check that it is still
+// wanted.
 func (a *Actor) After(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() { a.Post(f) })
 }
 
+// run is the actor's loop. It ends after Stop.
 func (a *Actor) run() {
 	for {
 		select {
@@ -61,5 +63,5 @@
 	}
 }
 
-// Stop ends the actor; what is posted later is never run.
+// Stop ends the actor. Functions that are posted later are never run.
 func (a *Actor) Stop() { a.once.Do(func() { close(a.stop) }) }
--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -1,11 +1,11 @@
-// Package counting counts what is seen of calls, from any thread: fronts and the core say what they see, and readers ask for
-// rates. Counts lie in shards, each under its own lock; a thread keeps to one shard while nobody else holds it, so threads
-// do not wait for each other and their caches keep what they write. Nothing goes through the core's actor, and saying
-// something allocates nothing.
+// Package counting keeps decayed rates of events of calls. Fronts and the core record events from any goroutine, and readers
+// query rates. The counts are sharded, each shard with its own lock; a thread stays with one shard as long as no other thread
+// holds its lock, so that threads do not wait for each other and keep their cache lines. Recording does not involve the
+// core's actor and allocates nothing.
 //
-// Rates decay by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): an event at t weighs exp(a(t-L)) from a landmark
-// L on, and a rate at t is the sum of weights times a exp(-a(t-L)). Nothing is swept as time goes by; a shard moves its own
-// landmark about each 20 minutes, when its next event comes, under its own lock alone.
+// Rates use forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): an event at t has the weight exp(a(t-L)) relative to a
+// landmark L, and the rate at t is the sum of weights times a exp(-a(t-L)). No periodic sweep is needed; a shard moves its
+// landmark about every 20 minutes, on its next event, under its own lock only.
 package counting
 
 import (
@@ -18,10 +18,11 @@
 	"beammux/control/heavy"
 )
 
-// What is what was seen.
+// What is a kind of event.
 type What uint8
 
-// What is counted. Arrived and Refused, Failed, Established are of calls; the rest are of attempts at a server.
+// The kinds of events. Arrived, Established, Refused and Failed are events of calls; the others are events of attempts at a
+// server.
 const (
 	Arrived What = iota
 	Established
@@ -30,15 +31,16 @@
 	Sent
 	Answered
 	TimedOut
-	Errored // the server failed it, or its connection was cut
+	Errored // the server failed the attempt, or its connection was cut
 	Full
-	Busy    // a server said that all lines of the number are busy
-	Overdue // an attempt was out for some time without an answer
-	Whats
+	Busy    // a server answered that all lines of the number are busy
+	Overdue // the attempt has been in flight for some time without an answer
+	Whats   // number of kinds
 )
 
 var whatNames = [Whats]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
 
+// String returns the name of the kind.
 func (w What) String() string {
 	if w >= Whats {
 		return "unknown"
@@ -46,33 +48,33 @@
 	return whatNames[w]
 }
 
-// Seen is one thing that was seen. Fields that do not concern it are zero; Class and Tenant are -1 for those that the
-// settings do not name.
+// Seen is one event. Fields that do not apply to it are zero. Class and Tenant are -1 for a class or tenant that the settings
+// do not name.
 type Seen struct {
 	What   What
 	Class  int
 	Tenant int
-	Number string // counted on Arrived
-	Server uint32 // 0: none
+	Number string // called number; counted for Arrived
+	Server uint32 // 0 if the event is not about a server
 }
 
 // Options of counters.
 type Options struct {
-	Classes, Tenants int            // of the settings
-	Numbers          int            // most called numbers that each shard holds; 0: NumbersHeld
-	Shards           int            // 0: twice the threads that run at once
-	Memory           control.Micros // time in which a rate follows a change to 1 - 1/e; 0: Memory
+	Classes, Tenants int            // number of classes and tenants in the settings
+	Numbers          int            // number of the most called numbers that each shard keeps; 0: NumbersHeld
+	Shards           int            // 0: twice GOMAXPROCS
+	Memory           control.Micros // time constant of the decay, in which a rate reaches 1 - 1/e of a change; 0: Memory
 }
 
-// Figures where the options do not say.
+// Defaults of the options, and bounds.
 const (
 	NumbersHeld = 256
 	Memory      = control.Micros(2e6)
-	mostServers = 4096 // of more, the rest count as server 0
-	mostExp     = 600  // exponent at which a landmark moves: float64 reaches 709
+	mostServers = 4096 // servers per shard; further servers are counted as server 0
+	mostExp     = 600  // exponent above which the landmark moves; math.Exp overflows above 709
 )
 
-// Counters count. Any goroutine may use them.
+// Counters count events. They are safe for concurrent use.
 type Counters struct {
 	o      Options
 	decay  float64 // a, per microsecond
@@ -80,23 +82,25 @@
 	tokens sync.Pool
 }
 
+// shard is a part of the counters.
 type shard struct {
 	mu       sync.Mutex
 	landmark control.Micros
-	at       control.Micros // of weight
-	weight   float64
-	classes  [][Whats]float64 // the last one is for those that are not named
-	tenants  [][Whats]float64
-	servers  map[uint32]int
+	at       control.Micros   // time of weight
+	weight   float64          // weight of an event at that time
+	classes  [][Whats]float64 // by class; the last one is for classes without a name in the settings
+	tenants  [][Whats]float64 // by tenant; the last one is for tenants without a name in the settings
+	servers  map[uint32]int   // index in byServer, by server
 	byServer [][Whats]float64
 	numbers  *heavy.Summary
-	_        [64]byte // the next shard's lock is on a line of its own
+	_        [64]byte // keeps the next shard's lock on another cache line
 }
 
-// token remembers which shard a thread keeps to. The pool keeps one for each thread, and may lose it: it is no state.
+// token holds the shard that a thread uses. The pool keeps about one token per thread and may drop it; a dropped token is
+// replaced by one for a random shard.
 type token struct{ shard uint32 }
 
-// New makes counters.
+// New returns counters that have counted no event.
 func New(o Options) *Counters {
 	if o.Shards <= 0 {
 		o.Shards = 2 * runtime.GOMAXPROCS(0)
@@ -116,11 +120,11 @@
 	return c
 }
 
-// Observe counts one thing that was seen at a time. Times of one process may come a little out of order.
+// Observe counts one event at the given time. Times may be slightly out of order.
 func (c *Counters) Observe(now control.Micros, seen Seen) {
 	t := c.tokens.Get().(*token)
 	s := c.shards[t.shard]
-	if !s.mu.TryLock() { // another thread has it: move on
+	if !s.mu.TryLock() { // another thread holds the lock: switch to another shard
 		t.shard = rand.Uint32N(uint32(len(c.shards)))
 		s = c.shards[t.shard]
 		s.mu.Lock()
@@ -130,6 +134,7 @@
 	c.tokens.Put(t)
 }
 
+// count adds an event to a shard whose lock is held.
 func (c *Counters) count(s *shard, now control.Micros, seen *Seen) {
 	if s.at != now || s.weight == 0 {
 		c.weigh(s, now)
@@ -149,6 +154,7 @@
 	}
 }
 
+// place returns the counts at index i, or the last ones if i is out of range.
 func place(all [][Whats]float64, i int) *[Whats]float64 {
 	if i < 0 || i >= len(all)-1 {
 		i = len(all) - 1
@@ -156,7 +162,8 @@
 	return &all[i]
 }
 
-// server makes room for a server: this alone allocates, once for each.
+// server adds a server to the shard and returns its index in byServer. It is the only allocation while counting, once for
+// each server.
 func (s *shard) server(id uint32) int {
 	if len(s.servers) >= mostServers {
 		if i, ok := s.servers[0]; ok {
@@ -169,7 +176,7 @@
 	return s.servers[id]
 }
 
-// weigh works out what an event of a time weighs, and moves the landmark where weights grow too large.
+// weigh sets the weight of an event at the given time, and moves the landmark if the weights grow too large.
 func (c *Counters) weigh(s *shard, now control.Micros) {
 	if s.landmark == math.MinInt64 {
 		s.landmark = now
@@ -186,7 +193,7 @@
 		}
 		if factor > 0 {
 			s.numbers.Scale(factor)
-		} else { // longer silent than a float64 can tell
+		} else { // the time without events was so long that factor underflows
 			s.numbers = heavy.New(c.o.Numbers)
 		}
 		s.landmark, e = now, 0
@@ -194,21 +201,22 @@
 	s.at, s.weight = now, math.Exp(e)
 }
 
-// Counts are rates of one class, tenant or server, a second, by What.
+// Counts are the rates per second of one class, tenant or server, by What.
 type Counts [Whats]float64
 
-// Rates are what was counted, as rates a second at a time. The last of Classes and Tenants are those that are not named.
+// Rates are the rates per second at one time. The last elements of Classes and Tenants are for those without a name in the
+// settings.
 type Rates struct {
 	Classes, Tenants []Counts
 	Servers          map[uint32]Counts
 }
 
-// perS is the factor from a shard's sums to rates a second at a time.
+// perS returns the factor that converts a shard's sums to rates per second at the given time.
 func (c *Counters) perS(s *shard, now control.Micros) float64 {
 	return 1e6 * c.decay * math.Exp(-c.decay*float64(now-s.landmark))
 }
 
-// Rates adds the shards up, one lock at a time.
+// Rates returns the rates at the given time, summed over the shards. It holds one lock at a time.
 func (c *Counters) Rates(now control.Micros) Rates {
 	r := Rates{Classes: make([]Counts, c.o.Classes+1), Tenants: make([]Counts, c.o.Tenants+1), Servers: map[uint32]Counts{}}
 	add := func(to *Counts, from *[Whats]float64, f float64) {
@@ -237,7 +245,8 @@
 	return r
 }
 
-// Numbers gives the most called numbers with their rates a second; the error is the most that a rate may be too high.
+// Numbers returns the most called numbers, at most as many as given, with their rates per second. Err of a counter is the
+// largest amount by which its rate may be too high.
 func (c *Counters) Numbers(now control.Micros, most int) []heavy.Counter {
 	var parts []*heavy.Summary
 	for _, s := range c.shards {
--- a/internal/counting/counting_test.go
+++ b/internal/counting/counting_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Rates follow what comes, from several threads at once, and each event counts once.
+// Rates are correct for events from several threads at once, and each event is counted once.
 func TestRatesFromThreads(t *testing.T) {
 	c := New(Options{Classes: 2, Tenants: 1, Shards: 8})
 	const threads, perS, seconds = 4, 250, 30
@@ -43,10 +43,11 @@
 	require.GreaterOrEqual(t, top.Count*1.01, float64(threads*perS/2))
 	require.LessOrEqual(t, top.Count-top.Err, threads*perS/2*1.01)
 	later := c.Rates(end + 2*Memory)
-	require.InEpsilon(t, r.Classes[0][Arrived]*math.Exp(-2), later.Classes[0][Arrived], 0.001, "it decays by its law alone")
+	require.InEpsilon(t, r.Classes[0][Arrived]*math.Exp(-2), later.Classes[0][Arrived], 0.001, "exponential decay without new events")
 }
 
-// A landmark that moves changes no rate; silence for longer than a float64 can tell leaves none.
+// Moving the landmark does not change a rate. After a time without events that is so long that the decay factor underflows, all
+// rates are 0.
 func TestLandmark(t *testing.T) {
 	c := New(Options{Classes: 1, Shards: 1})
 	now := control.Micros(1)
@@ -57,7 +58,7 @@
 			t.Fatalf("at %d: %v", now, r)
 		}
 	}
-	steady := 1e6 * c.decay / (1 - math.Exp(-c.decay*1e6)) // one a second, read at once after it came
+	steady := 1e6 * c.decay / (1 - math.Exp(-c.decay*1e6)) // one event per second, read immediately after an event
 	require.InEpsilon(t, steady, c.Rates(now).Classes[0][Arrived], 1e-9)
 	require.InEpsilon(t, steady, c.Numbers(now, 1)[0].Count, 1e-9)
 	c.Observe(now+5e9, Seen{Class: 0, Tenant: -1, Number: "m"})
@@ -87,7 +88,7 @@
 	return keys
 }
 
-// Cost of an observation, uniform over 10,000 numbers and with one number alone; -cpu 1,2,4.
+// BenchmarkObserve measures the cost of an event, with numbers uniform over 10,000 and with a single one. Run it with -cpu 1,2,4.
 func BenchmarkObserve(b *testing.B) {
 	keys := numbers(10_000)
 	for name, n := range map[string]int{"uniform": len(keys), "one hot": 1} {
--- a/internal/ejection/callers.go
+++ b/internal/ejection/callers.go
@@ -11,7 +11,8 @@
 	"beammux/control/registers"
 )
 
-// ObserveCaller counts a connection from a caller's address: wellFormed if it brought a whole message. It fits jsonl.Front.Seen and sip.Options.Seen.
+// ObserveCaller counts a connection from a caller's address. wellFormed is set if a whole message was received on it. The method
+// can be used as jsonl.Front.Seen and sip.Options.Seen.
 func (m *Monitor) ObserveCaller(address string, wellFormed bool) {
 	now := m.options.Now()
 	m.tallyMu.Lock()
@@ -33,8 +34,8 @@
 	}
 }
 
-// callerObservations returns what this gatekeeper publishes of callers: those with the most failed connections first. It drops
-// the callers whose counts have decayed.
+// callerObservations returns the observations of callers that this gatekeeper publishes, those with the most failed connections
+// first. It drops the callers whose counts have decayed.
 func (m *Monitor) callerObservations(now control.Micros) (all []outlier.CallerObservation) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
@@ -51,7 +52,8 @@
 	return all[:min(len(all), maxCallersPublished)]
 }
 
-// updateCallers publishes and reads observations of callers, and updates which are blocked.
+// updateCallers publishes this gatekeeper's observations of callers, reads those of the other members, and updates the blocked
+// callers.
 func (m *Monitor) updateCallers(now control.Micros) {
 	own := m.callerObservations(now)
 	if text, err := encoding.Marshal(own); err == nil && (len(own) > 0 || m.publishedCallers) {
@@ -77,7 +79,7 @@
 	}
 }
 
-// Blocked tells whether a caller's address is blocked now, and counts the connection if so.
+// Blocked reports whether a caller's address is blocked now, and counts the connection if it is.
 func (m *Monitor) Blocked(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,7 +90,7 @@
 	return blocked
 }
 
-// BlockedConnections returns how many connections were closed since the start because their address was blocked.
+// BlockedConnections returns how many connections were closed since the start of the process because their address was blocked.
 func (m *Monitor) BlockedConnections() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -1,7 +1,7 @@
 // Package ejection runs outlier detection (control/outlier) at one gatekeeper: it counts the outcomes of attempts at menu
-// servers, publishes them to the fleet by gossip, reads what the other members published, and sets the in-flight limits of
-// ejected servers in the core. The same is done for busy numbers and for callers that send what can't be parsed. Its state
-// lies under locks of its own; the core never waits for it.
+// servers, publishes them to the fleet by gossip, reads the observations of the other members, and sets the in-flight limits
+// of ejected servers in the core. It does the same for busy numbers and for callers that send malformed messages. Its state
+// has its own locks, so that the core never waits for it.
 package ejection
 
 import (
@@ -25,21 +25,21 @@
 
 const (
 	updateInterval = 100 * time.Millisecond
-	maxServers     = 24 // that one member publishes: those with the most failures first
-	minPublished   = 0.05
-	minKept        = 0.001
+	maxServers     = 24    // servers that one member publishes, those with the most failures first
+	minPublished   = 0.05  // least decayed count that is published
+	minKept        = 0.001 // least decayed count that is kept
 
 	maxCallers          = 1024 // addresses whose connections are counted
 	maxCallersPublished = 16
-	maxNumbers          = 256 // that are remembered as busy
-	maxNumberLength     = 64  // bytes; a longer one is not counted
-	maxRegisterBytes    = 960
-	numberOverhead      = 24                     // encoded bytes of an observation beside the number itself
+	maxNumbers          = 256                    // numbers that are remembered as busy
+	maxNumberLength     = 64                     // bytes; a longer number is not counted
+	maxRegisterBytes    = 960                    // encoded bytes of the published numbers
+	numberOverhead      = 24                     // encoded bytes of an observation without the number itself
 	renotifyAfter       = control.Micros(500000) // least time between two calls of SetBusyNumber for a number
 )
 
-// LieVariable is an environment variable for the laboratory. It names a file: while that exists, this gatekeeper publishes that
-// every server fails it.
+// LieVariable is an environment variable for fault tests in the laboratory. It names a file; while the file exists, this
+// gatekeeper publishes false evidence that every server fails.
 const LieVariable = "BEAMMUX_LAB_LIE"
 
 // Gossip publishes and reads registers. *fleet.Fleet implements it.
@@ -60,7 +60,8 @@
 	Log              logrus.FieldLogger
 }
 
-// tally counts outcomes, decayed over outlier.DecayTime, of one server or one caller. Times are -1 where there was none.
+// tally counts the outcomes of one server or one caller, decayed over outlier.DecayTime. Times are -1 if there was no such
+// outcome.
 type tally struct {
 	successes, failures      float64
 	decayedAt                control.Micros
@@ -68,6 +69,7 @@
 	failureStreak            int
 }
 
+// decay decays the counts up to now.
 func (t *tally) decay(now control.Micros) {
 	if now > t.decayedAt {
 		f := math.Exp(-float64(now-t.decayedAt) / float64(outlier.DecayTime))
@@ -93,16 +95,16 @@
 
 	mu                 sync.Mutex
 	detector           *outlier.Detector
-	phaseCounts        map[outlier.Phase]int64 // how often a server has entered a phase
+	phaseCounts        map[outlier.Phase]int64 // how often any server has entered a phase
 	isolated           bool
 	busyNumbers        []outlier.BusyNumber
 	callerFilter       *outlier.CallerFilter
 	blockedCallers     []outlier.BlockedCaller
-	blockedConnections int64                     // connections closed at once
-	lastNotified       map[string]control.Micros // by number: the answer that SetBusyNumber was last called for
+	blockedConnections int64                     // connections closed at once because their address was blocked
+	lastNotified       map[string]control.Micros // by number: time of the busy answer of the last call of SetBusyNumber
 }
 
-// New makes a monitor. It starts with Open.
+// New returns a monitor. Open starts it.
 func New(o Options) (*Monitor, error) {
 	read, err := cbor.DecOptions{MaxArrayElements: 256, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
@@ -112,7 +114,7 @@
 		phaseCounts: map[outlier.Phase]int64{}}, nil
 }
 
-// Open starts the updates, one each updateInterval.
+// Open starts the periodic updates, one every updateInterval.
 func (m *Monitor) Open(gossip Gossip) {
 	m.gossip = gossip
 	ctx, stop := context.WithCancel(context.Background())
@@ -164,7 +166,7 @@
 	case counting.Answered:
 		t.successes++
 		t.lastSuccess, t.failureStreak = now, 0
-	case counting.Overdue: // it may still be answered: counts only for detecting a hang
+	case counting.Overdue: // may still be answered: counted only to detect a server that hangs
 		t.lastFailure = max(t.lastFailure, now-control.Micros(routing.OverdueAfter/time.Microsecond))
 		t.failureStreak++
 	case counting.TimedOut:
@@ -176,7 +178,8 @@
 	}
 }
 
-// serverObservations returns what this gatekeeper publishes of servers. It drops the servers whose counts have decayed.
+// serverObservations returns the observations of servers that this gatekeeper publishes, those with the longest failure streak
+// and the most failures first. It drops the servers whose counts have decayed.
 func (m *Monitor) serverObservations(now control.Micros) (all []outlier.Observation) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
@@ -201,9 +204,10 @@
 	return all[:min(len(all), maxServers)]
 }
 
+// quantize rounds a value to a multiple of 1/16.
 func quantize(v float64) float64 { return math.Round(v*16) / 16 }
 
-// update publishes the own evidence, reads that of the others and applies what changes.
+// update publishes this gatekeeper's evidence, reads that of the other members, and applies the resulting changes.
 func (m *Monitor) update() {
 	now := m.options.Now()
 	own := m.serverObservations(now)
@@ -221,7 +225,7 @@
 		own[i].VoteRemaining = votes[own[i].Server]
 		delete(votes, own[i].Server)
 	}
-	for id, left := range votes { // on servers without recent attempts of its own
+	for id, left := range votes { // votes on servers without recent attempts by this gatekeeper
 		own = append(own, outlier.Observation{Server: id, SuccessAge: -1, FailureAge: -1, VoteRemaining: left})
 	}
 	if text, err := encoding.Marshal(own); err == nil {
@@ -257,10 +261,11 @@
 	case selfIsolated && !before:
 		m.options.Log.WithField("advice", (&IsolatedError{}).Advice()).Warn("verdict: " + (&IsolatedError{}).Error())
 	case before && !selfIsolated:
-		m.options.Log.Info("verdict: the evidence of this gatekeeper counts again")
+		m.options.Log.Info("verdict: the evidence of this gatekeeper is used again")
 	}
 }
 
+// publishesFalseEvidence reports whether the file named by LieVariable exists.
 func (m *Monitor) publishesFalseEvidence() bool {
 	if m.falseEvidenceFile == "" {
 		return false
@@ -269,6 +274,7 @@
 	return err == nil
 }
 
+// encoding encodes observations for the registers.
 var encoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
@@ -277,28 +283,29 @@
 	return m
 }()
 
-// IsolatedError says that most servers fail this gatekeeper that do not fail the others.
+// IsolatedError reports that most servers fail for this gatekeeper and do not fail for the others.
 type IsolatedError struct{}
 
+// Error implements error.
 func (*IsolatedError) Error() string {
-	return "most servers fail this gatekeeper that do not fail the others: its evidence does not count"
+	return "most servers fail for this gatekeeper and not for the others: its evidence does not count"
 }
 
 // Advice implements advice.Error.
 func (*IsolatedError) Advice() string {
-	return "look at this machine's network to the menu servers, and its load; evacuate it meanwhile (POST /api/evacuate)"
+	return "check this machine's load and its network to the menu servers; evacuate the machine meanwhile (POST /api/evacuate)"
 }
 
-// Status is what is in force at this gatekeeper. The JSON names are part of GET /api/fleet.
+// Status is the current result of outlier detection at this gatekeeper. The JSON names are part of GET /api/fleet.
 type Status struct {
 	Servers  []outlier.Ejection      `json:"servers"`
-	Numbers  []outlier.BusyNumber    `json:"numbers"` // whose lines are all busy
-	Callers  []outlier.BlockedCaller `json:"callers"` // blocked
+	Numbers  []outlier.BusyNumber    `json:"numbers"` // numbers whose lines are all busy
+	Callers  []outlier.BlockedCaller `json:"callers"` // blocked callers
 	Isolated []string                `json:"apart"`   // members whose evidence does not count
 	Advice   string                  `json:"advice,omitempty"`
 }
 
-// Status returns what is in force now.
+// Status returns the current result of outlier detection.
 func (m *Monitor) Status() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -309,7 +316,7 @@
 	return s
 }
 
-// Count returns how many servers are in a phase now, and how often one has entered it since the start.
+// Count returns how many servers are in a phase now, and how often a server has entered it since the start of the process.
 func (m *Monitor) Count(p outlier.Phase) (now int, total int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -19,8 +19,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Two of three gatekeepers see one of four servers fail: the third is told to keep away too, before it has sent anything there;
-// evidence that can't be read is passed over, and one that lies ejects nobody and is shown that it is isolated.
+// Two of three gatekeepers observe that one of four servers fails: the third ejects the server too, before it has sent anything
+// to it. Evidence that can't be decoded is ignored. A gatekeeper that publishes false evidence ejects no server and reports that
+// it is isolated.
 func TestMonitors(t *testing.T) {
 	names := []string{"g1", "g2", "g3"}
 	g := &fleettest.Gossip{}
@@ -76,7 +77,7 @@
 			}
 		}
 		return true
-	}, 10*time.Second, 5*time.Millisecond, "all three keep away")
+	}, 10*time.Second, 5*time.Millisecond, "all three eject the server")
 	for _, name := range names[:2] {
 		monitors[name].Observe(now(), counting.Seen{What: counting.Busy, Number: "555"})
 	}
--- a/internal/ejection/numbers.go
+++ b/internal/ejection/numbers.go
@@ -18,7 +18,7 @@
 	lastBusy, lastSuccess control.Micros
 }
 
-// observeNumber counts a busy answer, or notes that a call to a number known as busy was established.
+// observeNumber counts a busy answer, or records that a call to a number known as busy was established.
 func (m *Monitor) observeNumber(now control.Micros, s counting.Seen) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
@@ -38,8 +38,8 @@
 	t.lastBusy = now
 }
 
-// numberObservations returns what this gatekeeper publishes of numbers: the newest first, as many as fit into a register. It
-// drops the numbers that are busy no longer.
+// numberObservations returns the observations of numbers that this gatekeeper publishes, the newest first and as many as fit
+// into a register. It drops the numbers that are no longer busy.
 func (m *Monitor) numberObservations(now control.Micros) (all []outlier.NumberObservation) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
@@ -66,7 +66,8 @@
 	return all
 }
 
-// updateNumbers publishes and reads observations of numbers, and calls SetBusyNumber for those with a newer busy answer.
+// updateNumbers publishes this gatekeeper's observations of numbers, reads those of the other members, and calls SetBusyNumber
+// for numbers with a newer busy answer.
 func (m *Monitor) updateNumbers(now control.Micros, isolated []string) {
 	own := m.numberObservations(now)
 	if text, err := encoding.Marshal(own); err == nil && (len(own) > 0 || m.publishedNumbers) {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
 // Package limits enforces the fleet's limits (control/quota) at one gatekeeper: it renews leases from the store, exchanges
-// claims by gossip, and admits or refuses calls for the core. Its state lies under a lock of its own: the core never waits for
-// the store or the gossip.
+// claims by gossip, and admits or refuses calls for the core. Its state has its own lock, so that the core never waits for the
+// store or the gossip.
 package limits
 
 import (
@@ -25,7 +25,7 @@
 const (
 	claimInterval = quota.SettleTime / 10
 	renewTimeout  = 1200 * time.Millisecond
-	maxRules      = 1024 // that are read from another member
+	maxRules      = 1024 // accepted from another member
 )
 
 // Gossip publishes and reads registers, for the near mode. *fleet.Fleet implements it.
@@ -41,10 +41,10 @@
 // Options of a limiter.
 type Options struct {
 	Name   string
-	Start  uint64 // of this process; later ones have a greater
+	Start  uint64 // start number of this process; a later process has a greater one
 	Limits quota.Limits
-	Gossip Gossip                // nil: near is not used
-	Lease  Leaser                // nil: leased is not used
+	Gossip Gossip                // nil if no limit uses the near mode
+	Lease  Leaser                // nil if no limit uses the leased mode
 	Now    func() control.Micros // the core's clock
 	Log    logrus.FieldLogger
 }
@@ -58,17 +58,17 @@
 	mu       sync.Mutex
 	member   *quota.Member
 	faults   [sources]*Fault
-	// Of the leases: since when none could be renewed.
+	// failingSince is the time of the first failed renewal of the leases after the last successful one; zero if none failed.
 	failingSince time.Time
 }
 
-// Fault is what is wrong with the limits now, as operators read it.
+// Fault is a current problem of the limits, as shown to operators.
 type Fault struct {
 	What   string `json:"what"`
 	Advice string `json:"advice"`
 }
 
-// Open puts limits in force.
+// Open puts limits in force and starts the renewal of leases and the exchange of claims.
 func Open(o Options) (*Limiter, error) {
 	read, err := cbor.DecOptions{MaxMapPairs: maxRules, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
@@ -104,7 +104,7 @@
 	l.done.Wait()
 }
 
-// Change puts other limits in force for the calls that come from now on.
+// Change puts other limits in force for the calls that arrive from now on.
 func (l *Limiter) Change(limits quota.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// canonical writes equal claims as equal bytes.
+// encoding encodes equal claims as equal bytes.
 var encoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCanonical, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
@@ -145,7 +145,7 @@
 	return m
 }()
 
-// lease renews this member's leases.
+// renewLeases renews this member's leases.
 func (l *Limiter) renewLeases(ctx context.Context) {
 	l.mu.Lock()
 	request, ok := l.member.Renewal(l.options.Now())
@@ -184,7 +184,7 @@
 	}
 }
 
-// source tells which of the two loops a fault comes from: a success of one does not clear a fault of the other.
+// source is the loop that a fault comes from: a success of one does not clear a fault of the other.
 type source int
 
 const (
@@ -193,7 +193,7 @@
 	sources
 )
 
-// setFault keeps the error of a loop for operators, nil for none, and logs when a fault begins and ends.
+// setFault stores the error of a loop for operators, nil for none, and logs when a fault begins and ends.
 func (l *Limiter) setFault(from source, err error) {
 	var now *Fault
 	if err != nil {
@@ -205,16 +205,16 @@
 	l.mu.Unlock()
 	switch {
 	case before == nil && now != nil:
-		l.options.Log.WithError(err).WithField("advice", now.Advice).Warn("limits: not as they should be")
+		l.options.Log.WithError(err).WithField("advice", now.Advice).Warn("limits: degraded")
 	case before != nil && now == nil:
-		l.options.Log.Info("limits: as they should be again")
+		l.options.Log.Info("limits: recovered")
 	}
 }
 
-// Status is this gatekeeper's side of the limits, as operators read it.
+// Status is the state of the limits at this gatekeeper, as shown to operators.
 type Status struct {
 	Rules  []quota.Status `json:"rules"`
-	Faults []Fault        `json:"faults"` // what is wrong now
+	Faults []Fault        `json:"faults"` // current problems
 }
 
 // Status gives it.
@@ -240,7 +240,7 @@
 	return &admission{limiter: l, tenant: s.Tenant, class: s.Class, number: s.Key}
 }
 
-// call is one call under limits.
+// admission is the routing.Quota of one call.
 type admission struct {
 	limiter       *Limiter
 	tenant, class int
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -20,24 +20,27 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// clock returns a clock that starts at 1000 s.
 func clock() func() control.Micros {
 	began := time.Now()
 	return func() control.Micros { return 1e9 + control.Micros(time.Since(began).Microseconds()) }
 }
 
+// all returns limits with one rule for all calls.
 func all(mode quota.Mode) quota.Limits {
 	return quota.Limits{Parts: 2, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: mode, PerS: 50, Burst: 10, Floor: 0.1}}}
 }
 
 var setup = routing.Setup{Key: "5550100"}
 
-// until waits for a condition, bounded.
+// until waits for a condition, at most 20 s.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	require.Eventually(t, is, 20*time.Second, 5*time.Millisecond, what)
 }
 
-// A store that does not answer leaves the floor alone and says so with what to do; leases are there again once it answers.
+// While the store does not answer, the rate falls to the floor and the status has a fault with advice. Once the store answers,
+// leases are renewed again.
 func TestStoreThatDoesNotAnswer(t *testing.T) {
 	var away atomic.Bool
 	var mu sync.Mutex
@@ -45,7 +48,7 @@
 	now := clock()
 	lease := func(_ context.Context, request []byte) ([]byte, error) {
 		if away.Load() {
-			return nil, errors.New("away")
+			return nil, errors.New("store unavailable")
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -70,18 +73,19 @@
 		return ok
 	}
 	leased := func() bool { ask(); return l.Status().Rules[0].Rate > 10 }
-	until(t, "it has a lease", leased)
-	until(t, "and lets calls in", ask)
+	until(t, "a lease is granted", leased)
+	until(t, "a call is admitted", ask)
 	away.Store(true)
-	until(t, "the lease has ended, and it says so", func() bool {
+	until(t, "the lease has expired and a fault is reported", func() bool {
 		s := l.Status()
 		return s.Rules[0].Rate < 5 && s.Rules[0].LeaseRemaining == 0 && len(s.Faults) == 1 && s.Faults[0].Advice != ""
 	})
 	away.Store(false)
-	until(t, "a lease again", func() bool { return leased() && len(l.Status().Faults) == 0 })
+	until(t, "the lease is renewed and the fault is cleared", func() bool { return leased() && len(l.Status().Faults) == 0 })
 }
 
-// Claims that can't be read, or are of another shape, are passed over; more members than parts are told with what to do.
+// Claims that can't be decoded, or have another structure, are ignored. If there are more members than parts, a fault with advice
+// is reported.
 func TestNearOverHostileClaims(t *testing.T) {
 	g := &fleettest.Gossip{}
 	g.SetUp("g1", "g2")
@@ -93,18 +97,18 @@
 	l, err := Open(Options{Name: "g1", Start: 1, Limits: all(quota.Near), Gossip: g.Member("g1"), Now: now, Log: log})
 	require.NoError(t, err)
 	defer l.Close()
-	until(t, "it has a rate of its own", func() bool {
+	until(t, "the member has its own rate", func() bool {
 		for range 5 {
 			l.For(&setup)
 		}
 		return l.Status().Rules[0].Rate > 5
 	})
-	require.LessOrEqual(t, l.Status().Rules[0].Rate, 25.0, "the other is not heard: it keeps to its part")
+	require.LessOrEqual(t, l.Status().Rules[0].Rate, 25.0, "no claims of the other member are known, so the rate is at most this member's part")
 	g.SetUp("g1", "g2", "g3")
-	until(t, "it says that there are too many", func() bool { f := l.Status().Faults; return len(f) == 1 && f[0].Advice != "" })
+	until(t, "a fault about too many members is reported", func() bool { f := l.Status().Faults; return len(f) == 1 && f[0].Advice != "" })
 }
 
-// What a limit adds to a call: matching, asking and giving back, with four rules of which two take it.
+// BenchmarkCall measures what limits add to a call: matching, admission and return, with four rules of which two apply.
 func BenchmarkCall(b *testing.B) {
 	limits := all(quota.Alone)
 	limits.Rules[0].PerS, limits.Rules[0].Burst = 1e12, 1e12
@@ -124,7 +128,7 @@
 	for b.Loop() {
 		q := l.For(&setup)
 		if ok, _ := q.Take(now()); !ok {
-			b.Fatal("turned away")
+			b.Fatal("call refused")
 		}
 		q.Done()
 	}
