--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -70,30 +70,30 @@
 const (
 	NumbersHeld = 256
 	Memory      = control.Micros(2e6)
-	mostServers = 4096 // servers per shard; further servers are counted as server 0
-	mostExp     = 600  // exponent above which the landmark moves; math.Exp overflows above 709
+	maxServers  = 4096 // servers per shard; further servers are counted as server 0
+	maxExponent = 600  // exponent above which the landmark moves; math.Exp overflows above 709
 )
 
 // Counters count events. They are safe for concurrent use.
 type Counters struct {
-	o      Options
-	decay  float64 // a, per microsecond
-	shards []*shard
-	tokens sync.Pool
+	options Options
+	decay   float64 // a, per microsecond
+	shards  []*shard
+	tokens  sync.Pool
 }
 
 // shard is a part of the counters.
 type shard struct {
-	mu       sync.Mutex
-	landmark control.Micros
-	at       control.Micros   // time of weight
-	weight   float64          // weight of an event at that time
-	classes  [][Whats]float64 // by class; the last one is for classes without a name in the settings
-	tenants  [][Whats]float64 // by tenant; the last one is for tenants without a name in the settings
-	servers  map[uint32]int   // index in byServer, by server
-	byServer [][Whats]float64
-	numbers  *heavy.Summary
-	_        [64]byte // keeps the next shard's lock on another cache line
+	mu         sync.Mutex
+	landmark   control.Micros
+	weightTime control.Micros   // time of weight
+	weight     float64          // weight of an event at that time
+	classes    [][Whats]float64 // by class; the last one is for classes without a name in the settings
+	tenants    [][Whats]float64 // by tenant; the last one is for tenants without a name in the settings
+	servers    map[uint32]int   // index in byServer, by server
+	byServer   [][Whats]float64
+	numbers    *heavy.Summary
+	_          [64]byte // keeps the next shard's lock on another cache line
 }
 
 // token holds the shard that a thread uses. The pool keeps about one token per thread and may drop it; a dropped token is
@@ -101,22 +101,22 @@
 type token struct{ shard uint32 }
 
 // New returns counters that have counted no event.
-func New(o Options) *Counters {
-	if o.Shards <= 0 {
-		o.Shards = 2 * runtime.GOMAXPROCS(0)
+func New(options Options) *Counters {
+	if options.Shards <= 0 {
+		options.Shards = 2 * runtime.GOMAXPROCS(0)
 	}
-	if o.Numbers <= 0 {
-		o.Numbers = NumbersHeld
+	if options.Numbers <= 0 {
+		options.Numbers = NumbersHeld
 	}
-	if o.Memory <= 0 {
-		o.Memory = Memory
+	if options.Memory <= 0 {
+		options.Memory = Memory
 	}
-	c := &Counters{o: o, decay: 1 / float64(o.Memory)}
-	for range o.Shards {
-		c.shards = append(c.shards, &shard{landmark: math.MinInt64, classes: make([][Whats]float64, o.Classes+1),
-			tenants: make([][Whats]float64, o.Tenants+1), servers: map[uint32]int{}, numbers: heavy.New(o.Numbers)})
+	c := &Counters{options: options, decay: 1 / float64(options.Memory)}
+	for range options.Shards {
+		c.shards = append(c.shards, &shard{landmark: math.MinInt64, classes: make([][Whats]float64, options.Classes+1),
+			tenants: make([][Whats]float64, options.Tenants+1), servers: map[uint32]int{}, numbers: heavy.New(options.Numbers)})
 	}
-	c.tokens.New = func() any { return &token{rand.Uint32N(uint32(o.Shards))} }
+	c.tokens.New = func() any { return &token{rand.Uint32N(uint32(options.Shards))} }
 	return c
 }
 
@@ -136,16 +136,16 @@
 
 // count adds an event to a shard whose lock is held.
 func (c *Counters) count(s *shard, now control.Micros, seen *Seen) {
-	if s.at != now || s.weight == 0 {
-		c.weigh(s, now)
+	if s.weightTime != now || s.weight == 0 {
+		c.updateWeight(s, now)
 	}
 	w := s.weight
-	place(s.classes, seen.Class)[seen.What] += w
-	place(s.tenants, seen.Tenant)[seen.What] += w
+	countsAt(s.classes, seen.Class)[seen.What] += w
+	countsAt(s.tenants, seen.Tenant)[seen.What] += w
 	if seen.Server != 0 {
 		i, ok := s.servers[seen.Server]
 		if !ok {
-			i = s.server(seen.Server)
+			i = s.addServer(seen.Server)
 		}
 		s.byServer[i][seen.What] += w
 	}
@@ -154,18 +154,18 @@
 	}
 }
 
-// place returns the counts at index i, or the last ones if i is out of range.
-func place(all [][Whats]float64, i int) *[Whats]float64 {
+// countsAt returns the counts at index i, or the last ones if i is out of range.
+func countsAt(all [][Whats]float64, i int) *[Whats]float64 {
 	if i < 0 || i >= len(all)-1 {
 		i = len(all) - 1
 	}
 	return &all[i]
 }
 
-// server adds a server to the shard and returns its index in byServer. It is the only allocation while counting, once for
+// addServer adds a server to the shard and returns its index in byServer. It is the only allocation while counting, once for
 // each server.
-func (s *shard) server(id uint32) int {
-	if len(s.servers) >= mostServers {
+func (s *shard) addServer(id uint32) int {
+	if len(s.servers) >= maxServers {
 		if i, ok := s.servers[0]; ok {
 			return i
 		}
@@ -176,13 +176,13 @@
 	return s.servers[id]
 }
 
-// weigh sets the weight of an event at the given time, and moves the landmark if the weights grow too large.
-func (c *Counters) weigh(s *shard, now control.Micros) {
+// updateWeight sets the weight of an event at the given time, and moves the landmark if the weights grow too large.
+func (c *Counters) updateWeight(s *shard, now control.Micros) {
 	if s.landmark == math.MinInt64 {
 		s.landmark = now
 	}
 	e := c.decay * float64(now-s.landmark)
-	if e > mostExp {
+	if e > maxExponent {
 		factor := math.Exp(-e)
 		for _, all := range [][][Whats]float64{s.classes, s.tenants, s.byServer} {
 			for i := range all {
@@ -194,11 +194,11 @@
 		if factor > 0 {
 			s.numbers.Scale(factor)
 		} else { // the time without events was so long that factor underflows
-			s.numbers = heavy.New(c.o.Numbers)
+			s.numbers = heavy.New(c.options.Numbers)
 		}
 		s.landmark, e = now, 0
 	}
-	s.at, s.weight = now, math.Exp(e)
+	s.weightTime, s.weight = now, math.Exp(e)
 }
 
 // Counts are the rates per second of one class, tenant or server, by What.
@@ -211,14 +211,14 @@
 	Servers          map[uint32]Counts
 }
 
-// perS returns the factor that converts a shard's sums to rates per second at the given time.
-func (c *Counters) perS(s *shard, now control.Micros) float64 {
+// rateFactor returns the factor that converts a shard's sums to rates per second at the given time.
+func (c *Counters) rateFactor(s *shard, now control.Micros) float64 {
 	return 1e6 * c.decay * math.Exp(-c.decay*float64(now-s.landmark))
 }
 
 // Rates returns the rates at the given time, summed over the shards. It holds one lock at a time.
 func (c *Counters) Rates(now control.Micros) Rates {
-	r := Rates{Classes: make([]Counts, c.o.Classes+1), Tenants: make([]Counts, c.o.Tenants+1), Servers: map[uint32]Counts{}}
+	r := Rates{Classes: make([]Counts, c.options.Classes+1), Tenants: make([]Counts, c.options.Tenants+1), Servers: map[uint32]Counts{}}
 	add := func(to *Counts, from *[Whats]float64, f float64) {
 		for k := range from {
 			to[k] += from[k] * f
@@ -227,7 +227,7 @@
 	for _, s := range c.shards {
 		s.mu.Lock()
 		if s.landmark != math.MinInt64 {
-			f := c.perS(s, now)
+			f := c.rateFactor(s, now)
 			for i := range s.classes {
 				add(&r.Classes[i], &s.classes[i], f)
 			}
@@ -247,14 +247,14 @@
 
 // Numbers returns the most called numbers, at most as many as given, with their rates per second. Err of a counter is the
 // largest amount by which its rate may be too high.
-func (c *Counters) Numbers(now control.Micros, most int) []heavy.Counter {
+func (c *Counters) Numbers(now control.Micros, limit int) []heavy.Counter {
 	var parts []*heavy.Summary
 	for _, s := range c.shards {
 		s.mu.Lock()
 		if s.landmark != math.MinInt64 && s.numbers.Total() > 0 {
-			parts = append(parts, s.numbers.Rated(c.perS(s, now)))
+			parts = append(parts, s.numbers.Rated(c.rateFactor(s, now)))
 		}
 		s.mu.Unlock()
 	}
-	return heavy.Merge(most, parts...)
+	return heavy.Merge(limit, parts...)
 }
--- a/internal/counting/counting_test.go
+++ b/internal/counting/counting_test.go
@@ -16,12 +16,12 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // Rates are correct for events from several threads at once, and each event is counted once.
-func TestRatesFromThreads(t *testing.T) {
+func TestRatesWithConcurrentEvents(t *testing.T) {
 	c := New(Options{Classes: 2, Tenants: 1, Shards: 8})
 	const threads, perS, seconds = 4, 250, 30
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range threads {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := range perS * seconds {
 				now := control.Micros(1e9 + float64(i)*1e6/perS)
 				c.Observe(now, Seen{What: Arrived, Class: i % 2, Tenant: 0, Number: []string{"hot", fmt.Sprint(i)}[i%2]})
@@ -29,7 +29,7 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	end := control.Micros(1e9 + seconds*1e6)
 	r := c.Rates(end)
 	require.InEpsilon(t, threads*perS/2, r.Classes[0][Arrived], 0.01)
@@ -48,7 +48,7 @@
 
 // Moving the landmark does not change a rate. After a time without events that is so long that the decay factor underflows, all
 // rates are 0.
-func TestLandmark(t *testing.T) {
+func TestMovingLandmarkKeepsRates(t *testing.T) {
 	c := New(Options{Classes: 1, Shards: 1})
 	now := control.Micros(1)
 	for range 10_000 {
@@ -70,14 +70,14 @@
 	c := New(Options{Classes: 3, Tenants: 2, Shards: 1})
 	keys := numbers(5000)
 	i := 0
-	see := func() {
+	observe := func() {
 		i++
 		c.Observe(control.Micros(i), Seen{Class: i % 3, Tenant: i % 2, Number: keys[i%len(keys)], Server: uint32(1 + i%8)})
 	}
 	for range 10_000 {
-		see()
+		observe()
 	}
-	require.Zero(t, testing.AllocsPerRun(5000, see))
+	require.Zero(t, testing.AllocsPerRun(5000, observe))
 }
 
 func numbers(n int) []string {
--- a/internal/ejection/callers.go
+++ b/internal/ejection/callers.go
@@ -56,14 +56,14 @@
 // callers.
 func (m *Monitor) updateCallers(now control.Micros) {
 	own := m.callerObservations(now)
-	if text, err := encoding.Marshal(own); err == nil && (len(own) > 0 || m.publishedCallers) {
+	if encoded, err := encoder.Marshal(own); err == nil && (len(own) > 0 || m.publishedCallers) {
 		m.publishedCallers = len(own) > 0
-		m.gossip.Publish(registers.Callers, text)
+		m.gossip.Publish(registers.Callers, encoded)
 	}
 	all := []outlier.CallerEvidence{{Member: m.options.Name, Callers: own}}
 	for _, r := range m.gossip.Read(registers.Callers) {
 		var observations []outlier.CallerObservation
-		if r.Origin != m.options.Name && m.decoding.Unmarshal(r.Value, &observations) == nil {
+		if r.Origin != m.options.Name && m.decoder.Unmarshal(r.Value, &observations) == nil {
 			all = append(all, outlier.CallerEvidence{Member: r.Origin, Age: r.Age, Callers: observations})
 		}
 	}
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -83,7 +83,7 @@
 	gossip            Gossip
 	stop              context.CancelFunc
 	done              sync.WaitGroup
-	decoding          cbor.DecMode
+	decoder           cbor.DecMode
 	falseEvidenceFile string
 
 	publishedNumbers, publishedCallers bool // whether the last update published any
@@ -106,11 +106,11 @@
 
 // New returns a monitor. Open starts it.
 func New(o Options) (*Monitor, error) {
-	read, err := cbor.DecOptions{MaxArrayElements: 256, MaxNestedLevels: 4}.DecMode()
+	decMode, err := cbor.DecOptions{MaxArrayElements: 256, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
 		return nil, err
 	}
-	return &Monitor{options: o, decoding: read, falseEvidenceFile: os.Getenv(LieVariable), serverTallies: map[uint32]*tally{}, numberTallies: map[string]*numberTally{}, callerTallies: map[string]*tally{}, callerFilter: outlier.NewCallerFilter(), lastNotified: map[string]control.Micros{}, detector: outlier.New(o.Name, o.MaxEjected),
+	return &Monitor{options: o, decoder: decMode, falseEvidenceFile: os.Getenv(LieVariable), serverTallies: map[uint32]*tally{}, numberTallies: map[string]*numberTally{}, callerTallies: map[string]*tally{}, callerFilter: outlier.NewCallerFilter(), lastNotified: map[string]control.Micros{}, detector: outlier.New(o.Name, o.MaxEjected),
 		phaseCounts: map[outlier.Phase]int64{}}, nil
 }
 
@@ -211,10 +211,10 @@
 func (m *Monitor) update() {
 	now := m.options.Now()
 	own := m.serverObservations(now)
-	list := m.options.Servers()
+	servers := m.options.Servers()
 	if m.publishesFalseEvidence() {
 		own = nil
-		for _, s := range list[:min(len(list), maxServers)] {
+		for _, s := range servers[:min(len(servers), maxServers)] {
 			own = append(own, outlier.Observation{Server: s.ID, Failures: 9, SuccessAge: -1, FailureStreak: 9, VoteRemaining: outlier.BaseEjectionTime})
 		}
 	}
@@ -225,23 +225,23 @@
 		own[i].VoteRemaining = votes[own[i].Server]
 		delete(votes, own[i].Server)
 	}
-	for id, left := range votes { // votes on servers without recent attempts by this gatekeeper
-		own = append(own, outlier.Observation{Server: id, SuccessAge: -1, FailureAge: -1, VoteRemaining: left})
+	for id, remaining := range votes { // votes on servers without recent attempts by this gatekeeper
+		own = append(own, outlier.Observation{Server: id, SuccessAge: -1, FailureAge: -1, VoteRemaining: remaining})
 	}
-	if text, err := encoding.Marshal(own); err == nil {
-		m.gossip.Publish(registers.Evidence, text) // an error is logged by the fleet
+	if encoded, err := encoder.Marshal(own); err == nil {
+		m.gossip.Publish(registers.Evidence, encoded) // an error is logged by the fleet
 	}
 	all := []outlier.Evidence{{Member: m.options.Name, Servers: own}}
 	for _, r := range m.gossip.Read(registers.Evidence) {
 		var observations []outlier.Observation
-		if r.Origin != m.options.Name && m.decoding.Unmarshal(r.Value, &observations) == nil {
+		if r.Origin != m.options.Name && m.decoder.Unmarshal(r.Value, &observations) == nil {
 			all = append(all, outlier.Evidence{Member: r.Origin, Age: r.Age, Servers: observations})
 		}
 	}
 	slices.SortFunc(all, func(a, b outlier.Evidence) int { return cmp.Compare(a.Member, b.Member) })
 	up := m.gossip.UpNames()
 	m.mu.Lock()
-	changes := m.detector.Update(now, all, list, up)
+	changes := m.detector.Update(now, all, servers, up)
 	isolated := slices.Clone(m.detector.Isolated())
 	selfIsolated := slices.Contains(isolated, m.options.Name)
 	before := m.isolated
@@ -274,8 +274,8 @@
 	return err == nil
 }
 
-// encoding encodes observations for the registers.
-var encoding = func() cbor.EncMode {
+// encoder encodes observations for the registers.
+var encoder = func() cbor.EncMode {
 	m, err := cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		panic(err)
--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -22,7 +22,7 @@
 // Two of three gatekeepers observe that one of four servers fails: the third ejects the server too, before it has sent anything
 // to it. Evidence that can't be decoded is ignored. A gatekeeper that publishes false evidence ejects no server and reports that
 // it is isolated.
-func TestMonitors(t *testing.T) {
+func TestMonitorsShareEvidence(t *testing.T) {
 	names := []string{"g1", "g2", "g3"}
 	g := &fleettest.Gossip{}
 	g.SetUp(names...)
@@ -31,48 +31,48 @@
 	began := time.Now()
 	now := func() control.Micros { return 1e9 + control.Micros(time.Since(began).Microseconds()) }
 	servers := []outlier.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}
-	lie := filepath.Join(t.TempDir(), "lie")
+	falseEvidenceFile := filepath.Join(t.TempDir(), "lie")
 	var mu sync.Mutex
-	rooms := map[string]map[uint32]int{}
+	inFlightLimits := map[string]map[uint32]int{}
 	monitors := map[string]*Monitor{}
 	for _, name := range names {
 		if name == "g3" {
-			t.Setenv(LieVariable, lie)
+			t.Setenv(LieVariable, falseEvidenceFile)
 		}
 		log, _ := logtest.NewNullLogger()
-		rooms[name] = map[uint32]int{}
-		j, err := New(Options{Name: name, MaxEjected: 0.3, Now: now, Log: log, Servers: func() []outlier.Server { return servers },
+		inFlightLimits[name] = map[uint32]int{}
+		monitor, err := New(Options{Name: name, MaxEjected: 0.3, Now: now, Log: log, Servers: func() []outlier.Server { return servers },
 			SetBusyNumber: func(number string, _ control.Micros) {
 				mu.Lock()
-				rooms[name][0]++
+				inFlightLimits[name][0]++
 				require.Equal(t, "555", number)
 				mu.Unlock()
 			},
-			SetInFlightLimit: func(v control.InFlightLimit) { mu.Lock(); rooms[name][v.Server] = v.Max; mu.Unlock() }})
+			SetInFlightLimit: func(v control.InFlightLimit) { mu.Lock(); inFlightLimits[name][v.Server] = v.Max; mu.Unlock() }})
 		require.NoError(t, err)
-		monitors[name] = j
-		j.Open(g.Member(name))
-		defer j.Close()
+		monitors[name] = monitor
+		monitor.Open(g.Member(name))
+		defer monitor.Close()
 	}
-	see := func(what counting.What, server uint32, names ...string) {
+	observe := func(kind counting.What, server uint32, names ...string) {
 		for _, name := range names {
-			monitors[name].Observe(now(), counting.Seen{What: what, Server: server})
-			monitors[name].Observe(now(), counting.Seen{What: what, Server: server})
+			monitors[name].Observe(now(), counting.Seen{What: kind, Server: server})
+			monitors[name].Observe(now(), counting.Seen{What: kind, Server: server})
 		}
 	}
 	for _, s := range []uint32{1, 3, 4} {
-		see(counting.Answered, s, "g1", "g2", "g3")
+		observe(counting.Answered, s, "g1", "g2", "g3")
 	}
-	require.NoError(t, os.WriteFile(lie, nil, 0o600))
+	require.NoError(t, os.WriteFile(falseEvidenceFile, nil, 0o600))
 	require.Eventually(t, func() bool { s := monitors["g3"].Status(); return len(s.Isolated) == 1 && s.Advice != "" }, 10*time.Second, 5*time.Millisecond)
 	require.Empty(t, monitors["g1"].Status().Servers)
-	require.NoError(t, os.Remove(lie))
-	see(counting.Errored, 2, "g1", "g2")
+	require.NoError(t, os.Remove(falseEvidenceFile))
+	observe(counting.Errored, 2, "g1", "g2")
 	require.Eventually(t, func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, r := range rooms {
-			if room, ok := r[2]; !ok || room != 0 {
+		for _, r := range inFlightLimits {
+			if limit, ok := r[2]; !ok || limit != 0 {
 				return false
 			}
 		}
@@ -81,8 +81,8 @@
 	for _, name := range names[:2] {
 		monitors[name].Observe(now(), counting.Seen{What: counting.Busy, Number: "555"})
 	}
-	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return rooms["g3"][0] > 0 }, 10*time.Second, 5*time.Millisecond)
-	n, ever := monitors["g3"].Count(outlier.Ejected)
+	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return inFlightLimits["g3"][0] > 0 }, 10*time.Second, 5*time.Millisecond)
+	n, total := monitors["g3"].Count(outlier.Ejected)
 	require.Equal(t, 1, n)
-	require.Equal(t, int64(1), ever)
+	require.Equal(t, int64(1), total)
 }
--- a/internal/ejection/numbers.go
+++ b/internal/ejection/numbers.go
@@ -70,14 +70,14 @@
 // for numbers with a newer busy answer.
 func (m *Monitor) updateNumbers(now control.Micros, isolated []string) {
 	own := m.numberObservations(now)
-	if text, err := encoding.Marshal(own); err == nil && (len(own) > 0 || m.publishedNumbers) {
+	if encoded, err := encoder.Marshal(own); err == nil && (len(own) > 0 || m.publishedNumbers) {
 		m.publishedNumbers = len(own) > 0
-		m.gossip.Publish(registers.Numbers, text)
+		m.gossip.Publish(registers.Numbers, encoded)
 	}
 	all := []outlier.NumberEvidence{{Member: m.options.Name, Numbers: own}}
 	for _, r := range m.gossip.Read(registers.Numbers) {
 		var observations []outlier.NumberObservation
-		if r.Origin != m.options.Name && m.decoding.Unmarshal(r.Value, &observations) == nil {
+		if r.Origin != m.options.Name && m.decoder.Unmarshal(r.Value, &observations) == nil {
 			all = append(all, outlier.NumberEvidence{Member: r.Origin, Age: r.Age, Numbers: observations})
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -51,13 +51,13 @@
 
 // Limiter enforces the limits at this gatekeeper. It is safe for concurrent use.
 type Limiter struct {
-	options  Options
-	stop     context.CancelFunc
-	done     sync.WaitGroup
-	decoding cbor.DecMode
-	mu       sync.Mutex
-	member   *quota.Member
-	faults   [sources]*Fault
+	options Options
+	stop    context.CancelFunc
+	done    sync.WaitGroup
+	decoder cbor.DecMode
+	mu      sync.Mutex
+	member  *quota.Member
+	faults  [sourceCount]*Fault
 	// failingSince is the time of the first failed renewal of the leases after the last successful one; zero if none failed.
 	failingSince time.Time
 }
@@ -70,23 +70,25 @@
 
 // Open puts limits in force and starts the renewal of leases and the exchange of claims.
 func Open(o Options) (*Limiter, error) {
-	read, err := cbor.DecOptions{MaxMapPairs: maxRules, MaxNestedLevels: 4}.DecMode()
+	decMode, err := cbor.DecOptions{MaxMapPairs: maxRules, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Limiter{options: o, stop: stop, decoding: read, member: quota.NewMember(o.Name, o.Start, o.Limits, o.Now())}
+	l := &Limiter{options: o, stop: stop, decoder: decMode, member: quota.NewMember(o.Name, o.Start, o.Limits, o.Now())}
 	if o.Gossip != nil {
-		l.done.Go(func() { every(ctx, time.Duration(claimInterval)*time.Microsecond, l.exchangeClaims) })
+		l.done.Go(func() { runPeriodically(ctx, time.Duration(claimInterval)*time.Microsecond, l.exchangeClaims) })
 	}
 	if o.Lease != nil {
-		l.done.Go(func() { every(ctx, time.Duration(quota.RenewInterval)*time.Microsecond, func() { l.renewLeases(ctx) }) })
+		l.done.Go(func() {
+			runPeriodically(ctx, time.Duration(quota.RenewInterval)*time.Microsecond, func() { l.renewLeases(ctx) })
+		})
 	}
 	return l, nil
 }
 
-// every calls f at once and then at each interval, until ctx ends.
-func every(ctx context.Context, interval time.Duration, f func()) {
+// runPeriodically calls f at once and then at each interval, until ctx ends.
+func runPeriodically(ctx context.Context, interval time.Duration, f func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -116,7 +118,7 @@
 	var reports []quota.Report
 	for _, r := range l.options.Gossip.Read(registers.Limits) {
 		var claims map[string]quota.Claims
-		if r.Origin != l.options.Name && l.decoding.Unmarshal(r.Value, &claims) == nil {
+		if r.Origin != l.options.Name && l.decoder.Unmarshal(r.Value, &claims) == nil {
 			reports = append(reports, quota.Report{Origin: r.Origin, Age: r.Age, Claims: claims})
 		}
 	}
@@ -127,17 +129,17 @@
 	l.member.ApplyReports(now, reports)
 	err := l.member.SetMembersUp(now, up)
 	l.mu.Unlock()
-	l.setFault(ofGossip, err)
+	l.setFault(fromGossip, err)
 	if len(claims) == 0 {
 		return
 	}
-	if text, err := encoding.Marshal(claims); err == nil {
-		l.options.Gossip.Publish(registers.Limits, text) // an error is logged by the fleet
+	if encoded, err := encoder.Marshal(claims); err == nil {
+		l.options.Gossip.Publish(registers.Limits, encoded) // an error is logged by the fleet
 	}
 }
 
-// encoding encodes equal claims as equal bytes.
-var encoding = func() cbor.EncMode {
+// encoder encodes equal claims as equal bytes.
+var encoder = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCanonical, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		panic(err)
@@ -153,11 +155,11 @@
 	if !ok {
 		return
 	}
-	text, err := json.Marshal(request)
+	encoded, err := json.Marshal(request)
 	if err == nil {
 		var answer []byte
-		within, cancel := context.WithTimeout(ctx, renewTimeout)
-		answer, err = l.options.Lease(within, text)
+		renewCtx, cancel := context.WithTimeout(ctx, renewTimeout)
+		answer, err = l.options.Lease(renewCtx, encoded)
 		cancel()
 		if err == nil {
 			a := &quota.Answer{}
@@ -173,14 +175,14 @@
 	}
 	if err == nil {
 		l.failingSince = time.Time{}
-		l.setFault(ofStore, nil)
+		l.setFault(fromStore, nil)
 		return
 	}
 	if l.failingSince.IsZero() {
 		l.failingSince = time.Now()
 	}
-	if failed := time.Since(l.failingSince); failed > time.Duration(quota.LeaseDuration)*time.Microsecond {
-		l.setFault(ofStore, &quota.LeaseExpiredError{ForMs: failed.Milliseconds(), Err: err})
+	if failingFor := time.Since(l.failingSince); failingFor > time.Duration(quota.LeaseDuration)*time.Microsecond {
+		l.setFault(fromStore, &quota.LeaseExpiredError{ForMs: failingFor.Milliseconds(), Err: err})
 	}
 }
 
@@ -188,25 +190,25 @@
 type source int
 
 const (
-	ofGossip source = iota
-	ofStore
-	sources
+	fromGossip source = iota
+	fromStore
+	sourceCount
 )
 
 // setFault stores the error of a loop for operators, nil for none, and logs when a fault begins and ends.
 func (l *Limiter) setFault(from source, err error) {
-	var now *Fault
+	var current *Fault
 	if err != nil {
-		now = &Fault{err.Error(), advice.Of(err)}
+		current = &Fault{err.Error(), advice.Of(err)}
 	}
 	l.mu.Lock()
-	before := l.faults[from]
-	l.faults[from] = now
+	previous := l.faults[from]
+	l.faults[from] = current
 	l.mu.Unlock()
 	switch {
-	case before == nil && now != nil:
-		l.options.Log.WithError(err).WithField("advice", now.Advice).Warn("limits: degraded")
-	case before != nil && now == nil:
+	case previous == nil && current != nil:
+		l.options.Log.WithError(err).WithField("advice", current.Advice).Warn("limits: degraded")
+	case previous != nil && current == nil:
 		l.options.Log.Info("limits: recovered")
 	}
 }
