--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -38,14 +38,14 @@
 	Whats   // number of kinds
 )
 
-var whatNames = [Whats]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
+var kindNames = [Whats]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
 
 // String returns the name of the kind.
-func (w What) String() string {
-	if w >= Whats {
+func (k What) String() string {
+	if k >= Whats {
 		return "unknown"
 	}
-	return whatNames[w]
+	return kindNames[k]
 }
 
 // Seen is one event. Fields that do not apply to it are zero. Class and Tenant are -1 for a class or tenant that the settings
@@ -121,7 +121,7 @@
 }
 
 // Observe counts one event at the given time. Times may be slightly out of order.
-func (c *Counters) Observe(now control.Micros, seen Seen) {
+func (c *Counters) Observe(now control.Micros, event Seen) {
 	t := c.tokens.Get().(*token)
 	s := c.shards[t.shard]
 	if !s.mu.TryLock() { // another thread holds the lock: switch to another shard
@@ -129,28 +129,28 @@
 		s = c.shards[t.shard]
 		s.mu.Lock()
 	}
-	c.count(s, now, &seen)
+	c.count(s, now, &event)
 	s.mu.Unlock()
 	c.tokens.Put(t)
 }
 
 // count adds an event to a shard whose lock is held.
-func (c *Counters) count(s *shard, now control.Micros, seen *Seen) {
+func (c *Counters) count(s *shard, now control.Micros, event *Seen) {
 	if s.weightTime != now || s.weight == 0 {
 		c.updateWeight(s, now)
 	}
 	w := s.weight
-	countsAt(s.classes, seen.Class)[seen.What] += w
-	countsAt(s.tenants, seen.Tenant)[seen.What] += w
-	if seen.Server != 0 {
-		i, ok := s.servers[seen.Server]
+	countsAt(s.classes, event.Class)[event.What] += w
+	countsAt(s.tenants, event.Tenant)[event.What] += w
+	if event.Server != 0 {
+		i, ok := s.servers[event.Server]
 		if !ok {
-			i = s.addServer(seen.Server)
+			i = s.addServer(event.Server)
 		}
-		s.byServer[i][seen.What] += w
+		s.byServer[i][event.What] += w
 	}
-	if seen.What == Arrived && seen.Number != "" {
-		s.numbers.Add(seen.Number, w)
+	if event.What == Arrived && event.Number != "" {
+		s.numbers.Add(event.Number, w)
 	}
 }
 
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -141,28 +141,28 @@
 }
 
 // Observe implements routing.Observer.
-func (m *Monitor) Observe(now control.Micros, s counting.Seen) {
-	if s.What == counting.Busy || s.What == counting.Established {
-		m.observeNumber(now, s)
+func (m *Monitor) Observe(now control.Micros, event counting.Seen) {
+	if event.What == counting.Busy || event.What == counting.Established {
+		m.observeNumber(now, event)
 		return
 	}
-	if s.Server == 0 {
+	if event.Server == 0 {
 		return
 	}
-	switch s.What {
+	switch event.What {
 	case counting.Answered, counting.Overdue, counting.Errored, counting.TimedOut:
 	default:
 		return
 	}
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
-	t := m.serverTallies[s.Server]
+	t := m.serverTallies[event.Server]
 	if t == nil {
 		t = &tally{decayedAt: now, lastSuccess: -1, lastFailure: -1}
-		m.serverTallies[s.Server] = t
+		m.serverTallies[event.Server] = t
 	}
 	t.decay(now)
-	switch s.What {
+	switch event.What {
 	case counting.Answered:
 		t.successes++
 		t.lastSuccess, t.failureStreak = now, 0
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -9,72 +9,72 @@
 	"beammux/internal/history"
 )
 
-// send starts the attempt that the module asked for. An attempt that can't start is reported as NotSent.
-func (c *Core) send(k *call, action control.Action) {
-	if k.caller.Gone() { // its withdrawal follows
-		c.withdraw(k)
+// send starts an attempt, as decided by the module. An attempt that can't start is reported as NotSent.
+func (c *Core) send(call *callState, action control.Action) {
+	if call.caller.Gone() { // its withdrawal follows
+		c.withdraw(call)
 		return
 	}
 	now := c.clock.now()
-	next := &attempt{number: k.attempts, server: action.Server, peer: c.peers[action.Server], sentAt: now, givenUp: &atomic.Bool{}}
-	k.attempts++
-	timeLeft := k.deadline - now
+	next := &attempt{number: call.attempts, server: action.Server, peer: c.peers[action.Server], sentAt: now, givenUp: &atomic.Bool{}}
+	call.attempts++
+	timeLeft := call.deadline - now
 	if action.Wait > 0 {
 		timeLeft = min(timeLeft, action.Wait)
 	}
-	if next.peer == nil || timeLeft <= 0 || k.current != nil {
+	if next.peer == nil || timeLeft <= 0 || call.current != nil {
 		// The server is no longer on the list, the deadline has passed, or another attempt is in flight: nothing is sent.
 		c.Post(func() {
-			c.handle(control.Resolved{ID: k.ID, Attempt: next.number, Server: action.Server, Code: control.NotSent})
+			c.handle(control.Resolved{ID: call.ID, Attempt: next.number, Server: action.Server, Code: control.NotSent})
 		})
 		return
 	}
-	k.current = next
+	call.current = next
 	next.expiry = c.After(span(timeLeft), func() {
-		if c.calls[k.ID] == k && k.current == next && !k.established {
-			c.endAttempt(k, control.TimedOut, false)
+		if c.calls[call.ID] == call && call.current == next && !call.established {
+			c.endAttempt(call, control.TimedOut, false)
 		}
 	})
-	c.stats.Class(k.Class).Dispatches.Add(1)
+	c.stats.Class(call.Class).Dispatches.Add(1)
 	if len(c.observers) > 0 {
-		c.observe(counting.Sent, &k.Setup, action.Server)
+		c.observe(counting.Sent, &call.Setup, action.Server)
 		c.After(OverdueAfter, func() {
-			if c.calls[k.ID] == k && k.current == next && !k.established {
-				c.observe(counting.Overdue, &k.Setup, action.Server)
+			if c.calls[call.ID] == call && call.current == next && !call.established {
+				c.observe(counting.Overdue, &call.Setup, action.Server)
 			}
 		})
 	}
-	next.peer.setup(Attempt{attemptRef: attemptRef{k.ID, next.number}, Class: k.Class, Key: k.Key, Body: k.Body,
-		Deadline: time.Now().Add(span(timeLeft)), level: c.levelOf(action.Server), givenUp: next.givenUp, caller: k.caller})
+	next.peer.setup(Attempt{attemptRef: attemptRef{call.ID, next.number}, Class: call.Class, Key: call.Key, Body: call.Body,
+		Deadline: time.Now().Add(span(timeLeft)), level: c.levelOf(action.Server), givenUp: next.givenUp, caller: call.caller})
 }
 
 // endAttempt gives up the attempt in flight, if any, and reports its end to the module.
-func (c *Core) endAttempt(k *call, code control.Code, settled bool) {
-	a := k.current
+func (c *Core) endAttempt(call *callState, code control.Code, settled bool) {
+	a := call.current
 	if a == nil {
 		return
 	}
-	k.current = nil
+	call.current = nil
 	a.givenUp.Store(true)
 	a.expiry.Stop()
-	c.noteEnded(k, a, code)
-	c.observeEnd(k, a, code)
-	a.peer.cancel(attemptRef{k.ID, a.number})
-	k.releaseLateAnswer(a.peer)
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
+	c.noteEnded(call, a, code)
+	c.observeEnd(call, a, code)
+	a.peer.cancel(attemptRef{call.ID, a.number})
+	call.releaseLateAnswer(a.peer)
+	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
 		Took: c.clock.now() - a.sentAt, Settled: settled})
 }
 
 // observeEnd reports the end of a failed attempt to the observers. An attempt that was never sent, or that this side
 // cancelled, is not reported: it is no evidence about the server.
-func (c *Core) observeEnd(k *call, a *attempt, code control.Code) {
+func (c *Core) observeEnd(call *callState, a *attempt, code control.Code) {
 	switch code {
 	case control.TimedOut:
-		c.observe(counting.TimedOut, &k.Setup, a.server)
+		c.observe(counting.TimedOut, &call.Setup, a.server)
 	case control.Full:
-		c.observe(counting.Full, &k.Setup, a.server)
+		c.observe(counting.Full, &call.Setup, a.server)
 	case control.Failed, control.Cut, control.Unreachable:
-		c.observe(counting.Errored, &k.Setup, a.server)
+		c.observe(counting.Errored, &call.Setup, a.server)
 	}
 }
 
@@ -83,34 +83,34 @@
 const OverdueAfter = 400 * time.Millisecond
 
 // attemptOf returns the call of an attempt that is in flight, or nil. It ensures that an attempt ends only once.
-func (c *Core) attemptOf(r attemptRef) *call {
-	k := c.calls[r.id]
-	if k == nil || k.established || k.current == nil || k.current.number != r.attempt {
+func (c *Core) attemptOf(r attemptRef) *callState {
+	call := c.calls[r.id]
+	if call == nil || call.established || call.current == nil || call.current.number != r.attempt {
 		return nil
 	}
-	return k
+	return call
 }
 
 // answered handles the answer of a server that establishes a call.
 func (c *Core) answered(p *Peer, r attemptRef, body []byte) {
-	k := c.attemptOf(r)
-	if k == nil {
+	call := c.attemptOf(r)
+	if call == nil {
 		c.lateAnswer(p, r)
 		return
 	}
-	a := k.current
+	a := call.current
 	a.expiry.Stop()
-	k.deadlineTimer.Stop()
-	k.established, k.establishedAt = true, c.clock.now()
+	call.deadlineTimer.Stop()
+	call.established, call.establishedAt = true, c.clock.now()
 	c.unanswered--
-	c.stats.Class(k.Class).Success.Add(1)
-	c.observe(counting.Established, &k.Setup, 0)
-	c.observe(counting.Answered, &k.Setup, a.server)
-	c.note(history.Event{Kind: history.Established, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
-	delivered := k.caller.Answer(body)
-	c.handle(control.Opened{ID: k.ID, Attempt: a.number, Server: a.server, Took: k.establishedAt - a.sentAt})
-	if !delivered && c.calls[k.ID] == k {
-		c.releaseEstablished(k, CauseNormal)
+	c.stats.Class(call.Class).Success.Add(1)
+	c.observe(counting.Established, &call.Setup, 0)
+	c.observe(counting.Answered, &call.Setup, a.server)
+	c.note(history.Event{Kind: history.Established, Call: call.ID, Attempt: a.number, Server: a.server, Span: call.establishedAt - call.arrived})
+	delivered := call.caller.Answer(body)
+	c.handle(control.Opened{ID: call.ID, Attempt: a.number, Server: a.server, Took: call.establishedAt - a.sentAt})
+	if !delivered && c.calls[call.ID] == call {
+		c.releaseEstablished(call, CauseNormal)
 	}
 	c.checkDrained()
 }
@@ -119,21 +119,21 @@
 // attempt of the same call is in flight or established there. Servers identify a call by its id alone, so the release would
 // end that attempt as well.
 func (c *Core) lateAnswer(p *Peer, r attemptRef) {
-	k := c.calls[r.id]
+	call := c.calls[r.id]
 	switch {
-	case k == nil || k.current == nil || k.current.peer != p:
+	case call == nil || call.current == nil || call.current.peer != p:
 		p.release(r.id, CauseNormal)
-	case k.current.number != r.attempt:
-		k.lateAnswer = true
+	case call.current.number != r.attempt:
+		call.lateAnswer = true
 	}
 }
 
 // releaseLateAnswer releases the call at a server that answered a given-up attempt late. It is called once no attempt of
 // the call is in flight at that server.
-func (k *call) releaseLateAnswer(p *Peer) {
-	if k.lateAnswer {
-		k.lateAnswer = false
-		p.release(k.ID, CauseNormal)
+func (call *callState) releaseLateAnswer(p *Peer) {
+	if call.lateAnswer {
+		call.lateAnswer = false
+		p.release(call.ID, CauseNormal)
 	}
 }
 
@@ -147,34 +147,34 @@
 
 // failed handles the end of an attempt that did not establish the call.
 func (c *Core) failed(r attemptRef, o Outcome) {
-	k := c.attemptOf(r)
-	if k == nil {
+	call := c.attemptOf(r)
+	if call == nil {
 		return
 	}
-	a := k.current
-	k.current = nil
+	a := call.current
+	call.current = nil
 	a.expiry.Stop()
-	c.noteEnded(k, a, o.Code)
+	c.noteEnded(call, a, o.Code)
 	if o.Reason == control.LinesBusy { // the called number is busy; the server is not at fault
-		c.observe(counting.Busy, &k.Setup, 0)
+		c.observe(counting.Busy, &call.Setup, 0)
 	} else {
-		c.observeEnd(k, a, o.Code)
+		c.observeEnd(call, a, o.Code)
 	}
 	c.noteReport(a.server, o.Report)
-	k.releaseLateAnswer(a.peer)
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: o.Code,
+	call.releaseLateAnswer(a.peer)
+	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: o.Code,
 		Took: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
 }
 
 // released handles the release of an established call by its server. A repeated release is passed on once.
 func (c *Core) released(p *Peer, id string, cause int, report []float64) {
-	k := c.calls[id]
-	if k == nil || !k.established {
+	call := c.calls[id]
+	if call == nil || !call.established {
 		if report != nil {
 			c.noteReport(p.server, report)
 			c.handle(control.Status{Server: p.server, Code: control.OK, Report: report})
 		}
-		if _, known := c.ended.endOf(id); k == nil && !known && c.orphans != nil {
+		if _, known := c.ended.endOf(id); call == nil && !known && c.orphans != nil {
 			c.ended.add(id, c.clock.now())
 			c.orphans.Orphan(id, cause)
 		}
@@ -184,29 +184,29 @@
 	if cause != CauseNormal {
 		code = control.Cut
 	}
-	c.endEstablished(k, code, cause, report)
+	c.endEstablished(call, code, cause, report)
 }
 
 // endEstablished ends an established call on behalf of its server and releases it at the caller.
-func (c *Core) endEstablished(k *call, code control.Code, cause int, report []float64) {
-	a := k.current
-	c.close(k)
-	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
+func (c *Core) endEstablished(call *callState, code control.Code, cause int, report []float64) {
+	a := call.current
+	c.close(call)
+	c.note(history.Event{Kind: history.Released, Call: call.ID, Server: a.server, N: int64(cause)})
 	c.noteReport(a.server, report)
-	k.caller.Release(cause)
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
+	call.caller.Release(cause)
+	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
 		Took: c.clock.now() - a.sentAt, Settled: true, Report: report})
 }
 
 // serverDied ends the calls established at a peer before the given time, because the server process has ended. With tell,
 // which is set where the end of the process is not certain, the calls are released at the server as well.
 func (c *Core) serverDied(p *Peer, before control.Micros, notifyServer bool) {
-	for _, k := range c.calls {
-		if k.established && k.current.peer == p && k.establishedAt < before {
+	for _, call := range c.calls {
+		if call.established && call.current.peer == p && call.establishedAt < before {
 			if notifyServer {
-				p.release(k.ID, CauseNormal)
+				p.release(call.ID, CauseNormal)
 			}
-			c.endEstablished(k, control.Cut, CauseFailed, nil)
+			c.endEstablished(call, control.Cut, CauseFailed, nil)
 		}
 	}
 }
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -74,8 +74,8 @@
 	givenUp *atomic.Bool // set once the attempt is given up: nothing of it is written after that
 }
 
-// call is a call in the core's table.
-type call struct {
+// callState is a call in the core's table.
+type callState struct {
 	Setup
 	caller        Caller
 	arrived       control.Micros
@@ -95,7 +95,7 @@
 const (
 	// decisionGrace is how long after a caller's deadline the module may still decide; then the core itself answers.
 	decisionGrace = 15 * time.Millisecond
-	// stallThreshold is the delay of a timer from which on the process is taken to have been stalled.
+	// stallThreshold is the delay of a timer that indicates a stall of the process.
 	stallThreshold = 5 * time.Millisecond
 	// maxGraceRenewals is how often the grace period of one call is renewed.
 	maxGraceRenewals = 20
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -23,7 +23,7 @@
 	orphans        Orphans
 	limits         *retry.Policy // of calls that arrive now; nil: as in the settings
 	peers          map[uint32]*Peer
-	calls          map[string]*call
+	calls          map[string]*callState
 	unanswered     int // calls without a final answer
 	ended          endedCalls
 	quotas         Quotas // nil if there are none
@@ -49,7 +49,7 @@
 // NewCore creates a core and starts its module. records may be nil: then nothing is recorded.
 func NewCore(settings control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
 	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(settings, seed), log: log, peers: map[uint32]*Peer{},
-		calls: map[string]*call{}, releaseGuard: settings.ReleaseGuard,
+		calls: map[string]*callState{}, releaseGuard: settings.ReleaseGuard,
 		recorder: records, classes: settings.Classes, recordedViews: map[uint32]recordedView{}, lastReports: map[uint32][]float64{},
 		stats: newStats(len(settings.Classes))}
 	c.Post(func() { c.handle(control.Start{}) })
@@ -61,7 +61,7 @@
 
 // Observer receives the outcomes of calls and attempts. It must be safe for concurrent use and must not block.
 type Observer interface {
-	Observe(now control.Micros, seen counting.Seen)
+	Observe(now control.Micros, event counting.Seen)
 }
 
 // SetObservers sets the observers of calls and attempts. It must be called before any call arrives.
@@ -107,6 +107,7 @@
 	c.Post(func() { c.open(s, caller, arrived) })
 }
 
+// open adds a call to the table and passes it to the module.
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
 	deadline := arrived + control.Micros(s.Left/time.Microsecond)
 	if endedAt, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-endedAt < c.releaseGuard {
@@ -124,71 +125,71 @@
 	if limits != nil && limits.GiveUp > 0 {
 		deadline = min(deadline, arrived+limits.GiveUp)
 	}
-	k := &call{Setup: s, caller: caller, arrived: arrived, deadline: deadline}
-	c.calls[s.ID] = k
+	call := &callState{Setup: s, caller: caller, arrived: arrived, deadline: deadline}
+	c.calls[s.ID] = call
 	c.unanswered++
 	c.stats.Open.Store(int64(len(c.calls)))
-	c.noteArrived(k, arrived)
-	k.deadlineTimer = c.After(span(deadline-c.clock.now()), func() { c.deadlineReached(k) })
+	c.noteArrived(call, arrived)
+	call.deadlineTimer = c.After(span(deadline-c.clock.now()), func() { c.deadlineReached(call) })
 	var quota control.Quota
 	if c.quotas != nil {
-		if k.quota = c.quotas.For(&s); k.quota != nil {
-			k.admission = &admission{core: c, call: k}
-			quota = k.admission
+		if call.quota = c.quotas.For(&s); call.quota != nil {
+			call.admission = &admission{core: c, callState: call}
+			quota = call.admission
 		}
 	}
 	c.handle(control.Call{Quota: quota, ID: s.ID, Class: s.Class, Tenant: s.Tenant, Key: s.Key, Deadline: deadline,
 		FirstChoice: s.FirstChoice, WasCut: s.WasCut, Limits: limits, Excess: s.Excess})
 }
 
-// deadlineReached starts the module's grace period now, not at the deadline: after a stall of the whole process the module's
-// own timers are due at the same moment as this one and may fire in any order.
-func (c *Core) deadlineReached(k *call) {
-	if c.calls[k.ID] == k && !k.established {
-		c.startGrace(k)
+// deadlineReached starts the module's grace period. The period is counted from this moment, not from the deadline: after a stall
+// of the whole process the module's own timers are due at the same moment as this one, and may fire in any order.
+func (c *Core) deadlineReached(call *callState) {
+	if c.calls[call.ID] == call && !call.established {
+		c.startGrace(call)
 	}
 }
 
 // startGrace starts the module's grace period for a call.
-func (c *Core) startGrace(k *call) {
-	k.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
-	k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
+func (c *Core) startGrace(call *callState) {
+	call.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
+	call.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(call) })
 }
 
 // stalledInGrace reports whether the process was stalled during the grace period, so that the module had no chance to use it.
-// If so, it starts the grace period again, at most maxGraces times for one call.
-func (c *Core) stalledInGrace(k *call) bool {
-	late := c.clock.now() - k.graceEnds
-	if late < control.Micros(stallThreshold.Microseconds()) || k.graceRenewals >= maxGraceRenewals {
+// If so, it starts the grace period again, at most maxGraceRenewals times for one call.
+func (c *Core) stalledInGrace(call *callState) bool {
+	late := c.clock.now() - call.graceEnds
+	if late < control.Micros(stallThreshold.Microseconds()) || call.graceRenewals >= maxGraceRenewals {
 		return false
 	}
-	k.graceRenewals++
-	c.startGrace(k)
+	call.graceRenewals++
+	c.startGrace(call)
 	return true
 }
 
 // deadlinePassed fails a call for which the module gave no final answer within the grace period.
-func (c *Core) deadlinePassed(k *call) {
-	if c.calls[k.ID] != k || k.established || c.stalledInGrace(k) {
+func (c *Core) deadlinePassed(call *callState) {
+	if c.calls[call.ID] != call || call.established || c.stalledInGrace(call) {
 		return
 	}
-	c.log.WithField("call", k.ID).Error("no decision by the deadline: call failed")
-	c.endAttempt(k, control.TimedOut, true)
-	c.handle(control.Withdrawn{ID: k.ID})
-	c.close(k)
-	c.note(history.Event{Kind: history.Failed, Call: k.ID})
-	c.stats.Class(k.Class).Error.Add(1)
-	k.caller.Fail()
+	c.log.WithField("call", call.ID).Error("no decision by the deadline: call failed")
+	c.endAttempt(call, control.TimedOut, true)
+	c.handle(control.Withdrawn{ID: call.ID})
+	c.close(call)
+	c.note(history.Event{Kind: history.Failed, Call: call.ID})
+	c.stats.Class(call.Class).Error.Add(1)
+	call.caller.Fail()
 }
 
 // Withdraw gives up a set-up whose caller no longer waits. An established call is left alone, and so is another
 // caller's call of the same id. done, if not nil, is called with true if the set-up was withdrawn before its final answer.
 func (c *Core) Withdraw(id string, caller Caller, done func(inTime bool)) {
 	c.Post(func() {
-		k := c.calls[id]
-		inTime := k != nil && !k.established && k.caller == caller
+		call := c.calls[id]
+		inTime := call != nil && !call.established && call.caller == caller
 		if inTime {
-			c.withdraw(k)
+			c.withdraw(call)
 		}
 		if done != nil {
 			done(inTime)
@@ -197,11 +198,11 @@
 }
 
 // withdraw gives up the set-up of a call that has no final answer yet.
-func (c *Core) withdraw(k *call) {
-	c.handle(control.Withdrawn{ID: k.ID})
-	c.endAttempt(k, control.Cancelled, true)
-	c.close(k)
-	c.note(history.Event{Kind: history.Gone, Call: k.ID})
+func (c *Core) withdraw(call *callState) {
+	c.handle(control.Withdrawn{ID: call.ID})
+	c.endAttempt(call, control.Cancelled, true)
+	c.close(call)
+	c.note(history.Event{Kind: history.Gone, Call: call.ID})
 }
 
 // Hangup ends a call on behalf of its caller. Any caller may end an established call, but only its own caller may give up a
@@ -211,42 +212,42 @@
 		cause = CauseNormal
 	}
 	c.Post(func() {
-		k := c.calls[id]
-		if k != nil && k.established {
-			c.releaseEstablished(k, cause)
-		} else if k != nil && k.caller == caller {
-			c.withdraw(k)
+		call := c.calls[id]
+		if call != nil && call.established {
+			c.releaseEstablished(call, cause)
+		} else if call != nil && call.caller == caller {
+			c.withdraw(call)
 		}
 		if done != nil {
-			done(k != nil)
+			done(call != nil)
 		}
 	})
 }
 
 // releaseEstablished ends an established call and releases it at its server.
-func (c *Core) releaseEstablished(k *call, cause int) {
-	a := k.current
-	a.peer.release(k.ID, cause)
-	c.close(k)
-	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
+func (c *Core) releaseEstablished(call *callState, cause int) {
+	a := call.current
+	a.peer.release(call.ID, cause)
+	c.close(call)
+	c.note(history.Event{Kind: history.Released, Call: call.ID, Server: a.server, N: int64(cause)})
+	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
 		Took: c.clock.now() - a.sentAt, Settled: true})
 }
 
 // close removes a call from the table.
-func (c *Core) close(k *call) {
-	if !k.established {
+func (c *Core) close(call *callState) {
+	if !call.established {
 		c.unanswered--
 	}
-	k.deadlineTimer.Stop()
-	if k.admission != nil && k.admission.admitted {
-		k.admission.admitted = false
-		k.quota.Done()
+	call.deadlineTimer.Stop()
+	if call.admission != nil && call.admission.admitted {
+		call.admission.admitted = false
+		call.quota.Done()
 	}
-	delete(c.calls, k.ID)
+	delete(c.calls, call.ID)
 	c.stats.Open.Store(int64(len(c.calls)))
-	if k.attempts > 0 { // a call that was never sent needs no release guard, and must not use memory during a flood
-		c.ended.add(k.ID, c.clock.now())
+	if call.attempts > 0 { // a call that was never sent needs no release guard, and must not use memory during a flood
+		c.ended.add(call.ID, c.clock.now())
 	}
 	c.checkDrained()
 }
@@ -298,8 +299,8 @@
 	c.countTargets(c.clock.now())
 }
 
-// callModule passes one event to the module and recovers from a panic in it: one bad event must not end all calls. The deadline
-// timer then answers the affected call.
+// callModule passes one event to the module and recovers from a panic in it: one bad event must not end all calls. A call that
+// is left without a decision is answered by its deadline timer.
 func (c *Core) callModule(event control.Event) (actions []control.Action) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
@@ -311,34 +312,34 @@
 
 // execute carries out one action of the module.
 func (c *Core) execute(action control.Action) {
-	k := c.calls[action.ID]
-	if k != nil && k.established {
-		k = nil
+	call := c.calls[action.ID]
+	if call != nil && call.established {
+		call = nil
 	}
 	switch action.Kind {
 	case control.Send:
-		if k != nil {
-			c.send(k, action)
+		if call != nil {
+			c.send(call, action)
 		}
 	case control.Refuse:
-		if k != nil {
-			c.close(k)
-			c.note(history.Event{Kind: history.Refused, Call: k.ID, Span: action.Wait})
-			c.stats.Class(k.Class).Overload.Add(1)
-			c.observe(counting.Refused, &k.Setup, 0)
-			k.caller.Refuse(span(action.Wait))
+		if call != nil {
+			c.close(call)
+			c.note(history.Event{Kind: history.Refused, Call: call.ID, Span: action.Wait})
+			c.stats.Class(call.Class).Overload.Add(1)
+			c.observe(counting.Refused, &call.Setup, 0)
+			call.caller.Refuse(span(action.Wait))
 		}
 	case control.Fail:
-		if k != nil {
-			c.close(k)
-			c.note(history.Event{Kind: history.Failed, Call: k.ID})
-			c.stats.Class(k.Class).Error.Add(1)
-			c.observe(counting.Failed, &k.Setup, 0)
-			k.caller.Fail()
+		if call != nil {
+			c.close(call)
+			c.note(history.Event{Kind: history.Failed, Call: call.ID})
+			c.stats.Class(call.Class).Error.Add(1)
+			c.observe(counting.Failed, &call.Setup, 0)
+			call.caller.Fail()
 		}
 	case control.Cancel:
-		if k != nil && k.current != nil && k.current.number == action.Attempt {
-			c.endAttempt(k, control.Cancelled, false)
+		if call != nil && call.current != nil && call.current.number == action.Attempt {
+			c.endAttempt(call, control.Cancelled, false)
 		}
 	case control.Defer:
 		c.After(span(action.At-c.clock.now()), func() { c.handle(control.Timer{Key: action.Key}) })
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -60,9 +60,9 @@
 	connEvents ServerEvents
 }
 
-func (l fakeConn) Setup(a Attempt, still func() bool) {
+func (l fakeConn) Setup(a Attempt, stillWanted func() bool) {
 	write := func() {
-		if !still() {
+		if !stillWanted() {
 			l.dropped++
 			l.connEvents.Failed(a, Outcome{Code: control.NotSent})
 			return
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -76,6 +76,7 @@
 	})
 }
 
+// apply applies a change to the list and passes the changed entries to the module.
 func (l *List) apply(u Update) {
 	entries := make([]control.Entry, 0, len(u.Hosts))
 	named := map[string]bool{}
@@ -145,13 +146,14 @@
 	l.core.note(history.Event{Kind: history.Listed, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
 }
 
+// remove removes a server from the list and ends its peer.
 func (l *List) remove(h *listedHost) {
 	delete(l.hosts, h.Name)
 	h.peer.setState(control.Gone)
 }
 
-// serverID returns the id of a server: the hexadecimal number in its name (s-00c41f7a), or else a hash of the name. The id
-// of a name does not change while this process runs.
+// serverID returns the id of a server: the hexadecimal number in its name (s-00c41f7a), or else a hash of the name. An
+// id that another name already has is incremented. The id of a name does not change while this process runs.
 func (l *List) serverID(name string) uint32 {
 	_, digits, _ := strings.Cut(name, "-")
 	n, err := strconv.ParseUint(digits, 16, 32)
--- a/internal/routing/peer.go
+++ b/internal/routing/peer.go
@@ -50,9 +50,9 @@
 // ServerConn is an open connection to one server. Its methods must not block; events on it are reported to the
 // ServerEvents that it was opened with.
 type ServerConn interface {
-	// Setup sends a set-up. still is called when its first byte is about to be written; if it returns false, the set-up is
+	// Setup sends a set-up. stillWanted is called when its first byte is about to be written; if it returns false, the set-up is
 	// reported as NotSent, and nothing of it is written.
-	Setup(a Attempt, still func() bool)
+	Setup(a Attempt, stillWanted func() bool)
 	// Cancel gives up a set-up: no further copy is sent. A late answer is reported, or released by the connection itself.
 	Cancel(id string)
 	// Release ends an established call with a Q.850 cause.
--- a/internal/routing/quota.go
+++ b/internal/routing/quota.go
@@ -19,16 +19,16 @@
 
 // admission wraps the quota of a call and records its admission.
 type admission struct {
-	core     *Core
-	call     *call
-	admitted bool
+	core      *Core
+	callState *callState
+	admitted  bool
 }
 
 // Take implements control.Quota.
 func (a *admission) Take(now control.Micros) (ok bool, wait control.Micros) {
-	if ok, wait = a.call.quota.Take(now); ok {
+	if ok, wait = a.callState.quota.Take(now); ok {
 		a.admitted = true
-		a.core.note(history.Event{Kind: history.Admitted, Call: a.call.ID, Class: a.call.Class})
+		a.core.note(history.Event{Kind: history.Admitted, Call: a.callState.ID, Class: a.callState.Class})
 	}
 	return ok, wait
 }
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -31,21 +31,21 @@
 func (c *Core) Note(e history.Event) { c.note(e) }
 
 // noteArrived records the arrival of a call.
-func (c *Core) noteArrived(k *call, arrived control.Micros) {
+func (c *Core) noteArrived(call *callState, arrived control.Micros) {
 	if c.recorder == nil {
 		return
 	}
 	worth := 0.0
-	if k.Class >= 0 && k.Class < len(c.classes) {
-		worth = c.classes[k.Class].Worth
+	if call.Class >= 0 && call.Class < len(c.classes) {
+		worth = c.classes[call.Class].Worth
 	}
-	c.recorder.Record(history.Event{At: arrived, Kind: history.Taken, Call: k.ID, Class: k.Class, Value: worth,
-		Span: k.deadline - arrived, Again: k.WasCut})
+	c.recorder.Record(history.Event{At: arrived, Kind: history.Taken, Call: call.ID, Class: call.Class, Value: worth,
+		Span: call.deadline - arrived, Again: call.WasCut})
 }
 
 // noteEnded records the end of an attempt.
-func (c *Core) noteEnded(k *call, a *attempt, code control.Code) {
-	c.note(history.Event{Kind: history.Ended, Call: k.ID, Attempt: a.number, Server: a.server, Code: code, Span: c.clock.now() - a.sentAt})
+func (c *Core) noteEnded(call *callState, a *attempt, code control.Code) {
+	c.note(history.Event{Kind: history.Ended, Call: call.ID, Attempt: a.number, Server: a.server, Code: code, Span: c.clock.now() - a.sentAt})
 }
 
 // noteReport records a load report whose values have changed. Servers repeat the same values until they measure them
@@ -109,7 +109,7 @@
 	c.Post(func() { f(c.module.Views(nil), c.clock.now()) })
 }
 
-const knownTimeout = 2 * time.Second // for each actor's reply to Known
+const stateTimeout = 2 * time.Second // for each actor's reply to Known
 
 // Known returns the current state of the core and a list, as the events that would lead to it.
 func (c *Core) Known(l *List) (events []history.Event) {
@@ -120,7 +120,7 @@
 		select {
 		case received := <-reply:
 			events = append(events, received...)
-		case <-time.After(knownTimeout): // the actor has stopped
+		case <-time.After(stateTimeout): // the actor has stopped
 		}
 	}
 	query(l.Post, func() (listEvents []history.Event) {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -230,7 +230,7 @@
 	return 3
 }
 
-// NewConn wraps a connection and starts its writer. onGone, if not nil, is called once after the connection is closed.
+// NewConn wraps a connection and starts its writer. onClose, if not nil, is called once after the connection is closed.
 func NewConn(nc net.Conn, onClose func()) *Conn {
 	c := &Conn{Conn: nc, socket: socketOf(nc), wake: make(chan struct{}, 1), closed: make(chan struct{}), onClose: onClose}
 	c.readState.once = c.readOnce
