--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -10,9 +10,9 @@
 )
 
 // flush runs the queued writes, as the writer of a connection does.
-func (w *fakeServer) flush() {
-	queue := w.queue
-	w.queue = nil
+func (s *fakeServer) flush() {
+	queue := s.queue
+	s.queue = nil
 	for _, f := range queue {
 		f()
 	}
@@ -22,54 +22,54 @@
 // No attempt may begin for a caller that has left, wherever its call is queued at that moment. Caller.Gone returns true at once;
 // the withdrawal arrives later, and in this test it never arrives.
 func TestNoAttemptStartsAfterCallerLeft(t *testing.T) {
-	for name, run := range map[string]func(b *harness, w *fakeServer) *caller{
-		"before the core takes it": func(b *harness, w *fakeServer) *caller {
+	for name, run := range map[string]func(h *harness, server *fakeServer) *caller{
+		"before the core takes it": func(h *harness, server *fakeServer) *caller {
 			c := &caller{}
 			c.gone.Store(true)
-			b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
+			h.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
 			return c
 		},
-		"in the peer's mailbox": func(b *harness, w *fakeServer) *caller {
+		"in the peer's mailbox": func(h *harness, server *fakeServer) *caller {
 			c, hold := &caller{}, make(chan struct{})
-			b.list.hosts["a"].peer.Post(func() { <-hold })
-			b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
+			h.list.hosts["a"].peer.Post(func() { <-hold })
+			h.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
 			synctest.Wait()
 			c.gone.Store(true)
 			close(hold)
 			return c
 		},
-		"in the write queue": func(b *harness, w *fakeServer) *caller {
-			w.writesHeld = true
-			c := b.call("1", time.Second)
+		"in the write queue": func(h *harness, server *fakeServer) *caller {
+			server.writesHeld = true
+			c := h.call("1", time.Second)
 			c.gone.Store(true)
-			w.flush()
-			if w.dropped != 1 {
+			server.flush()
+			if server.dropped != 1 {
 				panic("no set-up was queued")
 			}
 			return c
 		},
-		"during the release guard": func(b *harness, w *fakeServer) *caller {
-			c := b.call("1", 2*time.Second)
-			if len(w.inFlight) != 1 {
+		"during the release guard": func(h *harness, server *fakeServer) *caller {
+			c := h.call("1", 2*time.Second)
+			if len(server.inFlight) != 1 {
 				panic("no first attempt")
 			}
-			a := w.inFlight["1"]
-			delete(w.inFlight, "1")
-			w.events.Failed(a, Outcome{Code: control.Cut})
+			a := server.inFlight["1"]
+			delete(server.inFlight, "1")
+			server.events.Failed(a, Outcome{Code: control.Cut})
 			synctest.Wait()
 			c.gone.Store(true)
-			b.sleep(time.Second)
+			h.sleep(time.Second)
 			return c
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newHarness("a", "b")
-				defer b.stop()
-				c := run(b, b.servers["a"])
+				h := newHarness("a", "b")
+				defer h.stop()
+				c := run(h, h.servers["a"])
 				synctest.Wait()
-				b.sleep(50 * time.Millisecond)
-				if n := len(b.servers["a"].inFlight) + len(b.servers["b"].inFlight); n != 0 || c.finalAnswers != 0 {
+				h.sleep(50 * time.Millisecond)
+				if n := len(h.servers["a"].inFlight) + len(h.servers["b"].inFlight); n != 0 || c.finalAnswers != 0 {
 					t.Errorf("%d attempts began, %d final answers; want none", n, c.finalAnswers)
 				}
 			})
@@ -80,15 +80,15 @@
 // An attempt that is given up while it waits in the write queue must not be written: another attempt may be in flight by then.
 func TestGivenUpAttemptInWriteQueueIsNotWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		w.writesHeld = true
-		c := b.call("1", time.Second)
-		b.sleep(1200 * time.Millisecond) // past the deadline: the caller has its final answer
-		w.flush()
-		if c.finalAnswers != 1 || w.dropped != 1 || len(w.inFlight) != 0 {
-			t.Errorf("final answers %d, dropped %d, written %d; want 1, 1, 0", c.finalAnswers, w.dropped, len(w.inFlight))
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		server.writesHeld = true
+		c := h.call("1", time.Second)
+		h.sleep(1200 * time.Millisecond) // past the deadline: the caller has its final answer
+		server.flush()
+		if c.finalAnswers != 1 || server.dropped != 1 || len(server.inFlight) != 0 {
+			t.Errorf("final answers %d, dropped %d, written %d; want 1, 1, 0", c.finalAnswers, server.dropped, len(server.inFlight))
 		}
 	})
 }
@@ -96,13 +96,13 @@
 // An excess set-up is refused at once, with a time to wait, and is sent to no server.
 func TestExcessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
+		h := newHarness("a")
+		defer h.stop()
 		c := &caller{}
-		b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second, Excess: true}, c)
+		h.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second, Excess: true}, c)
 		synctest.Wait()
-		if c.finalAnswers != 1 || c.established || c.wait <= 0 || len(b.servers["a"].inFlight) != 0 {
-			t.Errorf("%d answers, wait %v, %d attempts", c.finalAnswers, c.wait, len(b.servers["a"].inFlight))
+		if c.finalAnswers != 1 || c.established || c.wait <= 0 || len(h.servers["a"].inFlight) != 0 {
+			t.Errorf("%d answers, wait %v, %d attempts", c.finalAnswers, c.wait, len(h.servers["a"].inFlight))
 		}
 	})
 }
@@ -111,13 +111,13 @@
 // remembered, for at least endedCallLifetime.
 func TestEndedCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness()
-		defer b.stop()
+		h := newHarness()
+		defer h.stop()
 		for i := range 20000 {
-			b.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, Left: time.Second}, &caller{})
+			h.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, Left: time.Second}, &caller{})
 		}
 		synctest.Wait()
-		if n := len(b.core.ended.current) + len(b.core.ended.previous); n != 0 {
+		if n := len(h.core.ended.current) + len(h.core.ended.previous); n != 0 {
 			t.Errorf("%d ids remembered of calls that were sent to no server", n)
 		}
 	})
@@ -154,24 +154,24 @@
 // left by its caller in the meantime.
 func TestQueuedAttemptsAfterSlowDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness()
-		defer b.stop()
-		b.servers["a"] = newFakeServer()
+		h := newHarness()
+		defer h.stop()
+		h.servers["a"] = newFakeServer()
 		up := make(chan struct{})
-		b.servers["a"].dialGate = up
-		b.setState("a", 0, control.Ready)
+		h.servers["a"].dialGate = up
+		h.setState("a", 0, control.Ready)
 		synctest.Wait()
-		short, cancelled, left, waits := b.call("short", 300*time.Millisecond), b.call("cancelled", 2*time.Second),
-			b.call("left", 2*time.Second), b.call("waits", 2*time.Second)
-		b.sleep(400 * time.Millisecond)
-		b.core.Withdraw("cancelled", cancelled, nil)
+		short, cancelled, left, waits := h.call("short", 300*time.Millisecond), h.call("cancelled", 2*time.Second),
+			h.call("left", 2*time.Second), h.call("waits", 2*time.Second)
+		h.sleep(400 * time.Millisecond)
+		h.core.Withdraw("cancelled", cancelled, nil)
 		left.gone.Store(true)
 		synctest.Wait()
 		close(up)
 		synctest.Wait()
-		w := b.servers["a"]
-		if len(w.inFlight) != 1 || w.setups["waits"] != 1 || short.finalAnswers != 1 || cancelled.finalAnswers+waits.finalAnswers != 0 {
-			t.Errorf("in flight %v, received %v, final answers %d %d %d", w.inFlight, w.setups, short.finalAnswers, cancelled.finalAnswers, waits.finalAnswers)
+		server := h.servers["a"]
+		if len(server.inFlight) != 1 || server.setups["waits"] != 1 || short.finalAnswers != 1 || cancelled.finalAnswers+waits.finalAnswers != 0 {
+			t.Errorf("in flight %v, received %v, final answers %d %d %d", server.inFlight, server.setups, short.finalAnswers, cancelled.finalAnswers, waits.finalAnswers)
 		}
 	})
 }
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -42,16 +42,16 @@
 	return &fakeServer{inFlight: map[string]Attempt{}, duplicates: map[string]int{}, setups: map[string]int{}, activeCalls: map[string]bool{}, releasesReceived: map[string]int{}}
 }
 
-func (w *fakeServer) Dial(_ context.Context, _ string, e ServerEvents) (ServerConn, error) {
-	w.dials++
-	if w.dialGate != nil {
-		<-w.dialGate
+func (s *fakeServer) Dial(_ context.Context, _ string, e ServerEvents) (ServerConn, error) {
+	s.dials++
+	if s.dialGate != nil {
+		<-s.dialGate
 	}
-	if w.dialError != nil {
-		return nil, w.dialError
+	if s.dialError != nil {
+		return nil, s.dialError
 	}
-	w.events = e
-	return fakeConn{w, e}, nil
+	s.events = e
+	return fakeConn{s, e}, nil
 }
 
 // fakeConn is a connection to a fake server.
@@ -60,42 +60,42 @@
 	connEvents ServerEvents
 }
 
-func (l fakeConn) Setup(a Attempt, stillWanted func() bool) {
+func (c fakeConn) Setup(a Attempt, stillWanted func() bool) {
 	write := func() {
 		if !stillWanted() {
-			l.dropped++
-			l.connEvents.Failed(a, Outcome{Code: control.NotSent})
+			c.dropped++
+			c.connEvents.Failed(a, Outcome{Code: control.NotSent})
 			return
 		}
-		if _, twice := l.inFlight[a.ID()]; twice {
-			l.duplicates[a.ID()]++
+		if _, twice := c.inFlight[a.ID()]; twice {
+			c.duplicates[a.ID()]++
 		}
-		l.inFlight[a.ID()] = a
-		l.setups[a.ID()]++
+		c.inFlight[a.ID()] = a
+		c.setups[a.ID()]++
 	}
-	if l.writesHeld {
-		l.queue = append(l.queue, write)
+	if c.writesHeld {
+		c.queue = append(c.queue, write)
 	} else {
 		write()
 	}
 }
 
-func (l fakeConn) Cancel(id string)         { delete(l.inFlight, id) }
-func (l fakeConn) Release(id string, _ int) { l.releasesReceived[id]++; delete(l.activeCalls, id) }
-func (l fakeConn) Close()                   { l.closed++ }
+func (c fakeConn) Cancel(id string)         { delete(c.inFlight, id) }
+func (c fakeConn) Release(id string, _ int) { c.releasesReceived[id]++; delete(c.activeCalls, id) }
+func (c fakeConn) Close()                   { c.closed++ }
 
 // answer establishes a call.
-func (w *fakeServer) answer(id, body string) {
-	a := w.inFlight[id]
-	delete(w.inFlight, id)
-	w.activeCalls[id] = true
-	w.events.Answered(a, []byte(body))
+func (s *fakeServer) answer(id, body string) {
+	a := s.inFlight[id]
+	delete(s.inFlight, id)
+	s.activeCalls[id] = true
+	s.events.Answered(a, []byte(body))
 }
 
 // reset breaks the connection.
-func (w *fakeServer) reset() {
-	e := w.events
-	w.events, w.inFlight, w.queue = nil, map[string]Attempt{}, nil
+func (s *fakeServer) reset() {
+	e := s.events
+	s.events, s.inFlight, s.queue = nil, map[string]Attempt{}, nil
 	e.Down(fmt.Errorf("read: %w", syscall.ECONNRESET))
 }
 
@@ -133,59 +133,59 @@
 	maxConns int // connections to each server; 0 counts as 1
 }
 
-func (b *harness) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
-	return b.servers[addr].Dial(ctx, addr, e)
+func (h *harness) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
+	return h.servers[addr].Dial(ctx, addr, e)
 }
 
-func (b *harness) MaxConns(string) int { return max(1, b.maxConns) }
+func (h *harness) MaxConns(string) int { return max(1, h.maxConns) }
 
 func newHarness(serverNames ...string) *harness {
-	b := &harness{servers: map[string]*fakeServer{}}
-	b.core = NewCore(settings(), 1, nil, discardLogger())
-	b.list = NewList(b.core, b, discardLogger())
+	h := &harness{servers: map[string]*fakeServer{}}
+	h.core = NewCore(settings(), 1, nil, discardLogger())
+	h.list = NewList(h.core, h, discardLogger())
 	for _, name := range serverNames {
-		b.servers[name] = newFakeServer()
+		h.servers[name] = newFakeServer()
 	}
 	for i, name := range serverNames {
-		b.setState(name, i, control.Ready)
+		h.setState(name, i, control.Ready)
 	}
 	synctest.Wait()
-	return b
+	return h
 }
 
-func (b *harness) setState(name string, cell int, s control.State) {
-	b.list.Apply(Update{Hosts: []Host{{Name: name, Addr: name, Cell: cell, State: s}}}, nil)
+func (h *harness) setState(name string, cell int, s control.State) {
+	h.list.Apply(Update{Hosts: []Host{{Name: name, Addr: name, Cell: cell, State: s}}}, nil)
 }
 
 // stop stops all actors: a synctest bubble must have no running goroutines at its end.
-func (b *harness) stop() {
-	for _, h := range b.list.hosts {
-		h.peer.Stop()
-		h.peer.stopDial()
+func (h *harness) stop() {
+	for _, host := range h.list.hosts {
+		host.peer.Stop()
+		host.peer.stopDial()
 	}
-	b.sleep(2 * lingerTime)
-	b.list.Stop()
-	b.core.Stop()
+	h.sleep(2 * lingerTime)
+	h.list.Stop()
+	h.core.Stop()
 	synctest.Wait()
 }
 
 // sleep advances the time. It first posts to each actor, so that the test's earlier reads are ordered before the actors'
 // later writes.
-func (b *harness) sleep(d time.Duration) {
+func (h *harness) sleep(d time.Duration) {
 	nothing := func() {}
-	for _, h := range b.list.hosts {
-		h.peer.Post(nothing)
+	for _, host := range h.list.hosts {
+		host.peer.Post(nothing)
 	}
-	b.core.Post(nothing)
+	h.core.Post(nothing)
 	synctest.Wait()
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 // call opens a call whose caller waits for the given time.
-func (b *harness) call(id string, left time.Duration) *caller {
+func (h *harness) call(id string, left time.Duration) *caller {
 	c := &caller{}
-	b.core.Open(Setup{ID: id, FirstChoice: 0, Left: left}, c)
+	h.core.Open(Setup{ID: id, FirstChoice: 0, Left: left}, c)
 	synctest.Wait()
 	return c
 }
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -27,9 +27,9 @@
 func defaults(v retry.Values) retry.File { return retry.File{Defaults: v} }
 
 // serverOf returns the server at which an attempt of a call is in flight, "" if there is none.
-func (b *harness) serverOf(id string) string {
-	for name, w := range b.servers {
-		if _, ok := w.inFlight[id]; ok {
+func (h *harness) serverOf(id string) string {
+	for name, server := range h.servers {
+		if _, ok := server.inFlight[id]; ok {
 			return name
 		}
 	}
@@ -37,11 +37,11 @@
 }
 
 // fail ends the attempt of a call that is in flight.
-func (b *harness) fail(id string, o Outcome) {
-	w := b.servers[b.serverOf(id)]
-	a := w.inFlight[id]
-	delete(w.inFlight, id)
-	w.events.Failed(a, o)
+func (h *harness) fail(id string, o Outcome) {
+	server := h.servers[h.serverOf(id)]
+	a := server.inFlight[id]
+	delete(server.inFlight, id)
+	server.events.Failed(a, o)
 	synctest.Wait()
 }
 
@@ -49,28 +49,28 @@
 // are sent than the limits allow. The call is then refused at once, with a time to wait.
 func TestLimitsApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a", "b")
-		defer b.stop()
-		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.AttemptTimeout: 500 * msec, retry.RetryWait: 400 * msec})))
-		c := b.call("1", 3*time.Second)
-		first := b.serverOf("1")
-		b.sleep(499 * time.Millisecond)
-		if b.serverOf("1") != first {
+		h := newHarness("a", "b")
+		defer h.stop()
+		h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.AttemptTimeout: 500 * msec, retry.RetryWait: 400 * msec})))
+		c := h.call("1", 3*time.Second)
+		first := h.serverOf("1")
+		h.sleep(499 * time.Millisecond)
+		if h.serverOf("1") != first {
 			t.Fatal("given up before its time-out")
 		}
-		b.sleep(2 * time.Millisecond)
-		if b.serverOf("1") != "" {
+		h.sleep(2 * time.Millisecond)
+		if h.serverOf("1") != "" {
 			t.Fatal("still in flight after its time-out")
 		}
-		b.sleep(398 * time.Millisecond)
-		if b.serverOf("1") != "" || c.finalAnswers != 0 {
+		h.sleep(398 * time.Millisecond)
+		if h.serverOf("1") != "" || c.finalAnswers != 0 {
 			t.Fatal("sent again before the end of the retry wait")
 		}
-		b.sleep(60 * time.Millisecond) // the module checks for due retries every 50 ms
-		if second := b.serverOf("1"); second == "" || second == first {
+		h.sleep(60 * time.Millisecond) // the module checks for due retries every 50 ms
+		if second := h.serverOf("1"); second == "" || second == first {
 			t.Fatalf("second attempt at %q after %q", second, first)
 		}
-		b.sleep(501 * time.Millisecond)
+		h.sleep(501 * time.Millisecond)
 		if c.finalAnswers != 1 || c.established || c.wait == 0 {
 			t.Errorf("after two attempts: %+v", c)
 		}
@@ -81,18 +81,18 @@
 // arrives after the reload gets the new limits.
 func TestLimitsReloadBetweenAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a", "b")
-		defer b.stop()
-		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 300 * msec})))
-		old := b.call("1", 2*time.Second)
-		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
-		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1})))
-		b.sleep(400 * time.Millisecond)
-		if b.serverOf("1") == "" || old.finalAnswers != 0 {
+		h := newHarness("a", "b")
+		defer h.stop()
+		h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 300 * msec})))
+		old := h.call("1", 2*time.Second)
+		h.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
+		h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1})))
+		h.sleep(400 * time.Millisecond)
+		if h.serverOf("1") == "" || old.finalAnswers != 0 {
 			t.Errorf("call from before the reload got one attempt, want two: %+v", old)
 		}
-		young := b.call("2", 2*time.Second)
-		b.fail("2", Outcome{Code: control.Full, Reason: control.NoAgent})
+		young := h.call("2", 2*time.Second)
+		h.fail("2", Outcome{Code: control.Full, Reason: control.NoAgent})
 		if young.finalAnswers != 1 || young.wait == 0 {
 			t.Errorf("call from after the reload: %+v, want a refusal after one attempt", young)
 		}
@@ -104,22 +104,22 @@
 func TestAnswerRacesAttemptTimeout(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newHarness("a")
-			defer b.stop()
-			b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 500 * msec})))
-			c := b.call("1", 2*time.Second)
-			w := b.servers["a"]
-			a := w.inFlight["1"]
+			h := newHarness("a")
+			defer h.stop()
+			h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 500 * msec})))
+			c := h.call("1", 2*time.Second)
+			server := h.servers["a"]
+			a := server.inFlight["1"]
 			if before {
-				b.sleep(500*time.Millisecond - time.Microsecond)
-				w.answer("1", "")
+				h.sleep(500*time.Millisecond - time.Microsecond)
+				server.answer("1", "")
 			} else {
-				b.sleep(500 * time.Millisecond)
-				w.events.Answered(a, nil)
+				h.sleep(500 * time.Millisecond)
+				server.events.Answered(a, nil)
 			}
-			b.sleep(time.Second)
-			if c.finalAnswers != 1 || c.established != before || (w.releasesReceived["1"] == 1) == before {
-				t.Errorf("answer first %t: %+v, releases %d", before, c, w.releasesReceived["1"])
+			h.sleep(time.Second)
+			if c.finalAnswers != 1 || c.established != before || (server.releasesReceived["1"] == 1) == before {
+				t.Errorf("answer first %t: %+v, releases %d", before, c, server.releasesReceived["1"])
 			}
 		})
 	}
@@ -128,16 +128,16 @@
 // A caller that withdraws during the retry wait gets no final answer, and no further attempt is sent.
 func TestWithdrawDuringRetryWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a", "b")
-		defer b.stop()
-		b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 3, retry.RetryWait: 500 * msec})))
-		c := b.call("1", 2*time.Second)
-		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
+		h := newHarness("a", "b")
+		defer h.stop()
+		h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 3, retry.RetryWait: 500 * msec})))
+		c := h.call("1", 2*time.Second)
+		h.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
 		inTime := false
-		b.core.Withdraw("1", c, func(ok bool) { inTime = ok })
-		b.sleep(2 * time.Second)
-		if !inTime || c.finalAnswers != 0 || b.serverOf("1") != "" {
-			t.Errorf("in time %t, %+v, in flight at %q", inTime, c, b.serverOf("1"))
+		h.core.Withdraw("1", c, func(ok bool) { inTime = ok })
+		h.sleep(2 * time.Second)
+		if !inTime || c.finalAnswers != 0 || h.serverOf("1") != "" {
+			t.Errorf("in time %t, %+v, in flight at %q", inTime, c, h.serverOf("1"))
 		}
 	})
 }
@@ -147,15 +147,15 @@
 func TestShortestDeadlineApplies(t *testing.T) {
 	for left, want := range map[time.Duration]time.Duration{300 * time.Millisecond: 300 * time.Millisecond, time.Hour: 2 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newHarness("a")
-			defer b.stop()
-			b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 2000 * msec, retry.GiveUp: 2000 * msec})))
-			c := b.call("1", left)
-			b.sleep(want - time.Millisecond)
+			h := newHarness("a")
+			defer h.stop()
+			h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 1, retry.AttemptTimeout: 2000 * msec, retry.GiveUp: 2000 * msec})))
+			c := h.call("1", left)
+			h.sleep(want - time.Millisecond)
 			if c.finalAnswers != 0 {
 				t.Errorf("left %v: answered early", left)
 			}
-			b.sleep(2 * time.Millisecond)
+			h.sleep(2 * time.Millisecond)
 			if c.finalAnswers != 1 {
 				t.Errorf("left %v: no answer after %v", left, want)
 			}
@@ -168,28 +168,28 @@
 func TestClockStepDuringRetryWait(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newHarness("a", "b")
-			defer b.stop()
-			b.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 500 * msec})))
-			c := b.call("1", 2*time.Second)
-			b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
-			b.core.Post(func() {
-				b.core.clock.wall = func() time.Time { return time.Now().Add(step) }
+			h := newHarness("a", "b")
+			defer h.stop()
+			h.core.SetLimits(compileLimits(t, defaults(retry.Values{retry.Attempts: 2, retry.RetryWait: 500 * msec})))
+			c := h.call("1", 2*time.Second)
+			h.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
+			h.core.Post(func() {
+				h.core.clock.wall = func() time.Time { return time.Now().Add(step) }
 			})
-			b.sleep(560 * time.Millisecond)
-			if b.serverOf("1") == "" {
+			h.sleep(560 * time.Millisecond)
+			if h.serverOf("1") == "" {
 				t.Errorf("step %v: not sent again after the retry wait", step)
 			}
-			b.sleep(2 * time.Second)
+			h.sleep(2 * time.Second)
 			if c.finalAnswers != 1 || c.wait == 0 {
 				t.Errorf("step %v: %+v", step, c)
 			}
 			stepped := time.Now().Add(step).UnixMicro()
-			e, _ := b.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)})
-			if age := b.core.clock.now() - e.Since; age < 0 || age > 1000 {
+			e, _ := h.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)})
+			if age := h.core.clock.now() - e.Since; age < 0 || age > 1000 {
 				t.Errorf("step %v: age of a server that has just started is %d us", step, age)
 			}
-			if again, _ := b.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)}); again.Since != e.Since {
+			if again, _ := h.list.applyHost("", Host{Name: "c", Addr: "a", State: control.Ready, Since: control.Micros(stepped)}); again.Since != e.Since {
 				t.Errorf("repeated update moved the start of the server by %d us", again.Since-e.Since)
 			}
 		})
@@ -200,17 +200,17 @@
 // retry budget.
 func TestAllServersGatedRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
+		h := newHarness("a")
+		defer h.stop()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
 		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
-		b.core.SetLimits(compileLimits(t, f))
-		b.call("1", 2*time.Second)
-		b.fail("1", Outcome{Code: control.Full, Reason: control.ProcessorFull}) // gates the only server; takes the budget
+		h.core.SetLimits(compileLimits(t, f))
+		h.call("1", 2*time.Second)
+		h.fail("1", Outcome{Code: control.Full, Reason: control.ProcessorFull}) // gates the only server; takes the budget
 		for _, id := range []string{"2", "3"} {
-			c := b.call(id, 2*time.Second)
-			if c.finalAnswers != 1 || c.wait == 0 || b.serverOf(id) != "" {
-				t.Errorf("call %s: %+v, in flight at %q", id, c, b.serverOf(id))
+			c := h.call(id, 2*time.Second)
+			if c.finalAnswers != 1 || c.wait == 0 || h.serverOf(id) != "" {
+				t.Errorf("call %s: %+v, in flight at %q", id, c, h.serverOf(id))
 			}
 		}
 	})
@@ -219,14 +219,14 @@
 // A call that the retry budget does not cover is refused at once, with a time to wait.
 func TestBudgetRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a", "b", "c")
-		defer b.stop()
+		h := newHarness("a", "b", "c")
+		defer h.stop()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
 		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
-		b.core.SetLimits(compileLimits(t, f))
-		first, second := b.call("1", 2*time.Second), b.call("2", 2*time.Second)
-		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
-		b.fail("2", Outcome{Code: control.Full, Reason: control.NoAgent})
+		h.core.SetLimits(compileLimits(t, f))
+		first, second := h.call("1", 2*time.Second), h.call("2", 2*time.Second)
+		h.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
+		h.fail("2", Outcome{Code: control.Full, Reason: control.NoAgent})
 		if first.finalAnswers != 0 || second.finalAnswers != 1 || second.wait == 0 {
 			t.Errorf("first %+v, second %+v; want one that waits for its retry and one refused with a time to wait", first, second)
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -25,19 +25,19 @@
 // Guards against a stale send: a set-up that is in the write queue when its server starts to drain is not sent.
 func TestStateIsCheckedAtTheFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		w.writesHeld = true
-		c := b.call("1", time.Second)
-		b.setState("a", 0, control.Draining)
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		server.writesHeld = true
+		c := h.call("1", time.Second)
+		h.setState("a", 0, control.Draining)
 		synctest.Wait()
-		for _, write := range w.queue {
+		for _, write := range server.queue {
 			write()
 		}
 		synctest.Wait()
-		if w.dropped != 1 || len(w.inFlight) != 0 || c.finalAnswers != 1 {
-			t.Errorf("dropped %d, in flight %d, final answers %d; want 1, 0, 1", w.dropped, len(w.inFlight), c.finalAnswers)
+		if server.dropped != 1 || len(server.inFlight) != 0 || c.finalAnswers != 1 {
+			t.Errorf("dropped %d, in flight %d, final answers %d; want 1, 0, 1", server.dropped, len(server.inFlight), c.finalAnswers)
 		}
 	})
 }
@@ -46,28 +46,28 @@
 // are released.
 func TestLateAndUndeliverableAnswersAreReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		c := b.call("1", time.Second)
-		late := w.inFlight["1"]
-		b.sleep(2 * time.Second)
-		w.events.Answered(late, nil)
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		c := h.call("1", time.Second)
+		late := server.inFlight["1"]
+		h.sleep(2 * time.Second)
+		server.events.Answered(late, nil)
 		synctest.Wait()
-		if c.finalAnswers != 1 || c.established || w.releasesReceived["1"] != 1 {
-			t.Errorf("late answer: final answers %d, established %v, releases %d", c.finalAnswers, c.established, w.releasesReceived["1"])
+		if c.finalAnswers != 1 || c.established || server.releasesReceived["1"] != 1 {
+			t.Errorf("late answer: final answers %d, established %v, releases %d", c.finalAnswers, c.established, server.releasesReceived["1"])
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		d := b.call("2", time.Second)
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		d := h.call("2", time.Second)
 		d.unreachable = true
-		w.answer("2", "")
+		server.answer("2", "")
 		synctest.Wait()
-		if w.releasesReceived["2"] != 1 {
-			t.Errorf("undeliverable answer: releases %d, want 1", w.releasesReceived["2"])
+		if server.releasesReceived["2"] != 1 {
+			t.Errorf("undeliverable answer: releases %d, want 1", server.releasesReceived["2"])
 		}
 	})
 }
@@ -77,20 +77,20 @@
 func TestCallsOfADeadServerAreReleased(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newHarness("a")
-			defer b.stop()
-			w := b.servers["a"]
-			c := b.call("1", time.Second)
-			w.answer("1", "body")
+			h := newHarness("a")
+			defer h.stop()
+			server := h.servers["a"]
+			c := h.call("1", time.Second)
+			server.answer("1", "body")
 			synctest.Wait()
 			if c.body != "body" {
 				t.Fatalf("body %q", c.body)
 			}
 			if removed {
-				b.setState("a", 0, control.Gone)
+				h.setState("a", 0, control.Gone)
 			} else {
-				w.dialError = syscall.ECONNREFUSED
-				w.reset()
+				server.dialError = syscall.ECONNREFUSED
+				server.reset()
 			}
 			synctest.Wait()
 			if c.releases != 1 {
@@ -104,19 +104,19 @@
 // new one.
 func TestEstablishedCallsOutliveConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		c := b.call("1", time.Second)
-		w.answer("1", "")
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		c := h.call("1", time.Second)
+		server.answer("1", "")
 		synctest.Wait()
-		w.reset()
+		server.reset()
 		synctest.Wait()
-		if c.releases != 0 || w.dials != 2 {
-			t.Fatalf("releases %d, dials %d; want 0, 2", c.releases, w.dials)
+		if c.releases != 0 || server.dials != 2 {
+			t.Fatalf("releases %d, dials %d; want 0, 2", c.releases, server.dials)
 		}
-		w.events.Released("1", CauseNormal, nil)
-		w.events.Released("1", CauseNormal, nil) // repeated on the next connection
+		server.events.Released("1", CauseNormal, nil)
+		server.events.Released("1", CauseNormal, nil) // repeated on the next connection
 		synctest.Wait()
 		if c.releases != 1 {
 			t.Errorf("%d releases, want 1", c.releases)
@@ -127,20 +127,20 @@
 // An attempt ends once: later events of it have no effect.
 func TestAttemptEndsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		c := b.call("1", time.Second)
-		a := w.inFlight["1"]
-		w.answer("1", "")
-		w.events.Answered(a, nil)
-		w.events.Failed(a, Outcome{Code: control.Failed})
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		c := h.call("1", time.Second)
+		a := server.inFlight["1"]
+		server.answer("1", "")
+		server.events.Answered(a, nil)
+		server.events.Failed(a, Outcome{Code: control.Failed})
 		synctest.Wait()
-		if c.finalAnswers != 1 || w.releasesReceived["1"] != 0 {
-			t.Errorf("final answers %d, releases at the server %d; want 1, 0", c.finalAnswers, w.releasesReceived["1"])
+		if c.finalAnswers != 1 || server.releasesReceived["1"] != 0 {
+			t.Errorf("final answers %d, releases at the server %d; want 1, 0", c.finalAnswers, server.releasesReceived["1"])
 		}
-		w.events.Released("1", CauseNormal, nil)
-		w.events.Failed(a, Outcome{Code: control.Failed})
+		server.events.Released("1", CauseNormal, nil)
+		server.events.Failed(a, Outcome{Code: control.Failed})
 		synctest.Wait()
 		if c.finalAnswers != 1 || c.releases != 1 {
 			t.Errorf("final answers %d, releases %d; want 1, 1", c.finalAnswers, c.releases)
@@ -153,20 +153,20 @@
 func TestDrainedIsCalledAfterLastAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newHarness("a")
-			defer b.stop()
-			c := b.call("1", time.Second)
+			h := newHarness("a")
+			defer h.stop()
+			c := h.call("1", time.Second)
 			finalAnswers := -1
-			b.core.Drained(func() { finalAnswers = c.finalAnswers })
+			h.core.Drained(func() { finalAnswers = c.finalAnswers })
 			synctest.Wait()
 			if finalAnswers != -1 {
 				t.Fatal("drained while a call is unanswered")
 			}
 			if answered {
-				b.servers["a"].answer("1", "")
+				h.servers["a"].answer("1", "")
 				synctest.Wait()
 			}
-			b.sleep(2 * time.Second)
+			h.sleep(2 * time.Second)
 			if finalAnswers != 1 {
 				t.Errorf("drained after %d final answers, want 1", finalAnswers)
 			}
@@ -182,12 +182,12 @@
 // Guards against calls from before a restart that are never released at their callers.
 func TestReleaseOfAnUnknownCallIsPassedOnOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
+		h := newHarness("a")
+		defer h.stop()
 		o := orphans{}
-		b.core.SetOrphans(o)
+		h.core.SetOrphans(o)
 		for range 2 {
-			b.servers["a"].events.Released("old", CauseNormal, nil)
+			h.servers["a"].events.Released("old", CauseNormal, nil)
 		}
 		synctest.Wait()
 		if o["old"] != 1 {
@@ -199,17 +199,17 @@
 // An address that is reused under a new name is a new server, with a new connection.
 func TestAddressReusedByNewServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		w := b.servers["a"]
-		b.list.Apply(Update{Hosts: []Host{{Name: "a", Addr: "a", State: control.Gone},
+		h := newHarness("a")
+		defer h.stop()
+		server := h.servers["a"]
+		h.list.Apply(Update{Hosts: []Host{{Name: "a", Addr: "a", State: control.Gone},
 			{Name: "s-00000002", Addr: "a", State: control.Ready}}}, nil)
 		synctest.Wait()
-		c := b.call("1", time.Second)
-		if w.dials != 2 || len(w.inFlight) != 1 {
-			t.Fatalf("dials %d, in flight %d; want 2, 1", w.dials, len(w.inFlight))
+		c := h.call("1", time.Second)
+		if server.dials != 2 || len(server.inFlight) != 1 {
+			t.Fatalf("dials %d, in flight %d; want 2, 1", server.dials, len(server.inFlight))
 		}
-		w.answer("1", "")
+		server.answer("1", "")
 		synctest.Wait()
 		if !c.established {
 			t.Error("the call is not established at the new server")
@@ -220,16 +220,16 @@
 // A complete list removes only servers of its own source.
 func TestSourcesDoNotRemoveEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness()
-		defer b.stop()
-		b.servers["a"], b.servers["b"] = newFakeServer(), newFakeServer()
-		b.list.Apply(Update{Source: "bus", Whole: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
-		b.list.Apply(Update{Source: "file", Whole: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
+		h := newHarness()
+		defer h.stop()
+		h.servers["a"], h.servers["b"] = newFakeServer(), newFakeServer()
+		h.list.Apply(Update{Source: "bus", Whole: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
+		h.list.Apply(Update{Source: "file", Whole: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
 		synctest.Wait()
-		b.list.Apply(Update{Source: "file", Whole: true}, nil)
+		h.list.Apply(Update{Source: "file", Whole: true}, nil)
 		synctest.Wait()
-		if b.servers["a"].closed != 0 || b.servers["b"].closed != 1 {
-			t.Errorf("closed %d and %d, want 0 and 1", b.servers["a"].closed, b.servers["b"].closed)
+		if h.servers["a"].closed != 0 || h.servers["b"].closed != 1 {
+			t.Errorf("closed %d and %d, want 0 and 1", h.servers["a"].closed, h.servers["b"].closed)
 		}
 	})
 }
@@ -238,19 +238,19 @@
 // hanging up. An id that is used again within the release guard is rejected.
 func TestSecondCallerWithSameID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		first, second := b.call("1", time.Second), b.call("1", time.Second)
-		b.core.Withdraw("1", second, nil)
-		b.core.Hangup("1", CauseNormal, second, nil)
+		h := newHarness("a")
+		defer h.stop()
+		first, second := h.call("1", time.Second), h.call("1", time.Second)
+		h.core.Withdraw("1", second, nil)
+		h.core.Hangup("1", CauseNormal, second, nil)
 		synctest.Wait()
-		if first.finalAnswers != 0 || second.finalAnswers != 1 || second.established || len(b.servers["a"].inFlight) != 1 {
-			t.Fatalf("final answers %d and %d, %d set-ups in flight; want 0, 1, 1", first.finalAnswers, second.finalAnswers, len(b.servers["a"].inFlight))
+		if first.finalAnswers != 0 || second.finalAnswers != 1 || second.established || len(h.servers["a"].inFlight) != 1 {
+			t.Fatalf("final answers %d and %d, %d set-ups in flight; want 0, 1, 1", first.finalAnswers, second.finalAnswers, len(h.servers["a"].inFlight))
 		}
-		b.core.Withdraw("1", first, nil)
-		third := b.call("1", time.Second)
-		if third.finalAnswers != 1 || len(b.servers["a"].inFlight) != 0 {
-			t.Errorf("id used again at once: %d final answers, %d set-ups in flight; want 1, 0", third.finalAnswers, len(b.servers["a"].inFlight))
+		h.core.Withdraw("1", first, nil)
+		third := h.call("1", time.Second)
+		if third.finalAnswers != 1 || len(h.servers["a"].inFlight) != 0 {
+			t.Errorf("id used again at once: %d final answers, %d set-ups in flight; want 1, 0", third.finalAnswers, len(h.servers["a"].inFlight))
 		}
 	})
 }
@@ -262,54 +262,54 @@
 	dialError error // result of dials
 }
 
-func (w *multiConnServer) MaxConns(string) int { return 3 }
+func (s *multiConnServer) MaxConns(string) int { return 3 }
 
-func (w *multiConnServer) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
-	if w.dialError != nil {
-		return nil, w.dialError
+func (s *multiConnServer) Dial(ctx context.Context, addr string, e ServerEvents) (ServerConn, error) {
+	if s.dialError != nil {
+		return nil, s.dialError
 	}
 	one := newFakeServer()
-	w.conns = append(w.conns, one)
-	if !w.silent {
+	s.conns = append(s.conns, one)
+	if !s.silent {
 		e.Report(nil)
 	}
 	return one.Dial(ctx, addr, e)
 }
 
 func newMultiConnHarness() (*harness, *multiConnServer) {
-	w := &multiConnServer{}
-	b := &harness{core: NewCore(settings(), 1, nil, discardLogger())}
-	b.list = NewList(b.core, w, discardLogger())
-	b.setState("a", 0, control.Ready)
+	server := &multiConnServer{}
+	h := &harness{core: NewCore(settings(), 1, nil, discardLogger())}
+	h.list = NewList(h.core, server, discardLogger())
+	h.setState("a", 0, control.Ready)
 	synctest.Wait()
-	return b, w
+	return h, server
 }
 
 // Guards against one broken connection cutting all set-ups in flight at a server: they are spread over the connections, and
 // only those on the broken one are cut.
 func TestSetupsAreSpreadOverConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newMultiConnHarness()
-		defer b.stop()
-		p := b.list.hosts["a"].peer
+		h, server := newMultiConnHarness()
+		defer h.stop()
+		p := h.list.hosts["a"].peer
 		for i := range 9 { // bypasses the module, whose in-flight limit for a new server is low
 			a := NewAttempt(fmt.Sprint(i), 0)
 			a.Deadline = time.Now().Add(time.Second)
 			p.setup(a)
 			synctest.Wait()
 		}
-		if len(w.conns) != 3 {
-			t.Fatalf("%d connections, want 3", len(w.conns))
+		if len(server.conns) != 3 {
+			t.Fatalf("%d connections, want 3", len(server.conns))
 		}
-		for i, l := range w.conns {
+		for i, l := range server.conns {
 			if n := len(l.inFlight); n < 2 || n > 4 {
 				t.Errorf("%d set-ups on connection %d", n, i)
 			}
 		}
-		w.conns[0].reset()
+		server.conns[0].reset()
 		synctest.Wait()
-		if left := len(w.conns[1].inFlight) + len(w.conns[2].inFlight); left < 5 || len(w.conns) != 4 {
-			t.Errorf("%d set-ups left, %d connections opened in all; want 5 or more, 4", left, len(w.conns))
+		if left := len(server.conns[1].inFlight) + len(server.conns[2].inFlight); left < 5 || len(server.conns) != 4 {
+			t.Errorf("%d set-ups left, %d connections opened in all; want 5 or more, 4", left, len(server.conns))
 		}
 	})
 }
@@ -318,9 +318,9 @@
 // the call, so the next attempt uses another connection.
 func TestNextAttemptUsesAnotherConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newMultiConnHarness()
-		defer b.stop()
-		p := b.list.hosts["a"].peer
+		h, server := newMultiConnHarness()
+		defer h.stop()
+		p := h.list.hosts["a"].peer
 		for n := range 3 {
 			a := NewAttempt("1", n)
 			a.Deadline = time.Now().Add(time.Second)
@@ -329,8 +329,8 @@
 			p.cancel(a.attemptRef)
 			synctest.Wait()
 		}
-		if len(w.conns) != 3 {
-			t.Errorf("%d connections for three attempts of a call, want 3", len(w.conns))
+		if len(server.conns) != 3 {
+			t.Errorf("%d connections for three attempts of a call, want 3", len(server.conns))
 		}
 	})
 }
@@ -339,24 +339,24 @@
 // connection can be opened. If the server comes back, it receives the releases.
 func TestCallsOfVanishedServerAreReleasedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newMultiConnHarness()
-		defer b.stop()
-		c := b.call("1", time.Second)
-		w.conns[0].answer("1", "")
+		h, server := newMultiConnHarness()
+		defer h.stop()
+		c := h.call("1", time.Second)
+		server.conns[0].answer("1", "")
 		synctest.Wait()
-		w.dialError = os.ErrDeadlineExceeded
-		w.conns[0].events.Down(errors.New("no response"))
-		b.sleep(3 * time.Second)
+		server.dialError = os.ErrDeadlineExceeded
+		server.conns[0].events.Down(errors.New("no response"))
+		h.sleep(3 * time.Second)
 		if c.releases != 0 {
 			t.Error("released after 3 s: the server may come back")
 		}
-		b.sleep(3500 * time.Millisecond) // 1.5 s of the 8 s are for detecting that the server does not respond
+		h.sleep(3500 * time.Millisecond) // 1.5 s of the 8 s are for detecting that the server does not respond
 		if c.releases != 1 {
 			t.Errorf("%d releases after 6.5 s, want 1", c.releases)
 		}
-		w.dialError = nil
-		b.sleep(2 * time.Second)
-		if n := len(w.conns); n != 2 || w.conns[1].releasesReceived["1"] != 1 {
+		server.dialError = nil
+		h.sleep(2 * time.Second)
+		if n := len(server.conns); n != 2 || server.conns[1].releasesReceived["1"] != 1 {
 			t.Errorf("%d connections; the server did not receive the release", n)
 		}
 	})
@@ -367,26 +367,26 @@
 func TestLateAnswerDoesNotReleaseEstablishedCall(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b, w := newMultiConnHarness()
-			defer b.stop()
-			c := b.call("1", 2*time.Second)
-			first := w.conns[0].inFlight["1"]
-			b.core.Post(func() { b.core.endAttempt(b.core.calls["1"], control.Cancelled, false) })
+			h, server := newMultiConnHarness()
+			defer h.stop()
+			c := h.call("1", 2*time.Second)
+			first := server.conns[0].inFlight["1"]
+			h.core.Post(func() { h.core.endAttempt(h.core.calls["1"], control.Cancelled, false) })
 			synctest.Wait()
-			b.core.Post(func() {
-				b.core.calls["1"].attempts = 1
-				b.core.send(b.core.calls["1"], control.Action{ID: "1", Server: b.list.hosts["a"].id})
+			h.core.Post(func() {
+				h.core.calls["1"].attempts = 1
+				h.core.send(h.core.calls["1"], control.Action{ID: "1", Server: h.list.hosts["a"].id})
 			})
 			synctest.Wait()
-			if len(w.conns) != 2 || len(w.conns[1].inFlight) != 1 {
-				t.Fatalf("%d connections, want 2, the second with one set-up in flight", len(w.conns))
+			if len(server.conns) != 2 || len(server.conns[1].inFlight) != 1 {
+				t.Fatalf("%d connections, want 2, the second with one set-up in flight", len(server.conns))
 			}
-			releasesReceived := func() int { return w.conns[0].releasesReceived["1"] + w.conns[1].releasesReceived["1"] }
+			releasesReceived := func() int { return server.conns[0].releasesReceived["1"] + server.conns[1].releasesReceived["1"] }
 			if answered {
-				w.conns[1].answer("1", "")
+				server.conns[1].answer("1", "")
 				synctest.Wait()
 			}
-			w.conns[0].events.Answered(first, nil)
+			server.conns[0].events.Answered(first, nil)
 			synctest.Wait()
 			if releasesReceived() != 0 {
 				t.Fatal("the other attempt was released too")
@@ -395,7 +395,7 @@
 				t.Errorf("established %v, %d releases; want true, 0", c.established, c.releases)
 			}
 			if !answered {
-				w.conns[1].events.Failed(w.conns[1].inFlight["1"], Outcome{Code: control.Failed})
+				server.conns[1].events.Failed(server.conns[1].inFlight["1"], Outcome{Code: control.Failed})
 				synctest.Wait()
 				if releasesReceived() != 1 {
 					t.Errorf("%d releases of the late answer, want 1", releasesReceived())
@@ -408,18 +408,18 @@
 // A server that accepts connections and closes them at once is dialled again only after a wait.
 func TestSilentConnectionIsNotRedialedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, w := newMultiConnHarness()
-		defer b.stop()
-		w.silent = true
+		h, server := newMultiConnHarness()
+		defer h.stop()
+		server.silent = true
 		for range 3 {
-			w.conns[len(w.conns)-1].events.Down(io.EOF)
+			server.conns[len(server.conns)-1].events.Down(io.EOF)
 			synctest.Wait()
 		}
-		if n := len(w.conns); n != 2 {
+		if n := len(server.conns); n != 2 {
 			t.Errorf("%d connections opened without a wait, want 2", n)
 		}
-		b.sleep(time.Second)
-		if n := len(w.conns); n != 3 {
+		h.sleep(time.Second)
+		if n := len(server.conns); n != 3 {
 			t.Errorf("%d connections opened, want 3", n)
 		}
 	})
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -13,19 +13,19 @@
 // moment, and the runtime may run the deadline timer first. The module must still have its grace period to answer.
 func TestStallOverDeadlineKeepsGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		logged := test.NewLocal(b.core.log.(*logrus.Logger))
-		c := b.call("1", time.Second)
-		b.core.Post(func() {
-			k := b.core.calls["1"]
+		h := newHarness("a")
+		defer h.stop()
+		logged := test.NewLocal(h.core.log.(*logrus.Logger))
+		c := h.call("1", time.Second)
+		h.core.Post(func() {
+			k := h.core.calls["1"]
 			k.deadlineTimer.Stop()
 			k.current.expiry.Stop()
 			time.Sleep(time.Second + 2*decisionGrace)
 			k.deadlineTimer.Reset(0)
 			k.current.expiry.Reset(decisionGrace / 2)
 		})
-		b.sleep(2 * time.Second)
+		h.sleep(2 * time.Second)
 		for _, e := range logged.AllEntries() {
 			if e.Level <= logrus.ErrorLevel {
 				t.Errorf("logged %q", e.Message)
@@ -40,17 +40,17 @@
 // A stall of the process during the module's grace period renews the grace period.
 func TestStallDuringGraceRenewsGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		logged := test.NewLocal(b.core.log.(*logrus.Logger))
-		c := b.call("1", time.Second)
-		b.core.Post(func() { b.core.calls["1"].current.expiry.Stop() })
-		b.sleep(time.Second + decisionGrace/3)
-		b.core.Post(func() {
+		h := newHarness("a")
+		defer h.stop()
+		logged := test.NewLocal(h.core.log.(*logrus.Logger))
+		c := h.call("1", time.Second)
+		h.core.Post(func() { h.core.calls["1"].current.expiry.Stop() })
+		h.sleep(time.Second + decisionGrace/3)
+		h.core.Post(func() {
 			time.Sleep(2 * decisionGrace)
-			b.core.calls["1"].current.expiry.Reset(decisionGrace / 2)
+			h.core.calls["1"].current.expiry.Reset(decisionGrace / 2)
 		})
-		b.sleep(time.Second)
+		h.sleep(time.Second)
 		for _, e := range logged.AllEntries() {
 			if e.Level <= logrus.ErrorLevel {
 				t.Errorf("logged %q", e.Message)
@@ -66,14 +66,14 @@
 // the process stalls again and again.
 func TestGraceRenewalsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newHarness("a")
-		defer b.stop()
-		c := b.call("1", time.Second)
-		b.core.Post(func() { b.core.calls["1"].current.expiry.Stop() })
-		b.sleep(time.Second + decisionGrace/3)
+		h := newHarness("a")
+		defer h.stop()
+		c := h.call("1", time.Second)
+		h.core.Post(func() { h.core.calls["1"].current.expiry.Stop() })
+		h.sleep(time.Second + decisionGrace/3)
 		for range 2 * maxGraceRenewals {
-			b.core.Post(func() { time.Sleep(decisionGrace + stallThreshold) })
-			b.sleep(decisionGrace + stallThreshold)
+			h.core.Post(func() { time.Sleep(decisionGrace + stallThreshold) })
+			h.sleep(decisionGrace + stallThreshold)
 		}
 		if c.finalAnswers != 1 || c.established {
 			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -124,7 +124,7 @@
 // whole requests, and closing the listener would reset them.
 const acceptDrainTime = 20 * time.Millisecond
 
-// maxDrainRepeats is how many times acceptFor is repeated while connections remain in the accept queue: this process may have had no
+// maxDrainRepeats is how many times acceptDrainTime is repeated while connections remain in the accept queue: this process may have had no
 // processor time meanwhile. It is bounded because new connections continue to arrive.
 const maxDrainRepeats = 8
 
