--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -18,13 +18,13 @@
 	"beammux/control/heavy"
 )
 
-// What is a kind of event.
-type What uint8
+// Kind is a kind of event.
+type Kind uint8
 
 // The kinds of events. Arrived, Established, Refused and Failed are events of calls; the others are events of attempts at a
 // server.
 const (
-	Arrived What = iota
+	Arrived Kind = iota
 	Established
 	Refused
 	Failed
@@ -33,25 +33,25 @@
 	TimedOut
 	Errored // the server failed the attempt, or its connection was cut
 	Full
-	Busy    // a server answered that all lines of the number are busy
-	Overdue // the attempt has been in flight for some time without an answer
-	Whats   // number of kinds
+	Busy      // a server answered that all lines of the number are busy
+	Overdue   // the attempt has been in flight for some time without an answer
+	KindCount // number of kinds
 )
 
-var kindNames = [Whats]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
+var kindNames = [KindCount]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
 
 // String returns the name of the kind.
-func (k What) String() string {
-	if k >= Whats {
+func (k Kind) String() string {
+	if k >= KindCount {
 		return "unknown"
 	}
 	return kindNames[k]
 }
 
-// Seen is one event. Fields that do not apply to it are zero. Class and Tenant are -1 for a class or tenant that the settings
+// Event is one event. Fields that do not apply to it are zero. Class and Tenant are -1 for a class or tenant that the settings
 // do not name.
-type Seen struct {
-	What   What
+type Event struct {
+	Kind   Kind
 	Class  int
 	Tenant int
 	Number string // called number; counted for Arrived
@@ -63,15 +63,15 @@
 	Classes, Tenants int            // number of classes and tenants in the settings
 	Numbers          int            // number of the most called numbers that each shard keeps; 0: NumbersHeld
 	Shards           int            // 0: twice GOMAXPROCS
-	Memory           control.Micros // time constant of the decay, in which a rate reaches 1 - 1/e of a change; 0: Memory
+	DecayTime        control.Micros // time constant of the decay, in which a rate reaches 1 - 1/e of a change; 0: Memory
 }
 
 // Defaults of the options, and bounds.
 const (
-	NumbersHeld = 256
-	Memory      = control.Micros(2e6)
-	maxServers  = 4096 // servers per shard; further servers are counted as server 0
-	maxExponent = 600  // exponent above which the landmark moves; math.Exp overflows above 709
+	TrackedNumbers = 256
+	DecayTime      = control.Micros(2e6)
+	maxServers     = 4096 // servers per shard; further servers are counted as server 0
+	maxExponent    = 600  // exponent above which the landmark moves; math.Exp overflows above 709
 )
 
 // Counters count events. They are safe for concurrent use.
@@ -86,12 +86,12 @@
 type shard struct {
 	mu         sync.Mutex
 	landmark   control.Micros
-	weightTime control.Micros   // time of weight
-	weight     float64          // weight of an event at that time
-	classes    [][Whats]float64 // by class; the last one is for classes without a name in the settings
-	tenants    [][Whats]float64 // by tenant; the last one is for tenants without a name in the settings
-	servers    map[uint32]int   // index in byServer, by server
-	byServer   [][Whats]float64
+	weightTime control.Micros       // time of weight
+	weight     float64              // weight of an event at that time
+	classes    [][KindCount]float64 // by class; the last one is for classes without a name in the settings
+	tenants    [][KindCount]float64 // by tenant; the last one is for tenants without a name in the settings
+	servers    map[uint32]int       // index in byServer, by server
+	byServer   [][KindCount]float64
 	numbers    *heavy.Summary
 	_          [64]byte // keeps the next shard's lock on another cache line
 }
@@ -106,22 +106,22 @@
 		options.Shards = 2 * runtime.GOMAXPROCS(0)
 	}
 	if options.Numbers <= 0 {
-		options.Numbers = NumbersHeld
+		options.Numbers = TrackedNumbers
 	}
-	if options.Memory <= 0 {
-		options.Memory = Memory
+	if options.DecayTime <= 0 {
+		options.DecayTime = DecayTime
 	}
-	c := &Counters{options: options, decay: 1 / float64(options.Memory)}
+	c := &Counters{options: options, decay: 1 / float64(options.DecayTime)}
 	for range options.Shards {
-		c.shards = append(c.shards, &shard{landmark: math.MinInt64, classes: make([][Whats]float64, options.Classes+1),
-			tenants: make([][Whats]float64, options.Tenants+1), servers: map[uint32]int{}, numbers: heavy.New(options.Numbers)})
+		c.shards = append(c.shards, &shard{landmark: math.MinInt64, classes: make([][KindCount]float64, options.Classes+1),
+			tenants: make([][KindCount]float64, options.Tenants+1), servers: map[uint32]int{}, numbers: heavy.New(options.Numbers)})
 	}
 	c.tokens.New = func() any { return &token{rand.Uint32N(uint32(options.Shards))} }
 	return c
 }
 
 // Observe counts one event at the given time. Times may be slightly out of order.
-func (c *Counters) Observe(now control.Micros, event Seen) {
+func (c *Counters) Observe(now control.Micros, event Event) {
 	t := c.tokens.Get().(*token)
 	s := c.shards[t.shard]
 	if !s.mu.TryLock() { // another thread holds the lock: switch to another shard
@@ -135,27 +135,27 @@
 }
 
 // count adds an event to a shard whose lock is held.
-func (c *Counters) count(s *shard, now control.Micros, event *Seen) {
+func (c *Counters) count(s *shard, now control.Micros, event *Event) {
 	if s.weightTime != now || s.weight == 0 {
 		c.updateWeight(s, now)
 	}
 	w := s.weight
-	countsAt(s.classes, event.Class)[event.What] += w
-	countsAt(s.tenants, event.Tenant)[event.What] += w
+	countsAt(s.classes, event.Class)[event.Kind] += w
+	countsAt(s.tenants, event.Tenant)[event.Kind] += w
 	if event.Server != 0 {
 		i, ok := s.servers[event.Server]
 		if !ok {
 			i = s.addServer(event.Server)
 		}
-		s.byServer[i][event.What] += w
+		s.byServer[i][event.Kind] += w
 	}
-	if event.What == Arrived && event.Number != "" {
+	if event.Kind == Arrived && event.Number != "" {
 		s.numbers.Add(event.Number, w)
 	}
 }
 
 // countsAt returns the counts at index i, or the last ones if i is out of range.
-func countsAt(all [][Whats]float64, i int) *[Whats]float64 {
+func countsAt(all [][KindCount]float64, i int) *[KindCount]float64 {
 	if i < 0 || i >= len(all)-1 {
 		i = len(all) - 1
 	}
@@ -171,7 +171,7 @@
 		}
 		id = 0
 	}
-	s.byServer = append(s.byServer, [Whats]float64{})
+	s.byServer = append(s.byServer, [KindCount]float64{})
 	s.servers[id] = len(s.byServer) - 1
 	return s.servers[id]
 }
@@ -184,7 +184,7 @@
 	e := c.decay * float64(now-s.landmark)
 	if e > maxExponent {
 		factor := math.Exp(-e)
-		for _, all := range [][][Whats]float64{s.classes, s.tenants, s.byServer} {
+		for _, all := range [][][KindCount]float64{s.classes, s.tenants, s.byServer} {
 			for i := range all {
 				for k := range all[i] {
 					all[i][k] *= factor
@@ -202,7 +202,7 @@
 }
 
 // Counts are the rates per second of one class, tenant or server, by What.
-type Counts [Whats]float64
+type Counts [KindCount]float64
 
 // Rates are the rates per second at one time. The last elements of Classes and Tenants are for those without a name in the
 // settings.
@@ -219,7 +219,7 @@
 // Rates returns the rates at the given time, summed over the shards. It holds one lock at a time.
 func (c *Counters) Rates(now control.Micros) Rates {
 	r := Rates{Classes: make([]Counts, c.options.Classes+1), Tenants: make([]Counts, c.options.Tenants+1), Servers: map[uint32]Counts{}}
-	add := func(to *Counts, from *[Whats]float64, f float64) {
+	add := func(to *Counts, from *[KindCount]float64, f float64) {
 		for k := range from {
 			to[k] += from[k] * f
 		}
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -38,9 +38,9 @@
 	renotifyAfter       = control.Micros(500000) // least time between two calls of SetBusyNumber for a number
 )
 
-// LieVariable is an environment variable for fault tests in the laboratory. It names a file; while the file exists, this
+// FalseEvidenceVariable is an environment variable for fault tests in the laboratory. It names a file; while the file exists, this
 // gatekeeper publishes false evidence that every server fails.
-const LieVariable = "BEAMMUX_LAB_LIE"
+const FalseEvidenceVariable = "BEAMMUX_LAB_LIE"
 
 // Gossip publishes and reads registers. *fleet.Fleet implements it.
 type Gossip interface {
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Monitor{options: o, decoder: decMode, falseEvidenceFile: os.Getenv(LieVariable), serverTallies: map[uint32]*tally{}, numberTallies: map[string]*numberTally{}, callerTallies: map[string]*tally{}, callerFilter: outlier.NewCallerFilter(), lastNotified: map[string]control.Micros{}, detector: outlier.New(o.Name, o.MaxEjected),
+	return &Monitor{options: o, decoder: decMode, falseEvidenceFile: os.Getenv(FalseEvidenceVariable), serverTallies: map[uint32]*tally{}, numberTallies: map[string]*numberTally{}, callerTallies: map[string]*tally{}, callerFilter: outlier.NewCallerFilter(), lastNotified: map[string]control.Micros{}, detector: outlier.New(o.Name, o.MaxEjected),
 		phaseCounts: map[outlier.Phase]int64{}}, nil
 }
 
@@ -141,15 +141,15 @@
 }
 
 // Observe implements routing.Observer.
-func (m *Monitor) Observe(now control.Micros, event counting.Seen) {
-	if event.What == counting.Busy || event.What == counting.Established {
+func (m *Monitor) Observe(now control.Micros, event counting.Event) {
+	if event.Kind == counting.Busy || event.Kind == counting.Established {
 		m.observeNumber(now, event)
 		return
 	}
 	if event.Server == 0 {
 		return
 	}
-	switch event.What {
+	switch event.Kind {
 	case counting.Answered, counting.Overdue, counting.Errored, counting.TimedOut:
 	default:
 		return
@@ -162,7 +162,7 @@
 		m.serverTallies[event.Server] = t
 	}
 	t.decay(now)
-	switch event.What {
+	switch event.Kind {
 	case counting.Answered:
 		t.successes++
 		t.lastSuccess, t.failureStreak = now, 0
--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -37,7 +37,7 @@
 	monitors := map[string]*Monitor{}
 	for _, name := range names {
 		if name == "g3" {
-			t.Setenv(LieVariable, falseEvidenceFile)
+			t.Setenv(FalseEvidenceVariable, falseEvidenceFile)
 		}
 		log, _ := logtest.NewNullLogger()
 		inFlightLimits[name] = map[uint32]int{}
@@ -54,10 +54,10 @@
 		monitor.Open(g.Member(name))
 		defer monitor.Close()
 	}
-	observe := func(kind counting.What, server uint32, names ...string) {
+	observe := func(kind counting.Kind, server uint32, names ...string) {
 		for _, name := range names {
-			monitors[name].Observe(now(), counting.Seen{What: kind, Server: server})
-			monitors[name].Observe(now(), counting.Seen{What: kind, Server: server})
+			monitors[name].Observe(now(), counting.Event{Kind: kind, Server: server})
+			monitors[name].Observe(now(), counting.Event{Kind: kind, Server: server})
 		}
 	}
 	for _, s := range []uint32{1, 3, 4} {
@@ -79,7 +79,7 @@
 		return true
 	}, 10*time.Second, 5*time.Millisecond, "all three eject the server")
 	for _, name := range names[:2] {
-		monitors[name].Observe(now(), counting.Seen{What: counting.Busy, Number: "555"})
+		monitors[name].Observe(now(), counting.Event{Kind: counting.Busy, Number: "555"})
 	}
 	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return inFlightLimits["g3"][0] > 0 }, 10*time.Second, 5*time.Millisecond)
 	n, total := monitors["g3"].Count(outlier.Ejected)
--- a/internal/ejection/numbers.go
+++ b/internal/ejection/numbers.go
@@ -19,18 +19,18 @@
 }
 
 // observeNumber counts a busy answer, or records that a call to a number known as busy was established.
-func (m *Monitor) observeNumber(now control.Micros, event counting.Seen) {
+func (m *Monitor) observeNumber(now control.Micros, event counting.Event) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
 	t := m.numberTallies[event.Number]
 	switch {
-	case t == nil && (event.What == counting.Established || len(m.numberTallies) >= maxNumbers || len(event.Number) > maxNumberLength):
+	case t == nil && (event.Kind == counting.Established || len(m.numberTallies) >= maxNumbers || len(event.Number) > maxNumberLength):
 		return
 	case t == nil:
 		t = &numberTally{lastSuccess: -1}
 		m.numberTallies[event.Number] = t
 	}
-	if event.What == counting.Established {
+	if event.Kind == counting.Established {
 		t.lastSuccess = now
 		return
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -64,8 +64,8 @@
 
 // Fault is a current problem of the limits, as shown to operators.
 type Fault struct {
-	What   string `json:"what"`
-	Advice string `json:"advice"`
+	Message string `json:"what"`
+	Advice  string `json:"advice"`
 }
 
 // Open puts limits in force and starts the renewal of leases and the exchange of claims.
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -23,7 +23,7 @@
 	Key         string // called number
 	FirstChoice int    // preferred cell
 	WasCut      bool
-	Left        time.Duration // how long the caller still waits
+	TimeLeft    time.Duration // how long the caller still waits
 	Body        []byte        // session description, passed on unchanged
 	Excess      bool          // exceeds the set-ups that the front accepts at a time: refused at once, sent to no server
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -40,7 +40,7 @@
 	viewsReadAt   control.Micros
 	lastReports   map[uint32][]float64
 
-	stats            *Figures
+	stats            *Stats
 	observers        []Observer
 	countedViews     []control.View
 	targetsCountedAt control.Micros
@@ -61,7 +61,7 @@
 
 // Observer receives the outcomes of calls and attempts. It must be safe for concurrent use and must not block.
 type Observer interface {
-	Observe(now control.Micros, event counting.Seen)
+	Observe(now control.Micros, event counting.Event)
 }
 
 // SetObservers sets the observers of calls and attempts. It must be called before any call arrives.
@@ -77,9 +77,9 @@
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
 // observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
-func (c *Core) observe(kind counting.What, s *Setup, server uint32) {
+func (c *Core) observe(kind counting.Kind, s *Setup, server uint32) {
 	for _, o := range c.observers {
-		o.Observe(c.clock.now(), counting.Seen{What: kind, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
+		o.Observe(c.clock.now(), counting.Event{Kind: kind, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
 	}
 }
 
@@ -109,7 +109,7 @@
 
 // open adds a call to the table and passes it to the module.
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
-	deadline := arrived + control.Micros(s.Left/time.Microsecond)
+	deadline := arrived + control.Micros(s.TimeLeft/time.Microsecond)
 	if endedAt, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-endedAt < c.releaseGuard {
 		// The id is in use: the first call continues unchanged, and the second caller gets a failure. An id that was in use
 		// until a moment ago is rejected too: its set-up would be sent within the release guard.
@@ -258,8 +258,8 @@
 	c.Post(func() { c.latestDeadline = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
-// Drained arranges for f to be called once, when every call has its final answer.
-func (c *Core) Drained(f func()) {
+// OnDrained arranges for f to be called once, when every call has its final answer.
+func (c *Core) OnDrained(f func()) {
 	c.Post(func() {
 		c.onDrained = f
 		c.checkDrained()
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -26,13 +26,13 @@
 		"before the core takes it": func(h *harness, server *fakeServer) *caller {
 			c := &caller{}
 			c.gone.Store(true)
-			h.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
+			h.core.Open(Setup{ID: "1", FirstChoice: 0, TimeLeft: time.Second}, c)
 			return c
 		},
 		"in the peer's mailbox": func(h *harness, server *fakeServer) *caller {
 			c, hold := &caller{}, make(chan struct{})
 			h.list.hosts["a"].peer.Post(func() { <-hold })
-			h.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
+			h.core.Open(Setup{ID: "1", FirstChoice: 0, TimeLeft: time.Second}, c)
 			synctest.Wait()
 			c.gone.Store(true)
 			close(hold)
@@ -99,7 +99,7 @@
 		h := newHarness("a")
 		defer h.stop()
 		c := &caller{}
-		h.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second, Excess: true}, c)
+		h.core.Open(Setup{ID: "1", FirstChoice: 0, TimeLeft: time.Second, Excess: true}, c)
 		synctest.Wait()
 		if c.finalAnswers != 1 || c.established || c.wait <= 0 || len(h.servers["a"].inFlight) != 0 {
 			t.Errorf("%d answers, wait %v, %d attempts", c.finalAnswers, c.wait, len(h.servers["a"].inFlight))
@@ -114,7 +114,7 @@
 		h := newHarness()
 		defer h.stop()
 		for i := range 20000 {
-			h.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, Left: time.Second}, &caller{})
+			h.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, TimeLeft: time.Second}, &caller{})
 		}
 		synctest.Wait()
 		if n := len(h.core.ended.current) + len(h.core.ended.previous); n != 0 {
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -6,9 +6,9 @@
 	"beammux/control"
 )
 
-// Figures are the operational counters of the core, updated where each outcome is decided. They start at 0 with the
+// Stats are the operational counters of the core, updated where each outcome is decided. They start at 0 with the
 // process. They are read without the core's actor, so that a busy core does not delay their readers.
-type Figures struct {
+type Stats struct {
 	classes  []classStats // by index in the settings; the last one is for classes that they do not name
 	Open     atomic.Int64 // calls that are unanswered, or established and not yet released
 	Targets  atomic.Int64 // servers on the list
@@ -21,20 +21,20 @@
 }
 
 // Class returns the counters of a class, given by its index in the settings, or -1 for one that they do not name.
-func (f *Figures) Class(class int) *ClassFigures {
+func (f *Stats) Class(class int) *ClassStats {
 	if class < 0 || class >= len(f.classes)-1 {
 		class = len(f.classes) - 1
 	}
-	return (*ClassFigures)(&f.classes[class])
+	return (*ClassStats)(&f.classes[class])
 }
 
-// ClassFigures are the counters of one class.
-type ClassFigures classStats
+// ClassStats are the counters of one class.
+type ClassStats classStats
 
-func newStats(classes int) *Figures { return &Figures{classes: make([]classStats, classes+1)} }
+func newStats(classes int) *Stats { return &Stats{classes: make([]classStats, classes+1)} }
 
-// Figures returns the counters of the core. They are safe for concurrent use.
-func (c *Core) Figures() *Figures { return c.stats }
+// Stats returns the counters of the core. They are safe for concurrent use.
+func (c *Core) Stats() *Stats { return c.stats }
 
 // countTargets updates the numbers of listed and of avoided servers from the module, at most once each viewInterval.
 func (c *Core) countTargets(now control.Micros) {
@@ -53,6 +53,6 @@
 	c.stats.Disabled.Store(int64(disabled))
 }
 
-// Unreadable counts a set-up that a front could not parse and answered with a failure. class is its index in the settings,
+// CountMalformed counts a set-up that a front could not parse and answered with a failure. class is its index in the settings,
 // or -1. Such a set-up never reaches the core, but its caller has received a final answer.
-func (c *Core) Unreadable(class int) { c.stats.Class(class).Error.Add(1) }
+func (c *Core) CountMalformed(class int) { c.stats.Class(class).Error.Add(1) }
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -185,7 +185,7 @@
 // call opens a call whose caller waits for the given time.
 func (h *harness) call(id string, left time.Duration) *caller {
 	c := &caller{}
-	h.core.Open(Setup{ID: id, FirstChoice: 0, Left: left}, c)
+	h.core.Open(Setup{ID: id, FirstChoice: 0, TimeLeft: left}, c)
 	synctest.Wait()
 	return c
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -24,9 +24,9 @@
 // Update is a change of the list. With Whole it is the complete list of its source: servers of that source that it does not
 // name are removed. Servers of other sources are not affected.
 type Update struct {
-	Source string
-	Whole  bool
-	Hosts  []Host
+	Source   string
+	Complete bool
+	Hosts    []Host
 }
 
 // List is the actor that owns the list of servers and their peers. It is updated by event buses and inventories.
@@ -87,7 +87,7 @@
 			l.record(h.Name, e)
 		}
 	}
-	if u.Whole {
+	if u.Complete {
 		for name, old := range l.hosts {
 			if old.source == u.Source && !named[name] {
 				l.remove(old)
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -111,8 +111,8 @@
 
 const stateTimeout = 2 * time.Second // for each actor's reply to Known
 
-// Known returns the current state of the core and a list, as the events that would lead to it.
-func (c *Core) Known(l *List) (events []history.Event) {
+// StateEvents returns the current state of the core and a list, as the events that would lead to it.
+func (c *Core) StateEvents(l *List) (events []history.Event) {
 	now := c.clock.now()
 	query := func(post func(func()), collect func() []history.Event) {
 		reply := make(chan []history.Event, 1)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -157,7 +157,7 @@
 			defer h.stop()
 			c := h.call("1", time.Second)
 			finalAnswers := -1
-			h.core.Drained(func() { finalAnswers = c.finalAnswers })
+			h.core.OnDrained(func() { finalAnswers = c.finalAnswers })
 			synctest.Wait()
 			if finalAnswers != -1 {
 				t.Fatal("drained while a call is unanswered")
@@ -223,10 +223,10 @@
 		h := newHarness()
 		defer h.stop()
 		h.servers["a"], h.servers["b"] = newFakeServer(), newFakeServer()
-		h.list.Apply(Update{Source: "bus", Whole: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
-		h.list.Apply(Update{Source: "file", Whole: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
+		h.list.Apply(Update{Source: "bus", Complete: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
+		h.list.Apply(Update{Source: "file", Complete: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
 		synctest.Wait()
-		h.list.Apply(Update{Source: "file", Whole: true}, nil)
+		h.list.Apply(Update{Source: "file", Complete: true}, nil)
 		synctest.Wait()
 		if h.servers["a"].closed != 0 || h.servers["b"].closed != 1 {
 			t.Errorf("closed %d and %d, want 0 and 1", h.servers["a"].closed, h.servers["b"].closed)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -31,9 +31,9 @@
 // A Packet is one message to be written.
 type Packet struct {
 	Data []byte
-	// Still, if not nil, is called just before the first byte is written. If it returns false, the packet is dropped: the
+	// StillWanted, if not nil, is called just before the first byte is written. If it returns false, the packet is dropped: the
 	// conditions may have changed after the packet was queued.
-	Still func() bool
+	StillWanted func() bool
 	// Done, if not nil, is called once: with nil after the whole packet is written, with ErrDropped, or with the error of the
 	// connection.
 	Done func(error)
@@ -85,9 +85,9 @@
 	return n, err
 }
 
-// Left reports whether the other side has closed or reset the connection, as far as its owner has read. A half-close counts
+// PeerClosed reports whether the other side has closed or reset the connection, as far as its owner has read. A half-close counts
 // as a close: a reader can't distinguish the two in TCP.
-func (c *Conn) Left() bool { return c.peerClosed.Load() }
+func (c *Conn) PeerClosed() bool { return c.peerClosed.Load() }
 
 // receive reads once, and sets unprocessed if it returns bytes. On a socket, unprocessed is set before the kernel hands the bytes over,
 // so that at any time either the kernel's count or unprocessed accounts for them; unread relies on that.
@@ -167,8 +167,8 @@
 	return raw
 }
 
-// Spoke records that a whole message was received.
-func (c *Conn) Spoke() {
+// NoteMessage records that a whole message was received.
+func (c *Conn) NoteMessage() {
 	c.messageReceived.Store(true)
 	c.lastUsed.Store(time.Now().UnixNano())
 }
@@ -192,15 +192,15 @@
 	c.holds.Add(-1)
 }
 
-// Used returns when the connection last carried a message or an answer.
-func (c *Conn) Used() time.Time { return time.Unix(0, c.lastUsed.Load()) }
+// LastUsed returns when the connection last carried a message or an answer.
+func (c *Conn) LastUsed() time.Time { return time.Unix(0, c.lastUsed.Load()) }
 
 // Held reports whether the connection has an unanswered message.
 func (c *Conn) Held() bool { return c.holds.Load() > 0 }
 
-// Call adds change to the number of established calls that arrived on the connection: 1 for a new one, -1 for one that has
+// AddCalls adds change to the number of established calls that arrived on the connection: 1 for a new one, -1 for one that has
 // ended. An established call does not hold the connection, but its release is preferably sent there.
-func (c *Conn) Call(delta int32) {
+func (c *Conn) AddCalls(delta int32) {
 	c.lastUsed.Store(time.Now().UnixNano())
 	c.calls.Add(delta)
 }
@@ -303,7 +303,7 @@
 			c.queue = c.queue[1:]
 			c.bytes -= len(p.Data)
 			c.mu.Unlock()
-			if p.Still != nil && !p.Still() {
+			if p.StillWanted != nil && !p.StillWanted() {
 				p.done(ErrDropped)
 				continue
 			}
@@ -386,5 +386,5 @@
 	return c.err != nil || len(c.queue) > 0
 }
 
-// Gone returns a channel that is closed when the connection is closed.
-func (c *Conn) Gone() <-chan struct{} { return c.closed }
+// Closed returns a channel that is closed when the connection is closed.
+func (c *Conn) Closed() <-chan struct{} { return c.closed }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -95,7 +95,7 @@
 				case 0, 1, 2, 3, 4:
 					b := byte(i)
 					var stillCalled, stillResult bool
-					err := c.Send(Packet{Data: []byte{b}, Still: func() bool { stillCalled, stillResult = true, still; return still }, Done: func(err error) {
+					err := c.Send(Packet{Data: []byte{b}, StillWanted: func() bool { stillCalled, stillResult = true, still; return still }, Done: func(err error) {
 						doneCalls++
 						if err == nil {
 							want.WriteByte(b)
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	held := make(chan *Conn, 4)
-	go l.Serve(func(c *Conn) { c.Hold(); held <- c; <-c.Gone() })
+	go l.Serve(func(c *Conn) { c.Hold(); held <- c; <-c.Closed() })
 	defer l.Close()
 	var conns []net.Conn
 	for i := range 3 {
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	taken := make(chan *Conn, 9)
-	go l.Serve(func(c *Conn) { taken <- c; <-c.Gone() })
+	go l.Serve(func(c *Conn) { taken <- c; <-c.Closed() })
 	defer l.Close()
 	connect := func() *Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -228,24 +228,24 @@
 	}
 	unanswered, calling, idle, recent, silent := connect(), connect(), connect(), connect(), connect()
 	for i, c := range []*Conn{unanswered, calling, idle, recent} {
-		c.Spoke()
+		c.NoteMessage()
 		c.lastUsed.Store(int64(i + 1))
 	}
 	unanswered.Hold()
-	calling.Call(1)
+	calling.AddCalls(1)
 	calling.lastUsed.Store(2)
 	for i, want := range []*Conn{silent, idle, recent, calling} {
 		c := connect()
-		c.Spoke()
+		c.NoteMessage()
 		c.Hold()
 		select {
-		case <-want.Gone():
+		case <-want.Closed():
 		case <-time.After(10 * time.Second):
 			t.Fatalf("step %d closed another connection", i)
 		}
 	}
 	select {
-	case <-unanswered.Gone():
+	case <-unanswered.Closed():
 		t.Error("closed a connection with an unanswered message")
 	default:
 	}
@@ -263,7 +263,7 @@
 	go l.Serve(func(c *Conn) {
 		taken <- c
 		c.Read(make([]byte, 64)) // as a front reads the first bytes of a message
-		<-c.Gone()
+		<-c.Closed()
 	})
 	defer l.Close()
 	connect := func() (net.Conn, *Conn) {
@@ -285,8 +285,8 @@
 	for _, want := range []*Conn{silent, silent2} {
 		connect()
 		select {
-		case <-want.Gone():
-		case <-slow.Gone():
+		case <-want.Closed():
+		case <-slow.Closed():
 			t.Fatal("the connection of the slow writer was closed before a silent one")
 		case <-time.After(10 * time.Second):
 			t.Fatal("no connection was closed to make room")
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -106,8 +106,8 @@
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
 
-	// Away, if not nil, reports whether connections from an address are closed at once. It must be set before Serve.
-	Away func(address string) bool
+	// IsBlocked, if not nil, reports whether connections from an address are closed at once. It must be set before Serve.
+	IsBlocked func(address string) bool
 }
 
 // Listen binds a TCP address. The address may be shared with another process that binds it the same way
@@ -174,7 +174,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		if l.Away != nil && l.Away(AddressOf(nc.RemoteAddr())) {
+		if l.IsBlocked != nil && l.IsBlocked(AddressOf(nc.RemoteAddr())) {
 			nc.Close()
 			continue
 		}
@@ -262,7 +262,7 @@
 	}
 	for _, c := range conns {
 		select {
-		case <-c.Gone():
+		case <-c.Closed():
 		case <-timeout:
 			return
 		}
