--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -38,6 +38,7 @@
 	KindCount // number of kinds
 )
 
+// kindNames are the names of the kinds, as returned by String.
 var kindNames = [KindCount]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
 
 // String returns the name of the kind.
@@ -61,9 +62,9 @@
 // Options of counters.
 type Options struct {
 	Classes, Tenants int            // number of classes and tenants in the settings
-	Numbers          int            // number of the most called numbers that each shard keeps; 0: NumbersHeld
+	Numbers          int            // number of the most called numbers that each shard keeps; 0: TrackedNumbers
 	Shards           int            // 0: twice GOMAXPROCS
-	DecayTime        control.Micros // time constant of the decay, in which a rate reaches 1 - 1/e of a change; 0: Memory
+	DecayTime        control.Micros // time constant of the decay, in which a rate reaches 1 - 1/e of a change; 0: the constant DecayTime
 }
 
 // Defaults of the options, and bounds.
@@ -201,7 +202,7 @@
 	s.weightTime, s.weight = now, math.Exp(e)
 }
 
-// Counts are the rates per second of one class, tenant or server, by What.
+// Counts are the rates per second of one class, tenant or server, by Kind.
 type Counts [KindCount]float64
 
 // Rates are the rates per second at one time. The last elements of Classes and Tenants are for those without a name in the
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -265,7 +265,7 @@
 	}
 }
 
-// publishesFalseEvidence reports whether the file named by LieVariable exists.
+// publishesFalseEvidence reports whether the file named by FalseEvidenceVariable exists.
 func (m *Monitor) publishesFalseEvidence() bool {
 	if m.falseEvidenceFile == "" {
 		return false
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -258,7 +258,7 @@
 	c.Post(func() { c.latestDeadline = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
-// OnDrained arranges for f to be called once, when every call has its final answer.
+// OnDrained registers f to be called once, when every call has its final answer.
 func (c *Core) OnDrained(f func()) {
 	c.Post(func() {
 		c.onDrained = f
@@ -266,7 +266,7 @@
 	})
 }
 
-// checkDrained calls the function given to Drained if no call is unanswered. The function is posted, so that the last answer
+// checkDrained calls the function given to OnDrained if no call is unanswered. The function is posted, so that the last answer
 // has been delivered before it runs.
 func (c *Core) checkDrained() {
 	if c.unanswered > 0 || c.onDrained == nil {
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -21,7 +21,7 @@
 	Since control.Micros // Unix time of the start of its process
 }
 
-// Update is a change of the list. With Whole it is the complete list of its source: servers of that source that it does not
+// Update is a change of the list. With Complete it is the complete list of its source: servers of that source that it does not
 // name are removed. Servers of other sources are not affected.
 type Update struct {
 	Source   string
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -109,7 +109,7 @@
 	c.Post(func() { f(c.module.Views(nil), c.clock.now()) })
 }
 
-const stateTimeout = 2 * time.Second // for each actor's reply to Known
+const stateTimeout = 2 * time.Second // for each actor's reply to StateEvents
 
 // StateEvents returns the current state of the core and a list, as the events that would lead to it.
 func (c *Core) StateEvents(l *List) (events []history.Event) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -148,9 +148,9 @@
 	})
 }
 
-// Guards against losing the last answer at a planned restart: the function given to Drained, which ends the process, is called
+// Guards against losing the last answer at a planned restart: the function given to OnDrained, which ends the process, is called
 // only after the answer has been delivered.
-func TestDrainedIsCalledAfterLastAnswer(t *testing.T) {
+func TestOnDrainedIsCalledAfterLastAnswer(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness("a")
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -39,7 +39,7 @@
 	Done func(error)
 }
 
-// ErrDropped is passed to a packet's Done if its Still returned false.
+// ErrDropped is passed to a packet's Done if its StillWanted returned false.
 var ErrDropped = errors.New("packet dropped before its first byte")
 
 // done reports the end of the packet.
@@ -198,7 +198,7 @@
 // Held reports whether the connection has an unanswered message.
 func (c *Conn) Held() bool { return c.holds.Load() > 0 }
 
-// AddCalls adds change to the number of established calls that arrived on the connection: 1 for a new one, -1 for one that has
+// AddCalls adds delta to the number of established calls that arrived on the connection: 1 for a new one, -1 for one that has
 // ended. An established call does not hold the connection, but its release is preferably sent there.
 func (c *Conn) AddCalls(delta int32) {
 	c.lastUsed.Store(time.Now().UnixNano())
@@ -281,11 +281,11 @@
 		for {
 			c.mu.Lock()
 			if c.err != nil {
-				left, err := c.queue, c.err
+				remaining, err := c.queue, c.err
 				c.queue = nil
 				c.mu.Unlock()
-				for i := range left {
-					left[i].done(err)
+				for i := range remaining {
+					remaining[i].done(err)
 				}
 				return
 			}
@@ -386,5 +386,5 @@
 	return c.err != nil || len(c.queue) > 0
 }
 
-// Closed returns a channel that is closed when the connection is closed.
+// Closed returns a channel that is closed once the connection is closed.
 func (c *Conn) Closed() <-chan struct{} { return c.closed }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -67,7 +67,7 @@
 }
 
 // Random steps, checked against a model of the connection, which is open, ending or closed. Packets are written in order and
-// whole, or their Done gets an error. Still is called at the first byte and not before.
+// whole, or their Done gets an error. StillWanted is called at the first byte and not before.
 func TestConnAgainstModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
@@ -101,7 +101,7 @@
 							want.WriteByte(b)
 						}
 						if err == nil && !(stillCalled && stillResult) || errors.Is(err, ErrDropped) && stillResult {
-							r.Fatalf("Done called with %v; Still called %v, returned %v", err, stillCalled, stillResult)
+							r.Fatalf("Done called with %v; StillWanted called %v, returned %v", err, stillCalled, stillResult)
 						}
 					}})
 					if (err == nil) != open {
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Left reports a close and a reset, but not a time-out.
-func TestLeft(t *testing.T) {
+// PeerClosed reports a close and a reset, but not a time-out.
+func TestPeerClosed(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		near, far := pair(t)
 		near.SetReadDeadline(time.Now())
@@ -139,7 +139,7 @@
 		}
 		near.Read(make([]byte, 1))
 		if !near.PeerClosed() {
-			t.Errorf("reset %v: Left returned false", reset)
+			t.Errorf("reset %v: PeerClosed returned false", reset)
 		}
 	}
 }
