--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -25,7 +25,7 @@
 	if next.peer == nil || timeLeft <= 0 || call.current != nil {
 		// The server is no longer on the list, the deadline has passed, or another attempt is in flight: nothing is sent.
 		c.Post(func() {
-			c.handle(control.Resolved{ID: call.ID, Attempt: next.number, Server: action.Server, Code: control.NotSent})
+			c.handle(control.AttemptEnded{ID: call.ID, Attempt: next.number, Server: action.Server, Code: control.NotSent})
 		})
 		return
 	}
@@ -61,8 +61,8 @@
 	c.observeEnd(call, a, code)
 	a.peer.cancel(attemptRef{call.ID, a.number})
 	call.releaseLateAnswer(a.peer)
-	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
-		Took: c.clock.now() - a.sentAt, Settled: settled})
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
+		Elapsed: c.clock.now() - a.sentAt, Settled: settled})
 }
 
 // observeEnd reports the end of a failed attempt to the observers. An attempt that was never sent, or that this side
@@ -108,7 +108,7 @@
 	c.observe(counting.Answered, &call.Setup, a.server)
 	c.note(history.Event{Kind: history.Established, Call: call.ID, Attempt: a.number, Server: a.server, Span: call.establishedAt - call.arrived})
 	delivered := call.caller.Answer(body)
-	c.handle(control.Opened{ID: call.ID, Attempt: a.number, Server: a.server, Took: call.establishedAt - a.sentAt})
+	c.handle(control.CallEstablished{ID: call.ID, Attempt: a.number, Server: a.server, Elapsed: call.establishedAt - a.sentAt})
 	if !delivered && c.calls[call.ID] == call {
 		c.releaseEstablished(call, CauseNormal)
 	}
@@ -162,8 +162,8 @@
 	}
 	c.noteReport(a.server, o.Report)
 	call.releaseLateAnswer(a.peer)
-	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: o.Code,
-		Took: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: o.Code,
+		Elapsed: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
 }
 
 // released handles the release of an established call by its server. A repeated release is passed on once.
@@ -194,8 +194,8 @@
 	c.note(history.Event{Kind: history.Released, Call: call.ID, Server: a.server, N: int64(cause)})
 	c.noteReport(a.server, report)
 	call.caller.Release(cause)
-	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
-		Took: c.clock.now() - a.sentAt, Settled: true, Report: report})
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
+		Elapsed: c.clock.now() - a.sentAt, Settled: true, Report: report})
 }
 
 // serverDied ends the calls established at a peer before the given time, because the server process has ended. With tell,
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -230,8 +230,8 @@
 	a.peer.release(call.ID, cause)
 	c.close(call)
 	c.note(history.Event{Kind: history.Released, Call: call.ID, Server: a.server, N: int64(cause)})
-	c.handle(control.Resolved{ID: call.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
-		Took: c.clock.now() - a.sentAt, Settled: true})
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
+		Elapsed: c.clock.now() - a.sentAt, Settled: true})
 }
 
 // close removes a call from the table.
@@ -341,10 +341,10 @@
 		if call != nil && call.current != nil && call.current.number == action.Attempt {
 			c.endAttempt(call, control.Cancelled, false)
 		}
-	case control.Defer:
+	case control.SetTimer:
 		c.After(span(action.At-c.clock.now()), func() { c.handle(control.Timer{Key: action.Key}) })
 	case control.Watch: // nothing to do: updates of the list arrive without a request
-	case control.Note:
+	case control.Log:
 		c.log.Info(action.Text)
 	}
 }
