--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -6,7 +6,7 @@
 // decided between the two. also must not block.
 func (c *Core) Change(policy *retry.Policy, also func()) {
 	c.Post(func() {
-		policy.Adopt(c.limits)
+		policy.InheritCounts(c.limits)
 		c.limits = policy
 		also()
 	})
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -87,7 +87,7 @@
 // counts of the retry budget are carried over.
 func (c *Core) SetLimits(policy *retry.Policy) {
 	c.Post(func() {
-		policy.Adopt(c.limits)
+		policy.InheritCounts(c.limits)
 		c.limits = policy
 	})
 }
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -203,7 +203,7 @@
 		h := newHarness("a")
 		defer h.stop()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
-		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
+		f.Budget = &retry.BudgetConfig{Ratio: 0.01, MinPerS: 1, Burst: 1}
 		h.core.SetLimits(compileLimits(t, f))
 		h.call("1", 2*time.Second)
 		h.fail("1", Outcome{Code: control.Full, Reason: control.ProcessorFull}) // gates the only server; takes the budget
@@ -222,7 +222,7 @@
 		h := newHarness("a", "b", "c")
 		defer h.stop()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
-		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
+		f.Budget = &retry.BudgetConfig{Ratio: 0.01, MinPerS: 1, Burst: 1}
 		h.core.SetLimits(compileLimits(t, f))
 		first, second := h.call("1", 2*time.Second), h.call("2", 2*time.Second)
 		h.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
