--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -253,7 +253,7 @@
 	for _, s := range c.shards {
 		s.mu.Lock()
 		if s.landmark != math.MinInt64 && s.numbers.Total() > 0 {
-			parts = append(parts, s.numbers.Rated(c.rateFactor(s, now)))
+			parts = append(parts, s.numbers.Scaled(c.rateFactor(s, now)))
 		}
 		s.mu.Unlock()
 	}
