--- a/internal/counting/counting_test.go
+++ b/internal/counting/counting_test.go
@@ -15,13 +15,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Rates follow what comes, from several threads at once, and each event counts once.
-func TestRatesFromThreads(t *testing.T) {
+// Rates are correct for events from several threads at once, and each event is counted once.
+func TestRatesWithConcurrentEvents(t *testing.T) {
 	c := New(Options{Classes: 2, Tenants: 1, Shards: 8})
 	const threads, perS, seconds = 4, 250, 30
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range threads {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := range perS * seconds {
 				now := control.Micros(1e9 + float64(i)*1e6/perS)
 				c.Observe(now, Event{Kind: Arrived, Class: i % 2, Tenant: 0, Number: []string{"hot", fmt.Sprint(i)}[i%2]})
@@ -29,7 +29,7 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	end := control.Micros(1e9 + seconds*1e6)
 	r := c.Rates(end)
 	require.InEpsilon(t, threads*perS/2, r.Classes[0][Arrived], 0.01)
@@ -43,11 +43,12 @@
 	require.GreaterOrEqual(t, top.Count*1.01, float64(threads*perS/2))
 	require.LessOrEqual(t, top.Count-top.Err, threads*perS/2*1.01)
 	later := c.Rates(end + 2*DecayTime)
-	require.InEpsilon(t, r.Classes[0][Arrived]*math.Exp(-2), later.Classes[0][Arrived], 0.001, "it decays by its law alone")
+	require.InEpsilon(t, r.Classes[0][Arrived]*math.Exp(-2), later.Classes[0][Arrived], 0.001, "exponential decay without new events")
 }
 
-// A landmark that moves changes no rate; silence for longer than a float64 can tell leaves none.
-func TestLandmark(t *testing.T) {
+// Moving the landmark does not change a rate. After a time without events that is so long that the decay factor underflows, all
+// rates are 0.
+func TestMovingLandmarkKeepsRates(t *testing.T) {
 	c := New(Options{Classes: 1, Shards: 1})
 	now := control.Micros(1)
 	for range 10_000 {
@@ -57,7 +58,7 @@
 			t.Fatalf("at %d: %v", now, r)
 		}
 	}
-	steady := 1e6 * c.decay / (1 - math.Exp(-c.decay*1e6)) // one a second, read at once after it came
+	steady := 1e6 * c.decay / (1 - math.Exp(-c.decay*1e6)) // one event per second, read immediately after an event
 	require.InEpsilon(t, steady, c.Rates(now).Classes[0][Arrived], 1e-9)
 	require.InEpsilon(t, steady, c.Numbers(now, 1)[0].Count, 1e-9)
 	c.Observe(now+5e9, Event{Class: 0, Tenant: -1, Number: "m"})
@@ -69,14 +70,14 @@
 	c := New(Options{Classes: 3, Tenants: 2, Shards: 1})
 	keys := numbers(5000)
 	i := 0
-	see := func() {
+	observe := func() {
 		i++
 		c.Observe(control.Micros(i), Event{Class: i % 3, Tenant: i % 2, Number: keys[i%len(keys)], Server: uint32(1 + i%8)})
 	}
 	for range 10_000 {
-		see()
+		observe()
 	}
-	require.Zero(t, testing.AllocsPerRun(5000, see))
+	require.Zero(t, testing.AllocsPerRun(5000, observe))
 }
 
 func numbers(n int) []string {
@@ -87,7 +88,7 @@
 	return keys
 }
 
-// Cost of an observation, uniform over 10,000 numbers and with one number alone; -cpu 1,2,4.
+// BenchmarkObserve measures the cost of an event, with numbers uniform over 10,000 and with a single one. Run it with -cpu 1,2,4.
 func BenchmarkObserve(b *testing.B) {
 	keys := numbers(10_000)
 	for name, n := range map[string]int{"uniform": len(keys), "one hot": 1} {
--- a/internal/ejection/numbers.go
+++ b/internal/ejection/numbers.go
@@ -18,19 +18,19 @@
 	lastBusy, lastSuccess control.Micros
 }
 
-// observeNumber counts a busy answer, or notes that a call to a number known as busy was established.
-func (m *Monitor) observeNumber(now control.Micros, s counting.Event) {
+// observeNumber counts a busy answer, or records that a call to a number known as busy was established.
+func (m *Monitor) observeNumber(now control.Micros, event counting.Event) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
-	t := m.numberTallies[s.Number]
+	t := m.numberTallies[event.Number]
 	switch {
-	case t == nil && (s.Kind == counting.Established || len(m.numberTallies) >= maxNumbers || len(s.Number) > maxNumberLength):
+	case t == nil && (event.Kind == counting.Established || len(m.numberTallies) >= maxNumbers || len(event.Number) > maxNumberLength):
 		return
 	case t == nil:
 		t = &numberTally{lastSuccess: -1}
-		m.numberTallies[s.Number] = t
+		m.numberTallies[event.Number] = t
 	}
-	if s.Kind == counting.Established {
+	if event.Kind == counting.Established {
 		t.lastSuccess = now
 		return
 	}
@@ -38,8 +38,8 @@
 	t.lastBusy = now
 }
 
-// numberObservations returns what this gatekeeper publishes of numbers: the newest first, as many as fit into a register. It
-// drops the numbers that are busy no longer.
+// numberObservations returns the observations of numbers that this gatekeeper publishes, the newest first and as many as fit
+// into a register. It drops the numbers that are no longer busy.
 func (m *Monitor) numberObservations(now control.Micros) (all []outlier.NumberObservation) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
@@ -66,17 +66,18 @@
 	return all
 }
 
-// updateNumbers publishes and reads observations of numbers, and calls SetBusyNumber for those with a newer busy answer.
+// updateNumbers publishes this gatekeeper's observations of numbers, reads those of the other members, and calls SetBusyNumber
+// for numbers with a newer busy answer.
 func (m *Monitor) updateNumbers(now control.Micros, isolated []string) {
 	own := m.numberObservations(now)
-	if text, err := encoding.Marshal(own); err == nil && (len(own) > 0 || m.publishedNumbers) {
+	if encoded, err := encoder.Marshal(own); err == nil && (len(own) > 0 || m.publishedNumbers) {
 		m.publishedNumbers = len(own) > 0
-		m.gossip.Publish(registers.Numbers, text)
+		m.gossip.Publish(registers.Numbers, encoded)
 	}
 	all := []outlier.NumberEvidence{{Member: m.options.Name, Numbers: own}}
 	for _, r := range m.gossip.Read(registers.Numbers) {
 		var observations []outlier.NumberObservation
-		if r.Origin != m.options.Name && m.decoding.Unmarshal(r.Value, &observations) == nil {
+		if r.Origin != m.options.Name && m.decoder.Unmarshal(r.Value, &observations) == nil {
 			all = append(all, outlier.NumberEvidence{Member: r.Origin, Age: r.Age, Numbers: observations})
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,6 +1,6 @@
 // Package limits enforces the fleet's limits (control/quota) at one gatekeeper: it renews leases from the store, exchanges
-// claims by gossip, and admits or refuses calls for the core. Its state lies under a lock of its own: the core never waits for
-// the store or the gossip.
+// claims by gossip, and admits or refuses calls for the core. Its state has its own lock, so that the core never waits for the
+// store or the gossip.
 package limits
 
 import (
@@ -25,7 +25,7 @@
 const (
 	claimInterval = quota.SettleTime / 10
 	renewTimeout  = 1200 * time.Millisecond
-	maxRules      = 1024 // that are read from another member
+	maxRules      = 1024 // accepted from another member
 )
 
 // Gossip publishes and reads registers, for the near mode. *fleet.Fleet implements it.
@@ -41,52 +41,54 @@
 // Options of a limiter.
 type Options struct {
 	Name   string
-	Start  uint64 // of this process; later ones have a greater
+	Start  uint64 // start number of this process; a later process has a greater one
 	Limits quota.Limits
-	Gossip Gossip                // nil: near is not used
-	Lease  Leaser                // nil: leased is not used
+	Gossip Gossip                // nil if no limit uses the near mode
+	Lease  Leaser                // nil if no limit uses the leased mode
 	Now    func() control.Micros // the core's clock
 	Log    logrus.FieldLogger
 }
 
 // Limiter enforces the limits at this gatekeeper. It is safe for concurrent use.
 type Limiter struct {
-	options  Options
-	stop     context.CancelFunc
-	done     sync.WaitGroup
-	decoding cbor.DecMode
-	mu       sync.Mutex
-	member   *quota.Member
-	faults   [sources]*Fault
-	// Of the leases: since when none could be renewed.
+	options Options
+	stop    context.CancelFunc
+	done    sync.WaitGroup
+	decoder cbor.DecMode
+	mu      sync.Mutex
+	member  *quota.Member
+	faults  [sourceCount]*Fault
+	// failingSince is the time of the first failed renewal of the leases after the last successful one; zero if none failed.
 	failingSince time.Time
 }
 
-// Fault is what is wrong with the limits now, as operators read it.
+// Fault is a current problem of the limits, as shown to operators.
 type Fault struct {
 	Message string `json:"what"`
 	Advice  string `json:"advice"`
 }
 
-// Open puts limits in force.
+// Open puts limits in force and starts the renewal of leases and the exchange of claims.
 func Open(o Options) (*Limiter, error) {
-	read, err := cbor.DecOptions{MaxMapPairs: maxRules, MaxNestedLevels: 4}.DecMode()
+	decMode, err := cbor.DecOptions{MaxMapPairs: maxRules, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Limiter{options: o, stop: stop, decoding: read, member: quota.NewMember(o.Name, o.Start, o.Limits, o.Now())}
+	l := &Limiter{options: o, stop: stop, decoder: decMode, member: quota.NewMember(o.Name, o.Start, o.Limits, o.Now())}
 	if o.Gossip != nil {
-		l.done.Go(func() { every(ctx, time.Duration(claimInterval)*time.Microsecond, l.exchangeClaims) })
+		l.done.Go(func() { runPeriodically(ctx, time.Duration(claimInterval)*time.Microsecond, l.exchangeClaims) })
 	}
 	if o.Lease != nil {
-		l.done.Go(func() { every(ctx, time.Duration(quota.RenewInterval)*time.Microsecond, func() { l.renewLeases(ctx) }) })
+		l.done.Go(func() {
+			runPeriodically(ctx, time.Duration(quota.RenewInterval)*time.Microsecond, func() { l.renewLeases(ctx) })
+		})
 	}
 	return l, nil
 }
 
-// every calls f at once and then at each interval, until ctx ends.
-func every(ctx context.Context, interval time.Duration, f func()) {
+// runPeriodically calls f at once and then at each interval, until ctx ends.
+func runPeriodically(ctx context.Context, interval time.Duration, f func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
@@ -104,7 +106,7 @@
 	l.done.Wait()
 }
 
-// Change puts other limits in force for the calls that come from now on.
+// Change puts other limits in force for the calls that arrive from now on.
 func (l *Limiter) Change(limits quota.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +118,7 @@
 	var reports []quota.Report
 	for _, r := range l.options.Gossip.Read(registers.Limits) {
 		var claims map[string]quota.Claims
-		if r.Origin != l.options.Name && l.decoding.Unmarshal(r.Value, &claims) == nil {
+		if r.Origin != l.options.Name && l.decoder.Unmarshal(r.Value, &claims) == nil {
 			reports = append(reports, quota.Report{Origin: r.Origin, Age: r.Age, Claims: claims})
 		}
 	}
@@ -127,17 +129,17 @@
 	l.member.ApplyReports(now, reports)
 	err := l.member.SetMembersUp(now, up)
 	l.mu.Unlock()
-	l.setFault(ofGossip, err)
+	l.setFault(fromGossip, err)
 	if len(claims) == 0 {
 		return
 	}
-	if text, err := encoding.Marshal(claims); err == nil {
-		l.options.Gossip.Publish(registers.Limits, text) // an error is logged by the fleet
+	if encoded, err := encoder.Marshal(claims); err == nil {
+		l.options.Gossip.Publish(registers.Limits, encoded) // an error is logged by the fleet
 	}
 }
 
-// canonical writes equal claims as equal bytes.
-var encoding = func() cbor.EncMode {
+// encoder encodes equal claims as equal bytes.
+var encoder = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCanonical, ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		panic(err)
@@ -145,7 +147,7 @@
 	return m
 }()
 
-// lease renews this member's leases.
+// renewLeases renews this member's leases.
 func (l *Limiter) renewLeases(ctx context.Context) {
 	l.mu.Lock()
 	request, ok := l.member.NextRequest(l.options.Now())
@@ -153,11 +155,11 @@
 	if !ok {
 		return
 	}
-	text, err := json.Marshal(request)
+	encoded, err := json.Marshal(request)
 	if err == nil {
 		var answer []byte
-		within, cancel := context.WithTimeout(ctx, renewTimeout)
-		answer, err = l.options.Lease(within, text)
+		renewCtx, cancel := context.WithTimeout(ctx, renewTimeout)
+		answer, err = l.options.Lease(renewCtx, encoded)
 		cancel()
 		if err == nil {
 			a := &quota.Response{}
@@ -173,48 +175,48 @@
 	}
 	if err == nil {
 		l.failingSince = time.Time{}
-		l.setFault(ofStore, nil)
+		l.setFault(fromStore, nil)
 		return
 	}
 	if l.failingSince.IsZero() {
 		l.failingSince = time.Now()
 	}
-	if failed := time.Since(l.failingSince); failed > time.Duration(quota.LeaseDuration)*time.Microsecond {
-		l.setFault(ofStore, &quota.LeaseExpiredError{ForMs: failed.Milliseconds(), Err: err})
+	if failingFor := time.Since(l.failingSince); failingFor > time.Duration(quota.LeaseDuration)*time.Microsecond {
+		l.setFault(fromStore, &quota.LeaseExpiredError{ForMs: failingFor.Milliseconds(), Err: err})
 	}
 }
 
-// source tells which of the two loops a fault comes from: a success of one does not clear a fault of the other.
+// source is the loop that a fault comes from: a success of one does not clear a fault of the other.
 type source int
 
 const (
-	ofGossip source = iota
-	ofStore
-	sources
+	fromGossip source = iota
+	fromStore
+	sourceCount
 )
 
-// setFault keeps the error of a loop for operators, nil for none, and logs when a fault begins and ends.
+// setFault stores the error of a loop for operators, nil for none, and logs when a fault begins and ends.
 func (l *Limiter) setFault(from source, err error) {
-	var now *Fault
+	var current *Fault
 	if err != nil {
-		now = &Fault{err.Error(), advice.Of(err)}
+		current = &Fault{err.Error(), advice.Of(err)}
 	}
 	l.mu.Lock()
-	before := l.faults[from]
-	l.faults[from] = now
+	previous := l.faults[from]
+	l.faults[from] = current
 	l.mu.Unlock()
 	switch {
-	case before == nil && now != nil:
-		l.options.Log.WithError(err).WithField("advice", now.Advice).Warn("limits: not as they should be")
-	case before != nil && now == nil:
-		l.options.Log.Info("limits: as they should be again")
+	case previous == nil && current != nil:
+		l.options.Log.WithError(err).WithField("advice", current.Advice).Warn("limits: degraded")
+	case previous != nil && current == nil:
+		l.options.Log.Info("limits: recovered")
 	}
 }
 
-// Status is this gatekeeper's side of the limits, as operators read it.
+// Status is the state of the limits at this gatekeeper, as shown to operators.
 type Status struct {
 	Rules  []quota.Status `json:"rules"`
-	Faults []Fault        `json:"faults"` // what is wrong now
+	Faults []Fault        `json:"faults"` // current problems
 }
 
 // Status gives it.
@@ -240,7 +242,7 @@
 	return &admission{limiter: l, tenant: s.Tenant, class: s.Class, number: s.Key}
 }
 
-// call is one call under limits.
+// admission is the routing.Quota of one call.
 type admission struct {
 	limiter       *Limiter
 	tenant, class int
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -9,168 +9,172 @@
 	"beammux/internal/history"
 )
 
-func (c *Core) send(k *call, a control.Action) {
-	if k.caller.Gone() { // its withdrawal is on the way
-		c.withdraw(k)
+// send starts an attempt, as decided by the module. An attempt that can't start is reported as NotSent.
+func (c *Core) send(call *callState, action control.Action) {
+	if call.caller.Gone() { // its withdrawal follows
+		c.withdraw(call)
 		return
 	}
 	now := c.clock.now()
-	at := &attempt{number: k.attempts, server: a.Server, peer: c.peers[a.Server], sentAt: now, givenUp: &atomic.Bool{}}
-	k.attempts++
-	left := k.deadline - now
-	if a.Wait > 0 {
-		left = min(left, a.Wait)
-	}
-	if at.peer == nil || left <= 0 || k.current != nil {
-		// Not on the list any more, too late, or a second copy: it never leaves.
+	next := &attempt{number: call.attempts, server: action.Server, peer: c.peers[action.Server], sentAt: now, givenUp: &atomic.Bool{}}
+	call.attempts++
+	timeLeft := call.deadline - now
+	if action.Wait > 0 {
+		timeLeft = min(timeLeft, action.Wait)
+	}
+	if next.peer == nil || timeLeft <= 0 || call.current != nil {
+		// The server is no longer on the list, the deadline has passed, or another attempt is in flight: nothing is sent.
 		c.Post(func() {
-			c.handle(control.AttemptEnded{ID: k.ID, Attempt: at.number, Server: a.Server, Code: control.NotSent})
+			c.handle(control.AttemptEnded{ID: call.ID, Attempt: next.number, Server: action.Server, Code: control.NotSent})
 		})
 		return
 	}
-	k.current = at
-	at.expiry = c.After(span(left), func() {
-		if c.calls[k.ID] == k && k.current == at && !k.established {
-			c.endAttempt(k, control.TimedOut, false)
+	call.current = next
+	next.expiry = c.After(span(timeLeft), func() {
+		if c.calls[call.ID] == call && call.current == next && !call.established {
+			c.endAttempt(call, control.TimedOut, false)
 		}
 	})
-	c.figures.Class(k.Class).Dispatches.Add(1)
+	c.stats.Class(call.Class).Dispatches.Add(1)
 	if len(c.observers) > 0 {
-		c.observe(counting.Sent, &k.Setup, a.Server)
+		c.observe(counting.Sent, &call.Setup, action.Server)
 		c.After(OverdueAfter, func() {
-			if c.calls[k.ID] == k && k.current == at && !k.established {
-				c.observe(counting.Overdue, &k.Setup, a.Server)
+			if c.calls[call.ID] == call && call.current == next && !call.established {
+				c.observe(counting.Overdue, &call.Setup, action.Server)
 			}
 		})
 	}
-	at.peer.setup(Attempt{ref: ref{k.ID, at.number}, Class: k.Class, Key: k.Key, Body: k.Body,
-		Deadline: time.Now().Add(span(left)), level: c.levelOf(a.Server), givenUp: at.givenUp, caller: k.caller})
+	next.peer.setup(Attempt{attemptRef: attemptRef{call.ID, next.number}, Class: call.Class, Key: call.Key, Body: call.Body,
+		Deadline: time.Now().Add(span(timeLeft)), level: c.levelOf(action.Server), givenUp: next.givenUp, caller: call.caller})
 }
 
-// endAttempt gives up the attempt in flight, if any, and reports its end.
-func (c *Core) endAttempt(k *call, code control.Code, settled bool) {
-	a := k.current
+// endAttempt gives up the attempt in flight, if any, and reports its end to the module.
+func (c *Core) endAttempt(call *callState, code control.Code, settled bool) {
+	a := call.current
 	if a == nil {
 		return
 	}
-	k.current = nil
+	call.current = nil
 	a.givenUp.Store(true)
 	a.expiry.Stop()
-	c.noteEnded(k, a, code)
-	c.observeEnd(k, a, code)
-	a.peer.cancel(ref{k.ID, a.number})
-	k.releaseLateAnswer(a.peer)
-	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
+	c.noteEnded(call, a, code)
+	c.observeEnd(call, a, code)
+	a.peer.cancel(attemptRef{call.ID, a.number})
+	call.releaseLateAnswer(a.peer)
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
 		Elapsed: c.clock.now() - a.sentAt, Settled: settled})
 }
 
-// observeEnd counts the end of an attempt that failed. What was never sent, or cancelled from this side, says nothing
-// of its server.
-func (c *Core) observeEnd(k *call, a *attempt, code control.Code) {
+// observeEnd reports the end of a failed attempt to the observers. An attempt that was never sent, or that this side
+// cancelled, is not reported: it is no evidence about the server.
+func (c *Core) observeEnd(call *callState, a *attempt, code control.Code) {
 	switch code {
 	case control.TimedOut:
-		c.observe(counting.TimedOut, &k.Setup, a.server)
+		c.observe(counting.TimedOut, &call.Setup, a.server)
 	case control.Full:
-		c.observe(counting.Full, &k.Setup, a.server)
+		c.observe(counting.Full, &call.Setup, a.server)
 	case control.Failed, control.Cut, control.Unreachable:
-		c.observe(counting.Errored, &k.Setup, a.server)
+		c.observe(counting.Errored, &call.Setup, a.server)
 	}
 }
 
-// OverdueAfter is how long an attempt may be in flight before it is observed as overdue. Its end may come later.
+// OverdueAfter is how long an attempt may be in flight before it is observed as overdue. An overdue attempt may still be
+// answered.
 const OverdueAfter = 400 * time.Millisecond
 
-// attemptOf returns the call whose attempt is in flight, or nil: an attempt ends once.
-func (c *Core) attemptOf(r ref) *call {
-	k := c.calls[r.id]
-	if k == nil || k.established || k.current == nil || k.current.number != r.attempt {
+// attemptOf returns the call of an attempt that is in flight, or nil. It ensures that an attempt ends only once.
+func (c *Core) attemptOf(r attemptRef) *callState {
+	call := c.calls[r.id]
+	if call == nil || call.established || call.current == nil || call.current.number != r.attempt {
 		return nil
 	}
-	return k
+	return call
 }
 
-// answered handles the answer of a server by which the call is established.
-func (c *Core) answered(p *Peer, r ref, body []byte) {
-	k := c.attemptOf(r)
-	if k == nil {
+// answered handles the answer of a server that establishes a call.
+func (c *Core) answered(p *Peer, r attemptRef, body []byte) {
+	call := c.attemptOf(r)
+	if call == nil {
 		c.lateAnswer(p, r)
 		return
 	}
-	a := k.current
+	a := call.current
 	a.expiry.Stop()
-	k.deadlineTimer.Stop()
-	k.established, k.establishedAt = true, c.clock.now()
+	call.deadlineTimer.Stop()
+	call.established, call.establishedAt = true, c.clock.now()
 	c.unanswered--
-	c.figures.Class(k.Class).Success.Add(1)
-	c.observe(counting.Established, &k.Setup, 0)
-	c.observe(counting.Answered, &k.Setup, a.server)
-	c.note(history.Event{Kind: history.Established, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
-	delivered := k.caller.Answer(body)
-	c.handle(control.CallEstablished{ID: k.ID, Attempt: a.number, Server: a.server, Elapsed: k.establishedAt - a.sentAt})
-	if !delivered && c.calls[k.ID] == k {
-		c.releaseEstablished(k, CauseNormal)
+	c.stats.Class(call.Class).Success.Add(1)
+	c.observe(counting.Established, &call.Setup, 0)
+	c.observe(counting.Answered, &call.Setup, a.server)
+	c.note(history.Event{Kind: history.Established, Call: call.ID, Attempt: a.number, Server: a.server, Span: call.establishedAt - call.arrived})
+	delivered := call.caller.Answer(body)
+	c.handle(control.CallEstablished{ID: call.ID, Attempt: a.number, Server: a.server, Elapsed: call.establishedAt - a.sentAt})
+	if !delivered && c.calls[call.ID] == call {
+		c.releaseEstablished(call, CauseNormal)
 	}
 	c.checkDrained()
 }
 
-// lateAnswer handles the answer to a set-up that had been given up: it is released at the server, but not while another attempt
-// of the call is in flight or established there. Servers know a call by its id alone, and the release would end that one.
-func (c *Core) lateAnswer(p *Peer, r ref) {
-	k := c.calls[r.id]
+// lateAnswer handles the answer to a set-up that was given up: the call is released at the server, but not while another
+// attempt of the same call is in flight or established there. Servers identify a call by its id alone, so the release would
+// end that attempt as well.
+func (c *Core) lateAnswer(p *Peer, r attemptRef) {
+	call := c.calls[r.id]
 	switch {
-	case k == nil || k.current == nil || k.current.peer != p:
+	case call == nil || call.current == nil || call.current.peer != p:
 		p.release(r.id, CauseNormal)
-	case k.current.number != r.attempt:
-		k.lateAnswer = true
+	case call.current.number != r.attempt:
+		call.lateAnswer = true
 	}
 }
 
-// releaseLateAnswer releases at a server what was answered late there, now that no attempt of the call is in flight at it.
-func (k *call) releaseLateAnswer(p *Peer) {
-	if k.lateAnswer {
-		k.lateAnswer = false
-		p.release(k.ID, CauseNormal)
+// releaseLateAnswer releases the call at a server that answered a given-up attempt late. It is called once no attempt of
+// the call is in flight at that server.
+func (call *callState) releaseLateAnswer(p *Peer) {
+	if call.lateAnswer {
+		call.lateAnswer = false
+		p.release(call.ID, CauseNormal)
 	}
 }
 
-// Outcome is the end of an attempt as the wire saw it.
+// Outcome is how an attempt ended, as reported by the connection to the server.
 type Outcome struct {
 	Code       control.Code
 	Reason     int
 	RetryAfter control.Micros
-	Report     []float64
+	Report     []float64 // load report of the server; nil if there was none
 }
 
-// failed handles the end of an attempt without an answer.
-func (c *Core) failed(r ref, o Outcome) {
-	k := c.attemptOf(r)
-	if k == nil {
+// failed handles the end of an attempt that did not establish the call.
+func (c *Core) failed(r attemptRef, o Outcome) {
+	call := c.attemptOf(r)
+	if call == nil {
 		return
 	}
-	a := k.current
-	k.current = nil
+	a := call.current
+	call.current = nil
 	a.expiry.Stop()
-	c.noteEnded(k, a, o.Code)
-	if o.Reason == control.LinesBusy { // the number's fault, not the server's
-		c.observe(counting.Busy, &k.Setup, 0)
+	c.noteEnded(call, a, o.Code)
+	if o.Reason == control.LinesBusy { // the called number is busy; the server is not at fault
+		c.observe(counting.Busy, &call.Setup, 0)
 	} else {
-		c.observeEnd(k, a, o.Code)
+		c.observeEnd(call, a, o.Code)
 	}
 	c.noteReport(a.server, o.Report)
-	k.releaseLateAnswer(a.peer)
-	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: o.Code,
+	call.releaseLateAnswer(a.peer)
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: o.Code,
 		Elapsed: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
 }
 
-// released handles the release of an established call by its server. A repeated one is passed on once.
+// released handles the release of an established call by its server. A repeated release is passed on once.
 func (c *Core) released(p *Peer, id string, cause int, report []float64) {
-	k := c.calls[id]
-	if k == nil || !k.established {
+	call := c.calls[id]
+	if call == nil || !call.established {
 		if report != nil {
 			c.noteReport(p.server, report)
 			c.handle(control.Status{Server: p.server, Code: control.OK, Report: report})
 		}
-		if _, known := c.ended.endOf(id); k == nil && !known && c.orphans != nil {
+		if _, known := c.ended.endOf(id); call == nil && !known && c.orphans != nil {
 			c.ended.add(id, c.clock.now())
 			c.orphans.Orphan(id, cause)
 		}
@@ -180,34 +184,34 @@
 	if cause != CauseNormal {
 		code = control.Cut
 	}
-	c.endEstablished(k, code, cause, report)
+	c.endEstablished(call, code, cause, report)
 }
 
-// endEstablished ends an established call from the server's side.
-func (c *Core) endEstablished(k *call, code control.Code, cause int, report []float64) {
-	a := k.current
-	c.close(k)
-	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
+// endEstablished ends an established call on behalf of its server and releases it at the caller.
+func (c *Core) endEstablished(call *callState, code control.Code, cause int, report []float64) {
+	a := call.current
+	c.close(call)
+	c.note(history.Event{Kind: history.Released, Call: call.ID, Server: a.server, N: int64(cause)})
 	c.noteReport(a.server, report)
-	k.caller.Release(cause)
-	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
+	call.caller.Release(cause)
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: code,
 		Elapsed: c.clock.now() - a.sentAt, Settled: true, Report: report})
 }
 
-// serverDied ends the calls established at a peer before a time: the process behind it is gone. Where that is
-// not certain, the server is told that they are over.
-func (c *Core) serverDied(p *Peer, before control.Micros, tell bool) {
-	for _, k := range c.calls {
-		if k.established && k.current.peer == p && k.establishedAt < before {
-			if tell {
-				p.release(k.ID, CauseNormal)
+// serverDied ends the calls established at a peer before the given time, because the server process has ended. With tell,
+// which is set where the end of the process is not certain, the calls are released at the server as well.
+func (c *Core) serverDied(p *Peer, before control.Micros, notifyServer bool) {
+	for _, call := range c.calls {
+		if call.established && call.current.peer == p && call.establishedAt < before {
+			if notifyServer {
+				p.release(call.ID, CauseNormal)
 			}
-			c.endEstablished(k, control.Cut, CauseFailed, nil)
+			c.endEstablished(call, control.Cut, CauseFailed, nil)
 		}
 	}
 }
 
-// status handles a load report that the server sent unasked.
+// status handles a load report that a server sent without a request.
 func (c *Core) status(p *Peer, report []float64) {
 	c.noteReport(p.server, report)
 	c.handle(control.Status{Server: p.server, Code: control.OK, Report: report})
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -2,15 +2,15 @@
 
 import "beammux/control/retry"
 
-// Change is SetLimits with something else that comes into force in the same turn of the core: no call is decided between
-// the two. also must not block.
-func (c *Core) Change(p *retry.Policy, also func()) {
+// Change puts limits in force as SetLimits does, and calls also in the same turn of the core's actor, so that no call is
+// decided between the two. also must not block.
+func (c *Core) Change(policy *retry.Policy, also func()) {
 	c.Post(func() {
-		p.InheritCounts(c.limits)
-		c.limits = p
+		policy.InheritCounts(c.limits)
+		c.limits = policy
 		also()
 	})
 }
 
-// Limits are those of calls that come now. It is called in a turn of the core.
+// Limits returns the limits of calls that arrive now. It must be called from the core's actor.
 func (c *Core) Limits() *retry.Policy { return c.limits }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -13,45 +13,45 @@
 	"beammux/internal/history"
 )
 
-// Core is the module's actor: the only owner of the Controller, the table of calls and their timers. What races (an
-// answer, a withdrawal, a time-out) is settled by the order in which it comes here.
+// Core is the actor that owns the decision module (a control.Controller), the table of calls and their timers. Races between
+// an answer, a withdrawal and a time-out are settled by the order in which they arrive in its mailbox.
 type Core struct {
 	*actor.Actor
-	clock        clock
-	module       *control.Controller
-	log          logrus.FieldLogger
-	orphans      Orphans
-	limits       *retry.Policy // of calls that come now; nil: as the settings say
-	peers        map[uint32]*Peer
-	calls        map[string]*call
-	unanswered   int // calls without a final answer
-	ended        endedCalls
-	quotas       Quotas // nil: none
-	releaseGuard control.Micros
-	answerBy     control.Micros // calls that come now are answered by then; 0: by their own time
-	actions      []control.Action
-	handling     bool
-	drained      func() // called once no call is unanswered
-
-	recorder      Recorder // nil: off
+	clock          clock
+	module         *control.Controller
+	log            logrus.FieldLogger
+	orphans        Orphans
+	limits         *retry.Policy // of calls that arrive now; nil: as in the settings
+	peers          map[uint32]*Peer
+	calls          map[string]*callState
+	unanswered     int // calls without a final answer
+	ended          endedCalls
+	quotas         Quotas // nil if there are none
+	releaseGuard   control.Micros
+	latestDeadline control.Micros // upper bound of the deadlines of new calls; 0: no bound
+	actions        []control.Action
+	handling       bool
+	onDrained      func() // called once no call is unanswered
+
+	recorder      Recorder // nil if nothing is recorded
 	classes       []control.Class
-	views         []control.View
+	viewBuffer    []control.View
 	recordedViews map[uint32]recordedView
-	viewedAt      control.Micros
-	reported      map[uint32][]float64
+	viewsReadAt   control.Micros
+	lastReports   map[uint32][]float64
 
-	figures   *Stats
-	observers []Observer
-	counted   []control.View
-	countedAt control.Micros
+	stats            *Stats
+	observers        []Observer
+	countedViews     []control.View
+	targetsCountedAt control.Micros
 }
 
-// NewCore starts the module. records may be nil: then nothing is recorded.
-func NewCore(set control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
-	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(set, seed), log: log, peers: map[uint32]*Peer{},
-		calls: map[string]*call{}, releaseGuard: set.ReleaseGuard,
-		recorder: records, classes: set.Classes, recordedViews: map[uint32]recordedView{}, reported: map[uint32][]float64{},
-		figures: newFigures(len(set.Classes))}
+// NewCore creates a core and starts its module. records may be nil: then nothing is recorded.
+func NewCore(settings control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
+	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(settings, seed), log: log, peers: map[uint32]*Peer{},
+		calls: map[string]*callState{}, releaseGuard: settings.ReleaseGuard,
+		recorder: records, classes: settings.Classes, recordedViews: map[uint32]recordedView{}, lastReports: map[uint32][]float64{},
+		stats: newStats(len(settings.Classes))}
 	c.Post(func() { c.handle(control.Start{}) })
 	return c
 }
@@ -59,135 +59,137 @@
 // SetOrphans sets who receives releases of unknown calls. It must be called before any server is added.
 func (c *Core) SetOrphans(o Orphans) { c.Post(func() { c.orphans = o }) }
 
-// Observer receives the outcomes of calls and attempts, from any goroutine. It must not block.
+// Observer receives the outcomes of calls and attempts. It must be safe for concurrent use and must not block.
 type Observer interface {
-	Observe(now control.Micros, seen counting.Event)
+	Observe(now control.Micros, event counting.Event)
 }
 
-// SetObservers sets the observers. It must be called before any call arrives.
-func (c *Core) SetObservers(to ...Observer) { c.observers = to }
+// SetObservers sets the observers of calls and attempts. It must be called before any call arrives.
+func (c *Core) SetObservers(receivers ...Observer) { c.observers = receivers }
 
-// SetBusy tells the module of a number that the fleet holds to be busy, by an answer at a time of the core's clock.
+// SetBusy informs the module that the fleet considers a number busy. at is the time of the latest busy answer, by the core's
+// clock.
 func (c *Core) SetBusy(number string, at control.Micros) {
 	c.Post(func() { c.handle(control.BusyNumber{Key: number, At: at}) })
 }
 
-// SetInFlightLimit hands the module the limit for a server that the fleet ejects or readmits.
+// SetInFlightLimit passes the module the in-flight limit of a server that the fleet ejects or readmits.
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
 // observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
-func (c *Core) observe(what counting.Kind, s *Setup, server uint32) {
+func (c *Core) observe(kind counting.Kind, s *Setup, server uint32) {
 	for _, o := range c.observers {
-		o.Observe(c.clock.now(), counting.Event{Kind: what, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
+		o.Observe(c.clock.now(), counting.Event{Kind: kind, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
 	}
 }
 
-// SetLimits puts limits in force for the calls that come from now on. A call lives by those that it began with. The
-// budget's counts go on.
-func (c *Core) SetLimits(p *retry.Policy) {
+// SetLimits puts limits in force for the calls that arrive from now on. A call keeps the limits that it began with. The
+// counts of the retry budget are carried over.
+func (c *Core) SetLimits(policy *retry.Policy) {
 	c.Post(func() {
-		p.InheritCounts(c.limits)
-		c.limits = p
+		policy.InheritCounts(c.limits)
+		c.limits = policy
 	})
 }
 
-// Learned hands what the module has learned to f, from the core's actor.
+// Learned calls f from the core's actor with the state that the module has learned.
 func (c *Core) Learned(f func(control.Learned)) { c.Post(func() { f(c.module.Learned()) }) }
 
-// Recall gives the module what it had learned before this start. It is called once the list is loaded.
-func (c *Core) Recall(l control.Learned) {
-	c.Post(func() { c.handle(control.Recall{Learned: l}) })
+// Recall restores the state that the module had learned before a restart. It is called once the list is loaded.
+func (c *Core) Recall(learned control.Learned) {
+	c.Post(func() { c.handle(control.Recall{Learned: learned}) })
 }
 
-// Open takes in a call.
+// Open starts the handling of a new call. The caller receives one final answer.
 func (c *Core) Open(s Setup, caller Caller) {
-	at := c.clock.now()
+	arrived := c.clock.now()
 	c.observe(counting.Arrived, &s, 0)
-	c.Post(func() { c.open(s, caller, at) })
+	c.Post(func() { c.open(s, caller, arrived) })
 }
 
+// open adds a call to the table and passes it to the module.
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
 	deadline := arrived + control.Micros(s.TimeLeft/time.Microsecond)
-	if at, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-at < c.releaseGuard {
-		// The id is in use: the first call goes on by its own rules, and the second caller gets a failure. An id
-		// used again at once would be sent again within the release guard.
-		c.log.WithField("call", s.ID).Debug("set-up with the id of another call")
-		c.figures.Class(s.Class).Error.Add(1)
+	if endedAt, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-endedAt < c.releaseGuard {
+		// The id is in use: the first call continues unchanged, and the second caller gets a failure. An id that was in use
+		// until a moment ago is rejected too: its set-up would be sent within the release guard.
+		c.log.WithField("call", s.ID).Debug("set-up rejected: its id is in use by another call")
+		c.stats.Class(s.Class).Error.Add(1)
 		caller.Fail()
 		return
 	}
-	if c.answerBy > 0 {
-		deadline = min(deadline, c.answerBy)
+	if c.latestDeadline > 0 {
+		deadline = min(deadline, c.latestDeadline)
 	}
 	limits := c.limits.For(s.Class, s.Key, s.FirstChoice, s.WasCut)
 	if limits != nil && limits.GiveUp > 0 {
 		deadline = min(deadline, arrived+limits.GiveUp)
 	}
-	k := &call{Setup: s, caller: caller, arrived: arrived, deadline: deadline}
-	c.calls[s.ID] = k
+	call := &callState{Setup: s, caller: caller, arrived: arrived, deadline: deadline}
+	c.calls[s.ID] = call
 	c.unanswered++
-	c.figures.Open.Store(int64(len(c.calls)))
-	c.noteTaken(k, arrived)
-	k.deadlineTimer = c.After(span(deadline-c.clock.now()), func() { c.deadlineReached(k) })
+	c.stats.Open.Store(int64(len(c.calls)))
+	c.noteArrived(call, arrived)
+	call.deadlineTimer = c.After(span(deadline-c.clock.now()), func() { c.deadlineReached(call) })
 	var quota control.Quota
 	if c.quotas != nil {
-		if k.quota = c.quotas.For(&s); k.quota != nil {
-			k.admission = &admission{core: c, call: k}
-			quota = k.admission
+		if call.quota = c.quotas.For(&s); call.quota != nil {
+			call.admission = &admission{core: c, callState: call}
+			quota = call.admission
 		}
 	}
 	c.handle(control.Call{Quota: quota, ID: s.ID, Class: s.Class, Tenant: s.Tenant, Key: s.Key, Deadline: deadline,
 		FirstChoice: s.FirstChoice, WasCut: s.WasCut, Limits: limits, Excess: s.Excess})
 }
 
-// deadlineReached gives the module its grace from here on, not from the deadline: where the whole process stood still, the
-// module's own timers are due at the same moment and may come in any order.
-func (c *Core) deadlineReached(k *call) {
-	if c.calls[k.ID] == k && !k.established {
-		c.grantGrace(k)
+// deadlineReached starts the module's grace period. The period is counted from this moment, not from the deadline: after a stall
+// of the whole process the module's own timers are due at the same moment as this one, and may fire in any order.
+func (c *Core) deadlineReached(call *callState) {
+	if c.calls[call.ID] == call && !call.established {
+		c.startGrace(call)
 	}
 }
 
-// grantGrace gives the module its grace from now on.
-func (c *Core) grantGrace(k *call) {
-	k.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
-	k.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(k) })
+// startGrace starts the module's grace period for a call.
+func (c *Core) startGrace(call *callState) {
+	call.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
+	call.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(call) })
 }
 
-// stalledInGrace tells whether the process stood still during the grace, so that the module did not have it, and grants it
-// anew, maxGraces times at most.
-func (c *Core) stalledInGrace(k *call) bool {
-	late := c.clock.now() - k.graceEnds
-	if late < control.Micros(graceStall.Microseconds()) || k.graces >= maxGraces {
+// stalledInGrace reports whether the process was stalled during the grace period, so that the module had no chance to use it.
+// If so, it starts the grace period again, at most maxGraceRenewals times for one call.
+func (c *Core) stalledInGrace(call *callState) bool {
+	late := c.clock.now() - call.graceEnds
+	if late < control.Micros(stallThreshold.Microseconds()) || call.graceRenewals >= maxGraceRenewals {
 		return false
 	}
-	k.graces++
-	c.grantGrace(k)
+	call.graceRenewals++
+	c.startGrace(call)
 	return true
 }
 
-// deadlinePassed fails a call for which the module gave no final answer in time.
-func (c *Core) deadlinePassed(k *call) {
-	if c.calls[k.ID] != k || k.established || c.stalledInGrace(k) {
+// deadlinePassed fails a call for which the module gave no final answer within the grace period.
+func (c *Core) deadlinePassed(call *callState) {
+	if c.calls[call.ID] != call || call.established || c.stalledInGrace(call) {
 		return
 	}
-	c.log.WithField("call", k.ID).Error("no decision by the deadline: call failed")
-	c.endAttempt(k, control.TimedOut, true)
-	c.handle(control.Withdrawn{ID: k.ID})
-	c.close(k)
-	c.note(history.Event{Kind: history.Failed, Call: k.ID})
-	c.figures.Class(k.Class).Error.Add(1)
-	k.caller.Fail()
+	c.log.WithField("call", call.ID).Error("no decision by the deadline: call failed")
+	c.endAttempt(call, control.TimedOut, true)
+	c.handle(control.Withdrawn{ID: call.ID})
+	c.close(call)
+	c.note(history.Event{Kind: history.Failed, Call: call.ID})
+	c.stats.Class(call.Class).Error.Add(1)
+	call.caller.Fail()
 }
 
-// Withdraw gives up a set-up whose caller waits no longer. An established call is left alone, and so is another
-// caller's of the same id. done, if not nil, is called with whether that came before the final answer.
+// Withdraw gives up a set-up whose caller no longer waits. An established call is left alone, and so is another
+// caller's call of the same id. done, if not nil, is called with true if the set-up was withdrawn before its final answer.
 func (c *Core) Withdraw(id string, caller Caller, done func(inTime bool)) {
 	c.Post(func() {
-		k := c.calls[id]
-		inTime := k != nil && !k.established && k.caller == caller
+		call := c.calls[id]
+		inTime := call != nil && !call.established && call.caller == caller
 		if inTime {
-			c.withdraw(k)
+			c.withdraw(call)
 		}
 		if done != nil {
 			done(inTime)
@@ -195,151 +197,154 @@
 	})
 }
 
-func (c *Core) withdraw(k *call) {
-	c.handle(control.Withdrawn{ID: k.ID})
-	c.endAttempt(k, control.Cancelled, true)
-	c.close(k)
-	c.note(history.Event{Kind: history.Gone, Call: k.ID})
+// withdraw gives up the set-up of a call that has no final answer yet.
+func (c *Core) withdraw(call *callState) {
+	c.handle(control.Withdrawn{ID: call.ID})
+	c.endAttempt(call, control.Cancelled, true)
+	c.close(call)
+	c.note(history.Event{Kind: history.Gone, Call: call.ID})
 }
 
-// Hangup ends a call from the caller's side. Anyone may end an established call; a set-up is given up by its own caller
-// alone, who may be nil where none is known. done is called with whether the call was known.
+// Hangup ends a call on behalf of its caller. Any caller may end an established call, but only its own caller may give up a
+// set-up; caller may be nil if it is not known. done, if not nil, is called with whether the call was known.
 func (c *Core) Hangup(id string, cause int, caller Caller, done func(known bool)) {
-	if cause < 1 || cause > 127 { // Q.850 has no others, and a server need not read them
+	if cause < 1 || cause > 127 { // outside the range of Q.850; a server need not accept it
 		cause = CauseNormal
 	}
 	c.Post(func() {
-		k := c.calls[id]
-		if k != nil && k.established {
-			c.releaseEstablished(k, cause)
-		} else if k != nil && k.caller == caller {
-			c.withdraw(k)
+		call := c.calls[id]
+		if call != nil && call.established {
+			c.releaseEstablished(call, cause)
+		} else if call != nil && call.caller == caller {
+			c.withdraw(call)
 		}
 		if done != nil {
-			done(k != nil)
+			done(call != nil)
 		}
 	})
 }
 
-// releaseEstablished ends an established call from this side.
-func (c *Core) releaseEstablished(k *call, cause int) {
-	a := k.current
-	a.peer.release(k.ID, cause)
-	c.close(k)
-	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
-	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
+// releaseEstablished ends an established call and releases it at its server.
+func (c *Core) releaseEstablished(call *callState, cause int) {
+	a := call.current
+	a.peer.release(call.ID, cause)
+	c.close(call)
+	c.note(history.Event{Kind: history.Released, Call: call.ID, Server: a.server, N: int64(cause)})
+	c.handle(control.AttemptEnded{ID: call.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
 		Elapsed: c.clock.now() - a.sentAt, Settled: true})
 }
 
-// close takes a call off the table.
-func (c *Core) close(k *call) {
-	if !k.established {
+// close removes a call from the table.
+func (c *Core) close(call *callState) {
+	if !call.established {
 		c.unanswered--
 	}
-	k.deadlineTimer.Stop()
-	if k.admission != nil && k.admission.admitted {
-		k.admission.admitted = false
-		k.quota.Done()
+	call.deadlineTimer.Stop()
+	if call.admission != nil && call.admission.admitted {
+		call.admission.admitted = false
+		call.quota.Done()
 	}
-	delete(c.calls, k.ID)
-	c.figures.Open.Store(int64(len(c.calls)))
-	if k.attempts > 0 { // a call that was never sent needs no release guard, and must use no memory in a flood
-		c.ended.add(k.ID, c.clock.now())
+	delete(c.calls, call.ID)
+	c.stats.Open.Store(int64(len(c.calls)))
+	if call.attempts > 0 { // a call that was never sent needs no release guard, and must not use memory during a flood
+		c.ended.add(call.ID, c.clock.now())
 	}
 	c.checkDrained()
 }
 
-// AnswerWithin bounds the time of the calls that come from now on: each has its final answer after the span at the latest. The
-// process may be killed then.
+// AnswerWithin bounds the deadlines of the calls that arrive from now on: each has its final answer at most d after this
+// call. The process may be killed then.
 func (c *Core) AnswerWithin(d time.Duration) {
-	c.Post(func() { c.answerBy = c.clock.now() + control.Micros(d/time.Microsecond) })
+	c.Post(func() { c.latestDeadline = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
-// OnDrained calls f once no caller is owed an answer.
+// OnDrained registers f to be called once, when every call has its final answer.
 func (c *Core) OnDrained(f func()) {
 	c.Post(func() {
-		c.drained = f
+		c.onDrained = f
 		c.checkDrained()
 	})
 }
 
-// checkDrained calls the function given to Drained if no call is unanswered. It is posted, so that the last answer has been
-// handed over by then.
+// checkDrained calls the function given to OnDrained if no call is unanswered. The function is posted, so that the last answer
+// has been delivered before it runs.
 func (c *Core) checkDrained() {
-	if c.unanswered > 0 || c.drained == nil {
+	if c.unanswered > 0 || c.onDrained == nil {
 		return
 	}
 	c.Post(func() {
-		if c.unanswered == 0 && c.drained != nil {
-			f := c.drained
-			c.drained = nil
+		if c.unanswered == 0 && c.onDrained != nil {
+			f := c.onDrained
+			c.onDrained = nil
 			f()
 		}
 	})
 }
 
-// handle gives the module one event and carries out its actions. Events that the actions bring about are posted, so
-// the module is never entered twice.
-func (c *Core) handle(e control.Event) {
-	c.actions = append(c.actions, c.ask(e)...) // the module reuses its slice
+// handle passes one event to the module and carries out the resulting actions. It may be called again by an action: the
+// actions of the nested event are then appended to the list that the outer call carries out.
+func (c *Core) handle(event control.Event) {
+	c.actions = append(c.actions, c.callModule(event)...) // copied: the module reuses its slice
 	if c.handling {
 		return
 	}
 	c.handling = true
 	for len(c.actions) > 0 {
-		a := c.actions[0]
+		action := c.actions[0]
 		c.actions = c.actions[1:]
-		c.act(a)
+		c.execute(action)
 	}
 	c.handling = false
 	c.noteViews()
 	c.countTargets(c.clock.now())
 }
 
-// ask guards against a panic in the module: one bad event must not end all calls. The overdue timer answers the call.
-func (c *Core) ask(e control.Event) (actions []control.Action) {
+// callModule passes one event to the module and recovers from a panic in it: one bad event must not end all calls. A call that
+// is left without a decision is answered by its deadline timer.
+func (c *Core) callModule(event control.Event) (actions []control.Action) {
 	defer func() {
-		if p := recover(); p != nil {
-			c.log.WithField("event", fmt.Sprintf("%T", e)).Errorf("module panicked: %v", p)
+		if recovered := recover(); recovered != nil {
+			c.log.WithField("event", fmt.Sprintf("%T", event)).Errorf("module panicked: %v", recovered)
 		}
 	}()
-	return c.module.Handle(c.clock.now(), e)
+	return c.module.Handle(c.clock.now(), event)
 }
 
-func (c *Core) act(a control.Action) {
-	k := c.calls[a.ID]
-	if k != nil && k.established {
-		k = nil
+// execute carries out one action of the module.
+func (c *Core) execute(action control.Action) {
+	call := c.calls[action.ID]
+	if call != nil && call.established {
+		call = nil
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case control.Send:
-		if k != nil {
-			c.send(k, a)
+		if call != nil {
+			c.send(call, action)
 		}
 	case control.Refuse:
-		if k != nil {
-			c.close(k)
-			c.note(history.Event{Kind: history.Refused, Call: k.ID, Span: a.Wait})
-			c.figures.Class(k.Class).Overload.Add(1)
-			c.observe(counting.Refused, &k.Setup, 0)
-			k.caller.Refuse(span(a.Wait))
+		if call != nil {
+			c.close(call)
+			c.note(history.Event{Kind: history.Refused, Call: call.ID, Span: action.Wait})
+			c.stats.Class(call.Class).Overload.Add(1)
+			c.observe(counting.Refused, &call.Setup, 0)
+			call.caller.Refuse(span(action.Wait))
 		}
 	case control.Fail:
-		if k != nil {
-			c.close(k)
-			c.note(history.Event{Kind: history.Failed, Call: k.ID})
-			c.figures.Class(k.Class).Error.Add(1)
-			c.observe(counting.Failed, &k.Setup, 0)
-			k.caller.Fail()
+		if call != nil {
+			c.close(call)
+			c.note(history.Event{Kind: history.Failed, Call: call.ID})
+			c.stats.Class(call.Class).Error.Add(1)
+			c.observe(counting.Failed, &call.Setup, 0)
+			call.caller.Fail()
 		}
 	case control.Cancel:
-		if k != nil && k.current != nil && k.current.number == a.Attempt {
-			c.endAttempt(k, control.Cancelled, false)
+		if call != nil && call.current != nil && call.current.number == action.Attempt {
+			c.endAttempt(call, control.Cancelled, false)
 		}
 	case control.SetTimer:
-		c.After(span(a.At-c.clock.now()), func() { c.handle(control.Timer{Key: a.Key}) })
-	case control.Watch: // the list comes by itself
+		c.After(span(action.At-c.clock.now()), func() { c.handle(control.Timer{Key: action.Key}) })
+	case control.Watch: // nothing to do: updates of the list arrive without a request
 	case control.Log:
-		c.log.Info(a.Text)
+		c.log.Info(action.Text)
 	}
 }
--- a/internal/routing/ended.go
+++ b/internal/routing/ended.go
@@ -6,26 +6,26 @@
 	"beammux/control"
 )
 
-// endedCalls holds the ids of calls that are over, with the time of their end, for at least endedCallLifetime; of more than
-// maxEndedCalls ids in that time, the newest maxEndedCalls/2 at least. It has two generations: when the current one is full or old enough,
-// the previous one is dropped whole, so that nothing ever iterates over it.
+// endedCalls holds the ids of ended calls, with the time of their end, for at least endedCallLifetime. If more than
+// maxEndedCalls ids arrive in that time, it holds at least the newest maxEndedCalls/2. It has two generations: when the
+// current one is full or old enough, the previous one is dropped as a whole, so that no iteration is ever needed.
 type endedCalls struct {
 	current, previous map[string]control.Micros
 	currentSince      control.Micros // when current began
 }
 
-// add notes an end at a time. Times never fall.
-func (m *endedCalls) add(id string, now control.Micros) {
-	if m.current == nil || len(m.current) >= maxEndedCalls/2 || now-m.currentSince >= control.Micros(endedCallLifetime/time.Microsecond) {
-		m.previous, m.current, m.currentSince = m.current, map[string]control.Micros{}, now
+// add records that a call ended now. Successive times must not decrease.
+func (e *endedCalls) add(id string, now control.Micros) {
+	if e.current == nil || len(e.current) >= maxEndedCalls/2 || now-e.currentSince >= control.Micros(endedCallLifetime/time.Microsecond) {
+		e.previous, e.current, e.currentSince = e.current, map[string]control.Micros{}, now
 	}
-	m.current[id] = now
+	e.current[id] = now
 }
 
-// endOf returns the time of an end that is remembered.
-func (m *endedCalls) endOf(id string) (at control.Micros, ok bool) {
-	if at, ok = m.current[id]; !ok {
-		at, ok = m.previous[id]
+// endOf returns when a call ended, if its id is still remembered.
+func (e *endedCalls) endOf(id string) (at control.Micros, ok bool) {
+	if at, ok = e.current[id]; !ok {
+		at, ok = e.previous[id]
 	}
 	return at, ok
 }
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -6,20 +6,21 @@
 	"beammux/control"
 )
 
-// Stats are the counts that the core keeps where each outcome is decided: what the operators read. They start at 0
-// with the process. Each is read without the core's actor, so that a busy core never holds an answer back.
+// Stats are the operational counters of the core, updated where each outcome is decided. They start at 0 with the
+// process. They are read without the core's actor, so that a busy core does not delay their readers.
 type Stats struct {
-	classes  []classFigures // by place in the settings; the last one is for classes that they don't name
-	Open     atomic.Int64   // taken and not yet ended: owed an answer, or standing until its release
-	Targets  atomic.Int64   // servers on the list
-	Disabled atomic.Int64   // of those, the ones now avoided
+	classes  []classStats // by index in the settings; the last one is for classes that they do not name
+	Open     atomic.Int64 // calls that are unanswered, or established and not yet released
+	Targets  atomic.Int64 // servers on the list
+	Disabled atomic.Int64 // servers on the list that are avoided now
 }
 
-type classFigures struct {
+// classStats are the counters of one class.
+type classStats struct {
 	Success, Overload, Error, Dispatches atomic.Int64
 }
 
-// Class gives the counts of a class: its place in the settings, or -1 for one that they don't name.
+// Class returns the counters of a class, given by its index in the settings, or -1 for one that they do not name.
 func (f *Stats) Class(class int) *ClassStats {
 	if class < 0 || class >= len(f.classes)-1 {
 		class = len(f.classes) - 1
@@ -27,31 +28,31 @@
 	return (*ClassStats)(&f.classes[class])
 }
 
-// ClassStats are the counts of one class.
-type ClassStats classFigures
+// ClassStats are the counters of one class.
+type ClassStats classStats
 
-func newFigures(classes int) *Stats { return &Stats{classes: make([]classFigures, classes+1)} }
+func newStats(classes int) *Stats { return &Stats{classes: make([]classStats, classes+1)} }
 
-// Stats gives the core's counts.
-func (c *Core) Stats() *Stats { return c.figures }
+// Stats returns the counters of the core. They are safe for concurrent use.
+func (c *Core) Stats() *Stats { return c.stats }
 
-// countTargets takes the list's size and the servers avoided from the module, at most every lookEvery.
+// countTargets updates the numbers of listed and of avoided servers from the module, at most once each viewInterval.
 func (c *Core) countTargets(now control.Micros) {
-	if now-c.countedAt < viewInterval {
+	if now-c.targetsCountedAt < viewInterval {
 		return
 	}
-	c.countedAt = now
-	c.counted = c.module.Views(c.counted[:0])
+	c.targetsCountedAt = now
+	c.countedViews = c.module.Views(c.countedViews[:0])
 	disabled := 0
-	for _, v := range c.counted {
+	for _, v := range c.countedViews {
 		if v.Gated() {
 			disabled++
 		}
 	}
-	c.figures.Targets.Store(int64(len(c.counted)))
-	c.figures.Disabled.Store(int64(disabled))
+	c.stats.Targets.Store(int64(len(c.countedViews)))
+	c.stats.Disabled.Store(int64(disabled))
 }
 
-// CountMalformed counts a set-up that a front could not read and told that it failed: class is its place in the settings,
-// or -1. The core never saw it, but its caller had its final answer.
-func (c *Core) CountMalformed(class int) { c.figures.Class(class).Error.Add(1) }
+// CountMalformed counts a set-up that a front could not parse and answered with a failure. class is its index in the settings,
+// or -1. Such a set-up never reaches the core, but its caller has received a final answer.
+func (c *Core) CountMalformed(class int) { c.stats.Class(class).Error.Add(1) }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -12,33 +12,35 @@
 	"beammux/internal/history"
 )
 
-// Host is one server as a list names it.
+// Host is one server as given by a source of the list.
 type Host struct {
 	Name  string
 	Addr  string
 	Cell  int
 	State control.State
-	Since control.Micros
+	Since control.Micros // Unix time of the start of its process
 }
 
-// Update is one change of the list, or where Whole is set all that its source knows. Servers of other sources stay.
+// Update is a change of the list. With Complete it is the complete list of its source: servers of that source that it does not
+// name are removed. Servers of other sources are not affected.
 type Update struct {
 	Source   string
 	Complete bool
 	Hosts    []Host
 }
 
-// List is the actor that owns the list of servers and their peers. Buses and inventories feed it.
+// List is the actor that owns the list of servers and their peers. It is updated by event buses and inventories.
 type List struct {
 	*actor.Actor
-	core    *Core
-	dialer  Dialer
-	log     logrus.FieldLogger
-	hosts   map[string]*listed
-	idNames map[uint32]string
+	core      *Core
+	dialer    Dialer
+	log       logrus.FieldLogger
+	hosts     map[string]*listedHost
+	namesByID map[uint32]string
 }
 
-type listed struct {
+// listedHost is a server on the list.
+type listedHost struct {
 	Host
 	source string
 	id     uint32
@@ -46,24 +48,25 @@
 	since  control.Micros // Host.Since by the core's clock, converted once
 }
 
-// NewList makes an empty list whose changes go to a core.
+// NewList returns an empty list that reports its changes to core.
 func NewList(core *Core, dialer Dialer, log logrus.FieldLogger) *List {
-	return &List{Actor: actor.New(), core: core, dialer: dialer, log: log, hosts: map[string]*listed{},
-		idNames: map[uint32]string{}}
+	return &List{Actor: actor.New(), core: core, dialer: dialer, log: log, hosts: map[string]*listedHost{},
+		namesByID: map[uint32]string{}}
 }
 
-// End stops the list, its peers and their connections. Established calls stay as they are: nobody is notified. It is called
-// when the process ends.
+// End stops the list and its peers and closes their connections. Established calls are left alone, without any
+// notification. It is called when the process ends.
 func (l *List) End() {
 	l.Post(func() {
 		for _, h := range l.hosts {
-			h.peer.end()
+			h.peer.shutdown()
 		}
 		l.Stop()
 	})
 }
 
-// Apply takes a change. done, if not nil, is called when the module has it.
+// Apply applies a change to the list. done, if not nil, is called from the core's actor after the module has received the
+// change.
 func (l *List) Apply(u Update, done func()) {
 	l.Post(func() {
 		l.apply(u)
@@ -73,6 +76,7 @@
 	})
 }
 
+// apply applies a change to the list and passes the changed entries to the module.
 func (l *List) apply(u Update) {
 	entries := make([]control.Entry, 0, len(u.Hosts))
 	named := map[string]bool{}
@@ -99,55 +103,57 @@
 	}
 	l.core.Post(func() {
 		l.core.peers = peers
-		l.core.countedAt = -viewInterval // the list's size is counted at once
+		l.core.targetsCountedAt = -viewInterval // the list's size is counted at once
 		l.core.handle(control.List{Delta: true, Entries: entries})
 	})
 }
 
-// applyHost takes one entry. The peer hears of its state before the module does, so that nothing stale slips out between.
+// applyHost applies one entry of an update. It updates the peer's state before the module's, so that nothing is sent in
+// between on the old state.
 func (l *List) applyHost(source string, h Host) (control.Entry, bool) {
-	old := l.hosts[h.Name]
+	entry := l.hosts[h.Name]
 	if h.State == control.Gone {
-		if old == nil {
+		if entry == nil {
 			return control.Entry{}, false
 		}
-		l.remove(old)
-		return control.Entry{Server: old.id, Cell: h.Cell, State: control.Gone, Since: old.since}, true
+		l.remove(entry)
+		return control.Entry{Server: entry.id, Cell: h.Cell, State: control.Gone, Since: entry.since}, true
 	}
-	if old != nil && old.Addr != h.Addr { // moved: what was known of the old address no longer holds
-		l.remove(old)
-		old = nil
+	if entry != nil && entry.Addr != h.Addr { // the address has changed: start over with a new peer
+		l.remove(entry)
+		entry = nil
 	}
-	if old == nil {
+	if entry == nil {
 		id := l.serverID(h.Name)
 		log := l.log.WithFields(logrus.Fields{"server": h.Name, "address": h.Addr})
-		old = &listed{id: id, peer: newPeer(l.core, id, h.Addr, l.dialer, log)}
-		old.since = l.core.clock.fromUnix(h.Since)
-		l.hosts[h.Name] = old
-	} else if h.Since != old.Since {
-		old.since = l.core.clock.fromUnix(h.Since)
-		if h.Since > old.Since { // a new process under the same id: established calls at the old one are over
-			p, since := old.peer, old.since
+		entry = &listedHost{id: id, peer: newPeer(l.core, id, h.Addr, l.dialer, log)}
+		entry.since = l.core.clock.fromUnix(h.Since)
+		l.hosts[h.Name] = entry
+	} else if h.Since != entry.Since {
+		entry.since = l.core.clock.fromUnix(h.Since)
+		if h.Since > entry.Since { // the process was restarted: calls established at the old one have ended
+			p, since := entry.peer, entry.since
 			l.core.Post(func() { l.core.serverDied(p, since, false) })
 		}
 	}
-	old.Host, old.source = h, source
-	old.peer.set(h.State)
-	return control.Entry{Server: old.id, Cell: h.Cell, State: h.State, Since: old.since}, true
+	entry.Host, entry.source = h, source
+	entry.peer.setState(h.State)
+	return control.Entry{Server: entry.id, Cell: h.Cell, State: h.State, Since: entry.since}, true
 }
 
-// record notes in the records what the list says of a server.
+// record records the state of a server on the list.
 func (l *List) record(name string, e control.Entry) {
 	l.core.note(history.Event{Kind: history.Listed, Server: e.Server, Name: name, State: e.State, N: int64(e.Cell), Since: e.Since})
 }
 
-func (l *List) remove(h *listed) {
+// remove removes a server from the list and ends its peer.
+func (l *List) remove(h *listedHost) {
 	delete(l.hosts, h.Name)
-	h.peer.set(control.Gone)
+	h.peer.setState(control.Gone)
 }
 
-// serverID gives a server the number that its name holds (s-00c41f7a), else one made from the name. It stays the same
-// for as long as this process lives.
+// serverID returns the id of a server: the hexadecimal number in its name (s-00c41f7a), or else a hash of the name. An
+// id that another name already has is incremented. The id of a name does not change while this process runs.
 func (l *List) serverID(name string) uint32 {
 	_, digits, _ := strings.Cut(name, "-")
 	n, err := strconv.ParseUint(digits, 16, 32)
@@ -157,9 +163,9 @@
 		h.Write([]byte(name))
 		id = h.Sum32()
 	}
-	for l.idNames[id] != "" && l.idNames[id] != name {
+	for l.namesByID[id] != "" && l.namesByID[id] != name {
 		id++
 	}
-	l.idNames[id] = name
+	l.namesByID[id] = name
 	return id
 }
--- a/internal/routing/stall_test.go
+++ b/internal/routing/stall_test.go
@@ -9,73 +9,74 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// A process that stood still over a caller's deadline finds the core's timer and the end of the attempt due at the same
-// moment, and the runtime may run that one first. The module still has its chance to answer.
-func TestStallOverADeadlineLeavesTheModuleItsChance(t *testing.T) {
+// After a stall of the process past a caller's deadline, the core's deadline timer and the attempt's expiry are due at the same
+// moment, and the runtime may run the deadline timer first. The module must still have its grace period to answer.
+func TestStallOverDeadlineKeepsGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		logged := test.NewLocal(b.core.log.(*logrus.Logger))
-		c := b.call("1", time.Second)
-		b.core.Post(func() {
-			k := b.core.calls["1"]
+		h := newHarness("a")
+		defer h.stop()
+		logged := test.NewLocal(h.core.log.(*logrus.Logger))
+		c := h.call("1", time.Second)
+		h.core.Post(func() {
+			k := h.core.calls["1"]
 			k.deadlineTimer.Stop()
 			k.current.expiry.Stop()
 			time.Sleep(time.Second + 2*decisionGrace)
 			k.deadlineTimer.Reset(0)
 			k.current.expiry.Reset(decisionGrace / 2)
 		})
-		b.sleep(2 * time.Second)
+		h.sleep(2 * time.Second)
 		for _, e := range logged.AllEntries() {
 			if e.Level <= logrus.ErrorLevel {
 				t.Errorf("logged %q", e.Message)
 			}
 		}
-		if c.finals != 1 || c.stood {
-			t.Errorf("finals %d, stood %v; want one answer, and that it failed", c.finals, c.stood)
+		if c.finalAnswers != 1 || c.established {
+			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
 		}
 	})
 }
 
-// A process that stands still during the module's grace has not given it the grace.
-func TestStallDuringTheGraceIsNone(t *testing.T) {
+// A stall of the process during the module's grace period renews the grace period.
+func TestStallDuringGraceRenewsGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		logged := test.NewLocal(b.core.log.(*logrus.Logger))
-		c := b.call("1", time.Second)
-		b.core.Post(func() { b.core.calls["1"].current.expiry.Stop() })
-		b.sleep(time.Second + decisionGrace/3)
-		b.core.Post(func() {
+		h := newHarness("a")
+		defer h.stop()
+		logged := test.NewLocal(h.core.log.(*logrus.Logger))
+		c := h.call("1", time.Second)
+		h.core.Post(func() { h.core.calls["1"].current.expiry.Stop() })
+		h.sleep(time.Second + decisionGrace/3)
+		h.core.Post(func() {
 			time.Sleep(2 * decisionGrace)
-			b.core.calls["1"].current.expiry.Reset(decisionGrace / 2)
+			h.core.calls["1"].current.expiry.Reset(decisionGrace / 2)
 		})
-		b.sleep(time.Second)
+		h.sleep(time.Second)
 		for _, e := range logged.AllEntries() {
 			if e.Level <= logrus.ErrorLevel {
 				t.Errorf("logged %q", e.Message)
 			}
 		}
-		if c.finals != 1 || c.stood {
-			t.Errorf("finals %d, stood %v; want one answer, and that it failed", c.finals, c.stood)
+		if c.finalAnswers != 1 || c.established {
+			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
 		}
 	})
 }
 
-// A module that never decides is not waited for, however often the process stands still: the answer comes while it still does.
-func TestGraceEnds(t *testing.T) {
+// The grace period is renewed a limited number of times: a module that never decides does not delay the answer for ever, even if
+// the process stalls again and again.
+func TestGraceRenewalsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench("a")
-		defer b.end()
-		c := b.call("1", time.Second)
-		b.core.Post(func() { b.core.calls["1"].current.expiry.Stop() })
-		b.sleep(time.Second + decisionGrace/3)
-		for range 2 * maxGraces {
-			b.core.Post(func() { time.Sleep(decisionGrace + graceStall) })
-			b.sleep(decisionGrace + graceStall)
+		h := newHarness("a")
+		defer h.stop()
+		c := h.call("1", time.Second)
+		h.core.Post(func() { h.core.calls["1"].current.expiry.Stop() })
+		h.sleep(time.Second + decisionGrace/3)
+		for range 2 * maxGraceRenewals {
+			h.core.Post(func() { time.Sleep(decisionGrace + stallThreshold) })
+			h.sleep(decisionGrace + stallThreshold)
 		}
-		if c.finals != 1 || c.stood {
-			t.Errorf("finals %d, stood %v; want one answer, and that it failed", c.finals, c.stood)
+		if c.finalAnswers != 1 || c.established {
+			t.Errorf("final answers %d, established %v; want one final answer, a failure", c.finalAnswers, c.established)
 		}
 	})
 }
