--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -51,29 +51,29 @@
 type Agent struct {
 	*actor.Actor
 	Options
-	core        Core
-	layer       *layer
-	udp         net.PacketConn
-	tcp         *transport.Listener
-	conns       map[string]*transport.Conn // TCP, by remote address
-	calls       map[*serverTx]*uasCall     // set-ups of callers that have no final answer
-	dialogs     map[string]*dialog         // by key
-	byID        map[string]*dialog         // by the core's id and side
-	serverConns map[string]*serverConn     // by the server's address
-	draining    bool
-	closing     bool // set-ups are refused: the process ends
-	once        sync.Once
+	core             Core
+	transactionLayer *transactionLayer
+	udp              net.PacketConn
+	tcp              *transport.Listener
+	tcpConns         map[string]*transport.Conn // TCP, by remote address
+	pendingCalls     map[*serverTx]*uasCall     // set-ups of callers that have no final answer
+	dialogs          map[string]*dialog         // by key
+	dialogsByID      map[string]*dialog         // by the core's id and side
+	serverConns      map[string]*serverConn     // by the server's address
+	draining         bool
+	refusing         bool // set-ups are refused: the process ends
+	closeOnce        sync.Once
 }
 
 // NewAgent makes an agent that listens nowhere yet.
-func NewAgent(core Core, o Options) *Agent {
-	if o.Timers == (Timers{}) {
-		o.Timers = DefaultTimers
+func NewAgent(core Core, options Options) *Agent {
+	if options.Timers == (Timers{}) {
+		options.Timers = DefaultTimers
 	}
-	a := &Agent{Actor: actor.New(), Options: o, core: core, conns: map[string]*transport.Conn{},
-		calls: map[*serverTx]*uasCall{}, dialogs: map[string]*dialog{}, byID: map[string]*dialog{},
+	a := &Agent{Actor: actor.New(), Options: options, core: core, tcpConns: map[string]*transport.Conn{},
+		pendingCalls: map[*serverTx]*uasCall{}, dialogs: map[string]*dialog{}, dialogsByID: map[string]*dialog{},
 		serverConns: map[string]*serverConn{}}
-	a.layer = newLayer(o.Timers, a.After)
+	a.transactionLayer = newTransactionLayer(options.Timers, a.After)
 	return a
 }
 
@@ -88,15 +88,15 @@
 		a.udp = pc
 	}
 	if tcp != "" {
-		l, err := transport.Listen(tcp, a.Budget)
+		listener, err := transport.Listen(tcp, a.Budget)
 		if err != nil {
 			if a.udp != nil {
 				a.udp.Close()
 			}
 			return err
 		}
-		l.Away = a.Away
-		a.tcp = l
+		listener.Away = a.Away
+		a.tcp = listener
 	}
 	return nil
 }
@@ -127,15 +127,15 @@
 func (a *Agent) Drain() { a.Post(func() { a.draining = true }) }
 
 // TurnAway refuses the set-ups that come from now on: the process ends once what came before is answered.
-func (a *Agent) TurnAway() { a.Post(func() { a.closing = true }) }
+func (a *Agent) TurnAway() { a.Post(func() { a.refusing = true }) }
 
 // Close ends the agent's sockets, once it has sent what was posted before.
-func (a *Agent) Close() { a.once.Do(a.close) }
+func (a *Agent) Close() { a.closeOnce.Do(a.close) }
 
 func (a *Agent) close() {
-	sent := make(chan struct{})
-	a.Post(func() { close(sent) })
-	<-sent
+	flushed := make(chan struct{})
+	a.Post(func() { close(flushed) })
+	<-flushed
 	if a.tcp != nil {
 		a.tcp.Close()
 		a.tcp.Finish(a.Timers.T1)
--- a/internal/protocol/sip/agent_dialogs.go
+++ b/internal/protocol/sip/agent_dialogs.go
@@ -8,7 +8,7 @@
 
 func (a *Agent) addDialog(d *dialog) {
 	a.dialogs[d.key()] = d
-	a.byID[d.storeKey()] = d
+	a.dialogsByID[d.storeKey()] = d
 	if a.Dialogs != nil {
 		a.Dialogs.Put(d.storeKey(), d.record())
 	}
@@ -17,8 +17,8 @@
 func (a *Agent) dropDialog(d *dialog) {
 	d.ended = true
 	delete(a.dialogs, d.key())
-	if a.byID[d.storeKey()] == d {
-		delete(a.byID, d.storeKey())
+	if a.dialogsByID[d.storeKey()] == d {
+		delete(a.dialogsByID, d.storeKey())
 	}
 	if a.Dialogs != nil {
 		a.Dialogs.Delete(d.storeKey())
@@ -32,13 +32,13 @@
 		return err
 	}
 	a.Post(func() {
-		if a.byID[d.storeKey()] != nil {
+		if a.dialogsByID[d.storeKey()] != nil {
 			return // of this process
 		}
 		// Requests that were sent and not recorded must not have their numbers used again.
 		d.LocalSeq += 16
 		a.dialogs[d.key()] = d
-		a.byID[d.storeKey()] = d
+		a.dialogsByID[d.storeKey()] = d
 	})
 	return nil
 }
@@ -46,7 +46,7 @@
 // Orphan ends the caller's side of a call that only the store remembers. otherwise runs if it does not.
 func (a *Agent) Orphan(id string, cause int, otherwise func()) {
 	a.Post(func() {
-		if d := a.byID[id+"/caller"]; d != nil {
+		if d := a.dialogsByID[id+"/caller"]; d != nil {
 			a.hangup(d, cause)
 		} else if otherwise != nil {
 			otherwise()
@@ -57,7 +57,7 @@
 // OrphanHangup ends the server's side of a call that only the store remembers: its caller has hung up.
 func (a *Agent) OrphanHangup(id string, cause int) {
 	a.Post(func() {
-		if d := a.byID[id+"/server"]; d != nil {
+		if d := a.dialogsByID[id+"/server"]; d != nil {
 			a.hangup(d, cause)
 		}
 	})
@@ -69,11 +69,11 @@
 		return
 	}
 	d.ended = true
-	a.inDialog(d, "BYE", cause, func() { a.dropDialog(d) })
+	a.sendInDialog(d, "BYE", cause, func() { a.dropDialog(d) })
 }
 
-// inDialog sends a request inside a dialog on the flow that it has, or on a new one to its next hop.
-func (a *Agent) inDialog(d *dialog, method string, cause int, then func()) {
+// sendInDialog sends a request inside a dialog on the flow that it has, or on a new one to its next hop.
+func (a *Agent) sendInDialog(d *dialog, method string, cause int, done func()) {
 	m := d.request(method)
 	if cause > 0 {
 		m.Set("Reason", reasonHeader(cause))
@@ -81,18 +81,18 @@
 	a.dialogFlow(d, func(f flow, err error) {
 		if err != nil {
 			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: " + method + " can't be sent")
-			if then != nil {
-				then()
+			if done != nil {
+				done()
 			}
 			return
 		}
 		m.Set("Via", a.newVia(f.proto()))
 		end := func() {
-			if then != nil {
-				then()
+			if done != nil {
+				done()
 			}
 		}
-		a.layer.request(m, f, nil, func(r *Message) {
+		a.transactionLayer.request(m, f, nil, func(r *Message) {
 			if r.Status >= 200 {
 				end()
 			}
@@ -104,25 +104,25 @@
 }
 
 // dialogFlow passes then the flow for a request inside a dialog: the dialog's connection while it is open, else its next hop.
-func (a *Agent) dialogFlow(d *dialog, then func(flow, error)) {
+func (a *Agent) dialogFlow(d *dialog, done func(flow, error)) {
 	if t, ok := d.flow.(*tcpFlow); ok && len(d.Routes) == 0 {
 		select {
 		case <-t.conn.Gone():
 		default:
-			then(d.flow, nil)
+			done(d.flow, nil)
 			return
 		}
 	}
-	proto, addr, err := d.hop()
+	proto, addr, err := d.nextHop()
 	if err != nil {
-		then(nil, err)
+		done(nil, err)
 		return
 	}
-	a.flowTo(proto, addr, then)
+	a.flowTo(proto, addr, done)
 }
 
-// ack confirms a 2xx. Each retransmission of the 2xx is answered by another.
-func (a *Agent) ack(d *dialog) {
+// sendAck confirms a 2xx. Each retransmission of the 2xx is answered by another.
+func (a *Agent) sendAck(d *dialog) {
 	m := d.request("ACK")
 	a.dialogFlow(d, func(f flow, err error) {
 		if err == nil {
@@ -131,11 +131,11 @@
 	})
 }
 
-// bye takes the end of a dialog from either side.
-func (a *Agent) bye(t *serverTx, m *Message) {
-	d := a.dialogOf(m)
+// handleBye takes the end of a dialog from either side.
+func (a *Agent) handleBye(t *serverTx, m *Message) {
+	d := a.findDialog(m)
 	if d == nil {
-		t.respond(Respond(m, 481, "Call/Transaction Does Not Exist").Set("To", withTag(m.Get("To"))))
+		t.respond(Respond(m, 481, "Call/Transaction Does Not Exist").Set("To", ensureTag(m.Get("To"))))
 		return
 	}
 	number, _, _ := m.CSeq()
@@ -146,9 +146,9 @@
 	d.RemoteSeq = number
 	t.respond(Respond(m, 200, "OK"))
 	ended := d.ended
-	why := cause(m)
-	if d.call != nil {
-		d.call.over = true
+	byeCause := cause(m)
+	if d.callerLeg != nil {
+		d.callerLeg.released = true
 	}
 	a.dropDialog(d)
 	if ended {
@@ -156,24 +156,24 @@
 	}
 	if !d.Server {
 		var caller routing.Caller
-		if d.call != nil {
-			caller = d.call
+		if d.callerLeg != nil {
+			caller = d.callerLeg
 		}
-		a.core.Hangup(d.ID, why, caller, func(known bool) {
+		a.core.Hangup(d.ID, byeCause, caller, func(known bool) {
 			if !known {
-				a.OrphanHangup(d.ID, why)
+				a.OrphanHangup(d.ID, byeCause)
 			}
 		})
 		return
 	}
-	if l := d.conn; l != nil {
-		if now := a.serverConns[l.key]; now != nil {
-			l = now // the connection may have been opened anew since the set-up
+	if server := d.conn; server != nil {
+		if current := a.serverConns[server.key]; current != nil {
+			server = current // the connection may have been opened anew since the set-up
 		}
-		l.events.Released(d.ID, why, parseReport(m.Get("X-Occupancy"), a.Reports))
+		server.events.Released(d.ID, byeCause, parseReport(m.Get("X-Occupancy"), a.Reports))
 		return
 	}
-	if other := a.byID[d.ID+"/caller"]; other != nil {
-		a.hangup(other, why)
+	if other := a.dialogsByID[d.ID+"/caller"]; other != nil {
+		a.hangup(other, byeCause)
 	}
 }
--- a/internal/protocol/sip/agent_retry_test.go
+++ b/internal/protocol/sip/agent_retry_test.go
@@ -10,20 +10,20 @@
 	. "beammux/internal/protocol/sip/siptest"
 )
 
-// limited puts limits in force at which a call waits 300 ms before its second and last attempt.
-func limited(t *testing.T, b *bench) {
+// setRetryLimits puts limits in force at which a call waits 300 ms before its second and last attempt.
+func setRetryLimits(t *testing.T, b *fixture) {
 	t.Helper()
-	set := settings(5 * time.Second)
+	siteSettings := settings(5 * time.Second)
 	p, faults := retry.Compile(&retry.File{Defaults: retry.Values{retry.Attempts: 2, retry.RetryWait: 300000}},
-		retry.Rules{Names: []string{"menu-view"}, Classes: set.Classes, AttemptsCap: 5, ReleaseGuard: 300000})
+		retry.Rules{Names: []string{"menu-view"}, Classes: siteSettings.Classes, AttemptsCap: 5, ReleaseGuard: 300000})
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	b.core.SetLimits(p)
 }
 
-// noAgent turns a set-up away as a server does that has a processor but no agent: it is passed over and not gated.
-func noAgent(p *Party, e Entry) {
+// refusingNoAgent turns a set-up away as a server does that has a processor but no agent: it is passed over and not gated.
+func refusingNoAgent(p *Party, e Entry) {
 	if Is("INVITE")(e.Msg) {
 		e.Back(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
 	}
@@ -31,10 +31,10 @@
 
 // An INVITE that is repeated over UDP while its call waits for its second attempt is no further attempt, and no second
 // call: each server hears of it in one transaction, and the caller gets one answer.
-func TestRetransmissionDuringTheWait(t *testing.T) {
-	servers := []*Party{New(t, noAgent), New(t, noAgent)}
-	b := newBench(t, 5*time.Second, host("s-1", servers[0].URI("UDP"), 0), host("s-2", servers[1].URI("UDP"), 1))
-	limited(t, b)
+func TestRetransmissionDuringRetryWait(t *testing.T) {
+	servers := []*Party{New(t, refusingNoAgent), New(t, refusingNoAgent)}
+	b := newFixture(t, 5*time.Second, host("s-1", servers[0].URI("UDP"), 0), host("s-2", servers[1].URI("UDP"), 1))
+	setRetryLimits(t, b)
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "").Set("X-Dest", "0")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -55,11 +55,11 @@
 }
 
 // A CANCEL that comes during the wait ends the call: 487 at once, and no second attempt.
-func TestCancelDuringTheWait(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		servers := []*Party{New(t, noAgent), New(t, noAgent)}
-		b := newBench(t, 5*time.Second, host("s-1", servers[0].URI(proto), 0), host("s-2", servers[1].URI(proto), 1))
-		limited(t, b)
+func TestCancelDuringRetryWait(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, proto string) {
+		servers := []*Party{New(t, refusingNoAgent), New(t, refusingNoAgent)}
+		b := newFixture(t, 5*time.Second, host("s-1", servers[0].URI(proto), 0), host("s-2", servers[1].URI(proto), 1))
+		setRetryLimits(t, b)
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "").Set("X-Dest", "0")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
@@ -84,28 +84,28 @@
 }
 
 // A caller that closes its TCP connection has gone: its set-up is cancelled at the server within 0.1 s.
-func TestClosedConnectionGivesTheSetupUp(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		server := New(t, silent)
-		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
+func TestClosedConnectionCancelsSetup(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, proto string) {
+		server := New(t, tryingOnly)
+		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		caller.Send("TCP", b.agent.Addr("TCP"), caller.Invite("TCP", "abc", "1", ""))
 		server.Wait("INVITE", Is("INVITE"))
 		caller.Wait("100", Status(100, "INVITE"))
-		left := time.Now()
+		closedAt := time.Now()
 		caller.Stop()
-		if e := server.Wait("CANCEL", Is("CANCEL")); e.At.Sub(left) > 100*time.Millisecond {
-			t.Errorf("cancelled after %v", e.At.Sub(left))
+		if e := server.Wait("CANCEL", Is("CANCEL")); e.At.Sub(closedAt) > 100*time.Millisecond {
+			t.Errorf("cancelled after %v", e.At.Sub(closedAt))
 		}
 	})
 }
 
 // And no further attempt begins for one who closed, or cancelled, while its call waited for it.
-func TestNoFurtherAttemptForOneWhoLeft(t *testing.T) {
+func TestNoFurtherAttemptAfterCallerLeft(t *testing.T) {
 	for _, how := range []string{"close", "cancel"} {
 		t.Run(how, func(t *testing.T) {
 			first, second := New(t, refusing(504)), New(t, answering)
-			b := newBench(t, 5*time.Second, host("s-1", first.URI("TCP"), 0), host("s-2", second.URI("TCP"), 1))
+			b := newFixture(t, 5*time.Second, host("s-1", first.URI("TCP"), 0), host("s-2", second.URI("TCP"), 1))
 			caller := New(t, nil)
 			invite := caller.Invite("TCP", "abc", "1", "").Set("X-Dest", "0")
 			send := caller.Send("TCP", b.agent.Addr("TCP"), invite)
@@ -128,9 +128,9 @@
 }
 
 // Over UDP a set-up that was given up before any response is not sent again, and it is cancelled once a response comes.
-func TestGivenUpIsNotRetransmitted(t *testing.T) {
+func TestCancelledInviteIsNotRetransmitted(t *testing.T) {
 	server := New(t, nil)
-	b := newBench(t, 5*time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, 5*time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "1", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -138,7 +138,7 @@
 	send(cancelOf(invite))
 	caller.Wait("487", Status(487, "INVITE"))
 	n := server.Count(Is("INVITE"))
-	time.Sleep(10 * quick.T1)                           // three copies would be due
+	time.Sleep(10 * quickTimers.T1)                     // three copies would be due
 	if more := server.Count(Is("INVITE")); more > n+1 { // one may have been on its way
 		t.Errorf("%d copies went out after it was given up", more-n)
 	}
@@ -148,14 +148,14 @@
 
 // Once it is to turn away, an INVITE is refused at once, and one that came before is still answered.
 func TestTurnAway(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		release := make(chan struct{})
 		server := New(t, func(p *Party, e Entry) {
 			if Is("INVITE")(e.Msg) {
 				go func() { <-release; answering(p, e) }()
 			}
 		})
-		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		first, second := New(t, nil), New(t, nil)
 		first.Send(proto, b.agent.Addr(proto), first.Invite(proto, "abc", "1", ""))
 		server.Wait("INVITE", Is("INVITE"))
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -17,9 +17,9 @@
 )
 
 // Short timers keep the tests quick; their proportions are the RFC's.
-var quick = sip.Timers{T1: 20 * time.Millisecond, T2: 160 * time.Millisecond, T4: 200 * time.Millisecond}
+var quickTimers = sip.Timers{T1: 20 * time.Millisecond, T2: 160 * time.Millisecond, T4: 200 * time.Millisecond}
 
-type bench struct {
+type fixture struct {
 	agent *sip.Agent
 	core  *routing.Core
 	list  *routing.List
@@ -32,20 +32,20 @@
 		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: d, Worth: 1, LateWorth: 0.25}}}
 }
 
-func newBench(t *testing.T, deadline time.Duration, servers ...routing.Host) *bench {
+func newFixture(t *testing.T, deadline time.Duration, servers ...routing.Host) *fixture {
 	t.Helper()
-	return newBenchWith(t, deadline, nil, servers...)
+	return newFixtureWith(t, deadline, nil, servers...)
 }
 
-// newBenchWith is newBench with more of the agent's options set.
-func newBenchWith(t *testing.T, deadline time.Duration, configure func(*sip.Options), servers ...routing.Host) *bench {
+// newFixtureWith is newBench with more of the agent's options set.
+func newFixtureWith(t *testing.T, deadline time.Duration, configure func(*sip.Options), servers ...routing.Host) *fixture {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	set := settings(deadline)
-	core := routing.NewCore(set, 1, nil, log)
-	o := sip.Options{Classes: []string{"menu-view"}, Deadlines: []control.Micros{set.Classes[0].Deadline},
-		DefaultClass: "menu-view", Timers: quick, DialTimeout: time.Second, Budget: transport.NewBudget(100, 10), Log: log}
+	siteSettings := settings(deadline)
+	core := routing.NewCore(siteSettings, 1, nil, log)
+	o := sip.Options{Classes: []string{"menu-view"}, Deadlines: []control.Micros{siteSettings.Classes[0].Deadline},
+		DefaultClass: "menu-view", Timers: quickTimers, DialTimeout: time.Second, Budget: transport.NewBudget(100, 10), Log: log}
 	if configure != nil {
 		configure(&o)
 	}
@@ -55,12 +55,12 @@
 	}
 	agent.Serve()
 	t.Cleanup(agent.Close)
-	b := &bench{agent, core, routing.NewList(core, agent, log)}
+	b := &fixture{agent, core, routing.NewList(core, agent, log)}
 	b.apply(routing.Update{Whole: true, Hosts: servers})
 	return b
 }
 
-func (b *bench) apply(u routing.Update) {
+func (b *fixture) apply(u routing.Update) {
 	done := make(chan struct{})
 	b.list.Apply(u, func() { close(done) })
 	<-done
@@ -90,8 +90,8 @@
 	}
 }
 
-// silent takes set-ups and says no more than Trying.
-func silent(p *Party, e Entry) {
+// tryingOnly takes set-ups and says no more than Trying.
+func tryingOnly(p *Party, e Entry) {
 	if Is("INVITE")(e.Msg) {
 		e.Back(p.Reply(e.Msg, 100, "Trying", ""))
 	}
@@ -100,17 +100,17 @@
 	}
 }
 
-func each(t *testing.T, f func(t *testing.T, proto string)) {
+func forEachTransport(t *testing.T, f func(t *testing.T, proto string)) {
 	for _, proto := range []string{"UDP", "TCP"} {
 		t.Run(proto, func(t *testing.T) { f(t, proto) })
 	}
 }
 
 // One whole path: set-up, answer with its body, ACK, release by the caller, each passed on once.
-func TestCallStandsAndCallerReleases(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+func TestCallAnsweredAndReleasedByCaller(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
-		b := newBench(t, 2*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 2*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "offer")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
@@ -129,10 +129,10 @@
 }
 
 // A server's BYE ends the call towards the caller by one BYE.
-func TestServerReleases(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+func TestCallReleasedByServer(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
-		b := newBench(t, 2*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 2*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, func(p *Party, e Entry) {
 			if Is("BYE")(e.Msg) {
 				e.Back(p.Reply(e.Msg, 200, "OK", ""))
@@ -153,9 +153,9 @@
 }
 
 // Guards against a UDP retransmission becoming a second attempt: its transaction absorbs it.
-func TestRetransmissionIsNoSecondAttempt(t *testing.T) {
-	server := New(t, silent)
-	b := newBench(t, 400*time.Millisecond, host("s-1", server.URI("UDP"), 0))
+func TestRetransmittedInviteIsAbsorbed(t *testing.T) {
+	server := New(t, tryingOnly)
+	b := newFixture(t, 400*time.Millisecond, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -170,9 +170,9 @@
 
 // Guards against new work at a draining server: a set-up that it never heard is not sent to it again, and the caller
 // gets its one final answer.
-func TestNoCopyToADrainingServer(t *testing.T) {
+func TestNoRetransmissionToDrainingServer(t *testing.T) {
 	server := New(t, nil) // hears all, says nothing
-	b := newBench(t, 3*time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, 3*time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
 	server.Wait("INVITE", Is("INVITE"))
@@ -188,9 +188,9 @@
 
 // A server that has no room is passed over; with all gated the caller is refused at once and told when to return.
 func TestRefusalWithRetryAfter(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, refusing(503))
-		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		began := time.Now()
 		send := caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", ""))
@@ -208,9 +208,9 @@
 
 // The deadline is that of the class, or Expires if shorter.
 func TestDeadline(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		server := New(t, silent)
-		b := newBench(t, 300*time.Millisecond, host("s-1", server.URI(proto), 0))
+	forEachTransport(t, func(t *testing.T, proto string) {
+		server := New(t, tryingOnly)
+		b := newFixture(t, 300*time.Millisecond, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		began := time.Now()
 		caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", "").Set("Expires", "60"))
@@ -224,9 +224,9 @@
 
 // CANCEL before the answer: 200 to it, 487 to the INVITE, and CANCEL to the server.
 func TestCancel(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		server := New(t, silent)
-		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
+	forEachTransport(t, func(t *testing.T, proto string) {
+		server := New(t, tryingOnly)
+		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
@@ -241,7 +241,7 @@
 
 // Guards against a call that nobody holds: an answer that crosses the CANCEL is confirmed and released.
 func TestLateAnswerIsAckedAndReleased(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, func(p *Party, e Entry) {
 			switch {
 			case Is("INVITE")(e.Msg):
@@ -251,7 +251,7 @@
 				e.Back(p.Reply(p.Wait("INVITE", Is("INVITE")).Msg, 200, "OK", "late"))
 			}
 		})
-		b := newBench(t, 200*time.Millisecond, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 200*time.Millisecond, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", ""))
 		caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
@@ -264,7 +264,7 @@
 }
 
 // A set-up cut by a server that stops gets one final answer; a standing call one BYE.
-func TestServerDies(t *testing.T) {
+func TestServerCrash(t *testing.T) {
 	first := true
 	server := New(t, func(p *Party, e Entry) {
 		if !Is("INVITE")(e.Msg) {
@@ -277,7 +277,7 @@
 		}
 		e.Back(p.Reply(e.Msg, 100, "Trying", ""))
 	})
-	b := newBench(t, 1500*time.Millisecond, host("s-1", server.URI("TCP"), 0))
+	b := newFixture(t, 1500*time.Millisecond, host("s-1", server.URI("TCP"), 0))
 	caller := New(t, nil)
 	one := caller.Invite("TCP", "one", "1", "")
 	send := caller.Send("TCP", b.agent.Addr("TCP"), one)
@@ -310,7 +310,7 @@
 // Bad input gets the protocol's error; only its own connection closes.
 func TestBadInput(t *testing.T) {
 	server := New(t, answering)
-	b := newBench(t, 2*time.Second, host("s-1", server.URI("TCP"), 0))
+	b := newFixture(t, 2*time.Second, host("s-1", server.URI("TCP"), 0))
 	for _, row := range []struct {
 		name   string
 		status int
@@ -326,7 +326,7 @@
 		{"bad Expires", 400, func(m *sip.Message) { m.Set("Expires", "soon") }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			each(t, func(t *testing.T, proto string) {
+			forEachTransport(t, func(t *testing.T, proto string) {
 				caller := New(t, nil)
 				m := caller.Invite(proto, fmt.Sprintf("bad%d%s", row.status, proto), "1", "")
 				row.change(m)
@@ -346,8 +346,8 @@
 }
 
 func TestOptions(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		b := newBench(t, time.Second)
+	forEachTransport(t, func(t *testing.T, proto string) {
+		b := newFixture(t, time.Second)
 		caller := New(t, nil)
 		m := caller.Invite(proto, "opt", "1", "").Set("CSeq", "1 OPTIONS")
 		m.Method = "OPTIONS"
@@ -361,7 +361,7 @@
 // Without an ACK the 2xx is repeated, and then the call is released at both sides.
 func TestNoAck(t *testing.T) {
 	server := New(t, answering)
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
 	server.Wait("BYE", Is("BYE"))
@@ -374,7 +374,7 @@
 // A BYE may not overtake the confirmation of its call: it waits for the ACK (RFC 3261, 15).
 func TestByeWaitsForAck(t *testing.T) {
 	server := New(t, answering)
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -405,7 +405,7 @@
 			e.Back(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -428,7 +428,7 @@
 			e.Back(r)
 		}
 	})
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
 	ack := server.Wait("ACK", Is("ACK")).Msg
@@ -439,9 +439,9 @@
 }
 
 // Guards against set-ups getting to servers that they can't read or use, as on the JSON front.
-func TestInvitesThatNoServerCanUse(t *testing.T) {
+func TestInvalidInvitesAreNotForwarded(t *testing.T) {
 	server := New(t, nil)
-	b := newBench(t, time.Second, host("a", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("a", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	for i, row := range []struct {
 		class, key, body string
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -14,7 +14,7 @@
 	. "beammux/internal/protocol/sip/siptest"
 )
 
-type observation struct {
+type callerObservation struct {
 	address    string
 	wellFormed bool
 }
@@ -22,19 +22,19 @@
 // Each caller's TCP connection is observed once, by what it brings first: a message, or what can't be read. Datagrams are not,
 // since their address may be anybody's, and neither are the connections to servers. A caller's address that is to be away has
 // its connections closed at once, and its datagrams are served as before.
-func TestCallersAreObserved(t *testing.T) {
-	seen := make(chan observation, 16)
+func TestCallerConnectionsAreObserved(t *testing.T) {
+	seen := make(chan callerObservation, 16)
 	var away atomic.Bool
 	server := New(t, answering)
-	b := newBenchWith(t, 5*time.Second, func(o *sip.Options) {
-		o.Seen = func(address string, wellFormed bool) { seen <- observation{address, wellFormed} }
+	b := newFixtureWith(t, 5*time.Second, func(o *sip.Options) {
+		o.Seen = func(address string, wellFormed bool) { seen <- callerObservation{address, wellFormed} }
 		o.Away = func(string) bool { return away.Load() }
 	}, host("s-1", server.URI("TCP"), 0))
 	next := func(want bool) {
 		t.Helper()
 		select {
 		case o := <-seen:
-			require.Equal(t, observation{"127.0.0.1", want}, o)
+			require.Equal(t, callerObservation{"127.0.0.1", want}, o)
 		case <-time.After(10 * time.Second):
 			t.Fatal("a connection was not observed")
 		}
--- a/internal/protocol/sip/dialog.go
+++ b/internal/protocol/sip/dialog.go
@@ -22,18 +22,18 @@
 	InviteSeq uint32   `json:"InviteSeq"`
 	Proto     string   `json:"Proto"` // transport of the set-up
 
-	flow  flow
-	conn  *serverConn // of a server's dialog; nil after a restart
-	call  *uasCall
-	ended bool
+	flow      flow
+	conn      *serverConn // of a server's dialog; nil after a restart
+	callerLeg *uasCall
+	ended     bool
 }
 
 func (d *dialog) key() string { return dialogKey(d.CallID, tag(d.Local), tag(d.Remote)) }
 
 func dialogKey(callID, local, remote string) string { return callID + "|" + local + "|" + remote }
 
-// token makes a random word for tags, branches and ids.
-func token(bytes int) string {
+// randomToken makes a random word for tags, branches and ids.
+func randomToken(bytes int) string {
 	b := make([]byte, bytes)
 	rand.Read(b)
 	return hex.EncodeToString(b)
@@ -41,35 +41,35 @@
 
 func cseq(n uint32, method string) string { return fmt.Sprintf("%d %s", n, method) }
 
-// contactOf gives the URI of a message's Contact, else what stands in otherwise.
-func contactOf(m *Message, otherwise string) string {
-	if all := m.list("Contact"); len(all) > 0 {
+// contactURI gives the URI of a message's Contact, else what stands in otherwise.
+func contactURI(m *Message, fallback string) string {
+	if all := m.listValues("Contact"); len(all) > 0 {
 		if a, err := parseAddress(all[0]); err == nil {
 			return a.uri
 		}
 	}
-	return otherwise
+	return fallback
 }
 
-// fromRequest makes the dialog that a 2xx to an INVITE opens at the called side (12.1.1).
-func fromRequest(req *Message, id, localTag, proto string) *dialog {
+// dialogFromRequest makes the dialog that a 2xx to an INVITE opens at the called side (12.1.1).
+func dialogFromRequest(req *Message, id, localTag, proto string) *dialog {
 	number, _, _ := req.CSeq()
 	from, _ := parseAddress(req.Get("From"))
 	return &dialog{ID: id, CallID: req.Get("Call-ID"), Local: req.Get("To") + ";tag=" + localTag,
-		Remote: req.Get("From"), RemoteSeq: number, InviteSeq: number, Target: contactOf(req, from.uri),
-		Routes: req.list("Record-Route"), Proto: proto}
+		Remote: req.Get("From"), RemoteSeq: number, InviteSeq: number, Target: contactURI(req, from.uri),
+		Routes: req.listValues("Record-Route"), Proto: proto}
 }
 
-// fromResponse makes the dialog that a 2xx opens at the calling side (12.1.2): the route set is reversed.
-func fromResponse(m *Message, id, proto string) *dialog {
+// dialogFromResponse makes the dialog that a 2xx opens at the calling side (12.1.2): the route set is reversed.
+func dialogFromResponse(m *Message, id, proto string) *dialog {
 	number, _, _ := m.CSeq()
 	to, _ := parseAddress(m.Get("To"))
-	routes := m.list("Record-Route")
+	routes := m.listValues("Record-Route")
 	for i, j := 0, len(routes)-1; i < j; i, j = i+1, j-1 {
 		routes[i], routes[j] = routes[j], routes[i]
 	}
 	return &dialog{ID: id, Server: true, CallID: m.Get("Call-ID"), Local: m.Get("From"), Remote: m.Get("To"),
-		LocalSeq: number, InviteSeq: number, Target: contactOf(m, to.uri), Routes: routes, Proto: proto}
+		LocalSeq: number, InviteSeq: number, Target: contactURI(m, to.uri), Routes: routes, Proto: proto}
 }
 
 // request makes a request inside the dialog (12.2.1.1), without Via. ACK has the number of its INVITE.
@@ -77,7 +77,7 @@
 	target, routes := d.Target, d.Routes
 	if len(routes) > 0 {
 		first, err := parseAddress(routes[0])
-		if err == nil && !isLoose(first.uri) { // a strict router wants itself in the first line
+		if err == nil && !isLooseRouter(first.uri) { // a strict router wants itself in the first line
 			target = first.uri
 			routes = append(append([]string{}, routes[1:]...), "<"+d.Target+">")
 		}
@@ -95,14 +95,14 @@
 	return m
 }
 
-func isLoose(uri string) bool {
+func isLooseRouter(uri string) bool {
 	u, err := parseURI(uri)
 	_, loose := u.params["lr"]
 	return err == nil && loose
 }
 
-// hop is where requests inside the dialog go: to the first route, else to the remote target.
-func (d *dialog) hop() (proto, addr string, err error) {
+// nextHop is where requests inside the dialog go: to the first route, else to the remote target.
+func (d *dialog) nextHop() (proto, addr string, err error) {
 	next := d.Target
 	if len(d.Routes) > 0 {
 		first, err := parseAddress(d.Routes[0])
@@ -115,7 +115,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	proto, addr = u.hop()
+	proto, addr = u.nextHop()
 	if u.params["transport"] == "" && d.Proto != "" {
 		proto = d.Proto
 	}
--- a/internal/protocol/sip/dispatch.go
+++ b/internal/protocol/sip/dispatch.go
@@ -10,7 +10,7 @@
 const allow = "INVITE, ACK, CANCEL, BYE, OPTIONS, NOTIFY"
 
 // reject answers what could not be read, where it is a request that can be answered. It touches nothing of the actor's.
-func (a *Agent) reject(m *Message, f flow, fault error) {
+func (a *Agent) reject(m *Message, f flow, parseErr error) {
 	if m == nil || !m.IsRequest() || m.Method == "ACK" {
 		return
 	}
@@ -18,7 +18,7 @@
 		return
 	}
 	status, reason := 400, "Bad Request"
-	if fault == ErrTooLong {
+	if parseErr == ErrTooLong {
 		status, reason = 513, "Message Too Large"
 	}
 	m.setReceived(f.remote())
@@ -28,10 +28,10 @@
 	}
 }
 
-func (a *Agent) handle(m *Message, f flow) {
+func (a *Agent) handleMessage(m *Message, f flow) {
 	if !m.IsRequest() {
-		if !a.layer.response(m) {
-			a.strayAnswer(m, f)
+		if !a.transactionLayer.deliverResponse(m) {
+			a.handleStrayResponse(m, f)
 		}
 		return
 	}
@@ -43,68 +43,68 @@
 	}
 	m.setReceived(f.remote())
 	if t, ok := f.(*tcpFlow); ok {
-		t.back = v.sentBy
+		t.reconnectAddr = v.sentBy
 	}
-	t, fresh := a.layer.accept(m, f)
+	t, isNew := a.transactionLayer.accept(m, f)
 	switch {
 	case m.Method == "ACK":
-		if d := a.dialogOf(m); d != nil && d.call != nil {
-			d.call.acked(m)
+		if d := a.findDialog(m); d != nil && d.callerLeg != nil {
+			d.callerLeg.handleAck(m)
 		}
-	case !fresh:
+	case !isNew:
 	case m.Method == "CANCEL":
-		a.cancelled(t, m)
+		a.handleCancel(t, m)
 	case m.Method == "INVITE":
-		a.invited(t, m, f)
+		a.handleInvite(t, m, f)
 	case m.Method == "BYE":
-		a.bye(t, m)
+		a.handleBye(t, m)
 	case m.Method == "OPTIONS":
 		status, reason := 200, "OK"
 		if a.draining {
 			status, reason = 503, "Service Unavailable"
 		}
-		t.respond(Respond(m, status, reason).Set("Allow", allow).Set("To", withTag(m.Get("To"))))
+		t.respond(Respond(m, status, reason).Set("Allow", allow).Set("To", ensureTag(m.Get("To"))))
 	case m.Method == "NOTIFY":
-		if l := a.serverConns[f.proto()+"|"+f.remote()]; l != nil {
-			if row := parseReport(m.Get("X-Occupancy"), a.Reports); row != nil {
-				l.events.Report(row)
+		if server := a.serverConns[f.proto()+"|"+f.remote()]; server != nil {
+			if values := parseReport(m.Get("X-Occupancy"), a.Reports); values != nil {
+				server.events.Report(values)
 			}
 			t.respond(Respond(m, 200, "OK"))
 			return
 		}
 		t.respond(Respond(m, 481, "Call/Transaction Does Not Exist"))
 	default:
-		t.respond(Respond(m, 405, "Method Not Allowed").Set("Allow", allow).Set("To", withTag(m.Get("To"))))
+		t.respond(Respond(m, 405, "Method Not Allowed").Set("Allow", allow).Set("To", ensureTag(m.Get("To"))))
 	}
 }
 
-func withTag(to string) string {
+func ensureTag(to string) string {
 	if tag(to) != "" {
 		return to
 	}
-	return to + ";tag=" + token(6)
+	return to + ";tag=" + randomToken(6)
 }
 
-// dialogOf matches a request to its dialog: its To is this end.
-func (a *Agent) dialogOf(m *Message) *dialog {
+// findDialog matches a request to its dialog: its To is this end.
+func (a *Agent) findDialog(m *Message) *dialog {
 	return a.dialogs[dialogKey(m.Get("Call-ID"), tag(m.Get("To")), tag(m.Get("From")))]
 }
 
-// strayAnswer handles a 2xx whose transaction is gone: the set-up had been given up, so the call is confirmed and released.
-func (a *Agent) strayAnswer(m *Message, f flow) {
+// handleStrayResponse handles a 2xx whose transaction is gone: the set-up had been given up, so the call is confirmed and released.
+func (a *Agent) handleStrayResponse(m *Message, f flow) {
 	_, method, _ := m.CSeq()
 	if method != "INVITE" || m.Status < 200 || m.Status >= 300 {
 		return
 	}
 	if d := a.dialogs[dialogKey(m.Get("Call-ID"), tag(m.Get("From")), tag(m.Get("To")))]; d != nil {
-		a.ack(d)
+		a.sendAck(d)
 		return
 	}
 	if v, err := m.topVia(); err != nil || v.sentBy != a.sentBy(v.proto) {
 		return
 	}
-	d := fromResponse(m, "", f.proto())
+	d := dialogFromResponse(m, "", f.proto())
 	d.flow = f
-	a.ack(d)
-	a.inDialog(d, "BYE", routing.CauseNormal, nil)
+	a.sendAck(d)
+	a.sendInDialog(d, "BYE", routing.CauseNormal, nil)
 }
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -16,8 +16,8 @@
 	addr net.Addr
 }
 
-func (f udpFlow) send(data []byte, still func() bool, _ func(error)) error {
-	if still != nil && !still() {
+func (f udpFlow) send(data []byte, stillWanted func() bool, _ func(error)) error {
+	if stillWanted != nil && !stillWanted() {
 		return transport.ErrDropped
 	}
 	_, err := f.pc.WriteTo(data, f.addr)
@@ -30,13 +30,13 @@
 
 // tcpFlow is a connection. back is where to connect again when a response finds it closed (18.2.2).
 type tcpFlow struct {
-	agent *Agent
-	conn  *transport.Conn
-	back  string
+	agent         *Agent
+	conn          *transport.Conn
+	reconnectAddr string
 }
 
-func (f *tcpFlow) send(data []byte, still func() bool, done func(error)) error {
-	p := transport.Packet{Data: data, Still: still}
+func (f *tcpFlow) send(data []byte, stillWanted func() bool, done func(error)) error {
+	p := transport.Packet{Data: data, Still: stillWanted}
 	if done != nil {
 		p.Done = func(err error) {
 			if err != nil {
@@ -45,10 +45,10 @@
 		}
 	}
 	err := f.conn.Send(p)
-	if err != nil && f.back != "" {
-		back := f.back
-		f.back = ""
-		f.agent.connect(back, func(c *transport.Conn, err error) {
+	if err != nil && f.reconnectAddr != "" {
+		reconnectAddr := f.reconnectAddr
+		f.reconnectAddr = ""
+		f.agent.connect(reconnectAddr, func(c *transport.Conn, err error) {
 			if err == nil {
 				f.conn = c
 				c.Send(p)
@@ -65,7 +65,7 @@
 
 // The times that a TCP connection has.
 const (
-	requestTimeout      = 2 * time.Second  // for a message that has begun
+	messageTimeout      = 2 * time.Second  // for a message that has begun
 	firstMessageTimeout = 10 * time.Second // for a caller's first message
 )
 
@@ -83,7 +83,7 @@
 		m, err := Parse(buf[:n])
 		if err == ErrTooLong {
 			if m, _ = Parse(buf[:min(n, MaxMessage)]); m == nil {
-				m, _ = headOnly(buf[:n])
+				m, _ = parseHeadOnly(buf[:n])
 			}
 		}
 		if err != nil {
@@ -91,12 +91,12 @@
 			a.Post(func() { a.reject(m, f, err) })
 			continue
 		}
-		a.Post(func() { a.handle(m, f) })
+		a.Post(func() { a.handleMessage(m, f) })
 	}
 }
 
-// headOnly reads the head of a message whose body is cut or too long.
-func headOnly(data []byte) (*Message, error) {
+// parseHeadOnly reads the head of a message whose body is cut or too long.
+func parseHeadOnly(data []byte) (*Message, error) {
 	end := headEnd(data)
 	if end < 0 {
 		return nil, ErrMalformed
@@ -106,11 +106,11 @@
 }
 
 // serveTCP reads a caller's connection.
-func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil, a.observer(c)) }
+func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil, a.callerObserver(c)) }
 
-// observer gives a function that tells Options.Seen once what a caller's connection has brought. Datagrams are not observed: anybody
+// callerObserver gives a function that tells Options.Seen once what a caller's connection has brought. Datagrams are not observed: anybody
 // can write another's address into them.
-func (a *Agent) observer(c *transport.Conn) func(wellFormed bool) {
+func (a *Agent) callerObserver(c *transport.Conn) func(wellFormed bool) {
 	if a.Seen == nil {
 		return nil
 	}
@@ -125,21 +125,21 @@
 
 // readTCP reads a connection until it ends. server is not nil on a connection to a server; seen is not nil on a caller's that is
 // observed, and called with whether its first message could be read.
-func (a *Agent) readTCP(c *transport.Conn, server *serverConn, seen func(wellFormed bool)) {
-	if seen == nil {
-		seen = func(bool) {}
+func (a *Agent) readTCP(c *transport.Conn, server *serverConn, observe func(wellFormed bool)) {
+	if observe == nil {
+		observe = func(bool) {}
 	}
 	key, first := c.RemoteAddr().String(), true
-	a.Post(func() { a.conns[key] = c })
+	a.Post(func() { a.tcpConns[key] = c })
 	if server == nil { // a caller that says nothing must not hold a descriptor for good
 		c.SetReadDeadline(time.Now().Add(firstMessageTimeout))
 	}
-	r := NewConnReader(c, requestTimeout)
+	r := NewConnReader(c, messageTimeout)
 	for {
 		m, err := r.Next()
 		if err == nil {
 			c.Spoke()
-			seen(true)
+			observe(true)
 			if first {
 				first = false
 				c.SetReadDeadline(time.Time{})
@@ -148,44 +148,44 @@
 				if server != nil {
 					server.lastMessage = time.Now()
 				}
-				a.handle(m, &tcpFlow{agent: a, conn: c})
+				a.handleMessage(m, &tcpFlow{agent: a, conn: c})
 			})
 			continue
 		}
-		if err == ErrMalformed || err == ErrTooLong || err == ErrStopped {
-			seen(false)
+		if err == ErrMalformed || err == ErrTooLong || err == ErrIncomplete {
+			observe(false)
 			a.Log.WithField("peer", key).WithError(err).Warn("SIP: bad message, connection closed")
 			a.reject(m, &tcpFlow{agent: a, conn: c}, err) // at once: the connection is closed when this returns
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // it has said nothing
-			seen(false)
+			observe(false)
 		}
 		a.Post(func() {
-			if a.conns[key] == c {
-				delete(a.conns, key)
+			if a.tcpConns[key] == c {
+				delete(a.tcpConns, key)
 			}
 			if c.Left() {
-				a.callerLeft(c)
+				a.withdrawCalls(c)
 			}
 			c.Finish()
 			if server != nil {
-				server.down(err)
+				server.connectionLost(err)
 			}
 		})
 		return
 	}
 }
 
-// callerLeft gives up the set-ups that came on a connection which its caller has closed. RFC 3261 would let their answers go on a
+// withdrawCalls gives up the set-ups that came on a connection which its caller has closed. RFC 3261 would let their answers go on a
 // new one (18.2.2); to the operators a client that closes its connection has gone, and nobody waits for an answer.
-func (a *Agent) callerLeft(c *transport.Conn) {
-	for t, k := range a.calls {
-		if k.conn == c {
-			a.core.Withdraw(k.id, k, func(inTime bool) {
+func (a *Agent) withdrawCalls(c *transport.Conn) {
+	for tx, call := range a.pendingCalls {
+		if call.conn == c {
+			a.core.Withdraw(call.id, call, func(inTime bool) {
 				if inTime {
 					a.Post(func() {
-						k.settled()
-						t.end()
+						call.removePending()
+						tx.end()
 					})
 				}
 			})
@@ -194,9 +194,9 @@
 }
 
 // connect passes then a TCP connection to an address: an open one, or a new one. then runs in the actor.
-func (a *Agent) connect(addr string, then func(*transport.Conn, error)) {
-	if c := a.conns[addr]; c != nil {
-		then(c, nil)
+func (a *Agent) connect(addr string, done func(*transport.Conn, error)) {
+	if c := a.tcpConns[addr]; c != nil {
+		done(c, nil)
 		return
 	}
 	go func() {
@@ -204,30 +204,30 @@
 		if err == nil {
 			go a.readTCP(c, nil, nil)
 		}
-		a.Post(func() { then(c, err) })
+		a.Post(func() { done(c, err) })
 	}()
 }
 
 // flowTo passes then a flow to an address. then runs in the actor.
-func (a *Agent) flowTo(proto, addr string, then func(flow, error)) {
+func (a *Agent) flowTo(proto, addr string, done func(flow, error)) {
 	switch {
 	case proto == "TCP":
 		a.connect(addr, func(c *transport.Conn, err error) {
 			if err != nil {
-				then(nil, err)
+				done(nil, err)
 				return
 			}
-			then(&tcpFlow{agent: a, conn: c}, nil)
+			done(&tcpFlow{agent: a, conn: c}, nil)
 		})
 	case proto == "UDP" && a.udp != nil:
 		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
-			then(nil, err)
+			done(nil, err)
 			return
 		}
-		then(udpFlow{a.udp, to}, nil)
+		done(udpFlow{a.udp, to}, nil)
 	default:
-		then(nil, errors.New("no socket for transport "+proto))
+		done(nil, errors.New("no socket for transport "+proto))
 	}
 }
 
@@ -249,5 +249,5 @@
 }
 
 func (a *Agent) newVia(proto string) string {
-	return "SIP/2.0/" + proto + " " + a.sentBy(proto) + ";rport;branch=" + magicCookie + token(8)
+	return "SIP/2.0/" + proto + " " + a.sentBy(proto) + ";rport;branch=" + magicCookie + randomToken(8)
 }
--- a/internal/protocol/sip/header.go
+++ b/internal/protocol/sip/header.go
@@ -12,8 +12,8 @@
 
 var errHeader = errors.New("header can't be read")
 
-// splitOutside cuts at a byte that stands outside quotes and angle brackets.
-func splitOutside(s string, at byte) []string {
+// splitUnquoted cuts at a byte that stands outside quotes and angle brackets.
+func splitUnquoted(s string, separator byte) []string {
 	var parts []string
 	quoted, angle, start := false, false, 0
 	for i := 0; i < len(s); i++ {
@@ -27,7 +27,7 @@
 			angle = true
 		case c == '>':
 			angle = false
-		case c == at && !angle:
+		case c == separator && !angle:
 			parts = append(parts, strings.TrimSpace(s[start:i]))
 			start = i + 1
 		}
@@ -35,11 +35,11 @@
 	return append(parts, strings.TrimSpace(s[start:]))
 }
 
-// list gives the values of a header that may stand in one line, set apart by commas, or in several.
-func (m *Message) list(key string) []string {
+// listValues gives the values of a header that may stand in one line, set apart by commas, or in several.
+func (m *Message) listValues(key string) []string {
 	var all []string
 	for _, v := range m.Header.Values(key) {
-		for _, part := range splitOutside(v, ',') {
+		for _, part := range splitUnquoted(v, ',') {
 			if part != "" {
 				all = append(all, part)
 			}
@@ -65,7 +65,7 @@
 }
 
 func parseAddress(s string) (address, error) {
-	parts := splitOutside(s, ';')
+	parts := splitUnquoted(s, ';')
 	uri := parts[0]
 	if open := strings.LastIndexByte(uri, '<'); open >= 0 {
 		end := strings.IndexByte(uri[open:], '>')
@@ -120,8 +120,8 @@
 	return u, nil
 }
 
-// hop gives the address to dial for a URI, and the transport it asks for.
-func (u uri) hop() (proto, addr string) {
+// nextHop gives the address to dial for a URI, and the transport it asks for.
+func (u uri) nextHop() (proto, addr string) {
 	port := u.port
 	if port == 0 {
 		port = 5060
@@ -140,11 +140,11 @@
 }
 
 func (m *Message) topVia() (via, error) {
-	all := m.list("Via")
+	all := m.listValues("Via")
 	if len(all) == 0 {
 		return via{}, errHeader
 	}
-	parts := splitOutside(all[0], ';')
+	parts := splitUnquoted(all[0], ';')
 	proto, sentBy, ok := strings.Cut(parts[0], " ")
 	proto, found := strings.CutPrefix(proto, "SIP/2.0/")
 	v := via{strings.ToUpper(proto), strings.TrimSpace(sentBy), params(parts[1:])}
@@ -158,11 +158,11 @@
 // response finds its way back.
 func (m *Message) setReceived(from string) {
 	host, port, err := net.SplitHostPort(from)
-	all := m.list("Via")
+	all := m.listValues("Via")
 	if err != nil || len(all) == 0 {
 		return
 	}
-	parts := splitOutside(all[0], ';')
+	parts := splitUnquoted(all[0], ';')
 	for i, p := range parts {
 		if strings.EqualFold(p, "rport") {
 			parts[i] = "rport=" + port
--- a/internal/protocol/sip/message.go
+++ b/internal/protocol/sip/message.go
@@ -21,13 +21,13 @@
 
 // The faults of a message.
 var (
-	ErrTooLong   = errors.New("message over 16 KiB")
-	ErrMalformed = errors.New("malformed message")
-	ErrStopped   = errors.New("message stops short")
+	ErrTooLong    = errors.New("message over 16 KiB")
+	ErrMalformed  = errors.New("malformed message")
+	ErrIncomplete = errors.New("message stops short")
 )
 
-// compact gives the long name of a header's one-letter form (RFC 3261, 7.3.3).
-var compact = map[string]string{"i": "Call-Id", "m": "Contact", "e": "Content-Encoding", "l": "Content-Length",
+// compactForms gives the long name of a header's one-letter form (RFC 3261, 7.3.3).
+var compactForms = map[string]string{"i": "Call-Id", "m": "Contact", "e": "Content-Encoding", "l": "Content-Length",
 	"c": "Content-Type", "f": "From", "s": "Subject", "k": "Supported", "t": "To", "v": "Via"}
 
 // Message is one request or response.
@@ -64,11 +64,11 @@
 	return uint32(n), strings.TrimSpace(method), err == nil && n < 1<<31 && method != ""
 }
 
-// spelled gives the headers whose usual spelling is not textproto's.
-var spelled = map[string]string{"Call-Id": "Call-ID", "Cseq": "CSeq", "Www-Authenticate": "WWW-Authenticate"}
+// headerSpelling gives the headers whose usual spelling is not textproto's.
+var headerSpelling = map[string]string{"Call-Id": "Call-ID", "Cseq": "CSeq", "Www-Authenticate": "WWW-Authenticate"}
 
-// order: the headers that a hop looks at first come first, as RFC 3261 asks.
-var order = []string{"Via", "Max-Forwards", "Route", "Record-Route", "From", "To", "Call-Id", "Cseq"}
+// headerOrder: the headers that a hop looks at first come first, as RFC 3261 asks.
+var headerOrder = []string{"Via", "Max-Forwards", "Route", "Record-Route", "From", "To", "Call-Id", "Cseq"}
 
 // Append writes the message. Content-Length is always its own.
 func (m *Message) Append(b []byte) []byte {
@@ -79,28 +79,28 @@
 	}
 	put := func(key string) {
 		name := key
-		if s, ok := spelled[key]; ok {
+		if s, ok := headerSpelling[key]; ok {
 			name = s
 		}
 		for _, v := range m.Header[key] {
 			b = fmt.Appendf(b, "%s: %s\r\n", name, v)
 		}
 	}
-	for _, key := range order {
+	for _, key := range headerOrder {
 		put(key)
 	}
-	for _, key := range rest(m.Header) {
+	for _, key := range otherHeaders(m.Header) {
 		put(key)
 	}
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(m.Body))
 	return append(b, m.Body...)
 }
 
-// rest gives the other headers in a fixed order, so that the same message is always written alike.
-func rest(h textproto.MIMEHeader) []string {
+// otherHeaders gives the other headers in a fixed order, so that the same message is always written alike.
+func otherHeaders(h textproto.MIMEHeader) []string {
 	var keys []string
 	for key := range h {
-		if key != "Content-Length" && !slices.Contains(order, key) {
+		if key != "Content-Length" && !slices.Contains(headerOrder, key) {
 			keys = append(keys, key)
 		}
 	}
@@ -165,7 +165,7 @@
 	}
 	h, err := r.ReadMIMEHeader()
 	for key, values := range h {
-		if long, ok := compact[strings.ToLower(key)]; ok {
+		if long, ok := compactForms[strings.ToLower(key)]; ok {
 			key = long
 		}
 		for _, v := range values {
@@ -196,26 +196,26 @@
 
 // Reader reads messages from a stream, framed by Content-Length.
 type Reader struct {
-	in     *bufio.Reader
-	conn   readDeadliner // nil: a message may take any time
-	within time.Duration
-	armed  bool // the message at hand has a deadline
-	graced bool // and has been given the grace
+	in          *bufio.Reader
+	conn        readDeadliner // nil: a message may take any time
+	timeout     time.Duration
+	deadlineSet bool // the message at hand has a deadline
+	graceUsed   bool // and has been given the grace
 }
 
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
-// wholeGrace is for a process that got no processor time: a message's deadline may have passed while the rest of it
+// readGrace is for a process that got no processor time: a message's deadline may have passed while the rest of it
 // lay ready to be read.
-const wholeGrace = 50 * time.Millisecond
+const readGrace = 50 * time.Millisecond
 
 // NewReader reads from in, whose buffer must hold MaxMessage bytes: it bounds what a message may need.
 func NewReader(in *bufio.Reader) *Reader { return &Reader{in: in} }
 
 // NewConnReader reads from a connection. A message that has begun and is not whole within a time ends it with
 // ErrStopped: what waits behind it would never be read.
-func NewConnReader(c net.Conn, within time.Duration) *Reader {
-	return &Reader{in: bufio.NewReaderSize(c, MaxMessage), conn: c, within: within}
+func NewConnReader(c net.Conn, timeout time.Duration) *Reader {
+	return &Reader{in: bufio.NewReaderSize(c, MaxMessage), conn: c, timeout: timeout}
 }
 
 // peek gives the next n bytes of a message that has begun.
@@ -223,18 +223,18 @@
 	if r.conn == nil || n <= r.in.Buffered() {
 		return r.in.Peek(n)
 	}
-	if !r.armed {
-		r.armed = true
-		r.conn.SetReadDeadline(time.Now().Add(r.within))
+	if !r.deadlineSet {
+		r.deadlineSet = true
+		r.conn.SetReadDeadline(time.Now().Add(r.timeout))
 	}
 	b, err := r.in.Peek(n)
-	if errors.Is(err, os.ErrDeadlineExceeded) && !r.graced {
-		r.graced = true
-		r.conn.SetReadDeadline(time.Now().Add(wholeGrace))
+	if errors.Is(err, os.ErrDeadlineExceeded) && !r.graceUsed {
+		r.graceUsed = true
+		r.conn.SetReadDeadline(time.Now().Add(readGrace))
 		b, err = r.in.Peek(n)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = ErrStopped
+		err = ErrIncomplete
 	}
 	return b, err
 }
@@ -252,18 +252,18 @@
 		}
 		r.in.Discard(1)
 	}
-	m, err := r.message()
-	if r.armed {
-		r.armed, r.graced = false, false
+	m, err := r.readMessage()
+	if r.deadlineSet {
+		r.deadlineSet, r.graceUsed = false, false
 		r.conn.SetReadDeadline(time.Time{})
 	}
 	return m, err
 }
 
-func (r *Reader) message() (*Message, error) {
+func (r *Reader) readMessage() (*Message, error) {
 	end := -1
-	for want := 1; end < 0; {
-		b, err := r.peek(want)
+	for size := 1; end < 0; {
+		b, err := r.peek(size)
 		if err == bufio.ErrBufferFull || err == nil && len(b) >= MaxMessage {
 			return nil, ErrTooLong
 		}
@@ -272,7 +272,7 @@
 		}
 		b, _ = r.in.Peek(r.in.Buffered())
 		end = headEnd(b)
-		want = len(b) + 1
+		size = len(b) + 1
 	}
 	head, _ := r.in.Peek(end)
 	m, length, err := parseHead(head)
@@ -285,48 +285,48 @@
 	if end+length > MaxMessage {
 		return m, ErrTooLong
 	}
-	whole, err := r.peek(end + length)
+	data, err := r.peek(end + length)
 	if err != nil {
 		return nil, err
 	}
-	if have, _ := r.in.Peek(r.in.Buffered()); beginsWithin(have[end:], length) {
+	if buffered, _ := r.in.Peek(r.in.Buffered()); messageStartsWithin(buffered[end:], length) {
 		return m, ErrMalformed
 	}
-	m.Body = bytes.Clone(whole[end:])
+	m.Body = bytes.Clone(data[end:])
 	r.in.Discard(end + length)
 	return m, nil
 }
 
-var starts = [][]byte{[]byte("SIP/2.0 "), []byte("INVITE "), []byte("ACK "), []byte("BYE "), []byte("CANCEL "), []byte("OPTIONS "),
+var startLinePrefixes = [][]byte{[]byte("SIP/2.0 "), []byte("INVITE "), []byte("ACK "), []byte("BYE "), []byte("CANCEL "), []byte("OPTIONS "),
 	[]byte("NOTIFY ")}
 
-// beginsWithin tells whether a further message begins within a body, the first bytes of a text, and goes on to the body's end
+// messageStartsWithin tells whether a further message begins within a body, the first bytes of a text, and goes on to the body's end
 // or past it: the body broke off, and what was taken for its rest is the next message's.
-func beginsWithin(text []byte, length int) bool {
-	for _, start := range starts {
-		at := bytes.LastIndex(text[:min(len(text), length+len(start)-1)], start)
-		if at < 0 || at >= length {
+func messageStartsWithin(text []byte, length int) bool {
+	for _, prefix := range startLinePrefixes {
+		index := bytes.LastIndex(text[:min(len(text), length+len(prefix)-1)], prefix)
+		if index < 0 || index >= length {
 			continue
 		}
-		if at+len(start) > length {
+		if index+len(prefix) > length {
 			return true
 		}
-		line, _, _ := bytes.Cut(text[at:], []byte("\r\n"))
-		if !startLine(string(line)) {
+		line, _, _ := bytes.Cut(text[index:], []byte("\r\n"))
+		if !isStartLine(string(line)) {
 			continue
 		}
-		end := headEnd(text[at:length])
+		end := headEnd(text[index:length])
 		if end < 0 {
 			return true
 		}
-		if _, n, err := parseHead(text[at : at+end]); err != nil || at+end+n >= length {
+		if _, n, err := parseHead(text[index : index+end]); err != nil || index+end+n >= length {
 			return true
 		}
 	}
 	return false
 }
 
-func startLine(line string) bool {
+func isStartLine(line string) bool {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 3 {
 		return false
--- a/internal/protocol/sip/message_test.go
+++ b/internal/protocol/sip/message_test.go
@@ -10,7 +10,7 @@
 const example = "INVITE sip:7f3a@net SIP/2.0\r\nv: SIP/2.0/TCP peer\r\ni: 9b1f\r\nCSeq: 1 INVITE\r\nX-Cos: voice\r\n" +
 	"l: 5\r\n\r\nhello"
 
-func TestMessageIsReadAndWritten(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	m, err := Parse([]byte(example))
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestStreamIsFramed(t *testing.T) {
+func TestReaderFramesStream(t *testing.T) {
 	r := NewReader(bufio.NewReaderSize(strings.NewReader("\r\n"+example+example+"\r\n\r\n"), MaxMessage))
 	for range 2 {
 		if m, err := r.Next(); err != nil || string(m.Body) != "hello" {
@@ -59,7 +59,7 @@
 		t.Errorf("%+v, %v", a, err)
 	}
 	m := Request("INVITE", "sip:x").Set("Route", `<sip:a,b@h;lr>, "q,r" <sip:c>`)
-	if got := m.list("Route"); !reflect.DeepEqual(got, []string{"<sip:a,b@h;lr>", `"q,r" <sip:c>`}) {
+	if got := m.listValues("Route"); !reflect.DeepEqual(got, []string{"<sip:a,b@h;lr>", `"q,r" <sip:c>`}) {
 		t.Errorf("%q", got)
 	}
 	m.Set("Via", "SIP/2.0/UDP h:5070;rport;branch=z9hG4bK1")
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -64,7 +64,7 @@
 
 type platformSetup struct {
 	routing.Attempt
-	at        time.Time
+	sentAt    time.Time
 	cancelled bool
 }
 
@@ -79,7 +79,7 @@
 
 var errSilent = errors.New("line is mute")
 
-func request(method, id, key string, cseq string) *Message {
+func platformRequest(method, id, key string, cseq string) *Message {
 	if key == "" {
 		key = "unknown"
 	}
@@ -87,17 +87,17 @@
 		Set("CSeq", "1 "+cseq)
 }
 
-func (c *platformConn) Setup(a routing.Attempt, still func() bool) {
+func (c *platformConn) Setup(a routing.Attempt, stillWanted func() bool) {
 	c.mu.Lock()
-	c.inFlight[a.ID()] = platformSetup{Attempt: a, at: time.Now()}
+	c.inFlight[a.ID()] = platformSetup{Attempt: a, sentAt: time.Now()}
 	c.mu.Unlock()
-	m := request("INVITE", a.ID(), a.Key, "INVITE")
+	m := platformRequest("INVITE", a.ID(), a.Key, "INVITE")
 	if a.Class >= 0 && a.Class < len(c.dialer.Classes) {
 		m.Set("X-Cos", c.dialer.Classes[a.Class])
 	}
 	m.Set("X-Timer-Ms", strconv.FormatInt(max(1, time.Until(a.Deadline).Milliseconds()), 10))
 	m.Body = a.Body
-	c.conn.Send(transport.Packet{Data: m.Append(nil), Still: still, Done: func(err error) {
+	c.conn.Send(transport.Packet{Data: m.Append(nil), Still: stillWanted, Done: func(err error) {
 		if err == transport.ErrDropped {
 			c.mu.Lock()
 			delete(c.inFlight, a.ID())
@@ -109,20 +109,20 @@
 
 func (c *platformConn) Cancel(id string) {
 	c.mu.Lock()
-	s, ok := c.inFlight[id]
+	setup, ok := c.inFlight[id]
 	if ok {
-		s.cancelled = true
-		c.inFlight[id] = s
+		setup.cancelled = true
+		c.inFlight[id] = setup
 	}
-	mute := ok && c.lastMessage.Before(s.at) && time.Since(s.at) >= minSilence
+	silent := ok && c.lastMessage.Before(setup.sentAt) && time.Since(setup.sentAt) >= minSilence
 	c.mu.Unlock()
-	if mute { // nothing at all has come since it was sent
+	if silent { // nothing at all has come since it was sent
 		c.conn.Close()
 		return
 	}
 	if ok {
 		// A set-up that was dropped unsent, ahead of this in the queue, has nothing to cancel.
-		c.conn.Send(transport.Packet{Data: request("CANCEL", id, s.Key, "CANCEL").Append(nil), Still: func() bool {
+		c.conn.Send(transport.Packet{Data: platformRequest("CANCEL", id, setup.Key, "CANCEL").Append(nil), Still: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.inFlight[id].cancelled
@@ -131,7 +131,7 @@
 		time.AfterFunc(10*time.Second, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if s, ok := c.inFlight[id]; ok && s.cancelled {
+			if setup, ok := c.inFlight[id]; ok && setup.cancelled {
 				delete(c.inFlight, id)
 			}
 		})
@@ -139,21 +139,21 @@
 }
 
 func (c *platformConn) Release(id string, cause int) {
-	m := request("BYE", id, "", "BYE")
+	m := platformRequest("BYE", id, "", "BYE")
 	m.Set("CSeq", "2 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
-	c.write(m)
+	c.writeMessage(m)
 }
 
 func (c *platformConn) Close() { c.conn.Finish() }
 
-func (c *platformConn) write(m *Message) { c.conn.Send(transport.Packet{Data: m.Append(nil)}) }
+func (c *platformConn) writeMessage(m *Message) { c.conn.Send(transport.Packet{Data: m.Append(nil)}) }
 
 func (c *platformConn) read() {
 	r := NewConnReader(c.conn, wholeMessageTimeout)
 	for {
-		m, err := c.next(r)
+		m, err := c.readMessage(r)
 		if err != nil {
-			if err == ErrMalformed || err == ErrTooLong || err == ErrStopped {
+			if err == ErrMalformed || err == ErrTooLong || err == ErrIncomplete {
 				c.dialer.Log.WithField("address", c.conn.RemoteAddr()).WithError(err).
 					Warn("bad message from server: connection closed")
 			} else if err != io.EOF {
@@ -164,23 +164,23 @@
 			return
 		}
 		if m.IsRequest() {
-			c.request(m)
+			c.handleRequest(m)
 		} else {
-			c.response(m)
+			c.handleResponse(m)
 		}
 	}
 }
 
-// next reads a message. A server sends its state at even gaps on each connection, whatever else it does: when some are missing
+// readMessage reads a message. A server sends its state at even gaps on each connection, whatever else it does: when some are missing
 // the connection is silent, though it is open.
-func (c *platformConn) next(r *Reader) (*Message, error) {
-	quiet := c.maxSilence()
-	if quiet > 0 {
-		c.conn.SetReadDeadline(time.Now().Add(quiet))
+func (c *platformConn) readMessage(r *Reader) (*Message, error) {
+	silence := c.maxSilence()
+	if silence > 0 {
+		c.conn.SetReadDeadline(time.Now().Add(silence))
 	}
 	m, err := r.Next()
 	if errors.Is(err, os.ErrDeadlineExceeded) { // it may have lain ready while this process got no processor time
-		c.conn.SetReadDeadline(time.Now().Add(wholeGrace))
+		c.conn.SetReadDeadline(time.Now().Add(readGrace))
 		m, err = r.Next()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -212,45 +212,45 @@
 	return max(minSilence, time.Duration(silenceGaps*float64(slices.Max(c.reportGaps))))
 }
 
-func (c *platformConn) request(m *Message) {
+func (c *platformConn) handleRequest(m *Message) {
 	id := m.Get("Call-ID")
 	switch m.Method {
 	case "BYE":
-		c.write(Respond(m, 200, "OK"))
+		c.writeMessage(Respond(m, 200, "OK"))
 		c.events.Released(id, cause(m), c.report(m))
 	case "NOTIFY":
 		if row := c.report(m); row != nil {
 			c.events.Report(row)
 		}
 	case "OPTIONS":
-		c.write(Respond(m, 200, "OK"))
+		c.writeMessage(Respond(m, 200, "OK"))
 	case "ACK", "CANCEL":
 	default:
-		c.write(Respond(m, 405, "Method Not Allowed"))
+		c.writeMessage(Respond(m, 405, "Method Not Allowed"))
 	}
 }
 
-func (c *platformConn) response(m *Message) {
+func (c *platformConn) handleResponse(m *Message) {
 	id := m.Get("Call-ID")
 	if _, method, _ := m.CSeq(); method != "INVITE" || m.Status < 200 {
 		return
 	}
 	c.mu.Lock()
-	s, ok := c.inFlight[id]
+	setup, ok := c.inFlight[id]
 	delete(c.inFlight, id)
 	c.mu.Unlock()
 	if m.Status < 300 || ok {
-		c.write(request("ACK", id, s.Key, "ACK"))
+		c.writeMessage(platformRequest("ACK", id, setup.Key, "ACK"))
 	}
 	if !ok {
 		return // a second final response, or one to a set-up of another connection
 	}
 	if m.Status < 300 {
-		c.events.Answered(s.Attempt, bytes.Clone(m.Body))
+		c.events.Answered(setup.Attempt, bytes.Clone(m.Body))
 		return
 	}
-	o := routing.Outcome{Code: platformCode(m.Status), Reason: reasons[diagnosis(m)], Report: c.report(m)}
-	c.events.Failed(s.Attempt, o)
+	o := routing.Outcome{Code: platformCode(m.Status), Reason: diagnosisReasons[diagnosis(m)], Report: c.report(m)}
+	c.events.Failed(setup.Attempt, o)
 }
 
 // platformCode maps a refusal: 503 never ran, 480 never left, 504 broke on its way.
@@ -268,7 +268,7 @@
 	return control.Failed
 }
 
-var reasons = map[string]int{"atb": control.NoAgent, "acc": control.ProcessorFull, "sub": control.LinesBusy}
+var diagnosisReasons = map[string]int{"atb": control.NoAgent, "acc": control.ProcessorFull, "sub": control.LinesBusy}
 
 func diagnosis(m *Message) string {
 	word, _, _ := strings.Cut(m.Get("X-Diagnosis"), ";")
@@ -296,9 +296,9 @@
 	if text == "" {
 		return nil
 	}
-	row := make([]float64, len(names))
-	for i := range row {
-		row[i] = -1
+	values := make([]float64, len(names))
+	for i := range values {
+		values[i] = -1
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
@@ -308,9 +308,9 @@
 		}
 		for i, n := range names {
 			if n == name || control.ParseField(n) != control.Ignored && control.ParseField(n) == control.ParseField(name) {
-				row[i] = v
+				values[i] = v
 			}
 		}
 	}
-	return row
+	return values
 }
--- a/internal/protocol/sip/platform_test.go
+++ b/internal/protocol/sip/platform_test.go
@@ -18,39 +18,41 @@
 	"beammux/internal/transport"
 )
 
-// told notes what a line tells.
-type told struct{ events chan any }
+// eventRecorder notes what a line tells.
+type eventRecorder struct{ events chan any }
 
-type ended struct {
-	id string
-	o  routing.Outcome
+type failedEvent struct {
+	id      string
+	outcome routing.Outcome
 }
 
-type released struct {
+type releasedEvent struct {
 	id     string
 	cause  int
 	report []float64
 }
 
-func (t *told) Answered(a routing.Attempt, b []byte) {
+func (t *eventRecorder) Answered(a routing.Attempt, b []byte) {
 	t.events <- "answered " + a.Key + " " + string(b)
 }
-func (t *told) Failed(a routing.Attempt, o routing.Outcome) { t.events <- ended{a.Key, o} }
-func (t *told) Released(id string, cause int, report []float64) {
-	t.events <- released{id, cause, report}
+func (t *eventRecorder) Failed(a routing.Attempt, o routing.Outcome) {
+	t.events <- failedEvent{a.Key, o}
 }
-func (t *told) Report(r []float64) { t.events <- r }
-func (t *told) Down(err error)     { t.events <- errors.Is(err, io.EOF) }
+func (t *eventRecorder) Released(id string, cause int, report []float64) {
+	t.events <- releasedEvent{id, cause, report}
+}
+func (t *eventRecorder) Report(r []float64) { t.events <- r }
+func (t *eventRecorder) Down(err error)     { t.events <- errors.Is(err, io.EOF) }
 
-type platformBench struct {
-	t    *testing.T
-	line *platformConn
-	told *told
-	conn net.Conn
-	in   *Reader
+type platformFixture struct {
+	t             *testing.T
+	client        *platformConn
+	eventRecorder *eventRecorder
+	serverSide    net.Conn
+	in            *Reader
 }
 
-func newPlatformBench(t *testing.T) *platformBench {
+func newPlatformFixture(t *testing.T) *platformFixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,22 +62,22 @@
 	log.SetOutput(io.Discard)
 	d := &PlatformDialer{Budget: transport.NewBudget(10, 1), Timeout: time.Second, Classes: []string{"menu-view"},
 		Reports: []string{"spare", "total", "busy", "q"}, Log: log}
-	b := &platformBench{t: t, told: &told{make(chan any, 9)}}
-	l, err := d.Dial(t.Context(), ln.Addr().String(), b.told)
+	b := &platformFixture{t: t, eventRecorder: &eventRecorder{make(chan any, 9)}}
+	dialed, err := d.Dial(t.Context(), ln.Addr().String(), b.eventRecorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.line = l.(*platformConn)
-	if b.conn, err = ln.Accept(); err != nil {
+	b.client = dialed.(*platformConn)
+	if b.serverSide, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { b.conn.Close() })
-	b.conn.SetDeadline(time.Now().Add(10 * time.Second))
-	b.in = NewReader(bufio.NewReaderSize(b.conn, MaxMessage))
+	t.Cleanup(func() { b.serverSide.Close() })
+	b.serverSide.SetDeadline(time.Now().Add(10 * time.Second))
+	b.in = NewReader(bufio.NewReaderSize(b.serverSide, MaxMessage))
 	return b
 }
 
-func (b *platformBench) next(method string) *Message {
+func (b *platformFixture) next(method string) *Message {
 	b.t.Helper()
 	m, err := b.in.Next()
 	if err != nil || m.Method != method {
@@ -84,10 +86,10 @@
 	return m
 }
 
-func (b *platformBench) event(want any) {
+func (b *platformFixture) event(want any) {
 	b.t.Helper()
 	select {
-	case got := <-b.told.events:
+	case got := <-b.eventRecorder.events:
 		if !reflect.DeepEqual(got, want) {
 			b.t.Fatalf("told %+v, want %+v", got, want)
 		}
@@ -96,11 +98,11 @@
 	}
 }
 
-func (b *platformBench) setup() *Message {
+func (b *platformFixture) setup() *Message {
 	b.t.Helper()
 	a := routing.NewAttempt("9b1f03aa5c7e2d41", 0)
 	a.Key, a.Body, a.Deadline = "7f3a", []byte("offer"), time.Now().Add(time.Second)
-	b.line.Setup(a, func() bool { return true })
+	b.client.Setup(a, func() bool { return true })
 	m := b.next("INVITE")
 	if m.URI != "sip:7f3a@net" || m.Get("X-Cos") != "menu-view" || string(m.Body) != "offer" || m.Get("X-Timer-Ms") == "" {
 		b.t.Fatalf("%+v", m)
@@ -108,33 +110,33 @@
 	return m
 }
 
-func (b *platformBench) send(text string) { io.WriteString(b.conn, text) }
+func (b *platformFixture) send(text string) { io.WriteString(b.serverSide, text) }
 
 // Each refusal means what the platform says it means, and is confirmed.
 func TestPlatformRefusals(t *testing.T) {
-	b := newPlatformBench(t)
+	b := newPlatformFixture(t)
 	for _, row := range []struct {
-		status int
-		note   string
-		code   control.Code
-		reason int
+		status    int
+		diagnosis string
+		code      control.Code
+		reason    int
 	}{
 		{503, "atb", control.Full, control.NoAgent}, {503, "acc", control.Full, control.ProcessorFull},
 		{486, "sub", control.Failed, control.LinesBusy}, {500, "", control.Failed, 0},
 		{480, "", control.NotSent, 0}, {504, "", control.Cut, 0},
 	} {
 		r := Respond(b.setup(), row.status, "No").Set("X-Occupancy", "x0:12;x1:40;queue:3")
-		if row.note != "" {
-			r.Set("X-Diagnosis", row.note)
+		if row.diagnosis != "" {
+			r.Set("X-Diagnosis", row.diagnosis)
 		}
 		b.send(string(r.Append(nil)))
 		b.next("ACK")
-		b.event(ended{"7f3a", routing.Outcome{Code: row.code, Reason: row.reason, Report: []float64{12, 40, -1, 3}}})
+		b.event(failedEvent{"7f3a", routing.Outcome{Code: row.code, Reason: row.reason, Report: []float64{12, 40, -1, 3}}})
 	}
 }
 
-func TestPlatformCallStandsAndEnds(t *testing.T) {
-	b := newPlatformBench(t)
+func TestPlatformCallAnsweredAndReleased(t *testing.T) {
+	b := newPlatformFixture(t)
 	invite := b.setup()
 	b.send(string(Respond(invite, 180, "Ringing").Append(nil)))
 	ok := Respond(invite, 200, "OK")
@@ -145,36 +147,36 @@
 	b.send("NOTIFY sip:x@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 NOTIFY\r\nX-Occupancy: x0:1;x1:2\r\nContent-Length: 0\r\n\r\n")
 	b.event([]float64{1, 2, -1, -1})
 	b.send("BYE sip:x@net SIP/2.0\r\nCall-ID: 77\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=41\r\nContent-Length: 0\r\n\r\n")
-	b.event(released{"77", 41, nil})
+	b.event(releasedEvent{"77", 41, nil})
 	if m, err := b.in.Next(); err != nil || m.Status != 200 {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	b.line.Release("78", 16)
+	b.client.Release("78", 16)
 	if m := b.next("BYE"); m.Get("Call-ID") != "78" || m.Get("Reason") != "Q.850;cause=16" {
 		t.Errorf("%+v", m)
 	}
-	b.conn.Close()
+	b.serverSide.Close()
 	b.event(true)
 }
 
 // A set-up that went stale in the queue is told as NotSent and never written; one given up is cancelled, and an answer
 // that crossed is still told.
-func TestPlatformStaleAndCancelled(t *testing.T) {
-	b := newPlatformBench(t)
+func TestPlatformStaleAndCancelledSetups(t *testing.T) {
+	b := newPlatformFixture(t)
 	a := routing.NewAttempt("0000000000000001", 0)
 	a.Key = "1"
-	b.line.Setup(a, func() bool { return false })
-	b.event(ended{"1", routing.Outcome{Code: control.NotSent}})
+	b.client.Setup(a, func() bool { return false })
+	b.event(failedEvent{"1", routing.Outcome{Code: control.NotSent}})
 	invite := b.setup()
-	b.line.Cancel("9b1f03aa5c7e2d41")
+	b.client.Cancel("9b1f03aa5c7e2d41")
 	b.next("CANCEL")
 	b.send(string(Respond(invite, 200, "OK").Append(nil)))
 	b.next("ACK")
 	b.event("answered 7f3a ")
 }
 
-func TestPlatformBadMessageClosesTheLine(t *testing.T) {
-	b := newPlatformBench(t)
+func TestPlatformBadMessageClosesConnection(t *testing.T) {
+	b := newPlatformFixture(t)
 	b.send("HELLO\r\n\r\n")
 	b.event(false)
 	if _, err := b.in.Next(); err == nil {
@@ -182,24 +184,24 @@
 	}
 }
 
-// pipeLine gives a line over a pipe in a bubble, and the server's end, whose input is read and dropped.
-func pipeLine(t *testing.T) (*platformConn, net.Conn, *told) {
+// newPipeConn gives a line over a pipe in a bubble, and the server's end, whose input is read and dropped.
+func newPipeConn(t *testing.T) (*platformConn, net.Conn, *eventRecorder) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	go io.Copy(io.Discard, far)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := &PlatformDialer{Reports: []string{"spare"}, Log: log}
-	e := &told{make(chan any, 99)}
+	e := &eventRecorder{make(chan any, 99)}
 	return d.newConn(transport.NewConn(near, nil), e), far, e
 }
 
-func state(far net.Conn) {
+func sendReport(far net.Conn) {
 	io.WriteString(far, "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 NOTIFY\r\nX-Occupancy: spare:1\r\nContent-Length: 0\r\n\r\n")
 }
 
 // next waits for the line's end and tells how long it took.
-func lineEnds(e *told, limit time.Duration) (time.Duration, bool) {
+func waitForDown(e *eventRecorder, limit time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for {
 		select {
@@ -214,14 +216,14 @@
 }
 
 // Guards against a line that would wait for ever for the rest of an answer, and its set-ups and releases with it.
-func TestLineEndsOnAMessageThatStopsShort(t *testing.T) {
+func TestConnectionClosesOnIncompleteMessage(t *testing.T) {
 	for _, part := range []string{"SIP/2.0 200 OK\r\nCall-ID: x\r\n", "SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 9\r\n\r\nabc"} {
 		synctest.Test(t, func(t *testing.T) {
-			_, far, e := pipeLine(t)
+			_, far, e := newPipeConn(t)
 			time.Sleep(time.Hour) // a line on which nothing has begun may be silent
 			io.WriteString(far, part)
-			if took, down := lineEnds(e, time.Minute); !down || took > time.Second {
-				t.Errorf("%q: line ended %v after %v", part, down, took)
+			if elapsed, down := waitForDown(e, time.Minute); !down || elapsed > time.Second {
+				t.Errorf("%q: line ended %v after %v", part, down, elapsed)
 			}
 		})
 	}
@@ -229,47 +231,47 @@
 
 // Guards against a line that stays open and brings nothing more: the states that are due go missing. One that tells its
 // state is left alone.
-func TestLineEndsWhenStatesGoMissing(t *testing.T) {
+func TestConnectionClosesWhenReportsStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, far, e := pipeLine(t)
-		state(far)
+		_, far, e := newPipeConn(t)
+		sendReport(far)
 		time.Sleep(20 * time.Millisecond) // the first comes at once, the others in their turn
 		for range 20 {
-			state(far)
-			if _, down := lineEnds(e, 1500*time.Millisecond); down {
+			sendReport(far)
+			if _, down := waitForDown(e, 1500*time.Millisecond); down {
 				t.Fatal("a line that tells its state was ended")
 			}
 		}
-		if took, down := lineEnds(e, time.Minute); !down || took > 5*time.Second {
-			t.Errorf("mute line ended %v after %v", down, took)
+		if elapsed, down := waitForDown(e, time.Minute); !down || elapsed > 5*time.Second {
+			t.Errorf("mute line ended %v after %v", down, elapsed)
 		}
 	})
 }
 
 // Guards against set-ups going on to a mute line of a server whose states are not known: one that was given up, with
 // nothing heard since it was sent, ends the line. One that was overtaken does not.
-func TestLineEndsWhenNothingIsHeardSinceASetup(t *testing.T) {
-	for _, heard := range []bool{false, true} {
+func TestConnectionClosesWhenNothingFollowsASetup(t *testing.T) {
+	for _, received := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			l, far, e := pipeLine(t)
-			l.Setup(routing.NewAttempt("1", 0), func() bool { return true })
+			client, far, e := newPipeConn(t)
+			client.Setup(routing.NewAttempt("1", 0), func() bool { return true })
 			time.Sleep(time.Second)
-			if heard {
-				state(far)
+			if received {
+				sendReport(far)
 				synctest.Wait()
 			}
 			time.Sleep(time.Second)
-			l.Cancel("1")
-			if _, down := lineEnds(e, time.Minute); down == heard {
-				t.Errorf("heard %v: line ended %v", heard, down)
+			client.Cancel("1")
+			if _, down := waitForDown(e, time.Minute); down == received {
+				t.Errorf("heard %v: line ended %v", received, down)
 			}
-			l.conn.Close()
+			client.conn.Close()
 		})
 	}
 }
 
 // The same on a line to a SIP server over TCP: not even a 100 came.
-func TestSIPLineEndsWhenNothingIsHeardSinceASetup(t *testing.T) {
+func TestSIPConnectionClosesWhenNothingFollowsASetup(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -279,8 +281,8 @@
 	log.SetOutput(io.Discard)
 	a := NewAgent(nil, Options{Budget: transport.NewBudget(9, 1), DialTimeout: time.Second, Log: log})
 	defer a.Stop()
-	e := &told{make(chan any, 9)}
-	rl, err := a.Dial(t.Context(), "sip:"+ln.Addr().String()+";transport=tcp", e)
+	e := &eventRecorder{make(chan any, 9)}
+	dialed, err := a.Dial(t.Context(), "sip:"+ln.Addr().String()+";transport=tcp", e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,42 +292,42 @@
 	}
 	defer far.Close()
 	far.SetDeadline(time.Now().Add(10 * time.Second))
-	l := rl.(*serverConn)
-	l.Setup(routing.NewAttempt("1", 0), nil)
-	a.Post(func() { l.inFlight["1"].sentAt = time.Now().Add(-2 * minSilence) })
-	l.Cancel("1")
+	server := dialed.(*serverConn)
+	server.Setup(routing.NewAttempt("1", 0), nil)
+	a.Post(func() { server.inFlight["1"].sentAt = time.Now().Add(-2 * minSilence) })
+	server.Cancel("1")
 	if _, err := io.Copy(io.Discard, far); err != nil {
 		t.Errorf("the mute line is still open: %v", err)
 	}
 }
 
 // A set-up that is given up before its first byte leaves nothing on the wire: neither itself nor a CANCEL of it.
-func TestGivenUpUnsentLeavesNothingOnTheWire(t *testing.T) {
-	b := newPlatformBench(t)
+func TestSetupCancelledUnsentWritesNothing(t *testing.T) {
+	b := newPlatformFixture(t)
 	attempt := func(id string) routing.Attempt {
 		a := routing.NewAttempt(id, 0)
 		a.Key, a.Deadline = "7f3a", time.Now().Add(time.Second)
 		return a
 	}
-	wait, asked := make(chan bool), make(chan struct{})
-	b.line.Setup(attempt("1"), func() bool { close(asked); return <-wait })
-	<-asked
-	b.line.Cancel("1")
-	wait <- false
-	b.event(ended{"7f3a", routing.Outcome{Code: control.NotSent}})
-	b.line.Release("2", 16)
+	verdict, checked := make(chan bool), make(chan struct{})
+	b.client.Setup(attempt("1"), func() bool { close(checked); return <-verdict })
+	<-checked
+	b.client.Cancel("1")
+	verdict <- false
+	b.event(failedEvent{"7f3a", routing.Outcome{Code: control.NotSent}})
+	b.client.Release("2", 16)
 	if m := b.next("BYE"); m.Get("Call-ID") != "2" {
 		t.Errorf("first on the wire: %s %s", m.Method, m.Get("Call-ID"))
 	}
-	b.line.Setup(attempt("3"), func() bool { return true })
-	b.line.Cancel("3")
+	b.client.Setup(attempt("3"), func() bool { return true })
+	b.client.Cancel("3")
 	b.next("INVITE")
 	b.next("CANCEL")
 }
 
 // An answer that breaks off, wherever, and is followed at once by the next message is never told: its description would be one
 // that no server made. The line ends.
-func TestAnswerThatBreaksOffBeforeTheNextMessage(t *testing.T) {
+func TestTruncatedAnswerIsNotDelivered(t *testing.T) {
 	next := "NOTIFY sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 NOTIFY\r\nX-Occupancy: x0:1\r\nContent-Length: 0\r\n\r\n"
 	// Whole messages of another call; told gives the descriptions that are told for call 9.
 	bye := "BYE sip:x@net SIP/2.0\r\nCall-ID: 2\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"
@@ -336,7 +338,7 @@
 		r.Body = []byte(body)
 		return string(r.Append(nil))
 	}
-	told := func(whole, rest string) (events []any) {
+	deliveredBodies := func(whole, rest string) (events []any) {
 		in, out := net.Pipe()
 		go func() { io.WriteString(out, whole+rest); out.Close() }()
 		for r := NewReader(bufio.NewReaderSize(in, MaxMessage)); ; {
@@ -353,28 +355,28 @@
 	whole := answer(invite)
 	t.Logf("%d places to break off at", len(whole)-1)
 	for _, rest := range []string{next, bye, other, strings.Repeat(next, 3)} {
-		if got := told(whole, rest); len(got) != 1 || got[0] != body {
+		if got := deliveredBodies(whole, rest); len(got) != 1 || got[0] != body {
 			t.Fatalf("a whole answer before %.8q: %q", rest, got)
 		}
-		for short := 1; short < len(whole); short++ {
-			if got := told(whole[:len(whole)-short], rest); len(got) > 0 {
-				t.Errorf("%d short before %.8q: told %q", short, rest, got)
+		for missing := 1; missing < len(whole); missing++ {
+			if got := deliveredBodies(whole[:len(whole)-missing], rest); len(got) > 0 {
+				t.Errorf("%d short before %.8q: told %q", missing, rest, got)
 			}
 		}
 	}
-	for _, odd := range []string{"SIP/2.0", "NOTIFY", "say BYE or SIP/2.0 2", "x" + next + "x"} { // a description may hold words of the protocol
-		body = odd
-		if got := told(answer(invite), next); len(got) < 1 || got[0] != odd {
-			t.Errorf("description %q: told %q", odd, got)
+	for _, description := range []string{"SIP/2.0", "NOTIFY", "say BYE or SIP/2.0 2", "x" + next + "x"} { // a description may hold words of the protocol
+		body = description
+		if got := deliveredBodies(answer(invite), next); len(got) < 1 || got[0] != description {
+			t.Errorf("description %q: told %q", description, got)
 		}
 	}
 }
 
 // A second answer, at once or some time later, of the same kind or another, is confirmed where SIP wants it and never told.
-func TestSecondAnswerIsNotTold(t *testing.T) {
+func TestSecondFinalResponseIsNotDelivered(t *testing.T) {
 	for _, row := range []struct{ first, second int }{{200, 200}, {200, 486}, {486, 200}, {503, 503}, {503, 200}} {
-		for _, apart := range []bool{false, true} {
-			b := newPlatformBench(t)
+		for _, separate := range []bool{false, true} {
+			b := newPlatformFixture(t)
 			m := b.setup()
 			text := func(status int) string {
 				r := Respond(m, status, "As it is")
@@ -383,7 +385,7 @@
 				}
 				return string(r.Append(nil))
 			}
-			if apart {
+			if separate {
 				b.send(text(row.first))
 				b.next("ACK")
 				b.send(text(row.second))
@@ -397,7 +399,7 @@
 			b.send("NOTIFY sip:x@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 NOTIFY\r\nX-Occupancy: spare:1\r\nContent-Length: 0\r\n\r\n")
 			if row.first == 200 {
 				b.event("answered 7f3a answer")
-			} else if got, ok := (<-b.told.events).(ended); !ok || got.id != "7f3a" {
+			} else if got, ok := (<-b.eventRecorder.events).(failedEvent); !ok || got.id != "7f3a" {
 				t.Errorf("%v: told %v", row, got)
 			}
 			b.event([]float64{1, -1, -1, -1}) // nothing between
--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -23,70 +23,70 @@
 
 // Party is one side: a UDP socket and a TCP listener on the same port's address family, each on a port of its own.
 type Party struct {
-	t   testing.TB
-	pc  net.PacketConn
-	ln  net.Listener
-	mu  sync.Mutex
-	log []Entry
-	new chan struct{}
-	on  func(*Party, Entry)
-	cns []net.Conn
+	t        testing.TB
+	udp      net.PacketConn
+	listener net.Listener
+	mu       sync.Mutex
+	received []Entry
+	arrived  chan struct{}
+	handler  func(*Party, Entry)
+	conns    []net.Conn
 }
 
 // New starts a party; on is called for each message, in a goroutine of its connection. It may be nil.
-func New(t testing.TB, on func(*Party, Entry)) *Party {
+func New(t testing.TB, handler func(*Party, Entry)) *Party {
 	t.Helper()
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Party{t: t, pc: pc, ln: ln, new: make(chan struct{}), on: on}
+	p := &Party{t: t, udp: udp, listener: listener, arrived: make(chan struct{}), handler: handler}
 	t.Cleanup(p.Stop)
-	go p.udp()
+	go p.readUDP()
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			p.keep(c)
-			go p.tcp(c)
+			p.addConn(c)
+			go p.readTCP(c)
 		}
 	}()
 	return p
 }
 
-func (p *Party) keep(c net.Conn) {
+func (p *Party) addConn(c net.Conn) {
 	p.mu.Lock()
-	p.cns = append(p.cns, c)
+	p.conns = append(p.conns, c)
 	p.mu.Unlock()
 }
 
 // Stop ends the party's sockets, as a process that dies does.
 func (p *Party) Stop() {
-	p.pc.Close()
-	p.ln.Close()
+	p.udp.Close()
+	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.cns {
+	for _, c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0) // a reset
 		}
 		c.Close()
 	}
-	p.cns = nil
+	p.conns = nil
 }
 
 // Addr gives the party's address for "UDP" or "TCP".
 func (p *Party) Addr(proto string) string {
 	if proto == "UDP" {
-		return p.pc.LocalAddr().String()
+		return p.udp.LocalAddr().String()
 	}
-	return p.ln.Addr().String()
+	return p.listener.Addr().String()
 }
 
 // URI gives the party's address as a server's.
@@ -94,39 +94,39 @@
 	return "sip:" + p.Addr(proto) + ";transport=" + strings.ToLower(proto)
 }
 
-func (p *Party) udp() {
+func (p *Party) readUDP() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := p.pc.ReadFrom(buf)
+		n, from, err := p.udp.ReadFrom(buf)
 		if err != nil {
 			return
 		}
 		if m, err := sip.Parse(buf[:n]); err == nil {
-			p.got(m, func(r *sip.Message) { p.pc.WriteTo(r.Append(nil), from) })
+			p.receive(m, func(r *sip.Message) { p.udp.WriteTo(r.Append(nil), from) })
 		}
 	}
 }
 
-func (p *Party) tcp(c net.Conn) {
+func (p *Party) readTCP(c net.Conn) {
 	r := sip.NewReader(bufio.NewReaderSize(c, sip.MaxMessage))
 	for {
 		m, err := r.Next()
 		if err != nil {
 			return
 		}
-		p.got(m, func(r *sip.Message) { c.Write(r.Append(nil)) })
+		p.receive(m, func(r *sip.Message) { c.Write(r.Append(nil)) })
 	}
 }
 
-func (p *Party) got(m *sip.Message, back func(*sip.Message)) {
-	e := Entry{time.Now(), m, back}
+func (p *Party) receive(m *sip.Message, send func(*sip.Message)) {
+	e := Entry{time.Now(), m, send}
 	p.mu.Lock()
-	p.log = append(p.log, e)
-	close(p.new)
-	p.new = make(chan struct{})
+	p.received = append(p.received, e)
+	close(p.arrived)
+	p.arrived = make(chan struct{})
 	p.mu.Unlock()
-	if p.on != nil {
-		p.on(p, e)
+	if p.handler != nil {
+		p.handler(p, e)
 	}
 }
 
@@ -134,13 +134,13 @@
 func (p *Party) Log() []Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Entry(nil), p.log...)
+	return append([]Entry(nil), p.received...)
 }
 
 // Count tells how many messages were received that fit.
-func (p *Party) Count(fits func(*sip.Message) bool) (n int) {
+func (p *Party) Count(matches func(*sip.Message) bool) (n int) {
 	for _, e := range p.Log() {
-		if fits(e.Msg) {
+		if matches(e.Msg) {
 			n++
 		}
 	}
@@ -149,10 +149,10 @@
 
 // Transactions counts the transactions (RFC 3261, 17.2.3: the branch of the topmost Via) of the messages that fit. Over UDP a
 // request that is not answered within T1 comes again in the same one.
-func (p *Party) Transactions(fits func(*sip.Message) bool) int {
+func (p *Party) Transactions(matches func(*sip.Message) bool) int {
 	seen := map[string]bool{}
 	for _, e := range p.Log() {
-		if fits(e.Msg) {
+		if matches(e.Msg) {
 			seen[e.Msg.Get("Via")] = true
 		}
 	}
@@ -160,27 +160,27 @@
 }
 
 // Wait gives the first message that fits, waiting for it.
-func (p *Party) Wait(what string, fits func(*sip.Message) bool) Entry {
+func (p *Party) Wait(description string, matches func(*sip.Message) bool) Entry {
 	p.t.Helper()
-	limit := time.After(10 * time.Second)
+	timeout := time.After(10 * time.Second)
 	for {
 		p.mu.Lock()
-		log, more := p.log, p.new
+		received, next := p.received, p.arrived
 		p.mu.Unlock()
-		for _, e := range log {
-			if fits(e.Msg) {
+		for _, e := range received {
+			if matches(e.Msg) {
 				return e
 			}
 		}
 		select {
-		case <-more:
-		case <-limit:
-			p.t.Fatalf("no %s came; got %s", what, p.seen())
+		case <-next:
+		case <-timeout:
+			p.t.Fatalf("no %s came; got %s", description, p.summary())
 		}
 	}
 }
 
-func (p *Party) seen() string {
+func (p *Party) summary() string {
 	var b strings.Builder
 	for _, e := range p.Log() {
 		fmt.Fprintf(&b, "[%s%d %s] ", e.Msg.Method, e.Msg.Status, e.Msg.Get("CSeq"))
@@ -197,14 +197,14 @@
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		send = func(m *sip.Message) { p.pc.WriteTo(m.Append(nil), to) }
+		send = func(m *sip.Message) { p.udp.WriteTo(m.Append(nil), to) }
 	} else {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		p.keep(c)
-		go p.tcp(c)
+		p.addConn(c)
+		go p.readTCP(c)
 		send = func(m *sip.Message) { c.Write(m.Append(nil)) }
 	}
 	send(m)
--- a/internal/protocol/sip/transaction.go
+++ b/internal/protocol/sip/transaction.go
@@ -21,7 +21,7 @@
 // flow is a way to the other side of a transaction.
 type flow interface {
 	// send never blocks; done, if not nil, hears of what failed later. still is asked before the first byte.
-	send(data []byte, still func() bool, done func(error)) error
+	send(data []byte, stillWanted func() bool, done func(error)) error
 	reliable() bool // a stream: nothing is retransmitted
 	proto() string  // as in Via
 	remote() string
@@ -40,16 +40,16 @@
 	terminated                // all
 )
 
-// layer holds the transactions. It belongs to one actor: every method, and every timer, runs there.
-type layer struct {
+// transactionLayer holds the transactions. It belongs to one actor: every method, and every timer, runs there.
+type transactionLayer struct {
 	after   func(time.Duration, func()) *time.Timer
 	t       Timers
 	clients map[string]*clientTx
 	servers map[string]*serverTx
 }
 
-func newLayer(t Timers, after func(time.Duration, func()) *time.Timer) *layer {
-	return &layer{after: after, t: t, clients: map[string]*clientTx{}, servers: map[string]*serverTx{}}
+func newTransactionLayer(t Timers, after func(time.Duration, func()) *time.Timer) *transactionLayer {
+	return &transactionLayer{after: after, t: t, clients: map[string]*clientTx{}, servers: map[string]*serverTx{}}
 }
 
 // timers of a transaction: all are stopped when it ends, and one that fired meanwhile finds it ended.
@@ -64,40 +64,40 @@
 
 // clientTx is a client transaction: INVITE (17.1.1) or any other method (17.1.2).
 type clientTx struct {
-	l          *layer
-	key        string
-	req        *Message
-	data       []byte
-	flow       flow
-	state      txState
-	timers     timers
-	still      func() bool
-	hushed     bool // given up before any response: no further copy goes out, and a late response is still heard
-	ack        []byte
-	onResponse func(*Message)
-	onEnd      func(error) // without a final response
+	layer             *transactionLayer
+	key               string
+	req               *Message
+	data              []byte
+	flow              flow
+	state             txState
+	timers            timers
+	stillWanted       func() bool
+	retransmitStopped bool // given up before any response: no further copy goes out, and a late response is still heard
+	ack               []byte
+	onResponse        func(*Message)
+	onEnd             func(error) // without a final response
 }
 
 func (t *clientTx) invite() bool { return t.req.Method == "INVITE" }
 
 // request starts a client transaction. The request's topmost Via holds its branch. still, which may be nil, is asked
 // before each time that the request goes out: a server that has been told to drain must not get a late copy.
-func (l *layer) request(req *Message, f flow, still func() bool, onResponse func(*Message), onEnd func(error)) *clientTx {
+func (layer *transactionLayer) request(req *Message, f flow, stillWanted func() bool, onResponse func(*Message), onEnd func(error)) *clientTx {
 	v, _ := req.topVia()
-	t := &clientTx{l: l, key: v.params["branch"] + "|" + req.Method, req: req, data: req.Append(nil), flow: f,
-		still: still, onResponse: onResponse, onEnd: onEnd}
+	t := &clientTx{layer: layer, key: v.params["branch"] + "|" + req.Method, req: req, data: req.Append(nil), flow: f,
+		stillWanted: stillWanted, onResponse: onResponse, onEnd: onEnd}
 	if !t.invite() {
 		t.state = trying
 	}
-	l.clients[t.key] = t
+	layer.clients[t.key] = t
 	if !t.transmit(true) {
 		return t
 	}
-	gap := l.t.T1
+	interval := layer.t.T1
 	if !f.reliable() {
-		t.in(gap, func() { t.again(gap) }) // timer A or E
+		t.schedule(interval, func() { t.retransmit(interval) }) // timer A or E
 	}
-	t.in(64*l.t.T1, func() { // timer B or F
+	t.schedule(64*layer.t.T1, func() { // timer B or F
 		if t.state < completed && !(t.invite() && t.state == proceeding) {
 			t.fail(errTimeout)
 		}
@@ -105,8 +105,8 @@
 	return t
 }
 
-func (t *clientTx) in(d time.Duration, f func()) {
-	t.timers = append(t.timers, t.l.after(d, func() {
+func (t *clientTx) schedule(d time.Duration, f func()) {
+	t.timers = append(t.timers, t.layer.after(d, func() {
 		if t.state != terminated {
 			f()
 		}
@@ -115,16 +115,16 @@
 
 // transmit sends the request; what fails later ends the transaction too.
 func (t *clientTx) transmit(first bool) bool {
-	if !first && t.still != nil && !t.still() {
+	if !first && t.stillWanted != nil && !t.stillWanted() {
 		t.fail(errTimeout) // an earlier copy may have run
 		return false
 	}
-	var still func() bool
+	var stillWanted func() bool
 	if first {
-		still = t.still
+		stillWanted = t.stillWanted
 	}
-	err := t.flow.send(t.data, still, func(err error) {
-		t.l.after(0, func() {
+	err := t.flow.send(t.data, stillWanted, func(err error) {
+		t.layer.after(0, func() {
 			if t.state == calling || t.state == trying || t.state == proceeding {
 				t.fail(err)
 			}
@@ -137,21 +137,21 @@
 	return true
 }
 
-func (t *clientTx) again(gap time.Duration) {
-	if t.invite() && t.state != calling || t.state >= completed || t.hushed {
+func (t *clientTx) retransmit(interval time.Duration) {
+	if t.invite() && t.state != calling || t.state >= completed || t.retransmitStopped {
 		return
 	}
 	if !t.transmit(false) {
 		return
 	}
-	gap *= 2
+	interval *= 2
 	if !t.invite() {
-		gap = min(gap, t.l.t.T2)
+		interval = min(interval, t.layer.t.T2)
 		if t.state == proceeding {
-			gap = t.l.t.T2
+			interval = t.layer.t.T2
 		}
 	}
-	t.in(gap, func() { t.again(gap) })
+	t.schedule(interval, func() { t.retransmit(interval) })
 }
 
 func (t *clientTx) fail(err error) {
@@ -165,8 +165,8 @@
 func (t *clientTx) end() {
 	t.state = terminated
 	t.timers.stop()
-	if t.l.clients[t.key] == t {
-		delete(t.l.clients, t.key)
+	if t.layer.clients[t.key] == t {
+		delete(t.layer.clients, t.key)
 	}
 }
 
@@ -178,25 +178,25 @@
 		t.end()
 		return
 	}
-	t.in(d, t.end)
+	t.schedule(d, t.end)
 }
 
-// response hands a response to its transaction; false if there is none.
-func (l *layer) response(m *Message) bool {
+// deliverResponse hands a response to its transaction; false if there is none.
+func (layer *transactionLayer) deliverResponse(m *Message) bool {
 	v, err := m.topVia()
 	if err != nil {
 		return false
 	}
 	_, method, _ := m.CSeq()
-	t := l.clients[v.params["branch"]+"|"+method]
+	t := layer.clients[v.params["branch"]+"|"+method]
 	if t == nil {
 		return false
 	}
-	t.take(m)
+	t.receive(m)
 	return true
 }
 
-func (t *clientTx) take(m *Message) {
+func (t *clientTx) receive(m *Message) {
 	switch {
 	case t.state == completed:
 		if t.invite() && m.Status >= 300 { // the ACK was lost
@@ -210,19 +210,19 @@
 		t.state = proceeding
 		t.onResponse(m)
 	case !t.invite():
-		d := t.l.t.T4 // timer K
+		d := t.layer.t.T4 // timer K
 		if t.flow.reliable() {
 			d = 0
 		}
 		t.linger(completed, d)
 		t.onResponse(m)
 	case m.Status < 300:
-		t.linger(accepted, 64*t.l.t.T1) // timer M
+		t.linger(accepted, 64*t.layer.t.T1) // timer M
 		t.onResponse(m)
 	default:
 		t.ack = t.ackTo(m).Append(nil)
 		t.flow.send(t.ack, nil, nil)
-		d := 64 * t.l.t.T1 // timer D
+		d := 64 * t.layer.t.T1 // timer D
 		if t.flow.reliable() {
 			d = 0
 		}
@@ -234,7 +234,7 @@
 // ackTo makes the ACK to an error (17.1.1.3): it belongs to the INVITE's transaction and has its branch.
 func (t *clientTx) ackTo(m *Message) *Message {
 	ack := Request("ACK", t.req.URI)
-	ack.Header["Via"] = t.req.list("Via")[:1]
+	ack.Header["Via"] = t.req.listValues("Via")[:1]
 	for _, key := range []string{"From", "Call-Id", "Route", "Max-Forwards"} {
 		if v := t.req.Header[key]; v != nil {
 			ack.Header[key] = v
@@ -248,7 +248,7 @@
 // cancel makes the CANCEL of an INVITE (9.1).
 func (t *clientTx) cancel() *Message {
 	m := Request("CANCEL", t.req.URI)
-	m.Header["Via"] = t.req.list("Via")[:1]
+	m.Header["Via"] = t.req.listValues("Via")[:1]
 	for _, key := range []string{"From", "To", "Call-Id", "Route", "Max-Forwards"} {
 		if v := t.req.Header[key]; v != nil {
 			m.Header[key] = v
@@ -260,13 +260,13 @@
 
 // serverTx is a server transaction: INVITE (17.2.1) or any other method (17.2.2).
 type serverTx struct {
-	l      *layer
-	key    string
-	req    *Message
-	flow   flow
-	state  txState
-	timers timers
-	last   []byte
+	layer        *transactionLayer
+	key          string
+	req          *Message
+	flow         flow
+	state        txState
+	timers       timers
+	lastResponse []byte
 }
 
 func (t *serverTx) invite() bool { return t.req.Method == "INVITE" }
@@ -282,7 +282,7 @@
 
 // accept matches a request to a transaction. It is nil if the request was absorbed: a retransmission, or the ACK to
 // an error. fresh tells that the transaction is new and the request must be answered.
-func (l *layer) accept(m *Message, f flow) (t *serverTx, fresh bool) {
+func (layer *transactionLayer) accept(m *Message, f flow) (t *serverTx, isNew bool) {
 	method := m.Method
 	if method == "ACK" {
 		method = "INVITE"
@@ -291,18 +291,18 @@
 	if !ok {
 		return nil, false
 	}
-	if t := l.servers[key]; t != nil {
+	if t := layer.servers[key]; t != nil {
 		t.absorb(m)
 		return t, false
 	}
 	if m.Method == "ACK" {
 		return nil, false
 	}
-	t = &serverTx{l: l, key: key, req: m, flow: f, state: trying}
+	t = &serverTx{layer: layer, key: key, req: m, flow: f, state: trying}
 	if t.invite() {
 		t.state = proceeding
 	}
-	l.servers[key] = t
+	layer.servers[key] = t
 	return t, true
 }
 
@@ -311,22 +311,22 @@
 		if t.state == completed {
 			t.timers.stop()
 			t.state = confirmed
-			d := t.l.t.T4 // timer I
+			d := t.layer.t.T4 // timer I
 			if t.flow.reliable() {
 				d = 0
 			}
-			t.in(d, t.end)
+			t.schedule(d, t.end)
 		}
 		return
 	}
 	// A retransmission: in Accepted it is absorbed, the 2xx is repeated by its dialog.
-	if t.last != nil && (t.state == proceeding || t.state == completed) {
-		t.flow.send(t.last, nil, nil)
+	if t.lastResponse != nil && (t.state == proceeding || t.state == completed) {
+		t.flow.send(t.lastResponse, nil, nil)
 	}
 }
 
-func (t *serverTx) in(d time.Duration, f func()) {
-	t.timers = append(t.timers, t.l.after(d, func() {
+func (t *serverTx) schedule(d time.Duration, f func()) {
+	t.timers = append(t.timers, t.layer.after(d, func() {
 		if t.state != terminated {
 			f()
 		}
@@ -336,7 +336,7 @@
 func (t *serverTx) end() {
 	t.state = terminated
 	t.timers.stop()
-	delete(t.l.servers, t.key)
+	delete(t.layer.servers, t.key)
 }
 
 // respond sends a response. A second final one is dropped: a request has one.
@@ -345,27 +345,27 @@
 		return false
 	}
 	data := m.Append(nil)
-	t.last = data
+	t.lastResponse = data
 	t.flow.send(data, nil, nil)
 	switch {
 	case m.Status < 200:
 		t.state = proceeding
 	case !t.invite():
 		t.state = completed
-		d := 64 * t.l.t.T1 // timer J
+		d := 64 * t.layer.t.T1 // timer J
 		if t.flow.reliable() {
 			d = 0
 		}
-		t.in(d, t.end)
+		t.schedule(d, t.end)
 	case m.Status < 300:
 		t.state = accepted
-		t.in(64*t.l.t.T1, t.end) // timer L
+		t.schedule(64*t.layer.t.T1, t.end) // timer L
 	default:
 		t.state = completed
 		if !t.flow.reliable() {
-			t.repeat(t.l.t.T1) // timer G
+			t.retransmit(t.layer.t.T1) // timer G
 		}
-		t.in(64*t.l.t.T1, func() { // timer H
+		t.schedule(64*t.layer.t.T1, func() { // timer H
 			if t.state == completed {
 				t.end()
 			}
@@ -374,11 +374,11 @@
 	return true
 }
 
-func (t *serverTx) repeat(gap time.Duration) {
-	t.in(gap, func() {
+func (t *serverTx) retransmit(interval time.Duration) {
+	t.schedule(interval, func() {
 		if t.state == completed {
-			t.flow.send(t.last, nil, nil)
-			t.repeat(min(2*gap, t.l.t.T2))
+			t.flow.send(t.lastResponse, nil, nil)
+			t.retransmit(min(2*interval, t.layer.t.T2))
 		}
 	})
 }
--- a/internal/protocol/sip/transaction_test.go
+++ b/internal/protocol/sip/transaction_test.go
@@ -20,31 +20,31 @@
 	os.Exit(m.Run())
 }
 
-// pipe is a flow that counts what is sent on it.
-type pipe struct {
+// recordingFlow is a flow that counts what is sent on it.
+type recordingFlow struct {
 	stream bool
 	mu     sync.Mutex
 	sent   []*Message
 }
 
-func (p *pipe) send(data []byte, still func() bool, _ func(error)) error {
+func (p *recordingFlow) send(data []byte, stillWanted func() bool, _ func(error)) error {
 	m, _ := Parse(data)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sent = append(p.sent, m)
 	return nil
 }
-func (p *pipe) reliable() bool { return p.stream }
-func (p *pipe) proto() string  { return map[bool]string{false: "UDP", true: "TCP"}[p.stream] }
-func (p *pipe) remote() string { return "127.0.0.1:5060" }
+func (p *recordingFlow) reliable() bool { return p.stream }
+func (p *recordingFlow) proto() string  { return map[bool]string{false: "UDP", true: "TCP"}[p.stream] }
+func (p *recordingFlow) remote() string { return "127.0.0.1:5060" }
 
-func (p *pipe) len() int {
+func (p *recordingFlow) len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.sent)
 }
 
-func (p *pipe) count(method string, status int) (n int) {
+func (p *recordingFlow) count(method string, status int) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.sent {
@@ -60,15 +60,15 @@
 		Set("To", "<sip:x@y>").Set("Call-ID", "c").Set("CSeq", "1 "+method)
 }
 
-// retransmissions gives how many copies of a request RFC 3261 has sent after a time without any response: gaps double
+// expectedCopies gives how many copies of a request RFC 3261 has sent after a time without any response: gaps double
 // from T1, up to T2 but for INVITE, until 64 T1.
-func retransmissions(t Timers, invite bool, d time.Duration) int {
-	n, gap := 1, t.T1
-	for at := gap; at <= d && at < 64*t.T1; at += gap {
+func expectedCopies(t Timers, invite bool, d time.Duration) int {
+	n, interval := 1, t.T1
+	for elapsed := interval; elapsed <= d && elapsed < 64*t.T1; elapsed += interval {
 		n++
-		gap *= 2
+		interval *= 2
 		if !invite {
-			gap = min(gap, t.T2)
+			interval = min(interval, t.T2)
 		}
 	}
 	return n
@@ -83,10 +83,10 @@
 			do := func(f func()) { a.Post(f); synctest.Wait() }
 			method := rapid.SampledFrom([]string{"INVITE", "BYE"}).Draw(r, "method")
 			invite := method == "INVITE"
-			p := &pipe{stream: rapid.Bool().Draw(r, "stream")}
-			l := newLayer(DefaultTimers, a.After)
+			p := &recordingFlow{stream: rapid.Bool().Draw(r, "stream")}
+			l := newTransactionLayer(DefaultTimers, a.After)
 			req := testRequest(method)
-			var finals, ends, successes int
+			var finals, failures, successes int
 			do(func() {
 				l.request(req, p, nil, func(m *Message) {
 					if m.Status >= 300 || !invite && m.Status >= 200 {
@@ -94,57 +94,57 @@
 					} else if m.Status >= 200 {
 						successes++
 					}
-				}, func(error) { ends++ })
+				}, func(error) { failures++ })
 			})
 			began := time.Now()
-			var heard, final, ok bool // a response; a final one; a 2xx to INVITE
+			var responded, final, success bool // a response; a final one; a 2xx to INVITE
 			var finalAt time.Time
-			acks, twoxx := 0, 0
+			wantACKs, wantSuccesses := 0, 0
 			for range rapid.IntRange(1, 12).Draw(r, "steps") {
-				alive := !final && (time.Since(began) < 64*DefaultTimers.T1 || heard && invite)
+				active := !final && (time.Since(began) < 64*DefaultTimers.T1 || responded && invite)
 				switch rapid.IntRange(0, 3).Draw(r, "step") {
 				case 0:
 					time.Sleep(time.Duration(rapid.IntRange(1, 20000).Draw(r, "ms"))*time.Millisecond + time.Microsecond)
 					synctest.Wait()
 				case 1:
-					do(func() { l.response(Respond(req, 180, "Ringing")) })
-					heard = heard || alive
+					do(func() { l.deliverResponse(Respond(req, 180, "Ringing")) })
+					responded = responded || active
 				case 2:
-					do(func() { l.response(Respond(req, 200, "OK")) })
-					if alive && !final {
-						final, ok, finalAt = true, true, time.Now()
+					do(func() { l.deliverResponse(Respond(req, 200, "OK")) })
+					if active && !final {
+						final, success, finalAt = true, true, time.Now()
 					}
-					if invite && ok && time.Since(finalAt) < 64*DefaultTimers.T1 {
-						twoxx++
+					if invite && success && time.Since(finalAt) < 64*DefaultTimers.T1 {
+						wantSuccesses++
 					}
 				case 3:
-					do(func() { l.response(Respond(req, 486, "Busy")) })
-					if alive && !final {
+					do(func() { l.deliverResponse(Respond(req, 486, "Busy")) })
+					if active && !final {
 						final, finalAt = true, time.Now()
-						acks++
-					} else if final && !ok && !p.stream && time.Since(finalAt) < 64*DefaultTimers.T1 {
-						acks++
+						wantACKs++
+					} else if final && !success && !p.stream && time.Since(finalAt) < 64*DefaultTimers.T1 {
+						wantACKs++
 					}
 				}
-				if invite && p.count("ACK", 0) != acks {
-					r.Fatalf("%d ACKs, want %d", p.count("ACK", 0), acks)
+				if invite && p.count("ACK", 0) != wantACKs {
+					r.Fatalf("%d ACKs, want %d", p.count("ACK", 0), wantACKs)
 				}
-				if invite && successes != twoxx {
-					r.Fatalf("%d answers told, want %d", successes, twoxx)
+				if invite && successes != wantSuccesses {
+					r.Fatalf("%d answers told, want %d", successes, wantSuccesses)
 				}
 				want := 0
-				if final && (!invite || !ok) {
+				if final && (!invite || !success) {
 					want = 1
 				}
-				if finals != want || ends > 1 || ends+finals > 1 {
-					r.Fatalf("%d finals and %d ends told, want %d finals", finals, ends, want)
+				if finals != want || failures > 1 || failures+finals > 1 {
+					r.Fatalf("%d finals and %d ends told, want %d finals", finals, failures, want)
 				}
-				over := time.Since(began) >= 64*DefaultTimers.T1
-				if (ends == 1) != (over && !final && !(heard && invite)) {
-					r.Fatalf("%d ends after %v (heard %v, final %v)", ends, time.Since(began), heard, final)
+				timedOut := time.Since(began) >= 64*DefaultTimers.T1
+				if (failures == 1) != (timedOut && !final && !(responded && invite)) {
+					r.Fatalf("%d ends after %v (heard %v, final %v)", failures, time.Since(began), responded, final)
 				}
-				if !heard && !final {
-					n := retransmissions(DefaultTimers, invite, time.Since(began))
+				if !responded && !final {
+					n := expectedCopies(DefaultTimers, invite, time.Since(began))
 					if p.stream {
 						n = 1
 					}
@@ -156,7 +156,7 @@
 			do(func() {})
 			time.Sleep(200 * time.Second)
 			synctest.Wait()
-			if n := len(l.clients); n > 0 && (final || ends > 0) {
+			if n := len(l.clients); n > 0 && (final || failures > 0) {
 				r.Fatalf("%d transactions are left", n)
 			}
 		})
@@ -171,28 +171,28 @@
 			defer a.Stop()
 			do := func(f func()) { a.Post(f); synctest.Wait() }
 			method := rapid.SampledFrom([]string{"INVITE", "BYE"}).Draw(r, "method")
-			p := &pipe{stream: rapid.Bool().Draw(r, "stream")}
-			l := newLayer(DefaultTimers, a.After)
+			p := &recordingFlow{stream: rapid.Bool().Draw(r, "stream")}
+			l := newTransactionLayer(DefaultTimers, a.After)
 			req := testRequest(method)
-			fresh := 0
+			newRequests := 0
 			var tx *serverTx
-			do(func() { tx, _ = l.accept(req, p); fresh++ })
+			do(func() { tx, _ = l.accept(req, p); newRequests++ })
 			final, acked := 0, false
 			var finalAt time.Time
 			for range rapid.IntRange(1, 12).Draw(r, "steps") {
-				gone := final > 0 && time.Since(finalAt) >= 64*DefaultTimers.T1
+				expired := final > 0 && time.Since(finalAt) >= 64*DefaultTimers.T1
 				switch rapid.IntRange(0, 3).Draw(r, "step") {
 				case 0:
 					time.Sleep(time.Duration(rapid.IntRange(1, 3000).Draw(r, "ms")) * time.Millisecond)
 					synctest.Wait()
 				case 1: // a copy
-					if gone || acked || final > 0 && p.stream {
+					if expired || acked || final > 0 && p.stream {
 						continue // it may come after the transaction's end: another request then
 					}
 					before := p.len()
 					do(func() {
 						if _, f := l.accept(req, p); f {
-							fresh++
+							newRequests++
 						}
 					})
 					absorbed := p.len() == before
@@ -201,10 +201,10 @@
 					}
 				case 2:
 					status := rapid.SampledFrom([]int{180, 200, 486}).Draw(r, "status")
-					took := false
-					do(func() { took = tx.respond(Respond(req, status, "x")) })
-					if took != (final == 0) {
-						r.Fatalf("a response after the final one %d was taken: %v", final, took)
+					sentNow := false
+					do(func() { sentNow = tx.respond(Respond(req, status, "x")) })
+					if sentNow != (final == 0) {
+						r.Fatalf("a response after the final one %d was taken: %v", final, sentNow)
 					}
 					if final == 0 && status >= 200 {
 						final, finalAt = status, time.Now()
@@ -216,7 +216,7 @@
 						acked = true
 					}
 				}
-				if fresh != 1 {
+				if newRequests != 1 {
 					r.Fatalf("a copy became a request of its own")
 				}
 				for _, status := range []int{200, 486} {
--- a/internal/protocol/sip/uac.go
+++ b/internal/protocol/sip/uac.go
@@ -15,7 +15,7 @@
 // serverConn is the connection to one SIP server, as a routing.ServerConn. All of its work is done in the agent's actor.
 type serverConn struct {
 	agent       *Agent
-	user        uri
+	serverURI   uri
 	key         string
 	flow        flow
 	events      routing.ServerEvents
@@ -31,7 +31,7 @@
 	tx         *clientTx
 	dialog     *dialog
 	cancelled  bool
-	sentCancel bool
+	cancelSent bool
 }
 
 // MaxConns implements routing.Dialer: transactions tell set-ups apart, so one connection holds them all.
@@ -43,24 +43,24 @@
 	if err != nil {
 		return nil, errors.New("not a SIP address: " + addr)
 	}
-	proto, hop := u.hop()
-	l := &serverConn{agent: a, user: u, key: proto + "|" + hop, events: events, inFlight: map[string]*uac{}}
+	proto, nextHop := u.nextHop()
+	server := &serverConn{agent: a, serverURI: u, key: proto + "|" + nextHop, events: events, inFlight: map[string]*uac{}}
 	var conn *transport.Conn
 	if proto == "TCP" {
-		if conn, err = a.Budget.Dial(ctx, hop, a.DialTimeout); err != nil {
+		if conn, err = a.Budget.Dial(ctx, nextHop, a.DialTimeout); err != nil {
 			return nil, err
 		}
 	}
 	ready := make(chan error, 1)
 	a.Post(func() {
-		defer func() { a.serverConns[l.key] = l }()
+		defer func() { a.serverConns[server.key] = server }()
 		if conn != nil {
-			l.flow = &tcpFlow{agent: a, conn: conn}
+			server.flow = &tcpFlow{agent: a, conn: conn}
 			ready <- nil
 			return
 		}
-		a.flowTo(proto, hop, func(f flow, err error) {
-			l.flow = f
+		a.flowTo(proto, nextHop, func(f flow, err error) {
+			server.flow = f
 			ready <- err
 		})
 	})
@@ -76,13 +76,13 @@
 		return nil, err
 	}
 	if conn != nil {
-		go a.readTCP(conn, l, nil)
+		go a.readTCP(conn, server, nil)
 	}
-	return l, nil
+	return server, nil
 }
 
-// down ends the set-ups of a connection that is gone: nothing else would ever end their transactions.
-func (c *serverConn) down(err error) {
+// connectionLost ends the set-ups of a connection that is gone: nothing else would ever end their transactions.
+func (c *serverConn) connectionLost(err error) {
 	for _, u := range c.inFlight {
 		u.tx.end()
 	}
@@ -91,36 +91,36 @@
 }
 
 // Setup implements routing.ServerConn.
-func (c *serverConn) Setup(at routing.Attempt, still func() bool) {
-	c.agent.Post(func() { c.setup(at, still) })
+func (c *serverConn) Setup(setupAttempt routing.Attempt, stillWanted func() bool) {
+	c.agent.Post(func() { c.setup(setupAttempt, stillWanted) })
 }
 
-func (c *serverConn) setup(at routing.Attempt, still func() bool) {
+func (c *serverConn) setup(setupAttempt routing.Attempt, stillWanted func() bool) {
 	a := c.agent
 	proto := c.flow.proto()
-	left := time.Until(at.Deadline)
-	_, hop := c.user.hop()
-	target := "sip:" + escapeUser(at.Key) + "@" + hop + ";transport=" + strings.ToLower(proto)
+	remaining := time.Until(setupAttempt.Deadline)
+	_, nextHop := c.serverURI.nextHop()
+	target := "sip:" + escapeUser(setupAttempt.Key) + "@" + nextHop + ";transport=" + strings.ToLower(proto)
 	m := Request("INVITE", target).Set("Via", a.newVia(proto)).Set("Max-Forwards", "70").
-		Set("From", "<sip:beammux@"+a.sentBy(proto)+">;tag="+token(6)).Set("To", "<"+target+">").
-		Set("Call-ID", at.ID()+"-"+strconv.Itoa(at.Number())).Set("CSeq", "1 INVITE").
+		Set("From", "<sip:beammux@"+a.sentBy(proto)+">;tag="+randomToken(6)).Set("To", "<"+target+">").
+		Set("Call-ID", setupAttempt.ID()+"-"+strconv.Itoa(setupAttempt.Number())).Set("CSeq", "1 INVITE").
 		Set("Contact", a.contact(proto)).Set("Allow", allow).
-		Set("Expires", strconv.FormatInt(max(1, int64((left+time.Second-1)/time.Second)), 10)).
-		Set("X-Timer-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	if at.Class >= 0 && at.Class < len(a.Classes) {
-		m.Set("X-Cos", a.Classes[at.Class])
+		Set("Expires", strconv.FormatInt(max(1, int64((remaining+time.Second-1)/time.Second)), 10)).
+		Set("X-Timer-Ms", strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	if setupAttempt.Class >= 0 && setupAttempt.Class < len(a.Classes) {
+		m.Set("X-Cos", a.Classes[setupAttempt.Class])
 	}
-	if len(at.Body) > 0 {
+	if len(setupAttempt.Body) > 0 {
 		m.Set("Content-Type", "application/sdp")
-		m.Body = at.Body
+		m.Body = setupAttempt.Body
 	}
-	u := &uac{conn: c, attempt: at, sentAt: time.Now()}
-	c.inFlight[at.ID()] = u
-	u.tx = a.layer.request(m, c.flow, still, u.response, u.ended)
+	u := &uac{conn: c, attempt: setupAttempt, sentAt: time.Now()}
+	c.inFlight[setupAttempt.ID()] = u
+	u.tx = a.transactionLayer.request(m, c.flow, stillWanted, u.handleResponse, u.transactionFailed)
 }
 
-// ended: the transaction ended without a final response.
-func (u *uac) ended(err error) {
+// transactionFailed: the transaction ended without a final response.
+func (u *uac) transactionFailed(err error) {
 	u.forget()
 	code := control.Cut
 	switch {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (u *uac) response(m *Message) {
+func (u *uac) handleResponse(m *Message) {
 	a := u.conn.agent
 	switch {
 	case m.Status < 200:
@@ -146,10 +146,10 @@
 			u.cancel()
 		}
 	case m.Status < 300:
-		u.answered(m)
+		u.handleAnswer(m)
 	default:
 		u.forget()
-		o := routing.Outcome{Code: finalCode(m.Status), Reason: reasons[diagnosis(m)],
+		o := routing.Outcome{Code: finalCode(m.Status), Reason: diagnosisReasons[diagnosis(m)],
 			Report: parseReport(m.Get("X-Occupancy"), a.Reports)}
 		if m.Status == 486 || m.Status == 600 {
 			o.Reason = control.LinesBusy
@@ -163,30 +163,30 @@
 	}
 }
 
-// answered takes a 2xx: the first opens the dialog, a repeated one is confirmed again, and one of another fork is
+// handleAnswer takes a 2xx: the first opens the dialog, a repeated one is confirmed again, and one of another fork is
 // confirmed and released, since a call is established once.
-func (u *uac) answered(m *Message) {
+func (u *uac) handleAnswer(m *Message) {
 	a := u.conn.agent
-	d := fromResponse(m, u.attempt.ID(), u.conn.flow.proto())
+	d := dialogFromResponse(m, u.attempt.ID(), u.conn.flow.proto())
 	d.flow, d.conn = u.conn.flow, u.conn
 	if u.dialog != nil {
 		if d.key() == u.dialog.key() {
-			a.ack(u.dialog)
+			a.sendAck(u.dialog)
 			return
 		}
-		a.ack(d)
-		a.inDialog(d, "BYE", routing.CauseNormal, nil)
+		a.sendAck(d)
+		a.sendInDialog(d, "BYE", routing.CauseNormal, nil)
 		return
 	}
 	u.dialog = d
 	u.forget()
 	if u.cancelled { // given up: its dialog is ended here, since the core knows the call by its id alone
-		a.ack(d)
-		a.inDialog(d, "BYE", routing.CauseNormal, nil)
+		a.sendAck(d)
+		a.sendInDialog(d, "BYE", routing.CauseNormal, nil)
 		return
 	}
 	a.addDialog(d)
-	a.ack(d)
+	a.sendAck(d)
 	if row := parseReport(m.Get("X-Occupancy"), a.Reports); row != nil {
 		u.conn.events.Report(row)
 	}
@@ -221,18 +221,18 @@
 		if u.tx.state == proceeding {
 			u.cancel()
 		}
-		u.tx.hushed = true
+		u.tx.retransmitStopped = true
 	})
 }
 
 func (u *uac) cancel() {
 	a := u.conn.agent
-	if u.sentCancel {
+	if u.cancelSent {
 		return
 	}
-	u.sentCancel = true
-	a.layer.request(u.tx.cancel(), u.conn.flow, nil, func(*Message) {}, func(error) {})
-	u.tx.in(64*a.Timers.T1, func() { // the INVITE may never be answered
+	u.cancelSent = true
+	a.transactionLayer.request(u.tx.cancel(), u.conn.flow, nil, func(*Message) {}, func(error) {})
+	u.tx.schedule(64*a.Timers.T1, func() { // the INVITE may never be answered
 		if u.tx.state < completed {
 			u.tx.fail(errTimeout)
 		}
@@ -242,7 +242,7 @@
 // Release implements routing.ServerConn.
 func (c *serverConn) Release(id string, cause int) {
 	c.agent.Post(func() {
-		if d := c.agent.byID[id+"/server"]; d != nil {
+		if d := c.agent.dialogsByID[id+"/server"]; d != nil {
 			c.agent.hangup(d, cause)
 		}
 	})
@@ -255,16 +255,16 @@
 		if a.serverConns[c.key] == c {
 			delete(a.serverConns, c.key)
 		}
-		for _, d := range a.byID {
+		for _, d := range a.dialogsByID {
 			if d.conn == c {
 				a.dropDialog(d)
 			}
 		}
-		time.AfterFunc(a.Timers.T4, func() { a.Post(c.shut) })
+		time.AfterFunc(a.Timers.T4, func() { a.Post(c.finishConn) })
 	})
 }
 
-func (c *serverConn) shut() {
+func (c *serverConn) finishConn() {
 	if t, ok := c.flow.(*tcpFlow); ok {
 		t.conn.Finish()
 	}
