--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -13,41 +13,43 @@
 	"beammux/internal/transport"
 )
 
-// Core is the part of the routing core that the front needs.
+// Core is the part of the routing core that an Agent uses. routing.Core implements it.
 type Core interface {
 	Open(routing.Setup, routing.Caller)
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	// Unreadable counts a set-up that was refused before the core saw it: class is its place in the settings, or -1.
+	// Unreadable counts a set-up that the agent refused without passing it to the core. class is the index of its class in the
+	// settings, or -1 if the class is unknown.
 	Unreadable(class int)
 }
 
-// Dialogs keeps records of established calls, for the next start. Its methods must not block.
+// Dialogs persists records of established dialogs, so that they can be restored after a restart. Its methods must not block.
 type Dialogs interface {
 	Put(key string, value []byte)
 	Delete(key string)
 }
 
-// Options say how an Agent works.
+// Options configure an Agent.
 type Options struct {
-	Classes      []string         // names, in the order of the settings
-	Deadlines    []control.Micros // and how long a caller of each waits
-	DefaultClass string           // of a caller that names none
-	Reports      []string         // names of a report's values
+	Classes      []string         // class names, in the order of the settings
+	Deadlines    []control.Micros // how long a caller of each class waits for the final answer, in the same order
+	DefaultClass string           // class of a set-up without an X-Cos header
+	Reports      []string         // names of the values in a load report, in the order of the settings
 	Timers       Timers
 	DialTimeout  time.Duration
 	Budget       *transport.Budget
 	Dialogs      Dialogs // may be nil
-	// Seen, if not nil, is called once for each caller's TCP connection, with its address and whether it brought a whole message
-	// first: false for one that can't be read, and for none in time. From any goroutine.
+	// Seen, if not nil, is called once for each caller's TCP connection, with the caller's address. wellFormed reports whether
+	// the first message was complete and valid; it is false if the message could not be parsed or did not arrive in time. Seen
+	// may be called from any goroutine.
 	Seen func(address string, wellFormed bool)
-	// Away, if not nil, tells whether TCP connections from a caller's address are closed at once.
+	// Away, if not nil, reports whether new TCP connections from a caller's address are closed immediately.
 	Away func(address string) bool
 	Log  logrus.FieldLogger
 }
 
-// Agent is a back-to-back user agent: SIP callers on one side, the core's connections to SIP servers on the other. All of
-// it, transactions and dialogs included, belongs to one actor.
+// Agent is a back-to-back user agent (RFC 3261, 6): it serves SIP callers on one side and provides the core's connections to
+// SIP servers on the other. All of its state, including transactions and dialogs, is owned by one actor.
 type Agent struct {
 	*actor.Actor
 	Options
@@ -55,17 +57,17 @@
 	transactionLayer *transactionLayer
 	udp              net.PacketConn
 	tcp              *transport.Listener
-	tcpConns         map[string]*transport.Conn // TCP, by remote address
-	pendingCalls     map[*serverTx]*uasCall     // set-ups of callers that have no final answer
-	dialogs          map[string]*dialog         // by key
-	dialogsByID      map[string]*dialog         // by the core's id and side
-	serverConns      map[string]*serverConn     // by the server's address
+	tcpConns         map[string]*transport.Conn // open TCP connections, by remote address
+	pendingCalls     map[*serverTx]*uasCall     // set-ups without a final answer
+	dialogs          map[string]*dialog         // by dialog.key
+	dialogsByID      map[string]*dialog         // by dialog.storeKey: the core's call id and the side
+	serverConns      map[string]*serverConn     // by transport and server address
 	draining         bool
-	refusing         bool // set-ups are refused: the process ends
+	refusing         bool // new set-ups are refused, because the process is about to exit
 	closeOnce        sync.Once
 }
 
-// NewAgent makes an agent that listens nowhere yet.
+// NewAgent returns an agent that does not listen yet; see Listen and Serve. Zero Timers are replaced by DefaultTimers.
 func NewAgent(core Core, options Options) *Agent {
 	if options.Timers == (Timers{}) {
 		options.Timers = DefaultTimers
@@ -77,8 +79,8 @@
 	return a
 }
 
-// Listen opens the front's sockets; an empty address leaves one out. It is called once, before any server is dialled:
-// connections over UDP use the same socket. Nothing is read before Serve.
+// Listen opens the sockets for callers. An empty address disables that transport. It must be called once, before any server is
+// dialed, because traffic to servers over UDP uses the same socket. Nothing is read before Serve.
 func (a *Agent) Listen(udp, tcp string) error {
 	if udp != "" {
 		pc, err := net.ListenPacket("udp", udp)
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// Serve starts to take what comes, once the servers are known.
+// Serve starts reading from the sockets. It is called once the server list is known.
 func (a *Agent) Serve() {
 	if a.udp != nil {
 		go a.readUDP(a.udp)
@@ -111,7 +113,7 @@
 	}
 }
 
-// Addr gives the address on which the agent listens for a transport, or "".
+// Addr returns the address on which the agent listens for the transport "UDP" or "TCP", or "" if it does not.
 func (a *Agent) Addr(proto string) string {
 	switch {
 	case proto == "UDP" && a.udp != nil:
@@ -122,14 +124,14 @@
 	return ""
 }
 
-// Drain fails the tests that are asked for from now on. Set-ups are still taken: whether one is refused is decided by
-// the module alone.
+// Drain makes the agent answer health checks (OPTIONS) with 503 from now on. It still accepts set-ups, because only the
+// decision module decides whether a set-up is refused.
 func (a *Agent) Drain() { a.Post(func() { a.draining = true }) }
 
-// TurnAway refuses the set-ups that come from now on: the process ends once what came before is answered.
+// TurnAway makes the agent refuse all new set-ups, because the process exits once the earlier ones are answered.
 func (a *Agent) TurnAway() { a.Post(func() { a.refusing = true }) }
 
-// Close ends the agent's sockets, once it has sent what was posted before.
+// Close closes the agent's sockets and stops its actor after all work posted before has been sent.
 func (a *Agent) Close() { a.closeOnce.Do(a.close) }
 
 func (a *Agent) close() {
--- a/internal/protocol/sip/agent_dialogs.go
+++ b/internal/protocol/sip/agent_dialogs.go
@@ -6,6 +6,7 @@
 	"beammux/internal/routing"
 )
 
+// addDialog registers an established dialog and persists it.
 func (a *Agent) addDialog(d *dialog) {
 	a.dialogs[d.key()] = d
 	a.dialogsByID[d.storeKey()] = d
@@ -14,6 +15,7 @@
 	}
 }
 
+// dropDialog removes a dialog and its stored record.
 func (a *Agent) dropDialog(d *dialog) {
 	d.ended = true
 	delete(a.dialogs, d.key())
@@ -25,7 +27,7 @@
 	}
 }
 
-// Restore takes back a dialog that stood before this process started.
+// Restore registers a dialog that was established before this process started, from its stored record.
 func (a *Agent) Restore(record []byte) error {
 	d := &dialog{}
 	if err := json.Unmarshal(record, d); err != nil {
@@ -33,9 +35,10 @@
 	}
 	a.Post(func() {
 		if a.dialogsByID[d.storeKey()] != nil {
-			return // of this process
+			return // already registered by this process
 		}
-		// Requests that were sent and not recorded must not have their numbers used again.
+		// The record does not count requests sent after the dialog was established; the gap keeps their CSeq numbers from
+		// being reused.
 		d.LocalSeq += 16
 		a.dialogs[d.key()] = d
 		a.dialogsByID[d.storeKey()] = d
@@ -43,7 +46,7 @@
 	return nil
 }
 
-// Orphan ends the caller's side of a call that only the store remembers. otherwise runs if it does not.
+// Orphan ends the caller's side of a call that is known only from the store. If there is no such dialog, it calls otherwise.
 func (a *Agent) Orphan(id string, cause int, otherwise func()) {
 	a.Post(func() {
 		if d := a.dialogsByID[id+"/caller"]; d != nil {
@@ -54,7 +57,7 @@
 	})
 }
 
-// OrphanHangup ends the server's side of a call that only the store remembers: its caller has hung up.
+// OrphanHangup ends the server's side of a call that is known only from the store, after its caller hung up.
 func (a *Agent) OrphanHangup(id string, cause int) {
 	a.Post(func() {
 		if d := a.dialogsByID[id+"/server"]; d != nil {
@@ -63,7 +66,7 @@
 	})
 }
 
-// hangup ends a dialog by BYE, once.
+// hangup ends a dialog by a BYE. Further calls do nothing.
 func (a *Agent) hangup(d *dialog, cause int) {
 	if d.ended {
 		return
@@ -72,7 +75,7 @@
 	a.sendInDialog(d, "BYE", cause, func() { a.dropDialog(d) })
 }
 
-// sendInDialog sends a request inside a dialog on the flow that it has, or on a new one to its next hop.
+// sendInDialog sends a request inside a dialog. done, which may be nil, runs once the transaction has ended or could not start.
 func (a *Agent) sendInDialog(d *dialog, method string, cause int, done func()) {
 	m := d.request(method)
 	if cause > 0 {
@@ -80,7 +83,7 @@
 	}
 	a.dialogFlow(d, func(f flow, err error) {
 		if err != nil {
-			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: " + method + " can't be sent")
+			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: " + method + " could not be sent")
 			if done != nil {
 				done()
 			}
@@ -97,13 +100,14 @@
 				end()
 			}
 		}, func(err error) {
-			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: no answer to " + method)
+			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: no final response to " + method)
 			end()
 		})
 	})
 }
 
-// dialogFlow passes then the flow for a request inside a dialog: the dialog's connection while it is open, else its next hop.
+// dialogFlow calls done with the flow for a request inside a dialog: the dialog's TCP connection while it is open and the route
+// set is empty, else a flow to the dialog's next hop.
 func (a *Agent) dialogFlow(d *dialog, done func(flow, error)) {
 	if t, ok := d.flow.(*tcpFlow); ok && len(d.Routes) == 0 {
 		select {
@@ -121,7 +125,7 @@
 	a.flowTo(proto, addr, done)
 }
 
-// sendAck confirms a 2xx. Each retransmission of the 2xx is answered by another.
+// sendAck confirms a 2xx by an ACK. Each retransmission of the 2xx is confirmed again.
 func (a *Agent) sendAck(d *dialog) {
 	m := d.request("ACK")
 	a.dialogFlow(d, func(f flow, err error) {
@@ -131,7 +135,7 @@
 	})
 }
 
-// handleBye takes the end of a dialog from either side.
+// handleBye ends a dialog after a BYE from the caller or the server.
 func (a *Agent) handleBye(t *serverTx, m *Message) {
 	d := a.findDialog(m)
 	if d == nil {
@@ -139,7 +143,7 @@
 		return
 	}
 	number, _, _ := m.CSeq()
-	if number <= d.RemoteSeq && d.RemoteSeq > 0 { // 12.2.2: out of order
+	if number <= d.RemoteSeq && d.RemoteSeq > 0 { // out of order (RFC 3261, 12.2.2)
 		t.respond(Respond(m, 500, "Server Internal Error"))
 		return
 	}
@@ -152,7 +156,7 @@
 	}
 	a.dropDialog(d)
 	if ended {
-		return // both sides hung up at once
+		return // both sides sent a BYE at the same time
 	}
 	if !d.Server {
 		var caller routing.Caller
@@ -168,7 +172,7 @@
 	}
 	if server := d.conn; server != nil {
 		if current := a.serverConns[server.key]; current != nil {
-			server = current // the connection may have been opened anew since the set-up
+			server = current // the connection was reopened since the set-up
 		}
 		server.events.Released(d.ID, byeCause, parseReport(m.Get("X-Occupancy"), a.Reports))
 		return
--- a/internal/protocol/sip/agent_retry_test.go
+++ b/internal/protocol/sip/agent_retry_test.go
@@ -10,7 +10,7 @@
 	. "beammux/internal/protocol/sip/siptest"
 )
 
-// setRetryLimits puts limits in force at which a call waits 300 ms before its second and last attempt.
+// setRetryLimits applies limits under which a call waits 300 ms before its second and last attempt.
 func setRetryLimits(t *testing.T, b *fixture) {
 	t.Helper()
 	siteSettings := settings(5 * time.Second)
@@ -22,15 +22,16 @@
 	b.core.SetLimits(p)
 }
 
-// refusingNoAgent turns a set-up away as a server does that has a processor but no agent: it is passed over and not gated.
+// refusingNoAgent refuses set-ups like a server that has a free processor but no free agent. Such a server is skipped and not
+// gated.
 func refusingNoAgent(p *Party, e Entry) {
 	if Is("INVITE")(e.Msg) {
 		e.Back(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
 	}
 }
 
-// An INVITE that is repeated over UDP while its call waits for its second attempt is no further attempt, and no second
-// call: each server hears of it in one transaction, and the caller gets one answer.
+// Guards against an INVITE that is retransmitted over UDP during the wait before the second attempt being taken for another
+// attempt or another call: each server receives it in one transaction.
 func TestRetransmissionDuringRetryWait(t *testing.T) {
 	servers := []*Party{New(t, refusingNoAgent), New(t, refusingNoAgent)}
 	b := newFixture(t, 5*time.Second, host("s-1", servers[0].URI("UDP"), 0), host("s-2", servers[1].URI("UDP"), 1))
@@ -38,7 +39,7 @@
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "").Set("X-Dest", "0")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
-	servers[0].Wait("ACK to the refusal", Is("ACK")) // from here the call waits
+	servers[0].Wait("ACK to the refusal", Is("ACK")) // now the call waits for its second attempt
 	for range 5 {
 		send(invite)
 	}
@@ -46,15 +47,15 @@
 	caller.Wait("refusal", Status(503, "INVITE"))
 	for i, s := range servers {
 		if n := s.Transactions(Is("INVITE")); n != 1 {
-			t.Errorf("server %d heard %d INVITE transactions, want 1", i, n)
+			t.Errorf("server %d received %d INVITE transactions, want 1", i, n)
 		}
 	}
 	if first, second := servers[0].Wait("", Is("INVITE")).At, servers[1].Wait("", Is("INVITE")).At; second.Sub(first) < 300*time.Millisecond {
-		t.Errorf("second attempt after %v, want 300 ms at least", second.Sub(first))
+		t.Errorf("second attempt after %v, want at least 300 ms", second.Sub(first))
 	}
 }
 
-// A CANCEL that comes during the wait ends the call: 487 at once, and no second attempt.
+// A CANCEL that arrives during the wait before the second attempt ends the call: it gets 487, and there is no second attempt.
 func TestCancelDuringRetryWait(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		servers := []*Party{New(t, refusingNoAgent), New(t, refusingNoAgent)}
@@ -67,7 +68,7 @@
 		send(sip.Request("CANCEL", invite.URI).Set("Via", invite.Get("Via")).Set("From", invite.Get("From")).
 			Set("To", invite.Get("To")).Set("Call-ID", "abc").Set("CSeq", "1 CANCEL"))
 		caller.Wait("487", Status(487, "INVITE"))
-		other := caller.Invite(proto, "next", "4712", "").Set("X-Dest", "1") // by its two attempts the wait is over
+		other := caller.Invite(proto, "next", "4712", "").Set("X-Dest", "1") // once it has made its two attempts, the wait of the first call is over
 		caller.Send(proto, b.agent.Addr(proto), other)
 		servers[0].Wait("second attempt of the next call", func(m *sip.Message) bool {
 			return Is("INVITE")(m) && strings.Contains(m.URI, "4712")
@@ -78,12 +79,13 @@
 	})
 }
 
+// cancelOf returns the CANCEL for an INVITE.
 func cancelOf(invite *sip.Message) *sip.Message {
 	return sip.Request("CANCEL", invite.URI).Set("Via", invite.Get("Via")).Set("From", invite.Get("From")).
 		Set("To", invite.Get("To")).Set("Call-ID", invite.Get("Call-ID")).Set("CSeq", "1 CANCEL")
 }
 
-// A caller that closes its TCP connection has gone: its set-up is cancelled at the server within 0.1 s.
+// When a caller closes its TCP connection, its set-up is cancelled at the server within 100 ms.
 func TestClosedConnectionCancelsSetup(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, tryingOnly)
@@ -95,12 +97,12 @@
 		closedAt := time.Now()
 		caller.Stop()
 		if e := server.Wait("CANCEL", Is("CANCEL")); e.At.Sub(closedAt) > 100*time.Millisecond {
-			t.Errorf("cancelled after %v", e.At.Sub(closedAt))
+			t.Errorf("cancelled after %v, want at most 100 ms", e.At.Sub(closedAt))
 		}
 	})
 }
 
-// And no further attempt begins for one who closed, or cancelled, while its call waited for it.
+// No further attempt begins if the caller closes its connection or cancels while the call waits for that attempt.
 func TestNoFurtherAttemptAfterCallerLeft(t *testing.T) {
 	for _, how := range []string{"close", "cancel"} {
 		t.Run(how, func(t *testing.T) {
@@ -116,18 +118,18 @@
 				send(cancelOf(invite))
 				caller.Wait("487", Status(487, "INVITE"))
 			}
-			other := New(t, nil) // a later call shows that the guard's time has passed
+			other := New(t, nil) // a later call proves that the wait for the second attempt is over
 			time.Sleep(400 * time.Millisecond)
 			other.Send("UDP", b.agent.Addr("UDP"), other.Invite("UDP", "later", "2", "").Set("X-Dest", "1"))
 			second.Wait("INVITE", Is("INVITE"))
 			if n := second.Count(Is("INVITE")); n != 1 {
-				t.Errorf("%d INVITEs at the second server, want that of the later call alone", n)
+				t.Errorf("%d INVITEs at the second server, want only that of the later call", n)
 			}
 		})
 	}
 }
 
-// Over UDP a set-up that was given up before any response is not sent again, and it is cancelled once a response comes.
+// Over UDP a set-up that was cancelled before any response is not retransmitted, and a CANCEL is sent once a response arrives.
 func TestCancelledInviteIsNotRetransmitted(t *testing.T) {
 	server := New(t, nil)
 	b := newFixture(t, 5*time.Second, host("s-1", server.URI("UDP"), 0))
@@ -138,15 +140,15 @@
 	send(cancelOf(invite))
 	caller.Wait("487", Status(487, "INVITE"))
 	n := server.Count(Is("INVITE"))
-	time.Sleep(10 * quickTimers.T1)                     // three copies would be due
-	if more := server.Count(Is("INVITE")); more > n+1 { // one may have been on its way
-		t.Errorf("%d copies went out after it was given up", more-n)
+	time.Sleep(10 * quickTimers.T1)                     // time for three retransmissions
+	if more := server.Count(Is("INVITE")); more > n+1 { // one may have been in flight
+		t.Errorf("%d copies were sent after the set-up was cancelled", more-n)
 	}
 	e.Back(server.Reply(e.Msg, 180, "Ringing", ""))
 	server.Wait("CANCEL", Is("CANCEL"))
 }
 
-// Once it is to turn away, an INVITE is refused at once, and one that came before is still answered.
+// After TurnAway a new INVITE is refused, and an earlier one is still answered.
 func TestTurnAway(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		release := make(chan struct{})
@@ -165,7 +167,7 @@
 		close(release)
 		first.Wait("200", Status(200, "INVITE"))
 		if n := server.Count(Is("INVITE")); n != 1 {
-			t.Errorf("%d INVITEs at the server", n)
+			t.Errorf("%d INVITEs at the server, want 1", n)
 		}
 	})
 }
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -16,9 +16,10 @@
 	"beammux/internal/transport"
 )
 
-// Short timers keep the tests quick; their proportions are the RFC's.
+// quickTimers keep the tests short. Their proportions are close to those of RFC 3261.
 var quickTimers = sip.Timers{T1: 20 * time.Millisecond, T2: 160 * time.Millisecond, T4: 200 * time.Millisecond}
 
+// fixture is an agent with a core and a server list.
 type fixture struct {
 	agent *sip.Agent
 	core  *routing.Core
@@ -37,7 +38,7 @@
 	return newFixtureWith(t, deadline, nil, servers...)
 }
 
-// newFixtureWith is newBench with more of the agent's options set.
+// newFixtureWith is newFixture with a function that changes the agent's options.
 func newFixtureWith(t *testing.T, deadline time.Duration, configure func(*sip.Options), servers ...routing.Host) *fixture {
 	t.Helper()
 	log := logrus.New()
@@ -70,7 +71,7 @@
 	return routing.Host{Name: name, Addr: uri, Cell: cell, State: control.Ready}
 }
 
-// answering is a server that answers every set-up.
+// answering is the handler of a server that answers every set-up.
 func answering(p *Party, e Entry) {
 	switch {
 	case Is("INVITE")(e.Msg):
@@ -81,7 +82,7 @@
 	}
 }
 
-// refusing turns every set-up away.
+// refusing returns the handler of a server that refuses every set-up with a status.
 func refusing(status int) func(*Party, Entry) {
 	return func(p *Party, e Entry) {
 		if Is("INVITE")(e.Msg) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// tryingOnly takes set-ups and says no more than Trying.
+// tryingOnly is the handler of a server that sends 100 Trying and no final response.
 func tryingOnly(p *Party, e Entry) {
 	if Is("INVITE")(e.Msg) {
 		e.Back(p.Reply(e.Msg, 100, "Trying", ""))
@@ -100,13 +101,14 @@
 	}
 }
 
+// forEachTransport runs a subtest over UDP and one over TCP.
 func forEachTransport(t *testing.T, f func(t *testing.T, proto string)) {
 	for _, proto := range []string{"UDP", "TCP"} {
 		t.Run(proto, func(t *testing.T) { f(t, proto) })
 	}
 }
 
-// One whole path: set-up, answer with its body, ACK, release by the caller, each passed on once.
+// A call from set-up to release by the caller: INVITE, answer with its body, ACK and BYE are each passed on once.
 func TestCallAnsweredAndReleasedByCaller(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
@@ -128,7 +130,7 @@
 	})
 }
 
-// A server's BYE ends the call towards the caller by one BYE.
+// A BYE from the server releases the call towards the caller by one BYE.
 func TestCallReleasedByServer(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
@@ -152,7 +154,7 @@
 	})
 }
 
-// Guards against a UDP retransmission becoming a second attempt: its transaction absorbs it.
+// Guards against an INVITE retransmitted over UDP becoming a second attempt: its transaction absorbs it.
 func TestRetransmittedInviteIsAbsorbed(t *testing.T) {
 	server := New(t, tryingOnly)
 	b := newFixture(t, 400*time.Millisecond, host("s-1", server.URI("UDP"), 0))
@@ -168,10 +170,10 @@
 	}
 }
 
-// Guards against new work at a draining server: a set-up that it never heard is not sent to it again, and the caller
-// gets its one final answer.
+// Guards against new work at a draining server: an INVITE that it has not answered is not retransmitted to it, and the caller
+// gets a final answer.
 func TestNoRetransmissionToDrainingServer(t *testing.T) {
-	server := New(t, nil) // hears all, says nothing
+	server := New(t, nil) // never responds
 	b := newFixture(t, 3*time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
@@ -181,12 +183,12 @@
 	caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
 	for _, e := range server.Log() {
 		if Is("INVITE")(e.Msg) && e.At.After(drained.Add(250*time.Millisecond)) {
-			t.Errorf("a copy came %v after the drain", e.At.Sub(drained))
+			t.Errorf("a copy arrived %v after the drain", e.At.Sub(drained))
 		}
 	}
 }
 
-// A server that has no room is passed over; with all gated the caller is refused at once and told when to return.
+// A full server is skipped. When all servers are gated, the caller is refused before its deadline, with a Retry-After.
 func TestRefusalWithRetryAfter(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, refusing(503))
@@ -195,8 +197,8 @@
 		began := time.Now()
 		send := caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", ""))
 		no := caller.Wait("503", Status(503, "INVITE")).Msg
-		if time.Since(began) > 3*time.Second { // of 5 s
-			t.Errorf("refused after %v, want at once", time.Since(began))
+		if time.Since(began) > 3*time.Second { // the deadline is 5 s
+			t.Errorf("refused after %v, want at most 3 s", time.Since(began))
 		}
 		if w := no.Get("Retry-After"); w != "1" && w != "2" {
 			t.Errorf("Retry-After %q", w)
@@ -206,7 +208,7 @@
 	})
 }
 
-// The deadline is that of the class, or Expires if shorter.
+// The deadline of a set-up is that of its class, or Expires if it is shorter.
 func TestDeadline(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, tryingOnly)
@@ -222,7 +224,7 @@
 	})
 }
 
-// CANCEL before the answer: 200 to it, 487 to the INVITE, and CANCEL to the server.
+// A CANCEL before the answer gets 200, the INVITE gets 487, and the server gets a CANCEL.
 func TestCancel(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, tryingOnly)
@@ -239,7 +241,8 @@
 	})
 }
 
-// Guards against a call that nobody holds: an answer that crosses the CANCEL is confirmed and released.
+// Guards against a call that stays established at the server without a caller: an answer that crosses the CANCEL is confirmed
+// and released.
 func TestLateAnswerIsAckedAndReleased(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, func(p *Party, e Entry) {
@@ -263,7 +266,7 @@
 	})
 }
 
-// A set-up cut by a server that stops gets one final answer; a standing call one BYE.
+// When a server crashes, a pending set-up at it gets one final answer, and the caller of an established call gets one BYE.
 func TestServerCrash(t *testing.T) {
 	first := true
 	server := New(t, func(p *Party, e Entry) {
@@ -307,7 +310,7 @@
 	}
 }
 
-// Bad input gets the protocol's error; only its own connection closes.
+// An invalid request gets the status that RFC 3261 defines, and other connections are not affected.
 func TestBadInput(t *testing.T) {
 	server := New(t, answering)
 	b := newFixture(t, 2*time.Second, host("s-1", server.URI("TCP"), 0))
@@ -338,8 +341,8 @@
 	caller := New(t, nil)
 	caller.Send("TCP", b.agent.Addr("TCP"), caller.Invite("TCP", "good", "1", "x"))
 	caller.Wait("answer on a good connection", Status(200, "INVITE"))
-	// New set-ups told that they failed are in error_total, by both ways: three refused as they were read (no From tag,
-	// CSeq of another method, too long) and three by the agent (scheme, extension, Expires); PUBLISH and BYE are none.
+	// Each failed set-up counts in error_total, over both transports: three are rejected while they are parsed (no From tag,
+	// CSeq of another method, too long) and three by the agent (scheme, extension, Expires). PUBLISH and BYE are not set-ups.
 	if n := b.core.Figures().Class(0).Error.Load(); n != 12 {
 		t.Errorf("error_total of menu-view is %d, want 12", n)
 	}
@@ -358,7 +361,7 @@
 	})
 }
 
-// Without an ACK the 2xx is repeated, and then the call is released at both sides.
+// Without an ACK the 2xx is retransmitted, and then the call is released on both sides.
 func TestNoAck(t *testing.T) {
 	server := New(t, answering)
 	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
@@ -367,11 +370,11 @@
 	server.Wait("BYE", Is("BYE"))
 	caller.Wait("BYE", Is("BYE"))
 	if n := caller.Count(Status(200, "INVITE")); n < 3 {
-		t.Errorf("2xx sent %d times, want it repeated", n)
+		t.Errorf("2xx sent %d times, want at least 3", n)
 	}
 }
 
-// A BYE may not overtake the confirmation of its call: it waits for the ACK (RFC 3261, 15).
+// The BYE to the caller waits for the ACK of the answer (RFC 3261, 15).
 func TestByeWaitsForAck(t *testing.T) {
 	server := New(t, answering)
 	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
@@ -383,7 +386,7 @@
 	server.Wait("ACK", Is("ACK"))
 	in.Back(Bye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16))
 	server.Wait("200 to BYE", Status(200, "BYE"))
-	// A second call goes the way that the release went: once it is answered, the release has reached the agent.
+	// A second call takes the same path as the release: once it is answered, the release has reached the agent.
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "second", "4712", ""))
 	caller.Wait("second answer", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "second" })
 	if n := caller.Count(Is("BYE")); n != 0 {
@@ -393,7 +396,7 @@
 	caller.Wait("BYE", Is("BYE"))
 }
 
-// A forked answer stands once: the second is confirmed and released.
+// Only one answer of a forked INVITE establishes the call: a second one is confirmed and released.
 func TestSecondForkIsReleased(t *testing.T) {
 	server := New(t, func(p *Party, e Entry) {
 		if Is("INVITE")(e.Msg) {
@@ -416,14 +419,14 @@
 	}
 }
 
-// A route set is kept: the ACK and the BYE name it.
+// Requests inside a dialog use its route set, in reverse order of Record-Route.
 func TestRouteSet(t *testing.T) {
 	proxy := ""
 	server := New(t, func(p *Party, e Entry) {
 		if Is("INVITE")(e.Msg) {
 			proxy = "<sip:" + p.Addr("UDP") + ";lr>"
 			r := p.Reply(e.Msg, 200, "OK", "")
-			r.Set("Contact", "<sip:behind@192.0.2.1>") // never reached but through the route
+			r.Set("Contact", "<sip:behind@192.0.2.1>") // reachable only through the route
 			r.Header["Record-Route"] = []string{"<sip:far@192.0.2.9;lr>, " + proxy}
 			e.Back(r)
 		}
@@ -438,7 +441,7 @@
 	}
 }
 
-// Guards against set-ups getting to servers that they can't read or use, as on the JSON front.
+// Guards against invalid set-ups being forwarded to servers that cannot process them, as on the JSON front.
 func TestInvalidInvitesAreNotForwarded(t *testing.T) {
 	server := New(t, nil)
 	b := newFixture(t, time.Second, host("a", server.URI("UDP"), 0))
@@ -457,9 +460,9 @@
 		})
 	}
 	if n := server.Count(Is("INVITE")); n != 0 {
-		t.Errorf("%d set-ups came to the server", n)
+		t.Errorf("%d set-ups reached the server, want none", n)
 	}
-	// Each was told that it failed, so each is in error_total of its class, as on the JSON front.
+	// Each failed set-up counts in error_total of its class, as on the JSON front.
 	f := b.core.Figures()
 	if own, other := f.Class(0).Error.Load(), f.Class(-1).Error.Load(); own != 3 || other != 1 {
 		t.Errorf("error_total: menu-view %d, want 3; unknown class %d, want 1", own, other)
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -14,14 +14,15 @@
 	. "beammux/internal/protocol/sip/siptest"
 )
 
+// callerObservation holds the arguments of one call of Options.Seen.
 type callerObservation struct {
 	address    string
 	wellFormed bool
 }
 
-// Each caller's TCP connection is observed once, by what it brings first: a message, or what can't be read. Datagrams are not,
-// since their address may be anybody's, and neither are the connections to servers. A caller's address that is to be away has
-// its connections closed at once, and its datagrams are served as before.
+// Each caller's TCP connection is observed once, by whether its first message is valid. Datagrams are not observed, because
+// their source address can be forged, and neither are connections to servers. Connections from a blocked address are closed
+// immediately, and its datagrams are still served.
 func TestCallerConnectionsAreObserved(t *testing.T) {
 	seen := make(chan callerObservation, 16)
 	var away atomic.Bool
@@ -36,7 +37,7 @@
 		case o := <-seen:
 			require.Equal(t, callerObservation{"127.0.0.1", want}, o)
 		case <-time.After(10 * time.Second):
-			t.Fatal("a connection was not observed")
+			t.Fatal("the connection was not observed")
 		}
 	}
 	address := b.agent.Addr("TCP")
@@ -66,8 +67,8 @@
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, err = bufio.NewReader(c).ReadByte()
-	require.ErrorIs(t, err, io.EOF, "it is closed at once")
+	require.ErrorIs(t, err, io.EOF, "the connection of a blocked address is closed")
 	datagram(caller.Invite("UDP", "later", "4711", ""))
-	caller.Wait("answer to a datagram of one that is away", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "later" })
-	require.Empty(t, seen, "one observation for each of the two connections")
+	caller.Wait("answer to a datagram of a blocked address", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "later" })
+	require.Empty(t, seen, "each of the two connections is observed once")
 }
--- a/internal/protocol/sip/dialog.go
+++ b/internal/protocol/sip/dialog.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// dialog is one end of a call that stands (RFC 3261, 12). Its exported fields are what the store keeps of it.
+// dialog is one side of an established call (RFC 3261, 12). Its exported fields are the stored record.
 type dialog struct {
-	ID        string   `json:"ID"`     // the core's id of the call
-	Server    bool     `json:"Server"` // towards a server: this end sent the INVITE
+	ID        string   `json:"ID"`     // the core's call id
+	Server    bool     `json:"Server"` // the peer is a server: this side sent the INVITE
 	CallID    string   `json:"CallID"`
-	Local     string   `json:"Local"`  // From of requests sent in it, with tag
-	Remote    string   `json:"Remote"` // To of requests sent in it, with tag
+	Local     string   `json:"Local"`  // From header of requests sent inside the dialog, with tag
+	Remote    string   `json:"Remote"` // To header of requests sent inside the dialog, with tag
 	LocalSeq  uint32   `json:"LocalSeq"`
 	RemoteSeq uint32   `json:"RemoteSeq"`
-	Target    string   `json:"Target"` // remote target: the other side's Contact
+	Target    string   `json:"Target"` // remote target: the URI in the peer's Contact
 	Routes    []string `json:"Routes"` // route set, nearest first
 	InviteSeq uint32   `json:"InviteSeq"`
-	Proto     string   `json:"Proto"` // transport of the set-up
+	Proto     string   `json:"Proto"` // transport of the set-up, "UDP" or "TCP"
 
 	flow      flow
-	conn      *serverConn // of a server's dialog; nil after a restart
+	conn      *serverConn // connection of a dialog with a server; nil after a restart
 	callerLeg *uasCall
 	ended     bool
 }
@@ -32,7 +32,7 @@
 
 func dialogKey(callID, local, remote string) string { return callID + "|" + local + "|" + remote }
 
-// randomToken makes a random word for tags, branches and ids.
+// randomToken returns a random hexadecimal string for tags, branches and call ids.
 func randomToken(bytes int) string {
 	b := make([]byte, bytes)
 	rand.Read(b)
@@ -41,7 +41,7 @@
 
 func cseq(n uint32, method string) string { return fmt.Sprintf("%d %s", n, method) }
 
-// contactURI gives the URI of a message's Contact, else what stands in otherwise.
+// contactURI returns the URI of a message's first Contact, or fallback if there is none.
 func contactURI(m *Message, fallback string) string {
 	if all := m.listValues("Contact"); len(all) > 0 {
 		if a, err := parseAddress(all[0]); err == nil {
@@ -51,7 +51,7 @@
 	return fallback
 }
 
-// dialogFromRequest makes the dialog that a 2xx to an INVITE opens at the called side (12.1.1).
+// dialogFromRequest returns the dialog that a 2xx to an INVITE opens at the called side (RFC 3261, 12.1.1).
 func dialogFromRequest(req *Message, id, localTag, proto string) *dialog {
 	number, _, _ := req.CSeq()
 	from, _ := parseAddress(req.Get("From"))
@@ -60,7 +60,8 @@
 		Routes: req.listValues("Record-Route"), Proto: proto}
 }
 
-// dialogFromResponse makes the dialog that a 2xx opens at the calling side (12.1.2): the route set is reversed.
+// dialogFromResponse returns the dialog that a 2xx opens at the calling side (RFC 3261, 12.1.2), where the route set is the
+// reversed Record-Route.
 func dialogFromResponse(m *Message, id, proto string) *dialog {
 	number, _, _ := m.CSeq()
 	to, _ := parseAddress(m.Get("To"))
@@ -72,12 +73,12 @@
 		LocalSeq: number, InviteSeq: number, Target: contactURI(m, to.uri), Routes: routes, Proto: proto}
 }
 
-// request makes a request inside the dialog (12.2.1.1), without Via. ACK has the number of its INVITE.
+// request returns a new request inside the dialog (RFC 3261, 12.2.1.1), without Via. An ACK has the CSeq number of its INVITE.
 func (d *dialog) request(method string) *Message {
 	target, routes := d.Target, d.Routes
 	if len(routes) > 0 {
 		first, err := parseAddress(routes[0])
-		if err == nil && !isLooseRouter(first.uri) { // a strict router wants itself in the first line
+		if err == nil && !isLooseRouter(first.uri) { // a strict router expects its own URI as the Request-URI
 			target = first.uri
 			routes = append(append([]string{}, routes[1:]...), "<"+d.Target+">")
 		}
@@ -95,13 +96,15 @@
 	return m
 }
 
+// isLooseRouter reports whether a route's URI has the lr parameter.
 func isLooseRouter(uri string) bool {
 	u, err := parseURI(uri)
 	_, loose := u.params["lr"]
 	return err == nil && loose
 }
 
-// nextHop is where requests inside the dialog go: to the first route, else to the remote target.
+// nextHop returns the transport and address to which requests inside the dialog are sent: those of the first route, or of the
+// remote target if there is no route.
 func (d *dialog) nextHop() (proto, addr string, err error) {
 	next := d.Target
 	if len(d.Routes) > 0 {
@@ -123,10 +126,11 @@
 }
 
 func (d *dialog) record() []byte {
-	b, _ := json.Marshal(d) // plain fields: it cannot fail
+	b, _ := json.Marshal(d) // cannot fail: all exported fields are plain values
 	return b
 }
 
+// storeKey returns the key of the dialog's stored record: the call id and the side.
 func (d *dialog) storeKey() string {
 	side := "caller"
 	if d.Server {
@@ -135,7 +139,7 @@
 	return d.ID + "/" + side
 }
 
-// escapeUser keeps a called number from breaking out of a URI.
+// escapeUser percent-encodes a called number for the user part of a URI, so that it cannot change the rest of the URI.
 func escapeUser(s string) string {
 	var b strings.Builder
 	for i := range len(s) {
--- a/internal/protocol/sip/dispatch.go
+++ b/internal/protocol/sip/dispatch.go
@@ -7,9 +7,11 @@
 	"beammux/internal/routing"
 )
 
+// allow is the value of the Allow header.
 const allow = "INVITE, ACK, CANCEL, BYE, OPTIONS, NOTIFY"
 
-// reject answers what could not be read, where it is a request that can be answered. It touches nothing of the actor's.
+// reject answers a message that failed to parse or is invalid, if it is a request that can be answered. It uses no state of the
+// actor and may be called from any goroutine.
 func (a *Agent) reject(m *Message, f flow, parseErr error) {
 	if m == nil || !m.IsRequest() || m.Method == "ACK" {
 		return
@@ -23,11 +25,12 @@
 	}
 	m.setReceived(f.remote())
 	f.send(Respond(m, status, reason).Append(nil), nil, nil)
-	if m.Method == "INVITE" && m.Get("To") != "" && tag(m.Get("To")) == "" { // a new set-up, told that it failed
+	if m.Method == "INVITE" && m.Get("To") != "" && tag(m.Get("To")) == "" { // a new set-up: count its failure
 		a.core.Unreadable(slices.Index(a.Classes, cmp.Or(m.Get("X-Cos"), a.DefaultClass)))
 	}
 }
 
+// handleMessage passes a message to its transaction, and a new request to its handler.
 func (a *Agent) handleMessage(m *Message, f flow) {
 	if !m.IsRequest() {
 		if !a.transactionLayer.deliverResponse(m) {
@@ -78,6 +81,7 @@
 	}
 }
 
+// ensureTag returns a To value with a tag: its own, or a new one.
 func ensureTag(to string) string {
 	if tag(to) != "" {
 		return to
@@ -85,12 +89,13 @@
 	return to + ";tag=" + randomToken(6)
 }
 
-// findDialog matches a request to its dialog: its To is this end.
+// findDialog returns the dialog of a request, or nil. The request's To is the dialog's local side.
 func (a *Agent) findDialog(m *Message) *dialog {
 	return a.dialogs[dialogKey(m.Get("Call-ID"), tag(m.Get("To")), tag(m.Get("From")))]
 }
 
-// handleStrayResponse handles a 2xx whose transaction is gone: the set-up had been given up, so the call is confirmed and released.
+// handleStrayResponse handles a 2xx to an INVITE without a client transaction. A 2xx of a known dialog is confirmed again. Any
+// other 2xx answers a set-up that was given up, so the call is confirmed and released.
 func (a *Agent) handleStrayResponse(m *Message, f flow) {
 	_, method, _ := m.CSeq()
 	if method != "INVITE" || m.Status < 200 || m.Status >= 300 {
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -11,6 +11,7 @@
 	"beammux/internal/transport"
 )
 
+// udpFlow sends datagrams to one address.
 type udpFlow struct {
 	pc   net.PacketConn
 	addr net.Addr
@@ -28,7 +29,8 @@
 func (f udpFlow) proto() string  { return "UDP" }
 func (f udpFlow) remote() string { return f.addr.String() }
 
-// tcpFlow is a connection. back is where to connect again when a response finds it closed (18.2.2).
+// tcpFlow sends on a TCP connection. reconnectAddr, if not empty, is the address to reconnect to if the connection is closed
+// when a response is sent (RFC 3261, 18.2.2).
 type tcpFlow struct {
 	agent         *Agent
 	conn          *transport.Conn
@@ -63,12 +65,13 @@
 func (f *tcpFlow) proto() string  { return "TCP" }
 func (f *tcpFlow) remote() string { return f.conn.RemoteAddr().String() }
 
-// The times that a TCP connection has.
+// Read timeouts of TCP connections.
 const (
-	messageTimeout      = 2 * time.Second  // for a message that has begun
-	firstMessageTimeout = 10 * time.Second // for a caller's first message
+	messageTimeout      = 2 * time.Second  // for a message to be complete once it has begun
+	firstMessageTimeout = 10 * time.Second // for the first message of a caller's connection to begin
 )
 
+// readUDP reads datagrams until the socket is closed.
 func (a *Agent) readUDP(pc net.PacketConn) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -77,7 +80,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error of an earlier datagram
+			continue // an ICMP error caused by an earlier datagram
 		}
 		f := udpFlow{pc, from}
 		m, err := Parse(buf[:n])
@@ -95,7 +98,7 @@
 	}
 }
 
-// parseHeadOnly reads the head of a message whose body is cut or too long.
+// parseHeadOnly parses the head of a message whose body is truncated or too long.
 func parseHeadOnly(data []byte) (*Message, error) {
 	end := headEnd(data)
 	if end < 0 {
@@ -105,11 +108,11 @@
 	return m, err
 }
 
-// serveTCP reads a caller's connection.
+// serveTCP reads a caller's connection until it ends.
 func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil, a.callerObserver(c)) }
 
-// callerObserver gives a function that tells Options.Seen once what a caller's connection has brought. Datagrams are not observed: anybody
-// can write another's address into them.
+// callerObserver returns a function that reports to Options.Seen, once, whether the first message of a caller's connection was
+// well-formed; it returns nil if Options.Seen is nil. Datagrams are not observed, because their source address can be forged.
 func (a *Agent) callerObserver(c *transport.Conn) func(wellFormed bool) {
 	if a.Seen == nil {
 		return nil
@@ -123,15 +126,15 @@
 	}
 }
 
-// readTCP reads a connection until it ends. server is not nil on a connection to a server; seen is not nil on a caller's that is
-// observed, and called with whether its first message could be read.
+// readTCP reads a connection until it ends. server is nil except on a connection to a server. observe, if not nil, is called
+// with whether a message could be parsed.
 func (a *Agent) readTCP(c *transport.Conn, server *serverConn, observe func(wellFormed bool)) {
 	if observe == nil {
 		observe = func(bool) {}
 	}
 	key, first := c.RemoteAddr().String(), true
 	a.Post(func() { a.tcpConns[key] = c })
-	if server == nil { // a caller that says nothing must not hold a descriptor for good
+	if server == nil { // a caller that never sends anything must not keep a descriptor forever
 		c.SetReadDeadline(time.Now().Add(firstMessageTimeout))
 	}
 	r := NewConnReader(c, messageTimeout)
@@ -155,9 +158,9 @@
 		if err == ErrMalformed || err == ErrTooLong || err == ErrIncomplete {
 			observe(false)
 			a.Log.WithField("peer", key).WithError(err).Warn("SIP: bad message, connection closed")
-			a.reject(m, &tcpFlow{agent: a, conn: c}, err) // at once: the connection is closed when this returns
+			a.reject(m, &tcpFlow{agent: a, conn: c}, err) // not posted to the actor: the connection is closed soon after
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) { // it has said nothing
+		if errors.Is(err, os.ErrDeadlineExceeded) { // no message arrived in time
 			observe(false)
 		}
 		a.Post(func() {
@@ -176,8 +179,9 @@
 	}
 }
 
-// withdrawCalls gives up the set-ups that came on a connection which its caller has closed. RFC 3261 would let their answers go on a
-// new one (18.2.2); to the operators a client that closes its connection has gone, and nobody waits for an answer.
+// withdrawCalls cancels the pending set-ups of a connection that its caller has closed. RFC 3261, 18.2.2, would allow sending
+// their answers on a new connection, but the operators treat a client that closes its connection as gone: it no longer waits
+// for an answer.
 func (a *Agent) withdrawCalls(c *transport.Conn) {
 	for tx, call := range a.pendingCalls {
 		if call.conn == c {
@@ -193,7 +197,8 @@
 	}
 }
 
-// connect passes then a TCP connection to an address: an open one, or a new one. then runs in the actor.
+// connect calls done with a TCP connection to an address: an open one if there is one, else a new one. It is called in the
+// actor, and so is done.
 func (a *Agent) connect(addr string, done func(*transport.Conn, error)) {
 	if c := a.tcpConns[addr]; c != nil {
 		done(c, nil)
@@ -208,7 +213,7 @@
 	}()
 }
 
-// flowTo passes then a flow to an address. then runs in the actor.
+// flowTo calls done with a flow to an address. It is called in the actor, and so is done.
 func (a *Agent) flowTo(proto, addr string, done func(flow, error)) {
 	switch {
 	case proto == "TCP":
@@ -231,7 +236,7 @@
 	}
 }
 
-// sentBy is what Via and Contact say of this agent.
+// sentBy returns the agent's own address for Via and Contact headers.
 func (a *Agent) sentBy(proto string) string {
 	if addr := a.Addr(proto); addr != "" {
 		return addr
@@ -244,10 +249,12 @@
 	return "127.0.0.1"
 }
 
+// contact returns the agent's Contact header.
 func (a *Agent) contact(proto string) string {
 	return "<sip:beammux@" + a.sentBy(proto) + ";transport=" + strings.ToLower(proto) + ">"
 }
 
+// newVia returns a Via header with a new branch.
 func (a *Agent) newVia(proto string) string {
 	return "SIP/2.0/" + proto + " " + a.sentBy(proto) + ";rport;branch=" + magicCookie + randomToken(8)
 }
--- a/internal/protocol/sip/header.go
+++ b/internal/protocol/sip/header.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// magicCookie begins each branch of RFC 3261.
+// magicCookie is the prefix of every branch generated according to RFC 3261 (8.1.1.7).
 const magicCookie = "z9hG4bK"
 
-var errHeader = errors.New("header can't be read")
+var errHeader = errors.New("malformed header")
 
-// splitUnquoted cuts at a byte that stands outside quotes and angle brackets.
+// splitUnquoted splits s at each separator outside quotes and angle brackets, and trims the parts.
 func splitUnquoted(s string, separator byte) []string {
 	var parts []string
 	quoted, angle, start := false, false, 0
@@ -35,7 +35,7 @@
 	return append(parts, strings.TrimSpace(s[start:]))
 }
 
-// listValues gives the values of a header that may stand in one line, set apart by commas, or in several.
+// listValues returns the values of a header that may be repeated or hold a comma-separated list.
 func (m *Message) listValues(key string) []string {
 	var all []string
 	for _, v := range m.Header.Values(key) {
@@ -48,7 +48,7 @@
 	return all
 }
 
-// params reads ";name=value" parts. Names are folded to lower case.
+// params parses "name=value" parameters. Names are converted to lower case.
 func params(parts []string) map[string]string {
 	p := map[string]string{}
 	for _, part := range parts {
@@ -64,6 +64,7 @@
 	params map[string]string
 }
 
+// parseAddress parses a name-addr or addr-spec with its header parameters.
 func parseAddress(s string) (address, error) {
 	parts := splitUnquoted(s, ';')
 	uri := parts[0]
@@ -80,7 +81,7 @@
 	return address{uri, params(parts[1:])}, nil
 }
 
-// tag gives the tag of a From or To.
+// tag returns the tag parameter of a From or To value, or "".
 func tag(value string) string {
 	a, err := parseAddress(value)
 	if err != nil {
@@ -89,13 +90,14 @@
 	return a.params["tag"]
 }
 
-// uri is a SIP URI taken apart as far as it is needed here.
+// uri holds the parts of a SIP URI that this package uses.
 type uri struct {
 	user, host string
-	port       int // 0 if not given
+	port       int // 0 if absent
 	params     map[string]string
 }
 
+// parseURI parses a sip: URI and ignores its headers part.
 func parseURI(s string) (uri, error) {
 	scheme, rest, ok := strings.Cut(s, ":")
 	if !ok || !strings.EqualFold(scheme, "sip") {
@@ -120,7 +122,7 @@
 	return u, nil
 }
 
-// nextHop gives the address to dial for a URI, and the transport it asks for.
+// nextHop returns the transport and address to dial for a URI. The defaults are UDP and port 5060.
 func (u uri) nextHop() (proto, addr string) {
 	port := u.port
 	if port == 0 {
@@ -133,12 +135,13 @@
 	return proto, net.JoinHostPort(strings.Trim(u.host, "[]"), strconv.Itoa(port))
 }
 
-// via is the topmost Via.
+// via is a parsed Via value.
 type via struct {
 	proto, sentBy string
 	params        map[string]string
 }
 
+// topVia parses the topmost Via of a message.
 func (m *Message) topVia() (via, error) {
 	all := m.listValues("Via")
 	if len(all) == 0 {
@@ -154,8 +157,8 @@
 	return v, nil
 }
 
-// setReceived notes in the topmost Via where a request came from (RFC 3261, 18.2.1, and RFC 3581), so that the
-// response finds its way back.
+// setReceived adds the source address of a request to its topmost Via (RFC 3261, 18.2.1, and RFC 3581), so that the response is
+// routed back to it.
 func (m *Message) setReceived(from string) {
 	host, port, err := net.SplitHostPort(from)
 	all := m.listValues("Via")
--- a/internal/protocol/sip/message.go
+++ b/internal/protocol/sip/message.go
@@ -1,5 +1,5 @@
-// Package sip reads and writes SIP (RFC 3261). The platform's menu servers speak a small part of it (see PlatformDialer); the
-// codec serves both.
+// Package sip implements SIP (RFC 3261): a message codec, an Agent that serves SIP callers and connects to SIP servers, and a
+// PlatformDialer for the platform's menu servers, which implement only a small part of the protocol.
 package sip
 
 import (
@@ -16,61 +16,61 @@
 	"time"
 )
 
-// MaxMessage is the longest message that is taken, headers and body.
+// MaxMessage is the maximum size of a message in bytes, headers and body included.
 const MaxMessage = 16 << 10
 
-// The faults of a message.
+// Errors for messages that cannot be parsed.
 var (
 	ErrTooLong    = errors.New("message over 16 KiB")
 	ErrMalformed  = errors.New("malformed message")
-	ErrIncomplete = errors.New("message stops short")
+	ErrIncomplete = errors.New("incomplete message")
 )
 
-// compactForms gives the long name of a header's one-letter form (RFC 3261, 7.3.3).
+// compactForms maps the compact form of a header name to the long form (RFC 3261, 7.3.3).
 var compactForms = map[string]string{"i": "Call-Id", "m": "Contact", "e": "Content-Encoding", "l": "Content-Length",
 	"c": "Content-Type", "f": "From", "s": "Subject", "k": "Supported", "t": "To", "v": "Via"}
 
-// Message is one request or response.
+// Message is a SIP request or response.
 type Message struct {
-	Method string // of a request
+	Method string // empty for a response
 	URI    string
-	Status int // of a response; 0 for a request
+	Status int // status code of a response; 0 for a request
 	Reason string
 	Header textproto.MIMEHeader
 	Body   []byte
 }
 
-// Request makes a request without headers.
+// Request returns a request without headers.
 func Request(method, uri string) *Message {
 	return &Message{Method: method, URI: uri, Header: textproto.MIMEHeader{}}
 }
 
-// Get gives the first value of a header.
+// Get returns the first value of a header, or "".
 func (m *Message) Get(name string) string { return m.Header.Get(name) }
 
-// Set gives a header its only value.
+// Set replaces all values of a header by one value and returns the message.
 func (m *Message) Set(name, value string) *Message {
 	m.Header.Set(name, value)
 	return m
 }
 
-// IsRequest tells a request from a response.
+// IsRequest reports whether the message is a request.
 func (m *Message) IsRequest() bool { return m.Status == 0 }
 
-// CSeq gives the number and method of a message's CSeq.
+// CSeq returns the number and method of the CSeq header, and whether the header is valid.
 func (m *Message) CSeq() (number uint32, method string, ok bool) {
 	digits, method, _ := strings.Cut(strings.TrimSpace(m.Get("CSeq")), " ")
 	n, err := strconv.ParseUint(digits, 10, 32)
 	return uint32(n), strings.TrimSpace(method), err == nil && n < 1<<31 && method != ""
 }
 
-// headerSpelling gives the headers whose usual spelling is not textproto's.
+// headerSpelling maps canonical MIME header keys to the spelling of RFC 3261 where the two differ.
 var headerSpelling = map[string]string{"Call-Id": "Call-ID", "Cseq": "CSeq", "Www-Authenticate": "WWW-Authenticate"}
 
-// headerOrder: the headers that a hop looks at first come first, as RFC 3261 asks.
+// headerOrder lists the headers that are written first, because proxies need them first (RFC 3261, 7.3.1).
 var headerOrder = []string{"Via", "Max-Forwards", "Route", "Record-Route", "From", "To", "Call-Id", "Cseq"}
 
-// Append writes the message. Content-Length is always its own.
+// Append appends the encoded message to b. Content-Length is always computed from the body.
 func (m *Message) Append(b []byte) []byte {
 	if m.IsRequest() {
 		b = fmt.Appendf(b, "%s %s SIP/2.0\r\n", m.Method, m.URI)
@@ -96,7 +96,7 @@
 	return append(b, m.Body...)
 }
 
-// otherHeaders gives the other headers in a fixed order, so that the same message is always written alike.
+// otherHeaders returns the headers that are not in headerOrder, sorted, so that equal messages are encoded identically.
 func otherHeaders(h textproto.MIMEHeader) []string {
 	var keys []string
 	for key := range h {
@@ -108,7 +108,8 @@
 	return keys
 }
 
-// Parse takes one whole message, as a datagram holds it. Bytes beyond Content-Length are passed over.
+// Parse parses a datagram, which holds one whole message. Bytes beyond Content-Length are ignored. With an error, Parse may
+// return a message that holds what could be parsed.
 func Parse(data []byte) (*Message, error) {
 	if len(data) > MaxMessage {
 		return nil, ErrTooLong
@@ -132,7 +133,7 @@
 	return m, nil
 }
 
-// headEnd gives the length of the head with its blank line, or -1.
+// headEnd returns the length of the head including its blank line, or -1 if the blank line is missing.
 func headEnd(b []byte) int {
 	if i := bytes.Index(b, []byte("\r\n\r\n")); i >= 0 {
 		return i + 4
@@ -140,8 +141,8 @@
 	return -1
 }
 
-// parseHead reads the first line and the headers; length is -1 if Content-Length is absent. On a fault the message
-// holds what could be read, so that a request can be answered 400.
+// parseHead parses the start line and the headers. length is the Content-Length, or -1 if it is absent. With an error, the
+// message holds what could be parsed, so that a request can be answered with 400.
 func parseHead(head []byte) (m *Message, length int, err error) {
 	r := textproto.NewReader(bufio.NewReader(bytes.NewReader(head)))
 	line, err := r.ReadLine()
@@ -178,7 +179,7 @@
 	if _, _, ok := m.CSeq(); !ok || m.Get("Call-ID") == "" {
 		return m, 0, ErrMalformed
 	}
-	for _, once := range []string{"Call-Id", "Cseq", "Content-Length"} { // a head that breaks off takes in the next one's
+	for _, once := range []string{"Call-Id", "Cseq", "Content-Length"} { // a truncated head runs into the next message's headers
 		if len(m.Header[once]) > 1 {
 			return m, 0, ErrMalformed
 		}
@@ -194,31 +195,33 @@
 	return m, length, nil
 }
 
-// Reader reads messages from a stream, framed by Content-Length.
+// Reader reads messages from a stream, where Content-Length frames them.
 type Reader struct {
 	in          *bufio.Reader
-	conn        readDeadliner // nil: a message may take any time
+	conn        readDeadliner // nil if reads have no deadline
 	timeout     time.Duration
-	deadlineSet bool // the message at hand has a deadline
-	graceUsed   bool // and has been given the grace
+	deadlineSet bool // the current message has a read deadline
+	graceUsed   bool // the current message's deadline has been extended by readGrace
 }
 
+// readDeadliner is the part of net.Conn that sets read deadlines.
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
-// readGrace is for a process that got no processor time: a message's deadline may have passed while the rest of it
-// lay ready to be read.
+// readGrace extends an expired read deadline once. If the process got no CPU time, the deadline may have expired while the rest
+// of the message was ready in the socket buffer.
 const readGrace = 50 * time.Millisecond
 
-// NewReader reads from in, whose buffer must hold MaxMessage bytes: it bounds what a message may need.
+// NewReader returns a Reader without deadlines. The buffer of in must hold at least MaxMessage bytes, because a message is parsed
+// in the buffer.
 func NewReader(in *bufio.Reader) *Reader { return &Reader{in: in} }
 
-// NewConnReader reads from a connection. A message that has begun and is not whole within a time ends it with
-// ErrStopped: what waits behind it would never be read.
+// NewConnReader returns a Reader for a connection. If a message has begun and is not complete within timeout, Next returns
+// ErrIncomplete, because the messages behind it would never be read.
 func NewConnReader(c net.Conn, timeout time.Duration) *Reader {
 	return &Reader{in: bufio.NewReaderSize(c, MaxMessage), conn: c, timeout: timeout}
 }
 
-// peek gives the next n bytes of a message that has begun.
+// peek returns the next n bytes of a message that has begun, without consuming them.
 func (r *Reader) peek(n int) ([]byte, error) {
 	if r.conn == nil || n <= r.in.Buffered() {
 		return r.in.Peek(n)
@@ -239,10 +242,10 @@
 	return b, err
 }
 
-// Next gives the next message. After a fault the stream is of no more use; the message may then be one whose head could
-// be read in part, or nil.
+// Next returns the next message. After an error the stream must not be used again. With an error, the message is nil or holds
+// the part of the head that could be parsed.
 func (r *Reader) Next() (*Message, error) {
-	for { // line ends between messages keep a connection alive (RFC 5626)
+	for { // skip empty lines between messages: they are keep-alives (RFC 5626)
 		b, err := r.in.Peek(1)
 		if err != nil {
 			return nil, err
@@ -260,6 +263,7 @@
 	return m, err
 }
 
+// readMessage reads one message whose first byte is already buffered.
 func (r *Reader) readMessage() (*Message, error) {
 	end := -1
 	for size := 1; end < 0; {
@@ -279,7 +283,7 @@
 	if err != nil {
 		return m, err
 	}
-	if length < 0 { // a stream has no other frame
+	if length < 0 { // a stream has no other framing
 		return m, ErrMalformed
 	}
 	if end+length > MaxMessage {
@@ -297,11 +301,13 @@
 	return m, nil
 }
 
+// startLinePrefixes lists how the start line of a message may begin.
 var startLinePrefixes = [][]byte{[]byte("SIP/2.0 "), []byte("INVITE "), []byte("ACK "), []byte("BYE "), []byte("CANCEL "), []byte("OPTIONS "),
 	[]byte("NOTIFY ")}
 
-// messageStartsWithin tells whether a further message begins within a body, the first bytes of a text, and goes on to the body's end
-// or past it: the body broke off, and what was taken for its rest is the next message's.
+// messageStartsWithin reports whether another message begins within a body, which is the first length bytes of text, and
+// extends to the end of the body or past it. In this case the body was truncated, and the bytes taken for the rest of it belong
+// to the next message.
 func messageStartsWithin(text []byte, length int) bool {
 	for _, prefix := range startLinePrefixes {
 		index := bytes.LastIndex(text[:min(len(text), length+len(prefix)-1)], prefix)
@@ -326,6 +332,7 @@
 	return false
 }
 
+// isStartLine reports whether a line has the form of a status line or a request line.
 func isStartLine(line string) bool {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 3 {
@@ -338,7 +345,8 @@
 	return parts[2] == "SIP/2.0"
 }
 
-// Respond makes a response to a request: Via, From, To, Call-ID and CSeq are the request's.
+// Respond returns a response to a request, with its Via, From, To, Call-ID and CSeq. A provisional or successful response to an
+// INVITE also has its Record-Route.
 func Respond(req *Message, status int, reason string) *Message {
 	m := &Message{Status: status, Reason: reason, Header: textproto.MIMEHeader{}}
 	for _, key := range []string{"Via", "From", "To", "Call-Id", "Cseq", "Record-Route"} {
--- a/internal/protocol/sip/message_test.go
+++ b/internal/protocol/sip/message_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A strict router stands in the first line, and the target goes to the end of the routes (12.2.1.1).
+// With a strict router, the Request-URI is the router's and the remote target is the last Route (RFC 3261, 12.2.1.1).
 func TestStrictRoute(t *testing.T) {
 	d := &dialog{Target: "sip:t@h", Routes: []string{"<sip:p1>", "<sip:p2;lr>"}, InviteSeq: 4, LocalSeq: 4}
 	m := d.request("BYE")
@@ -93,7 +93,7 @@
 		m.setReceived("127.0.0.1:1")
 		again, err := Parse(m.Append(nil))
 		if err == nil && (again.Method != m.Method || again.Status != m.Status || string(again.Body) != string(m.Body)) {
-			t.Errorf("%+v was read back as %+v", m, again)
+			t.Errorf("%+v was parsed back as %+v", m, again)
 		}
 	})
 }
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -20,22 +20,23 @@
 	"beammux/internal/transport"
 )
 
-// PlatformDialer opens connections to the platform's menu servers: SIP over one TCP connection, matched by Call-ID alone.
+// PlatformDialer opens connections to the platform's menu servers. They use SIP over one TCP connection without transactions:
+// messages are matched by Call-ID alone.
 type PlatformDialer struct {
 	Budget  *transport.Budget
 	Timeout time.Duration
-	Classes []string // names, in the order of the settings
-	Reports []string // names of a report's values, in the order of the settings
+	Classes []string // class names, in the order of the settings
+	Reports []string // names of the values in a load report, in the order of the settings
 	Log     logrus.FieldLogger
 }
 
-// maxPlatformConns: a server sends its state on four connections at most.
+// maxPlatformConns is the maximum number of connections to one server: a server sends its load report on at most four.
 const maxPlatformConns = 4
 
 // MaxConns implements routing.Dialer.
 func (d *PlatformDialer) MaxConns(string) int { return maxPlatformConns }
 
-// Dial implements routing.Dialer.
+// Dial implements routing.Dialer. addr is a host and port.
 func (d *PlatformDialer) Dial(ctx context.Context, addr string, events routing.ServerEvents) (routing.ServerConn, error) {
 	conn, err := d.Budget.Dial(ctx, addr, d.Timeout)
 	if err != nil {
@@ -56,29 +57,31 @@
 	conn        *transport.Conn
 	events      routing.ServerEvents
 	mu          sync.Mutex
-	inFlight    map[string]platformSetup // set-ups that were sent and have no final response
-	lastMessage time.Time                // when the last message came
-	lastReport  time.Time                // when the last state came
-	reportGaps  []time.Duration          // between the last states
+	inFlight    map[string]platformSetup // set-ups without a final response, by Call-ID
+	lastMessage time.Time                // when the last message arrived
+	lastReport  time.Time                // when the last NOTIFY arrived
+	reportGaps  []time.Duration          // the last intervals between NOTIFYs, at most maxGaps
 }
 
+// platformSetup is a set-up that was sent on a platformConn.
 type platformSetup struct {
 	routing.Attempt
 	sentAt    time.Time
 	cancelled bool
 }
 
-// Thresholds by which an open connection counts as silent: nothing more arrives on it. Its set-ups are lost, and so are the
-// releases of established calls.
+// Thresholds for detecting a silent connection: it is open, but nothing arrives on it any more. Its set-ups are lost, and so
+// are the releases of established calls.
 const (
-	wholeMessageTimeout = 250 * time.Millisecond // an answer that has begun is whole by then
+	wholeMessageTimeout = 250 * time.Millisecond // for a message to be complete once it has begun
 	minSilence          = time.Second            // a shorter silence is normal
-	silenceGaps         = 2.5                    // missing states
-	maxGaps             = 4
+	silenceGaps         = 2.5                    // longest silence, as a multiple of the longest recent report interval
+	maxGaps             = 4                      // number of recent report intervals that are kept
 )
 
-var errSilent = errors.New("line is mute")
+var errSilent = errors.New("connection is silent")
 
+// platformRequest returns a request to a menu server. cseq is the method in the CSeq header.
 func platformRequest(method, id, key string, cseq string) *Message {
 	if key == "" {
 		key = "unknown"
@@ -87,6 +90,7 @@
 		Set("CSeq", "1 "+cseq)
 }
 
+// Setup implements routing.ServerConn.
 func (c *platformConn) Setup(a routing.Attempt, stillWanted func() bool) {
 	c.mu.Lock()
 	c.inFlight[a.ID()] = platformSetup{Attempt: a, sentAt: time.Now()}
@@ -107,6 +111,8 @@
 	}})
 }
 
+// Cancel implements routing.ServerConn. It closes a connection on which nothing has arrived since the set-up was sent, if that
+// was at least minSilence ago.
 func (c *platformConn) Cancel(id string) {
 	c.mu.Lock()
 	setup, ok := c.inFlight[id]
@@ -116,18 +122,18 @@
 	}
 	silent := ok && c.lastMessage.Before(setup.sentAt) && time.Since(setup.sentAt) >= minSilence
 	c.mu.Unlock()
-	if silent { // nothing at all has come since it was sent
+	if silent { // nothing has arrived since the set-up was sent
 		c.conn.Close()
 		return
 	}
 	if ok {
-		// A set-up that was dropped unsent, ahead of this in the queue, has nothing to cancel.
+		// No CANCEL is sent if the set-up, which is ahead of it in the write queue, was dropped unsent.
 		c.conn.Send(transport.Packet{Data: platformRequest("CANCEL", id, setup.Key, "CANCEL").Append(nil), Still: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.inFlight[id].cancelled
 		}})
-		// Its final response may never come; an answer that crossed the CANCEL comes soon.
+		// The final response may never arrive; an answer that crossed the CANCEL arrives within this time.
 		time.AfterFunc(10*time.Second, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -138,16 +144,19 @@
 	}
 }
 
+// Release implements routing.ServerConn.
 func (c *platformConn) Release(id string, cause int) {
 	m := platformRequest("BYE", id, "", "BYE")
 	m.Set("CSeq", "2 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
 	c.writeMessage(m)
 }
 
+// Close implements routing.ServerConn. It closes the connection once its write queue is empty.
 func (c *platformConn) Close() { c.conn.Finish() }
 
 func (c *platformConn) writeMessage(m *Message) { c.conn.Send(transport.Packet{Data: m.Append(nil)}) }
 
+// read handles messages until the connection fails, and reports the failure.
 func (c *platformConn) read() {
 	r := NewConnReader(c.conn, wholeMessageTimeout)
 	for {
@@ -157,7 +166,7 @@
 				c.dialer.Log.WithField("address", c.conn.RemoteAddr()).WithError(err).
 					Warn("bad message from server: connection closed")
 			} else if err != io.EOF {
-				c.dialer.Log.WithField("address", c.conn.RemoteAddr()).WithError(err).Debug("connection broke")
+				c.dialer.Log.WithField("address", c.conn.RemoteAddr()).WithError(err).Debug("connection to server failed")
 			}
 			c.conn.Close()
 			c.events.Down(err)
@@ -171,15 +180,15 @@
 	}
 }
 
-// readMessage reads a message. A server sends its state at even gaps on each connection, whatever else it does: when some are missing
-// the connection is silent, though it is open.
+// readMessage reads a message. A server sends load reports at regular intervals on each connection, independently of its other
+// messages. If several reports are missing, the connection is silent although it is open, and errSilent is returned.
 func (c *platformConn) readMessage(r *Reader) (*Message, error) {
 	silence := c.maxSilence()
 	if silence > 0 {
 		c.conn.SetReadDeadline(time.Now().Add(silence))
 	}
 	m, err := r.Next()
-	if errors.Is(err, os.ErrDeadlineExceeded) { // it may have lain ready while this process got no processor time
+	if errors.Is(err, os.ErrDeadlineExceeded) { // the message may have been ready while this process got no CPU time
 		c.conn.SetReadDeadline(time.Now().Add(readGrace))
 		m, err = r.Next()
 	}
@@ -201,8 +210,8 @@
 	return m, err
 }
 
-// maxSilence is how long a connection may bring nothing, 0 while that is not known. The first gap does not count: a state comes
-// at once on a new connection, and the next one in its turn.
+// maxSilence returns the longest time without a message on a working connection, or 0 while it is unknown. One interval is not
+// enough to know it: the first report arrives as soon as the connection is open, so the first interval is irregular.
 func (c *platformConn) maxSilence() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,6 +221,7 @@
 	return max(minSilence, time.Duration(silenceGaps*float64(slices.Max(c.reportGaps))))
 }
 
+// handleRequest handles a request from the server.
 func (c *platformConn) handleRequest(m *Message) {
 	id := m.Get("Call-ID")
 	switch m.Method {
@@ -230,6 +240,7 @@
 	}
 }
 
+// handleResponse handles the final response to a set-up and confirms it.
 func (c *platformConn) handleResponse(m *Message) {
 	id := m.Get("Call-ID")
 	if _, method, _ := m.CSeq(); method != "INVITE" || m.Status < 200 {
@@ -243,7 +254,7 @@
 		c.writeMessage(platformRequest("ACK", id, setup.Key, "ACK"))
 	}
 	if !ok {
-		return // a second final response, or one to a set-up of another connection
+		return // a repeated final response, or one for a set-up on another connection
 	}
 	if m.Status < 300 {
 		c.events.Answered(setup.Attempt, bytes.Clone(m.Body))
@@ -253,7 +264,8 @@
 	c.events.Failed(setup.Attempt, o)
 }
 
-// platformCode maps a refusal: 503 never ran, 480 never left, 504 broke on its way.
+// platformCode maps an error status of a menu server to the result of the attempt: with 503 the server did not start the
+// set-up, with 480 it was not sent, and with 504 it was cut on its way.
 func platformCode(status int) control.Code {
 	switch status {
 	case 503:
@@ -262,20 +274,22 @@
 		return control.NotSent
 	case 504:
 		return control.Cut
-	case 487: // given up at the server
+	case 487: // cancelled at the server
 		return control.Cancelled
 	}
 	return control.Failed
 }
 
+// diagnosisReasons maps the first word of X-Diagnosis to the reason of a refusal.
 var diagnosisReasons = map[string]int{"atb": control.NoAgent, "acc": control.ProcessorFull, "sub": control.LinesBusy}
 
+// diagnosis returns the first word of X-Diagnosis.
 func diagnosis(m *Message) string {
 	word, _, _ := strings.Cut(m.Get("X-Diagnosis"), ";")
 	return strings.TrimSpace(word)
 }
 
-// cause reads the cause of a BYE; without one the call came to its normal end.
+// cause returns the Q.850 cause in the Reason header of a BYE, or routing.CauseNormal if there is none.
 func cause(m *Message) int {
 	for part := range strings.SplitSeq(m.Get("Reason"), ";") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
@@ -287,11 +301,13 @@
 	return routing.CauseNormal
 }
 
-// report reads X-Occupancy (x0:12;x1:40;queue:3) into the order of the settings; what is absent is -1.
+// report returns the load report of a message; see parseReport.
 func (c *platformConn) report(m *Message) []float64 {
 	return parseReport(m.Get("X-Occupancy"), c.dialer.Reports)
 }
 
+// parseReport parses an X-Occupancy value such as "x0:12;x1:40;queue:3" into one value per name. An absent value is -1. It
+// returns nil for an empty text.
 func parseReport(text string, names []string) []float64 {
 	if text == "" {
 		return nil
--- a/internal/protocol/sip/platform_test.go
+++ b/internal/protocol/sip/platform_test.go
@@ -18,7 +18,7 @@
 	"beammux/internal/transport"
 )
 
-// eventRecorder notes what a line tells.
+// eventRecorder records the events of a connection. It implements routing.ServerEvents.
 type eventRecorder struct{ events chan any }
 
 type failedEvent struct {
@@ -91,10 +91,10 @@
 	select {
 	case got := <-b.eventRecorder.events:
 		if !reflect.DeepEqual(got, want) {
-			b.t.Fatalf("told %+v, want %+v", got, want)
+			b.t.Fatalf("event %+v, want %+v", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		b.t.Fatalf("nothing told, want %+v", want)
+		b.t.Fatalf("no event, want %+v", want)
 	}
 }
 
@@ -112,7 +112,7 @@
 
 func (b *platformFixture) send(text string) { io.WriteString(b.serverSide, text) }
 
-// Each refusal means what the platform says it means, and is confirmed.
+// Each error status and diagnosis of the platform is mapped to its code and reason, and is confirmed by an ACK.
 func TestPlatformRefusals(t *testing.T) {
 	b := newPlatformFixture(t)
 	for _, row := range []struct {
@@ -159,8 +159,8 @@
 	b.event(true)
 }
 
-// A set-up that went stale in the queue is told as NotSent and never written; one given up is cancelled, and an answer
-// that crossed is still told.
+// A set-up that is no longer wanted when its turn in the write queue comes is reported as NotSent and never written. A set-up
+// that is given up later is cancelled, and an answer that crosses the CANCEL is still reported.
 func TestPlatformStaleAndCancelledSetups(t *testing.T) {
 	b := newPlatformFixture(t)
 	a := routing.NewAttempt("0000000000000001", 0)
@@ -184,7 +184,7 @@
 	}
 }
 
-// newPipeConn gives a line over a pipe in a bubble, and the server's end, whose input is read and dropped.
+// newPipeConn returns a connection over a pipe, for use with synctest, and the server's end, whose input is discarded.
 func newPipeConn(t *testing.T) (*platformConn, net.Conn, *eventRecorder) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
@@ -196,11 +196,12 @@
 	return d.newConn(transport.NewConn(near, nil), e), far, e
 }
 
+// sendReport writes a load report of the server.
 func sendReport(far net.Conn) {
 	io.WriteString(far, "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 NOTIFY\r\nX-Occupancy: spare:1\r\nContent-Length: 0\r\n\r\n")
 }
 
-// next waits for the line's end and tells how long it took.
+// waitForDown waits for a Down event and returns how long it took, and whether there was one within the limit.
 func waitForDown(e *eventRecorder, limit time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for {
@@ -215,41 +216,42 @@
 	}
 }
 
-// Guards against a line that would wait for ever for the rest of an answer, and its set-ups and releases with it.
+// Guards against a connection that waits forever for the rest of a truncated message, which would block its set-ups and
+// releases.
 func TestConnectionClosesOnIncompleteMessage(t *testing.T) {
 	for _, part := range []string{"SIP/2.0 200 OK\r\nCall-ID: x\r\n", "SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 9\r\n\r\nabc"} {
 		synctest.Test(t, func(t *testing.T) {
 			_, far, e := newPipeConn(t)
-			time.Sleep(time.Hour) // a line on which nothing has begun may be silent
+			time.Sleep(time.Hour) // without a message that has begun, a connection may be silent
 			io.WriteString(far, part)
 			if elapsed, down := waitForDown(e, time.Minute); !down || elapsed > time.Second {
-				t.Errorf("%q: line ended %v after %v", part, down, elapsed)
+				t.Errorf("%q: connection closed: %v, after %v", part, down, elapsed)
 			}
 		})
 	}
 }
 
-// Guards against a line that stays open and brings nothing more: the states that are due go missing. One that tells its
-// state is left alone.
+// Guards against a connection that stays open although nothing arrives on it any more: it is closed once several load reports
+// are missing. A connection with regular reports stays open.
 func TestConnectionClosesWhenReportsStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, far, e := newPipeConn(t)
 		sendReport(far)
-		time.Sleep(20 * time.Millisecond) // the first comes at once, the others in their turn
+		time.Sleep(20 * time.Millisecond) // the first report arrives immediately, the others at regular intervals
 		for range 20 {
 			sendReport(far)
 			if _, down := waitForDown(e, 1500*time.Millisecond); down {
-				t.Fatal("a line that tells its state was ended")
+				t.Fatal("a connection with regular reports was closed")
 			}
 		}
 		if elapsed, down := waitForDown(e, time.Minute); !down || elapsed > 5*time.Second {
-			t.Errorf("mute line ended %v after %v", down, elapsed)
+			t.Errorf("silent connection closed: %v, after %v", down, elapsed)
 		}
 	})
 }
 
-// Guards against set-ups going on to a mute line of a server whose states are not known: one that was given up, with
-// nothing heard since it was sent, ends the line. One that was overtaken does not.
+// Guards against further set-ups on a silent connection of a server that sends no load reports: giving up a set-up closes the
+// connection if nothing has arrived since the set-up was sent, and only then.
 func TestConnectionClosesWhenNothingFollowsASetup(t *testing.T) {
 	for _, received := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -263,14 +265,14 @@
 			time.Sleep(time.Second)
 			client.Cancel("1")
 			if _, down := waitForDown(e, time.Minute); down == received {
-				t.Errorf("heard %v: line ended %v", received, down)
+				t.Errorf("message received: %v, connection closed: %v", received, down)
 			}
 			client.conn.Close()
 		})
 	}
 }
 
-// The same on a line to a SIP server over TCP: not even a 100 came.
+// The same on a TCP connection to a SIP server: not even a 100 has arrived.
 func TestSIPConnectionClosesWhenNothingFollowsASetup(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -297,11 +299,11 @@
 	a.Post(func() { server.inFlight["1"].sentAt = time.Now().Add(-2 * minSilence) })
 	server.Cancel("1")
 	if _, err := io.Copy(io.Discard, far); err != nil {
-		t.Errorf("the mute line is still open: %v", err)
+		t.Errorf("the silent connection is still open: %v", err)
 	}
 }
 
-// A set-up that is given up before its first byte leaves nothing on the wire: neither itself nor a CANCEL of it.
+// A set-up that is given up before its first byte is written sends nothing: neither an INVITE nor a CANCEL.
 func TestSetupCancelledUnsentWritesNothing(t *testing.T) {
 	b := newPlatformFixture(t)
 	attempt := func(id string) routing.Attempt {
@@ -325,11 +327,11 @@
 	b.next("CANCEL")
 }
 
-// An answer that breaks off, wherever, and is followed at once by the next message is never told: its description would be one
-// that no server made. The line ends.
+// Guards against an answer that is truncated at any byte and followed directly by another message: it is never delivered,
+// because its session description would be mixed with bytes of the next message.
 func TestTruncatedAnswerIsNotDelivered(t *testing.T) {
 	next := "NOTIFY sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 NOTIFY\r\nX-Occupancy: x0:1\r\nContent-Length: 0\r\n\r\n"
-	// Whole messages of another call; told gives the descriptions that are told for call 9.
+	// Whole messages of other calls. deliveredBodies returns the session descriptions delivered for call 9.
 	bye := "BYE sip:x@net SIP/2.0\r\nCall-ID: 2\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"
 	other := "SIP/2.0 200 OK\r\nCall-ID: 3\r\nCSeq: 1 INVITE\r\nContent-Length: 5\r\n\r\nv=0\r\n"
 	body := "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n"
@@ -353,26 +355,27 @@
 	}
 	invite := Request("INVITE", "sip:1@net").Set("Call-ID", "9").Set("CSeq", "1 INVITE")
 	whole := answer(invite)
-	t.Logf("%d places to break off at", len(whole)-1)
+	t.Logf("%d truncation points", len(whole)-1)
 	for _, rest := range []string{next, bye, other, strings.Repeat(next, 3)} {
 		if got := deliveredBodies(whole, rest); len(got) != 1 || got[0] != body {
-			t.Fatalf("a whole answer before %.8q: %q", rest, got)
+			t.Fatalf("complete answer before %.8q: delivered %q", rest, got)
 		}
 		for missing := 1; missing < len(whole); missing++ {
 			if got := deliveredBodies(whole[:len(whole)-missing], rest); len(got) > 0 {
-				t.Errorf("%d short before %.8q: told %q", missing, rest, got)
+				t.Errorf("%d bytes missing before %.8q: delivered %q", missing, rest, got)
 			}
 		}
 	}
-	for _, description := range []string{"SIP/2.0", "NOTIFY", "say BYE or SIP/2.0 2", "x" + next + "x"} { // a description may hold words of the protocol
+	for _, description := range []string{"SIP/2.0", "NOTIFY", "say BYE or SIP/2.0 2", "x" + next + "x"} { // a description may contain protocol keywords
 		body = description
 		if got := deliveredBodies(answer(invite), next); len(got) < 1 || got[0] != description {
-			t.Errorf("description %q: told %q", description, got)
+			t.Errorf("description %q: delivered %q", description, got)
 		}
 	}
 }
 
-// A second answer, at once or some time later, of the same kind or another, is confirmed where SIP wants it and never told.
+// A second final response, sent with the first one or after its ACK, with the same status or another, is never delivered. A
+// second 2xx is confirmed by an ACK.
 func TestSecondFinalResponseIsNotDelivered(t *testing.T) {
 	for _, row := range []struct{ first, second int }{{200, 200}, {200, 486}, {486, 200}, {503, 503}, {503, 200}} {
 		for _, separate := range []bool{false, true} {
@@ -400,9 +403,9 @@
 			if row.first == 200 {
 				b.event("answered 7f3a answer")
 			} else if got, ok := (<-b.eventRecorder.events).(failedEvent); !ok || got.id != "7f3a" {
-				t.Errorf("%v: told %v", row, got)
+				t.Errorf("%v: event %v", row, got)
 			}
-			b.event([]float64{1, -1, -1, -1}) // nothing between
+			b.event([]float64{1, -1, -1, -1}) // no event in between
 		}
 	}
 }
--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -1,5 +1,5 @@
-// Package siptest has stand-ins for SIP callers and servers, written from RFC 3261 for tests. They share the codec
-// with the program, but none of its transactions or dialogs.
+// Package siptest provides fake SIP callers and servers for tests. They use the message codec of package sip, but none of its
+// transactions or dialogs, so that tests check those against RFC 3261 independently.
 package siptest
 
 import (
@@ -14,14 +14,14 @@
 	"beammux/internal/protocol/sip"
 )
 
-// Entry is one message that a stand-in received.
+// Entry is one message that a Party received.
 type Entry struct {
-	At   time.Time
+	At   time.Time // time of arrival
 	Msg  *sip.Message
-	Back func(*sip.Message) // sends on the way that the message came
+	Back func(*sip.Message) // sends a message to the source, on the same socket or connection
 }
 
-// Party is one side: a UDP socket and a TCP listener on the same port's address family, each on a port of its own.
+// Party is a fake caller or server. It has a UDP socket and a TCP listener on the loopback address, each on its own port.
 type Party struct {
 	t        testing.TB
 	udp      net.PacketConn
@@ -33,7 +33,8 @@
 	conns    []net.Conn
 }
 
-// New starts a party; on is called for each message, in a goroutine of its connection. It may be nil.
+// New starts a party, which is stopped when the test ends. handler, which may be nil, is called for each message in the
+// goroutine that reads its connection.
 func New(t testing.TB, handler func(*Party, Entry)) *Party {
 	t.Helper()
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -66,7 +67,7 @@
 	p.mu.Unlock()
 }
 
-// Stop ends the party's sockets, as a process that dies does.
+// Stop closes the party's sockets as the crash of a process does: its TCP connections are reset.
 func (p *Party) Stop() {
 	p.udp.Close()
 	p.listener.Close()
@@ -74,14 +75,14 @@
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0) // a reset
+			t.SetLinger(0) // close with a reset
 		}
 		c.Close()
 	}
 	p.conns = nil
 }
 
-// Addr gives the party's address for "UDP" or "TCP".
+// Addr returns the party's address for the transport "UDP" or "TCP".
 func (p *Party) Addr(proto string) string {
 	if proto == "UDP" {
 		return p.udp.LocalAddr().String()
@@ -89,7 +90,7 @@
 	return p.listener.Addr().String()
 }
 
-// URI gives the party's address as a server's.
+// URI returns the party's address as a SIP URI, as used for servers.
 func (p *Party) URI(proto string) string {
 	return "sip:" + p.Addr(proto) + ";transport=" + strings.ToLower(proto)
 }
@@ -130,14 +131,14 @@
 	}
 }
 
-// Log gives what was received so far.
+// Log returns the messages received so far, in order of arrival.
 func (p *Party) Log() []Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Entry(nil), p.received...)
 }
 
-// Count tells how many messages were received that fit.
+// Count returns the number of received messages that match.
 func (p *Party) Count(matches func(*sip.Message) bool) (n int) {
 	for _, e := range p.Log() {
 		if matches(e.Msg) {
@@ -147,8 +148,9 @@
 	return n
 }
 
-// Transactions counts the transactions (RFC 3261, 17.2.3: the branch of the topmost Via) of the messages that fit. Over UDP a
-// request that is not answered within T1 comes again in the same one.
+// Transactions returns the number of transactions among the received messages that match. Messages with the same topmost Via
+// belong to the same transaction (RFC 3261, 17.2.3). Over UDP a request that is not answered within T1 is retransmitted in its
+// transaction.
 func (p *Party) Transactions(matches func(*sip.Message) bool) int {
 	seen := map[string]bool{}
 	for _, e := range p.Log() {
@@ -159,7 +161,8 @@
 	return len(seen)
 }
 
-// Wait gives the first message that fits, waiting for it.
+// Wait returns the first message that matches. It waits up to 10 s for it and then fails the test; description names the message
+// in the failure.
 func (p *Party) Wait(description string, matches func(*sip.Message) bool) Entry {
 	p.t.Helper()
 	timeout := time.After(10 * time.Second)
@@ -175,7 +178,7 @@
 		select {
 		case <-next:
 		case <-timeout:
-			p.t.Fatalf("no %s came; got %s", description, p.summary())
+			p.t.Fatalf("no %s arrived; received %s", description, p.summary())
 		}
 	}
 }
@@ -188,7 +191,8 @@
 	return b.String()
 }
 
-// Send opens a way to an address, sends a message, and gives what sends more on the same way.
+// Send sends a message to an address, over TCP on a new connection. It returns a function that sends further messages on the
+// same socket or connection.
 func (p *Party) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
 	p.t.Helper()
 	var send func(*sip.Message)
@@ -211,7 +215,7 @@
 	return send
 }
 
-// Invite makes a caller's INVITE.
+// Invite returns a caller's INVITE. callID also makes its branch and its From tag unique.
 func (p *Party) Invite(proto, callID, key, body string) *sip.Message {
 	m := sip.Request("INVITE", "sip:"+key+"@beammux").
 		Set("Via", "SIP/2.0/"+proto+" "+p.Addr(proto)+";rport;branch=z9hG4bK"+callID).
@@ -222,7 +226,7 @@
 	return m
 }
 
-// Within makes a request inside the dialog that an answer to an INVITE opened.
+// Within returns a caller's request inside the dialog that the answer to its INVITE opened. number is the CSeq number.
 func Within(invite, answer *sip.Message, method string, number int) *sip.Message {
 	uri := answer.Get("Contact")
 	uri = strings.Trim(uri, "<>")
@@ -234,7 +238,7 @@
 		Set("CSeq", fmt.Sprintf("%d %s", number, method))
 }
 
-// Reply makes a server's response, with a tag and a Contact as a dialog needs.
+// Reply returns a server's response, with the To tag and the Contact that a dialog needs.
 func (p *Party) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
 	r := sip.Respond(req, status, reason)
 	if status > 100 && !strings.Contains(r.Get("To"), "tag=") {
@@ -249,7 +253,7 @@
 	return r
 }
 
-// Bye makes the BYE of a server that answered an INVITE.
+// Bye returns the BYE of a server that answered an INVITE. cause is the Q.850 cause in the Reason header.
 func Bye(invite, answer *sip.Message, cause int) *sip.Message {
 	contact := strings.Trim(invite.Get("Contact"), "<>")
 	return sip.Request("BYE", contact).Set("Via", answer.Get("Via")+"bye").Set("Max-Forwards", "70").
@@ -257,12 +261,12 @@
 		Set("CSeq", "1 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
 }
 
-// Is fits a request with a method.
+// Is returns a function that reports whether a message is a request with the method.
 func Is(method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool { return m.IsRequest() && m.Method == method }
 }
 
-// Status fits a response to a method.
+// Status returns a function that reports whether a message is a response with the status to a request with the method.
 func Status(status int, method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool {
 		_, to, _ := m.CSeq()
--- a/internal/protocol/sip/transaction.go
+++ b/internal/protocol/sip/transaction.go
@@ -6,41 +6,44 @@
 	"time"
 )
 
-// Timers are the base values of RFC 3261, 17: T1 the round trip, T2 the longest gap between retransmissions, T4 how
-// long a message may stay in the network.
+// Timers are the base values of the transaction timers (RFC 3261, 17): T1 is the round-trip time estimate, T2 the maximum
+// retransmission interval, and T4 the maximum time a message stays in the network.
 type Timers struct{ T1, T2, T4 time.Duration }
 
-// DefaultTimers are the values that the RFC gives.
+// DefaultTimers are the values recommended by RFC 3261.
 var DefaultTimers = Timers{500 * time.Millisecond, 4 * time.Second, 5 * time.Second}
 
-// The ways in which a client transaction ends without a final response.
+// Errors that end a client transaction without a final response.
 var (
 	errTimeout = errors.New("no final response in time")
 )
 
-// flow is a way to the other side of a transaction.
+// flow sends messages to the peer of a transaction.
 type flow interface {
-	// send never blocks; done, if not nil, hears of what failed later. still is asked before the first byte.
+	// send never blocks. done, if not nil, is called if sending fails after send has returned. stillWanted, if not nil, is
+	// called just before the first byte is written; if it returns false, nothing is written.
 	send(data []byte, stillWanted func() bool, done func(error)) error
-	reliable() bool // a stream: nothing is retransmitted
-	proto() string  // as in Via
-	remote() string
+	reliable() bool // a stream transport: nothing is retransmitted
+	proto() string  // transport as in Via, "UDP" or "TCP"
+	remote() string // address of the peer
 }
 
+// txState is the state of a transaction.
 type txState int
 
-// States of the four machines. Accepted is that of RFC 6026: it absorbs what is retransmitted after a 2xx.
+// States of the four transaction state machines. The accepted state is defined by RFC 6026: it absorbs retransmissions after a
+// 2xx.
 const (
-	calling    txState = iota // client INVITE
+	calling    txState = iota // INVITE client
 	trying                    // non-INVITE, both sides
-	proceeding                // all
-	completed                 // all
+	proceeding                // all machines
+	completed                 // all machines
 	accepted                  // INVITE, both sides
-	confirmed                 // server INVITE
-	terminated                // all
+	confirmed                 // INVITE server
+	terminated                // all machines
 )
 
-// transactionLayer holds the transactions. It belongs to one actor: every method, and every timer, runs there.
+// transactionLayer holds the client and server transactions. It is owned by one actor: all methods and timer functions run there.
 type transactionLayer struct {
 	after   func(time.Duration, func()) *time.Timer
 	t       Timers
@@ -52,7 +55,8 @@
 	return &transactionLayer{after: after, t: t, clients: map[string]*clientTx{}, servers: map[string]*serverTx{}}
 }
 
-// timers of a transaction: all are stopped when it ends, and one that fired meanwhile finds it ended.
+// timers are the running timers of a transaction. All are stopped when it ends. A timer that has already fired does nothing,
+// because its function checks for the terminated state.
 type timers []*time.Timer
 
 func (ts *timers) stop() {
@@ -62,7 +66,7 @@
 	*ts = nil
 }
 
-// clientTx is a client transaction: INVITE (17.1.1) or any other method (17.1.2).
+// clientTx is a client transaction: INVITE (RFC 3261, 17.1.1) or any other method (17.1.2).
 type clientTx struct {
 	layer             *transactionLayer
 	key               string
@@ -72,16 +76,16 @@
 	state             txState
 	timers            timers
 	stillWanted       func() bool
-	retransmitStopped bool // given up before any response: no further copy goes out, and a late response is still heard
+	retransmitStopped bool // cancelled before any response: the request is not retransmitted, but a late response is still handled
 	ack               []byte
 	onResponse        func(*Message)
-	onEnd             func(error) // without a final response
+	onEnd             func(error) // called if the transaction ends without a final response
 }
 
 func (t *clientTx) invite() bool { return t.req.Method == "INVITE" }
 
-// request starts a client transaction. The request's topmost Via holds its branch. still, which may be nil, is asked
-// before each time that the request goes out: a server that has been told to drain must not get a late copy.
+// request starts a client transaction and sends its request, whose topmost Via has the branch. stillWanted, which may be nil,
+// is called before each transmission, because no late copy may be sent to a draining server.
 func (layer *transactionLayer) request(req *Message, f flow, stillWanted func() bool, onResponse func(*Message), onEnd func(error)) *clientTx {
 	v, _ := req.topVia()
 	t := &clientTx{layer: layer, key: v.params["branch"] + "|" + req.Method, req: req, data: req.Append(nil), flow: f,
@@ -105,6 +109,7 @@
 	return t
 }
 
+// schedule runs f after d, unless the transaction has terminated by then.
 func (t *clientTx) schedule(d time.Duration, f func()) {
 	t.timers = append(t.timers, t.layer.after(d, func() {
 		if t.state != terminated {
@@ -113,10 +118,11 @@
 	}))
 }
 
-// transmit sends the request; what fails later ends the transaction too.
+// transmit sends the request, and reports whether that succeeded. A failure ends the transaction, also one that is reported
+// later.
 func (t *clientTx) transmit(first bool) bool {
 	if !first && t.stillWanted != nil && !t.stillWanted() {
-		t.fail(errTimeout) // an earlier copy may have run
+		t.fail(errTimeout) // not ErrDropped: the server may have processed an earlier copy
 		return false
 	}
 	var stillWanted func() bool
@@ -137,6 +143,7 @@
 	return true
 }
 
+// retransmit sends the request again and schedules the next retransmission (RFC 3261, timers A and E).
 func (t *clientTx) retransmit(interval time.Duration) {
 	if t.invite() && t.state != calling || t.state >= completed || t.retransmitStopped {
 		return
@@ -154,6 +161,7 @@
 	t.schedule(interval, func() { t.retransmit(interval) })
 }
 
+// fail ends a transaction without a final response.
 func (t *clientTx) fail(err error) {
 	if t.state >= completed {
 		return
@@ -162,6 +170,7 @@
 	t.onEnd(err)
 }
 
+// end terminates and removes a transaction.
 func (t *clientTx) end() {
 	t.state = terminated
 	t.timers.stop()
@@ -170,7 +179,7 @@
 	}
 }
 
-// linger keeps a transaction to absorb what is retransmitted.
+// linger keeps a transaction in a state for a time, so that it absorbs retransmissions. With a time of 0 it ends at once.
 func (t *clientTx) linger(s txState, d time.Duration) {
 	t.timers.stop()
 	t.state = s
@@ -181,7 +190,7 @@
 	t.schedule(d, t.end)
 }
 
-// deliverResponse hands a response to its transaction; false if there is none.
+// deliverResponse passes a response to its client transaction, and reports whether there is one (RFC 3261, 17.1.3).
 func (layer *transactionLayer) deliverResponse(m *Message) bool {
 	v, err := m.topVia()
 	if err != nil {
@@ -196,6 +205,7 @@
 	return true
 }
 
+// receive processes a response.
 func (t *clientTx) receive(m *Message) {
 	switch {
 	case t.state == completed:
@@ -204,7 +214,7 @@
 		}
 	case t.state == accepted:
 		if m.Status >= 200 && m.Status < 300 {
-			t.onResponse(m) // a retransmission, or another fork
+			t.onResponse(m) // a retransmission, or the 2xx of another fork
 		}
 	case m.Status < 200:
 		t.state = proceeding
@@ -231,7 +241,7 @@
 	}
 }
 
-// ackTo makes the ACK to an error (17.1.1.3): it belongs to the INVITE's transaction and has its branch.
+// ackTo returns the ACK for an error response (RFC 3261, 17.1.1.3). It belongs to the INVITE's transaction and has its branch.
 func (t *clientTx) ackTo(m *Message) *Message {
 	ack := Request("ACK", t.req.URI)
 	ack.Header["Via"] = t.req.listValues("Via")[:1]
@@ -245,7 +255,7 @@
 	return ack
 }
 
-// cancel makes the CANCEL of an INVITE (9.1).
+// cancel returns the CANCEL for an INVITE (RFC 3261, 9.1).
 func (t *clientTx) cancel() *Message {
 	m := Request("CANCEL", t.req.URI)
 	m.Header["Via"] = t.req.listValues("Via")[:1]
@@ -258,7 +268,7 @@
 	return m.Set("CSeq", cseq(number, "CANCEL"))
 }
 
-// serverTx is a server transaction: INVITE (17.2.1) or any other method (17.2.2).
+// serverTx is a server transaction: INVITE (RFC 3261, 17.2.1) or any other method (17.2.2).
 type serverTx struct {
 	layer        *transactionLayer
 	key          string
@@ -271,7 +281,8 @@
 
 func (t *serverTx) invite() bool { return t.req.Method == "INVITE" }
 
-// serverKey matches a request to its transaction (17.2.3). An ACK matches the INVITE's, a CANCEL has its own.
+// serverKey returns the key of the server transaction of a request (RFC 3261, 17.2.3), and whether the branch is valid. The ACK
+// for an error belongs to the INVITE's transaction; a CANCEL has a transaction of its own.
 func serverKey(m *Message, method string) (string, bool) {
 	v, err := m.topVia()
 	if err != nil || !strings.HasPrefix(v.params["branch"], magicCookie) || len(v.params["branch"]) == len(magicCookie) {
@@ -280,8 +291,9 @@
 	return v.params["branch"] + "|" + strings.ToLower(v.sentBy) + "|" + method, true
 }
 
-// accept matches a request to a transaction. It is nil if the request was absorbed: a retransmission, or the ACK to
-// an error. fresh tells that the transaction is new and the request must be answered.
+// accept matches a request to its server transaction, or creates one. isNew reports whether the transaction is new, so that the
+// request must be answered; otherwise the request is a retransmission or an ACK, and an existing transaction has absorbed it. t
+// is nil for an ACK without a transaction and for a request without a valid branch.
 func (layer *transactionLayer) accept(m *Message, f flow) (t *serverTx, isNew bool) {
 	method := m.Method
 	if method == "ACK" {
@@ -306,6 +318,7 @@
 	return t, true
 }
 
+// absorb handles a retransmission of the request, or the ACK for an error.
 func (t *serverTx) absorb(m *Message) {
 	if m.Method == "ACK" {
 		if t.state == completed {
@@ -319,12 +332,13 @@
 		}
 		return
 	}
-	// A retransmission: in Accepted it is absorbed, the 2xx is repeated by its dialog.
+	// A retransmission in the accepted state gets no response: the 2xx is retransmitted by its dialog.
 	if t.lastResponse != nil && (t.state == proceeding || t.state == completed) {
 		t.flow.send(t.lastResponse, nil, nil)
 	}
 }
 
+// schedule runs f after d, unless the transaction has terminated by then.
 func (t *serverTx) schedule(d time.Duration, f func()) {
 	t.timers = append(t.timers, t.layer.after(d, func() {
 		if t.state != terminated {
@@ -333,13 +347,15 @@
 	}))
 }
 
+// end terminates and removes a transaction.
 func (t *serverTx) end() {
 	t.state = terminated
 	t.timers.stop()
 	delete(t.layer.servers, t.key)
 }
 
-// respond sends a response. A second final one is dropped: a request has one.
+// respond sends a response, and reports whether it did. A response after the final one is dropped, because a request has only
+// one final response.
 func (t *serverTx) respond(m *Message) bool {
 	if t.state >= completed {
 		return false
@@ -374,6 +390,7 @@
 	return true
 }
 
+// retransmit sends the final error again until its ACK arrives (RFC 3261, timer G).
 func (t *serverTx) retransmit(interval time.Duration) {
 	t.schedule(interval, func() {
 		if t.state == completed {
--- a/internal/protocol/sip/transaction_test.go
+++ b/internal/protocol/sip/transaction_test.go
@@ -13,14 +13,14 @@
 	"beammux/internal/actor"
 )
 
-// The same steps each time: a verdict must not change from run to run.
+// TestMain fixes the seed of the random steps, so that results do not change from run to run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
 	os.Exit(m.Run())
 }
 
-// recordingFlow is a flow that counts what is sent on it.
+// recordingFlow is a flow that records the messages sent on it.
 type recordingFlow struct {
 	stream bool
 	mu     sync.Mutex
@@ -60,8 +60,8 @@
 		Set("To", "<sip:x@y>").Set("Call-ID", "c").Set("CSeq", "1 "+method)
 }
 
-// expectedCopies gives how many copies of a request RFC 3261 has sent after a time without any response: gaps double
-// from T1, up to T2 but for INVITE, until 64 T1.
+// expectedCopies returns how many copies of a request have been sent after d without any response (RFC 3261, 17.1): intervals
+// double from T1, up to T2 except for INVITE, until 64 T1.
 func expectedCopies(t Timers, invite bool, d time.Duration) int {
 	n, interval := 1, t.T1
 	for elapsed := interval; elapsed <= d && elapsed < 64*t.T1; elapsed += interval {
@@ -74,7 +74,7 @@
 	return n
 }
 
-// Client transactions against a model: what the RFC says of responses seen so far decides what may be sent and told.
+// Checks client transactions against a model of RFC 3261: the responses so far decide what may be sent and reported.
 func TestClientTransactions(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
@@ -130,18 +130,18 @@
 					r.Fatalf("%d ACKs, want %d", p.count("ACK", 0), wantACKs)
 				}
 				if invite && successes != wantSuccesses {
-					r.Fatalf("%d answers told, want %d", successes, wantSuccesses)
+					r.Fatalf("%d answers reported, want %d", successes, wantSuccesses)
 				}
 				want := 0
 				if final && (!invite || !success) {
 					want = 1
 				}
 				if finals != want || failures > 1 || failures+finals > 1 {
-					r.Fatalf("%d finals and %d ends told, want %d finals", finals, failures, want)
+					r.Fatalf("%d final responses and %d failures reported, want %d final responses", finals, failures, want)
 				}
 				timedOut := time.Since(began) >= 64*DefaultTimers.T1
 				if (failures == 1) != (timedOut && !final && !(responded && invite)) {
-					r.Fatalf("%d ends after %v (heard %v, final %v)", failures, time.Since(began), responded, final)
+					r.Fatalf("%d failures after %v (responded %v, final %v)", failures, time.Since(began), responded, final)
 				}
 				if !responded && !final {
 					n := expectedCopies(DefaultTimers, invite, time.Since(began))
@@ -157,13 +157,13 @@
 			time.Sleep(200 * time.Second)
 			synctest.Wait()
 			if n := len(l.clients); n > 0 && (final || failures > 0) {
-				r.Fatalf("%d transactions are left", n)
+				r.Fatalf("%d transactions remain", n)
 			}
 		})
 	})
 }
 
-// Server transactions against a model: every copy of a request is absorbed, and a request has one final response.
+// Checks server transactions against a model: every copy of a request is absorbed, and a request has one final response.
 func TestServerTransactions(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
@@ -185,9 +185,9 @@
 				case 0:
 					time.Sleep(time.Duration(rapid.IntRange(1, 3000).Draw(r, "ms")) * time.Millisecond)
 					synctest.Wait()
-				case 1: // a copy
+				case 1: // a retransmission
 					if expired || acked || final > 0 && p.stream {
-						continue // it may come after the transaction's end: another request then
+						continue // it may arrive after the end of the transaction, as a new request
 					}
 					before := p.len()
 					do(func() {
@@ -204,7 +204,7 @@
 					sentNow := false
 					do(func() { sentNow = tx.respond(Respond(req, status, "x")) })
 					if sentNow != (final == 0) {
-						r.Fatalf("a response after the final one %d was taken: %v", final, sentNow)
+						r.Fatalf("respond after final status %d returned %v", final, sentNow)
 					}
 					if final == 0 && status >= 200 {
 						final, finalAt = status, time.Now()
@@ -217,11 +217,11 @@
 					}
 				}
 				if newRequests != 1 {
-					r.Fatalf("a copy became a request of its own")
+					r.Fatalf("a copy started a transaction of its own")
 				}
 				for _, status := range []int{200, 486} {
 					if status != final && p.count("", status) > 0 {
-						r.Fatalf("%d was sent beside %d", status, final)
+						r.Fatalf("%d was sent besides %d", status, final)
 					}
 				}
 			}
@@ -230,10 +230,10 @@
 			time.Sleep(200 * time.Second)
 			synctest.Wait()
 			if final > 0 && len(l.servers) > 0 {
-				r.Fatalf("the transaction is left")
+				r.Fatalf("the transaction remains")
 			}
 			if (acked || p.stream) && p.len() != sent {
-				r.Fatalf("repeated after the ACK")
+				r.Fatalf("a response was retransmitted after the ACK")
 			}
 		})
 	})
--- a/internal/protocol/sip/uac.go
+++ b/internal/protocol/sip/uac.go
@@ -12,18 +12,18 @@
 	"beammux/internal/transport"
 )
 
-// serverConn is the connection to one SIP server, as a routing.ServerConn. All of its work is done in the agent's actor.
+// serverConn is the connection to one SIP server. It implements routing.ServerConn. All of its work runs in the agent's actor.
 type serverConn struct {
 	agent       *Agent
 	serverURI   uri
-	key         string
+	key         string // transport and address, as in Agent.serverConns
 	flow        flow
 	events      routing.ServerEvents
-	inFlight    map[string]*uac
-	lastMessage time.Time // when the last message came on its connection
+	inFlight    map[string]*uac // set-ups without a final response, by call id
+	lastMessage time.Time       // when the last message arrived on its TCP connection
 }
 
-// uac is one set-up at a server.
+// uac is the user agent client of one set-up at a server.
 type uac struct {
 	conn       *serverConn
 	attempt    routing.Attempt
@@ -34,10 +34,10 @@
 	cancelSent bool
 }
 
-// MaxConns implements routing.Dialer: transactions tell set-ups apart, so one connection holds them all.
+// MaxConns implements routing.Dialer. One connection is enough, because transactions tell the set-ups on it apart.
 func (a *Agent) MaxConns(string) int { return 1 }
 
-// Dial implements routing.Dialer for addresses of the form sip:host:port;transport=udp.
+// Dial implements routing.Dialer. addr is a SIP URI such as sip:host:port;transport=udp.
 func (a *Agent) Dial(ctx context.Context, addr string, events routing.ServerEvents) (routing.ServerConn, error) {
 	u, err := parseURI(addr)
 	if err != nil {
@@ -66,7 +66,7 @@
 	})
 	select {
 	case err = <-ready:
-	case <-ctx.Done(): // the server left the list, or the agent is closed
+	case <-ctx.Done(): // the server was removed from the list, or the agent is closed
 		err = ctx.Err()
 	}
 	if err != nil {
@@ -81,7 +81,7 @@
 	return server, nil
 }
 
-// connectionLost ends the set-ups of a connection that is gone: nothing else would ever end their transactions.
+// connectionLost ends the set-ups of a closed connection, because nothing else would end their transactions.
 func (c *serverConn) connectionLost(err error) {
 	for _, u := range c.inFlight {
 		u.tx.end()
@@ -95,6 +95,7 @@
 	c.agent.Post(func() { c.setup(setupAttempt, stillWanted) })
 }
 
+// setup sends the INVITE of an attempt.
 func (c *serverConn) setup(setupAttempt routing.Attempt, stillWanted func() bool) {
 	a := c.agent
 	proto := c.flow.proto()
@@ -119,7 +120,7 @@
 	u.tx = a.transactionLayer.request(m, c.flow, stillWanted, u.handleResponse, u.transactionFailed)
 }
 
-// transactionFailed: the transaction ended without a final response.
+// transactionFailed reports an attempt whose transaction ended without a final response.
 func (u *uac) transactionFailed(err error) {
 	u.forget()
 	code := control.Cut
@@ -132,12 +133,14 @@
 	u.conn.events.Failed(u.attempt, routing.Outcome{Code: code})
 }
 
+// forget removes a set-up from its connection's set-ups in flight.
 func (u *uac) forget() {
 	if u.conn.inFlight[u.attempt.ID()] == u {
 		delete(u.conn.inFlight, u.attempt.ID())
 	}
 }
 
+// handleResponse handles a response to the INVITE.
 func (u *uac) handleResponse(m *Message) {
 	a := u.conn.agent
 	switch {
@@ -163,8 +166,8 @@
 	}
 }
 
-// handleAnswer takes a 2xx: the first opens the dialog, a repeated one is confirmed again, and one of another fork is
-// confirmed and released, since a call is established once.
+// handleAnswer handles a 2xx. The first one opens the dialog, and a retransmission of it is confirmed again. A 2xx of another
+// fork is confirmed and released, because a call is established only once.
 func (u *uac) handleAnswer(m *Message) {
 	a := u.conn.agent
 	d := dialogFromResponse(m, u.attempt.ID(), u.conn.flow.proto())
@@ -180,7 +183,7 @@
 	}
 	u.dialog = d
 	u.forget()
-	if u.cancelled { // given up: its dialog is ended here, since the core knows the call by its id alone
+	if u.cancelled { // the set-up was cancelled: the dialog is ended here, because the core identifies calls only by id
 		a.sendAck(d)
 		a.sendInDialog(d, "BYE", routing.CauseNormal, nil)
 		return
@@ -193,7 +196,7 @@
 	u.conn.events.Answered(u.attempt, m.Body)
 }
 
-// finalCode maps an error response of RFC 3261 to the end of an attempt.
+// finalCode maps an error status of RFC 3261 to the result of the attempt.
 func finalCode(status int) control.Code {
 	switch status {
 	case 503:
@@ -206,7 +209,8 @@
 	return control.Failed
 }
 
-// Cancel implements routing.ServerConn. A CANCEL may not go out before a provisional response came (9.1).
+// Cancel implements routing.ServerConn. A CANCEL must not be sent before a provisional response has arrived (RFC 3261, 9.1). A
+// TCP connection on which nothing has arrived since the set-up was sent is closed, if that was at least minSilence ago.
 func (c *serverConn) Cancel(id string) {
 	c.agent.Post(func() {
 		u := c.inFlight[id]
@@ -215,7 +219,7 @@
 		}
 		u.cancelled = true
 		if t, ok := c.flow.(*tcpFlow); ok && c.lastMessage.Before(u.sentAt) && time.Since(u.sentAt) >= minSilence {
-			t.conn.Close() // not even a 100 since it was sent: the connection is silent
+			t.conn.Close() // not even a 100 has arrived since the set-up was sent: the connection is silent
 			return
 		}
 		if u.tx.state == proceeding {
@@ -225,6 +229,7 @@
 	})
 }
 
+// cancel sends a CANCEL, once, and limits the time until the INVITE is answered.
 func (u *uac) cancel() {
 	a := u.conn.agent
 	if u.cancelSent {
@@ -232,7 +237,7 @@
 	}
 	u.cancelSent = true
 	a.transactionLayer.request(u.tx.cancel(), u.conn.flow, nil, func(*Message) {}, func(error) {})
-	u.tx.schedule(64*a.Timers.T1, func() { // the INVITE may never be answered
+	u.tx.schedule(64*a.Timers.T1, func() { // the INVITE may never get a final response (RFC 3261, 9.1)
 		if u.tx.state < completed {
 			u.tx.fail(errTimeout)
 		}
@@ -248,7 +253,7 @@
 	})
 }
 
-// Close implements routing.ServerConn. Dialogs at a server that is gone have nobody to release them with.
+// Close implements routing.ServerConn. It drops the dialogs of the connection without a BYE, because their server is gone.
 func (c *serverConn) Close() {
 	c.agent.Post(func() {
 		a := c.agent
@@ -264,6 +269,7 @@
 	})
 }
 
+// finishConn closes the TCP connection once its write queue is empty.
 func (c *serverConn) finishConn() {
 	if t, ok := c.flow.(*tcpFlow); ok {
 		t.conn.Finish()
--- a/internal/protocol/sip/uas.go
+++ b/internal/protocol/sip/uas.go
@@ -12,33 +12,33 @@
 	"beammux/internal/transport"
 )
 
-// uasCall is the caller's side of a call. It is the core's Caller; what the core tells is posted to the agent.
+// uasCall is the caller's side of a call. It implements routing.Caller; the core's calls are posted to the agent's actor.
 type uasCall struct {
 	agent           *Agent
 	tx              *serverTx
 	flow            flow
-	conn            *transport.Conn // that its set-up came on; nil over UDP
-	connHeld        bool            // conn is kept, since it is owed an answer
-	cancelled       atomic.Bool     // its caller has cancelled
+	conn            *transport.Conn // connection that the set-up arrived on; nil over UDP
+	connHeld        bool            // conn is held open until the final answer
+	cancelled       atomic.Bool     // the caller has sent a CANCEL
 	req             *Message
 	id              string
 	tag             string
 	dialog          *dialog
-	okData          []byte // the 2xx, repeated until its ACK comes (13.3.1.4)
+	okData          []byte // encoded 2xx, retransmitted until its ACK arrives (RFC 3261, 13.3.1.4)
 	retransmitTimer *time.Timer
-	acked           bool // the ACK came
-	pendingByeCause int  // cause of a BYE that must wait for the ACK (15)
-	released        bool
+	acked           bool // the ACK has arrived, or is no longer waited for
+	pendingByeCause int  // cause of a BYE that must wait for the ACK (RFC 3261, 15); 0 if there is none
+	released        bool // a BYE was sent or received
 }
 
-// handleInvite takes a new INVITE.
+// handleInvite validates a new INVITE and passes it to the core. It refuses an INVITE inside a dialog.
 func (a *Agent) handleInvite(t *serverTx, m *Message, f flow) {
 	if tag(m.Get("To")) != "" {
 		if a.findDialog(m) == nil {
 			t.respond(Respond(m, 481, "Call/Transaction Does Not Exist"))
 			return
 		}
-		// The description is the server's and is not negotiated again.
+		// The session description comes from the server and is not renegotiated.
 		t.respond(Respond(m, 488, "Not Acceptable Here"))
 		return
 	}
@@ -53,7 +53,7 @@
 		}
 		t.respond(r)
 	}
-	for otherTx, pending := range a.pendingCalls { // 8.2.2.2: the same request came by two ways
+	for otherTx, pending := range a.pendingCalls { // RFC 3261, 8.2.2.2: the same request arrived over two paths
 		if otherTx != t && sameRequest(pending.req, m) {
 			refuse(482, "Loop Detected")
 			return
@@ -62,7 +62,7 @@
 	target, err := parseURI(m.URI)
 	setup := routing.Setup{ID: call.id, Tenant: -1, Key: target.user, FirstChoice: -1, Body: m.Body, Excess: a.refusing}
 	invalid := a.readHeaders(m, &setup)
-	refuseUnreadable := func(status int, reason string, header ...string) { // in error_total, as on the JSON front
+	refuseUnreadable := func(status int, reason string, header ...string) { // counted in error_total, as on the JSON front
 		a.core.Unreadable(setup.Class)
 		refuse(status, reason, header...)
 	}
@@ -86,10 +86,10 @@
 	a.core.Open(setup, call)
 }
 
-// holdConn keeps the caller's connection from being closed to make room while it is owed an answer.
+// holdConn prevents the caller's connection from being closed to make room before the final answer is sent.
 func (call *uasCall) holdConn() { call.connHeld = call.conn != nil && call.conn.Hold() }
 
-// removePending takes a set-up that has its final answer off the list.
+// removePending removes a set-up from the pending calls once it has its final answer, and no longer holds its connection.
 func (call *uasCall) removePending() {
 	delete(call.agent.pendingCalls, call.tx)
 	if call.connHeld {
@@ -98,12 +98,14 @@
 	}
 }
 
+// sameRequest reports whether two requests have the same From tag, Call-ID and CSeq.
 func sameRequest(a, b *Message) bool {
 	return a.Get("Call-ID") == b.Get("Call-ID") && a.Get("CSeq") == b.Get("CSeq") && tag(a.Get("From")) == tag(b.Get("From"))
 }
 
-// readHeaders takes class, deadline and first choice from the headers. The deadline is the class's, or Expires if shorter. A
-// class that the settings don't name is a fault of the caller: servers would not know it either.
+// readHeaders sets class, deadline and first choice of a set-up from the headers, and reports whether one is invalid. The
+// deadline is that of the class, or Expires if it is shorter. A class that is not in the settings is an error, because the
+// servers do not know it either.
 func (a *Agent) readHeaders(m *Message, setup *routing.Setup) (invalid bool) {
 	name := m.Get("X-Cos")
 	if name == "" {
@@ -131,11 +133,12 @@
 	return false
 }
 
+// response returns a response to the INVITE, with the call's tag.
 func (call *uasCall) response(status int, reason string) *Message {
 	return Respond(call.req, status, reason).Set("To", call.req.Get("To")+";tag="+call.tag)
 }
 
-// handleCancel takes a CANCEL (9.2). Whether it came before the final answer is settled by the core.
+// handleCancel handles a CANCEL (RFC 3261, 9.2). The core decides whether it arrived before the final answer.
 func (a *Agent) handleCancel(t *serverTx, m *Message) {
 	key, _ := serverKey(m, "INVITE")
 	invite := a.transactionLayer.servers[key]
@@ -160,7 +163,7 @@
 	})
 }
 
-// respondError answers an INVITE with an error.
+// respondError answers the INVITE with an error. setHeaders, if not nil, adds headers to it.
 func (call *uasCall) respondError(status int, reason string, setHeaders func(*Message)) {
 	call.agent.Post(func() {
 		call.removePending()
@@ -172,17 +175,18 @@
 	})
 }
 
-// Gone implements routing.Caller.
+// Gone implements routing.Caller. It reports whether the caller has cancelled or closed its TCP connection.
 func (call *uasCall) Gone() bool {
 	return call.cancelled.Load() || call.conn != nil && call.conn.Left()
 }
 
-// Answer implements routing.Caller: the call stands.
+// Answer implements routing.Caller: the call is established.
 func (call *uasCall) Answer(body []byte) bool {
 	call.agent.Post(func() { call.answer(body) })
-	return true // a caller that is gone shows by the ACK that never comes
+	return true // an unreachable caller is detected by its missing ACK
 }
 
+// answer sends the 2xx and retransmits it. If no ACK arrives within 64 T1, it releases the call.
 func (call *uasCall) answer(body []byte) {
 	a := call.agent
 	call.removePending()
@@ -197,7 +201,7 @@
 		r.Set("Content-Type", contentType)
 		r.Body = body
 	}
-	if !call.tx.respond(r) { // the set-up has its final answer: nobody would ever release the call
+	if !call.tx.respond(r) { // the set-up already has a final answer: the caller will never release the call
 		a.core.Hangup(call.id, routing.CauseNormal, call, nil)
 		return
 	}
@@ -206,7 +210,7 @@
 	call.retransmitAnswer(a.Timers.T1)
 	a.After(64*a.Timers.T1, func() {
 		if !call.acked && !call.released {
-			a.Log.WithField("call", call.id).Warn("SIP: no ACK to the answer, call released")
+			a.Log.WithField("call", call.id).Warn("SIP: no ACK for the answer, call released")
 			call.acked = true
 			a.core.Hangup(call.id, routing.CauseNormal, call, nil)
 			call.sendBye(routing.CauseNormal)
@@ -214,7 +218,7 @@
 	})
 }
 
-// retransmitAnswer repeats the 2xx, also over TCP: a proxy on the way may have lost it.
+// retransmitAnswer retransmits the 2xx until its ACK arrives, also over TCP, because a proxy on the path may have lost it.
 func (call *uasCall) retransmitAnswer(interval time.Duration) {
 	call.retransmitTimer = call.agent.After(interval, func() {
 		if !call.acked && !call.released {
@@ -224,7 +228,7 @@
 	})
 }
 
-// handleAck takes the ACK to the 2xx.
+// handleAck handles the ACK for the 2xx and sends a BYE that waited for it.
 func (call *uasCall) handleAck(m *Message) {
 	if call.acked {
 		return
@@ -236,7 +240,8 @@
 	}
 }
 
-// Refuse implements routing.Caller. Retry-After is in whole seconds: rounded up, so that no caller comes too early.
+// Refuse implements routing.Caller. Retry-After has a resolution of one second and is rounded up, so that no caller retries too
+// early.
 func (call *uasCall) Refuse(wait time.Duration) {
 	call.respondError(503, "Service Unavailable", func(r *Message) {
 		if wait > 0 {
@@ -251,21 +256,23 @@
 	call.respondError(500, "Server Internal Error", func(r *Message) { r.Set("Reason", reasonHeader(routing.CauseFailed)) })
 }
 
-// Release implements routing.Caller: the call is over at the server's side.
+// Release implements routing.Caller: the server has released the call.
 func (call *uasCall) Release(cause int) {
 	call.agent.Post(func() { call.sendBye(cause) })
 }
 
+// sendBye releases the call towards the caller, once its ACK has arrived.
 func (call *uasCall) sendBye(cause int) {
 	if call.released || call.dialog == nil {
 		return
 	}
 	if !call.acked {
-		call.pendingByeCause = cause // not before the ACK, or its time is over
+		call.pendingByeCause = cause // the BYE is sent when the ACK arrives or the wait for it ends
 		return
 	}
 	call.released = true
 	call.agent.hangup(call.dialog, cause)
 }
 
+// reasonHeader returns a Reason header value with a Q.850 cause.
 func reasonHeader(cause int) string { return fmt.Sprintf("Q.850;cause=%d", cause) }
