--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -39,10 +39,10 @@
 	DialTimeout  time.Duration
 	Budget       *transport.Budget
 	Dialogs      Dialogs // may be nil
-	// Seen, if not nil, is called once for each caller's TCP connection, with the caller's address. wellFormed reports whether
+	// OnFirstMessage, if not nil, is called once for each caller's TCP connection, with the caller's address. wellFormed reports whether
 	// the first message was complete and valid; it is false if the message could not be parsed or did not arrive in time. Seen
 	// may be called from any goroutine.
-	Seen func(address string, wellFormed bool)
+	OnFirstMessage func(address string, wellFormed bool)
 	// Away, if not nil, reports whether new TCP connections from a caller's address are closed immediately.
 	Away func(address string) bool
 	Log  logrus.FieldLogger
--- a/internal/protocol/sip/agent_retry_test.go
+++ b/internal/protocol/sip/agent_retry_test.go
@@ -24,33 +24,33 @@
 
 // refusingNoAgent refuses set-ups like a server that has a free processor but no free agent. Such a server is skipped and not
 // gated.
-func refusingNoAgent(p *Party, e Entry) {
-	if Is("INVITE")(e.Msg) {
-		e.Back(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
+func refusingNoAgent(p *UserAgent, e ReceivedMessage) {
+	if IsMethod("INVITE")(e.Msg) {
+		e.SendBack(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
 	}
 }
 
 // Guards against an INVITE that is retransmitted over UDP during the wait before the second attempt being taken for another
 // attempt or another call: each server receives it in one transaction.
 func TestRetransmissionDuringRetryWait(t *testing.T) {
-	servers := []*Party{New(t, refusingNoAgent), New(t, refusingNoAgent)}
+	servers := []*UserAgent{New(t, refusingNoAgent), New(t, refusingNoAgent)}
 	b := newFixture(t, 5*time.Second, host("s-1", servers[0].URI("UDP"), 0), host("s-2", servers[1].URI("UDP"), 1))
 	setRetryLimits(t, b)
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "").Set("X-Dest", "0")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
-	servers[0].Wait("ACK to the refusal", Is("ACK")) // now the call waits for its second attempt
+	servers[0].Wait("ACK to the refusal", IsMethod("ACK")) // now the call waits for its second attempt
 	for range 5 {
 		send(invite)
 	}
-	servers[1].Wait("second attempt", Is("INVITE"))
+	servers[1].Wait("second attempt", IsMethod("INVITE"))
 	caller.Wait("refusal", Status(503, "INVITE"))
 	for i, s := range servers {
-		if n := s.Transactions(Is("INVITE")); n != 1 {
+		if n := s.Transactions(IsMethod("INVITE")); n != 1 {
 			t.Errorf("server %d received %d INVITE transactions, want 1", i, n)
 		}
 	}
-	if first, second := servers[0].Wait("", Is("INVITE")).At, servers[1].Wait("", Is("INVITE")).At; second.Sub(first) < 300*time.Millisecond {
+	if first, second := servers[0].Wait("", IsMethod("INVITE")).ReceivedAt, servers[1].Wait("", IsMethod("INVITE")).ReceivedAt; second.Sub(first) < 300*time.Millisecond {
 		t.Errorf("second attempt after %v, want at least 300 ms", second.Sub(first))
 	}
 }
@@ -58,22 +58,22 @@
 // A CANCEL that arrives during the wait before the second attempt ends the call: it gets 487, and there is no second attempt.
 func TestCancelDuringRetryWait(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
-		servers := []*Party{New(t, refusingNoAgent), New(t, refusingNoAgent)}
+		servers := []*UserAgent{New(t, refusingNoAgent), New(t, refusingNoAgent)}
 		b := newFixture(t, 5*time.Second, host("s-1", servers[0].URI(proto), 0), host("s-2", servers[1].URI(proto), 1))
 		setRetryLimits(t, b)
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "").Set("X-Dest", "0")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
-		servers[0].Wait("ACK to the refusal", Is("ACK"))
+		servers[0].Wait("ACK to the refusal", IsMethod("ACK"))
 		send(sip.Request("CANCEL", invite.URI).Set("Via", invite.Get("Via")).Set("From", invite.Get("From")).
 			Set("To", invite.Get("To")).Set("Call-ID", "abc").Set("CSeq", "1 CANCEL"))
 		caller.Wait("487", Status(487, "INVITE"))
 		other := caller.Invite(proto, "next", "4712", "").Set("X-Dest", "1") // once it has made its two attempts, the wait of the first call is over
 		caller.Send(proto, b.agent.Addr(proto), other)
 		servers[0].Wait("second attempt of the next call", func(m *sip.Message) bool {
-			return Is("INVITE")(m) && strings.Contains(m.URI, "4712")
+			return IsMethod("INVITE")(m) && strings.Contains(m.URI, "4712")
 		})
-		if n := servers[1].Count(func(m *sip.Message) bool { return Is("INVITE")(m) && strings.Contains(m.URI, "4711") }); n != 0 {
+		if n := servers[1].Count(func(m *sip.Message) bool { return IsMethod("INVITE")(m) && strings.Contains(m.URI, "4711") }); n != 0 {
 			t.Errorf("a cancelled call was sent again")
 		}
 	})
@@ -92,12 +92,12 @@
 		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		caller.Send("TCP", b.agent.Addr("TCP"), caller.Invite("TCP", "abc", "1", ""))
-		server.Wait("INVITE", Is("INVITE"))
+		server.Wait("INVITE", IsMethod("INVITE"))
 		caller.Wait("100", Status(100, "INVITE"))
 		closedAt := time.Now()
 		caller.Stop()
-		if e := server.Wait("CANCEL", Is("CANCEL")); e.At.Sub(closedAt) > 100*time.Millisecond {
-			t.Errorf("cancelled after %v, want at most 100 ms", e.At.Sub(closedAt))
+		if e := server.Wait("CANCEL", IsMethod("CANCEL")); e.ReceivedAt.Sub(closedAt) > 100*time.Millisecond {
+			t.Errorf("cancelled after %v, want at most 100 ms", e.ReceivedAt.Sub(closedAt))
 		}
 	})
 }
@@ -111,7 +111,7 @@
 			caller := New(t, nil)
 			invite := caller.Invite("TCP", "abc", "1", "").Set("X-Dest", "0")
 			send := caller.Send("TCP", b.agent.Addr("TCP"), invite)
-			first.Wait("ACK", Is("ACK"))
+			first.Wait("ACK", IsMethod("ACK"))
 			if how == "close" {
 				caller.Stop()
 			} else {
@@ -121,8 +121,8 @@
 			other := New(t, nil) // a later call proves that the wait for the second attempt is over
 			time.Sleep(400 * time.Millisecond)
 			other.Send("UDP", b.agent.Addr("UDP"), other.Invite("UDP", "later", "2", "").Set("X-Dest", "1"))
-			second.Wait("INVITE", Is("INVITE"))
-			if n := second.Count(Is("INVITE")); n != 1 {
+			second.Wait("INVITE", IsMethod("INVITE"))
+			if n := second.Count(IsMethod("INVITE")); n != 1 {
 				t.Errorf("%d INVITEs at the second server, want only that of the later call", n)
 			}
 		})
@@ -136,37 +136,37 @@
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "1", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
-	e := server.Wait("INVITE", Is("INVITE"))
+	e := server.Wait("INVITE", IsMethod("INVITE"))
 	send(cancelOf(invite))
 	caller.Wait("487", Status(487, "INVITE"))
-	n := server.Count(Is("INVITE"))
-	time.Sleep(10 * quickTimers.T1)                     // time for three retransmissions
-	if more := server.Count(Is("INVITE")); more > n+1 { // one may have been in flight
+	n := server.Count(IsMethod("INVITE"))
+	time.Sleep(10 * quickTimers.T1)                           // time for three retransmissions
+	if more := server.Count(IsMethod("INVITE")); more > n+1 { // one may have been in flight
 		t.Errorf("%d copies were sent after the set-up was cancelled", more-n)
 	}
-	e.Back(server.Reply(e.Msg, 180, "Ringing", ""))
-	server.Wait("CANCEL", Is("CANCEL"))
+	e.SendBack(server.Reply(e.Msg, 180, "Ringing", ""))
+	server.Wait("CANCEL", IsMethod("CANCEL"))
 }
 
 // After TurnAway a new INVITE is refused, and an earlier one is still answered.
 func TestTurnAway(t *testing.T) {
 	forEachTransport(t, func(t *testing.T, proto string) {
 		release := make(chan struct{})
-		server := New(t, func(p *Party, e Entry) {
-			if Is("INVITE")(e.Msg) {
+		server := New(t, func(p *UserAgent, e ReceivedMessage) {
+			if IsMethod("INVITE")(e.Msg) {
 				go func() { <-release; answering(p, e) }()
 			}
 		})
 		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		first, second := New(t, nil), New(t, nil)
 		first.Send(proto, b.agent.Addr(proto), first.Invite(proto, "abc", "1", ""))
-		server.Wait("INVITE", Is("INVITE"))
+		server.Wait("INVITE", IsMethod("INVITE"))
 		b.agent.TurnAway()
 		second.Send(proto, b.agent.Addr(proto), second.Invite(proto, "def", "2", ""))
 		second.Wait("503", Status(503, "INVITE"))
 		close(release)
 		first.Wait("200", Status(200, "INVITE"))
-		if n := server.Count(Is("INVITE")); n != 1 {
+		if n := server.Count(IsMethod("INVITE")); n != 1 {
 			t.Errorf("%d INVITEs at the server, want 1", n)
 		}
 	})
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -28,7 +28,7 @@
 	var away atomic.Bool
 	server := New(t, answering)
 	b := newFixtureWith(t, 5*time.Second, func(o *sip.Options) {
-		o.Seen = func(address string, wellFormed bool) { seen <- callerObservation{address, wellFormed} }
+		o.OnFirstMessage = func(address string, wellFormed bool) { seen <- callerObservation{address, wellFormed} }
 		o.Away = func(string) bool { return away.Load() }
 	}, host("s-1", server.URI("TCP"), 0))
 	next := func(want bool) {
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -114,14 +114,14 @@
 // callerObserver returns a function that reports to Options.Seen, once, whether the first message of a caller's connection was
 // well-formed; it returns nil if Options.Seen is nil. Datagrams are not observed, because their source address can be forged.
 func (a *Agent) callerObserver(c *transport.Conn) func(wellFormed bool) {
-	if a.Seen == nil {
+	if a.OnFirstMessage == nil {
 		return nil
 	}
 	reported := false
 	return func(wellFormed bool) {
 		if !reported {
 			reported = true
-			a.Seen(transport.AddressOf(c.RemoteAddr()), wellFormed)
+			a.OnFirstMessage(transport.AddressOf(c.RemoteAddr()), wellFormed)
 		}
 	}
 }
--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -14,28 +14,28 @@
 	"beammux/internal/protocol/sip"
 )
 
-// Entry is one message that a Party received.
-type Entry struct {
-	At   time.Time // time of arrival
-	Msg  *sip.Message
-	Back func(*sip.Message) // sends a message to the source, on the same socket or connection
+// ReceivedMessage is one message that a Party received.
+type ReceivedMessage struct {
+	ReceivedAt time.Time // time of arrival
+	Msg        *sip.Message
+	SendBack   func(*sip.Message) // sends a message to the source, on the same socket or connection
 }
 
-// Party is a fake caller or server. It has a UDP socket and a TCP listener on the loopback address, each on its own port.
-type Party struct {
+// UserAgent is a fake caller or server. It has a UDP socket and a TCP listener on the loopback address, each on its own port.
+type UserAgent struct {
 	t        testing.TB
 	udp      net.PacketConn
 	listener net.Listener
 	mu       sync.Mutex
-	received []Entry
+	received []ReceivedMessage
 	arrived  chan struct{}
-	handler  func(*Party, Entry)
+	handler  func(*UserAgent, ReceivedMessage)
 	conns    []net.Conn
 }
 
 // New starts a party, which is stopped when the test ends. handler, which may be nil, is called for each message in the
 // goroutine that reads its connection.
-func New(t testing.TB, handler func(*Party, Entry)) *Party {
+func New(t testing.TB, handler func(*UserAgent, ReceivedMessage)) *UserAgent {
 	t.Helper()
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Party{t: t, udp: udp, listener: listener, arrived: make(chan struct{}), handler: handler}
+	p := &UserAgent{t: t, udp: udp, listener: listener, arrived: make(chan struct{}), handler: handler}
 	t.Cleanup(p.Stop)
 	go p.readUDP()
 	go func() {
@@ -61,14 +61,14 @@
 	return p
 }
 
-func (p *Party) addConn(c net.Conn) {
+func (p *UserAgent) addConn(c net.Conn) {
 	p.mu.Lock()
 	p.conns = append(p.conns, c)
 	p.mu.Unlock()
 }
 
 // Stop closes the party's sockets as the crash of a process does: its TCP connections are reset.
-func (p *Party) Stop() {
+func (p *UserAgent) Stop() {
 	p.udp.Close()
 	p.listener.Close()
 	p.mu.Lock()
@@ -83,7 +83,7 @@
 }
 
 // Addr returns the party's address for the transport "UDP" or "TCP".
-func (p *Party) Addr(proto string) string {
+func (p *UserAgent) Addr(proto string) string {
 	if proto == "UDP" {
 		return p.udp.LocalAddr().String()
 	}
@@ -91,11 +91,11 @@
 }
 
 // URI returns the party's address as a SIP URI, as used for servers.
-func (p *Party) URI(proto string) string {
+func (p *UserAgent) URI(proto string) string {
 	return "sip:" + p.Addr(proto) + ";transport=" + strings.ToLower(proto)
 }
 
-func (p *Party) readUDP() {
+func (p *UserAgent) readUDP() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := p.udp.ReadFrom(buf)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (p *Party) readTCP(c net.Conn) {
+func (p *UserAgent) readTCP(c net.Conn) {
 	r := sip.NewReader(bufio.NewReaderSize(c, sip.MaxMessage))
 	for {
 		m, err := r.Next()
@@ -119,8 +119,8 @@
 	}
 }
 
-func (p *Party) receive(m *sip.Message, send func(*sip.Message)) {
-	e := Entry{time.Now(), m, send}
+func (p *UserAgent) receive(m *sip.Message, send func(*sip.Message)) {
+	e := ReceivedMessage{time.Now(), m, send}
 	p.mu.Lock()
 	p.received = append(p.received, e)
 	close(p.arrived)
@@ -131,16 +131,16 @@
 	}
 }
 
-// Log returns the messages received so far, in order of arrival.
-func (p *Party) Log() []Entry {
+// Received returns the messages received so far, in order of arrival.
+func (p *UserAgent) Received() []ReceivedMessage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Entry(nil), p.received...)
+	return append([]ReceivedMessage(nil), p.received...)
 }
 
 // Count returns the number of received messages that match.
-func (p *Party) Count(matches func(*sip.Message) bool) (n int) {
-	for _, e := range p.Log() {
+func (p *UserAgent) Count(matches func(*sip.Message) bool) (n int) {
+	for _, e := range p.Received() {
 		if matches(e.Msg) {
 			n++
 		}
@@ -151,9 +151,9 @@
 // Transactions returns the number of transactions among the received messages that match. Messages with the same topmost Via
 // belong to the same transaction (RFC 3261, 17.2.3). Over UDP a request that is not answered within T1 is retransmitted in its
 // transaction.
-func (p *Party) Transactions(matches func(*sip.Message) bool) int {
+func (p *UserAgent) Transactions(matches func(*sip.Message) bool) int {
 	seen := map[string]bool{}
-	for _, e := range p.Log() {
+	for _, e := range p.Received() {
 		if matches(e.Msg) {
 			seen[e.Msg.Get("Via")] = true
 		}
@@ -163,7 +163,7 @@
 
 // Wait returns the first message that matches. It waits up to 10 s for it and then fails the test; description names the message
 // in the failure.
-func (p *Party) Wait(description string, matches func(*sip.Message) bool) Entry {
+func (p *UserAgent) Wait(description string, matches func(*sip.Message) bool) ReceivedMessage {
 	p.t.Helper()
 	timeout := time.After(10 * time.Second)
 	for {
@@ -183,9 +183,9 @@
 	}
 }
 
-func (p *Party) summary() string {
+func (p *UserAgent) summary() string {
 	var b strings.Builder
-	for _, e := range p.Log() {
+	for _, e := range p.Received() {
 		fmt.Fprintf(&b, "[%s%d %s] ", e.Msg.Method, e.Msg.Status, e.Msg.Get("CSeq"))
 	}
 	return b.String()
@@ -193,7 +193,7 @@
 
 // Send sends a message to an address, over TCP on a new connection. It returns a function that sends further messages on the
 // same socket or connection.
-func (p *Party) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
+func (p *UserAgent) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
 	p.t.Helper()
 	var send func(*sip.Message)
 	if proto == "UDP" {
@@ -216,7 +216,7 @@
 }
 
 // Invite returns a caller's INVITE. callID also makes its branch and its From tag unique.
-func (p *Party) Invite(proto, callID, key, body string) *sip.Message {
+func (p *UserAgent) Invite(proto, callID, key, body string) *sip.Message {
 	m := sip.Request("INVITE", "sip:"+key+"@beammux").
 		Set("Via", "SIP/2.0/"+proto+" "+p.Addr(proto)+";rport;branch=z9hG4bK"+callID).
 		Set("Max-Forwards", "70").Set("From", "<sip:caller@test>;tag=c"+callID).Set("To", "<sip:"+key+"@beammux>").
@@ -226,8 +226,8 @@
 	return m
 }
 
-// Within returns a caller's request inside the dialog that the answer to its INVITE opened. number is the CSeq number.
-func Within(invite, answer *sip.Message, method string, number int) *sip.Message {
+// InDialog returns a caller's request inside the dialog that the answer to its INVITE opened. number is the CSeq number.
+func InDialog(invite, answer *sip.Message, method string, number int) *sip.Message {
 	uri := answer.Get("Contact")
 	uri = strings.Trim(uri, "<>")
 	if uri == "" {
@@ -239,7 +239,7 @@
 }
 
 // Reply returns a server's response, with the To tag and the Contact that a dialog needs.
-func (p *Party) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
+func (p *UserAgent) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
 	r := sip.Respond(req, status, reason)
 	if status > 100 && !strings.Contains(r.Get("To"), "tag=") {
 		r.Set("To", r.Get("To")+";tag=s"+req.Get("Call-ID"))
@@ -253,16 +253,16 @@
 	return r
 }
 
-// Bye returns the BYE of a server that answered an INVITE. cause is the Q.850 cause in the Reason header.
-func Bye(invite, answer *sip.Message, cause int) *sip.Message {
+// ServerBye returns the BYE of a server that answered an INVITE. cause is the Q.850 cause in the Reason header.
+func ServerBye(invite, answer *sip.Message, cause int) *sip.Message {
 	contact := strings.Trim(invite.Get("Contact"), "<>")
 	return sip.Request("BYE", contact).Set("Via", answer.Get("Via")+"bye").Set("Max-Forwards", "70").
 		Set("From", answer.Get("To")).Set("To", invite.Get("From")).Set("Call-ID", invite.Get("Call-ID")).
 		Set("CSeq", "1 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
 }
 
-// Is returns a function that reports whether a message is a request with the method.
-func Is(method string) func(*sip.Message) bool {
+// IsMethod returns a function that reports whether a message is a request with the method.
+func IsMethod(method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool { return m.IsRequest() && m.Method == method }
 }
 
