--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -15,8 +15,11 @@
 
 // Core is the part of the routing core that an Agent uses. routing.Core implements it.
 type Core interface {
+	// Open starts a call.
 	Open(routing.Setup, routing.Caller)
+	// Withdraw gives up a call on behalf of its caller. inTime reports whether it had no final answer yet.
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
+	// Hangup ends a call from the caller's side. known reports whether the core knew the call. caller and done may be nil.
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
 	// Unreadable counts a set-up that the agent refused without passing it to the core. class is the index of its class in the
 	// settings, or -1 if the class is unknown.
@@ -25,7 +28,9 @@
 
 // Dialogs persists records of established dialogs, so that they can be restored after a restart. Its methods must not block.
 type Dialogs interface {
+	// Put stores a record, and replaces an earlier one with the same key.
 	Put(key string, value []byte)
+	// Delete removes a record.
 	Delete(key string)
 }
 
@@ -39,9 +44,9 @@
 	DialTimeout  time.Duration
 	Budget       *transport.Budget
 	Dialogs      Dialogs // may be nil
-	// OnFirstMessage, if not nil, is called once for each caller's TCP connection, with the caller's address. wellFormed reports whether
-	// the first message was complete and valid; it is false if the message could not be parsed or did not arrive in time. Seen
-	// may be called from any goroutine.
+	// OnFirstMessage, if not nil, is called once for each caller's TCP connection, with the caller's address. wellFormed reports
+	// whether the first message was complete and valid; it is false if the message could not be parsed or did not arrive in
+	// time. OnFirstMessage may be called from any goroutine.
 	OnFirstMessage func(address string, wellFormed bool)
 	// Away, if not nil, reports whether new TCP connections from a caller's address are closed immediately.
 	Away func(address string) bool
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -14,7 +14,7 @@
 	. "beammux/internal/protocol/sip/siptest"
 )
 
-// callerObservation holds the arguments of one call of Options.Seen.
+// callerObservation holds the arguments of one call of Options.OnFirstMessage.
 type callerObservation struct {
 	address    string
 	wellFormed bool
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -111,8 +111,9 @@
 // serveTCP reads a caller's connection until it ends.
 func (a *Agent) serveTCP(c *transport.Conn) { a.readTCP(c, nil, a.callerObserver(c)) }
 
-// callerObserver returns a function that reports to Options.Seen, once, whether the first message of a caller's connection was
-// well-formed; it returns nil if Options.Seen is nil. Datagrams are not observed, because their source address can be forged.
+// callerObserver returns a function that reports to Options.OnFirstMessage, once, whether the first message of a caller's
+// connection was well-formed. It returns nil if Options.OnFirstMessage is nil. Datagrams are not observed, because their source
+// address can be forged.
 func (a *Agent) callerObserver(c *transport.Conn) func(wellFormed bool) {
 	if a.OnFirstMessage == nil {
 		return nil
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -56,7 +56,7 @@
 	dialer      *PlatformDialer
 	conn        *transport.Conn
 	events      routing.ServerEvents
-	mu          sync.Mutex
+	mu          sync.Mutex               // guards the fields below
 	inFlight    map[string]platformSetup // set-ups without a final response, by Call-ID
 	lastMessage time.Time                // when the last message arrived
 	lastReport  time.Time                // when the last NOTIFY arrived
@@ -79,6 +79,7 @@
 	maxGaps             = 4                      // number of recent report intervals that are kept
 )
 
+// errSilent is the error of a silent connection; see maxSilence.
 var errSilent = errors.New("connection is silent")
 
 // platformRequest returns a request to a menu server. cseq is the method in the CSeq header.
@@ -229,8 +230,8 @@
 		c.writeMessage(Respond(m, 200, "OK"))
 		c.events.Released(id, cause(m), c.report(m))
 	case "NOTIFY":
-		if row := c.report(m); row != nil {
-			c.events.Report(row)
+		if values := c.report(m); values != nil {
+			c.events.Report(values)
 		}
 	case "OPTIONS":
 		c.writeMessage(Respond(m, 200, "OK"))
@@ -260,8 +261,8 @@
 		c.events.Answered(setup.Attempt, bytes.Clone(m.Body))
 		return
 	}
-	o := routing.Outcome{Code: platformCode(m.Status), Reason: diagnosisReasons[diagnosis(m)], Report: c.report(m)}
-	c.events.Failed(setup.Attempt, o)
+	outcome := routing.Outcome{Code: platformCode(m.Status), Reason: diagnosisReasons[diagnosis(m)], Report: c.report(m)}
+	c.events.Failed(setup.Attempt, outcome)
 }
 
 // platformCode maps an error status of a menu server to the result of the attempt: with 503 the server did not start the
--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -14,7 +14,7 @@
 	"beammux/internal/protocol/sip"
 )
 
-// ReceivedMessage is one message that a Party received.
+// ReceivedMessage is one message that a UserAgent received.
 type ReceivedMessage struct {
 	ReceivedAt time.Time // time of arrival
 	Msg        *sip.Message
@@ -28,12 +28,12 @@
 	listener net.Listener
 	mu       sync.Mutex
 	received []ReceivedMessage
-	arrived  chan struct{}
+	arrived  chan struct{} // closed and replaced when a message arrives
 	handler  func(*UserAgent, ReceivedMessage)
-	conns    []net.Conn
+	conns    []net.Conn // accepted and dialed TCP connections
 }
 
-// New starts a party, which is stopped when the test ends. handler, which may be nil, is called for each message in the
+// New starts a user agent, which is stopped when the test ends. handler, which may be nil, is called for each message in the
 // goroutine that reads its connection.
 func New(t testing.TB, handler func(*UserAgent, ReceivedMessage)) *UserAgent {
 	t.Helper()
@@ -45,102 +45,105 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &UserAgent{t: t, udp: udp, listener: listener, arrived: make(chan struct{}), handler: handler}
-	t.Cleanup(p.Stop)
-	go p.readUDP()
+	ua := &UserAgent{t: t, udp: udp, listener: listener, arrived: make(chan struct{}), handler: handler}
+	t.Cleanup(ua.Stop)
+	go ua.readUDP()
 	go func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			p.addConn(c)
-			go p.readTCP(c)
+			ua.addConn(c)
+			go ua.readTCP(c)
 		}
 	}()
-	return p
+	return ua
 }
 
-func (p *UserAgent) addConn(c net.Conn) {
-	p.mu.Lock()
-	p.conns = append(p.conns, c)
-	p.mu.Unlock()
+func (ua *UserAgent) addConn(c net.Conn) {
+	ua.mu.Lock()
+	ua.conns = append(ua.conns, c)
+	ua.mu.Unlock()
 }
 
-// Stop closes the party's sockets as the crash of a process does: its TCP connections are reset.
-func (p *UserAgent) Stop() {
-	p.udp.Close()
-	p.listener.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.conns {
+// Stop closes the user agent's sockets as the crash of a process does: its TCP connections are reset.
+func (ua *UserAgent) Stop() {
+	ua.udp.Close()
+	ua.listener.Close()
+	ua.mu.Lock()
+	defer ua.mu.Unlock()
+	for _, c := range ua.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0) // close with a reset
 		}
 		c.Close()
 	}
-	p.conns = nil
+	ua.conns = nil
 }
 
-// Addr returns the party's address for the transport "UDP" or "TCP".
-func (p *UserAgent) Addr(proto string) string {
+// Addr returns the user agent's address for the transport "UDP" or "TCP".
+func (ua *UserAgent) Addr(proto string) string {
 	if proto == "UDP" {
-		return p.udp.LocalAddr().String()
+		return ua.udp.LocalAddr().String()
 	}
-	return p.listener.Addr().String()
+	return ua.listener.Addr().String()
 }
 
-// URI returns the party's address as a SIP URI, as used for servers.
-func (p *UserAgent) URI(proto string) string {
-	return "sip:" + p.Addr(proto) + ";transport=" + strings.ToLower(proto)
+// URI returns the user agent's address as a SIP URI, as used for servers.
+func (ua *UserAgent) URI(proto string) string {
+	return "sip:" + ua.Addr(proto) + ";transport=" + strings.ToLower(proto)
 }
 
-func (p *UserAgent) readUDP() {
+// readUDP reads datagrams until the socket is closed, and ignores malformed ones.
+func (ua *UserAgent) readUDP() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := p.udp.ReadFrom(buf)
+		n, from, err := ua.udp.ReadFrom(buf)
 		if err != nil {
 			return
 		}
 		if m, err := sip.Parse(buf[:n]); err == nil {
-			p.receive(m, func(r *sip.Message) { p.udp.WriteTo(r.Append(nil), from) })
+			ua.receive(m, func(r *sip.Message) { ua.udp.WriteTo(r.Append(nil), from) })
 		}
 	}
 }
 
-func (p *UserAgent) readTCP(c net.Conn) {
+// readTCP reads a connection until it fails.
+func (ua *UserAgent) readTCP(c net.Conn) {
 	r := sip.NewReader(bufio.NewReaderSize(c, sip.MaxMessage))
 	for {
 		m, err := r.Next()
 		if err != nil {
 			return
 		}
-		p.receive(m, func(r *sip.Message) { c.Write(r.Append(nil)) })
+		ua.receive(m, func(r *sip.Message) { c.Write(r.Append(nil)) })
 	}
 }
 
-func (p *UserAgent) receive(m *sip.Message, send func(*sip.Message)) {
+// receive records a message and calls the handler.
+func (ua *UserAgent) receive(m *sip.Message, send func(*sip.Message)) {
 	e := ReceivedMessage{time.Now(), m, send}
-	p.mu.Lock()
-	p.received = append(p.received, e)
-	close(p.arrived)
-	p.arrived = make(chan struct{})
-	p.mu.Unlock()
-	if p.handler != nil {
-		p.handler(p, e)
+	ua.mu.Lock()
+	ua.received = append(ua.received, e)
+	close(ua.arrived)
+	ua.arrived = make(chan struct{})
+	ua.mu.Unlock()
+	if ua.handler != nil {
+		ua.handler(ua, e)
 	}
 }
 
 // Received returns the messages received so far, in order of arrival.
-func (p *UserAgent) Received() []ReceivedMessage {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]ReceivedMessage(nil), p.received...)
+func (ua *UserAgent) Received() []ReceivedMessage {
+	ua.mu.Lock()
+	defer ua.mu.Unlock()
+	return append([]ReceivedMessage(nil), ua.received...)
 }
 
 // Count returns the number of received messages that match.
-func (p *UserAgent) Count(matches func(*sip.Message) bool) (n int) {
-	for _, e := range p.Received() {
+func (ua *UserAgent) Count(matches func(*sip.Message) bool) (n int) {
+	for _, e := range ua.Received() {
 		if matches(e.Msg) {
 			n++
 		}
@@ -151,9 +154,9 @@
 // Transactions returns the number of transactions among the received messages that match. Messages with the same topmost Via
 // belong to the same transaction (RFC 3261, 17.2.3). Over UDP a request that is not answered within T1 is retransmitted in its
 // transaction.
-func (p *UserAgent) Transactions(matches func(*sip.Message) bool) int {
+func (ua *UserAgent) Transactions(matches func(*sip.Message) bool) int {
 	seen := map[string]bool{}
-	for _, e := range p.Received() {
+	for _, e := range ua.Received() {
 		if matches(e.Msg) {
 			seen[e.Msg.Get("Via")] = true
 		}
@@ -163,13 +166,13 @@
 
 // Wait returns the first message that matches. It waits up to 10 s for it and then fails the test; description names the message
 // in the failure.
-func (p *UserAgent) Wait(description string, matches func(*sip.Message) bool) ReceivedMessage {
-	p.t.Helper()
+func (ua *UserAgent) Wait(description string, matches func(*sip.Message) bool) ReceivedMessage {
+	ua.t.Helper()
 	timeout := time.After(10 * time.Second)
 	for {
-		p.mu.Lock()
-		received, next := p.received, p.arrived
-		p.mu.Unlock()
+		ua.mu.Lock()
+		received, next := ua.received, ua.arrived
+		ua.mu.Unlock()
 		for _, e := range received {
 			if matches(e.Msg) {
 				return e
@@ -178,14 +181,15 @@
 		select {
 		case <-next:
 		case <-timeout:
-			p.t.Fatalf("no %s arrived; received %s", description, p.summary())
+			ua.t.Fatalf("no %s arrived; received %s", description, ua.summary())
 		}
 	}
 }
 
-func (p *UserAgent) summary() string {
+// summary lists the received messages for a failure report.
+func (ua *UserAgent) summary() string {
 	var b strings.Builder
-	for _, e := range p.Received() {
+	for _, e := range ua.Received() {
 		fmt.Fprintf(&b, "[%s%d %s] ", e.Msg.Method, e.Msg.Status, e.Msg.Get("CSeq"))
 	}
 	return b.String()
@@ -193,22 +197,22 @@
 
 // Send sends a message to an address, over TCP on a new connection. It returns a function that sends further messages on the
 // same socket or connection.
-func (p *UserAgent) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
-	p.t.Helper()
+func (ua *UserAgent) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
+	ua.t.Helper()
 	var send func(*sip.Message)
 	if proto == "UDP" {
 		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
-			p.t.Fatal(err)
+			ua.t.Fatal(err)
 		}
-		send = func(m *sip.Message) { p.udp.WriteTo(m.Append(nil), to) }
+		send = func(m *sip.Message) { ua.udp.WriteTo(m.Append(nil), to) }
 	} else {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
-			p.t.Fatal(err)
+			ua.t.Fatal(err)
 		}
-		p.addConn(c)
-		go p.readTCP(c)
+		ua.addConn(c)
+		go ua.readTCP(c)
 		send = func(m *sip.Message) { c.Write(m.Append(nil)) }
 	}
 	send(m)
@@ -216,12 +220,12 @@
 }
 
 // Invite returns a caller's INVITE. callID also makes its branch and its From tag unique.
-func (p *UserAgent) Invite(proto, callID, key, body string) *sip.Message {
+func (ua *UserAgent) Invite(proto, callID, key, body string) *sip.Message {
 	m := sip.Request("INVITE", "sip:"+key+"@beammux").
-		Set("Via", "SIP/2.0/"+proto+" "+p.Addr(proto)+";rport;branch=z9hG4bK"+callID).
+		Set("Via", "SIP/2.0/"+proto+" "+ua.Addr(proto)+";rport;branch=z9hG4bK"+callID).
 		Set("Max-Forwards", "70").Set("From", "<sip:caller@test>;tag=c"+callID).Set("To", "<sip:"+key+"@beammux>").
 		Set("Call-ID", callID).Set("CSeq", "1 INVITE").
-		Set("Contact", "<sip:caller@"+p.Addr(proto)+";transport="+strings.ToLower(proto)+">")
+		Set("Contact", "<sip:caller@"+ua.Addr(proto)+";transport="+strings.ToLower(proto)+">")
 	m.Body = []byte(body)
 	return m
 }
@@ -239,7 +243,7 @@
 }
 
 // Reply returns a server's response, with the To tag and the Contact that a dialog needs.
-func (p *UserAgent) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
+func (ua *UserAgent) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
 	r := sip.Respond(req, status, reason)
 	if status > 100 && !strings.Contains(r.Get("To"), "tag=") {
 		r.Set("To", r.Get("To")+";tag=s"+req.Get("Call-ID"))
@@ -248,7 +252,7 @@
 	if strings.Contains(req.Get("Via"), "/UDP") {
 		proto = "UDP"
 	}
-	r.Set("Contact", "<sip:server@"+p.Addr(proto)+";transport="+strings.ToLower(proto)+">")
+	r.Set("Contact", "<sip:server@"+ua.Addr(proto)+";transport="+strings.ToLower(proto)+">")
 	r.Body = []byte(body)
 	return r
 }
@@ -269,7 +273,7 @@
 // Status returns a function that reports whether a message is a response with the status to a request with the method.
 func Status(status int, method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool {
-		_, to, _ := m.CSeq()
-		return m.Status == status && to == method
+		_, cseqMethod, _ := m.CSeq()
+		return m.Status == status && cseqMethod == method
 	}
 }
--- a/internal/protocol/sip/transaction.go
+++ b/internal/protocol/sip/transaction.go
@@ -43,12 +43,13 @@
 	terminated                // all machines
 )
 
-// transactionLayer holds the client and server transactions. It is owned by one actor: all methods and timer functions run there.
+// transactionLayer holds the client and server transactions. It is owned by one actor, which runs all methods and timer
+// functions.
 type transactionLayer struct {
 	after   func(time.Duration, func()) *time.Timer
 	t       Timers
-	clients map[string]*clientTx
-	servers map[string]*serverTx
+	clients map[string]*clientTx // by branch and method
+	servers map[string]*serverTx // by serverKey
 }
 
 func newTransactionLayer(t Timers, after func(time.Duration, func()) *time.Timer) *transactionLayer {
@@ -71,13 +72,13 @@
 	layer             *transactionLayer
 	key               string
 	req               *Message
-	data              []byte
+	data              []byte // the encoded request
 	flow              flow
 	state             txState
 	timers            timers
 	stillWanted       func() bool
-	retransmitStopped bool // cancelled before any response: the request is not retransmitted, but a late response is still handled
-	ack               []byte
+	retransmitStopped bool   // cancelled before any response: the request is not retransmitted, but a late response is still handled
+	ack               []byte // the encoded ACK for an error response
 	onResponse        func(*Message)
 	onEnd             func(error) // called if the transaction ends without a final response
 }
--- a/internal/protocol/sip/uac.go
+++ b/internal/protocol/sip/uac.go
@@ -152,17 +152,17 @@
 		u.handleAnswer(m)
 	default:
 		u.forget()
-		o := routing.Outcome{Code: finalCode(m.Status), Reason: diagnosisReasons[diagnosis(m)],
+		outcome := routing.Outcome{Code: finalCode(m.Status), Reason: diagnosisReasons[diagnosis(m)],
 			Report: parseReport(m.Get("X-Occupancy"), a.Reports)}
 		if m.Status == 486 || m.Status == 600 {
-			o.Reason = control.LinesBusy
+			outcome.Reason = control.LinesBusy
 		}
-		if o.Code == control.Full {
+		if outcome.Code == control.Full {
 			if n, err := strconv.ParseUint(strings.TrimSpace(strings.SplitN(m.Get("Retry-After"), ";", 2)[0]), 10, 16); err == nil {
-				o.RetryAfter = control.Micros(n) * 1e6
+				outcome.RetryAfter = control.Micros(n) * 1e6
 			}
 		}
-		u.conn.events.Failed(u.attempt, o)
+		u.conn.events.Failed(u.attempt, outcome)
 	}
 }
 
@@ -190,8 +190,8 @@
 	}
 	a.addDialog(d)
 	a.sendAck(d)
-	if row := parseReport(m.Get("X-Occupancy"), a.Reports); row != nil {
-		u.conn.events.Report(row)
+	if values := parseReport(m.Get("X-Occupancy"), a.Reports); values != nil {
+		u.conn.events.Report(values)
 	}
 	u.conn.events.Answered(u.attempt, m.Body)
 }
