--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -16,7 +16,7 @@
 	"beammux/internal/transport"
 )
 
-// quickTimers keep the tests short. Their proportions are close to those of RFC 3261.
+// quickTimers keep the tests short. Their proportions are those of RFC 3261.
 var quickTimers = sip.Timers{T1: 20 * time.Millisecond, T2: 160 * time.Millisecond, T4: 200 * time.Millisecond}
 
 // fixture is an agent with a core and a server list.
