--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -21,9 +21,9 @@
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
 	// Hangup ends a call from the caller's side. known reports whether the core knew the call. caller and done may be nil.
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	// Unreadable counts a set-up that the agent refused without passing it to the core. class is the index of its class in the
+	// CountMalformed counts a set-up that the agent refused without passing it to the core. class is the index of its class in the
 	// settings, or -1 if the class is unknown.
-	Unreadable(class int)
+	CountMalformed(class int)
 }
 
 // Dialogs persists records of established dialogs, so that they can be restored after a restart. Its methods must not block.
@@ -48,9 +48,9 @@
 	// whether the first message was complete and valid; it is false if the message could not be parsed or did not arrive in
 	// time. OnFirstMessage may be called from any goroutine.
 	OnFirstMessage func(address string, wellFormed bool)
-	// Away, if not nil, reports whether new TCP connections from a caller's address are closed immediately.
-	Away func(address string) bool
-	Log  logrus.FieldLogger
+	// IsBlocked, if not nil, reports whether new TCP connections from a caller's address are closed immediately.
+	IsBlocked func(address string) bool
+	Log       logrus.FieldLogger
 }
 
 // Agent is a back-to-back user agent (RFC 3261, 6): it serves SIP callers on one side and provides the core's connections to
@@ -102,7 +102,7 @@
 			}
 			return err
 		}
-		listener.Away = a.Away
+		listener.IsBlocked = a.IsBlocked
 		a.tcp = listener
 	}
 	return nil
--- a/internal/protocol/sip/agent_dialogs.go
+++ b/internal/protocol/sip/agent_dialogs.go
@@ -111,7 +111,7 @@
 func (a *Agent) dialogFlow(d *dialog, done func(flow, error)) {
 	if t, ok := d.flow.(*tcpFlow); ok && len(d.Routes) == 0 {
 		select {
-		case <-t.conn.Gone():
+		case <-t.conn.Closed():
 		default:
 			done(d.flow, nil)
 			return
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -57,7 +57,7 @@
 	agent.Serve()
 	t.Cleanup(agent.Close)
 	b := &fixture{agent, core, routing.NewList(core, agent, log)}
-	b.apply(routing.Update{Whole: true, Hosts: servers})
+	b.apply(routing.Update{Complete: true, Hosts: servers})
 	return b
 }
 
@@ -343,7 +343,7 @@
 	caller.Wait("answer on a good connection", Status(200, "INVITE"))
 	// Each failed set-up counts in error_total, over both transports: three are rejected while they are parsed (no From tag,
 	// CSeq of another method, too long) and three by the agent (scheme, extension, Expires). PUBLISH and BYE are not set-ups.
-	if n := b.core.Figures().Class(0).Error.Load(); n != 12 {
+	if n := b.core.Stats().Class(0).Error.Load(); n != 12 {
 		t.Errorf("error_total of menu-view is %d, want 12", n)
 	}
 }
@@ -463,7 +463,7 @@
 		t.Errorf("%d set-ups reached the server, want none", n)
 	}
 	// Each failed set-up counts in error_total of its class, as on the JSON front.
-	f := b.core.Figures()
+	f := b.core.Stats()
 	if own, other := f.Class(0).Error.Load(), f.Class(-1).Error.Load(); own != 3 || other != 1 {
 		t.Errorf("error_total: menu-view %d, want 3; unknown class %d, want 1", own, other)
 	}
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -29,7 +29,7 @@
 	server := New(t, answering)
 	b := newFixtureWith(t, 5*time.Second, func(o *sip.Options) {
 		o.OnFirstMessage = func(address string, wellFormed bool) { seen <- callerObservation{address, wellFormed} }
-		o.Away = func(string) bool { return away.Load() }
+		o.IsBlocked = func(string) bool { return away.Load() }
 	}, host("s-1", server.URI("TCP"), 0))
 	next := func(want bool) {
 		t.Helper()
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -38,7 +38,7 @@
 }
 
 func (f *tcpFlow) send(data []byte, stillWanted func() bool, done func(error)) error {
-	p := transport.Packet{Data: data, Still: stillWanted}
+	p := transport.Packet{Data: data, StillWanted: stillWanted}
 	if done != nil {
 		p.Done = func(err error) {
 			if err != nil {
@@ -142,7 +142,7 @@
 	for {
 		m, err := r.Next()
 		if err == nil {
-			c.Spoke()
+			c.NoteMessage()
 			observe(true)
 			if first {
 				first = false
@@ -168,7 +168,7 @@
 			if a.tcpConns[key] == c {
 				delete(a.tcpConns, key)
 			}
-			if c.Left() {
+			if c.PeerClosed() {
 				a.withdrawCalls(c)
 			}
 			c.Finish()
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -102,7 +102,7 @@
 	}
 	m.Set("X-Timer-Ms", strconv.FormatInt(max(1, time.Until(a.Deadline).Milliseconds()), 10))
 	m.Body = a.Body
-	c.conn.Send(transport.Packet{Data: m.Append(nil), Still: stillWanted, Done: func(err error) {
+	c.conn.Send(transport.Packet{Data: m.Append(nil), StillWanted: stillWanted, Done: func(err error) {
 		if err == transport.ErrDropped {
 			c.mu.Lock()
 			delete(c.inFlight, a.ID())
@@ -129,7 +129,7 @@
 	}
 	if ok {
 		// No CANCEL is sent if the set-up, which is ahead of it in the write queue, was dropped unsent.
-		c.conn.Send(transport.Packet{Data: platformRequest("CANCEL", id, setup.Key, "CANCEL").Append(nil), Still: func() bool {
+		c.conn.Send(transport.Packet{Data: platformRequest("CANCEL", id, setup.Key, "CANCEL").Append(nil), StillWanted: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.inFlight[id].cancelled
--- a/internal/protocol/sip/uas.go
+++ b/internal/protocol/sip/uas.go
@@ -63,7 +63,7 @@
 	setup := routing.Setup{ID: call.id, Tenant: -1, Key: target.user, FirstChoice: -1, Body: m.Body, Excess: a.refusing}
 	invalid := a.readHeaders(m, &setup)
 	refuseUnreadable := func(status int, reason string, header ...string) { // counted in error_total, as on the JSON front
-		a.core.Unreadable(setup.Class)
+		a.core.CountMalformed(setup.Class)
 		refuse(status, reason, header...)
 	}
 	switch {
@@ -122,7 +122,7 @@
 		}
 		remaining = min(remaining, time.Duration(n)*time.Second)
 	}
-	setup.Left = remaining
+	setup.TimeLeft = remaining
 	if v := m.Get("X-Dest"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil {
@@ -177,7 +177,7 @@
 
 // Gone implements routing.Caller. It reports whether the caller has cancelled or closed its TCP connection.
 func (call *uasCall) Gone() bool {
-	return call.cancelled.Load() || call.conn != nil && call.conn.Left()
+	return call.cancelled.Load() || call.conn != nil && call.conn.PeerClosed()
 }
 
 // Answer implements routing.Caller: the call is established.
