--- a/internal/protocol/sip/agent_dialogs.go
+++ b/internal/protocol/sip/agent_dialogs.go
@@ -6,47 +6,50 @@
 	"beammux/internal/routing"
 )
 
+// addDialog registers an established dialog and persists it.
 func (a *Agent) addDialog(d *dialog) {
 	a.dialogs[d.key()] = d
-	a.byID[d.storeKey()] = d
+	a.dialogsByID[d.storeKey()] = d
 	if a.Dialogs != nil {
 		a.Dialogs.Put(d.storeKey(), d.record())
 	}
 }
 
+// dropDialog removes a dialog and its stored record.
 func (a *Agent) dropDialog(d *dialog) {
 	d.ended = true
 	delete(a.dialogs, d.key())
-	if a.byID[d.storeKey()] == d {
-		delete(a.byID, d.storeKey())
+	if a.dialogsByID[d.storeKey()] == d {
+		delete(a.dialogsByID, d.storeKey())
 	}
 	if a.Dialogs != nil {
 		a.Dialogs.Delete(d.storeKey())
 	}
 }
 
-// Restore takes back a dialog that stood before this process started.
+// Restore registers a dialog that was established before this process started, from its stored record.
 func (a *Agent) Restore(record []byte) error {
 	d := &dialog{}
 	if err := json.Unmarshal(record, d); err != nil {
 		return err
 	}
 	a.Post(func() {
-		if a.byID[d.storeKey()] != nil {
-			return // of this process
+		if a.dialogsByID[d.storeKey()] != nil {
+			return // already registered by this process
 		}
-		// Requests that were sent and not recorded must not have their numbers used again.
+		// The record does not count requests sent after the dialog was established; the gap keeps their CSeq numbers from
+		// being reused.
 		d.LocalSeq += 16
 		a.dialogs[d.key()] = d
-		a.byID[d.storeKey()] = d
+		a.dialogsByID[d.storeKey()] = d
 	})
 	return nil
 }
 
-// Orphan ends the caller's side of a call that only the store remembers. otherwise runs if it does not.
+// Orphan ends the caller's side of a call that is known only from the store. If there is no such dialog, it calls otherwise.
 func (a *Agent) Orphan(id string, cause int, otherwise func()) {
 	a.Post(func() {
-		if d := a.byID[id+"/caller"]; d != nil {
+		if d := a.dialogsByID[id+"/caller"]; d != nil {
 			a.hangup(d, cause)
 		} else if otherwise != nil {
 			otherwise()
@@ -54,75 +57,76 @@
 	})
 }
 
-// OrphanHangup ends the server's side of a call that only the store remembers: its caller has hung up.
+// OrphanHangup ends the server's side of a call that is known only from the store, after its caller hung up.
 func (a *Agent) OrphanHangup(id string, cause int) {
 	a.Post(func() {
-		if d := a.byID[id+"/server"]; d != nil {
+		if d := a.dialogsByID[id+"/server"]; d != nil {
 			a.hangup(d, cause)
 		}
 	})
 }
 
-// hangup ends a dialog by BYE, once.
+// hangup ends a dialog by a BYE. Further calls do nothing.
 func (a *Agent) hangup(d *dialog, cause int) {
 	if d.ended {
 		return
 	}
 	d.ended = true
-	a.inDialog(d, "BYE", cause, func() { a.dropDialog(d) })
+	a.sendInDialog(d, "BYE", cause, func() { a.dropDialog(d) })
 }
 
-// inDialog sends a request inside a dialog on the flow that it has, or on a new one to its next hop.
-func (a *Agent) inDialog(d *dialog, method string, cause int, then func()) {
+// sendInDialog sends a request inside a dialog. done, which may be nil, runs once the transaction has ended or could not start.
+func (a *Agent) sendInDialog(d *dialog, method string, cause int, done func()) {
 	m := d.request(method)
 	if cause > 0 {
 		m.Set("Reason", reasonHeader(cause))
 	}
 	a.dialogFlow(d, func(f flow, err error) {
 		if err != nil {
-			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: " + method + " can't be sent")
-			if then != nil {
-				then()
+			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: " + method + " could not be sent")
+			if done != nil {
+				done()
 			}
 			return
 		}
 		m.Set("Via", a.newVia(f.proto()))
 		end := func() {
-			if then != nil {
-				then()
+			if done != nil {
+				done()
 			}
 		}
-		a.layer.request(m, f, nil, func(r *Message) {
+		a.transactionLayer.request(m, f, nil, func(r *Message) {
 			if r.Status >= 200 {
 				end()
 			}
 		}, func(err error) {
-			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: no answer to " + method)
+			a.Log.WithError(err).WithField("call", d.ID).Warn("SIP: no final response to " + method)
 			end()
 		})
 	})
 }
 
-// dialogFlow passes then the flow for a request inside a dialog: the dialog's connection while it is open, else its next hop.
-func (a *Agent) dialogFlow(d *dialog, then func(flow, error)) {
+// dialogFlow calls done with the flow for a request inside a dialog: the dialog's TCP connection while it is open and the route
+// set is empty, else a flow to the dialog's next hop.
+func (a *Agent) dialogFlow(d *dialog, done func(flow, error)) {
 	if t, ok := d.flow.(*tcpFlow); ok && len(d.Routes) == 0 {
 		select {
 		case <-t.conn.Closed():
 		default:
-			then(d.flow, nil)
+			done(d.flow, nil)
 			return
 		}
 	}
-	proto, addr, err := d.hop()
+	proto, addr, err := d.nextHop()
 	if err != nil {
-		then(nil, err)
+		done(nil, err)
 		return
 	}
-	a.flowTo(proto, addr, then)
+	a.flowTo(proto, addr, done)
 }
 
-// ack confirms a 2xx. Each retransmission of the 2xx is answered by another.
-func (a *Agent) ack(d *dialog) {
+// sendAck confirms a 2xx by an ACK. Each retransmission of the 2xx is confirmed again.
+func (a *Agent) sendAck(d *dialog) {
 	m := d.request("ACK")
 	a.dialogFlow(d, func(f flow, err error) {
 		if err == nil {
@@ -131,49 +135,49 @@
 	})
 }
 
-// bye takes the end of a dialog from either side.
-func (a *Agent) bye(t *serverTx, m *Message) {
-	d := a.dialogOf(m)
+// handleBye ends a dialog after a BYE from the caller or the server.
+func (a *Agent) handleBye(t *serverTx, m *Message) {
+	d := a.findDialog(m)
 	if d == nil {
-		t.respond(Respond(m, 481, "Call/Transaction Does Not Exist").Set("To", withTag(m.Get("To"))))
+		t.respond(Respond(m, 481, "Call/Transaction Does Not Exist").Set("To", ensureTag(m.Get("To"))))
 		return
 	}
 	number, _, _ := m.CSeq()
-	if number <= d.RemoteSeq && d.RemoteSeq > 0 { // 12.2.2: out of order
+	if number <= d.RemoteSeq && d.RemoteSeq > 0 { // out of order (RFC 3261, 12.2.2)
 		t.respond(Respond(m, 500, "Server Internal Error"))
 		return
 	}
 	d.RemoteSeq = number
 	t.respond(Respond(m, 200, "OK"))
 	ended := d.ended
-	why := cause(m)
-	if d.call != nil {
-		d.call.over = true
+	byeCause := cause(m)
+	if d.callerLeg != nil {
+		d.callerLeg.released = true
 	}
 	a.dropDialog(d)
 	if ended {
-		return // both sides hung up at once
+		return // both sides sent a BYE at the same time
 	}
 	if !d.Server {
 		var caller routing.Caller
-		if d.call != nil {
-			caller = d.call
+		if d.callerLeg != nil {
+			caller = d.callerLeg
 		}
-		a.core.Hangup(d.ID, why, caller, func(known bool) {
+		a.core.Hangup(d.ID, byeCause, caller, func(known bool) {
 			if !known {
-				a.OrphanHangup(d.ID, why)
+				a.OrphanHangup(d.ID, byeCause)
 			}
 		})
 		return
 	}
-	if l := d.conn; l != nil {
-		if now := a.serverConns[l.key]; now != nil {
-			l = now // the connection may have been opened anew since the set-up
+	if server := d.conn; server != nil {
+		if current := a.serverConns[server.key]; current != nil {
+			server = current // the connection was reopened since the set-up
 		}
-		l.events.Released(d.ID, why, parseReport(m.Get("X-Occupancy"), a.Reports))
+		server.events.Released(d.ID, byeCause, parseReport(m.Get("X-Occupancy"), a.Reports))
 		return
 	}
-	if other := a.byID[d.ID+"/caller"]; other != nil {
-		a.hangup(other, why)
+	if other := a.dialogsByID[d.ID+"/caller"]; other != nil {
+		a.hangup(other, byeCause)
 	}
 }
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -16,10 +16,11 @@
 	"beammux/internal/transport"
 )
 
-// Short timers keep the tests quick; their proportions are the RFC's.
-var quick = sip.Timers{T1: 20 * time.Millisecond, T2: 160 * time.Millisecond, T4: 200 * time.Millisecond}
+// quickTimers keep the tests short. Their proportions are those of RFC 3261.
+var quickTimers = sip.Timers{T1: 20 * time.Millisecond, T2: 160 * time.Millisecond, T4: 200 * time.Millisecond}
 
-type bench struct {
+// fixture is an agent with a core and a server list.
+type fixture struct {
 	agent *sip.Agent
 	core  *routing.Core
 	list  *routing.List
@@ -32,20 +33,20 @@
 		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: d, Worth: 1, LateWorth: 0.25}}}
 }
 
-func newBench(t *testing.T, deadline time.Duration, servers ...routing.Host) *bench {
+func newFixture(t *testing.T, deadline time.Duration, servers ...routing.Host) *fixture {
 	t.Helper()
-	return newBenchWith(t, deadline, nil, servers...)
+	return newFixtureWith(t, deadline, nil, servers...)
 }
 
-// newBenchWith is newBench with more of the agent's options set.
-func newBenchWith(t *testing.T, deadline time.Duration, configure func(*sip.Options), servers ...routing.Host) *bench {
+// newFixtureWith is newFixture with a function that changes the agent's options.
+func newFixtureWith(t *testing.T, deadline time.Duration, configure func(*sip.Options), servers ...routing.Host) *fixture {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	set := settings(deadline)
-	core := routing.NewCore(set, 1, nil, log)
-	o := sip.Options{Classes: []string{"menu-view"}, Deadlines: []control.Micros{set.Classes[0].Deadline},
-		DefaultClass: "menu-view", Timers: quick, DialTimeout: time.Second, Budget: transport.NewBudget(100, 10), Log: log}
+	siteSettings := settings(deadline)
+	core := routing.NewCore(siteSettings, 1, nil, log)
+	o := sip.Options{Classes: []string{"menu-view"}, Deadlines: []control.Micros{siteSettings.Classes[0].Deadline},
+		DefaultClass: "menu-view", Timers: quickTimers, DialTimeout: time.Second, Budget: transport.NewBudget(100, 10), Log: log}
 	if configure != nil {
 		configure(&o)
 	}
@@ -55,12 +56,12 @@
 	}
 	agent.Serve()
 	t.Cleanup(agent.Close)
-	b := &bench{agent, core, routing.NewList(core, agent, log)}
+	b := &fixture{agent, core, routing.NewList(core, agent, log)}
 	b.apply(routing.Update{Complete: true, Hosts: servers})
 	return b
 }
 
-func (b *bench) apply(u routing.Update) {
+func (b *fixture) apply(u routing.Update) {
 	done := make(chan struct{})
 	b.list.Apply(u, func() { close(done) })
 	<-done
@@ -70,7 +71,7 @@
 	return routing.Host{Name: name, Addr: uri, Cell: cell, State: control.Ready}
 }
 
-// answering is a server that answers every set-up.
+// answering is the handler of a server that answers every set-up.
 func answering(p *UserAgent, e ReceivedMessage) {
 	switch {
 	case IsMethod("INVITE")(e.Msg):
@@ -81,7 +82,7 @@
 	}
 }
 
-// refusing turns every set-up away.
+// refusing returns the handler of a server that refuses every set-up with a status.
 func refusing(status int) func(*UserAgent, ReceivedMessage) {
 	return func(p *UserAgent, e ReceivedMessage) {
 		if IsMethod("INVITE")(e.Msg) {
@@ -90,8 +91,8 @@
 	}
 }
 
-// silent takes set-ups and says no more than Trying.
-func silent(p *UserAgent, e ReceivedMessage) {
+// tryingOnly is the handler of a server that sends 100 Trying and no final response.
+func tryingOnly(p *UserAgent, e ReceivedMessage) {
 	if IsMethod("INVITE")(e.Msg) {
 		e.SendBack(p.Reply(e.Msg, 100, "Trying", ""))
 	}
@@ -100,17 +101,18 @@
 	}
 }
 
-func each(t *testing.T, f func(t *testing.T, proto string)) {
+// forEachTransport runs a subtest over UDP and one over TCP.
+func forEachTransport(t *testing.T, f func(t *testing.T, proto string)) {
 	for _, proto := range []string{"UDP", "TCP"} {
 		t.Run(proto, func(t *testing.T) { f(t, proto) })
 	}
 }
 
-// One whole path: set-up, answer with its body, ACK, release by the caller, each passed on once.
-func TestCallStandsAndCallerReleases(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+// A call from set-up to release by the caller: INVITE, answer with its body, ACK and BYE are each passed on once.
+func TestCallAnsweredAndReleasedByCaller(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
-		b := newBench(t, 2*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 2*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "offer")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
@@ -128,11 +130,11 @@
 	})
 }
 
-// A server's BYE ends the call towards the caller by one BYE.
-func TestServerReleases(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+// A BYE from the server releases the call towards the caller by one BYE.
+func TestCallReleasedByServer(t *testing.T) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
-		b := newBench(t, 2*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 2*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, func(p *UserAgent, e ReceivedMessage) {
 			if IsMethod("BYE")(e.Msg) {
 				e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
@@ -152,10 +154,10 @@
 	})
 }
 
-// Guards against a UDP retransmission becoming a second attempt: its transaction absorbs it.
-func TestRetransmissionIsNoSecondAttempt(t *testing.T) {
-	server := New(t, silent)
-	b := newBench(t, 400*time.Millisecond, host("s-1", server.URI("UDP"), 0))
+// Guards against an INVITE retransmitted over UDP becoming a second attempt: its transaction absorbs it.
+func TestRetransmittedInviteIsAbsorbed(t *testing.T) {
+	server := New(t, tryingOnly)
+	b := newFixture(t, 400*time.Millisecond, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -168,11 +170,11 @@
 	}
 }
 
-// Guards against new work at a draining server: a set-up that it never heard is not sent to it again, and the caller
-// gets its one final answer.
-func TestNoCopyToADrainingServer(t *testing.T) {
-	server := New(t, nil) // hears all, says nothing
-	b := newBench(t, 3*time.Second, host("s-1", server.URI("UDP"), 0))
+// Guards against new work at a draining server: an INVITE that it has not answered is not retransmitted to it, and the caller
+// gets a final answer.
+func TestNoRetransmissionToDrainingServer(t *testing.T) {
+	server := New(t, nil) // never responds
+	b := newFixture(t, 3*time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
 	server.Wait("INVITE", IsMethod("INVITE"))
@@ -181,22 +183,22 @@
 	caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
 	for _, e := range server.Received() {
 		if IsMethod("INVITE")(e.Msg) && e.ReceivedAt.After(drained.Add(250*time.Millisecond)) {
-			t.Errorf("a copy came %v after the drain", e.ReceivedAt.Sub(drained))
+			t.Errorf("a copy arrived %v after the drain", e.ReceivedAt.Sub(drained))
 		}
 	}
 }
 
-// A server that has no room is passed over; with all gated the caller is refused at once and told when to return.
+// A full server is skipped. When all servers are gated, the caller is refused before its deadline, with a Retry-After.
 func TestRefusalWithRetryAfter(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, refusing(503))
-		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		began := time.Now()
 		send := caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", ""))
 		no := caller.Wait("503", Status(503, "INVITE")).Msg
-		if time.Since(began) > 3*time.Second { // of 5 s
-			t.Errorf("refused after %v, want at once", time.Since(began))
+		if time.Since(began) > 3*time.Second { // the deadline is 5 s
+			t.Errorf("refused after %v, want at most 3 s", time.Since(began))
 		}
 		if w := no.Get("Retry-After"); w != "1" && w != "2" {
 			t.Errorf("Retry-After %q", w)
@@ -206,11 +208,11 @@
 	})
 }
 
-// The deadline is that of the class, or Expires if shorter.
+// The deadline of a set-up is that of its class, or Expires if it is shorter.
 func TestDeadline(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		server := New(t, silent)
-		b := newBench(t, 300*time.Millisecond, host("s-1", server.URI(proto), 0))
+	forEachTransport(t, func(t *testing.T, proto string) {
+		server := New(t, tryingOnly)
+		b := newFixture(t, 300*time.Millisecond, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		began := time.Now()
 		caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", "").Set("Expires", "60"))
@@ -222,11 +224,11 @@
 	})
 }
 
-// CANCEL before the answer: 200 to it, 487 to the INVITE, and CANCEL to the server.
+// A CANCEL before the answer gets 200, the INVITE gets 487, and the server gets a CANCEL.
 func TestCancel(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		server := New(t, silent)
-		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
+	forEachTransport(t, func(t *testing.T, proto string) {
+		server := New(t, tryingOnly)
+		b := newFixture(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
@@ -239,9 +241,10 @@
 	})
 }
 
-// Guards against a call that nobody holds: an answer that crosses the CANCEL is confirmed and released.
+// Guards against a call that stays established at the server without a caller: an answer that crosses the CANCEL is confirmed
+// and released.
 func TestLateAnswerIsAckedAndReleased(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
+	forEachTransport(t, func(t *testing.T, proto string) {
 		server := New(t, func(p *UserAgent, e ReceivedMessage) {
 			switch {
 			case IsMethod("INVITE")(e.Msg):
@@ -251,7 +254,7 @@
 				e.SendBack(p.Reply(p.Wait("INVITE", IsMethod("INVITE")).Msg, 200, "OK", "late"))
 			}
 		})
-		b := newBench(t, 200*time.Millisecond, host("s-1", server.URI(proto), 0))
+		b := newFixture(t, 200*time.Millisecond, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", ""))
 		caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
@@ -263,8 +266,8 @@
 	})
 }
 
-// A set-up cut by a server that stops gets one final answer; a standing call one BYE.
-func TestServerDies(t *testing.T) {
+// When a server crashes, a pending set-up at it gets one final answer, and the caller of an established call gets one BYE.
+func TestServerCrash(t *testing.T) {
 	first := true
 	server := New(t, func(p *UserAgent, e ReceivedMessage) {
 		if !IsMethod("INVITE")(e.Msg) {
@@ -277,7 +280,7 @@
 		}
 		e.SendBack(p.Reply(e.Msg, 100, "Trying", ""))
 	})
-	b := newBench(t, 1500*time.Millisecond, host("s-1", server.URI("TCP"), 0))
+	b := newFixture(t, 1500*time.Millisecond, host("s-1", server.URI("TCP"), 0))
 	caller := New(t, nil)
 	one := caller.Invite("TCP", "one", "1", "")
 	send := caller.Send("TCP", b.agent.Addr("TCP"), one)
@@ -307,10 +310,10 @@
 	}
 }
 
-// Bad input gets the protocol's error; only its own connection closes.
+// An invalid request gets the status that RFC 3261 defines, and other connections are not affected.
 func TestBadInput(t *testing.T) {
 	server := New(t, answering)
-	b := newBench(t, 2*time.Second, host("s-1", server.URI("TCP"), 0))
+	b := newFixture(t, 2*time.Second, host("s-1", server.URI("TCP"), 0))
 	for _, row := range []struct {
 		name   string
 		status int
@@ -326,7 +329,7 @@
 		{"bad Expires", 400, func(m *sip.Message) { m.Set("Expires", "soon") }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			each(t, func(t *testing.T, proto string) {
+			forEachTransport(t, func(t *testing.T, proto string) {
 				caller := New(t, nil)
 				m := caller.Invite(proto, fmt.Sprintf("bad%d%s", row.status, proto), "1", "")
 				row.change(m)
@@ -338,16 +341,16 @@
 	caller := New(t, nil)
 	caller.Send("TCP", b.agent.Addr("TCP"), caller.Invite("TCP", "good", "1", "x"))
 	caller.Wait("answer on a good connection", Status(200, "INVITE"))
-	// New set-ups told that they failed are in error_total, by both ways: three refused as they were read (no From tag,
-	// CSeq of another method, too long) and three by the agent (scheme, extension, Expires); PUBLISH and BYE are none.
+	// Each failed set-up counts in error_total, over both transports: three are rejected while they are parsed (no From tag,
+	// CSeq of another method, too long) and three by the agent (scheme, extension, Expires). PUBLISH and BYE are not set-ups.
 	if n := b.core.Stats().Class(0).Error.Load(); n != 12 {
 		t.Errorf("error_total of menu-view is %d, want 12", n)
 	}
 }
 
 func TestOptions(t *testing.T) {
-	each(t, func(t *testing.T, proto string) {
-		b := newBench(t, time.Second)
+	forEachTransport(t, func(t *testing.T, proto string) {
+		b := newFixture(t, time.Second)
 		caller := New(t, nil)
 		m := caller.Invite(proto, "opt", "1", "").Set("CSeq", "1 OPTIONS")
 		m.Method = "OPTIONS"
@@ -358,23 +361,23 @@
 	})
 }
 
-// Without an ACK the 2xx is repeated, and then the call is released at both sides.
+// Without an ACK the 2xx is retransmitted, and then the call is released on both sides.
 func TestNoAck(t *testing.T) {
 	server := New(t, answering)
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
 	server.Wait("BYE", IsMethod("BYE"))
 	caller.Wait("BYE", IsMethod("BYE"))
 	if n := caller.Count(Status(200, "INVITE")); n < 3 {
-		t.Errorf("2xx sent %d times, want it repeated", n)
+		t.Errorf("2xx sent %d times, want at least 3", n)
 	}
 }
 
-// A BYE may not overtake the confirmation of its call: it waits for the ACK (RFC 3261, 15).
+// The BYE to the caller waits for the ACK of the answer (RFC 3261, 15).
 func TestByeWaitsForAck(t *testing.T) {
 	server := New(t, answering)
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -383,7 +386,7 @@
 	server.Wait("ACK", IsMethod("ACK"))
 	in.SendBack(ServerBye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16))
 	server.Wait("200 to BYE", Status(200, "BYE"))
-	// A second call goes the way that the release went: once it is answered, the release has reached the agent.
+	// A second call takes the same path as the release: once it is answered, the release has reached the agent.
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "second", "4712", ""))
 	caller.Wait("second answer", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "second" })
 	if n := caller.Count(IsMethod("BYE")); n != 0 {
@@ -393,7 +396,7 @@
 	caller.Wait("BYE", IsMethod("BYE"))
 }
 
-// A forked answer stands once: the second is confirmed and released.
+// Only one answer of a forked INVITE establishes the call: a second one is confirmed and released.
 func TestSecondForkIsReleased(t *testing.T) {
 	server := New(t, func(p *UserAgent, e ReceivedMessage) {
 		if IsMethod("INVITE")(e.Msg) {
@@ -405,7 +408,7 @@
 			e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
@@ -416,19 +419,19 @@
 	}
 }
 
-// A route set is kept: the ACK and the BYE name it.
+// Requests inside a dialog use its route set, in reverse order of Record-Route.
 func TestRouteSet(t *testing.T) {
 	proxy := ""
 	server := New(t, func(p *UserAgent, e ReceivedMessage) {
 		if IsMethod("INVITE")(e.Msg) {
 			proxy = "<sip:" + p.Addr("UDP") + ";lr>"
 			r := p.Reply(e.Msg, 200, "OK", "")
-			r.Set("Contact", "<sip:behind@192.0.2.1>") // never reached but through the route
+			r.Set("Contact", "<sip:behind@192.0.2.1>") // reachable only through the route
 			r.Header["Record-Route"] = []string{"<sip:far@192.0.2.9;lr>, " + proxy}
 			e.SendBack(r)
 		}
 	})
-	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
 	ack := server.Wait("ACK", IsMethod("ACK")).Msg
@@ -438,10 +441,10 @@
 	}
 }
 
-// Guards against set-ups getting to servers that they can't read or use, as on the JSON front.
-func TestInvitesThatNoServerCanUse(t *testing.T) {
+// Guards against invalid set-ups being forwarded to servers that cannot process them, as on the JSON front.
+func TestInvalidInvitesAreNotForwarded(t *testing.T) {
 	server := New(t, nil)
-	b := newBench(t, time.Second, host("a", server.URI("UDP"), 0))
+	b := newFixture(t, time.Second, host("a", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	for i, row := range []struct {
 		class, key, body string
@@ -457,9 +460,9 @@
 		})
 	}
 	if n := server.Count(IsMethod("INVITE")); n != 0 {
-		t.Errorf("%d set-ups came to the server", n)
+		t.Errorf("%d set-ups reached the server, want none", n)
 	}
-	// Each was told that it failed, so each is in error_total of its class, as on the JSON front.
+	// Each failed set-up counts in error_total of its class, as on the JSON front.
 	f := b.core.Stats()
 	if own, other := f.Class(0).Error.Load(), f.Class(-1).Error.Load(); own != 3 || other != 1 {
 		t.Errorf("error_total: menu-view %d, want 3; unknown class %d, want 1", own, other)
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -14,29 +14,30 @@
 	. "beammux/internal/protocol/sip/siptest"
 )
 
-type observation struct {
+// callerObservation holds the arguments of one call of Options.OnFirstMessage.
+type callerObservation struct {
 	address    string
 	wellFormed bool
 }
 
-// Each caller's TCP connection is observed once, by what it brings first: a message, or what can't be read. Datagrams are not,
-// since their address may be anybody's, and neither are the connections to servers. A caller's address that is to be away has
-// its connections closed at once, and its datagrams are served as before.
-func TestCallersAreObserved(t *testing.T) {
-	seen := make(chan observation, 16)
+// Each caller's TCP connection is observed once, by whether its first message is valid. Datagrams are not observed, because
+// their source address can be forged, and neither are connections to servers. Connections from a blocked address are closed
+// immediately, and its datagrams are still served.
+func TestCallerConnectionsAreObserved(t *testing.T) {
+	seen := make(chan callerObservation, 16)
 	var away atomic.Bool
 	server := New(t, answering)
-	b := newBenchWith(t, 5*time.Second, func(o *sip.Options) {
-		o.OnFirstMessage = func(address string, wellFormed bool) { seen <- observation{address, wellFormed} }
+	b := newFixtureWith(t, 5*time.Second, func(o *sip.Options) {
+		o.OnFirstMessage = func(address string, wellFormed bool) { seen <- callerObservation{address, wellFormed} }
 		o.IsBlocked = func(string) bool { return away.Load() }
 	}, host("s-1", server.URI("TCP"), 0))
 	next := func(want bool) {
 		t.Helper()
 		select {
 		case o := <-seen:
-			require.Equal(t, observation{"127.0.0.1", want}, o)
+			require.Equal(t, callerObservation{"127.0.0.1", want}, o)
 		case <-time.After(10 * time.Second):
-			t.Fatal("a connection was not observed")
+			t.Fatal("the connection was not observed")
 		}
 	}
 	address := b.agent.Addr("TCP")
@@ -66,8 +67,8 @@
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, err = bufio.NewReader(c).ReadByte()
-	require.ErrorIs(t, err, io.EOF, "it is closed at once")
+	require.ErrorIs(t, err, io.EOF, "the connection of a blocked address is closed")
 	datagram(caller.Invite("UDP", "later", "4711", ""))
-	caller.Wait("answer to a datagram of one that is away", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "later" })
-	require.Empty(t, seen, "one observation for each of the two connections")
+	caller.Wait("answer to a datagram of a blocked address", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "later" })
+	require.Empty(t, seen, "each of the two connections is observed once")
 }
--- a/internal/protocol/sip/header.go
+++ b/internal/protocol/sip/header.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// magicCookie begins each branch of RFC 3261.
+// magicCookie is the prefix of every branch generated according to RFC 3261 (8.1.1.7).
 const magicCookie = "z9hG4bK"
 
-var errHeader = errors.New("header can't be read")
+var errHeader = errors.New("malformed header")
 
-// splitOutside cuts at a byte that stands outside quotes and angle brackets.
-func splitOutside(s string, at byte) []string {
+// splitUnquoted splits s at each separator outside quotes and angle brackets, and trims the parts.
+func splitUnquoted(s string, separator byte) []string {
 	var parts []string
 	quoted, angle, start := false, false, 0
 	for i := 0; i < len(s); i++ {
@@ -27,7 +27,7 @@
 			angle = true
 		case c == '>':
 			angle = false
-		case c == at && !angle:
+		case c == separator && !angle:
 			parts = append(parts, strings.TrimSpace(s[start:i]))
 			start = i + 1
 		}
@@ -35,11 +35,11 @@
 	return append(parts, strings.TrimSpace(s[start:]))
 }
 
-// list gives the values of a header that may stand in one line, set apart by commas, or in several.
-func (m *Message) list(key string) []string {
+// listValues returns the values of a header that may be repeated or hold a comma-separated list.
+func (m *Message) listValues(key string) []string {
 	var all []string
 	for _, v := range m.Header.Values(key) {
-		for _, part := range splitOutside(v, ',') {
+		for _, part := range splitUnquoted(v, ',') {
 			if part != "" {
 				all = append(all, part)
 			}
@@ -48,7 +48,7 @@
 	return all
 }
 
-// params reads ";name=value" parts. Names are folded to lower case.
+// params parses "name=value" parameters. Names are converted to lower case.
 func params(parts []string) map[string]string {
 	p := map[string]string{}
 	for _, part := range parts {
@@ -64,8 +64,9 @@
 	params map[string]string
 }
 
+// parseAddress parses a name-addr or addr-spec with its header parameters.
 func parseAddress(s string) (address, error) {
-	parts := splitOutside(s, ';')
+	parts := splitUnquoted(s, ';')
 	uri := parts[0]
 	if open := strings.LastIndexByte(uri, '<'); open >= 0 {
 		end := strings.IndexByte(uri[open:], '>')
@@ -80,7 +81,7 @@
 	return address{uri, params(parts[1:])}, nil
 }
 
-// tag gives the tag of a From or To.
+// tag returns the tag parameter of a From or To value, or "".
 func tag(value string) string {
 	a, err := parseAddress(value)
 	if err != nil {
@@ -89,13 +90,14 @@
 	return a.params["tag"]
 }
 
-// uri is a SIP URI taken apart as far as it is needed here.
+// uri holds the parts of a SIP URI that this package uses.
 type uri struct {
 	user, host string
-	port       int // 0 if not given
+	port       int // 0 if absent
 	params     map[string]string
 }
 
+// parseURI parses a sip: URI and ignores its headers part.
 func parseURI(s string) (uri, error) {
 	scheme, rest, ok := strings.Cut(s, ":")
 	if !ok || !strings.EqualFold(scheme, "sip") {
@@ -120,8 +122,8 @@
 	return u, nil
 }
 
-// hop gives the address to dial for a URI, and the transport it asks for.
-func (u uri) hop() (proto, addr string) {
+// nextHop returns the transport and address to dial for a URI. The defaults are UDP and port 5060.
+func (u uri) nextHop() (proto, addr string) {
 	port := u.port
 	if port == 0 {
 		port = 5060
@@ -133,18 +135,19 @@
 	return proto, net.JoinHostPort(strings.Trim(u.host, "[]"), strconv.Itoa(port))
 }
 
-// via is the topmost Via.
+// via is a parsed Via value.
 type via struct {
 	proto, sentBy string
 	params        map[string]string
 }
 
+// topVia parses the topmost Via of a message.
 func (m *Message) topVia() (via, error) {
-	all := m.list("Via")
+	all := m.listValues("Via")
 	if len(all) == 0 {
 		return via{}, errHeader
 	}
-	parts := splitOutside(all[0], ';')
+	parts := splitUnquoted(all[0], ';')
 	proto, sentBy, ok := strings.Cut(parts[0], " ")
 	proto, found := strings.CutPrefix(proto, "SIP/2.0/")
 	v := via{strings.ToUpper(proto), strings.TrimSpace(sentBy), params(parts[1:])}
@@ -154,15 +157,15 @@
 	return v, nil
 }
 
-// setReceived notes in the topmost Via where a request came from (RFC 3261, 18.2.1, and RFC 3581), so that the
-// response finds its way back.
+// setReceived adds the source address of a request to its topmost Via (RFC 3261, 18.2.1, and RFC 3581), so that the response is
+// routed back to it.
 func (m *Message) setReceived(from string) {
 	host, port, err := net.SplitHostPort(from)
-	all := m.list("Via")
+	all := m.listValues("Via")
 	if err != nil || len(all) == 0 {
 		return
 	}
-	parts := splitOutside(all[0], ';')
+	parts := splitUnquoted(all[0], ';')
 	for i, p := range parts {
 		if strings.EqualFold(p, "rport") {
 			parts[i] = "rport=" + port
--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -1,5 +1,5 @@
-// Package siptest has stand-ins for SIP callers and servers, written from RFC 3261 for tests. They share the codec
-// with the program, but none of its transactions or dialogs.
+// Package siptest provides fake SIP callers and servers for tests. They use the message codec of package sip, but none of its
+// transactions or dialogs, so that tests check those against RFC 3261 independently.
 package siptest
 
 import (
@@ -14,215 +14,223 @@
 	"beammux/internal/protocol/sip"
 )
 
-// ReceivedMessage is one message that a stand-in received.
+// ReceivedMessage is one message that a UserAgent received.
 type ReceivedMessage struct {
-	ReceivedAt time.Time
+	ReceivedAt time.Time // time of arrival
 	Msg        *sip.Message
-	SendBack   func(*sip.Message) // sends on the way that the message came
+	SendBack   func(*sip.Message) // sends a message to the source, on the same socket or connection
 }
 
-// UserAgent is one side: a UDP socket and a TCP listener on the same port's address family, each on a port of its own.
+// UserAgent is a fake caller or server. It has a UDP socket and a TCP listener on the loopback address, each on its own port.
 type UserAgent struct {
-	t   testing.TB
-	pc  net.PacketConn
-	ln  net.Listener
-	mu  sync.Mutex
-	log []ReceivedMessage
-	new chan struct{}
-	on  func(*UserAgent, ReceivedMessage)
-	cns []net.Conn
+	t        testing.TB
+	udp      net.PacketConn
+	listener net.Listener
+	mu       sync.Mutex
+	received []ReceivedMessage
+	arrived  chan struct{} // closed and replaced when a message arrives
+	handler  func(*UserAgent, ReceivedMessage)
+	conns    []net.Conn // accepted and dialed TCP connections
 }
 
-// New starts a party; on is called for each message, in a goroutine of its connection. It may be nil.
-func New(t testing.TB, on func(*UserAgent, ReceivedMessage)) *UserAgent {
+// New starts a user agent, which is stopped when the test ends. handler, which may be nil, is called for each message in the
+// goroutine that reads its connection.
+func New(t testing.TB, handler func(*UserAgent, ReceivedMessage)) *UserAgent {
 	t.Helper()
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &UserAgent{t: t, pc: pc, ln: ln, new: make(chan struct{}), on: on}
-	t.Cleanup(p.Stop)
-	go p.udp()
+	ua := &UserAgent{t: t, udp: udp, listener: listener, arrived: make(chan struct{}), handler: handler}
+	t.Cleanup(ua.Stop)
+	go ua.readUDP()
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			p.keep(c)
-			go p.tcp(c)
+			ua.addConn(c)
+			go ua.readTCP(c)
 		}
 	}()
-	return p
+	return ua
 }
 
-func (p *UserAgent) keep(c net.Conn) {
-	p.mu.Lock()
-	p.cns = append(p.cns, c)
-	p.mu.Unlock()
+func (ua *UserAgent) addConn(c net.Conn) {
+	ua.mu.Lock()
+	ua.conns = append(ua.conns, c)
+	ua.mu.Unlock()
 }
 
-// Stop ends the party's sockets, as a process that dies does.
-func (p *UserAgent) Stop() {
-	p.pc.Close()
-	p.ln.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.cns {
+// Stop closes the user agent's sockets as the crash of a process does: its TCP connections are reset.
+func (ua *UserAgent) Stop() {
+	ua.udp.Close()
+	ua.listener.Close()
+	ua.mu.Lock()
+	defer ua.mu.Unlock()
+	for _, c := range ua.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0) // a reset
+			t.SetLinger(0) // close with a reset
 		}
 		c.Close()
 	}
-	p.cns = nil
+	ua.conns = nil
 }
 
-// Addr gives the party's address for "UDP" or "TCP".
-func (p *UserAgent) Addr(proto string) string {
+// Addr returns the user agent's address for the transport "UDP" or "TCP".
+func (ua *UserAgent) Addr(proto string) string {
 	if proto == "UDP" {
-		return p.pc.LocalAddr().String()
+		return ua.udp.LocalAddr().String()
 	}
-	return p.ln.Addr().String()
+	return ua.listener.Addr().String()
 }
 
-// URI gives the party's address as a server's.
-func (p *UserAgent) URI(proto string) string {
-	return "sip:" + p.Addr(proto) + ";transport=" + strings.ToLower(proto)
+// URI returns the user agent's address as a SIP URI, as used for servers.
+func (ua *UserAgent) URI(proto string) string {
+	return "sip:" + ua.Addr(proto) + ";transport=" + strings.ToLower(proto)
 }
 
-func (p *UserAgent) udp() {
+// readUDP reads datagrams until the socket is closed, and ignores malformed ones.
+func (ua *UserAgent) readUDP() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := p.pc.ReadFrom(buf)
+		n, from, err := ua.udp.ReadFrom(buf)
 		if err != nil {
 			return
 		}
 		if m, err := sip.Parse(buf[:n]); err == nil {
-			p.got(m, func(r *sip.Message) { p.pc.WriteTo(r.Append(nil), from) })
+			ua.receive(m, func(r *sip.Message) { ua.udp.WriteTo(r.Append(nil), from) })
 		}
 	}
 }
 
-func (p *UserAgent) tcp(c net.Conn) {
+// readTCP reads a connection until it fails.
+func (ua *UserAgent) readTCP(c net.Conn) {
 	r := sip.NewReader(bufio.NewReaderSize(c, sip.MaxMessage))
 	for {
 		m, err := r.Next()
 		if err != nil {
 			return
 		}
-		p.got(m, func(r *sip.Message) { c.Write(r.Append(nil)) })
+		ua.receive(m, func(r *sip.Message) { c.Write(r.Append(nil)) })
 	}
 }
 
-func (p *UserAgent) got(m *sip.Message, back func(*sip.Message)) {
-	e := ReceivedMessage{time.Now(), m, back}
-	p.mu.Lock()
-	p.log = append(p.log, e)
-	close(p.new)
-	p.new = make(chan struct{})
-	p.mu.Unlock()
-	if p.on != nil {
-		p.on(p, e)
+// receive records a message and calls the handler.
+func (ua *UserAgent) receive(m *sip.Message, send func(*sip.Message)) {
+	e := ReceivedMessage{time.Now(), m, send}
+	ua.mu.Lock()
+	ua.received = append(ua.received, e)
+	close(ua.arrived)
+	ua.arrived = make(chan struct{})
+	ua.mu.Unlock()
+	if ua.handler != nil {
+		ua.handler(ua, e)
 	}
 }
 
-// Received gives what was received so far.
-func (p *UserAgent) Received() []ReceivedMessage {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]ReceivedMessage(nil), p.log...)
+// Received returns the messages received so far, in order of arrival.
+func (ua *UserAgent) Received() []ReceivedMessage {
+	ua.mu.Lock()
+	defer ua.mu.Unlock()
+	return append([]ReceivedMessage(nil), ua.received...)
 }
 
-// Count tells how many messages were received that fit.
-func (p *UserAgent) Count(fits func(*sip.Message) bool) (n int) {
-	for _, e := range p.Received() {
-		if fits(e.Msg) {
+// Count returns the number of received messages that match.
+func (ua *UserAgent) Count(matches func(*sip.Message) bool) (n int) {
+	for _, e := range ua.Received() {
+		if matches(e.Msg) {
 			n++
 		}
 	}
 	return n
 }
 
-// Transactions counts the transactions (RFC 3261, 17.2.3: the branch of the topmost Via) of the messages that fit. Over UDP a
-// request that is not answered within T1 comes again in the same one.
-func (p *UserAgent) Transactions(fits func(*sip.Message) bool) int {
+// Transactions returns the number of transactions among the received messages that match. Messages with the same topmost Via
+// belong to the same transaction (RFC 3261, 17.2.3). Over UDP a request that is not answered within T1 is retransmitted in its
+// transaction.
+func (ua *UserAgent) Transactions(matches func(*sip.Message) bool) int {
 	seen := map[string]bool{}
-	for _, e := range p.Received() {
-		if fits(e.Msg) {
+	for _, e := range ua.Received() {
+		if matches(e.Msg) {
 			seen[e.Msg.Get("Via")] = true
 		}
 	}
 	return len(seen)
 }
 
-// Wait gives the first message that fits, waiting for it.
-func (p *UserAgent) Wait(what string, fits func(*sip.Message) bool) ReceivedMessage {
-	p.t.Helper()
-	limit := time.After(10 * time.Second)
+// Wait returns the first message that matches. It waits up to 10 s for it and then fails the test; description names the message
+// in the failure.
+func (ua *UserAgent) Wait(description string, matches func(*sip.Message) bool) ReceivedMessage {
+	ua.t.Helper()
+	timeout := time.After(10 * time.Second)
 	for {
-		p.mu.Lock()
-		log, more := p.log, p.new
-		p.mu.Unlock()
-		for _, e := range log {
-			if fits(e.Msg) {
+		ua.mu.Lock()
+		received, next := ua.received, ua.arrived
+		ua.mu.Unlock()
+		for _, e := range received {
+			if matches(e.Msg) {
 				return e
 			}
 		}
 		select {
-		case <-more:
-		case <-limit:
-			p.t.Fatalf("no %s came; got %s", what, p.seen())
+		case <-next:
+		case <-timeout:
+			ua.t.Fatalf("no %s arrived; received %s", description, ua.summary())
 		}
 	}
 }
 
-func (p *UserAgent) seen() string {
+// summary lists the received messages for a failure report.
+func (ua *UserAgent) summary() string {
 	var b strings.Builder
-	for _, e := range p.Received() {
+	for _, e := range ua.Received() {
 		fmt.Fprintf(&b, "[%s%d %s] ", e.Msg.Method, e.Msg.Status, e.Msg.Get("CSeq"))
 	}
 	return b.String()
 }
 
-// Send opens a way to an address, sends a message, and gives what sends more on the same way.
-func (p *UserAgent) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
-	p.t.Helper()
+// Send sends a message to an address, over TCP on a new connection. It returns a function that sends further messages on the
+// same socket or connection.
+func (ua *UserAgent) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
+	ua.t.Helper()
 	var send func(*sip.Message)
 	if proto == "UDP" {
 		to, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
-			p.t.Fatal(err)
+			ua.t.Fatal(err)
 		}
-		send = func(m *sip.Message) { p.pc.WriteTo(m.Append(nil), to) }
+		send = func(m *sip.Message) { ua.udp.WriteTo(m.Append(nil), to) }
 	} else {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
-			p.t.Fatal(err)
+			ua.t.Fatal(err)
 		}
-		p.keep(c)
-		go p.tcp(c)
+		ua.addConn(c)
+		go ua.readTCP(c)
 		send = func(m *sip.Message) { c.Write(m.Append(nil)) }
 	}
 	send(m)
 	return send
 }
 
-// Invite makes a caller's INVITE.
-func (p *UserAgent) Invite(proto, callID, key, body string) *sip.Message {
+// Invite returns a caller's INVITE. callID also makes its branch and its From tag unique.
+func (ua *UserAgent) Invite(proto, callID, key, body string) *sip.Message {
 	m := sip.Request("INVITE", "sip:"+key+"@beammux").
-		Set("Via", "SIP/2.0/"+proto+" "+p.Addr(proto)+";rport;branch=z9hG4bK"+callID).
+		Set("Via", "SIP/2.0/"+proto+" "+ua.Addr(proto)+";rport;branch=z9hG4bK"+callID).
 		Set("Max-Forwards", "70").Set("From", "<sip:caller@test>;tag=c"+callID).Set("To", "<sip:"+key+"@beammux>").
 		Set("Call-ID", callID).Set("CSeq", "1 INVITE").
-		Set("Contact", "<sip:caller@"+p.Addr(proto)+";transport="+strings.ToLower(proto)+">")
+		Set("Contact", "<sip:caller@"+ua.Addr(proto)+";transport="+strings.ToLower(proto)+">")
 	m.Body = []byte(body)
 	return m
 }
 
-// InDialog makes a request inside the dialog that an answer to an INVITE opened.
+// InDialog returns a caller's request inside the dialog that the answer to its INVITE opened. number is the CSeq number.
 func InDialog(invite, answer *sip.Message, method string, number int) *sip.Message {
 	uri := answer.Get("Contact")
 	uri = strings.Trim(uri, "<>")
@@ -234,8 +242,8 @@
 		Set("CSeq", fmt.Sprintf("%d %s", number, method))
 }
 
-// Reply makes a server's response, with a tag and a Contact as a dialog needs.
-func (p *UserAgent) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
+// Reply returns a server's response, with the To tag and the Contact that a dialog needs.
+func (ua *UserAgent) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
 	r := sip.Respond(req, status, reason)
 	if status > 100 && !strings.Contains(r.Get("To"), "tag=") {
 		r.Set("To", r.Get("To")+";tag=s"+req.Get("Call-ID"))
@@ -244,12 +252,12 @@
 	if strings.Contains(req.Get("Via"), "/UDP") {
 		proto = "UDP"
 	}
-	r.Set("Contact", "<sip:server@"+p.Addr(proto)+";transport="+strings.ToLower(proto)+">")
+	r.Set("Contact", "<sip:server@"+ua.Addr(proto)+";transport="+strings.ToLower(proto)+">")
 	r.Body = []byte(body)
 	return r
 }
 
-// ServerBye makes the BYE of a server that answered an INVITE.
+// ServerBye returns the BYE of a server that answered an INVITE. cause is the Q.850 cause in the Reason header.
 func ServerBye(invite, answer *sip.Message, cause int) *sip.Message {
 	contact := strings.Trim(invite.Get("Contact"), "<>")
 	return sip.Request("BYE", contact).Set("Via", answer.Get("Via")+"bye").Set("Max-Forwards", "70").
@@ -257,15 +265,15 @@
 		Set("CSeq", "1 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
 }
 
-// IsMethod fits a request with a method.
+// IsMethod returns a function that reports whether a message is a request with the method.
 func IsMethod(method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool { return m.IsRequest() && m.Method == method }
 }
 
-// Status fits a response to a method.
+// Status returns a function that reports whether a message is a response with the status to a request with the method.
 func Status(status int, method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool {
-		_, to, _ := m.CSeq()
-		return m.Status == status && to == method
+		_, cseqMethod, _ := m.CSeq()
+		return m.Status == status && cseqMethod == method
 	}
 }
--- a/internal/protocol/sip/transaction.go
+++ b/internal/protocol/sip/transaction.go
@@ -6,53 +6,58 @@
 	"time"
 )
 
-// Timers are the base values of RFC 3261, 17: T1 the round trip, T2 the longest gap between retransmissions, T4 how
-// long a message may stay in the network.
+// Timers are the base values of the transaction timers (RFC 3261, 17): T1 is the round-trip time estimate, T2 the maximum
+// retransmission interval, and T4 the maximum time a message stays in the network.
 type Timers struct{ T1, T2, T4 time.Duration }
 
-// DefaultTimers are the values that the RFC gives.
+// DefaultTimers are the values recommended by RFC 3261.
 var DefaultTimers = Timers{500 * time.Millisecond, 4 * time.Second, 5 * time.Second}
 
-// The ways in which a client transaction ends without a final response.
+// Errors that end a client transaction without a final response.
 var (
 	errTimeout = errors.New("no final response in time")
 )
 
-// flow is a way to the other side of a transaction.
+// flow sends messages to the peer of a transaction.
 type flow interface {
-	// send never blocks; done, if not nil, hears of what failed later. still is asked before the first byte.
-	send(data []byte, still func() bool, done func(error)) error
-	reliable() bool // a stream: nothing is retransmitted
-	proto() string  // as in Via
-	remote() string
+	// send never blocks. done, if not nil, is called if sending fails after send has returned. stillWanted, if not nil, is
+	// called just before the first byte is written; if it returns false, nothing is written.
+	send(data []byte, stillWanted func() bool, done func(error)) error
+	reliable() bool // a stream transport: nothing is retransmitted
+	proto() string  // transport as in Via, "UDP" or "TCP"
+	remote() string // address of the peer
 }
 
+// txState is the state of a transaction.
 type txState int
 
-// States of the four machines. Accepted is that of RFC 6026: it absorbs what is retransmitted after a 2xx.
+// States of the four transaction state machines. The accepted state is defined by RFC 6026: it absorbs retransmissions after a
+// 2xx.
 const (
-	calling    txState = iota // client INVITE
+	calling    txState = iota // INVITE client
 	trying                    // non-INVITE, both sides
-	proceeding                // all
-	completed                 // all
+	proceeding                // all machines
+	completed                 // all machines
 	accepted                  // INVITE, both sides
-	confirmed                 // server INVITE
-	terminated                // all
+	confirmed                 // INVITE server
+	terminated                // all machines
 )
 
-// layer holds the transactions. It belongs to one actor: every method, and every timer, runs there.
-type layer struct {
+// transactionLayer holds the client and server transactions. It is owned by one actor, which runs all methods and timer
+// functions.
+type transactionLayer struct {
 	after   func(time.Duration, func()) *time.Timer
 	t       Timers
-	clients map[string]*clientTx
-	servers map[string]*serverTx
+	clients map[string]*clientTx // by branch and method
+	servers map[string]*serverTx // by serverKey
 }
 
-func newLayer(t Timers, after func(time.Duration, func()) *time.Timer) *layer {
-	return &layer{after: after, t: t, clients: map[string]*clientTx{}, servers: map[string]*serverTx{}}
+func newTransactionLayer(t Timers, after func(time.Duration, func()) *time.Timer) *transactionLayer {
+	return &transactionLayer{after: after, t: t, clients: map[string]*clientTx{}, servers: map[string]*serverTx{}}
 }
 
-// timers of a transaction: all are stopped when it ends, and one that fired meanwhile finds it ended.
+// timers are the running timers of a transaction. All are stopped when it ends. A timer that has already fired does nothing,
+// because its function checks for the terminated state.
 type timers []*time.Timer
 
 func (ts *timers) stop() {
@@ -62,42 +67,42 @@
 	*ts = nil
 }
 
-// clientTx is a client transaction: INVITE (17.1.1) or any other method (17.1.2).
+// clientTx is a client transaction: INVITE (RFC 3261, 17.1.1) or any other method (17.1.2).
 type clientTx struct {
-	l          *layer
-	key        string
-	req        *Message
-	data       []byte
-	flow       flow
-	state      txState
-	timers     timers
-	still      func() bool
-	hushed     bool // given up before any response: no further copy goes out, and a late response is still heard
-	ack        []byte
-	onResponse func(*Message)
-	onEnd      func(error) // without a final response
+	layer             *transactionLayer
+	key               string
+	req               *Message
+	data              []byte // the encoded request
+	flow              flow
+	state             txState
+	timers            timers
+	stillWanted       func() bool
+	retransmitStopped bool   // cancelled before any response: the request is not retransmitted, but a late response is still handled
+	ack               []byte // the encoded ACK for an error response
+	onResponse        func(*Message)
+	onEnd             func(error) // called if the transaction ends without a final response
 }
 
 func (t *clientTx) invite() bool { return t.req.Method == "INVITE" }
 
-// request starts a client transaction. The request's topmost Via holds its branch. still, which may be nil, is asked
-// before each time that the request goes out: a server that has been told to drain must not get a late copy.
-func (l *layer) request(req *Message, f flow, still func() bool, onResponse func(*Message), onEnd func(error)) *clientTx {
+// request starts a client transaction and sends its request, whose topmost Via has the branch. stillWanted, which may be nil,
+// is called before each transmission, because no late copy may be sent to a draining server.
+func (layer *transactionLayer) request(req *Message, f flow, stillWanted func() bool, onResponse func(*Message), onEnd func(error)) *clientTx {
 	v, _ := req.topVia()
-	t := &clientTx{l: l, key: v.params["branch"] + "|" + req.Method, req: req, data: req.Append(nil), flow: f,
-		still: still, onResponse: onResponse, onEnd: onEnd}
+	t := &clientTx{layer: layer, key: v.params["branch"] + "|" + req.Method, req: req, data: req.Append(nil), flow: f,
+		stillWanted: stillWanted, onResponse: onResponse, onEnd: onEnd}
 	if !t.invite() {
 		t.state = trying
 	}
-	l.clients[t.key] = t
+	layer.clients[t.key] = t
 	if !t.transmit(true) {
 		return t
 	}
-	gap := l.t.T1
+	interval := layer.t.T1
 	if !f.reliable() {
-		t.in(gap, func() { t.again(gap) }) // timer A or E
+		t.schedule(interval, func() { t.retransmit(interval) }) // timer A or E
 	}
-	t.in(64*l.t.T1, func() { // timer B or F
+	t.schedule(64*layer.t.T1, func() { // timer B or F
 		if t.state < completed && !(t.invite() && t.state == proceeding) {
 			t.fail(errTimeout)
 		}
@@ -105,26 +110,28 @@
 	return t
 }
 
-func (t *clientTx) in(d time.Duration, f func()) {
-	t.timers = append(t.timers, t.l.after(d, func() {
+// schedule runs f after d, unless the transaction has terminated by then.
+func (t *clientTx) schedule(d time.Duration, f func()) {
+	t.timers = append(t.timers, t.layer.after(d, func() {
 		if t.state != terminated {
 			f()
 		}
 	}))
 }
 
-// transmit sends the request; what fails later ends the transaction too.
+// transmit sends the request, and reports whether that succeeded. A failure ends the transaction, also one that is reported
+// later.
 func (t *clientTx) transmit(first bool) bool {
-	if !first && t.still != nil && !t.still() {
-		t.fail(errTimeout) // an earlier copy may have run
+	if !first && t.stillWanted != nil && !t.stillWanted() {
+		t.fail(errTimeout) // not ErrDropped: the server may have processed an earlier copy
 		return false
 	}
-	var still func() bool
+	var stillWanted func() bool
 	if first {
-		still = t.still
+		stillWanted = t.stillWanted
 	}
-	err := t.flow.send(t.data, still, func(err error) {
-		t.l.after(0, func() {
+	err := t.flow.send(t.data, stillWanted, func(err error) {
+		t.layer.after(0, func() {
 			if t.state == calling || t.state == trying || t.state == proceeding {
 				t.fail(err)
 			}
@@ -137,23 +144,25 @@
 	return true
 }
 
-func (t *clientTx) again(gap time.Duration) {
-	if t.invite() && t.state != calling || t.state >= completed || t.hushed {
+// retransmit sends the request again and schedules the next retransmission (RFC 3261, timers A and E).
+func (t *clientTx) retransmit(interval time.Duration) {
+	if t.invite() && t.state != calling || t.state >= completed || t.retransmitStopped {
 		return
 	}
 	if !t.transmit(false) {
 		return
 	}
-	gap *= 2
+	interval *= 2
 	if !t.invite() {
-		gap = min(gap, t.l.t.T2)
+		interval = min(interval, t.layer.t.T2)
 		if t.state == proceeding {
-			gap = t.l.t.T2
+			interval = t.layer.t.T2
 		}
 	}
-	t.in(gap, func() { t.again(gap) })
+	t.schedule(interval, func() { t.retransmit(interval) })
 }
 
+// fail ends a transaction without a final response.
 func (t *clientTx) fail(err error) {
 	if t.state >= completed {
 		return
@@ -162,15 +171,16 @@
 	t.onEnd(err)
 }
 
+// end terminates and removes a transaction.
 func (t *clientTx) end() {
 	t.state = terminated
 	t.timers.stop()
-	if t.l.clients[t.key] == t {
-		delete(t.l.clients, t.key)
+	if t.layer.clients[t.key] == t {
+		delete(t.layer.clients, t.key)
 	}
 }
 
-// linger keeps a transaction to absorb what is retransmitted.
+// linger keeps a transaction in a state for a time, so that it absorbs retransmissions. With a time of 0 it ends at once.
 func (t *clientTx) linger(s txState, d time.Duration) {
 	t.timers.stop()
 	t.state = s
@@ -178,25 +188,26 @@
 		t.end()
 		return
 	}
-	t.in(d, t.end)
+	t.schedule(d, t.end)
 }
 
-// response hands a response to its transaction; false if there is none.
-func (l *layer) response(m *Message) bool {
+// deliverResponse passes a response to its client transaction, and reports whether there is one (RFC 3261, 17.1.3).
+func (layer *transactionLayer) deliverResponse(m *Message) bool {
 	v, err := m.topVia()
 	if err != nil {
 		return false
 	}
 	_, method, _ := m.CSeq()
-	t := l.clients[v.params["branch"]+"|"+method]
+	t := layer.clients[v.params["branch"]+"|"+method]
 	if t == nil {
 		return false
 	}
-	t.take(m)
+	t.receive(m)
 	return true
 }
 
-func (t *clientTx) take(m *Message) {
+// receive processes a response.
+func (t *clientTx) receive(m *Message) {
 	switch {
 	case t.state == completed:
 		if t.invite() && m.Status >= 300 { // the ACK was lost
@@ -204,25 +215,25 @@
 		}
 	case t.state == accepted:
 		if m.Status >= 200 && m.Status < 300 {
-			t.onResponse(m) // a retransmission, or another fork
+			t.onResponse(m) // a retransmission, or the 2xx of another fork
 		}
 	case m.Status < 200:
 		t.state = proceeding
 		t.onResponse(m)
 	case !t.invite():
-		d := t.l.t.T4 // timer K
+		d := t.layer.t.T4 // timer K
 		if t.flow.reliable() {
 			d = 0
 		}
 		t.linger(completed, d)
 		t.onResponse(m)
 	case m.Status < 300:
-		t.linger(accepted, 64*t.l.t.T1) // timer M
+		t.linger(accepted, 64*t.layer.t.T1) // timer M
 		t.onResponse(m)
 	default:
 		t.ack = t.ackTo(m).Append(nil)
 		t.flow.send(t.ack, nil, nil)
-		d := 64 * t.l.t.T1 // timer D
+		d := 64 * t.layer.t.T1 // timer D
 		if t.flow.reliable() {
 			d = 0
 		}
@@ -231,10 +242,10 @@
 	}
 }
 
-// ackTo makes the ACK to an error (17.1.1.3): it belongs to the INVITE's transaction and has its branch.
+// ackTo returns the ACK for an error response (RFC 3261, 17.1.1.3). It belongs to the INVITE's transaction and has its branch.
 func (t *clientTx) ackTo(m *Message) *Message {
 	ack := Request("ACK", t.req.URI)
-	ack.Header["Via"] = t.req.list("Via")[:1]
+	ack.Header["Via"] = t.req.listValues("Via")[:1]
 	for _, key := range []string{"From", "Call-Id", "Route", "Max-Forwards"} {
 		if v := t.req.Header[key]; v != nil {
 			ack.Header[key] = v
@@ -245,10 +256,10 @@
 	return ack
 }
 
-// cancel makes the CANCEL of an INVITE (9.1).
+// cancel returns the CANCEL for an INVITE (RFC 3261, 9.1).
 func (t *clientTx) cancel() *Message {
 	m := Request("CANCEL", t.req.URI)
-	m.Header["Via"] = t.req.list("Via")[:1]
+	m.Header["Via"] = t.req.listValues("Via")[:1]
 	for _, key := range []string{"From", "To", "Call-Id", "Route", "Max-Forwards"} {
 		if v := t.req.Header[key]; v != nil {
 			m.Header[key] = v
@@ -258,20 +269,21 @@
 	return m.Set("CSeq", cseq(number, "CANCEL"))
 }
 
-// serverTx is a server transaction: INVITE (17.2.1) or any other method (17.2.2).
+// serverTx is a server transaction: INVITE (RFC 3261, 17.2.1) or any other method (17.2.2).
 type serverTx struct {
-	l      *layer
-	key    string
-	req    *Message
-	flow   flow
-	state  txState
-	timers timers
-	last   []byte
+	layer        *transactionLayer
+	key          string
+	req          *Message
+	flow         flow
+	state        txState
+	timers       timers
+	lastResponse []byte
 }
 
 func (t *serverTx) invite() bool { return t.req.Method == "INVITE" }
 
-// serverKey matches a request to its transaction (17.2.3). An ACK matches the INVITE's, a CANCEL has its own.
+// serverKey returns the key of the server transaction of a request (RFC 3261, 17.2.3), and whether the branch is valid. The ACK
+// for an error belongs to the INVITE's transaction; a CANCEL has a transaction of its own.
 func serverKey(m *Message, method string) (string, bool) {
 	v, err := m.topVia()
 	if err != nil || !strings.HasPrefix(v.params["branch"], magicCookie) || len(v.params["branch"]) == len(magicCookie) {
@@ -280,9 +292,10 @@
 	return v.params["branch"] + "|" + strings.ToLower(v.sentBy) + "|" + method, true
 }
 
-// accept matches a request to a transaction. It is nil if the request was absorbed: a retransmission, or the ACK to
-// an error. fresh tells that the transaction is new and the request must be answered.
-func (l *layer) accept(m *Message, f flow) (t *serverTx, fresh bool) {
+// accept matches a request to its server transaction, or creates one. isNew reports whether the transaction is new, so that the
+// request must be answered; otherwise the request is a retransmission or an ACK, and an existing transaction has absorbed it. t
+// is nil for an ACK without a transaction and for a request without a valid branch.
+func (layer *transactionLayer) accept(m *Message, f flow) (t *serverTx, isNew bool) {
 	method := m.Method
 	if method == "ACK" {
 		method = "INVITE"
@@ -291,81 +304,85 @@
 	if !ok {
 		return nil, false
 	}
-	if t := l.servers[key]; t != nil {
+	if t := layer.servers[key]; t != nil {
 		t.absorb(m)
 		return t, false
 	}
 	if m.Method == "ACK" {
 		return nil, false
 	}
-	t = &serverTx{l: l, key: key, req: m, flow: f, state: trying}
+	t = &serverTx{layer: layer, key: key, req: m, flow: f, state: trying}
 	if t.invite() {
 		t.state = proceeding
 	}
-	l.servers[key] = t
+	layer.servers[key] = t
 	return t, true
 }
 
+// absorb handles a retransmission of the request, or the ACK for an error.
 func (t *serverTx) absorb(m *Message) {
 	if m.Method == "ACK" {
 		if t.state == completed {
 			t.timers.stop()
 			t.state = confirmed
-			d := t.l.t.T4 // timer I
+			d := t.layer.t.T4 // timer I
 			if t.flow.reliable() {
 				d = 0
 			}
-			t.in(d, t.end)
+			t.schedule(d, t.end)
 		}
 		return
 	}
-	// A retransmission: in Accepted it is absorbed, the 2xx is repeated by its dialog.
-	if t.last != nil && (t.state == proceeding || t.state == completed) {
-		t.flow.send(t.last, nil, nil)
+	// A retransmission in the accepted state gets no response: the 2xx is retransmitted by its dialog.
+	if t.lastResponse != nil && (t.state == proceeding || t.state == completed) {
+		t.flow.send(t.lastResponse, nil, nil)
 	}
 }
 
-func (t *serverTx) in(d time.Duration, f func()) {
-	t.timers = append(t.timers, t.l.after(d, func() {
+// schedule runs f after d, unless the transaction has terminated by then.
+func (t *serverTx) schedule(d time.Duration, f func()) {
+	t.timers = append(t.timers, t.layer.after(d, func() {
 		if t.state != terminated {
 			f()
 		}
 	}))
 }
 
+// end terminates and removes a transaction.
 func (t *serverTx) end() {
 	t.state = terminated
 	t.timers.stop()
-	delete(t.l.servers, t.key)
+	delete(t.layer.servers, t.key)
 }
 
-// respond sends a response. A second final one is dropped: a request has one.
+// respond sends a response, and reports whether it did. A response after the final one is dropped, because a request has only
+// one final response.
 func (t *serverTx) respond(m *Message) bool {
 	if t.state >= completed {
 		return false
 	}
 	data := m.Append(nil)
-	t.last = data
+	t.lastResponse = data
 	t.flow.send(data, nil, nil)
 	switch {
 	case m.Status < 200:
 		t.state = proceeding
 	case !t.invite():
 		t.state = completed
-		d := 64 * t.l.t.T1 // timer J
+		d := 64 * t.layer.t.T1 // timer J
 		if t.flow.reliable() {
 			d = 0
 		}
-		t.in(d, t.end)
+		t.schedule(d, t.end)
 	case m.Status < 300:
 		t.state = accepted
-		t.in(64*t.l.t.T1, t.end) // timer L
+		t.schedule(64*t.layer.t.T1, t.end) // timer L
 	default:
 		t.state = completed
 		if !t.flow.reliable() {
-			t.repeat(t.l.t.T1) // timer G
+			t.retransmit(t.layer.t.T1) // timer G
 		}
-		t.in(64*t.l.t.T1, func() { // timer H
+		t.schedule(64*t.layer.t.T1, func() { // timer H
 			if t.state == completed {
 				t.end()
 			}
@@ -374,11 +391,12 @@
 	return true
 }
 
-func (t *serverTx) repeat(gap time.Duration) {
-	t.in(gap, func() {
+// retransmit sends the final error again until its ACK arrives (RFC 3261, timer G).
+func (t *serverTx) retransmit(interval time.Duration) {
+	t.schedule(interval, func() {
 		if t.state == completed {
-			t.flow.send(t.last, nil, nil)
-			t.repeat(min(2*gap, t.l.t.T2))
+			t.flow.send(t.lastResponse, nil, nil)
+			t.retransmit(min(2*interval, t.layer.t.T2))
 		}
 	})
 }
