--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -12,19 +12,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// backupVersion is the version of the backup format.
 const backupVersion = 1
 
-// Backup is what a backup file holds: a line with its checksum (XXH64, 16 hex digits), then this as JSON.
+// Backup is the content of a backup file. The file has a first line with a checksum (XXH64, 16 hex digits), followed by the
+// Backup as JSON.
 type Backup struct {
 	Version int    `json:"version"`
-	Node    string `json:"node"`    // that was asked
-	Applied uint64 `json:"applied"` // index of the last entry in it
-	// Revision is that of the newest record in it, or of the member when it was asked. 0 in a backup of an earlier version.
+	Node    string `json:"node"`    // the member that was read
+	Applied uint64 `json:"applied"` // raft index of the last entry in the backup
+	// Revision is the higher of the newest record's revision and the member's revision when it was read. It is 0 in a backup
+	// of an earlier version.
 	Revision uint64   `json:"revision,omitempty"`
 	Records  []Record `json:"records"`
 }
 
-// BackupFrom asks a member for all records.
+// BackupFrom reads all records from the member at an address.
 func BackupFrom(ctx context.Context, addr string) (*Backup, error) {
 	s, err := StatusFrom(ctx, addr)
 	if err != nil {
@@ -32,13 +35,13 @@
 	}
 	records, err := ListFrom(ctx, addr, "")
 	b := &Backup{Version: backupVersion, Node: s.Node, Applied: s.Applied, Revision: s.Revision, Records: records}
-	for _, r := range records { // that were written after the status
+	for _, r := range records { // some may have been written after the status was read
 		b.Revision = max(b.Revision, r.Revision)
 	}
 	return b, err
 }
 
-// Write writes a backup whole or not at all, synced.
+// Write writes the backup to a file atomically: it syncs a temporary file and renames it.
 func (b *Backup) Write(file string) error {
 	text, err := json.Marshal(b)
 	if err != nil {
@@ -62,7 +65,7 @@
 	return os.Rename(f.Name(), file)
 }
 
-// ReadBackup reads a backup and checks it.
+// ReadBackup reads a backup file and verifies its checksum and version.
 func ReadBackup(file string) (*Backup, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -70,7 +73,7 @@
 	}
 	sum, text, _ := bytes.Cut(text, []byte("\n"))
 	if string(sum) != fmt.Sprintf("%016x", xxhash.Sum64(text)) {
-		return nil, fmt.Errorf("%s: its checksum is wrong: not a backup, or a damaged one", file)
+		return nil, fmt.Errorf("%s: checksum mismatch: not a backup file, or a damaged one", file)
 	}
 	b := &Backup{}
 	if err := json.Unmarshal(text, b); err != nil {
@@ -82,31 +85,31 @@
 	return b, nil
 }
 
-// restorePart bounds the bytes of keys and values in one transaction of a restore. As text they take a third more.
+// restorePart limits the bytes of keys and values in one transaction of a restore. Encoded as base64 they take a third more.
 const restorePart = maxCommand / 2
 
-// RestoreMargin is how far above the revisions of a backup, and of the group, those of a restored group are: gatekeepers may
-// hold changes that were written after the backup was taken.
+// RestoreMargin is the distance from the highest revision of the backup and of the group to the revision of the restored
+// group, because gatekeepers may hold changes that were written after the backup was taken.
 const RestoreMargin = 1 << 20
 
-// RestoreOptions say how a backup is restored.
+// RestoreOptions configures Backup.Restore.
 type RestoreOptions struct {
-	Over bool // also write over records that the group holds; else those stay
-	// KeepRevisions leaves the group's revisions as they are. It is for a group that has lived on; in one that was made anew
-	// clients would take nothing from it, or would miss records.
+	Over bool // overwrite records that the group holds; otherwise those are kept
+	// KeepRevisions leaves the group's revisions unchanged. Use it only for a group that kept running: clients of an earlier
+	// group would reject the lower revisions of a recreated one, or would miss records.
 	KeepRevisions bool
 }
 
-// Restored is what a restore did.
+// Restored is the result of a restore.
 type Restored struct {
-	Written  int    `json:"written"`  // records
-	Kept     int    `json:"kept"`     // records that the group held and that were left alone
-	Revision uint64 `json:"revision"` // to which the group was raised; 0: it was not
+	Written  int    `json:"written"`  // records written
+	Kept     int    `json:"kept"`     // records that the group held and that were kept
+	Revision uint64 `json:"revision"` // revision to which the group was raised; 0: not raised
 }
 
-// Restore writes the records of a backup into a running group through any member, in one transaction if they fit, else in
-// several in the order of their keys. Then it raises the group's revisions above those of the backup, so that clients that
-// have followed a group that is gone take the restored records, all at one revision, and none before.
+// Restore writes the records of a backup into a running group through any member, in one transaction if they fit, otherwise
+// in several in key order. Then it raises the group's revisions above those of the backup, so that clients of the lost group
+// accept the restored records: all of them at one revision, and none before that.
 func (b *Backup) Restore(ctx context.Context, addr string, o RestoreOptions) (done Restored, err error) {
 	for _, part := range b.parts() {
 		written, err := restoreRecords(ctx, addr, part, o.Over)
@@ -127,7 +130,7 @@
 	return done, err
 }
 
-// parts splits the records into transactions.
+// parts splits the records into transactions of at most restorePart bytes each, or of one record.
 func (b *Backup) parts() (parts [][]Record) {
 	from, size := 0, 0
 	for i, r := range b.Records {
@@ -144,7 +147,7 @@
 	return parts
 }
 
-// restoreRecords writes records, all or none; without over those alone that the group does not hold.
+// restoreRecords writes records in one transaction. Without over it writes only those that the group does not hold.
 func restoreRecords(ctx context.Context, addr string, records []Record, over bool) (written int, err error) {
 	for {
 		writes, err := restoreWrites(ctx, addr, records, over)
@@ -152,12 +155,13 @@
 			return 0, err
 		}
 		_, err = TransactTo(ctx, addr, writes)
-		if !errors.Is(err, ErrRevision) { // else somebody wrote one of them meanwhile
+		if !errors.Is(err, ErrRevision) { // on ErrRevision, another client has written one of them: list again
 			return len(writes), err
 		}
 	}
 }
 
+// restoreWrites returns the writes that restore records into the group in its current state.
 func restoreWrites(ctx context.Context, addr string, records []Record, over bool) (writes []Write, err error) {
 	held := map[string]bool{}
 	if !over {
@@ -180,7 +184,7 @@
 	return writes, nil
 }
 
-// highest is the highest revision that the backup knows of. Backups of earlier versions name that of each record alone.
+// highest returns the highest revision in the backup. Backups of earlier versions have only the revisions of the records.
 func (b *Backup) highest() uint64 {
 	highest := b.Revision
 	for _, r := range b.Records {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// Member is one of a group.
+// Member is one member of a group.
 type Member struct {
 	Node    string `json:"node"`
 	Address string `json:"address"`
 	Voter   bool   `json:"voter"`
 }
 
-// Status is how a member stands.
+// Status is the state of one member.
 type Status struct {
 	Node       string        `json:"node"`
 	State      string        `json:"state"`       // Leader, Follower, Candidate or Shutdown
-	LeaderNode string        `json:"leader_node"` // "" while there is none
-	Leader     string        `json:"leader"`      // its address
+	LeaderNode string        `json:"leader_node"` // "" while there is no leader
+	Leader     string        `json:"leader"`      // address of the leader
 	Term       uint64        `json:"term"`
-	Applied    uint64        `json:"applied"`        // index of the last entry that is in the records
-	Revision   uint64        `json:"revision"`       // of the records
-	Held       uint64        `json:"held,omitempty"` // highest revision that a client of a session said it holds, where that is above Revision
-	Last       uint64        `json:"last"`           // and of the last in the log
-	Snapshot   uint64        `json:"snapshot"`
-	Contact    time.Duration `json:"last_contact_ns"` // since word from the leader; 0 at the leader
+	Applied    uint64        `json:"applied"`         // index of the last applied entry
+	Revision   uint64        `json:"revision"`        // of the records
+	Held       uint64        `json:"held,omitempty"`  // highest revision that a session client reported to hold, if above Revision
+	Last       uint64        `json:"last"`            // index of the last entry in the log
+	Snapshot   uint64        `json:"snapshot"`        // index of the last entry in the newest snapshot
+	Contact    time.Duration `json:"last_contact_ns"` // since the last contact with the leader; 0 at the leader
 	Records    int           `json:"records"`
-	Ready      bool          `json:"ready"` // what it reads is as new as its log and its leader: see Node.Ready
+	Ready      bool          `json:"ready"` // local reads are current, see Node.Ready
 	Members    []Member      `json:"members"`
 
-	Transactions bool `json:"transactions"` // this version carries out transactions
-	Raises       bool `json:"raises"`       // and raises revisions
+	Transactions bool `json:"transactions"` // this version supports transactions
+	Raises       bool `json:"raises"`       // this version supports raising revisions
 }
 
-// Status tells how this member stands.
+// Status returns the current state of this member.
 func (n *Node) Status() Status {
 	leader, id := n.raft.LeaderWithID()
 	s := Status{Node: n.id, State: n.raft.State().String(), LeaderNode: string(id), Leader: string(leader), Term: n.raft.CurrentTerm(),
@@ -59,8 +59,8 @@
 	return s
 }
 
-// read answers what is read at this member. Records are not read before it is ready: what it holds then may be older
-// than what it held before it stopped.
+// read answers the commands that are served locally, and reports whether c is one. It does not read records before the
+// member is ready, because they may be older than those that it held before it stopped.
 func (n *Node) read(c command, r *result) bool {
 	if (c.Op == opGet || c.Op == opList) && !n.Ready() {
 		r.Fault = ErrNotReady.Error()
@@ -81,8 +81,8 @@
 	return true
 }
 
-// readStatus answers a status, or what is asked for in its place. These are parts of a status because a member of an
-// earlier version answers that, where it would take an op that it does not know for a write.
+// readStatus answers opStatus: with the status, or with what want selects. Counts and sessions are variants of opStatus
+// because a member of an earlier version answers it with a status, whereas it would commit an unknown op as a write.
 func (n *Node) readStatus(want string, r *result) {
 	switch want {
 	case wantCounts, wantSessions:
@@ -102,9 +102,10 @@
 	}
 }
 
+// watchQueue is the number of changes that are queued for a plain watch before it is ended as too slow.
 const watchQueue = 1024
 
-// serveWatch brings committed changes under a prefix, a line each, until the watcher leaves or is too slow.
+// serveWatch sends committed changes under a prefix, one line each, until the client disconnects or is too slow.
 func (n *Node) serveWatch(c net.Conn, prefix string) {
 	c.SetDeadline(time.Time{})
 	changes := make(chan Record, watchQueue)
@@ -131,7 +132,7 @@
 		case change := <-changes:
 			r.Records = []Record{change}
 		case <-slow:
-			r.Fault = "the watcher was too slow: changes are missing"
+			r.Fault = "the client read too slowly: changes are missing"
 		case <-gone:
 			return
 		}
@@ -142,16 +143,16 @@
 	}
 }
 
-// ErrNotFound says that there is no such record.
+// ErrNotFound is returned by GetFrom when the record does not exist.
 var ErrNotFound = errors.New("no such record")
 
-// ErrNotReady says that a member has not yet replayed its log or caught up with a leader, so that what it would answer
-// may be older than what the group holds. Nothing was read. A write so answered may still have been taken by an earlier
-// try within the same call, as after any time-out: a write with a revision (PutTo with at) tells which.
+// ErrNotReady is returned when a member has not yet replayed its log or caught up with a leader, so that its records may be
+// older than those of the group. Nothing was read. A write that fails with it may still have been committed by an earlier
+// attempt within the same call, as after any timeout; a conditional write (PutTo with at) shows whether it was.
 var ErrNotReady = errors.New("not ready: no leader yet")
 
-// ask hands a command to the member at an address. While that member is not ready it asks again, until the context ends,
-// and then the error is ErrNotReady.
+// ask sends a command to the member at an address. While that member is not ready it retries until the context ends, and
+// then returns ErrNotReady.
 func ask(ctx context.Context, addr string, c command) (result, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -160,7 +161,7 @@
 	for waited := false; ; waited = true {
 		r, err := forward(ctx, addr, data)
 		switch {
-		case err != nil && waited && ended(ctx): // cut by the deadline while the member was not ready
+		case err != nil && waited && ended(ctx): // the deadline interrupted a retry while the member was not ready
 			return r, fmt.Errorf("%w (%v)", ErrNotReady, err)
 		case !errors.Is(err, ErrNotReady):
 			return r, err
@@ -173,15 +174,15 @@
 	}
 }
 
-// ended tells whether a context has ended or is past its deadline. A connection whose deadline is the context's may time out an
-// instant before the context says so.
+// ended reports whether a context has ended or its deadline has passed. A connection with the context's deadline may time
+// out an instant before the context itself ends.
 func ended(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
 }
 
-// GetFrom reads a record at the member at an address. It may be a little older than what the leader holds. A member
-// that is not ready is asked again until the context ends; then the error is ErrNotReady, never ErrNotFound.
+// GetFrom reads a record from the member at an address. The record may lag that of the leader. While the member is not
+// ready the read is retried until the context ends; then the error is ErrNotReady, never ErrNotFound.
 func GetFrom(ctx context.Context, addr, key string) (Record, error) {
 	r, err := ask(ctx, addr, command{Op: opGet, Key: key})
 	if err == nil && len(r.Records) == 0 {
@@ -193,17 +194,17 @@
 	return r.Records[0], nil
 }
 
-// ListFrom reads all records under a prefix at the member at an address, ordered by key.
+// ListFrom reads all records under a prefix from the member at an address, ordered by key.
 func ListFrom(ctx context.Context, addr, prefix string) ([]Record, error) {
 	r, err := ask(ctx, addr, command{Op: opList, Key: prefix})
 	return r.Records, err
 }
 
-// StatusFrom asks a member how it stands.
+// StatusFrom reads the status of the member at an address.
 func StatusFrom(ctx context.Context, addr string) (Status, error) {
 	r, err := ask(ctx, addr, command{Op: opStatus})
 	if err == nil && r.Status == nil {
-		err = errors.New("no status in the answer: a member of an earlier version")
+		err = errors.New("the answer has no status: the member runs an earlier version")
 	}
 	if err != nil {
 		return Status{}, err
@@ -211,8 +212,8 @@
 	return *r.Status, nil
 }
 
-// PutTo writes a record through any member, which hands it to the leader. With at it is written only if the record is at
-// that revision, 0 meaning that there is none; else the error is ErrRevision.
+// PutTo writes a record through any member, which forwards it to the leader. With at, the write succeeds only if the record
+// is at that revision, where 0 means that it does not exist; otherwise the error is ErrRevision.
 func PutTo(ctx context.Context, addr, key string, value []byte, at *uint64) (revision uint64, err error) {
 	c := command{Op: opPut, Key: key, Value: value}
 	if at != nil {
@@ -225,14 +226,14 @@
 	return r.Revision, err
 }
 
-// ReduceAt is Node.Reduce through the member at an address.
+// ReduceAt is like Node.Reduce, through the member at an address.
 func ReduceAt(ctx context.Context, addr, key string, request []byte) (answer []byte, err error) {
 	r, err := ask(ctx, addr, command{Op: opReduce, Key: key, Value: request})
 	return r.answer(err)
 }
 
-// WatchFrom calls f for each change under a prefix that the member at an address commits from now on, in order. It returns
-// when the context ends, with its error, or when the connection breaks.
+// WatchFrom calls f, in order, for each change under a prefix that the member at an address applies from now on. It returns
+// the context's error when the context ends, or an error when the connection breaks.
 func WatchFrom(ctx context.Context, addr, prefix string, f func(Record)) error {
 	data, err := json.Marshal(command{Op: opWatch, Key: prefix})
 	if err != nil {
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// write commits a command at the leader, wherever that is, and waits until it is applied here too, so that who wrote
-// reads what it wrote. While there is no leader it tries again.
+// write commits a command at the leader and waits until this member has applied it too, so that the writer reads its own
+// write. It retries while there is no leader.
 func (n *Node) write(ctx context.Context, c command) (uint64, error) {
 	r, err := n.committed(ctx, c)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return r.Revision, n.fsm.wait(ctx, r.Revision)
 }
 
-// committed is write without the wait for this member: what the leader made of a command.
+// committed commits a command at the leader and returns the leader's result, without waiting for this member to apply it.
 func (n *Node) committed(ctx context.Context, c command) (result, error) {
 	for {
 		r, err := n.once(ctx, c)
@@ -50,14 +50,14 @@
 	}
 }
 
-// Reduce has a record's reducer take a request at the leader, and gives its answer. It may be carried out more than once: the
-// reducer must know a request again.
+// Reduce applies a request to a record through its reducer and returns the reducer's answer. After a retry the request may
+// be applied more than once, so the reducer must recognize repeated requests.
 func (n *Node) Reduce(ctx context.Context, key string, request []byte) (answer []byte, err error) {
 	r, err := n.committed(ctx, command{Op: opReduce, Key: key, Value: request})
 	return r.answer(err)
 }
 
-// answer of a reduce, or why there is none.
+// answer returns the answer of a reduce, or the error that prevented it.
 func (r result) answer(err error) ([]byte, error) {
 	switch {
 	case err != nil:
@@ -68,6 +68,7 @@
 	return r.Answer, nil
 }
 
+// once makes one attempt to commit a command: locally if this member leads, otherwise by forwarding it to the leader.
 func (n *Node) once(ctx context.Context, c command) (result, error) {
 	if n.Leader() {
 		return n.commit(ctx, c)
@@ -90,8 +91,8 @@
 	return r, err
 }
 
-// whileLeader calls stop once another member than the one at an address leads, or none: a leader that was cut off does not
-// answer, and the connection to it need not break.
+// whileLeader calls stop once the member at an address is no longer the leader: a partitioned leader does not answer, and
+// the connection to it may stay open.
 func (n *Node) whileLeader(ctx context.Context, addr raft.ServerAddress, stop func()) {
 	tick := time.NewTicker(retryAfter)
 	defer tick.Stop()
@@ -108,7 +109,7 @@
 	}
 }
 
-// through is where a member's address is reached.
+// through returns the address at which a member is reached: that in via, otherwise its own.
 func through(via map[string]string, addr string) string {
 	if to, ok := via[addr]; ok {
 		return to
@@ -116,6 +117,7 @@
 	return addr
 }
 
+// commit appends a command to the log at this member, which must lead, and returns the result once it is applied.
 func (n *Node) commit(ctx context.Context, c command) (result, error) {
 	if c.Op == opTransact {
 		if err := n.allTransact(ctx); err != nil {
@@ -123,15 +125,15 @@
 		}
 	}
 	if c.Op == opReduce {
-		n.stamping.Lock() // stamps are handed over in their order
-		// A term has one leader, and a process that starts anew leads in a later one: one clock an epoch.
+		n.stamping.Lock() // entries are appended in the order of their timestamps
+		// A term has one leader, and a restarted process can only lead in a later term, so each epoch has one clock.
 		c.Epoch, c.Now = n.raft.CurrentTerm(), time.Since(n.born).Microseconds()
 	}
 	data, err := json.Marshal(c)
-	if err != nil { // strings and numbers
+	if err != nil { // unreachable: the fields are strings and numbers
 		panic(err)
 	}
-	// raft never answers an entry that was handed over while it shut down: the wait ends with the context.
+	// raft never completes an entry that was appended while it shut down, so the wait also ends with the context.
 	f, done := n.raft.Apply(data, applyWithin), make(chan error, 1)
 	if c.Op == opReduce {
 		n.stamping.Unlock()
@@ -148,7 +150,7 @@
 	return f.Response().(result), nil
 }
 
-// forward hands a command to another node.
+// forward sends an encoded command to another member and returns its result.
 func forward(ctx context.Context, addr string, data []byte) (r result, err error) {
 	d := net.Dialer{Timeout: applyWithin}
 	c, err := d.DialContext(ctx, "tcp", addr)
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// What a status can be asked for in place of the status.
+// Values of command.Want.
 const (
 	wantCounts   = "counts"
 	wantSessions = "sessions"
 )
 
-// counts are those of the sessions of one control machine.
+// counts holds the session counts of one control machine.
 type counts struct {
-	Applied      uint64        `json:"applied"` // up to here its records are
+	Applied      uint64        `json:"applied"` // revision up to which its records are applied
 	Changed      uint64        `json:"changed"` // revision of the newest change of a served record
 	Sessions     int           `json:"sessions"`
 	Holding      int           `json:"holding"`
 	Behind       int           `json:"behind"`
 	Refused      int           `json:"refused"`
 	OldestBehind time.Duration `json:"oldest_behind_ns"`
-	Age          time.Duration `json:"age_ns"` // since word from the leader
+	Age          time.Duration `json:"age_ns"` // since the last contact with the leader
 }
 
-// counts of this control machine's sessions.
+// counts returns the counts of this control machine's sessions.
 func (s *sessionServer) counts() counts {
 	_, applied, changed := s.history.state()
 	c := counts{Applied: applied, Changed: changed, Age: s.node.contactAge()}
@@ -49,6 +49,7 @@
 	return c
 }
 
+// all returns the open sessions, in no particular order.
 func (s *sessionServer) all() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +60,7 @@
 	return all
 }
 
-// statuses of this control machine's sessions, ordered by name.
+// statuses returns the status of each session of this control machine, ordered by name.
 func (s *sessionServer) statuses() []SessionStatus {
 	statuses := []SessionStatus{}
 	for _, one := range s.all() {
@@ -71,7 +72,7 @@
 	return statuses
 }
 
-// gatherCounts asks the other control machines for their counts, again and again.
+// gatherCounts collects the counts of all control machines at the report interval until the server closes.
 func (s *sessionServer) gatherCounts() {
 	tick := time.NewTicker(s.options.ReportEvery)
 	defer tick.Stop()
@@ -88,7 +89,7 @@
 	}
 }
 
-// gather asks all at the same time; who does not answer within the interval is unheard.
+// gather queries all members concurrently. A member that does not answer within the report interval counts as unheard.
 func (s *sessionServer) gather() *FleetCounts {
 	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportEvery, upWithin))
 	defer cancel()
@@ -111,7 +112,7 @@
 	return sum(heard, unheard)
 }
 
-// others are the addresses of the other members.
+// others returns the addresses of the other members.
 func (n *Node) others() (addresses []string) {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -125,6 +126,7 @@
 	return addresses
 }
 
+// countsFrom reads the session counts of the control machine at an address.
 func countsFrom(ctx context.Context, address string) (counts, error) {
 	data, err := json.Marshal(command{Op: opStatus, Want: wantCounts})
 	if err != nil {
@@ -140,8 +142,8 @@
 	return *r.Counts, nil
 }
 
-// sum of the counts of several control machines. What one holds that lacks the newest change is not the newest, so all its
-// sessions are behind, at least since its last word from the leader.
+// sum adds up the counts of several control machines. A control machine that lacks the newest change can't have sent it, so
+// all its sessions count as behind, at least since its last contact with the leader.
 func sum(heard []counts, unheard int) *FleetCounts {
 	f := &FleetCounts{Replicas: len(heard), Unheard: unheard}
 	for _, c := range heard {
@@ -170,7 +172,7 @@
 		return nil, err
 	}
 	r, err := exchange(ctx, dial, address, data)
-	if err == nil && r.Sessions == nil && r.Status != nil { // of an earlier version; an empty list is left out of the answer
+	if err == nil && r.Sessions == nil && r.Status != nil { // an earlier version answers with a status; an empty list is omitted from the answer
 		err = &NotControl{address}
 	}
 	return r.Sessions, err
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -9,21 +9,21 @@
 	"beammux/control/advice"
 )
 
-// ComeBack is a control machine's answer to a session that it does not take now: it takes no more a second than it is set to.
+// ComeBack is a control machine's answer to a session that exceeds its admission rate: the client must retry later.
 type ComeBack struct {
-	After time.Duration // from the answer on
+	After time.Duration // delay from the answer to the retry
 }
 
 func (e *ComeBack) Error() string {
-	return fmt.Sprintf("the control machine takes this session in %v", e.After)
+	return fmt.Sprintf("the control machine admits this session in %v", e.After)
 }
 
 // Advice implements advice.Error.
 func (e *ComeBack) Advice() string {
-	return "the client comes back by itself; if this lasts, raise the admission rates of the control machines or add one"
+	return "the client retries by itself; if this persists, raise the admission rates of the control machines or add one"
 }
 
-// ReplicaBehind is a control machine's answer to a client that holds a higher revision than it has itself.
+// ReplicaBehind is a control machine's answer to a client that holds a higher revision than the replica.
 type ReplicaBehind struct {
 	Have, Want uint64 // revisions of the replica and of the client
 }
@@ -34,16 +34,16 @@
 
 // Advice implements advice.Error.
 func (e *ReplicaBehind) Advice() string {
-	return "the client moves on to another control machine; if all of them answer so, the store was made anew: raise its revision above the client's (beammux store raise)"
+	return "the client moves on to another control machine; if all of them are behind, the store was recreated: raise its revision above the client's (beammux store raise)"
 }
 
-// SessionsFull is a control machine's answer to a session beyond the most that it is set to hold.
+// SessionsFull is a control machine's answer to a session beyond its configured limit.
 type SessionsFull struct {
-	Most int // sessions
+	Most int // limit of open sessions
 }
 
 func (e *SessionsFull) Error() string {
-	return fmt.Sprintf("the control machine holds %d sessions, the most that it may", e.Most)
+	return fmt.Sprintf("the control machine holds %d sessions, its limit", e.Most)
 }
 
 // Advice implements advice.Error.
@@ -51,31 +51,31 @@
 	return "the client moves on to another control machine; if all of them are full, raise admission.sessions or add one"
 }
 
-// WatcherTooSlow says that a session was cut off because changes came faster than its client read them. The client resumes.
+// WatcherTooSlow ends a session whose client reads changes more slowly than they are committed. The client must resume.
 type WatcherTooSlow struct{}
 
-func (e *WatcherTooSlow) Error() string { return "the watcher was too slow: it must resume" }
+func (e *WatcherTooSlow) Error() string { return "the client read too slowly and must resume" }
 
 // Advice implements advice.Error.
 func (e *WatcherTooSlow) Advice() string {
-	return "the client resumes by itself; if this repeats, look at the load of its machine or raise the history's size"
+	return "the client resumes by itself; if this repeats, check the load of its machine or raise the history's size"
 }
 
-// NotControl says that a member serves no sessions.
+// NotControl is returned when a session is requested from a member that is not a control machine.
 type NotControl struct {
-	Address string
+	Address string // or name of the member
 }
 
-func (e *NotControl) Error() string { return fmt.Sprintf("%s is no control machine", e.Address) }
+func (e *NotControl) Error() string { return fmt.Sprintf("%s is not a control machine", e.Address) }
 
 // Advice implements advice.Error.
 func (e *NotControl) Advice() string {
 	return "name control machines (beammux control serve) of this version as replicas, not gatekeepers"
 }
 
-// Refused says that a write does not check and was not committed.
+// Refused is returned for a write that failed validation (Options.Check) and was not committed.
 type Refused struct {
-	Text   string // FILE:LINE:COLUMN: key: what is wrong, where the check says so
+	Text   string // the check's error text, usually FILE:LINE:COLUMN: key: problem
 	advice string
 }
 
@@ -89,20 +89,21 @@
 	return "correct the value at the place named and write it again; nothing was changed"
 }
 
-// BadRequest says that a request can't be carried out by any member.
+// BadRequest is returned for a request that no member can carry out.
 type BadRequest struct{ Text string }
 
 func (e *BadRequest) Error() string { return e.Text }
 
 // Advice implements advice.Error.
 func (e *BadRequest) Advice() string {
-	return "correct the request; nothing was changed and no member would take it as it is"
+	return "correct the request; nothing was changed, and every member would refuse it"
 }
 
-// EarlierVersion says that a member of an earlier version was asked for, or took part in, what it does not know.
+// EarlierVersion is returned when a member of an earlier version would have to take part in something that its version does
+// not support.
 type EarlierVersion struct {
-	What   string // that it does not know
-	Member string // its name or address
+	What   string // the unsupported feature
+	Member string // name or address of the member
 }
 
 func (e *EarlierVersion) Error() string {
@@ -111,7 +112,7 @@
 
 // Advice implements advice.Error.
 func (e *EarlierVersion) Advice() string {
-	return "bring all members of the group to this version first (docs/store.md, Transactions)"
+	return "upgrade all members of the group to this version first (docs/store.md, Transactions)"
 }
 
 // Codes of typed errors on the wire.
@@ -127,7 +128,7 @@
 	codeFull     = "full"
 )
 
-// wireFault carries a typed error to a client, beside its text.
+// wireFault encodes a typed error for a client. The error's text is in result.Fault.
 type wireFault struct {
 	Code   string        `json:"code"`
 	Advice string        `json:"advice,omitempty"`
@@ -138,7 +139,7 @@
 	Member string        `json:"member,omitempty"`
 }
 
-// fail puts an error into an answer.
+// fail stores an error in the result: its text, and its type if it has a code.
 func (r *result) fail(err error) {
 	r.Fault = err.Error()
 	var back *ComeBack
@@ -172,7 +173,7 @@
 	}
 }
 
-// error is what fail put in at the member at an address; nil if nothing was.
+// error returns the error that fail stored at the member at an address; nil if there is none.
 func (r *result) error(address string) error {
 	if r.Typed != nil {
 		switch r.Typed.Code {
@@ -199,7 +200,7 @@
 	return untyped(r.Fault)
 }
 
-// permanent reports whether another try with the same request must fail alike.
+// permanent reports whether a retry of the same request must fail in the same way.
 func permanent(err error) bool {
 	var refused *Refused
 	var request *BadRequest
@@ -208,10 +209,10 @@
 	return errors.As(err, &refused) || errors.As(err, &request) || errors.As(err, &earlier) || errors.As(err, &away)
 }
 
-// newRefused makes a check's error one that says so, with its text and advice.
+// newRefused wraps the error of a check, with its text and advice.
 func newRefused(err error) *Refused { return &Refused{err.Error(), advice.Of(err)} }
 
-// untyped is the error of an answer's text alone.
+// untyped returns the error for a fault text without a type: ErrNoLeader and ErrNotReady are recognized by their text.
 func untyped(fault string) error {
 	switch {
 	case fault == "":
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	encodingsKeptFor = 32 // newest transactions; sessions that come later encode for themselves
-	encodingsKept    = 64 // of one transaction
+	encodingsKeptFor = 32 // newest transactions with cached encodings; sessions that read older ones encode for themselves
+	encodingsKept    = 64 // cached encodings of one transaction
 )
 
-// transaction is what one command changed under the served prefix.
+// transaction is the set of changes that one command made under the served prefix.
 type transaction struct {
 	revision uint64
 	changes  []change
-	size     int
+	size     int // bytes of keys and values
 
 	mu        sync.Mutex
-	encodings map[string][]byte // by the set of changes that are in it
-	shared    bool              // encodings are kept
+	encodings map[string][]byte // by the bit set of the changes that the encoding contains
+	shared    bool              // new encodings are cached
 }
 
-// history keeps the last transactions, so that sessions read them at their own pace and resume. It is bounded in count and
-// in bytes; a session that is behind its begin has to take a snapshot. It holds the machine's lock for no longer than an
-// append, and sessions never hold it.
+// history keeps the latest transactions, so that sessions can read them at their own pace and resume. It is bounded in count
+// and in bytes; a session whose revision is below its floor needs a snapshot. The machine's lock is held only during append
+// and reset, and sessions never hold it.
 type history struct {
 	prefix          string
 	limit, maxBytes int
-	more            chan struct{} // has room for one: something was appended
+	more            chan struct{} // buffered signal: the history has changed
 
 	mu       sync.Mutex
-	kept     []*transaction // by revision
+	kept     []*transaction // ordered by revision
 	bytes    int
-	floor    uint64 // transactions after it are all there
-	applied  uint64 // up to here everything is in
-	last     uint64 // revision of the last change, or reset
+	floor    uint64 // all transactions after this revision are kept
+	applied  uint64 // the history is complete up to this revision
+	last     uint64 // revision of the last served change, or of the last reset
 	resetsAt uint64 // revision of the last reset
 }
 
@@ -44,7 +44,7 @@
 	return &history{prefix: prefix, limit: limit, maxBytes: maxBytes, more: make(chan struct{}, 1)}
 }
 
-// append takes what one command changed; there may be none.
+// append adds the changes of one command, possibly none.
 func (h *history) append(revision uint64, changes []change) {
 	var served []change
 	size := 0
@@ -80,7 +80,7 @@
 	h.kept = h.kept[1:]
 }
 
-// reset says that the records are now those at a revision, whatever led there: nothing before it can be resumed from.
+// reset discards all transactions: the state was replaced at a revision, and sessions can't resume from before it.
 func (h *history) reset(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,6 +89,7 @@
 	h.signal()
 }
 
+// signal notifies the dispatcher that the history has changed.
 func (h *history) signal() {
 	select {
 	case h.more <- struct{}{}:
@@ -96,8 +97,8 @@
 	}
 }
 
-// since gives the transactions after a revision, at most so many, and the revision up to which they are all. ok is false
-// where some of them are not kept any more.
+// since returns up to most transactions after a revision, and the revision up to which they are complete. ok is false if
+// some of them are no longer kept.
 func (h *history) since(revision uint64, most int) (transactions []*transaction, upTo uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,8 +114,8 @@
 	return slices.Clone(rest), max(h.applied, revision), true
 }
 
-// state reports from which revision on sessions may resume, up to which everything is in, and when a served record, or the
-// whole state, last changed.
+// state returns the revision from which sessions can resume, the revision up to which the history is complete, and the
+// revision of the last change of a served record or of the last reset.
 func (h *history) state() (floor, applied, last uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,14 +129,15 @@
 	return revision < h.resetsAt
 }
 
+// forgetEncodings drops the cached encodings and disables the cache.
 func (t *transaction) forgetEncodings() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.encodings, t.shared = nil, false
 }
 
-// line is the event with the transaction's changes under some prefixes, as it is sent; nil where there are none. Sessions
-// whose prefixes hold the same changes share one encoding.
+// line returns the encoded event with the transaction's changes under some prefixes; nil if there are none. Sessions whose
+// prefixes select the same changes share one encoding.
 func (t *transaction) line(prefixes []string) []byte {
 	set := make([]byte, (len(t.changes)+7)/8)
 	any := false
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -11,16 +11,16 @@
 	"beammux/internal/store/journal"
 )
 
-// Held is what the files of a member hold.
+// Held is the content of a member's files.
 type Held struct {
 	Log       journal.Stats `json:"log"`
 	Snapshots int           `json:"snapshots"`
-	Snapshot  uint64        `json:"snapshot_index"` // of the newest
-	Records   []Record      `json:"-"`              // with every entry of the log applied, also those that were not committed yet
+	Snapshot  uint64        `json:"snapshot_index"` // index of the last entry in the newest snapshot
+	Records   []Record      `json:"-"`              // after applying all log entries, including uncommitted ones
 }
 
-// Inspect reads a member's files and changes nothing. It must not be used on the folder of a running member. The error
-// names the file that is at fault.
+// Inspect reads a member's files without changing them. It must not be used on the folder of a running member. The error
+// names the damaged file.
 func Inspect(dir string) (*Held, error) {
 	if _, err := os.Stat(logDir(dir)); err != nil {
 		return nil, fmt.Errorf("%s: no store: %w", dir, err)
@@ -48,10 +48,10 @@
 	return h, nil
 }
 
-// snapshot reads the newest snapshot; raft's own checksum is checked on the way.
+// snapshot restores the newest snapshot into a machine. Raft's own checksum is verified on reading.
 func (h *Held) snapshot(dir string, m *machine) error {
 	if _, err := os.Stat(filepath.Join(dir, "snapshots")); err != nil {
-		return nil // none yet; asking raft for them would make the folder
+		return nil // no snapshots yet; listing them through raft would create the folder
 	}
 	s, err := raft.NewFileSnapshotStoreWithLogger(dir, snapshotsKept, hclog.NewNullLogger())
 	if err != nil {
--- a/internal/store/journal/format.go
+++ b/internal/store/journal/format.go
@@ -10,38 +10,40 @@
 	"github.com/hashicorp/raft"
 )
 
-// A journal is a row of segments named NUMBER.journal (16 hex digits, growing). Each begins with the magic, then comes one
-// frame after another:
+// A journal is a sequence of segment files named NUMBER.journal (16 hex digits, ascending). Each segment starts with the magic
+// and a version byte, followed by frames:
 //
 //	mark     2 bytes: 0xB3 0x4A
-//	flags    1 byte: 1 = all before this frame had been synced when it was written
+//	flags    1 byte: 1 = everything before this frame was synced when the frame was written
 //	length   4 bytes, little endian: of the payload
 //	checksum 8 bytes, little endian: XXH64 of flags, length and payload
-//	payload  CBOR: a change
+//	payload  a change, encoded as CBOR
 //
-// The first frame of a segment is a checkpoint of all that the segments before it hold beside log entries, so those can go
-// once none of their entries is needed.
+// The first frame of a segment is a checkpoint: it contains the state of all earlier segments except for their log entries.
+// So the earlier segments can be removed once none of their entries is needed.
 const (
-	magic    = "bmxjrnl"
-	Version  = 1 // of the format: the byte after the magic
+	magic = "bmxjrnl"
+	// Version is the version of the format: the byte after the magic.
+	Version  = 1
 	ext      = ".journal"
-	frameTop = 15
-	frameMax = 64 << 20
-	synced   = 1
+	frameTop = 15       // bytes of a frame before its payload
+	frameMax = 64 << 20 // bytes of a payload
+	synced   = 1        // value of flags
 )
 
 var mark = []byte{0xB3, 0x4A}
 
-// change is what one frame does. All of it happens or nothing.
+// change is the payload of a frame. It is applied atomically.
 type change struct {
 	Entries []entry           `cbor:"1,keyasint,omitempty"`
-	Back    uint64            `cbor:"2,keyasint,omitempty"` // entries from this index on are void, before Entries are added
-	Front   uint64            `cbor:"3,keyasint,omitempty"` // entries before this index are void
-	Set     map[string][]byte `cbor:"4,keyasint,omitempty"` // stable values
-	All     bool              `cbor:"5,keyasint,omitempty"` // a checkpoint: Front and Set are all there is
-	Before  int64             `cbor:"6,keyasint,omitempty"` // bytes of the segment before a checkpoint's
+	Back    uint64            `cbor:"2,keyasint,omitempty"` // entries from this index on are removed before Entries are added
+	Front   uint64            `cbor:"3,keyasint,omitempty"` // entries before this index are removed
+	Set     map[string][]byte `cbor:"4,keyasint,omitempty"` // stable values, by key
+	All     bool              `cbor:"5,keyasint,omitempty"` // a checkpoint: Set replaces all stable values
+	Before  int64             `cbor:"6,keyasint,omitempty"` // of a checkpoint: size of the previous segment
 }
 
+// entry is the encoding of a raft log entry.
 type entry struct {
 	Index      uint64       `cbor:"1,keyasint"`
 	Term       uint64       `cbor:"2,keyasint"`
@@ -51,15 +53,16 @@
 	AppendedAt int64        `cbor:"6,keyasint,omitempty"` // Unix nanoseconds
 }
 
+// segment is one file of a journal.
 type segment struct {
 	number uint64
-	size   int64
-	high   uint64 // last index of an entry in it
+	size   int64  // bytes
+	high   uint64 // highest index of its entries
 }
 
 func (s *segment) name() string { return fmt.Sprintf("%016x%s", s.number, ext) }
 
-// DamageError says that a journal holds what was once safe and can't be read any more.
+// DamageError reports that data of a journal that had been synced can no longer be read.
 type DamageError struct {
 	File   string
 	Offset int64
@@ -67,11 +70,11 @@
 }
 
 func (e *DamageError) Error() string {
-	return fmt.Sprintf("%s: damaged at byte %d: %s; see 'beammux store verify', and restore a backup or let the member join anew with an empty folder",
+	return fmt.Sprintf("%s: damaged at byte %d: %s; run 'beammux store verify', then restore a backup or let the member rejoin with an empty folder",
 		e.File, e.Offset, e.What)
 }
 
-// append adds a frame to a buffer.
+// append appends a frame with a change to a buffer.
 func (j *Journal) append(b []byte, c change, flags byte) ([]byte, error) {
 	j.buf.Reset()
 	if err := cbor.MarshalToBuffer(c, &j.buf); err != nil {
@@ -85,7 +88,7 @@
 	return append(b, j.buf.Bytes()...), nil
 }
 
-// frame reads the frame at the beginning of a text; payload is nil if there is none.
+// frame decodes the frame at the start of text; payload is nil if there is no valid frame.
 func frame(text []byte) (payload []byte, flags byte, size int) {
 	if len(text) < frameTop || !bytes.HasPrefix(text, mark) {
 		return nil, 0, 0
@@ -101,6 +104,7 @@
 	return payload, text[2], frameTop + length
 }
 
+// sum returns the checksum of a frame.
 func sum(top, payload []byte) uint64 {
 	d := xxhash.New()
 	d.Write(top)
@@ -108,7 +112,7 @@
 	return d.Sum64()
 }
 
-// followed tells whether a frame that was written after a sync stands somewhere behind the beginning of a text.
+// followed reports whether text contains, after its first byte, a valid frame that was written after a sync.
 func followed(text []byte) bool {
 	for at := 1; at < len(text); at++ {
 		i := bytes.Index(text[at:], mark)
--- a/internal/store/journal/fs.go
+++ b/internal/store/journal/fs.go
@@ -1,5 +1,5 @@
-// Package journal keeps raft's log and stable state in files that survive crashes: an append-only journal in segments, each
-// change one frame with a checksum, and what it holds also in memory.
+// Package journal implements a crash-safe store of raft's log and stable state: an append-only journal in segment files, with
+// one checksummed frame per change. Its content is also held in memory, from which reads are served.
 package journal
 
 import (
@@ -8,27 +8,27 @@
 	"path/filepath"
 )
 
-// FS is the file layer under a journal. Tests stand in for it to fail at every single step.
+// FS is the file system that a journal uses. Tests replace it to inject a failure at every step.
 type FS interface {
-	// Append opens a file to add to its end, making it if there is none.
+	// Append opens a file for appending and creates it if it does not exist.
 	Append(name string) (File, error)
-	// Read gives all of a file.
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// List gives the names of the files in a folder in order, making the folder if there is none.
+	// List returns the names of the files in a folder in order. It creates the folder if it does not exist.
 	List(dir string) ([]string, error)
 	Remove(name string) error
 	Truncate(name string, size int64) error
-	// SyncDir makes sure that files made or removed in a folder stay so.
+	// SyncDir makes the creation and removal of files in a folder durable.
 	SyncDir(dir string) error
 }
 
-// File is one that is added to.
+// File is a file opened for appending.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// Disk is the system's file layer.
+// Disk is the operating system's file system.
 type Disk struct{}
 
 // Append implements FS.
--- a/internal/store/journal/journal.go
+++ b/internal/store/journal/journal.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Options say how a journal is kept.
+// Options configures a journal.
 type Options struct {
 	Dir     string
-	FS      FS            // nil: the disk
-	Every   time.Duration // 0: synced before each write returns; else so often, votes and terms always
-	Segment int64         // bytes of a segment; 0: 4 MiB
+	FS      FS            // nil: Disk
+	Every   time.Duration // interval of syncs; 0: sync before each write returns; votes and terms always do
+	Segment int64         // bytes after which a new segment is started; 0: 4 MiB
 }
 
-// Journal implements raft.LogStore and raft.StableStore. After a write failed all further ones do: what the file holds is
-// not known then.
+// Journal implements raft.LogStore and raft.StableStore. After a failed write all further writes fail, because the content of
+// the file is unknown.
 type Journal struct {
 	Options
 
 	mu       sync.Mutex
 	entries  map[uint64]entry
-	low      uint64 // first and last index held, 0 if none
-	high     uint64
-	front    uint64
+	low      uint64 // first index held, 0 if none
+	high     uint64 // last index held, 0 if none
+	front    uint64 // entries before this index are removed
 	stable   map[string][]byte
 	segments []*segment
-	file     File
-	dirty    bool // something is not synced
-	failed   error
+	file     File  // the last segment
+	dirty    bool  // the file has unsynced data
+	failed   error // set once a write or sync has failed, or on Close
 	stop     chan struct{}
 	done     chan struct{}
-	buf      bytes.Buffer
+	buf      bytes.Buffer // for encoding
 
-	// Cut is how many bytes a torn end had that Open cut off.
+	// Cut is the number of bytes of an incomplete write that Open removed from the end.
 	Cut int64
 }
 
-// errFailed is given after a write has failed.
-var errFailed = errors.New("store: an earlier write failed, nothing more is written")
+// errFailed is returned by all writes after a failed one.
+var errFailed = errors.New("store: an earlier write failed; the journal accepts no more writes")
 
-// Open reads a journal. The end of one that was torn by a crash is cut off: what was never synced is lost, and nothing else.
-// What had been synced and can't be read is a *DamageError.
+// Open opens a journal, and creates it if it does not exist. An incomplete write at the end, left by a crash, is removed: only
+// data that was never synced is lost. If synced data can't be read, the error is a *DamageError.
 func Open(o Options) (*Journal, error) {
 	j, err := read(o)
 	if err != nil {
@@ -59,14 +59,14 @@
 	return j, nil
 }
 
-// resume makes the files ready to be added to: a torn end is cut off, and the first segment is made.
+// resume prepares the files for appending: it removes an incomplete write at the end and creates the first segment.
 func (j *Journal) resume() error {
 	if len(j.segments) == 0 {
 		return j.begin(1)
 	}
 	s := j.segments[len(j.segments)-1]
 	name := filepath.Join(j.Dir, s.name())
-	if s.size == 0 { // its head was torn
+	if s.size == 0 { // not even its checkpoint is complete
 		if err := j.FS.Remove(name); err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	// What the last process wrote and did not sync may be in the system's memory alone.
+	// Data that the previous process wrote without syncing may still be in the page cache only.
 	if err := f.Sync(); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// begin starts a segment with a checkpoint, and syncs it: what comes later is written after that.
+// begin creates a segment with a checkpoint and syncs it before anything else is written to it.
 func (j *Journal) begin(number uint64) error {
 	s := &segment{number: number}
 	name := filepath.Join(j.Dir, s.name())
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// write makes one change, on file first. It is safe when write returns, or with Every and not now, when it is next synced.
+// write writes one change to the file and applies it in memory. The change is durable when write returns, or, with Every and
+// without now, after the next sync.
 func (j *Journal) write(c change, now bool) error {
 	if j.failed != nil {
 		return errFailed
@@ -136,6 +137,7 @@
 	return nil
 }
 
+// put appends a change to the current segment, and starts a new segment first if that is full.
 func (j *Journal) put(c change, now bool) error {
 	s := j.segments[len(j.segments)-1]
 	if s.size >= j.Segment {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// rotate begins the next segment.
+// rotate closes the current segment, starts the next one, and removes segments that are no longer needed.
 func (j *Journal) rotate() error {
 	if err := j.sync(); err != nil {
 		return err
@@ -189,7 +191,7 @@
 	return j.prune()
 }
 
-// prune removes the segments at the beginning whose entries are all void. What makes them so has been synced.
+// prune removes leading segments that hold no entries from front on. The change that set front has been synced.
 func (j *Journal) prune() error {
 	removed := false
 	for len(j.segments) > 1 && j.segments[0].high < j.front {
@@ -205,7 +207,7 @@
 	return j.FS.SyncDir(j.Dir)
 }
 
-// syncing is the goroutine of a journal that is synced now and then.
+// syncing syncs the journal at the interval Every until Close.
 func (j *Journal) syncing() {
 	defer close(j.done)
 	tick := time.NewTicker(j.Every)
--- a/internal/store/journal/raft.go
+++ b/internal/store/journal/raft.go
@@ -42,7 +42,7 @@
 // StoreLog implements raft.LogStore.
 func (j *Journal) StoreLog(log *raft.Log) error { return j.StoreLogs([]*raft.Log{log}) }
 
-// StoreLogs implements raft.LogStore. The logs are one change: after a crash all of them are there or none.
+// StoreLogs implements raft.LogStore. The logs are written as one change: after a crash either all of them exist or none.
 func (j *Journal) StoreLogs(logs []*raft.Log) error {
 	if len(logs) == 0 {
 		return nil
@@ -56,13 +56,13 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.high > 0 && logs[0].Index <= j.high { // raft deletes what conflicts first; a journal never holds an index twice
+	if j.high > 0 && logs[0].Index <= j.high { // raft deletes conflicting entries first; this ensures that no index is held twice
 		c.Back = logs[0].Index
 	}
 	return j.write(c, false)
 }
 
-// DeleteRange implements raft.LogStore. Raft deletes at the beginning, once a snapshot holds it, or at the end.
+// DeleteRange implements raft.LogStore. Raft deletes entries at the start, once a snapshot covers them, or at the end.
 func (j *Journal) DeleteRange(from, to uint64) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -81,10 +81,10 @@
 	case to >= j.high:
 		return j.write(change{Back: from}, false)
 	}
-	return fmt.Errorf("store: entries %d to %d are in the middle of the log", from, to)
+	return fmt.Errorf("store: can't delete entries %d to %d from the middle of the log", from, to)
 }
 
-// errNotFound has the text that raft looks for.
+// errNotFound has the text that raft compares with.
 var errNotFound = errors.New("not found")
 
 // Set implements raft.StableStore. Votes and terms are always synced: a member must not vote twice in a term.
--- a/internal/store/journal/read.go
+++ b/internal/store/journal/read.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// read brings back what the files hold, and changes none of them.
+// read reads the files into a new Journal without changing them.
 func read(o Options) (*Journal, error) {
 	if o.FS == nil {
 		o.FS = Disk{}
@@ -33,7 +33,7 @@
 	}
 	for i, s := range j.segments {
 		if i > 0 && s.number != j.segments[i-1].number+1 {
-			return nil, &DamageError{filepath.Join(o.Dir, s.name()), 0, "the segment before it is missing"}
+			return nil, &DamageError{filepath.Join(o.Dir, s.name()), 0, "the previous segment is missing"}
 		}
 		if err := j.load(s, i == len(j.segments)-1); err != nil {
 			return nil, err
@@ -42,7 +42,7 @@
 	return j, nil
 }
 
-// load replays one segment.
+// load reads one segment and applies its changes. last marks the last segment, which may end in an incomplete write.
 func (j *Journal) load(s *segment, last bool) error {
 	file := filepath.Join(j.Dir, s.name())
 	text, err := j.FS.Read(file)
@@ -52,7 +52,8 @@
 	damage := func(at int, what string) error { return &DamageError{file, int64(at), what} }
 	head := len(magic) + 1
 	if len(text) < head || string(text[:len(magic)]) != magic {
-		// A segment is begun by one write, and synced before anything else is written to it.
+		// A segment is created with one write and synced before anything else is written to it, so an incomplete start
+		// without a later synced frame comes from a crash.
 		if last && !followed(text) {
 			j.Cut += int64(len(text))
 			return nil
@@ -60,26 +61,26 @@
 		return damage(0, "not a journal")
 	}
 	if v := text[len(magic)]; v != Version {
-		return damage(len(magic), fmt.Sprintf("version %d of the format, this program reads version %d", v, Version))
+		return damage(len(magic), fmt.Sprintf("format version %d, this program reads version %d", v, Version))
 	}
 	at := head
 	for at < len(text) {
 		payload, _, size := frame(text[at:])
 		var c change
 		if payload == nil || cbor.Unmarshal(payload, &c) != nil {
-			// Torn by a crash if nothing behind it can have been written after a sync.
+			// The frame is an incomplete write of a crash if no later frame was written after a sync.
 			if !last || followed(text[at:]) {
-				return damage(at, "a frame can't be read, and later ones show that it was safe once")
+				return damage(at, "unreadable frame, which later frames show to have been synced")
 			}
 			if at == head {
-				at = 0 // not even its checkpoint: it is begun again
+				at = 0 // not even the checkpoint is complete: the segment is created again
 			}
 			j.Cut += int64(len(text) - at)
 			break
 		}
 		if i := slices.Index(j.segments, s); at == head && i > 0 && c.Before != j.segments[i-1].size {
 			before := j.segments[i-1]
-			return &DamageError{filepath.Join(j.Dir, before.name()), before.size, fmt.Sprintf("%d bytes had been written to it", c.Before)}
+			return &DamageError{filepath.Join(j.Dir, before.name()), before.size, fmt.Sprintf("the file is truncated or has extra data: its size was %d bytes", c.Before)}
 		}
 		j.apply(c)
 		if n := len(c.Entries); n > 0 {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// apply takes one change into memory.
+// apply applies one change in memory.
 func (j *Journal) apply(c change) {
 	if c.All {
 		j.stable = map[string][]byte{}
--- a/internal/store/journal/verify.go
+++ b/internal/store/journal/verify.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Stats is what a journal holds.
+// Stats summarizes the content of a journal.
 type Stats struct {
 	Dir      string `json:"dir"`
 	Segments int    `json:"segments"`
@@ -14,16 +14,16 @@
 	First    uint64 `json:"first_index"`
 	Last     uint64 `json:"last_index"`
 	Term     uint64 `json:"term"`
-	Torn     int64  `json:"torn_bytes"` // at its end, that the next start will cut off
+	Torn     int64  `json:"torn_bytes"` // bytes of an incomplete write at the end, which the next Open removes
 }
 
-// Verify reads a journal without changing it. The error is a *DamageError where it can't be read.
+// Verify reads a journal without changing it. The error is a *DamageError if the journal is damaged.
 func Verify(dir string, fs FS) (Stats, error) {
 	s, _, err := Inspect(dir, fs)
 	return s, err
 }
 
-// Inspect is Verify with the entries that are held, in order.
+// Inspect is like Verify and also returns the log entries in order.
 func Inspect(dir string, fs FS) (s Stats, logs []*raft.Log, err error) {
 	s.Dir = dir
 	j, err := read(Options{Dir: dir, FS: fs})
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -19,92 +19,96 @@
 	opPutAt  = "put-at"
 	opDelete = "delete"
 
-	// opTransact carries out several writes at one revision, or none.
+	// opTransact applies several writes atomically at one revision.
 	opTransact = "transact"
 
-	// Read at the member that is asked, never in the log.
+	// Read operations: served by the member that receives them, never written to the log.
 	opGet    = "get"
 	opList   = "list"
 	opStatus = "status"
 	opWatch  = "watch"
 
-	// opReduce replaces a record by what its reducer makes of it and of the command's value, alike at every member.
+	// opReduce replaces a record with the result of its reducer, applied to the record and to the command's value.
 	opReduce = "reduce"
 
-	// opRaise lifts the revisions of the group above one (command.At).
+	// opRaise raises the revisions of the group above command.At.
 	opRaise = "raise"
 
-	// Decided and carried out at the leader.
+	// opMember changes the membership. The leader checks the change and carries it out.
 	opMember = "member"
 )
 
-// command is one entry of the log.
+// command is one log entry, or one request on the client port.
 type command struct {
 	Op    string `json:"op"`
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
 	At    uint64 `json:"at,omitempty"`
-	Hop   bool   `json:"hop,omitempty"` // forwarded once already
+	Hop   bool   `json:"hop,omitempty"` // already forwarded once; must not be forwarded again
 
-	Writes []Write       `json:"writes,omitempty"` // of a transaction
+	Writes []Write       `json:"writes,omitempty"` // of opTransact
 	Member *MemberChange `json:"member,omitempty"`
-	Watch  *WatchRequest `json:"watch,omitempty"` // of a watch that is a session
-	Want   string        `json:"want,omitempty"`  // of a status: what to tell in its place
+	Watch  *WatchRequest `json:"watch,omitempty"` // of opWatch: opens a session; nil: a plain watch of Key
+	Want   string        `json:"want,omitempty"`  // of opStatus: wantCounts or wantSessions in place of the status
 
-	// Of a reduce, stamped by the leader that takes it: its term, and its monotonic clock in microseconds.
+	// Epoch and Now belong to opReduce. The leader that commits it sets them to its term and to its monotonic clock in
+	// microseconds.
 	Epoch uint64 `json:"epoch,omitempty"`
 	Now   int64  `json:"now,omitempty"`
 }
 
-// result is what applying a command gave.
+// result is the outcome of a command, and the answer on the client port.
 type result struct {
 	Revision uint64 `json:"revision,omitempty"`
 	Conflict bool   `json:"conflict,omitempty"`
 	Fault    string `json:"fault,omitempty"`
 
-	Records []Record `json:"records,omitempty"` // of get, list and watch
+	Records []Record `json:"records,omitempty"` // of opGet, opList and opWatch
 	Status  *Status  `json:"status,omitempty"`
-	Done    string   `json:"done,omitempty"`   // what a change of members did
-	Answer  []byte   `json:"answer,omitempty"` // of a reduce
+	Done    string   `json:"done,omitempty"`   // of opMember: the change that was made; of opTransact and opRaise: a confirmation
+	Answer  []byte   `json:"answer,omitempty"` // of opReduce
 
-	Typed    *wireFault      `json:"typed,omitempty"` // of a Fault that is an error of a type
-	Event    *wireEvent      `json:"event,omitempty"` // of a session
+	Typed    *wireFault      `json:"typed,omitempty"` // set where Fault is the text of a typed error
+	Event    *wireEvent      `json:"event,omitempty"` // an event of a watch session
 	Counts   *counts         `json:"counts,omitempty"`
 	Sessions []SessionStatus `json:"sessions,omitempty"`
 }
 
-// Reducer makes a record's next value of its last one (nil where there is none) and of a request, and an answer. It must be
-// a pure function: every member applies it to the same log. epoch is the leader's term and now its clock when it took the
-// request; clocks of two epochs have nothing to do with each other. With an error nothing changes.
+// Reducer computes a record's next value and an answer from its current value (nil if the record does not exist) and a
+// request. It must be a pure function, because every member applies it to the same log. epoch is the leader's term and now
+// is the leader's clock when it accepted the request; clocks of different epochs are unrelated. If it returns an error, the
+// record stays unchanged.
 type Reducer func(old, request []byte, epoch uint64, now control.Micros) (value, answer []byte, err error)
 
+// watcher is one subscriber to the changes under a prefix.
 type watcher struct {
 	prefix string
-	f      func(Record) bool // false: it hears no more
+	f      func(Record) bool // returns false to be removed
 }
 
-// machine is the replicated state: raft applies committed commands to it, alike at every node.
+// machine is the replicated state machine (raft.FSM). Applying a command is deterministic, so all members hold the same
+// records.
 type machine struct {
 	mu       sync.Mutex
 	records  map[string]Record
 	reducers map[string]Reducer // by key
-	index    uint64             // of the last entry applied
-	revision uint64             // of the records: the index and the offset
-	offset   uint64             // by which revisions are above indexes, see raise
-	more     chan struct{}      // closed and renewed when revision grows
+	index    uint64             // of the last applied entry
+	revision uint64             // of the records: index + offset
+	offset   uint64             // difference between revisions and raft indexes; grows in raise
+	more     chan struct{}      // closed and replaced when revision grows
 	watchers []*watcher
-	history  *history // nil where no sessions are served
+	history  *history // nil if this member serves no sessions
 }
 
 func newMachine() *machine { return &machine{records: map[string]Record{}, more: make(chan struct{})} }
 
-// change is what one command made of one record.
+// change is the effect of a command on one record. A deleted record has a nil Value.
 type change struct {
 	Record
 	deleted bool
 }
 
-// Apply implements raft.FSM. A command that can't be read changes nothing, alike at every node.
+// Apply implements raft.FSM. A command that can't be decoded changes nothing, at any member.
 func (m *machine) Apply(l *raft.Log) any {
 	var c command
 	err := json.Unmarshal(l.Data, &c)
@@ -126,7 +130,7 @@
 	return r
 }
 
-// changes are what a command is to make of the records, and r its answer. Nothing is changed yet.
+// changes computes the changes of a command and fills in its result. It does not modify the records.
 func (m *machine) changes(c *command, r *result) []change {
 	switch c.Op {
 	case opPut, opPutAt, opDelete, opTransact:
@@ -184,7 +188,7 @@
 			m.records[c.Key] = c.Record
 		}
 	}
-	for _, c := range changes { // after all: who hears of one reads all
+	for _, c := range changes { // after all changes are applied: a watcher that is notified of one can read all of them
 		m.tell(c.Record)
 	}
 }
@@ -196,7 +200,7 @@
 }
 
 func (m *machine) moved(revision uint64, changes []change) {
-	if m.history != nil { // before advance: who waits for a revision finds it in the history
+	if m.history != nil { // before advance: whoever waits for the revision must find it in the history
 		m.history.append(revision, changes)
 	}
 	m.advance(revision)
@@ -208,22 +212,22 @@
 	m.more = make(chan struct{})
 }
 
-// lastIndex is that of the last entry that the machine itself has applied; raft's own count runs ahead of it, since it counts
-// entries handed over.
+// lastIndex returns the index of the last entry that the machine has applied. raft's own applied index can be higher, since
+// it counts entries that are queued for the machine.
 func (m *machine) lastIndex() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.index
 }
 
-// lastRevision is the revision of the records.
+// lastRevision returns the current revision of the records.
 func (m *machine) lastRevision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// wait returns once a revision is applied here.
+// wait returns once this member has applied a revision, or with the context's error.
 func (m *machine) wait(ctx context.Context, revision uint64) error {
 	for {
 		m.mu.Lock()
@@ -258,7 +262,7 @@
 	return all
 }
 
-// listAt is list with the revision at which the records were so.
+// listAt is like list and also returns the revision of that state.
 func (m *machine) listAt(prefix string) (all []Record, revision uint64) {
 	m.mu.Lock()
 	for key, r := range m.records {
@@ -276,7 +280,7 @@
 	m.watchUntil(prefix, func(r Record) bool { f(r); return true })
 }
 
-// watchUntil calls f for each change until it says false or stop is called.
+// watchUntil calls f for each change under a prefix until f returns false or stop is called.
 func (m *machine) watchUntil(prefix string, f func(Record) bool) (stop func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -289,24 +293,25 @@
 	}
 }
 
-// Versions of the form below. Version 0, which had no such field and is otherwise that of plainSnapshot, is read too. A group
-// whose revisions were raised writes raisedSnapshot, which programs that know nothing of that must not take for the other.
+// Versions of the snapshot format. Version 0, which has no version field and otherwise equals plainSnapshot, can be read
+// too. A group whose revisions were raised writes raisedSnapshot, so that programs that don't know offsets reject it.
 const (
 	plainSnapshot  = 1
 	raisedSnapshot = 2
 )
 
+// snapshot is the encoded state of the machine.
 type snapshot struct {
 	Version int      `json:"version"`
 	Applied uint64   `json:"applied"`          // revision
-	Offset  uint64   `json:"offset,omitempty"` // of revisions above indexes
+	Offset  uint64   `json:"offset,omitempty"` // difference between revisions and raft indexes
 	Records []Record `json:"records"`
 }
 
 // Snapshot implements raft.FSM.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	records, revision := m.listAt("")
-	m.mu.Lock() // raft applies nothing meanwhile
+	m.mu.Lock() // raft applies no entries during Snapshot, so both reads see the same state
 	defer m.mu.Unlock()
 	s := &snapshot{Version: plainSnapshot, Applied: revision, Offset: m.offset, Records: records}
 	if s.Offset > 0 {
@@ -315,7 +320,7 @@
 	return s, nil
 }
 
-// Restore implements raft.FSM. Watchers hear of what differs.
+// Restore implements raft.FSM. Watchers are notified of the records that differ.
 func (m *machine) Restore(in io.ReadCloser) error {
 	defer in.Close()
 	var s snapshot
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -14,28 +14,29 @@
 	"beammux/control/member"
 )
 
-// What a MemberChange asks for.
+// Values of MemberChange.Do.
 const (
-	MemberAdd     = "add"     // as a learner, or at its new address
-	MemberPromote = "promote" // a learner gets its vote
+	MemberAdd     = "add"     // add a learner, or change the address of a member
+	MemberPromote = "promote" // make a learner a voter
 	MemberRemove  = "remove"
 )
 
-// MemberChange is one change of a group's members.
+// MemberChange is a request to change the membership of a group.
 type MemberChange struct {
 	Do      string `json:"do"`
 	Node    string `json:"node"`
-	Address string `json:"address,omitempty"` // of add
-	Force   bool   `json:"force,omitempty"`   // of remove
+	Address string `json:"address,omitempty"` // of MemberAdd
+	Force   bool   `json:"force,omitempty"`   // of MemberRemove: skip the safety checks that may be overridden
 }
 
-const upWithin = 500 * time.Millisecond // in which a member that is up answers
+const upWithin = 500 * time.Millisecond // timeout for the answer of a member that is up
 
-// ErrNoLeader says that a group can't change anything now.
+// ErrNoLeader is returned when the group has no leader and therefore accepts no writes.
 var ErrNoLeader = errors.New("no leader")
 
-// ChangeMember has the leader decide on a change and carry it out, and tells what was done. hop says that it was handed on
-// already. The error is a *member.Refusal where the change is not safe, as a text where it comes from another member.
+// ChangeMember has the leader check a change and carry it out, and returns the change that was made. hop marks a request
+// that was already forwarded once. If the change is not safe, the error is a *member.Refusal, or only its text if another
+// member refused it.
 func (n *Node) ChangeMember(ctx context.Context, c MemberChange, hop bool) (string, error) {
 	for {
 		done, err := n.changeOnce(ctx, c, hop)
@@ -43,7 +44,7 @@
 		if hop || !errors.Is(err, ErrNoLeader) && !errors.As(err, &network) {
 			return done, err
 		}
-		select { // there is no leader, or the one that this member knows has gone
+		select { // there is no leader, or the known leader is unreachable
 		case <-ctx.Done():
 			return "", err
 		case <-time.After(retryAfter):
@@ -51,6 +52,7 @@
 	}
 }
 
+// changeOnce makes one attempt at a change: locally if this member leads, otherwise by forwarding it to the leader.
 func (n *Node) changeOnce(ctx context.Context, c MemberChange, hop bool) (string, error) {
 	if !n.Leader() {
 		addr, _ := n.raft.LeaderWithID()
@@ -79,7 +81,7 @@
 	case MemberRemove:
 		do, err = g.Remove(c.Node, c.Force)
 	default:
-		err = fmt.Errorf("%q is no change of members", c.Do)
+		err = fmt.Errorf("unknown change of members %q", c.Do)
 	}
 	if err != nil {
 		return "", err
@@ -87,8 +89,8 @@
 	return string(do), n.carryOut(do, c, f.Configuration(), f.Index())
 }
 
-// carryOut makes a change that was allowed, if the members are still those that it was decided on: raft refuses it when
-// the configuration has another index by then, so two changes at once can't both be made.
+// carryOut makes a change that was allowed for the configuration was with the given index. Raft rejects it if the
+// configuration has a different index by then, so two concurrent changes can't both be made.
 func (n *Node) carryOut(do member.Do, c MemberChange, was raft.Configuration, index uint64) error {
 	id, address := raft.ServerID(c.Node), raft.ServerAddress(c.Address)
 	voter := false
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// group is what the leader sees of its members: all are asked at the same time.
+// group returns the leader's view of its members. It queries all of them concurrently.
 func (n *Node) group(ctx context.Context, conf raft.Configuration) *member.Group {
 	g := &member.Group{Leader: n.id, Members: make([]member.Member, len(conf.Servers))}
 	last := n.raft.LastIndex()
@@ -136,7 +138,7 @@
 	return g
 }
 
-// ChangeMemberAt asks any member for a change.
+// ChangeMemberAt requests a change of members through the member at an address.
 func ChangeMemberAt(ctx context.Context, addr string, c MemberChange) (string, error) {
 	r, err := ask(ctx, addr, command{Op: opMember, Member: &c})
 	return r.Done, err
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -20,49 +20,49 @@
 )
 
 const (
-	electAfter  = 400 * time.Millisecond // without word from the leader, unless Options.Election says otherwise
+	electAfter  = 400 * time.Millisecond // default of Options.Election
 	applyWithin = 2 * time.Second
 	retryAfter  = 30 * time.Millisecond // while there is no leader
-	readyEvery  = 5 * time.Millisecond  // how often a member that waits to be ready looks
-	sniffWithin = time.Second           // for the first byte of a connection
-	maxCommand  = 4 << 20
-	maxAnswer   = 256 << 20
+	readyEvery  = 5 * time.Millisecond  // poll interval of WaitReady
+	sniffWithin = time.Second           // timeout for the first byte of a connection
+	maxCommand  = 4 << 20               // bytes of an encoded command
+	maxAnswer   = 256 << 20             // bytes of an encoded answer
 )
 
 // Peer is one member of the group.
 type Peer struct {
 	Node, Address string
-	NonVoter      bool // it holds all records and serves reads, and has no vote, from the first configuration on
+	NonVoter      bool // holds all records and serves reads without a vote; applies to the first configuration
 }
 
-// Options say how a node works. Without peers it is a single one in memory, without sockets.
+// Options configures a node. Without Peers and Join the node forms a group of its own and opens no sockets.
 type Options struct {
 	Node     string
-	Listener net.Listener // where peers reach this node
-	Peers    []Peer       // all members, this node among them
-	Join     bool         // this node is new to a group that runs: it waits to be added, and makes none of its own
-	Dir      string       // where log and snapshots are kept; "": in memory, and lost with a majority of the members
-	Sync     string       // with Dir: SyncAlways (if empty) or SyncInterval
-	// Via gives, for an address of a member, the one at which this node reaches it: a port that is forwarded, or a relay.
-	// Members that are not in it are reached at their own.
+	Listener net.Listener // accepts connections of peers and clients
+	Peers    []Peer       // all members, including this node
+	Join     bool         // this node joins a running group: it waits to be added and does not bootstrap a group
+	Dir      string       // folder of the log and snapshots; "": in memory, lost if a majority of the members is lost
+	Sync     string       // with Dir: SyncAlways (the default) or SyncInterval
+	// Via maps the address of a member to the address at which this node reaches it, such as a forwarded port or a relay.
+	// Other members are reached at their own address.
 	Via map[string]string
-	// Reducers carry out Reduce, by key. All members of a group must have the same.
+	// Reducers maps keys to the functions that carry out Reduce. All members of a group must have the same reducers.
 	Reducers map[string]Reducer
-	// Check is asked about a client's put, put-at, delete or transaction at the member that the client reaches, before
-	// anything is committed. Its error refuses the write: the client gets a *Refused with its text and its advice. It is
-	// not asked about what this process writes itself, nor about what another member hands on, which has asked its own.
+	// Check validates a client's put, put-at, delete or transaction at the member that the client is connected to, before
+	// the write is committed. If it returns an error, the client gets a *Refused with the error's text and advice. Check is
+	// not called for writes of this process itself, nor for writes that another member forwards after its own check.
 	Check func(writes []Write) error
-	// Serve makes this member a control machine, which serves watch sessions; nil: it serves none.
+	// Serve makes this member a control machine, which serves watch sessions; nil: no sessions.
 	Serve *ServeOptions
-	// Election is the time without word from the leader after which a voter stands for election; 0: 400 ms. It must be a
-	// few times the round trip between members, and all members must have the same.
+	// Election is the time without contact with the leader after which a voter starts an election; 0: 400 ms. It must be a
+	// few times the round-trip time between members, and equal at all members.
 	Election time.Duration
 	Log      logrus.FieldLogger
 }
 
-// What a write waits for, with Options.Dir. Neither loses anything when a process is killed. When the machine fails,
-// SyncAlways loses nothing that was acknowledged; SyncInterval may lose the writes of the last 100 ms, where a majority
-// of the members' machines fails within it. Votes and terms are synced in any case.
+// Values of Options.Sync: when the log is synced to disk. Neither loses writes when a process is killed. When machines fail,
+// SyncAlways loses no acknowledged write, and SyncInterval may lose the writes of the last 100 ms if a majority of the
+// members' machines fails within that time. Votes and terms are always synced.
 const (
 	SyncAlways   = "always"
 	SyncInterval = "interval"
@@ -71,30 +71,30 @@
 const (
 	syncEvery     = 100 * time.Millisecond
 	snapshotsKept = 2
-	snapshotAfter = 4096             // entries
-	snapshotEvery = 30 * time.Second // how often that is looked at
-	trailing      = 1024             // entries kept behind a snapshot, for members that are a little late
+	snapshotAfter = 4096             // log entries since the last snapshot
+	snapshotEvery = 30 * time.Second // interval of the check for snapshotAfter
+	trailing      = 1024             // log entries kept before a snapshot, for members that lag slightly
 )
 
-// Node is a member of the group.
+// Node is a member of a group. It implements Store.
 type Node struct {
 	id      string
 	raft    *raft.Raft
 	fsm     *machine
 	layer   *streamLayer
 	trans   io.Closer
-	journal *journal.Journal // nil: in memory
+	journal *journal.Journal // nil if the log is in memory
 	via     map[string]string
-	ready   chan struct{} // closed once raft is there: connections may come before
+	ready   chan struct{} // closed once raft has started; connections may arrive earlier
 	logs    raft.LogStore
-	replay  uint64      // the last index of the log as it was opened: what must be applied to be ready
-	caught  atomic.Bool // Ready has been true
+	replay  uint64      // last index of the log when it was opened; must be applied before Ready
+	caught  atomic.Bool // Ready has returned true once
 	born    time.Time
 
 	check    func([]Write) error
-	versions versionCheck   // of the members, at the leader
-	sessions *sessionServer // nil: no control machine
-	stamping sync.Mutex     // of reduces, at the leader
+	versions versionCheck   // of the members, used by the leader
+	sessions *sessionServer // nil if this member is not a control machine
+	stamping sync.Mutex     // serializes timestamping and appending of reduces at the leader
 }
 
 // Open starts a node.
@@ -124,7 +124,7 @@
 		trans, n.trans = mem, mem
 	} else {
 		if o.Listener == nil {
-			return nil, errors.New("store: a node with peers, or one that joins, must listen")
+			return nil, errors.New("store: a node with peers or with Join needs a listener")
 		}
 		servers = nil
 		own, advertised := o.Join, ""
@@ -156,9 +156,9 @@
 	}
 	close(n.ready)
 	if o.Join || nonVoter {
-		return n, nil // the leader brings the configuration
+		return n, nil // it gets the configuration from the leader
 	}
-	// Every voter names the same first configuration, so it does not matter who is first.
+	// Every voter bootstraps with the same first configuration, so their order does not matter.
 	if err := r.BootstrapCluster(raft.Configuration{Servers: servers}).Error(); err != nil && err != raft.ErrCantBootstrap {
 		n.Close()
 		return nil, err
@@ -166,7 +166,7 @@
 	return n, nil
 }
 
-// closeStreams closes the connections that raft's transport keeps, which its Close leaves open.
+// closeStreams is a raft transport whose Close also closes the pooled connections, which NetworkTransport.Close leaves open.
 type closeStreams struct{ *raft.NetworkTransport }
 
 func (c closeStreams) Close() error {
@@ -175,6 +175,7 @@
 	return err
 }
 
+// server returns the peer as an entry of a raft configuration.
 func (p Peer) server() raft.Server {
 	s := raft.Server{ID: raft.ServerID(p.Node), Address: raft.ServerAddress(p.Address)}
 	if p.NonVoter {
@@ -183,7 +184,7 @@
 	return s
 }
 
-// start runs raft on files, or in memory where no folder is named.
+// start starts raft with its log and snapshots in Options.Dir, or in memory if it is empty.
 func (n *Node) start(c *raft.Config, o Options, trans raft.Transport) (*raft.Raft, error) {
 	if o.Dir == "" {
 		logs := raft.NewInmemStore()
@@ -197,7 +198,7 @@
 	case SyncInterval:
 		every = syncEvery
 	default:
-		return nil, fmt.Errorf("store: sync is %q, must be %s or %s", o.Sync, SyncAlways, SyncInterval)
+		return nil, fmt.Errorf("store: sync is %q, but must be %s or %s", o.Sync, SyncAlways, SyncInterval)
 	}
 	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), Every: every})
 	if err != nil {
@@ -205,7 +206,7 @@
 	}
 	n.journal, n.logs = j, j
 	if j.Cut > 0 && o.Log != nil {
-		o.Log.WithFields(logrus.Fields{"dir": o.Dir, "bytes": j.Cut}).Warn("store: a torn end of the log was cut off")
+		o.Log.WithFields(logrus.Fields{"dir": o.Dir, "bytes": j.Cut}).Warn("store: discarded an incomplete write at the end of the log")
 	}
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Dir, snapshotsKept, c.Logger)
 	if err != nil {
@@ -214,13 +215,13 @@
 	return raft.NewRaft(c, n.fsm, j, j, snapshots, trans)
 }
 
-// logDir is where the journal is within a store's folder; raft keeps its snapshots beside it.
+// logDir returns the folder of the journal within a store's folder; raft's snapshots folder is next to it.
 func logDir(dir string) string { return filepath.Join(dir, "log") }
 
-// Ready tells whether what this member reads is as new as what it held when it was opened and as what its leader has
-// told it is committed: a leader is known, and every entry up to both indexes is applied. Until then a member that was
-// restarted holds only its last snapshot, and a new one nothing. Once true it stays true; reads after that are local and
-// may lag the leader by what is in flight. The platform's single member in memory does not wait on it.
+// Ready reports whether this member has caught up: a leader is known, and every entry is applied that was in its log when
+// it was opened or that the leader has reported as committed. Until then a restarted member holds only its last snapshot,
+// and a new one holds nothing. Once true, Ready stays true; later reads are local and may lag the leader by the entries in
+// flight. The platform's single in-memory member does not wait for it.
 func (n *Node) Ready() bool {
 	if n.caught.Load() {
 		return true
@@ -240,12 +241,12 @@
 	return true
 }
 
-// lastCommand is the index of the last command at or below an index that the machine has not applied yet, 0 if there is
-// none. Only commands reach the machine: no-ops and changes of members do not, so the machine's index stops below them.
+// lastCommand returns the index of the last command up to an index that the machine has not applied yet; 0 if there is
+// none. The machine sees only commands: no-ops and membership changes do not advance its index.
 func (n *Node) lastCommand(upTo uint64) uint64 {
 	var l raft.Log
 	for i, applied := upTo, n.fsm.lastIndex(); i > applied; i-- {
-		if n.logs.GetLog(i, &l) != nil { // taken into a snapshot: applied with it
+		if n.logs.GetLog(i, &l) != nil { // compacted into a snapshot, and applied with it
 			return 0
 		}
 		if l.Type == raft.LogCommand {
@@ -260,7 +261,7 @@
 	return leader != "" || n.Leader()
 }
 
-// WaitReady returns once the member is Ready, or with ErrNotReady when the context ends first.
+// WaitReady returns nil once the member is Ready, or ErrNotReady if the context ends first.
 func (n *Node) WaitReady(ctx context.Context) error {
 	for tick := time.NewTicker(readyEvery); !n.Ready(); {
 		select {
@@ -273,7 +274,7 @@
 	return nil
 }
 
-// Leader tells whether this node leads.
+// Leader reports whether this node is the leader.
 func (n *Node) Leader() bool { return n.raft.State() == raft.Leader }
 
 // Get implements Store.
@@ -301,8 +302,8 @@
 	return err
 }
 
-// Compact takes a snapshot now and drops the log entries that it holds, but for the last ones. With nothing new since the
-// last snapshot it does nothing.
+// Compact takes a snapshot now and removes the log entries that it covers, except for the trailing ones. It does nothing if
+// no entry was applied since the last snapshot.
 func (n *Node) Compact() error {
 	if err := n.raft.Snapshot().Error(); err != nil && err != raft.ErrNothingNewToSnapshot {
 		return err
@@ -323,6 +324,7 @@
 	return err
 }
 
+// logWriter writes the lines of raft's logger to the log.
 type logWriter struct{ log logrus.FieldLogger }
 
 func (w logWriter) Write(p []byte) (int, error) {
--- a/internal/store/operators.go
+++ b/internal/store/operators.go
@@ -1,6 +1,6 @@
 package store
 
-// SessionCount is the number of sessions that this member serves; 0 where it is no control machine.
+// SessionCount returns the number of sessions that this member serves; 0 if it is not a control machine.
 func (n *Node) SessionCount() int {
 	if n.sessions == nil {
 		return 0
@@ -8,7 +8,8 @@
 	return len(n.sessions.all())
 }
 
-// FleetCounts are what this control machine last gathered of all sessions; nil where it is none, or has gathered nothing.
+// FleetCounts returns the counts of all sessions that this control machine last collected; nil if it is not a control
+// machine or has not collected any yet.
 func (n *Node) FleetCounts() *FleetCounts {
 	if n.sessions == nil {
 		return nil
@@ -18,8 +19,8 @@
 	return n.sessions.fleet
 }
 
-// StepDown hands the lead to another voter before this member ends, so that writes go on at once. It does nothing where this
-// member does not lead. With an error the group elects a leader by itself once this member is gone.
+// StepDown transfers leadership to another voter, so that writes continue without an election when this member stops. It
+// does nothing if this member is not the leader. After an error, the group elects a new leader once this member has stopped.
 func (n *Node) StepDown() error {
 	if !n.Leader() {
 		return nil
--- a/internal/store/raise.go
+++ b/internal/store/raise.go
@@ -9,22 +9,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// A group that is made anew, after the loss of all its members, begins with low revisions, and clients that followed the group
-// before take nothing from it: for them revisions never go back. Raising lifts the group's revisions above all that such
-// clients may hold. It is a command like any other, so every member does it at the same entry. It restamps every record, as
-// if one transaction had written them all anew, and the history begins at it, so every session gets a snapshot.
+// A group that is recreated after the loss of all its members starts with low revisions, and clients of the lost group reject
+// them: for a client, revisions never decrease. Raising moves the group's revisions above any revision that such clients may
+// hold. It is a replicated command, so every member applies it at the same log entry. It gives every record the new revision,
+// as if one transaction had rewritten all of them, and resets the history, so that every session gets a snapshot.
 
-// MaxRaise is the highest revision above which a group can be raised. It leaves as many revisions as raft has indexes.
+// MaxRaise is the highest revision above which a group can be raised. It leaves enough revisions for all further raft
+// indexes.
 const MaxRaise = 1 << 62
 
-// raises is what a member of an earlier version does not know.
+// raises names the feature in an EarlierVersion error.
 const raises = "raised revisions"
 
-// raiseConfirmed is in the answer to a raise of a member that knows it.
+// raiseConfirmed is result.Done of a raise at a member that supports it.
 const raiseConfirmed = "raised"
 
-// raise lifts the revision above one; where it is above already nothing changes. The lock is held, and index is that of the
-// command.
+// raise raises the revision to above+1. If the revision is above that already, no record changes. The caller holds the lock,
+// and m.index is the index of the command.
 func (m *machine) raise(above uint64) result {
 	if revision := m.index + m.offset; revision > above || above > MaxRaise {
 		m.moved(revision, nil)
@@ -38,7 +39,7 @@
 		r.Revision = revision
 		m.records[key] = r
 	}
-	for _, key := range keys { // after all: who hears of one reads all
+	for _, key := range keys { // after all records are changed: a watcher that is notified of one can read all of them
 		m.tell(m.records[key])
 	}
 	if m.history != nil {
@@ -48,9 +49,9 @@
 	return result{Revision: revision, Done: raiseConfirmed}
 }
 
-// Raise lifts the revisions of the group above one and gives its revision then. Where it is above it already nothing changes.
-// Every member must be up, since one of an earlier version would go on with lower revisions than the rest: the error is
-// *MemberAway or *EarlierVersion otherwise, and nothing is done.
+// Raise raises the revisions of the group above a revision and returns the group's new revision. It changes nothing if the
+// group is above that revision already. Every member must be up, because a member of an earlier version would continue with
+// lower revisions than the others: otherwise the error is *MemberAway or *EarlierVersion, and nothing is changed.
 func (n *Node) Raise(ctx context.Context, above uint64) (revision uint64, err error) {
 	if err := checkRaise(above); err != nil {
 		return 0, err
@@ -61,7 +62,7 @@
 	return n.write(ctx, command{Op: opRaise, At: above, Hop: true})
 }
 
-// RaiseTo is Node.Raise through the member at an address.
+// RaiseTo is like Node.Raise, through the member at an address.
 func RaiseTo(ctx context.Context, addr string, above uint64) (revision uint64, err error) {
 	if err := checkRaise(above); err != nil {
 		return 0, err
@@ -76,14 +77,15 @@
 	return r.Revision, nil
 }
 
+// checkRaise returns a *BadRequest if revisions can't be raised above a revision.
 func checkRaise(above uint64) error {
 	if above > MaxRaise {
-		return &BadRequest{fmt.Sprintf("revisions can be raised above %d at most, not %d", uint64(MaxRaise), above)}
+		return &BadRequest{fmt.Sprintf("revisions can be raised above %d at most, not above %d", uint64(MaxRaise), above)}
 	}
 	return nil
 }
 
-// allRaise asks all members whether they are of a version that raises revisions.
+// allRaise returns an error unless all other members are up and their versions support raising revisions.
 func (n *Node) allRaise(ctx context.Context) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -98,6 +100,7 @@
 	return asked.Wait()
 }
 
+// memberRaises returns an error unless a member is up and its version supports raising revisions.
 func memberRaises(ctx context.Context, name, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, upWithin)
 	defer cancel()
@@ -111,9 +114,9 @@
 	return nil
 }
 
-// MemberAway says that a member which must be up does not answer.
+// MemberAway is returned when a member that must be up does not answer.
 type MemberAway struct {
-	Member string // its name
+	Member string // name of the member
 	Cause  string
 }
 
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// serve takes one command of a client, or one that another member hands on.
+// serve handles one connection of a client or of a forwarding member, which carries one command.
 func (n *Node) serve(c net.Conn) {
 	defer c.Close()
 	select {
 	case <-n.ready:
-	case <-time.After(applyWithin): // it does not come up
+	case <-time.After(applyWithin): // raft did not start
 		return
 	}
 	c.SetDeadline(time.Now().Add(2 * applyWithin))
@@ -43,7 +43,7 @@
 	json.NewEncoder(c).Encode(r)
 }
 
-// answer carries out a command that has one answer.
+// answer carries out a command with a single answer.
 func (n *Node) answer(cmd command, r *result) (err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), applyWithin)
 	defer cancel()
@@ -52,7 +52,7 @@
 		return nil
 	case cmd.Op == opMember:
 		r.Done, err = n.ChangeMember(ctx, *cmd.Member, cmd.Hop)
-	case cmd.Hop: // from a node that took this one for the leader
+	case cmd.Hop: // forwarded by a member that considers this one the leader
 		*r, err = n.commit(ctx, cmd)
 	default:
 		err = n.clientCommand(ctx, cmd, r)
@@ -60,12 +60,12 @@
 	return err
 }
 
-// clientCommand has a client's write, or reduce, committed by the leader.
+// clientCommand has the leader commit a client's write or reduce.
 func (n *Node) clientCommand(ctx context.Context, cmd command, r *result) (err error) {
 	if err := n.checkClient(&cmd); err != nil {
 		return err
 	}
-	if !n.leaderKnown() { // the caller waits, within its own time-out
+	if !n.leaderKnown() { // the client retries within its own timeout
 		return ErrNotReady
 	}
 	if cmd.Op == opRaise {
@@ -99,7 +99,7 @@
 	return &lineReader{limit, bufio.NewReader(limit)}
 }
 
-// next reads a line of at most so many bytes, and what the buffer took in beside it.
+// next reads a line. At most most bytes are read from the connection, besides those that are buffered already.
 func (l *lineReader) next(most int64) ([]byte, error) {
 	l.limit.N = most
 	return l.in.ReadBytes('\n')
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -10,7 +10,7 @@
 	"beammux/control/admission"
 )
 
-// session is one client that watches.
+// session is one watch session at a control machine.
 type session struct {
 	server  *sessionServer
 	conn    net.Conn
@@ -18,18 +18,19 @@
 	request WatchRequest
 	since   time.Time
 	wake    chan struct{}
-	gone    chan struct{} // the client has left, or is silent
-	cursor  uint64        // all up to this revision is sent; of the writing goroutine alone
-	// admitted tells that the session counts among those that are open; of the writing goroutine alone.
+	gone    chan struct{} // closed when the client has disconnected or timed out
+	cursor  uint64        // everything up to this revision has been sent; used by the writing goroutine only
+	// admitted is set while the session is counted by the admission controller; used by the writing goroutine only.
 	admitted bool
 
 	mu          sync.Mutex
-	sent        uint64 // the cursor, for others
-	target      uint64 // revision of the last change under its prefixes
-	targetSince time.Time
+	sent        uint64    // copy of cursor for other goroutines
+	target      uint64    // revision of the last change under its prefixes
+	targetSince time.Time // when target was set
 	report      WatchReport
 }
 
+// wakeUp tells the writing goroutine that the history has changes for this session. It does not block.
 func (s *session) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -37,7 +38,7 @@
 	}
 }
 
-// run serves the session. The error is what is still to be sent to the client, or errSessionEnds.
+// run serves the session until it ends. The returned error must still be sent to the client, unless it is errSessionEnds.
 func (s *session) run() error {
 	defer s.release()
 	if err := s.open(); err != nil {
@@ -51,14 +52,15 @@
 	return errSessionEnds
 }
 
+// release ends the session at the admission controller if it was admitted.
 func (s *session) release() {
 	if s.admitted {
 		s.server.release()
 	}
 }
 
-// endWith sends the client the reason why its session ends, and waits until it has left: a connection that is closed while reports
-// of the client are unread is reset, and what was written last may be lost.
+// endWith sends the client the error that ends its session and waits until the client disconnects: closing a connection with
+// unread reports resets it, and data written last may be lost.
 func (s *session) endWith(err error) {
 	sendFault(s.conn, err)
 	if half, ok := s.conn.(*net.TCPConn); ok {
@@ -71,7 +73,7 @@
 	}
 }
 
-// sendFault writes an error as the last line of a connection.
+// sendFault writes an error as the last line on a connection.
 func sendFault(c net.Conn, err error) {
 	var r result
 	r.fail(err)
@@ -79,7 +81,7 @@
 	json.NewEncoder(c).Encode(r)
 }
 
-// open admits the session and sends what the client lacks up to now, or the begin of it.
+// open checks and admits the session, and sends a snapshot if the client can't resume from its revision.
 func (s *session) open() error {
 	if err := s.server.check(s.request); err != nil {
 		return err
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// send brings changes and heartbeats until the session ends.
+// send sends changes and heartbeats until the session ends.
 func (s *session) send() error {
 	beats := time.NewTicker(s.server.options.HeartbeatEvery)
 	defer beats.Stop()
@@ -137,7 +139,7 @@
 	}
 }
 
-// catchUp sends all changes that there are.
+// catchUp sends all changes after the cursor.
 func (s *session) catchUp() error {
 	for {
 		transactions, upTo, ok := s.server.history.since(s.cursor, batch)
@@ -165,7 +167,7 @@
 	}
 }
 
-// write writes a line in parts, each within its time.
+// write writes a line in parts, each with its own write deadline.
 func (s *session) write(line []byte) error {
 	for len(line) > 0 {
 		part := line[:min(len(line), writePart)]
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// readReports takes the client's reports until it leaves or is silent for too long.
+// readReports receives the client's reports until it disconnects or sends nothing for too long.
 func (s *session) readReports() {
 	defer close(s.gone)
 	for {
@@ -197,6 +199,7 @@
 	}
 }
 
+// setCursor records that everything up to a revision has been sent.
 func (s *session) setCursor(revision uint64) {
 	s.cursor = revision
 	s.mu.Lock()
@@ -204,6 +207,7 @@
 	s.sent = revision
 }
 
+// setTarget records the revision of a change under the session's prefixes.
 func (s *session) setTarget(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/session_client.go
+++ b/internal/store/session_client.go
@@ -12,9 +12,9 @@
 
 // WatchSession opens a session at the control machine at an address and calls handle for each event, in order and one at a
 // time, until the context ends, the connection breaks, handle returns an error, or the control machine ends the session. It
-// returns that error, never nil. Of the control machine's are: *ComeBack, *ReplicaBehind, *WatcherTooSlow, *NotControl,
-// *BadRequest, ErrNotReady. Reports are sent as they come, and the last one again with each heartbeat: by that the control
-// machine knows that the client lives. dial may be nil.
+// returns the error that ended the session, never nil. The control machine's errors are *ComeBack, *ReplicaBehind,
+// *WatcherTooSlow, *NotControl, *BadRequest, *SessionsFull and ErrNotReady. Reports are sent as they arrive, and the last one
+// again with each heartbeat, which shows the control machine that the client is alive. dial may be nil.
 func WatchSession(ctx context.Context, dial Dial, address string, r WatchRequest, reports <-chan WatchReport, handle func(WatchEvent) error) error {
 	c, err := connect(ctx, dial, address)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return cause(ctx, w.receive())
 }
 
-// cause is why a session ended: the context, where that did.
+// cause returns the error that ended a session: the context's error if the context has ended, otherwise err.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -42,6 +42,7 @@
 	return err
 }
 
+// connect dials an address with a timeout. dial may be nil.
 func connect(ctx context.Context, dial Dial, address string) (net.Conn, error) {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -51,7 +52,7 @@
 	return dial(ctx, "tcp", address)
 }
 
-// exchange sends one command and reads its answer.
+// exchange sends one command on a new connection and reads its answer.
 func exchange(ctx context.Context, dial Dial, address string, data []byte) (r result, err error) {
 	c, err := connect(ctx, dial, address)
 	if err != nil {
@@ -69,19 +70,20 @@
 	return r, r.error(address)
 }
 
-// watch is the client's side of a session.
+// watch is the client side of a session.
 type watch struct {
 	conn     net.Conn
 	address  string
-	beats    chan struct{} // a heartbeat was handled
+	beats    chan struct{} // buffered signal: a heartbeat was handled
 	handle   func(WatchEvent) error
-	revision uint64
+	revision uint64 // of the last event
 }
 
+// request sends the command that opens the session.
 func (w *watch) request(r WatchRequest) error {
 	c := command{Op: opWatch, Watch: &r}
 	if len(r.Prefixes) > 0 {
-		c.Key = r.Prefixes[0] // what a member of an earlier version would watch
+		c.Key = r.Prefixes[0] // the prefix that a member of an earlier version watches
 	}
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return err
 }
 
-// receive handles events until the session ends. Between two of them no more than a few heartbeats' time may pass.
+// receive handles events until the session ends. It fails if no event arrives for a few heartbeat intervals.
 func (w *watch) receive() error {
 	steady := &steadyReader{w.conn, 2*behindWithin + writeWithin}
 	limit := &io.LimitedReader{R: steady}
@@ -128,21 +130,22 @@
 	}
 }
 
-// steadyReader reads from a connection that may be silent for so long.
+// steadyReader reads from a connection with an idle timeout.
 type steadyReader struct {
 	conn    net.Conn
-	silence time.Duration
+	silence time.Duration // longest wait for data
 }
 
+// Read implements io.Reader.
 func (s *steadyReader) Read(p []byte) (int, error) {
 	s.conn.SetReadDeadline(time.Now().Add(s.silence))
 	return s.conn.Read(p)
 }
 
-// sendReports sends each report as it comes, and the last one with each heartbeat. It always takes reports, so that who
-// makes them is never held up, but sends none before the first heartbeat: a control machine that refuses the session must not
-// find anything unread when it closes the connection, since then its answer may be lost. What can't be sent is left to the
-// reader, for which the reason may still be on its way.
+// sendReports sends each report as it arrives, and the last one again with each heartbeat. It always receives reports, so that
+// their sender never blocks, but writes none before the first heartbeat: if a control machine that refuses the session closes
+// the connection with unread data, its answer may be lost. Write errors are ignored, because the reader may still receive the
+// error that ended the session.
 func (w *watch) sendReports(ctx context.Context, inForce uint64, reports <-chan WatchReport) {
 	last, sends := WatchReport{InForce: inForce}, false
 	for {
@@ -166,7 +169,7 @@
 
 func (w *watch) send(r WatchReport) {
 	line, err := json.Marshal(r)
-	if err != nil { // strings and numbers
+	if err != nil { // unreachable: the fields are strings and numbers
 		panic(err)
 	}
 	w.conn.SetWriteDeadline(time.Now().Add(writeWithin))
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	writeWithin  = 2 * applyWithin // for each part of an event that is written to a session
-	writePart    = 256 << 10       // bytes of such a part
-	behindWithin = time.Second     // for a replica to reach the revision that a client holds, or to be ready
-	maxReport    = 16 << 10        // bytes of a line from a client
-	maxSessions  = 8192
-	fullFor      = 30 * time.Second // until a client that found so many comes back
-	maxPrefixes  = 32
-	batch        = 64 // transactions that a session takes from the history at once
+	writeWithin  = 2 * applyWithin  // timeout for writing each part of an event
+	writePart    = 256 << 10        // bytes of such a part
+	behindWithin = time.Second      // timeout for a replica to be ready and to reach the revision that a client holds
+	maxReport    = 16 << 10         // bytes of a line from a client
+	maxSessions  = 8192             // open sessions, including those not admitted yet
+	fullFor      = 30 * time.Second // retry delay of a client that exceeds maxSessions
+	maxPrefixes  = 32               // of one session
+	batch        = 64               // transactions that are read from the history at once
 )
 
-// sessionServer serves the watch sessions of a control machine. Each session has two goroutines and a place in the history
-// by its revision, but no queue of its own: what it has not been sent is held once for all, and bounded.
+// sessionServer serves the watch sessions of a control machine. Each session has two goroutines and a position in the history
+// (its revision), but no queue of its own: pending changes are held once for all sessions, in the bounded history.
 type sessionServer struct {
 	node    *Node
 	options ServeOptions
 	history *history
-	born    time.Time       // origin of the controller's clock
-	ctx     context.Context // ends with the server
+	born    time.Time       // start of the clock passed to admit
+	ctx     context.Context // canceled when the server closes
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
@@ -42,8 +42,8 @@
 	closed   bool
 	sessions map[*session]struct{}
 	byPrefix map[string]map[*session]struct{}
-	fleet    *FleetCounts // last gathered; not changed once it is here
-	held     uint64       // highest revision that a client has said it holds
+	fleet    *FleetCounts // last collected counts; immutable
+	held     uint64       // highest revision that a client reported to hold
 
 	viewMu sync.Mutex
 	view   *view
@@ -52,7 +52,7 @@
 	beat   sharedBeat
 }
 
-// sharedBeat is the last heartbeat that was encoded.
+// sharedBeat is the last encoded heartbeat.
 type sharedBeat struct {
 	line     []byte
 	revision uint64
@@ -66,6 +66,7 @@
 		admit: admission.New(admission.Limits(o.Admission))}
 }
 
+// start starts the server's background goroutines.
 func (s *sessionServer) start() {
 	s.running.Go(s.dispatch)
 	s.running.Go(s.gatherCounts)
@@ -83,7 +84,7 @@
 	s.running.Wait()
 }
 
-// dispatch wakes the sessions that follow what was changed.
+// dispatch wakes the sessions whose prefixes match the changed keys, until the server closes.
 func (s *sessionServer) dispatch() {
 	_, seen, _ := s.history.state()
 	for {
@@ -111,7 +112,7 @@
 	}
 }
 
-// wakeFollowers wakes the sessions that have a prefix of a changed key. The lock is held.
+// wakeFollowers wakes the sessions that follow a prefix of a changed key. The caller holds s.mu.
 func (s *sessionServer) wakeFollowers(t *transaction) {
 	for _, c := range t.changes {
 		for end := range len(c.Key) + 1 {
@@ -122,7 +123,7 @@
 	}
 }
 
-// add takes a session in, unless the server is closing or full.
+// add registers a session, unless the server is closed or full.
 func (s *sessionServer) add(one *session) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,6 +144,7 @@
 	return nil
 }
 
+// remove unregisters a session.
 func (s *sessionServer) remove(one *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,13 +158,14 @@
 	s.running.Done()
 }
 
-// serveSession serves one watch session until it ends, and sends the client the reason where it still can.
+// serveSession serves one watch session until it ends, and sends the client the error that ended it if that is still possible.
 func (n *Node) serveSession(c net.Conn, in *lineReader, request WatchRequest) {
 	if err := n.runSession(c, in, request); !errors.Is(err, errSessionEnds) {
 		sendFault(c, err)
 	}
 }
 
+// runSession registers a session and runs it. Errors other than errSessionEnds must be sent to the client.
 func (n *Node) runSession(c net.Conn, in *lineReader, request WatchRequest) error {
 	if n.sessions == nil {
 		return &NotControl{n.id}
@@ -176,7 +179,7 @@
 	return one.run()
 }
 
-// check refuses a request that can't be served.
+// check returns a *BadRequest if a request can't be served.
 func (s *sessionServer) check(r WatchRequest) error {
 	if len(r.Prefixes) == 0 || len(r.Prefixes) > maxPrefixes {
 		return &BadRequest{fmt.Sprintf("a session follows %d prefixes, must be 1 to %d", len(r.Prefixes), maxPrefixes)}
@@ -189,14 +192,14 @@
 	return nil
 }
 
-// noteHeld takes down the revision that a client says it holds.
+// noteHeld records the revision that a client reports to hold.
 func (s *sessionServer) noteHeld(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.held = max(s.held, revision)
 }
 
-// heldAbove is the highest revision that a client has said it holds, 0 where that is not above a revision.
+// heldAbove returns the highest revision that a client reported to hold; 0 if it is not above the given revision.
 func (s *sessionServer) heldAbove(revision uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,7 +209,7 @@
 	return s.held
 }
 
-// reached waits a short time for the replica to be ready and to hold a revision.
+// reached waits up to behindWithin for the replica to be ready and to have applied a revision.
 func (s *sessionServer) reached(after uint64) error {
 	ctx, cancel := context.WithTimeout(s.ctx, behindWithin)
 	defer cancel()
@@ -223,7 +226,7 @@
 	return nil
 }
 
-// admitted asks the controller for a session. One that is admitted is to be ended with release.
+// admitted asks the admission controller to admit a session. An admitted session must be ended with release.
 func (s *sessionServer) admitted(r admission.Request) error {
 	s.admitMu.Lock()
 	defer s.admitMu.Unlock()
@@ -236,27 +239,28 @@
 	return nil
 }
 
-// release ends a session that was admitted.
+// release ends an admitted session at the admission controller.
 func (s *sessionServer) release() {
 	s.admitMu.Lock()
 	defer s.admitMu.Unlock()
 	s.admit.End()
 }
 
-// comeBack gives a client that must begin anew, with a snapshot, the time for that.
+// comeBack returns the error that makes a client reconnect later to get a snapshot.
 func (s *sessionServer) comeBack(client string) error {
 	s.admitMu.Lock()
 	defer s.admitMu.Unlock()
 	return &ComeBack{duration(s.admit.Defer(s.clock(), admission.Request{Client: client, Snapshot: true}))}
 }
 
+// clock returns the time of the admission controller.
 func (s *sessionServer) clock() control.Micros {
 	return control.Micros(time.Since(s.born).Microseconds())
 }
 
 func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// currentView is all served records as they are now; it is made anew only after one has changed.
+// currentView returns a view of all served records. It is rebuilt only after one of them has changed.
 func (s *sessionServer) currentView() *view {
 	s.viewMu.Lock()
 	defer s.viewMu.Unlock()
@@ -267,7 +271,8 @@
 	return s.view
 }
 
-// heartbeat is a heartbeat at a revision, as it is sent. Sessions at the same revision share one for a while.
+// heartbeat returns an encoded heartbeat at a revision. Sessions at the same revision share one for a part of the heartbeat
+// interval.
 func (s *sessionServer) heartbeat(revision uint64) []byte {
 	now := time.Now()
 	s.beatMu.Lock()
@@ -283,7 +288,7 @@
 	return s.beat.line
 }
 
-// contactAge is the time since this member had word from its leader; 0 at the leader.
+// contactAge returns the time since the last contact with the leader, or since the start if there was none; 0 at the leader.
 func (n *Node) contactAge() time.Duration {
 	last := n.raft.LastContact()
 	switch {
@@ -295,5 +300,5 @@
 	return time.Since(last)
 }
 
-// errSessionEnds says that a session is over and that nothing more is sent to the client.
+// errSessionEnds ends a session without sending an error to the client.
 var errSessionEnds = errors.New("the session ends")
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store keeps revisioned records of configuration, inventory and dialogs, replicated by raft. It carries no
-// load, no levels and no attempts: gatekeepers share nothing about calls in progress.
+// Package store implements a replicated key-value store on top of raft. Its revisioned records hold configuration,
+// inventory and dialogs. It holds no load figures, overload levels or attempts: gatekeepers share no state of calls in
+// progress.
 package store
 
 import (
@@ -7,26 +8,29 @@
 	"errors"
 )
 
-// Record is one value. Its revision grows with every write to the store.
+// Record is one key with its value. Revision is the store revision of the write that last changed it; revisions grow with
+// every write to the store.
 type Record struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
 }
 
-// ErrRevision says that a record was not at the revision that a write expected.
+// ErrRevision is returned when a record is not at the revision that a conditional write expects.
 var ErrRevision = errors.New("record has another revision")
 
-// Store is what the program uses. Reads are local; a write has returned once a majority holds it.
+// Store is the interface of the replicated store. Reads are served from the local replica; a write returns once a majority
+// of the voters holds it.
 type Store interface {
 	Get(key string) (Record, bool)
-	List(prefix string) []Record // ordered by key
+	// List returns the records under a prefix, ordered by key.
+	List(prefix string) []Record
 	Put(ctx context.Context, key string, value []byte) (revision uint64, err error)
-	// PutAt writes only if the record is at a revision; 0 means that there is none.
+	// PutAt writes the record only if its revision is at; an at of 0 requires that the record does not exist.
 	PutAt(ctx context.Context, key string, value []byte, at uint64) (revision uint64, err error)
 	Delete(ctx context.Context, key string) error
 	// Watch calls f for each committed change under a prefix, in order; a deleted record has a nil Value. f must not
-	// block and must not write.
+	// block and must not write to the store.
 	Watch(prefix string, f func(Record))
 	Close() error
 }
--- a/internal/store/stream.go
+++ b/internal/store/stream.go
@@ -9,10 +9,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// streamLayer shares one listener between raft and forwarded commands: the first byte tells them apart.
+// streamLayer is a raft.StreamLayer that shares one listener between raft and the client port. The first byte of a connection
+// selects the protocol.
 type streamLayer struct {
 	net.Listener
-	advertised string // this member's address as the group knows it; "": the listener's
+	advertised string // this member's address in the group's configuration; "": the listener's address
 	via        map[string]string
 	raft       chan net.Conn
 	done       chan struct{}
@@ -20,9 +21,10 @@
 	serve      func(net.Conn)
 }
 
+// First byte of a connection.
 const (
-	raftByte    = 'R'
-	forwardByte = 'F'
+	raftByte    = 'R' // raft
+	forwardByte = 'F' // a command of a client or of another member
 )
 
 func newStreamLayer(l net.Listener, serve func(net.Conn), advertised string, via map[string]string) *streamLayer {
@@ -31,6 +33,7 @@
 	return s
 }
 
+// run accepts connections until the listener is closed.
 func (s *streamLayer) run() {
 	for {
 		c, err := s.Listener.Accept()
@@ -42,6 +45,7 @@
 	}
 }
 
+// sniff reads the first byte of a connection and passes the connection to raft or to serve.
 func (s *streamLayer) sniff(c net.Conn) {
 	var first [1]byte
 	c.SetReadDeadline(time.Now().Add(sniffWithin))
@@ -71,7 +75,7 @@
 	}
 }
 
-// Addr implements raft.StreamLayer: followers learn by it where their leader is.
+// Addr implements raft.StreamLayer. Followers use it as the address of their leader.
 func (s *streamLayer) Addr() net.Addr {
 	if s.advertised == "" {
 		return s.Listener.Addr()
@@ -79,7 +83,7 @@
 	return named(s.advertised)
 }
 
-// named is an address as the group knows it, which need not be one of this machine.
+// named is a net.Addr with the address in the group's configuration, which need not be an address of this machine.
 type named string
 
 func (named) Network() string  { return "tcp" }
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -11,33 +11,33 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Write is one part of a transaction: a put, or a delete.
+// Write is one write of a transaction: a put or a delete.
 type Write struct {
 	Key    string  `json:"key"`
 	Value  []byte  `json:"value,omitempty"`
 	Delete bool    `json:"delete,omitempty"`
-	At     *uint64 `json:"at,omitempty"` // only if the record is at that revision; 0: only if there is none
+	At     *uint64 `json:"at,omitempty"` // expected revision of the record; 0: it must not exist; nil: unconditional
 }
 
-// transactions is what a member of an earlier version does not know.
+// transactions names the feature in an EarlierVersion error.
 const transactions = "transactions"
 
-// transactionConfirmed is in the answer to a transaction of a member that knows them.
+// transactionConfirmed is result.Done of a transaction at a member that supports transactions.
 const transactionConfirmed = "transaction"
 
-// leadingMember stands for the name of the leader, where its answer does not tell it.
+// leadingMember replaces the leader's name in an EarlierVersion error, because the answer does not contain the name.
 const leadingMember = "leading the group"
 
-// checkTransaction refuses what no member can carry out. Every member also asks it when it applies a transaction, so it
-// must not change its mind with a later version.
+// checkTransaction returns a *BadRequest for writes that no member can carry out. It is also called when a member applies a
+// transaction, so its result must be the same in all versions.
 func checkTransaction(writes []Write) error {
 	if len(writes) == 0 {
-		return &BadRequest{"a transaction without writes"}
+		return &BadRequest{"a transaction needs at least one write"}
 	}
 	seen := make(map[string]bool, len(writes))
 	for _, w := range writes {
 		if w.Key == "" {
-			return &BadRequest{"a write of a transaction without a key"}
+			return &BadRequest{"a write of a transaction has no key"}
 		}
 		if seen[w.Key] {
 			return &BadRequest{fmt.Sprintf("%s is written twice in one transaction", w.Key)}
@@ -47,9 +47,10 @@
 	return nil
 }
 
-// Transact carries out all writes at one revision, or none of them: with ErrRevision if a record is not at the revision
-// that its write expects, with *BadRequest if there are no writes or two of one key. As with Put, a write that ends with
-// another error may have been carried out, and one that was tried again after a lost answer may find its own revision.
+// Transact applies all writes atomically at one revision and returns it. The error is ErrRevision if a record is not at the
+// revision that its write expects, and *BadRequest if there are no writes or two of the same key; then nothing is changed. As
+// with Put, a transaction that fails with another error may have been applied, and one that was retried after a lost answer
+// may conflict with its own first attempt.
 func (n *Node) Transact(ctx context.Context, writes []Write) (revision uint64, err error) {
 	if err := checkTransaction(writes); err != nil {
 		return 0, err
@@ -57,7 +58,7 @@
 	return n.write(ctx, command{Op: opTransact, Writes: writes})
 }
 
-// TransactTo is Node.Transact through the member at an address.
+// TransactTo is like Node.Transact, through the member at an address.
 func TransactTo(ctx context.Context, addr string, writes []Write) (uint64, error) {
 	if err := checkTransaction(writes); err != nil {
 		return 0, err
@@ -74,7 +75,7 @@
 	return r.Revision, nil
 }
 
-// writes of a command of a client; nil for one that writes no records by itself.
+// writes returns the writes of a client's command; nil if the command does not itself write records.
 func (c *command) writes() []Write {
 	switch c.Op {
 	case opPut:
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// checkClient asks Options.Check about what a client wants to write here.
+// checkClient validates a client's writes with Options.Check. Its errors are *BadRequest and *Refused.
 func (n *Node) checkClient(c *command) error {
 	writes := c.writes()
 	if c.Op == opTransact {
@@ -108,18 +109,19 @@
 	return newRefused(err)
 }
 
-// versionCheck is what the leader knows of the members' versions.
+// versionCheck caches which members' versions support transactions. It is used by the leader.
 type versionCheck struct {
 	mu     sync.Mutex
-	index  uint64               // of the configuration that this is about
-	settle map[string]time.Time // when to ask a member again; zero: never
+	index  uint64               // of the raft configuration that settle belongs to
+	settle map[string]time.Time // by member: when to query it again; zero: never
 }
 
-const askVersionAgain = 30 * time.Second // of a member that does not answer
+const askVersionAgain = 30 * time.Second // delay until a member that did not answer is queried again
 
-// allTransact is asked by the leader before it commits a transaction: a member of an earlier version would apply it as
-// nothing, and hold other records than the rest from then on. A member that answers is asked once for each configuration of
-// the group; one that does not answer is asked again later, and holds nothing up.
+// allTransact returns an error if a member is known to run a version without transactions. The leader calls it before it
+// commits a transaction: such a member would ignore the transaction, and its records would diverge from those of the others.
+// A member that answers is queried once per configuration of the group. A member that does not answer is queried again later
+// and does not block transactions.
 func (n *Node) allTransact(ctx context.Context) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -140,7 +142,7 @@
 	return n.askVersions(ctx, unknown)
 }
 
-// askVersions asks members, all at the same time, and notes what they say. The lock of versions is held.
+// askVersions queries members concurrently and stores the results. The caller holds n.versions.mu.
 func (n *Node) askVersions(ctx context.Context, members []raft.Server) error {
 	ctx, cancel := context.WithTimeout(ctx, upWithin)
 	defer cancel()
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -6,22 +6,22 @@
 	"sync"
 )
 
-const snapshotsShared = 64 // encodings of one view
+const snapshotsShared = 64 // cached encodings of one view
 
-// view is all served records at one revision, ordered by key. It is made once for all sessions that need a snapshot while
-// no served record changes.
+// view holds all served records at one revision, ordered by key. It is shared by all sessions that need a snapshot until a
+// served record changes.
 type view struct {
 	records  []Record
 	revision uint64
 
 	mu    sync.Mutex
-	lines map[string][]byte // snapshots, by the ranges of records that are in them
+	lines map[string][]byte // cached encodings of snapshots, by the ranges of records that they contain
 }
 
-// keyRange is the part of a view from one index up to before another.
+// keyRange is the half-open range of indexes [from, to) in view.records.
 type keyRange struct{ from, to int }
 
-// ranges of the records under some prefixes, in order, none twice.
+// ranges returns the ranges of the records under some prefixes, in order and without overlaps.
 func (v *view) ranges(prefixes []string) []keyRange {
 	var all []keyRange
 	for _, p := range prefixes {
@@ -43,7 +43,7 @@
 	return merged
 }
 
-// newest is the highest revision of the records under some prefixes; 0 if there are none.
+// newest returns the highest revision of the records under some prefixes; 0 if there are none.
 func (v *view) newest(prefixes []string) (revision uint64) {
 	for _, r := range v.ranges(prefixes) {
 		for _, record := range v.records[r.from:r.to] {
@@ -53,7 +53,7 @@
 	return revision
 }
 
-// line is the snapshot of the records under some prefixes, as it is sent.
+// line returns the encoded snapshot of the records under some prefixes.
 func (v *view) line(prefixes []string) []byte {
 	ranges := v.ranges(prefixes)
 	var name strings.Builder
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// WatchKind says what a WatchEvent brings.
+// WatchKind is the kind of a WatchEvent.
 type WatchKind int
 
 const (
-	// Snapshot has all records under the session's prefixes at the event's revision. It replaces whatever the client held.
+	// Snapshot contains all records under the session's prefixes at the event's revision. It replaces the client's records.
 	Snapshot WatchKind = iota + 1
-	// Change has all records of one transaction under the session's prefixes, deleted ones with a nil Value.
+	// Change contains all records of one transaction under the session's prefixes. Deleted records have a nil Value.
 	Change
-	// Heartbeat has no records: the client holds all that there is up to its revision.
+	// Heartbeat contains no records: the client has received all changes up to the event's revision.
 	Heartbeat
 )
 
@@ -33,7 +33,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (k WatchKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. A kind of a later version is an error.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error for an unknown kind, such as one of a later version.
 func (k *WatchKind) UnmarshalText(text []byte) error {
 	for kind, name := range watchKinds {
 		if name == string(text) {
@@ -41,10 +41,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("store: unknown kind of event %q", text)
+	return fmt.Errorf("store: unknown watch event kind %q", text)
 }
 
-// SessionInfo names the gatekeeper of a session and where it stands.
+// SessionInfo identifies the gatekeeper of a session and its location.
 type SessionInfo struct {
 	Name    string `json:"name"`
 	Region  string `json:"region,omitempty"`
@@ -52,82 +52,83 @@
 	Service string `json:"service,omitempty"`
 }
 
-// WatchRequest opens a session.
+// WatchRequest is the request that opens a session.
 type WatchRequest struct {
-	Prefixes []string    `json:"prefixes"`        // of the keys that are followed; at least one
-	After    uint64      `json:"after,omitempty"` // the highest revision that the client holds; 0: none, a Snapshot comes first
+	Prefixes []string    `json:"prefixes"`        // of the keys to follow; at least one
+	After    uint64      `json:"after,omitempty"` // highest revision that the client holds; 0: none, so the session starts with a Snapshot
 	Session  SessionInfo `json:"session"`
 }
 
-// WatchEvent is one event of a session. Once it is handled, all changes under the session's prefixes up to Revision have
-// been handled. Revisions of a session never fall.
+// WatchEvent is one event of a session. After handling it, the client has all changes under the session's prefixes up to
+// Revision. Revisions never decrease within a session.
 type WatchEvent struct {
 	Kind     WatchKind
 	Revision uint64
-	Records  []Record     // of Snapshot and Change; ordered by key in a Snapshot, as written in a Change
-	Fleet    *FleetCounts // of Heartbeat, once the replica has gathered them
+	Records  []Record     // of Snapshot, ordered by key, and of Change, in the order of the writes
+	Fleet    *FleetCounts // of Heartbeat, once the replica has collected them
 
-	// Of Heartbeat: the time since the replica last had word from the group's leader; 0 at the leader. A replica that lost
-	// its leader goes on serving what it holds, and only this says how old that may be.
+	// Age, of Heartbeat, is the time since the replica's last contact with the group's leader; 0 at the leader. A replica
+	// without a leader continues to serve its records, and only Age shows how outdated they may be.
 	Age time.Duration
-	// Of Heartbeat: the interval at which the replica sends them.
+	// Every, of Heartbeat, is the interval at which the replica sends heartbeats.
 	Every time.Duration
 }
 
-// WatchReport is what a gatekeeper reports on its session's connection.
+// WatchReport is the state that a gatekeeper reports on its session's connection.
 type WatchReport struct {
-	InForce uint64 `json:"in_force"`          // revision that is in force
+	InForce uint64 `json:"in_force"`          // revision that the gatekeeper has put in force
 	Refused uint64 `json:"refused,omitempty"` // revision that it last refused; 0: none since InForce
-	Fault   string `json:"fault,omitempty"`   // why, with line and key
+	Fault   string `json:"fault,omitempty"`   // reason of the refusal, with line and key
 }
 
-// FleetCounts counts the sessions of all control machines together. A session holds the configuration if the last change
-// under its prefixes is in force at it; it is behind from the moment at which the change was sent until then. Sessions of a
-// replica that lacks the newest change are behind. Sessions of a replica that could not be asked are in no count.
+// FleetCounts is the sum of the session counts of all control machines. A session is holding if its gatekeeper has the last
+// change under its prefixes in force, and behind from the sending of the change until then. All sessions of a replica that
+// lacks the newest change are behind. Sessions of an unreachable replica are not counted.
 type FleetCounts struct {
-	Revision     uint64        `json:"revision"` // of the newest change of a record that is served
+	Revision     uint64        `json:"revision"` // of the newest change of a served record
 	Sessions     int           `json:"sessions"`
 	Holding      int           `json:"holding"`
 	Behind       int           `json:"behind"`
-	Refused      int           `json:"refused"` // of those that do not hold it, those that have refused it
+	Refused      int           `json:"refused"` // sessions that have refused the last change; in neither Holding nor Behind
 	OldestBehind time.Duration `json:"oldest_behind_ns"`
-	Replicas     int           `json:"replicas"` // control machines that are counted
-	Unheard      int           `json:"unheard"`  // control machines that could not be asked
+	Replicas     int           `json:"replicas"` // control machines whose sessions are counted
+	Unheard      int           `json:"unheard"`  // control machines that did not answer
 }
 
-// SessionStatus is one session of a control machine.
+// SessionStatus is the state of one session of a control machine.
 type SessionStatus struct {
 	SessionInfo
 	Report  WatchReport `json:"report"`
-	Since   time.Time   `json:"since"`   // when the session began, by the control machine's clock
-	Sent    uint64      `json:"sent"`    // revision up to which all has been sent
+	Since   time.Time   `json:"since"`   // start of the session by the control machine's clock
+	Sent    uint64      `json:"sent"`    // revision up to which all changes have been sent
 	Target  uint64      `json:"target"`  // revision of the last change under its prefixes
 	Replica string      `json:"replica"` // name of the control machine
 }
 
-// Dial makes a connection, as net.Dialer.DialContext does.
+// Dial opens a connection, with the contract of net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// AdmissionOptions bound how fast a control machine takes sessions. Rates are per second; a rate of 0 bounds nothing.
+// AdmissionOptions limits the sessions that a control machine admits. Rates are per second; a rate of 0 is unlimited.
 type AdmissionOptions struct {
-	Sessions           int // most at a time; 0: as many as the program can hold
+	Sessions           int // open at the same time; 0: the program's own limit
 	SessionsPerSecond  float64
 	SessionsBurst      int
 	SnapshotsPerSecond float64
 	SnapshotsBurst     int
 }
 
-// ServeOptions make a member a control machine: it serves watch sessions.
+// ServeOptions configures a member that serves watch sessions (a control machine).
 type ServeOptions struct {
 	Name, Zone, Region string
 	Admission          AdmissionOptions
-	Prefix             string        // sessions may follow keys under it; history is kept of these alone. "": all keys
+	Prefix             string        // of the keys that sessions may follow and that the history covers; "": all keys
 	HeartbeatEvery     time.Duration // 0: 1 s
-	HistorySize        int           // transactions that are kept for sessions to resume from; 0: 1024
-	HistoryBytes       int           // and bytes of their records at most; 0: 64 MiB
-	ReportEvery        time.Duration // how often the other control machines' counts are gathered; 0: 1 s
+	HistorySize        int           // transactions kept for sessions to resume from; 0: 1024
+	HistoryBytes       int           // limit of the bytes of their records; 0: 64 MiB
+	ReportEvery        time.Duration // interval at which the other control machines' counts are collected; 0: 1 s
 }
 
+// Defaults of ServeOptions.
 const (
 	heartbeatEvery = time.Second
 	historySize    = 1024
@@ -135,7 +136,7 @@
 	reportEvery    = time.Second
 )
 
-// withDefaults fills in what was left out.
+// withDefaults returns the options with defaults in place of zero values.
 func (o ServeOptions) withDefaults() ServeOptions {
 	fill := func(d *time.Duration, value time.Duration) {
 		if *d <= 0 {
@@ -153,10 +154,11 @@
 	return o
 }
 
-// silenceAfter is how long a side waits for a line of the other, given the interval of heartbeats: a client answers each.
+// silenceAfter returns how long each side of a session waits for a line of the other, given the heartbeat interval. A client
+// answers each heartbeat with a report.
 func silenceAfter(every time.Duration) time.Duration { return 3*every + writeWithin }
 
-// wireRecord is a record of an event. A record with an empty value is not a deleted one.
+// wireRecord is the encoding of a record in an event. Deleted distinguishes a deleted record from one with an empty value.
 type wireRecord struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -174,7 +176,7 @@
 	return Record{r.Key, r.Value, r.Revision}
 }
 
-// wireEvent is a WatchEvent in a line of the client port.
+// wireEvent is the encoding of a WatchEvent.
 type wireEvent struct {
 	Kind     WatchKind     `json:"kind"`
 	Revision uint64        `json:"revision"`
@@ -192,10 +194,10 @@
 	return e
 }
 
-// line is an event as it is sent: one line of JSON, as json.Encoder would write a result.
+// line returns the encoded event: one line of JSON, as json.Encoder would write a result.
 func (w *wireEvent) line() []byte {
 	text, err := json.Marshal(result{Event: w})
-	if err != nil { // strings, bytes and numbers
+	if err != nil { // unreachable: the fields are strings, bytes and numbers
 		panic(err)
 	}
 	return append(text, '\n')
