--- a/internal/store/counts_test.go
+++ b/internal/store/counts_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// What sessions report at any control machine is in the counts that every one of them sends: who holds the newest change of
-// its own prefixes, who is behind and for how long, who has refused it.
+// Every control machine sends the same counts, which cover the reports of the sessions of all of them: sessions that hold the
+// newest change under their own prefixes, are behind (and for how long), or have refused it.
 func TestFleetCounts(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	first := g.putAll("settings/all/calls", "1")
@@ -25,7 +25,7 @@
 	}
 	counted := func(want FleetCounts) (last FleetCounts) {
 		t.Helper()
-		for _, c := range sessions { // each control machine tells the same
+		for _, c := range sessions { // each control machine sends the same counts
 			c.until(func(e WatchEvent) bool {
 				if e.Fleet == nil || e.Fleet.OldestBehind < want.OldestBehind {
 					return false
@@ -40,7 +40,7 @@
 	}
 	counted(FleetCounts{Revision: first, Sessions: 4, Holding: 4, Replicas: 4})
 
-	// Only the sessions of one zone have to follow this; one of them refuses it, the other is silent for a while.
+	// This change concerns only the sessions of one zone: one of them refuses it, the other does not report for a while.
 	writtenAt := time.Now()
 	second := g.putAll("settings/zone/z1/calls", "2")
 	for _, i := range []int{1, 3} {
@@ -70,7 +70,8 @@
 	counted(FleetCounts{Revision: second, Sessions: 3, Holding: 3, Replicas: 4})
 }
 
-// The sessions of a replica that lags are behind; those of one that can't be asked are in no count, and it is said.
+// Sessions of a lagging replica count as behind. Sessions of an unreachable replica are not counted, and the replica is
+// reported as unheard.
 func TestFleetCountsOfALaggingReplica(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	first := g.putAll("settings/a", "1")
@@ -93,7 +94,7 @@
 	near.until(func(e WatchEvent) bool { return e.Fleet.Holding == 2 && e.Fleet.Unheard == 0 })
 }
 
-// Every session is in one count of the sum, and none of a replica that lacks the newest change holds it.
+// Every session is in exactly one count of the sum, and no session of a replica that lacks the newest change is holding.
 func TestSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var heard []counts
--- a/internal/store/deadline_test.go
+++ b/internal/store/deadline_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowContext has a deadline and says only later that it has ended, as a context does whose timer has not run yet.
+// slowContext has a deadline but does not end at it, like a context whose timer has not fired yet.
 type slowContext struct {
 	context.Context
 	at time.Time
@@ -19,8 +19,8 @@
 
 func (c slowContext) Deadline() (time.Time, bool) { return c.at, true }
 
-// A member that is not ready, and then does not answer by the deadline, is not ready to its client, although the connection
-// times out before the context says that it has ended.
+// If a member answers that it is not ready, and then does not answer the retry by the deadline, the error is ErrNotReady, even
+// if the connection times out before the context ends.
 func TestNotReadyUntilTheDeadline(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/store/durable_test.go
+++ b/internal/store/durable_test.go
@@ -27,7 +27,7 @@
 	return n
 }
 
-// has waits until a record is there, as a member that has just started has it a little later.
+// has waits until a member holds a record, because a member that has just started is still replaying its log.
 func has(t testing.TB, n *Node, key string, value []byte) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// With every member down at once, all records and their revisions are there again once they come back, in any order.
+// All records and their revisions survive a restart of all members at once, in any order.
 func TestRecordsSurviveAllMembersDown(t *testing.T) {
 	root := t.TempDir()
 	var peers []Peer
@@ -70,7 +70,7 @@
 		}
 		revisions[key] = rev
 		if i == 30 {
-			for _, n := range nodes { // some come from a snapshot, some from the log
+			for _, n := range nodes { // so that some records come from a snapshot and some from the log
 				if err := n.Compact(); err != nil {
 					t.Fatal(err)
 				}
@@ -101,7 +101,7 @@
 	}
 }
 
-// Compaction bounds what is on disk, and nothing that was written is lost by it.
+// Compaction limits the size on disk and loses no record.
 func TestCompaction(t *testing.T) {
 	dir := t.TempDir()
 	n := durable(t, dir)
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	n.Close()
-	// 20 MB were written; 1,024 entries are kept, and segments go whole.
+	// 20 MB were written; 1,024 entries are kept, and only whole segments are removed.
 	if got := size(); got > 15<<20 {
 		t.Errorf("%d MB on disk", got>>20)
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-// What a process had acknowledged when it was killed outright is there when the next one opens the files.
+// All writes that a process acknowledged before it was killed (SIGKILL) are there when the next process opens the files.
 func TestKilledWriter(t *testing.T) {
 	if dir := os.Getenv("BEAMMUX_TEST_STORE"); dir != "" {
 		n := durable(t, dir)
@@ -193,7 +193,7 @@
 	}
 }
 
-// A damaged log is refused with one line that names file and offset, and the store does not start.
+// The store does not open a damaged log; the error is one line with the file and the offset.
 func TestDamagedLogIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	n := durable(t, dir)
@@ -216,11 +216,11 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := Open(Options{Node: "a", Dir: t.TempDir(), Sync: "often", Log: quiet()}); err == nil {
-		t.Error("an unknown sync was taken")
+		t.Error("an unknown value of Sync was accepted")
 	}
 }
 
-// Snapshots of the version before, which had no version field, are read; those of a later one are refused.
+// Snapshots of version 0, which have no version field, can be read; those of a later version are rejected.
 func TestSnapshotVersions(t *testing.T) {
 	m := newMachine()
 	restore := func(text string) error { return m.Restore(io.NopCloser(strings.NewReader(text))) }
@@ -234,6 +234,6 @@
 		t.Error(err)
 	}
 	if _, ok := m.get("inventory"); !ok {
-		t.Error("a refused snapshot changed the records")
+		t.Error("a rejected snapshot changed the records")
 	}
 }
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -15,8 +15,8 @@
 	return []change{{Record: Record{Key: key, Value: make([]byte, size)}}}
 }
 
-// What a session reads from any revision that is kept is every served transaction after it, in order and once; below that
-// it is told so. The history stays within its bounds.
+// From any revision that is not below the floor, a reader gets every later served transaction exactly once and in order; below
+// the floor the read fails. The history stays within its limits.
 func TestHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, maxBytes := rapid.IntRange(1, 8).Draw(t, "limit"), rapid.IntRange(1, 400).Draw(t, "bytes")
@@ -67,7 +67,7 @@
 	})
 }
 
-// Sessions whose prefixes hold the same changes of a transaction get one and the same encoding; others get their own.
+// Sessions whose prefixes select the same changes of a transaction share one encoding; others get their own.
 func TestOneEncodingForSessionsAlike(t *testing.T) {
 	h := newHistory("", 100, 1<<20)
 	h.append(1, []change{{Record: Record{"a/1", []byte("x"), 1}}, {Record: Record{Key: "b/1", Revision: 1}, deleted: true}})
@@ -84,10 +84,11 @@
 	for i := range encodingsKeptFor + 1 {
 		h.append(uint64(2+i), put("a/1", 1))
 	}
-	require.Empty(t, got[0].encodings, "encodings of an old transaction are kept")
+	require.Empty(t, got[0].encodings, "an old transaction still has cached encodings")
 }
 
-// A view gives each session the records under its prefixes, none twice, with one encoding for sessions that hold the same.
+// A view returns the records under a session's prefixes without duplicates, and one shared encoding for sessions that select
+// the same records.
 func TestView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := &view{revision: 9}
@@ -115,8 +116,8 @@
 	})
 }
 
-// Any log of commands, with transactions among them, leaves the same records and answers at a member that has applied all
-// of it and at one that took a snapshot in the middle; entries and snapshots of the form before transactions are read.
+// Any log of commands, including transactions, gives the same records and answers at a member that applies all of it and at
+// one that restores a snapshot in the middle.
 func TestTransactionsAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newMachine(), newMachine()
@@ -157,7 +158,7 @@
 	return &raft.Log{Index: index, Data: data}
 }
 
-// restored is a machine that was restored from another's snapshot.
+// restored returns a machine restored from the snapshot of another.
 func restored(t require.TestingT, from *machine) *machine {
 	s, err := from.Snapshot()
 	require.NoError(t, err)
@@ -168,7 +169,7 @@
 	return m
 }
 
-// allOrNone fails where a transaction was carried out in part, or not as it says.
+// allOrNone fails if a command was applied in part, or if its result does not match the records.
 func allOrNone(t require.TestingT, c command, r result, before, after []Record) {
 	if r.Conflict || r.Fault != "" {
 		require.Equal(t, before, after)
@@ -188,7 +189,7 @@
 	}
 }
 
-// Entries of the log as members wrote them before transactions are applied as they were.
+// Log entries written by versions without transactions are applied as before.
 func TestEntriesOfEarlierVersions(t *testing.T) {
 	m := newMachine()
 	for i, text := range []string{
--- a/internal/store/journal/journal_test.go
+++ b/internal/store/journal/journal_test.go
@@ -15,38 +15,41 @@
 	"github.com/hashicorp/raft"
 )
 
-// faulty is a file layer in memory that fails, or stops the world, at one step. It knows what had been synced.
+// faulty is an in-memory file system that fails or simulates a crash at one step. It tracks which data has been synced.
 type faulty struct {
 	files  map[string]*content
-	linked map[string]bool // names that the folder had when it was last synced
-	step   int
-	at     int // step that goes wrong, 0: none
+	linked map[string]bool // files in the folder when it was last synced
+	step   int             // steps so far
+	at     int             // step at which the fault occurs; 0: none
 	how    fault
 }
 
+// content is the content of a file.
 type content struct {
 	data   []byte
-	synced int
+	synced int // bytes that have been synced
 }
 
+// fault is the way in which a step fails.
 type fault int
 
 const (
 	crash      fault = iota // the process ends before the step
-	shortWrite              // half is written, and the process ends
-	fullDisk                // half is written, and an error told
-	syncError               // an error is told, nothing is synced
-	lostSync                // nothing is synced, and none is the wiser
+	shortWrite              // half of the data is written, and the process ends
+	fullDisk                // half of the data is written, and an error is returned
+	syncError               // an error is returned, and nothing is synced
+	lostSync                // nothing is synced, and no error is returned
 	readError
 )
 
 var errFault = errors.New("input/output error")
 
+// crashed is the panic value of a simulated crash.
 type crashed struct{}
 
 func newFaulty() *faulty { return &faulty{files: map[string]*content{}, linked: map[string]bool{}} }
 
-// now counts a step and tells whether it goes wrong.
+// now counts a step and reports whether it fails with one of the given faults. It panics if the fault is a crash.
 func (f *faulty) now(kinds ...fault) bool {
 	f.step++
 	if f.step != f.at {
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// after gives what a machine may find after the power went: of what had not been synced nothing, half, all, or all with
-// rubbish at its beginning; files whose names had not been synced are there or not.
+// after returns a possible state of the files after a power failure. Depending on the variant, of the unsynced data nothing,
+// half, all, or all with a corrupted start is left, and files whose directory entry was not synced exist or not.
 func (f *faulty) after(variant int) *faulty {
 	next := newFaulty()
 	for name, c := range f.files {
@@ -167,9 +170,10 @@
 	return next
 }
 
+// variants is the number of variants of faulty.after.
 const variants = 8
 
-// state is all that a journal holds, as text.
+// state returns the content of a journal as text.
 func state(j *Journal) string {
 	var b strings.Builder
 	first, _ := j.FirstIndex()
@@ -189,6 +193,7 @@
 	return b.String()
 }
 
+// logs returns log entries of a term with the indexes from to to.
 func logs(term uint64, from, to uint64) (list []*raft.Log) {
 	for i := from; i <= to; i++ {
 		list = append(list, &raft.Log{Index: i, Term: term, Type: raft.LogCommand, Data: fmt.Appendf(nil, "entry %d of term %d", i, term)})
@@ -196,7 +201,8 @@
 	return list
 }
 
-// script is a run of a member: votes, entries, a conflict that takes entries back, and compactions over several segments.
+// script returns the steps of a member's life: votes, entries, a conflict that deletes entries, and compactions over several
+// segments.
 func script() (steps []func(*Journal) error) {
 	add := func(f func(*Journal) error) { steps = append(steps, f) }
 	add(func(j *Journal) error { return j.SetUint64([]byte("CurrentTerm"), 1) })
@@ -211,7 +217,7 @@
 	for i := range uint64(6) {
 		add(func(j *Journal) error { return j.StoreLogs(logs(2, 2*i+17, 2*i+18)) })
 	}
-	add(func(j *Journal) error { return j.DeleteRange(10, 28) }) // all of it, as an installed snapshot does
+	add(func(j *Journal) error { return j.DeleteRange(10, 28) }) // all entries, as when a snapshot is installed
 	for i := range uint64(8) {
 		add(func(j *Journal) error { return j.StoreLogs(logs(3, 2*i+40, 2*i+41)) })
 	}
@@ -222,8 +228,8 @@
 	return Options{Dir: "d", FS: f, Segment: 400, Every: every}
 }
 
-// run plays the script until something fails or the world stops. It gives the states that were acknowledged, the last
-// one that was begun, and how many states a sync had made safe.
+// run executes the script until a step fails or a crash occurs. It returns the acknowledged states, and how many of them a sync
+// has made durable.
 func run(f *faulty, every time.Duration) (states []string, safe int) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -237,7 +243,7 @@
 	if err != nil {
 		return states, safe
 	}
-	if j.stop != nil { // syncs come by hand, so that runs are the same
+	if j.stop != nil { // run calls sync itself, so that runs are deterministic
 		close(j.stop)
 		<-j.done
 		j.stop = nil
@@ -263,7 +269,7 @@
 	return states, safe
 }
 
-// want gives the states of a run in which nothing fails.
+// want returns the states of a run without faults.
 func want(t *testing.T) []string {
 	f := newFaulty()
 	states, _ := run(f, 0)
@@ -273,9 +279,8 @@
 	return states
 }
 
-// At every single step of a run the process ends, or the step fails in each way that it can, and the machine comes back
-// with each remainder that it may have: reopening gives exactly an acknowledged prefix, which holds all that was safe, or
-// one change more, whole.
+// For a crash or any other fault at every step of a run, and for every possible state of the files after it: the reopened
+// journal has exactly the state of an acknowledged prefix that includes all durable changes, or of one more complete change.
 func TestEveryCrashPoint(t *testing.T) {
 	all := want(t)
 	for _, every := range []time.Duration{0, time.Hour} {
@@ -286,17 +291,17 @@
 				f.at, f.how = at, how
 				states, safe := run(f, every)
 				if f.step < at {
-					break // the run is over before the step
+					break // the run ended before the step
 				}
 				if how == lostSync {
-					safe = 0 // the disk lied; what is found must be a prefix all the same
+					safe = 0 // nothing is guaranteed to be durable, but the state must still be a prefix
 				}
 				for variant := range variants {
 					rest := f.after(variant)
 					j, err := Open(options(rest, every))
 					var damage *DamageError
 					if how == lostSync && errors.As(err, &damage) {
-						lied++ // what the disk had told to be safe is not there: refused, and not silently wrong
+						lied++ // synced data is missing: the journal is rejected, not silently wrong
 						continue
 					}
 					if err != nil {
@@ -304,12 +309,12 @@
 					}
 					opened++
 					got := state(j)
-					last := min(len(states)+1, len(all)) // what was begun may have been made whole
+					last := min(len(states)+1, len(all)) // the change in progress may have been completed
 					if i := slices.Index(all[:last], got); i < 0 || i < safe-1 {
 						t.Fatalf("every %v, fault %d at step %d, variant %d: reopened with\n%s\nwhich is state %d; %d acknowledged, %d safe",
 							every, how, at, variant, got, i, len(states), safe)
 					}
-					if err := j.StoreLogs(logs(9, 100, 100)); err != nil { // and it goes on
+					if err := j.StoreLogs(logs(9, 100, 100)); err != nil { // the reopened journal accepts writes
 						t.Fatal(err)
 					}
 					j.Close()
@@ -318,20 +323,20 @@
 						t.Fatal(err)
 					}
 					if last, _ := again.LastIndex(); last != 100 {
-						t.Fatalf("after going on: %s", state(again))
+						t.Fatalf("after another write: %s", state(again))
 					}
 					again.Close()
 				}
 			}
 		}
-		t.Logf("every %v: reopened %d times, refused %d times after a sync that was none", every, opened, lied)
+		t.Logf("every %v: reopened %d times, rejected %d times after a lost sync", every, opened, lied)
 		if opened < 2000 {
-			t.Errorf("only %d", opened)
+			t.Errorf("only %d reopened", opened)
 		}
 	}
 }
 
-// After a write failed nothing more is written, since what the file holds is not known.
+// After a failed write nothing more is written, because the content of the file is unknown.
 func TestNothingAfterAFailedWrite(t *testing.T) {
 	f := newFaulty()
 	j, err := Open(options(f, 0))
@@ -348,7 +353,7 @@
 	}
 }
 
-// A read error is told, and is no damage.
+// A read error is returned as it is, not as a *DamageError.
 func TestReadError(t *testing.T) {
 	f := newFaulty()
 	run(f, 0)
@@ -358,8 +363,8 @@
 	}
 }
 
-// Any byte that is flipped in what was synced is found: the journal is refused with file and offset, unless it lies in the
-// last frame, which can't be told from one that was torn.
+// A flipped bit in any synced byte is detected: the journal is rejected with file and offset, unless the byte is in the last
+// frame, which then looks like an incomplete write.
 func TestFlippedByte(t *testing.T) {
 	f := newFaulty()
 	run(f, 0)
@@ -385,7 +390,7 @@
 		}
 	}
 	if refused < 500 {
-		t.Errorf("only %d refused", refused)
+		t.Errorf("only %d rejected", refused)
 	}
 }
 
@@ -396,7 +401,7 @@
 	if len(names) < 2 {
 		t.Fatal(names)
 	}
-	// An older segment that holds entries is missed by the ones behind it.
+	// A missing middle segment that holds entries is detected.
 	g := newFaulty()
 	j, _ := Open(options(g, 0))
 	for i := range uint64(20) {
@@ -416,7 +421,7 @@
 	}
 }
 
-// On the system's disk: what was written is there after a process that did not close the journal.
+// On a real disk: all writes are there when the journal is reopened without having been closed.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
 	j, err := Open(Options{Dir: dir, Segment: 2000})
--- a/internal/store/main_test.go
+++ b/internal/store/main_test.go
@@ -6,9 +6,9 @@
 	"go.uber.org/goleak"
 )
 
-// No test leaves a goroutine behind, but for one that raft makes: an entry that is handed over while raft shuts down is
-// never answered, and Node.commit, whose own wait ends with its context, leaves a goroutine at that future
-// (TestLeasesAreLinearizable closes a leader under writes).
+// TestMain verifies that no test leaks a goroutine, with one exception caused by raft: an entry that is appended while raft
+// shuts down is never completed, so Node.commit, whose own wait ends with its context, leaves a goroutine that waits for the
+// future (TestLeasesAreLinearizable closes a leader during writes).
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/hashicorp/raft.(*deferError).Error"))
 }
--- a/internal/store/member_test.go
+++ b/internal/store/member_test.go
@@ -12,7 +12,7 @@
 	"beammux/internal/porttest"
 )
 
-// crew is a group on loopback whose members come, go and move.
+// crew is a group on loopback whose members are added, removed and moved.
 type crew struct {
 	t     *testing.T
 	root  string
@@ -52,7 +52,7 @@
 	delete(c.nodes, name)
 }
 
-// change asks any member that is up until there is a leader to decide.
+// change requests a change from the members that are up until a leader decides on it.
 func (c *crew) change(m MemberChange) (string, error) {
 	c.t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -68,6 +68,7 @@
 	}
 }
 
+// must requests a change and fails unless the result is want.
 func (c *crew) must(want string, m MemberChange) {
 	c.t.Helper()
 	if done, err := c.change(m); err != nil || done != want {
@@ -85,8 +86,8 @@
 	}
 }
 
-// A dead member is replaced: it is removed, a new one joins as a learner with an empty folder, gets all records, and then
-// its vote; what would leave no majority is refused with what is at stake.
+// Replacing a failed member: it is removed, and a new one joins as a learner with an empty folder, gets all records and is
+// promoted to voter. A removal that would leave no majority is refused with the number of voters.
 func TestReplaceAMember(t *testing.T) {
 	c := newCrew(t, 3)
 	c.put("before")
@@ -113,7 +114,7 @@
 	}
 }
 
-// All three members move to other addresses, one after another, and no write is lost.
+// All three members change their addresses, one after another, without losing a write.
 func TestAllMembersMove(t *testing.T) {
 	c := newCrew(t, 3)
 	for i, p := range c.peers {
@@ -121,7 +122,7 @@
 		c.stop(p.Node)
 		l := porttest.Listen(c.t)
 		c.must("move", MemberChange{Do: MemberAdd, Node: p.Node, Address: l.Addr().String()})
-		n := c.start(p.Node, l, Options{Join: true}) // its files know the group
+		n := c.start(p.Node, l, Options{Join: true}) // its files contain the group's configuration
 		has(t, n, fmt.Sprint("move/", i), []byte(fmt.Sprint("move/", i)))
 	}
 	c.put("at last")
@@ -132,13 +133,13 @@
 		has(t, n, "at last", []byte("at last"))
 		for _, m := range n.Status().Members {
 			if m.Address != c.addrs[m.Node] {
-				t.Errorf("%s holds %s to be at %s", name, m.Node, m.Address)
+				t.Errorf("%s has %s at address %s", name, m.Node, m.Address)
 			}
 		}
 	}
 }
 
-// A member that is asked before it is up answers once it is: its listener is open before raft is there.
+// A request that arrives before a member has started is answered once it has: the listener is open before raft starts.
 func TestAskedBeforeItIsUp(t *testing.T) {
 	for range 5 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/store/nonvoter_test.go
+++ b/internal/store/nonvoter_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Non-voters of the first configuration hold all records and take writes, are listed as learners, and never vote or lead:
-// with too few voters left nothing is written, however many non-voters are up.
+// Non-voters of the first configuration hold all records, accept writes and are listed as learners, but never vote or lead:
+// without a majority of the voters no leader is elected, however many non-voters are up.
 func TestNonVotersNeverVote(t *testing.T) {
 	t.Parallel()
 	g := newControlGroup(t, 3, 3, nil)
@@ -29,7 +29,7 @@
 	require.Less(t, leader, 3)
 	g.nodes[leader].Close()
 	g.nodes[(leader+1)%3].Close()
-	time.Sleep(5 * electAfter) // in which a voter would have stood, and non-voters could have elected it
+	time.Sleep(5 * electAfter) // long enough for an election, if non-voters could vote or be candidates
 	for i, n := range g.nodes {
 		if i != leader && i != (leader+1)%3 {
 			require.False(t, n.Leader(), i)
@@ -41,12 +41,12 @@
 			require.Equal(t, revision, r.Revision)
 		}
 	}
-	require.Equal(t, term, g.nodes[4].raft.CurrentTerm(), "a non-voter stood for election")
+	require.Equal(t, term, g.nodes[4].raft.CurrentTerm(), "a non-voter started an election")
 	c := watchSession(t, g.address(5), WatchRequest{After: revision})
 	require.Equal(t, revision, c.next(Heartbeat).Revision)
 }
 
-// A non-voter that starts anew in memory gets everything from the leader again.
+// An in-memory non-voter that restarts gets all records from the leader again.
 func TestNonVoterRestarts(t *testing.T) {
 	g := newControlGroup(t, 1, 1, nil)
 	revision := g.putAll("settings/a", "1")
@@ -58,7 +58,7 @@
 	require.Len(t, watchSession(t, g.address(1), WatchRequest{}).next(Snapshot).Records, 1)
 }
 
-// The time after which a voter stands for election is the one that is set.
+// Voters start an election only after Options.Election without contact with the leader.
 func TestElectionTime(t *testing.T) {
 	t.Parallel()
 	const long = 3 * time.Second
@@ -68,10 +68,10 @@
 	g.nodes[leader].Close()
 	closedAt := time.Now()
 	require.Eventually(t, func() bool { return g.nodes[(leader+1)%3].Leader() || g.nodes[(leader+2)%3].Leader() }, 10*long, 10*time.Millisecond)
-	require.Greater(t, time.Since(closedAt), long*8/10, "followers heard of the leader up to a tenth of the time before")
+	require.Greater(t, time.Since(closedAt), long*8/10, "a follower started an election too early, even if its last contact was a tenth of the time before the close")
 }
 
-// A write through a member whose leader was cut off is not lost to that: it goes to the next leader as soon as there is one.
+// A write through a member whose leader was partitioned succeeds: it is sent to the next leader as soon as there is one.
 func TestWriteWhileLeaderIsCutOff(t *testing.T) {
 	g := newControlGroup(t, 3, 0, nil)
 	g.putAll("settings/a", "1")
--- a/internal/store/raise_test.go
+++ b/internal/store/raise_test.go
@@ -14,15 +14,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever commands come, and whenever a member starts anew from a snapshot: revisions rise with each entry, no record is above
-// the revision of all, a raise leaves every record at one revision above what was asked, and a member that was restored gives
-// what one gives that was not.
+// For any commands, and any restarts from a snapshot: revisions increase with each entry, no record's revision is above that of
+// the machine, a raise sets every record to one revision above the requested one, and a restored member gives the same results
+// as one that was not restored.
 func TestRaisedRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, twin := newMachine(), newMachine()
 		index, last := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
-			index += uint64(rapid.IntRange(1, 3).Draw(t, "gap")) // no-ops and configurations of raft lie between
+			index += uint64(rapid.IntRange(1, 3).Draw(t, "gap")) // raft's no-ops and configurations take indexes too
 			c := command{Op: opPut, Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), Value: []byte{byte(index)}}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
@@ -57,7 +57,7 @@
 	})
 }
 
-// fromSnapshot is a new machine with the snapshot of another.
+// fromSnapshot returns a machine restored from the snapshot of another.
 func fromSnapshot(t require.TestingT, m *machine) *machine {
 	taken, err := m.Snapshot()
 	require.NoError(t, err)
@@ -70,8 +70,8 @@
 	return again
 }
 
-// A snapshot of a group that was never raised is the same as before there was such a thing; one that says more than it can is
-// refused.
+// A snapshot of a group that was never raised has the format of versions without raises. Snapshots of a later version or with
+// an offset above the revision are rejected.
 func TestSnapshotOfRaisedRevisions(t *testing.T) {
 	m := newMachine()
 	m.Apply(&raft.Log{Index: 4, Data: []byte(`{"op":"put","key":"a","value":"eA=="}`)})
@@ -85,9 +85,9 @@
 	}
 }
 
-// A group that was made anew has lower revisions than a client holds: the client is told so, the members name the highest that
-// was asked for, and once the group is raised above it the client gets all records in one snapshot, from every member, voter or
-// not. Changes after it come as changes.
+// A recreated group has lower revisions than its clients hold: it rejects their sessions with *ReplicaBehind, and the members'
+// status shows the highest revision that a client holds. Once the group is raised above it, clients get all records in one
+// snapshot from every member, voter or not, and later writes as changes.
 func TestRaiseForClientsOfAnEarlierGroup(t *testing.T) {
 	t.Parallel()
 	const held = 5000
@@ -109,17 +109,17 @@
 	require.Equal(t, uint64(held+1), revision)
 	again, err := RaiseTo(within(t), g.address(0), held)
 	require.NoError(t, err)
-	require.Greater(t, again, revision, "an entry more, and no raise")
+	require.Greater(t, again, revision, "the second call added an entry but did not raise")
 	require.Less(t, again, revision+10)
 	var back *ComeBack
-	require.ErrorAs(t, follows.end(), &back, "a session begins anew with a snapshot")
+	require.ErrorAs(t, follows.end(), &back, "the session must reconnect for a snapshot")
 	for i, n := range g.nodes {
 		require.NoError(t, n.fsm.wait(within(t), revision))
 		c := watchSession(t, g.address(i), WatchRequest{After: held})
 		e := c.next(Snapshot)
 		require.GreaterOrEqual(t, e.Revision, revision)
 		require.Len(t, e.Records, 2)
-		require.Equal(t, revision, e.Records[1].Revision, "settings/b, which was written before alone")
+		require.Equal(t, revision, e.Records[1].Revision, "settings/b, which was last written before the raise")
 		s, err := StatusFrom(within(t), g.address(i))
 		require.NoError(t, err)
 		require.Zero(t, s.Held)
@@ -129,7 +129,7 @@
 	}
 }
 
-// Raised revisions outlive a restart from the log, and one from a snapshot.
+// Raised revisions survive a restart from the log and a restart from a snapshot.
 func TestRaiseOutlivesRestarts(t *testing.T) {
 	dir := t.TempDir()
 	n := durable(t, dir)
@@ -159,7 +159,7 @@
 	require.Equal(t, raised, held.Records[0].Revision)
 }
 
-// With a member away nothing is raised, since its version is not known; nor above what leaves room for revisions.
+// A raise fails while a member is down, because its version is unknown. A raise above MaxRaise fails too.
 func TestRaiseWithAMemberAway(t *testing.T) {
 	g := newControlGroup(t, 3, 0, nil)
 	g.putAll("settings/a", "1")
@@ -174,12 +174,12 @@
 	_, err = RaiseTo(within(t), g.address((away+1)%3), 5000)
 	require.ErrorAs(t, err, &missing)
 	require.Equal(t, g.peers[away].Node, missing.Member)
-	require.Less(t, time.Since(began), 5*time.Second, "it says so at once")
+	require.Less(t, time.Since(began), 5*time.Second, "the error must come at once")
 	require.Less(t, g.nodes[(away+1)%3].fsm.lastRevision(), before+10)
 }
 
-// A backup is restored in one step: a client that holds more than the new group has sees none of it until all of it is there.
-// In a group that lives on, revisions may be kept; a record that somebody writes meanwhile stays his.
+// A restore is atomic for clients: a client with a higher revision than the new group gets no record until all are restored.
+// KeepRevisions leaves the revisions unchanged, and without Over a record that the group already holds is kept.
 func TestRestoreIsOneStep(t *testing.T) {
 	old := newControlGroup(t, 1, 0, nil)
 	for i := range 30 {
@@ -188,7 +188,7 @@
 	b, err := BackupFrom(within(t), old.address(0))
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, b.Revision, uint64(30))
-	held := b.Revision + 100 // changes that the backup does not have
+	held := b.Revision + 100 // a client may hold changes that the backup lacks
 	file := filepath.Join(t.TempDir(), "backup")
 	require.NoError(t, b.Write(file))
 	b, err = ReadBackup(file)
@@ -218,7 +218,7 @@
 	require.Less(t, r.Revision, done.Revision+100)
 }
 
-// A backup that is too large for one transaction is split, at most as large as a command may be.
+// A backup that is too large for one transaction is split into parts of at most restorePart bytes.
 func TestPartsOfABackup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Backup{}
@@ -243,7 +243,7 @@
 	})
 }
 
-// A control machine holds no more sessions than it may, says so, and takes one again once one has left.
+// A control machine at its session limit refuses sessions with *SessionsFull, and admits one again once another has left.
 func TestSessionsFull(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.Admission.Sessions = 2 }))
 	g.put("settings/a", "1")
--- a/internal/store/ready_test.go
+++ b/internal/store/ready_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A member that has its records on disk is opened again and is Ready once it holds all of them, never before: the time
-// from Open to Ready (ns/op), with none (the election alone: the baseline), 10^3, 10^4 and 10^5 records of 100 bytes. Filling is not timed.
+// BenchmarkReadyAfterRestart measures the time from Open to Ready (ns/op) of a member with its records on disk, which must not
+// be Ready before it holds all of them: with no records (the election alone, as a baseline) and with 10^3, 10^4 and 10^5
+// records of 100 bytes. Writing the records is not timed.
 //
 //	go test -run '^$' -bench ReadyAfterRestart -benchtime 1x ./internal/store
 func BenchmarkReadyAfterRestart(b *testing.B) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// fill writes records from many writers at once, as raft takes them in batches.
+// fill writes records from many goroutines, because raft commits concurrent writes in batches.
 func fill(b *testing.B, n *Node, records int) {
 	value := make([]byte, 100)
 	var wg sync.WaitGroup
@@ -60,7 +61,7 @@
 	wg.Wait()
 }
 
-// A member that was opened again is not Ready before it holds what it held when it stopped.
+// A restarted member is not Ready before it holds all records that it held when it stopped.
 func TestNotReadyBeforeReplay(t *testing.T) {
 	dir := t.TempDir()
 	n := durable(t, dir)
--- a/internal/store/reduce_test.go
+++ b/internal/store/reduce_test.go
@@ -16,13 +16,14 @@
 	"beammux/control"
 )
 
-// hold is a lease on one thing, as a reducer: who asks holds it if nobody else does, and gives it back. Requests are known again.
+// hold is the state of a lease that a reducer manages: a client can take it while no other client holds it, and give it back.
+// Repeated requests get their first answer.
 type hold struct {
 	Holder string            `json:"holder"`
 	Seen   map[string]string `json:"seen"`
 	Epoch  uint64            `json:"epoch"`
 	Now    control.Micros    `json:"now"`
-	Back   int               `json:"back"` // times that the clock of an epoch, or the epoch, went back
+	Back   int               `json:"back"` // number of times that the epoch, or the clock within an epoch, went back
 }
 
 type holdRequest struct{ ID, Who, Do string }
@@ -58,8 +59,8 @@
 	return value, []byte(answer), err
 }
 
-// A lease is never held twice, also across a change of the leader: the recorded operations of clients at all members are
-// linearizable, and the leader's stamps never go back within a term.
+// A lease is never held by two clients, also across a change of leader: the recorded operations of clients at all members are
+// linearizable, and the leader's timestamps never go back within a term.
 func TestLeasesAreLinearizable(t *testing.T) {
 	const key = "test/hold"
 	nodes := groupWith(t, 3, map[string]Reducer{key: reduceHold})
@@ -86,7 +87,7 @@
 				answer, err := nodes[(i+k)%3].Reduce(ctx, key, text)
 				cancel()
 				op.Return, op.Output = time.Since(began).Nanoseconds(), string(answer)
-				if err != nil { // it may have been carried out, or may yet be
+				if err != nil { // it may have been applied, or may still be applied later
 					op.Return, op.Output = 1<<62, ""
 					me = int(client.Add(1))
 				}
@@ -96,7 +97,7 @@
 			}
 		})
 	}
-	time.AfterFunc(700*time.Millisecond, func() { // in the middle of it the leader ends
+	time.AfterFunc(700*time.Millisecond, func() { // the leader is closed in the middle of the run
 		for _, n := range nodes {
 			if n.Leader() {
 				n.Close()
@@ -104,7 +105,7 @@
 			}
 		}
 	})
-	time.Sleep(3500 * time.Millisecond) // so long it is played
+	time.Sleep(3500 * time.Millisecond) // duration of the run
 	close(stop)
 	clients.Wait()
 	model := porcupine.Model{
@@ -137,17 +138,17 @@
 		if r, ok := n.Get(key); ok {
 			var h hold
 			require.NoError(t, json.Unmarshal(r.Value, &h))
-			require.Zero(t, h.Back, "stamps went back")
+			require.Zero(t, h.Back, "timestamps went back")
 			epochs = max(epochs, int(h.Epoch))
 		}
 	}
 	require.Greater(t, epochs, 1, "the leader did not change")
 }
 
-// A record without a reducer, and a request that its reducer refuses, change nothing and say so.
+// A reduce of a record without a reducer, or one that its reducer rejects, fails and changes nothing.
 func TestReduceRefused(t *testing.T) {
 	n, err := Open(Options{Node: "a", Log: quiet(), Reducers: map[string]Reducer{"k": func([]byte, []byte, uint64, control.Micros) ([]byte, []byte, error) {
-		return nil, nil, errors.New("not that")
+		return nil, nil, errors.New("rejected by the reducer")
 	}}})
 	require.NoError(t, err)
 	t.Cleanup(func() { n.Close() })
@@ -155,7 +156,7 @@
 	_, err = n.Put(ctx, "k", []byte("was"))
 	require.NoError(t, err)
 	_, err = n.Reduce(ctx, "k", []byte("x"))
-	require.ErrorContains(t, err, "not that")
+	require.ErrorContains(t, err, "rejected by the reducer")
 	_, err = n.Reduce(ctx, "other", []byte("x"))
 	require.ErrorContains(t, err, `no reducer for "other"`)
 	r, ok := n.Get("k")
--- a/internal/store/session_bench_test.go
+++ b/internal/store/session_bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discard is a session's connection that takes everything at once and counts what changes it was sent.
+// discard is a session's connection that discards all data at once and calls got for each change.
 type discard struct {
 	net.Conn
 	got func()
@@ -27,10 +27,10 @@
 func (d discard) Close() error                     { return nil }
 func (d discard) SetWriteDeadline(time.Time) error { return nil }
 
-const benchValue = 2 << 10 // bytes of a change, about a deploy file's section
+const benchValue = 2 << 10 // bytes of a change, about the size of a section of the deploy file
 
-// BenchmarkChangeInServer is one change from the write until the server has written it to every session, without sockets:
-// what raft, the history, the dispatch and the sessions cost. Allocations are of all that.
+// BenchmarkChangeInServer measures one change from the write until the server has written it to every session, without
+// sockets: the cost of raft, the history, the dispatcher and the sessions, including their allocations.
 func BenchmarkChangeInServer(b *testing.B) {
 	for _, sessions := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint("sessions=", sessions), func(b *testing.B) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkChangeToClients is one change from the write until every client has handled it, over loopback sockets with
-// clients in this process, which decode it. It is dominated by them.
+// BenchmarkChangeToClients measures one change from the write until every client has handled it, over loopback sockets. The
+// clients run in this process, and their decoding dominates.
 func BenchmarkChangeToClients(b *testing.B) {
 	for _, sessions := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint("sessions=", sessions), func(b *testing.B) {
--- a/internal/store/session_fault_test.go
+++ b/internal/store/session_fault_test.go
@@ -16,12 +16,12 @@
 	"go.uber.org/goleak"
 )
 
-// serveWith is a configure that changes each member's ServeOptions.
+// serveWith returns a configure function for newControlGroup that changes each member's ServeOptions.
 func serveWith(change func(s *ServeOptions)) func(int, *Options) {
 	return func(_ int, o *Options) { change(o.Serve) }
 }
 
-// A client whose revision is not in the history any more gets a snapshot; with one that is, the changes alone.
+// A client whose revision is no longer in the history gets a snapshot; other clients get only the later changes.
 func TestHistoryTooOld(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HistorySize = 3 }))
 	var revisions []uint64
@@ -38,10 +38,10 @@
 	}
 }
 
-// A transaction is never seen in part: not in a snapshot that is taken while it is written, nor after a resume.
+// Clients never see a part of a transaction, neither in a snapshot that is taken during writes nor after a resume.
 func TestTransactionsAreSeenWhole(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
-	ctx, stop := context.WithTimeout(t.Context(), 1500*time.Millisecond) // so long it is written
+	ctx, stop := context.WithTimeout(t.Context(), 1500*time.Millisecond) // duration of the writes
 	defer stop()
 	written := make(chan struct{})
 	go func() {
@@ -83,7 +83,7 @@
 	require.Greater(t, snapshots, 3)
 }
 
-// smallBuffers is a listener whose connections hold little that the other side has not read.
+// smallBuffers is a listener whose connections have small send buffers.
 type smallBuffers struct{ net.Listener }
 
 func (l smallBuffers) Accept() (net.Conn, error) {
@@ -94,7 +94,7 @@
 	return c, err
 }
 
-// dialSmall connects with a small buffer for what is not read yet.
+// dialSmall connects with a small receive buffer.
 func dialSmall(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err == nil {
@@ -103,7 +103,7 @@
 	return c, err
 }
 
-// slowGroup is one control machine with a short history and small buffers, for clients that are slow.
+// slowGroup starts one control machine with a short history and small buffers, for tests with slow clients.
 func slowGroup(t *testing.T) *controlGroup {
 	return newControlGroup(t, 1, 0, func(_ int, o *Options) {
 		o.Serve.HistorySize = 4
@@ -111,11 +111,11 @@
 	})
 }
 
-// big is a value that is more than a connection holds.
+// big is a value that exceeds the buffers of a connection.
 var big = strings.Repeat("x", 128<<10)
 
-// A client that reads too slowly is cut off with *WatcherTooSlow, also if it goes on sending reports before it has read
-// that, and resumes with all that there is.
+// The session of a client that reads too slowly ends with *WatcherTooSlow, even if the client sends reports before it reads the
+// error. The client resumes with a snapshot.
 func TestSlowWatcher(t *testing.T) {
 	g := slowGroup(t)
 	g.put("settings/a", "begin")
@@ -129,7 +129,7 @@
 		case e.Kind == Heartbeat && !begun:
 			begun = true
 			g.put("settings/a", "first")
-		case e.Kind == Change && changes == 0: // meanwhile it does not read
+		case e.Kind == Change && changes == 0: // the client does not read during these writes
 			changes++
 			for i := range 8 {
 				g.put("settings/a", fmt.Sprint(i, big))
@@ -150,8 +150,8 @@
 	require.Len(t, e.Records, 1)
 }
 
-// A client that reads nothing holds up neither the writes nor the other sessions, costs no memory that grows with what is
-// written, and is cut off.
+// A client that reads nothing blocks neither writes nor other sessions, does not make memory grow with the writes, and is
+// disconnected.
 func TestReadsNothing(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	g := slowGroup(t)
@@ -183,19 +183,20 @@
 		began := time.Now()
 		revision := g.put("settings/a", fmt.Sprint(i, big))
 		require.Equal(t, revision, reader.next(Change).Revision)
-		require.Less(t, time.Since(began), writeWithin, "a silent session holds up a write")
+		require.Less(t, time.Since(began), writeWithin, "a silent session delays a write")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	// Each write is an entry of raft's log in memory, encoded. Queues of the silent sessions would be ten times that.
+	// Each write adds an encoded entry to raft's in-memory log. Queues of the silent sessions would take ten times as much.
 	grown, written := int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(writes*len(big))
 	t.Logf("heap grew by %d KB over %d KB of writes with %d silent sessions", grown>>10, written>>10, silent)
 	require.Less(t, grown, 4*written)
-	require.Eventually(t, func() bool { return sessions() == 1 }, 3*writeWithin, 20*time.Millisecond, "silent sessions are not cut off")
+	require.Eventually(t, func() bool { return sessions() == 1 }, 3*writeWithin, 20*time.Millisecond, "silent sessions are not disconnected")
 	reader.leave()
 }
 
-// A replica that holds less than the client says so after a short wait; one that reaches it within that wait serves.
+// A replica with a lower revision than the client answers *ReplicaBehind after a short wait; one that catches up within that
+// wait serves the session.
 func TestReplicaBehind(t *testing.T) {
 	t.Parallel()
 	g := newControlGroup(t, 3, 1, nil)
@@ -214,7 +215,7 @@
 	waits := watchSession(t, g.address(3), WatchRequest{After: ahead})
 	time.Sleep(behindWithin / 10)
 	g.cut(3, false)
-	// A write without a condition that is tried again after a lost answer may be there twice: then ahead is the second.
+	// An unconditional write that is retried after a lost answer may be applied twice; then ahead is the second revision.
 	change := c.next(Change)
 	require.Greater(t, change.Revision, revision)
 	for change.Revision < ahead {
@@ -226,7 +227,7 @@
 	waits.until(func(e WatchEvent) bool { return e.Revision == ahead })
 }
 
-// A replica that has lost its leader goes on serving what it holds, and its heartbeats say for how long that is so.
+// A replica without a leader continues to serve its records, and its heartbeats contain the time since the last contact.
 func TestAgeWithoutLeader(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	revision := g.put("settings/a", "1")
@@ -248,8 +249,8 @@
 	require.Zero(t, leader.next(Heartbeat).Age)
 }
 
-// When raft restores a snapshot under a running session, the session ends with *ComeBack before anything of the new state
-// is sent, and the client, back again, gets that state as one snapshot.
+// When raft restores a snapshot while a session is open, the session ends with *ComeBack before any of the new state is sent,
+// and the client gets that state as one snapshot when it reconnects.
 func TestRestoreUnderSession(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	held := g.put("settings/a", "1")
@@ -278,7 +279,7 @@
 	require.Equal(t, held+149, e.Revision)
 }
 
-// Sessions go on, and miss nothing, while the leader is killed.
+// Sessions at other members continue when the leader is closed, and miss no change.
 func TestSessionsOutliveTheLeader(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	g.putAll("settings/a", "1")
@@ -299,7 +300,7 @@
 	}
 }
 
-// Beyond its rates a control machine answers with a time to come back, and takes those who come then.
+// Beyond its admission rates a control machine answers *ComeBack with a delay, and admits clients that return after it.
 func TestAdmissionOfSessions(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) {
 		s.Admission = AdmissionOptions{SessionsPerSecond: 5, SessionsBurst: 3, SnapshotsPerSecond: 5, SnapshotsBurst: 3}
@@ -336,14 +337,14 @@
 		select {
 		case last = <-admitted:
 		case <-time.After(15 * time.Second):
-			t.Fatal("not all are admitted")
+			t.Fatal("not all clients were admitted")
 		}
 	}
-	require.Greater(t, last, 900*time.Millisecond, "five of eight need a second at 5 a second")
-	require.Len(t, refused, clients-3, "who comes at its slot is refused again")
+	require.Greater(t, last, 900*time.Millisecond, "at 5 per second, the five clients beyond the burst need a second")
+	require.Len(t, refused, clients-3, "a client that returned after its delay was refused again")
 }
 
-// Requests that can't be served are refused with what is wrong.
+// Requests that can't be served are refused with *BadRequest.
 func TestBadSessions(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	var bad *BadRequest
@@ -352,7 +353,7 @@
 	}
 }
 
-// A member that has no leader yet and has not replayed serves no session.
+// A member that has no leader and has not replayed its log serves no session.
 func TestNotReadyServesNoSession(t *testing.T) {
 	t.Parallel()
 	g := newControlGroup(t, 1, 0, func(_ int, o *Options) {
@@ -361,7 +362,8 @@
 	require.ErrorIs(t, watchSession(t, g.address(0), WatchRequest{}).end(), ErrNotReady)
 }
 
-// answering is a listener that answers each command with a text, as a member of an earlier version would.
+// answering starts a listener that answers each command with a fixed text, to simulate a member of an earlier version. It
+// returns its address.
 func answering(t *testing.T, text string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -372,7 +374,7 @@
 			if err != nil {
 				return
 			}
-			go func() { // raft connects to it, too, and is not answered
+			go func() { // raft connects too, and gets no answer
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(5 * time.Second))
 				if _, err := bufio.NewReader(c).ReadBytes('\n'); err == nil {
@@ -384,7 +386,7 @@
 	return l.Addr().String()
 }
 
-// What a member of an earlier version answers is told apart from success.
+// Clients recognize the answers of members of an earlier version and don't take them for success.
 func TestEarlierVersions(t *testing.T) {
 	var earlier *EarlierVersion
 	_, err := TransactTo(within(t), answering(t, `{"revision":7}`), []Write{{Key: "a"}})
@@ -396,7 +398,7 @@
 	require.ErrorAs(t, err, &not)
 }
 
-// The leader commits no transaction while a member of an earlier version answers.
+// The leader commits no transaction while a reachable member runs an earlier version.
 func TestNoTransactionWithAnEarlierMember(t *testing.T) {
 	old := answering(t, `{"status":{"node":"old","state":"Follower"}}`)
 	g := newControlGroup(t, 3, 0, func(_ int, o *Options) {
@@ -413,14 +415,14 @@
 	require.NoError(t, err)
 }
 
-// The watch of a client of an earlier version works at a control machine as before.
+// The plain watch of earlier clients works at a control machine.
 func TestPlainWatchAtControlMachine(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	require.NoError(t, g.nodes[0].WaitReady(within(t)))
 	ctx, cancel := context.WithCancel(within(t))
 	heard, ended := make(chan Record, 8), make(chan error, 1)
 	go func() { ended <- WatchFrom(ctx, g.address(0), "settings/", func(r Record) { heard <- r }) }()
-	require.Eventually(t, func() bool { // until the watch is there
+	require.Eventually(t, func() bool { // until the watch is established
 		g.put("settings/a", "1")
 		return len(heard) > 0
 	}, 10*time.Second, 10*time.Millisecond)
--- a/internal/store/session_life_test.go
+++ b/internal/store/session_life_test.go
@@ -16,10 +16,11 @@
 	"go.uber.org/goleak"
 )
 
-// reasonBehind is the size of a value that a small connection holds whole, but not in the buffer of the side that is to read.
+// reasonBehind is the size of a value that fits into both buffers of a small connection together, but not into the receive
+// buffer alone.
 const reasonBehind = 36 << 10
 
-// A change is sent when it is applied, not with the next heartbeat; a session whose prefixes it has nothing of is not woken.
+// A change is sent when it is applied, not with the next heartbeat; a session with other prefixes is not woken.
 func TestChangeIsSentAtOnce(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = time.Hour }))
 	g.put("settings/a/1", "1")
@@ -36,7 +37,7 @@
 	require.Empty(t, other.events)
 }
 
-// A client that takes what it is sent and never answers a heartbeat is dropped; one that answers stays.
+// A client that reads but never answers a heartbeat is dropped; one that answers stays connected.
 func TestSilentClientIsDropped(t *testing.T) {
 	t.Parallel()
 	g := newControlGroup(t, 1, 0, nil)
@@ -66,7 +67,7 @@
 	require.Empty(t, c.ended)
 }
 
-// A report that is made before the first heartbeat holds nobody up, and is sent with it.
+// A report made before the first heartbeat does not block its sender, and is sent with that heartbeat.
 func TestReportFromSnapshot(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = 2 * time.Second }))
 	g.put("settings/a", "1")
@@ -90,8 +91,8 @@
 	require.ErrorIs(t, <-ended, context.Canceled)
 }
 
-// The reason why a session ends reaches a client that has not read all before it yet, and goes on reporting meanwhile: the
-// control machine must not close a connection on which reports come in, which would discard what is still to be sent.
+// The error that ends a session reaches a client that has unread data before it and still sends reports: closing the
+// connection while reports arrive would reset it and discard the data that is still to be sent.
 func TestReasonReachesClientThatReports(t *testing.T) {
 	g := slowGroup(t)
 	held := g.put("settings/a", big[:reasonBehind])
@@ -107,7 +108,7 @@
 		return err == nil && len(listed) == 1 && listed[0].Sent == held
 	}, 5*time.Second, 5*time.Millisecond)
 	require.NoError(t, g.nodes[0].fsm.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"version":1,"applied":%d}`, held+100)))))
-	for range 5 { // while the reason is on its way
+	for range 5 { // while the error is in transit
 		time.Sleep(20 * time.Millisecond)
 		c.Write([]byte("{}\n"))
 	}
@@ -124,7 +125,7 @@
 	}
 }
 
-// A client ends a session whose control machine falls silent, such as one that is paused.
+// A client ends a session whose control machine sends nothing, for example because it is paused.
 func TestSilentControlMachineIsLeft(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,7 +150,7 @@
 	require.True(t, network.Timeout())
 }
 
-// A client ends a session in which the revision falls.
+// A client ends a session in which the revision decreases.
 func TestFallingRevisionEndsSession(t *testing.T) {
 	low := wireEvent{Kind: Snapshot, Revision: 3}
 	var behind *ReplicaBehind
@@ -157,7 +158,7 @@
 	require.Equal(t, ReplicaBehind{Have: 3, Want: 4}, *behind)
 }
 
-// A member that ends closes what it had open to the others, and the others' goroutines for it end.
+// Closing a member closes its connections to the other members and ends their goroutines for it.
 func TestCloseLeavesNothing(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	nodes := group(t, 3)
@@ -168,8 +169,8 @@
 	}
 }
 
-// A replica that is too far behind for the log gets raft's snapshot under its sessions: they are ended, resume with one
-// snapshot, and a follower at that replica never holds a mix.
+// A replica that is too far behind for the log gets a snapshot from raft while it serves sessions: the sessions end and resume
+// with one snapshot, and a follower at that replica never holds a mixture of the old and the new state.
 func TestInstalledSnapshotUnderSessions(t *testing.T) {
 	g := newControlGroup(t, 1, 1, func(_ int, o *Options) { o.Dir, o.Sync = t.TempDir(), SyncInterval })
 	all := &oracle{}
--- a/internal/store/session_model_test.go
+++ b/internal/store/session_model_test.go
@@ -14,14 +14,15 @@
 	"pgregory.net/rapid"
 )
 
-// oracle is what a store was written, by revision. One goroutine writes.
+// oracle records the expected state of a store at each revision. It supports a single writer.
 type oracle struct {
 	mu        sync.Mutex
 	revisions []uint64
 	states    []map[string]string
-	touched   [][]string // keys of each transaction
+	touched   [][]string // keys that each transaction changed
 }
 
+// note records a transaction.
 func (o *oracle) note(revision uint64, writes []Write) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,7 +43,7 @@
 	o.revisions, o.states, o.touched = append(o.revisions, revision), append(o.states, state), append(o.touched, keys)
 }
 
-// at is the state under some prefixes at a revision.
+// at returns the state under some prefixes at a revision.
 func (o *oracle) at(revision uint64, prefixes []string) map[string]string {
 	state := map[string]string{}
 	for i, r := range o.revisions {
@@ -55,7 +56,7 @@
 	return state
 }
 
-// changesBetween are the revisions in (from, to] that changed a key under some prefixes.
+// changesBetween returns the revisions in (from, to] that changed a key under some prefixes.
 func (o *oracle) changesBetween(from, to uint64, prefixes []string) (revisions []uint64) {
 	for i, r := range o.revisions {
 		if r > from && r <= to && len(o.touched[i]) > 0 {
@@ -70,18 +71,18 @@
 	return revisions
 }
 
-// seen is one event of a follower and what it held after it.
+// seen is one event of a follower and the follower's state after it.
 type seen struct {
 	kind     WatchKind
 	revision uint64
 	state    map[string]string
 }
 
-// follower keeps the records of its prefixes over many sessions, at any replica.
+// follower is a client that keeps the records under its prefixes across many sessions with different replicas.
 type follower struct {
 	name     string
 	prefixes []string
-	pick     func() string // a replica's address
+	pick     func() string // returns the address of a replica
 
 	mu      sync.Mutex
 	held    uint64
@@ -90,6 +91,7 @@
 	session context.CancelFunc
 }
 
+// run opens one session after another until the context ends.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		session, cancel := context.WithCancel(ctx)
@@ -103,6 +105,7 @@
 	}
 }
 
+// take handles an event.
 func (f *follower) take(e WatchEvent) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,6 +125,7 @@
 	return nil
 }
 
+// cut ends the current session.
 func (f *follower) cut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +140,7 @@
 	return f.held >= revision
 }
 
-// check compares all that a follower has seen with what was written.
+// check compares all events of the follower with the oracle.
 func (f *follower) check(t require.TestingT, o *oracle) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,9 +159,9 @@
 	}
 }
 
-// Over random writes, cuts, and resumes at other replicas, some of which lag, a follower is sent every transaction exactly
-// once and in order, or a snapshot in place of some; it never goes back; and what it holds is always what the store held
-// at its revision.
+// Under random writes, disconnects and resumes at other replicas, some of which lag, a follower gets every transaction exactly
+// once and in order, or a snapshot in place of some. Its revision never decreases, and its state always equals the state of the
+// store at its revision.
 func TestResumeIsExactlyOnce(t *testing.T) {
 	g := newControlGroup(t, 3, 2, serveWith(func(s *ServeOptions) { s.HistorySize, s.HeartbeatEvery = 6, 10*time.Millisecond }))
 	require.NoError(t, g.nodes[0].WaitReady(within(t)))
@@ -203,6 +207,7 @@
 	})
 }
 
+// writeSome commits a random transaction and returns its revision.
 func writeSome(t *rapid.T, g *controlGroup, o *oracle, keys []string) uint64 {
 	var writes []Write
 	for _, key := range keys {
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -24,10 +24,10 @@
 	listeners []net.Listener
 	nodes     []*Node
 	configure func(i int, o *Options)
-	network   *relay.Network // between the members
+	network   *relay.Network // relays the connections between members
 }
 
-// newControlGroup starts voters and non-voters, in this order. configure may change each one's options; nil: none.
+// newControlGroup starts voters and non-voters, in this order. configure, if not nil, can change the options of each member.
 func newControlGroup(t *testing.T, voters, nonVoters int, configure func(i int, o *Options)) *controlGroup {
 	t.Helper()
 	g := &controlGroup{t: t, configure: configure, network: relay.New(1)}
@@ -69,7 +69,7 @@
 	g.t.Cleanup(func() { n.Close() })
 }
 
-// cut parts a member from the others, or heals it.
+// cut partitions a member from the others, or heals the partition.
 func (g *controlGroup) cut(i int, cut bool) {
 	var others []string
 	for j, p := range g.peers {
@@ -106,7 +106,7 @@
 	return found
 }
 
-// putAll writes a record and waits until all members have it.
+// putAll writes a record and waits until all members have applied the write.
 func (g *controlGroup) putAll(key, value string) uint64 {
 	g.t.Helper()
 	revision := g.put(key, value)
@@ -116,7 +116,7 @@
 	return revision
 }
 
-// put writes a record through the first member and gives its revision.
+// put writes a record through the first member and returns its revision.
 func (g *controlGroup) put(key, value string) uint64 {
 	g.t.Helper()
 	revision, err := g.nodes[0].Transact(within(g.t), []Write{{Key: key, Value: []byte(value)}})
@@ -124,7 +124,7 @@
 	return revision
 }
 
-// client follows a session and keeps what it has been sent.
+// client is a watch session and the events that it has received.
 type client struct {
 	t       *testing.T
 	events  chan WatchEvent
@@ -150,7 +150,7 @@
 	return c
 }
 
-// next gives the next event; heartbeats are left out unless one is wanted.
+// next returns the next event, which must be of the given kind. Heartbeats are skipped unless one is requested.
 func (c *client) next(kind WatchKind) WatchEvent {
 	c.t.Helper()
 	limit := time.After(15 * time.Second)
@@ -161,7 +161,7 @@
 				return e
 			}
 			if e.Kind != Heartbeat {
-				c.t.Fatalf("%v while a %v was expected", e, kind)
+				c.t.Fatalf("got %v, want a %v", e, kind)
 			}
 		case err := <-c.ended:
 			c.t.Fatalf("the session ended (%v) before a %v", err, kind)
@@ -171,7 +171,7 @@
 	}
 }
 
-// until reads heartbeats up to one that pleases.
+// until reads heartbeats until pleases returns true for one.
 func (c *client) until(pleases func(WatchEvent) bool) WatchEvent {
 	c.t.Helper()
 	for limit := time.Now().Add(15 * time.Second); ; {
@@ -191,7 +191,7 @@
 	case err := <-c.ended:
 		return err
 	case <-time.After(20 * time.Second):
-		c.t.Fatal("the session goes on")
+		c.t.Fatal("the session did not end")
 		return nil
 	}
 }
@@ -208,8 +208,8 @@
 	return keys
 }
 
-// A session begins with a snapshot of its prefixes, brings each transaction as one event, and moves on by heartbeats where
-// what was written is none of its own; another resumes from there without a snapshot and misses nothing.
+// A session starts with a snapshot of its prefixes, gets each transaction as one event, and advances its revision by heartbeats
+// on writes under other prefixes. Another session resumes from there without a snapshot and misses no change.
 func TestSession(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	g := newControlGroup(t, 3, 1, nil)
@@ -240,7 +240,7 @@
 	c.leave()
 }
 
-// All writes of a transaction are carried out at one revision, or none, through any member.
+// A transaction through any member is atomic: all its writes get one revision, or none is applied.
 func TestTransaction(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	ctx := within(t)
@@ -265,13 +265,13 @@
 	}
 }
 
+// placed is a check's error with advice.
 type placed struct{ text string }
 
 func (p *placed) Error() string  { return p.text }
 func (p *placed) Advice() string { return "write a number there" }
 
-// A client's write that does not check is refused by whichever member it reaches, with the place and the advice of the
-// check; what this process writes itself and other keys are not asked about.
+// Every member refuses a client's write that fails the check, with the check's text and advice, and without retries.
 func TestCheckRefuses(t *testing.T) {
 	check := func(writes []Write) error {
 		for _, w := range writes {
@@ -305,7 +305,7 @@
 			require.ErrorAs(t, err, &refused, name)
 			require.Contains(t, err.Error(), "calls.json:3:7: rate: not a number", name)
 			require.Equal(t, "write a number there", advice.Of(err), name)
-			require.Less(t, time.Since(began), applyWithin, "a refusal was tried again")
+			require.Less(t, time.Since(began), applyWithin, "a refused write was retried")
 		}
 		require.Equal(t, []string{"k"}, keysOf(g.nodes[at].List("")))
 		r, _ := g.nodes[at].Get("k")
@@ -313,7 +313,7 @@
 	}
 }
 
-// Members without Serve, and gatekeepers, are told apart by their answer.
+// A member without Serve answers session requests with *NotControl.
 func TestNotControl(t *testing.T) {
 	g := newControlGroup(t, 1, 0, func(_ int, o *Options) { o.Serve = nil })
 	var not *NotControl
@@ -322,9 +322,9 @@
 	require.ErrorAs(t, err, &not)
 }
 
-var errHandled = errors.New("handled enough")
+var errHandled = errors.New("stop handling")
 
-// The error of handle ends the session and is returned.
+// An error of handle ends the session and is returned.
 func TestHandleEndsSession(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	var mu sync.Mutex
@@ -339,7 +339,7 @@
 	require.Equal(t, 1, seen)
 }
 
-// listenAgain listens where a member that has ended did.
+// listenAgain listens on the address of a closed member.
 func listenAgain(t *testing.T, address string) (l net.Listener) {
 	t.Helper()
 	require.Eventually(t, func() (ok bool) {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -58,7 +58,7 @@
 	return nodes
 }
 
-// A write at any node, leader or not, is read there; with the leader lost, no committed record is.
+// A write through any node, leader or not, can be read there, and the loss of the leader loses no committed record.
 func TestLosingTheLeaderLosesNoRecord(t *testing.T) {
 	nodes := group(t, 3)
 	ctx := within(t)
@@ -118,7 +118,7 @@
 		t.Error(err)
 	}
 	if _, ok := n.Get("k"); ok {
-		t.Error("deleted record is still there")
+		t.Error("the deleted record still exists")
 	}
 }
 
@@ -141,7 +141,7 @@
 	nodes, ctx := group(t, 3), within(t)
 	for i, n := range nodes {
 		value := []byte{byte(i)}
-		// The node may not know its leader yet: the import says so and is tried again.
+		// Retry while the node does not know its leader yet.
 		for {
 			if _, err := PutTo(ctx, n.layer.Addr().String(), "inventory", value, nil); err == nil {
 				break
@@ -158,7 +158,7 @@
 	}
 }
 
-// A snapshot gives the same records back, and watchers hear only of what changed.
+// Restoring a snapshot gives the same records, and watchers are notified only of the records that changed.
 func TestSnapshotRestores(t *testing.T) {
 	n, ctx := single(t), within(t)
 	n.Put(ctx, "a", []byte("1"))
@@ -183,7 +183,7 @@
 		t.Errorf("restored %+v", got)
 	}
 	if fmt.Sprint(told) != "[a c]" {
-		t.Errorf("told %v, want a and c", told)
+		t.Errorf("notified of %v, want a and c", told)
 	}
 }
 
