--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -85,8 +85,8 @@
 	return b, nil
 }
 
-// restorePart limits the bytes of keys and values in one transaction of a restore. Encoded as base64 they take a third more.
-const restorePart = maxCommand / 2
+// restorePartSize limits the bytes of keys and values in one transaction of a restore. Encoded as base64 they take a third more.
+const restorePartSize = maxCommand / 2
 
 // RestoreMargin is the distance from the highest revision of the backup and of the group to the revision of the restored
 // group, because gatekeepers may hold changes that were written after the backup was taken.
@@ -135,7 +135,7 @@
 	from, size := 0, 0
 	for i, r := range b.Records {
 		bytes := len(r.Key) + len(r.Value)
-		if size+bytes > restorePart && i > from {
+		if size+bytes > restorePartSize && i > from {
 			parts = append(parts, b.Records[from:i])
 			from, size = i, 0
 		}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -45,7 +45,7 @@
 		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{},
 		Revision: n.fsm.lastRevision(), Transactions: true, Raises: true}
 	if n.sessions != nil {
-		s.Held = n.sessions.heldAbove(s.Revision)
+		s.Held = n.sessions.clientRevisionAbove(s.Revision)
 	}
 	if !n.Leader() && !n.raft.LastContact().IsZero() {
 		s.Contact = time.Since(n.raft.LastContact())
@@ -59,9 +59,9 @@
 	return s
 }
 
-// read answers the commands that are served locally, and reports whether c is one. It does not read records before the
+// answerLocally answers the commands that are served locally, and reports whether c is one. It does not read records before the
 // member is ready, because they may be older than those that it held before it stopped.
-func (n *Node) read(c command, r *result) bool {
+func (n *Node) answerLocally(c command, r *result) bool {
 	if (c.Op == opGet || c.Op == opList) && !n.Ready() {
 		r.Fault = ErrNotReady.Error()
 		return true
@@ -109,21 +109,21 @@
 func (n *Node) serveWatch(c net.Conn, prefix string) {
 	c.SetDeadline(time.Time{})
 	changes := make(chan Record, watchQueue)
-	slow := make(chan struct{})
+	overflow := make(chan struct{})
 	stop := n.fsm.watchUntil(prefix, func(r Record) bool {
 		select {
 		case changes <- r:
 			return true
 		default:
-			close(slow)
+			close(overflow)
 			return false
 		}
 	})
 	defer stop()
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
 		c.Read(make([]byte, 1))
-		close(gone)
+		close(disconnected)
 	}()
 	out := json.NewEncoder(c)
 	for {
@@ -131,12 +131,12 @@
 		select {
 		case change := <-changes:
 			r.Records = []Record{change}
-		case <-slow:
+		case <-overflow:
 			r.Fault = "the client read too slowly: changes are missing"
-		case <-gone:
+		case <-disconnected:
 			return
 		}
-		c.SetWriteDeadline(time.Now().Add(2 * applyWithin))
+		c.SetWriteDeadline(time.Now().Add(2 * applyTimeout))
 		if out.Encode(r) != nil || r.Fault != "" {
 			return
 		}
@@ -148,12 +148,12 @@
 
 // ErrNotReady is returned when a member has not yet replayed its log or caught up with a leader, so that its records may be
 // older than those of the group. Nothing was read. A write that fails with it may still have been committed by an earlier
-// attempt within the same call, as after any timeout; a conditional write (PutTo with at) shows whether it was.
+// attempt within the same call, as after any timeout; a conditional write (PutTo with expected) shows whether it was.
 var ErrNotReady = errors.New("not ready: no leader yet")
 
-// ask sends a command to the member at an address. While that member is not ready it retries until the context ends, and
+// sendWithRetry sends a command to the member at an address. While that member is not ready it retries until the context ends, and
 // then returns ErrNotReady.
-func ask(ctx context.Context, addr string, c command) (result, error) {
+func sendWithRetry(ctx context.Context, addr string, c command) (result, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return result{}, err
@@ -161,7 +161,7 @@
 	for waited := false; ; waited = true {
 		r, err := forward(ctx, addr, data)
 		switch {
-		case err != nil && waited && ended(ctx): // the deadline interrupted a retry while the member was not ready
+		case err != nil && waited && contextEnded(ctx): // the deadline interrupted a retry while the member was not ready
 			return r, fmt.Errorf("%w (%v)", ErrNotReady, err)
 		case !errors.Is(err, ErrNotReady):
 			return r, err
@@ -169,14 +169,14 @@
 		select {
 		case <-ctx.Done():
 			return r, fmt.Errorf("%w (%v)", ErrNotReady, ctx.Err())
-		case <-time.After(retryAfter):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// ended reports whether a context has ended or its deadline has passed. A connection with the context's deadline may time
+// contextEnded reports whether a context has ended or its deadline has passed. A connection with the context's deadline may time
 // out an instant before the context itself ends.
-func ended(ctx context.Context) bool {
+func contextEnded(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
 }
@@ -184,7 +184,7 @@
 // GetFrom reads a record from the member at an address. The record may lag that of the leader. While the member is not
 // ready the read is retried until the context ends; then the error is ErrNotReady, never ErrNotFound.
 func GetFrom(ctx context.Context, addr, key string) (Record, error) {
-	r, err := ask(ctx, addr, command{Op: opGet, Key: key})
+	r, err := sendWithRetry(ctx, addr, command{Op: opGet, Key: key})
 	if err == nil && len(r.Records) == 0 {
 		err = ErrNotFound
 	}
@@ -196,13 +196,13 @@
 
 // ListFrom reads all records under a prefix from the member at an address, ordered by key.
 func ListFrom(ctx context.Context, addr, prefix string) ([]Record, error) {
-	r, err := ask(ctx, addr, command{Op: opList, Key: prefix})
+	r, err := sendWithRetry(ctx, addr, command{Op: opList, Key: prefix})
 	return r.Records, err
 }
 
 // StatusFrom reads the status of the member at an address.
 func StatusFrom(ctx context.Context, addr string) (Status, error) {
-	r, err := ask(ctx, addr, command{Op: opStatus})
+	r, err := sendWithRetry(ctx, addr, command{Op: opStatus})
 	if err == nil && r.Status == nil {
 		err = errors.New("the answer has no status: the member runs an earlier version")
 	}
@@ -212,14 +212,14 @@
 	return *r.Status, nil
 }
 
-// PutTo writes a record through any member, which forwards it to the leader. With at, the write succeeds only if the record
-// is at that revision, where 0 means that it does not exist; otherwise the error is ErrRevision.
-func PutTo(ctx context.Context, addr, key string, value []byte, at *uint64) (revision uint64, err error) {
+// PutTo writes a record through any member, which forwards it to the leader. With expected, the write succeeds only
+// if the record is at that revision, where 0 means that it does not exist; otherwise the error is ErrRevision.
+func PutTo(ctx context.Context, addr, key string, value []byte, expected *uint64) (revision uint64, err error) {
 	c := command{Op: opPut, Key: key, Value: value}
-	if at != nil {
-		c.Op, c.At = opPutAt, *at
+	if expected != nil {
+		c.Op, c.At = opPutAt, *expected
 	}
-	r, err := ask(ctx, addr, c)
+	r, err := sendWithRetry(ctx, addr, c)
 	if err == nil && r.Conflict {
 		err = ErrRevision
 	}
@@ -228,7 +228,7 @@
 
 // ReduceAt is like Node.Reduce, through the member at an address.
 func ReduceAt(ctx context.Context, addr, key string, request []byte) (answer []byte, err error) {
-	r, err := ask(ctx, addr, command{Op: opReduce, Key: key, Value: request})
+	r, err := sendWithRetry(ctx, addr, command{Op: opReduce, Key: key, Value: request})
 	return r.answer(err)
 }
 
@@ -239,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := (&net.Dialer{Timeout: applyWithin}).DialContext(ctx, "tcp", addr)
+	c, err := (&net.Dialer{Timeout: applyTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -32,30 +32,30 @@
 	_, applied, changed := s.history.state()
 	c := counts{Applied: applied, Changed: changed, Age: s.node.contactAge()}
 	now := time.Now()
-	for _, one := range s.all() {
-		one.mu.Lock()
+	for _, sess := range s.allSessions() {
+		sess.mu.Lock()
 		c.Sessions++
 		switch {
-		case one.report.InForce >= one.target:
+		case sess.report.InForce >= sess.target:
 			c.Holding++
-		case one.report.Refused >= one.target:
+		case sess.report.Refused >= sess.target:
 			c.Refused++
 		default:
 			c.Behind++
-			c.OldestBehind = max(c.OldestBehind, now.Sub(one.targetSince))
+			c.OldestBehind = max(c.OldestBehind, now.Sub(sess.targetSince))
 		}
-		one.mu.Unlock()
+		sess.mu.Unlock()
 	}
 	return c
 }
 
-// all returns the open sessions, in no particular order.
-func (s *sessionServer) all() []*session {
+// allSessions returns the open sessions, in no particular order.
+func (s *sessionServer) allSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*session, 0, len(s.sessions))
-	for one := range s.sessions {
-		all = append(all, one)
+	for sess := range s.sessions {
+		all = append(all, sess)
 	}
 	return all
 }
@@ -63,10 +63,10 @@
 // statuses returns the status of each session of this control machine, ordered by name.
 func (s *sessionServer) statuses() []SessionStatus {
 	statuses := []SessionStatus{}
-	for _, one := range s.all() {
-		one.mu.Lock()
-		statuses = append(statuses, SessionStatus{one.request.Session, one.report, one.since, one.sent, one.target, s.options.Name})
-		one.mu.Unlock()
+	for _, sess := range s.allSessions() {
+		sess.mu.Lock()
+		statuses = append(statuses, SessionStatus{sess.request.Session, sess.report, sess.since, sess.sent, sess.target, s.options.Name})
+		sess.mu.Unlock()
 	}
 	slices.SortFunc(statuses, func(a, b SessionStatus) int { return strings.Compare(a.Name, b.Name) })
 	return statuses
@@ -79,7 +79,7 @@
 	for {
 		fleet := s.gather()
 		s.mu.Lock()
-		s.fleet = fleet
+		s.fleetCounts = fleet
 		s.mu.Unlock()
 		select {
 		case <-tick.C:
@@ -91,29 +91,29 @@
 
 // gather queries all members concurrently. A member that does not answer within the report interval counts as unheard.
 func (s *sessionServer) gather() *FleetCounts {
-	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportEvery, upWithin))
+	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportEvery, memberTimeout))
 	defer cancel()
-	heard, unheard := []counts{s.counts()}, 0
+	received, unheard := []counts{s.counts()}, 0
 	var mu sync.Mutex
-	var asked sync.WaitGroup
-	for _, address := range s.node.others() {
-		asked.Go(func() {
-			c, err := countsFrom(ctx, through(s.node.via, address))
+	var queries sync.WaitGroup
+	for _, address := range s.node.otherAddresses() {
+		queries.Go(func() {
+			c, err := countsFrom(ctx, dialAddress(s.node.via, address))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				unheard++
 				return
 			}
-			heard = append(heard, c)
+			received = append(received, c)
 		})
 	}
-	asked.Wait()
-	return sum(heard, unheard)
+	queries.Wait()
+	return sumCounts(received, unheard)
 }
 
-// others returns the addresses of the other members.
-func (n *Node) others() (addresses []string) {
+// otherAddresses returns the addresses of the other members.
+func (n *Node) otherAddresses() (addresses []string) {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
 		return nil
@@ -142,14 +142,14 @@
 	return *r.Counts, nil
 }
 
-// sum adds up the counts of several control machines. A control machine that lacks the newest change can't have sent it, so
+// sumCounts adds up the counts of several control machines. A control machine that lacks the newest change can't have sent it, so
 // all its sessions count as behind, at least since its last contact with the leader.
-func sum(heard []counts, unheard int) *FleetCounts {
-	f := &FleetCounts{Replicas: len(heard), Unheard: unheard}
-	for _, c := range heard {
+func sumCounts(received []counts, unheard int) *FleetCounts {
+	f := &FleetCounts{Replicas: len(received), Unheard: unheard}
+	for _, c := range received {
 		f.Revision = max(f.Revision, c.Changed)
 	}
-	for _, c := range heard {
+	for _, c := range received {
 		if c.Applied < f.Revision {
 			c.Behind, c.Holding = c.Behind+c.Holding, 0
 			if c.Behind > 0 {
--- a/internal/store/counts_test.go
+++ b/internal/store/counts_test.go
@@ -23,7 +23,7 @@
 		c.reports <- WatchReport{InForce: first}
 		sessions = append(sessions, c)
 	}
-	counted := func(want FleetCounts) (last FleetCounts) {
+	waitForCounts := func(want FleetCounts) (last FleetCounts) {
 		t.Helper()
 		for _, c := range sessions { // each control machine sends the same counts
 			c.until(func(e WatchEvent) bool {
@@ -38,7 +38,7 @@
 		}
 		return last
 	}
-	counted(FleetCounts{Revision: first, Sessions: 4, Holding: 4, Replicas: 4})
+	waitForCounts(FleetCounts{Revision: first, Sessions: 4, Holding: 4, Replicas: 4})
 
 	// This change concerns only the sessions of one zone: one of them refuses it, the other does not report for a while.
 	writtenAt := time.Now()
@@ -47,12 +47,12 @@
 		require.Equal(t, second, sessions[i].next(Change).Revision)
 	}
 	sessions[1].reports <- WatchReport{InForce: first, Refused: second, Fault: "calls.json:1:2: rate: not a number"}
-	counted(FleetCounts{Revision: second, Sessions: 4, Holding: 2, Behind: 1, Refused: 1, Replicas: 4})
+	waitForCounts(FleetCounts{Revision: second, Sessions: 4, Holding: 2, Behind: 1, Refused: 1, Replicas: 4})
 	const behindFor = 300 * time.Millisecond
-	fleet := counted(FleetCounts{Revision: second, Sessions: 4, Holding: 2, Behind: 1, Refused: 1, Replicas: 4, OldestBehind: behindFor})
+	fleet := waitForCounts(FleetCounts{Revision: second, Sessions: 4, Holding: 2, Behind: 1, Refused: 1, Replicas: 4, OldestBehind: behindFor})
 	require.Less(t, fleet.OldestBehind, time.Since(writtenAt))
 
-	listed, err := SessionsFrom(within(t), nil, g.address(1))
+	listed, err := SessionsFrom(testContext(t), nil, g.address(1))
 	require.NoError(t, err)
 	require.Len(t, listed, 1)
 	require.Equal(t, SessionInfo{"g1", "r", "z1", "s"}, listed[0].SessionInfo)
@@ -64,15 +64,15 @@
 	for _, i := range []int{1, 3} {
 		sessions[i].reports <- WatchReport{InForce: second}
 	}
-	counted(FleetCounts{Revision: second, Sessions: 4, Holding: 4, Replicas: 4})
+	waitForCounts(FleetCounts{Revision: second, Sessions: 4, Holding: 4, Replicas: 4})
 	sessions[0].leave()
 	sessions = sessions[1:]
-	counted(FleetCounts{Revision: second, Sessions: 3, Holding: 3, Replicas: 4})
+	waitForCounts(FleetCounts{Revision: second, Sessions: 3, Holding: 3, Replicas: 4})
 }
 
 // Sessions of a lagging replica count as behind. Sessions of an unreachable replica are not counted, and the replica is
 // reported as unheard.
-func TestFleetCountsOfALaggingReplica(t *testing.T) {
+func TestFleetCountsOfLaggingReplica(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	first := g.putAll("settings/a", "1")
 	near, far := watchSession(t, g.address(0), WatchRequest{}), watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "far"}})
@@ -81,13 +81,13 @@
 		c.reports <- WatchReport{InForce: first}
 	}
 	near.until(func(e WatchEvent) bool { return e.Fleet != nil && e.Fleet.Holding == 2 })
-	g.cut(3, true)
+	g.setPartitioned(3, true)
 	second := g.put("settings/a", "2")
 	require.Equal(t, second, near.next(Change).Revision)
 	near.reports <- WatchReport{InForce: second}
 	e := near.until(func(e WatchEvent) bool { return e.Fleet.Unheard == 1 && e.Fleet.Holding == 1 })
 	require.Equal(t, 1, e.Fleet.Sessions)
-	g.cut(3, false)
+	g.setPartitioned(3, false)
 	require.Equal(t, second, far.next(Change).Revision)
 	near.until(func(e WatchEvent) bool { return e.Fleet.Behind == 1 && e.Fleet.Sessions == 2 })
 	far.reports <- WatchReport{InForce: second}
@@ -97,7 +97,7 @@
 // Every session is in exactly one count of the sum, and no session of a replica that lacks the newest change is holding.
 func TestSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var heard []counts
+		var received []counts
 		sessions, newest := 0, uint64(0)
 		for range rapid.IntRange(1, 5).Draw(t, "replicas") {
 			n := rapid.IntRange(0, 3)
@@ -106,16 +106,16 @@
 			c.Changed = c.Applied - min(c.Applied, uint64(n.Draw(t, "quiet")))
 			c.Sessions = c.Holding + c.Behind + c.Refused
 			sessions, newest = sessions+c.Sessions, max(newest, c.Changed)
-			heard = append(heard, c)
+			received = append(received, c)
 		}
-		f := sum(heard, 2)
+		f := sumCounts(received, 2)
 		require.Equal(t, sessions, f.Sessions)
 		require.Equal(t, sessions, f.Holding+f.Behind+f.Refused)
 		require.Equal(t, newest, f.Revision)
-		require.Equal(t, len(heard), f.Replicas)
+		require.Equal(t, len(received), f.Replicas)
 		require.Equal(t, 2, f.Unheard)
 		holding := 0
-		for _, c := range heard {
+		for _, c := range received {
 			if c.Applied >= newest {
 				holding += c.Holding
 			} else if c.Holding > 0 {
--- a/internal/store/deadline_test.go
+++ b/internal/store/deadline_test.go
@@ -14,10 +14,10 @@
 // slowContext has a deadline but does not end at it, like a context whose timer has not fired yet.
 type slowContext struct {
 	context.Context
-	at time.Time
+	deadline time.Time
 }
 
-func (c slowContext) Deadline() (time.Time, bool) { return c.at, true }
+func (c slowContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
 // If a member answers that it is not ready, and then does not answer the retry by the deadline, the error is ErrNotReady, even
 // if the connection times out before the context ends.
--- a/internal/store/durable_test.go
+++ b/internal/store/durable_test.go
@@ -18,17 +18,18 @@
 	"beammux/internal/store/journal"
 )
 
-func durable(t testing.TB, dir string) *Node {
+// openDurable opens a group of one node with its files in dir.
+func openDurable(t testing.TB, dir string) *Node {
 	t.Helper()
-	n, err := Open(Options{Node: "a", Dir: dir, Log: quiet()})
+	n, err := Open(Options{Node: "a", Dir: dir, Log: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-// has waits until a member holds a record, because a member that has just started is still replaying its log.
-func has(t testing.TB, n *Node, key string, value []byte) {
+// waitForRecord waits until a member holds a record, because a member that has just started is still replaying its log.
+func waitForRecord(t testing.TB, n *Node, key string, value []byte) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if r, ok := n.Get(key); ok && bytes.Equal(r.Value, value) {
@@ -52,7 +53,7 @@
 		peers = append(peers, Peer{Node: fmt.Sprint("n", i), Address: l.Addr().String()})
 	}
 	start := func(i int) *Node {
-		n, err := Open(Options{Node: peers[i].Node, Listener: listeners[i], Peers: peers, Dir: filepath.Join(root, peers[i].Node), Log: quiet()})
+		n, err := Open(Options{Node: peers[i].Node, Listener: listeners[i], Peers: peers, Dir: filepath.Join(root, peers[i].Node), Log: discardLogger()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +61,7 @@
 		return n
 	}
 	nodes := []*Node{start(0), start(1), start(2)}
-	ctx := within(t)
+	ctx := testContext(t)
 	revisions := map[string]uint64{}
 	for i := range 60 {
 		key := fmt.Sprintf("dialog/%02d", i)
@@ -90,7 +91,7 @@
 	nodes = []*Node{start(2), start(0), start(1)}
 	for _, n := range nodes {
 		for key, rev := range revisions {
-			has(t, n, key, []byte(key))
+			waitForRecord(t, n, key, []byte(key))
 			if r, _ := n.Get(key); r.Revision != rev {
 				t.Errorf("%s has revision %d, want %d", key, r.Revision, rev)
 			}
@@ -104,7 +105,7 @@
 // Compaction limits the size on disk and loses no record.
 func TestCompaction(t *testing.T) {
 	dir := t.TempDir()
-	n := durable(t, dir)
+	n := openDurable(t, dir)
 	big := bytes.Repeat([]byte("x"), 4096)
 	size := func() (total int64) {
 		filepath.WalkDir(dir, func(path string, d os.DirEntry, err error) error {
@@ -116,7 +117,7 @@
 		return total
 	}
 	for i := range 5000 {
-		if _, err := n.Put(within(t), fmt.Sprint("k", i%10), big); err != nil {
+		if _, err := n.Put(testContext(t), fmt.Sprint("k", i%10), big); err != nil {
 			t.Fatal(err)
 		}
 		if i == 2500 {
@@ -128,7 +129,7 @@
 	if err := n.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := n.Put(within(t), "last", []byte("1")); err != nil {
+	if _, err := n.Put(testContext(t), "last", []byte("1")); err != nil {
 		t.Fatal(err)
 	}
 	n.Close()
@@ -136,9 +137,9 @@
 	if got := size(); got > 15<<20 {
 		t.Errorf("%d MB on disk", got>>20)
 	}
-	n = durable(t, dir)
+	n = openDurable(t, dir)
 	defer n.Close()
-	has(t, n, "last", []byte("1"))
+	waitForRecord(t, n, "last", []byte("1"))
 	if r := n.List("k"); len(r) != 10 {
 		t.Errorf("%d records", len(r))
 	}
@@ -147,7 +148,7 @@
 // All writes that a process acknowledged before it was killed (SIGKILL) are there when the next process opens the files.
 func TestKilledWriter(t *testing.T) {
 	if dir := os.Getenv("BEAMMUX_TEST_STORE"); dir != "" {
-		n := durable(t, dir)
+		n := openDurable(t, dir)
 		for i := 0; ; i++ {
 			if _, err := n.Put(t.Context(), fmt.Sprint(os.Getenv("BEAMMUX_TEST_START"), "/", i), []byte("v")); err != nil {
 				fmt.Println("fault", err)
@@ -181,11 +182,11 @@
 		}
 		cmd.Wait()
 	}
-	n := durable(t, dir)
+	n := openDurable(t, dir)
 	defer n.Close()
 	for start, i := range last {
 		for k := 0; k <= i; k++ {
-			has(t, n, fmt.Sprint(start, "/", k), []byte("v"))
+			waitForRecord(t, n, fmt.Sprint(start, "/", k), []byte("v"))
 		}
 	}
 	if len(last) != 4 {
@@ -196,9 +197,9 @@
 // The store does not open a damaged log; the error is one line with the file and the offset.
 func TestDamagedLogIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	n := durable(t, dir)
+	n := openDurable(t, dir)
 	for i := range 20 {
-		if _, err := n.Put(within(t), fmt.Sprint(i), []byte("value")); err != nil {
+		if _, err := n.Put(testContext(t), fmt.Sprint(i), []byte("value")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -210,12 +211,12 @@
 	}
 	text[len(text)/2] ^= 1
 	os.WriteFile(file, text, 0o600)
-	_, err = Open(Options{Node: "a", Dir: dir, Log: quiet()})
+	_, err = Open(Options{Node: "a", Dir: dir, Log: discardLogger()})
 	var damage *journal.DamageError
 	if !errors.As(err, &damage) || damage.File != file || damage.Offset == 0 || strings.Contains(err.Error(), "\n") {
 		t.Errorf("%v", err)
 	}
-	if _, err := Open(Options{Node: "a", Dir: t.TempDir(), Sync: "often", Log: quiet()}); err == nil {
+	if _, err := Open(Options{Node: "a", Dir: t.TempDir(), Sync: "often", Log: discardLogger()}); err == nil {
 		t.Error("an unknown value of Sync was accepted")
 	}
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -197,11 +197,11 @@
 			return &SessionsFull{int(r.Typed.Have)}
 		}
 	}
-	return untyped(r.Fault)
+	return untypedError(r.Fault)
 }
 
-// permanent reports whether a retry of the same request must fail in the same way.
-func permanent(err error) bool {
+// isPermanent reports whether a retry of the same request must fail in the same way.
+func isPermanent(err error) bool {
 	var refused *Refused
 	var request *BadRequest
 	var earlier *EarlierVersion
@@ -212,8 +212,8 @@
 // newRefused wraps the error of a check, with its text and advice.
 func newRefused(err error) *Refused { return &Refused{err.Error(), advice.Of(err)} }
 
-// untyped returns the error for a fault text without a type: ErrNoLeader and ErrNotReady are recognized by their text.
-func untyped(fault string) error {
+// untypedError returns the error for a fault text without a type: ErrNoLeader and ErrNotReady are recognized by their text.
+func untypedError(fault string) error {
 	switch {
 	case fault == "":
 		return nil
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	encodingsKeptFor = 32 // newest transactions with cached encodings; sessions that read older ones encode for themselves
-	encodingsKept    = 64 // cached encodings of one transaction
+	cachedTransactions = 32 // newest transactions with cached encodings; sessions that read older ones encode for themselves
+	maxCachedEncodings = 64 // cached encodings of one transaction
 )
 
 // transaction is the set of changes that one command made under the served prefix.
@@ -20,7 +20,7 @@
 
 	mu        sync.Mutex
 	encodings map[string][]byte // by the bit set of the changes that the encoding contains
-	shared    bool              // new encodings are cached
+	cached    bool              // new encodings are cached
 }
 
 // history keeps the latest transactions, so that sessions can read them at their own pace and resume. It is bounded in count
@@ -29,19 +29,19 @@
 type history struct {
 	prefix          string
 	limit, maxBytes int
-	more            chan struct{} // buffered signal: the history has changed
-
-	mu       sync.Mutex
-	kept     []*transaction // ordered by revision
-	bytes    int
-	floor    uint64 // all transactions after this revision are kept
-	applied  uint64 // the history is complete up to this revision
-	last     uint64 // revision of the last served change, or of the last reset
-	resetsAt uint64 // revision of the last reset
+	changed         chan struct{} // buffered signal: the history has changed
+
+	mu           sync.Mutex
+	transactions []*transaction // ordered by revision
+	bytes        int
+	floor        uint64 // all transactions after this revision are kept
+	applied      uint64 // the history is complete up to this revision
+	lastChange   uint64 // revision of the last served change, or of the last reset
+	lastReset    uint64 // revision of the last reset
 }
 
 func newHistory(prefix string, limit, maxBytes int) *history {
-	return &history{prefix: prefix, limit: limit, maxBytes: maxBytes, more: make(chan struct{}, 1)}
+	return &history{prefix: prefix, limit: limit, maxBytes: maxBytes, changed: make(chan struct{}, 1)}
 }
 
 // append adds the changes of one command, possibly none.
@@ -60,56 +60,57 @@
 	if len(served) == 0 {
 		return
 	}
-	h.last = revision
-	h.kept = append(h.kept, &transaction{revision: revision, changes: served, size: size, shared: true})
+	h.lastChange = revision
+	h.transactions = append(h.transactions, &transaction{revision: revision, changes: served, size: size, cached: true})
 	h.bytes += size
-	if aged := len(h.kept) - 1 - encodingsKeptFor; aged >= 0 {
-		h.kept[aged].forgetEncodings()
+	if aged := len(h.transactions) - 1 - cachedTransactions; aged >= 0 {
+		h.transactions[aged].forgetEncodings()
 	}
-	for len(h.kept) > h.limit || h.bytes > h.maxBytes && len(h.kept) > 1 {
+	for len(h.transactions) > h.limit || h.bytes > h.maxBytes && len(h.transactions) > 1 {
 		h.dropOldest()
 	}
 	h.signal()
 }
 
+// dropOldest removes the oldest transaction and raises the floor to its revision.
 func (h *history) dropOldest() {
-	oldest := h.kept[0]
+	oldest := h.transactions[0]
 	h.floor = oldest.revision
 	h.bytes -= oldest.size
-	h.kept[0] = nil
-	h.kept = h.kept[1:]
+	h.transactions[0] = nil
+	h.transactions = h.transactions[1:]
 }
 
 // reset discards all transactions: the state was replaced at a revision, and sessions can't resume from before it.
 func (h *history) reset(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.kept, h.bytes = nil, 0
-	h.floor, h.applied, h.last, h.resetsAt = revision, revision, revision, revision
+	h.transactions, h.bytes = nil, 0
+	h.floor, h.applied, h.lastChange, h.lastReset = revision, revision, revision, revision
 	h.signal()
 }
 
 // signal notifies the dispatcher that the history has changed.
 func (h *history) signal() {
 	select {
-	case h.more <- struct{}{}:
+	case h.changed <- struct{}{}:
 	default:
 	}
 }
 
 // since returns up to most transactions after a revision, and the revision up to which they are complete. ok is false if
 // some of them are no longer kept.
-func (h *history) since(revision uint64, most int) (transactions []*transaction, upTo uint64, ok bool) {
+func (h *history) since(revision uint64, limit int) (transactions []*transaction, upTo uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if revision < h.floor {
 		return nil, revision, false
 	}
-	first := sort.Search(len(h.kept), func(i int) bool { return h.kept[i].revision > revision })
-	rest := h.kept[first:]
-	if len(rest) > most {
-		rest = rest[:most]
-		return slices.Clone(rest), rest[most-1].revision, true
+	first := sort.Search(len(h.transactions), func(i int) bool { return h.transactions[i].revision > revision })
+	rest := h.transactions[first:]
+	if len(rest) > limit {
+		rest = rest[:limit]
+		return slices.Clone(rest), rest[limit-1].revision, true
 	}
 	return slices.Clone(rest), max(h.applied, revision), true
 }
@@ -119,62 +120,64 @@
 func (h *history) state() (floor, applied, last uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.floor, h.applied, h.last
+	return h.floor, h.applied, h.lastChange
 }
 
 // wasReset reports whether a revision is before the last reset.
 func (h *history) wasReset(revision uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return revision < h.resetsAt
+	return revision < h.lastReset
 }
 
 // forgetEncodings drops the cached encodings and disables the cache.
 func (t *transaction) forgetEncodings() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.encodings, t.shared = nil, false
+	t.encodings, t.cached = nil, false
 }
 
 // line returns the encoded event with the transaction's changes under some prefixes; nil if there are none. Sessions whose
 // prefixes select the same changes share one encoding.
 func (t *transaction) line(prefixes []string) []byte {
-	set := make([]byte, (len(t.changes)+7)/8)
-	any := false
+	included := make([]byte, (len(t.changes)+7)/8)
+	matched := false
 	for i, c := range t.changes {
 		if hasAnyPrefix(c.Key, prefixes) {
-			set[i/8] |= 1 << (i % 8)
-			any = true
+			included[i/8] |= 1 << (i % 8)
+			matched = true
 		}
 	}
-	if !any {
+	if !matched {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if line, ok := t.encodings[string(set)]; ok {
+	if line, ok := t.encodings[string(included)]; ok {
 		return line
 	}
-	line := t.encode(set)
-	if t.shared && len(t.encodings) < encodingsKept {
+	line := t.encode(included)
+	if t.cached && len(t.encodings) < maxCachedEncodings {
 		if t.encodings == nil {
 			t.encodings = map[string][]byte{}
 		}
-		t.encodings[string(set)] = line
+		t.encodings[string(included)] = line
 	}
 	return line
 }
 
-func (t *transaction) encode(set []byte) []byte {
+// encode encodes the changes whose bits are set in included.
+func (t *transaction) encode(included []byte) []byte {
 	e := &wireEvent{Kind: Change, Revision: t.revision}
 	for i, c := range t.changes {
-		if set[i/8]&(1<<(i%8)) != 0 {
+		if included[i/8]&(1<<(i%8)) != 0 {
 			e.Records = append(e.Records, wireRecord{c.Key, c.Value, c.Revision, c.deleted})
 		}
 	}
 	return e.line()
 }
 
+// hasAnyPrefix reports whether a key has one of the prefixes.
 func hasAnyPrefix(key string, prefixes []string) bool {
 	for _, p := range prefixes {
 		if strings.HasPrefix(key, p) {
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func put(key string, size int) []change {
+func putChange(key string, size int) []change {
 	return []change{{Record: Record{Key: key, Value: make([]byte, size)}}}
 }
 
@@ -30,13 +30,13 @@
 				h.reset(revision)
 				all = nil
 			case kind < 3:
-				h.append(revision, put("other", 10))
+				h.append(revision, putChange("other", 10))
 			default:
-				h.append(revision, put("s/x", rapid.IntRange(0, 100).Draw(t, "size")))
+				h.append(revision, putChange("s/x", rapid.IntRange(0, 100).Draw(t, "size")))
 				all = append(all, revision)
 			}
-			require.LessOrEqual(t, len(h.kept), limit)
-			require.True(t, h.bytes <= maxBytes || len(h.kept) == 1, "%d bytes", h.bytes)
+			require.LessOrEqual(t, len(h.transactions), limit)
+			require.True(t, h.bytes <= maxBytes || len(h.transactions) == 1, "%d bytes", h.bytes)
 			floor, applied, _ := h.state()
 			require.Equal(t, revision, applied)
 			after := uint64(rapid.IntRange(0, int(revision)).Draw(t, "after"))
@@ -68,7 +68,7 @@
 }
 
 // Sessions whose prefixes select the same changes of a transaction share one encoding; others get their own.
-func TestOneEncodingForSessionsAlike(t *testing.T) {
+func TestSharedEncodings(t *testing.T) {
 	h := newHistory("", 100, 1<<20)
 	h.append(1, []change{{Record: Record{"a/1", []byte("x"), 1}}, {Record: Record{Key: "b/1", Revision: 1}, deleted: true}})
 	got, _, _ := h.since(0, 1)
@@ -81,8 +81,8 @@
 	require.NoError(t, json.Unmarshal(both, &r))
 	require.Equal(t, []Record{{"a/1", []byte("x"), 1}, {"b/1", nil, 1}}, r.Event.event().Records)
 
-	for i := range encodingsKeptFor + 1 {
-		h.append(uint64(2+i), put("a/1", 1))
+	for i := range cachedTransactions + 1 {
+		h.append(uint64(2+i), putChange("a/1", 1))
 	}
 	require.Empty(t, got[0].encodings, "an old transaction still has cached encodings")
 }
@@ -139,27 +139,27 @@
 				c = command{Op: opPut, Key: key.Draw(t, "key"), Value: []byte("v")}
 			}
 			before := a.list("")
-			l := entry(t, uint64(i+1), c)
+			l := logEntry(t, uint64(i+1), c)
 			answer := a.Apply(l)
 			require.Equal(t, answer, b.Apply(l))
 			after := a.list("")
 			require.Equal(t, after, b.list(""))
-			allOrNone(t, c, answer.(result), before, after)
+			checkAtomic(t, c, answer.(result), before, after)
 			if i == swap {
-				b = restored(t, b)
+				b = restoredCopy(t, b)
 			}
 		}
 	})
 }
 
-func entry(t require.TestingT, index uint64, c command) *raft.Log {
+func logEntry(t require.TestingT, index uint64, c command) *raft.Log {
 	data, err := json.Marshal(c)
 	require.NoError(t, err)
 	return &raft.Log{Index: index, Data: data}
 }
 
-// restored returns a machine restored from the snapshot of another.
-func restored(t require.TestingT, from *machine) *machine {
+// restoredCopy returns a machine restored from the snapshot of another.
+func restoredCopy(t require.TestingT, from *machine) *machine {
 	s, err := from.Snapshot()
 	require.NoError(t, err)
 	sink := &memSink{}
@@ -169,8 +169,8 @@
 	return m
 }
 
-// allOrNone fails if a command was applied in part, or if its result does not match the records.
-func allOrNone(t require.TestingT, c command, r result, before, after []Record) {
+// checkAtomic fails if a command was applied in part, or if its result does not match the records.
+func checkAtomic(t require.TestingT, c command, r result, before, after []Record) {
 	if r.Conflict || r.Fault != "" {
 		require.Equal(t, before, after)
 		return
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -27,7 +27,7 @@
 	}
 	h := &Held{}
 	m := newMachine()
-	if err := h.snapshot(dir, m); err != nil {
+	if err := h.restoreSnapshot(dir, m); err != nil {
 		return nil, err
 	}
 	stats, logs, err := journal.Inspect(logDir(dir), nil)
@@ -37,7 +37,7 @@
 	h.Log = stats
 	if len(logs) > 0 && logs[0].Index > h.Snapshot+1 {
 		return nil, &journal.DamageError{File: filepath.Join(dir, "snapshots"),
-			What: fmt.Sprintf("entries %d to %d are neither in a snapshot nor in the log", h.Snapshot+1, logs[0].Index-1)}
+			Reason: fmt.Sprintf("entries %d to %d are neither in a snapshot nor in the log", h.Snapshot+1, logs[0].Index-1)}
 	}
 	for _, l := range logs {
 		if l.Index > h.Snapshot && l.Type == raft.LogCommand {
@@ -48,12 +48,12 @@
 	return h, nil
 }
 
-// snapshot restores the newest snapshot into a machine. Raft's own checksum is verified on reading.
-func (h *Held) snapshot(dir string, m *machine) error {
+// restoreSnapshot restores the newest snapshot into a machine. Raft's own checksum is verified on reading.
+func (h *Held) restoreSnapshot(dir string, m *machine) error {
 	if _, err := os.Stat(filepath.Join(dir, "snapshots")); err != nil {
 		return nil // no snapshots yet; listing them through raft would create the folder
 	}
-	s, err := raft.NewFileSnapshotStoreWithLogger(dir, snapshotsKept, hclog.NewNullLogger())
+	s, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		err = m.Restore(in)
 	}
 	if err != nil {
-		return &journal.DamageError{File: filepath.Join(dir, "snapshots", list[0].ID), What: err.Error()}
+		return &journal.DamageError{File: filepath.Join(dir, "snapshots", list[0].ID), Reason: err.Error()}
 	}
 	return nil
 }
--- a/internal/store/journal/format.go
+++ b/internal/store/journal/format.go
@@ -24,23 +24,24 @@
 const (
 	magic = "bmxjrnl"
 	// Version is the version of the format: the byte after the magic.
-	Version  = 1
-	ext      = ".journal"
-	frameTop = 15       // bytes of a frame before its payload
-	frameMax = 64 << 20 // bytes of a payload
-	synced   = 1        // value of flags
+	Version         = 1
+	fileExtension   = ".journal"
+	frameHeaderSize = 15       // bytes of a frame before its payload
+	maxPayloadSize  = 64 << 20 // bytes of a payload
+	synced          = 1        // value of flags
 )
 
-var mark = []byte{0xB3, 0x4A}
+// frameMark starts each frame.
+var frameMark = []byte{0xB3, 0x4A}
 
 // change is the payload of a frame. It is applied atomically.
 type change struct {
-	Entries []entry           `cbor:"1,keyasint,omitempty"`
-	Back    uint64            `cbor:"2,keyasint,omitempty"` // entries from this index on are removed before Entries are added
-	Front   uint64            `cbor:"3,keyasint,omitempty"` // entries before this index are removed
-	Set     map[string][]byte `cbor:"4,keyasint,omitempty"` // stable values, by key
-	All     bool              `cbor:"5,keyasint,omitempty"` // a checkpoint: Set replaces all stable values
-	Before  int64             `cbor:"6,keyasint,omitempty"` // of a checkpoint: size of the previous segment
+	Entries        []entry           `cbor:"1,keyasint,omitempty"`
+	TruncateFrom   uint64            `cbor:"2,keyasint,omitempty"` // entries from this index on are removed before Entries are added
+	TruncateBefore uint64            `cbor:"3,keyasint,omitempty"` // entries before this index are removed
+	Stable         map[string][]byte `cbor:"4,keyasint,omitempty"` // stable values, by key
+	Checkpoint     bool              `cbor:"5,keyasint,omitempty"` // a checkpoint: Stable replaces all stable values
+	PreviousSize   int64             `cbor:"6,keyasint,omitempty"` // of a checkpoint: size of the previous segment
 }
 
 // entry is the encoding of a raft log entry.
@@ -55,72 +56,73 @@
 
 // segment is one file of a journal.
 type segment struct {
-	number uint64
-	size   int64  // bytes
-	high   uint64 // highest index of its entries
+	number    uint64
+	size      int64  // bytes
+	lastIndex uint64 // highest index of its entries
 }
 
-func (s *segment) name() string { return fmt.Sprintf("%016x%s", s.number, ext) }
+// name returns the file name of the segment.
+func (s *segment) name() string { return fmt.Sprintf("%016x%s", s.number, fileExtension) }
 
 // DamageError reports that data of a journal that had been synced can no longer be read.
 type DamageError struct {
 	File   string
 	Offset int64
-	What   string
+	Reason string
 }
 
 func (e *DamageError) Error() string {
 	return fmt.Sprintf("%s: damaged at byte %d: %s; run 'beammux store verify', then restore a backup or let the member rejoin with an empty folder",
-		e.File, e.Offset, e.What)
+		e.File, e.Offset, e.Reason)
 }
 
-// append appends a frame with a change to a buffer.
-func (j *Journal) append(b []byte, c change, flags byte) ([]byte, error) {
+// appendFrame appends a frame with a change to a buffer.
+func (j *Journal) appendFrame(b []byte, c change, flags byte) ([]byte, error) {
 	j.buf.Reset()
 	if err := cbor.MarshalToBuffer(c, &j.buf); err != nil {
 		return b, err
 	}
-	top := len(b)
-	b = append(b, mark...)
+	start := len(b)
+	b = append(b, frameMark...)
 	b = append(b, flags)
 	b = binary.LittleEndian.AppendUint32(b, uint32(j.buf.Len()))
-	b = binary.LittleEndian.AppendUint64(b, sum(b[top+2:top+7], j.buf.Bytes()))
+	b = binary.LittleEndian.AppendUint64(b, checksum(b[start+2:start+7], j.buf.Bytes()))
 	return append(b, j.buf.Bytes()...), nil
 }
 
-// frame decodes the frame at the start of text; payload is nil if there is no valid frame.
-func frame(text []byte) (payload []byte, flags byte, size int) {
-	if len(text) < frameTop || !bytes.HasPrefix(text, mark) {
+// decodeFrame decodes the frame at the start of text; payload is nil if there is no valid frame.
+func decodeFrame(data []byte) (payload []byte, flags byte, size int) {
+	if len(data) < frameHeaderSize || !bytes.HasPrefix(data, frameMark) {
 		return nil, 0, 0
 	}
-	length := int(binary.LittleEndian.Uint32(text[3:]))
-	if length > frameMax || len(text) < frameTop+length {
+	length := int(binary.LittleEndian.Uint32(data[3:]))
+	if length > maxPayloadSize || len(data) < frameHeaderSize+length {
 		return nil, 0, 0
 	}
-	payload = text[frameTop : frameTop+length]
-	if sum(text[2:7], payload) != binary.LittleEndian.Uint64(text[7:]) {
+	payload = data[frameHeaderSize : frameHeaderSize+length]
+	if checksum(data[2:7], payload) != binary.LittleEndian.Uint64(data[7:]) {
 		return nil, 0, 0
 	}
-	return payload, text[2], frameTop + length
+	return payload, data[2], frameHeaderSize + length
 }
 
-// sum returns the checksum of a frame.
-func sum(top, payload []byte) uint64 {
+// checksum returns the checksum of a frame.
+func checksum(header, payload []byte) uint64 {
 	d := xxhash.New()
-	d.Write(top)
+	d.Write(header)
 	d.Write(payload)
 	return d.Sum64()
 }
 
-// followed reports whether text contains, after its first byte, a valid frame that was written after a sync.
-func followed(text []byte) bool {
-	for at := 1; at < len(text); at++ {
-		i := bytes.Index(text[at:], mark)
+// hasSyncedFrame reports whether text contains, after its first byte, a valid frame that was written after a sync.
+func hasSyncedFrame(data []byte) bool {
+	for offset := 1; offset < len(data); offset++ {
+		i := bytes.Index(data[offset:], frameMark)
 		if i < 0 {
 			return false
 		}
-		at += i
-		if payload, flags, _ := frame(text[at:]); payload != nil && flags&synced != 0 {
+		offset += i
+		if payload, flags, _ := decodeFrame(data[offset:]); payload != nil && flags&synced != 0 {
 			return true
 		}
 	}
--- a/internal/store/journal/journal.go
+++ b/internal/store/journal/journal.go
@@ -10,10 +10,10 @@
 
 // Options configures a journal.
 type Options struct {
-	Dir     string
-	FS      FS            // nil: Disk
-	Every   time.Duration // interval of syncs; 0: sync before each write returns; votes and terms always do
-	Segment int64         // bytes after which a new segment is started; 0: 4 MiB
+	Dir          string
+	FS           FS            // nil: Disk
+	SyncInterval time.Duration // interval of syncs; 0: sync before each write returns; votes and terms always do
+	SegmentSize  int64         // bytes after which a new segment is started; 0: 4 MiB
 }
 
 // Journal implements raft.LogStore and raft.StableStore. After a failed write all further writes fail, because the content of
@@ -21,22 +21,22 @@
 type Journal struct {
 	Options
 
-	mu       sync.Mutex
-	entries  map[uint64]entry
-	low      uint64 // first index held, 0 if none
-	high     uint64 // last index held, 0 if none
-	front    uint64 // entries before this index are removed
-	stable   map[string][]byte
-	segments []*segment
-	file     File  // the last segment
-	dirty    bool  // the file has unsynced data
-	failed   error // set once a write or sync has failed, or on Close
-	stop     chan struct{}
-	done     chan struct{}
-	buf      bytes.Buffer // for encoding
-
-	// Cut is the number of bytes of an incomplete write that Open removed from the end.
-	Cut int64
+	mu        sync.Mutex
+	entries   map[uint64]entry
+	first     uint64 // first index held, 0 if none
+	last      uint64 // last index held, 0 if none
+	firstKept uint64 // entries before this index are removed
+	stable    map[string][]byte
+	segments  []*segment
+	file      File  // the last segment
+	dirty     bool  // the file has unsynced data
+	failed    error // set once a write or sync has failed, or on Close
+	stop      chan struct{}
+	done      chan struct{}
+	buf       bytes.Buffer // for encoding
+
+	// TruncatedBytes is the number of bytes of an incomplete write that Open removed from the end.
+	TruncatedBytes int64
 }
 
 // errFailed is returned by all writes after a failed one.
@@ -52,9 +52,9 @@
 	if err := j.resume(); err != nil {
 		return nil, err
 	}
-	if j.Every > 0 {
+	if j.SyncInterval > 0 {
 		j.stop, j.done = make(chan struct{}), make(chan struct{})
-		go j.syncing()
+		go j.syncPeriodically()
 	}
 	return j, nil
 }
@@ -62,7 +62,7 @@
 // resume prepares the files for appending: it removes an incomplete write at the end and creates the first segment.
 func (j *Journal) resume() error {
 	if len(j.segments) == 0 {
-		return j.begin(1)
+		return j.createSegment(1)
 	}
 	s := j.segments[len(j.segments)-1]
 	name := filepath.Join(j.Dir, s.name())
@@ -71,9 +71,9 @@
 			return err
 		}
 		j.segments = j.segments[:len(j.segments)-1]
-		return j.begin(s.number)
+		return j.createSegment(s.number)
 	}
-	if j.Cut > 0 {
+	if j.TruncatedBytes > 0 {
 		if err := j.FS.Truncate(name, s.size); err != nil {
 			return err
 		}
@@ -90,24 +90,24 @@
 	return nil
 }
 
-// begin creates a segment with a checkpoint and syncs it before anything else is written to it.
-func (j *Journal) begin(number uint64) error {
+// createSegment creates a segment with a checkpoint and syncs it before anything else is written to it.
+func (j *Journal) createSegment(number uint64) error {
 	s := &segment{number: number}
 	name := filepath.Join(j.Dir, s.name())
 	f, err := j.FS.Append(name)
 	if err != nil {
 		return err
 	}
-	text := append([]byte(magic), Version)
-	c := change{Front: j.front, Set: j.stable, All: true}
+	data := append([]byte(magic), Version)
+	c := change{TruncateBefore: j.firstKept, Stable: j.stable, Checkpoint: true}
 	if n := len(j.segments); n > 0 {
-		c.Before = j.segments[n-1].size
+		c.PreviousSize = j.segments[n-1].size
 	}
-	text, err = j.append(text, c, 0)
+	data, err = j.appendFrame(data, c, 0)
 	if err != nil {
 		return err
 	}
-	if _, err := f.Write(text); err != nil {
+	if _, err := f.Write(data); err != nil {
 		return err
 	}
 	if err := f.Sync(); err != nil {
@@ -116,19 +116,19 @@
 	if err := j.FS.SyncDir(j.Dir); err != nil {
 		return err
 	}
-	s.size = int64(len(text))
+	s.size = int64(len(data))
 	j.segments = append(j.segments, s)
 	j.file, j.dirty = f, false
 	return nil
 }
 
-// write writes one change to the file and applies it in memory. The change is durable when write returns, or, with Every and
-// without now, after the next sync.
-func (j *Journal) write(c change, now bool) error {
+// write writes one change to the file and applies it in memory. The change is durable when write returns, or, with
+// SyncInterval and without syncNow, after the next sync.
+func (j *Journal) write(c change, syncNow bool) error {
 	if j.failed != nil {
 		return errFailed
 	}
-	err := j.put(c, now)
+	err := j.appendChange(c, syncNow)
 	if err != nil {
 		j.failed = err
 		return err
@@ -137,10 +137,10 @@
 	return nil
 }
 
-// put appends a change to the current segment, and starts a new segment first if that is full.
-func (j *Journal) put(c change, now bool) error {
+// appendChange appends a change to the current segment, and starts a new segment first if that is full.
+func (j *Journal) appendChange(c change, syncNow bool) error {
 	s := j.segments[len(j.segments)-1]
-	if s.size >= j.Segment {
+	if s.size >= j.SegmentSize {
 		if err := j.rotate(); err != nil {
 			return err
 		}
@@ -150,25 +150,26 @@
 	if j.dirty {
 		flags = 0
 	}
-	text, err := j.append(nil, c, flags)
+	data, err := j.appendFrame(nil, c, flags)
 	if err != nil {
 		return err
 	}
-	n, err := j.file.Write(text)
+	n, err := j.file.Write(data)
 	s.size += int64(n)
 	j.dirty = true
 	if err != nil {
 		return err
 	}
 	if len(c.Entries) > 0 {
-		s.high = max(s.high, c.Entries[len(c.Entries)-1].Index)
+		s.lastIndex = max(s.lastIndex, c.Entries[len(c.Entries)-1].Index)
 	}
-	if j.Every == 0 || now {
+	if j.SyncInterval == 0 || syncNow {
 		return j.sync()
 	}
 	return nil
 }
 
+// sync syncs the current segment.
 func (j *Journal) sync() error {
 	if err := j.file.Sync(); err != nil {
 		return err
@@ -185,16 +186,17 @@
 	if err := j.file.Close(); err != nil {
 		return err
 	}
-	if err := j.begin(j.segments[len(j.segments)-1].number + 1); err != nil {
+	if err := j.createSegment(j.segments[len(j.segments)-1].number + 1); err != nil {
 		return err
 	}
 	return j.prune()
 }
 
-// prune removes leading segments that hold no entries from front on. The change that set front has been synced.
+// prune removes leading segments that hold no entries from firstKept on. The change that set firstKept has been
+// synced.
 func (j *Journal) prune() error {
 	removed := false
-	for len(j.segments) > 1 && j.segments[0].high < j.front {
+	for len(j.segments) > 1 && j.segments[0].lastIndex < j.firstKept {
 		if err := j.FS.Remove(filepath.Join(j.Dir, j.segments[0].name())); err != nil {
 			return err
 		}
@@ -207,10 +209,10 @@
 	return j.FS.SyncDir(j.Dir)
 }
 
-// syncing syncs the journal at the interval Every until Close.
-func (j *Journal) syncing() {
+// syncPeriodically syncs the journal at SyncInterval until Close.
+func (j *Journal) syncPeriodically() {
 	defer close(j.done)
-	tick := time.NewTicker(j.Every)
+	tick := time.NewTicker(j.SyncInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/store/journal/journal_test.go
+++ b/internal/store/journal/journal_test.go
@@ -15,13 +15,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// faulty is an in-memory file system that fails or simulates a crash at one step. It tracks which data has been synced.
-type faulty struct {
-	files  map[string]*content
-	linked map[string]bool // files in the folder when it was last synced
-	step   int             // steps so far
-	at     int             // step at which the fault occurs; 0: none
-	how    fault
+// faultyFS is an in-memory file system that fails or simulates a crash at one step. It tracks which data has been synced.
+type faultyFS struct {
+	files        map[string]*content
+	durableNames map[string]bool // files in the folder when it was last synced
+	step         int             // steps so far
+	faultStep    int             // step at which the fault occurs; 0: none
+	fault        fault
 }
 
 // content is the content of a file.
@@ -47,27 +47,30 @@
 // crashed is the panic value of a simulated crash.
 type crashed struct{}
 
-func newFaulty() *faulty { return &faulty{files: map[string]*content{}, linked: map[string]bool{}} }
+func newFaultyFS() *faultyFS {
+	return &faultyFS{files: map[string]*content{}, durableNames: map[string]bool{}}
+}
 
-// now counts a step and reports whether it fails with one of the given faults. It panics if the fault is a crash.
-func (f *faulty) now(kinds ...fault) bool {
+// nextStep counts a step and reports whether it fails with one of the given faults. It panics if the fault is a crash.
+func (f *faultyFS) nextStep(kinds ...fault) bool {
 	f.step++
-	if f.step != f.at {
+	if f.step != f.faultStep {
 		return false
 	}
-	if f.how == crash {
+	if f.fault == crash {
 		panic(crashed{})
 	}
-	return slices.Contains(kinds, f.how)
+	return slices.Contains(kinds, f.fault)
 }
 
+// faultyFile is a file of a faultyFS.
 type faultyFile struct {
-	f    *faulty
+	fs   *faultyFS
 	name string
 }
 
-func (f *faulty) Append(name string) (File, error) {
-	f.now()
+func (f *faultyFS) Append(name string) (File, error) {
+	f.nextStep()
 	if f.files[name] == nil {
 		f.files[name] = &content{}
 	}
@@ -75,10 +78,10 @@
 }
 
 func (w faultyFile) Write(b []byte) (int, error) {
-	c := w.f.files[w.name]
-	if w.f.now(shortWrite, fullDisk) {
+	c := w.fs.files[w.name]
+	if w.fs.nextStep(shortWrite, fullDisk) {
 		c.data = append(c.data, b[:len(b)/2]...)
-		if w.f.how == shortWrite {
+		if w.fs.fault == shortWrite {
 			panic(crashed{})
 		}
 		return len(b) / 2, errFault
@@ -88,21 +91,21 @@
 }
 
 func (w faultyFile) Sync() error {
-	if w.f.now(syncError, lostSync) {
-		if w.f.how == lostSync {
+	if w.fs.nextStep(syncError, lostSync) {
+		if w.fs.fault == lostSync {
 			return nil
 		}
 		return errFault
 	}
-	c := w.f.files[w.name]
+	c := w.fs.files[w.name]
 	c.synced = len(c.data)
 	return nil
 }
 
 func (w faultyFile) Close() error { return nil }
 
-func (f *faulty) Read(name string) ([]byte, error) {
-	if f.now(readError) {
+func (f *faultyFS) Read(name string) ([]byte, error) {
+	if f.nextStep(readError) {
 		return nil, errFault
 	}
 	if f.files[name] == nil {
@@ -111,8 +114,8 @@
 	return bytes.Clone(f.files[name].data), nil
 }
 
-func (f *faulty) List(string) (names []string, err error) {
-	f.now()
+func (f *faultyFS) List(string) (names []string, err error) {
+	f.nextStep()
 	for name := range f.files {
 		names = append(names, filepath.Base(name))
 	}
@@ -120,35 +123,35 @@
 	return names, nil
 }
 
-func (f *faulty) Remove(name string) error {
-	f.now()
+func (f *faultyFS) Remove(name string) error {
+	f.nextStep()
 	delete(f.files, name)
 	return nil
 }
 
-func (f *faulty) Truncate(name string, size int64) error {
-	f.now()
+func (f *faultyFS) Truncate(name string, size int64) error {
+	f.nextStep()
 	c := f.files[name]
 	c.data = c.data[:size]
 	c.synced = int(size)
 	return nil
 }
 
-func (f *faulty) SyncDir(string) error {
-	f.now()
-	f.linked = map[string]bool{}
+func (f *faultyFS) SyncDir(string) error {
+	f.nextStep()
+	f.durableNames = map[string]bool{}
 	for name := range f.files {
-		f.linked[name] = true
+		f.durableNames[name] = true
 	}
 	return nil
 }
 
-// after returns a possible state of the files after a power failure. Depending on the variant, of the unsynced data nothing,
+// afterPowerFailure returns a possible state of the files after a power failure. Depending on the variant, of the unsynced data nothing,
 // half, all, or all with a corrupted start is left, and files whose directory entry was not synced exist or not.
-func (f *faulty) after(variant int) *faulty {
-	next := newFaulty()
+func (f *faultyFS) afterPowerFailure(variant int) *faultyFS {
+	next := newFaultyFS()
 	for name, c := range f.files {
-		if !f.linked[name] && variant%2 == 1 {
+		if !f.durableNames[name] && variant%2 == 1 {
 			continue
 		}
 		tail := c.data[c.synced:]
@@ -165,12 +168,12 @@
 			}
 		}
 		next.files[name] = &content{data, len(data)}
-		next.linked[name] = true
+		next.durableNames[name] = true
 	}
 	return next
 }
 
-// variants is the number of variants of faulty.after.
+// variants is the number of variants of faultyFS.afterPowerFailure.
 const variants = 8
 
 // state returns the content of a journal as text.
@@ -225,12 +228,12 @@
 }
 
 func options(f FS, every time.Duration) Options {
-	return Options{Dir: "d", FS: f, Segment: 400, Every: every}
+	return Options{Dir: "d", FS: f, SegmentSize: 400, SyncInterval: every}
 }
 
 // run executes the script until a step fails or a crash occurs. It returns the acknowledged states, and how many of them a sync
 // has made durable.
-func run(f *faulty, every time.Duration) (states []string, safe int) {
+func run(f *faultyFS, every time.Duration) (states []string, durable int) {
 	defer func() {
 		if p := recover(); p != nil {
 			if _, ok := p.(crashed); !ok {
@@ -238,10 +241,10 @@
 			}
 		}
 	}()
-	states, safe = []string{"0-0: CurrentTerm= vote="}, 1
+	states, durable = []string{"0-0: CurrentTerm= vote="}, 1
 	j, err := Open(options(f, every))
 	if err != nil {
-		return states, safe
+		return states, durable
 	}
 	if j.stop != nil { // run calls sync itself, so that runs are deterministic
 		close(j.stop)
@@ -251,27 +254,27 @@
 	states[0] = state(j)
 	for i, step := range script() {
 		if err := step(j); err != nil {
-			return states, safe
+			return states, durable
 		}
 		states = append(states, state(j))
 		if every == 0 || !j.dirty {
-			safe = len(states)
+			durable = len(states)
 		} else if i%3 == 2 {
 			j.mu.Lock()
 			err := j.sync()
 			j.mu.Unlock()
 			if err != nil {
-				return states, safe
+				return states, durable
 			}
-			safe = len(states)
+			durable = len(states)
 		}
 	}
-	return states, safe
+	return states, durable
 }
 
-// want returns the states of a run without faults.
-func want(t *testing.T) []string {
-	f := newFaulty()
+// statesWithoutFault returns the states of a run without faults.
+func statesWithoutFault(t *testing.T) []string {
+	f := newFaultyFS()
 	states, _ := run(f, 0)
 	if len(states) != len(script())+1 || f.step < 60 || len(f.files) < 2 {
 		t.Fatalf("%d states, %d steps, %d files", len(states), f.step, len(f.files))
@@ -282,43 +285,43 @@
 // For a crash or any other fault at every step of a run, and for every possible state of the files after it: the reopened
 // journal has exactly the state of an acknowledged prefix that includes all durable changes, or of one more complete change.
 func TestEveryCrashPoint(t *testing.T) {
-	all := want(t)
+	all := statesWithoutFault(t)
 	for _, every := range []time.Duration{0, time.Hour} {
-		opened, lied := 0, 0
-		for _, how := range []fault{crash, shortWrite, fullDisk, syncError, lostSync} {
-			for at := 1; ; at++ {
-				f := newFaulty()
-				f.at, f.how = at, how
-				states, safe := run(f, every)
-				if f.step < at {
+		opened, rejected := 0, 0
+		for _, kind := range []fault{crash, shortWrite, fullDisk, syncError, lostSync} {
+			for faultStep := 1; ; faultStep++ {
+				f := newFaultyFS()
+				f.faultStep, f.fault = faultStep, kind
+				states, durable := run(f, every)
+				if f.step < faultStep {
 					break // the run ended before the step
 				}
-				if how == lostSync {
-					safe = 0 // nothing is guaranteed to be durable, but the state must still be a prefix
+				if kind == lostSync {
+					durable = 0 // nothing is guaranteed to be durable, but the state must still be a prefix
 				}
 				for variant := range variants {
-					rest := f.after(variant)
-					j, err := Open(options(rest, every))
+					remaining := f.afterPowerFailure(variant)
+					j, err := Open(options(remaining, every))
 					var damage *DamageError
-					if how == lostSync && errors.As(err, &damage) {
-						lied++ // synced data is missing: the journal is rejected, not silently wrong
+					if kind == lostSync && errors.As(err, &damage) {
+						rejected++ // synced data is missing: the journal is rejected, not silently wrong
 						continue
 					}
 					if err != nil {
-						t.Fatalf("every %v, fault %d at step %d, variant %d: %v", every, how, at, variant, err)
+						t.Fatalf("every %v, fault %d at step %d, variant %d: %v", every, kind, faultStep, variant, err)
 					}
 					opened++
 					got := state(j)
 					last := min(len(states)+1, len(all)) // the change in progress may have been completed
-					if i := slices.Index(all[:last], got); i < 0 || i < safe-1 {
+					if i := slices.Index(all[:last], got); i < 0 || i < durable-1 {
 						t.Fatalf("every %v, fault %d at step %d, variant %d: reopened with\n%s\nwhich is state %d; %d acknowledged, %d safe",
-							every, how, at, variant, got, i, len(states), safe)
+							every, kind, faultStep, variant, got, i, len(states), durable)
 					}
 					if err := j.StoreLogs(logs(9, 100, 100)); err != nil { // the reopened journal accepts writes
 						t.Fatal(err)
 					}
 					j.Close()
-					again, err := Open(options(rest, every))
+					again, err := Open(options(remaining, every))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -329,7 +332,7 @@
 				}
 			}
 		}
-		t.Logf("every %v: reopened %d times, rejected %d times after a lost sync", every, opened, lied)
+		t.Logf("every %v: reopened %d times, rejected %d times after a lost sync", every, opened, rejected)
 		if opened < 2000 {
 			t.Errorf("only %d reopened", opened)
 		}
@@ -337,13 +340,13 @@
 }
 
 // After a failed write nothing more is written, because the content of the file is unknown.
-func TestNothingAfterAFailedWrite(t *testing.T) {
-	f := newFaulty()
+func TestNoWriteAfterFailedWrite(t *testing.T) {
+	f := newFaultyFS()
 	j, err := Open(options(f, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.at, f.how = f.step+1, fullDisk
+	f.faultStep, f.fault = f.step+1, fullDisk
 	if err := j.StoreLogs(logs(1, 1, 1)); !errors.Is(err, errFault) {
 		t.Error(err)
 	}
@@ -355,9 +358,9 @@
 
 // A read error is returned as it is, not as a *DamageError.
 func TestReadError(t *testing.T) {
-	f := newFaulty()
+	f := newFaultyFS()
 	run(f, 0)
-	f.step, f.at, f.how = 0, 2, readError
+	f.step, f.faultStep, f.fault = 0, 2, readError
 	if _, err := Open(options(f, 0)); !errors.Is(err, errFault) {
 		t.Error(err)
 	}
@@ -366,43 +369,43 @@
 // A flipped bit in any synced byte is detected: the journal is rejected with file and offset, unless the byte is in the last
 // frame, which then looks like an incomplete write.
 func TestFlippedByte(t *testing.T) {
-	f := newFaulty()
+	f := newFaultyFS()
 	run(f, 0)
-	all := want(t)
-	refused := 0
+	all := statesWithoutFault(t)
+	rejected := 0
 	for name, c := range f.files {
-		for at := range c.data {
-			bad := f.after(4)
-			bad.files[name].data[at] ^= 0x40
-			j, err := Open(options(bad, 0))
+		for offset := range c.data {
+			damaged := f.afterPowerFailure(4)
+			damaged.files[name].data[offset] ^= 0x40
+			j, err := Open(options(damaged, 0))
 			var damage *DamageError
 			switch {
 			case errors.As(err, &damage):
-				refused++
-				if !strings.Contains(err.Error(), filepath.Base(name)) || strings.Contains(err.Error(), "\n") || damage.Offset > int64(at) {
-					t.Errorf("%s, byte %d: %v", name, at, err)
+				rejected++
+				if !strings.Contains(err.Error(), filepath.Base(name)) || strings.Contains(err.Error(), "\n") || damage.Offset > int64(offset) {
+					t.Errorf("%s, byte %d: %v", name, offset, err)
 				}
 			case err != nil:
-				t.Errorf("%s, byte %d: %v", name, at, err)
+				t.Errorf("%s, byte %d: %v", name, offset, err)
 			case !slices.Contains(all, state(j)):
-				t.Errorf("%s, byte %d: silently wrong: %s", name, at, state(j))
+				t.Errorf("%s, byte %d: silently wrong: %s", name, offset, state(j))
 			}
 		}
 	}
-	if refused < 500 {
-		t.Errorf("only %d rejected", refused)
+	if rejected < 500 {
+		t.Errorf("only %d rejected", rejected)
 	}
 }
 
 func TestMissingSegmentAndOtherVersions(t *testing.T) {
-	f := newFaulty()
+	f := newFaultyFS()
 	run(f, 0)
 	names, _ := f.List("")
 	if len(names) < 2 {
 		t.Fatal(names)
 	}
 	// A missing middle segment that holds entries is detected.
-	g := newFaulty()
+	g := newFaultyFS()
 	j, _ := Open(options(g, 0))
 	for i := range uint64(20) {
 		j.StoreLogs(logs(1, i+1, i+1))
@@ -413,7 +416,7 @@
 	if _, err := Open(options(g, 0)); !errors.As(err, &damage) || !strings.Contains(err.Error(), "missing") {
 		t.Error(err)
 	}
-	g = newFaulty()
+	g = newFaultyFS()
 	Open(options(g, 0))
 	g.files["d/0000000000000001.journal"].data[len(magic)] = 2
 	if _, err := Open(options(g, 0)); !errors.As(err, &damage) || !strings.Contains(err.Error(), "version 2") {
@@ -424,7 +427,7 @@
 // On a real disk: all writes are there when the journal is reopened without having been closed.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	j, err := Open(Options{Dir: dir, Segment: 2000})
+	j, err := Open(Options{Dir: dir, SegmentSize: 2000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -439,7 +442,7 @@
 		}
 	}
 	before := state(j)
-	again, err := Open(Options{Dir: dir, Segment: 2000})
+	again, err := Open(Options{Dir: dir, SegmentSize: 2000})
 	if err != nil || state(again) != before {
 		t.Errorf("%v\n%s\nwant %s", err, state(again), before)
 	}
@@ -455,7 +458,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for name, every := range map[string]time.Duration{"always": 0, "interval": 100 * time.Millisecond} {
 		b.Run(name, func(b *testing.B) {
-			j, err := Open(Options{Dir: b.TempDir(), Every: every})
+			j, err := Open(Options{Dir: b.TempDir(), SyncInterval: every})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/journal/raft.go
+++ b/internal/store/journal/raft.go
@@ -14,14 +14,14 @@
 func (j *Journal) FirstIndex() (uint64, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.low, nil
+	return j.first, nil
 }
 
 // LastIndex implements raft.LogStore.
 func (j *Journal) LastIndex() (uint64, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.high, nil
+	return j.last, nil
 }
 
 // GetLog implements raft.LogStore.
@@ -56,8 +56,8 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.high > 0 && logs[0].Index <= j.high { // raft deletes conflicting entries first; this ensures that no index is held twice
-		c.Back = logs[0].Index
+	if j.last > 0 && logs[0].Index <= j.last { // raft deletes conflicting entries first; this ensures that no index is held twice
+		c.TruncateFrom = logs[0].Index
 	}
 	return j.write(c, false)
 }
@@ -67,10 +67,10 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	switch {
-	case j.low == 0 || to < j.low || from > j.high:
+	case j.first == 0 || to < j.first || from > j.last:
 		return nil
-	case from <= j.low:
-		if err := j.write(change{Front: to + 1}, true); err != nil {
+	case from <= j.first:
+		if err := j.write(change{TruncateBefore: to + 1}, true); err != nil {
 			return err
 		}
 		if err := j.prune(); err != nil {
@@ -78,8 +78,8 @@
 			return err
 		}
 		return nil
-	case to >= j.high:
-		return j.write(change{Back: from}, false)
+	case to >= j.last:
+		return j.write(change{TruncateFrom: from}, false)
 	}
 	return fmt.Errorf("store: can't delete entries %d to %d from the middle of the log", from, to)
 }
@@ -91,7 +91,7 @@
 func (j *Journal) Set(key, value []byte) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.write(change{Set: map[string][]byte{string(key): bytes.Clone(value)}}, true)
+	return j.write(change{Stable: map[string][]byte{string(key): bytes.Clone(value)}}, true)
 }
 
 // Get implements raft.StableStore.
--- a/internal/store/journal/read.go
+++ b/internal/store/journal/read.go
@@ -15,8 +15,8 @@
 	if o.FS == nil {
 		o.FS = Disk{}
 	}
-	if o.Segment <= 0 {
-		o.Segment = 4 << 20
+	if o.SegmentSize <= 0 {
+		o.SegmentSize = 4 << 20
 	}
 	j := &Journal{Options: o, entries: map[uint64]entry{}, stable: map[string][]byte{}}
 	names, err := o.FS.List(o.Dir)
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	for _, name := range names {
-		base, ok := strings.CutSuffix(name, ext)
+		base, ok := strings.CutSuffix(name, fileExtension)
 		number, err := strconv.ParseUint(base, 16, 64)
 		if !ok || err != nil {
 			continue
@@ -45,80 +45,80 @@
 // load reads one segment and applies its changes. last marks the last segment, which may end in an incomplete write.
 func (j *Journal) load(s *segment, last bool) error {
 	file := filepath.Join(j.Dir, s.name())
-	text, err := j.FS.Read(file)
+	data, err := j.FS.Read(file)
 	if err != nil {
 		return err
 	}
-	damage := func(at int, what string) error { return &DamageError{file, int64(at), what} }
-	head := len(magic) + 1
-	if len(text) < head || string(text[:len(magic)]) != magic {
+	damage := func(offset int, reason string) error { return &DamageError{file, int64(offset), reason} }
+	headerSize := len(magic) + 1
+	if len(data) < headerSize || string(data[:len(magic)]) != magic {
 		// A segment is created with one write and synced before anything else is written to it, so an incomplete start
 		// without a later synced frame comes from a crash.
-		if last && !followed(text) {
-			j.Cut += int64(len(text))
+		if last && !hasSyncedFrame(data) {
+			j.TruncatedBytes += int64(len(data))
 			return nil
 		}
 		return damage(0, "not a journal")
 	}
-	if v := text[len(magic)]; v != Version {
+	if v := data[len(magic)]; v != Version {
 		return damage(len(magic), fmt.Sprintf("format version %d, this program reads version %d", v, Version))
 	}
-	at := head
-	for at < len(text) {
-		payload, _, size := frame(text[at:])
+	offset := headerSize
+	for offset < len(data) {
+		payload, _, size := decodeFrame(data[offset:])
 		var c change
 		if payload == nil || cbor.Unmarshal(payload, &c) != nil {
 			// The frame is an incomplete write of a crash if no later frame was written after a sync.
-			if !last || followed(text[at:]) {
-				return damage(at, "unreadable frame, which later frames show to have been synced")
+			if !last || hasSyncedFrame(data[offset:]) {
+				return damage(offset, "unreadable frame, which later frames show to have been synced")
 			}
-			if at == head {
-				at = 0 // not even the checkpoint is complete: the segment is created again
+			if offset == headerSize {
+				offset = 0 // not even the checkpoint is complete: the segment is created again
 			}
-			j.Cut += int64(len(text) - at)
+			j.TruncatedBytes += int64(len(data) - offset)
 			break
 		}
-		if i := slices.Index(j.segments, s); at == head && i > 0 && c.Before != j.segments[i-1].size {
-			before := j.segments[i-1]
-			return &DamageError{filepath.Join(j.Dir, before.name()), before.size, fmt.Sprintf("the file is truncated or has extra data: its size was %d bytes", c.Before)}
+		if i := slices.Index(j.segments, s); offset == headerSize && i > 0 && c.PreviousSize != j.segments[i-1].size {
+			previous := j.segments[i-1]
+			return &DamageError{filepath.Join(j.Dir, previous.name()), previous.size, fmt.Sprintf("the file is truncated or has extra data: its size was %d bytes", c.PreviousSize)}
 		}
 		j.apply(c)
 		if n := len(c.Entries); n > 0 {
-			s.high = max(s.high, c.Entries[n-1].Index)
+			s.lastIndex = max(s.lastIndex, c.Entries[n-1].Index)
 		}
-		at += size
+		offset += size
 	}
-	s.size = int64(at)
+	s.size = int64(offset)
 	return nil
 }
 
 // apply applies one change in memory.
 func (j *Journal) apply(c change) {
-	if c.All {
+	if c.Checkpoint {
 		j.stable = map[string][]byte{}
 	}
-	for k, v := range c.Set {
+	for k, v := range c.Stable {
 		j.stable[k] = v
 	}
-	if c.Back > 0 {
-		for ; j.high >= c.Back && j.high >= j.low && j.high > 0; j.high-- {
-			delete(j.entries, j.high)
+	if c.TruncateFrom > 0 {
+		for ; j.last >= c.TruncateFrom && j.last >= j.first && j.last > 0; j.last-- {
+			delete(j.entries, j.last)
 		}
 	}
 	for _, e := range c.Entries {
-		if j.low == 0 || j.high < j.low {
-			j.low = e.Index
+		if j.first == 0 || j.last < j.first {
+			j.first = e.Index
 		}
 		j.entries[e.Index] = e
-		j.high = e.Index
+		j.last = e.Index
 	}
-	if c.Front > 0 {
-		j.front = max(j.front, c.Front)
-		for ; j.low > 0 && j.low < c.Front && j.low <= j.high; j.low++ {
-			delete(j.entries, j.low)
+	if c.TruncateBefore > 0 {
+		j.firstKept = max(j.firstKept, c.TruncateBefore)
+		for ; j.first > 0 && j.first < c.TruncateBefore && j.first <= j.last; j.first++ {
+			delete(j.entries, j.first)
 		}
 	}
-	if j.low > j.high {
-		j.low, j.high = 0, 0
+	if j.first > j.last {
+		j.first, j.last = 0, 0
 	}
 }
--- a/internal/store/journal/verify.go
+++ b/internal/store/journal/verify.go
@@ -30,12 +30,12 @@
 	if err != nil {
 		return s, nil, err
 	}
-	s.Segments, s.First, s.Last, s.Torn = len(j.segments), j.low, j.high, j.Cut
+	s.Segments, s.First, s.Last, s.Torn = len(j.segments), j.first, j.last, j.TruncatedBytes
 	for _, seg := range j.segments {
 		s.Bytes += seg.size
 	}
 	s.Term, _ = j.GetUint64([]byte("CurrentTerm"))
-	for i := j.low; i > 0 && i <= j.high; i++ {
+	for i := j.first; i > 0 && i <= j.last; i++ {
 		l := &raft.Log{}
 		if err := j.GetLog(i, l); err != nil {
 			return s, nil, &DamageError{dir, 0, fmt.Sprintf("entry %d is missing", i)}
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -14,6 +14,7 @@
 	"beammux/control"
 )
 
+// Operations of commands.
 const (
 	opPut    = "put"
 	opPutAt  = "put-at"
@@ -95,12 +96,15 @@
 	index    uint64             // of the last applied entry
 	revision uint64             // of the records: index + offset
 	offset   uint64             // difference between revisions and raft indexes; grows in raise
-	more     chan struct{}      // closed and replaced when revision grows
+	advanced chan struct{}      // closed and replaced when revision grows
 	watchers []*watcher
 	history  *history // nil if this member serves no sessions
 }
 
-func newMachine() *machine { return &machine{records: map[string]Record{}, more: make(chan struct{})} }
+// newMachine returns an empty machine.
+func newMachine() *machine {
+	return &machine{records: map[string]Record{}, advanced: make(chan struct{})}
+}
 
 // change is the effect of a command on one record. A deleted record has a nil Value.
 type change struct {
@@ -123,15 +127,15 @@
 	if err != nil {
 		r.Fault = err.Error()
 	} else {
-		changes = m.changes(&c, &r)
+		changes = m.computeChanges(&c, &r)
 	}
-	m.carryOut(changes)
-	m.moved(r.Revision, changes)
+	m.applyChanges(changes)
+	m.publish(r.Revision, changes)
 	return r
 }
 
-// changes computes the changes of a command and fills in its result. It does not modify the records.
-func (m *machine) changes(c *command, r *result) []change {
+// computeChanges computes the changes of a command and fills in its result. It does not modify the records.
+func (m *machine) computeChanges(c *command, r *result) []change {
 	switch c.Op {
 	case opPut, opPutAt, opDelete, opTransact:
 		return m.transact(c, r)
@@ -141,6 +145,7 @@
 	return nil
 }
 
+// transact computes the changes of a put, delete or transaction. A conflict yields none.
 func (m *machine) transact(c *command, r *result) (changes []change) {
 	writes := c.writes()
 	if c.Op == opTransact {
@@ -165,6 +170,7 @@
 	return changes
 }
 
+// reduce computes the change of an opReduce.
 func (m *machine) reduce(c *command, r *result) []change {
 	f := m.reducers[c.Key]
 	if f == nil {
@@ -180,7 +186,8 @@
 	return []change{{Record: Record{c.Key, value, r.Revision}}}
 }
 
-func (m *machine) carryOut(changes []change) {
+// applyChanges changes the records and notifies the watchers.
+func (m *machine) applyChanges(changes []change) {
 	for _, c := range changes {
 		if c.deleted {
 			delete(m.records, c.Key)
@@ -189,27 +196,30 @@
 		}
 	}
 	for _, c := range changes { // after all changes are applied: a watcher that is notified of one can read all of them
-		m.tell(c.Record)
+		m.notify(c.Record)
 	}
 }
 
-func (m *machine) tell(r Record) {
+// notify calls the watchers of a record's key and removes those that return false.
+func (m *machine) notify(r Record) {
 	m.watchers = slices.DeleteFunc(m.watchers, func(w *watcher) bool {
 		return strings.HasPrefix(r.Key, w.prefix) && !w.f(r)
 	})
 }
 
-func (m *machine) moved(revision uint64, changes []change) {
+// publish appends a command's changes to the history and advances the revision.
+func (m *machine) publish(revision uint64, changes []change) {
 	if m.history != nil { // before advance: whoever waits for the revision must find it in the history
 		m.history.append(revision, changes)
 	}
 	m.advance(revision)
 }
 
+// advance sets the revision and wakes those that wait for it.
 func (m *machine) advance(revision uint64) {
 	m.revision = revision
-	close(m.more)
-	m.more = make(chan struct{})
+	close(m.advanced)
+	m.advanced = make(chan struct{})
 }
 
 // lastIndex returns the index of the last entry that the machine has applied. raft's own applied index can be higher, since
@@ -231,7 +241,7 @@
 func (m *machine) wait(ctx context.Context, revision uint64) error {
 	for {
 		m.mu.Lock()
-		done, more := m.revision >= revision, m.more
+		done, more := m.revision >= revision, m.advanced
 		m.mu.Unlock()
 		if done {
 			return nil
@@ -257,6 +267,7 @@
 	return len(m.records)
 }
 
+// list returns the records under a prefix, ordered by key.
 func (m *machine) list(prefix string) []Record {
 	all, _ := m.listAt(prefix)
 	return all
@@ -276,6 +287,7 @@
 	return all, revision
 }
 
+// watch calls f for each change under a prefix.
 func (m *machine) watch(prefix string, f func(Record)) {
 	m.watchUntil(prefix, func(r Record) bool { f(r); return true })
 }
@@ -340,12 +352,12 @@
 	for _, r := range s.Records {
 		m.records[r.Key] = r
 		if old[r.Key].Revision != r.Revision {
-			m.tell(r)
+			m.notify(r)
 		}
 	}
 	for key := range old {
 		if _, ok := m.records[key]; !ok {
-			m.tell(Record{Key: key, Revision: s.Applied})
+			m.notify(Record{Key: key, Revision: s.Applied})
 		}
 	}
 	m.offset, m.index = s.Offset, max(m.index, s.Applied-s.Offset)
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -29,7 +29,7 @@
 	Force   bool   `json:"force,omitempty"`   // of MemberRemove: skip the safety checks that may be overridden
 }
 
-const upWithin = 500 * time.Millisecond // timeout for the answer of a member that is up
+const memberTimeout = 500 * time.Millisecond // timeout for the answer of a member that is up
 
 // ErrNoLeader is returned when the group has no leader and therefore accepts no writes.
 var ErrNoLeader = errors.New("no leader")
@@ -39,7 +39,7 @@
 // member refused it.
 func (n *Node) ChangeMember(ctx context.Context, c MemberChange, hop bool) (string, error) {
 	for {
-		done, err := n.changeOnce(ctx, c, hop)
+		done, err := n.changeMemberOnce(ctx, c, hop)
 		var network net.Error
 		if hop || !errors.Is(err, ErrNoLeader) && !errors.As(err, &network) {
 			return done, err
@@ -47,13 +47,13 @@
 		select { // there is no leader, or the known leader is unreachable
 		case <-ctx.Done():
 			return "", err
-		case <-time.After(retryAfter):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// changeOnce makes one attempt at a change: locally if this member leads, otherwise by forwarding it to the leader.
-func (n *Node) changeOnce(ctx context.Context, c MemberChange, hop bool) (string, error) {
+// changeMemberOnce makes one attempt at a change: locally if this member leads, otherwise by forwarding it to the leader.
+func (n *Node) changeMemberOnce(ctx context.Context, c MemberChange, hop bool) (string, error) {
 	if !n.Leader() {
 		addr, _ := n.raft.LeaderWithID()
 		if addr == "" || n.layer == nil || hop {
@@ -70,7 +70,7 @@
 	if err := f.Error(); err != nil {
 		return "", err
 	}
-	g := n.group(ctx, f.Configuration())
+	g := n.memberGroup(ctx, f.Configuration())
 	var do member.Do
 	var err error
 	switch c.Do {
@@ -86,15 +86,15 @@
 	if err != nil {
 		return "", err
 	}
-	return string(do), n.carryOut(do, c, f.Configuration(), f.Index())
+	return string(do), n.applyMemberChange(do, c, f.Configuration(), f.Index())
 }
 
-// carryOut makes a change that was allowed for the configuration was with the given index. Raft rejects it if the
+// applyMemberChange makes a change that was allowed for the configuration was with the given index. Raft rejects it if the
 // configuration has a different index by then, so two concurrent changes can't both be made.
-func (n *Node) carryOut(do member.Do, c MemberChange, was raft.Configuration, index uint64) error {
+func (n *Node) applyMemberChange(do member.Do, c MemberChange, conf raft.Configuration, index uint64) error {
 	id, address := raft.ServerID(c.Node), raft.ServerAddress(c.Address)
 	voter := false
-	for _, s := range was.Servers {
+	for _, s := range conf.Servers {
 		if s.ID == id {
 			voter = s.Suffrage == raft.Voter
 			if address == "" {
@@ -104,20 +104,20 @@
 	}
 	switch {
 	case do == member.AddOne, do == member.MoveOne && !voter:
-		return n.raft.AddNonvoter(id, address, index, applyWithin).Error()
+		return n.raft.AddNonvoter(id, address, index, applyTimeout).Error()
 	case do == member.Promote, do == member.MoveOne:
-		return n.raft.AddVoter(id, address, index, applyWithin).Error()
+		return n.raft.AddVoter(id, address, index, applyTimeout).Error()
 	case do == member.RemoveIt:
-		return n.raft.RemoveServer(id, index, applyWithin).Error()
+		return n.raft.RemoveServer(id, index, applyTimeout).Error()
 	}
 	return nil
 }
 
-// group returns the leader's view of its members. It queries all of them concurrently.
-func (n *Node) group(ctx context.Context, conf raft.Configuration) *member.Group {
+// memberGroup returns the leader's view of its members. It queries all of them concurrently.
+func (n *Node) memberGroup(ctx context.Context, conf raft.Configuration) *member.Group {
 	g := &member.Group{Leader: n.id, Members: make([]member.Member, len(conf.Servers))}
 	last := n.raft.LastIndex()
-	ctx, cancel := context.WithTimeout(ctx, upWithin)
+	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for i, s := range conf.Servers {
@@ -140,6 +140,6 @@
 
 // ChangeMemberAt requests a change of members through the member at an address.
 func ChangeMemberAt(ctx context.Context, addr string, c MemberChange) (string, error) {
-	r, err := ask(ctx, addr, command{Op: opMember, Member: &c})
+	r, err := sendWithRetry(ctx, addr, command{Op: opMember, Member: &c})
 	return r.Done, err
 }
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	electAfter  = 400 * time.Millisecond // default of Options.Election
-	applyWithin = 2 * time.Second
-	retryAfter  = 30 * time.Millisecond // while there is no leader
-	readyEvery  = 5 * time.Millisecond  // poll interval of WaitReady
-	sniffWithin = time.Second           // timeout for the first byte of a connection
-	maxCommand  = 4 << 20               // bytes of an encoded command
-	maxAnswer   = 256 << 20             // bytes of an encoded answer
+	defaultElectionTimeout = 400 * time.Millisecond // default of Options.Election
+	applyTimeout           = 2 * time.Second
+	retryInterval          = 30 * time.Millisecond // while there is no leader
+	readyPollInterval      = 5 * time.Millisecond  // poll interval of WaitReady
+	sniffTimeout           = time.Second           // timeout for the first byte of a connection
+	maxCommand             = 4 << 20               // bytes of an encoded command
+	maxAnswer              = 256 << 20             // bytes of an encoded answer
 )
 
 // Peer is one member of the group.
@@ -69,32 +69,32 @@
 )
 
 const (
-	syncEvery     = 100 * time.Millisecond
-	snapshotsKept = 2
-	snapshotAfter = 4096             // log entries since the last snapshot
-	snapshotEvery = 30 * time.Second // interval of the check for snapshotAfter
-	trailing      = 1024             // log entries kept before a snapshot, for members that lag slightly
+	syncPeriod            = 100 * time.Millisecond
+	retainedSnapshots     = 2
+	snapshotThreshold     = 4096             // log entries since the last snapshot
+	snapshotCheckInterval = 30 * time.Second // interval of the check for snapshotAfter
+	trailingLogs          = 1024             // log entries kept before a snapshot, for members that lag slightly
 )
 
 // Node is a member of a group. It implements Store.
 type Node struct {
-	id      string
-	raft    *raft.Raft
-	fsm     *machine
-	layer   *streamLayer
-	trans   io.Closer
-	journal *journal.Journal // nil if the log is in memory
-	via     map[string]string
-	ready   chan struct{} // closed once raft has started; connections may arrive earlier
-	logs    raft.LogStore
-	replay  uint64      // last index of the log when it was opened; must be applied before Ready
-	caught  atomic.Bool // Ready has returned true once
-	born    time.Time
+	id          string
+	raft        *raft.Raft
+	fsm         *machine
+	layer       *streamLayer
+	transport   io.Closer
+	journal     *journal.Journal // nil if the log is in memory
+	via         map[string]string
+	ready       chan struct{} // closed once raft has started; connections may arrive earlier
+	logs        raft.LogStore
+	replayIndex uint64      // last index of the log when it was opened; must be applied before Ready
+	caughtUp    atomic.Bool // Ready has returned true once
+	startedAt   time.Time
 
 	check    func([]Write) error
 	versions versionCheck   // of the members, used by the leader
 	sessions *sessionServer // nil if this member is not a control machine
-	stamping sync.Mutex     // serializes timestamping and appending of reduces at the leader
+	reduceMu sync.Mutex     // serializes timestamping and appending of reduces at the leader
 }
 
 // Open starts a node.
@@ -103,14 +103,14 @@
 	c.LocalID = raft.ServerID(o.Node)
 	election := o.Election
 	if election == 0 {
-		election = electAfter
+		election = defaultElectionTimeout
 	}
 	c.HeartbeatTimeout, c.ElectionTimeout = election, election
 	c.LeaderLeaseTimeout = election / 2
 	c.CommitTimeout = 10 * time.Millisecond
 	c.ShutdownOnRemove = false
 	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Output: logWriter{o.Log}, Level: hclog.Warn, DisableTime: true})
-	n := &Node{id: o.Node, fsm: newMachine(), via: o.Via, ready: make(chan struct{}), born: time.Now()}
+	n := &Node{id: o.Node, fsm: newMachine(), via: o.Via, ready: make(chan struct{}), startedAt: time.Now()}
 	n.fsm.reducers, n.check = o.Reducers, o.Check
 	if o.Serve != nil {
 		n.sessions = newSessionServer(n, o.Serve.withDefaults())
@@ -121,7 +121,7 @@
 	var trans raft.Transport
 	if len(o.Peers) == 0 && !o.Join {
 		_, mem := raft.NewInmemTransport(raft.ServerAddress(o.Node))
-		trans, n.trans = mem, mem
+		trans, n.transport = mem, mem
 	} else {
 		if o.Listener == nil {
 			return nil, errors.New("store: a node with peers or with Join needs a listener")
@@ -138,19 +138,19 @@
 			return nil, fmt.Errorf("store: node %q is not among its peers", o.Node)
 		}
 		n.layer = newStreamLayer(o.Listener, n.serve, advertised, o.Via)
-		net := raft.NewNetworkTransportWithLogger(n.layer, 3, applyWithin, c.Logger)
-		trans, n.trans = net, closeStreams{net}
+		net := raft.NewNetworkTransportWithLogger(n.layer, 3, applyTimeout, c.Logger)
+		trans, n.transport = net, closeStreams{net}
 	}
 	r, err := n.start(c, o, trans)
 	if err != nil {
-		n.trans.Close()
+		n.transport.Close()
 		if n.journal != nil {
 			n.journal.Close()
 		}
 		return nil, err
 	}
 	n.raft = r
-	n.replay = r.LastIndex()
+	n.replayIndex = r.LastIndex()
 	if n.sessions != nil {
 		n.sessions.start()
 	}
@@ -191,24 +191,24 @@
 		n.logs = logs
 		return raft.NewRaft(c, n.fsm, logs, logs, raft.NewInmemSnapshotStore(), trans)
 	}
-	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = snapshotAfter, snapshotEvery, trailing
+	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = snapshotThreshold, snapshotCheckInterval, trailingLogs
 	every := time.Duration(0)
 	switch o.Sync {
 	case SyncAlways, "":
 	case SyncInterval:
-		every = syncEvery
+		every = syncPeriod
 	default:
 		return nil, fmt.Errorf("store: sync is %q, but must be %s or %s", o.Sync, SyncAlways, SyncInterval)
 	}
-	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), Every: every})
+	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), SyncInterval: every})
 	if err != nil {
 		return nil, err
 	}
 	n.journal, n.logs = j, j
-	if j.Cut > 0 && o.Log != nil {
-		o.Log.WithFields(logrus.Fields{"dir": o.Dir, "bytes": j.Cut}).Warn("store: discarded an incomplete write at the end of the log")
+	if j.TruncatedBytes > 0 && o.Log != nil {
+		o.Log.WithFields(logrus.Fields{"dir": o.Dir, "bytes": j.TruncatedBytes}).Warn("store: discarded an incomplete write at the end of the log")
 	}
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Dir, snapshotsKept, c.Logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Dir, retainedSnapshots, c.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -223,7 +223,7 @@
 // and a new one holds nothing. Once true, Ready stays true; later reads are local and may lag the leader by the entries in
 // flight. The platform's single in-memory member does not wait for it.
 func (n *Node) Ready() bool {
-	if n.caught.Load() {
+	if n.caughtUp.Load() {
 		return true
 	}
 	select {
@@ -234,16 +234,16 @@
 	if !n.leaderKnown() {
 		return false
 	}
-	if n.fsm.lastIndex() < n.lastCommand(max(n.replay, n.raft.CommitIndex())) {
+	if n.fsm.lastIndex() < n.lastPendingCommand(max(n.replayIndex, n.raft.CommitIndex())) {
 		return false
 	}
-	n.caught.Store(true)
+	n.caughtUp.Store(true)
 	return true
 }
 
-// lastCommand returns the index of the last command up to an index that the machine has not applied yet; 0 if there is
+// lastPendingCommand returns the index of the last command up to an index that the machine has not applied yet; 0 if there is
 // none. The machine sees only commands: no-ops and membership changes do not advance its index.
-func (n *Node) lastCommand(upTo uint64) uint64 {
+func (n *Node) lastPendingCommand(upTo uint64) uint64 {
 	var l raft.Log
 	for i, applied := upTo, n.fsm.lastIndex(); i > applied; i-- {
 		if n.logs.GetLog(i, &l) != nil { // compacted into a snapshot, and applied with it
@@ -256,6 +256,7 @@
 	return 0
 }
 
+// leaderKnown reports whether this member leads or knows the leader.
 func (n *Node) leaderKnown() bool {
 	leader, _ := n.raft.LeaderWithID()
 	return leader != "" || n.Leader()
@@ -263,7 +264,7 @@
 
 // WaitReady returns nil once the member is Ready, or ErrNotReady if the context ends first.
 func (n *Node) WaitReady(ctx context.Context) error {
-	for tick := time.NewTicker(readyEvery); !n.Ready(); {
+	for tick := time.NewTicker(readyPollInterval); !n.Ready(); {
 		select {
 		case <-ctx.Done():
 			tick.Stop()
@@ -292,8 +293,8 @@
 }
 
 // PutAt implements Store.
-func (n *Node) PutAt(ctx context.Context, key string, value []byte, at uint64) (uint64, error) {
-	return n.write(ctx, command{Op: opPutAt, Key: key, Value: value, At: at})
+func (n *Node) PutAt(ctx context.Context, key string, value []byte, expected uint64) (uint64, error) {
+	return n.write(ctx, command{Op: opPutAt, Key: key, Value: value, At: expected})
 }
 
 // Delete implements Store.
@@ -317,7 +318,7 @@
 		n.sessions.close()
 	}
 	err := n.raft.Shutdown().Error()
-	n.trans.Close()
+	n.transport.Close()
 	if n.journal != nil {
 		err = errors.Join(err, n.journal.Close())
 	}
--- a/internal/store/nonvoter_test.go
+++ b/internal/store/nonvoter_test.go
@@ -12,7 +12,7 @@
 func TestNonVotersNeverVote(t *testing.T) {
 	t.Parallel()
 	g := newControlGroup(t, 3, 3, nil)
-	ctx := within(t)
+	ctx := testContext(t)
 	revision, err := TransactTo(ctx, g.address(4), []Write{{Key: "settings/a", Value: []byte("1")}})
 	require.NoError(t, err)
 	for i, n := range g.nodes {
@@ -29,7 +29,7 @@
 	require.Less(t, leader, 3)
 	g.nodes[leader].Close()
 	g.nodes[(leader+1)%3].Close()
-	time.Sleep(5 * electAfter) // long enough for an election, if non-voters could vote or be candidates
+	time.Sleep(5 * defaultElectionTimeout) // long enough for an election, if non-voters could vote or be candidates
 	for i, n := range g.nodes {
 		if i != leader && i != (leader+1)%3 {
 			require.False(t, n.Leader(), i)
@@ -53,8 +53,8 @@
 	g.nodes[1].Close()
 	l := listenAgain(t, g.address(1))
 	g.start(1, l)
-	require.NoError(t, g.nodes[1].fsm.wait(within(t), revision))
-	require.NoError(t, g.nodes[1].WaitReady(within(t)))
+	require.NoError(t, g.nodes[1].fsm.wait(testContext(t), revision))
+	require.NoError(t, g.nodes[1].WaitReady(testContext(t)))
 	require.Len(t, watchSession(t, g.address(1), WatchRequest{}).next(Snapshot).Records, 1)
 }
 
@@ -64,7 +64,7 @@
 	const long = 3 * time.Second
 	g := newControlGroup(t, 3, 0, func(_ int, o *Options) { o.Election = long })
 	leader := g.leader()
-	require.NoError(t, g.nodes[(leader+1)%3].WaitReady(within(t)))
+	require.NoError(t, g.nodes[(leader+1)%3].WaitReady(testContext(t)))
 	g.nodes[leader].Close()
 	closedAt := time.Now()
 	require.Eventually(t, func() bool { return g.nodes[(leader+1)%3].Leader() || g.nodes[(leader+2)%3].Leader() }, 10*long, 10*time.Millisecond)
@@ -79,13 +79,13 @@
 		leader := g.leader()
 		through := g.address((leader + 1) % 3)
 		require.Eventually(t, func() bool {
-			s, err := StatusFrom(within(t), through)
+			s, err := StatusFrom(testContext(t), through)
 			return err == nil && s.Leader == g.address(leader)
 		}, 5*time.Second, time.Millisecond)
-		g.cut(leader, true)
-		_, err := TransactTo(within(t), through, []Write{{Key: "settings/a", Value: []byte("2")}})
+		g.setPartitioned(leader, true)
+		_, err := TransactTo(testContext(t), through, []Write{{Key: "settings/a", Value: []byte("2")}})
 		require.NoError(t, err)
-		g.cut(leader, false)
+		g.setPartitioned(leader, false)
 		require.Eventually(t, func() bool { return !g.nodes[leader].Leader() }, 5*time.Second, time.Millisecond)
 	}
 }
--- a/internal/store/operators.go
+++ b/internal/store/operators.go
@@ -5,7 +5,7 @@
 	if n.sessions == nil {
 		return 0
 	}
-	return len(n.sessions.all())
+	return len(n.sessions.allSessions())
 }
 
 // FleetCounts returns the counts of all sessions that this control machine last collected; nil if it is not a control
@@ -16,7 +16,7 @@
 	}
 	n.sessions.mu.Lock()
 	defer n.sessions.mu.Unlock()
-	return n.sessions.fleet
+	return n.sessions.fleetCounts
 }
 
 // StepDown transfers leadership to another voter, so that writes continue without an election when this member stops. It
--- a/internal/store/raise.go
+++ b/internal/store/raise.go
@@ -18,8 +18,8 @@
 // indexes.
 const MaxRaise = 1 << 62
 
-// raises names the feature in an EarlierVersion error.
-const raises = "raised revisions"
+// raiseFeature names the feature in an EarlierVersion error.
+const raiseFeature = "raised revisions"
 
 // raiseConfirmed is result.Done of a raise at a member that supports it.
 const raiseConfirmed = "raised"
@@ -28,7 +28,7 @@
 // and m.index is the index of the command.
 func (m *machine) raise(above uint64) result {
 	if revision := m.index + m.offset; revision > above || above > MaxRaise {
-		m.moved(revision, nil)
+		m.publish(revision, nil)
 		return result{Revision: revision, Done: raiseConfirmed}
 	}
 	revision := above + 1
@@ -40,7 +40,7 @@
 		m.records[key] = r
 	}
 	for _, key := range keys { // after all records are changed: a watcher that is notified of one can read all of them
-		m.tell(m.records[key])
+		m.notify(m.records[key])
 	}
 	if m.history != nil {
 		m.history.reset(revision)
@@ -56,7 +56,7 @@
 	if err := checkRaise(above); err != nil {
 		return 0, err
 	}
-	if err := n.allRaise(ctx); err != nil {
+	if err := n.requireRaise(ctx); err != nil {
 		return 0, err
 	}
 	return n.write(ctx, command{Op: opRaise, At: above, Hop: true})
@@ -67,12 +67,12 @@
 	if err := checkRaise(above); err != nil {
 		return 0, err
 	}
-	r, err := ask(ctx, addr, command{Op: opRaise, At: above})
+	r, err := sendWithRetry(ctx, addr, command{Op: opRaise, At: above})
 	switch {
 	case err != nil:
 		return 0, err
 	case r.Done != raiseConfirmed:
-		return 0, &EarlierVersion{raises, addr}
+		return 0, &EarlierVersion{raiseFeature, addr}
 	}
 	return r.Revision, nil
 }
@@ -85,31 +85,31 @@
 	return nil
 }
 
-// allRaise returns an error unless all other members are up and their versions support raising revisions.
-func (n *Node) allRaise(ctx context.Context) error {
+// requireRaise returns an error unless all other members are up and their versions support raising revisions.
+func (n *Node) requireRaise(ctx context.Context) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return err
 	}
-	var asked errgroup.Group
+	var queries errgroup.Group
 	for _, m := range f.Configuration().Servers {
 		if string(m.ID) != n.id {
-			asked.Go(func() error { return memberRaises(ctx, string(m.ID), through(n.via, string(m.Address))) })
+			queries.Go(func() error { return requireMemberRaise(ctx, string(m.ID), dialAddress(n.via, string(m.Address))) })
 		}
 	}
-	return asked.Wait()
+	return queries.Wait()
 }
 
-// memberRaises returns an error unless a member is up and its version supports raising revisions.
-func memberRaises(ctx context.Context, name, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, upWithin)
+// requireMemberRaise returns an error unless a member is up and its version supports raising revisions.
+func requireMemberRaise(ctx context.Context, name, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
 	s, err := StatusFrom(ctx, address)
 	switch {
 	case err != nil:
 		return &MemberAway{name, err.Error()}
 	case !s.Raises:
-		return &EarlierVersion{raises, name}
+		return &EarlierVersion{raiseFeature, name}
 	}
 	return nil
 }
--- a/internal/store/raise_test.go
+++ b/internal/store/raise_test.go
@@ -50,15 +50,15 @@
 			}
 			last = r.Revision
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
-				twin = fromSnapshot(t, m)
+				twin = restoredFromJSON(t, m)
 			}
 			require.Equal(t, m.list(""), twin.list(""))
 		}
 	})
 }
 
-// fromSnapshot returns a machine restored from the snapshot of another.
-func fromSnapshot(t require.TestingT, m *machine) *machine {
+// restoredFromJSON returns a machine restored from the snapshot of another.
+func restoredFromJSON(t require.TestingT, m *machine) *machine {
 	taken, err := m.Snapshot()
 	require.NoError(t, err)
 	text, err := json.Marshal(taken)
@@ -96,31 +96,31 @@
 	g.putAll("settings/b", "2")
 	var behind *ReplicaBehind
 	for i := range g.nodes {
-		require.ErrorAs(t, watchSession(t, g.address(i), WatchRequest{After: held}).end(), &behind)
+		require.ErrorAs(t, watchSession(t, g.address(i), WatchRequest{After: held}).waitEnd(), &behind)
 		require.Equal(t, uint64(held), behind.Want)
-		s, err := StatusFrom(within(t), g.address(i))
+		s, err := StatusFrom(testContext(t), g.address(i))
 		require.NoError(t, err)
 		require.Equal(t, uint64(held), s.Held)
 	}
-	follows := watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})
-	follows.next(Snapshot)
-	revision, err := RaiseTo(within(t), g.address(3), held)
+	open := watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})
+	open.next(Snapshot)
+	revision, err := RaiseTo(testContext(t), g.address(3), held)
 	require.NoError(t, err)
 	require.Equal(t, uint64(held+1), revision)
-	again, err := RaiseTo(within(t), g.address(0), held)
+	again, err := RaiseTo(testContext(t), g.address(0), held)
 	require.NoError(t, err)
 	require.Greater(t, again, revision, "the second call added an entry but did not raise")
 	require.Less(t, again, revision+10)
 	var back *ComeBack
-	require.ErrorAs(t, follows.end(), &back, "the session must reconnect for a snapshot")
+	require.ErrorAs(t, open.waitEnd(), &back, "the session must reconnect for a snapshot")
 	for i, n := range g.nodes {
-		require.NoError(t, n.fsm.wait(within(t), revision))
+		require.NoError(t, n.fsm.wait(testContext(t), revision))
 		c := watchSession(t, g.address(i), WatchRequest{After: held})
 		e := c.next(Snapshot)
 		require.GreaterOrEqual(t, e.Revision, revision)
 		require.Len(t, e.Records, 2)
 		require.Equal(t, revision, e.Records[1].Revision, "settings/b, which was last written before the raise")
-		s, err := StatusFrom(within(t), g.address(i))
+		s, err := StatusFrom(testContext(t), g.address(i))
 		require.NoError(t, err)
 		require.Zero(t, s.Held)
 		after := g.putAll("settings/a", fmt.Sprint("after ", i))
@@ -130,12 +130,12 @@
 }
 
 // Raised revisions survive a restart from the log and a restart from a snapshot.
-func TestRaiseOutlivesRestarts(t *testing.T) {
+func TestRaiseSurvivesRestarts(t *testing.T) {
 	dir := t.TempDir()
-	n := durable(t, dir)
-	_, err := n.Put(within(t), "a", []byte("1"))
+	n := openDurable(t, dir)
+	_, err := n.Put(testContext(t), "a", []byte("1"))
 	require.NoError(t, err)
-	raised, err := n.Raise(within(t), 10_000)
+	raised, err := n.Raise(testContext(t), 10_000)
 	require.NoError(t, err)
 	require.Equal(t, uint64(10_001), raised)
 	for _, compact := range []bool{false, true} {
@@ -143,12 +143,12 @@
 			require.NoError(t, n.Compact())
 		}
 		n.Close()
-		n = durable(t, dir)
-		require.NoError(t, n.WaitReady(within(t)))
+		n = openDurable(t, dir)
+		require.NoError(t, n.WaitReady(testContext(t)))
 		r, ok := n.Get("a")
 		require.True(t, ok)
 		require.Equal(t, raised, r.Revision)
-		after, err := n.Put(within(t), "b", nil)
+		after, err := n.Put(testContext(t), "b", nil)
 		require.NoError(t, err)
 		require.Greater(t, after, raised)
 	}
@@ -160,18 +160,18 @@
 }
 
 // A raise fails while a member is down, because its version is unknown. A raise above MaxRaise fails too.
-func TestRaiseWithAMemberAway(t *testing.T) {
+func TestRaiseWithMemberDown(t *testing.T) {
 	g := newControlGroup(t, 3, 0, nil)
 	g.putAll("settings/a", "1")
 	before := g.nodes[0].fsm.lastRevision()
 	var bad *BadRequest
-	_, err := RaiseTo(within(t), g.address(0), MaxRaise+1)
+	_, err := RaiseTo(testContext(t), g.address(0), MaxRaise+1)
 	require.ErrorAs(t, err, &bad)
 	away := (g.leader() + 1) % 3
 	g.nodes[away].Close()
 	var missing *MemberAway
 	began := time.Now()
-	_, err = RaiseTo(within(t), g.address((away+1)%3), 5000)
+	_, err = RaiseTo(testContext(t), g.address((away+1)%3), 5000)
 	require.ErrorAs(t, err, &missing)
 	require.Equal(t, g.peers[away].Node, missing.Member)
 	require.Less(t, time.Since(began), 5*time.Second, "the error must come at once")
@@ -180,12 +180,12 @@
 
 // A restore is atomic for clients: a client with a higher revision than the new group gets no record until all are restored.
 // KeepRevisions leaves the revisions unchanged, and without Over a record that the group already holds is kept.
-func TestRestoreIsOneStep(t *testing.T) {
+func TestRestoreIsAtomicForClients(t *testing.T) {
 	old := newControlGroup(t, 1, 0, nil)
 	for i := range 30 {
 		old.put(fmt.Sprintf("settings/%02d", i), "old")
 	}
-	b, err := BackupFrom(within(t), old.address(0))
+	b, err := BackupFrom(testContext(t), old.address(0))
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, b.Revision, uint64(30))
 	held := b.Revision + 100 // a client may hold changes that the backup lacks
@@ -194,36 +194,36 @@
 	b, err = ReadBackup(file)
 	require.NoError(t, err)
 
-	anew := newControlGroup(t, 1, 0, nil)
-	anew.put("settings/00", "own")
-	require.Error(t, watchSession(t, anew.address(0), WatchRequest{After: held}).end())
-	done, err := b.Restore(within(t), anew.address(0), RestoreOptions{})
+	recreated := newControlGroup(t, 1, 0, nil)
+	recreated.put("settings/00", "own")
+	require.Error(t, watchSession(t, recreated.address(0), WatchRequest{After: held}).waitEnd())
+	done, err := b.Restore(testContext(t), recreated.address(0), RestoreOptions{})
 	require.NoError(t, err)
 	require.Equal(t, 29, done.Written)
 	require.Equal(t, 1, done.Kept)
 	require.Greater(t, done.Revision, held)
-	e := watchSession(t, anew.address(0), WatchRequest{After: held}).next(Snapshot)
+	e := watchSession(t, recreated.address(0), WatchRequest{After: held}).next(Snapshot)
 	require.Len(t, e.Records, 30)
 	require.Equal(t, "own", string(e.Records[0].Value))
 	for _, r := range e.Records {
 		require.Equal(t, done.Revision, r.Revision)
 	}
 
-	again, err := b.Restore(within(t), anew.address(0), RestoreOptions{Over: true, KeepRevisions: true})
+	again, err := b.Restore(testContext(t), recreated.address(0), RestoreOptions{Over: true, KeepRevisions: true})
 	require.NoError(t, err)
 	require.Equal(t, Restored{Written: 30}, again)
-	r, ok := anew.nodes[0].Get("settings/00")
+	r, ok := recreated.nodes[0].Get("settings/00")
 	require.True(t, ok)
 	require.Equal(t, "old", string(r.Value))
 	require.Less(t, r.Revision, done.Revision+100)
 }
 
 // A backup that is too large for one transaction is split into parts of at most restorePart bytes.
-func TestPartsOfABackup(t *testing.T) {
+func TestBackupParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Backup{}
 		for i := range rapid.IntRange(0, 12).Draw(t, "records") {
-			size := rapid.SampledFrom([]int{0, 10, restorePart / 3, restorePart - 20, restorePart + 1}).Draw(t, "size")
+			size := rapid.SampledFrom([]int{0, 10, restorePartSize / 3, restorePartSize - 20, restorePartSize + 1}).Draw(t, "size")
 			b.Records = append(b.Records, Record{Key: fmt.Sprint("k", i), Value: make([]byte, size)})
 		}
 		var all []Record
@@ -233,7 +233,7 @@
 			for _, r := range part {
 				size += len(r.Key) + len(r.Value)
 			}
-			require.True(t, size <= restorePart || len(part) == 1, "%d bytes in %d records", size, len(part))
+			require.True(t, size <= restorePartSize || len(part) == 1, "%d bytes in %d records", size, len(part))
 			all = append(all, part...)
 		}
 		require.Equal(t, len(b.Records), len(all))
@@ -251,11 +251,11 @@
 	one.next(Snapshot)
 	watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "g2"}}).next(Snapshot)
 	var full *SessionsFull
-	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "g3"}}).end(), &full)
+	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "g3"}}).waitEnd(), &full)
 	require.Equal(t, 2, full.Most)
 	one.leave()
 	require.Eventually(t, func() bool {
-		sessions, err := SessionsFrom(within(t), nil, g.address(0))
+		sessions, err := SessionsFrom(testContext(t), nil, g.address(0))
 		return err == nil && len(sessions) == 1
 	}, 10*time.Second, 10*time.Millisecond)
 	watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "g3"}}).next(Snapshot)
--- a/internal/store/ready_test.go
+++ b/internal/store/ready_test.go
@@ -17,7 +17,7 @@
 	for _, records := range []int{0, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			dir := b.TempDir()
-			n, err := Open(Options{Node: "a", Dir: dir, Sync: SyncInterval, Log: quiet()})
+			n, err := Open(Options{Node: "a", Dir: dir, Sync: SyncInterval, Log: discardLogger()})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -25,7 +25,7 @@
 			n.Close()
 			b.ResetTimer()
 			for range b.N {
-				n, err := Open(Options{Node: "a", Dir: dir, Log: quiet()})
+				n, err := Open(Options{Node: "a", Dir: dir, Log: discardLogger()})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -64,14 +64,14 @@
 // A restarted member is not Ready before it holds all records that it held when it stopped.
 func TestNotReadyBeforeReplay(t *testing.T) {
 	dir := t.TempDir()
-	n := durable(t, dir)
+	n := openDurable(t, dir)
 	for i := range 50 {
 		if _, err := n.Put(t.Context(), fmt.Sprint("k/", i), []byte("v")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	n.Close()
-	n = durable(t, dir)
+	n = openDurable(t, dir)
 	defer n.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
--- a/internal/store/reduce_test.go
+++ b/internal/store/reduce_test.go
@@ -16,9 +16,9 @@
 	"beammux/control"
 )
 
-// hold is the state of a lease that a reducer manages: a client can take it while no other client holds it, and give it back.
+// lease is the state of a lease that a reducer manages: a client can take it while no other client holds it, and give it back.
 // Repeated requests get their first answer.
-type hold struct {
+type lease struct {
 	Holder string            `json:"holder"`
 	Seen   map[string]string `json:"seen"`
 	Epoch  uint64            `json:"epoch"`
@@ -26,16 +26,18 @@
 	Back   int               `json:"back"` // number of times that the epoch, or the clock within an epoch, went back
 }
 
-type holdRequest struct{ ID, Who, Do string }
+// leaseRequest is a request of the client Who to "take" or "give" back the lease.
+type leaseRequest struct{ ID, Who, Do string }
 
-func reduceHold(old, request []byte, epoch uint64, now control.Micros) ([]byte, []byte, error) {
-	h := hold{Seen: map[string]string{}}
+// reduceLease is the Reducer of a lease.
+func reduceLease(old, request []byte, epoch uint64, now control.Micros) ([]byte, []byte, error) {
+	h := lease{Seen: map[string]string{}}
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, &h); err != nil {
 			return nil, nil, err
 		}
 	}
-	var r holdRequest
+	var r leaseRequest
 	if err := json.Unmarshal(request, &r); err != nil {
 		return nil, nil, err
 	}
@@ -63,8 +65,8 @@
 // linearizable, and the leader's timestamps never go back within a term.
 func TestLeasesAreLinearizable(t *testing.T) {
 	const key = "test/hold"
-	nodes := groupWith(t, 3, map[string]Reducer{key: reduceHold})
-	require.NoError(t, nodes[0].WaitReady(within(t)))
+	nodes := openGroupWithReducers(t, 3, map[string]Reducer{key: reduceLease})
+	require.NoError(t, nodes[0].WaitReady(testContext(t)))
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var ids, client atomic.Int64
@@ -80,7 +82,7 @@
 					return
 				default:
 				}
-				r := holdRequest{fmt.Sprint(ids.Add(1)), fmt.Sprint("c", i%3), []string{"take", "give"}[k%2]}
+				r := leaseRequest{fmt.Sprint(ids.Add(1)), fmt.Sprint("c", i%3), []string{"take", "give"}[k%2]}
 				text, _ := json.Marshal(r)
 				ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 				op := porcupine.Operation{ClientId: me, Input: r, Call: time.Since(began).Nanoseconds()}
@@ -111,7 +113,7 @@
 	model := porcupine.Model{
 		Init: func() any { return "" },
 		Step: func(state, input, output any) (bool, any) {
-			holder, r, answer := state.(string), input.(holdRequest), output.(string)
+			holder, r, answer := state.(string), input.(leaseRequest), output.(string)
 			can := r.Do == "take" && (holder == "" || holder == r.Who) || r.Do == "give" && holder == r.Who
 			if answer != "" && (answer == "yes") != can {
 				return false, state
@@ -136,7 +138,7 @@
 	epochs := 0
 	for _, n := range nodes {
 		if r, ok := n.Get(key); ok {
-			var h hold
+			var h lease
 			require.NoError(t, json.Unmarshal(r.Value, &h))
 			require.Zero(t, h.Back, "timestamps went back")
 			epochs = max(epochs, int(h.Epoch))
@@ -147,12 +149,12 @@
 
 // A reduce of a record without a reducer, or one that its reducer rejects, fails and changes nothing.
 func TestReduceRefused(t *testing.T) {
-	n, err := Open(Options{Node: "a", Log: quiet(), Reducers: map[string]Reducer{"k": func([]byte, []byte, uint64, control.Micros) ([]byte, []byte, error) {
+	n, err := Open(Options{Node: "a", Log: discardLogger(), Reducers: map[string]Reducer{"k": func([]byte, []byte, uint64, control.Micros) ([]byte, []byte, error) {
 		return nil, nil, errors.New("rejected by the reducer")
 	}}})
 	require.NoError(t, err)
 	t.Cleanup(func() { n.Close() })
-	ctx := within(t)
+	ctx := testContext(t)
 	_, err = n.Put(ctx, "k", []byte("was"))
 	require.NoError(t, err)
 	_, err = n.Reduce(ctx, "k", []byte("x"))
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -15,10 +15,10 @@
 	defer c.Close()
 	select {
 	case <-n.ready:
-	case <-time.After(applyWithin): // raft did not start
+	case <-time.After(applyTimeout): // raft did not start
 		return
 	}
-	c.SetDeadline(time.Now().Add(2 * applyWithin))
+	c.SetDeadline(time.Now().Add(2 * applyTimeout))
 	in := newLineReader(c, maxCommand)
 	line, err := in.next(maxCommand)
 	if err != nil {
@@ -45,10 +45,10 @@
 
 // answer carries out a command with a single answer.
 func (n *Node) answer(cmd command, r *result) (err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), applyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
 	switch {
-	case n.read(cmd, r):
+	case n.answerLocally(cmd, r):
 		return nil
 	case cmd.Op == opMember:
 		r.Done, err = n.ChangeMember(ctx, *cmd.Member, cmd.Hop)
@@ -75,7 +75,7 @@
 	}
 	cmd.Hop = true
 	if cmd.Op == opReduce {
-		*r, err = n.committed(ctx, cmd)
+		*r, err = n.commitAtLeader(ctx, cmd)
 		return err
 	}
 	r.Revision, err = n.write(ctx, cmd)
@@ -94,13 +94,13 @@
 	in    *bufio.Reader
 }
 
-func newLineReader(from io.Reader, most int64) *lineReader {
-	limit := &io.LimitedReader{R: from, N: most}
+func newLineReader(from io.Reader, maxBytes int64) *lineReader {
+	limit := &io.LimitedReader{R: from, N: maxBytes}
 	return &lineReader{limit, bufio.NewReader(limit)}
 }
 
 // next reads a line. At most most bytes are read from the connection, besides those that are buffered already.
-func (l *lineReader) next(most int64) ([]byte, error) {
-	l.limit.N = most
+func (l *lineReader) next(maxBytes int64) ([]byte, error) {
+	l.limit.N = maxBytes
 	return l.in.ReadBytes('\n')
 }
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -12,14 +12,14 @@
 
 // session is one watch session at a control machine.
 type session struct {
-	server  *sessionServer
-	conn    net.Conn
-	in      *lineReader
-	request WatchRequest
-	since   time.Time
-	wake    chan struct{}
-	gone    chan struct{} // closed when the client has disconnected or timed out
-	cursor  uint64        // everything up to this revision has been sent; used by the writing goroutine only
+	server       *sessionServer
+	conn         net.Conn
+	in           *lineReader
+	request      WatchRequest
+	since        time.Time
+	wake         chan struct{}
+	disconnected chan struct{} // closed when the client has disconnected or timed out
+	cursor       uint64        // everything up to this revision has been sent; used by the writing goroutine only
 	// admitted is set while the session is counted by the admission controller; used by the writing goroutine only.
 	admitted bool
 
@@ -47,7 +47,7 @@
 	s.server.running.Go(s.readReports) // until the connection is closed
 	err := s.send()
 	if !errors.Is(err, errSessionEnds) {
-		s.endWith(err)
+		s.sendFinalError(err)
 	}
 	return errSessionEnds
 }
@@ -59,17 +59,17 @@
 	}
 }
 
-// endWith sends the client the error that ends its session and waits until the client disconnects: closing a connection with
+// sendFinalError sends the client the error that ends its session and waits until the client disconnects: closing a connection with
 // unread reports resets it, and data written last may be lost.
-func (s *session) endWith(err error) {
+func (s *session) sendFinalError(err error) {
 	sendFault(s.conn, err)
 	if half, ok := s.conn.(*net.TCPConn); ok {
 		half.CloseWrite()
 	}
 	select {
-	case <-s.gone:
+	case <-s.disconnected:
 	case <-s.server.ctx.Done():
-	case <-time.After(writeWithin):
+	case <-time.After(writeTimeout):
 	}
 }
 
@@ -77,7 +77,7 @@
 func sendFault(c net.Conn, err error) {
 	var r result
 	r.fail(err)
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	json.NewEncoder(c).Encode(r)
 }
 
@@ -86,14 +86,14 @@
 	if err := s.server.check(s.request); err != nil {
 		return err
 	}
-	s.server.noteHeld(s.request.After)
-	if err := s.server.reached(s.request.After); err != nil {
+	s.server.noteClientRevision(s.request.After)
+	if err := s.server.waitForRevision(s.request.After); err != nil {
 		return err
 	}
 	s.conn.SetDeadline(time.Time{})
 	floor, _, _ := s.server.history.state()
 	snapshot := s.request.After == 0 || s.request.After < floor
-	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, Snapshot: snapshot}); err != nil {
+	if err := s.server.admitSession(admission.Request{Client: s.request.Session.Name, Snapshot: snapshot}); err != nil {
 		return err
 	}
 	s.admitted = true
@@ -115,23 +115,23 @@
 
 // send sends changes and heartbeats until the session ends.
 func (s *session) send() error {
-	beats := time.NewTicker(s.server.options.HeartbeatEvery)
-	defer beats.Stop()
-	for beat := true; ; {
+	heartbeats := time.NewTicker(s.server.options.HeartbeatEvery)
+	defer heartbeats.Stop()
+	for heartbeatDue := true; ; {
 		if err := s.catchUp(); err != nil {
 			return err
 		}
-		if beat {
+		if heartbeatDue {
 			if s.write(s.server.heartbeat(s.cursor)) != nil {
 				return errSessionEnds
 			}
 		}
 		select {
 		case <-s.wake:
-			beat = false
-		case <-beats.C:
-			beat = true
-		case <-s.gone:
+			heartbeatDue = false
+		case <-heartbeats.C:
+			heartbeatDue = true
+		case <-s.disconnected:
 			return errSessionEnds
 		case <-s.server.ctx.Done():
 			return errSessionEnds
@@ -142,10 +142,10 @@
 // catchUp sends all changes after the cursor.
 func (s *session) catchUp() error {
 	for {
-		transactions, upTo, ok := s.server.history.since(s.cursor, batch)
+		transactions, upTo, ok := s.server.history.since(s.cursor, historyBatch)
 		switch {
 		case !ok && s.server.history.wasReset(s.cursor):
-			return s.server.comeBack(s.request.Session.Name)
+			return s.server.comeBackError(s.request.Session.Name)
 		case !ok:
 			return &WatcherTooSlow{}
 		}
@@ -161,7 +161,7 @@
 			s.setCursor(t.revision)
 		}
 		s.setCursor(upTo)
-		if len(transactions) < batch {
+		if len(transactions) < historyBatch {
 			return nil
 		}
 	}
@@ -170,8 +170,8 @@
 // write writes a line in parts, each with its own write deadline.
 func (s *session) write(line []byte) error {
 	for len(line) > 0 {
-		part := line[:min(len(line), writePart)]
-		s.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+		part := line[:min(len(line), writePartSize)]
+		s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := s.conn.Write(part); err != nil {
 			return err
 		}
@@ -182,9 +182,9 @@
 
 // readReports receives the client's reports until it disconnects or sends nothing for too long.
 func (s *session) readReports() {
-	defer close(s.gone)
+	defer close(s.disconnected)
 	for {
-		s.conn.SetReadDeadline(time.Now().Add(silenceAfter(s.server.options.HeartbeatEvery)))
+		s.conn.SetReadDeadline(time.Now().Add(idleTimeoutFor(s.server.options.HeartbeatEvery)))
 		line, err := s.in.next(maxReport)
 		if err != nil {
 			return
--- a/internal/store/session_bench_test.go
+++ b/internal/store/session_bench_test.go
@@ -12,20 +12,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// discard is a session's connection that discards all data at once and calls got for each change.
-type discard struct {
+// discardConn is a session's connection that discards all data at once and calls got for each change.
+type discardConn struct {
 	net.Conn
-	got func()
+	onChange func()
 }
 
-func (d discard) Write(p []byte) (int, error) {
+func (d discardConn) Write(p []byte) (int, error) {
 	if bytes.HasPrefix(p, []byte(`{"event":{"kind":"change"`)) {
-		d.got()
+		d.onChange()
 	}
 	return len(p), nil
 }
-func (d discard) Close() error                     { return nil }
-func (d discard) SetWriteDeadline(time.Time) error { return nil }
+func (d discardConn) Close() error                     { return nil }
+func (d discardConn) SetWriteDeadline(time.Time) error { return nil }
 
 const benchValue = 2 << 10 // bytes of a change, about the size of a section of the deploy file
 
@@ -34,20 +34,20 @@
 func BenchmarkChangeInServer(b *testing.B) {
 	for _, sessions := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint("sessions=", sessions), func(b *testing.B) {
-			n, err := Open(Options{Node: "a", Log: quiet(), Serve: &ServeOptions{Prefix: "settings/", HeartbeatEvery: time.Hour}})
+			n, err := Open(Options{Node: "a", Log: discardLogger(), Serve: &ServeOptions{Prefix: "settings/", HeartbeatEvery: time.Hour}})
 			require.NoError(b, err)
 			defer n.Close()
 			_, err = n.Put(b.Context(), "settings/all/calls", nil)
 			require.NoError(b, err)
 			var sent sync.WaitGroup
 			for i := range sessions {
-				one := &session{server: n.sessions, conn: discard{got: sent.Done}, since: time.Now(), wake: make(chan struct{}, 1), gone: make(chan struct{}),
+				sess := &session{server: n.sessions, conn: discardConn{onChange: sent.Done}, since: time.Now(), wake: make(chan struct{}, 1), disconnected: make(chan struct{}),
 					request: WatchRequest{Prefixes: []string{"settings/all/", fmt.Sprint("settings/gatekeeper/g", i, "/")}}}
-				require.NoError(b, n.sessions.add(one))
-				one.setCursor(n.fsm.lastRevision())
+				require.NoError(b, n.sessions.add(sess))
+				sess.setCursor(n.fsm.lastRevision())
 				go func() {
-					defer n.sessions.remove(one)
-					one.send()
+					defer n.sessions.remove(sess)
+					sess.send()
 				}()
 			}
 			value := bytes.Repeat([]byte("x"), benchValue)
@@ -70,7 +70,7 @@
 		b.Run(fmt.Sprint("sessions=", sessions), func(b *testing.B) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(b, err)
-			n, err := Open(Options{Node: "a", Listener: l, Peers: []Peer{{Node: "a", Address: l.Addr().String()}}, Log: quiet(),
+			n, err := Open(Options{Node: "a", Listener: l, Peers: []Peer{{Node: "a", Address: l.Addr().String()}}, Log: discardLogger(),
 				Serve: &ServeOptions{Prefix: "settings/", HeartbeatEvery: time.Minute}})
 			require.NoError(b, err)
 			defer n.Close()
@@ -78,13 +78,13 @@
 			require.NoError(b, err)
 			ctx, cancel := context.WithCancel(b.Context())
 			defer cancel()
-			var heard, open sync.WaitGroup
+			var received, open sync.WaitGroup
 			open.Add(sessions)
 			for i := range sessions {
 				r := WatchRequest{After: first, Prefixes: []string{"settings/all/"}, Session: SessionInfo{Name: fmt.Sprint("g", i)}}
 				go WatchSession(ctx, nil, l.Addr().String(), r, nil, func(e WatchEvent) error {
 					if e.Kind == Change {
-						heard.Done()
+						received.Done()
 					} else {
 						open.Done()
 					}
@@ -95,11 +95,11 @@
 			value := bytes.Repeat([]byte("x"), benchValue)
 			b.ReportAllocs()
 			for b.Loop() {
-				heard.Add(sessions)
+				received.Add(sessions)
 				if _, err := n.Put(b.Context(), "settings/all/calls", value); err != nil {
 					b.Fatal(err)
 				}
-				heard.Wait()
+				received.Wait()
 			}
 		})
 	}
--- a/internal/store/session_client.go
+++ b/internal/store/session_client.go
@@ -16,7 +16,7 @@
 // *WatcherTooSlow, *NotControl, *BadRequest, *SessionsFull and ErrNotReady. Reports are sent as they arrive, and the last one
 // again with each heartbeat, which shows the control machine that the client is alive. dial may be nil.
 func WatchSession(ctx context.Context, dial Dial, address string, r WatchRequest, reports <-chan WatchReport, handle func(WatchEvent) error) error {
-	c, err := connect(ctx, dial, address)
+	c, err := dialMember(ctx, dial, address)
 	if err != nil {
 		return err
 	}
@@ -26,57 +26,57 @@
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	defer c.Close()
-	w := &watch{conn: c, address: address, beats: make(chan struct{}, 1), handle: handle, revision: r.After}
+	w := &watch{conn: c, address: address, heartbeats: make(chan struct{}, 1), handle: handle, revision: r.After}
 	if err := w.request(r); err != nil {
-		return cause(ctx, err)
+		return sessionError(ctx, err)
 	}
 	running.Go(func() { w.sendReports(ctx, r.After, reports) })
-	return cause(ctx, w.receive())
+	return sessionError(ctx, w.receive())
 }
 
-// cause returns the error that ended a session: the context's error if the context has ended, otherwise err.
-func cause(ctx context.Context, err error) error {
+// sessionError returns the error that ended a session: the context's error if the context has ended, otherwise err.
+func sessionError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	return err
 }
 
-// connect dials an address with a timeout. dial may be nil.
-func connect(ctx context.Context, dial Dial, address string) (net.Conn, error) {
+// dialMember dials an address with a timeout. dial may be nil.
+func dialMember(ctx context.Context, dial Dial, address string) (net.Conn, error) {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	ctx, cancel := context.WithTimeout(ctx, applyWithin)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	return dial(ctx, "tcp", address)
 }
 
 // exchange sends one command on a new connection and reads its answer.
 func exchange(ctx context.Context, dial Dial, address string, data []byte) (r result, err error) {
-	c, err := connect(ctx, dial, address)
+	c, err := dialMember(ctx, dial, address)
 	if err != nil {
 		return r, err
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	c.SetDeadline(time.Now().Add(2 * applyWithin))
+	c.SetDeadline(time.Now().Add(2 * applyTimeout))
 	if _, err = c.Write(append(append([]byte{forwardByte}, data...), '\n')); err != nil {
 		return r, err
 	}
 	if err = json.NewDecoder(io.LimitReader(c, maxAnswer)).Decode(&r); err != nil {
-		return r, cause(ctx, err)
+		return r, sessionError(ctx, err)
 	}
 	return r, r.error(address)
 }
 
 // watch is the client side of a session.
 type watch struct {
-	conn     net.Conn
-	address  string
-	beats    chan struct{} // buffered signal: a heartbeat was handled
-	handle   func(WatchEvent) error
-	revision uint64 // of the last event
+	conn       net.Conn
+	address    string
+	heartbeats chan struct{} // buffered signal: a heartbeat was handled
+	handle     func(WatchEvent) error
+	revision   uint64 // of the last event
 }
 
 // request sends the command that opens the session.
@@ -89,15 +89,15 @@
 	if err != nil {
 		return err
 	}
-	w.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+	w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err = w.conn.Write(append(append([]byte{forwardByte}, data...), '\n'))
 	return err
 }
 
 // receive handles events until the session ends. It fails if no event arrives for a few heartbeat intervals.
 func (w *watch) receive() error {
-	steady := &steadyReader{w.conn, 2*behindWithin + writeWithin}
-	limit := &io.LimitedReader{R: steady}
+	reader := &idleTimeoutReader{w.conn, 2*catchUpTimeout + writeTimeout}
+	limit := &io.LimitedReader{R: reader}
 	in := json.NewDecoder(bufio.NewReader(limit))
 	for {
 		limit.N = maxAnswer
@@ -120,25 +120,25 @@
 		}
 		if r.Event.Kind == Heartbeat {
 			if r.Event.Every > 0 {
-				steady.silence = silenceAfter(r.Event.Every)
+				reader.idleTimeout = idleTimeoutFor(r.Event.Every)
 			}
 			select {
-			case w.beats <- struct{}{}:
+			case w.heartbeats <- struct{}{}:
 			default:
 			}
 		}
 	}
 }
 
-// steadyReader reads from a connection with an idle timeout.
-type steadyReader struct {
-	conn    net.Conn
-	silence time.Duration // longest wait for data
+// idleTimeoutReader reads from a connection with an idle timeout.
+type idleTimeoutReader struct {
+	conn        net.Conn
+	idleTimeout time.Duration // longest wait for data
 }
 
 // Read implements io.Reader.
-func (s *steadyReader) Read(p []byte) (int, error) {
-	s.conn.SetReadDeadline(time.Now().Add(s.silence))
+func (s *idleTimeoutReader) Read(p []byte) (int, error) {
+	s.conn.SetReadDeadline(time.Now().Add(s.idleTimeout))
 	return s.conn.Read(p)
 }
 
@@ -147,7 +147,7 @@
 // the connection with unread data, its answer may be lost. Write errors are ignored, because the reader may still receive the
 // error that ended the session.
 func (w *watch) sendReports(ctx context.Context, inForce uint64, reports <-chan WatchReport) {
-	last, sends := WatchReport{InForce: inForce}, false
+	last, started := WatchReport{InForce: inForce}, false
 	for {
 		select {
 		case <-ctx.Done():
@@ -158,20 +158,21 @@
 				continue
 			}
 			last = report
-		case <-w.beats:
-			sends = true
+		case <-w.heartbeats:
+			started = true
 		}
-		if sends {
+		if started {
 			w.send(last)
 		}
 	}
 }
 
+// send writes a report. Errors are left to the reader.
 func (w *watch) send(r WatchReport) {
 	line, err := json.Marshal(r)
 	if err != nil { // unreachable: the fields are strings and numbers
 		panic(err)
 	}
-	w.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+	w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.conn.Write(append(line, '\n'))
 }
--- a/internal/store/session_fault_test.go
+++ b/internal/store/session_fault_test.go
@@ -39,7 +39,7 @@
 }
 
 // Clients never see a part of a transaction, neither in a snapshot that is taken during writes nor after a resume.
-func TestTransactionsAreSeenWhole(t *testing.T) {
+func TestTransactionsAreAtomicForClients(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	ctx, stop := context.WithTimeout(t.Context(), 1500*time.Millisecond) // duration of the writes
 	defer stop()
@@ -83,10 +83,10 @@
 	require.Greater(t, snapshots, 3)
 }
 
-// smallBuffers is a listener whose connections have small send buffers.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener is a listener whose connections have small send buffers.
+type smallBufferListener struct{ net.Listener }
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		err = c.(*net.TCPConn).SetWriteBuffer(16 << 10)
@@ -94,8 +94,8 @@
 	return c, err
 }
 
-// dialSmall connects with a small receive buffer.
-func dialSmall(ctx context.Context, network, address string) (net.Conn, error) {
+// dialSmallBuffer connects with a small receive buffer.
+func dialSmallBuffer(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err == nil {
 		err = c.(*net.TCPConn).SetReadBuffer(16 << 10)
@@ -107,12 +107,12 @@
 func slowGroup(t *testing.T) *controlGroup {
 	return newControlGroup(t, 1, 0, func(_ int, o *Options) {
 		o.Serve.HistorySize = 4
-		o.Listener = smallBuffers{o.Listener}
+		o.Listener = smallBufferListener{o.Listener}
 	})
 }
 
-// big is a value that exceeds the buffers of a connection.
-var big = strings.Repeat("x", 128<<10)
+// oversizedValue is a value that exceeds the buffers of a connection.
+var oversizedValue = strings.Repeat("x", 128<<10)
 
 // The session of a client that reads too slowly ends with *WatcherTooSlow, even if the client sends reports before it reads the
 // error. The client resumes with a snapshot.
@@ -122,7 +122,7 @@
 	var last uint64
 	reports := make(chan WatchReport)
 	begun, changes := false, 0
-	err := WatchSession(within(t), dialSmall, g.address(0), WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "slow"}}, reports, func(e WatchEvent) error {
+	err := WatchSession(testContext(t), dialSmallBuffer, g.address(0), WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "slow"}}, reports, func(e WatchEvent) error {
 		require.GreaterOrEqual(t, e.Revision, last)
 		last = e.Revision
 		switch {
@@ -132,7 +132,7 @@
 		case e.Kind == Change && changes == 0: // the client does not read during these writes
 			changes++
 			for i := range 8 {
-				g.put("settings/a", fmt.Sprint(i, big))
+				g.put("settings/a", fmt.Sprint(i, oversizedValue))
 			}
 		case e.Kind == Change:
 			for range 10 {
@@ -152,7 +152,7 @@
 
 // A client that reads nothing blocks neither writes nor other sessions, does not make memory grow with the writes, and is
 // disconnected.
-func TestReadsNothing(t *testing.T) {
+func TestClientThatNeverReads(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	g := slowGroup(t)
 	defer g.close()
@@ -161,7 +161,7 @@
 	for i := range silent {
 		data, err := json.Marshal(command{Op: opWatch, Watch: &WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: fmt.Sprint("s", i)}}})
 		require.NoError(t, err)
-		c, err := dialSmall(t.Context(), "tcp", g.address(0))
+		c, err := dialSmallBuffer(t.Context(), "tcp", g.address(0))
 		require.NoError(t, err)
 		defer c.Close()
 		_, err = c.Write(append(append([]byte{forwardByte}, data...), '\n'))
@@ -170,7 +170,7 @@
 	reader := watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "reader"}})
 	reader.next(Snapshot)
 	sessions := func() int {
-		s, err := SessionsFrom(within(t), nil, g.address(0))
+		s, err := SessionsFrom(testContext(t), nil, g.address(0))
 		require.NoError(t, err)
 		return len(s)
 	}
@@ -181,17 +181,17 @@
 	runtime.ReadMemStats(&before)
 	for i := range writes {
 		began := time.Now()
-		revision := g.put("settings/a", fmt.Sprint(i, big))
+		revision := g.put("settings/a", fmt.Sprint(i, oversizedValue))
 		require.Equal(t, revision, reader.next(Change).Revision)
-		require.Less(t, time.Since(began), writeWithin, "a silent session delays a write")
+		require.Less(t, time.Since(began), writeTimeout, "a silent session delays a write")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	// Each write adds an encoded entry to raft's in-memory log. Queues of the silent sessions would take ten times as much.
-	grown, written := int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(writes*len(big))
+	grown, written := int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(writes*len(oversizedValue))
 	t.Logf("heap grew by %d KB over %d KB of writes with %d silent sessions", grown>>10, written>>10, silent)
 	require.Less(t, grown, 4*written)
-	require.Eventually(t, func() bool { return sessions() == 1 }, 3*writeWithin, 20*time.Millisecond, "silent sessions are not disconnected")
+	require.Eventually(t, func() bool { return sessions() == 1 }, 3*writeTimeout, 20*time.Millisecond, "silent sessions are not disconnected")
 	reader.leave()
 }
 
@@ -201,20 +201,20 @@
 	t.Parallel()
 	g := newControlGroup(t, 3, 1, nil)
 	revision := g.put("settings/a", "1")
-	require.NoError(t, g.nodes[3].fsm.wait(within(t), revision))
-	g.cut(3, true)
+	require.NoError(t, g.nodes[3].fsm.wait(testContext(t), revision))
+	g.setPartitioned(3, true)
 	ahead := g.put("settings/a", "2")
 	began := time.Now()
 	var behind *ReplicaBehind
-	require.ErrorAs(t, watchSession(t, g.address(3), WatchRequest{After: ahead}).end(), &behind)
+	require.ErrorAs(t, watchSession(t, g.address(3), WatchRequest{After: ahead}).waitEnd(), &behind)
 	require.Equal(t, ReplicaBehind{Have: revision, Want: ahead}, *behind)
-	require.InDelta(t, behindWithin.Seconds(), time.Since(began).Seconds(), 1)
+	require.InDelta(t, catchUpTimeout.Seconds(), time.Since(began).Seconds(), 1)
 
 	c := watchSession(t, g.address(3), WatchRequest{After: revision})
 	c.until(func(e WatchEvent) bool { return e.Revision == revision })
 	waits := watchSession(t, g.address(3), WatchRequest{After: ahead})
-	time.Sleep(behindWithin / 10)
-	g.cut(3, false)
+	time.Sleep(catchUpTimeout / 10)
+	g.setPartitioned(3, false)
 	// An unconditional write that is retried after a lost answer may be applied twice; then ahead is the second revision.
 	change := c.next(Change)
 	require.Greater(t, change.Revision, revision)
@@ -231,18 +231,18 @@
 func TestAgeWithoutLeader(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	revision := g.put("settings/a", "1")
-	require.NoError(t, g.nodes[3].fsm.wait(within(t), revision))
+	require.NoError(t, g.nodes[3].fsm.wait(testContext(t), revision))
 	c := watchSession(t, g.address(3), WatchRequest{})
 	c.next(Snapshot)
 	e := c.until(func(e WatchEvent) bool { return e.Age < 300*time.Millisecond })
 	require.Equal(t, 50*time.Millisecond, e.Every)
-	g.cut(3, true)
+	g.setPartitioned(3, true)
 	cutAt := time.Now()
 	c.until(func(e WatchEvent) bool { return e.Age > 700*time.Millisecond })
 	require.Greater(t, time.Since(cutAt), 300*time.Millisecond)
 	late := watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})
 	require.Len(t, late.next(Snapshot).Records, 1)
-	g.cut(3, false)
+	g.setPartitioned(3, false)
 	c.until(func(e WatchEvent) bool { return e.Age < 300*time.Millisecond })
 	leader := watchSession(t, g.address(g.leader()), WatchRequest{Session: SessionInfo{Name: "g3"}})
 	require.Zero(t, leader.next(Snapshot).Age)
@@ -258,7 +258,7 @@
 	c.next(Snapshot)
 	other := newMachine()
 	for i := range 50 {
-		other.Apply(entry(t, uint64(i)+held+100, command{Op: opPut, Key: fmt.Sprint("settings/", i), Value: []byte("new")}))
+		other.Apply(logEntry(t, uint64(i)+held+100, command{Op: opPut, Key: fmt.Sprint("settings/", i), Value: []byte("new")}))
 	}
 	s, err := other.Snapshot()
 	require.NoError(t, err)
@@ -266,7 +266,7 @@
 	require.NoError(t, s.Persist(sink))
 	require.NoError(t, g.nodes[0].fsm.Restore(io.NopCloser(&sink.Buffer)))
 	var back *ComeBack
-	require.ErrorAs(t, c.end(), &back)
+	require.ErrorAs(t, c.waitEnd(), &back)
 	close(c.events)
 	for e := range c.events {
 		require.Equal(t, Heartbeat, e.Kind, "a part of the new state was sent")
@@ -280,17 +280,17 @@
 }
 
 // Sessions at other members continue when the leader is closed, and miss no change.
-func TestSessionsOutliveTheLeader(t *testing.T) {
+func TestSessionsSurviveLeaderLoss(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
 	g.putAll("settings/a", "1")
 	leader := g.leader()
-	at := (leader + 1) % 3
-	sessions := []*client{watchSession(t, g.address(at), WatchRequest{}), watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})}
+	member := (leader + 1) % 3
+	sessions := []*client{watchSession(t, g.address(member), WatchRequest{}), watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})}
 	for _, c := range sessions {
 		c.next(Snapshot)
 	}
 	g.nodes[leader].Close()
-	revision, err := g.nodes[at].Transact(within(t), []Write{{Key: "settings/a", Value: []byte("2")}})
+	revision, err := g.nodes[member].Transact(testContext(t), []Write{{Key: "settings/a", Value: []byte("2")}})
 	require.NoError(t, err)
 	for _, c := range sessions {
 		e := c.next(Change)
@@ -305,13 +305,13 @@
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) {
 		s.Admission = AdmissionOptions{SessionsPerSecond: 5, SessionsBurst: 3, SnapshotsPerSecond: 5, SnapshotsBurst: 3}
 	}))
-	require.NoError(t, g.nodes[0].WaitReady(within(t)))
+	require.NoError(t, g.nodes[0].WaitReady(testContext(t)))
 	g.put("settings/a", "1")
 	const clients = 8
 	began := time.Now()
 	admitted := make(chan time.Duration, clients)
 	refused := make(chan time.Duration, clients)
-	ctx, cancel := context.WithCancel(within(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	for i := range clients {
 		go func() {
@@ -349,7 +349,7 @@
 	g := newControlGroup(t, 1, 0, nil)
 	var bad *BadRequest
 	for _, prefixes := range [][]string{{}, {"settings/", "secrets/"}, make([]string, maxPrefixes+1)} {
-		require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{Prefixes: prefixes}).end(), &bad, "%q", prefixes)
+		require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{Prefixes: prefixes}).waitEnd(), &bad, "%q", prefixes)
 	}
 }
 
@@ -359,12 +359,12 @@
 	g := newControlGroup(t, 1, 0, func(_ int, o *Options) {
 		o.Peers = append(o.Peers, Peer{Node: "absent", Address: "127.0.0.1:1"})
 	})
-	require.ErrorIs(t, watchSession(t, g.address(0), WatchRequest{}).end(), ErrNotReady)
+	require.ErrorIs(t, watchSession(t, g.address(0), WatchRequest{}).waitEnd(), ErrNotReady)
 }
 
-// answering starts a listener that answers each command with a fixed text, to simulate a member of an earlier version. It
+// startFixedAnswer starts a listener that answers each command with a fixed text, to simulate a member of an earlier version. It
 // returns its address.
-func answering(t *testing.T, text string) string {
+func startFixedAnswer(t *testing.T, text string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -389,44 +389,44 @@
 // Clients recognize the answers of members of an earlier version and don't take them for success.
 func TestEarlierVersions(t *testing.T) {
 	var earlier *EarlierVersion
-	_, err := TransactTo(within(t), answering(t, `{"revision":7}`), []Write{{Key: "a"}})
+	_, err := TransactTo(testContext(t), startFixedAnswer(t, `{"revision":7}`), []Write{{Key: "a"}})
 	require.ErrorAs(t, err, &earlier)
 	var not *NotControl
-	err = watchSession(t, answering(t, `{"records":[{"key":"settings/a","value":"MQ==","revision":3}]}`), WatchRequest{}).end()
+	err = watchSession(t, startFixedAnswer(t, `{"records":[{"key":"settings/a","value":"MQ==","revision":3}]}`), WatchRequest{}).waitEnd()
 	require.ErrorAs(t, err, &not)
-	_, err = SessionsFrom(within(t), nil, answering(t, `{"status":{"node":"old"}}`))
+	_, err = SessionsFrom(testContext(t), nil, startFixedAnswer(t, `{"status":{"node":"old"}}`))
 	require.ErrorAs(t, err, &not)
 }
 
 // The leader commits no transaction while a reachable member runs an earlier version.
-func TestNoTransactionWithAnEarlierMember(t *testing.T) {
-	old := answering(t, `{"status":{"node":"old","state":"Follower"}}`)
+func TestNoTransactionWithEarlierMember(t *testing.T) {
+	old := startFixedAnswer(t, `{"status":{"node":"old","state":"Follower"}}`)
 	g := newControlGroup(t, 3, 0, func(_ int, o *Options) {
 		o.Peers = append(append([]Peer{}, o.Peers...), Peer{Node: "old", Address: old, NonVoter: true})
 	})
 	for i := range g.nodes {
-		_, err := TransactTo(within(t), g.address(i), []Write{{Key: "settings/a"}})
+		_, err := TransactTo(testContext(t), g.address(i), []Write{{Key: "settings/a"}})
 		var earlier *EarlierVersion
 		require.ErrorAs(t, err, &earlier)
 		require.Equal(t, "old", earlier.Member)
 	}
 	require.Empty(t, g.nodes[0].List(""))
-	_, err := PutTo(within(t), g.address(0), "settings/a", nil, nil)
+	_, err := PutTo(testContext(t), g.address(0), "settings/a", nil, nil)
 	require.NoError(t, err)
 }
 
 // The plain watch of earlier clients works at a control machine.
 func TestPlainWatchAtControlMachine(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
-	require.NoError(t, g.nodes[0].WaitReady(within(t)))
-	ctx, cancel := context.WithCancel(within(t))
-	heard, ended := make(chan Record, 8), make(chan error, 1)
-	go func() { ended <- WatchFrom(ctx, g.address(0), "settings/", func(r Record) { heard <- r }) }()
+	require.NoError(t, g.nodes[0].WaitReady(testContext(t)))
+	ctx, cancel := context.WithCancel(testContext(t))
+	received, ended := make(chan Record, 8), make(chan error, 1)
+	go func() { ended <- WatchFrom(ctx, g.address(0), "settings/", func(r Record) { received <- r }) }()
 	require.Eventually(t, func() bool { // until the watch is established
 		g.put("settings/a", "1")
-		return len(heard) > 0
+		return len(received) > 0
 	}, 10*time.Second, 10*time.Millisecond)
-	require.Equal(t, "settings/a", (<-heard).Key)
+	require.Equal(t, "settings/a", (<-received).Key)
 	cancel()
 	require.ErrorIs(t, <-ended, context.Canceled)
 }
--- a/internal/store/session_life_test.go
+++ b/internal/store/session_life_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/goleak"
 )
 
-// reasonBehind is the size of a value that fits into both buffers of a small connection together, but not into the receive
+// unreadValueSize is the size of a value that fits into both buffers of a small connection together, but not into the receive
 // buffer alone.
-const reasonBehind = 36 << 10
+const unreadValueSize = 36 << 10
 
 // A change is sent when it is applied, not with the next heartbeat; a session with other prefixes is not woken.
 func TestChangeIsSentAtOnce(t *testing.T) {
@@ -58,9 +58,9 @@
 		_, err = in.ReadBytes('\n')
 	}
 	every := 50 * time.Millisecond
-	require.InDelta(t, silenceAfter(every).Seconds(), time.Since(began).Seconds(), 3)
+	require.InDelta(t, idleTimeoutFor(every).Seconds(), time.Since(began).Seconds(), 3)
 	time.Sleep(10 * every)
-	listed, err := SessionsFrom(within(t), nil, g.address(0))
+	listed, err := SessionsFrom(testContext(t), nil, g.address(0))
 	require.NoError(t, err)
 	require.Len(t, listed, 1)
 	require.Equal(t, "answers", listed[0].Name)
@@ -68,11 +68,11 @@
 }
 
 // A report made before the first heartbeat does not block its sender, and is sent with that heartbeat.
-func TestReportFromSnapshot(t *testing.T) {
+func TestReportBeforeFirstHeartbeat(t *testing.T) {
 	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = 2 * time.Second }))
 	g.put("settings/a", "1")
 	reports := make(chan WatchReport)
-	ctx, cancel := context.WithCancel(within(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() {
@@ -84,7 +84,7 @@
 		})
 	}()
 	require.Eventually(t, func() bool {
-		listed, err := SessionsFrom(within(t), nil, g.address(0))
+		listed, err := SessionsFrom(testContext(t), nil, g.address(0))
 		return err == nil && len(listed) == 1 && listed[0].Report.InForce > 0
 	}, 5*time.Second, 10*time.Millisecond)
 	cancel()
@@ -95,16 +95,16 @@
 // connection while reports arrive would reset it and discard the data that is still to be sent.
 func TestReasonReachesClientThatReports(t *testing.T) {
 	g := slowGroup(t)
-	held := g.put("settings/a", big[:reasonBehind])
+	held := g.put("settings/a", oversizedValue[:unreadValueSize])
 	data, err := json.Marshal(command{Op: opWatch, Watch: &WatchRequest{Prefixes: []string{"settings/"}, Session: SessionInfo{Name: "reports"}}})
 	require.NoError(t, err)
-	c, err := dialSmall(t.Context(), "tcp", g.address(0))
+	c, err := dialSmallBuffer(t.Context(), "tcp", g.address(0))
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write(append(append([]byte{forwardByte}, data...), '\n'))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		listed, err := SessionsFrom(within(t), nil, g.address(0))
+		listed, err := SessionsFrom(testContext(t), nil, g.address(0))
 		return err == nil && len(listed) == 1 && listed[0].Sent == held
 	}, 5*time.Second, 5*time.Millisecond)
 	require.NoError(t, g.nodes[0].fsm.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"version":1,"applied":%d}`, held+100)))))
@@ -126,7 +126,7 @@
 }
 
 // A client ends a session whose control machine sends nothing, for example because it is paused.
-func TestSilentControlMachineIsLeft(t *testing.T) {
+func TestSilentControlMachineEndsSession(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -146,7 +146,7 @@
 	c := watchSession(t, l.Addr().String(), WatchRequest{After: 3})
 	c.next(Heartbeat)
 	var network net.Error
-	require.ErrorAs(t, c.end(), &network)
+	require.ErrorAs(t, c.waitEnd(), &network)
 	require.True(t, network.Timeout())
 }
 
@@ -154,15 +154,15 @@
 func TestFallingRevisionEndsSession(t *testing.T) {
 	low := wireEvent{Kind: Snapshot, Revision: 3}
 	var behind *ReplicaBehind
-	require.ErrorAs(t, watchSession(t, answering(t, string(low.line())), WatchRequest{After: 4}).end(), &behind)
+	require.ErrorAs(t, watchSession(t, startFixedAnswer(t, string(low.line())), WatchRequest{After: 4}).waitEnd(), &behind)
 	require.Equal(t, ReplicaBehind{Have: 3, Want: 4}, *behind)
 }
 
 // Closing a member closes its connections to the other members and ends their goroutines for it.
-func TestCloseLeavesNothing(t *testing.T) {
+func TestCloseReleasesConnections(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	nodes := group(t, 3)
-	_, err := nodes[0].Put(within(t), "k", nil)
+	nodes := openGroup(t, 3)
+	_, err := nodes[0].Put(testContext(t), "k", nil)
 	require.NoError(t, err)
 	for _, n := range nodes {
 		n.Close()
@@ -177,9 +177,9 @@
 	write := func(from, count int) {
 		for i := from; i < from+count; i++ {
 			writes := []Write{{Key: "settings/a", Value: []byte(fmt.Sprint(i))}, {Key: "settings/b", Value: []byte(fmt.Sprint(i))}}
-			revision, err := g.nodes[0].Transact(within(t), writes)
+			revision, err := g.nodes[0].Transact(testContext(t), writes)
 			require.NoError(t, err)
-			all.note(revision, writes)
+			all.record(revision, writes)
 		}
 	}
 	write(0, 1)
@@ -193,12 +193,12 @@
 		require.Eventually(t, func() bool { return f.reached(newest) }, 20*time.Second, 5*time.Millisecond)
 	}
 	reached()
-	g.cut(1, true)
-	write(1, trailing+200)
+	g.setPartitioned(1, true)
+	write(1, trailingLogs+200)
 	require.NoError(t, g.nodes[0].Compact())
-	g.cut(1, false)
+	g.setPartitioned(1, false)
 	reached()
-	write(trailing+201, 5)
+	write(trailingLogs+201, 5)
 	reached()
 	stop()
 	running.Wait()
@@ -210,5 +210,5 @@
 			changes++
 		}
 	}
-	require.Less(t, changes, trailing, "the changes were sent one by one")
+	require.Less(t, changes, trailingLogs, "the changes were sent one by one")
 }
--- a/internal/store/session_model_test.go
+++ b/internal/store/session_model_test.go
@@ -16,14 +16,14 @@
 
 // oracle records the expected state of a store at each revision. It supports a single writer.
 type oracle struct {
-	mu        sync.Mutex
-	revisions []uint64
-	states    []map[string]string
-	touched   [][]string // keys that each transaction changed
+	mu          sync.Mutex
+	revisions   []uint64
+	states      []map[string]string
+	changedKeys [][]string // keys that each transaction changed
 }
 
-// note records a transaction.
-func (o *oracle) note(revision uint64, writes []Write) {
+// record records a transaction.
+func (o *oracle) record(revision uint64, writes []Write) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state := map[string]string{}
@@ -40,11 +40,11 @@
 			state[w.Key] = string(w.Value)
 		}
 	}
-	o.revisions, o.states, o.touched = append(o.revisions, revision), append(o.states, state), append(o.touched, keys)
+	o.revisions, o.states, o.changedKeys = append(o.revisions, revision), append(o.states, state), append(o.changedKeys, keys)
 }
 
-// at returns the state under some prefixes at a revision.
-func (o *oracle) at(revision uint64, prefixes []string) map[string]string {
+// stateAt returns the state under some prefixes at a revision.
+func (o *oracle) stateAt(revision uint64, prefixes []string) map[string]string {
 	state := map[string]string{}
 	for i, r := range o.revisions {
 		if r <= revision {
@@ -59,8 +59,8 @@
 // changesBetween returns the revisions in (from, to] that changed a key under some prefixes.
 func (o *oracle) changesBetween(from, to uint64, prefixes []string) (revisions []uint64) {
 	for i, r := range o.revisions {
-		if r > from && r <= to && len(o.touched[i]) > 0 {
-			for _, key := range o.touched[i] {
+		if r > from && r <= to && len(o.changedKeys[i]) > 0 {
+			for _, key := range o.changedKeys[i] {
 				if hasAnyPrefix(key, prefixes) {
 					revisions = append(revisions, r)
 					break
@@ -71,8 +71,8 @@
 	return revisions
 }
 
-// seen is one event of a follower and the follower's state after it.
-type seen struct {
+// followerEvent is one event of a follower and the follower's state after it.
+type followerEvent struct {
 	kind     WatchKind
 	revision uint64
 	state    map[string]string
@@ -87,7 +87,7 @@
 	mu      sync.Mutex
 	held    uint64
 	state   map[string]string
-	events  []seen
+	events  []followerEvent
 	session context.CancelFunc
 }
 
@@ -99,14 +99,14 @@
 		f.session = cancel
 		request := WatchRequest{Prefixes: f.prefixes, After: f.held, Session: SessionInfo{Name: f.name}}
 		f.mu.Unlock()
-		WatchSession(session, nil, f.pick(), request, nil, f.take)
+		WatchSession(session, nil, f.pick(), request, nil, f.handle)
 		cancel()
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// take handles an event.
-func (f *follower) take(e WatchEvent) error {
+// handle handles an event.
+func (f *follower) handle(e WatchEvent) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := maps.Clone(f.state)
@@ -121,12 +121,12 @@
 		}
 	}
 	f.state, f.held = state, e.Revision
-	f.events = append(f.events, seen{e.Kind, e.Revision, state})
+	f.events = append(f.events, followerEvent{e.Kind, e.Revision, state})
 	return nil
 }
 
-// cut ends the current session.
-func (f *follower) cut() {
+// disconnect ends the current session.
+func (f *follower) disconnect() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.session != nil {
@@ -147,7 +147,7 @@
 	var last uint64
 	for i, e := range f.events {
 		require.GreaterOrEqual(t, e.revision, last, "%s went back at event %d", f.name, i)
-		require.Equal(t, o.at(e.revision, f.prefixes), e.state, "%s at %v of revision %d", f.name, e.kind, e.revision)
+		require.Equal(t, o.stateAt(e.revision, f.prefixes), e.state, "%s at %v of revision %d", f.name, e.kind, e.revision)
 		switch e.kind {
 		case Change:
 			require.Greater(t, e.revision, last, "%s was sent a change twice", f.name)
@@ -164,7 +164,7 @@
 // store at its revision.
 func TestResumeIsExactlyOnce(t *testing.T) {
 	g := newControlGroup(t, 3, 2, serveWith(func(s *ServeOptions) { s.HistorySize, s.HeartbeatEvery = 6, 10*time.Millisecond }))
-	require.NoError(t, g.nodes[0].WaitReady(within(t)))
+	require.NoError(t, g.nodes[0].WaitReady(testContext(t)))
 	keys := []string{"settings/a/1", "settings/a/2", "settings/b/1", "settings/b/2", "settings/c/1"}
 	all := &oracle{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -185,15 +185,15 @@
 			case "write":
 				newest = writeSome(t, g, all, keys)
 			case "cut":
-				rapid.SampledFrom(followers).Draw(t, "follower").cut()
+				rapid.SampledFrom(followers).Draw(t, "follower").disconnect()
 			case "lag", "heal":
-				g.cut(rapid.SampledFrom([]int{3, 4}).Draw(t, "replica"), step == "lag")
+				g.setPartitioned(rapid.SampledFrom([]int{3, 4}).Draw(t, "replica"), step == "lag")
 			case "pause":
 				time.Sleep(time.Duration(rapid.IntRange(1, 10).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		g.cut(3, false)
-		g.cut(4, false)
+		g.setPartitioned(3, false)
+		g.setPartitioned(4, false)
 		for _, f := range followers {
 			for limit := time.Now().Add(20 * time.Second); !f.reached(newest); time.Sleep(time.Millisecond) {
 				require.True(t, time.Now().Before(limit), "%s does not reach revision %d", f.name, newest)
@@ -225,6 +225,6 @@
 		t.Fatal("a write took 20 s")
 	}
 	require.NoError(t, err)
-	o.note(revision, writes)
+	o.record(revision, writes)
 	return revision
 }
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -14,56 +14,56 @@
 )
 
 const (
-	writeWithin  = 2 * applyWithin  // timeout for writing each part of an event
-	writePart    = 256 << 10        // bytes of such a part
-	behindWithin = time.Second      // timeout for a replica to be ready and to reach the revision that a client holds
-	maxReport    = 16 << 10         // bytes of a line from a client
-	maxSessions  = 8192             // open sessions, including those not admitted yet
-	fullFor      = 30 * time.Second // retry delay of a client that exceeds maxSessions
-	maxPrefixes  = 32               // of one session
-	batch        = 64               // transactions that are read from the history at once
+	writeTimeout   = 2 * applyTimeout // timeout for writing each part of an event
+	writePartSize  = 256 << 10        // bytes of such a part
+	catchUpTimeout = time.Second      // timeout for a replica to be ready and to reach the revision that a client holds
+	maxReport      = 16 << 10         // bytes of a line from a client
+	maxSessions    = 8192             // open sessions, including those not admitted yet
+	fullRetryDelay = 30 * time.Second // retry delay of a client that exceeds maxSessions
+	maxPrefixes    = 32               // of one session
+	historyBatch   = 64               // transactions that are read from the history at once
 )
 
 // sessionServer serves the watch sessions of a control machine. Each session has two goroutines and a position in the history
 // (its revision), but no queue of its own: pending changes are held once for all sessions, in the bounded history.
 type sessionServer struct {
-	node    *Node
-	options ServeOptions
-	history *history
-	born    time.Time       // start of the clock passed to admit
-	ctx     context.Context // canceled when the server closes
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	node      *Node
+	options   ServeOptions
+	history   *history
+	startedAt time.Time       // start of the clock passed to admit
+	ctx       context.Context // canceled when the server closes
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
 
-	admitMu sync.Mutex
-	admit   *admission.Controller
+	controllerMu sync.Mutex
+	controller   *admission.Controller
 
-	mu       sync.Mutex
-	closed   bool
-	sessions map[*session]struct{}
-	byPrefix map[string]map[*session]struct{}
-	fleet    *FleetCounts // last collected counts; immutable
-	held     uint64       // highest revision that a client reported to hold
+	mu                sync.Mutex
+	closed            bool
+	sessions          map[*session]struct{}
+	byPrefix          map[string]map[*session]struct{}
+	fleetCounts       *FleetCounts // last collected counts; immutable
+	maxClientRevision uint64       // highest revision that a client reported to hold
 
 	viewMu sync.Mutex
 	view   *view
 
-	beatMu sync.Mutex
-	beat   sharedBeat
+	heartbeatMu   sync.Mutex
+	lastHeartbeat encodedHeartbeat
 }
 
-// sharedBeat is the last encoded heartbeat.
-type sharedBeat struct {
-	line     []byte
-	revision uint64
-	at       time.Time
+// encodedHeartbeat is the last encoded heartbeat.
+type encodedHeartbeat struct {
+	line      []byte
+	revision  uint64
+	encodedAt time.Time
 }
 
 func newSessionServer(n *Node, o ServeOptions) *sessionServer {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &sessionServer{node: n, options: o, history: newHistory(o.Prefix, o.HistorySize, o.HistoryBytes), born: time.Now(),
+	return &sessionServer{node: n, options: o, history: newHistory(o.Prefix, o.HistorySize, o.HistoryBytes), startedAt: time.Now(),
 		ctx: ctx, cancel: cancel, sessions: map[*session]struct{}{}, byPrefix: map[string]map[*session]struct{}{},
-		admit: admission.New(admission.Limits(o.Admission))}
+		controller: admission.New(admission.Limits(o.Admission))}
 }
 
 // start starts the server's background goroutines.
@@ -77,8 +77,8 @@
 	s.cancel()
 	s.mu.Lock()
 	s.closed = true
-	for one := range s.sessions {
-		one.conn.Close()
+	for sess := range s.sessions {
+		sess.conn.Close()
 	}
 	s.mu.Unlock()
 	s.running.Wait()
@@ -89,16 +89,16 @@
 	_, seen, _ := s.history.state()
 	for {
 		select {
-		case <-s.history.more:
+		case <-s.history.changed:
 		case <-s.ctx.Done():
 			return
 		}
-		transactions, upTo, ok := s.history.since(seen, batch)
+		transactions, upTo, ok := s.history.since(seen, historyBatch)
 		s.mu.Lock()
 		if !ok {
 			_, upTo, _ = s.history.state()
-			for one := range s.sessions {
-				one.wakeUp()
+			for sess := range s.sessions {
+				sess.wakeUp()
 			}
 		}
 		for _, t := range transactions {
@@ -106,7 +106,7 @@
 		}
 		s.mu.Unlock()
 		seen = upTo
-		if len(transactions) == batch { // there may be more
+		if len(transactions) == historyBatch { // there may be more
 			s.history.signal()
 		}
 	}
@@ -116,41 +116,41 @@
 func (s *sessionServer) wakeFollowers(t *transaction) {
 	for _, c := range t.changes {
 		for end := range len(c.Key) + 1 {
-			for one := range s.byPrefix[c.Key[:end]] {
-				one.wakeUp()
+			for sess := range s.byPrefix[c.Key[:end]] {
+				sess.wakeUp()
 			}
 		}
 	}
 }
 
 // add registers a session, unless the server is closed or full.
-func (s *sessionServer) add(one *session) error {
+func (s *sessionServer) add(sess *session) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.closed:
 		return errSessionEnds
 	case len(s.sessions) >= maxSessions:
-		return &ComeBack{fullFor}
+		return &ComeBack{fullRetryDelay}
 	}
 	s.running.Add(1)
-	s.sessions[one] = struct{}{}
-	for _, p := range one.request.Prefixes {
+	s.sessions[sess] = struct{}{}
+	for _, p := range sess.request.Prefixes {
 		if s.byPrefix[p] == nil {
 			s.byPrefix[p] = map[*session]struct{}{}
 		}
-		s.byPrefix[p][one] = struct{}{}
+		s.byPrefix[p][sess] = struct{}{}
 	}
 	return nil
 }
 
 // remove unregisters a session.
-func (s *sessionServer) remove(one *session) {
+func (s *sessionServer) remove(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, one)
-	for _, p := range one.request.Prefixes {
-		delete(s.byPrefix[p], one)
+	delete(s.sessions, sess)
+	for _, p := range sess.request.Prefixes {
+		delete(s.byPrefix[p], sess)
 		if len(s.byPrefix[p]) == 0 {
 			delete(s.byPrefix, p)
 		}
@@ -170,13 +170,13 @@
 	if n.sessions == nil {
 		return &NotControl{n.id}
 	}
-	one := &session{server: n.sessions, conn: c, in: in, request: request, since: time.Now(),
-		wake: make(chan struct{}, 1), gone: make(chan struct{})}
-	if err := n.sessions.add(one); err != nil {
+	sess := &session{server: n.sessions, conn: c, in: in, request: request, since: time.Now(),
+		wake: make(chan struct{}, 1), disconnected: make(chan struct{})}
+	if err := n.sessions.add(sess); err != nil {
 		return err
 	}
-	defer n.sessions.remove(one)
-	return one.run()
+	defer n.sessions.remove(sess)
+	return sess.run()
 }
 
 // check returns a *BadRequest if a request can't be served.
@@ -192,26 +192,26 @@
 	return nil
 }
 
-// noteHeld records the revision that a client reports to hold.
-func (s *sessionServer) noteHeld(revision uint64) {
+// noteClientRevision records the revision that a client reports to hold.
+func (s *sessionServer) noteClientRevision(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = max(s.held, revision)
+	s.maxClientRevision = max(s.maxClientRevision, revision)
 }
 
-// heldAbove returns the highest revision that a client reported to hold; 0 if it is not above the given revision.
-func (s *sessionServer) heldAbove(revision uint64) uint64 {
+// clientRevisionAbove returns the highest revision that a client reported to hold; 0 if it is not above the given revision.
+func (s *sessionServer) clientRevisionAbove(revision uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held <= revision {
+	if s.maxClientRevision <= revision {
 		return 0
 	}
-	return s.held
+	return s.maxClientRevision
 }
 
-// reached waits up to behindWithin for the replica to be ready and to have applied a revision.
-func (s *sessionServer) reached(after uint64) error {
-	ctx, cancel := context.WithTimeout(s.ctx, behindWithin)
+// waitForRevision waits up to behindWithin for the replica to be ready and to have applied a revision.
+func (s *sessionServer) waitForRevision(after uint64) error {
+	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
 	defer cancel()
 	notReady := s.node.WaitReady(ctx) != nil
 	behind := !notReady && s.node.fsm.wait(ctx, after) != nil
@@ -226,45 +226,46 @@
 	return nil
 }
 
-// admitted asks the admission controller to admit a session. An admitted session must be ended with release.
-func (s *sessionServer) admitted(r admission.Request) error {
-	s.admitMu.Lock()
-	defer s.admitMu.Unlock()
-	switch d := s.admit.Admit(s.clock(), r); {
+// admitSession asks the admission controller to admit a session. An admitted session must be ended with release.
+func (s *sessionServer) admitSession(r admission.Request) error {
+	s.controllerMu.Lock()
+	defer s.controllerMu.Unlock()
+	switch d := s.controller.Admit(s.clock(), r); {
 	case d.Full:
 		return &SessionsFull{s.options.Admission.Sessions}
 	case !d.Admitted:
-		return &ComeBack{duration(d.ComeBackIn)}
+		return &ComeBack{toDuration(d.ComeBackIn)}
 	}
 	return nil
 }
 
 // release ends an admitted session at the admission controller.
 func (s *sessionServer) release() {
-	s.admitMu.Lock()
-	defer s.admitMu.Unlock()
-	s.admit.End()
+	s.controllerMu.Lock()
+	defer s.controllerMu.Unlock()
+	s.controller.End()
 }
 
-// comeBack returns the error that makes a client reconnect later to get a snapshot.
-func (s *sessionServer) comeBack(client string) error {
-	s.admitMu.Lock()
-	defer s.admitMu.Unlock()
-	return &ComeBack{duration(s.admit.Defer(s.clock(), admission.Request{Client: client, Snapshot: true}))}
+// comeBackError returns the error that makes a client reconnect later to get a snapshot.
+func (s *sessionServer) comeBackError(client string) error {
+	s.controllerMu.Lock()
+	defer s.controllerMu.Unlock()
+	return &ComeBack{toDuration(s.controller.Defer(s.clock(), admission.Request{Client: client, Snapshot: true}))}
 }
 
 // clock returns the time of the admission controller.
 func (s *sessionServer) clock() control.Micros {
-	return control.Micros(time.Since(s.born).Microseconds())
+	return control.Micros(time.Since(s.startedAt).Microseconds())
 }
 
-func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+// toDuration converts the time unit of the admission controller.
+func toDuration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // currentView returns a view of all served records. It is rebuilt only after one of them has changed.
 func (s *sessionServer) currentView() *view {
 	s.viewMu.Lock()
 	defer s.viewMu.Unlock()
-	if _, _, last := s.history.state(); s.view == nil || s.view.revision < last {
+	if _, _, lastChange := s.history.state(); s.view == nil || s.view.revision < lastChange {
 		records, revision := s.node.fsm.listAt(s.options.Prefix)
 		s.view = &view{records: records, revision: revision}
 	}
@@ -275,17 +276,17 @@
 // interval.
 func (s *sessionServer) heartbeat(revision uint64) []byte {
 	now := time.Now()
-	s.beatMu.Lock()
-	defer s.beatMu.Unlock()
-	if s.beat.line != nil && s.beat.revision == revision && now.Sub(s.beat.at) < s.options.HeartbeatEvery/8 {
-		return s.beat.line
+	s.heartbeatMu.Lock()
+	defer s.heartbeatMu.Unlock()
+	if s.lastHeartbeat.line != nil && s.lastHeartbeat.revision == revision && now.Sub(s.lastHeartbeat.encodedAt) < s.options.HeartbeatEvery/8 {
+		return s.lastHeartbeat.line
 	}
 	s.mu.Lock()
-	fleet := s.fleet
+	fleet := s.fleetCounts
 	s.mu.Unlock()
 	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleet, Age: s.node.contactAge(), Every: s.options.HeartbeatEvery}
-	s.beat = sharedBeat{e.line(), revision, now}
-	return s.beat.line
+	s.lastHeartbeat = encodedHeartbeat{e.line(), revision, now}
+	return s.lastHeartbeat.line
 }
 
 // contactAge returns the time since the last contact with the leader, or since the start if there was none; 0 at the leader.
@@ -295,7 +296,7 @@
 	case n.Leader():
 		return 0
 	case last.IsZero():
-		return time.Since(n.born)
+		return time.Since(n.startedAt)
 	}
 	return time.Since(last)
 }
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -46,7 +46,7 @@
 
 func (g *controlGroup) start(i int, l net.Listener) {
 	g.t.Helper()
-	o := Options{Node: g.peers[i].Node, Listener: l, Peers: g.peers, Log: quiet(),
+	o := Options{Node: g.peers[i].Node, Listener: l, Peers: g.peers, Log: discardLogger(),
 		Serve: &ServeOptions{Name: g.peers[i].Node, Prefix: "settings/", HeartbeatEvery: 50 * time.Millisecond, ReportEvery: 50 * time.Millisecond}}
 	for j, p := range g.peers {
 		if j == i {
@@ -69,8 +69,8 @@
 	g.t.Cleanup(func() { n.Close() })
 }
 
-// cut partitions a member from the others, or heals the partition.
-func (g *controlGroup) cut(i int, cut bool) {
+// setPartitioned partitions a member from the others, or heals the partition.
+func (g *controlGroup) setPartitioned(i int, partitioned bool) {
 	var others []string
 	for j, p := range g.peers {
 		if j != i {
@@ -78,8 +78,8 @@
 		}
 	}
 	one := []string{g.peers[i].Node}
-	g.network.Cut(one, others, cut)
-	g.network.Cut(others, one, cut)
+	g.network.Cut(one, others, partitioned)
+	g.network.Cut(others, one, partitioned)
 }
 
 func (g *controlGroup) close() {
@@ -111,7 +111,7 @@
 	g.t.Helper()
 	revision := g.put(key, value)
 	for _, n := range g.nodes {
-		require.NoError(g.t, n.fsm.wait(within(g.t), revision))
+		require.NoError(g.t, n.fsm.wait(testContext(g.t), revision))
 	}
 	return revision
 }
@@ -119,7 +119,7 @@
 // put writes a record through the first member and returns its revision.
 func (g *controlGroup) put(key, value string) uint64 {
 	g.t.Helper()
-	revision, err := g.nodes[0].Transact(within(g.t), []Write{{Key: key, Value: []byte(value)}})
+	revision, err := g.nodes[0].Transact(testContext(g.t), []Write{{Key: key, Value: []byte(value)}})
 	require.NoError(g.t, err)
 	return revision
 }
@@ -133,6 +133,7 @@
 	cancel  context.CancelFunc
 }
 
+// watchSession opens a session, by default as g1 with the prefix settings/.
 func watchSession(t *testing.T, address string, r WatchRequest) *client {
 	t.Helper()
 	if r.Session.Name == "" {
@@ -171,12 +172,12 @@
 	}
 }
 
-// until reads heartbeats until pleases returns true for one.
-func (c *client) until(pleases func(WatchEvent) bool) WatchEvent {
+// until reads heartbeats until matches returns true for one.
+func (c *client) until(matches func(WatchEvent) bool) WatchEvent {
 	c.t.Helper()
 	for limit := time.Now().Add(15 * time.Second); ; {
 		e := c.next(Heartbeat)
-		if pleases(e) {
+		if matches(e) {
 			return e
 		}
 		if time.Now().After(limit) {
@@ -185,7 +186,8 @@
 	}
 }
 
-func (c *client) end() error {
+// waitEnd waits until the session ends and returns its error.
+func (c *client) waitEnd() error {
 	c.t.Helper()
 	select {
 	case err := <-c.ended:
@@ -196,9 +198,10 @@
 	}
 }
 
+// leave closes the session.
 func (c *client) leave() {
 	c.cancel()
-	require.ErrorIs(c.t, c.end(), context.Canceled)
+	require.ErrorIs(c.t, c.waitEnd(), context.Canceled)
 }
 
 func keysOf(records []Record) (keys []string) {
@@ -216,13 +219,13 @@
 	defer g.close()
 	first := g.put("settings/all/calls", "1")
 	other := g.put("settings/zone/z2/calls", "other")
-	require.NoError(t, g.nodes[3].fsm.wait(within(t), other))
+	require.NoError(t, g.nodes[3].fsm.wait(testContext(t), other))
 	c := watchSession(t, g.address(3), WatchRequest{Prefixes: []string{"settings/all/", "settings/zone/z1/"}})
 	e := c.next(Snapshot)
 	require.Equal(t, []Record{{"settings/all/calls", []byte("1"), first}}, e.Records)
 	require.Equal(t, other, e.Revision)
 
-	revision, err := g.nodes[1].Transact(within(t), []Write{{Key: "settings/all/calls", Delete: true}, {Key: "settings/zone/z1/limits"},
+	revision, err := g.nodes[1].Transact(testContext(t), []Write{{Key: "settings/all/calls", Delete: true}, {Key: "settings/zone/z1/limits"},
 		{Key: "settings/zone/z2/limits", Value: []byte("x")}})
 	require.NoError(t, err)
 	e = c.next(Change)
@@ -243,7 +246,7 @@
 // A transaction through any member is atomic: all its writes get one revision, or none is applied.
 func TestTransaction(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
-	ctx := within(t)
+	ctx := testContext(t)
 	none, stale := uint64(0), uint64(1)
 	first, err := TransactTo(ctx, g.address(3), []Write{{Key: "a", Value: []byte("1"), At: &none}, {Key: "b", Value: []byte("1")}})
 	require.NoError(t, err)
@@ -265,28 +268,28 @@
 	}
 }
 
-// placed is a check's error with advice.
-type placed struct{ text string }
+// adviceError is a check's error with advice.
+type adviceError struct{ text string }
 
-func (p *placed) Error() string  { return p.text }
-func (p *placed) Advice() string { return "write a number there" }
+func (p *adviceError) Error() string  { return p.text }
+func (p *adviceError) Advice() string { return "write a number there" }
 
 // Every member refuses a client's write that fails the check, with the check's text and advice, and without retries.
 func TestCheckRefuses(t *testing.T) {
 	check := func(writes []Write) error {
 		for _, w := range writes {
 			if string(w.Value) == "bad" {
-				return fmt.Errorf("%s: %w", w.Key, &placed{"calls.json:3:7: rate: not a number"})
+				return fmt.Errorf("%s: %w", w.Key, &adviceError{"calls.json:3:7: rate: not a number"})
 			}
 		}
 		return nil
 	}
 	g := newControlGroup(t, 3, 0, func(_ int, o *Options) { o.Check = check })
-	ctx := within(t)
+	ctx := testContext(t)
 	require.NoError(t, g.nodes[0].WaitReady(ctx))
 	leader := g.leader()
-	for _, at := range []int{leader, (leader + 1) % 3} {
-		address := g.address(at)
+	for _, member := range []int{leader, (leader + 1) % 3} {
+		address := g.address(member)
 		_, err := PutTo(ctx, address, "k", []byte("good"), nil)
 		require.NoError(t, err)
 		zero := uint64(0)
@@ -305,10 +308,10 @@
 			require.ErrorAs(t, err, &refused, name)
 			require.Contains(t, err.Error(), "calls.json:3:7: rate: not a number", name)
 			require.Equal(t, "write a number there", advice.Of(err), name)
-			require.Less(t, time.Since(began), applyWithin, "a refused write was retried")
+			require.Less(t, time.Since(began), applyTimeout, "a refused write was retried")
 		}
-		require.Equal(t, []string{"k"}, keysOf(g.nodes[at].List("")))
-		r, _ := g.nodes[at].Get("k")
+		require.Equal(t, []string{"k"}, keysOf(g.nodes[member].List("")))
+		r, _ := g.nodes[member].Get("k")
 		require.Equal(t, "good", string(r.Value))
 	}
 }
@@ -317,25 +320,25 @@
 func TestNotControl(t *testing.T) {
 	g := newControlGroup(t, 1, 0, func(_ int, o *Options) { o.Serve = nil })
 	var not *NotControl
-	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{}).end(), &not)
-	_, err := SessionsFrom(within(t), nil, g.address(0))
+	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{}).waitEnd(), &not)
+	_, err := SessionsFrom(testContext(t), nil, g.address(0))
 	require.ErrorAs(t, err, &not)
 }
 
-var errHandled = errors.New("stop handling")
+var errStopHandling = errors.New("stop handling")
 
 // An error of handle ends the session and is returned.
 func TestHandleEndsSession(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	var mu sync.Mutex
 	seen := 0
-	err := WatchSession(within(t), nil, g.address(0), WatchRequest{Prefixes: []string{"settings/"}}, nil, func(WatchEvent) error {
+	err := WatchSession(testContext(t), nil, g.address(0), WatchRequest{Prefixes: []string{"settings/"}}, nil, func(WatchEvent) error {
 		mu.Lock()
 		defer mu.Unlock()
 		seen++
-		return errHandled
+		return errStopHandling
 	})
-	require.ErrorIs(t, err, errHandled)
+	require.ErrorIs(t, err, errStopHandling)
 	require.Equal(t, 1, seen)
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,8 +26,8 @@
 	// List returns the records under a prefix, ordered by key.
 	List(prefix string) []Record
 	Put(ctx context.Context, key string, value []byte) (revision uint64, err error)
-	// PutAt writes the record only if its revision is at; an at of 0 requires that the record does not exist.
-	PutAt(ctx context.Context, key string, value []byte, at uint64) (revision uint64, err error)
+	// PutAt writes the record only if it is at the expected revision; 0 requires that the record does not exist.
+	PutAt(ctx context.Context, key string, value []byte, expected uint64) (revision uint64, err error)
 	Delete(ctx context.Context, key string) error
 	// Watch calls f for each committed change under a prefix, in order; a deleted record has a nil Value. f must not
 	// block and must not write to the store.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -12,20 +12,23 @@
 	"github.com/sirupsen/logrus"
 )
 
-func quiet() logrus.FieldLogger {
+// discardLogger returns a logger without output.
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func within(t *testing.T) context.Context {
+// testContext returns a context that ends after 20 s or with the test.
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func single(t *testing.T) *Node {
-	n, err := Open(Options{Node: "a", Log: quiet()})
+// openSingle opens a group of one in-memory node.
+func openSingle(t *testing.T) *Node {
+	n, err := Open(Options{Node: "a", Log: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,9 +36,10 @@
 	return n
 }
 
-func group(t *testing.T, size int) []*Node { return groupWith(t, size, nil) }
+// openGroup opens a group of in-memory nodes on loopback.
+func openGroup(t *testing.T, size int) []*Node { return openGroupWithReducers(t, size, nil) }
 
-func groupWith(t *testing.T, size int, reducers map[string]Reducer) []*Node {
+func openGroupWithReducers(t *testing.T, size int, reducers map[string]Reducer) []*Node {
 	var peers []Peer
 	var listeners []net.Listener
 	for i := range size {
@@ -48,7 +52,7 @@
 	}
 	var nodes []*Node
 	for i, p := range peers {
-		n, err := Open(Options{Node: p.Node, Listener: listeners[i], Peers: peers, Reducers: reducers, Log: quiet()})
+		n, err := Open(Options{Node: p.Node, Listener: listeners[i], Peers: peers, Reducers: reducers, Log: discardLogger()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,19 +63,19 @@
 }
 
 // A write through any node, leader or not, can be read there, and the loss of the leader loses no committed record.
-func TestLosingTheLeaderLosesNoRecord(t *testing.T) {
-	nodes := group(t, 3)
-	ctx := within(t)
+func TestLeaderLossKeepsRecords(t *testing.T) {
+	nodes := openGroup(t, 3)
+	ctx := testContext(t)
 	const records = 60
 	revisions := map[string]uint64{}
 	for i := range records {
 		key := fmt.Sprintf("dialog/%02d", i)
-		at := nodes[i%3]
-		rev, err := at.Put(ctx, key, []byte(key))
+		writer := nodes[i%3]
+		rev, err := writer.Put(ctx, key, []byte(key))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r, ok := at.Get(key); !ok || r.Revision != rev {
+		if r, ok := writer.Get(key); !ok || r.Revision != rev {
 			t.Fatalf("%s reads %+v after a write at revision %d", key, r, rev)
 		}
 		revisions[key] = rev
@@ -102,7 +106,7 @@
 }
 
 func TestRevisions(t *testing.T) {
-	n, ctx := single(t), within(t)
+	n, ctx := openSingle(t), testContext(t)
 	first, err := n.PutAt(ctx, "k", []byte("1"), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -122,23 +126,23 @@
 	}
 }
 
-func TestWatchHearsChangesInOrder(t *testing.T) {
-	n, ctx := single(t), within(t)
-	heard := make(chan Record, 4)
-	n.Watch("inventory", func(r Record) { heard <- r })
+func TestWatchDeliversChangesInOrder(t *testing.T) {
+	n, ctx := openSingle(t), testContext(t)
+	received := make(chan Record, 4)
+	n.Watch("inventory", func(r Record) { received <- r })
 	n.Put(ctx, "inventory", []byte("a"))
 	n.Put(ctx, "other", []byte("x"))
 	n.Delete(ctx, "inventory")
-	if r := <-heard; string(r.Value) != "a" {
+	if r := <-received; string(r.Value) != "a" {
 		t.Errorf("first %+v", r)
 	}
-	if r := <-heard; r.Key != "inventory" || r.Value != nil {
+	if r := <-received; r.Key != "inventory" || r.Value != nil {
 		t.Errorf("second %+v", r)
 	}
 }
 
 func TestImportThroughAnyNode(t *testing.T) {
-	nodes, ctx := group(t, 3), within(t)
+	nodes, ctx := openGroup(t, 3), testContext(t)
 	for i, n := range nodes {
 		value := []byte{byte(i)}
 		// Retry while the node does not know its leader yet.
@@ -160,7 +164,7 @@
 
 // Restoring a snapshot gives the same records, and watchers are notified only of the records that changed.
 func TestSnapshotRestores(t *testing.T) {
-	n, ctx := single(t), within(t)
+	n, ctx := openSingle(t), testContext(t)
 	n.Put(ctx, "a", []byte("1"))
 	n.Put(ctx, "b", []byte("2"))
 	s, err := n.fsm.Snapshot()
@@ -174,19 +178,20 @@
 	m := newMachine()
 	m.records["b"], _ = n.Get("b")
 	m.records["c"] = Record{Key: "c", Revision: 1}
-	var told []string
-	m.watch("", func(r Record) { told = append(told, r.Key) })
+	var notified []string
+	m.watch("", func(r Record) { notified = append(notified, r.Key) })
 	if err := m.Restore(io.NopCloser(&sink.Buffer)); err != nil {
 		t.Fatal(err)
 	}
 	if got := m.list(""); len(got) != 2 || string(got[0].Value) != "1" {
 		t.Errorf("restored %+v", got)
 	}
-	if fmt.Sprint(told) != "[a c]" {
-		t.Errorf("notified of %v, want a and c", told)
+	if fmt.Sprint(notified) != "[a c]" {
+		t.Errorf("notified of %v, want a and c", notified)
 	}
 }
 
+// memSink is a raft.SnapshotSink in memory.
 type memSink struct{ bytes.Buffer }
 
 func (*memSink) ID() string    { return "test" }
--- a/internal/store/stream.go
+++ b/internal/store/stream.go
@@ -48,7 +48,7 @@
 // sniff reads the first byte of a connection and passes the connection to raft or to serve.
 func (s *streamLayer) sniff(c net.Conn) {
 	var first [1]byte
-	c.SetReadDeadline(time.Now().Add(sniffWithin))
+	c.SetReadDeadline(time.Now().Add(sniffTimeout))
 	_, err := io.ReadFull(c, first[:])
 	c.SetReadDeadline(time.Time{})
 	switch {
@@ -80,14 +80,14 @@
 	if s.advertised == "" {
 		return s.Listener.Addr()
 	}
-	return named(s.advertised)
+	return advertisedAddr(s.advertised)
 }
 
-// named is a net.Addr with the address in the group's configuration, which need not be an address of this machine.
-type named string
+// advertisedAddr is a net.Addr with the address in the group's configuration, which need not be an address of this machine.
+type advertisedAddr string
 
-func (named) Network() string  { return "tcp" }
-func (n named) String() string { return string(n) }
+func (advertisedAddr) Network() string  { return "tcp" }
+func (n advertisedAddr) String() string { return string(n) }
 
 // Close implements raft.StreamLayer.
 func (s *streamLayer) Close() error {
@@ -97,7 +97,7 @@
 
 // Dial implements raft.StreamLayer.
 func (s *streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", through(s.via, string(addr)), timeout)
+	c, err := net.DialTimeout("tcp", dialAddress(s.via, string(addr)), timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -19,14 +19,14 @@
 	At     *uint64 `json:"at,omitempty"` // expected revision of the record; 0: it must not exist; nil: unconditional
 }
 
-// transactions names the feature in an EarlierVersion error.
-const transactions = "transactions"
+// transactionFeature names the feature in an EarlierVersion error.
+const transactionFeature = "transactions"
 
 // transactionConfirmed is result.Done of a transaction at a member that supports transactions.
 const transactionConfirmed = "transaction"
 
-// leadingMember replaces the leader's name in an EarlierVersion error, because the answer does not contain the name.
-const leadingMember = "leading the group"
+// leaderPlaceholder replaces the leader's name in an EarlierVersion error, because the answer does not contain the name.
+const leaderPlaceholder = "leading the group"
 
 // checkTransaction returns a *BadRequest for writes that no member can carry out. It is also called when a member applies a
 // transaction, so its result must be the same in all versions.
@@ -63,14 +63,14 @@
 	if err := checkTransaction(writes); err != nil {
 		return 0, err
 	}
-	r, err := ask(ctx, addr, command{Op: opTransact, Writes: writes})
+	r, err := sendWithRetry(ctx, addr, command{Op: opTransact, Writes: writes})
 	switch {
 	case err != nil:
 		return 0, err
 	case r.Conflict:
 		return 0, ErrRevision
 	case r.Done != transactionConfirmed:
-		return 0, &EarlierVersion{transactions, addr}
+		return 0, &EarlierVersion{transactionFeature, addr}
 	}
 	return r.Revision, nil
 }
@@ -111,18 +111,18 @@
 
 // versionCheck caches which members' versions support transactions. It is used by the leader.
 type versionCheck struct {
-	mu     sync.Mutex
-	index  uint64               // of the raft configuration that settle belongs to
-	settle map[string]time.Time // by member: when to query it again; zero: never
+	mu           sync.Mutex
+	index        uint64               // of the raft configuration that queryAgainAt belongs to
+	queryAgainAt map[string]time.Time // by member; zero: never
 }
 
-const askVersionAgain = 30 * time.Second // delay until a member that did not answer is queried again
+const versionRetryDelay = 30 * time.Second // delay until a member that did not answer is queried again
 
-// allTransact returns an error if a member is known to run a version without transactions. The leader calls it before it
+// requireTransactions returns an error if a member is known to run a version without transactions. The leader calls it before it
 // commits a transaction: such a member would ignore the transaction, and its records would diverge from those of the others.
 // A member that answers is queried once per configuration of the group. A member that does not answer is queried again later
 // and does not block transactions.
-func (n *Node) allTransact(ctx context.Context) error {
+func (n *Node) requireTransactions(ctx context.Context) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return err
@@ -130,39 +130,39 @@
 	v := &n.versions
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.settle == nil || v.index != f.Index() {
-		v.index, v.settle = f.Index(), map[string]time.Time{n.id: {}}
+	if v.queryAgainAt == nil || v.index != f.Index() {
+		v.index, v.queryAgainAt = f.Index(), map[string]time.Time{n.id: {}}
 	}
 	var unknown []raft.Server
 	for _, m := range f.Configuration().Servers {
-		if again, ok := v.settle[string(m.ID)]; !ok || !again.IsZero() && time.Now().After(again) {
+		if queryAt, ok := v.queryAgainAt[string(m.ID)]; !ok || !queryAt.IsZero() && time.Now().After(queryAt) {
 			unknown = append(unknown, m)
 		}
 	}
-	return n.askVersions(ctx, unknown)
+	return n.queryVersions(ctx, unknown)
 }
 
-// askVersions queries members concurrently and stores the results. The caller holds n.versions.mu.
-func (n *Node) askVersions(ctx context.Context, members []raft.Server) error {
-	ctx, cancel := context.WithTimeout(ctx, upWithin)
+// queryVersions queries members concurrently and stores the results. The caller holds n.versions.mu.
+func (n *Node) queryVersions(ctx context.Context, members []raft.Server) error {
+	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
-	var asked errgroup.Group
+	var queries errgroup.Group
 	var mu sync.Mutex
 	for _, m := range members {
-		asked.Go(func() error {
-			s, err := StatusFrom(ctx, through(n.via, string(m.Address)))
+		queries.Go(func() error {
+			s, err := StatusFrom(ctx, dialAddress(n.via, string(m.Address)))
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case err != nil:
-				n.versions.settle[string(m.ID)] = time.Now().Add(askVersionAgain)
+				n.versions.queryAgainAt[string(m.ID)] = time.Now().Add(versionRetryDelay)
 			case !s.Transactions:
-				return &EarlierVersion{transactions, string(m.ID)}
+				return &EarlierVersion{transactionFeature, string(m.ID)}
 			default:
-				n.versions.settle[string(m.ID)] = time.Time{}
+				n.versions.queryAgainAt[string(m.ID)] = time.Time{}
 			}
 			return nil
 		})
 	}
-	return asked.Wait()
+	return queries.Wait()
 }
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-const snapshotsShared = 64 // cached encodings of one view
+const maxCachedSnapshots = 64 // cached encodings of one view
 
 // view holds all served records at one revision, ordered by key. It is shared by all sessions that need a snapshot until a
 // served record changes.
@@ -56,15 +56,15 @@
 // line returns the encoded snapshot of the records under some prefixes.
 func (v *view) line(prefixes []string) []byte {
 	ranges := v.ranges(prefixes)
-	var name strings.Builder
+	var cacheKey strings.Builder
 	for _, r := range ranges {
 		for _, i := range []int{r.from, r.to} {
-			name.Write([]byte{byte(i), byte(i >> 8), byte(i >> 16), byte(i >> 24)})
+			cacheKey.Write([]byte{byte(i), byte(i >> 8), byte(i >> 16), byte(i >> 24)})
 		}
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if line, ok := v.lines[name.String()]; ok {
+	if line, ok := v.lines[cacheKey.String()]; ok {
 		return line
 	}
 	e := &wireEvent{Kind: Snapshot, Revision: v.revision}
@@ -74,11 +74,11 @@
 		}
 	}
 	line := e.line()
-	if len(v.lines) < snapshotsShared {
+	if len(v.lines) < maxCachedSnapshots {
 		if v.lines == nil {
 			v.lines = map[string][]byte{}
 		}
-		v.lines[name.String()] = line
+		v.lines[cacheKey.String()] = line
 	}
 	return line
 }
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -20,6 +20,7 @@
 	Heartbeat
 )
 
+// watchKinds maps kinds to their names on the wire.
 var watchKinds = map[WatchKind]string{Snapshot: "snapshot", Change: "change", Heartbeat: "heartbeat"}
 
 // String implements fmt.Stringer.
@@ -130,33 +131,33 @@
 
 // Defaults of ServeOptions.
 const (
-	heartbeatEvery = time.Second
-	historySize    = 1024
-	historyBytes   = 64 << 20
-	reportEvery    = time.Second
+	defaultHeartbeatInterval = time.Second
+	defaultHistorySize       = 1024
+	defaultHistoryBytes      = 64 << 20
+	defaultReportInterval    = time.Second
 )
 
 // withDefaults returns the options with defaults in place of zero values.
 func (o ServeOptions) withDefaults() ServeOptions {
-	fill := func(d *time.Duration, value time.Duration) {
+	setDefault := func(d *time.Duration, value time.Duration) {
 		if *d <= 0 {
 			*d = value
 		}
 	}
-	fill(&o.HeartbeatEvery, heartbeatEvery)
-	fill(&o.ReportEvery, reportEvery)
+	setDefault(&o.HeartbeatEvery, defaultHeartbeatInterval)
+	setDefault(&o.ReportEvery, defaultReportInterval)
 	if o.HistorySize <= 0 {
-		o.HistorySize = historySize
+		o.HistorySize = defaultHistorySize
 	}
 	if o.HistoryBytes <= 0 {
-		o.HistoryBytes = historyBytes
+		o.HistoryBytes = defaultHistoryBytes
 	}
 	return o
 }
 
-// silenceAfter returns how long each side of a session waits for a line of the other, given the heartbeat interval. A client
+// idleTimeoutFor returns how long each side of a session waits for a line of the other, given the heartbeat interval. A client
 // answers each heartbeat with a report.
-func silenceAfter(every time.Duration) time.Duration { return 3*every + writeWithin }
+func idleTimeoutFor(every time.Duration) time.Duration { return 3*every + writeTimeout }
 
 // wireRecord is the encoding of a record in an event. Deleted distinguishes a deleted record from one with an empty value.
 type wireRecord struct {
@@ -166,6 +167,7 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
+// record returns the decoded record: its value is nil only if it was deleted.
 func (r wireRecord) record() Record {
 	switch {
 	case r.Deleted:
@@ -186,6 +188,7 @@
 	Every    time.Duration `json:"every_ns,omitempty"`
 }
 
+// event returns the decoded event.
 func (w *wireEvent) event() WatchEvent {
 	e := WatchEvent{Kind: w.Kind, Revision: w.Revision, Fleet: w.Fleet, Age: w.Age, Every: w.Every}
 	for _, r := range w.Records {
