--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -151,8 +151,8 @@
 // attempt within the same call, as after any timeout; a conditional write (PutTo with expected) shows whether it was.
 var ErrNotReady = errors.New("not ready: no leader yet")
 
-// sendWithRetry sends a command to the member at an address. While that member is not ready it retries until the context ends, and
-// then returns ErrNotReady.
+// sendWithRetry sends a command to the member at an address. While that member is not ready it retries until the context ends,
+// and then returns ErrNotReady.
 func sendWithRetry(ctx context.Context, addr string, c command) (result, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -53,11 +53,11 @@
 func (s *sessionServer) allSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]*session, 0, len(s.sessions))
+	allSessions := make([]*session, 0, len(s.sessions))
 	for sess := range s.sessions {
-		all = append(all, sess)
+		allSessions = append(allSessions, sess)
 	}
-	return all
+	return allSessions
 }
 
 // statuses returns the status of each session of this control machine, ordered by name.
@@ -77,9 +77,9 @@
 	tick := time.NewTicker(s.options.ReportEvery)
 	defer tick.Stop()
 	for {
-		fleet := s.gather()
+		fleetCounts := s.gather()
 		s.mu.Lock()
-		s.fleetCounts = fleet
+		s.fleetCounts = fleetCounts
 		s.mu.Unlock()
 		select {
 		case <-tick.C:
@@ -142,8 +142,8 @@
 	return *r.Counts, nil
 }
 
-// sumCounts adds up the counts of several control machines. A control machine that lacks the newest change can't have sent it, so
-// all its sessions count as behind, at least since its last contact with the leader.
+// sumCounts adds up the counts of several control machines. A control machine that lacks the newest change can't have
+// sent it, so all its sessions count as behind, at least since its last contact with the leader.
 func sumCounts(received []counts, unheard int) *FleetCounts {
 	f := &FleetCounts{Replicas: len(received), Unheard: unheard}
 	for _, c := range received {
--- a/internal/store/counts_test.go
+++ b/internal/store/counts_test.go
@@ -81,13 +81,13 @@
 		c.reports <- WatchReport{InForce: first}
 	}
 	near.until(func(e WatchEvent) bool { return e.Fleet != nil && e.Fleet.Holding == 2 })
-	g.setPartitioned(3, true)
+	g.disconnect(3, true)
 	second := g.put("settings/a", "2")
 	require.Equal(t, second, near.next(Change).Revision)
 	near.reports <- WatchReport{InForce: second}
 	e := near.until(func(e WatchEvent) bool { return e.Fleet.Unheard == 1 && e.Fleet.Holding == 1 })
 	require.Equal(t, 1, e.Fleet.Sessions)
-	g.setPartitioned(3, false)
+	g.disconnect(3, false)
 	require.Equal(t, second, far.next(Change).Revision)
 	near.until(func(e WatchEvent) bool { return e.Fleet.Behind == 1 && e.Fleet.Sessions == 2 })
 	far.reports <- WatchReport{InForce: second}
--- a/internal/store/history.go
+++ b/internal/store/history.go
@@ -20,7 +20,7 @@
 
 	mu        sync.Mutex
 	encodings map[string][]byte // by the bit set of the changes that the encoding contains
-	cached    bool              // new encodings are cached
+	cached    bool              // whether new encodings are cached
 }
 
 // history keeps the latest transactions, so that sessions can read them at their own pace and resume. It is bounded in count
@@ -31,13 +31,13 @@
 	limit, maxBytes int
 	changed         chan struct{} // buffered signal: the history has changed
 
-	mu           sync.Mutex
-	transactions []*transaction // ordered by revision
-	bytes        int
-	floor        uint64 // all transactions after this revision are kept
-	applied      uint64 // the history is complete up to this revision
-	lastChange   uint64 // revision of the last served change, or of the last reset
-	lastReset    uint64 // revision of the last reset
+	mu         sync.Mutex
+	retained   []*transaction // ordered by revision
+	bytes      int
+	floor      uint64 // all transactions after this revision are kept
+	applied    uint64 // the history is complete up to this revision
+	lastChange uint64 // revision of the last served change, or of the last reset
+	lastReset  uint64 // revision of the last reset
 }
 
 func newHistory(prefix string, limit, maxBytes int) *history {
@@ -61,12 +61,12 @@
 		return
 	}
 	h.lastChange = revision
-	h.transactions = append(h.transactions, &transaction{revision: revision, changes: served, size: size, cached: true})
+	h.retained = append(h.retained, &transaction{revision: revision, changes: served, size: size, cached: true})
 	h.bytes += size
-	if aged := len(h.transactions) - 1 - cachedTransactions; aged >= 0 {
-		h.transactions[aged].forgetEncodings()
+	if aged := len(h.retained) - 1 - cachedTransactions; aged >= 0 {
+		h.retained[aged].forgetEncodings()
 	}
-	for len(h.transactions) > h.limit || h.bytes > h.maxBytes && len(h.transactions) > 1 {
+	for len(h.retained) > h.limit || h.bytes > h.maxBytes && len(h.retained) > 1 {
 		h.dropOldest()
 	}
 	h.signal()
@@ -74,18 +74,18 @@
 
 // dropOldest removes the oldest transaction and raises the floor to its revision.
 func (h *history) dropOldest() {
-	oldest := h.transactions[0]
+	oldest := h.retained[0]
 	h.floor = oldest.revision
 	h.bytes -= oldest.size
-	h.transactions[0] = nil
-	h.transactions = h.transactions[1:]
+	h.retained[0] = nil
+	h.retained = h.retained[1:]
 }
 
 // reset discards all transactions: the state was replaced at a revision, and sessions can't resume from before it.
 func (h *history) reset(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.transactions, h.bytes = nil, 0
+	h.retained, h.bytes = nil, 0
 	h.floor, h.applied, h.lastChange, h.lastReset = revision, revision, revision, revision
 	h.signal()
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// since returns up to most transactions after a revision, and the revision up to which they are complete. ok is false if
+// since returns up to limit transactions after a revision, and the revision up to which they are complete. ok is false if
 // some of them are no longer kept.
 func (h *history) since(revision uint64, limit int) (transactions []*transaction, upTo uint64, ok bool) {
 	h.mu.Lock()
@@ -106,8 +106,8 @@
 	if revision < h.floor {
 		return nil, revision, false
 	}
-	first := sort.Search(len(h.transactions), func(i int) bool { return h.transactions[i].revision > revision })
-	rest := h.transactions[first:]
+	first := sort.Search(len(h.retained), func(i int) bool { return h.retained[i].revision > revision })
+	rest := h.retained[first:]
 	if len(rest) > limit {
 		rest = rest[:limit]
 		return slices.Clone(rest), rest[limit-1].revision, true
@@ -117,7 +117,7 @@
 
 // state returns the revision from which sessions can resume, the revision up to which the history is complete, and the
 // revision of the last change of a served record or of the last reset.
-func (h *history) state() (floor, applied, last uint64) {
+func (h *history) state() (floor, applied, lastChange uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.floor, h.applied, h.lastChange
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -35,8 +35,8 @@
 				h.append(revision, putChange("s/x", rapid.IntRange(0, 100).Draw(t, "size")))
 				all = append(all, revision)
 			}
-			require.LessOrEqual(t, len(h.transactions), limit)
-			require.True(t, h.bytes <= maxBytes || len(h.transactions) == 1, "%d bytes", h.bytes)
+			require.LessOrEqual(t, len(h.retained), limit)
+			require.True(t, h.bytes <= maxBytes || len(h.retained) == 1, "%d bytes", h.bytes)
 			floor, applied, _ := h.state()
 			require.Equal(t, revision, applied)
 			after := uint64(rapid.IntRange(0, int(revision)).Draw(t, "after"))
--- a/internal/store/journal/format.go
+++ b/internal/store/journal/format.go
@@ -39,8 +39,8 @@
 	Entries        []entry           `cbor:"1,keyasint,omitempty"`
 	TruncateFrom   uint64            `cbor:"2,keyasint,omitempty"` // entries from this index on are removed before Entries are added
 	TruncateBefore uint64            `cbor:"3,keyasint,omitempty"` // entries before this index are removed
-	Stable         map[string][]byte `cbor:"4,keyasint,omitempty"` // stable values, by key
-	Checkpoint     bool              `cbor:"5,keyasint,omitempty"` // a checkpoint: Stable replaces all stable values
+	Set            map[string][]byte `cbor:"4,keyasint,omitempty"` // stable values, by key
+	Checkpoint     bool              `cbor:"5,keyasint,omitempty"` // a checkpoint: Set replaces all stable values
 	PreviousSize   int64             `cbor:"6,keyasint,omitempty"` // of a checkpoint: size of the previous segment
 }
 
@@ -76,8 +76,8 @@
 		e.File, e.Offset, e.Reason)
 }
 
-// appendFrame appends a frame with a change to a buffer.
-func (j *Journal) appendFrame(b []byte, c change, flags byte) ([]byte, error) {
+// append appends a frame with a change to a buffer.
+func (j *Journal) append(b []byte, c change, flags byte) ([]byte, error) {
 	j.buf.Reset()
 	if err := cbor.MarshalToBuffer(c, &j.buf); err != nil {
 		return b, err
@@ -90,7 +90,7 @@
 	return append(b, j.buf.Bytes()...), nil
 }
 
-// decodeFrame decodes the frame at the start of text; payload is nil if there is no valid frame.
+// decodeFrame decodes the frame at the start of data; payload is nil if there is no valid frame.
 func decodeFrame(data []byte) (payload []byte, flags byte, size int) {
 	if len(data) < frameHeaderSize || !bytes.HasPrefix(data, frameMark) {
 		return nil, 0, 0
@@ -114,7 +114,7 @@
 	return d.Sum64()
 }
 
-// hasSyncedFrame reports whether text contains, after its first byte, a valid frame that was written after a sync.
+// hasSyncedFrame reports whether data contains, after its first byte, a valid frame that was written after a sync.
 func hasSyncedFrame(data []byte) bool {
 	for offset := 1; offset < len(data); offset++ {
 		i := bytes.Index(data[offset:], frameMark)
--- a/internal/store/journal/journal.go
+++ b/internal/store/journal/journal.go
@@ -10,10 +10,10 @@
 
 // Options configures a journal.
 type Options struct {
-	Dir          string
-	FS           FS            // nil: Disk
-	SyncInterval time.Duration // interval of syncs; 0: sync before each write returns; votes and terms always do
-	SegmentSize  int64         // bytes after which a new segment is started; 0: 4 MiB
+	Dir         string
+	FS          FS            // nil: Disk
+	SyncEvery   time.Duration // interval of syncs; 0: sync before each write returns, as votes and terms always are
+	SegmentSize int64         // bytes after which a new segment is started; 0: 4 MiB
 }
 
 // Journal implements raft.LogStore and raft.StableStore. After a failed write all further writes fail, because the content of
@@ -52,7 +52,7 @@
 	if err := j.resume(); err != nil {
 		return nil, err
 	}
-	if j.SyncInterval > 0 {
+	if j.SyncEvery > 0 {
 		j.stop, j.done = make(chan struct{}), make(chan struct{})
 		go j.syncPeriodically()
 	}
@@ -99,11 +99,11 @@
 		return err
 	}
 	data := append([]byte(magic), Version)
-	c := change{TruncateBefore: j.firstKept, Stable: j.stable, Checkpoint: true}
+	c := change{TruncateBefore: j.firstKept, Set: j.stable, Checkpoint: true}
 	if n := len(j.segments); n > 0 {
 		c.PreviousSize = j.segments[n-1].size
 	}
-	data, err = j.appendFrame(data, c, 0)
+	data, err = j.append(data, c, 0)
 	if err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 }
 
 // write writes one change to the file and applies it in memory. The change is durable when write returns, or, with
-// SyncInterval and without syncNow, after the next sync.
+// SyncEvery and without syncNow, after the next sync.
 func (j *Journal) write(c change, syncNow bool) error {
 	if j.failed != nil {
 		return errFailed
@@ -150,7 +150,7 @@
 	if j.dirty {
 		flags = 0
 	}
-	data, err := j.appendFrame(nil, c, flags)
+	data, err := j.append(nil, c, flags)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	if len(c.Entries) > 0 {
 		s.lastIndex = max(s.lastIndex, c.Entries[len(c.Entries)-1].Index)
 	}
-	if j.SyncInterval == 0 || syncNow {
+	if j.SyncEvery == 0 || syncNow {
 		return j.sync()
 	}
 	return nil
@@ -192,8 +192,7 @@
 	return j.prune()
 }
 
-// prune removes leading segments that hold no entries from firstKept on. The change that set firstKept has been
-// synced.
+// prune removes leading segments that hold no entries from firstKept on. The change that set firstKept has been synced.
 func (j *Journal) prune() error {
 	removed := false
 	for len(j.segments) > 1 && j.segments[0].lastIndex < j.firstKept {
@@ -209,10 +208,10 @@
 	return j.FS.SyncDir(j.Dir)
 }
 
-// syncPeriodically syncs the journal at SyncInterval until Close.
+// syncPeriodically syncs the journal at the interval SyncEvery until Close.
 func (j *Journal) syncPeriodically() {
 	defer close(j.done)
-	tick := time.NewTicker(j.SyncInterval)
+	tick := time.NewTicker(j.SyncEvery)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/store/journal/journal_test.go
+++ b/internal/store/journal/journal_test.go
@@ -21,7 +21,7 @@
 	durableNames map[string]bool // files in the folder when it was last synced
 	step         int             // steps so far
 	faultStep    int             // step at which the fault occurs; 0: none
-	fault        fault
+	kind         fault
 }
 
 // content is the content of a file.
@@ -57,10 +57,10 @@
 	if f.step != f.faultStep {
 		return false
 	}
-	if f.fault == crash {
+	if f.kind == crash {
 		panic(crashed{})
 	}
-	return slices.Contains(kinds, f.fault)
+	return slices.Contains(kinds, f.kind)
 }
 
 // faultyFile is a file of a faultyFS.
@@ -81,7 +81,7 @@
 	c := w.fs.files[w.name]
 	if w.fs.nextStep(shortWrite, fullDisk) {
 		c.data = append(c.data, b[:len(b)/2]...)
-		if w.fs.fault == shortWrite {
+		if w.fs.kind == shortWrite {
 			panic(crashed{})
 		}
 		return len(b) / 2, errFault
@@ -92,7 +92,7 @@
 
 func (w faultyFile) Sync() error {
 	if w.fs.nextStep(syncError, lostSync) {
-		if w.fs.fault == lostSync {
+		if w.fs.kind == lostSync {
 			return nil
 		}
 		return errFault
@@ -146,8 +146,9 @@
 	return nil
 }
 
-// afterPowerFailure returns a possible state of the files after a power failure. Depending on the variant, of the unsynced data nothing,
-// half, all, or all with a corrupted start is left, and files whose directory entry was not synced exist or not.
+// afterPowerFailure returns a possible state of the files after a power failure. Depending on the variant, none, half or
+// all of the unsynced data is left, or all of it with a corrupted start, and files whose directory entry was not synced exist or
+// not.
 func (f *faultyFS) afterPowerFailure(variant int) *faultyFS {
 	next := newFaultyFS()
 	for name, c := range f.files {
@@ -228,7 +229,7 @@
 }
 
 func options(f FS, every time.Duration) Options {
-	return Options{Dir: "d", FS: f, SegmentSize: 400, SyncInterval: every}
+	return Options{Dir: "d", FS: f, SegmentSize: 400, SyncEvery: every}
 }
 
 // run executes the script until a step fails or a crash occurs. It returns the acknowledged states, and how many of them a sync
@@ -291,7 +292,7 @@
 		for _, kind := range []fault{crash, shortWrite, fullDisk, syncError, lostSync} {
 			for faultStep := 1; ; faultStep++ {
 				f := newFaultyFS()
-				f.faultStep, f.fault = faultStep, kind
+				f.faultStep, f.kind = faultStep, kind
 				states, durable := run(f, every)
 				if f.step < faultStep {
 					break // the run ended before the step
@@ -346,7 +347,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.faultStep, f.fault = f.step+1, fullDisk
+	f.faultStep, f.kind = f.step+1, fullDisk
 	if err := j.StoreLogs(logs(1, 1, 1)); !errors.Is(err, errFault) {
 		t.Error(err)
 	}
@@ -360,7 +361,7 @@
 func TestReadError(t *testing.T) {
 	f := newFaultyFS()
 	run(f, 0)
-	f.step, f.faultStep, f.fault = 0, 2, readError
+	f.step, f.faultStep, f.kind = 0, 2, readError
 	if _, err := Open(options(f, 0)); !errors.Is(err, errFault) {
 		t.Error(err)
 	}
@@ -458,7 +459,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for name, every := range map[string]time.Duration{"always": 0, "interval": 100 * time.Millisecond} {
 		b.Run(name, func(b *testing.B) {
-			j, err := Open(Options{Dir: b.TempDir(), SyncInterval: every})
+			j, err := Open(Options{Dir: b.TempDir(), SyncEvery: every})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/journal/raft.go
+++ b/internal/store/journal/raft.go
@@ -91,7 +91,7 @@
 func (j *Journal) Set(key, value []byte) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.write(change{Stable: map[string][]byte{string(key): bytes.Clone(value)}}, true)
+	return j.write(change{Set: map[string][]byte{string(key): bytes.Clone(value)}}, true)
 }
 
 // Get implements raft.StableStore.
--- a/internal/store/journal/read.go
+++ b/internal/store/journal/read.go
@@ -97,7 +97,7 @@
 	if c.Checkpoint {
 		j.stable = map[string][]byte{}
 	}
-	for k, v := range c.Stable {
+	for k, v := range c.Set {
 		j.stable[k] = v
 	}
 	if c.TruncateFrom > 0 {
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -127,15 +127,15 @@
 	if err != nil {
 		r.Fault = err.Error()
 	} else {
-		changes = m.computeChanges(&c, &r)
+		changes = m.changes(&c, &r)
 	}
 	m.applyChanges(changes)
 	m.publish(r.Revision, changes)
 	return r
 }
 
-// computeChanges computes the changes of a command and fills in its result. It does not modify the records.
-func (m *machine) computeChanges(c *command, r *result) []change {
+// changes computes the changes of a command and fills in its result. It does not modify the records.
+func (m *machine) changes(c *command, r *result) []change {
 	switch c.Op {
 	case opPut, opPutAt, opDelete, opTransact:
 		return m.transact(c, r)
@@ -241,13 +241,13 @@
 func (m *machine) wait(ctx context.Context, revision uint64) error {
 	for {
 		m.mu.Lock()
-		done, more := m.revision >= revision, m.advanced
+		done, advanced := m.revision >= revision, m.advanced
 		m.mu.Unlock()
 		if done {
 			return nil
 		}
 		select {
-		case <-more:
+		case <-advanced:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -89,8 +89,8 @@
 	return string(do), n.applyMemberChange(do, c, f.Configuration(), f.Index())
 }
 
-// applyMemberChange makes a change that was allowed for the configuration was with the given index. Raft rejects it if the
-// configuration has a different index by then, so two concurrent changes can't both be made.
+// applyMemberChange makes a change that was allowed for the configuration conf with the given index. Raft rejects it if
+// the configuration has a different index by then, so two concurrent changes can't both be made.
 func (n *Node) applyMemberChange(do member.Do, c MemberChange, conf raft.Configuration, index uint64) error {
 	id, address := raft.ServerID(c.Node), raft.ServerAddress(c.Address)
 	voter := false
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -118,10 +118,10 @@
 	}
 	servers := []raft.Server{{ID: c.LocalID, Address: raft.ServerAddress(o.Node)}}
 	nonVoter := false
-	var trans raft.Transport
+	var transport raft.Transport
 	if len(o.Peers) == 0 && !o.Join {
 		_, mem := raft.NewInmemTransport(raft.ServerAddress(o.Node))
-		trans, n.transport = mem, mem
+		transport, n.transport = mem, mem
 	} else {
 		if o.Listener == nil {
 			return nil, errors.New("store: a node with peers or with Join needs a listener")
@@ -139,9 +139,9 @@
 		}
 		n.layer = newStreamLayer(o.Listener, n.serve, advertised, o.Via)
 		net := raft.NewNetworkTransportWithLogger(n.layer, 3, applyTimeout, c.Logger)
-		trans, n.transport = net, closeStreams{net}
+		transport, n.transport = net, closeStreams{net}
 	}
-	r, err := n.start(c, o, trans)
+	r, err := n.start(c, o, transport)
 	if err != nil {
 		n.transport.Close()
 		if n.journal != nil {
@@ -185,11 +185,11 @@
 }
 
 // start starts raft with its log and snapshots in Options.Dir, or in memory if it is empty.
-func (n *Node) start(c *raft.Config, o Options, trans raft.Transport) (*raft.Raft, error) {
+func (n *Node) start(c *raft.Config, o Options, transport raft.Transport) (*raft.Raft, error) {
 	if o.Dir == "" {
 		logs := raft.NewInmemStore()
 		n.logs = logs
-		return raft.NewRaft(c, n.fsm, logs, logs, raft.NewInmemSnapshotStore(), trans)
+		return raft.NewRaft(c, n.fsm, logs, logs, raft.NewInmemSnapshotStore(), transport)
 	}
 	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = snapshotThreshold, snapshotCheckInterval, trailingLogs
 	every := time.Duration(0)
@@ -200,7 +200,7 @@
 	default:
 		return nil, fmt.Errorf("store: sync is %q, but must be %s or %s", o.Sync, SyncAlways, SyncInterval)
 	}
-	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), SyncInterval: every})
+	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), SyncEvery: every})
 	if err != nil {
 		return nil, err
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return raft.NewRaft(c, n.fsm, j, j, snapshots, trans)
+	return raft.NewRaft(c, n.fsm, j, j, snapshots, transport)
 }
 
 // logDir returns the folder of the journal within a store's folder; raft's snapshots folder is next to it.
--- a/internal/store/nonvoter_test.go
+++ b/internal/store/nonvoter_test.go
@@ -82,10 +82,10 @@
 			s, err := StatusFrom(testContext(t), through)
 			return err == nil && s.Leader == g.address(leader)
 		}, 5*time.Second, time.Millisecond)
-		g.setPartitioned(leader, true)
+		g.disconnect(leader, true)
 		_, err := TransactTo(testContext(t), through, []Write{{Key: "settings/a", Value: []byte("2")}})
 		require.NoError(t, err)
-		g.setPartitioned(leader, false)
+		g.disconnect(leader, false)
 		require.Eventually(t, func() bool { return !g.nodes[leader].Leader() }, 5*time.Second, time.Millisecond)
 	}
 }
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -99,7 +99,7 @@
 	return &lineReader{limit, bufio.NewReader(limit)}
 }
 
-// next reads a line. At most most bytes are read from the connection, besides those that are buffered already.
+// next reads a line. It reads at most maxBytes from the connection, besides those that are buffered already.
 func (l *lineReader) next(maxBytes int64) ([]byte, error) {
 	l.limit.N = maxBytes
 	return l.in.ReadBytes('\n')
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// sendFinalError sends the client the error that ends its session and waits until the client disconnects: closing a connection with
-// unread reports resets it, and data written last may be lost.
+// sendFinalError sends the client the error that ends its session and waits until the client disconnects: closing a connection
+// with unread reports resets it, and data written last may be lost.
 func (s *session) sendFinalError(err error) {
 	sendFault(s.conn, err)
 	if half, ok := s.conn.(*net.TCPConn); ok {
@@ -93,7 +93,7 @@
 	s.conn.SetDeadline(time.Time{})
 	floor, _, _ := s.server.history.state()
 	snapshot := s.request.After == 0 || s.request.After < floor
-	if err := s.server.admitSession(admission.Request{Client: s.request.Session.Name, Snapshot: snapshot}); err != nil {
+	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, Snapshot: snapshot}); err != nil {
 		return err
 	}
 	s.admitted = true
--- a/internal/store/session_life_test.go
+++ b/internal/store/session_life_test.go
@@ -193,10 +193,10 @@
 		require.Eventually(t, func() bool { return f.reached(newest) }, 20*time.Second, 5*time.Millisecond)
 	}
 	reached()
-	g.setPartitioned(1, true)
+	g.disconnect(1, true)
 	write(1, trailingLogs+200)
 	require.NoError(t, g.nodes[0].Compact())
-	g.setPartitioned(1, false)
+	g.disconnect(1, false)
 	reached()
 	write(trailingLogs+201, 5)
 	reached()
--- a/internal/store/session_model_test.go
+++ b/internal/store/session_model_test.go
@@ -187,13 +187,13 @@
 			case "cut":
 				rapid.SampledFrom(followers).Draw(t, "follower").disconnect()
 			case "lag", "heal":
-				g.setPartitioned(rapid.SampledFrom([]int{3, 4}).Draw(t, "replica"), step == "lag")
+				g.disconnect(rapid.SampledFrom([]int{3, 4}).Draw(t, "replica"), step == "lag")
 			case "pause":
 				time.Sleep(time.Duration(rapid.IntRange(1, 10).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		g.setPartitioned(3, false)
-		g.setPartitioned(4, false)
+		g.disconnect(3, false)
+		g.disconnect(4, false)
 		for _, f := range followers {
 			for limit := time.Now().Add(20 * time.Second); !f.reached(newest); time.Sleep(time.Millisecond) {
 				require.True(t, time.Now().Before(limit), "%s does not reach revision %d", f.name, newest)
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -30,7 +30,7 @@
 	node      *Node
 	options   ServeOptions
 	history   *history
-	startedAt time.Time       // start of the clock passed to admit
+	startedAt time.Time       // start of the controller's clock
 	ctx       context.Context // canceled when the server closes
 	cancel    context.CancelFunc
 	running   sync.WaitGroup
@@ -158,7 +158,7 @@
 	s.running.Done()
 }
 
-// serveSession serves one watch session until it ends, and sends the client the error that ended it if that is still possible.
+// serveSession serves one watch session until it ends, and sends the client the error that ended it unless run has done so.
 func (n *Node) serveSession(c net.Conn, in *lineReader, request WatchRequest) {
 	if err := n.runSession(c, in, request); !errors.Is(err, errSessionEnds) {
 		sendFault(c, err)
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// admitSession asks the admission controller to admit a session. An admitted session must be ended with release.
-func (s *sessionServer) admitSession(r admission.Request) error {
+// admitted asks the admission controller to admit a session. An admitted session must be ended with release.
+func (s *sessionServer) admitted(r admission.Request) error {
 	s.controllerMu.Lock()
 	defer s.controllerMu.Unlock()
 	switch d := s.controller.Admit(s.clock(), r); {
@@ -282,9 +282,9 @@
 		return s.lastHeartbeat.line
 	}
 	s.mu.Lock()
-	fleet := s.fleetCounts
+	fleetCounts := s.fleetCounts
 	s.mu.Unlock()
-	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleet, Age: s.node.contactAge(), Every: s.options.HeartbeatEvery}
+	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleetCounts, Age: s.node.contactAge(), Every: s.options.HeartbeatEvery}
 	s.lastHeartbeat = encodedHeartbeat{e.line(), revision, now}
 	return s.lastHeartbeat.line
 }
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -69,8 +69,8 @@
 	g.t.Cleanup(func() { n.Close() })
 }
 
-// setPartitioned partitions a member from the others, or heals the partition.
-func (g *controlGroup) setPartitioned(i int, partitioned bool) {
+// disconnect partitions a member from the others, or heals the partition if disconnect is false.
+func (g *controlGroup) disconnect(i int, disconnect bool) {
 	var others []string
 	for j, p := range g.peers {
 		if j != i {
@@ -78,8 +78,8 @@
 		}
 	}
 	one := []string{g.peers[i].Node}
-	g.network.Cut(one, others, partitioned)
-	g.network.Cut(others, one, partitioned)
+	g.network.Cut(one, others, disconnect)
+	g.network.Cut(others, one, disconnect)
 }
 
 func (g *controlGroup) close() {
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -118,8 +118,8 @@
 
 const versionRetryDelay = 30 * time.Second // delay until a member that did not answer is queried again
 
-// requireTransactions returns an error if a member is known to run a version without transactions. The leader calls it before it
-// commits a transaction: such a member would ignore the transaction, and its records would diverge from those of the others.
+// requireTransactions returns an error if a member is known to run a version without transactions. The leader calls it before
+// it commits a transaction: such a member would ignore the transaction, and its records would diverge from those of the others.
 // A member that answers is queried once per configuration of the group. A member that does not answer is queried again later
 // and does not block transactions.
 func (n *Node) requireTransactions(ctx context.Context) error {
