--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -19,38 +19,38 @@
 
 // Status is the state of one member.
 type Status struct {
-	Node       string        `json:"node"`
-	State      string        `json:"state"`       // Leader, Follower, Candidate or Shutdown
-	LeaderNode string        `json:"leader_node"` // "" while there is no leader
-	Leader     string        `json:"leader"`      // address of the leader
-	Term       uint64        `json:"term"`
-	Applied    uint64        `json:"applied"`         // index of the last applied entry
-	Revision   uint64        `json:"revision"`        // of the records
-	Held       uint64        `json:"held,omitempty"`  // highest revision that a session client reported to hold, if above Revision
-	Last       uint64        `json:"last"`            // index of the last entry in the log
-	Snapshot   uint64        `json:"snapshot"`        // index of the last entry in the newest snapshot
-	Contact    time.Duration `json:"last_contact_ns"` // since the last contact with the leader; 0 at the leader
-	Records    int           `json:"records"`
-	Ready      bool          `json:"ready"` // local reads are current, see Node.Ready
-	Members    []Member      `json:"members"`
+	Node               string        `json:"node"`
+	State              string        `json:"state"`       // Leader, Follower, Candidate or Shutdown
+	LeaderNode         string        `json:"leader_node"` // "" while there is no leader
+	Leader             string        `json:"leader"`      // address of the leader
+	Term               uint64        `json:"term"`
+	Applied            uint64        `json:"applied"`         // index of the last applied entry
+	Revision           uint64        `json:"revision"`        // of the records
+	MaxClientRevision  uint64        `json:"held,omitempty"`  // highest revision that a session client reported to hold, if above Revision
+	LastLogIndex       uint64        `json:"last"`            // index of the last entry in the log
+	SnapshotIndex      uint64        `json:"snapshot"`        // index of the last entry in the newest snapshot
+	SinceLeaderContact time.Duration `json:"last_contact_ns"` // since the last contact with the leader; 0 at the leader
+	Records            int           `json:"records"`
+	Ready              bool          `json:"ready"` // local reads are current, see Node.Ready
+	Members            []Member      `json:"members"`
 
-	Transactions bool `json:"transactions"` // this version supports transactions
-	Raises       bool `json:"raises"`       // this version supports raising revisions
+	SupportsTransactions bool `json:"transactions"` // this version supports transactions
+	SupportsRaise        bool `json:"raises"`       // this version supports raising revisions
 }
 
 // Status returns the current state of this member.
 func (n *Node) Status() Status {
 	leader, id := n.raft.LeaderWithID()
 	s := Status{Node: n.id, State: n.raft.State().String(), LeaderNode: string(id), Leader: string(leader), Term: n.raft.CurrentTerm(),
-		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{},
-		Revision: n.fsm.lastRevision(), Transactions: true, Raises: true}
+		Applied: n.raft.AppliedIndex(), LastLogIndex: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{},
+		Revision: n.fsm.lastRevision(), SupportsTransactions: true, SupportsRaise: true}
 	if n.sessions != nil {
-		s.Held = n.sessions.clientRevisionAbove(s.Revision)
+		s.MaxClientRevision = n.sessions.clientRevisionAbove(s.Revision)
 	}
 	if !n.Leader() && !n.raft.LastContact().IsZero() {
-		s.Contact = time.Since(n.raft.LastContact())
+		s.SinceLeaderContact = time.Since(n.raft.LastContact())
 	}
-	fmt.Sscan(n.raft.Stats()["last_snapshot_index"], &s.Snapshot)
+	fmt.Sscan(n.raft.Stats()["last_snapshot_index"], &s.SnapshotIndex)
 	if f := n.raft.GetConfiguration(); f.Error() == nil {
 		for _, m := range f.Configuration().Servers {
 			s.Members = append(s.Members, Member{string(m.ID), string(m.Address), m.Suffrage == 0})
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -74,7 +74,7 @@
 
 // gatherCounts collects the counts of all control machines at the report interval until the server closes.
 func (s *sessionServer) gatherCounts() {
-	tick := time.NewTicker(s.options.ReportEvery)
+	tick := time.NewTicker(s.options.ReportInterval)
 	defer tick.Stop()
 	for {
 		fleetCounts := s.gather()
@@ -91,7 +91,7 @@
 
 // gather queries all members concurrently. A member that does not answer within the report interval counts as unheard.
 func (s *sessionServer) gather() *FleetCounts {
-	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportEvery, memberTimeout))
+	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportInterval, memberTimeout))
 	defer cancel()
 	received, unheard := []counts{s.counts()}, 0
 	var mu sync.Mutex
@@ -145,7 +145,7 @@
 // sumCounts adds up the counts of several control machines. A control machine that lacks the newest change can't have
 // sent it, so all its sessions count as behind, at least since its last contact with the leader.
 func sumCounts(received []counts, unheard int) *FleetCounts {
-	f := &FleetCounts{Replicas: len(received), Unheard: unheard}
+	f := &FleetCounts{Replicas: len(received), Unreachable: unheard}
 	for _, c := range received {
 		f.Revision = max(f.Revision, c.Changed)
 	}
--- a/internal/store/counts_test.go
+++ b/internal/store/counts_test.go
@@ -85,13 +85,13 @@
 	second := g.put("settings/a", "2")
 	require.Equal(t, second, near.next(Change).Revision)
 	near.reports <- WatchReport{InForce: second}
-	e := near.until(func(e WatchEvent) bool { return e.Fleet.Unheard == 1 && e.Fleet.Holding == 1 })
+	e := near.until(func(e WatchEvent) bool { return e.Fleet.Unreachable == 1 && e.Fleet.Holding == 1 })
 	require.Equal(t, 1, e.Fleet.Sessions)
 	g.disconnect(3, false)
 	require.Equal(t, second, far.next(Change).Revision)
 	near.until(func(e WatchEvent) bool { return e.Fleet.Behind == 1 && e.Fleet.Sessions == 2 })
 	far.reports <- WatchReport{InForce: second}
-	near.until(func(e WatchEvent) bool { return e.Fleet.Holding == 2 && e.Fleet.Unheard == 0 })
+	near.until(func(e WatchEvent) bool { return e.Fleet.Holding == 2 && e.Fleet.Unreachable == 0 })
 }
 
 // Every session is in exactly one count of the sum, and no session of a replica that lacks the newest change is holding.
@@ -113,7 +113,7 @@
 		require.Equal(t, sessions, f.Holding+f.Behind+f.Refused)
 		require.Equal(t, newest, f.Revision)
 		require.Equal(t, len(received), f.Replicas)
-		require.Equal(t, 2, f.Unheard)
+		require.Equal(t, 2, f.Unreachable)
 		holding := 0
 		for _, c := range received {
 			if c.Applied >= newest {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -39,11 +39,11 @@
 
 // SessionsFull is a control machine's answer to a session beyond its configured limit.
 type SessionsFull struct {
-	Most int // limit of open sessions
+	Limit int // limit of open sessions
 }
 
 func (e *SessionsFull) Error() string {
-	return fmt.Sprintf("the control machine holds %d sessions, its limit", e.Most)
+	return fmt.Sprintf("the control machine holds %d sessions, its limit", e.Limit)
 }
 
 // Advice implements advice.Error.
@@ -169,7 +169,7 @@
 	case errors.As(err, &away):
 		r.Typed = &wireFault{Code: codeAway, What: away.Cause, Member: away.Member}
 	case errors.As(err, &full):
-		r.Typed = &wireFault{Code: codeFull, Have: uint64(full.Most)}
+		r.Typed = &wireFault{Code: codeFull, Have: uint64(full.Limit)}
 	}
 }
 
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -11,8 +11,8 @@
 	"beammux/internal/store/journal"
 )
 
-// Held is the content of a member's files.
-type Held struct {
+// Contents is the content of a member's files.
+type Contents struct {
 	Log       journal.Stats `json:"log"`
 	Snapshots int           `json:"snapshots"`
 	Snapshot  uint64        `json:"snapshot_index"` // index of the last entry in the newest snapshot
@@ -21,11 +21,11 @@
 
 // Inspect reads a member's files without changing them. It must not be used on the folder of a running member. The error
 // names the damaged file.
-func Inspect(dir string) (*Held, error) {
+func Inspect(dir string) (*Contents, error) {
 	if _, err := os.Stat(logDir(dir)); err != nil {
 		return nil, fmt.Errorf("%s: no store: %w", dir, err)
 	}
-	h := &Held{}
+	h := &Contents{}
 	m := newMachine()
 	if err := h.restoreSnapshot(dir, m); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 }
 
 // restoreSnapshot restores the newest snapshot into a machine. Raft's own checksum is verified on reading.
-func (h *Held) restoreSnapshot(dir string, m *machine) error {
+func (h *Contents) restoreSnapshot(dir string, m *machine) error {
 	if _, err := os.Stat(filepath.Join(dir, "snapshots")); err != nil {
 		return nil // no snapshots yet; listing them through raft would create the folder
 	}
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -130,7 +130,7 @@
 			m := &g.Members[i]
 			st, err := StatusFrom(ctx, m.Address)
 			if err == nil && st.Node == m.Node {
-				m.Up, m.Behind = true, last-min(st.Last, last)
+				m.Up, m.Behind = true, last-min(st.LastLogIndex, last)
 			}
 		})
 	}
--- a/internal/store/raise.go
+++ b/internal/store/raise.go
@@ -108,7 +108,7 @@
 	switch {
 	case err != nil:
 		return &MemberAway{name, err.Error()}
-	case !s.Raises:
+	case !s.SupportsRaise:
 		return &EarlierVersion{raiseFeature, name}
 	}
 	return nil
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -115,7 +115,7 @@
 
 // send sends changes and heartbeats until the session ends.
 func (s *session) send() error {
-	heartbeats := time.NewTicker(s.server.options.HeartbeatEvery)
+	heartbeats := time.NewTicker(s.server.options.HeartbeatInterval)
 	defer heartbeats.Stop()
 	for heartbeatDue := true; ; {
 		if err := s.catchUp(); err != nil {
@@ -184,7 +184,7 @@
 func (s *session) readReports() {
 	defer close(s.disconnected)
 	for {
-		s.conn.SetReadDeadline(time.Now().Add(idleTimeoutFor(s.server.options.HeartbeatEvery)))
+		s.conn.SetReadDeadline(time.Now().Add(idleTimeoutFor(s.server.options.HeartbeatInterval)))
 		line, err := s.in.next(maxReport)
 		if err != nil {
 			return
--- a/internal/store/session_model_test.go
+++ b/internal/store/session_model_test.go
@@ -163,7 +163,7 @@
 // once and in order, or a snapshot in place of some. Its revision never decreases, and its state always equals the state of the
 // store at its revision.
 func TestResumeIsExactlyOnce(t *testing.T) {
-	g := newControlGroup(t, 3, 2, serveWith(func(s *ServeOptions) { s.HistorySize, s.HeartbeatEvery = 6, 10*time.Millisecond }))
+	g := newControlGroup(t, 3, 2, serveWith(func(s *ServeOptions) { s.HistorySize, s.HeartbeatInterval = 6, 10*time.Millisecond }))
 	require.NoError(t, g.nodes[0].WaitReady(testContext(t)))
 	keys := []string{"settings/a/1", "settings/a/2", "settings/b/1", "settings/b/2", "settings/c/1"}
 	all := &oracle{}
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -278,13 +278,13 @@
 	now := time.Now()
 	s.heartbeatMu.Lock()
 	defer s.heartbeatMu.Unlock()
-	if s.lastHeartbeat.line != nil && s.lastHeartbeat.revision == revision && now.Sub(s.lastHeartbeat.encodedAt) < s.options.HeartbeatEvery/8 {
+	if s.lastHeartbeat.line != nil && s.lastHeartbeat.revision == revision && now.Sub(s.lastHeartbeat.encodedAt) < s.options.HeartbeatInterval/8 {
 		return s.lastHeartbeat.line
 	}
 	s.mu.Lock()
 	fleetCounts := s.fleetCounts
 	s.mu.Unlock()
-	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleetCounts, Age: s.node.contactAge(), Every: s.options.HeartbeatEvery}
+	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleetCounts, Age: s.node.contactAge(), Every: s.options.HeartbeatInterval}
 	s.lastHeartbeat = encodedHeartbeat{e.line(), revision, now}
 	return s.lastHeartbeat.line
 }
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -156,7 +156,7 @@
 			switch {
 			case err != nil:
 				n.versions.queryAgainAt[string(m.ID)] = time.Now().Add(versionRetryDelay)
-			case !s.Transactions:
+			case !s.SupportsTransactions:
 				return &EarlierVersion{transactionFeature, string(m.ID)}
 			default:
 				n.versions.queryAgainAt[string(m.ID)] = time.Time{}
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -93,7 +93,7 @@
 	Refused      int           `json:"refused"` // sessions that have refused the last change; in neither Holding nor Behind
 	OldestBehind time.Duration `json:"oldest_behind_ns"`
 	Replicas     int           `json:"replicas"` // control machines whose sessions are counted
-	Unheard      int           `json:"unheard"`  // control machines that did not answer
+	Unreachable  int           `json:"unheard"`  // control machines that did not answer
 }
 
 // SessionStatus is the state of one session of a control machine.
@@ -123,10 +123,10 @@
 	Name, Zone, Region string
 	Admission          AdmissionOptions
 	Prefix             string        // of the keys that sessions may follow and that the history covers; "": all keys
-	HeartbeatEvery     time.Duration // 0: 1 s
+	HeartbeatInterval  time.Duration // 0: 1 s
 	HistorySize        int           // transactions kept for sessions to resume from; 0: 1024
 	HistoryBytes       int           // limit of the bytes of their records; 0: 64 MiB
-	ReportEvery        time.Duration // interval at which the other control machines' counts are collected; 0: 1 s
+	ReportInterval     time.Duration // interval at which the other control machines' counts are collected; 0: 1 s
 }
 
 // Defaults of ServeOptions.
@@ -144,8 +144,8 @@
 			*d = value
 		}
 	}
-	setDefault(&o.HeartbeatEvery, defaultHeartbeatInterval)
-	setDefault(&o.ReportEvery, defaultReportInterval)
+	setDefault(&o.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefault(&o.ReportInterval, defaultReportInterval)
 	if o.HistorySize <= 0 {
 		o.HistorySize = defaultHistorySize
 	}
