--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -101,7 +101,7 @@
 		}
 		of("rate", func(s quota.Status) float64 { return s.Rate })
 		of("demand", func(s quota.Status) float64 { return s.Demand })
-		of("standing", func(s quota.Status) float64 { return float64(s.Standing) })
+		of("standing", func(s quota.Status) float64 { return float64(s.OpenCalls) })
 		of("taken_total", func(s quota.Status) float64 { return float64(s.Admitted) })
 		of("turned_away_total", func(s quota.Status) float64 { return float64(s.Refused) })
 		if r.Mode == quota.Leased {
