--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -126,7 +126,7 @@
 		}
 		st = f.Status()
 	}
-	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "kept": st.Kept, "waited_ms": time.Since(began).Milliseconds()})
+	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "kept": st.RestoredFromDir, "waited_ms": time.Since(began).Milliseconds()})
 	if !answered(st) {
 		log.WithField("advice", "look whether the control machines run and are reached from here; the gatekeeper goes on trying by itself").
 			Warn("settings: no control machine has answered; serving with the deploy file, the settings follow")
