--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -71,13 +71,13 @@
 		return "", err
 	}
 	g := n.memberGroup(ctx, f.Configuration())
-	var do member.Do
+	var do member.Change
 	var err error
 	switch c.Do {
 	case MemberAdd:
 		do, err = g.Add(c.Node, c.Address)
 	case MemberPromote:
-		do, err = g.MayVote(c.Node)
+		do, err = g.Promote(c.Node)
 	case MemberRemove:
 		do, err = g.Remove(c.Node, c.Force)
 	default:
@@ -91,7 +91,7 @@
 
 // applyMemberChange makes a change that was allowed for the configuration conf with the given index. Raft rejects it if
 // the configuration has a different index by then, so two concurrent changes can't both be made.
-func (n *Node) applyMemberChange(do member.Do, c MemberChange, conf raft.Configuration, index uint64) error {
+func (n *Node) applyMemberChange(do member.Change, c MemberChange, conf raft.Configuration, index uint64) error {
 	id, address := raft.ServerID(c.Node), raft.ServerAddress(c.Address)
 	voter := false
 	for _, s := range conf.Servers {
@@ -103,11 +103,11 @@
 		}
 	}
 	switch {
-	case do == member.AddOne, do == member.MoveOne && !voter:
+	case do == member.AddLearner, do == member.ChangeAddress && !voter:
 		return n.raft.AddNonvoter(id, address, index, applyTimeout).Error()
-	case do == member.Promote, do == member.MoveOne:
+	case do == member.PromoteLearner, do == member.ChangeAddress:
 		return n.raft.AddVoter(id, address, index, applyTimeout).Error()
-	case do == member.RemoveIt:
+	case do == member.RemoveMember:
 		return n.raft.RemoveServer(id, index, applyTimeout).Error()
 	}
 	return nil
@@ -130,7 +130,7 @@
 			m := &g.Members[i]
 			st, err := StatusFrom(ctx, m.Address)
 			if err == nil && st.Node == m.Node {
-				m.Up, m.Behind = true, last-min(st.LastLogIndex, last)
+				m.Up, m.Lag = true, last-min(st.LastLogIndex, last)
 			}
 		})
 	}
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -234,7 +234,7 @@
 	case d.Full:
 		return &SessionsFull{s.options.Admission.Sessions}
 	case !d.Admitted:
-		return &ComeBack{toDuration(d.ComeBackIn)}
+		return &ComeBack{toDuration(d.RetryAfter)}
 	}
 	return nil
 }
@@ -243,14 +243,14 @@
 func (s *sessionServer) release() {
 	s.controllerMu.Lock()
 	defer s.controllerMu.Unlock()
-	s.controller.End()
+	s.controller.Release()
 }
 
 // comeBackError returns the error that makes a client reconnect later to get a snapshot.
 func (s *sessionServer) comeBackError(client string) error {
 	s.controllerMu.Lock()
 	defer s.controllerMu.Unlock()
-	return &ComeBack{toDuration(s.controller.Defer(s.clock(), admission.Request{Client: client, Snapshot: true}))}
+	return &ComeBack{toDuration(s.controller.Defer(s.clock(), admission.Request{Client: client, NeedsSnapshot: true}))}
 }
 
 // clock returns the time of the admission controller.
