--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -9,76 +9,77 @@
 	"time"
 )
 
-// What a status can be asked for in place of the status.
+// Values of command.Want.
 const (
 	wantCounts   = "counts"
 	wantSessions = "sessions"
 )
 
-// counts are those of the sessions of one control machine.
+// counts holds the session counts of one control machine.
 type counts struct {
-	Applied      uint64        `json:"applied"` // up to here its records are
+	Applied      uint64        `json:"applied"` // revision up to which its records are applied
 	Changed      uint64        `json:"changed"` // revision of the newest change of a served record
 	Sessions     int           `json:"sessions"`
 	Holding      int           `json:"holding"`
 	Behind       int           `json:"behind"`
 	Refused      int           `json:"refused"`
 	OldestBehind time.Duration `json:"oldest_behind_ns"`
-	Age          time.Duration `json:"age_ns"` // since word from the leader
+	Age          time.Duration `json:"age_ns"` // since the last contact with the leader
 }
 
-// counts of this control machine's sessions.
+// counts returns the counts of this control machine's sessions.
 func (s *sessionServer) counts() counts {
 	_, applied, changed := s.history.state()
 	c := counts{Applied: applied, Changed: changed, Age: s.node.contactAge()}
 	now := time.Now()
-	for _, one := range s.all() {
-		one.mu.Lock()
+	for _, sess := range s.allSessions() {
+		sess.mu.Lock()
 		c.Sessions++
 		switch {
-		case one.report.InForce >= one.target:
+		case sess.report.InForce >= sess.target:
 			c.Holding++
-		case one.report.Refused >= one.target:
+		case sess.report.Refused >= sess.target:
 			c.Refused++
 		default:
 			c.Behind++
-			c.OldestBehind = max(c.OldestBehind, now.Sub(one.targetSince))
+			c.OldestBehind = max(c.OldestBehind, now.Sub(sess.targetSince))
 		}
-		one.mu.Unlock()
+		sess.mu.Unlock()
 	}
 	return c
 }
 
-func (s *sessionServer) all() []*session {
+// allSessions returns the open sessions, in no particular order.
+func (s *sessionServer) allSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]*session, 0, len(s.sessions))
-	for one := range s.sessions {
-		all = append(all, one)
+	allSessions := make([]*session, 0, len(s.sessions))
+	for sess := range s.sessions {
+		allSessions = append(allSessions, sess)
 	}
-	return all
+	return allSessions
 }
 
-// statuses of this control machine's sessions, ordered by name.
+// statuses returns the status of each session of this control machine, ordered by name.
 func (s *sessionServer) statuses() []SessionStatus {
 	statuses := []SessionStatus{}
-	for _, one := range s.all() {
-		one.mu.Lock()
-		statuses = append(statuses, SessionStatus{one.request.Session, one.report, one.since, one.sent, one.target, s.options.Name})
-		one.mu.Unlock()
+	for _, sess := range s.allSessions() {
+		sess.mu.Lock()
+		statuses = append(statuses, SessionStatus{sess.request.Session, sess.report, sess.since, sess.sent, sess.target, s.options.Name})
+		sess.mu.Unlock()
 	}
 	slices.SortFunc(statuses, func(a, b SessionStatus) int { return strings.Compare(a.Name, b.Name) })
 	return statuses
 }
 
-// gatherCounts asks the other control machines for their counts, again and again.
+// gatherCounts collects the counts of all control machines at the report interval until the server closes.
 func (s *sessionServer) gatherCounts() {
 	tick := time.NewTicker(s.options.ReportInterval)
 	defer tick.Stop()
 	for {
-		fleet := s.gather()
+		fleetCounts := s.gather()
 		s.mu.Lock()
-		s.fleet = fleet
+		s.fleetCounts = fleetCounts
 		s.mu.Unlock()
 		select {
 		case <-tick.C:
@@ -88,31 +89,31 @@
 	}
 }
 
-// gather asks all at the same time; who does not answer within the interval is unheard.
+// gather queries all members concurrently. A member that does not answer within the report interval counts as unheard.
 func (s *sessionServer) gather() *FleetCounts {
-	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportInterval, upWithin))
+	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportInterval, memberTimeout))
 	defer cancel()
-	heard, unheard := []counts{s.counts()}, 0
+	received, unheard := []counts{s.counts()}, 0
 	var mu sync.Mutex
-	var asked sync.WaitGroup
-	for _, address := range s.node.others() {
-		asked.Go(func() {
-			c, err := countsFrom(ctx, through(s.node.via, address))
+	var queries sync.WaitGroup
+	for _, address := range s.node.otherAddresses() {
+		queries.Go(func() {
+			c, err := countsFrom(ctx, dialAddress(s.node.via, address))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				unheard++
 				return
 			}
-			heard = append(heard, c)
+			received = append(received, c)
 		})
 	}
-	asked.Wait()
-	return sum(heard, unheard)
+	queries.Wait()
+	return sumCounts(received, unheard)
 }
 
-// others are the addresses of the other members.
-func (n *Node) others() (addresses []string) {
+// otherAddresses returns the addresses of the other members.
+func (n *Node) otherAddresses() (addresses []string) {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
 		return nil
@@ -125,6 +126,7 @@
 	return addresses
 }
 
+// countsFrom reads the session counts of the control machine at an address.
 func countsFrom(ctx context.Context, address string) (counts, error) {
 	data, err := json.Marshal(command{Op: opStatus, Want: wantCounts})
 	if err != nil {
@@ -140,14 +142,14 @@
 	return *r.Counts, nil
 }
 
-// sum of the counts of several control machines. What one holds that lacks the newest change is not the newest, so all its
-// sessions are behind, at least since its last word from the leader.
-func sum(heard []counts, unheard int) *FleetCounts {
-	f := &FleetCounts{Replicas: len(heard), Unreachable: unheard}
-	for _, c := range heard {
+// sumCounts adds up the counts of several control machines. A control machine that lacks the newest change can't have
+// sent it, so all its sessions count as behind, at least since its last contact with the leader.
+func sumCounts(received []counts, unheard int) *FleetCounts {
+	f := &FleetCounts{Replicas: len(received), Unreachable: unheard}
+	for _, c := range received {
 		f.Revision = max(f.Revision, c.Changed)
 	}
-	for _, c := range heard {
+	for _, c := range received {
 		if c.Applied < f.Revision {
 			c.Behind, c.Holding = c.Behind+c.Holding, 0
 			if c.Behind > 0 {
@@ -170,7 +172,7 @@
 		return nil, err
 	}
 	r, err := exchange(ctx, dial, address, data)
-	if err == nil && r.Sessions == nil && r.Status != nil { // of an earlier version; an empty list is left out of the answer
+	if err == nil && r.Sessions == nil && r.Status != nil { // an earlier version answers with a status; an empty list is omitted from the answer
 		err = &NotControl{address}
 	}
 	return r.Sessions, err
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -11,23 +11,23 @@
 	"beammux/internal/store/journal"
 )
 
-// Contents is what the files of a member hold.
+// Contents is the content of a member's files.
 type Contents struct {
 	Log       journal.Stats `json:"log"`
 	Snapshots int           `json:"snapshots"`
-	Snapshot  uint64        `json:"snapshot_index"` // of the newest
-	Records   []Record      `json:"-"`              // with every entry of the log applied, also those that were not committed yet
+	Snapshot  uint64        `json:"snapshot_index"` // index of the last entry in the newest snapshot
+	Records   []Record      `json:"-"`              // after applying all log entries, including uncommitted ones
 }
 
-// Inspect reads a member's files and changes nothing. It must not be used on the folder of a running member. The error
-// names the file that is at fault.
+// Inspect reads a member's files without changing them. It must not be used on the folder of a running member. The error
+// names the damaged file.
 func Inspect(dir string) (*Contents, error) {
 	if _, err := os.Stat(logDir(dir)); err != nil {
 		return nil, fmt.Errorf("%s: no store: %w", dir, err)
 	}
 	h := &Contents{}
 	m := newMachine()
-	if err := h.snapshot(dir, m); err != nil {
+	if err := h.restoreSnapshot(dir, m); err != nil {
 		return nil, err
 	}
 	stats, logs, err := journal.Inspect(logDir(dir), nil)
@@ -37,7 +37,7 @@
 	h.Log = stats
 	if len(logs) > 0 && logs[0].Index > h.Snapshot+1 {
 		return nil, &journal.DamageError{File: filepath.Join(dir, "snapshots"),
-			What: fmt.Sprintf("entries %d to %d are neither in a snapshot nor in the log", h.Snapshot+1, logs[0].Index-1)}
+			Reason: fmt.Sprintf("entries %d to %d are neither in a snapshot nor in the log", h.Snapshot+1, logs[0].Index-1)}
 	}
 	for _, l := range logs {
 		if l.Index > h.Snapshot && l.Type == raft.LogCommand {
@@ -48,12 +48,12 @@
 	return h, nil
 }
 
-// snapshot reads the newest snapshot; raft's own checksum is checked on the way.
-func (h *Contents) snapshot(dir string, m *machine) error {
+// restoreSnapshot restores the newest snapshot into a machine. Raft's own checksum is verified on reading.
+func (h *Contents) restoreSnapshot(dir string, m *machine) error {
 	if _, err := os.Stat(filepath.Join(dir, "snapshots")); err != nil {
-		return nil // none yet; asking raft for them would make the folder
+		return nil // no snapshots yet; listing them through raft would create the folder
 	}
-	s, err := raft.NewFileSnapshotStoreWithLogger(dir, snapshotsKept, hclog.NewNullLogger())
+	s, err := raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		err = m.Restore(in)
 	}
 	if err != nil {
-		return &journal.DamageError{File: filepath.Join(dir, "snapshots", list[0].ID), What: err.Error()}
+		return &journal.DamageError{File: filepath.Join(dir, "snapshots", list[0].ID), Reason: err.Error()}
 	}
 	return nil
 }
--- a/internal/store/journal/journal.go
+++ b/internal/store/journal/journal.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Options say how a journal is kept.
+// Options configures a journal.
 type Options struct {
-	Dir     string
-	FS      FS            // nil: the disk
-	Every   time.Duration // 0: synced before each write returns; else so often, votes and terms always
-	Segment int64         // bytes of a segment; 0: 4 MiB
+	Dir         string
+	FS          FS            // nil: Disk
+	SyncEvery   time.Duration // interval of syncs; 0: sync before each write returns, as votes and terms always are
+	SegmentSize int64         // bytes after which a new segment is started; 0: 4 MiB
 }
 
-// Journal implements raft.LogStore and raft.StableStore. After a write failed all further ones do: what the file holds is
-// not known then.
+// Journal implements raft.LogStore and raft.StableStore. After a failed write all further writes fail, because the content of
+// the file is unknown.
 type Journal struct {
 	Options
 
-	mu       sync.Mutex
-	entries  map[uint64]entry
-	low      uint64 // first and last index held, 0 if none
-	high     uint64
-	front    uint64
-	stable   map[string][]byte
-	segments []*segment
-	file     File
-	dirty    bool // something is not synced
-	failed   error
-	stop     chan struct{}
-	done     chan struct{}
-	buf      bytes.Buffer
-
-	// Cut is how many bytes a torn end had that Open cut off.
-	Cut int64
+	mu        sync.Mutex
+	entries   map[uint64]entry
+	first     uint64 // first index held, 0 if none
+	last      uint64 // last index held, 0 if none
+	firstKept uint64 // entries before this index are removed
+	stable    map[string][]byte
+	segments  []*segment
+	file      File  // the last segment
+	dirty     bool  // the file has unsynced data
+	failed    error // set once a write or sync has failed, or on Close
+	stop      chan struct{}
+	done      chan struct{}
+	buf       bytes.Buffer // for encoding
+
+	// TruncatedBytes is the number of bytes of an incomplete write that Open removed from the end.
+	TruncatedBytes int64
 }
 
-// errFailed is given after a write has failed.
-var errFailed = errors.New("store: an earlier write failed, nothing more is written")
+// errFailed is returned by all writes after a failed one.
+var errFailed = errors.New("store: an earlier write failed; the journal accepts no more writes")
 
-// Open reads a journal. The end of one that was torn by a crash is cut off: what was never synced is lost, and nothing else.
-// What had been synced and can't be read is a *DamageError.
+// Open opens a journal, and creates it if it does not exist. An incomplete write at the end, left by a crash, is removed: only
+// data that was never synced is lost. If synced data can't be read, the error is a *DamageError.
 func Open(o Options) (*Journal, error) {
 	j, err := read(o)
 	if err != nil {
@@ -52,28 +52,28 @@
 	if err := j.resume(); err != nil {
 		return nil, err
 	}
-	if j.Every > 0 {
+	if j.SyncEvery > 0 {
 		j.stop, j.done = make(chan struct{}), make(chan struct{})
-		go j.syncing()
+		go j.syncPeriodically()
 	}
 	return j, nil
 }
 
-// resume makes the files ready to be added to: a torn end is cut off, and the first segment is made.
+// resume prepares the files for appending: it removes an incomplete write at the end and creates the first segment.
 func (j *Journal) resume() error {
 	if len(j.segments) == 0 {
-		return j.begin(1)
+		return j.createSegment(1)
 	}
 	s := j.segments[len(j.segments)-1]
 	name := filepath.Join(j.Dir, s.name())
-	if s.size == 0 { // its head was torn
+	if s.size == 0 { // not even its checkpoint is complete
 		if err := j.FS.Remove(name); err != nil {
 			return err
 		}
 		j.segments = j.segments[:len(j.segments)-1]
-		return j.begin(s.number)
+		return j.createSegment(s.number)
 	}
-	if j.Cut > 0 {
+	if j.TruncatedBytes > 0 {
 		if err := j.FS.Truncate(name, s.size); err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	// What the last process wrote and did not sync may be in the system's memory alone.
+	// Data that the previous process wrote without syncing may still be in the page cache only.
 	if err := f.Sync(); err != nil {
 		return err
 	}
@@ -90,24 +90,24 @@
 	return nil
 }
 
-// begin starts a segment with a checkpoint, and syncs it: what comes later is written after that.
-func (j *Journal) begin(number uint64) error {
+// createSegment creates a segment with a checkpoint and syncs it before anything else is written to it.
+func (j *Journal) createSegment(number uint64) error {
 	s := &segment{number: number}
 	name := filepath.Join(j.Dir, s.name())
 	f, err := j.FS.Append(name)
 	if err != nil {
 		return err
 	}
-	text := append([]byte(magic), Version)
-	c := change{Front: j.front, Set: j.stable, All: true}
+	data := append([]byte(magic), Version)
+	c := change{TruncateBefore: j.firstKept, Set: j.stable, Checkpoint: true}
 	if n := len(j.segments); n > 0 {
-		c.Before = j.segments[n-1].size
+		c.PreviousSize = j.segments[n-1].size
 	}
-	text, err = j.append(text, c, 0)
+	data, err = j.append(data, c, 0)
 	if err != nil {
 		return err
 	}
-	if _, err := f.Write(text); err != nil {
+	if _, err := f.Write(data); err != nil {
 		return err
 	}
 	if err := f.Sync(); err != nil {
@@ -116,18 +116,19 @@
 	if err := j.FS.SyncDir(j.Dir); err != nil {
 		return err
 	}
-	s.size = int64(len(text))
+	s.size = int64(len(data))
 	j.segments = append(j.segments, s)
 	j.file, j.dirty = f, false
 	return nil
 }
 
-// write makes one change, on file first. It is safe when write returns, or with Every and not now, when it is next synced.
-func (j *Journal) write(c change, now bool) error {
+// write writes one change to the file and applies it in memory. The change is durable when write returns, or, with
+// SyncEvery and without syncNow, after the next sync.
+func (j *Journal) write(c change, syncNow bool) error {
 	if j.failed != nil {
 		return errFailed
 	}
-	err := j.put(c, now)
+	err := j.appendChange(c, syncNow)
 	if err != nil {
 		j.failed = err
 		return err
@@ -136,9 +137,10 @@
 	return nil
 }
 
-func (j *Journal) put(c change, now bool) error {
+// appendChange appends a change to the current segment, and starts a new segment first if that is full.
+func (j *Journal) appendChange(c change, syncNow bool) error {
 	s := j.segments[len(j.segments)-1]
-	if s.size >= j.Segment {
+	if s.size >= j.SegmentSize {
 		if err := j.rotate(); err != nil {
 			return err
 		}
@@ -148,25 +150,26 @@
 	if j.dirty {
 		flags = 0
 	}
-	text, err := j.append(nil, c, flags)
+	data, err := j.append(nil, c, flags)
 	if err != nil {
 		return err
 	}
-	n, err := j.file.Write(text)
+	n, err := j.file.Write(data)
 	s.size += int64(n)
 	j.dirty = true
 	if err != nil {
 		return err
 	}
 	if len(c.Entries) > 0 {
-		s.high = max(s.high, c.Entries[len(c.Entries)-1].Index)
+		s.lastIndex = max(s.lastIndex, c.Entries[len(c.Entries)-1].Index)
 	}
-	if j.Every == 0 || now {
+	if j.SyncEvery == 0 || syncNow {
 		return j.sync()
 	}
 	return nil
 }
 
+// sync syncs the current segment.
 func (j *Journal) sync() error {
 	if err := j.file.Sync(); err != nil {
 		return err
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// rotate begins the next segment.
+// rotate closes the current segment, starts the next one, and removes segments that are no longer needed.
 func (j *Journal) rotate() error {
 	if err := j.sync(); err != nil {
 		return err
@@ -183,16 +186,16 @@
 	if err := j.file.Close(); err != nil {
 		return err
 	}
-	if err := j.begin(j.segments[len(j.segments)-1].number + 1); err != nil {
+	if err := j.createSegment(j.segments[len(j.segments)-1].number + 1); err != nil {
 		return err
 	}
 	return j.prune()
 }
 
-// prune removes the segments at the beginning whose entries are all void. What makes them so has been synced.
+// prune removes leading segments that hold no entries from firstKept on. The change that set firstKept has been synced.
 func (j *Journal) prune() error {
 	removed := false
-	for len(j.segments) > 1 && j.segments[0].high < j.front {
+	for len(j.segments) > 1 && j.segments[0].lastIndex < j.firstKept {
 		if err := j.FS.Remove(filepath.Join(j.Dir, j.segments[0].name())); err != nil {
 			return err
 		}
@@ -205,10 +208,10 @@
 	return j.FS.SyncDir(j.Dir)
 }
 
-// syncing is the goroutine of a journal that is synced now and then.
-func (j *Journal) syncing() {
+// syncPeriodically syncs the journal at the interval SyncEvery until Close.
+func (j *Journal) syncPeriodically() {
 	defer close(j.done)
-	tick := time.NewTicker(j.Every)
+	tick := time.NewTicker(j.SyncEvery)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/store/journal/journal_test.go
+++ b/internal/store/journal/journal_test.go
@@ -15,56 +15,62 @@
 	"github.com/hashicorp/raft"
 )
 
-// faulty is a file layer in memory that fails, or stops the world, at one step. It knows what had been synced.
-type faulty struct {
-	files  map[string]*content
-	linked map[string]bool // names that the folder had when it was last synced
-	step   int
-	at     int // step that goes wrong, 0: none
-	how    fault
+// faultyFS is an in-memory file system that fails or simulates a crash at one step. It tracks which data has been synced.
+type faultyFS struct {
+	files        map[string]*content
+	durableNames map[string]bool // files in the folder when it was last synced
+	step         int             // steps so far
+	faultStep    int             // step at which the fault occurs; 0: none
+	kind         fault
 }
 
+// content is the content of a file.
 type content struct {
 	data   []byte
-	synced int
+	synced int // bytes that have been synced
 }
 
+// fault is the way in which a step fails.
 type fault int
 
 const (
 	crash      fault = iota // the process ends before the step
-	shortWrite              // half is written, and the process ends
-	fullDisk                // half is written, and an error told
-	syncError               // an error is told, nothing is synced
-	lostSync                // nothing is synced, and none is the wiser
+	shortWrite              // half of the data is written, and the process ends
+	fullDisk                // half of the data is written, and an error is returned
+	syncError               // an error is returned, and nothing is synced
+	lostSync                // nothing is synced, and no error is returned
 	readError
 )
 
 var errFault = errors.New("input/output error")
 
+// crashed is the panic value of a simulated crash.
 type crashed struct{}
 
-func newFaulty() *faulty { return &faulty{files: map[string]*content{}, linked: map[string]bool{}} }
+func newFaultyFS() *faultyFS {
+	return &faultyFS{files: map[string]*content{}, durableNames: map[string]bool{}}
+}
 
-// now counts a step and tells whether it goes wrong.
-func (f *faulty) now(kinds ...fault) bool {
+// nextStep counts a step and reports whether it fails with one of the given faults. It panics if the fault is a crash.
+func (f *faultyFS) nextStep(kinds ...fault) bool {
 	f.step++
-	if f.step != f.at {
+	if f.step != f.faultStep {
 		return false
 	}
-	if f.how == crash {
+	if f.kind == crash {
 		panic(crashed{})
 	}
-	return slices.Contains(kinds, f.how)
+	return slices.Contains(kinds, f.kind)
 }
 
+// faultyFile is a file of a faultyFS.
 type faultyFile struct {
-	f    *faulty
+	fs   *faultyFS
 	name string
 }
 
-func (f *faulty) Append(name string) (File, error) {
-	f.now()
+func (f *faultyFS) Append(name string) (File, error) {
+	f.nextStep()
 	if f.files[name] == nil {
 		f.files[name] = &content{}
 	}
@@ -72,10 +78,10 @@
 }
 
 func (w faultyFile) Write(b []byte) (int, error) {
-	c := w.f.files[w.name]
-	if w.f.now(shortWrite, fullDisk) {
+	c := w.fs.files[w.name]
+	if w.fs.nextStep(shortWrite, fullDisk) {
 		c.data = append(c.data, b[:len(b)/2]...)
-		if w.f.how == shortWrite {
+		if w.fs.kind == shortWrite {
 			panic(crashed{})
 		}
 		return len(b) / 2, errFault
@@ -85,21 +91,21 @@
 }
 
 func (w faultyFile) Sync() error {
-	if w.f.now(syncError, lostSync) {
-		if w.f.how == lostSync {
+	if w.fs.nextStep(syncError, lostSync) {
+		if w.fs.kind == lostSync {
 			return nil
 		}
 		return errFault
 	}
-	c := w.f.files[w.name]
+	c := w.fs.files[w.name]
 	c.synced = len(c.data)
 	return nil
 }
 
 func (w faultyFile) Close() error { return nil }
 
-func (f *faulty) Read(name string) ([]byte, error) {
-	if f.now(readError) {
+func (f *faultyFS) Read(name string) ([]byte, error) {
+	if f.nextStep(readError) {
 		return nil, errFault
 	}
 	if f.files[name] == nil {
@@ -108,8 +114,8 @@
 	return bytes.Clone(f.files[name].data), nil
 }
 
-func (f *faulty) List(string) (names []string, err error) {
-	f.now()
+func (f *faultyFS) List(string) (names []string, err error) {
+	f.nextStep()
 	for name := range f.files {
 		names = append(names, filepath.Base(name))
 	}
@@ -117,35 +123,36 @@
 	return names, nil
 }
 
-func (f *faulty) Remove(name string) error {
-	f.now()
+func (f *faultyFS) Remove(name string) error {
+	f.nextStep()
 	delete(f.files, name)
 	return nil
 }
 
-func (f *faulty) Truncate(name string, size int64) error {
-	f.now()
+func (f *faultyFS) Truncate(name string, size int64) error {
+	f.nextStep()
 	c := f.files[name]
 	c.data = c.data[:size]
 	c.synced = int(size)
 	return nil
 }
 
-func (f *faulty) SyncDir(string) error {
-	f.now()
-	f.linked = map[string]bool{}
+func (f *faultyFS) SyncDir(string) error {
+	f.nextStep()
+	f.durableNames = map[string]bool{}
 	for name := range f.files {
-		f.linked[name] = true
+		f.durableNames[name] = true
 	}
 	return nil
 }
 
-// after gives what a machine may find after the power went: of what had not been synced nothing, half, all, or all with
-// rubbish at its beginning; files whose names had not been synced are there or not.
-func (f *faulty) after(variant int) *faulty {
-	next := newFaulty()
+// afterPowerFailure returns a possible state of the files after a power failure. Depending on the variant, none, half or
+// all of the unsynced data is left, or all of it with a corrupted start, and files whose directory entry was not synced exist or
+// not.
+func (f *faultyFS) afterPowerFailure(variant int) *faultyFS {
+	next := newFaultyFS()
 	for name, c := range f.files {
-		if !f.linked[name] && variant%2 == 1 {
+		if !f.durableNames[name] && variant%2 == 1 {
 			continue
 		}
 		tail := c.data[c.synced:]
@@ -162,14 +169,15 @@
 			}
 		}
 		next.files[name] = &content{data, len(data)}
-		next.linked[name] = true
+		next.durableNames[name] = true
 	}
 	return next
 }
 
+// variants is the number of variants of faultyFS.afterPowerFailure.
 const variants = 8
 
-// state is all that a journal holds, as text.
+// state returns the content of a journal as text.
 func state(j *Journal) string {
 	var b strings.Builder
 	first, _ := j.FirstIndex()
@@ -189,6 +197,7 @@
 	return b.String()
 }
 
+// logs returns log entries of a term with the indexes from to to.
 func logs(term uint64, from, to uint64) (list []*raft.Log) {
 	for i := from; i <= to; i++ {
 		list = append(list, &raft.Log{Index: i, Term: term, Type: raft.LogCommand, Data: fmt.Appendf(nil, "entry %d of term %d", i, term)})
@@ -196,7 +205,8 @@
 	return list
 }
 
-// script is a run of a member: votes, entries, a conflict that takes entries back, and compactions over several segments.
+// script returns the steps of a member's life: votes, entries, a conflict that deletes entries, and compactions over several
+// segments.
 func script() (steps []func(*Journal) error) {
 	add := func(f func(*Journal) error) { steps = append(steps, f) }
 	add(func(j *Journal) error { return j.SetUint64([]byte("CurrentTerm"), 1) })
@@ -211,7 +221,7 @@
 	for i := range uint64(6) {
 		add(func(j *Journal) error { return j.StoreLogs(logs(2, 2*i+17, 2*i+18)) })
 	}
-	add(func(j *Journal) error { return j.DeleteRange(10, 28) }) // all of it, as an installed snapshot does
+	add(func(j *Journal) error { return j.DeleteRange(10, 28) }) // all entries, as when a snapshot is installed
 	for i := range uint64(8) {
 		add(func(j *Journal) error { return j.StoreLogs(logs(3, 2*i+40, 2*i+41)) })
 	}
@@ -219,12 +229,12 @@
 }
 
 func options(f FS, every time.Duration) Options {
-	return Options{Dir: "d", FS: f, Segment: 400, Every: every}
+	return Options{Dir: "d", FS: f, SegmentSize: 400, SyncEvery: every}
 }
 
-// run plays the script until something fails or the world stops. It gives the states that were acknowledged, the last
-// one that was begun, and how many states a sync had made safe.
-func run(f *faulty, every time.Duration) (states []string, safe int) {
+// run executes the script until a step fails or a crash occurs. It returns the acknowledged states, and how many of them a sync
+// has made durable.
+func run(f *faultyFS, every time.Duration) (states []string, durable int) {
 	defer func() {
 		if p := recover(); p != nil {
 			if _, ok := p.(crashed); !ok {
@@ -232,12 +242,12 @@
 			}
 		}
 	}()
-	states, safe = []string{"0-0: CurrentTerm= vote="}, 1
+	states, durable = []string{"0-0: CurrentTerm= vote="}, 1
 	j, err := Open(options(f, every))
 	if err != nil {
-		return states, safe
+		return states, durable
 	}
-	if j.stop != nil { // syncs come by hand, so that runs are the same
+	if j.stop != nil { // run calls sync itself, so that runs are deterministic
 		close(j.stop)
 		<-j.done
 		j.stop = nil
@@ -245,27 +255,27 @@
 	states[0] = state(j)
 	for i, step := range script() {
 		if err := step(j); err != nil {
-			return states, safe
+			return states, durable
 		}
 		states = append(states, state(j))
 		if every == 0 || !j.dirty {
-			safe = len(states)
+			durable = len(states)
 		} else if i%3 == 2 {
 			j.mu.Lock()
 			err := j.sync()
 			j.mu.Unlock()
 			if err != nil {
-				return states, safe
+				return states, durable
 			}
-			safe = len(states)
+			durable = len(states)
 		}
 	}
-	return states, safe
+	return states, durable
 }
 
-// want gives the states of a run in which nothing fails.
-func want(t *testing.T) []string {
-	f := newFaulty()
+// statesWithoutFault returns the states of a run without faults.
+func statesWithoutFault(t *testing.T) []string {
+	f := newFaultyFS()
 	states, _ := run(f, 0)
 	if len(states) != len(script())+1 || f.step < 60 || len(f.files) < 2 {
 		t.Fatalf("%d states, %d steps, %d files", len(states), f.step, len(f.files))
@@ -273,72 +283,71 @@
 	return states
 }
 
-// At every single step of a run the process ends, or the step fails in each way that it can, and the machine comes back
-// with each remainder that it may have: reopening gives exactly an acknowledged prefix, which holds all that was safe, or
-// one change more, whole.
+// For a crash or any other fault at every step of a run, and for every possible state of the files after it: the reopened
+// journal has exactly the state of an acknowledged prefix that includes all durable changes, or of one more complete change.
 func TestEveryCrashPoint(t *testing.T) {
-	all := want(t)
+	all := statesWithoutFault(t)
 	for _, every := range []time.Duration{0, time.Hour} {
-		opened, lied := 0, 0
-		for _, how := range []fault{crash, shortWrite, fullDisk, syncError, lostSync} {
-			for at := 1; ; at++ {
-				f := newFaulty()
-				f.at, f.how = at, how
-				states, safe := run(f, every)
-				if f.step < at {
-					break // the run is over before the step
+		opened, rejected := 0, 0
+		for _, kind := range []fault{crash, shortWrite, fullDisk, syncError, lostSync} {
+			for faultStep := 1; ; faultStep++ {
+				f := newFaultyFS()
+				f.faultStep, f.kind = faultStep, kind
+				states, durable := run(f, every)
+				if f.step < faultStep {
+					break // the run ended before the step
 				}
-				if how == lostSync {
-					safe = 0 // the disk lied; what is found must be a prefix all the same
+				if kind == lostSync {
+					durable = 0 // nothing is guaranteed to be durable, but the state must still be a prefix
 				}
 				for variant := range variants {
-					rest := f.after(variant)
-					j, err := Open(options(rest, every))
+					remaining := f.afterPowerFailure(variant)
+					j, err := Open(options(remaining, every))
 					var damage *DamageError
-					if how == lostSync && errors.As(err, &damage) {
-						lied++ // what the disk had told to be safe is not there: refused, and not silently wrong
+					if kind == lostSync && errors.As(err, &damage) {
+						rejected++ // synced data is missing: the journal is rejected, not silently wrong
 						continue
 					}
 					if err != nil {
-						t.Fatalf("every %v, fault %d at step %d, variant %d: %v", every, how, at, variant, err)
+						t.Fatalf("every %v, fault %d at step %d, variant %d: %v", every, kind, faultStep, variant, err)
 					}
 					opened++
 					got := state(j)
-					last := min(len(states)+1, len(all)) // what was begun may have been made whole
-					if i := slices.Index(all[:last], got); i < 0 || i < safe-1 {
+					last := min(len(states)+1, len(all)) // the change in progress may have been completed
+					if i := slices.Index(all[:last], got); i < 0 || i < durable-1 {
 						t.Fatalf("every %v, fault %d at step %d, variant %d: reopened with\n%s\nwhich is state %d; %d acknowledged, %d safe",
-							every, how, at, variant, got, i, len(states), safe)
+							every, kind, faultStep, variant, got, i, len(states), durable)
 					}
-					if err := j.StoreLogs(logs(9, 100, 100)); err != nil { // and it goes on
+					if err := j.StoreLogs(logs(9, 100, 100)); err != nil { // the reopened journal accepts writes
 						t.Fatal(err)
 					}
 					j.Close()
-					again, err := Open(options(rest, every))
+					again, err := Open(options(remaining, every))
 					if err != nil {
 						t.Fatal(err)
 					}
 					if last, _ := again.LastIndex(); last != 100 {
-						t.Fatalf("after going on: %s", state(again))
+						t.Fatalf("after another write: %s", state(again))
 					}
 					again.Close()
 				}
 			}
 		}
-		t.Logf("every %v: reopened %d times, refused %d times after a sync that was none", every, opened, lied)
+		t.Logf("every %v: reopened %d times, rejected %d times after a lost sync", every, opened, rejected)
 		if opened < 2000 {
-			t.Errorf("only %d", opened)
+			t.Errorf("only %d reopened", opened)
 		}
 	}
 }
 
-// After a write failed nothing more is written, since what the file holds is not known.
-func TestNothingAfterAFailedWrite(t *testing.T) {
-	f := newFaulty()
+// After a failed write nothing more is written, because the content of the file is unknown.
+func TestNoWriteAfterFailedWrite(t *testing.T) {
+	f := newFaultyFS()
 	j, err := Open(options(f, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.at, f.how = f.step+1, fullDisk
+	f.faultStep, f.kind = f.step+1, fullDisk
 	if err := j.StoreLogs(logs(1, 1, 1)); !errors.Is(err, errFault) {
 		t.Error(err)
 	}
@@ -348,56 +357,56 @@
 	}
 }
 
-// A read error is told, and is no damage.
+// A read error is returned as it is, not as a *DamageError.
 func TestReadError(t *testing.T) {
-	f := newFaulty()
+	f := newFaultyFS()
 	run(f, 0)
-	f.step, f.at, f.how = 0, 2, readError
+	f.step, f.faultStep, f.kind = 0, 2, readError
 	if _, err := Open(options(f, 0)); !errors.Is(err, errFault) {
 		t.Error(err)
 	}
 }
 
-// Any byte that is flipped in what was synced is found: the journal is refused with file and offset, unless it lies in the
-// last frame, which can't be told from one that was torn.
+// A flipped bit in any synced byte is detected: the journal is rejected with file and offset, unless the byte is in the last
+// frame, which then looks like an incomplete write.
 func TestFlippedByte(t *testing.T) {
-	f := newFaulty()
+	f := newFaultyFS()
 	run(f, 0)
-	all := want(t)
-	refused := 0
+	all := statesWithoutFault(t)
+	rejected := 0
 	for name, c := range f.files {
-		for at := range c.data {
-			bad := f.after(4)
-			bad.files[name].data[at] ^= 0x40
-			j, err := Open(options(bad, 0))
+		for offset := range c.data {
+			damaged := f.afterPowerFailure(4)
+			damaged.files[name].data[offset] ^= 0x40
+			j, err := Open(options(damaged, 0))
 			var damage *DamageError
 			switch {
 			case errors.As(err, &damage):
-				refused++
-				if !strings.Contains(err.Error(), filepath.Base(name)) || strings.Contains(err.Error(), "\n") || damage.Offset > int64(at) {
-					t.Errorf("%s, byte %d: %v", name, at, err)
+				rejected++
+				if !strings.Contains(err.Error(), filepath.Base(name)) || strings.Contains(err.Error(), "\n") || damage.Offset > int64(offset) {
+					t.Errorf("%s, byte %d: %v", name, offset, err)
 				}
 			case err != nil:
-				t.Errorf("%s, byte %d: %v", name, at, err)
+				t.Errorf("%s, byte %d: %v", name, offset, err)
 			case !slices.Contains(all, state(j)):
-				t.Errorf("%s, byte %d: silently wrong: %s", name, at, state(j))
+				t.Errorf("%s, byte %d: silently wrong: %s", name, offset, state(j))
 			}
 		}
 	}
-	if refused < 500 {
-		t.Errorf("only %d refused", refused)
+	if rejected < 500 {
+		t.Errorf("only %d rejected", rejected)
 	}
 }
 
 func TestMissingSegmentAndOtherVersions(t *testing.T) {
-	f := newFaulty()
+	f := newFaultyFS()
 	run(f, 0)
 	names, _ := f.List("")
 	if len(names) < 2 {
 		t.Fatal(names)
 	}
-	// An older segment that holds entries is missed by the ones behind it.
-	g := newFaulty()
+	// A missing middle segment that holds entries is detected.
+	g := newFaultyFS()
 	j, _ := Open(options(g, 0))
 	for i := range uint64(20) {
 		j.StoreLogs(logs(1, i+1, i+1))
@@ -408,7 +417,7 @@
 	if _, err := Open(options(g, 0)); !errors.As(err, &damage) || !strings.Contains(err.Error(), "missing") {
 		t.Error(err)
 	}
-	g = newFaulty()
+	g = newFaultyFS()
 	Open(options(g, 0))
 	g.files["d/0000000000000001.journal"].data[len(magic)] = 2
 	if _, err := Open(options(g, 0)); !errors.As(err, &damage) || !strings.Contains(err.Error(), "version 2") {
@@ -416,10 +425,10 @@
 	}
 }
 
-// On the system's disk: what was written is there after a process that did not close the journal.
+// On a real disk: all writes are there when the journal is reopened without having been closed.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	j, err := Open(Options{Dir: dir, Segment: 2000})
+	j, err := Open(Options{Dir: dir, SegmentSize: 2000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -434,7 +443,7 @@
 		}
 	}
 	before := state(j)
-	again, err := Open(Options{Dir: dir, Segment: 2000})
+	again, err := Open(Options{Dir: dir, SegmentSize: 2000})
 	if err != nil || state(again) != before {
 		t.Errorf("%v\n%s\nwant %s", err, state(again), before)
 	}
@@ -450,7 +459,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for name, every := range map[string]time.Duration{"always": 0, "interval": 100 * time.Millisecond} {
 		b.Run(name, func(b *testing.B) {
-			j, err := Open(Options{Dir: b.TempDir(), Every: every})
+			j, err := Open(Options{Dir: b.TempDir(), SyncEvery: every})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/ready_test.go
+++ b/internal/store/ready_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// A member that has its records on disk is opened again and is Ready once it holds all of them, never before: the time
-// from Open to Ready (ns/op), with none (the election alone: the baseline), 10^3, 10^4 and 10^5 records of 100 bytes. Filling is not timed.
+// BenchmarkReadyAfterRestart measures the time from Open to Ready (ns/op) of a member with its records on disk, which must not
+// be Ready before it holds all of them: with no records (the election alone, as a baseline) and with 10^3, 10^4 and 10^5
+// records of 100 bytes. Writing the records is not timed.
 //
 //	go test -run '^$' -bench ReadyAfterRestart -benchtime 1x ./internal/store
 func BenchmarkReadyAfterRestart(b *testing.B) {
 	for _, records := range []int{0, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			dir := b.TempDir()
-			n, err := Open(Options{Node: "a", Dir: dir, Sync: SyncInterval, Log: quiet()})
+			n, err := Open(Options{Node: "a", Dir: dir, Sync: SyncInterval, Log: discardLogger()})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -24,7 +25,7 @@
 			n.Close()
 			b.ResetTimer()
 			for range b.N {
-				n, err := Open(Options{Node: "a", Dir: dir, Log: quiet()})
+				n, err := Open(Options{Node: "a", Dir: dir, Log: discardLogger()})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -42,7 +43,7 @@
 	}
 }
 
-// fill writes records from many writers at once, as raft takes them in batches.
+// fill writes records from many goroutines, because raft commits concurrent writes in batches.
 func fill(b *testing.B, n *Node, records int) {
 	value := make([]byte, 100)
 	var wg sync.WaitGroup
@@ -60,17 +61,17 @@
 	wg.Wait()
 }
 
-// A member that was opened again is not Ready before it holds what it held when it stopped.
+// A restarted member is not Ready before it holds all records that it held when it stopped.
 func TestNotReadyBeforeReplay(t *testing.T) {
 	dir := t.TempDir()
-	n := durable(t, dir)
+	n := openDurable(t, dir)
 	for i := range 50 {
 		if _, err := n.Put(t.Context(), fmt.Sprint("k/", i), []byte("v")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	n.Close()
-	n = durable(t, dir)
+	n = openDurable(t, dir)
 	defer n.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// serve takes one command of a client, or one that another member hands on.
+// serve handles one connection of a client or of a forwarding member, which carries one command.
 func (n *Node) serve(c net.Conn) {
 	defer c.Close()
 	select {
 	case <-n.ready:
-	case <-time.After(applyWithin): // it does not come up
+	case <-time.After(applyTimeout): // raft did not start
 		return
 	}
-	c.SetDeadline(time.Now().Add(2 * applyWithin))
+	c.SetDeadline(time.Now().Add(2 * applyTimeout))
 	in := newLineReader(c, maxCommand)
 	line, err := in.next(maxCommand)
 	if err != nil {
@@ -43,16 +43,16 @@
 	json.NewEncoder(c).Encode(r)
 }
 
-// answer carries out a command that has one answer.
+// answer carries out a command with a single answer.
 func (n *Node) answer(cmd command, r *result) (err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), applyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
 	switch {
-	case n.read(cmd, r):
+	case n.answerLocally(cmd, r):
 		return nil
 	case cmd.Op == opMember:
 		r.Done, err = n.ChangeMember(ctx, *cmd.Member, cmd.Hop)
-	case cmd.Hop: // from a node that took this one for the leader
+	case cmd.Hop: // forwarded by a member that considers this one the leader
 		*r, err = n.commit(ctx, cmd)
 	default:
 		err = n.clientCommand(ctx, cmd, r)
@@ -60,12 +60,12 @@
 	return err
 }
 
-// clientCommand has a client's write, or reduce, committed by the leader.
+// clientCommand has the leader commit a client's write or reduce.
 func (n *Node) clientCommand(ctx context.Context, cmd command, r *result) (err error) {
 	if err := n.checkClient(&cmd); err != nil {
 		return err
 	}
-	if !n.leaderKnown() { // the caller waits, within its own time-out
+	if !n.leaderKnown() { // the client retries within its own timeout
 		return ErrNotReady
 	}
 	if cmd.Op == opRaise {
@@ -75,7 +75,7 @@
 	}
 	cmd.Hop = true
 	if cmd.Op == opReduce {
-		*r, err = n.committed(ctx, cmd)
+		*r, err = n.commitAtLeader(ctx, cmd)
 		return err
 	}
 	r.Revision, err = n.write(ctx, cmd)
@@ -94,13 +94,13 @@
 	in    *bufio.Reader
 }
 
-func newLineReader(from io.Reader, most int64) *lineReader {
-	limit := &io.LimitedReader{R: from, N: most}
+func newLineReader(from io.Reader, maxBytes int64) *lineReader {
+	limit := &io.LimitedReader{R: from, N: maxBytes}
 	return &lineReader{limit, bufio.NewReader(limit)}
 }
 
-// next reads a line of at most so many bytes, and what the buffer took in beside it.
-func (l *lineReader) next(most int64) ([]byte, error) {
-	l.limit.N = most
+// next reads a line. It reads at most maxBytes from the connection, besides those that are buffered already.
+func (l *lineReader) next(maxBytes int64) ([]byte, error) {
+	l.limit.N = maxBytes
 	return l.in.ReadBytes('\n')
 }
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -10,26 +10,27 @@
 	"beammux/control/admission"
 )
 
-// session is one client that watches.
+// session is one watch session at a control machine.
 type session struct {
-	server  *sessionServer
-	conn    net.Conn
-	in      *lineReader
-	request WatchRequest
-	since   time.Time
-	wake    chan struct{}
-	gone    chan struct{} // the client has left, or is silent
-	cursor  uint64        // all up to this revision is sent; of the writing goroutine alone
-	// admitted tells that the session counts among those that are open; of the writing goroutine alone.
+	server       *sessionServer
+	conn         net.Conn
+	in           *lineReader
+	request      WatchRequest
+	since        time.Time
+	wake         chan struct{}
+	disconnected chan struct{} // closed when the client has disconnected or timed out
+	cursor       uint64        // everything up to this revision has been sent; used by the writing goroutine only
+	// admitted is set while the session is counted by the admission controller; used by the writing goroutine only.
 	admitted bool
 
 	mu          sync.Mutex
-	sent        uint64 // the cursor, for others
-	target      uint64 // revision of the last change under its prefixes
-	targetSince time.Time
+	sent        uint64    // copy of cursor for other goroutines
+	target      uint64    // revision of the last change under its prefixes
+	targetSince time.Time // when target was set
 	report      WatchReport
 }
 
+// wakeUp tells the writing goroutine that the history has changes for this session. It does not block.
 func (s *session) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -37,7 +38,7 @@
 	}
 }
 
-// run serves the session. The error is what is still to be sent to the client, or errSessionEnds.
+// run serves the session until it ends. The returned error must still be sent to the client, unless it is errSessionEnds.
 func (s *session) run() error {
 	defer s.release()
 	if err := s.open(); err != nil {
@@ -46,46 +47,47 @@
 	s.server.running.Go(s.readReports) // until the connection is closed
 	err := s.send()
 	if !errors.Is(err, errSessionEnds) {
-		s.endWith(err)
+		s.sendFinalError(err)
 	}
 	return errSessionEnds
 }
 
+// release ends the session at the admission controller if it was admitted.
 func (s *session) release() {
 	if s.admitted {
 		s.server.release()
 	}
 }
 
-// endWith sends the client the reason why its session ends, and waits until it has left: a connection that is closed while reports
-// of the client are unread is reset, and what was written last may be lost.
-func (s *session) endWith(err error) {
+// sendFinalError sends the client the error that ends its session and waits until the client disconnects: closing a connection
+// with unread reports resets it, and data written last may be lost.
+func (s *session) sendFinalError(err error) {
 	sendFault(s.conn, err)
 	if half, ok := s.conn.(*net.TCPConn); ok {
 		half.CloseWrite()
 	}
 	select {
-	case <-s.gone:
+	case <-s.disconnected:
 	case <-s.server.ctx.Done():
-	case <-time.After(writeWithin):
+	case <-time.After(writeTimeout):
 	}
 }
 
-// sendFault writes an error as the last line of a connection.
+// sendFault writes an error as the last line on a connection.
 func sendFault(c net.Conn, err error) {
 	var r result
 	r.fail(err)
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	json.NewEncoder(c).Encode(r)
 }
 
-// open admits the session and sends what the client lacks up to now, or the begin of it.
+// open checks and admits the session, and sends a snapshot if the client can't resume from its revision.
 func (s *session) open() error {
 	if err := s.server.check(s.request); err != nil {
 		return err
 	}
-	s.server.noteHeld(s.request.After)
-	if err := s.server.reached(s.request.After); err != nil {
+	s.server.noteClientRevision(s.request.After)
+	if err := s.server.waitForRevision(s.request.After); err != nil {
 		return err
 	}
 	s.conn.SetDeadline(time.Time{})
@@ -111,25 +113,25 @@
 	return nil
 }
 
-// send brings changes and heartbeats until the session ends.
+// send sends changes and heartbeats until the session ends.
 func (s *session) send() error {
-	beats := time.NewTicker(s.server.options.HeartbeatInterval)
-	defer beats.Stop()
-	for beat := true; ; {
+	heartbeats := time.NewTicker(s.server.options.HeartbeatInterval)
+	defer heartbeats.Stop()
+	for heartbeatDue := true; ; {
 		if err := s.catchUp(); err != nil {
 			return err
 		}
-		if beat {
+		if heartbeatDue {
 			if s.write(s.server.heartbeat(s.cursor)) != nil {
 				return errSessionEnds
 			}
 		}
 		select {
 		case <-s.wake:
-			beat = false
-		case <-beats.C:
-			beat = true
-		case <-s.gone:
+			heartbeatDue = false
+		case <-heartbeats.C:
+			heartbeatDue = true
+		case <-s.disconnected:
 			return errSessionEnds
 		case <-s.server.ctx.Done():
 			return errSessionEnds
@@ -137,13 +139,13 @@
 	}
 }
 
-// catchUp sends all changes that there are.
+// catchUp sends all changes after the cursor.
 func (s *session) catchUp() error {
 	for {
-		transactions, upTo, ok := s.server.history.since(s.cursor, batch)
+		transactions, upTo, ok := s.server.history.since(s.cursor, historyBatch)
 		switch {
 		case !ok && s.server.history.wasReset(s.cursor):
-			return s.server.comeBack(s.request.Session.Name)
+			return s.server.comeBackError(s.request.Session.Name)
 		case !ok:
 			return &WatcherTooSlow{}
 		}
@@ -159,17 +161,17 @@
 			s.setCursor(t.revision)
 		}
 		s.setCursor(upTo)
-		if len(transactions) < batch {
+		if len(transactions) < historyBatch {
 			return nil
 		}
 	}
 }
 
-// write writes a line in parts, each within its time.
+// write writes a line in parts, each with its own write deadline.
 func (s *session) write(line []byte) error {
 	for len(line) > 0 {
-		part := line[:min(len(line), writePart)]
-		s.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+		part := line[:min(len(line), writePartSize)]
+		s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := s.conn.Write(part); err != nil {
 			return err
 		}
@@ -178,11 +180,11 @@
 	return nil
 }
 
-// readReports takes the client's reports until it leaves or is silent for too long.
+// readReports receives the client's reports until it disconnects or sends nothing for too long.
 func (s *session) readReports() {
-	defer close(s.gone)
+	defer close(s.disconnected)
 	for {
-		s.conn.SetReadDeadline(time.Now().Add(silenceAfter(s.server.options.HeartbeatInterval)))
+		s.conn.SetReadDeadline(time.Now().Add(idleTimeoutFor(s.server.options.HeartbeatInterval)))
 		line, err := s.in.next(maxReport)
 		if err != nil {
 			return
@@ -197,6 +199,7 @@
 	}
 }
 
+// setCursor records that everything up to a revision has been sent.
 func (s *session) setCursor(revision uint64) {
 	s.cursor = revision
 	s.mu.Lock()
@@ -204,6 +207,7 @@
 	s.sent = revision
 }
 
+// setTarget records the revision of a change under the session's prefixes.
 func (s *session) setTarget(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -14,58 +14,59 @@
 )
 
 const (
-	writeWithin  = 2 * applyWithin // for each part of an event that is written to a session
-	writePart    = 256 << 10       // bytes of such a part
-	behindWithin = time.Second     // for a replica to reach the revision that a client holds, or to be ready
-	maxReport    = 16 << 10        // bytes of a line from a client
-	maxSessions  = 8192
-	fullFor      = 30 * time.Second // until a client that found so many comes back
-	maxPrefixes  = 32
-	batch        = 64 // transactions that a session takes from the history at once
+	writeTimeout   = 2 * applyTimeout // timeout for writing each part of an event
+	writePartSize  = 256 << 10        // bytes of such a part
+	catchUpTimeout = time.Second      // timeout for a replica to be ready and to reach the revision that a client holds
+	maxReport      = 16 << 10         // bytes of a line from a client
+	maxSessions    = 8192             // open sessions, including those not admitted yet
+	fullRetryDelay = 30 * time.Second // retry delay of a client that exceeds maxSessions
+	maxPrefixes    = 32               // of one session
+	historyBatch   = 64               // transactions that are read from the history at once
 )
 
-// sessionServer serves the watch sessions of a control machine. Each session has two goroutines and a place in the history
-// by its revision, but no queue of its own: what it has not been sent is held once for all, and bounded.
+// sessionServer serves the watch sessions of a control machine. Each session has two goroutines and a position in the history
+// (its revision), but no queue of its own: pending changes are held once for all sessions, in the bounded history.
 type sessionServer struct {
-	node    *Node
-	options ServeOptions
-	history *history
-	born    time.Time       // origin of the controller's clock
-	ctx     context.Context // ends with the server
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	node      *Node
+	options   ServeOptions
+	history   *history
+	startedAt time.Time       // start of the controller's clock
+	ctx       context.Context // canceled when the server closes
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
 
-	admitMu sync.Mutex
-	admit   *admission.Controller
+	controllerMu sync.Mutex
+	controller   *admission.Controller
 
-	mu       sync.Mutex
-	closed   bool
-	sessions map[*session]struct{}
-	byPrefix map[string]map[*session]struct{}
-	fleet    *FleetCounts // last gathered; not changed once it is here
-	held     uint64       // highest revision that a client has said it holds
+	mu                sync.Mutex
+	closed            bool
+	sessions          map[*session]struct{}
+	byPrefix          map[string]map[*session]struct{}
+	fleetCounts       *FleetCounts // last collected counts; immutable
+	maxClientRevision uint64       // highest revision that a client reported to hold
 
 	viewMu sync.Mutex
 	view   *view
 
-	beatMu sync.Mutex
-	beat   sharedBeat
+	heartbeatMu   sync.Mutex
+	lastHeartbeat encodedHeartbeat
 }
 
-// sharedBeat is the last heartbeat that was encoded.
-type sharedBeat struct {
-	line     []byte
-	revision uint64
-	at       time.Time
+// encodedHeartbeat is the last encoded heartbeat.
+type encodedHeartbeat struct {
+	line      []byte
+	revision  uint64
+	encodedAt time.Time
 }
 
 func newSessionServer(n *Node, o ServeOptions) *sessionServer {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &sessionServer{node: n, options: o, history: newHistory(o.Prefix, o.HistorySize, o.HistoryBytes), born: time.Now(),
+	return &sessionServer{node: n, options: o, history: newHistory(o.Prefix, o.HistorySize, o.HistoryBytes), startedAt: time.Now(),
 		ctx: ctx, cancel: cancel, sessions: map[*session]struct{}{}, byPrefix: map[string]map[*session]struct{}{},
-		admit: admission.New(admission.Limits(o.Admission))}
+		controller: admission.New(admission.Limits(o.Admission))}
 }
 
+// start starts the server's background goroutines.
 func (s *sessionServer) start() {
 	s.running.Go(s.dispatch)
 	s.running.Go(s.gatherCounts)
@@ -76,28 +77,28 @@
 	s.cancel()
 	s.mu.Lock()
 	s.closed = true
-	for one := range s.sessions {
-		one.conn.Close()
+	for sess := range s.sessions {
+		sess.conn.Close()
 	}
 	s.mu.Unlock()
 	s.running.Wait()
 }
 
-// dispatch wakes the sessions that follow what was changed.
+// dispatch wakes the sessions whose prefixes match the changed keys, until the server closes.
 func (s *sessionServer) dispatch() {
 	_, seen, _ := s.history.state()
 	for {
 		select {
-		case <-s.history.more:
+		case <-s.history.changed:
 		case <-s.ctx.Done():
 			return
 		}
-		transactions, upTo, ok := s.history.since(seen, batch)
+		transactions, upTo, ok := s.history.since(seen, historyBatch)
 		s.mu.Lock()
 		if !ok {
 			_, upTo, _ = s.history.state()
-			for one := range s.sessions {
-				one.wakeUp()
+			for sess := range s.sessions {
+				sess.wakeUp()
 			}
 		}
 		for _, t := range transactions {
@@ -105,50 +106,51 @@
 		}
 		s.mu.Unlock()
 		seen = upTo
-		if len(transactions) == batch { // there may be more
+		if len(transactions) == historyBatch { // there may be more
 			s.history.signal()
 		}
 	}
 }
 
-// wakeFollowers wakes the sessions that have a prefix of a changed key. The lock is held.
+// wakeFollowers wakes the sessions that follow a prefix of a changed key. The caller holds s.mu.
 func (s *sessionServer) wakeFollowers(t *transaction) {
 	for _, c := range t.changes {
 		for end := range len(c.Key) + 1 {
-			for one := range s.byPrefix[c.Key[:end]] {
-				one.wakeUp()
+			for sess := range s.byPrefix[c.Key[:end]] {
+				sess.wakeUp()
 			}
 		}
 	}
 }
 
-// add takes a session in, unless the server is closing or full.
-func (s *sessionServer) add(one *session) error {
+// add registers a session, unless the server is closed or full.
+func (s *sessionServer) add(sess *session) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.closed:
 		return errSessionEnds
 	case len(s.sessions) >= maxSessions:
-		return &ComeBack{fullFor}
+		return &ComeBack{fullRetryDelay}
 	}
 	s.running.Add(1)
-	s.sessions[one] = struct{}{}
-	for _, p := range one.request.Prefixes {
+	s.sessions[sess] = struct{}{}
+	for _, p := range sess.request.Prefixes {
 		if s.byPrefix[p] == nil {
 			s.byPrefix[p] = map[*session]struct{}{}
 		}
-		s.byPrefix[p][one] = struct{}{}
+		s.byPrefix[p][sess] = struct{}{}
 	}
 	return nil
 }
 
-func (s *sessionServer) remove(one *session) {
+// remove unregisters a session.
+func (s *sessionServer) remove(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, one)
-	for _, p := range one.request.Prefixes {
-		delete(s.byPrefix[p], one)
+	delete(s.sessions, sess)
+	for _, p := range sess.request.Prefixes {
+		delete(s.byPrefix[p], sess)
 		if len(s.byPrefix[p]) == 0 {
 			delete(s.byPrefix, p)
 		}
@@ -156,27 +158,28 @@
 	s.running.Done()
 }
 
-// serveSession serves one watch session until it ends, and sends the client the reason where it still can.
+// serveSession serves one watch session until it ends, and sends the client the error that ended it unless run has done so.
 func (n *Node) serveSession(c net.Conn, in *lineReader, request WatchRequest) {
 	if err := n.runSession(c, in, request); !errors.Is(err, errSessionEnds) {
 		sendFault(c, err)
 	}
 }
 
+// runSession registers a session and runs it. Errors other than errSessionEnds must be sent to the client.
 func (n *Node) runSession(c net.Conn, in *lineReader, request WatchRequest) error {
 	if n.sessions == nil {
 		return &NotControl{n.id}
 	}
-	one := &session{server: n.sessions, conn: c, in: in, request: request, since: time.Now(),
-		wake: make(chan struct{}, 1), gone: make(chan struct{})}
-	if err := n.sessions.add(one); err != nil {
+	sess := &session{server: n.sessions, conn: c, in: in, request: request, since: time.Now(),
+		wake: make(chan struct{}, 1), disconnected: make(chan struct{})}
+	if err := n.sessions.add(sess); err != nil {
 		return err
 	}
-	defer n.sessions.remove(one)
-	return one.run()
+	defer n.sessions.remove(sess)
+	return sess.run()
 }
 
-// check refuses a request that can't be served.
+// check returns a *BadRequest if a request can't be served.
 func (s *sessionServer) check(r WatchRequest) error {
 	if len(r.Prefixes) == 0 || len(r.Prefixes) > maxPrefixes {
 		return &BadRequest{fmt.Sprintf("a session follows %d prefixes, must be 1 to %d", len(r.Prefixes), maxPrefixes)}
@@ -189,26 +192,26 @@
 	return nil
 }
 
-// noteHeld takes down the revision that a client says it holds.
-func (s *sessionServer) noteHeld(revision uint64) {
+// noteClientRevision records the revision that a client reports to hold.
+func (s *sessionServer) noteClientRevision(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = max(s.held, revision)
+	s.maxClientRevision = max(s.maxClientRevision, revision)
 }
 
-// heldAbove is the highest revision that a client has said it holds, 0 where that is not above a revision.
-func (s *sessionServer) heldAbove(revision uint64) uint64 {
+// clientRevisionAbove returns the highest revision that a client reported to hold; 0 if it is not above the given revision.
+func (s *sessionServer) clientRevisionAbove(revision uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held <= revision {
+	if s.maxClientRevision <= revision {
 		return 0
 	}
-	return s.held
+	return s.maxClientRevision
 }
 
-// reached waits a short time for the replica to be ready and to hold a revision.
-func (s *sessionServer) reached(after uint64) error {
-	ctx, cancel := context.WithTimeout(s.ctx, behindWithin)
+// waitForRevision waits up to behindWithin for the replica to be ready and to have applied a revision.
+func (s *sessionServer) waitForRevision(after uint64) error {
+	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
 	defer cancel()
 	notReady := s.node.WaitReady(ctx) != nil
 	behind := !notReady && s.node.fsm.wait(ctx, after) != nil
@@ -223,77 +226,80 @@
 	return nil
 }
 
-// admitted asks the controller for a session. One that is admitted is to be ended with release.
+// admitted asks the admission controller to admit a session. An admitted session must be ended with release.
 func (s *sessionServer) admitted(r admission.Request) error {
-	s.admitMu.Lock()
-	defer s.admitMu.Unlock()
-	switch d := s.admit.Admit(s.clock(), r); {
+	s.controllerMu.Lock()
+	defer s.controllerMu.Unlock()
+	switch d := s.controller.Admit(s.clock(), r); {
 	case d.Full:
 		return &SessionsFull{s.options.Admission.Sessions}
 	case !d.Admitted:
-		return &ComeBack{duration(d.RetryAfter)}
+		return &ComeBack{toDuration(d.RetryAfter)}
 	}
 	return nil
 }
 
-// release ends a session that was admitted.
+// release ends an admitted session at the admission controller.
 func (s *sessionServer) release() {
-	s.admitMu.Lock()
-	defer s.admitMu.Unlock()
-	s.admit.Release()
+	s.controllerMu.Lock()
+	defer s.controllerMu.Unlock()
+	s.controller.Release()
 }
 
-// comeBack gives a client that must begin anew, with a snapshot, the time for that.
-func (s *sessionServer) comeBack(client string) error {
-	s.admitMu.Lock()
-	defer s.admitMu.Unlock()
-	return &ComeBack{duration(s.admit.Defer(s.clock(), admission.Request{Client: client, NeedsSnapshot: true}))}
+// comeBackError returns the error that makes a client reconnect later to get a snapshot.
+func (s *sessionServer) comeBackError(client string) error {
+	s.controllerMu.Lock()
+	defer s.controllerMu.Unlock()
+	return &ComeBack{toDuration(s.controller.Defer(s.clock(), admission.Request{Client: client, NeedsSnapshot: true}))}
 }
 
+// clock returns the time of the admission controller.
 func (s *sessionServer) clock() control.Micros {
-	return control.Micros(time.Since(s.born).Microseconds())
+	return control.Micros(time.Since(s.startedAt).Microseconds())
 }
 
-func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+// toDuration converts the time unit of the admission controller.
+func toDuration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// currentView is all served records as they are now; it is made anew only after one has changed.
+// currentView returns a view of all served records. It is rebuilt only after one of them has changed.
 func (s *sessionServer) currentView() *view {
 	s.viewMu.Lock()
 	defer s.viewMu.Unlock()
-	if _, _, last := s.history.state(); s.view == nil || s.view.revision < last {
+	if _, _, lastChange := s.history.state(); s.view == nil || s.view.revision < lastChange {
 		records, revision := s.node.fsm.listAt(s.options.Prefix)
 		s.view = &view{records: records, revision: revision}
 	}
 	return s.view
 }
 
-// heartbeat is a heartbeat at a revision, as it is sent. Sessions at the same revision share one for a while.
+// heartbeat returns an encoded heartbeat at a revision. Sessions at the same revision share one for a part of the heartbeat
+// interval.
 func (s *sessionServer) heartbeat(revision uint64) []byte {
 	now := time.Now()
-	s.beatMu.Lock()
-	defer s.beatMu.Unlock()
-	if s.beat.line != nil && s.beat.revision == revision && now.Sub(s.beat.at) < s.options.HeartbeatInterval/8 {
-		return s.beat.line
+	s.heartbeatMu.Lock()
+	defer s.heartbeatMu.Unlock()
+	if s.lastHeartbeat.line != nil && s.lastHeartbeat.revision == revision && now.Sub(s.lastHeartbeat.encodedAt) < s.options.HeartbeatInterval/8 {
+		return s.lastHeartbeat.line
 	}
 	s.mu.Lock()
-	fleet := s.fleet
+	fleetCounts := s.fleetCounts
 	s.mu.Unlock()
-	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleet, Age: s.node.contactAge(), Every: s.options.HeartbeatInterval}
-	s.beat = sharedBeat{e.line(), revision, now}
-	return s.beat.line
+	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleetCounts, Age: s.node.contactAge(), Every: s.options.HeartbeatInterval}
+	s.lastHeartbeat = encodedHeartbeat{e.line(), revision, now}
+	return s.lastHeartbeat.line
 }
 
-// contactAge is the time since this member had word from its leader; 0 at the leader.
+// contactAge returns the time since the last contact with the leader, or since the start if there was none; 0 at the leader.
 func (n *Node) contactAge() time.Duration {
 	last := n.raft.LastContact()
 	switch {
 	case n.Leader():
 		return 0
 	case last.IsZero():
-		return time.Since(n.born)
+		return time.Since(n.startedAt)
 	}
 	return time.Since(last)
 }
 
-// errSessionEnds says that a session is over and that nothing more is sent to the client.
+// errSessionEnds ends a session without sending an error to the client.
 var errSessionEnds = errors.New("the session ends")
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -24,10 +24,10 @@
 	listeners []net.Listener
 	nodes     []*Node
 	configure func(i int, o *Options)
-	network   *relay.Network // between the members
+	network   *relay.Network // relays the connections between members
 }
 
-// newControlGroup starts voters and non-voters, in this order. configure may change each one's options; nil: none.
+// newControlGroup starts voters and non-voters, in this order. configure, if not nil, can change the options of each member.
 func newControlGroup(t *testing.T, voters, nonVoters int, configure func(i int, o *Options)) *controlGroup {
 	t.Helper()
 	g := &controlGroup{t: t, configure: configure, network: relay.New(1)}
@@ -46,7 +46,7 @@
 
 func (g *controlGroup) start(i int, l net.Listener) {
 	g.t.Helper()
-	o := Options{Node: g.peers[i].Node, Listener: l, Peers: g.peers, Log: quiet(),
+	o := Options{Node: g.peers[i].Node, Listener: l, Peers: g.peers, Log: discardLogger(),
 		Serve: &ServeOptions{Name: g.peers[i].Node, Prefix: "settings/", HeartbeatInterval: 50 * time.Millisecond, ReportInterval: 50 * time.Millisecond}}
 	for j, p := range g.peers {
 		if j == i {
@@ -69,8 +69,8 @@
 	g.t.Cleanup(func() { n.Close() })
 }
 
-// cut parts a member from the others, or heals it.
-func (g *controlGroup) cut(i int, cut bool) {
+// disconnect partitions a member from the others, or heals the partition if disconnect is false.
+func (g *controlGroup) disconnect(i int, disconnect bool) {
 	var others []string
 	for j, p := range g.peers {
 		if j != i {
@@ -78,8 +78,8 @@
 		}
 	}
 	one := []string{g.peers[i].Node}
-	g.network.Cut(one, others, cut)
-	g.network.Cut(others, one, cut)
+	g.network.Cut(one, others, disconnect)
+	g.network.Cut(others, one, disconnect)
 }
 
 func (g *controlGroup) close() {
@@ -106,25 +106,25 @@
 	return found
 }
 
-// putAll writes a record and waits until all members have it.
+// putAll writes a record and waits until all members have applied the write.
 func (g *controlGroup) putAll(key, value string) uint64 {
 	g.t.Helper()
 	revision := g.put(key, value)
 	for _, n := range g.nodes {
-		require.NoError(g.t, n.fsm.wait(within(g.t), revision))
+		require.NoError(g.t, n.fsm.wait(testContext(g.t), revision))
 	}
 	return revision
 }
 
-// put writes a record through the first member and gives its revision.
+// put writes a record through the first member and returns its revision.
 func (g *controlGroup) put(key, value string) uint64 {
 	g.t.Helper()
-	revision, err := g.nodes[0].Transact(within(g.t), []Write{{Key: key, Value: []byte(value)}})
+	revision, err := g.nodes[0].Transact(testContext(g.t), []Write{{Key: key, Value: []byte(value)}})
 	require.NoError(g.t, err)
 	return revision
 }
 
-// client follows a session and keeps what it has been sent.
+// client is a watch session and the events that it has received.
 type client struct {
 	t       *testing.T
 	events  chan WatchEvent
@@ -133,6 +133,7 @@
 	cancel  context.CancelFunc
 }
 
+// watchSession opens a session, by default as g1 with the prefix settings/.
 func watchSession(t *testing.T, address string, r WatchRequest) *client {
 	t.Helper()
 	if r.Session.Name == "" {
@@ -150,7 +151,7 @@
 	return c
 }
 
-// next gives the next event; heartbeats are left out unless one is wanted.
+// next returns the next event, which must be of the given kind. Heartbeats are skipped unless one is requested.
 func (c *client) next(kind WatchKind) WatchEvent {
 	c.t.Helper()
 	limit := time.After(15 * time.Second)
@@ -161,7 +162,7 @@
 				return e
 			}
 			if e.Kind != Heartbeat {
-				c.t.Fatalf("%v while a %v was expected", e, kind)
+				c.t.Fatalf("got %v, want a %v", e, kind)
 			}
 		case err := <-c.ended:
 			c.t.Fatalf("the session ended (%v) before a %v", err, kind)
@@ -171,12 +172,12 @@
 	}
 }
 
-// until reads heartbeats up to one that pleases.
-func (c *client) until(pleases func(WatchEvent) bool) WatchEvent {
+// until reads heartbeats until matches returns true for one.
+func (c *client) until(matches func(WatchEvent) bool) WatchEvent {
 	c.t.Helper()
 	for limit := time.Now().Add(15 * time.Second); ; {
 		e := c.next(Heartbeat)
-		if pleases(e) {
+		if matches(e) {
 			return e
 		}
 		if time.Now().After(limit) {
@@ -185,20 +186,22 @@
 	}
 }
 
-func (c *client) end() error {
+// waitEnd waits until the session ends and returns its error.
+func (c *client) waitEnd() error {
 	c.t.Helper()
 	select {
 	case err := <-c.ended:
 		return err
 	case <-time.After(20 * time.Second):
-		c.t.Fatal("the session goes on")
+		c.t.Fatal("the session did not end")
 		return nil
 	}
 }
 
+// leave closes the session.
 func (c *client) leave() {
 	c.cancel()
-	require.ErrorIs(c.t, c.end(), context.Canceled)
+	require.ErrorIs(c.t, c.waitEnd(), context.Canceled)
 }
 
 func keysOf(records []Record) (keys []string) {
@@ -208,21 +211,21 @@
 	return keys
 }
 
-// A session begins with a snapshot of its prefixes, brings each transaction as one event, and moves on by heartbeats where
-// what was written is none of its own; another resumes from there without a snapshot and misses nothing.
+// A session starts with a snapshot of its prefixes, gets each transaction as one event, and advances its revision by heartbeats
+// on writes under other prefixes. Another session resumes from there without a snapshot and misses no change.
 func TestSession(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	g := newControlGroup(t, 3, 1, nil)
 	defer g.close()
 	first := g.put("settings/all/calls", "1")
 	other := g.put("settings/zone/z2/calls", "other")
-	require.NoError(t, g.nodes[3].fsm.wait(within(t), other))
+	require.NoError(t, g.nodes[3].fsm.wait(testContext(t), other))
 	c := watchSession(t, g.address(3), WatchRequest{Prefixes: []string{"settings/all/", "settings/zone/z1/"}})
 	e := c.next(Snapshot)
 	require.Equal(t, []Record{{"settings/all/calls", []byte("1"), first}}, e.Records)
 	require.Equal(t, other, e.Revision)
 
-	revision, err := g.nodes[1].Transact(within(t), []Write{{Key: "settings/all/calls", Delete: true}, {Key: "settings/zone/z1/limits"},
+	revision, err := g.nodes[1].Transact(testContext(t), []Write{{Key: "settings/all/calls", Delete: true}, {Key: "settings/zone/z1/limits"},
 		{Key: "settings/zone/z2/limits", Value: []byte("x")}})
 	require.NoError(t, err)
 	e = c.next(Change)
@@ -240,10 +243,10 @@
 	c.leave()
 }
 
-// All writes of a transaction are carried out at one revision, or none, through any member.
+// A transaction through any member is atomic: all its writes get one revision, or none is applied.
 func TestTransaction(t *testing.T) {
 	g := newControlGroup(t, 3, 1, nil)
-	ctx := within(t)
+	ctx := testContext(t)
 	none, stale := uint64(0), uint64(1)
 	first, err := TransactTo(ctx, g.address(3), []Write{{Key: "a", Value: []byte("1"), At: &none}, {Key: "b", Value: []byte("1")}})
 	require.NoError(t, err)
@@ -265,28 +268,28 @@
 	}
 }
 
-type placed struct{ text string }
+// adviceError is a check's error with advice.
+type adviceError struct{ text string }
 
-func (p *placed) Error() string  { return p.text }
-func (p *placed) Advice() string { return "write a number there" }
+func (p *adviceError) Error() string  { return p.text }
+func (p *adviceError) Advice() string { return "write a number there" }
 
-// A client's write that does not check is refused by whichever member it reaches, with the place and the advice of the
-// check; what this process writes itself and other keys are not asked about.
+// Every member refuses a client's write that fails the check, with the check's text and advice, and without retries.
 func TestCheckRefuses(t *testing.T) {
 	check := func(writes []Write) error {
 		for _, w := range writes {
 			if string(w.Value) == "bad" {
-				return fmt.Errorf("%s: %w", w.Key, &placed{"calls.json:3:7: rate: not a number"})
+				return fmt.Errorf("%s: %w", w.Key, &adviceError{"calls.json:3:7: rate: not a number"})
 			}
 		}
 		return nil
 	}
 	g := newControlGroup(t, 3, 0, func(_ int, o *Options) { o.Check = check })
-	ctx := within(t)
+	ctx := testContext(t)
 	require.NoError(t, g.nodes[0].WaitReady(ctx))
 	leader := g.leader()
-	for _, at := range []int{leader, (leader + 1) % 3} {
-		address := g.address(at)
+	for _, member := range []int{leader, (leader + 1) % 3} {
+		address := g.address(member)
 		_, err := PutTo(ctx, address, "k", []byte("good"), nil)
 		require.NoError(t, err)
 		zero := uint64(0)
@@ -305,41 +308,41 @@
 			require.ErrorAs(t, err, &refused, name)
 			require.Contains(t, err.Error(), "calls.json:3:7: rate: not a number", name)
 			require.Equal(t, "write a number there", advice.Of(err), name)
-			require.Less(t, time.Since(began), applyWithin, "a refusal was tried again")
+			require.Less(t, time.Since(began), applyTimeout, "a refused write was retried")
 		}
-		require.Equal(t, []string{"k"}, keysOf(g.nodes[at].List("")))
-		r, _ := g.nodes[at].Get("k")
+		require.Equal(t, []string{"k"}, keysOf(g.nodes[member].List("")))
+		r, _ := g.nodes[member].Get("k")
 		require.Equal(t, "good", string(r.Value))
 	}
 }
 
-// Members without Serve, and gatekeepers, are told apart by their answer.
+// A member without Serve answers session requests with *NotControl.
 func TestNotControl(t *testing.T) {
 	g := newControlGroup(t, 1, 0, func(_ int, o *Options) { o.Serve = nil })
 	var not *NotControl
-	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{}).end(), &not)
-	_, err := SessionsFrom(within(t), nil, g.address(0))
+	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{}).waitEnd(), &not)
+	_, err := SessionsFrom(testContext(t), nil, g.address(0))
 	require.ErrorAs(t, err, &not)
 }
 
-var errHandled = errors.New("handled enough")
+var errStopHandling = errors.New("stop handling")
 
-// The error of handle ends the session and is returned.
+// An error of handle ends the session and is returned.
 func TestHandleEndsSession(t *testing.T) {
 	g := newControlGroup(t, 1, 0, nil)
 	var mu sync.Mutex
 	seen := 0
-	err := WatchSession(within(t), nil, g.address(0), WatchRequest{Prefixes: []string{"settings/"}}, nil, func(WatchEvent) error {
+	err := WatchSession(testContext(t), nil, g.address(0), WatchRequest{Prefixes: []string{"settings/"}}, nil, func(WatchEvent) error {
 		mu.Lock()
 		defer mu.Unlock()
 		seen++
-		return errHandled
+		return errStopHandling
 	})
-	require.ErrorIs(t, err, errHandled)
+	require.ErrorIs(t, err, errStopHandling)
 	require.Equal(t, 1, seen)
 }
 
-// listenAgain listens where a member that has ended did.
+// listenAgain listens on the address of a closed member.
 func listenAgain(t *testing.T, address string) (l net.Listener) {
 	t.Helper()
 	require.Eventually(t, func() (ok bool) {
