--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads the gatekeeper's configuration once into the few values that the program uses.
+// Package config reads the configuration file of a gatekeeper, its deploy file, the file of a control machine and the
+// settings records that control machines distribute.
 package config
 
 import (
@@ -13,22 +14,22 @@
 	"beammux/internal/protocol/bus"
 )
 
-// Config is what the platform tells a gatekeeper.
+// Config is the configuration that the platform passes to a gatekeeper.
 type Config struct {
 	Name, Listen string
-	Admin        string // the operators' address, HOST:PORT; empty: off
+	Admin        string // address of the operators' HTTP server, HOST:PORT; empty: off
 	Seed         uint64
 	Cores        float64
 	MemoryMB     int
 	Sockets      int
 	Bus          string
-	Last         int64       // number of the last event in Known
-	Known        []bus.Event // events up to the start
+	Last         int64       // offset of the last event in Known
+	Known        []bus.Event // bus events up to the start
 	Site         *control.Site
-	Text         []byte // the file as it was
+	Text         []byte // contents of the file
 }
 
-// Error is a fault by file and key.
+// Error reports a fault in a file. Key is the key at fault, or empty.
 type Error struct{ File, Key, What string }
 
 func (e *Error) Error() string {
@@ -38,7 +39,7 @@
 	return e.File + ": key " + e.Key + ": " + e.What
 }
 
-// Load reads a configuration file.
+// Load reads and decodes a configuration file. Faults are of type *Error.
 func Load(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return c, nil
 }
 
-// CheckAdmin says what is wrong with an operators' address, if anything.
+// CheckAdmin returns an error if addr is not a valid address of the operators' HTTP server.
 func CheckAdmin(addr string) error {
 	if _, _, err := ops.Split(addr); err != nil {
 		return fmt.Errorf("%q is not HOST:PORT: %v", addr, err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"beammux/control"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:5060","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+const validConfig = `{"name":"n3","listen":"127.0.0.1:5060","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "bus":"127.0.0.1:4222","known":{"offset":3,"batch":[{"offset":3,"topology":{"seq":1,"whole":true,"hosts":[{"host":"s-1",
 "dial":"127.0.0.1:9","health":"up"}]}}]},"news":{},"settings":{"balancers":6,"classes":[{"name":"menu-view","repeat":"read_like"}]}}`
 
@@ -23,7 +23,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := Load(write(t, good))
+	c, err := Load(write(t, validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,10 +36,10 @@
 	}
 }
 
-// A fault is one line that names the file and the key.
-func TestFaults(t *testing.T) {
+// An error is one line that names the file and the key.
+func TestLoadErrors(t *testing.T) {
 	for _, row := range []struct{ from, to, want string }{
-		{good, "{", "c.json: not JSON"},
+		{validConfig, "{", "c.json: not JSON"},
 		{`"listen":"127.0.0.1:5060",`, "", "c.json: key listen: missing"},
 		{"8c1f", "xyz!", "c.json: key seed: not 16 hex digits"},
 		{`"settings":{`, `"settings":3,"x":{`, "c.json: key settings: not a JSON object"},
@@ -47,13 +47,13 @@
 		{"read_like", "often", `c.json: key settings: key classes[0].repeat is not known: "often"`},
 		{`"health":"up"`, `"health":"ill"`, `c.json: key known.batch[0]: topology.hosts[0]: key health is not known: "ill"`},
 	} {
-		_, err := Load(write(t, strings.Replace(good, row.from, row.to, 1)))
+		_, err := Load(write(t, strings.Replace(validConfig, row.from, row.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v, want %s", err, row.want)
 		}
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("a file that does not exist was read")
 	}
 }
 
@@ -63,13 +63,13 @@
 	if err != nil || d.SIPUDP != "127.0.0.1:1" || d.SIPTCP != "" || len(d.StorePeers) != 1 || d.Inventory != "x.csv" {
 		t.Errorf("%+v, %v", d, err)
 	}
-	if d, err := LoadDeploy("no-such-file", &control.Site{}); err != nil || *d.off() != *(&Deploy{}).off() {
+	if d, err := LoadDeploy("no-such-file", &control.Site{}); err != nil || *d.enabled() != *(&Deploy{}).enabled() {
 		t.Errorf("%+v, %v", d, err)
 	}
 	for text, want := range map[string]string{
 		"[]": "c.json:1:1: is an array, must be an object", `{"sip":{"udp":1}}`: "c.json:1:9: sip.udp: is a number, must be a string",
 		`{"store":{"listen":"x:2","peers":[{"node":"a"}]}}`:  "c.json:1:35: store.peers[0]: node or address is missing",
-		`{"store":{"peers":[{"node":"a","address":"x:1"}]}}`: "c.json:1:2: store.listen: missing beside peers",
+		`{"store":{"peers":[{"node":"a","address":"x:1"}]}}`: "c.json:1:2: store.listen: is missing; peers require it",
 	} {
 		if _, err := LoadDeploy(write(t, text), &control.Site{}); err == nil || !strings.HasSuffix(err.Error(), want) {
 			t.Errorf("%s: %v, want %s", text, err, want)
@@ -77,14 +77,17 @@
 	}
 }
 
-// The deploy file that ships keeps the second front and the store's sockets off.
-func TestShippedDeployFileIsOff(t *testing.T) {
+// The shipped deploy file enables neither the SIP front nor the store's listener nor an inventory.
+func TestShippedDeployFileEnablesNothing(t *testing.T) {
 	d, err := LoadDeploy("../../deploy/beammux.json", &control.Site{})
-	if err != nil || *d.off() != (switches{}) {
+	if err != nil || *d.enabled() != (switches{}) {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
 
+// switches are the keys of a deploy file that enable sockets and an inventory.
 type switches struct{ udp, tcp, store, inventory string }
 
-func (d *Deploy) off() *switches { return &switches{d.SIPUDP, d.SIPTCP, d.StoreListen, d.Inventory} }
+func (d *Deploy) enabled() *switches {
+	return &switches{d.SIPUDP, d.SIPTCP, d.StoreListen, d.Inventory}
+}
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -11,92 +11,94 @@
 	"beammux/internal/jsonfile"
 )
 
-// Control is the section control: how a gatekeeper follows its settings from the control machines.
+// Control is the section control of a deploy file: it configures how a gatekeeper follows its settings from the control
+// machines.
 type Control struct {
-	Name    string // of this gatekeeper; "": the configuration's
-	Region  string // "": it follows no region's settings
-	Zone    string // "": no zone's
-	Service string // "": no service's
-	// Replicas are the control machines that it may ask, at least one.
+	Name    string // of this gatekeeper; "": as in the configuration
+	Region  string // "": the gatekeeper follows no settings of a region
+	Zone    string // "": no settings of a zone
+	Service string // "": no settings of a service
+	// Replicas are the control machines that the gatekeeper may connect to, at least one.
 	Replicas []Replica
-	// Dir is the folder in which the last good settings are kept over a restart; "": they are not kept.
+	// Dir is the directory that keeps the last valid settings across a restart; "": they are not kept.
 	Dir string
 }
 
-// Replica is one control machine, as a gatekeeper reaches it.
+// Replica is the name, address and location of one control machine.
 type Replica struct{ Name, Address, Zone, Region string }
 
-// mostReplicas is the greatest number of control machines that a file may name.
-const mostReplicas = 128
+// maxReplicas is the maximum number of control machines in a file.
+const maxReplicas = 128
 
-// settingsDir is the folder within store.dir in which the last good settings are kept, where the section names none.
+// settingsDir is the directory within store.dir that keeps the last valid settings if the section has no dir.
 const settingsDir = "settings"
 
-// control reads the section control. The section store has been read before it.
-func (d *Deploy) control(v *jsonfile.Value) {
-	f := d.file
-	m := f.Members(v, "name", "region", "zone", "service", "replicas", "dir")
+// readControl reads the section control. It must run after the section store has been read, since dir defaults to a
+// directory in store.dir.
+func (d *Deploy) readControl(v *jsonfile.Value) {
+	f := d.source
+	members := f.Members(v, "name", "region", "zone", "service", "replicas", "dir")
 	if v.Kind != jsonfile.Object {
 		return
 	}
-	c := &Control{Name: scopeName(f, m[0]), Region: scopeName(f, m[1]), Zone: scopeName(f, m[2]), Service: scopeName(f, m[3]),
-		Dir: f.String(m[5])}
+	section := &Control{Name: readScopeName(f, members[0]), Region: readScopeName(f, members[1]), Zone: readScopeName(f, members[2]), Service: readScopeName(f, members[3]),
+		Dir: f.String(members[5])}
 	switch {
-	case m[4] == nil:
-		f.Fault(v.Path, "replicas is missing: the control machines")
-	case f.Is(m[4], jsonfile.Array):
-		c.Replicas = replicas(f, m[4])
+	case members[4] == nil:
+		f.Fault(v.Path, "replicas is missing: list the control machines")
+	case f.Is(members[4], jsonfile.Array):
+		section.Replicas = readReplicas(f, members[4])
 	}
-	if m[5] == nil && d.StoreDir != "" {
-		c.Dir = filepath.Join(d.StoreDir, settingsDir)
+	if members[5] == nil && d.StoreDir != "" {
+		section.Dir = filepath.Join(d.StoreDir, settingsDir)
 	}
-	d.Control = c
+	d.Control = section
 }
 
-// replicas reads the list of control machines.
-func replicas(f *jsonfile.File, v *jsonfile.Value) []Replica {
+// readReplicas reads the list of control machines and reports duplicate names.
+func readReplicas(f *jsonfile.File, v *jsonfile.Value) []Replica {
 	switch {
 	case len(v.Items) == 0:
-		f.Fault(v.Path, "is empty; name at least one control machine, or leave the section out")
-	case len(v.Items) > mostReplicas:
-		f.Fault(v.Path, fmt.Sprintf("%d control machines, over %d", len(v.Items), mostReplicas))
+		f.Fault(v.Path, "is empty; list at least one control machine, or omit the section")
+	case len(v.Items) > maxReplicas:
+		f.Fault(v.Path, fmt.Sprintf("%d control machines, over %d", len(v.Items), maxReplicas))
 	}
-	var all []Replica
-	places := map[string]int{}
+	var list []Replica
+	indexByName := map[string]int{}
 	for i, item := range v.Items {
-		m := f.Members(item, "name", "address", "zone", "region")
+		members := f.Members(item, "name", "address", "zone", "region")
 		if item.Kind != jsonfile.Object {
 			continue
 		}
-		r := Replica{Name: scopeName(f, m[0]), Address: hostPort(f, m[1]), Zone: scopeName(f, m[2]), Region: scopeName(f, m[3])}
-		if m[0] == nil || m[1] == nil {
+		r := Replica{Name: readScopeName(f, members[0]), Address: readHostPort(f, members[1]), Zone: readScopeName(f, members[2]), Region: readScopeName(f, members[3])}
+		if members[0] == nil || members[1] == nil {
 			f.Fault(item.Path, "name or address is missing")
 		}
-		if first, again := places[r.Name]; again && r.Name != "" {
-			f.Fault(m[0].Path, fmt.Sprintf("%q is the name of replicas[%d] already", r.Name, first))
+		if first, duplicate := indexByName[r.Name]; duplicate && r.Name != "" {
+			f.Fault(members[0].Path, fmt.Sprintf("%q is the name of replicas[%d] already", r.Name, first))
 		}
-		places[r.Name] = i
-		all = append(all, r)
+		indexByName[r.Name] = i
+		list = append(list, r)
 	}
-	return all
+	return list
 }
 
-// scopeName reads a name that may stand in the key of a settings record; "" if it is absent or at fault.
-func scopeName(f *jsonfile.File, v *jsonfile.Value) string {
+// readScopeName reads a name that is valid in the key of a settings record. It returns "" if the name is absent or invalid.
+func readScopeName(f *jsonfile.File, v *jsonfile.Value) string {
 	name := f.String(v)
 	if v == nil || v.Kind != jsonfile.String {
 		return ""
 	}
-	unfit := func(r rune) bool { return r == '/' || unicode.IsSpace(r) || unicode.IsControl(r) }
-	if name == "" || len(name) > mostFleetName || strings.ContainsFunc(name, unfit) {
-		f.Fault(v.Path, fmt.Sprintf("must have 1 to %d characters without white space and /", mostFleetName))
+	forbidden := func(r rune) bool { return r == '/' || unicode.IsSpace(r) || unicode.IsControl(r) }
+	if name == "" || len(name) > maxFleetNameLength || strings.ContainsFunc(name, forbidden) {
+		f.Fault(v.Path, fmt.Sprintf("must have 1 to %d characters without white space and /", maxFleetNameLength))
 		return ""
 	}
 	return name
 }
 
-// hostPort reads an address to connect to; "" if it is absent or at fault.
-func hostPort(f *jsonfile.File, v *jsonfile.Value) string {
+// readHostPort reads an address to connect to. It returns "" if the address is absent or invalid.
+func readHostPort(f *jsonfile.File, v *jsonfile.Value) string {
 	address := f.String(v)
 	if v == nil || v.Kind != jsonfile.String {
 		return ""
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -18,66 +18,67 @@
 	"beammux/internal/routing"
 )
 
-// Deploy is what the project's own file under deploy/ says: the second front, the store, the inventory, and time-outs
-// and attempts. All of it may be absent; then it is off. deploy/beammux.schema.json describes the form.
+// Deploy is the deploy file of a gatekeeper: the SIP front, the store, the inventory, the limits of calls, records, the
+// console, the fleet and the control machines. Each section is optional; an absent one turns its feature off.
+// deploy/beammux.schema.json is the schema of the file.
 type Deploy struct {
-	SIPUDP, SIPTCP string // where the SIP front listens
-	DefaultClass   string // of a SIP caller that names none
+	SIPUDP, SIPTCP string // addresses that the SIP front listens on
+	DefaultClass   string // class of SIP calls that name none
 	StoreNode      string
 	StoreListen    string
 	StorePeers     []StorePeer
-	StoreDir       string            // where the store keeps its files; empty: in memory
+	StoreDir       string            // directory of the store's files; empty: the store is in memory
 	StoreSync      string            // always or interval
-	StoreVia       map[string]string // where this member reaches others, by their addresses in the group
-	StoreJoin      bool              // this member is new to a group that runs
-	Inventory      string            // file of servers
-	Calls          *retry.Policy     // nil: as the settings say
+	StoreVia       map[string]string // addresses at which this member reaches others, by their addresses in the group
+	StoreJoin      bool              // this member joins a group that already runs
+	Inventory      string            // path of the file that lists the servers
+	Calls          *retry.Policy     // nil: the settings apply
 	Records        *Records          // nil: off
 	Fleet          *Fleet            // nil: off
-	Limits         *Limits           // of the whole fleet; nil: none
-	Control        *Control          // nil: it follows no settings of control machines
-	Console        string            // socket where staff may watch with the console,, unix:PATH or HOST:PORT on loopback; empty: off
+	Limits         *Limits           // limits of the whole fleet; nil: none
+	Control        *Control          // nil: the gatekeeper follows no settings of control machines
+	Console        string            // socket of the operators' console, unix:PATH or HOST:PORT on loopback; empty: off
 
-	file  *jsonfile.File // nil where there is no file
-	calls *retry.File    // nil without the section
+	source    *jsonfile.File // nil if there is no file
+	callsFile *retry.File    // nil if the section calls is absent
 }
 
-// Fleet says how this gatekeeper takes part in the fleet's gossip.
+// Fleet configures the part of this gatekeeper in the fleet's gossip.
 type Fleet struct {
 	Name, Zone, Region, Bind, Advertise string
-	Group                               string  // of the gossip; "": the one without a name
-	RegisterBytes                       float64 // of registers sent a second, at most; 0: no bound
+	Group                               string  // gossip group; "": the default group
+	RegisterBytes                       float64 // maximum rate of registers sent, in bytes per second; 0: no bound
 	Seeds                               []string
-	Keys                                [][]byte // of the gossip's encryption; nil: none
+	Keys                                [][]byte // encryption keys of the gossip; nil: no encryption
 	Via                                 map[string]string
-	MaxOut                              float64       // part of the servers that verdicts may keep out at once; 0: no verdicts
-	ReapAfter                           time.Duration // 0: the fleet's own
+	MaxOut                              float64       // maximum fraction of the servers that verdicts may keep out at once; 0: no verdicts
+	ReapAfter                           time.Duration // 0: the default of package fleet
 }
 
-// StorePeer is one member of the store's group.
+// StorePeer is one member of the store's Raft group.
 type StorePeer struct {
 	Node, Address string
-	NonVoter      bool // it holds what the others hold, and has no vote
+	NonVoter      bool // the member replicates the log and has no vote
 }
 
-// Store is the section store.
+// Store is the section store of a deploy file or of a control machine's file.
 type Store struct {
 	Node, Listen, Dir, Sync string
 	Peers                   []StorePeer
-	Via                     map[string]string // where this member reaches others, by their addresses in the group
-	Join                    bool              // this member is new to a group that runs
+	Via                     map[string]string // addresses at which this member reaches others, by their addresses in the group
+	Join                    bool              // this member joins a group that already runs
 }
 
-// Records says where a gatekeeper keeps its records, and how much.
+// Records configures the directory and the retention of a gatekeeper's records.
 type Records struct {
 	Dir       string
-	MaxMB     int           // of this gatekeeper
+	MaxMB     int           // maximum total size of this gatekeeper's records
 	MaxAge    time.Duration // 0: no bound
 	SegmentMB int
 }
 
-// LoadDeploy reads the file and proves its section "calls" against the rules of a deployment. A file that does not exist
-// turns everything off. The error holds every fault, one in a line, as FILE:LINE:COL: key: what.
+// LoadDeploy reads a deploy file and checks its section calls against the settings of a deployment. A file that does not
+// exist turns all features off. The error lists every fault, one per line, as FILE:LINE:COL: key: reason.
 func LoadDeploy(file string, site *control.Site) (*Deploy, error) {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -89,25 +90,25 @@
 	return ParseDeploy(file, text, site)
 }
 
-// ParseDeploy is LoadDeploy for a text that has been read.
+// ParseDeploy is like LoadDeploy for the contents of a file. name is the file name in faults.
 func ParseDeploy(name string, text []byte, site *control.Site) (*Deploy, error) {
 	f, err := jsonfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
-	d := &Deploy{file: f}
+	d := &Deploy{source: f}
 	top := f.Members(f.Root, "$schema", "sip", "store", "inventory", "calls", "records", "console", "fleet", "control")
 	f.String(top[0])
 	sip := f.Members(top[1], "udp", "tcp", "default_class")
 	d.SIPUDP, d.SIPTCP, d.DefaultClass = f.String(sip[0]), f.String(sip[1]), f.String(sip[2])
-	d.store(top[2])
+	d.readStoreSection(top[2])
 	d.Inventory = f.String(top[3])
 	if top[4] != nil {
 		d.readCalls(top[4])
-		d.prove(site)
+		d.compileCalls(site)
 	}
 	if top[5] != nil {
-		d.records(top[5])
+		d.readRecords(top[5])
 	}
 	listen := f.Members(top[6], "listen")[0]
 	if d.Console = f.String(listen); d.Console != "" {
@@ -116,10 +117,10 @@
 		}
 	}
 	if top[7] != nil {
-		d.fleet(top[7], site)
+		d.readFleet(top[7], site)
 	}
 	if top[8] != nil {
-		d.control(top[8])
+		d.readControl(top[8])
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -127,340 +128,346 @@
 	return d, nil
 }
 
-func (d *Deploy) records(v *jsonfile.Value) {
-	f := d.file
-	m := f.Members(v, "dir", "max_mb", "max_age", "segment_mb")
-	r := &Records{Dir: f.String(m[0]), MaxMB: int(f.Whole(m[1], 1, 1<<20)), SegmentMB: int(f.Whole(m[3], 1, 1024))}
-	if v.Kind == jsonfile.Object && m[0] == nil {
+// readRecords reads the section records.
+func (d *Deploy) readRecords(v *jsonfile.Value) {
+	f := d.source
+	members := f.Members(v, "dir", "max_mb", "max_age", "segment_mb")
+	section := &Records{Dir: f.String(members[0]), MaxMB: int(f.Whole(members[1], 1, 1<<20)), SegmentMB: int(f.Whole(members[3], 1, 1024))}
+	if v.Kind == jsonfile.Object && members[0] == nil {
 		f.Fault(v.Path, "dir is missing")
-	} else if r.Dir == "" && m[0] != nil && m[0].Kind == jsonfile.String {
-		f.Fault(m[0].Path, "is empty")
+	} else if section.Dir == "" && members[0] != nil && members[0].Kind == jsonfile.String {
+		f.Fault(members[0].Path, "is empty")
 	}
-	if age := f.String(m[2]); age != "" {
+	if age := f.String(members[2]); age != "" {
 		var err error
-		if r.MaxAge, err = time.ParseDuration(age); err != nil || r.MaxAge < time.Minute {
-			f.Fault(m[2].Path, strconv.Quote(age)+" is no span of a minute or more, as 90m or 72h")
+		if section.MaxAge, err = time.ParseDuration(age); err != nil || section.MaxAge < time.Minute {
+			f.Fault(members[2].Path, strconv.Quote(age)+" is not a duration of a minute or more, such as 90m or 72h")
 		}
 	}
-	d.Records = r
+	d.Records = section
 }
 
-func (d *Deploy) store(v *jsonfile.Value) {
-	s := readStore(d.file, v)
-	d.StoreNode, d.StoreListen, d.StoreDir, d.StoreSync = s.Node, s.Listen, s.Dir, s.Sync
-	d.StorePeers, d.StoreVia, d.StoreJoin = s.Peers, s.Via, s.Join
+// readStoreSection reads the section store into the fields of d.
+func (d *Deploy) readStoreSection(v *jsonfile.Value) {
+	section := readStore(d.source, v)
+	d.StoreNode, d.StoreListen, d.StoreDir, d.StoreSync = section.Node, section.Listen, section.Dir, section.Sync
+	d.StorePeers, d.StoreVia, d.StoreJoin = section.Peers, section.Via, section.Join
 }
 
 // readStore reads the section store of a deploy file or of a control machine's file.
 func readStore(f *jsonfile.File, v *jsonfile.Value) Store {
-	m := f.Members(v, "node", "listen", "peers", "dir", "sync", "join", "via")
-	s := Store{Node: f.String(m[0]), Listen: f.String(m[1]), Dir: f.String(m[3]), Sync: f.String(m[4])}
-	if s.Join, _ = f.Bool(m[5]); s.Join && s.Listen == "" {
-		f.Fault("store.listen", "missing beside join")
+	members := f.Members(v, "node", "listen", "peers", "dir", "sync", "join", "via")
+	store := Store{Node: f.String(members[0]), Listen: f.String(members[1]), Dir: f.String(members[3]), Sync: f.String(members[4])}
+	if store.Join, _ = f.Bool(members[5]); store.Join && store.Listen == "" {
+		f.Fault("store.listen", "is missing; join requires it")
 	}
-	if sync := m[4]; sync != nil && sync.Kind == jsonfile.String {
+	if sync := members[4]; sync != nil && sync.Kind == jsonfile.String {
 		if known := []string{"always", "interval"}; !slices.Contains(known, sync.Text) {
 			f.Fault(sync.Path, fmt.Sprintf("%q is neither always nor interval%s", sync.Text, jsonfile.Hint(sync.Text, known)))
-		} else if s.Dir == "" {
-			f.Fault(sync.Path, "says how dir is written, and dir is missing")
+		} else if store.Dir == "" {
+			f.Fault(sync.Path, "is set without dir, whose writes it controls")
 		}
 	}
-	s.Via = readVia(f, m[6])
-	if f.Is(m[2], jsonfile.Array) {
-		s.Peers = storePeers(f, m[2])
+	store.Via = readVia(f, members[6])
+	if f.Is(members[2], jsonfile.Array) {
+		store.Peers = readStorePeers(f, members[2])
 	}
-	if len(s.Peers) > 0 && s.Listen == "" {
-		f.Fault("store.listen", "missing beside peers")
+	if len(store.Peers) > 0 && store.Listen == "" {
+		f.Fault("store.listen", "is missing; peers require it")
 	}
-	return s
+	return store
 }
 
-// storePeers reads the members of the store's group.
-func storePeers(f *jsonfile.File, v *jsonfile.Value) []StorePeer {
+// readStorePeers reads the members of the store's Raft group.
+func readStorePeers(f *jsonfile.File, v *jsonfile.Value) []StorePeer {
 	var peers []StorePeer
 	voters := 0
 	for _, item := range v.Items {
 		if !f.Is(item, jsonfile.Object) {
 			continue
 		}
-		m := f.Members(item, "node", "address", "voter")
-		p := StorePeer{Node: f.String(m[0]), Address: f.String(m[1])}
-		if p.Node == "" || p.Address == "" {
+		members := f.Members(item, "node", "address", "voter")
+		peer := StorePeer{Node: f.String(members[0]), Address: f.String(members[1])}
+		if peer.Node == "" || peer.Address == "" {
 			f.Fault(item.Path, "node or address is missing")
 		}
-		if votes, said := f.Bool(m[2]); said && !votes {
-			p.NonVoter = true
+		if votes, present := f.Bool(members[2]); present && !votes {
+			peer.NonVoter = true
 		} else {
 			voters++
 		}
-		peers = append(peers, p)
+		peers = append(peers, peer)
 	}
 	if len(peers) > 0 && voters == 0 {
-		f.Fault(v.Path, "none of them votes: the group could not write")
+		f.Fault(v.Path, "none of the members has a vote: the group could not commit writes")
 	}
 	return peers
 }
 
-// readVia reads where this member reaches others, by the addresses that they are known by.
+// readVia reads the addresses at which this member reaches others, keyed by their addresses in the group.
 func readVia(f *jsonfile.File, v *jsonfile.Value) map[string]string {
 	if !f.Is(v, jsonfile.Array) {
 		return nil
 	}
-	out := map[string]string{}
+	routes := map[string]string{}
 	for _, item := range v.Items {
 		if !f.Is(item, jsonfile.Object) {
 			continue
 		}
-		m := f.Members(item, "address", "through")
-		address, through := f.String(m[0]), f.String(m[1])
+		members := f.Members(item, "address", "through")
+		address, through := f.String(members[0]), f.String(members[1])
 		if address == "" || through == "" {
 			f.Fault(item.Path, "address or through is missing")
 			continue
 		}
-		if _, again := out[address]; again {
-			f.Fault(item.Path, fmt.Sprintf("%q stands twice", address))
+		if _, duplicate := routes[address]; duplicate {
+			f.Fault(item.Path, fmt.Sprintf("%q is listed twice", address))
 		}
-		out[address] = through
+		routes[address] = through
 	}
-	return out
+	return routes
 }
 
-// fleet reads the section of the gossip.
-func (d *Deploy) fleet(v *jsonfile.Value, site *control.Site) {
-	f := d.file
-	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group", "register_bytes_per_s")
-	if m[9] != nil {
-		d.limits(m[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
-		if len(v.Keys()) == 1 { // limits alone: no gossip
+// readFleet reads the section fleet: the gossip and the limits of the whole fleet.
+func (d *Deploy) readFleet(v *jsonfile.Value, site *control.Site) {
+	f := d.source
+	members := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group", "register_bytes_per_s")
+	if members[9] != nil {
+		d.readLimits(members[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
+		if len(v.Keys()) == 1 { // only limits: the gatekeeper does not take part in the gossip
 			return
 		}
 	}
-	c := &Fleet{Name: f.String(m[0]), Zone: f.String(m[1]), Region: f.String(m[2]), Bind: f.String(m[3]), Advertise: f.String(m[4]),
-		Via: readVia(f, m[7]), Group: f.String(m[11]),
-		RegisterBytes: f.Number(m[12], fleet.MinRegisterBytes, mostRegisterBytes)}
+	section := &Fleet{Name: f.String(members[0]), Zone: f.String(members[1]), Region: f.String(members[2]), Bind: f.String(members[3]), Advertise: f.String(members[4]),
+		Via: readVia(f, members[7]), Group: f.String(members[11]),
+		RegisterBytes: f.Number(members[12], fleet.MinRegisterBytes, maxRegisterBytes)}
 	if v.Kind != jsonfile.Object {
 		return
 	}
-	for _, name := range []*jsonfile.Value{m[0], m[1], m[2], m[11]} {
-		if text := f.String(name); len(text) > mostFleetName {
-			f.Fault(name.Path, fmt.Sprintf("has %d characters, over %d", len(text), mostFleetName))
+	for _, name := range []*jsonfile.Value{members[0], members[1], members[2], members[11]} {
+		if text := f.String(name); len(text) > maxFleetNameLength {
+			f.Fault(name.Path, fmt.Sprintf("has %d characters, over %d", len(text), maxFleetNameLength))
 		}
 	}
-	if m[1] == nil || m[1].Kind == jsonfile.String && c.Zone == "" {
+	if members[1] == nil || members[1].Kind == jsonfile.String && section.Zone == "" {
 		f.Fault(v.Path, "zone is missing")
 	}
-	if m[3] == nil {
+	if members[3] == nil {
 		f.Fault(v.Path, "bind is missing")
 	}
-	for i, addr := range []string{c.Bind, c.Advertise} {
-		if at := m[3+i]; at != nil && at.Kind == jsonfile.String {
+	for i, addr := range []string{section.Bind, section.Advertise} {
+		if address := members[3+i]; address != nil && address.Kind == jsonfile.String {
 			if fleet.CheckAddress(addr) != nil {
-				f.Fault(at.Path, fmt.Sprintf("%q is not IP:PORT", addr))
+				f.Fault(address.Path, fmt.Sprintf("%q is not IP:PORT", addr))
 			}
 		}
 	}
-	if f.Is(m[5], jsonfile.Array) {
-		for _, item := range m[5].Items {
+	if f.Is(members[5], jsonfile.Array) {
+		for _, item := range members[5].Items {
 			if seed := f.String(item); seed != "" {
-				c.Seeds = append(c.Seeds, seed)
+				section.Seeds = append(section.Seeds, seed)
 			}
 		}
 	}
-	if file := f.String(m[6]); file != "" {
+	if file := f.String(members[6]); file != "" {
 		var err error
-		if c.Keys, err = fleet.Keys(file); err != nil {
-			f.Fault(m[6].Path, err.Error())
+		if section.Keys, err = fleet.Keys(file); err != nil {
+			f.Fault(members[6].Path, err.Error())
 		}
 	}
-	if after := f.String(m[8]); after != "" {
+	if duration := f.String(members[8]); duration != "" {
 		var err error
-		if c.ReapAfter, err = time.ParseDuration(after); err != nil || c.ReapAfter < time.Second {
-			f.Fault(m[8].Path, strconv.Quote(after)+" is no span of a second or more, as 90s or 10m")
+		if section.ReapAfter, err = time.ParseDuration(duration); err != nil || section.ReapAfter < time.Second {
+			f.Fault(members[8].Path, strconv.Quote(duration)+" is not a duration of a second or more, such as 90s or 10m")
 		}
 	}
-	if m[10] != nil {
-		v := f.Members(m[10], "max_out")
-		if c.MaxOut = f.Number(v[0], 0.01, mostOut); v[0] == nil {
-			c.MaxOut = plainOut
+	if members[10] != nil {
+		v := f.Members(members[10], "max_out")
+		if section.MaxOut = f.Number(v[0], 0.01, maxKeptOut); v[0] == nil {
+			section.MaxOut = defaultKeptOut
 		}
 	}
-	d.Fleet = c
+	d.Fleet = section
 }
 
-// The part of the servers that verdicts may keep out at once: where the file does not say, and at most.
+// Default and maximum of fleet.verdicts.max_out, the fraction of the servers that verdicts may keep out at once.
 const (
-	plainOut = 0.3
-	mostOut  = 0.5
+	defaultKeptOut = 0.3
+	maxKeptOut     = 0.5
 )
 
+// Bounds of the section fleet.
 const (
-	mostFleetName     = 64
-	mostRegisterBytes = 1e9
+	maxFleetNameLength = 64  // bytes
+	maxRegisterBytes   = 1e9 // per second
 )
 
-// Bounds of the figures in the file. Those of the deployment are narrower; the proof knows them.
+// Bounds of the section calls. The bounds that the deployment's settings impose are narrower; retry.Compile checks those.
 const (
-	mostAttempts = 100
-	mostMs       = 600000
-	mostRetries  = 10000 // a second and in one burst
-	mostCell     = 1<<31 - 1
-	mostRoutes   = 1000
-	mostName     = 128
+	maxAttempts        = 100
+	maxMilliseconds    = 600000
+	maxRetries         = 10000 // per second, and in one burst
+	maxCell            = 1<<31 - 1
+	maxRoutes          = 1000
+	maxRouteNameLength = 128 // bytes
 )
 
-// What a budget has that leaves a figure open.
-var plainBudget = retry.BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 10}
+// defaultBudget has the defaults of the section calls.budget.
+var defaultBudget = retry.BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 10}
 
+// readCalls reads the section calls.
 func (d *Deploy) readCalls(v *jsonfile.Value) {
-	f, c := d.file, &retry.File{}
-	m := f.Members(v, "defaults", "classes", "routes", "budget", "second_copies")
-	figureKeys := make([]string, retry.ParameterCount)
-	for i := range figureKeys {
-		figureKeys[i] = retry.Parameter(i).String()
-	}
-	c.Defaults = d.values(f.Members(m[0], figureKeys...))
-	if f.Is(m[1], jsonfile.Object) {
-		for i, name := range m[1].Keys() {
-			c.Classes = append(c.Classes, retry.ClassValues{Name: name, Values: d.values(f.Members(m[1].Items[i], figureKeys...))})
+	f, calls := d.source, &retry.File{}
+	members := f.Members(v, "defaults", "classes", "routes", "budget", "second_copies")
+	parameterKeys := make([]string, retry.ParameterCount)
+	for i := range parameterKeys {
+		parameterKeys[i] = retry.Parameter(i).String()
+	}
+	calls.Defaults = d.readValues(f.Members(members[0], parameterKeys...))
+	if f.Is(members[1], jsonfile.Object) {
+		for i, name := range members[1].Keys() {
+			calls.Classes = append(calls.Classes, retry.ClassValues{Name: name, Values: d.readValues(f.Members(members[1].Items[i], parameterKeys...))})
 		}
 	}
-	if f.Is(m[2], jsonfile.Array) {
-		if len(m[2].Items) > mostRoutes {
-			f.Fault(m[2].Path, fmt.Sprintf("%d routes, over %d", len(m[2].Items), mostRoutes))
+	if f.Is(members[2], jsonfile.Array) {
+		if len(members[2].Items) > maxRoutes {
+			f.Fault(members[2].Path, fmt.Sprintf("%d routes, over %d", len(members[2].Items), maxRoutes))
 		}
-		for _, item := range m[2].Items {
-			r := f.Members(item, append([]string{"name", "match"}, figureKeys...)...)
-			route := retry.Route{Name: f.String(r[0]), Match: d.match(r[1]), Values: d.values(r[2:])}
+		for _, item := range members[2].Items {
+			routeMembers := f.Members(item, append([]string{"name", "match"}, parameterKeys...)...)
+			route := retry.Route{Name: f.String(routeMembers[0]), Match: d.readMatch(routeMembers[1]), Values: d.readValues(routeMembers[2:])}
 			if item.Kind == jsonfile.Object {
 				switch {
-				case r[0] == nil:
+				case routeMembers[0] == nil:
 					f.Fault(item.Path, "name is missing")
-				case r[0].Kind == jsonfile.String && (route.Name == "" || len(route.Name) > mostName):
-					f.Fault(r[0].Path, fmt.Sprintf("must have 1 to %d characters", mostName))
+				case routeMembers[0].Kind == jsonfile.String && (route.Name == "" || len(route.Name) > maxRouteNameLength):
+					f.Fault(routeMembers[0].Path, fmt.Sprintf("must have 1 to %d characters", maxRouteNameLength))
 				}
-				if r[1] == nil {
-					f.Fault(item.Path, "match is missing; {} takes every call")
+				if routeMembers[1] == nil {
+					f.Fault(item.Path, "match is missing; {} matches every call")
 				}
 			}
-			c.Routes = append(c.Routes, route)
+			calls.Routes = append(calls.Routes, route)
 		}
 	}
-	if m[3] != nil {
-		b := f.Members(m[3], "ratio", "min_per_s", "burst")
-		c.Budget = &retry.BudgetConfig{Ratio: f.Part(b[0]), MinPerS: int(f.Whole(b[1], 1, mostRetries)), Burst: int(f.Whole(b[2], 1, mostRetries))}
-		if b[0] == nil {
-			c.Budget.Ratio = plainBudget.Ratio
+	if members[3] != nil {
+		budget := f.Members(members[3], "ratio", "min_per_s", "burst")
+		calls.Budget = &retry.BudgetConfig{Ratio: f.Part(budget[0]), MinPerS: int(f.Whole(budget[1], 1, maxRetries)), Burst: int(f.Whole(budget[2], 1, maxRetries))}
+		if budget[0] == nil {
+			calls.Budget.Ratio = defaultBudget.Ratio
 		}
-		if b[1] == nil {
-			c.Budget.MinPerS = plainBudget.MinPerS
+		if budget[1] == nil {
+			calls.Budget.MinPerS = defaultBudget.MinPerS
 		}
-		if b[2] == nil {
-			c.Budget.Burst = plainBudget.Burst
+		if budget[2] == nil {
+			calls.Budget.Burst = defaultBudget.Burst
 		}
 	}
-	c.SecondCopies, _ = f.Bool(m[4])
-	d.calls = c
+	calls.SecondCopies, _ = f.Bool(members[4])
+	d.callsFile = calls
 }
 
-// values reads the figures of one part, which come in the order of retry.Figure.
-func (d *Deploy) values(m []*jsonfile.Value) (v retry.Values) {
-	for f := retry.Attempts; f <= retry.GiveUp; f++ {
-		unit, most := int64(1000), int64(mostMs)
-		if f == retry.Attempts {
-			unit, most = 1, mostAttempts
+// readValues reads the parameters of one object. m holds their values in the order of retry.Parameter.
+func (d *Deploy) readValues(members []*jsonfile.Value) (values retry.Values) {
+	for parameter := retry.Attempts; parameter <= retry.GiveUp; parameter++ {
+		unit, limit := int64(1000), int64(maxMilliseconds)
+		if parameter == retry.Attempts {
+			unit, limit = 1, maxAttempts
 		}
-		if m[f] == nil {
+		if members[parameter] == nil {
 			continue
 		}
-		if v[f] = unit * d.file.Whole(m[f], 1, most); v[f] == 0 {
-			v[f] = retry.InvalidValue
+		if values[parameter] = unit * d.source.Whole(members[parameter], 1, limit); values[parameter] == 0 {
+			values[parameter] = retry.InvalidValue
 		}
 	}
-	if on := m[retry.RetryOn]; on != nil {
-		v[retry.RetryOn] = d.retryOn(on)
+	if retryOn := members[retry.RetryOn]; retryOn != nil {
+		values[retry.RetryOn] = d.readRetryOn(retryOn)
 	}
-	return v
+	return values
 }
 
-func (d *Deploy) retryOn(on *jsonfile.Value) int64 {
-	if !d.file.Is(on, jsonfile.Array) {
+// readRetryOn reads a list of outcomes as a bit set, or retry.InvalidValue.
+func (d *Deploy) readRetryOn(list *jsonfile.Value) int64 {
+	if !d.source.Is(list, jsonfile.Array) {
 		return retry.InvalidValue
 	}
-	if len(on.Items) == 0 {
-		d.file.Fault(on.Path, "is empty; for one attempt alone set attempts to 1")
+	if len(list.Items) == 0 {
+		d.source.Fault(list.Path, "is empty; to disable retries set attempts to 1")
 	}
-	var set control.Outcomes
-	for _, item := range on.Items {
-		if !d.file.Is(item, jsonfile.String) {
+	var outcomes control.Outcomes
+	for _, item := range list.Items {
+		if !d.source.Is(item, jsonfile.String) {
 			continue
 		}
-		code, ok := retry.ParseOutcome(item.Text)
+		outcome, ok := retry.ParseOutcome(item.Text)
 		switch {
 		case !ok:
 			known := retry.OutcomeNames(0)
-			d.file.Fault(item.Path, fmt.Sprintf("%q is none of %s%s", item.Text, strings.Join(known, ", "), jsonfile.Hint(item.Text, known)))
-		case set.Has(code):
-			d.file.Fault(item.Path, fmt.Sprintf("%q stands twice", item.Text))
+			d.source.Fault(item.Path, fmt.Sprintf("%q is none of %s%s", item.Text, strings.Join(known, ", "), jsonfile.Hint(item.Text, known)))
+		case outcomes.Has(outcome):
+			d.source.Fault(item.Path, fmt.Sprintf("%q is listed twice", item.Text))
 		}
 		if ok {
-			set |= control.OutcomesOf(code)
+			outcomes |= control.OutcomesOf(outcome)
 		}
 	}
-	if set == 0 {
+	if outcomes == 0 {
 		return retry.InvalidValue
 	}
-	return int64(set)
+	return int64(outcomes)
 }
 
-func (d *Deploy) match(v *jsonfile.Value) (m retry.Match) {
-	f := d.file
-	k := f.Members(v, "class", "number", "first_choice", "again")
-	m.Class, m.Number = f.String(k[0]), f.String(k[1])
-	if k[0] != nil && k[0].Kind == jsonfile.String && m.Class == "" {
-		f.Fault(k[0].Path, "is empty; leave it out to match any class")
-	}
-	if k[1] != nil && k[1].Kind == jsonfile.String {
-		whole := strings.TrimSuffix(m.Number, "*")
+// readMatch reads the condition of one route.
+func (d *Deploy) readMatch(v *jsonfile.Value) (m retry.Match) {
+	f := d.source
+	members := f.Members(v, "class", "number", "first_choice", "again")
+	m.Class, m.Number = f.String(members[0]), f.String(members[1])
+	if members[0] != nil && members[0].Kind == jsonfile.String && m.Class == "" {
+		f.Fault(members[0].Path, "is empty; omit it to match any class")
+	}
+	if members[1] != nil && members[1].Kind == jsonfile.String {
+		digits := strings.TrimSuffix(m.Number, "*")
 		switch {
 		case m.Number == "":
-			f.Fault(k[1].Path, "is empty; leave it out to match any number")
-		case strings.Contains(whole, "*"):
-			f.Fault(k[1].Path, fmt.Sprintf("%q: a * stands only at the end, for any further digits", m.Number))
-		case !routing.ValidKey(whole):
-			f.Fault(k[1].Path, fmt.Sprintf("%q can't be a number called", m.Number))
+			f.Fault(members[1].Path, "is empty; omit it to match any number")
+		case strings.Contains(digits, "*"):
+			f.Fault(members[1].Path, fmt.Sprintf("%q: a * is valid only at the end, for any further digits", m.Number))
+		case !routing.ValidKey(digits):
+			f.Fault(members[1].Path, fmt.Sprintf("%q is not a valid called number", m.Number))
 		}
 	}
-	if k[2] != nil {
-		n := int(f.Whole(k[2], 0, mostCell))
+	if members[2] != nil {
+		n := int(f.Whole(members[2], 0, maxCell))
 		m.FirstChoice = &n
 	}
-	if again, ok := f.Bool(k[3]); ok {
+	if again, ok := f.Bool(members[3]); ok {
 		m.Again = &again
 	}
 	return m
 }
 
-// prove resolves the section "calls" and notes every fault of its meaning beside those of its form.
-func (d *Deploy) prove(site *control.Site) {
-	policy, faults := retry.Compile(d.calls, retry.RulesFromSettings(site))
+// compileCalls compiles the section calls against the settings of a deployment and records every fault that it finds.
+func (d *Deploy) compileCalls(site *control.Site) {
+	policy, faults := retry.Compile(d.callsFile, retry.RulesFromSettings(site))
 	for _, fault := range faults {
-		what := fault.What
+		reason := fault.What
 		if fault.UnknownName != "" {
-			what += jsonfile.Hint(fault.UnknownName, fault.KnownNames)
+			reason += jsonfile.Hint(fault.UnknownName, fault.KnownNames)
 		}
-		d.file.Fault(fault.Path, what)
+		d.source.Fault(fault.Path, reason)
 	}
 	d.Calls = policy
 }
 
-// Where tells the place of a path as FILE:LINE, or "" where the file does not have it.
+// Where returns the position of a path as FILE:LINE, or "" if the file does not contain it.
 func (d *Deploy) Where(path string) string {
-	if d.file == nil {
+	if d.source == nil {
 		return ""
 	}
-	line, _ := d.file.Where(path)
+	line, _ := d.source.Where(path)
 	if line == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s:%d", d.file.Name, line)
+	return fmt.Sprintf("%s:%d", d.source.Name, line)
 }
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -8,43 +8,45 @@
 	"beammux/internal/jsonfile"
 )
 
-// Machine is the file of a control machine: a member of the store that serves no callers.
+// Machine is the configuration file of a control machine, a member of the store that serves no callers.
 type Machine struct {
 	Name, Zone, Region string
-	Admin              string // the operators' address, HOST:PORT; empty: off
+	Admin              string // address of the operators' HTTP server, HOST:PORT; empty: off
 	Store              Store
 	Admission          Admission
-	// Site holds the settings that a change is proved against: those of the gatekeeper's configuration that the file
-	// names. Without one it is nil, and changes are checked for their form alone.
+	// Site holds the settings that a change is checked against. They come from the gatekeeper configuration that the file
+	// names. If the file names none, Site is nil, and only the syntax of changes is checked.
 	Site       *control.Site
-	Gatekeeper string // that configuration's path; "": none
-	// Election is the time without word from the leader after which a voter stands for election; 0: the store's default.
-	// It must be a few times the round trip between the regions, and be the same at all control machines.
+	Gatekeeper string // path of that configuration; "": none
+	// Election is the election timeout: the time without a heartbeat of the leader after which a voter starts an election;
+	// 0: the store's default. It must be several times the round trip between the regions and equal at all control machines.
 	Election time.Duration
 }
 
-// Admission bounds what a control machine takes on at a time. A figure that is 0 is left to the store's default.
+// Admission limits the client sessions and snapshots that a control machine serves. A value of 0 selects the store's
+// default.
 type Admission struct {
-	Sessions       int     // at a time
-	SessionsPerS   float64 // new sessions, a second
+	Sessions       int     // concurrent sessions
+	SessionsPerS   float64 // new sessions per second
 	SessionsBurst  int
-	SnapshotsPerS  float64 // snapshots sent, a second
+	SnapshotsPerS  float64 // snapshots sent per second
 	SnapshotsBurst int
 }
 
 // Bounds of the section admission.
 const (
-	leastAdmission = 0.1 // a second
-	mostAdmission  = 1e6 // a second, and in one burst
+	minAdmission = 0.1 // per second
+	maxAdmission = 1e6 // per second, and in one burst
 )
 
 // Bounds of election_ms.
 const (
-	leastElectionMs = 100
-	mostElectionMs  = 60000
+	minElectionMs = 100
+	maxElectionMs = 60000
 )
 
-// LoadMachine reads the file of a control machine. The error holds every fault, one in a line, as FILE:LINE:COL: key: what.
+// LoadMachine reads the file of a control machine. The error lists every fault, one per line, as FILE:LINE:COL: key:
+// reason.
 func LoadMachine(file string) (*Machine, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return ParseMachine(file, text)
 }
 
-// ParseMachine is LoadMachine for a text that has been read.
+// ParseMachine is like LoadMachine for the contents of a file. name is the file name in faults.
 func ParseMachine(name string, text []byte) (*Machine, error) {
 	f, err := jsonfile.Parse(name, text)
 	if err != nil {
@@ -62,7 +64,7 @@
 	m := &Machine{}
 	top := f.Members(f.Root, "$schema", "name", "zone", "region", "admin_addr", "store", "admission", "gatekeeper", "election_ms")
 	f.String(top[0])
-	m.Name, m.Zone, m.Region = scopeName(f, top[1]), scopeName(f, top[2]), scopeName(f, top[3])
+	m.Name, m.Zone, m.Region = readScopeName(f, top[1]), readScopeName(f, top[2]), readScopeName(f, top[3])
 	if m.Admin = f.String(top[4]); m.Admin != "" {
 		if err := CheckAdmin(m.Admin); err != nil {
 			f.Fault(top[4].Path, err.Error())
@@ -73,7 +75,7 @@
 	if f.Root.Kind == jsonfile.Object && top[1] == nil {
 		f.Fault("", "name is missing")
 	}
-	m.Election = time.Duration(f.Whole(top[8], leastElectionMs, mostElectionMs)) * time.Millisecond
+	m.Election = time.Duration(f.Whole(top[8], minElectionMs, maxElectionMs)) * time.Millisecond
 	if m.Gatekeeper = f.String(top[7]); m.Gatekeeper != "" {
 		if c, err := Load(m.Gatekeeper); err != nil {
 			f.Fault(top[7].Path, err.Error())
@@ -87,6 +89,7 @@
 	return m, nil
 }
 
+// readStore reads the section store, which a control machine requires.
 func (m *Machine) readStore(f *jsonfile.File, v *jsonfile.Value) {
 	if v == nil {
 		if f.Root.Kind == jsonfile.Object {
@@ -102,18 +105,19 @@
 		m.Store.Node = m.Name
 	}
 	if m.Store.Listen == "" {
-		f.Fault("store.listen", "missing: gatekeepers reach a control machine there")
+		f.Fault("store.listen", "missing: gatekeepers connect to a control machine at this address")
 	}
 	if len(m.Store.Peers) == 0 && !m.Store.Join {
-		f.Fault("store.peers", "missing: all control machines, this one included")
+		f.Fault("store.peers", "missing: list all control machines, including this one")
 	}
 }
 
+// readAdmission reads the section admission.
 func (m *Machine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
 	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst", "sessions")
 	m.Admission = Admission{
-		SessionsPerS: f.Number(a[0], leastAdmission, mostAdmission), SessionsBurst: int(f.Whole(a[1], 1, mostAdmission)),
-		SnapshotsPerS: f.Number(a[2], leastAdmission, mostAdmission), SnapshotsBurst: int(f.Whole(a[3], 1, mostAdmission)),
-		Sessions: int(f.Whole(a[4], 1, mostAdmission)),
+		SessionsPerS: f.Number(a[0], minAdmission, maxAdmission), SessionsBurst: int(f.Whole(a[1], 1, maxAdmission)),
+		SnapshotsPerS: f.Number(a[2], minAdmission, maxAdmission), SnapshotsBurst: int(f.Whole(a[3], 1, maxAdmission)),
+		Sessions: int(f.Whole(a[4], 1, maxAdmission)),
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,16 +15,16 @@
 	"beammux/internal/routing"
 )
 
-// CheckSettings says what is wrong with a settings record, or nil. With a site the record is proved against its rules and
-// names; without one only its form is checked. What a gatekeeper must have for it (gossip, a shared store) is not known
-// here: the gatekeeper refuses what it lacks. The error is jsonfile.Faults where the fault has a place, with the record's
-// key as the file's name, or where it is the key that is at fault.
+// CheckSettings returns an error if a settings record is invalid. With a site the record is checked against its rules and
+// names; if site is nil, only the syntax is checked. The features that a gatekeeper needs for the record (gossip, a shared
+// store) are assumed here: the gatekeeper itself refuses a record that needs a feature it lacks. The error is of type
+// jsonfile.Faults if the fault has a position, with the record's key as the file name, or if the key itself is invalid.
 func CheckSettings(key string, value []byte, site *control.Site) error {
-	k, err := scope.ParseKey(key)
+	parsed, err := scope.ParseKey(key)
 	if err != nil {
-		return keyFaults(key, err)
+		return explainKeyError(key, err)
 	}
-	switch k.Section {
+	switch parsed.Section {
 	case scope.SectionCalls:
 		_, err = ParseCalls(key, value, site)
 	case scope.SectionLimits:
@@ -35,8 +35,8 @@
 	return err
 }
 
-// keyFaults makes one line of what is wrong with a key, with what was probably meant and what is possible.
-func keyFaults(key string, err error) error {
+// explainKeyError returns a one-line error for an invalid key, with the closest valid word and the valid alternatives.
+func explainKeyError(key string, err error) error {
 	var e *scope.KeyError
 	if !errors.As(err, &e) {
 		return err
@@ -44,14 +44,15 @@
 	hint := ""
 	switch parts := strings.Split(key, "/"); e.Fault {
 	case scope.NoScope:
-		hint = jsonfile.Hint(parts[1], scopeKinds())
+		hint = jsonfile.Hint(parts[1], scopeKindNames())
 	case scope.NoSection:
 		hint = jsonfile.Hint(parts[len(parts)-1], scope.Sections())
 	}
 	return jsonfile.Faults{{File: key, What: "is no key of settings" + hint + ": " + e.Advice()}}
 }
 
-func scopeKinds() []string {
+// scopeKindNames returns the names of all kinds of scope.
+func scopeKindNames() []string {
 	var names []string
 	for k := scope.All; k <= scope.Gatekeeper; k++ {
 		names = append(names, k.String())
@@ -59,17 +60,17 @@
 	return names
 }
 
-// ParseCalls reads the section calls, kept by itself: JSON as the deploy file's key calls. Without a site it is read, not
-// proved, and the policy is nil. name stands for the file in faults.
+// ParseCalls reads a settings record of the section calls: JSON in the form of the deploy file's key calls. If site is nil,
+// only the syntax is checked, and the policy is nil. name is the file name in faults.
 func ParseCalls(name string, text []byte, site *control.Site) (*retry.Policy, error) {
 	f, err := jsonfile.ParseUnder(name, text, "calls")
 	if err != nil {
 		return nil, err
 	}
-	d := &Deploy{file: f}
+	d := &Deploy{source: f}
 	d.readCalls(f.Root)
 	if site != nil {
-		d.prove(site)
+		d.compileCalls(site)
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -77,16 +78,16 @@
 	return d.Calls, nil
 }
 
-// ParseLimits reads the section limits, kept by itself: JSON as the deploy file's key fleet.limits. Without a site, names of
-// classes and tenants are not looked up.
-func ParseLimits(name string, text []byte, site *control.Site, around Around) (*Limits, error) {
+// ParseLimits reads a settings record of the section limits: JSON in the form of the deploy file's key fleet.limits. If site
+// is nil, the names of classes and tenants are not checked. name is the file name in faults.
+func ParseLimits(name string, text []byte, site *control.Site, features Around) (*Limits, error) {
 	f, err := jsonfile.ParseUnder(name, text, "fleet.limits")
 	if err != nil {
 		return nil, err
 	}
-	d := &Deploy{file: f}
+	d := &Deploy{source: f}
 	if f.Is(f.Root, jsonfile.Object) {
-		d.limits(f.Root, site, around)
+		d.readLimits(f.Root, site, features)
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -94,36 +95,36 @@
 	return d.Limits, nil
 }
 
-// inventoryForms are the endings that the first line of a section inventory may name.
-var inventoryForms = []string{".csv", ".yaml", ".yml"}
+// inventoryFormats are the file extensions that the first line of an inventory record may hold.
+var inventoryFormats = []string{".csv", ".yaml", ".yml"}
 
-// IsInventoryForm tells whether an ending is one that tells the form of an inventory.
-func IsInventoryForm(ending string) bool {
-	return slices.ContainsFunc(inventoryForms, func(known string) bool { return strings.EqualFold(known, ending) })
+// IsInventoryForm reports whether a file extension is one of an inventory format.
+func IsInventoryForm(extension string) bool {
+	return slices.ContainsFunc(inventoryFormats, func(known string) bool { return strings.EqualFold(known, extension) })
 }
 
-// ParseInventory reads the section inventory: a first line with the ending of a file (.csv or .yaml), which tells the form,
-// then the text. Lines in faults are those of the value: its first line is line 1.
+// ParseInventory reads a settings record of the section inventory. The first line is a file extension (.csv, .yaml or .yml),
+// which selects the format of the lines after it. Line numbers in faults count that first line as line 1.
 func ParseInventory(name string, value []byte) ([]routing.Host, error) {
-	ending, text, _ := bytes.Cut(value, []byte("\n"))
-	form := strings.TrimSpace(string(ending))
-	if !IsInventoryForm(form) {
-		what := fmt.Sprintf("the first line is %.40q, must be %s: the form of the lines after it", form, strings.Join(inventoryForms, ", "))
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: what}}
+	extension, text, _ := bytes.Cut(value, []byte("\n"))
+	format := strings.TrimSpace(string(extension))
+	if !IsInventoryForm(format) {
+		reason := fmt.Sprintf("the first line is %.40q, must be %s: the format of the lines after it", format, strings.Join(inventoryFormats, ", "))
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: reason}}
 	}
-	hosts, err := inventory.Parse(name+form, text)
+	hosts, err := inventory.Parse(name+format, text)
 	var fault *inventory.Error
 	if errors.As(err, &fault) {
 		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, What: fault.What}}
 	}
 	if err == nil && len(hosts) == 0 {
-		what := "names no server; to leave the list to the gatekeepers' own files, delete the record"
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: what}}
+		reason := "lists no servers; delete the record to use the gatekeepers' own files"
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: reason}}
 	}
 	return hosts, err
 }
 
-// InventoryRecord makes the value of a section inventory of a file's text; ending is the file's.
-func InventoryRecord(ending string, text []byte) []byte {
-	return append([]byte(ending+"\n"), text...)
+// InventoryRecord returns the value of an inventory record with the contents of a file. ending is the file's extension.
+func InventoryRecord(extension string, text []byte) []byte {
+	return append([]byte(extension+"\n"), text...)
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -10,8 +10,8 @@
 	"beammux/internal/jsonfile"
 )
 
-// badSettings are records that no control machine may commit, each with the line that is reported first.
-var badSettings = []struct{ key, value, want string }{
+// invalidSettings are records that no control machine may commit, each with the start of the first line of its error.
+var invalidSettings = []struct{ key, value, want string }{
 	{"settings/all/calls", ``, `settings/all/calls:1:1: the file is empty`},
 	{"settings/all/calls", `[]`, `settings/all/calls:1:1: calls: is an array, must be an object`},
 	{"settings/all/calls", "{\n \"defaults\": {\"atempts\": 3}}", `settings/all/calls:2:15: calls.defaults.atempts: unknown key; did you mean "attempts"?`},
@@ -25,12 +25,12 @@
 	{"settings/gatekeeper/g/inventory", ".csv\nname,address\ns-1,nowhere\n", `settings/gatekeeper/g/inventory:3:1: address: not host and port: "nowhere"`},
 	{"settings/all/inventory", ".csv\nname\n", `settings/all/inventory:2:1: address: missing in the header`},
 	{"settings/all/inventory", ".yaml\nall: {hosts: {s-1: {}}}\n", `settings/all/inventory:2:1: address: missing`},
-	{"settings/all/inventory", ".csv\nname,address\n", `settings/all/inventory:1:1: names no server; to leave the list to the gatekeepers' own files, delete the record`},
+	{"settings/all/inventory", ".csv\nname,address\n", `settings/all/inventory:1:1: lists no servers; delete the record to use the gatekeepers' own files`},
 	{"settings/all/inventory", "", `settings/all/inventory:1:1: the first line is ""`},
 }
 
-func TestBadSettings(t *testing.T) {
-	for _, row := range badSettings {
+func TestInvalidSettings(t *testing.T) {
+	for _, row := range invalidSettings {
 		err := CheckSettings(row.key, []byte(row.value), site())
 		require.Error(t, err, row.value)
 		require.IsType(t, jsonfile.Faults{}, err, row.value)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Keys that no gatekeeper would follow are refused before anything is committed, with what was meant.
-func TestBadSettingsKeys(t *testing.T) {
+// A key that no gatekeeper would follow is rejected before anything is committed, with a hint at the valid key.
+func TestInvalidSettingsKeys(t *testing.T) {
 	for key, want := range map[string]string{
 		"settings/all/cals":          `did you mean "calls"?`,
 		"settings/zne/z/calls":       `did you mean "zone"?`,
@@ -55,8 +55,8 @@
 	}
 }
 
-// What is good passes; without a site names are not looked up, and form is checked all the same.
-func TestGoodSettings(t *testing.T) {
+// Valid records pass. Without a site names are not checked, but syntax still is.
+func TestValidSettings(t *testing.T) {
 	for key, value := range map[string]string{
 		"settings/all/calls":          `{"defaults":{"attempts":2}}`,
 		"settings/zone/z1/limits":     `{"parts":4,"rules":[{"name":"a","mode":"leased","per_s":9},{"name":"b","mode":"near","per_s":9,"match":{"class":"billing"}}]}`,
@@ -73,8 +73,8 @@
 	require.Equal(t, 1, faults[0].Line)
 }
 
-// A gatekeeper refuses limits that need what it does not have.
-func TestLimitsNeedWhatIsAround(t *testing.T) {
+// Limits that need a feature that the gatekeeper lacks are rejected.
+func TestLimitsRequireFeatures(t *testing.T) {
 	near := []byte(`{"parts":4,"rules":[{"name":"a","mode":"near","per_s":9}]}`)
 	leased := []byte(`{"parts":4,"rules":[{"name":"a","mode":"leased","per_s":9}]}`)
 	_, err := ParseLimits("k", near, site(), Around{Store: true})
