--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -45,8 +45,8 @@
 		Dir: f.String(members[5])}
 	switch {
 	case members[4] == nil:
-		f.Fault(v.Path, "replicas is missing: list the control machines")
-	case f.Is(members[4], jsonfile.Array):
+		f.AddFault(v.Path, "replicas is missing: list the control machines")
+	case f.Expect(members[4], jsonfile.Array):
 		section.Replicas = readReplicas(f, members[4])
 	}
 	if members[5] == nil && d.StoreDir != "" {
@@ -59,9 +59,9 @@
 func readReplicas(f *jsonfile.File, v *jsonfile.Value) []Replica {
 	switch {
 	case len(v.Items) == 0:
-		f.Fault(v.Path, "is empty; list at least one control machine, or omit the section")
+		f.AddFault(v.Path, "is empty; list at least one control machine, or omit the section")
 	case len(v.Items) > maxReplicas:
-		f.Fault(v.Path, fmt.Sprintf("%d control machines, over %d", len(v.Items), maxReplicas))
+		f.AddFault(v.Path, fmt.Sprintf("%d control machines, over %d", len(v.Items), maxReplicas))
 	}
 	var list []Replica
 	indexByName := map[string]int{}
@@ -72,10 +72,10 @@
 		}
 		r := Replica{Name: readScopeName(f, members[0]), Address: readHostPort(f, members[1]), Zone: readScopeName(f, members[2]), Region: readScopeName(f, members[3])}
 		if members[0] == nil || members[1] == nil {
-			f.Fault(item.Path, "name or address is missing")
+			f.AddFault(item.Path, "name or address is missing")
 		}
 		if first, duplicate := indexByName[r.Name]; duplicate && r.Name != "" {
-			f.Fault(members[0].Path, fmt.Sprintf("%q is the name of replicas[%d] already", r.Name, first))
+			f.AddFault(members[0].Path, fmt.Sprintf("%q is the name of replicas[%d] already", r.Name, first))
 		}
 		indexByName[r.Name] = i
 		list = append(list, r)
@@ -91,7 +91,7 @@
 	}
 	forbidden := func(r rune) bool { return r == '/' || unicode.IsSpace(r) || unicode.IsControl(r) }
 	if name == "" || len(name) > maxFleetNameLength || strings.ContainsFunc(name, forbidden) {
-		f.Fault(v.Path, fmt.Sprintf("must have 1 to %d characters without white space and /", maxFleetNameLength))
+		f.AddFault(v.Path, fmt.Sprintf("must have 1 to %d characters without white space and /", maxFleetNameLength))
 		return ""
 	}
 	return name
@@ -105,7 +105,7 @@
 	}
 	host, port, err := net.SplitHostPort(address)
 	if n, e := strconv.ParseUint(port, 10, 16); err != nil || host == "" || e != nil || n == 0 {
-		f.Fault(v.Path, fmt.Sprintf("%q is not HOST:PORT", address))
+		f.AddFault(v.Path, fmt.Sprintf("%q is not HOST:PORT", address))
 		return ""
 	}
 	return address
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -113,7 +113,7 @@
 	listen := f.Members(top[6], "listen")[0]
 	if d.Console = f.String(listen); d.Console != "" {
 		if _, _, err := admin.Split(d.Console); err != nil {
-			f.Fault(listen.Path, err.Error())
+			f.AddFault(listen.Path, err.Error())
 		}
 	}
 	if top[7] != nil {
@@ -132,16 +132,16 @@
 func (d *Deploy) readRecords(v *jsonfile.Value) {
 	f := d.source
 	members := f.Members(v, "dir", "max_mb", "max_age", "segment_mb")
-	section := &Records{Dir: f.String(members[0]), MaxMB: int(f.Whole(members[1], 1, 1<<20)), SegmentMB: int(f.Whole(members[3], 1, 1024))}
+	section := &Records{Dir: f.String(members[0]), MaxMB: int(f.Int(members[1], 1, 1<<20)), SegmentMB: int(f.Int(members[3], 1, 1024))}
 	if v.Kind == jsonfile.Object && members[0] == nil {
-		f.Fault(v.Path, "dir is missing")
+		f.AddFault(v.Path, "dir is missing")
 	} else if section.Dir == "" && members[0] != nil && members[0].Kind == jsonfile.String {
-		f.Fault(members[0].Path, "is empty")
+		f.AddFault(members[0].Path, "is empty")
 	}
 	if age := f.String(members[2]); age != "" {
 		var err error
 		if section.MaxAge, err = time.ParseDuration(age); err != nil || section.MaxAge < time.Minute {
-			f.Fault(members[2].Path, strconv.Quote(age)+" is not a duration of a minute or more, such as 90m or 72h")
+			f.AddFault(members[2].Path, strconv.Quote(age)+" is not a duration of a minute or more, such as 90m or 72h")
 		}
 	}
 	d.Records = section
@@ -159,21 +159,21 @@
 	members := f.Members(v, "node", "listen", "peers", "dir", "sync", "join", "via")
 	store := Store{Node: f.String(members[0]), Listen: f.String(members[1]), Dir: f.String(members[3]), Sync: f.String(members[4])}
 	if store.Join, _ = f.Bool(members[5]); store.Join && store.Listen == "" {
-		f.Fault("store.listen", "is missing; join requires it")
+		f.AddFault("store.listen", "is missing; join requires it")
 	}
 	if sync := members[4]; sync != nil && sync.Kind == jsonfile.String {
 		if known := []string{"always", "interval"}; !slices.Contains(known, sync.Text) {
-			f.Fault(sync.Path, fmt.Sprintf("%q is neither always nor interval%s", sync.Text, jsonfile.Hint(sync.Text, known)))
+			f.AddFault(sync.Path, fmt.Sprintf("%q is neither always nor interval%s", sync.Text, jsonfile.Hint(sync.Text, known)))
 		} else if store.Dir == "" {
-			f.Fault(sync.Path, "is set without dir, whose writes it controls")
+			f.AddFault(sync.Path, "is set without dir, whose writes it controls")
 		}
 	}
 	store.Via = readVia(f, members[6])
-	if f.Is(members[2], jsonfile.Array) {
+	if f.Expect(members[2], jsonfile.Array) {
 		store.Peers = readStorePeers(f, members[2])
 	}
 	if len(store.Peers) > 0 && store.Listen == "" {
-		f.Fault("store.listen", "is missing; peers require it")
+		f.AddFault("store.listen", "is missing; peers require it")
 	}
 	return store
 }
@@ -183,13 +183,13 @@
 	var peers []StorePeer
 	voters := 0
 	for _, item := range v.Items {
-		if !f.Is(item, jsonfile.Object) {
+		if !f.Expect(item, jsonfile.Object) {
 			continue
 		}
 		members := f.Members(item, "node", "address", "voter")
 		peer := StorePeer{Node: f.String(members[0]), Address: f.String(members[1])}
 		if peer.Node == "" || peer.Address == "" {
-			f.Fault(item.Path, "node or address is missing")
+			f.AddFault(item.Path, "node or address is missing")
 		}
 		if votes, present := f.Bool(members[2]); present && !votes {
 			peer.NonVoter = true
@@ -199,29 +199,29 @@
 		peers = append(peers, peer)
 	}
 	if len(peers) > 0 && voters == 0 {
-		f.Fault(v.Path, "none of the members has a vote: the group could not commit writes")
+		f.AddFault(v.Path, "none of the members has a vote: the group could not commit writes")
 	}
 	return peers
 }
 
 // readVia reads the addresses at which this member reaches others, keyed by their addresses in the group.
 func readVia(f *jsonfile.File, v *jsonfile.Value) map[string]string {
-	if !f.Is(v, jsonfile.Array) {
+	if !f.Expect(v, jsonfile.Array) {
 		return nil
 	}
 	routes := map[string]string{}
 	for _, item := range v.Items {
-		if !f.Is(item, jsonfile.Object) {
+		if !f.Expect(item, jsonfile.Object) {
 			continue
 		}
 		members := f.Members(item, "address", "through")
 		address, through := f.String(members[0]), f.String(members[1])
 		if address == "" || through == "" {
-			f.Fault(item.Path, "address or through is missing")
+			f.AddFault(item.Path, "address or through is missing")
 			continue
 		}
 		if _, duplicate := routes[address]; duplicate {
-			f.Fault(item.Path, fmt.Sprintf("%q is listed twice", address))
+			f.AddFault(item.Path, fmt.Sprintf("%q is listed twice", address))
 		}
 		routes[address] = through
 	}
@@ -246,23 +246,23 @@
 	}
 	for _, name := range []*jsonfile.Value{members[0], members[1], members[2], members[11]} {
 		if text := f.String(name); len(text) > maxFleetNameLength {
-			f.Fault(name.Path, fmt.Sprintf("has %d characters, over %d", len(text), maxFleetNameLength))
+			f.AddFault(name.Path, fmt.Sprintf("has %d characters, over %d", len(text), maxFleetNameLength))
 		}
 	}
 	if members[1] == nil || members[1].Kind == jsonfile.String && section.Zone == "" {
-		f.Fault(v.Path, "zone is missing")
+		f.AddFault(v.Path, "zone is missing")
 	}
 	if members[3] == nil {
-		f.Fault(v.Path, "bind is missing")
+		f.AddFault(v.Path, "bind is missing")
 	}
 	for i, addr := range []string{section.Bind, section.Advertise} {
 		if address := members[3+i]; address != nil && address.Kind == jsonfile.String {
 			if fleet.CheckAddress(addr) != nil {
-				f.Fault(address.Path, fmt.Sprintf("%q is not IP:PORT", addr))
+				f.AddFault(address.Path, fmt.Sprintf("%q is not IP:PORT", addr))
 			}
 		}
 	}
-	if f.Is(members[5], jsonfile.Array) {
+	if f.Expect(members[5], jsonfile.Array) {
 		for _, item := range members[5].Items {
 			if seed := f.String(item); seed != "" {
 				section.Seeds = append(section.Seeds, seed)
@@ -272,13 +272,13 @@
 	if file := f.String(members[6]); file != "" {
 		var err error
 		if section.Keys, err = fleet.Keys(file); err != nil {
-			f.Fault(members[6].Path, err.Error())
+			f.AddFault(members[6].Path, err.Error())
 		}
 	}
 	if duration := f.String(members[8]); duration != "" {
 		var err error
 		if section.ReapAfter, err = time.ParseDuration(duration); err != nil || section.ReapAfter < time.Second {
-			f.Fault(members[8].Path, strconv.Quote(duration)+" is not a duration of a second or more, such as 90s or 10m")
+			f.AddFault(members[8].Path, strconv.Quote(duration)+" is not a duration of a second or more, such as 90s or 10m")
 		}
 	}
 	if members[10] != nil {
@@ -324,14 +324,14 @@
 		parameterKeys[i] = retry.Parameter(i).String()
 	}
 	calls.Defaults = d.readValues(f.Members(members[0], parameterKeys...))
-	if f.Is(members[1], jsonfile.Object) {
+	if f.Expect(members[1], jsonfile.Object) {
 		for i, name := range members[1].Keys() {
 			calls.Classes = append(calls.Classes, retry.ClassValues{Name: name, Values: d.readValues(f.Members(members[1].Items[i], parameterKeys...))})
 		}
 	}
-	if f.Is(members[2], jsonfile.Array) {
+	if f.Expect(members[2], jsonfile.Array) {
 		if len(members[2].Items) > maxRoutes {
-			f.Fault(members[2].Path, fmt.Sprintf("%d routes, over %d", len(members[2].Items), maxRoutes))
+			f.AddFault(members[2].Path, fmt.Sprintf("%d routes, over %d", len(members[2].Items), maxRoutes))
 		}
 		for _, item := range members[2].Items {
 			routeMembers := f.Members(item, append([]string{"name", "match"}, parameterKeys...)...)
@@ -339,12 +339,12 @@
 			if item.Kind == jsonfile.Object {
 				switch {
 				case routeMembers[0] == nil:
-					f.Fault(item.Path, "name is missing")
+					f.AddFault(item.Path, "name is missing")
 				case routeMembers[0].Kind == jsonfile.String && (route.Name == "" || len(route.Name) > maxRouteNameLength):
-					f.Fault(routeMembers[0].Path, fmt.Sprintf("must have 1 to %d characters", maxRouteNameLength))
+					f.AddFault(routeMembers[0].Path, fmt.Sprintf("must have 1 to %d characters", maxRouteNameLength))
 				}
 				if routeMembers[1] == nil {
-					f.Fault(item.Path, "match is missing; {} matches every call")
+					f.AddFault(item.Path, "match is missing; {} matches every call")
 				}
 			}
 			calls.Routes = append(calls.Routes, route)
@@ -352,7 +352,7 @@
 	}
 	if members[3] != nil {
 		budget := f.Members(members[3], "ratio", "min_per_s", "burst")
-		calls.Budget = &retry.BudgetConfig{Ratio: f.Part(budget[0]), MinPerS: int(f.Whole(budget[1], 1, maxRetries)), Burst: int(f.Whole(budget[2], 1, maxRetries))}
+		calls.Budget = &retry.BudgetConfig{Ratio: f.Fraction(budget[0]), MinPerS: int(f.Int(budget[1], 1, maxRetries)), Burst: int(f.Int(budget[2], 1, maxRetries))}
 		if budget[0] == nil {
 			calls.Budget.Ratio = defaultBudget.Ratio
 		}
@@ -377,7 +377,7 @@
 		if members[parameter] == nil {
 			continue
 		}
-		if values[parameter] = unit * d.source.Whole(members[parameter], 1, limit); values[parameter] == 0 {
+		if values[parameter] = unit * d.source.Int(members[parameter], 1, limit); values[parameter] == 0 {
 			values[parameter] = retry.InvalidValue
 		}
 	}
@@ -389,24 +389,24 @@
 
 // readRetryOn reads a list of outcomes as a bit set, or retry.InvalidValue.
 func (d *Deploy) readRetryOn(list *jsonfile.Value) int64 {
-	if !d.source.Is(list, jsonfile.Array) {
+	if !d.source.Expect(list, jsonfile.Array) {
 		return retry.InvalidValue
 	}
 	if len(list.Items) == 0 {
-		d.source.Fault(list.Path, "is empty; to disable retries set attempts to 1")
+		d.source.AddFault(list.Path, "is empty; to disable retries set attempts to 1")
 	}
 	var outcomes control.Outcomes
 	for _, item := range list.Items {
-		if !d.source.Is(item, jsonfile.String) {
+		if !d.source.Expect(item, jsonfile.String) {
 			continue
 		}
 		outcome, ok := retry.ParseOutcome(item.Text)
 		switch {
 		case !ok:
 			known := retry.OutcomeNames(0)
-			d.source.Fault(item.Path, fmt.Sprintf("%q is none of %s%s", item.Text, strings.Join(known, ", "), jsonfile.Hint(item.Text, known)))
+			d.source.AddFault(item.Path, fmt.Sprintf("%q is none of %s%s", item.Text, strings.Join(known, ", "), jsonfile.Hint(item.Text, known)))
 		case outcomes.Has(outcome):
-			d.source.Fault(item.Path, fmt.Sprintf("%q is listed twice", item.Text))
+			d.source.AddFault(item.Path, fmt.Sprintf("%q is listed twice", item.Text))
 		}
 		if ok {
 			outcomes |= control.OutcomesOf(outcome)
@@ -424,21 +424,21 @@
 	members := f.Members(v, "class", "number", "first_choice", "again")
 	m.Class, m.Number = f.String(members[0]), f.String(members[1])
 	if members[0] != nil && members[0].Kind == jsonfile.String && m.Class == "" {
-		f.Fault(members[0].Path, "is empty; omit it to match any class")
+		f.AddFault(members[0].Path, "is empty; omit it to match any class")
 	}
 	if members[1] != nil && members[1].Kind == jsonfile.String {
 		digits := strings.TrimSuffix(m.Number, "*")
 		switch {
 		case m.Number == "":
-			f.Fault(members[1].Path, "is empty; omit it to match any number")
+			f.AddFault(members[1].Path, "is empty; omit it to match any number")
 		case strings.Contains(digits, "*"):
-			f.Fault(members[1].Path, fmt.Sprintf("%q: a * is valid only at the end, for any further digits", m.Number))
+			f.AddFault(members[1].Path, fmt.Sprintf("%q: a * is valid only at the end, for any further digits", m.Number))
 		case !routing.ValidKey(digits):
-			f.Fault(members[1].Path, fmt.Sprintf("%q is not a valid called number", m.Number))
+			f.AddFault(members[1].Path, fmt.Sprintf("%q is not a valid called number", m.Number))
 		}
 	}
 	if members[2] != nil {
-		n := int(f.Whole(members[2], 0, maxCell))
+		n := int(f.Int(members[2], 0, maxCell))
 		m.FirstChoice = &n
 	}
 	if again, ok := f.Bool(members[3]); ok {
@@ -455,7 +455,7 @@
 		if fault.UnknownName != "" {
 			reason += jsonfile.Hint(fault.UnknownName, fault.KnownNames)
 		}
-		d.source.Fault(fault.Path, reason)
+		d.source.AddFault(fault.Path, reason)
 	}
 	d.Calls = policy
 }
@@ -465,7 +465,7 @@
 	if d.source == nil {
 		return ""
 	}
-	line, _ := d.source.Where(path)
+	line, _ := d.source.Position(path)
 	if line == 0 {
 		return ""
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -43,11 +43,11 @@
 	if v.Kind != jsonfile.Object {
 		return
 	}
-	limits.Parts = int(f.Whole(members[0], 1, maxParts))
+	limits.Parts = int(f.Int(members[0], 1, maxParts))
 	if members[0] == nil {
-		f.Fault(v.Path, "parts is missing: the maximum number of gatekeepers that run")
+		f.AddFault(v.Path, "parts is missing: the maximum number of gatekeepers that run")
 	}
-	if f.Is(members[1], jsonfile.Array) {
+	if f.Expect(members[1], jsonfile.Array) {
 		for _, item := range members[1].Items {
 			if addr := f.String(item); addr != "" {
 				limits.Store = append(limits.Store, addr)
@@ -56,16 +56,16 @@
 	}
 	limits.MayUseReserve = hasGreatestWorth(site)
 	if members[2] == nil {
-		f.Fault(v.Path, "rules is missing")
+		f.AddFault(v.Path, "rules is missing")
 	}
-	if f.Is(members[2], jsonfile.Array) {
+	if f.Expect(members[2], jsonfile.Array) {
 		if len(members[2].Items) > maxRoutes {
-			f.Fault(members[2].Path, fmt.Sprintf("%d rules, over %d", len(members[2].Items), maxRoutes))
+			f.AddFault(members[2].Path, fmt.Sprintf("%d rules, over %d", len(members[2].Items), maxRoutes))
 		}
 		for _, item := range members[2].Items {
 			rule := d.readLimitRule(item, limits, site, features)
 			if slices.ContainsFunc(limits.Rules, func(other quota.Rule) bool { return other.Name == rule.Name && rule.Name != "" }) {
-				f.Fault(item.Path+".name", fmt.Sprintf("%q is already the name of an earlier rule", rule.Name))
+				f.AddFault(item.Path+".name", fmt.Sprintf("%q is already the name of an earlier rule", rule.Name))
 			}
 			limits.Rules = append(limits.Rules, rule)
 		}
@@ -94,34 +94,34 @@
 	f := d.source
 	members := f.Members(v, "name", "match", "mode", "per_s", "burst", "open", "reserve", "floor")
 	rule := quota.Rule{Name: f.String(members[0]), Tenant: -1, Class: -1, Prefix: true, PerS: f.Number(members[3], 0.001, maxPerSecond),
-		Burst: f.Number(members[4], 1, maxPerSecond), Open: int(f.Whole(members[5], 1, maxOpen)), Reserve: f.Number(members[6], 0, maxReserve),
+		Burst: f.Number(members[4], 1, maxPerSecond), Open: int(f.Int(members[5], 1, maxOpen)), Reserve: f.Number(members[6], 0, maxReserve),
 		Floor: f.Number(members[7], 0, maxFloor)}
 	if v.Kind != jsonfile.Object {
 		return rule
 	}
 	switch {
 	case members[0] == nil:
-		f.Fault(v.Path, "name is missing")
+		f.AddFault(v.Path, "name is missing")
 	case members[0].Kind == jsonfile.String && (rule.Name == "" || len(rule.Name) > maxFleetNameLength || strings.ContainsAny(rule.Name, " \t\n")):
-		f.Fault(members[0].Path, fmt.Sprintf("must have 1 to %d characters without white space", maxFleetNameLength))
+		f.AddFault(members[0].Path, fmt.Sprintf("must have 1 to %d characters without white space", maxFleetNameLength))
 	}
 	d.readLimitMatch(members[1], &rule, site)
 	mode, known := quota.ParseMode(f.String(members[2]))
 	switch {
 	case members[2] == nil:
-		f.Fault(v.Path, "mode is missing: "+strings.Join(quota.ModeNames(), ", "))
+		f.AddFault(v.Path, "mode is missing: "+strings.Join(quota.ModeNames(), ", "))
 	case members[2].Kind == jsonfile.String && !known:
-		f.Fault(members[2].Path, fmt.Sprintf("%q is none of %s%s", members[2].Text, strings.Join(quota.ModeNames(), ", "), jsonfile.Hint(members[2].Text, quota.ModeNames())))
+		f.AddFault(members[2].Path, fmt.Sprintf("%q is none of %s%s", members[2].Text, strings.Join(quota.ModeNames(), ", "), jsonfile.Hint(members[2].Text, quota.ModeNames())))
 	}
 	rule.Mode = mode
 	if members[3] == nil && members[5] == nil {
-		f.Fault(v.Path, "per_s and open are missing: the rule would limit nothing")
+		f.AddFault(v.Path, "per_s and open are missing: the rule would limit nothing")
 	}
 	if members[4] != nil && members[3] == nil {
-		f.Fault(members[4].Path, "requires per_s, which is missing")
+		f.AddFault(members[4].Path, "requires per_s, which is missing")
 	}
 	if members[7] != nil && mode != quota.Leased && known {
-		f.Fault(members[7].Path, "is valid only with the mode leased")
+		f.AddFault(members[7].Path, "is valid only with the mode leased")
 	}
 	if members[7] == nil {
 		rule.Floor = defaultFloor
@@ -131,16 +131,16 @@
 	}
 	shared := mode != quota.Alone && limits.Parts > 0
 	if shared && members[4] != nil && rule.Burst > 0 && rule.Burst < float64(limits.Parts) {
-		f.Fault(members[4].Path, fmt.Sprintf("%g is under the %d parts: each gatekeeper must be able to hold one call", rule.Burst, limits.Parts))
+		f.AddFault(members[4].Path, fmt.Sprintf("%g is under the %d parts: each gatekeeper must be able to hold one call", rule.Burst, limits.Parts))
 	}
 	if shared && rule.Open > 0 && rule.Open < limits.Parts {
-		f.Fault(members[5].Path, fmt.Sprintf("%d is under the %d parts: each gatekeeper must be able to hold one call", rule.Open, limits.Parts))
+		f.AddFault(members[5].Path, fmt.Sprintf("%d is under the %d parts: each gatekeeper must be able to hold one call", rule.Open, limits.Parts))
 	}
 	switch {
 	case mode == quota.Near && !features.Gossip:
-		f.Fault(members[2].Path, "near needs the fleet's gossip: zone and bind are missing beside limits")
+		f.AddFault(members[2].Path, "near needs the fleet's gossip: zone and bind are missing beside limits")
 	case mode == quota.Leased && len(limits.Store) == 0 && !features.Store:
-		f.Fault(members[2].Path, "leased needs a store that the fleet shares: name store.peers, or the members' addresses in fleet.limits.store")
+		f.AddFault(members[2].Path, "leased needs a store that the fleet shares: name store.peers, or the members' addresses in fleet.limits.store")
 	}
 	return rule
 }
@@ -154,12 +154,12 @@
 		tenants, classes = site.TenantNames, site.ClassNames
 	}
 	indexOf := func(v *jsonfile.Value, kind string, known []string) int {
-		if !f.Is(v, jsonfile.String) || site == nil {
+		if !f.Expect(v, jsonfile.String) || site == nil {
 			return -1
 		}
 		i := slices.Index(known, v.Text)
 		if i < 0 {
-			f.Fault(v.Path, fmt.Sprintf("the settings name no such %s: %q%s", kind, v.Text, jsonfile.Hint(v.Text, known)))
+			f.AddFault(v.Path, fmt.Sprintf("the settings name no such %s: %q%s", kind, v.Text, jsonfile.Hint(v.Text, known)))
 		}
 		return i
 	}
@@ -168,11 +168,11 @@
 		rule.Number, rule.Prefix = strings.CutSuffix(number, "*")
 		switch {
 		case number == "":
-			f.Fault(members[2].Path, "is empty; omit it to match any number")
+			f.AddFault(members[2].Path, "is empty; omit it to match any number")
 		case strings.Contains(rule.Number, "*"):
-			f.Fault(members[2].Path, fmt.Sprintf("%q: a * is valid only at the end, for any further digits", number))
+			f.AddFault(members[2].Path, fmt.Sprintf("%q: a * is valid only at the end, for any further digits", number))
 		case !routing.ValidKey(rule.Number):
-			f.Fault(members[2].Path, fmt.Sprintf("%q is not a valid called number", number))
+			f.AddFault(members[2].Path, fmt.Sprintf("%q is not a valid called number", number))
 		}
 	}
 }
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -67,18 +67,18 @@
 	m.Name, m.Zone, m.Region = readScopeName(f, top[1]), readScopeName(f, top[2]), readScopeName(f, top[3])
 	if m.Admin = f.String(top[4]); m.Admin != "" {
 		if err := CheckAdmin(m.Admin); err != nil {
-			f.Fault(top[4].Path, err.Error())
+			f.AddFault(top[4].Path, err.Error())
 		}
 	}
 	m.readStore(f, top[5])
 	m.readAdmission(f, top[6])
 	if f.Root.Kind == jsonfile.Object && top[1] == nil {
-		f.Fault("", "name is missing")
+		f.AddFault("", "name is missing")
 	}
-	m.Election = time.Duration(f.Whole(top[8], minElectionMs, maxElectionMs)) * time.Millisecond
+	m.Election = time.Duration(f.Int(top[8], minElectionMs, maxElectionMs)) * time.Millisecond
 	if m.Gatekeeper = f.String(top[7]); m.Gatekeeper != "" {
 		if c, err := Load(m.Gatekeeper); err != nil {
-			f.Fault(top[7].Path, err.Error())
+			f.AddFault(top[7].Path, err.Error())
 		} else {
 			m.Site = c.Site
 		}
@@ -93,7 +93,7 @@
 func (m *Machine) readStore(f *jsonfile.File, v *jsonfile.Value) {
 	if v == nil {
 		if f.Root.Kind == jsonfile.Object {
-			f.Fault("", "store is missing")
+			f.AddFault("", "store is missing")
 		}
 		return
 	}
@@ -105,10 +105,10 @@
 		m.Store.Node = m.Name
 	}
 	if m.Store.Listen == "" {
-		f.Fault("store.listen", "missing: gatekeepers connect to a control machine at this address")
+		f.AddFault("store.listen", "missing: gatekeepers connect to a control machine at this address")
 	}
 	if len(m.Store.Peers) == 0 && !m.Store.Join {
-		f.Fault("store.peers", "missing: list all control machines, including this one")
+		f.AddFault("store.peers", "missing: list all control machines, including this one")
 	}
 }
 
@@ -116,8 +116,8 @@
 func (m *Machine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
 	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst", "sessions")
 	m.Admission = Admission{
-		SessionsPerS: f.Number(a[0], minAdmission, maxAdmission), SessionsBurst: int(f.Whole(a[1], 1, maxAdmission)),
-		SnapshotsPerS: f.Number(a[2], minAdmission, maxAdmission), SnapshotsBurst: int(f.Whole(a[3], 1, maxAdmission)),
-		Sessions: int(f.Whole(a[4], 1, maxAdmission)),
+		SessionsPerS: f.Number(a[0], minAdmission, maxAdmission), SessionsBurst: int(f.Int(a[1], 1, maxAdmission)),
+		SnapshotsPerS: f.Number(a[2], minAdmission, maxAdmission), SnapshotsBurst: int(f.Int(a[3], 1, maxAdmission)),
+		Sessions: int(f.Int(a[4], 1, maxAdmission)),
 	}
 }
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -14,7 +14,7 @@
 // invalidMachines are invalid files of a control machine, each with the start of the first line of its error.
 var invalidMachines = []struct{ kind, text, want string }{
 	{syntaxFault, ``, `1:1: the file is empty`},
-	{syntaxFault, `{"name":"c1"`, `1:13: the file ends before it is whole`},
+	{syntaxFault, `{"name":"c1"`, `1:13: unexpected end of file`},
 	{schemaFault, `[]`, `1:1: is an array, must be an object`},
 	{schemaFault, `{` + machineStore + `}`, `1:1: name is missing`},
 	{schemaFault, `{"name":"c1"}`, `1:1: store is missing`},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	d := &Deploy{source: f}
-	if f.Is(f.Root, jsonfile.Object) {
+	if f.Expect(f.Root, jsonfile.Object) {
 		d.readLimits(f.Root, site, features)
 	}
 	if err := f.Err(); err != nil {
@@ -115,7 +115,7 @@
 	hosts, err := inventory.Parse(name+format, text)
 	var fault *inventory.Error
 	if errors.As(err, &fault) {
-		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, What: fault.What}}
+		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, What: fault.Reason}}
 	}
 	if err == nil && len(hosts) == 0 {
 		reason := "lists no servers; delete the record to use the gatekeepers' own files"
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads lists of servers as configuration tools keep them: CSV with a header, or YAML in the form of
-// an Ansible inventory.
+// Package inventory reads lists of servers in the formats of configuration tools: CSV with a header, or YAML in the form
+// of an Ansible inventory.
 package inventory
 
 import (
@@ -21,14 +21,14 @@
 	"beammux/internal/routing"
 )
 
-// The fields of a server. Others are passed over.
+// The fields of a server. Other fields are ignored.
 //
 //	name      the server's id; in YAML the host's name
-//	address   host and port; in YAML ansible_host and ansible_port will do
-//	cell      number of the pool (0 if absent)
+//	address   host and port; in YAML ansible_host and ansible_port may replace it
+//	cell      number of the cell (0 if absent)
 //	state     up (if absent), draining or removed
-//	transport platform (if absent), udp or tcp: the latter two are full SIP
-//	since_ms  Unix millisecond of a late start, or 0
+//	transport platform (if absent), udp or tcp; udp and tcp select SIP over that transport
+//	since_ms  start of a server that started late, in Unix milliseconds, or 0
 const (
 	fieldName      = "name"
 	fieldAddress   = "address"
@@ -38,12 +38,12 @@
 	fieldSince     = "since_ms"
 )
 
-// Error is a fault by file, line and key.
+// Error reports a fault in an inventory. Line is 0 and Key empty if they are unknown.
 type Error struct {
-	File string
-	Line int
-	Key  string
-	What string
+	File   string
+	Line   int
+	Key    string
+	Reason string
 }
 
 func (e *Error) Error() string {
@@ -54,34 +54,34 @@
 	if e.Key != "" {
 		s += ": key " + e.Key
 	}
-	return s + ": " + e.What
+	return s + ": " + e.Reason
 }
 
-// Load reads a file; its ending tells the form.
+// Load reads an inventory file. Its extension selects the format.
 func Load(file string) ([]routing.Host, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &Error{File: file, What: "can't be read: " + err.Error()}
+		return nil, &Error{File: file, Reason: "can't be read: " + err.Error()}
 	}
 	return Parse(file, text)
 }
 
-// Parse reads the text of a file of that name.
+// Parse reads the contents of an inventory file. The extension of its name selects the format. Errors are of type *Error.
 func Parse(file string, text []byte) ([]routing.Host, error) {
 	var hosts []routing.Host
 	var err error
-	switch ext := strings.ToLower(filepath.Ext(file)); ext {
+	switch extension := strings.ToLower(filepath.Ext(file)); extension {
 	case ".csv":
 		hosts, err = parseCSV(text)
 	case ".yaml", ".yml":
 		hosts, err = parseYAML(text)
 	default:
-		err = &Error{What: fmt.Sprintf("ending %q is neither .csv nor .yaml", ext)}
+		err = &Error{Reason: fmt.Sprintf("extension %q is neither .csv nor .yaml", extension)}
 	}
 	if err != nil {
 		e := &Error{}
 		if !errors.As(err, &e) {
-			e.What = err.Error()
+			e.Reason = err.Error()
 		}
 		e.File = file
 		return nil, e
@@ -89,7 +89,7 @@
 	return hosts, nil
 }
 
-// field is one value and where it stands.
+// field is a value and its line in the file.
 type field struct {
 	value string
 	line  int
@@ -98,14 +98,14 @@
 var states = map[string]control.State{"": control.Ready, "up": control.Ready, "draining": control.Draining,
 	"removed": control.Gone}
 
-// host makes a server of its fields.
-func host(name string, line int, fields map[string]field) (h routing.Host, err error) {
-	fault := func(key, what string) (routing.Host, error) {
-		at := line
+// newHost builds a server from its fields. line is the line of errors that concern an absent field.
+func newHost(name string, line int, fields map[string]field) (h routing.Host, err error) {
+	fault := func(key, reason string) (routing.Host, error) {
+		faultLine := line
 		if f, ok := fields[key]; ok {
-			at = f.line
+			faultLine = f.line
 		}
-		return routing.Host{}, &Error{Line: at, Key: key, What: what}
+		return routing.Host{}, &Error{Line: faultLine, Key: key, Reason: reason}
 	}
 	get := func(key string) string { return strings.TrimSpace(fields[key].value) }
 	if h.Name = strings.TrimSpace(name); h.Name == "" {
@@ -156,12 +156,13 @@
 	return h, nil
 }
 
+// parseCSV reads a CSV file whose first line names the fields.
 func parseCSV(text []byte) ([]routing.Host, error) {
 	r := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(text, []byte("\ufeff"))))
 	r.Comment, r.TrimLeadingSpace = '#', true
 	header, err := r.Read()
 	if err == io.EOF {
-		return nil, &Error{Line: 1, What: "no header"}
+		return nil, &Error{Line: 1, Reason: "no header"}
 	}
 	if err != nil {
 		return nil, csvError(err)
@@ -169,12 +170,12 @@
 	for i := range header {
 		header[i] = strings.ToLower(strings.TrimSpace(header[i]))
 		if header[i] != "" && slices.Contains(header[:i], header[i]) {
-			return nil, &Error{Line: 1, Key: header[i], What: "named twice in the header"}
+			return nil, &Error{Line: 1, Key: header[i], Reason: "listed twice in the header"}
 		}
 	}
 	for _, key := range []string{fieldName, fieldAddress} {
 		if !slices.Contains(header, key) {
-			return nil, &Error{Line: 1, Key: key, What: "missing in the header"}
+			return nil, &Error{Line: 1, Key: key, Reason: "missing in the header"}
 		}
 	}
 	var hosts []routing.Host
@@ -193,63 +194,66 @@
 			fields[header[i]] = field{v, line}
 		}
 		line, _ := r.FieldPos(0)
-		h, err := host(fields[fieldName].value, line, fields)
+		h, err := newHost(fields[fieldName].value, line, fields)
 		if err != nil {
 			return nil, err
 		}
 		if first := lines[h.Name]; first > 0 {
-			return nil, &Error{Line: line, Key: fieldName, What: fmt.Sprintf("%q stands in line %d already", h.Name, first)}
+			return nil, &Error{Line: line, Key: fieldName, Reason: fmt.Sprintf("%q is already defined in line %d", h.Name, first)}
 		}
 		lines[h.Name] = line
 		hosts = append(hosts, h)
 	}
 }
 
+// csvError converts an error of the CSV parser, which carries a line, to an Error.
 func csvError(err error) error {
 	e := &csv.ParseError{}
 	if errors.As(err, &e) {
-		return &Error{Line: e.Line, What: e.Err.Error()}
+		return &Error{Line: e.Line, Reason: e.Err.Error()}
 	}
 	return err
 }
 
-// ansible collects the hosts of groups; a host in several groups has the variables of all.
+// ansible collects the hosts of all groups. A host in several groups has the variables of each of them.
 type ansible struct {
-	order []string
-	hosts map[string]*ansibleHost
-	depth int
+	names  []string
+	byName map[string]*ansibleHost
+	depth  int
 }
 
+// ansibleHost is a host with the variables of its groups and its own.
 type ansibleHost struct {
-	line   int
-	fields map[string]field
-	own    map[string]field // set at the host itself: they win over those of groups
+	line      int
+	fields    map[string]field
+	ownFields map[string]field // variables of the host itself, which override those of its groups
 }
 
-const deepest = 32 // nested groups: guards against an alias that contains itself
+const maxGroupDepth = 32 // nested groups; bounds the recursion of an alias that contains itself
 
+// parseYAML reads an Ansible inventory.
 func parseYAML(text []byte) ([]routing.Host, error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		return nil, yamlError(err)
 	}
 	if len(doc.Content) == 0 {
-		return nil, &Error{Line: 1, What: "no inventory"}
+		return nil, &Error{Line: 1, Reason: "no inventory"}
 	}
-	a := &ansible{hosts: map[string]*ansibleHost{}}
-	err := each(doc.Content[0], "inventory", func(key, value *yaml.Node) error {
-		return a.group(key.Value, value, nil)
+	a := &ansible{byName: map[string]*ansibleHost{}}
+	err := forEachPair(doc.Content[0], "inventory", func(key, value *yaml.Node) error {
+		return a.readGroup(key.Value, value, nil)
 	})
 	if err != nil {
 		return nil, err
 	}
 	var hosts []routing.Host
-	for _, name := range a.order {
-		entry := a.hosts[name]
-		for key, f := range entry.own {
+	for _, name := range a.names {
+		entry := a.byName[name]
+		for key, f := range entry.ownFields {
 			entry.fields[key] = f
 		}
-		h, err := host(name, entry.line, entry.fields)
+		h, err := newHost(name, entry.line, entry.fields)
 		if err != nil {
 			return nil, err
 		}
@@ -258,21 +262,21 @@
 	return hosts, nil
 }
 
-// yamlError takes the line out of a fault of the parser.
+// yamlError converts an error of the YAML parser to an Error with the line that its text names.
 func yamlError(err error) error {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
-		if digits, what, ok := strings.Cut(rest, ": "); ok {
+		if digits, reason, ok := strings.Cut(rest, ": "); ok {
 			if n, err := strconv.Atoi(digits); err == nil {
-				return &Error{Line: n, What: what}
+				return &Error{Line: n, Reason: reason}
 			}
 		}
 	}
-	return &Error{What: strings.ReplaceAll(text, "\n", " ")}
+	return &Error{Reason: strings.ReplaceAll(text, "\n", " ")}
 }
 
-// each goes through a mapping; null is an empty one.
-func each(n *yaml.Node, what string, f func(key, value *yaml.Node) error) error {
+// forEachPair calls f for each pair of a mapping, with aliases resolved. A null is an empty mapping.
+func forEachPair(n *yaml.Node, name string, f func(key, value *yaml.Node) error) error {
 	for n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
@@ -280,13 +284,13 @@
 		return nil
 	}
 	if n.Kind != yaml.MappingNode {
-		return &Error{Line: n.Line, Key: what, What: "not a mapping"}
+		return &Error{Line: n.Line, Key: name, Reason: "not a mapping"}
 	}
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, value := n.Content[i], n.Content[i+1]
 		if seen[key.Value] {
-			return &Error{Line: key.Line, Key: key.Value, What: "given twice"}
+			return &Error{Line: key.Line, Key: key.Value, Reason: "defined twice"}
 		}
 		seen[key.Value] = true
 		for value.Kind == yaml.AliasNode {
@@ -299,8 +303,9 @@
 	return nil
 }
 
-func variables(n *yaml.Node, what string, into map[string]field) error {
-	return each(n, what, func(key, value *yaml.Node) error {
+// readVariables adds the scalar variables of a mapping to a map.
+func readVariables(n *yaml.Node, name string, into map[string]field) error {
+	return forEachPair(n, name, func(key, value *yaml.Node) error {
 		if value.Kind == yaml.ScalarNode && value.Tag != "!!null" {
 			into[key.Value] = field{value.Value, value.Line}
 		}
@@ -308,52 +313,54 @@
 	})
 }
 
-func (a *ansible) group(name string, n *yaml.Node, above map[string]field) error {
-	if a.depth++; a.depth > deepest {
-		return &Error{Line: n.Line, Key: name, What: "groups are nested too deep"}
+// readGroup reads a group with its hosts and child groups. above holds the variables of the groups that contain it.
+func (a *ansible) readGroup(name string, n *yaml.Node, inherited map[string]field) error {
+	if a.depth++; a.depth > maxGroupDepth {
+		return &Error{Line: n.Line, Key: name, Reason: "groups are nested too deep"}
 	}
 	defer func() { a.depth-- }()
-	parts := map[string]*yaml.Node{}
-	err := each(n, name, func(key, value *yaml.Node) error {
-		parts[key.Value] = value
+	sections := map[string]*yaml.Node{}
+	err := forEachPair(n, name, func(key, value *yaml.Node) error {
+		sections[key.Value] = value
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	vars := map[string]field{}
-	for key, f := range above {
+	for key, f := range inherited {
 		vars[key] = f
 	}
-	if v := parts["vars"]; v != nil {
-		if err := variables(v, "vars", vars); err != nil {
+	if v := sections["vars"]; v != nil {
+		if err := readVariables(v, "vars", vars); err != nil {
 			return err
 		}
 	}
-	if v := parts["hosts"]; v != nil {
-		err := each(v, "hosts", func(key, value *yaml.Node) error { return a.host(key, value, vars) })
+	if v := sections["hosts"]; v != nil {
+		err := forEachPair(v, "hosts", func(key, value *yaml.Node) error { return a.readHost(key, value, vars) })
 		if err != nil {
 			return err
 		}
 	}
-	if v := parts["children"]; v != nil {
-		return each(v, "children", func(key, value *yaml.Node) error { return a.group(key.Value, value, vars) })
+	if v := sections["children"]; v != nil {
+		return forEachPair(v, "children", func(key, value *yaml.Node) error { return a.readGroup(key.Value, value, vars) })
 	}
 	return nil
 }
 
-func (a *ansible) host(key, value *yaml.Node, vars map[string]field) error {
+// readHost adds a host of a group with the variables of that group.
+func (a *ansible) readHost(key, value *yaml.Node, vars map[string]field) error {
 	if strings.ContainsAny(key.Value, "[]") {
-		return &Error{Line: key.Line, Key: key.Value, What: "ranges of hosts are not supported"}
+		return &Error{Line: key.Line, Key: key.Value, Reason: "ranges of hosts are not supported"}
 	}
-	h := a.hosts[key.Value]
-	if h == nil {
-		h = &ansibleHost{line: key.Line, fields: map[string]field{}, own: map[string]field{}}
-		a.hosts[key.Value] = h
-		a.order = append(a.order, key.Value)
+	entry := a.byName[key.Value]
+	if entry == nil {
+		entry = &ansibleHost{line: key.Line, fields: map[string]field{}, ownFields: map[string]field{}}
+		a.byName[key.Value] = entry
+		a.names = append(a.names, key.Value)
 	}
 	for k, f := range vars {
-		h.fields[k] = f
+		entry.fields[k] = f
 	}
-	return variables(value, key.Value, h.own)
+	return readVariables(value, key.Value, entry.ownFields)
 }
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -1,7 +1,7 @@
-// Package jsonfile reads JSON files that people write by hand: every value knows where it stands, keys that nobody reads
-// are faults, and all faults of a file are told in one run.
+// Package jsonfile reads JSON files that people edit by hand. Each value has its position in the file, unknown keys are
+// faults, and all faults of a file are reported together.
 //
-// It reads by the tokens of encoding/json, since fastjson, which reads all else, doesn't tell where a value stands.
+// It decodes the tokens of encoding/json because fastjson, which other packages use, does not report positions.
 package jsonfile
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/agext/levenshtein"
 )
 
-// Fault is one thing that is wrong, as one line: FILE:LINE:COL: path: what.
+// Fault is one fault of a file. Its text is one line, FILE:LINE:COL: path: reason.
 type Fault struct {
 	File string `json:"file"`
-	Line int    `json:"line"` // from 1; 0 where the fault has no place
+	Line int    `json:"line"` // from 1; 0 if the fault has no position
 	Col  int    `json:"col"`  // from 1, in bytes
 	Path string `json:"path"`
 	What string `json:"what"`
@@ -38,7 +38,7 @@
 	return s + ": " + f.What
 }
 
-// Faults are all that is wrong with a file, in the order of the text.
+// Faults are all faults of a file, in the order of its text.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -52,7 +52,7 @@
 // Kind is the JSON type of a value.
 type Kind int
 
-// The kinds of a value, with the words that faults use.
+// The kinds of a value.
 const (
 	Null Kind = iota
 	Bool
@@ -62,67 +62,68 @@
 	Object
 )
 
+// kindNames are the names of the kinds in faults.
 var kindNames = [...]string{"null", "true or false", "a number", "a string", "an array", "an object"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Value is one value of a file.
+// Value is one value of a file. The members of an object are in Items, in the order of Keys.
 type Value struct {
 	Kind  Kind
 	Path  string
-	Text  string // of a string decoded, of a number as it stands, of a bool "true" or "false"
+	Text  string // a decoded string, a number as in the file, or a bool as "true" or "false"
 	Items []*Value
-	keys  []string // of an object, in order
-	start int      // offset in the file
+	keys  []string // keys of an object, in order
+	start int      // offset in the file, for a member that of its key
 }
 
-// Keys gives the keys of an object in the order of the file.
+// Keys returns the keys of an object in the order of the file.
 func (v *Value) Keys() []string { return v.keys }
 
-// maxDepth is far over what any file here needs.
+// maxDepth is the maximum nesting of values, far more than any file needs.
 const maxDepth = 16
 
-// File is a file that has been read. Its methods note faults; Err gives them.
+// File is a parsed file. Its methods record faults; Err returns them.
 type File struct {
-	Name   string
-	Root   *Value
-	text   []byte
-	faults Faults
-	places map[string]int // offsets by path
+	Name    string
+	Root    *Value
+	text    []byte
+	faults  Faults
+	offsets map[string]int // offsets of the values by path
 }
 
-// Parse reads a text. The syntax is checked whole; what the values mean is up to the caller, by the methods of File.
+// Parse parses the contents of a file and checks the whole syntax. The caller checks the values with the methods of File.
 func Parse(name string, text []byte) (*File, error) { return ParseUnder(name, text, "") }
 
-// ParseUnder reads a text that is a part of a larger one, kept by itself: the paths of its values begin with that of the part.
+// ParseUnder parses a text that is one part of a document. The paths of its values begin with path, the path of that part.
 func ParseUnder(name string, text []byte, path string) (*File, error) {
-	f := &File{Name: name, text: text, places: map[string]int{}}
+	f := &File{Name: name, text: text, offsets: map[string]int{}}
 	if !utf8.Valid(text) {
-		at := 0
-		for r, n := utf8.DecodeRune(text); r != utf8.RuneError || n > 1; r, n = utf8.DecodeRune(text[at:]) {
-			at += n
+		offset := 0
+		for r, n := utf8.DecodeRune(text); r != utf8.RuneError || n > 1; r, n = utf8.DecodeRune(text[offset:]) {
+			offset += n
 		}
-		f.add(at, "", "not UTF-8")
+		f.addFaultAt(offset, "", "not UTF-8")
 		return nil, f.Err()
 	}
 	var syntax *json.SyntaxError
 	switch err := json.Unmarshal(text, new(json.RawMessage)); {
 	case err == nil:
 	case len(bytes.TrimSpace(text)) == 0:
-		f.add(0, "", "the file is empty")
+		f.addFaultAt(0, "", "the file is empty")
 	case errors.As(err, &syntax) && int(syntax.Offset) >= len(text) && strings.HasPrefix(syntax.Error(), "unexpected end"):
-		f.add(len(text), "", "the file ends before it is whole")
+		f.addFaultAt(len(text), "", "unexpected end of file")
 	case errors.As(err, &syntax):
-		f.add(int(syntax.Offset)-1, "", "not JSON: "+syntax.Error())
+		f.addFaultAt(int(syntax.Offset)-1, "", "not JSON: "+syntax.Error())
 	default:
-		f.add(0, "", "not JSON: "+err.Error())
+		f.addFaultAt(0, "", "not JSON: "+err.Error())
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
 	p := parser{file: f, dec: json.NewDecoder(bytes.NewReader(text))}
 	p.dec.UseNumber()
-	root, err := p.value(path, 0)
+	root, err := p.readValue(path, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -130,23 +131,25 @@
 	return f, nil
 }
 
+// parser reads the values of a file from its tokens.
 type parser struct {
 	file *File
 	dec  *json.Decoder
 }
 
-// skip gives the offset of the next token.
-func (p *parser) skip() int {
-	at := int(p.dec.InputOffset())
-	for at < len(p.file.text) && strings.IndexByte(" \t\r\n,:", p.file.text[at]) >= 0 {
-		at++
+// nextTokenOffset returns the offset of the next token.
+func (p *parser) nextTokenOffset() int {
+	offset := int(p.dec.InputOffset())
+	for offset < len(p.file.text) && strings.IndexByte(" \t\r\n,:", p.file.text[offset]) >= 0 {
+		offset++
 	}
-	return at
+	return offset
 }
 
-func (p *parser) value(path string, depth int) (*Value, error) {
-	v := &Value{Path: path, start: p.skip()}
-	p.file.places[path] = v.start
+// readValue reads the next value.
+func (p *parser) readValue(path string, depth int) (*Value, error) {
+	v := &Value{Path: path, start: p.nextTokenOffset()}
+	p.file.offsets[path] = v.start
 	t, err := p.dec.Token()
 	if err != nil {
 		return nil, err
@@ -160,7 +163,7 @@
 		v.Kind, v.Text = String, t
 	case json.Delim:
 		if depth == maxDepth {
-			p.file.add(v.start, "", fmt.Sprintf("nested more than %d deep", maxDepth))
+			p.file.addFaultAt(v.start, "", fmt.Sprintf("nested more than %d deep", maxDepth))
 			return nil, p.file.Err()
 		}
 		v.Kind = Array
@@ -168,7 +171,7 @@
 			v.Kind = Object
 		}
 		for p.dec.More() {
-			if err := p.item(v, depth); err != nil {
+			if err := p.readItem(v, depth); err != nil {
 				return nil, err
 			}
 		}
@@ -177,71 +180,73 @@
 	return v, err
 }
 
-// item reads one item of an array or one member of an object.
-func (p *parser) item(v *Value, depth int) error {
+// readItem reads one item of an array or one member of an object.
+func (p *parser) readItem(v *Value, depth int) error {
 	if v.Kind == Array {
-		item, err := p.value(fmt.Sprintf("%s[%d]", v.Path, len(v.Items)), depth+1)
+		item, err := p.readValue(fmt.Sprintf("%s[%d]", v.Path, len(v.Items)), depth+1)
 		v.Items = append(v.Items, item)
 		return err
 	}
-	at := p.skip()
+	offset := p.nextTokenOffset()
 	t, err := p.dec.Token()
 	if err != nil {
 		return err
 	}
-	key, path := t.(string), Join(v.Path, t.(string))
-	if first, twice := p.file.places[path]; twice {
-		line, _ := p.file.place(first)
-		p.file.add(at, path, fmt.Sprintf("the key stands twice, first in line %d", line))
+	key, path := t.(string), joinPath(v.Path, t.(string))
+	if first, duplicate := p.file.offsets[path]; duplicate {
+		line, _ := p.file.position(first)
+		p.file.addFaultAt(offset, path, fmt.Sprintf("duplicate key, first in line %d", line))
 	}
-	item, err := p.value(path, depth+1)
+	item, err := p.readValue(path, depth+1)
 	v.keys, v.Items = append(v.keys, key), append(v.Items, item)
-	p.file.places[path] = at // a fault of a member is shown at its key
+	p.file.offsets[path] = offset // faults of a member are reported at its key
 	if item != nil {
-		item.start = at
+		item.start = offset
 	}
 	return err
 }
 
-// Join gives the path of a key within another.
-func Join(path, key string) string {
+// joinPath returns the path of a key in the object at path.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func (f *File) place(offset int) (line, col int) {
+// position converts an offset to a line and a column, both from 1.
+func (f *File) position(offset int) (line, col int) {
 	before := f.text[:min(offset, len(f.text))]
 	return 1 + bytes.Count(before, []byte("\n")), len(before) - bytes.LastIndexByte(before, '\n')
 }
 
-func (f *File) add(offset int, path, what string) {
-	line, col := f.place(offset)
-	f.faults = append(f.faults, Fault{f.Name, line, col, path, what})
+// addFaultAt records a fault at an offset.
+func (f *File) addFaultAt(offset int, path, reason string) {
+	line, col := f.position(offset)
+	f.faults = append(f.faults, Fault{f.Name, line, col, path, reason})
 }
 
-// Fault notes that something is wrong with the value at a path, or, if that is not in the file, with the nearest one
-// above it that is.
-func (f *File) Fault(path, what string) {
-	at := path
-	offset, ok := f.places[at]
-	for !ok && at != "" {
-		at = at[:max(0, strings.LastIndexAny(at, ".["))]
-		offset, ok = f.places[at]
+// AddFault records a fault of the value at a path. If the file does not contain the path, the fault has the position of the
+// nearest enclosing value.
+func (f *File) AddFault(path, reason string) {
+	enclosing := path
+	offset, ok := f.offsets[enclosing]
+	for !ok && enclosing != "" {
+		enclosing = enclosing[:max(0, strings.LastIndexAny(enclosing, ".["))]
+		offset, ok = f.offsets[enclosing]
 	}
-	f.add(offset, path, what)
+	f.addFaultAt(offset, path, reason)
 }
 
-// Where gives line and column of a path, 0 for one that is not in the file.
-func (f *File) Where(path string) (line, col int) {
-	if offset, ok := f.places[path]; ok {
-		return f.place(offset)
+// Position returns the line and column of a path, or 0, 0 if the file does not contain it.
+func (f *File) Position(path string) (line, col int) {
+	if offset, ok := f.offsets[path]; ok {
+		return f.position(offset)
 	}
 	return 0, 0
 }
 
-// Err gives all faults noted so far in the order of the text, nil if there are none.
+// Err returns the faults recorded so far as Faults in the order of the text, or nil if there are none.
 func (f *File) Err() error {
 	if len(f.faults) == 0 {
 		return nil
@@ -253,128 +258,128 @@
 	return f.faults
 }
 
-// Is checks the kind of a value. One that is absent is no fault.
-func (f *File) Is(v *Value, kind Kind) bool {
+// Expect reports whether a value is present and of a kind. A value of another kind is a fault, an absent one is not.
+func (f *File) Expect(v *Value, kind Kind) bool {
 	if v == nil {
 		return false
 	}
 	if v.Kind != kind {
-		f.Fault(v.Path, "is "+v.Kind.String()+", must be "+kind.String())
+		f.AddFault(v.Path, "is "+v.Kind.String()+", must be "+kind.String())
 		return false
 	}
 	return true
 }
 
-// Members gives the values of an object under the keys that it may have, nil for those it lacks. Others are faults. A key
-// that stands twice counts by its last value.
+// Members returns the values of an object in the order of its known keys, nil for those that are absent. Unknown keys are
+// faults. Of a duplicate key the last value is returned.
 func (f *File) Members(v *Value, known ...string) []*Value {
 	values := make([]*Value, len(known))
-	if !f.Is(v, Object) {
+	if !f.Expect(v, Object) {
 		return values
 	}
 	for i, key := range v.keys {
-		at := -1
+		index := -1
 		for j, k := range known {
 			if k == key {
-				at = j
+				index = j
 			}
 		}
-		if at < 0 {
-			f.Fault(v.Items[i].Path, "unknown key"+Hint(key, known))
+		if index < 0 {
+			f.AddFault(v.Items[i].Path, "unknown key"+Hint(key, known))
 			continue
 		}
-		values[at] = v.Items[i]
+		values[index] = v.Items[i]
 	}
 	return values
 }
 
-// String reads a string, "" if it is absent.
+// String returns a string, or "" if it is absent or of another kind.
 func (f *File) String(v *Value) string {
-	if !f.Is(v, String) {
+	if !f.Expect(v, String) {
 		return ""
 	}
 	return v.Text
 }
 
-// Bool reads true or false; ok tells whether it is there.
-func (f *File) Bool(v *Value) (is, ok bool) {
-	if !f.Is(v, Bool) {
+// Bool returns a bool; ok reports whether it is present and of that kind.
+func (f *File) Bool(v *Value) (value, ok bool) {
+	if !f.Expect(v, Bool) {
 		return false, false
 	}
 	return v.Text == "true", true
 }
 
-// Whole reads a whole number within bounds, 0 if it is absent or at fault.
-func (f *File) Whole(v *Value, least, most int64) int64 {
-	if !f.Is(v, Number) {
+// Int returns an integer within bounds, or 0 if it is absent or invalid.
+func (f *File) Int(v *Value, minimum, maximum int64) int64 {
+	if !f.Expect(v, Number) {
 		return 0
 	}
 	n, err := strconv.ParseInt(v.Text, 10, 64)
 	if err != nil {
 		x, _ := strconv.ParseFloat(v.Text, 64)
 		switch {
-		case x > float64(most):
-			f.Fault(v.Path, fmt.Sprintf("%s is over %d", v.Text, most))
-		case x < float64(least):
-			f.Fault(v.Path, fmt.Sprintf("%s is under %d", v.Text, least))
+		case x > float64(maximum):
+			f.AddFault(v.Path, fmt.Sprintf("%s is over %d", v.Text, maximum))
+		case x < float64(minimum):
+			f.AddFault(v.Path, fmt.Sprintf("%s is under %d", v.Text, minimum))
 		case x != math.Trunc(x):
-			f.Fault(v.Path, v.Text+" is not a whole number")
+			f.AddFault(v.Path, v.Text+" is not a whole number")
 		default:
 			return int64(x)
 		}
 		return 0
 	}
 	switch {
-	case n < least:
-		f.Fault(v.Path, fmt.Sprintf("%d is under %d", n, least))
-	case n > most:
-		f.Fault(v.Path, fmt.Sprintf("%d is over %d", n, most))
+	case n < minimum:
+		f.AddFault(v.Path, fmt.Sprintf("%d is under %d", n, minimum))
+	case n > maximum:
+		f.AddFault(v.Path, fmt.Sprintf("%d is over %d", n, maximum))
 	default:
 		return n
 	}
 	return 0
 }
 
-// Part reads a number over 0 and up to 1, 0 if it is absent or at fault.
-func (f *File) Part(v *Value) float64 {
-	if !f.Is(v, Number) {
+// Fraction returns a number over 0 and up to 1, or 0 if it is absent or invalid.
+func (f *File) Fraction(v *Value) float64 {
+	if !f.Expect(v, Number) {
 		return 0
 	}
 	x, err := strconv.ParseFloat(v.Text, 64)
 	if err != nil || !(x > 0 && x <= 1) {
-		f.Fault(v.Path, v.Text+" is not over 0 and up to 1")
+		f.AddFault(v.Path, v.Text+" is not over 0 and up to 1")
 		return 0
 	}
 	return x
 }
 
-// Number reads a number within bounds, 0 if it is absent or at fault.
-func (f *File) Number(v *Value, least, most float64) float64 {
-	if !f.Is(v, Number) {
+// Number returns a number within bounds, or 0 if it is absent or invalid.
+func (f *File) Number(v *Value, minimum, maximum float64) float64 {
+	if !f.Expect(v, Number) {
 		return 0
 	}
 	x, err := strconv.ParseFloat(v.Text, 64)
 	switch {
-	case x < least:
-		f.Fault(v.Path, fmt.Sprintf("%s is under %g", v.Text, least))
-	case err != nil || x > most:
-		f.Fault(v.Path, fmt.Sprintf("%s is over %g", v.Text, most))
+	case x < minimum:
+		f.AddFault(v.Path, fmt.Sprintf("%s is under %g", v.Text, minimum))
+	case err != nil || x > maximum:
+		f.AddFault(v.Path, fmt.Sprintf("%s is over %g", v.Text, maximum))
 	default:
 		return x
 	}
 	return 0
 }
 
-// Hint names the known word that is nearest to one that is not known, if any is near.
+// Hint returns a question that suggests the known word closest to an unknown one, or "" if none is close.
 func Hint(word string, known []string) string {
-	best, least := "", max(3, len(word)/3+1)
+	nearest, distance := "", max(3, len(word)/3+1)
 	for _, k := range known {
-		if d := levenshtein.Distance(strings.ToLower(word), strings.ToLower(k), nil); d < least && d < len(word) {
-			best, least = k, d
+		if d := levenshtein.Distance(strings.ToLower(word), strings.ToLower(k), nil); d < distance && d < len(word) {
+			nearest, distance = k, d
 		}
 	}
-	if best == "" {
+	if nearest == "" {
 		return ""
 	}
-	return fmt.Sprintf("; did you mean %q?", best)
+	return fmt.Sprintf("; did you mean %q?", nearest)
 }
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -20,39 +20,44 @@
 )
 
 const (
-	causeInvalid = 100             // a set-up whose fields can't be read
-	causeNormal  = 16              // normal clearing: a call that the gatekeeper releases
-	keepOrphan   = 8 * time.Second // a release without any connection waits so long for one
-	maxWaiting   = 4096            // releases that so wait
+	causeInvalid = 100             // cause code of a set-up with invalid fields
+	causeNormal  = 16              // cause code of a call that the gatekeeper releases: normal clearing
+	keepOrphan   = 8 * time.Second // time that a release waits for a connection if there is none
+	maxWaiting   = 4096            // releases that may wait for a connection
 	maxLeft      = 10 * time.Minute
-	maxOpen      = 512 // set-ups of one connection; what comes beyond is excess, and refused
+	maxOpen      = 512 // unanswered set-ups of one connection; further ones are marked as excess, and refused
 )
 
-// The times that a connection has. Silent and finished callers must not hold descriptors for good.
+// Time-outs of a connection. They keep silent and finished callers from holding descriptors forever.
 const (
-	firstWithin = 2500 * time.Millisecond // for its first whole message
-	wholeWithin = 2 * time.Second         // for a message that has begun
-	idleFor     = 10 * time.Second        // without a call on it; callers themselves close after 4 s
-	settleFor   = 2 * time.Second         // to answer what is open after a message that can't be read
-	lookAgain   = 10 * time.Millisecond   // before an idle close: bytes may lie ready while this process got no processor time
-	breathe     = 20 * time.Millisecond   // for the core to decide what has come before more of it is excess
-	skimGap     = time.Millisecond        // between reads of what is dropped
+	firstWithin = 2500 * time.Millisecond // for the first complete message
+	wholeWithin = 2 * time.Second         // for the rest of a message that has begun
+	idleFor     = 10 * time.Second        // without a call on the connection; callers themselves close after 4 s
+	settleFor   = 2 * time.Second         // to answer the open set-ups after a malformed message
+	lookAgain   = 10 * time.Millisecond   // for a last read before an idle close: bytes may be ready unread if this process got no processor time
+	breathe     = 20 * time.Millisecond   // for the core to answer open set-ups before further ones are excess
+	skimGap     = time.Millisecond        // between reads of discarded bytes
 )
 
+// errClosing ends a connection on which a set-up arrived after its close had begun.
 var errClosing = errors.New("connection is being closed")
 
 // Core is the part of the routing core that a front needs.
 type Core interface {
+	// Open starts a call.
 	Open(routing.Setup, routing.Caller)
+	// Withdraw gives up a set-up. If done is not nil, it receives whether the set-up had no final answer yet.
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
+	// Hangup ends a call. done receives whether the call was known.
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	Unreadable(class int) // a set-up that could not be read was told that it failed
+	// Unreadable counts a set-up with invalid fields, which the front has refused.
+	Unreadable(class int)
 }
 
-// Front serves callers.
+// Front serves callers that speak JSON lines.
 type Front struct {
-	// Seen, if not nil, is told of each connection of a caller's address: once when it has brought a whole message, and once when it
-	// ends because of one that can't be read, or without any in time. It is set before the first connection is served.
+	// Seen, if not nil, is called for each connection with the caller's address: with true at its first valid message, and with
+	// false when it ends because of an invalid message or sends none in time. It must be set before the first call of Serve.
 	Seen func(address string, good bool)
 
 	core     Core
@@ -62,17 +67,18 @@
 	closing  atomic.Bool
 
 	mu      sync.Mutex
-	conns   []*conn          // open ones, oldest first
-	stands  map[string]*conn // calls that stand: where their set-up came
-	waiting []late
+	conns   []*conn          // open connections, oldest first
+	stands  map[string]*conn // connections of the established calls, by call
+	waiting []late           // releases that wait for a connection
 }
 
+// late is a release that waits for a connection until an expiry time.
 type late struct {
 	data []byte
 	till time.Time
 }
 
-// NewFront makes a front; classes gives each class's place in the settings by its name.
+// NewFront returns a front. classes are the names of the classes in the order of the settings.
 func NewFront(core Core, classes []string, log logrus.FieldLogger) *Front {
 	f := &Front{core: core, classes: map[string]int{}, stands: map[string]*conn{}, log: log}
 	for i, name := range classes {
@@ -81,18 +87,19 @@
 	return f
 }
 
-// Drain fails the tests that are asked for from now on, so that no new callers are led here.
+// Drain makes the front fail probes from now on, so that no new callers are directed to this process.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// TurnAway refuses the set-ups that come from now on: the process ends once what came before is answered.
+// TurnAway makes the front mark new set-ups as excess, which the core refuses: the process is about to exit and only
+// answers earlier set-ups.
 func (f *Front) TurnAway() { f.closing.Store(true) }
 
-// Rejoin passes the tests again.
+// Rejoin makes the front pass probes again after Drain.
 func (f *Front) Rejoin() { f.draining.Store(false) }
 
-// Sweep carries out what decide says of each connection; it hears when one was last used, whether an answer to a
-// set-up is owed on it, and whether a call that came on it stands. Calls released here are told to both sides: the
-// server by the core, the caller on the connection, before it closes.
+// Sweep applies the verdict of decide to each connection. decide receives the time of the last use, whether a set-up waits
+// for its answer and whether only established calls use the connection. A release is sent to both sides: to the server by
+// the core, and to the caller on the connection before it closes.
 func (f *Front) Sweep(decide func(used time.Time, owed, standing bool) drain.Verdict) {
 	f.mu.Lock()
 	conns := slices.Clone(f.conns)
@@ -111,7 +118,7 @@
 	}
 }
 
-// standing takes the calls that stand on a connection off it.
+// standing removes the established calls from a connection and returns their ids.
 func (f *Front) standing(c *conn) (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,20 +132,20 @@
 	return ids
 }
 
-// conn is one connection of callers and the set-ups that came on it and are not answered.
+// conn is a connection of a caller with its unanswered set-ups.
 type conn struct {
 	*transport.Conn
 	mu     sync.Mutex
 	open   map[string]*caller
-	room   chan struct{} // told when a set-up ends
-	excess bool          // more is open than is taken; the reader's alone
+	room   chan struct{} // signalled when a set-up ends
+	excess bool          // new set-ups are excess; only for the reading goroutine
 }
 
 func (c *conn) send(m Message) bool {
 	return c.Send(transport.Packet{Data: m.Append(nil)}) == nil
 }
 
-// add notes a set-up, unless the connection is being closed from this side.
+// add records an open set-up. It reports false if this side is closing the connection.
 func (c *conn) add(k *caller) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +156,7 @@
 	return true
 }
 
-// done takes a set-up off the connection that has its end.
+// done removes a set-up that has its final answer.
 func (c *conn) done(k *caller) {
 	c.mu.Lock()
 	if c.open[k.id] == k {
@@ -163,19 +170,21 @@
 	}
 }
 
+// caller returns the open set-up with an id, or nil.
 func (c *conn) caller(id string) *caller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[id]
 }
 
+// owed returns the number of unanswered set-ups.
 func (c *conn) owed() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// await blocks while more than some set-ups are open, until a time, the end of the connection, or that the caller has left.
+// await blocks until at most most set-ups are open, limit or left fires, or the connection ends.
 func (c *conn) await(most int, limit <-chan time.Time, left <-chan struct{}) {
 	for c.owed() > most {
 		select {
@@ -190,9 +199,9 @@
 	}
 }
 
-// bound keeps what a flood has open within bounds. The reader must come to the end of what was sent, since only there it
-// learns that the caller has left; so a flood is not left unread. It is excess, until half of what is open has its answer;
-// the refusals are decided in the core's turn, and waited for.
+// bound limits the open set-ups of a flood. The reader must not stop reading, since only at the end of the input it learns
+// that the caller has left. From maxOpen open set-ups on, after a short wait, further ones are marked as excess, until no
+// more than half as many are open. At 2*maxOpen the reader waits for the core to refuse some.
 func (c *conn) bound() {
 	switch n := c.owed(); {
 	case n <= maxOpen/2:
@@ -205,8 +214,8 @@
 	}
 }
 
-// settle gives what came before a fault its time to be answered. What still comes is read and dropped, so that it is seen when
-// the caller leaves.
+// settle waits until the set-ups that arrived before a malformed message are answered. Further input is read and discarded
+// in order to detect that the caller leaves.
 func (c *conn) settle() {
 	limit := time.Now().Add(settleFor)
 	c.SetReadDeadline(limit)
@@ -224,7 +233,7 @@
 	<-left
 }
 
-// Serve reads one connection until it ends.
+// Serve reads one connection until it ends. The caller of Serve closes it.
 func (f *Front) Serve(tc *transport.Conn) {
 	c := &conn{Conn: tc, open: map[string]*caller{}, room: make(chan struct{}, 1)}
 	f.enter(c)
@@ -256,7 +265,7 @@
 			c.settle()
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			log.Debug("caller is silent: connection closed")
+			log.Debug("caller timed out: connection closed")
 			if !first.IsZero() {
 				seen(false)
 			}
@@ -264,14 +273,14 @@
 			return
 		default:
 			if ne := net.Error(nil); errors.As(err, &ne) {
-				log.WithError(err).Debug("caller's connection broke")
+				log.WithError(err).Debug("connection of a caller failed")
 			}
 			return
 		}
 	}
 }
 
-// next reads a message within its times. first is by when it must be whole if it is the connection's first, else zero.
+// next reads a message within the time-outs. first is the deadline of the connection's first message, zero after it.
 func (c *conn) next(r *Reader, first time.Time) (Message, error) {
 	for {
 		limit := first
@@ -281,7 +290,7 @@
 		c.SetReadDeadline(limit)
 		err := r.Wait()
 		if errors.Is(err, os.ErrDeadlineExceeded) && c.InUse() {
-			continue // its caller waits for an answer, or for the end of a call
+			continue // a caller waits for an answer or has an established call
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			c.SetReadDeadline(time.Now().Add(lookAgain))
@@ -297,6 +306,7 @@
 	}
 }
 
+// enter adds a connection and sends the waiting releases on it.
 func (f *Front) enter(c *conn) {
 	f.mu.Lock()
 	f.conns = append(f.conns, c)
@@ -310,7 +320,7 @@
 	}
 }
 
-// leave gives up the set-ups of a connection that ended: their callers can't hear an answer.
+// leave removes a connection that ended and withdraws its set-ups, whose answers can't be delivered.
 func (f *Front) leave(c *conn) {
 	f.mu.Lock()
 	for i, o := range f.conns {
@@ -330,7 +340,7 @@
 	}
 }
 
-// stand notes a call that stands, so that its connection is kept for its end.
+// stand records an established call, which keeps its connection open.
 func (f *Front) stand(k *caller) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -338,7 +348,7 @@
 	k.conn.Call(1)
 }
 
-// over notes the end of a call, whoever ended it.
+// over removes an established call that either side has ended.
 func (f *Front) over(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -348,8 +358,8 @@
 	}
 }
 
-// deliver sends a release on a connection, else on any other, newest first, else on the next that comes. One whose connection
-// ends before it is written goes the same way again.
+// deliver sends a release on a connection if it is open, else on the newest open one, else on the next one that opens. If the
+// connection ends before the release is written, it is delivered again in the same way.
 func (f *Front) deliver(c *conn, w late) {
 	send := func(c *conn) bool {
 		return !c.Left() && c.Send(transport.Packet{Data: w.data, Done: func(err error) {
@@ -375,7 +385,7 @@
 	}
 }
 
-// take acts on one message. A fault ends the connection.
+// take handles one message. An error ends the connection.
 func (f *Front) take(c *conn, m *Message) error {
 	switch m.Type {
 	case "open":
@@ -395,17 +405,17 @@
 			passed = 0
 		}
 		c.send(Message{Type: "probed", ID: m.ID, Code: passed})
-	case "closed", "trying": // free, and mean nothing here
+	case "closed", "trying": // valid and ignored
 	default:
 		return ErrMalformed
 	}
 	return nil
 }
 
-// open takes a set-up. One that can't be read, and a second one under an id that is open on the connection, are told so:
-// the latter ends the first too, since nothing says which of the two is meant. One that crossed the close of its connection
-// gives errClosing and never runs: its caller sees the close and sends it once more, maybe to another process, which knows
-// nothing of a release guard that began here.
+// open handles a set-up. A set-up with invalid fields is refused. So is a second one with an id that is open on the
+// connection; it ends the first too, since the caller can't tell which of the two an answer is for. A set-up that crosses
+// the close of its connection returns errClosing and never runs: its caller sees the close and sends the set-up again,
+// maybe to another process, which does not know of a release guard that began here.
 func (f *Front) open(c *conn, m *Message) error {
 	invalid := func() { c.send(Message{Type: "close", ID: m.ID, Code: causeInvalid}) }
 	k := &caller{front: f, conn: c, id: m.ID}
@@ -436,8 +446,8 @@
 	return nil
 }
 
-// setup reads the fields of a set-up. What a server can't read must not get to it: it would close the connection, and
-// with it others' calls.
+// setup decodes the fields of a set-up. Values that a server can't read must not reach it: the server would close the
+// connection and end the calls of others with it.
 func (f *Front) setup(m *Message) (routing.Setup, error) {
 	left, err := strconv.ParseFloat(m.Attrs["left"], 64)
 	if err != nil || !(left >= 0 && left <= float64(maxLeft/time.Millisecond)) {
@@ -452,7 +462,7 @@
 		Left: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
 	for part := range strings.SplitSeq(m.Attrs["extras"], ";") {
 		name, value, _ := strings.Cut(part, ":")
-		least := -1 // none
+		least := -1 // -1: not set
 		switch name {
 		case "dest", "via":
 		case "width":
@@ -476,13 +486,13 @@
 	return s, nil
 }
 
-// Orphan passes on the release of a call that stood before this process started.
+// Orphan sends the release of a call that was established before this process started.
 func (f *Front) Orphan(id string, cause int) {
 	m := Message{Type: "close", ID: id, Code: cause}
 	f.deliver(nil, late{m.Append(nil), time.Now().Add(keepOrphan)})
 }
 
-// caller is the way back to one call's caller.
+// caller implements routing.Caller for one call.
 type caller struct {
 	front     *Front
 	conn      *conn
@@ -490,14 +500,16 @@
 	cancelled atomic.Bool
 }
 
+// Gone implements routing.Caller. It reports whether the caller cancelled the call or left.
 func (k *caller) Gone() bool { return k.cancelled.Load() || k.conn.Left() }
 
+// Answer implements routing.Caller: it sends the server's answer and reports whether it is queued.
 func (k *caller) Answer(body []byte) bool {
 	k.front.stand(k)
-	defer k.conn.done(k) // not before the answer is queued: a connection with nothing owed may be closed
+	defer k.conn.done(k) // after the answer is queued, since a connection without open set-ups may be closed
 	m := Message{Type: "ready", ID: k.id, Text: string(body)}
 	err := k.conn.Send(transport.Packet{Data: m.Append(nil), Done: func(err error) {
-		if err != nil { // the caller never had it whole, and would never end the call
+		if err != nil { // the caller has not received the answer and would never end the call
 			k.front.over(k.id)
 			k.front.core.Hangup(k.id, causeNormal, nil, func(bool) {})
 		}
@@ -508,6 +520,7 @@
 	return err == nil
 }
 
+// Refuse implements routing.Caller: it refuses the call, with the wait until a retry if that is a millisecond or more.
 func (k *caller) Refuse(wait time.Duration) {
 	defer k.conn.done(k)
 	m := Message{Type: "close", ID: k.id, Code: routing.CauseCongest}
@@ -517,11 +530,13 @@
 	k.conn.send(m)
 }
 
+// Fail implements routing.Caller: it reports that the call failed.
 func (k *caller) Fail() {
 	defer k.conn.done(k)
 	k.conn.send(Message{Type: "close", ID: k.id, Code: routing.CauseFailed})
 }
 
+// Release implements routing.Caller: it reports the end of an established call.
 func (k *caller) Release(cause int) {
 	k.front.over(k.id)
 	m := Message{Type: "close", ID: k.id, Code: cause}
--- a/internal/protocol/jsonl/message.go
+++ b/internal/protocol/jsonl/message.go
@@ -1,4 +1,4 @@
-// Package jsonl is the platform's front: callers that speak JSON, one object a line.
+// Package jsonl implements the platform's front protocol: callers that send JSON objects, one per line.
 package jsonl
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// MaxMessage is the longest line that is taken, line feed included.
+// MaxMessage is the maximum length of a line in bytes, including the line feed.
 const MaxMessage = 16 << 10
 
-// The faults of a line.
+// Errors of Reader.Next for a line.
 var (
 	ErrTooLong   = errors.New("message over 16 KiB")
 	ErrMalformed = errors.New("malformed message")
 )
 
-// Message is one line. Attrs holds the fields as text, also those that came as numbers.
+// Message is one line. Attrs holds its attributes as text, also those that are JSON numbers.
 type Message struct {
 	Type  string
 	ID    string
@@ -27,13 +27,13 @@
 	Text  string
 }
 
-// Reader reads lines. The buffer's size bounds them.
+// Reader reads messages. The size of its buffer limits the length of a line.
 type Reader struct {
 	in     *bufio.Reader
 	parser fastjson.Parser
 }
 
-// NewReader reads from in, whose buffer should hold MaxMessage bytes.
+// NewReader returns a reader of in, whose buffer should hold MaxMessage bytes.
 func NewReader(in *bufio.Reader) *Reader { return &Reader{in: in} }
 
 // Wait returns when a message begins or the stream ends.
@@ -42,11 +42,11 @@
 	return err
 }
 
-// Next gives the next message. After ErrTooLong or ErrMalformed the stream is of no more use; the message then holds
-// what could be read of it.
+// Next returns the next message. After ErrTooLong or ErrMalformed the stream can't be read further, and the message holds the
+// fields that could be decoded.
 func (r *Reader) Next() (m Message, err error) {
 	var line []byte
-	for len(line) == 0 { // blank lines are passed over
+	for len(line) == 0 { // skip blank lines
 		line, err = r.in.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
 			return m, ErrTooLong
@@ -61,6 +61,7 @@
 	return parse(&r.parser, line)
 }
 
+// parse decodes one line.
 func parse(p *fastjson.Parser, line []byte) (m Message, err error) {
 	v, err := p.ParseBytes(line)
 	if err != nil || v.Type() != fastjson.TypeObject {
@@ -94,7 +95,7 @@
 	return m, nil
 }
 
-// validID: a call's name is 16 hex digits.
+// validID reports whether a call id has 16 hex digits.
 func validID(id string) bool {
 	if len(id) != 16 {
 		return false
@@ -108,7 +109,7 @@
 	return true
 }
 
-// Append writes the message as a line.
+// Append appends the message as a line to b.
 func (m *Message) Append(b []byte) []byte {
 	var arena fastjson.Arena
 	o, attrs := arena.NewObject(), arena.NewObject()
