--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -217,9 +217,9 @@
 
 // ansible collects the hosts of all groups. A host in several groups has the variables of each of them.
 type ansible struct {
-	names  []string
-	byName map[string]*ansibleHost
-	depth  int
+	names []string
+	hosts map[string]*ansibleHost
+	depth int
 }
 
 // ansibleHost is a host with the variables of its groups and its own.
@@ -240,7 +240,7 @@
 	if len(doc.Content) == 0 {
 		return nil, &Error{Line: 1, Reason: "no inventory"}
 	}
-	a := &ansible{byName: map[string]*ansibleHost{}}
+	a := &ansible{hosts: map[string]*ansibleHost{}}
 	err := forEachPair(doc.Content[0], "inventory", func(key, value *yaml.Node) error {
 		return a.readGroup(key.Value, value, nil)
 	})
@@ -249,7 +249,7 @@
 	}
 	var hosts []routing.Host
 	for _, name := range a.names {
-		entry := a.byName[name]
+		entry := a.hosts[name]
 		for key, f := range entry.ownFields {
 			entry.fields[key] = f
 		}
@@ -353,10 +353,10 @@
 	if strings.ContainsAny(key.Value, "[]") {
 		return &Error{Line: key.Line, Key: key.Value, Reason: "ranges of hosts are not supported"}
 	}
-	entry := a.byName[key.Value]
+	entry := a.hosts[key.Value]
 	if entry == nil {
 		entry = &ansibleHost{line: key.Line, fields: map[string]field{}, ownFields: map[string]field{}}
-		a.byName[key.Value] = entry
+		a.hosts[key.Value] = entry
 		a.names = append(a.names, key.Value)
 	}
 	for k, f := range vars {
--- a/internal/protocol/bus/bus_test.go
+++ b/internal/protocol/bus/bus_test.go
@@ -17,12 +17,14 @@
 	"beammux/internal/routing"
 )
 
+// event returns the lines of one event with one server.
 func event(offset int, whole bool, host, health string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"offset\":%d,\"topology\":{\"seq\":7,\"whole\":%v,\"hosts\":[{\"host\":%q,"+
 		"\"dial\":\"127.0.0.1:9\",\"site\":\"east\",\"block\":2,\"health\":%q,\"born_ms\":1500}]}}\n\n", offset, offset, whole, host, health)
 }
 
-// serve plays one connection of the bus after another and tells with what Last-Event-ID each asked.
+// serve runs a reader against a bus that sends one body per connection. It returns the updates that the reader applied and
+// the Last-Event-ID of each connection.
 func serve(t *testing.T, last int64, bodies ...string) (updates []routing.Update, asked []string) {
 	t.Helper()
 	log := logrus.New()
@@ -69,14 +71,14 @@
 	one, two, three := event(4, false, "a", "up"), event(5, false, "a", "draining"), event(6, true, "b", "up")
 	updates, asked := serve(t, 3, head+": hello\n\n"+one+two, head+two+three)
 	if len(updates) != 3 || fmt.Sprint(asked) != "[3 5]" {
-		t.Fatalf("%d updates, asked %v", len(updates), asked)
+		t.Fatalf("%d updates, requested after %v", len(updates), asked)
 	}
 	h := updates[1].Hosts[0]
 	if h.Name != "a" || h.Addr != "127.0.0.1:9" || h.Cell != 2 || h.State != control.Draining || h.Since != 1500000 {
 		t.Errorf("%+v", h)
 	}
 	if !updates[2].Whole {
-		t.Error("the third is a whole list")
+		t.Error("the third update is not a whole list")
 	}
 }
 
@@ -89,7 +91,7 @@
 	}
 }
 
-// A gap or garbage keeps the last good list; the bus is asked again from the last event taken.
+// After a gap or an invalid event the last valid list is kept, and the reader requests the events after the last valid one.
 func TestGapsAndGarbage(t *testing.T) {
 	good := event(1, false, "a", "up")
 	for name, bad := range map[string]string{
@@ -107,21 +109,21 @@
 			}
 			updates, asked := serve(t, 0, head+good+bad, second, head+event(2, false, "b", "up"))
 			if len(updates) != 2 || updates[1].Hosts[0].Name != "b" || fmt.Sprint(asked) != "[0 1 1]" {
-				t.Errorf("updates %+v, asked %v", updates, asked)
+				t.Errorf("updates %+v, requested after %v", updates, asked)
 			}
 		})
 	}
 }
 
-// A whole list heals a gap.
+// A whole list is accepted after a gap.
 func TestWholeListAfterGap(t *testing.T) {
 	if updates, _ := serve(t, 1, head+event(9, true, "a", "up")); len(updates) != 1 {
 		t.Errorf("%d updates, want 1", len(updates))
 	}
 }
 
-// A bus that stops and leaves its connection open: what it would have told counts as told 4 s later, so the next
-// connection has to ask well before. One that comes and goes is asked again within the 2 s of a break.
+// The events that a bus withholds while its connection stays open must be known 4 s later, so the next connection has to be
+// made well before. A bus that refuses connections is retried well within the 2 s allowed for a failed bus.
 func TestSilentBusIsAskedAgainInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
@@ -139,7 +141,7 @@
 				in := textproto.NewReader(bufio.NewReader(far))
 				in.ReadLine()
 				in.ReadMIMEHeader()
-				io.WriteString(far, head+": hello\n") // and nothing more
+				io.WriteString(far, head+": hello\n") // and nothing afterwards
 			}()
 			return near, nil
 		}}
@@ -147,7 +149,7 @@
 		go func() { r.Run(ctx); close(done) }()
 		first := <-asked
 		if gap := (<-asked).Sub(first); gap < 2*time.Second || gap > 3500*time.Millisecond {
-			t.Errorf("a silent bus was asked again after %v", gap)
+			t.Errorf("reconnected to a silent bus after %v", gap)
 		}
 		cancel()
 		<-done
@@ -166,13 +168,13 @@
 		}}
 		r.Run(ctx)
 		if most > time.Second {
-			t.Errorf("a broken bus was left alone for %v", most)
+			t.Errorf("%v between two connections to a failed bus", most)
 		}
 	})
 }
 
-// Guards against a gatekeeper that stays with a bus which tells nothing more: on Move the open connection is left at
-// once, and the new address is asked for what came after the last event taken.
+// Guards against a gatekeeper that stays connected to a bus which sends no more events: Move closes the open connection at
+// once, and the reader requests the events after the last one from the new address.
 func TestMoveGoesOnAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
@@ -206,7 +208,7 @@
 		r.Move("new")
 		second := <-asked
 		if first != "old 3" || second != "new 4" || time.Since(moved) != 0 {
-			t.Errorf("asked %q, then %q after %v", first, second, time.Since(moved))
+			t.Errorf("requested %q, then %q after %v", first, second, time.Since(moved))
 		}
 		if u := <-updates; u.Hosts[0].State != control.Draining {
 			t.Errorf("%+v", u)
@@ -216,8 +218,7 @@
 	})
 }
 
-// A stream that ends at any byte, its last bytes with the close, loses nothing and repeats nothing: the next connection asks
-// from the last event that was whole.
+// No event is lost or repeated when the stream ends at any byte: the next connection resumes after the last complete event.
 func TestStreamCutAtAnyByte(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 	events := event(1, true, "a", "up") + ": still here\n\n" + event(2, false, "b", "up") + event(3, false, "a", "draining")
@@ -226,7 +227,7 @@
 		var asked []string
 		synctest.Test(t, func(t *testing.T) { updates, asked = serve(t, 0, (head + events)[:cut], head+events) })
 		if len(updates) != 3 || len(asked) != 2 || updates[1].Hosts[0].Name != "b" || updates[2].Hosts[0].State != control.Draining {
-			t.Fatalf("cut after %d bytes: %d updates, asked from %v", cut, len(updates), asked)
+			t.Fatalf("cut after %d bytes: %d updates, requested after %v", cut, len(updates), asked)
 		}
 	}
 }
--- a/internal/protocol/bus/event.go
+++ b/internal/protocol/bus/event.go
@@ -1,4 +1,4 @@
-// Package bus reads the platform's event bus: the list of servers, as numbered server-sent events.
+// Package bus reads the platform's event bus, which sends changes of the list of servers as numbered server-sent events.
 package bus
 
 import (
@@ -10,15 +10,16 @@
 	"beammux/internal/routing"
 )
 
-// Event is one numbered change of the list. Update is nil for an event that does not concern the list.
+// Event is one numbered event. Update is its change of the list of servers, or nil if it has none.
 type Event struct {
 	Offset int64
 	Update *routing.Update
 }
 
+// states are the states of a server by the values of the key health.
 var states = map[string]control.State{"up": control.Ready, "draining": control.Draining, "removed": control.Gone}
 
-// Parse reads the data of one event.
+// Parse decodes the data of one event with p.
 func Parse(p *fastjson.Parser, data []byte) (Event, error) {
 	v, err := p.ParseBytes(data)
 	if err != nil {
@@ -27,7 +28,7 @@
 	return Decode(v)
 }
 
-// Decode reads one event. Unknown keys are passed over; what the list can't do without must be there.
+// Decode decodes one event. Unknown keys are ignored. Missing keys that the list requires are errors.
 func Decode(v *fastjson.Value) (Event, error) {
 	offset := v.Get("offset")
 	if offset == nil {
@@ -35,7 +36,7 @@
 	}
 	n, err := offset.Int64()
 	if err != nil || n < 0 {
-		return Event{}, fmt.Errorf("key offset is not a count")
+		return Event{}, fmt.Errorf("key offset is not a non-negative integer")
 	}
 	e := Event{Offset: n}
 	t := v.Get("topology")
@@ -47,7 +48,7 @@
 	}
 	hosts := t.Get("hosts")
 	if hosts == nil || hosts.Type() != fastjson.TypeArray {
-		return e, fmt.Errorf("key topology.hosts is not a list")
+		return e, fmt.Errorf("key topology.hosts is not an array")
 	}
 	u := &routing.Update{Whole: t.GetBool("whole")}
 	for i, h := range hosts.GetArray() {
@@ -61,6 +62,7 @@
 	return e, nil
 }
 
+// decodeHost decodes one server.
 func decodeHost(v *fastjson.Value) (routing.Host, error) {
 	h := routing.Host{Name: string(v.GetStringBytes("host")), Addr: string(v.GetStringBytes("dial")),
 		Cell: v.GetInt("block"), Since: control.Micros(v.GetFloat64("born_ms") * 1000)}
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -23,31 +23,32 @@
 
 const (
 	path = "/bus/read"
-	// A comment is due every second: after this the connection is taken for dead. What a silent bus would have told
-	// counts as told 4 s after it stopped, so the next connection has to stand well before.
+	// silence is the time without a line after which a connection is considered dead. The bus sends a comment every second.
+	// A gatekeeper must know the events that a silent bus withholds 4 s after it went silent, so the next connection has to
+	// be established well before that.
 	silence    = 2500 * time.Millisecond
 	retryFirst = 20 * time.Millisecond
-	retryMost  = 250 * time.Millisecond // what a broken bus would have told counts as told after 2 s
-	maxLine    = 256 << 10
+	retryMost  = 250 * time.Millisecond // a gatekeeper must know the events of a failed bus after 2 s
+	maxLine    = 256 << 10              // bytes
 )
 
-// Reader keeps reading the bus and hands on each change once, in order.
+// Reader reads the bus, reconnects when a connection ends, and applies each change once, in order.
 type Reader struct {
-	Addr   string // where the bus is at the start; empty: none yet. Move changes it
+	Addr   string // address of the bus; empty: none yet. Move changes it while Run runs
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Apply  func(routing.Update)
 	Log    logrus.FieldLogger
-	Last   int64 // number of the last event that was taken
+	Last   int64 // offset of the last event that was accepted
 	parser fastjson.Parser
 
 	mu  sync.Mutex         // guards Addr and cut
-	cut context.CancelFunc // ends the connection or the wait that is on
+	cut context.CancelFunc // ends the current connection or wait
 }
 
-// errFault marks an event that can't be taken: the list stays as it was and the bus is asked again.
+// errFault is returned for an invalid event. The list is unchanged, and the reader connects again.
 var errFault = errors.New("fault in the event stream")
 
-// Move goes on reading at another address at once. The numbers continue, so nothing is missed or taken twice.
+// Move makes the reader connect to another address at once. The offsets continue, so no event is lost or applied twice.
 func (r *Reader) Move(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// turn gives the address of the next connection and a context that ends when the bus moves.
+// turn returns the address of the next connection and a context for it, which Move cancels.
 func (r *Reader) turn(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +69,7 @@
 	return ctx, r.cut, r.Addr
 }
 
-// Run reads until the context ends, reconnecting after the last event taken.
+// Run reads until the context ends. Each connection resumes after the last event that was accepted.
 func (r *Reader) Run(ctx context.Context) {
 	wait := retryFirst
 	for ctx.Err() == nil {
@@ -82,8 +83,8 @@
 	}
 }
 
-// read reads one connection and then waits before the next, or until the turn ends. It tells whether the connection
-// was of use, so that the next wait is short again.
+// read reads one connection and then waits before the next, or until the context ends. It reports whether the connection
+// was useful; if so, the retry wait starts over at its minimum.
 func (r *Reader) read(ctx context.Context, addr string, wait time.Duration) (useful bool) {
 	if addr == "" {
 		<-ctx.Done()
@@ -91,11 +92,11 @@
 	}
 	before, began := r.Last, time.Now()
 	err := r.connect(ctx, addr)
-	if ctx.Err() != nil { // ended from here: the bus has moved, or the program ends
+	if ctx.Err() != nil { // the address has changed, or the program ends
 		return true
 	}
 	r.Log.WithError(err).WithFields(logrus.Fields{"bus": addr, "last": r.Last}).
-		Warn("event bus: connection ended, last good list kept")
+		Warn("event bus: connection ended; keeping the last valid list")
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -103,6 +104,7 @@
 	return r.Last > before || time.Since(began) > silence && !errors.Is(err, errFault)
 }
 
+// connect opens a connection that resumes after the last event and reads it until it ends.
 func (r *Reader) connect(ctx context.Context, addr string) error {
 	nc, err := r.Dial(ctx, addr)
 	if err != nil {
@@ -123,7 +125,7 @@
 		return err
 	}
 	if _, code, _ := strings.Cut(status, " "); !strings.HasPrefix(code, "200") {
-		return fmt.Errorf("event bus answers %q", status)
+		return fmt.Errorf("event bus returned status %q", status)
 	}
 	header, err := head.ReadMIMEHeader()
 	if err != nil {
@@ -135,7 +137,7 @@
 	return r.stream(in, func() { nc.SetReadDeadline(time.Now().Add(silence)) })
 }
 
-// stream reads server-sent events; alive is called for each line.
+// stream reads server-sent events until the stream ends. alive is called for each line.
 func (r *Reader) stream(in *bufio.Reader, alive func()) error {
 	var id string
 	var data []byte
@@ -172,13 +174,13 @@
 	}
 }
 
-// event takes one event: one seen before is passed over, one after a gap or with garbage is a fault.
+// event handles one event. An event seen before is ignored; an event after a gap or with invalid data is a fault.
 func (r *Reader) event(id string, data []byte) error {
 	e, err := Parse(&r.parser, data)
 	if err == nil && id != "" {
 		n, bad := strconv.ParseInt(id, 10, 64)
 		if bad != nil || n != e.Offset {
-			err = fmt.Errorf("id %q does not go with offset %d", id, e.Offset)
+			err = fmt.Errorf("id %q does not match offset %d", id, e.Offset)
 		}
 	}
 	switch {
@@ -186,10 +188,10 @@
 	case e.Offset <= r.Last:
 		return nil
 	case e.Offset > r.Last+1 && (e.Update == nil || !e.Update.Whole):
-		err = fmt.Errorf("gap: event %d came after %d", e.Offset, r.Last)
+		err = fmt.Errorf("gap: event %d follows event %d", e.Offset, r.Last)
 	}
 	if err != nil {
-		r.Log.WithError(err).WithField("last", r.Last).Error("event bus: event can't be taken, last good list kept")
+		r.Log.WithError(err).WithField("last", r.Last).Error("event bus: invalid event; keeping the last valid list")
 		return errFault
 	}
 	r.Last = e.Offset
--- a/internal/protocol/jsonl/endings_test.go
+++ b/internal/protocol/jsonl/endings_test.go
@@ -23,15 +23,15 @@
 	"beammux/internal/transport"
 )
 
-// roomy is a bench whose core takes any number and answers nothing by itself.
-func roomy(t *testing.T) *bench {
+// newLargeBench returns a bench whose core accepts any number of set-ups and answers none by itself.
+func newLargeBench(t *testing.T) *bench {
 	b := newBench(t)
 	const many = 1 << 14
 	*b.core = core{make(chan routing.Setup, many), make(chan routing.Caller, many), make(chan string, many), make(chan string, many)}
 	return b
 }
 
-// loopback gives the caller's end of a connection that the front serves, and when it ended.
+// loopback returns the caller's end of a TCP connection that the front serves, and a channel that is closed at its end.
 func (b *bench) loopback() (*net.TCPConn, chan struct{}) {
 	b.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,18 +53,18 @@
 	return c.(*net.TCPConn), ended
 }
 
-const seen = 100 * time.Millisecond // a caller that left is given up by then
+const detectionTimeout = 100 * time.Millisecond // maximum time until the set-ups of a caller that left are withdrawn
 
-// A caller that leaves is seen at once, whatever its connection is at: waiting for an answer, settling after a message that
-// can't be read or stopped short, or behind a flood. Its set-ups are withdrawn, and each is told to be gone before.
-func TestWhoLeavesIsSeenAtOnce(t *testing.T) {
+// The front detects at once that a caller leaves: while it waits for an answer, after a malformed or incomplete message, or
+// with further input before the close. Its set-ups are withdrawn, and each reports before that its caller is gone.
+func TestDepartureIsDetectedAtOnce(t *testing.T) {
 	for name, row := range map[string]struct {
 		send string
-		wait time.Duration // before it leaves
+		wait time.Duration // before the caller leaves
 	}{
 		"waiting":            {open(id), 0},
 		"after a bad line":   {open(id) + "{\n", 50 * time.Millisecond},
-		"after half a line":  {open(id) + `{"msg":"op`, wholeWithin + 50*time.Millisecond},
+		"after half a line":  {open(id) + `{"msg":"op`, messageTimeout + 50*time.Millisecond},
 		"after a long line":  {open(id) + strings.Repeat("x", 2*MaxMessage), 50 * time.Millisecond},
 		"with bytes at once": {open(id) + `{"msg":"probe","sid":"` + id + `"}` + "\n", 0},
 	} {
@@ -75,11 +75,11 @@
 		} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
-				b := roomy(t)
+				b := newLargeBench(t)
 				c, _ := b.loopback()
 				io.WriteString(c, row.send)
 				k := <-b.core.callers
-				time.Sleep(row.wait) // the front is at what the row names
+				time.Sleep(row.wait) // the front reaches the state that the row names
 				leave(c)
 				left := time.Now()
 				select {
@@ -87,7 +87,7 @@
 				case <-time.After(10 * time.Second):
 					t.Fatal("never withdrawn")
 				}
-				if took := time.Since(left); took > seen || !k.Gone() {
+				if took := time.Since(left); took > detectionTimeout || !k.Gone() {
 					t.Errorf("withdrawn after %v, gone %v", took, k.Gone())
 				}
 			})
@@ -95,24 +95,24 @@
 	}
 }
 
-// A flood is read to its end, so that its caller's leaving behind it is seen: maxOpen set-ups are for servers, the rest is
-// excess, and of that no more than as many again waits for the core.
+// A flood is read to its end, so that the front detects that its caller leaves after it: maxOpen set-ups are forwarded, the
+// others are excess, and no more than another maxOpen of those wait for the core.
 func TestFloodIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := roomy(t)
+		b := newLargeBench(t)
 		near, ended := b.pipe()
 		wrote := make(chan struct{})
 		go func() {
 			defer close(wrote)
-			for i := range 4 * maxOpen {
+			for i := range 4 * maxOpenSetups {
 				io.WriteString(near, open(fmt.Sprintf("%016x", i)))
 			}
 		}()
 		synctest.Wait()
 		time.Sleep(time.Second)
-		require.LessOrEqual(t, len(b.core.opened), 2*maxOpen)
+		require.LessOrEqual(t, len(b.core.opened), 2*maxOpenSetups)
 		taken := 0
-		for refused := 0; refused < 3*maxOpen; { // the core answers what is excess, and nothing else
+		for refused := 0; refused < 3*maxOpenSetups; { // the core refuses only set-ups marked as excess
 			s, k := <-b.core.opened, <-b.core.callers
 			if s.Excess {
 				k.Refuse(time.Second)
@@ -122,21 +122,21 @@
 			}
 		}
 		<-wrote
-		require.LessOrEqual(t, taken, maxOpen)
+		require.LessOrEqual(t, taken, maxOpenSetups)
 		near.Close()
 		left := time.Now()
 		<-ended
-		require.LessOrEqual(t, time.Since(left), seen)
-		require.Len(t, b.core.withdrawn, maxOpen)
+		require.LessOrEqual(t, time.Since(left), detectionTimeout)
+		require.Len(t, b.core.withdrawn, maxOpenSetups)
 	})
 }
 
-// A burst that the core keeps up with is no excess, however long it is.
-func TestBurstIsNoExcess(t *testing.T) {
-	b := roomy(t)
+// A burst that the core keeps up with is not excess, whatever its length.
+func TestBurstIsNotExcess(t *testing.T) {
+	b := newLargeBench(t)
 	c, _ := b.loopback()
 	go io.Copy(io.Discard, c)
-	const burst = 3 * maxOpen
+	const burst = 3 * maxOpenSetups
 	go func() {
 		for i := range burst {
 			io.WriteString(c, open(fmt.Sprintf("%016x", i)))
@@ -151,9 +151,9 @@
 	}
 }
 
-// Once it is to turn away, set-ups are excess and the connection stays for what is owed.
+// After TurnAway new set-ups are excess, and the connection stays open until all are answered.
 func TestTurnAway(t *testing.T) {
-	b := roomy(t)
+	b := newLargeBench(t)
 	c, _ := b.loopback()
 	io.WriteString(c, open(id))
 	require.False(t, (<-b.core.opened).Excess)
@@ -167,9 +167,9 @@
 	require.Contains(t, b.line(r)+b.line(r), `"code":34`)
 }
 
-// Cancelled by its caller, a set-up is gone before the core hears of it; the others of its connection are not.
-func TestCancelIsToldAtOnce(t *testing.T) {
-	b := roomy(t)
+// A set-up that its caller cancels reports Gone before the core receives the cancel; others on its connection do not.
+func TestCancelMarksCallerGone(t *testing.T) {
+	b := newLargeBench(t)
 	c, _ := b.loopback()
 	io.WriteString(c, open(id)+open("0000000000000002")+`{"msg":"close","sid":"`+id+`","attrs":{},"code":16}`+"\n")
 	first, second := <-b.core.callers, <-b.core.callers
@@ -178,23 +178,23 @@
 	require.False(t, second.Gone())
 }
 
-// stuck is a connection whose writes wait until it is closed, and then fail.
-type stuck struct {
+// blockedConn is a connection whose writes block until it is closed, and then fail.
+type blockedConn struct {
 	net.Conn
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (s *stuck) Write([]byte) (int, error) { <-s.closed; return 0, net.ErrClosed }
-func (s *stuck) Close() error              { s.once.Do(func() { close(s.closed) }); return s.Conn.Close() }
+func (c *blockedConn) Write([]byte) (int, error) { <-c.closed; return 0, net.ErrClosed }
+func (c *blockedConn) Close() error              { c.once.Do(func() { close(c.closed) }); return c.Conn.Close() }
 
-// An answer that its connection's end keeps from being written is the end of the call at its server, and leaves nothing
-// behind: the caller never had it.
-func TestAnswerThatIsNeverWrittenEndsTheCall(t *testing.T) {
+// An answer that is never written, because its connection ends, ends the call at its server and leaves no state: the caller
+// has not received it.
+func TestUnwrittenAnswerEndsCall(t *testing.T) {
 	for _, queued := range []bool{true, false} {
-		b := roomy(t)
+		b := newLargeBench(t)
 		near, far := net.Pipe()
-		tc := transport.NewConn(&stuck{Conn: far, closed: make(chan struct{})}, nil)
+		tc := transport.NewConn(&blockedConn{Conn: far, closed: make(chan struct{})}, nil)
 		served := make(chan struct{})
 		go func() { defer close(served); b.front.Serve(tc) }()
 		io.WriteString(near, open(id))
@@ -203,7 +203,7 @@
 			tc.Close()
 		}
 		if got := k.Answer([]byte("x")); got != queued {
-			t.Errorf("told %v, want %v", got, queued)
+			t.Errorf("Answer returned %v, want %v", got, queued)
 		}
 		tc.Close()
 		if queued {
@@ -211,19 +211,19 @@
 		}
 		<-served
 		b.front.mu.Lock()
-		if len(b.front.stands) != 0 || tc.InUse() {
-			t.Errorf("queued %v: left behind: %v, in use %v", queued, b.front.stands, tc.InUse())
+		if len(b.front.established) != 0 || tc.InUse() {
+			t.Errorf("queued %v: remaining calls: %v, in use %v", queued, b.front.established, tc.InUse())
 		}
 		b.front.mu.Unlock()
 		near.Close()
 	}
 }
 
-// A release whose connection ends before it is written goes to another, and with none to the next that comes.
+// A release whose connection ends before it is written is sent on another connection, or on the next one that opens.
 func TestReleaseOutlivesItsConnection(t *testing.T) {
-	b := roomy(t)
+	b := newLargeBench(t)
 	near, far := net.Pipe()
-	tc := transport.NewConn(&stuck{Conn: far, closed: make(chan struct{})}, nil)
+	tc := transport.NewConn(&blockedConn{Conn: far, closed: make(chan struct{})}, nil)
 	served := make(chan struct{})
 	go func() { defer close(served); b.front.Serve(tc) }()
 	defer near.Close()
@@ -238,26 +238,26 @@
 	require.Contains(t, b.line(bufio.NewReader(c)), `"close","sid":"`+id)
 }
 
-// sleepy gives a time-out at the second read once it is armed, as where its process got no processor time until then.
-type sleepy struct {
+// delayedConn returns a time-out at the second read after it is armed, as if its process got no processor time until then.
+type delayedConn struct {
 	net.Conn
 	armed atomic.Int32
 }
 
-func (l *sleepy) Read(p []byte) (int, error) {
-	if l.armed.CompareAndSwap(2, 0) {
+func (c *delayedConn) Read(p []byte) (int, error) {
+	if c.armed.CompareAndSwap(2, 0) {
 		return 0, os.ErrDeadlineExceeded
 	}
-	n, err := l.Conn.Read(p)
-	l.armed.CompareAndSwap(1, 2)
+	n, err := c.Conn.Read(p)
+	c.armed.CompareAndSwap(1, 2)
 	return n, err
 }
 
-// An idle close looks again: a set-up that had come by then is taken.
-func TestIdleCloseLooksAgain(t *testing.T) {
-	b := roomy(t)
+// Before an idle close the front reads once more: a set-up that has arrived by then is handled.
+func TestIdleCloseReadsOnceMore(t *testing.T) {
+	b := newLargeBench(t)
 	near, far := net.Pipe()
-	lc := &sleepy{Conn: far}
+	lc := &delayedConn{Conn: far}
 	served := make(chan struct{})
 	go func() { defer close(served); b.front.Serve(transport.NewConn(lc, nil)) }()
 	io.WriteString(near, `{"msg":"probe","sid":"`+id+`"}`+"\n")
@@ -270,15 +270,15 @@
 	select {
 	case <-b.core.opened:
 	case <-served:
-		t.Error("closed over a set-up that had come")
+		t.Error("connection closed although a set-up had arrived")
 	}
 	near.Close()
 	<-served
 }
 
-// Two classes, numbers and descriptions in turn on one connection: each set-up has its own, by value.
-func TestSetupsInTurnKeepTheirOwn(t *testing.T) {
-	b := roomy(t)
+// Set-ups with different classes, numbers and descriptions on one connection: each keeps its own values.
+func TestSetupsKeepTheirValues(t *testing.T) {
+	b := newLargeBench(t)
 	c, _ := b.loopback()
 	var all bytes.Buffer
 	want := map[string]routing.Setup{}
@@ -295,20 +295,20 @@
 	}
 	c.Write(all.Bytes())
 	got := map[string]routing.Setup{}
-	for range want { // looked at once all are read: what shared a buffer would have changed by now
+	for range want { // compared after all are read, when a shared buffer would have been overwritten
 		s := <-b.core.opened
 		got[s.ID] = s
 	}
 	require.Equal(t, want, got)
 }
 
-// Whatever way connections end, no goroutine stays.
-func TestNoGoroutineStays(t *testing.T) {
+// No goroutine remains after a connection ends, in any way.
+func TestNoGoroutineLeaks(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, send := range []string{"", "{\n", open(id), open(id) + "{\n", open(id) + `{"msg`} {
-		b := roomy(t)
+		b := newLargeBench(t)
 		near, far := net.Pipe()
 		tc := transport.NewConn(far, nil)
 		served := make(chan struct{})
@@ -317,20 +317,20 @@
 		near.Close()
 		<-served
 		if _, err := tc.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%q: still open: %v", send, err)
+			t.Errorf("%q: connection still open: %v", send, err)
 		}
 	}
 }
 
-// A set-up that comes a byte at a time, with pauses, is taken whole within its 2 s, and one that is cut at any byte by the
-// caller's close is never taken.
+// A set-up that arrives byte by byte, with pauses, is handled if it is complete within 2 s. One that the caller's close cuts
+// at any byte is never handled.
 func TestSetupByteByByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := roomy(t)
+		b := newLargeBench(t)
 		near, ended := b.pipe()
 		io.WriteString(near, `{"msg":"probe","sid":"`+id+`"}`+"\n")
 		line := open(id)
-		pause := wholeWithin * 9 / 10 / time.Duration(len(line))
+		pause := messageTimeout * 9 / 10 / time.Duration(len(line))
 		for i := range len(line) {
 			io.WriteString(near, line[i:i+1])
 			time.Sleep(pause)
@@ -343,7 +343,7 @@
 	})
 	line := open(id)
 	for cut := range len(line) {
-		b := roomy(t)
+		b := newLargeBench(t)
 		near, far := net.Pipe()
 		served := make(chan struct{})
 		go func() { defer close(served); c := transport.NewConn(far, nil); b.front.Serve(c); c.Close() }()
@@ -351,7 +351,7 @@
 		near.Close()
 		<-served
 		if len(b.core.opened) > 0 {
-			t.Errorf("taken with %d of %d bytes", cut, len(line))
+			t.Errorf("handled with %d of %d bytes", cut, len(line))
 		}
 	}
 }
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	causeInvalid = 100             // cause code of a set-up with invalid fields
-	causeNormal  = 16              // cause code of a call that the gatekeeper releases: normal clearing
-	keepOrphan   = 8 * time.Second // time that a release waits for a connection if there is none
-	maxWaiting   = 4096            // releases that may wait for a connection
-	maxLeft      = 10 * time.Minute
-	maxOpen      = 512 // unanswered set-ups of one connection; further ones are marked as excess, and refused
+	causeInvalid       = 100             // cause code of a set-up with invalid fields
+	causeNormal        = 16              // cause code of a call that the gatekeeper releases: normal clearing
+	releaseTimeout     = 8 * time.Second // time that a release waits for a connection if there is none
+	maxPendingReleases = 4096            // releases that may wait for a connection
+	maxTimeLeft        = 10 * time.Minute
+	maxOpenSetups      = 512 // unanswered set-ups of one connection; further ones are marked as excess, and refused
 )
 
 // Time-outs of a connection. They keep silent and finished callers from holding descriptors forever.
 const (
-	firstWithin = 2500 * time.Millisecond // for the first complete message
-	wholeWithin = 2 * time.Second         // for the rest of a message that has begun
-	idleFor     = 10 * time.Second        // without a call on the connection; callers themselves close after 4 s
-	settleFor   = 2 * time.Second         // to answer the open set-ups after a malformed message
-	lookAgain   = 10 * time.Millisecond   // for a last read before an idle close: bytes may be ready unread if this process got no processor time
-	breathe     = 20 * time.Millisecond   // for the core to answer open set-ups before further ones are excess
-	skimGap     = time.Millisecond        // between reads of discarded bytes
+	firstMessageTimeout = 2500 * time.Millisecond // for the first complete message
+	messageTimeout      = 2 * time.Second         // for the rest of a message that has begun
+	idleTimeout         = 10 * time.Second        // without a call on the connection; callers themselves close after 4 s
+	settleTimeout       = 2 * time.Second         // to answer the open set-ups after a malformed message
+	idleReadTimeout     = 10 * time.Millisecond   // for a last read before an idle close: bytes may be ready unread if this process got no processor time
+	excessDelay         = 20 * time.Millisecond   // for the core to answer open set-ups before further ones are excess
+	discardInterval     = time.Millisecond        // between reads of discarded bytes
 )
 
 // errClosing ends a connection on which a set-up arrived after its close had begun.
@@ -66,21 +66,21 @@
 	draining atomic.Bool
 	closing  atomic.Bool
 
-	mu      sync.Mutex
-	conns   []*conn          // open connections, oldest first
-	stands  map[string]*conn // connections of the established calls, by call
-	waiting []late           // releases that wait for a connection
+	mu          sync.Mutex
+	conns       []*conn          // open connections, oldest first
+	established map[string]*conn // connections of the established calls, by call
+	pending     []pendingRelease // releases that wait for a connection
 }
 
-// late is a release that waits for a connection until an expiry time.
-type late struct {
-	data []byte
-	till time.Time
+// pendingRelease is a release that waits for a connection until an expiry time.
+type pendingRelease struct {
+	data    []byte
+	expires time.Time
 }
 
 // NewFront returns a front. classes are the names of the classes in the order of the settings.
 func NewFront(core Core, classes []string, log logrus.FieldLogger) *Front {
-	f := &Front{core: core, classes: map[string]int{}, stands: map[string]*conn{}, log: log}
+	f := &Front{core: core, classes: map[string]int{}, established: map[string]*conn{}, log: log}
 	for i, name := range classes {
 		f.classes[name] = i
 	}
@@ -109,7 +109,7 @@
 		case drain.Close:
 			c.FinishIdle()
 		case drain.Release:
-			for _, id := range f.standing(c) {
+			for _, id := range f.takeCalls(c) {
 				f.core.Hangup(id, causeNormal, nil, func(bool) {})
 				c.send(Message{Type: "close", ID: id, Code: causeNormal})
 			}
@@ -118,14 +118,14 @@
 	}
 }
 
-// standing removes the established calls from a connection and returns their ids.
-func (f *Front) standing(c *conn) (ids []string) {
+// takeCalls removes the established calls from a connection and returns their ids.
+func (f *Front) takeCalls(c *conn) (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, o := range f.stands {
+	for id, o := range f.established {
 		if o == c {
 			ids = append(ids, id)
-			delete(f.stands, id)
+			delete(f.established, id)
 			c.Call(-1)
 		}
 	}
@@ -135,18 +135,18 @@
 // conn is a connection of a caller with its unanswered set-ups.
 type conn struct {
 	*transport.Conn
-	mu     sync.Mutex
-	open   map[string]*caller
-	room   chan struct{} // signalled when a set-up ends
-	excess bool          // new set-ups are excess; only for the reading goroutine
+	mu         sync.Mutex
+	open       map[string]*caller
+	setupEnded chan struct{} // signalled when a set-up ends
+	excess     bool          // new set-ups are excess; only for the reading goroutine
 }
 
 func (c *conn) send(m Message) bool {
 	return c.Send(transport.Packet{Data: m.Append(nil)}) == nil
 }
 
-// add records an open set-up. It reports false if this side is closing the connection.
-func (c *conn) add(k *caller) bool {
+// addSetup records an open set-up. It reports false if this side is closing the connection.
+func (c *conn) addSetup(k *caller) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.Hold() {
@@ -156,8 +156,8 @@
 	return true
 }
 
-// done removes a set-up that has its final answer.
-func (c *conn) done(k *caller) {
+// removeSetup removes a set-up that has its final answer.
+func (c *conn) removeSetup(k *caller) {
 	c.mu.Lock()
 	if c.open[k.id] == k {
 		delete(c.open, k.id)
@@ -165,30 +165,30 @@
 	}
 	c.mu.Unlock()
 	select {
-	case c.room <- struct{}{}:
+	case c.setupEnded <- struct{}{}:
 	default:
 	}
 }
 
-// caller returns the open set-up with an id, or nil.
-func (c *conn) caller(id string) *caller {
+// openSetup returns the open set-up with an id, or nil.
+func (c *conn) openSetup(id string) *caller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[id]
 }
 
-// owed returns the number of unanswered set-ups.
-func (c *conn) owed() int {
+// openCount returns the number of unanswered set-ups.
+func (c *conn) openCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// await blocks until at most most set-ups are open, limit or left fires, or the connection ends.
-func (c *conn) await(most int, limit <-chan time.Time, left <-chan struct{}) {
-	for c.owed() > most {
+// awaitOpen blocks until at most most set-ups are open, limit or left fires, or the connection ends.
+func (c *conn) awaitOpen(maximum int, limit <-chan time.Time, left <-chan struct{}) {
+	for c.openCount() > maximum {
 		select {
-		case <-c.room:
+		case <-c.setupEnded:
 		case <-limit:
 			return
 		case <-left:
@@ -199,77 +199,77 @@
 	}
 }
 
-// bound limits the open set-ups of a flood. The reader must not stop reading, since only at the end of the input it learns
+// limitOpen limits the open set-ups of a flood. The reader must not stop reading, since only at the end of the input it learns
 // that the caller has left. From maxOpen open set-ups on, after a short wait, further ones are marked as excess, until no
 // more than half as many are open. At 2*maxOpen the reader waits for the core to refuse some.
-func (c *conn) bound() {
-	switch n := c.owed(); {
-	case n <= maxOpen/2:
+func (c *conn) limitOpen() {
+	switch n := c.openCount(); {
+	case n <= maxOpenSetups/2:
 		c.excess = false
-	case n >= 2*maxOpen:
-		c.await(2*maxOpen-1, nil, nil)
-	case n >= maxOpen && !c.excess:
-		c.await(maxOpen-1, time.After(breathe), nil)
-		c.excess = c.owed() >= maxOpen
+	case n >= 2*maxOpenSetups:
+		c.awaitOpen(2*maxOpenSetups-1, nil, nil)
+	case n >= maxOpenSetups && !c.excess:
+		c.awaitOpen(maxOpenSetups-1, time.After(excessDelay), nil)
+		c.excess = c.openCount() >= maxOpenSetups
 	}
 }
 
-// settle waits until the set-ups that arrived before a malformed message are answered. Further input is read and discarded
+// awaitAnswers waits until the set-ups that arrived before a malformed message are answered. Further input is read and discarded
 // in order to detect that the caller leaves.
-func (c *conn) settle() {
-	limit := time.Now().Add(settleFor)
+func (c *conn) awaitAnswers() {
+	limit := time.Now().Add(settleTimeout)
 	c.SetReadDeadline(limit)
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		for drop := make([]byte, 4<<10); ; time.Sleep(skimGap) {
+		for drop := make([]byte, 4<<10); ; time.Sleep(discardInterval) {
 			if _, err := c.Read(drop); err != nil {
 				return
 			}
 		}
 	}()
-	c.await(0, time.After(time.Until(limit)), left)
+	c.awaitOpen(0, time.After(time.Until(limit)), left)
 	c.SetReadDeadline(time.Now())
 	<-left
 }
 
 // Serve reads one connection until it ends. The caller of Serve closes it.
 func (f *Front) Serve(tc *transport.Conn) {
-	c := &conn{Conn: tc, open: map[string]*caller{}, room: make(chan struct{}, 1)}
-	f.enter(c)
-	defer f.leave(c)
+	c := &conn{Conn: tc, open: map[string]*caller{}, setupEnded: make(chan struct{}, 1)}
+	f.addConn(c)
+	defer f.removeConn(c)
 	log := f.log.WithField("caller", tc.RemoteAddr())
-	seen := func(good bool) {
+	report := func(good bool) {
 		if f.Seen != nil {
 			f.Seen(transport.AddressOf(tc.RemoteAddr()), good)
 		}
 	}
-	first := time.Now().Add(firstWithin)
+	firstDeadline := time.Now().Add(firstMessageTimeout)
 	r := NewReader(bufio.NewReaderSize(tc, MaxMessage))
 	for {
-		m, err := c.next(r, first)
+		m, err := c.readMessage(r, firstDeadline)
 		if err == nil {
-			spoke := !first.IsZero()
-			first = time.Time{}
+			isFirst := !firstDeadline.IsZero()
+			firstDeadline = time.Time{}
 			c.Spoke()
-			if err = f.take(c, &m); err == nil && spoke {
-				seen(true)
+			if err = f.handle(c, &m); err == nil && isFirst {
+				report(true)
 			}
 		}
 		switch {
 		case err == nil:
-			c.bound()
+			c.limitOpen()
 		case errors.Is(err, ErrTooLong), errors.Is(err, ErrMalformed):
 			log.WithError(err).Warn("bad message: connection closed")
-			seen(false)
-			c.settle()
+			report(false)
+			c.awaitAnswers()
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			log.Debug("caller timed out: connection closed")
-			if !first.IsZero() {
-				seen(false)
+			if !firstDeadline.IsZero() {
+				report(false)
 			}
-			c.settle()
+			c.awaitAnswers()
 			return
 		default:
 			if ne := net.Error(nil); errors.As(err, &ne) {
@@ -280,12 +280,12 @@
 	}
 }
 
-// next reads a message within the time-outs. first is the deadline of the connection's first message, zero after it.
-func (c *conn) next(r *Reader, first time.Time) (Message, error) {
+// readMessage reads a message within the time-outs. first is the deadline of the connection's first message, zero after it.
+func (c *conn) readMessage(r *Reader, firstDeadline time.Time) (Message, error) {
 	for {
-		limit := first
-		if first.IsZero() {
-			limit = time.Now().Add(idleFor)
+		limit := firstDeadline
+		if firstDeadline.IsZero() {
+			limit = time.Now().Add(idleTimeout)
 		}
 		c.SetReadDeadline(limit)
 		err := r.Wait()
@@ -293,35 +293,35 @@
 			continue // a caller waits for an answer or has an established call
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.SetReadDeadline(time.Now().Add(lookAgain))
+			c.SetReadDeadline(time.Now().Add(idleReadTimeout))
 			err = r.Wait()
 		}
 		if err != nil {
 			return Message{}, err
 		}
-		if first.IsZero() {
-			c.SetReadDeadline(time.Now().Add(wholeWithin))
+		if firstDeadline.IsZero() {
+			c.SetReadDeadline(time.Now().Add(messageTimeout))
 		}
 		return r.Next()
 	}
 }
 
-// enter adds a connection and sends the waiting releases on it.
-func (f *Front) enter(c *conn) {
+// addConn adds a connection and sends the waiting releases on it.
+func (f *Front) addConn(c *conn) {
 	f.mu.Lock()
 	f.conns = append(f.conns, c)
-	waiting := f.waiting
-	f.waiting = nil
+	pending := f.pending
+	f.pending = nil
 	f.mu.Unlock()
-	for _, w := range waiting {
-		if time.Now().Before(w.till) {
+	for _, w := range pending {
+		if time.Now().Before(w.expires) {
 			f.deliver(c, w)
 		}
 	}
 }
 
-// leave removes a connection that ended and withdraws its set-ups, whose answers can't be delivered.
-func (f *Front) leave(c *conn) {
+// removeConn removes a connection that ended and withdraws its set-ups, whose answers can't be delivered.
+func (f *Front) removeConn(c *conn) {
 	f.mu.Lock()
 	for i, o := range f.conns {
 		if o == c {
@@ -340,27 +340,27 @@
 	}
 }
 
-// stand records an established call, which keeps its connection open.
-func (f *Front) stand(k *caller) {
+// addCall records an established call, which keeps its connection open.
+func (f *Front) addCall(k *caller) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stands[k.id] = k.conn
+	f.established[k.id] = k.conn
 	k.conn.Call(1)
 }
 
-// over removes an established call that either side has ended.
-func (f *Front) over(id string) {
+// removeCall removes an established call that either side has ended.
+func (f *Front) removeCall(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c := f.stands[id]; c != nil {
-		delete(f.stands, id)
+	if c := f.established[id]; c != nil {
+		delete(f.established, id)
 		c.Call(-1)
 	}
 }
 
 // deliver sends a release on a connection if it is open, else on the newest open one, else on the next one that opens. If the
 // connection ends before the release is written, it is delivered again in the same way.
-func (f *Front) deliver(c *conn, w late) {
+func (f *Front) deliver(c *conn, w pendingRelease) {
 	send := func(c *conn) bool {
 		return !c.Left() && c.Send(transport.Packet{Data: w.data, Done: func(err error) {
 			if err != nil {
@@ -379,26 +379,26 @@
 		}
 	}
 	now := time.Now()
-	f.waiting = slices.DeleteFunc(f.waiting, func(w late) bool { return now.After(w.till) })
-	if now.Before(w.till) {
-		f.waiting = append(f.waiting[max(0, len(f.waiting)+1-maxWaiting):], w)
+	f.pending = slices.DeleteFunc(f.pending, func(w pendingRelease) bool { return now.After(w.expires) })
+	if now.Before(w.expires) {
+		f.pending = append(f.pending[max(0, len(f.pending)+1-maxPendingReleases):], w)
 	}
 }
 
-// take handles one message. An error ends the connection.
-func (f *Front) take(c *conn, m *Message) error {
+// handle handles one message. An error ends the connection.
+func (f *Front) handle(c *conn, m *Message) error {
 	switch m.Type {
 	case "open":
-		return f.open(c, m)
+		return f.handleOpen(c, m)
 	case "close":
-		var own routing.Caller
-		if k := c.caller(m.ID); k != nil {
+		var openCaller routing.Caller
+		if k := c.openSetup(m.ID); k != nil {
 			k.cancelled.Store(true)
-			c.done(k)
-			own = k
+			c.removeSetup(k)
+			openCaller = k
 		}
-		f.over(m.ID)
-		f.core.Hangup(m.ID, m.Code, own, func(bool) { c.send(Message{Type: "closed", ID: m.ID}) })
+		f.removeCall(m.ID)
+		f.core.Hangup(m.ID, m.Code, openCaller, func(bool) { c.send(Message{Type: "closed", ID: m.ID}) })
 	case "probe":
 		passed := 1
 		if f.draining.Load() {
@@ -412,23 +412,23 @@
 	return nil
 }
 
-// open handles a set-up. A set-up with invalid fields is refused. So is a second one with an id that is open on the
+// handleOpen handles a set-up. A set-up with invalid fields is refused. So is a second one with an id that is open on the
 // connection; it ends the first too, since the caller can't tell which of the two an answer is for. A set-up that crosses
 // the close of its connection returns errClosing and never runs: its caller sees the close and sends the set-up again,
 // maybe to another process, which does not know of a release guard that began here.
-func (f *Front) open(c *conn, m *Message) error {
+func (f *Front) handleOpen(c *conn, m *Message) error {
 	invalid := func() { c.send(Message{Type: "close", ID: m.ID, Code: causeInvalid}) }
 	k := &caller{front: f, conn: c, id: m.ID}
-	if first := c.caller(m.ID); first != nil {
+	if first := c.openSetup(m.ID); first != nil {
 		f.core.Withdraw(m.ID, first, func(inTime bool) {
 			if inTime {
 				invalid()
-				c.done(first)
+				c.removeSetup(first)
 			}
 		})
 		return nil
 	}
-	s, err := f.setup(m)
+	s, err := f.parseSetup(m)
 	if err != nil {
 		class, known := f.classes[m.Attrs["class"]]
 		if !known {
@@ -438,7 +438,7 @@
 		invalid()
 		return nil
 	}
-	if !c.add(k) {
+	if !c.addSetup(k) {
 		return errClosing
 	}
 	s.Excess = c.excess || f.closing.Load()
@@ -446,11 +446,11 @@
 	return nil
 }
 
-// setup decodes the fields of a set-up. Values that a server can't read must not reach it: the server would close the
+// parseSetup decodes the fields of a set-up. Values that a server can't read must not reach it: the server would close the
 // connection and end the calls of others with it.
-func (f *Front) setup(m *Message) (routing.Setup, error) {
+func (f *Front) parseSetup(m *Message) (routing.Setup, error) {
 	left, err := strconv.ParseFloat(m.Attrs["left"], 64)
-	if err != nil || !(left >= 0 && left <= float64(maxLeft/time.Millisecond)) {
+	if err != nil || !(left >= 0 && left <= float64(maxTimeLeft/time.Millisecond)) {
 		return routing.Setup{}, ErrMalformed
 	}
 	class, known := f.classes[m.Attrs["class"]]
@@ -462,18 +462,18 @@
 		Left: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
 	for part := range strings.SplitSeq(m.Attrs["extras"], ";") {
 		name, value, _ := strings.Cut(part, ":")
-		least := -1 // -1: not set
+		minimum := -1 // -1: not set
 		switch name {
 		case "dest", "via":
 		case "width":
-			least = 1
+			minimum = 1
 		case "again":
-			least = 0
+			minimum = 0
 		default:
 			continue
 		}
 		n, err := strconv.ParseInt(value, 10, 32)
-		if err != nil || int(n) < least {
+		if err != nil || int(n) < minimum {
 			return routing.Setup{}, ErrMalformed
 		}
 		switch name {
@@ -489,7 +489,7 @@
 // Orphan sends the release of a call that was established before this process started.
 func (f *Front) Orphan(id string, cause int) {
 	m := Message{Type: "close", ID: id, Code: cause}
-	f.deliver(nil, late{m.Append(nil), time.Now().Add(keepOrphan)})
+	f.deliver(nil, pendingRelease{m.Append(nil), time.Now().Add(releaseTimeout)})
 }
 
 // caller implements routing.Caller for one call.
@@ -505,24 +505,24 @@
 
 // Answer implements routing.Caller: it sends the server's answer and reports whether it is queued.
 func (k *caller) Answer(body []byte) bool {
-	k.front.stand(k)
-	defer k.conn.done(k) // after the answer is queued, since a connection without open set-ups may be closed
+	k.front.addCall(k)
+	defer k.conn.removeSetup(k) // after the answer is queued, since a connection without open set-ups may be closed
 	m := Message{Type: "ready", ID: k.id, Text: string(body)}
 	err := k.conn.Send(transport.Packet{Data: m.Append(nil), Done: func(err error) {
 		if err != nil { // the caller has not received the answer and would never end the call
-			k.front.over(k.id)
+			k.front.removeCall(k.id)
 			k.front.core.Hangup(k.id, causeNormal, nil, func(bool) {})
 		}
 	}})
 	if err != nil {
-		k.front.over(k.id)
+		k.front.removeCall(k.id)
 	}
 	return err == nil
 }
 
 // Refuse implements routing.Caller: it refuses the call, with the wait until a retry if that is a millisecond or more.
 func (k *caller) Refuse(wait time.Duration) {
-	defer k.conn.done(k)
+	defer k.conn.removeSetup(k)
 	m := Message{Type: "close", ID: k.id, Code: routing.CauseCongest}
 	if ms := wait.Milliseconds(); ms > 0 {
 		m.Attrs = map[string]string{"wait": strconv.FormatInt(ms, 10)}
@@ -532,13 +532,13 @@
 
 // Fail implements routing.Caller: it reports that the call failed.
 func (k *caller) Fail() {
-	defer k.conn.done(k)
+	defer k.conn.removeSetup(k)
 	k.conn.send(Message{Type: "close", ID: k.id, Code: routing.CauseFailed})
 }
 
 // Release implements routing.Caller: it reports the end of an established call.
 func (k *caller) Release(cause int) {
-	k.front.over(k.id)
+	k.front.removeCall(k.id)
 	m := Message{Type: "close", ID: k.id, Code: cause}
-	k.front.deliver(k.conn, late{m.Append(nil), time.Now().Add(keepOrphan)})
+	k.front.deliver(k.conn, pendingRelease{m.Append(nil), time.Now().Add(releaseTimeout)})
 }
--- a/internal/protocol/jsonl/jsonl_test.go
+++ b/internal/protocol/jsonl/jsonl_test.go
@@ -17,7 +17,7 @@
 	"beammux/internal/transport"
 )
 
-// core is a stand-in that notes what the front hands on.
+// core is a test double that records the calls of the front.
 type core struct {
 	opened    chan routing.Setup
 	callers   chan routing.Caller
@@ -39,6 +39,7 @@
 	done(true)
 }
 
+// bench is a front with a test double of the core.
 type bench struct {
 	t     *testing.T
 	front *Front
@@ -52,7 +53,7 @@
 	return &bench{t: t, core: c, front: NewFront(c, []string{"menu-view", "diet-order"}, log)}
 }
 
-// connect gives the caller's end of a new connection.
+// connect returns the caller's end of a new connection.
 func (b *bench) connect() (net.Conn, *bufio.Reader) {
 	near, far := net.Pipe()
 	done := make(chan struct{})
@@ -101,7 +102,7 @@
 	}
 }
 
-func TestRefusalTellsWhenToReturn(t *testing.T) {
+func TestRefusalCarriesRetryWait(t *testing.T) {
 	b := newBench(t)
 	c, r := b.connect()
 	io.WriteString(c, open(id))
@@ -124,7 +125,7 @@
 	}
 }
 
-// Guards against a set-up whose caller has gone being kept, and against releases being tied to a connection.
+// Set-ups of a connection that ends are withdrawn, and releases are sent on another connection.
 func TestConnectionEnds(t *testing.T) {
 	b := newBench(t)
 	first, r := b.connect()
@@ -137,7 +138,7 @@
 	if got := <-b.core.withdrawn; got != "0000000000000002" {
 		t.Errorf("withdrew %s", got)
 	}
-	k.Release(16) // nobody is connected: it is kept for who comes
+	k.Release(16) // no connection is open: the release waits for the next one
 	_, r = b.connect()
 	if got := b.line(r); !strings.Contains(got, `"close","sid":"`+id) {
 		t.Error(got)
@@ -148,7 +149,7 @@
 	}
 }
 
-// Bad input closes its own connection and disturbs no other.
+// Malformed input closes its connection and does not affect others.
 func TestBadInput(t *testing.T) {
 	b := newBench(t)
 	good, r := b.connect()
@@ -165,7 +166,7 @@
 			c, r := b.connect()
 			go io.WriteString(c, row.line)
 			if got, err := io.ReadAll(r); len(got) > 0 || err != nil {
-				t.Errorf("answered %q, %v; want a close", got, err)
+				t.Errorf("received %q, %v; want a close", got, err)
 			}
 		})
 	}
@@ -176,9 +177,9 @@
 	}
 }
 
-// Guards against set-ups getting to servers that they can't read or use: a server closes on them, and takes along what
-// others have out on that connection. The connection stays, and so do its other calls.
-func TestSetupsThatNoServerCanUse(t *testing.T) {
+// Set-ups with invalid values are not forwarded. A server would close its connection on them and end the calls of others on
+// it. The caller's connection stays open, and its other calls are served.
+func TestInvalidSetupsAreRefused(t *testing.T) {
 	b := newBench(t)
 	c, r := b.connect()
 	for _, change := range [][2]string{
@@ -189,16 +190,16 @@
 	} {
 		line := strings.Replace(open(id), change[0], change[1], 1)
 		if line == open(id) {
-			t.Fatalf("%q changes nothing", change)
+			t.Fatalf("%q does not change the message", change)
 		}
 		io.WriteString(c, line)
 		if got := b.line(r); !strings.Contains(got, `"close","sid":"`+id) || !strings.Contains(got, `"code":100`) {
-			t.Errorf("%q: answered %s", change, got)
+			t.Errorf("%q: received %s", change, got)
 		}
 	}
 	select {
 	case s := <-b.core.opened:
-		t.Errorf("handed on: %+v", s)
+		t.Errorf("forwarded: %+v", s)
 	default:
 	}
 	io.WriteString(c, open(id))
@@ -206,7 +207,7 @@
 	b.line(r)
 }
 
-// A second set-up under an open id gets a word, and the id one final answer.
+// A second set-up with an open id is refused and ends the first one, and the id has one final answer.
 func TestSecondSetupUnderAnOpenID(t *testing.T) {
 	b := newBench(t)
 	c, r := b.connect()
@@ -220,11 +221,11 @@
 	}
 	(<-b.core.callers).Fail()
 	if got := b.line(r); !strings.Contains(got, "0000000000000002") {
-		t.Errorf("a second answer: %s", got)
+		t.Errorf("unexpected second answer: %s", got)
 	}
 }
 
-// Calls that came before a message that can't be read are still answered, and then the connection is closed.
+// Calls that arrived before a malformed message are still answered; then the connection is closed.
 func TestOpenCallsAreAnsweredBeforeABadMessageCloses(t *testing.T) {
 	b := newBench(t)
 	c, r := b.connect()
@@ -238,7 +239,7 @@
 	}
 }
 
-// pipe gives the caller's end of a connection in a bubble, and when it ended.
+// pipe returns the caller's end of a connection in a synctest bubble, and the time of its end.
 func (b *bench) pipe() (net.Conn, chan time.Time) {
 	near, far := net.Pipe()
 	ended := make(chan time.Time, 1)
@@ -252,8 +253,8 @@
 	return near, ended
 }
 
-// Guards against silent and finished callers holding descriptors for good: a close is owed within 3 s where nothing whole
-// was sent, and in time where all is over. A connection with a call is left alone.
+// Silent and finished callers do not hold descriptors forever: a connection without a complete message is closed within 3 s,
+// and an idle one within 15 s. A connection with a call stays open.
 func TestConnectionsWithoutCallsAreClosed(t *testing.T) {
 	for _, row := range []struct {
 		name, send  string
@@ -282,11 +283,11 @@
 		c, ended := b.pipe()
 		io.WriteString(c, open(id))
 		k := <-b.core.callers
-		time.Sleep(30 * time.Second) // owed an answer
+		time.Sleep(30 * time.Second) // a set-up waits for its answer
 		k.Answer(nil)
-		time.Sleep(30 * time.Second) // stands
+		time.Sleep(30 * time.Second) // an established call
 		if len(ended) > 0 {
-			t.Fatal("closed under a call")
+			t.Fatal("closed during a call")
 		}
 		released := time.Now()
 		k.Release(16)
@@ -298,24 +299,24 @@
 	})
 }
 
-// Guards against a flood of one connection filling the core: it is read on as its set-ups end.
-func TestFloodWaitsInItsOwnConnection(t *testing.T) {
+// A flood on one connection does not fill the core: the front reads on as set-ups end.
+func TestFloodDoesNotFillTheCore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		c := &core{make(chan routing.Setup, 2*maxOpen), make(chan routing.Caller, 2*maxOpen), make(chan string, 2*maxOpen), make(chan string, 9)}
+		c := &core{make(chan routing.Setup, 2*maxOpenSetups), make(chan routing.Caller, 2*maxOpenSetups), make(chan string, 2*maxOpenSetups), make(chan string, 9)}
 		b := &bench{t: t, core: c, front: NewFront(c, []string{"diet-order"}, log)}
 		near, ended := b.pipe()
 		go func() {
-			for i := range maxOpen + 9 {
+			for i := range maxOpenSetups + 9 {
 				io.WriteString(near, open(fmt.Sprintf("%016x", i)))
 			}
 		}()
 		synctest.Wait()
-		if n := len(c.callers); n > maxOpen+1 {
-			t.Errorf("%d set-ups taken at once", n)
+		if n := len(c.callers); n > maxOpenSetups+1 {
+			t.Errorf("%d set-ups forwarded at once", n)
 		}
-		for range maxOpen + 9 {
+		for range maxOpenSetups + 9 {
 			(<-c.callers).Fail()
 		}
 		near.Close()
@@ -323,20 +324,20 @@
 	})
 }
 
-// Releases that wait for a connection are bounded.
-func TestWaitingReleasesAreBounded(t *testing.T) {
+// The number of releases that wait for a connection is bounded.
+func TestPendingReleasesAreBounded(t *testing.T) {
 	b := newBench(t)
-	for i := range maxWaiting + 9 {
+	for i := range maxPendingReleases + 9 {
 		b.front.Orphan(fmt.Sprintf("%016x", i), 16)
 	}
-	if n := len(b.front.waiting); n != maxWaiting {
-		t.Errorf("%d releases wait, at most %d may", n, maxWaiting)
+	if n := len(b.front.pending); n != maxPendingReleases {
+		t.Errorf("%d releases wait, want at most %d", n, maxPendingReleases)
 	}
 }
 
-// A set-up that crosses the close of its connection never runs: its caller sends it once more, to a process that may
-// not know of it. Before, it was read after the close had begun, went to a server and was given up when the
-// connection was gone: the release guard then began in a process that the second copy does not come to.
+// A set-up that crosses the close of its connection never runs. If it were read after the close had begun, it would go to a
+// server and be withdrawn at the end of the connection. Its caller sends it again, maybe to another process, which would not
+// know of the release guard that began here.
 func TestSetupThatCrossesACloseNeverRuns(t *testing.T) {
 	b := newBench(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -359,14 +360,14 @@
 	near.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(near, `{"msg":"probe","sid":"`+id+`","attrs":{},"code":0}`+"\n")
 	r := bufio.NewReader(near)
-	b.line(r) // it is served, and idle
+	b.line(r) // the connection is served and idle
 	b.front.Sweep(func(time.Time, bool, bool) drain.Verdict { return drain.Close })
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Fatalf("after the close began: %v", err)
+		t.Fatalf("after the close began: read returned %v", err)
 	}
 	io.WriteString(near, open(id))
 	<-served
 	if len(b.core.opened) > 0 || len(b.core.withdrawn) > 0 {
-		t.Errorf("the set-up ran: %d taken, %d given up", len(b.core.opened), len(b.core.withdrawn))
+		t.Errorf("the set-up ran: %d forwarded, %d withdrawn", len(b.core.opened), len(b.core.withdrawn))
 	}
 }
--- a/internal/protocol/jsonl/model_test.go
+++ b/internal/protocol/jsonl/model_test.go
@@ -23,35 +23,36 @@
 	"beammux/internal/transport"
 )
 
-// The same steps each time: a verdict must not change from run to run.
+// TestMain fixes the seed of rapid, so that each run has the same steps and result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
 	os.Exit(m.Run())
 }
 
-// ledger is a core that keeps an account of each set-up: how often it was ended by a final answer, by a withdrawal and by its
+// countingCore is a test double of the core that counts how each set-up ended: by a final answer, by a withdrawal or by its
 // caller's cancel.
-type ledger struct {
+type countingCore struct {
 	mu    sync.Mutex
 	calls map[string]*entry
 }
 
+// entry is the state of one set-up.
 type entry struct {
 	caller                         routing.Caller
 	answered, withdrawn, cancelled int
-	stands                         bool
+	established                    bool
 }
 
-func (l *ledger) Open(s routing.Setup, k routing.Caller) {
+func (l *countingCore) Open(s routing.Setup, k routing.Caller) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[s.ID] = &entry{caller: k}
 }
 
-func (l *ledger) Unreadable(int) {}
+func (l *countingCore) Unreadable(int) {}
 
-func (l *ledger) Withdraw(id string, k routing.Caller, done func(bool)) {
+func (l *countingCore) Withdraw(id string, k routing.Caller, done func(bool)) {
 	l.mu.Lock()
 	e := l.calls[id]
 	in := e != nil && e.caller == k && e.answered+e.withdrawn+e.cancelled == 0
@@ -64,13 +65,13 @@
 	}
 }
 
-func (l *ledger) Hangup(id string, _ int, k routing.Caller, done func(bool)) {
+func (l *countingCore) Hangup(id string, _ int, k routing.Caller, done func(bool)) {
 	l.mu.Lock()
 	e := l.calls[id]
 	switch {
 	case e == nil:
-	case e.stands:
-		e.stands = false
+	case e.established:
+		e.established = false
 	case e.caller == k && e.answered+e.withdrawn == 0:
 		e.cancelled++
 	}
@@ -78,8 +79,8 @@
 	done(e != nil)
 }
 
-// final gives an open set-up its answer, as the core's actor would.
-func (l *ledger) final(id string, how int) {
+// finish sends the final answer of an open set-up, as the core's actor would: 0 is an answer, 1 a refusal, else a failure.
+func (l *countingCore) finish(id string, how int) {
 	l.mu.Lock()
 	e := l.calls[id]
 	if e == nil || e.answered+e.withdrawn+e.cancelled > 0 {
@@ -87,13 +88,13 @@
 		return
 	}
 	e.answered++
-	e.stands = how == 0
+	e.established = how == 0
 	l.mu.Unlock()
 	switch how {
 	case 0:
 		if !e.caller.Answer([]byte(strings.Repeat("x", 4000))) {
 			l.mu.Lock()
-			e.stands = false // the core ends it at its server
+			e.established = false // the core ends the call at its server
 			l.mu.Unlock()
 		}
 	case 1:
@@ -103,15 +104,15 @@
 	}
 }
 
-// Random steps of a caller on one real connection, of the core and of a drain, against the account of each set-up: one that was
-// taken has one end; its caller hears at most one final answer, and that one if it stayed and read; whoever leaves, in
-// whatever way, is seen; and nothing is left on the connection or behind it.
+// Random steps of a caller on one TCP connection, of the core and of a drain. Each set-up that the core receives ends once.
+// Its caller receives at most one final answer, and exactly that one if it stays and reads. The front detects that a caller
+// leaves in any way, and no state remains on the connection or in the front.
 func TestConnectionAgainstModel(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	rapid.Check(t, func(r *rapid.T) {
-		core := &ledger{calls: map[string]*entry{}}
+		core := &countingCore{calls: map[string]*entry{}}
 		f := NewFront(core, []string{"menu-view", "diet-order"}, log)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -124,9 +125,9 @@
 		tc := transport.NewConn(far, nil)
 		served := make(chan struct{})
 		go func() { defer close(served); f.Serve(tc); tc.Finish(); <-tc.Gone() }()
-		heard, reading := map[string]int{}, make(chan struct{})
+		received, reading := map[string]int{}, make(chan struct{})
 		var slow sync.Mutex // held while the caller does not read
-		var hear sync.Mutex
+		var heardMu sync.Mutex
 		go func() {
 			defer close(reading)
 			for s := bufio.NewScanner(c); s.Scan(); {
@@ -135,42 +136,42 @@
 				slow.Unlock()
 				if i := strings.Index(text, `"sid":"`); i >= 0 && (strings.Contains(text, `"ready"`) || strings.Contains(text, `"code":34`) ||
 					strings.Contains(text, `"code":41`)) {
-					hear.Lock()
-					heard[text[i+7:i+23]]++
-					hear.Unlock()
+					heardMu.Lock()
+					received[text[i+7:i+23]]++
+					heardMu.Unlock()
 				}
 			}
 		}()
 		sent, gone, slowed, closing := 0, false, false, false
 		name := func(i int) string { return fmt.Sprintf("%016x", i) }
-		one := func() string { return name(rapid.IntRange(0, max(0, sent-1)).Draw(r, "call")) }
+		anyCall := func() string { return name(rapid.IntRange(0, max(0, sent-1)).Draw(r, "call")) }
 		for range rapid.IntRange(1, 25).Draw(r, "steps") {
 			switch step := rapid.SampledFrom([]string{"open", "open", "open", "answer", "answer", "cancel", "release", "part", "half-close", "RST",
 				"bytes with the close", "slow", "drain", "turn away", "hang up"}).Draw(r, "step"); {
 			case gone:
-				core.final(one(), rapid.IntRange(0, 2).Draw(r, "how")) // the core may be on its way with an answer
+				core.finish(anyCall(), rapid.IntRange(0, 2).Draw(r, "how")) // an answer of the core may cross the end
 			case step == "open":
 				for range rapid.IntRange(1, 20).Draw(r, "setups") {
 					io.WriteString(c, open(name(sent)))
 					sent++
 				}
 			case step == "answer":
-				core.final(one(), rapid.IntRange(0, 2).Draw(r, "how"))
+				core.finish(anyCall(), rapid.IntRange(0, 2).Draw(r, "how"))
 			case step == "cancel":
-				fmt.Fprintf(c, `{"msg":"close","sid":%q,"attrs":{},"code":16}`+"\n", one())
+				fmt.Fprintf(c, `{"msg":"close","sid":%q,"attrs":{},"code":16}`+"\n", anyCall())
 			case step == "release":
 				core.mu.Lock()
-				e := core.calls[one()]
-				stands := e != nil && e.stands
+				e := core.calls[anyCall()]
+				stands := e != nil && e.established
 				if stands {
-					e.stands = false
+					e.established = false
 				}
 				core.mu.Unlock()
 				if stands {
 					e.caller.Release(16)
 				}
 			case step == "part":
-				io.WriteString(c, `{"msg":"open","si`) // what follows can't be read
+				io.WriteString(c, `{"msg":"open","si`) // an incomplete message, which makes the following input malformed
 			case step == "half-close":
 				c.CloseWrite()
 				gone = true
@@ -199,7 +200,7 @@
 				f.TurnAway()
 			case step == "hang up":
 				for i := range sent {
-					core.final(name(i), rapid.IntRange(1, 2).Draw(r, "how"))
+					core.finish(name(i), rapid.IntRange(1, 2).Draw(r, "how"))
 				}
 			}
 		}
@@ -207,17 +208,17 @@
 			slow.Unlock()
 		}
 		if !gone {
-			// What was taken is answered; then the caller leaves.
+			// The core answers all set-ups; then the caller leaves.
 			for end := time.Now().Add(2 * time.Second); ; runtime.Gosched() {
 				for i := range sent {
-					core.final(name(i), 1)
+					core.finish(name(i), 1)
 				}
 				core.mu.Lock()
 				n := len(core.calls)
 				core.mu.Unlock()
 				select {
 				case <-served:
-					n = sent // closed from this side, over a bad line or in the drain
+					n = sent // closed by the front, on a malformed line or in the drain
 				default:
 				}
 				if n >= sent || time.Now().After(end) {
@@ -225,9 +226,9 @@
 				}
 			}
 			for i := range sent {
-				core.final(name(i), 1)
+				core.finish(name(i), 1)
 			}
-			if !closing { // all that was answered is heard before the caller goes
+			if !closing { // the caller receives all answers before it leaves
 				core.mu.Lock()
 				want := 0
 				for _, e := range core.calls {
@@ -235,18 +236,18 @@
 				}
 				core.mu.Unlock()
 				for end := time.Now().Add(2 * time.Second); time.Now().Before(end); runtime.Gosched() {
-					hear.Lock()
-					n := len(heard)
-					hear.Unlock()
+					heardMu.Lock()
+					n := len(received)
+					heardMu.Unlock()
 					if n >= want {
 						break
 					}
 				}
-				hear.Lock()
-				if len(heard) < want {
-					r.Fatalf("%d of %d answers heard by a caller who stayed", len(heard), want)
+				heardMu.Lock()
+				if len(received) < want {
+					r.Fatalf("%d of %d answers received by a caller that stayed", len(received), want)
 				}
-				hear.Unlock()
+				heardMu.Unlock()
 			}
 		}
 		c.Close()
@@ -254,27 +255,27 @@
 		select {
 		case <-served:
 		case <-time.After(5 * time.Second):
-			r.Fatalf("the connection of a caller who left %v ago is still served", time.Since(left))
+			r.Fatalf("the connection of a caller that left %v ago is still served", time.Since(left))
 		}
 		<-reading
 		core.mu.Lock()
 		defer core.mu.Unlock()
 		for id, e := range core.calls {
 			if n := e.answered + e.withdrawn + e.cancelled; n != 1 {
-				r.Fatalf("%s: %d answers, %d withdrawals, %d cancels; want one end", id, e.answered, e.withdrawn, e.cancelled)
+				r.Fatalf("%s: %d answers, %d withdrawals, %d cancels; want one in total", id, e.answered, e.withdrawn, e.cancelled)
 			}
-			if heard[id] > 1 || heard[id] > e.answered {
-				r.Fatalf("%s: heard %d answers of %d", id, heard[id], e.answered)
+			if received[id] > 1 || received[id] > e.answered {
+				r.Fatalf("%s: received %d answers of %d", id, received[id], e.answered)
 			}
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if tc.Held() || len(f.conns) != 0 {
-			r.Fatalf("left behind: held %v, %d connections", tc.Held(), len(f.conns))
+			r.Fatalf("remaining state: held %v, %d connections", tc.Held(), len(f.conns))
 		}
-		for id := range f.stands {
-			if e := core.calls[id]; e == nil || !e.stands {
-				r.Fatalf("%s is kept as standing and does not stand", id)
+		for id := range f.established {
+			if e := core.calls[id]; e == nil || !e.established {
+				r.Fatalf("%s is recorded as established and is not", id)
 			}
 		}
 	})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire reads and writes the simulator's lines: a name, then name=value parts set apart by single spaces.
+// Package wire reads and writes the simulator's line protocol: a message name, then name=value fields separated by single
+// spaces.
 package wire
 
 import (
@@ -10,19 +11,20 @@
 	"strings"
 )
 
-// textFields extend to the end of their line.
+// textFields are the fields whose value extends to the end of the line.
 var textFields = map[string]bool{"settings": true, "line": true}
 
-// Message is one line, taken apart.
+// Message is one parsed line.
 type Message struct {
 	Line   int // number of the line in the input, from 1
 	Name   string
 	fields []field
 }
 
+// field is one name=value field.
 type field struct{ name, value string }
 
-// Error is a fault of the input, by line and field.
+// Error reports a fault in the input by its line and field. Field may be empty.
 type Error struct {
 	Line        int
 	Field, What string
@@ -35,7 +37,7 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.What)
 }
 
-// Parse takes one line apart.
+// Parse parses one line. number is its line number in the input. Errors are of type *Error.
 func Parse(line string, number int) (Message, error) {
 	m := Message{Line: number}
 	name, rest, more := strings.Cut(line, " ")
@@ -62,12 +64,13 @@
 	return m, nil
 }
 
-// Has tells whether the line has the field.
+// Has reports whether the message has a field.
 func (m *Message) Has(name string) bool {
 	_, ok := m.lookup(name)
 	return ok
 }
 
+// lookup returns the value of a field and whether the message has it.
 func (m *Message) lookup(name string) (string, bool) {
 	for i := range m.fields {
 		if m.fields[i].name == name {
@@ -77,10 +80,10 @@
 	return "", false
 }
 
-// Fault makes an Error about one field of the line.
+// Fault returns an *Error about one field of the message.
 func (m *Message) Fault(name, what string) error { return &Error{m.Line, name, what} }
 
-// Text gives a field that must be there and not be empty.
+// Text returns the value of a required field, which must not be empty.
 func (m *Message) Text(name string) (string, error) {
 	v, ok := m.lookup(name)
 	if !ok {
@@ -92,7 +95,7 @@
 	return v, nil
 }
 
-// TextOr gives a field that may be absent.
+// TextOr returns the value of an optional field, or otherwise if it is absent.
 func (m *Message) TextOr(name, otherwise string) string {
 	if v, ok := m.lookup(name); ok {
 		return v
@@ -100,7 +103,7 @@
 	return otherwise
 }
 
-// Int gives a whole number that must be there.
+// Int returns the integer in a required field.
 func (m *Message) Int(name string) (int64, error) {
 	v, err := m.Text(name)
 	if err != nil {
@@ -113,7 +116,7 @@
 	return n, nil
 }
 
-// IntOr gives a whole number that may be absent.
+// IntOr returns the integer in an optional field, or otherwise if it is absent.
 func (m *Message) IntOr(name string, otherwise int64) (int64, error) {
 	if !m.Has(name) {
 		return otherwise, nil
@@ -121,7 +124,7 @@
 	return m.Int(name)
 }
 
-// Unsigned gives a whole number of up to 64 bits that must be there; a sign is read as two's complement.
+// Unsigned returns the unsigned 64-bit integer in a required field. A negative number is converted as two's complement.
 func (m *Message) Unsigned(name string) (uint64, error) {
 	v, err := m.Text(name)
 	if err != nil {
@@ -134,7 +137,7 @@
 	return uint64(n), err
 }
 
-// Server gives the number of a server.
+// Server returns the server number in a required field.
 func (m *Message) Server(name string) (uint32, error) {
 	n, err := m.Int(name)
 	if err == nil && (n < 0 || n >= 1<<32) {
@@ -143,7 +146,7 @@
 	return uint32(n), err
 }
 
-// BoolOr gives a 1 or 0 that may be absent.
+// BoolOr returns the bool, 1 or 0, in an optional field, or otherwise if it is absent.
 func (m *Message) BoolOr(name string, otherwise bool) (bool, error) {
 	v, ok := m.lookup(name)
 	switch {
@@ -157,7 +160,7 @@
 	return false, m.Fault(name, "neither 1 nor 0: "+strconv.Quote(v))
 }
 
-// Row gives numbers set apart by commas; an absent or empty field is no numbers.
+// Row returns the numbers in a comma-separated field. It returns none if the field is absent, empty or "-".
 func (m *Message) Row(name string) ([]float64, error) {
 	v, ok := m.lookup(name)
 	if !ok || v == "" || v == "-" {
@@ -174,7 +177,7 @@
 	return row, nil
 }
 
-// Bytes gives base64 with padding; "-" is no bytes.
+// Bytes returns the bytes of a required field in padded base64. It returns none for "-".
 func (m *Message) Bytes(name string) ([]byte, error) {
 	v, err := m.Text(name)
 	if err != nil || v == "-" {
@@ -187,16 +190,16 @@
 	return b, nil
 }
 
-// Reader gives the lines of an input as messages.
+// Reader reads messages, one per line.
 type Reader struct {
 	in   *bufio.Reader
 	line int
 }
 
-// NewReader reads from r.
+// NewReader returns a reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<16)} }
 
-// Next gives the next message, or io.EOF at the end of the input. Blank lines are passed over.
+// Next returns the next message, or io.EOF at the end of the input. It skips blank lines.
 func (r *Reader) Next() (Message, error) {
 	for {
 		text, err := r.in.ReadString('\n')
@@ -210,25 +213,26 @@
 	}
 }
 
+// breaks replaces line breaks by spaces.
 var breaks = strings.NewReplacer("\n", " ", "\r", " ")
 
-// Line builds one line of a reply.
+// Line builds one line of output.
 type Line struct{ b []byte }
 
-// NewLine starts a line.
+// NewLine returns a line with a message name and no fields.
 func NewLine(name string) *Line { return &Line{[]byte(name)} }
 
-// Text adds a part. A text field must come last; line breaks in it become spaces.
+// Text appends a field. A field whose value may hold spaces must be the last. Line breaks are replaced by spaces.
 func (l *Line) Text(name, value string) *Line {
 	value = breaks.Replace(value)
 	l.b = append(append(append(append(l.b, ' '), name...), '='), value...)
 	return l
 }
 
-// Int adds a whole number.
+// Int appends a field with an integer.
 func (l *Line) Int(name string, value int64) *Line {
 	return l.Text(name, strconv.FormatInt(value, 10))
 }
 
-// End gives the line with its line break.
+// End returns the line with its line break.
 func (l *Line) End() []byte { return append(l.b, '\n') }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -53,7 +53,7 @@
 				err = row.read(&m)
 			}
 			if err == nil || err.Error() != row.want {
-				t.Errorf("fault %v, want %s", err, row.want)
+				t.Errorf("error %v, want %s", err, row.want)
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 		text := strings.TrimSuffix(string(out.End()), "\n")
 		again, err := Parse(text, 1)
 		if strings.ContainsAny(line, "\n\r") {
-			return // cannot come from a Reader
+			return // a Reader never returns such a line
 		}
 		if err != nil || text != line || len(again.fields) != len(m.fields) {
 			t.Errorf("%q was written as %q: %v", line, text, err)
