--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -372,10 +372,10 @@
 
 // Hint returns a question that suggests the known word closest to an unknown one, or "" if none is close.
 func Hint(word string, known []string) string {
-	nearest, distance := "", max(3, len(word)/3+1)
+	nearest, minDistance := "", max(3, len(word)/3+1)
 	for _, k := range known {
-		if d := levenshtein.Distance(strings.ToLower(word), strings.ToLower(k), nil); d < distance && d < len(word) {
-			nearest, distance = k, d
+		if d := levenshtein.Distance(strings.ToLower(word), strings.ToLower(k), nil); d < minDistance && d < len(word) {
+			nearest, minDistance = k, d
 		}
 	}
 	if nearest == "" {
--- a/internal/protocol/bus/bus_test.go
+++ b/internal/protocol/bus/bus_test.go
@@ -25,7 +25,7 @@
 
 // serve runs a reader against a bus that sends one body per connection. It returns the updates that the reader applied and
 // the Last-Event-ID of each connection.
-func serve(t *testing.T, last int64, bodies ...string) (updates []routing.Update, asked []string) {
+func serve(t *testing.T, last int64, bodies ...string) (updates []routing.Update, requested []string) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -60,18 +60,18 @@
 		updates = append(updates, u)
 	}
 	for id := range ids {
-		asked = append(asked, id)
+		requested = append(requested, id)
 	}
-	return updates, asked
+	return updates, requested
 }
 
 const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
-func TestEventsAreTakenOnceAndResumed(t *testing.T) {
+func TestEventsAreAppliedOnceAndResumed(t *testing.T) {
 	one, two, three := event(4, false, "a", "up"), event(5, false, "a", "draining"), event(6, true, "b", "up")
-	updates, asked := serve(t, 3, head+": hello\n\n"+one+two, head+two+three)
-	if len(updates) != 3 || fmt.Sprint(asked) != "[3 5]" {
-		t.Fatalf("%d updates, requested after %v", len(updates), asked)
+	updates, requested := serve(t, 3, head+": hello\n\n"+one+two, head+two+three)
+	if len(updates) != 3 || fmt.Sprint(requested) != "[3 5]" {
+		t.Fatalf("%d updates, requested after %v", len(updates), requested)
 	}
 	h := updates[1].Hosts[0]
 	if h.Name != "a" || h.Addr != "127.0.0.1:9" || h.Cell != 2 || h.State != control.Draining || h.Since != 1500000 {
@@ -92,7 +92,7 @@
 }
 
 // After a gap or an invalid event the last valid list is kept, and the reader requests the events after the last valid one.
-func TestGapsAndGarbage(t *testing.T) {
+func TestGapsAndInvalidEvents(t *testing.T) {
 	good := event(1, false, "a", "up")
 	for name, bad := range map[string]string{
 		"gap":           event(3, false, "a", "up"),
@@ -107,9 +107,9 @@
 			if name == "server error" {
 				second = "HTTP/1.1 503 No\r\n\r\n"
 			}
-			updates, asked := serve(t, 0, head+good+bad, second, head+event(2, false, "b", "up"))
-			if len(updates) != 2 || updates[1].Hosts[0].Name != "b" || fmt.Sprint(asked) != "[0 1 1]" {
-				t.Errorf("updates %+v, requested after %v", updates, asked)
+			updates, requested := serve(t, 0, head+good+bad, second, head+event(2, false, "b", "up"))
+			if len(updates) != 2 || updates[1].Hosts[0].Name != "b" || fmt.Sprint(requested) != "[0 1 1]" {
+				t.Errorf("updates %+v, requested after %v", updates, requested)
 			}
 		})
 	}
@@ -124,15 +124,15 @@
 
 // The events that a bus withholds while its connection stays open must be known 4 s later, so the next connection has to be
 // made well before. A bus that refuses connections is retried well within the 2 s allowed for a failed bus.
-func TestSilentBusIsAskedAgainInTime(t *testing.T) {
+func TestReconnectsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		asked := make(chan time.Time)
+		dialed := make(chan time.Time)
 		ctx, cancel := context.WithCancel(t.Context())
 		r := &Reader{Addr: "bus", Log: log, Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 			select {
-			case asked <- time.Now():
+			case dialed <- time.Now():
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -147,8 +147,8 @@
 		}}
 		done := make(chan struct{})
 		go func() { r.Run(ctx); close(done) }()
-		first := <-asked
-		if gap := (<-asked).Sub(first); gap < 2*time.Second || gap > 3500*time.Millisecond {
+		first := <-dialed
+		if gap := (<-dialed).Sub(first); gap < 2*time.Second || gap > 3500*time.Millisecond {
 			t.Errorf("reconnected to a silent bus after %v", gap)
 		}
 		cancel()
@@ -158,29 +158,29 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		ctx, cancel := context.WithCancel(t.Context())
-		last, tries, most := time.Now(), 0, time.Duration(0)
+		last, tries, longest := time.Now(), 0, time.Duration(0)
 		r := &Reader{Addr: "bus", Log: log, Dial: func(context.Context, string) (net.Conn, error) {
-			most, last = max(most, time.Since(last)), time.Now()
+			longest, last = max(longest, time.Since(last)), time.Now()
 			if tries++; tries == 20 {
 				cancel()
 			}
 			return nil, io.EOF
 		}}
 		r.Run(ctx)
-		if most > time.Second {
-			t.Errorf("%v between two connections to a failed bus", most)
+		if longest > time.Second {
+			t.Errorf("%v between two connections to a failed bus", longest)
 		}
 	})
 }
 
 // Guards against a gatekeeper that stays connected to a bus which sends no more events: Move closes the open connection at
 // once, and the reader requests the events after the last one from the new address.
-func TestMoveGoesOnAtOnce(t *testing.T) {
+func TestMoveReconnectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		ctx, cancel := context.WithCancel(t.Context())
-		asked := make(chan string)
+		requests := make(chan string)
 		updates := make(chan routing.Update, 9)
 		r := &Reader{Addr: "old", Last: 3, Log: log, Apply: func(u routing.Update) { updates <- u },
 			Dial: func(_ context.Context, addr string) (net.Conn, error) {
@@ -189,7 +189,7 @@
 					in := textproto.NewReader(bufio.NewReader(far))
 					in.ReadLine()
 					h, _ := in.ReadMIMEHeader()
-					asked <- addr + " " + h.Get("Last-Event-ID")
+					requests <- addr + " " + h.Get("Last-Event-ID")
 					io.WriteString(far, head)
 					if addr == "old" {
 						io.WriteString(far, event(4, false, "a", "up"))
@@ -201,12 +201,12 @@
 			}}
 		done := make(chan struct{})
 		go func() { r.Run(ctx); close(done) }()
-		first := <-asked
+		first := <-requests
 		<-updates
 		moved := time.Now()
 		r.Move("old") // no change: the connection stays
 		r.Move("new")
-		second := <-asked
+		second := <-requests
 		if first != "old 3" || second != "new 4" || time.Since(moved) != 0 {
 			t.Errorf("requested %q, then %q after %v", first, second, time.Since(moved))
 		}
@@ -224,10 +224,10 @@
 	events := event(1, true, "a", "up") + ": still here\n\n" + event(2, false, "b", "up") + event(3, false, "a", "draining")
 	for cut := range len(head + events) {
 		var updates []routing.Update
-		var asked []string
-		synctest.Test(t, func(t *testing.T) { updates, asked = serve(t, 0, (head + events)[:cut], head+events) })
-		if len(updates) != 3 || len(asked) != 2 || updates[1].Hosts[0].Name != "b" || updates[2].Hosts[0].State != control.Draining {
-			t.Fatalf("cut after %d bytes: %d updates, requested after %v", cut, len(updates), asked)
+		var requested []string
+		synctest.Test(t, func(t *testing.T) { updates, requested = serve(t, 0, (head + events)[:cut], head+events) })
+		if len(updates) != 3 || len(requested) != 2 || updates[1].Hosts[0].Name != "b" || updates[2].Hosts[0].State != control.Draining {
+			t.Fatalf("cut after %d bytes: %d updates, requested after %v", cut, len(updates), requested)
 		}
 	}
 }
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -23,13 +23,13 @@
 
 const (
 	path = "/bus/read"
-	// silence is the time without a line after which a connection is considered dead. The bus sends a comment every second.
-	// A gatekeeper must know the events that a silent bus withholds 4 s after it went silent, so the next connection has to
-	// be established well before that.
-	silence    = 2500 * time.Millisecond
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 250 * time.Millisecond // a gatekeeper must know the events of a failed bus after 2 s
-	maxLine    = 256 << 10              // bytes
+	// silenceTimeout is the time without a line after which a connection is considered dead. The bus sends a comment every
+	// second. A gatekeeper must know the events that a silent bus withholds 4 s after it went silent, so the next connection
+	// has to be established well before that.
+	silenceTimeout = 2500 * time.Millisecond
+	minRetryWait   = 20 * time.Millisecond
+	maxRetryWait   = 250 * time.Millisecond // a gatekeeper must know the events of a failed bus after 2 s
+	maxLine        = 256 << 10              // bytes
 )
 
 // Reader reads the bus, reconnects when a connection ends, and applies each change once, in order.
@@ -41,12 +41,12 @@
 	Last   int64 // offset of the last event that was accepted
 	parser fastjson.Parser
 
-	mu  sync.Mutex         // guards Addr and cut
-	cut context.CancelFunc // ends the current connection or wait
+	mu     sync.Mutex         // guards Addr and cancel
+	cancel context.CancelFunc // ends the current connection or wait
 }
 
-// errFault is returned for an invalid event. The list is unchanged, and the reader connects again.
-var errFault = errors.New("fault in the event stream")
+// errInvalidEvent is returned for an invalid event. The list is unchanged, and the reader connects again.
+var errInvalidEvent = errors.New("invalid event in the stream")
 
 // Move makes the reader connect to another address at once. The offsets continue, so no event is lost or applied twice.
 func (r *Reader) Move(addr string) {
@@ -56,36 +56,36 @@
 		return
 	}
 	r.Addr = addr
-	if r.cut != nil {
-		r.cut()
+	if r.cancel != nil {
+		r.cancel()
 	}
 }
 
-// turn returns the address of the next connection and a context for it, which Move cancels.
-func (r *Reader) turn(ctx context.Context) (context.Context, context.CancelFunc, string) {
+// nextConnection returns the address of the next connection and a context for it, which Move cancels.
+func (r *Reader) nextConnection(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ctx, r.cut = context.WithCancel(ctx)
-	return ctx, r.cut, r.Addr
+	ctx, r.cancel = context.WithCancel(ctx)
+	return ctx, r.cancel, r.Addr
 }
 
 // Run reads until the context ends. Each connection resumes after the last event that was accepted.
 func (r *Reader) Run(ctx context.Context) {
-	wait := retryFirst
+	wait := minRetryWait
 	for ctx.Err() == nil {
-		turn, cut, addr := r.turn(ctx)
-		if r.read(turn, addr, wait) {
-			wait = retryFirst
+		connCtx, cancel, addr := r.nextConnection(ctx)
+		if r.readOnce(connCtx, addr, wait) {
+			wait = minRetryWait
 		} else {
-			wait = min(2*wait, retryMost)
+			wait = min(2*wait, maxRetryWait)
 		}
-		cut()
+		cancel()
 	}
 }
 
-// read reads one connection and then waits before the next, or until the context ends. It reports whether the connection
-// was useful; if so, the retry wait starts over at its minimum.
-func (r *Reader) read(ctx context.Context, addr string, wait time.Duration) (useful bool) {
+// readOnce reads one connection and then waits before the next, or until the context ends. It reports whether the
+// connection was useful; if so, the retry wait starts over at its minimum.
+func (r *Reader) readOnce(ctx context.Context, addr string, wait time.Duration) (useful bool) {
 	if addr == "" {
 		<-ctx.Done()
 		return true
@@ -101,44 +101,44 @@
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	return r.Last > before || time.Since(began) > silence && !errors.Is(err, errFault)
+	return r.Last > before || time.Since(began) > silenceTimeout && !errors.Is(err, errInvalidEvent)
 }
 
 // connect opens a connection that resumes after the last event and reads it until it ends.
 func (r *Reader) connect(ctx context.Context, addr string) error {
-	nc, err := r.Dial(ctx, addr)
+	conn, err := r.Dial(ctx, addr)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	nc.SetDeadline(time.Now().Add(silence))
-	_, err = fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetDeadline(time.Now().Add(silenceTimeout))
+	_, err = fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
 		path, addr, r.Last)
 	if err != nil {
 		return err
 	}
-	in := bufio.NewReaderSize(nc, maxLine)
-	head := textproto.NewReader(in)
-	status, err := head.ReadLine()
+	in := bufio.NewReaderSize(conn, maxLine)
+	text := textproto.NewReader(in)
+	status, err := text.ReadLine()
 	if err != nil {
 		return err
 	}
 	if _, code, _ := strings.Cut(status, " "); !strings.HasPrefix(code, "200") {
 		return fmt.Errorf("event bus returned status %q", status)
 	}
-	header, err := head.ReadMIMEHeader()
+	header, err := text.ReadMIMEHeader()
 	if err != nil {
 		return err
 	}
 	if strings.EqualFold(header.Get("Transfer-Encoding"), "chunked") {
 		in = bufio.NewReaderSize(httputil.NewChunkedReader(in), maxLine)
 	}
-	return r.stream(in, func() { nc.SetReadDeadline(time.Now().Add(silence)) })
+	return r.readStream(in, func() { conn.SetReadDeadline(time.Now().Add(silenceTimeout)) })
 }
 
-// stream reads server-sent events until the stream ends. alive is called for each line.
-func (r *Reader) stream(in *bufio.Reader, alive func()) error {
+// readStream reads server-sent events until the stream ends. alive is called for each line.
+func (r *Reader) readStream(in *bufio.Reader, onLine func()) error {
 	var id string
 	var data []byte
 	for {
@@ -149,11 +149,11 @@
 			}
 			return err
 		}
-		alive()
+		onLine()
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
 			if len(data) > 0 {
-				if err := r.event(id, data); err != nil {
+				if err := r.handleEvent(id, data); err != nil {
 					return err
 				}
 			}
@@ -174,12 +174,12 @@
 	}
 }
 
-// event handles one event. An event seen before is ignored; an event after a gap or with invalid data is a fault.
-func (r *Reader) event(id string, data []byte) error {
+// handleEvent handles one event. An event seen before is ignored; an event after a gap or with invalid data is a fault.
+func (r *Reader) handleEvent(id string, data []byte) error {
 	e, err := Parse(&r.parser, data)
 	if err == nil && id != "" {
-		n, bad := strconv.ParseInt(id, 10, 64)
-		if bad != nil || n != e.Offset {
+		n, idErr := strconv.ParseInt(id, 10, 64)
+		if idErr != nil || n != e.Offset {
 			err = fmt.Errorf("id %q does not match offset %d", id, e.Offset)
 		}
 	}
@@ -192,7 +192,7 @@
 	}
 	if err != nil {
 		r.Log.WithError(err).WithField("last", r.Last).Error("event bus: invalid event; keeping the last valid list")
-		return errFault
+		return errInvalidEvent
 	}
 	r.Last = e.Offset
 	if e.Update != nil {
--- a/internal/protocol/jsonl/endings_test.go
+++ b/internal/protocol/jsonl/endings_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// A flood is read to its end, so that the front detects that its caller leaves after it: maxOpen set-ups are forwarded, the
-// others are excess, and no more than another maxOpen of those wait for the core.
+// A flood is read to its end, so that the front detects that its caller leaves after it. maxOpenSetups set-ups are forwarded,
+// the others are excess, and at most another maxOpenSetups of those wait for the core.
 func TestFloodIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newLargeBench(t)
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -19,13 +19,14 @@
 	"beammux/internal/transport"
 )
 
+// Cause codes and bounds.
 const (
-	causeInvalid       = 100             // cause code of a set-up with invalid fields
-	causeNormal        = 16              // cause code of a call that the gatekeeper releases: normal clearing
-	releaseTimeout     = 8 * time.Second // time that a release waits for a connection if there is none
-	maxPendingReleases = 4096            // releases that may wait for a connection
-	maxTimeLeft        = 10 * time.Minute
-	maxOpenSetups      = 512 // unanswered set-ups of one connection; further ones are marked as excess, and refused
+	causeInvalid       = 100              // cause code of a set-up with invalid fields
+	causeNormal        = 16               // cause code of a call that the gatekeeper releases: normal clearing
+	releaseTimeout     = 8 * time.Second  // time that a release waits for a connection if there is none
+	maxPendingReleases = 4096             // releases that may wait for a connection
+	maxTimeLeft        = 10 * time.Minute // maximum of a set-up's attribute left
+	maxOpenSetups      = 512              // unanswered set-ups of one connection; further ones are marked as excess, and refused
 )
 
 // Time-outs of a connection. They keep silent and finished callers from holding descriptors forever.
@@ -34,7 +35,7 @@
 	messageTimeout      = 2 * time.Second         // for the rest of a message that has begun
 	idleTimeout         = 10 * time.Second        // without a call on the connection; callers themselves close after 4 s
 	settleTimeout       = 2 * time.Second         // to answer the open set-ups after a malformed message
-	idleReadTimeout     = 10 * time.Millisecond   // for a last read before an idle close: bytes may be ready unread if this process got no processor time
+	idleReadTimeout     = 10 * time.Millisecond   // for a last read before an idle close, since this process may have had no processor time to read
 	excessDelay         = 20 * time.Millisecond   // for the core to answer open set-ups before further ones are excess
 	discardInterval     = time.Millisecond        // between reads of discarded bytes
 )
@@ -100,7 +101,7 @@
 // Sweep applies the verdict of decide to each connection. decide receives the time of the last use, whether a set-up waits
 // for its answer and whether only established calls use the connection. A release is sent to both sides: to the server by
 // the core, and to the caller on the connection before it closes.
-func (f *Front) Sweep(decide func(used time.Time, owed, standing bool) drain.Verdict) {
+func (f *Front) Sweep(decide func(used time.Time, unanswered, onlyEstablished bool) drain.Verdict) {
 	f.mu.Lock()
 	conns := slices.Clone(f.conns)
 	f.mu.Unlock()
@@ -141,26 +142,27 @@
 	excess     bool          // new set-ups are excess; only for the reading goroutine
 }
 
+// send queues a message and reports whether that succeeded.
 func (c *conn) send(m Message) bool {
 	return c.Send(transport.Packet{Data: m.Append(nil)}) == nil
 }
 
 // addSetup records an open set-up. It reports false if this side is closing the connection.
-func (c *conn) addSetup(k *caller) bool {
+func (c *conn) addSetup(setup *caller) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.Hold() {
 		return false
 	}
-	c.open[k.id] = k
+	c.open[setup.id] = setup
 	return true
 }
 
 // removeSetup removes a set-up that has its final answer.
-func (c *conn) removeSetup(k *caller) {
+func (c *conn) removeSetup(setup *caller) {
 	c.mu.Lock()
-	if c.open[k.id] == k {
-		delete(c.open, k.id)
+	if c.open[setup.id] == setup {
+		delete(c.open, setup.id)
 		c.Unhold()
 	}
 	c.mu.Unlock()
@@ -184,7 +186,7 @@
 	return len(c.open)
 }
 
-// awaitOpen blocks until at most most set-ups are open, limit or left fires, or the connection ends.
+// awaitOpen blocks until at most maximum set-ups are open, limit or left fires, or the connection ends.
 func (c *conn) awaitOpen(maximum int, limit <-chan time.Time, left <-chan struct{}) {
 	for c.openCount() > maximum {
 		select {
@@ -199,9 +201,9 @@
 	}
 }
 
-// limitOpen limits the open set-ups of a flood. The reader must not stop reading, since only at the end of the input it learns
-// that the caller has left. From maxOpen open set-ups on, after a short wait, further ones are marked as excess, until no
-// more than half as many are open. At 2*maxOpen the reader waits for the core to refuse some.
+// limitOpen limits the open set-ups of a flood. The reader must not stop reading, since only at the end of the input it
+// learns that the caller has left. From maxOpenSetups open set-ups on, after a short wait, further ones are marked as
+// excess, until no more than half as many are open. At 2*maxOpenSetups the reader waits for the core to refuse some.
 func (c *conn) limitOpen() {
 	switch n := c.openCount(); {
 	case n <= maxOpenSetups/2:
@@ -214,21 +216,21 @@
 	}
 }
 
-// awaitAnswers waits until the set-ups that arrived before a malformed message are answered. Further input is read and discarded
-// in order to detect that the caller leaves.
+// awaitAnswers waits, at most settleTimeout, until the open set-ups are answered before the connection closes. Further input
+// is read and discarded in order to detect that the caller leaves.
 func (c *conn) awaitAnswers() {
-	limit := time.Now().Add(settleTimeout)
-	c.SetReadDeadline(limit)
+	deadline := time.Now().Add(settleTimeout)
+	c.SetReadDeadline(deadline)
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		for drop := make([]byte, 4<<10); ; time.Sleep(discardInterval) {
-			if _, err := c.Read(drop); err != nil {
+		for discarded := make([]byte, 4<<10); ; time.Sleep(discardInterval) {
+			if _, err := c.Read(discarded); err != nil {
 				return
 			}
 		}
 	}()
-	c.awaitOpen(0, time.After(time.Until(limit)), left)
+	c.awaitOpen(0, time.After(time.Until(deadline)), left)
 	c.SetReadDeadline(time.Now())
 	<-left
 }
@@ -280,7 +282,8 @@
 	}
 }
 
-// readMessage reads a message within the time-outs. first is the deadline of the connection's first message, zero after it.
+// readMessage reads a message within the time-outs. firstDeadline is the deadline of the connection's first message, and
+// zero after it.
 func (c *conn) readMessage(r *Reader, firstDeadline time.Time) (Message, error) {
 	for {
 		limit := firstDeadline
@@ -313,9 +316,9 @@
 	pending := f.pending
 	f.pending = nil
 	f.mu.Unlock()
-	for _, w := range pending {
-		if time.Now().Before(w.expires) {
-			f.deliver(c, w)
+	for _, release := range pending {
+		if time.Now().Before(release.expires) {
+			f.deliver(c, release)
 		}
 	}
 }
@@ -334,18 +337,18 @@
 	open := c.open
 	c.open = nil
 	c.mu.Unlock()
-	for id, k := range open {
+	for id, setup := range open {
 		c.Unhold()
-		f.core.Withdraw(id, k, nil)
+		f.core.Withdraw(id, setup, nil)
 	}
 }
 
 // addCall records an established call, which keeps its connection open.
-func (f *Front) addCall(k *caller) {
+func (f *Front) addCall(call *caller) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.established[k.id] = k.conn
-	k.conn.Call(1)
+	f.established[call.id] = call.conn
+	call.conn.Call(1)
 }
 
 // removeCall removes an established call that either side has ended.
@@ -360,11 +363,11 @@
 
 // deliver sends a release on a connection if it is open, else on the newest open one, else on the next one that opens. If the
 // connection ends before the release is written, it is delivered again in the same way.
-func (f *Front) deliver(c *conn, w pendingRelease) {
+func (f *Front) deliver(c *conn, release pendingRelease) {
 	send := func(c *conn) bool {
-		return !c.Left() && c.Send(transport.Packet{Data: w.data, Done: func(err error) {
+		return !c.Left() && c.Send(transport.Packet{Data: release.data, Done: func(err error) {
 			if err != nil {
-				f.deliver(nil, w)
+				f.deliver(nil, release)
 			}
 		}}) == nil
 	}
@@ -379,9 +382,9 @@
 		}
 	}
 	now := time.Now()
-	f.pending = slices.DeleteFunc(f.pending, func(w pendingRelease) bool { return now.After(w.expires) })
-	if now.Before(w.expires) {
-		f.pending = append(f.pending[max(0, len(f.pending)+1-maxPendingReleases):], w)
+	f.pending = slices.DeleteFunc(f.pending, func(release pendingRelease) bool { return now.After(release.expires) })
+	if now.Before(release.expires) {
+		f.pending = append(f.pending[max(0, len(f.pending)+1-maxPendingReleases):], release)
 	}
 }
 
@@ -392,10 +395,10 @@
 		return f.handleOpen(c, m)
 	case "close":
 		var openCaller routing.Caller
-		if k := c.openSetup(m.ID); k != nil {
-			k.cancelled.Store(true)
-			c.removeSetup(k)
-			openCaller = k
+		if setup := c.openSetup(m.ID); setup != nil {
+			setup.cancelled.Store(true)
+			c.removeSetup(setup)
+			openCaller = setup
 		}
 		f.removeCall(m.ID)
 		f.core.Hangup(m.ID, m.Code, openCaller, func(bool) { c.send(Message{Type: "closed", ID: m.ID}) })
@@ -418,7 +421,7 @@
 // maybe to another process, which does not know of a release guard that began here.
 func (f *Front) handleOpen(c *conn, m *Message) error {
 	invalid := func() { c.send(Message{Type: "close", ID: m.ID, Code: causeInvalid}) }
-	k := &caller{front: f, conn: c, id: m.ID}
+	newCaller := &caller{front: f, conn: c, id: m.ID}
 	if first := c.openSetup(m.ID); first != nil {
 		f.core.Withdraw(m.ID, first, func(inTime bool) {
 			if inTime {
@@ -428,7 +431,7 @@
 		})
 		return nil
 	}
-	s, err := f.parseSetup(m)
+	setup, err := f.parseSetup(m)
 	if err != nil {
 		class, known := f.classes[m.Attrs["class"]]
 		if !known {
@@ -438,11 +441,11 @@
 		invalid()
 		return nil
 	}
-	if !c.addSetup(k) {
+	if !c.addSetup(newCaller) {
 		return errClosing
 	}
-	s.Excess = c.excess || f.closing.Load()
-	f.core.Open(s, k)
+	setup.Excess = c.excess || f.closing.Load()
+	f.core.Open(setup, newCaller)
 	return nil
 }
 
@@ -458,11 +461,11 @@
 	if !known || key == "" || !routing.ValidKey(key) || len(m.Text) > routing.MaxBody {
 		return routing.Setup{}, ErrMalformed
 	}
-	s := routing.Setup{ID: m.ID, Class: class, Tenant: -1, Key: key, FirstChoice: -1,
+	setup := routing.Setup{ID: m.ID, Class: class, Tenant: -1, Key: key, FirstChoice: -1,
 		Left: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
 	for part := range strings.SplitSeq(m.Attrs["extras"], ";") {
 		name, value, _ := strings.Cut(part, ":")
-		minimum := -1 // -1: not set
+		minimum := -1 // -1 in dest and via: none
 		switch name {
 		case "dest", "via":
 		case "width":
@@ -478,12 +481,12 @@
 		}
 		switch name {
 		case "dest":
-			s.FirstChoice = int(n)
+			setup.FirstChoice = int(n)
 		case "again":
-			s.WasCut = n != 0
+			setup.WasCut = n != 0
 		}
 	}
-	return s, nil
+	return setup, nil
 }
 
 // Orphan sends the release of a call that was established before this process started.
@@ -501,44 +504,44 @@
 }
 
 // Gone implements routing.Caller. It reports whether the caller cancelled the call or left.
-func (k *caller) Gone() bool { return k.cancelled.Load() || k.conn.Left() }
+func (c *caller) Gone() bool { return c.cancelled.Load() || c.conn.Left() }
 
 // Answer implements routing.Caller: it sends the server's answer and reports whether it is queued.
-func (k *caller) Answer(body []byte) bool {
-	k.front.addCall(k)
-	defer k.conn.removeSetup(k) // after the answer is queued, since a connection without open set-ups may be closed
-	m := Message{Type: "ready", ID: k.id, Text: string(body)}
-	err := k.conn.Send(transport.Packet{Data: m.Append(nil), Done: func(err error) {
+func (c *caller) Answer(body []byte) bool {
+	c.front.addCall(c)
+	defer c.conn.removeSetup(c) // after the answer is queued, since a connection without open set-ups may be closed
+	m := Message{Type: "ready", ID: c.id, Text: string(body)}
+	err := c.conn.Send(transport.Packet{Data: m.Append(nil), Done: func(err error) {
 		if err != nil { // the caller has not received the answer and would never end the call
-			k.front.removeCall(k.id)
-			k.front.core.Hangup(k.id, causeNormal, nil, func(bool) {})
+			c.front.removeCall(c.id)
+			c.front.core.Hangup(c.id, causeNormal, nil, func(bool) {})
 		}
 	}})
 	if err != nil {
-		k.front.removeCall(k.id)
+		c.front.removeCall(c.id)
 	}
 	return err == nil
 }
 
 // Refuse implements routing.Caller: it refuses the call, with the wait until a retry if that is a millisecond or more.
-func (k *caller) Refuse(wait time.Duration) {
-	defer k.conn.removeSetup(k)
-	m := Message{Type: "close", ID: k.id, Code: routing.CauseCongest}
+func (c *caller) Refuse(wait time.Duration) {
+	defer c.conn.removeSetup(c)
+	m := Message{Type: "close", ID: c.id, Code: routing.CauseCongest}
 	if ms := wait.Milliseconds(); ms > 0 {
 		m.Attrs = map[string]string{"wait": strconv.FormatInt(ms, 10)}
 	}
-	k.conn.send(m)
+	c.conn.send(m)
 }
 
 // Fail implements routing.Caller: it reports that the call failed.
-func (k *caller) Fail() {
-	defer k.conn.removeSetup(k)
-	k.conn.send(Message{Type: "close", ID: k.id, Code: routing.CauseFailed})
+func (c *caller) Fail() {
+	defer c.conn.removeSetup(c)
+	c.conn.send(Message{Type: "close", ID: c.id, Code: routing.CauseFailed})
 }
 
 // Release implements routing.Caller: it reports the end of an established call.
-func (k *caller) Release(cause int) {
-	k.front.removeCall(k.id)
-	m := Message{Type: "close", ID: k.id, Code: cause}
-	k.front.deliver(k.conn, pendingRelease{m.Append(nil), time.Now().Add(releaseTimeout)})
+func (c *caller) Release(cause int) {
+	c.front.removeCall(c.id)
+	m := Message{Type: "close", ID: c.id, Code: cause}
+	c.front.deliver(c.conn, pendingRelease{m.Append(nil), time.Now().Add(releaseTimeout)})
 }
--- a/internal/protocol/jsonl/model_test.go
+++ b/internal/protocol/jsonl/model_test.go
@@ -55,13 +55,13 @@
 func (l *countingCore) Withdraw(id string, k routing.Caller, done func(bool)) {
 	l.mu.Lock()
 	e := l.calls[id]
-	in := e != nil && e.caller == k && e.answered+e.withdrawn+e.cancelled == 0
-	if in {
+	inTime := e != nil && e.caller == k && e.answered+e.withdrawn+e.cancelled == 0
+	if inTime {
 		e.withdrawn++
 	}
 	l.mu.Unlock()
 	if done != nil {
-		done(in)
+		done(inTime)
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // finish sends the final answer of an open set-up, as the core's actor would: 0 is an answer, 1 a refusal, else a failure.
-func (l *countingCore) finish(id string, how int) {
+func (l *countingCore) finish(id string, answer int) {
 	l.mu.Lock()
 	e := l.calls[id]
 	if e == nil || e.answered+e.withdrawn+e.cancelled > 0 {
@@ -88,9 +88,9 @@
 		return
 	}
 	e.answered++
-	e.established = how == 0
+	e.established = answer == 0
 	l.mu.Unlock()
-	switch how {
+	switch answer {
 	case 0:
 		if !e.caller.Answer([]byte(strings.Repeat("x", 4000))) {
 			l.mu.Lock()
@@ -162,12 +162,12 @@
 			case step == "release":
 				core.mu.Lock()
 				e := core.calls[anyCall()]
-				stands := e != nil && e.established
-				if stands {
+				isEstablished := e != nil && e.established
+				if isEstablished {
 					e.established = false
 				}
 				core.mu.Unlock()
-				if stands {
+				if isEstablished {
 					e.caller.Release(16)
 				}
 			case step == "part":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -81,7 +81,7 @@
 }
 
 // Fault returns an *Error about one field of the message.
-func (m *Message) Fault(name, what string) error { return &Error{m.Line, name, what} }
+func (m *Message) Fault(name, reason string) error { return &Error{m.Line, name, reason} }
 
 // Text returns the value of a required field, which must not be empty.
 func (m *Message) Text(name string) (string, error) {
@@ -95,12 +95,12 @@
 	return v, nil
 }
 
-// TextOr returns the value of an optional field, or otherwise if it is absent.
-func (m *Message) TextOr(name, otherwise string) string {
+// TextOr returns the value of an optional field, or fallback if it is absent.
+func (m *Message) TextOr(name, fallback string) string {
 	if v, ok := m.lookup(name); ok {
 		return v
 	}
-	return otherwise
+	return fallback
 }
 
 // Int returns the integer in a required field.
@@ -116,10 +116,10 @@
 	return n, nil
 }
 
-// IntOr returns the integer in an optional field, or otherwise if it is absent.
-func (m *Message) IntOr(name string, otherwise int64) (int64, error) {
+// IntOr returns the integer in an optional field, or fallback if it is absent.
+func (m *Message) IntOr(name string, fallback int64) (int64, error) {
 	if !m.Has(name) {
-		return otherwise, nil
+		return fallback, nil
 	}
 	return m.Int(name)
 }
@@ -146,12 +146,12 @@
 	return uint32(n), err
 }
 
-// BoolOr returns the bool, 1 or 0, in an optional field, or otherwise if it is absent.
-func (m *Message) BoolOr(name string, otherwise bool) (bool, error) {
+// BoolOr returns the bool, 1 or 0, in an optional field, or fallback if it is absent.
+func (m *Message) BoolOr(name string, fallback bool) (bool, error) {
 	v, ok := m.lookup(name)
 	switch {
 	case !ok:
-		return otherwise, nil
+		return fallback, nil
 	case v == "1":
 		return true, nil
 	case v == "0":
@@ -213,19 +213,19 @@
 	}
 }
 
-// breaks replaces line breaks by spaces.
-var breaks = strings.NewReplacer("\n", " ", "\r", " ")
+// lineBreaks replaces line breaks by spaces.
+var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
 
 // Line builds one line of output.
-type Line struct{ b []byte }
+type Line struct{ buf []byte }
 
 // NewLine returns a line with a message name and no fields.
 func NewLine(name string) *Line { return &Line{[]byte(name)} }
 
 // Text appends a field. A field whose value may hold spaces must be the last. Line breaks are replaced by spaces.
 func (l *Line) Text(name, value string) *Line {
-	value = breaks.Replace(value)
-	l.b = append(append(append(append(l.b, ' '), name...), '='), value...)
+	value = lineBreaks.Replace(value)
+	l.buf = append(append(append(append(l.buf, ' '), name...), '='), value...)
 	return l
 }
 
@@ -235,4 +235,4 @@
 }
 
 // End returns the line with its line break.
-func (l *Line) End() []byte { return append(l.b, '\n') }
+func (l *Line) End() []byte { return append(l.buf, '\n') }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFaultsNameLineAndField(t *testing.T) {
+func TestErrorsNameLineAndField(t *testing.T) {
 	for _, row := range []struct {
 		name, line, want string
 		read             func(*Message) error
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReaderTakesLongLinesAndLastLineWithoutBreak(t *testing.T) {
+func TestReaderReadsLongLinesAndUnterminatedLastLine(t *testing.T) {
 	r := NewReader(strings.NewReader("a settings=" + strings.Repeat("x", 1<<20) + "\n\nb i=1"))
 	m, err := r.Next()
 	if err != nil || len(m.TextOr("settings", "")) != 1<<20 {
