--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -47,11 +47,11 @@
 type Fleet struct {
 	Name, Zone, Region, Bind, Advertise string
 	Group                               string  // gossip group; "": the default group
-	RegisterBytes                       float64 // maximum rate of registers sent, in bytes per second; 0: no bound
+	RegisterBytesPerS                   float64 // maximum rate of registers sent, in bytes per second; 0: no bound
 	Seeds                               []string
 	Keys                                [][]byte // encryption keys of the gossip; nil: no encryption
 	Via                                 map[string]string
-	MaxOut                              float64       // maximum fraction of the servers that verdicts may keep out at once; 0: no verdicts
+	MaxKeptOut                          float64       // maximum fraction of the servers that verdicts may keep out at once; 0: no verdicts
 	ReapAfter                           time.Duration // 0: the default of package fleet
 }
 
@@ -233,14 +233,14 @@
 	f := d.source
 	members := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group", "register_bytes_per_s")
 	if members[9] != nil {
-		d.readLimits(members[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
+		d.readLimits(members[9], site, Features{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
 		if len(v.Keys()) == 1 { // only limits: the gatekeeper does not take part in the gossip
 			return
 		}
 	}
 	section := &Fleet{Name: f.String(members[0]), Zone: f.String(members[1]), Region: f.String(members[2]), Bind: f.String(members[3]), Advertise: f.String(members[4]),
 		Via: readVia(f, members[7]), Group: f.String(members[11]),
-		RegisterBytes: f.Number(members[12], fleet.MinRegisterBytes, maxRegisterBytes)}
+		RegisterBytesPerS: f.Number(members[12], fleet.MinRegisterBytes, maxRegisterBytes)}
 	if v.Kind != jsonfile.Object {
 		return
 	}
@@ -283,8 +283,8 @@
 	}
 	if members[10] != nil {
 		v := f.Members(members[10], "max_out")
-		if section.MaxOut = f.Number(v[0], 0.01, maxKeptOut); v[0] == nil {
-			section.MaxOut = defaultKeptOut
+		if section.MaxKeptOut = f.Number(v[0], 0.01, maxKeptOut); v[0] == nil {
+			section.MaxKeptOut = defaultKeptOut
 		}
 	}
 	d.Fleet = section
@@ -460,8 +460,8 @@
 	d.Calls = policy
 }
 
-// Where returns the position of a path as FILE:LINE, or "" if the file does not contain it.
-func (d *Deploy) Where(path string) string {
+// Position returns the position of a path as FILE:LINE, or "" if the file does not contain it.
+func (d *Deploy) Position(path string) string {
 	if d.source == nil {
 		return ""
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -30,14 +30,14 @@
 // defaultFloor is the default fraction of a leased limit that all gatekeepers together may use without a lease.
 const defaultFloor = 0.02
 
-// Around lists the features of a gatekeeper that limits of the whole fleet may require.
-type Around struct {
+// Features lists the features of a gatekeeper that limits of the whole fleet may require.
+type Features struct {
 	Gossip bool // the gatekeeper takes part in the fleet's gossip
 	Store  bool // the gatekeeper is a member of a store that the fleet shares
 }
 
 // readLimits reads the section fleet.limits. If site is nil, the names of classes and tenants are not checked.
-func (d *Deploy) readLimits(v *jsonfile.Value, site *control.Site, features Around) {
+func (d *Deploy) readLimits(v *jsonfile.Value, site *control.Site, features Features) {
 	f, limits := d.source, &Limits{}
 	members := f.Members(v, "parts", "store", "rules")
 	if v.Kind != jsonfile.Object {
@@ -90,7 +90,7 @@
 }
 
 // readLimitRule reads one rule of the section. l holds the parts and the store, which are read before the rules.
-func (d *Deploy) readLimitRule(v *jsonfile.Value, limits *Limits, site *control.Site, features Around) quota.Rule {
+func (d *Deploy) readLimitRule(v *jsonfile.Value, limits *Limits, site *control.Site, features Features) quota.Rule {
 	f := d.source
 	members := f.Members(v, "name", "match", "mode", "per_s", "burst", "open", "reserve", "floor")
 	rule := quota.Rule{Name: f.String(members[0]), Tenant: -1, Class: -1, Prefix: true, PerS: f.Number(members[3], 0.001, maxPerSecond),
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -8,19 +8,19 @@
 	"beammux/internal/jsonfile"
 )
 
-// Machine is the configuration file of a control machine, a member of the store that serves no callers.
-type Machine struct {
+// ControlMachine is the configuration file of a control machine, a member of the store that serves no callers.
+type ControlMachine struct {
 	Name, Zone, Region string
-	Admin              string // address of the operators' HTTP server, HOST:PORT; empty: off
+	AdminAddr          string // address of the operators' HTTP server, HOST:PORT; empty: off
 	Store              Store
 	Admission          Admission
 	// Site holds the settings that a change is checked against. They come from the gatekeeper configuration that the file
 	// names. If the file names none, Site is nil, and only the syntax of changes is checked.
-	Site       *control.Site
-	Gatekeeper string // path of that configuration; "": none
-	// Election is the election timeout: the time without a heartbeat of the leader after which a voter starts an election;
+	Site             *control.Site
+	GatekeeperConfig string // path of that configuration; "": none
+	// ElectionTimeout is the election timeout: the time without a heartbeat of the leader after which a voter starts an election;
 	// 0: the store's default. It must be several times the round trip between the regions and equal at all control machines.
-	Election time.Duration
+	ElectionTimeout time.Duration
 }
 
 // Admission limits the client sessions and snapshots that a control machine serves. A value of 0 selects the store's
@@ -45,28 +45,28 @@
 	maxElectionMs = 60000
 )
 
-// LoadMachine reads the file of a control machine. The error lists every fault, one per line, as FILE:LINE:COL: key:
+// LoadControlMachine reads the file of a control machine. The error lists every fault, one per line, as FILE:LINE:COL: key:
 // reason.
-func LoadMachine(file string) (*Machine, error) {
+func LoadControlMachine(file string) (*ControlMachine, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &Error{file, "", "can't be read: " + err.Error()}
 	}
-	return ParseMachine(file, text)
+	return ParseControlMachine(file, text)
 }
 
-// ParseMachine is like LoadMachine for the contents of a file. name is the file name in faults.
-func ParseMachine(name string, text []byte) (*Machine, error) {
+// ParseControlMachine is like LoadMachine for the contents of a file. name is the file name in faults.
+func ParseControlMachine(name string, text []byte) (*ControlMachine, error) {
 	f, err := jsonfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{}
+	m := &ControlMachine{}
 	top := f.Members(f.Root, "$schema", "name", "zone", "region", "admin_addr", "store", "admission", "gatekeeper", "election_ms")
 	f.String(top[0])
 	m.Name, m.Zone, m.Region = readScopeName(f, top[1]), readScopeName(f, top[2]), readScopeName(f, top[3])
-	if m.Admin = f.String(top[4]); m.Admin != "" {
-		if err := CheckAdmin(m.Admin); err != nil {
+	if m.AdminAddr = f.String(top[4]); m.AdminAddr != "" {
+		if err := CheckAdminAddr(m.AdminAddr); err != nil {
 			f.AddFault(top[4].Path, err.Error())
 		}
 	}
@@ -75,9 +75,9 @@
 	if f.Root.Kind == jsonfile.Object && top[1] == nil {
 		f.AddFault("", "name is missing")
 	}
-	m.Election = time.Duration(f.Int(top[8], minElectionMs, maxElectionMs)) * time.Millisecond
-	if m.Gatekeeper = f.String(top[7]); m.Gatekeeper != "" {
-		if c, err := Load(m.Gatekeeper); err != nil {
+	m.ElectionTimeout = time.Duration(f.Int(top[8], minElectionMs, maxElectionMs)) * time.Millisecond
+	if m.GatekeeperConfig = f.String(top[7]); m.GatekeeperConfig != "" {
+		if c, err := Load(m.GatekeeperConfig); err != nil {
 			f.AddFault(top[7].Path, err.Error())
 		} else {
 			m.Site = c.Site
@@ -90,7 +90,7 @@
 }
 
 // readStore reads the section store, which a control machine requires.
-func (m *Machine) readStore(f *jsonfile.File, v *jsonfile.Value) {
+func (m *ControlMachine) readStore(f *jsonfile.File, v *jsonfile.Value) {
 	if v == nil {
 		if f.Root.Kind == jsonfile.Object {
 			f.AddFault("", "store is missing")
@@ -113,7 +113,7 @@
 }
 
 // readAdmission reads the section admission.
-func (m *Machine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
+func (m *ControlMachine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
 	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst", "sessions")
 	m.Admission = Admission{
 		SessionsPerS: f.Number(a[0], minAdmission, maxAdmission), SessionsBurst: int(f.Int(a[1], 1, maxAdmission)),
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -41,7 +41,7 @@
 	s, err := jsonschema.NewCompiler().Compile("../../deploy/control-machine.schema.json")
 	require.NoError(t, err)
 	for _, row := range invalidMachines {
-		_, err := ParseMachine("m.json", []byte(row.text))
+		_, err := ParseControlMachine("m.json", []byte(row.text))
 		if err == nil {
 			t.Errorf("accepted: %s", row.text)
 			continue
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	require.True(t, validates(t, s, string(text)))
 	t.Chdir("../..") // the path of the gatekeeper's configuration in the file is relative to this directory
-	m, err := LoadMachine("deploy/example/control.json")
+	m, err := LoadControlMachine("deploy/example/control.json")
 	require.NoError(t, err)
 	require.Equal(t, "control-1", m.Name)
 	require.Equal(t, "control-1", m.Store.Node)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -28,7 +28,7 @@
 	case scope.SectionCalls:
 		_, err = ParseCalls(key, value, site)
 	case scope.SectionLimits:
-		_, err = ParseLimits(key, value, site, Around{Gossip: true, Store: true})
+		_, err = ParseLimits(key, value, site, Features{Gossip: true, Store: true})
 	case scope.SectionInventory:
 		_, err = ParseInventory(key, value)
 	}
@@ -48,7 +48,7 @@
 	case scope.NoSection:
 		hint = jsonfile.Hint(parts[len(parts)-1], scope.Sections())
 	}
-	return jsonfile.Faults{{File: key, What: "is no key of settings" + hint + ": " + e.Advice()}}
+	return jsonfile.Faults{{File: key, Reason: "is no key of settings" + hint + ": " + e.Advice()}}
 }
 
 // scopeKindNames returns the names of all kinds of scope.
@@ -80,7 +80,7 @@
 
 // ParseLimits reads a settings record of the section limits: JSON in the form of the deploy file's key fleet.limits. If site
 // is nil, the names of classes and tenants are not checked. name is the file name in faults.
-func ParseLimits(name string, text []byte, site *control.Site, features Around) (*Limits, error) {
+func ParseLimits(name string, text []byte, site *control.Site, features Features) (*Limits, error) {
 	f, err := jsonfile.ParseUnder(name, text, "fleet.limits")
 	if err != nil {
 		return nil, err
@@ -98,8 +98,8 @@
 // inventoryFormats are the file extensions that the first line of an inventory record may hold.
 var inventoryFormats = []string{".csv", ".yaml", ".yml"}
 
-// IsInventoryForm reports whether a file extension is one of an inventory format.
-func IsInventoryForm(extension string) bool {
+// IsInventoryFormat reports whether a file extension is one of an inventory format.
+func IsInventoryFormat(extension string) bool {
 	return slices.ContainsFunc(inventoryFormats, func(known string) bool { return strings.EqualFold(known, extension) })
 }
 
@@ -108,18 +108,18 @@
 func ParseInventory(name string, value []byte) ([]routing.Host, error) {
 	extension, text, _ := bytes.Cut(value, []byte("\n"))
 	format := strings.TrimSpace(string(extension))
-	if !IsInventoryForm(format) {
+	if !IsInventoryFormat(format) {
 		reason := fmt.Sprintf("the first line is %.40q, must be %s: the format of the lines after it", format, strings.Join(inventoryFormats, ", "))
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: reason}}
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, Reason: reason}}
 	}
 	hosts, err := inventory.Parse(name+format, text)
 	var fault *inventory.Error
 	if errors.As(err, &fault) {
-		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, What: fault.Reason}}
+		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, Reason: fault.Reason}}
 	}
 	if err == nil && len(hosts) == 0 {
 		reason := "lists no servers; delete the record to use the gatekeepers' own files"
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: reason}}
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, Reason: reason}}
 	}
 	return hosts, err
 }
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -20,11 +20,11 @@
 
 // Fault is one fault of a file. Its text is one line, FILE:LINE:COL: path: reason.
 type Fault struct {
-	File string `json:"file"`
-	Line int    `json:"line"` // from 1; 0 if the fault has no position
-	Col  int    `json:"col"`  // from 1, in bytes
-	Path string `json:"path"`
-	What string `json:"what"`
+	File   string `json:"file"`
+	Line   int    `json:"line"` // from 1; 0 if the fault has no position
+	Col    int    `json:"col"`  // from 1, in bytes
+	Path   string `json:"path"`
+	Reason string `json:"what"`
 }
 
 func (f Fault) Error() string {
@@ -35,7 +35,7 @@
 	if f.Path != "" {
 		s += ": " + f.Path
 	}
-	return s + ": " + f.What
+	return s + ": " + f.Reason
 }
 
 // Faults are all faults of a file, in the order of its text.
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -34,12 +34,12 @@
 
 // Reader reads the bus, reconnects when a connection ends, and applies each change once, in order.
 type Reader struct {
-	Addr   string // address of the bus; empty: none yet. Move changes it while Run runs
-	Dial   func(ctx context.Context, addr string) (net.Conn, error)
-	Apply  func(routing.Update)
-	Log    logrus.FieldLogger
-	Last   int64 // offset of the last event that was accepted
-	parser fastjson.Parser
+	Addr       string // address of the bus; empty: none yet. Move changes it while Run runs
+	Dial       func(ctx context.Context, addr string) (net.Conn, error)
+	Apply      func(routing.Update)
+	Log        logrus.FieldLogger
+	LastOffset int64 // offset of the last event that was accepted
+	parser     fastjson.Parser
 
 	mu     sync.Mutex         // guards Addr and cancel
 	cancel context.CancelFunc // ends the current connection or wait
@@ -48,8 +48,8 @@
 // errInvalidEvent is returned for an invalid event. The list is unchanged, and the reader connects again.
 var errInvalidEvent = errors.New("invalid event in the stream")
 
-// Move makes the reader connect to another address at once. The offsets continue, so no event is lost or applied twice.
-func (r *Reader) Move(addr string) {
+// SetAddr makes the reader connect to another address at once. The offsets continue, so no event is lost or applied twice.
+func (r *Reader) SetAddr(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if addr == r.Addr {
@@ -90,18 +90,18 @@
 		<-ctx.Done()
 		return true
 	}
-	before, began := r.Last, time.Now()
+	before, began := r.LastOffset, time.Now()
 	err := r.connect(ctx, addr)
 	if ctx.Err() != nil { // the address has changed, or the program ends
 		return true
 	}
-	r.Log.WithError(err).WithFields(logrus.Fields{"bus": addr, "last": r.Last}).
+	r.Log.WithError(err).WithFields(logrus.Fields{"bus": addr, "last": r.LastOffset}).
 		Warn("event bus: connection ended; keeping the last valid list")
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	return r.Last > before || time.Since(began) > silenceTimeout && !errors.Is(err, errInvalidEvent)
+	return r.LastOffset > before || time.Since(began) > silenceTimeout && !errors.Is(err, errInvalidEvent)
 }
 
 // connect opens a connection that resumes after the last event and reads it until it ends.
@@ -114,7 +114,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	conn.SetDeadline(time.Now().Add(silenceTimeout))
 	_, err = fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
-		path, addr, r.Last)
+		path, addr, r.LastOffset)
 	if err != nil {
 		return err
 	}
@@ -185,16 +185,16 @@
 	}
 	switch {
 	case err != nil:
-	case e.Offset <= r.Last:
+	case e.Offset <= r.LastOffset:
 		return nil
-	case e.Offset > r.Last+1 && (e.Update == nil || !e.Update.Whole):
-		err = fmt.Errorf("gap: event %d follows event %d", e.Offset, r.Last)
+	case e.Offset > r.LastOffset+1 && (e.Update == nil || !e.Update.Whole):
+		err = fmt.Errorf("gap: event %d follows event %d", e.Offset, r.LastOffset)
 	}
 	if err != nil {
-		r.Log.WithError(err).WithField("last", r.Last).Error("event bus: invalid event; keeping the last valid list")
+		r.Log.WithError(err).WithField("last", r.LastOffset).Error("event bus: invalid event; keeping the last valid list")
 		return errInvalidEvent
 	}
-	r.Last = e.Offset
+	r.LastOffset = e.Offset
 	if e.Update != nil {
 		r.Apply(*e.Update)
 	}
