--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 	MemoryMB     int
 	Sockets      int
 	Bus          string
-	LastOffset   int64       // offset of the last event in Known
+	LastOffset   int64       // offset of the last event in KnownEvents
 	KnownEvents  []bus.Event // bus events up to the start
 	Site         *control.Site
 	Text         []byte // contents of the file
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -18,8 +18,8 @@
 	// names. If the file names none, Site is nil, and only the syntax of changes is checked.
 	Site             *control.Site
 	GatekeeperConfig string // path of that configuration; "": none
-	// ElectionTimeout is the election timeout: the time without a heartbeat of the leader after which a voter starts an election;
-	// 0: the store's default. It must be several times the round trip between the regions and equal at all control machines.
+	// ElectionTimeout is the time without a heartbeat of the leader after which a voter starts an election; 0: the store's
+	// default. It must be several times the round trip between the regions and equal at all control machines.
 	ElectionTimeout time.Duration
 }
 
@@ -45,8 +45,8 @@
 	maxElectionMs = 60000
 )
 
-// LoadControlMachine reads the file of a control machine. The error lists every fault, one per line, as FILE:LINE:COL: key:
-// reason.
+// LoadControlMachine reads the file of a control machine. The error lists every fault, one per line, as
+// FILE:LINE:COL: key: reason.
 func LoadControlMachine(file string) (*ControlMachine, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return ParseControlMachine(file, text)
 }
 
-// ParseControlMachine is like LoadMachine for the contents of a file. name is the file name in faults.
+// ParseControlMachine is like LoadControlMachine for the contents of a file. name is the file name in faults.
 func ParseControlMachine(name string, text []byte) (*ControlMachine, error) {
 	f, err := jsonfile.Parse(name, text)
 	if err != nil {
--- a/internal/protocol/bus/bus_test.go
+++ b/internal/protocol/bus/bus_test.go
@@ -173,9 +173,9 @@
 	})
 }
 
-// Guards against a gatekeeper that stays connected to a bus which sends no more events: Move closes the open connection at
-// once, and the reader requests the events after the last one from the new address.
-func TestMoveReconnectsAtOnce(t *testing.T) {
+// Guards against a gatekeeper that stays connected to a bus which sends no more events: SetAddr closes the open connection
+// at once, and the reader requests the events after the last one from the new address.
+func TestSetAddrReconnectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -34,7 +34,7 @@
 
 // Reader reads the bus, reconnects when a connection ends, and applies each change once, in order.
 type Reader struct {
-	Addr       string // address of the bus; empty: none yet. Move changes it while Run runs
+	Addr       string // address of the bus; empty: none yet. SetAddr changes it while Run runs
 	Dial       func(ctx context.Context, addr string) (net.Conn, error)
 	Apply      func(routing.Update)
 	Log        logrus.FieldLogger
@@ -61,7 +61,7 @@
 	}
 }
 
-// nextConnection returns the address of the next connection and a context for it, which Move cancels.
+// nextConnection returns the address of the next connection and a context for it, which SetAddr cancels.
 func (r *Reader) nextConnection(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
