--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -108,7 +108,7 @@
 		f.AddFault("store.listen", "missing: gatekeepers connect to a control machine at this address")
 	}
 	if len(m.Store.Peers) == 0 && !m.Store.Join {
-		f.AddFault("store.peers", "missing: list all control machines, including this one")
+		f.AddFault("store.peers", "missing: all control machines, this one included")
 	}
 }
 
