--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -212,7 +212,7 @@
 		switch {
 		case c.Reaped:
 			log.Info("fleet: member removed from the view")
-		case c.Fresh:
+		case c.Joined:
 			log.Info("fleet: member met")
 		case c.Health == fleetview.Dead:
 			log.Warn("fleet: member given up")
@@ -240,7 +240,7 @@
 	f.mu.Lock()
 	servers := f.view.Self().Servers
 	f.mu.Unlock()
-	f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: s, Servers: servers}})
+	f.apply(fleetview.Event{Kind: fleetview.EventLocalState, Name: f.options.Name, Member: fleetview.Member{State: s, Servers: servers}})
 }
 
 // rejoin tries to join one unreachable member or seed every rejoinInterval until Close. If there is none and the view changed
@@ -250,7 +250,7 @@
 	rng := rand.New(rand.NewPCG(uint64(f.startMicros), uint64(f.net.port)))
 	for first := true; ; first = false {
 		f.mu.Lock()
-		unreachable := f.view.Lost()
+		unreachable := f.view.DeadAddresses()
 		members := f.view.Members()
 		unsettled := time.Since(f.viewChangedAt) < unsettledTime
 		f.mu.Unlock()
@@ -294,7 +294,7 @@
 			return
 		case <-tick.C:
 		}
-		f.apply(fleetview.Event{Kind: fleetview.Tick})
+		f.apply(fleetview.Event{Kind: fleetview.EventTick})
 		if f.options.Summaries == nil {
 			continue
 		}
@@ -307,7 +307,7 @@
 			continue
 		}
 		f.publishedAt = time.Now()
-		f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: observed}})
+		f.apply(fleetview.Event{Kind: fleetview.EventLocalState, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: observed}})
 		f.mu.Lock()
 		self = f.view.Self()
 		f.mu.Unlock()
@@ -325,7 +325,7 @@
 // UpNames returns the sorted names of the members that are up in the local view, including this one.
 func (f *Fleet) UpNames() (names []string) {
 	f.mu.Lock()
-	f.view.EachUp(func(m *fleetview.Member) { names = append(names, m.Name) })
+	f.view.ForEachUp(func(m *fleetview.Member) { names = append(names, m.Name) })
 	f.mu.Unlock()
 	slices.Sort(names)
 	return names
@@ -449,7 +449,7 @@
 		}
 		return
 	}
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Published, Name: s.Name,
+	d.fleet().apply(fleetview.Event{Kind: fleetview.EventSummaries, Name: s.Name,
 		Member: fleetview.Member{Start: s.Start, ServersSeq: s.Seq, Servers: s.Servers}})
 }
 
@@ -507,7 +507,7 @@
 		d.log.WithField("member", n.Name).Warn("fleet: member ignored, its metadata can't be decoded; is it a gatekeeper of this version?")
 		return
 	}
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Met, Name: n.Name, Member: fleetview.Member{Zone: m.Zone, Region: m.Region,
+	d.fleet().apply(fleetview.Event{Kind: fleetview.EventAlive, Name: n.Name, Member: fleetview.Member{Zone: m.Zone, Region: m.Region,
 		Program: m.Program, Start: m.Start, Seq: m.Seq, State: m.State, Address: n.Address()}})
 }
 
@@ -520,10 +520,10 @@
 // NotifyLeave implements memberlist.EventDelegate. memberlist calls it for members that died and for members that left; a
 // member that leaves publishes the state Leaving first.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	kind := fleetview.Died
+	kind := fleetview.EventDead
 	var m meta
 	if decodeMode.Unmarshal(n.Meta, &m) == nil && m.State == fleetview.Leaving {
-		kind = fleetview.Went
+		kind = fleetview.EventLeft
 	}
 	d.fleet().apply(fleetview.Event{Kind: kind, Name: n.Name})
 }
@@ -539,7 +539,7 @@
 
 // NotifyPingComplete implements memberlist.PingDelegate.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Answered, Name: n.Name})
+	d.fleet().apply(fleetview.Event{Kind: fleetview.EventProbeAnswered, Name: n.Name})
 }
 
 // suspectLine matches the log line that memberlist writes when a probe was not answered. memberlist (v0.7.0, state.go,
@@ -556,7 +556,7 @@
 func (l memberlistLog) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	if m := suspectLine.FindStringSubmatch(text); m != nil {
-		l.f.apply(fleetview.Event{Kind: fleetview.Suspected, Name: m[1]})
+		l.f.apply(fleetview.Event{Kind: fleetview.EventSuspected, Name: m[1]})
 	}
 	switch level, message, _ := strings.Cut(text, " "); level {
 	case "[ERR]", "[WARN]":
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -33,8 +33,8 @@
 
 // realTiming suits control machines that send a heartbeat every 50 ms. The timeouts tolerate a heavily loaded machine.
 var realTiming = session.Timing{
-	StartWithin: 50e3, ConnectWithin: 3e6, HeartbeatWithin: 2e6, BackoffBase: 50e3, BackoffCap: 500e3, StableAfter: 500e3, ReturnEvery: 1e6,
-	LeaderlessAfter: 3e6, LeaderlessHold: 1e6, BehindWait: 50e3, ComeBackWait: 5e6, FaultHold: 1e6,
+	MaxStartDelay: 50e3, ConnectTimeout: 3e6, HeartbeatTimeout: 2e6, BackoffBase: 50e3, BackoffCap: 500e3, StableAfter: 500e3, ReturnInterval: 1e6,
+	LeaderlessAfter: 3e6, LeaderlessHold: 1e6, BehindHold: 50e3, MaxRetryAfter: 5e6, FaultHold: 1e6,
 }
 
 // startControlGroup starts the given numbers of voters and non-voters, in this order. Machine i is named ci and is in zone zi; all
@@ -343,7 +343,7 @@
 func TestSlowFollowerDisconnected(t *testing.T) {
 	c := startControlGroup(t, 3, 0, store.ServeOptions{HistorySize: 4})
 	a := &checkedCandidates{t: t}
-	f := c.follow(a, Options{Timing: session.Timing{BackoffBase: 50e3, HeartbeatWithin: 60e6, ConnectWithin: 60e6, ReturnEvery: 3600e6}})
+	f := c.follow(a, Options{Timing: session.Timing{BackoffBase: 50e3, HeartbeatTimeout: 60e6, ConnectTimeout: 60e6, ReturnInterval: 3600e6}})
 	waitForValue(t, f, a, "1", c.writeAll(0, "1"))
 	hold := make(chan struct{})
 	a.mu.Lock()
--- a/internal/follow/disk.go
+++ b/internal/follow/disk.go
@@ -272,6 +272,6 @@
 
 // saveSeen saves the highest revision seen.
 func (f *Follower) saveSeen() {
-	f.disk.write(seenFile, savedSeen{f.lastLeaderContact(), f.settings.recordsRevision, f.machine.Seen()}, false)
+	f.disk.write(seenFile, savedSeen{f.lastLeaderContact(), f.settings.recordsRevision, f.machine.HighestRevision()}, false)
 	f.disk.seenWriteTime = time.Now()
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -187,7 +187,7 @@
 	return all
 }
 
-var quickTiming = session.Timing{StartWithin: 1e3, BackoffBase: 1e3, BackoffCap: 10e3, BehindWait: 1e3, ConnectWithin: 20e6, HeartbeatWithin: 20e6, ReturnEvery: 3600e6}
+var quickTiming = session.Timing{MaxStartDelay: 1e3, BackoffBase: 1e3, BackoffCap: 10e3, BehindHold: 1e3, ConnectTimeout: 20e6, HeartbeatTimeout: 20e6, ReturnInterval: 3600e6}
 
 // startFollower opens a follower with fake sessions and closes it when the test ends.
 func startFollower(t *testing.T, s *fakeStore, a *appliedCandidates, o Options) *Follower {
@@ -283,7 +283,7 @@
 func TestSlowApply(t *testing.T) {
 	s := newFakeStore(t)
 	timing := quickTiming
-	timing.HeartbeatWithin = 300e3
+	timing.HeartbeatTimeout = 300e3
 	f, err := open(Options{Self: self, Replicas: replicas(3), Log: discardLogger(), Seed: 1, Timing: timing, Apply: func(Candidate) error {
 		time.Sleep(time.Second)
 		return nil
@@ -355,7 +355,7 @@
 		timing := quickTiming
 		timing.FaultHold, timing.BackoffBase = 3600e6, 50e3
 		if end.left {
-			timing.BehindWait = 3600e6
+			timing.BehindHold = 3600e6
 		}
 		f := startFollower(t, s, a, Options{Timing: timing})
 		c := s.next()
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -41,7 +41,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if wakeTime, ok := f.machine.Wake(); ok {
+		if wakeTime, ok := f.machine.NextTick(); ok {
 			timer.Reset(time.Duration(wakeTime-f.now()) * time.Microsecond)
 		}
 		select {
@@ -86,9 +86,9 @@
 func (f *Follower) handleMessage(ctx context.Context, message sessionMessage) {
 	if message.event != nil {
 		e := session.Event{
-			Kind: eventKind(message.event.Kind), Revision: message.event.Revision, Leaderless: micros(message.event.Age), Every: micros(message.event.Every),
+			Kind: eventKind(message.event.Kind), Revision: message.event.Revision, LeaderlessFor: micros(message.event.Age), HeartbeatInterval: micros(message.event.Every),
 		}
-		f.execute(ctx, f.machine.Heard(f.now(), message.session, e), message.event)
+		f.execute(ctx, f.machine.HandleEvent(f.now(), message.session, e), message.event)
 		f.recordContact(message)
 		return
 	}
@@ -99,7 +99,7 @@
 	w.cancel()
 	delete(f.open, message.session)
 	f.setFault(w, message.end)
-	f.execute(ctx, f.machine.Ended(f.now(), message.session, sessionEnd(message.end)), nil)
+	f.execute(ctx, f.machine.HandleEnd(f.now(), message.session, sessionEnd(message.end)), nil)
 }
 
 // eventKind converts the kind of a watch event.
@@ -116,7 +116,7 @@
 // execute executes the actions of the session machine. e is the event that caused them, or nil.
 func (f *Follower) execute(ctx context.Context, actions []session.Action, e *store.WatchEvent) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Type {
 		case session.Connect:
 			f.connect(ctx, a)
 		case session.Close:
@@ -139,7 +139,7 @@
 	if e == nil {
 		f.setFault(w, &NoAnswerError{})
 	} else {
-		f.setFault(w, &UnusableError{Revision: e.Revision, Seen: f.machine.Seen()})
+		f.setFault(w, &UnusableError{Revision: e.Revision, Seen: f.machine.HighestRevision()})
 	}
 }
 
@@ -156,7 +156,7 @@
 	f.open[a.Session] = w
 	self := f.options.Self
 	request := store.WatchRequest{
-		Prefixes: self.Prefixes(), After: a.After,
+		Prefixes: self.Prefixes(), After: a.StartRevision,
 		Session: store.SessionInfo{Name: self.Name, Region: self.Region, Zone: self.Zone, Service: self.Service},
 	}
 	f.work.Add(1)
@@ -262,7 +262,7 @@
 	var sessionsFull *store.SessionsFull
 	switch {
 	case errors.As(err, &comeBack):
-		return session.End{Reason: session.ComeBack, After: micros(comeBack.After)}
+		return session.End{Reason: session.RetryLater, RetryAfter: micros(comeBack.After)}
 	case errors.As(err, &replicaBehind):
 		return session.End{Reason: session.Behind}
 	case errors.As(err, &tooSlow):
@@ -270,7 +270,7 @@
 	case errors.As(err, &sessionsFull):
 		return session.End{Reason: session.Full}
 	case errors.As(err, &notControl), errors.As(err, &badRequest):
-		return session.End{Reason: session.Refused}
+		return session.End{Reason: session.ProtocolError}
 	}
 	return session.End{Reason: session.Lost}
 }
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -91,7 +91,7 @@
 	s := &f.status
 	wasConnected, previousReplica := s.Connected, s.Replica
 	s.InForce, s.Since, s.Sections = f.settings.inForce.Revision, f.settings.since, f.settings.sectionList
-	s.Seen = f.machine.Seen()
+	s.Seen = f.machine.HighestRevision()
 	s.Connected, s.Replica = connected, replica.Name
 	s.Fault, s.Advice = f.fault, f.advice
 	if connected {
@@ -104,7 +104,7 @@
 	f.mu.Unlock()
 	switch {
 	case connected && (!wasConnected || previousReplica != replica.Name):
-		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.Seen()}).Info("following settings from a control machine")
+		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.HighestRevision()}).Info("following settings from a control machine")
 	case !connected && wasConnected:
 		f.log.WithFields(logrus.Fields{"replica": previousReplica, "fault": f.fault, "advice": f.advice}).
 			Warn("not connected to any control machine: settings stay as they are")
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -145,8 +145,8 @@
 		open(c, id, key, 4000)
 		require.Equal(t, id+"ready", soon(t, answers))
 	}
-	n.sendAway((*drain.Drain).End) // as Drain does, and then a call that is owed its answer holds it
-	time.Sleep(time.Duration(drain.Cut)*time.Microsecond + 5*sweepEvery)
+	n.sendAway((*drain.Drain).Shutdown) // as Drain does, and then a call that is owed its answer holds it
+	time.Sleep(time.Duration(drain.ReleaseDelay)*time.Microsecond + 5*sweepEvery)
 	close(release)
 	require.Equal(t, "0000000000000002close", soon(t, answers))
 	if n := server.Count(siptest.Is("BYE")); n != 0 || len(answers) != 0 {
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -46,7 +46,7 @@
 
 // addFleet adds what the fleet's view holds; without a fleet none of it is there.
 func (f *figures) addFleet(v *fleet.Fleet) {
-	for _, h := range fleetview.Healths {
+	for _, h := range fleetview.AllHealths {
 		f.set.NewGauge(fmt.Sprintf("proxy_fleet_members{state=%q}", h), func() float64 {
 			n, _ := v.Count(h)
 			return float64(n)
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -57,7 +57,7 @@
 		n.log.WithError(err).Warn("memory can't be read: started without")
 	}
 	now := n.core.Now()
-	l, doubt, ok := warm.Recall(m, now, settingsName(n.cfg.Site))
+	l, doubt, ok := warm.Restore(m, now, settingsName(n.cfg.Site))
 	if !ok {
 		if m != nil {
 			n.log.WithField("why", doubt).Info("started without the memory")
@@ -88,7 +88,7 @@
 		n.core.Learned(func(l control.Learned) { learned <- l })
 		select {
 		case l := <-learned:
-			err := writeMemory(file, &warm.Memory{Settings: name, Learned: l})
+			err := writeMemory(file, &warm.SavedState{Settings: name, Learned: l})
 			if err != nil && !failed {
 				n.log.WithError(err).Warn("memory can't be written")
 			}
@@ -101,7 +101,7 @@
 
 // writeMemory replaces the file whole: its checksum in a line, then JSON. It is not synced, since it counts for seconds.
 // Two processes may write at the same time during a hand-over: each has a new file of its own until it is renamed.
-func writeMemory(file string, m *warm.Memory) error {
+func writeMemory(file string, m *warm.SavedState) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return os.Rename(fresh, file)
 }
 
-func readMemory(file string) (*warm.Memory, error) {
+func readMemory(file string) (*warm.SavedState, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 	if string(sum) != fmt.Sprintf("%016x", xxhash.Sum64(text)) {
 		return nil, fmt.Errorf("%s: its checksum is wrong", file)
 	}
-	m := &warm.Memory{}
+	m := &warm.SavedState{}
 	if err := json.Unmarshal(text, m); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -80,8 +80,8 @@
 		if d.Ready() {
 			continue
 		}
-		n.front.Sweep(func(used time.Time, owed, standing bool) drain.Verdict {
-			return d.Connection(at, control.Micros(used.Sub(n.ops.started)/time.Microsecond), owed, standing)
+		n.front.Sweep(func(used time.Time, owed, standing bool) drain.Decision {
+			return d.DecideConnection(at, control.Micros(used.Sub(n.ops.started)/time.Microsecond), owed, standing)
 		})
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -40,7 +40,7 @@
 func (n *Node) Drain() {
 	n.log.Info("draining: answering what was taken")
 	n.core.Note(history.Event{Kind: history.Draining})
-	n.sendAway((*drain.Drain).End)
+	n.sendAway((*drain.Drain).Shutdown)
 	n.tellFleet(fleetview.Leaving)
 	if n.agent != nil {
 		n.agent.Drain()
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -101,7 +101,7 @@
 // Sweep applies the verdict of decide to each connection. decide receives the time of the last use, whether a set-up waits
 // for its answer and whether only established calls use the connection. A release is sent to both sides: to the server by
 // the core, and to the caller on the connection before it closes.
-func (f *Front) Sweep(decide func(used time.Time, unanswered, onlyEstablished bool) drain.Verdict) {
+func (f *Front) Sweep(decide func(used time.Time, unanswered, onlyEstablished bool) drain.Decision) {
 	f.mu.Lock()
 	conns := slices.Clone(f.conns)
 	f.mu.Unlock()
@@ -109,7 +109,7 @@
 		switch decide(c.Used(), c.Held(), c.InUse() && !c.Held()) {
 		case drain.Close:
 			c.FinishIdle()
-		case drain.Release:
+		case drain.ReleaseCalls:
 			for _, id := range f.takeCalls(c) {
 				f.core.Hangup(id, causeNormal, nil, func(bool) {})
 				c.send(Message{Type: "close", ID: id, Code: causeNormal})
