--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -105,7 +105,7 @@
 func TestAnswersComeBeforeTheKill(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, nil) // says nothing
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
 	open(c, "0000000000000001", "1", 3000)
@@ -137,7 +137,7 @@
 			}
 		}
 	})
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
 	for i, key := range []string{"stands", "ends"} {
@@ -212,7 +212,7 @@
 					}
 				}
 				servers := []*siptest.Party{siptest.New(t, cut), siptest.New(t, cut)}
-				n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
+				n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
 					{Name: "b", Addr: servers[1].Addr("TCP"), Cell: 1, State: control.Ready}}})
 				const calls = 40
 				c := dial(t, n).(*net.TCPConn)
@@ -326,7 +326,7 @@
 	for i := range 3 * cfg.Sockets {
 		hosts = append(hosts, routing.Host{Name: fmt.Sprint("s-", i), Addr: server.Addr("TCP"), State: control.Ready})
 	}
-	n.applied(routing.Update{Whole: true, Hosts: hosts})
+	n.applied(routing.Update{Complete: true, Hosts: hosts})
 	time.Sleep(500 * time.Millisecond) // in which the servers are dialled
 	served := 0
 	for i := range 20 {
@@ -362,7 +362,7 @@
 			e.Back(p.Reply(e.Msg, 200, "OK", e.Msg.Get("X-Cos")+" "+keyOf(e.Msg)+" "+string(e.Msg.Body)))
 		}
 	})
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	got := make(chan [2]string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { got <- [2]string{fmt.Sprint(m["sid"]), fmt.Sprint(m["text"])} })
 	for i := range 60 {
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -25,7 +25,7 @@
 	limits []string // the names of the figures of the rules in force
 }
 
-func newFigures(f *routing.Figures, classes []string) *figures {
+func newFigures(f *routing.Stats, classes []string) *figures {
 	set := metrics.NewSet()
 	names := append(append([]string(nil), classes...), "unknown")
 	for i, name := range names {
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -256,7 +256,7 @@
 		}
 		hosts = append(hosts, routing.Host{Name: kind, Addr: addr, Cell: i, State: control.Ready})
 	}
-	n.applied(routing.Update{Whole: true, Hosts: hosts})
+	n.applied(routing.Update{Complete: true, Hosts: hosts})
 
 	ids := sync.Map{} // JSON ids to numbers
 	j := dialJSON(t, n, func(m map[string]any) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,7 +43,7 @@
 func TestDrainAnswersWhatWasTaken(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, slowly(900*time.Millisecond))
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	on := func(m map[string]any) { answers <- fmt.Sprint(m["sid"], " ", m["msg"], " ", m["code"]) }
 	c := dialJSON(t, n, on)
@@ -77,7 +77,7 @@
 func TestClientsGoOnSendingThroughADrain(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, slowly(20*time.Millisecond))
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	const conns, pace, goOn, cross = 4, 25 * time.Millisecond, 600 * time.Millisecond, 50 * time.Millisecond
 	var mu sync.Mutex
 	sent, answers := map[string]time.Time{}, map[string]int{}
@@ -155,7 +155,7 @@
 			e.Back(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
-	first.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
+	first.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
 	caller := siptest.New(t, nil)
 	m := caller.Invite("UDP", "abc", "1", "").Set("X-Cos", "menu-view")
 	send := caller.Send("UDP", first.agent.Addr("UDP"), m)
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -33,7 +33,7 @@
 func withServer(t *testing.T, n *Node, after time.Duration) *siptest.Party {
 	t.Helper()
 	server := siptest.New(t, slowly(after))
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	return server
 }
 
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -236,7 +236,7 @@
 	})
 	n.calls.Store(now.calls.Version())
 	n.core.Note(history.Event{Kind: history.Reloaded, Name: now.calls.Version()})
-	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: now.hosts}, nil)
+	n.list.Apply(routing.Update{Source: fromFile, Complete: true, Hosts: now.hosts}, nil)
 	if limiter != nil {
 		n.figures.setLimits(quotaLimits(now.limits), limiter)
 	}
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -187,7 +187,7 @@
 	case err != nil:
 	case e.Offset <= r.LastOffset:
 		return nil
-	case e.Offset > r.LastOffset+1 && (e.Update == nil || !e.Update.Whole):
+	case e.Offset > r.LastOffset+1 && (e.Update == nil || !e.Update.Complete):
 		err = fmt.Errorf("gap: event %d follows event %d", e.Offset, r.LastOffset)
 	}
 	if err != nil {
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -51,8 +51,8 @@
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
 	// Hangup ends a call. done receives whether the call was known.
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	// Unreadable counts a set-up with invalid fields, which the front has refused.
-	Unreadable(class int)
+	// CountMalformed counts a set-up with invalid fields, which the front has refused.
+	CountMalformed(class int)
 }
 
 // Front serves callers that speak JSON lines.
@@ -106,7 +106,7 @@
 	conns := slices.Clone(f.conns)
 	f.mu.Unlock()
 	for _, c := range conns {
-		switch decide(c.Used(), c.Held(), c.InUse() && !c.Held()) {
+		switch decide(c.LastUsed(), c.Held(), c.InUse() && !c.Held()) {
 		case drain.Close:
 			c.FinishIdle()
 		case drain.ReleaseCalls:
@@ -127,7 +127,7 @@
 		if o == c {
 			ids = append(ids, id)
 			delete(f.established, id)
-			c.Call(-1)
+			c.AddCalls(-1)
 		}
 	}
 	return ids
@@ -195,7 +195,7 @@
 			return
 		case <-left:
 			return
-		case <-c.Gone():
+		case <-c.Closed():
 			return
 		}
 	}
@@ -253,7 +253,7 @@
 		if err == nil {
 			isFirst := !firstDeadline.IsZero()
 			firstDeadline = time.Time{}
-			c.Spoke()
+			c.NoteMessage()
 			if err = f.handle(c, &m); err == nil && isFirst {
 				report(true)
 			}
@@ -348,7 +348,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.established[call.id] = call.conn
-	call.conn.Call(1)
+	call.conn.AddCalls(1)
 }
 
 // removeCall removes an established call that either side has ended.
@@ -357,7 +357,7 @@
 	defer f.mu.Unlock()
 	if c := f.established[id]; c != nil {
 		delete(f.established, id)
-		c.Call(-1)
+		c.AddCalls(-1)
 	}
 }
 
@@ -365,7 +365,7 @@
 // connection ends before the release is written, it is delivered again in the same way.
 func (f *Front) deliver(c *conn, release pendingRelease) {
 	send := func(c *conn) bool {
-		return !c.Left() && c.Send(transport.Packet{Data: release.data, Done: func(err error) {
+		return !c.PeerClosed() && c.Send(transport.Packet{Data: release.data, Done: func(err error) {
 			if err != nil {
 				f.deliver(nil, release)
 			}
@@ -437,7 +437,7 @@
 		if !known {
 			class = -1
 		}
-		f.core.Unreadable(class)
+		f.core.CountMalformed(class)
 		invalid()
 		return nil
 	}
@@ -462,7 +462,7 @@
 		return routing.Setup{}, ErrMalformed
 	}
 	setup := routing.Setup{ID: m.ID, Class: class, Tenant: -1, Key: key, FirstChoice: -1,
-		Left: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
+		TimeLeft: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
 	for part := range strings.SplitSeq(m.Attrs["extras"], ";") {
 		name, value, _ := strings.Cut(part, ":")
 		minimum := -1 // -1 in dest and via: none
@@ -504,7 +504,7 @@
 }
 
 // Gone implements routing.Caller. It reports whether the caller cancelled the call or left.
-func (c *caller) Gone() bool { return c.cancelled.Load() || c.conn.Left() }
+func (c *caller) Gone() bool { return c.cancelled.Load() || c.conn.PeerClosed() }
 
 // Answer implements routing.Caller: it sends the server's answer and reports whether it is queued.
 func (c *caller) Answer(body []byte) bool {
--- a/internal/protocol/jsonl/model_test.go
+++ b/internal/protocol/jsonl/model_test.go
@@ -50,7 +50,7 @@
 	l.calls[s.ID] = &entry{caller: k}
 }
 
-func (l *countingCore) Unreadable(int) {}
+func (l *countingCore) CountMalformed(int) {}
 
 func (l *countingCore) Withdraw(id string, k routing.Caller, done func(bool)) {
 	l.mu.Lock()
@@ -124,7 +124,7 @@
 		c := nc.(*net.TCPConn)
 		tc := transport.NewConn(far, nil)
 		served := make(chan struct{})
-		go func() { defer close(served); f.Serve(tc); tc.Finish(); <-tc.Gone() }()
+		go func() { defer close(served); f.Serve(tc); tc.Finish(); <-tc.Closed() }()
 		received, reading := map[string]int{}, make(chan struct{})
 		var slow sync.Mutex // held while the caller does not read
 		var heardMu sync.Mutex
