--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -23,31 +23,32 @@
 
 const (
 	path = "/bus/read"
-	// A comment is due every second: after this the connection is taken for dead. What a silent bus would have told
-	// counts as told 4 s after it stopped, so the next connection has to stand well before.
-	silence    = 2500 * time.Millisecond
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 250 * time.Millisecond // what a broken bus would have told counts as told after 2 s
-	maxLine    = 256 << 10
+	// silenceTimeout is the time without a line after which a connection is considered dead. The bus sends a comment every
+	// second. A gatekeeper must know the events that a silent bus withholds 4 s after it went silent, so the next connection
+	// has to be established well before that.
+	silenceTimeout = 2500 * time.Millisecond
+	minRetryWait   = 20 * time.Millisecond
+	maxRetryWait   = 250 * time.Millisecond // a gatekeeper must know the events of a failed bus after 2 s
+	maxLine        = 256 << 10              // bytes
 )
 
-// Reader keeps reading the bus and hands on each change once, in order.
+// Reader reads the bus, reconnects when a connection ends, and applies each change once, in order.
 type Reader struct {
-	Addr       string // where the bus is at the start; empty: none yet. Move changes it
+	Addr       string // address of the bus; empty: none yet. SetAddr changes it while Run runs
 	Dial       func(ctx context.Context, addr string) (net.Conn, error)
 	Apply      func(routing.Update)
 	Log        logrus.FieldLogger
-	LastOffset int64 // number of the last event that was taken
+	LastOffset int64 // offset of the last event that was accepted
 	parser     fastjson.Parser
 
-	mu  sync.Mutex         // guards Addr and cut
-	cut context.CancelFunc // ends the connection or the wait that is on
+	mu     sync.Mutex         // guards Addr and cancel
+	cancel context.CancelFunc // ends the current connection or wait
 }
 
-// errFault marks an event that can't be taken: the list stays as it was and the bus is asked again.
-var errFault = errors.New("fault in the event stream")
+// errInvalidEvent is returned for an invalid event. The list is unchanged, and the reader connects again.
+var errInvalidEvent = errors.New("invalid event in the stream")
 
-// SetAddr goes on reading at another address at once. The numbers continue, so nothing is missed or taken twice.
+// SetAddr makes the reader connect to another address at once. The offsets continue, so no event is lost or applied twice.
 func (r *Reader) SetAddr(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,88 +56,89 @@
 		return
 	}
 	r.Addr = addr
-	if r.cut != nil {
-		r.cut()
+	if r.cancel != nil {
+		r.cancel()
 	}
 }
 
-// turn gives the address of the next connection and a context that ends when the bus moves.
-func (r *Reader) turn(ctx context.Context) (context.Context, context.CancelFunc, string) {
+// nextConnection returns the address of the next connection and a context for it, which SetAddr cancels.
+func (r *Reader) nextConnection(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ctx, r.cut = context.WithCancel(ctx)
-	return ctx, r.cut, r.Addr
+	ctx, r.cancel = context.WithCancel(ctx)
+	return ctx, r.cancel, r.Addr
 }
 
-// Run reads until the context ends, reconnecting after the last event taken.
+// Run reads until the context ends. Each connection resumes after the last event that was accepted.
 func (r *Reader) Run(ctx context.Context) {
-	wait := retryFirst
+	wait := minRetryWait
 	for ctx.Err() == nil {
-		turn, cut, addr := r.turn(ctx)
-		if r.read(turn, addr, wait) {
-			wait = retryFirst
+		connCtx, cancel, addr := r.nextConnection(ctx)
+		if r.readOnce(connCtx, addr, wait) {
+			wait = minRetryWait
 		} else {
-			wait = min(2*wait, retryMost)
+			wait = min(2*wait, maxRetryWait)
 		}
-		cut()
+		cancel()
 	}
 }
 
-// read reads one connection and then waits before the next, or until the turn ends. It tells whether the connection
-// was of use, so that the next wait is short again.
-func (r *Reader) read(ctx context.Context, addr string, wait time.Duration) (useful bool) {
+// readOnce reads one connection and then waits before the next, or until the context ends. It reports whether the
+// connection was useful; if so, the retry wait starts over at its minimum.
+func (r *Reader) readOnce(ctx context.Context, addr string, wait time.Duration) (useful bool) {
 	if addr == "" {
 		<-ctx.Done()
 		return true
 	}
 	before, began := r.LastOffset, time.Now()
 	err := r.connect(ctx, addr)
-	if ctx.Err() != nil { // ended from here: the bus has moved, or the program ends
+	if ctx.Err() != nil { // the address has changed, or the program ends
 		return true
 	}
 	r.Log.WithError(err).WithFields(logrus.Fields{"bus": addr, "last": r.LastOffset}).
-		Warn("event bus: connection ended, last good list kept")
+		Warn("event bus: connection ended; keeping the last valid list")
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	return r.LastOffset > before || time.Since(began) > silence && !errors.Is(err, errFault)
+	return r.LastOffset > before || time.Since(began) > silenceTimeout && !errors.Is(err, errInvalidEvent)
 }
 
+// connect opens a connection that resumes after the last event and reads it until it ends.
 func (r *Reader) connect(ctx context.Context, addr string) error {
-	nc, err := r.Dial(ctx, addr)
+	conn, err := r.Dial(ctx, addr)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	nc.SetDeadline(time.Now().Add(silence))
-	_, err = fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetDeadline(time.Now().Add(silenceTimeout))
+	_, err = fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
 		path, addr, r.LastOffset)
 	if err != nil {
 		return err
 	}
-	in := bufio.NewReaderSize(nc, maxLine)
-	head := textproto.NewReader(in)
-	status, err := head.ReadLine()
+	in := bufio.NewReaderSize(conn, maxLine)
+	text := textproto.NewReader(in)
+	status, err := text.ReadLine()
 	if err != nil {
 		return err
 	}
 	if _, code, _ := strings.Cut(status, " "); !strings.HasPrefix(code, "200") {
-		return fmt.Errorf("event bus answers %q", status)
+		return fmt.Errorf("event bus returned status %q", status)
 	}
-	header, err := head.ReadMIMEHeader()
+	header, err := text.ReadMIMEHeader()
 	if err != nil {
 		return err
 	}
 	if strings.EqualFold(header.Get("Transfer-Encoding"), "chunked") {
 		in = bufio.NewReaderSize(httputil.NewChunkedReader(in), maxLine)
 	}
-	return r.stream(in, func() { nc.SetReadDeadline(time.Now().Add(silence)) })
+	return r.readStream(in, func() { conn.SetReadDeadline(time.Now().Add(silenceTimeout)) })
 }
 
-// stream reads server-sent events; alive is called for each line.
-func (r *Reader) stream(in *bufio.Reader, alive func()) error {
+// readStream reads server-sent events until the stream ends. alive is called for each line.
+func (r *Reader) readStream(in *bufio.Reader, onLine func()) error {
 	var id string
 	var data []byte
 	for {
@@ -147,11 +149,11 @@
 			}
 			return err
 		}
-		alive()
+		onLine()
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
 			if len(data) > 0 {
-				if err := r.event(id, data); err != nil {
+				if err := r.handleEvent(id, data); err != nil {
 					return err
 				}
 			}
@@ -172,13 +174,13 @@
 	}
 }
 
-// event takes one event: one seen before is passed over, one after a gap or with garbage is a fault.
-func (r *Reader) event(id string, data []byte) error {
+// handleEvent handles one event. An event seen before is ignored; an event after a gap or with invalid data is a fault.
+func (r *Reader) handleEvent(id string, data []byte) error {
 	e, err := Parse(&r.parser, data)
 	if err == nil && id != "" {
-		n, bad := strconv.ParseInt(id, 10, 64)
-		if bad != nil || n != e.Offset {
-			err = fmt.Errorf("id %q does not go with offset %d", id, e.Offset)
+		n, idErr := strconv.ParseInt(id, 10, 64)
+		if idErr != nil || n != e.Offset {
+			err = fmt.Errorf("id %q does not match offset %d", id, e.Offset)
 		}
 	}
 	switch {
@@ -186,11 +188,11 @@
 	case e.Offset <= r.LastOffset:
 		return nil
 	case e.Offset > r.LastOffset+1 && (e.Update == nil || !e.Update.Complete):
-		err = fmt.Errorf("gap: event %d came after %d", e.Offset, r.LastOffset)
+		err = fmt.Errorf("gap: event %d follows event %d", e.Offset, r.LastOffset)
 	}
 	if err != nil {
-		r.Log.WithError(err).WithField("last", r.LastOffset).Error("event bus: event can't be taken, last good list kept")
-		return errFault
+		r.Log.WithError(err).WithField("last", r.LastOffset).Error("event bus: invalid event; keeping the last valid list")
+		return errInvalidEvent
 	}
 	r.LastOffset = e.Offset
 	if e.Update != nil {
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -19,40 +19,46 @@
 	"beammux/internal/transport"
 )
 
+// Cause codes and bounds.
 const (
-	causeInvalid = 100             // a set-up whose fields can't be read
-	causeNormal  = 16              // normal clearing: a call that the gatekeeper releases
-	keepOrphan   = 8 * time.Second // a release without any connection waits so long for one
-	maxWaiting   = 4096            // releases that so wait
-	maxLeft      = 10 * time.Minute
-	maxOpen      = 512 // set-ups of one connection; what comes beyond is excess, and refused
+	causeInvalid       = 100              // cause code of a set-up with invalid fields
+	causeNormal        = 16               // cause code of a call that the gatekeeper releases: normal clearing
+	releaseTimeout     = 8 * time.Second  // time that a release waits for a connection if there is none
+	maxPendingReleases = 4096             // releases that may wait for a connection
+	maxTimeLeft        = 10 * time.Minute // maximum of a set-up's attribute left
+	maxOpenSetups      = 512              // unanswered set-ups of one connection; further ones are marked as excess, and refused
 )
 
-// The times that a connection has. Silent and finished callers must not hold descriptors for good.
+// Time-outs of a connection. They keep silent and finished callers from holding descriptors forever.
 const (
-	firstWithin = 2500 * time.Millisecond // for its first whole message
-	wholeWithin = 2 * time.Second         // for a message that has begun
-	idleFor     = 10 * time.Second        // without a call on it; callers themselves close after 4 s
-	settleFor   = 2 * time.Second         // to answer what is open after a message that can't be read
-	lookAgain   = 10 * time.Millisecond   // before an idle close: bytes may lie ready while this process got no processor time
-	breathe     = 20 * time.Millisecond   // for the core to decide what has come before more of it is excess
-	skimGap     = time.Millisecond        // between reads of what is dropped
+	firstMessageTimeout = 2500 * time.Millisecond // for the first complete message
+	messageTimeout      = 2 * time.Second         // for the rest of a message that has begun
+	idleTimeout         = 10 * time.Second        // without a call on the connection; callers themselves close after 4 s
+	settleTimeout       = 2 * time.Second         // to answer the open set-ups after a malformed message
+	idleReadTimeout     = 10 * time.Millisecond   // for a last read before an idle close, since this process may have had no processor time to read
+	excessDelay         = 20 * time.Millisecond   // for the core to answer open set-ups before further ones are excess
+	discardInterval     = time.Millisecond        // between reads of discarded bytes
 )
 
+// errClosing ends a connection on which a set-up arrived after its close had begun.
 var errClosing = errors.New("connection is being closed")
 
 // Core is the part of the routing core that a front needs.
 type Core interface {
+	// Open starts a call.
 	Open(routing.Setup, routing.Caller)
+	// Withdraw gives up a set-up. If done is not nil, it receives whether the set-up had no final answer yet.
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
+	// Hangup ends a call. done receives whether the call was known.
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	CountMalformed(class int) // a set-up that could not be read was told that it failed
+	// CountMalformed counts a set-up with invalid fields, which the front has refused.
+	CountMalformed(class int)
 }
 
-// Front serves callers.
+// Front serves callers that speak JSON lines.
 type Front struct {
-	// Seen, if not nil, is told of each connection of a caller's address: once when it has brought a whole message, and once when it
-	// ends because of one that can't be read, or without any in time. It is set before the first connection is served.
+	// Seen, if not nil, is called for each connection with the caller's address: with true at its first valid message, and with
+	// false when it ends because of an invalid message or sends none in time. It must be set before the first call of Serve.
 	Seen func(address string, good bool)
 
 	core     Core
@@ -61,39 +67,41 @@
 	draining atomic.Bool
 	closing  atomic.Bool
 
-	mu      sync.Mutex
-	conns   []*conn          // open ones, oldest first
-	stands  map[string]*conn // calls that stand: where their set-up came
-	waiting []late
+	mu          sync.Mutex
+	conns       []*conn          // open connections, oldest first
+	established map[string]*conn // connections of the established calls, by call
+	pending     []pendingRelease // releases that wait for a connection
 }
 
-type late struct {
-	data []byte
-	till time.Time
+// pendingRelease is a release that waits for a connection until an expiry time.
+type pendingRelease struct {
+	data    []byte
+	expires time.Time
 }
 
-// NewFront makes a front; classes gives each class's place in the settings by its name.
+// NewFront returns a front. classes are the names of the classes in the order of the settings.
 func NewFront(core Core, classes []string, log logrus.FieldLogger) *Front {
-	f := &Front{core: core, classes: map[string]int{}, stands: map[string]*conn{}, log: log}
+	f := &Front{core: core, classes: map[string]int{}, established: map[string]*conn{}, log: log}
 	for i, name := range classes {
 		f.classes[name] = i
 	}
 	return f
 }
 
-// Drain fails the tests that are asked for from now on, so that no new callers are led here.
+// Drain makes the front fail probes from now on, so that no new callers are directed to this process.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// TurnAway refuses the set-ups that come from now on: the process ends once what came before is answered.
+// TurnAway makes the front mark new set-ups as excess, which the core refuses: the process is about to exit and only
+// answers earlier set-ups.
 func (f *Front) TurnAway() { f.closing.Store(true) }
 
-// Rejoin passes the tests again.
+// Rejoin makes the front pass probes again after Drain.
 func (f *Front) Rejoin() { f.draining.Store(false) }
 
-// Sweep carries out what decide says of each connection; it hears when one was last used, whether an answer to a
-// set-up is owed on it, and whether a call that came on it stands. Calls released here are told to both sides: the
-// server by the core, the caller on the connection, before it closes.
-func (f *Front) Sweep(decide func(used time.Time, owed, standing bool) drain.Decision) {
+// Sweep applies the verdict of decide to each connection. decide receives the time of the last use, whether a set-up waits
+// for its answer and whether only established calls use the connection. A release is sent to both sides: to the server by
+// the core, and to the caller on the connection before it closes.
+func (f *Front) Sweep(decide func(used time.Time, unanswered, onlyEstablished bool) drain.Decision) {
 	f.mu.Lock()
 	conns := slices.Clone(f.conns)
 	f.mu.Unlock()
@@ -102,7 +110,7 @@
 		case drain.Close:
 			c.FinishIdle()
 		case drain.ReleaseCalls:
-			for _, id := range f.standing(c) {
+			for _, id := range f.takeCalls(c) {
 				f.core.Hangup(id, causeNormal, nil, func(bool) {})
 				c.send(Message{Type: "close", ID: id, Code: causeNormal})
 			}
@@ -111,75 +119,78 @@
 	}
 }
 
-// standing takes the calls that stand on a connection off it.
-func (f *Front) standing(c *conn) (ids []string) {
+// takeCalls removes the established calls from a connection and returns their ids.
+func (f *Front) takeCalls(c *conn) (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, o := range f.stands {
+	for id, o := range f.established {
 		if o == c {
 			ids = append(ids, id)
-			delete(f.stands, id)
+			delete(f.established, id)
 			c.AddCalls(-1)
 		}
 	}
 	return ids
 }
 
-// conn is one connection of callers and the set-ups that came on it and are not answered.
+// conn is a connection of a caller with its unanswered set-ups.
 type conn struct {
 	*transport.Conn
-	mu     sync.Mutex
-	open   map[string]*caller
-	room   chan struct{} // told when a set-up ends
-	excess bool          // more is open than is taken; the reader's alone
+	mu         sync.Mutex
+	open       map[string]*caller
+	setupEnded chan struct{} // signalled when a set-up ends
+	excess     bool          // new set-ups are excess; only for the reading goroutine
 }
 
+// send queues a message and reports whether that succeeded.
 func (c *conn) send(m Message) bool {
 	return c.Send(transport.Packet{Data: m.Append(nil)}) == nil
 }
 
-// add notes a set-up, unless the connection is being closed from this side.
-func (c *conn) add(k *caller) bool {
+// addSetup records an open set-up. It reports false if this side is closing the connection.
+func (c *conn) addSetup(setup *caller) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.Hold() {
 		return false
 	}
-	c.open[k.id] = k
+	c.open[setup.id] = setup
 	return true
 }
 
-// done takes a set-up off the connection that has its end.
-func (c *conn) done(k *caller) {
+// removeSetup removes a set-up that has its final answer.
+func (c *conn) removeSetup(setup *caller) {
 	c.mu.Lock()
-	if c.open[k.id] == k {
-		delete(c.open, k.id)
+	if c.open[setup.id] == setup {
+		delete(c.open, setup.id)
 		c.Unhold()
 	}
 	c.mu.Unlock()
 	select {
-	case c.room <- struct{}{}:
+	case c.setupEnded <- struct{}{}:
 	default:
 	}
 }
 
-func (c *conn) caller(id string) *caller {
+// openSetup returns the open set-up with an id, or nil.
+func (c *conn) openSetup(id string) *caller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[id]
 }
 
-func (c *conn) owed() int {
+// openCount returns the number of unanswered set-ups.
+func (c *conn) openCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// await blocks while more than some set-ups are open, until a time, the end of the connection, or that the caller has left.
-func (c *conn) await(most int, limit <-chan time.Time, left <-chan struct{}) {
-	for c.owed() > most {
+// awaitOpen blocks until at most maximum set-ups are open, limit or left fires, or the connection ends.
+func (c *conn) awaitOpen(maximum int, limit <-chan time.Time, left <-chan struct{}) {
+	for c.openCount() > maximum {
 		select {
-		case <-c.room:
+		case <-c.setupEnded:
 		case <-limit:
 			return
 		case <-left:
@@ -190,128 +201,130 @@
 	}
 }
 
-// bound keeps what a flood has open within bounds. The reader must come to the end of what was sent, since only there it
-// learns that the caller has left; so a flood is not left unread. It is excess, until half of what is open has its answer;
-// the refusals are decided in the core's turn, and waited for.
-func (c *conn) bound() {
-	switch n := c.owed(); {
-	case n <= maxOpen/2:
+// limitOpen limits the open set-ups of a flood. The reader must not stop reading, since only at the end of the input it
+// learns that the caller has left. From maxOpenSetups open set-ups on, after a short wait, further ones are marked as
+// excess, until no more than half as many are open. At 2*maxOpenSetups the reader waits for the core to refuse some.
+func (c *conn) limitOpen() {
+	switch n := c.openCount(); {
+	case n <= maxOpenSetups/2:
 		c.excess = false
-	case n >= 2*maxOpen:
-		c.await(2*maxOpen-1, nil, nil)
-	case n >= maxOpen && !c.excess:
-		c.await(maxOpen-1, time.After(breathe), nil)
-		c.excess = c.owed() >= maxOpen
+	case n >= 2*maxOpenSetups:
+		c.awaitOpen(2*maxOpenSetups-1, nil, nil)
+	case n >= maxOpenSetups && !c.excess:
+		c.awaitOpen(maxOpenSetups-1, time.After(excessDelay), nil)
+		c.excess = c.openCount() >= maxOpenSetups
 	}
 }
 
-// settle gives what came before a fault its time to be answered. What still comes is read and dropped, so that it is seen when
-// the caller leaves.
-func (c *conn) settle() {
-	limit := time.Now().Add(settleFor)
-	c.SetReadDeadline(limit)
+// awaitAnswers waits, at most settleTimeout, until the open set-ups are answered before the connection closes. Further input
+// is read and discarded in order to detect that the caller leaves.
+func (c *conn) awaitAnswers() {
+	deadline := time.Now().Add(settleTimeout)
+	c.SetReadDeadline(deadline)
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		for drop := make([]byte, 4<<10); ; time.Sleep(skimGap) {
-			if _, err := c.Read(drop); err != nil {
+		for discarded := make([]byte, 4<<10); ; time.Sleep(discardInterval) {
+			if _, err := c.Read(discarded); err != nil {
 				return
 			}
 		}
 	}()
-	c.await(0, time.After(time.Until(limit)), left)
+	c.awaitOpen(0, time.After(time.Until(deadline)), left)
 	c.SetReadDeadline(time.Now())
 	<-left
 }
 
-// Serve reads one connection until it ends.
+// Serve reads one connection until it ends. The caller of Serve closes it.
 func (f *Front) Serve(tc *transport.Conn) {
-	c := &conn{Conn: tc, open: map[string]*caller{}, room: make(chan struct{}, 1)}
-	f.enter(c)
-	defer f.leave(c)
+	c := &conn{Conn: tc, open: map[string]*caller{}, setupEnded: make(chan struct{}, 1)}
+	f.addConn(c)
+	defer f.removeConn(c)
 	log := f.log.WithField("caller", tc.RemoteAddr())
-	seen := func(good bool) {
+	report := func(good bool) {
 		if f.Seen != nil {
 			f.Seen(transport.AddressOf(tc.RemoteAddr()), good)
 		}
 	}
-	first := time.Now().Add(firstWithin)
+	firstDeadline := time.Now().Add(firstMessageTimeout)
 	r := NewReader(bufio.NewReaderSize(tc, MaxMessage))
 	for {
-		m, err := c.next(r, first)
+		m, err := c.readMessage(r, firstDeadline)
 		if err == nil {
-			spoke := !first.IsZero()
-			first = time.Time{}
+			isFirst := !firstDeadline.IsZero()
+			firstDeadline = time.Time{}
 			c.NoteMessage()
-			if err = f.take(c, &m); err == nil && spoke {
-				seen(true)
+			if err = f.handle(c, &m); err == nil && isFirst {
+				report(true)
 			}
 		}
 		switch {
 		case err == nil:
-			c.bound()
+			c.limitOpen()
 		case errors.Is(err, ErrTooLong), errors.Is(err, ErrMalformed):
 			log.WithError(err).Warn("bad message: connection closed")
-			seen(false)
-			c.settle()
+			report(false)
+			c.awaitAnswers()
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			log.Debug("caller is silent: connection closed")
-			if !first.IsZero() {
-				seen(false)
+			log.Debug("caller timed out: connection closed")
+			if !firstDeadline.IsZero() {
+				report(false)
 			}
-			c.settle()
+			c.awaitAnswers()
 			return
 		default:
 			if ne := net.Error(nil); errors.As(err, &ne) {
-				log.WithError(err).Debug("caller's connection broke")
+				log.WithError(err).Debug("connection of a caller failed")
 			}
 			return
 		}
 	}
 }
 
-// next reads a message within its times. first is by when it must be whole if it is the connection's first, else zero.
-func (c *conn) next(r *Reader, first time.Time) (Message, error) {
+// readMessage reads a message within the time-outs. firstDeadline is the deadline of the connection's first message, and
+// zero after it.
+func (c *conn) readMessage(r *Reader, firstDeadline time.Time) (Message, error) {
 	for {
-		limit := first
-		if first.IsZero() {
-			limit = time.Now().Add(idleFor)
+		limit := firstDeadline
+		if firstDeadline.IsZero() {
+			limit = time.Now().Add(idleTimeout)
 		}
 		c.SetReadDeadline(limit)
 		err := r.Wait()
 		if errors.Is(err, os.ErrDeadlineExceeded) && c.InUse() {
-			continue // its caller waits for an answer, or for the end of a call
+			continue // a caller waits for an answer or has an established call
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.SetReadDeadline(time.Now().Add(lookAgain))
+			c.SetReadDeadline(time.Now().Add(idleReadTimeout))
 			err = r.Wait()
 		}
 		if err != nil {
 			return Message{}, err
 		}
-		if first.IsZero() {
-			c.SetReadDeadline(time.Now().Add(wholeWithin))
+		if firstDeadline.IsZero() {
+			c.SetReadDeadline(time.Now().Add(messageTimeout))
 		}
 		return r.Next()
 	}
 }
 
-func (f *Front) enter(c *conn) {
+// addConn adds a connection and sends the waiting releases on it.
+func (f *Front) addConn(c *conn) {
 	f.mu.Lock()
 	f.conns = append(f.conns, c)
-	waiting := f.waiting
-	f.waiting = nil
+	pending := f.pending
+	f.pending = nil
 	f.mu.Unlock()
-	for _, w := range waiting {
-		if time.Now().Before(w.till) {
-			f.deliver(c, w)
+	for _, release := range pending {
+		if time.Now().Before(release.expires) {
+			f.deliver(c, release)
 		}
 	}
 }
 
-// leave gives up the set-ups of a connection that ended: their callers can't hear an answer.
-func (f *Front) leave(c *conn) {
+// removeConn removes a connection that ended and withdraws its set-ups, whose answers can't be delivered.
+func (f *Front) removeConn(c *conn) {
 	f.mu.Lock()
 	for i, o := range f.conns {
 		if o == c {
@@ -324,37 +337,37 @@
 	open := c.open
 	c.open = nil
 	c.mu.Unlock()
-	for id, k := range open {
+	for id, setup := range open {
 		c.Unhold()
-		f.core.Withdraw(id, k, nil)
+		f.core.Withdraw(id, setup, nil)
 	}
 }
 
-// stand notes a call that stands, so that its connection is kept for its end.
-func (f *Front) stand(k *caller) {
+// addCall records an established call, which keeps its connection open.
+func (f *Front) addCall(call *caller) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stands[k.id] = k.conn
-	k.conn.AddCalls(1)
+	f.established[call.id] = call.conn
+	call.conn.AddCalls(1)
 }
 
-// over notes the end of a call, whoever ended it.
-func (f *Front) over(id string) {
+// removeCall removes an established call that either side has ended.
+func (f *Front) removeCall(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c := f.stands[id]; c != nil {
-		delete(f.stands, id)
+	if c := f.established[id]; c != nil {
+		delete(f.established, id)
 		c.AddCalls(-1)
 	}
 }
 
-// deliver sends a release on a connection, else on any other, newest first, else on the next that comes. One whose connection
-// ends before it is written goes the same way again.
-func (f *Front) deliver(c *conn, w late) {
+// deliver sends a release on a connection if it is open, else on the newest open one, else on the next one that opens. If the
+// connection ends before the release is written, it is delivered again in the same way.
+func (f *Front) deliver(c *conn, release pendingRelease) {
 	send := func(c *conn) bool {
-		return !c.PeerClosed() && c.Send(transport.Packet{Data: w.data, Done: func(err error) {
+		return !c.PeerClosed() && c.Send(transport.Packet{Data: release.data, Done: func(err error) {
 			if err != nil {
-				f.deliver(nil, w)
+				f.deliver(nil, release)
 			}
 		}}) == nil
 	}
@@ -369,56 +382,56 @@
 		}
 	}
 	now := time.Now()
-	f.waiting = slices.DeleteFunc(f.waiting, func(w late) bool { return now.After(w.till) })
-	if now.Before(w.till) {
-		f.waiting = append(f.waiting[max(0, len(f.waiting)+1-maxWaiting):], w)
+	f.pending = slices.DeleteFunc(f.pending, func(release pendingRelease) bool { return now.After(release.expires) })
+	if now.Before(release.expires) {
+		f.pending = append(f.pending[max(0, len(f.pending)+1-maxPendingReleases):], release)
 	}
 }
 
-// take acts on one message. A fault ends the connection.
-func (f *Front) take(c *conn, m *Message) error {
+// handle handles one message. An error ends the connection.
+func (f *Front) handle(c *conn, m *Message) error {
 	switch m.Type {
 	case "open":
-		return f.open(c, m)
+		return f.handleOpen(c, m)
 	case "close":
-		var own routing.Caller
-		if k := c.caller(m.ID); k != nil {
-			k.cancelled.Store(true)
-			c.done(k)
-			own = k
+		var openCaller routing.Caller
+		if setup := c.openSetup(m.ID); setup != nil {
+			setup.cancelled.Store(true)
+			c.removeSetup(setup)
+			openCaller = setup
 		}
-		f.over(m.ID)
-		f.core.Hangup(m.ID, m.Code, own, func(bool) { c.send(Message{Type: "closed", ID: m.ID}) })
+		f.removeCall(m.ID)
+		f.core.Hangup(m.ID, m.Code, openCaller, func(bool) { c.send(Message{Type: "closed", ID: m.ID}) })
 	case "probe":
 		passed := 1
 		if f.draining.Load() {
 			passed = 0
 		}
 		c.send(Message{Type: "probed", ID: m.ID, Code: passed})
-	case "closed", "trying": // free, and mean nothing here
+	case "closed", "trying": // valid and ignored
 	default:
 		return ErrMalformed
 	}
 	return nil
 }
 
-// open takes a set-up. One that can't be read, and a second one under an id that is open on the connection, are told so:
-// the latter ends the first too, since nothing says which of the two is meant. One that crossed the close of its connection
-// gives errClosing and never runs: its caller sees the close and sends it once more, maybe to another process, which knows
-// nothing of a release guard that began here.
-func (f *Front) open(c *conn, m *Message) error {
+// handleOpen handles a set-up. A set-up with invalid fields is refused. So is a second one with an id that is open on the
+// connection; it ends the first too, since the caller can't tell which of the two an answer is for. A set-up that crosses
+// the close of its connection returns errClosing and never runs: its caller sees the close and sends the set-up again,
+// maybe to another process, which does not know of a release guard that began here.
+func (f *Front) handleOpen(c *conn, m *Message) error {
 	invalid := func() { c.send(Message{Type: "close", ID: m.ID, Code: causeInvalid}) }
-	k := &caller{front: f, conn: c, id: m.ID}
-	if first := c.caller(m.ID); first != nil {
+	newCaller := &caller{front: f, conn: c, id: m.ID}
+	if first := c.openSetup(m.ID); first != nil {
 		f.core.Withdraw(m.ID, first, func(inTime bool) {
 			if inTime {
 				invalid()
-				c.done(first)
+				c.removeSetup(first)
 			}
 		})
 		return nil
 	}
-	s, err := f.setup(m)
+	setup, err := f.parseSetup(m)
 	if err != nil {
 		class, known := f.classes[m.Attrs["class"]]
 		if !known {
@@ -428,19 +441,19 @@
 		invalid()
 		return nil
 	}
-	if !c.add(k) {
+	if !c.addSetup(newCaller) {
 		return errClosing
 	}
-	s.Excess = c.excess || f.closing.Load()
-	f.core.Open(s, k)
+	setup.Excess = c.excess || f.closing.Load()
+	f.core.Open(setup, newCaller)
 	return nil
 }
 
-// setup reads the fields of a set-up. What a server can't read must not get to it: it would close the connection, and
-// with it others' calls.
-func (f *Front) setup(m *Message) (routing.Setup, error) {
+// parseSetup decodes the fields of a set-up. Values that a server can't read must not reach it: the server would close the
+// connection and end the calls of others with it.
+func (f *Front) parseSetup(m *Message) (routing.Setup, error) {
 	left, err := strconv.ParseFloat(m.Attrs["left"], 64)
-	if err != nil || !(left >= 0 && left <= float64(maxLeft/time.Millisecond)) {
+	if err != nil || !(left >= 0 && left <= float64(maxTimeLeft/time.Millisecond)) {
 		return routing.Setup{}, ErrMalformed
 	}
 	class, known := f.classes[m.Attrs["class"]]
@@ -448,41 +461,41 @@
 	if !known || key == "" || !routing.ValidKey(key) || len(m.Text) > routing.MaxBody {
 		return routing.Setup{}, ErrMalformed
 	}
-	s := routing.Setup{ID: m.ID, Class: class, Tenant: -1, Key: key, FirstChoice: -1,
+	setup := routing.Setup{ID: m.ID, Class: class, Tenant: -1, Key: key, FirstChoice: -1,
 		TimeLeft: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
 	for part := range strings.SplitSeq(m.Attrs["extras"], ";") {
 		name, value, _ := strings.Cut(part, ":")
-		least := -1 // none
+		minimum := -1 // -1 in dest and via: none
 		switch name {
 		case "dest", "via":
 		case "width":
-			least = 1
+			minimum = 1
 		case "again":
-			least = 0
+			minimum = 0
 		default:
 			continue
 		}
 		n, err := strconv.ParseInt(value, 10, 32)
-		if err != nil || int(n) < least {
+		if err != nil || int(n) < minimum {
 			return routing.Setup{}, ErrMalformed
 		}
 		switch name {
 		case "dest":
-			s.FirstChoice = int(n)
+			setup.FirstChoice = int(n)
 		case "again":
-			s.WasCut = n != 0
+			setup.WasCut = n != 0
 		}
 	}
-	return s, nil
+	return setup, nil
 }
 
-// Orphan passes on the release of a call that stood before this process started.
+// Orphan sends the release of a call that was established before this process started.
 func (f *Front) Orphan(id string, cause int) {
 	m := Message{Type: "close", ID: id, Code: cause}
-	f.deliver(nil, late{m.Append(nil), time.Now().Add(keepOrphan)})
+	f.deliver(nil, pendingRelease{m.Append(nil), time.Now().Add(releaseTimeout)})
 }
 
-// caller is the way back to one call's caller.
+// caller implements routing.Caller for one call.
 type caller struct {
 	front     *Front
 	conn      *conn
@@ -490,40 +503,45 @@
 	cancelled atomic.Bool
 }
 
-func (k *caller) Gone() bool { return k.cancelled.Load() || k.conn.PeerClosed() }
-
-func (k *caller) Answer(body []byte) bool {
-	k.front.stand(k)
-	defer k.conn.done(k) // not before the answer is queued: a connection with nothing owed may be closed
-	m := Message{Type: "ready", ID: k.id, Text: string(body)}
-	err := k.conn.Send(transport.Packet{Data: m.Append(nil), Done: func(err error) {
-		if err != nil { // the caller never had it whole, and would never end the call
-			k.front.over(k.id)
-			k.front.core.Hangup(k.id, causeNormal, nil, func(bool) {})
+// Gone implements routing.Caller. It reports whether the caller cancelled the call or left.
+func (c *caller) Gone() bool { return c.cancelled.Load() || c.conn.PeerClosed() }
+
+// Answer implements routing.Caller: it sends the server's answer and reports whether it is queued.
+func (c *caller) Answer(body []byte) bool {
+	c.front.addCall(c)
+	defer c.conn.removeSetup(c) // after the answer is queued, since a connection without open set-ups may be closed
+	m := Message{Type: "ready", ID: c.id, Text: string(body)}
+	err := c.conn.Send(transport.Packet{Data: m.Append(nil), Done: func(err error) {
+		if err != nil { // the caller has not received the answer and would never end the call
+			c.front.removeCall(c.id)
+			c.front.core.Hangup(c.id, causeNormal, nil, func(bool) {})
 		}
 	}})
 	if err != nil {
-		k.front.over(k.id)
+		c.front.removeCall(c.id)
 	}
 	return err == nil
 }
 
-func (k *caller) Refuse(wait time.Duration) {
-	defer k.conn.done(k)
-	m := Message{Type: "close", ID: k.id, Code: routing.CauseCongest}
+// Refuse implements routing.Caller: it refuses the call, with the wait until a retry if that is a millisecond or more.
+func (c *caller) Refuse(wait time.Duration) {
+	defer c.conn.removeSetup(c)
+	m := Message{Type: "close", ID: c.id, Code: routing.CauseCongest}
 	if ms := wait.Milliseconds(); ms > 0 {
 		m.Attrs = map[string]string{"wait": strconv.FormatInt(ms, 10)}
 	}
-	k.conn.send(m)
+	c.conn.send(m)
 }
 
-func (k *caller) Fail() {
-	defer k.conn.done(k)
-	k.conn.send(Message{Type: "close", ID: k.id, Code: routing.CauseFailed})
+// Fail implements routing.Caller: it reports that the call failed.
+func (c *caller) Fail() {
+	defer c.conn.removeSetup(c)
+	c.conn.send(Message{Type: "close", ID: c.id, Code: routing.CauseFailed})
 }
 
-func (k *caller) Release(cause int) {
-	k.front.over(k.id)
-	m := Message{Type: "close", ID: k.id, Code: cause}
-	k.front.deliver(k.conn, late{m.Append(nil), time.Now().Add(keepOrphan)})
+// Release implements routing.Caller: it reports the end of an established call.
+func (c *caller) Release(cause int) {
+	c.front.removeCall(c.id)
+	m := Message{Type: "close", ID: c.id, Code: cause}
+	c.front.deliver(c.conn, pendingRelease{m.Append(nil), time.Now().Add(releaseTimeout)})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFaultsNameLineAndField(t *testing.T) {
+func TestErrorsNameLineAndField(t *testing.T) {
 	for _, row := range []struct {
 		name, line, want string
 		read             func(*Message) error
@@ -53,13 +53,13 @@
 				err = row.read(&m)
 			}
 			if err == nil || err.Error() != row.want {
-				t.Errorf("fault %v, want %s", err, row.want)
+				t.Errorf("error %v, want %s", err, row.want)
 			}
 		})
 	}
 }
 
-func TestReaderTakesLongLinesAndLastLineWithoutBreak(t *testing.T) {
+func TestReaderReadsLongLinesAndUnterminatedLastLine(t *testing.T) {
 	r := NewReader(strings.NewReader("a settings=" + strings.Repeat("x", 1<<20) + "\n\nb i=1"))
 	m, err := r.Next()
 	if err != nil || len(m.TextOr("settings", "")) != 1<<20 {
@@ -93,7 +93,7 @@
 		text := strings.TrimSuffix(string(out.Encode()), "\n")
 		again, err := Parse(text, 1)
 		if strings.ContainsAny(line, "\n\r") {
-			return // cannot come from a Reader
+			return // a Reader never returns such a line
 		}
 		if err != nil || text != line || len(again.fields) != len(m.fields) {
 			t.Errorf("%q was written as %q: %v", line, text, err)
