--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -99,7 +99,7 @@
 
 // CheckAdminAddr returns an error if addr is not a valid address of the operators' HTTP server.
 func CheckAdminAddr(addr string) error {
-	if _, _, err := ops.Split(addr); err != nil {
+	if _, _, err := ops.SplitAddress(addr); err != nil {
 		return fmt.Errorf("%q is not HOST:PORT: %v", addr, err)
 	}
 	return nil
