--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,16 +17,16 @@
 
 // Bounds of watchers.
 const (
-	watchersMost = 8
-	queueMost    = 4096            // queued events per watcher; further ones are dropped and counted in a Dropped event
-	writeWithin  = 5 * time.Second // a watcher that accepts no data for this long is disconnected
+	maxWatchers     = 8
+	maxQueuedEvents = 4096            // queued events per watcher; further ones are dropped and counted in a Dropped event
+	writeTimeout    = 5 * time.Second // a watcher that accepts no data for this long is disconnected
 )
 
 // Hub forwards events to a recorder and to all watchers. It implements routing.Recorder.
 type Hub struct {
-	Node    string
-	Records routing.Recorder       // may be nil
-	Known   func() []history.Event // returns the snapshot for a new watcher
+	Node     string
+	Records  routing.Recorder       // may be nil
+	Snapshot func() []history.Event // returns the snapshot for a new watcher
 
 	mu       sync.Mutex
 	watchers map[*watcher]bool
@@ -49,7 +49,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for w := range h.watchers {
-		if len(w.queue) >= queueMost {
+		if len(w.queue) >= maxQueuedEvents {
 			w.dropped++
 			continue
 		}
@@ -144,7 +144,7 @@
 	defer c.Close()
 	w := &watcher{conn: c, wake: make(chan struct{}, 1)}
 	h.mu.Lock()
-	if len(h.watchers) >= watchersMost {
+	if len(h.watchers) >= maxWatchers {
 		h.mu.Unlock()
 		return
 	}
@@ -155,33 +155,33 @@
 		delete(h.watchers, w)
 		h.mu.Unlock()
 	}()
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() { // detects a disconnected watcher also while there are no events
 		var b [64]byte
 		for {
 			if _, err := c.Read(b[:]); err != nil {
-				close(gone)
+				close(disconnected)
 				return
 			}
 		}
 	}()
-	c.SetWriteDeadline(time.Now().Add(writeWithin))
-	out, err := record.NewStreamWriter(c, h.Node)
-	if err != nil || out.Write(h.Known()) != nil {
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	stream, err := record.NewStreamWriter(c, h.Node)
+	if err != nil || stream.Write(h.Snapshot()) != nil {
 		return
 	}
 	for {
 		select {
 		case <-w.wake:
-		case <-gone:
+		case <-disconnected:
 			return
 		}
 		h.mu.Lock()
 		batch := w.queue
 		w.queue = nil
 		h.mu.Unlock()
-		c.SetWriteDeadline(time.Now().Add(writeWithin))
-		if out.Write(batch) != nil {
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if stream.Write(batch) != nil {
 			return
 		}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,10 +11,10 @@
 	"beammux/internal/record"
 )
 
-// hub starts a hub with one event in its snapshot.
-func hub(t *testing.T, addr string) *Hub {
+// newHub starts a hub with one event in its snapshot.
+func newHub(t *testing.T, addr string) *Hub {
 	t.Helper()
-	h := &Hub{Node: "n1", Known: func() []history.Event {
+	h := &Hub{Node: "n1", Snapshot: func() []history.Event {
 		return []history.Event{{At: 1, Kind: history.Continued, Name: "v1"}}
 	}}
 	if err := h.Listen(addr); err != nil {
@@ -50,7 +50,7 @@
 func TestWatch(t *testing.T) {
 	unix := "unix:" + filepath.Join(t.TempDir(), "admin.sock")
 	for _, addr := range []string{"127.0.0.1:0", unix} {
-		h := hub(t, addr)
+		h := newHub(t, addr)
 		if addr != unix {
 			addr = h.Addr()
 		}
@@ -68,7 +68,7 @@
 
 // A watcher that does not read never blocks Record. Once it reads again, it receives the number of dropped events.
 func TestSlowWatcher(t *testing.T) {
-	h := hub(t, "127.0.0.1:0")
+	h := newHub(t, "127.0.0.1:0")
 	s, _ := attach(t, h.Addr())
 	const events = 200000 // far more than its queue and the socket buffers hold
 	for range events {
@@ -99,11 +99,11 @@
 	}
 }
 
-// At most watchersMost watchers are served, and a disconnected one makes room for another.
-func TestWatchersAreBounded(t *testing.T) {
-	h := hub(t, "127.0.0.1:0")
+// At most maxWatchers watchers are served, and a disconnected one makes room for another.
+func TestWatcherLimit(t *testing.T) {
+	h := newHub(t, "127.0.0.1:0")
 	var last net.Conn
-	for range watchersMost {
+	for range maxWatchers {
 		_, last = attach(t, h.Addr())
 	}
 	c, err := net.Dial("tcp", h.Addr())
@@ -118,7 +118,7 @@
 		h.mu.Lock()
 		n := len(h.watchers)
 		h.mu.Unlock()
-		if n < watchersMost {
+		if n < maxWatchers {
 			break
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // A socket file that a killed process left is replaced; one that is in use is not.
-func TestLeftSocket(t *testing.T) {
+func TestStaleSocketIsReplaced(t *testing.T) {
 	addr := "unix:" + filepath.Join(t.TempDir(), "admin.sock")
 	_, path, _ := Split(addr)
 	l, err := net.Listen("unix", path)
@@ -147,6 +147,6 @@
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false)
 	l.Close()
-	h := hub(t, addr)
+	h := newHub(t, addr)
 	h.Close()
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -25,12 +25,12 @@
 	Rates   history.Rates
 	Mode    string // source of the data: "live", or a replay and its speed
 	Now     control.Micros
-	Last    []string       // recent events as text, newest last
-	level   map[pair]level // as last reported by each gatekeeper
+	Last    []string             // recent events as text, newest last
+	level   map[nodeServer]level // as last reported by each gatekeeper
 }
 
-// pair identifies a server as seen by one gatekeeper.
-type pair struct {
+// nodeServer identifies a server as seen by one gatekeeper.
+type nodeServer struct {
 	node   string
 	server uint32
 }
@@ -43,8 +43,8 @@
 
 // NewState returns an empty State.
 func NewState(mode string) *State {
-	s := &State{Fleet: history.NewFleet(), Checker: history.NewChecker(nil), Mode: mode, level: map[pair]level{}}
-	s.Fleet.Tell = s.moment
+	s := &State{Fleet: history.NewFleet(), Checker: history.NewChecker(nil), Mode: mode, level: map[nodeServer]level{}}
+	s.Fleet.Tell = s.addMoment
 	return s
 }
 
@@ -65,31 +65,31 @@
 		s.Rates.Event(e, class)
 	}
 	if e.Kind == history.Viewed {
-		s.level[pair{e.Node, e.Server}] = level{e.Level, e.Span}
+		s.level[nodeServer{e.Node, e.Server}] = level{e.Level, e.Span}
 	}
 	s.Fleet.Event(e)
 	s.Checker.Event(e)
 }
 
-// moment adds a line for a notable moment to the recent events.
-func (s *State) moment(m history.Moment) {
-	words := []string{clock(m.At), printable(m.Node), m.What}
+// addMoment adds a line for a notable moment to the recent events.
+func (s *State) addMoment(m history.Moment) {
+	parts := []string{clock(m.At), printable(m.Node), m.What}
 	if m.Server != 0 {
-		words = append(words, s.server(m.Server))
+		parts = append(parts, s.serverName(m.Server))
 	}
-	s.say(strings.Join(append(words, printable(m.Detail)), " "))
+	s.addEvent(strings.Join(append(parts, printable(m.Detail)), " "))
 }
 
-// say adds a line to the recent events.
-func (s *State) say(text string) {
+// addEvent adds a line to the recent events.
+func (s *State) addEvent(text string) {
 	s.Last = append(s.Last, strings.Join(strings.Fields(text), " "))
 	if len(s.Last) > lastEvents {
 		s.Last = s.Last[len(s.Last)-lastEvents:]
 	}
 }
 
-// server returns the printable name of a server, or its number if it has none.
-func (s *State) server(id uint32) string {
+// serverName returns the printable name of a server, or its number if it has none.
+func (s *State) serverName(id uint32) string {
 	if sv := s.Fleet.Servers[id]; sv != nil && sv.Name != "" {
 		return printable(sv.Name)
 	}
@@ -135,7 +135,7 @@
 		lines = append(lines, Line{fmt.Sprintf(format, args...), mark})
 	}
 	add(Head, "beammux  %s  %s UTC  gatekeepers: %d  events: %d", s.Mode, clock(s.Now), len(s.Fleet.Nodes), s.Fleet.Events)
-	room := max((height-11)/3, 2) // lines for the servers, and as many for the gatekeepers
+	maxRows := max((height-11)/3, 2) // lines for the servers, and as many for the gatekeepers
 	add(Head, "%-14s %9s %9s %9s %9s", "class, last 10 s", "offered/s", "stood/s", "refused/s", "failed/s")
 	for i, c := range s.Fleet.Rules.Classes[:min(len(s.Fleet.Rules.Classes), 4)] {
 		r := s.Rates.Last(s.Now, i)
@@ -145,14 +145,14 @@
 		} else if r.Refused > 0 {
 			mark = Warn
 		}
-		add(mark, "%-16s %7.1f   %7.1f   %7.1f   %7.1f", cut(printable(c.Name), 16), per(r.Offered), per(r.Served), per(r.Refused), per(r.Failed))
+		add(mark, "%-16s %7.1f   %7.1f   %7.1f   %7.1f", truncate(printable(c.Name), 16), perSecond(r.Offered), perSecond(r.Served), perSecond(r.Refused), perSecond(r.Failed))
 	}
 	servers := s.Fleet.ServerList()
 	add(Head, "%-20s %-8s %6s %7s %6s %8s", "server", "list", "gated", "wait", "stood", "full")
-	for _, sv := range servers[:min(len(servers), room)] {
+	for _, sv := range servers[:min(len(servers), maxRows)] {
 		gated, wait := 0, control.Micros(0)
 		for _, n := range s.Fleet.NodeList() {
-			l := s.level[pair{n.Name, sv.ID}]
+			l := s.level[nodeServer{n.Name, sv.ID}]
 			if l.level >= 2 {
 				gated++
 			}
@@ -164,50 +164,50 @@
 		} else if sv.State != control.Ready {
 			mark = Warn
 		}
-		add(mark, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", cut(s.server(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
+		add(mark, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", truncate(s.serverName(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
 	}
-	more(add, len(servers)-room, "servers")
+	addRemainder(add, len(servers)-maxRows, "servers")
 	nodes := s.Fleet.NodeList()
 	add(Head, "%-20s %-5s %6s %7s %7s %7s %6s", "gatekeeper", "", "open", "taken", "stood", "refused", "MB")
-	for _, n := range nodes[:min(len(nodes), room)] {
+	for _, n := range nodes[:min(len(nodes), maxRows)] {
 		up, mark := "up", Plain
 		if !n.Up {
 			up, mark = "down", Warn
 		}
-		add(mark, "%-20s %-5s %6d %7d %7d %7d %6.0f", cut(printable(n.Name), 20), up, n.Open, n.Counts.Offered, n.Counts.Served+n.Counts.Late, n.Counts.Refused, n.Memory/(1<<20))
+		add(mark, "%-20s %-5s %6d %7d %7d %7d %6.0f", truncate(printable(n.Name), 20), up, n.Open, n.Counts.Offered, n.Counts.Served+n.Counts.Late, n.Counts.Refused, n.Memory/(1<<20))
 	}
-	more(add, len(nodes)-room, "gatekeepers")
+	addRemainder(add, len(nodes)-maxRows, "gatekeepers")
 	rules, mark := "rules so far:", Good
 	for i, f := range s.Checker.SoFar() {
-		word := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.NotShown: "-"}[f.Verdict]
-		rules += fmt.Sprintf("  %s %s", [...]string{"answer", "one", "drain", "cold", "release"}[i], word)
+		verdict := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.NotShown: "-"}[f.Verdict]
+		rules += fmt.Sprintf("  %s %s", [...]string{"answer", "one", "drain", "cold", "release"}[i], verdict)
 		if f.Verdict == history.Broken {
 			mark = Bad
 		}
 	}
 	add(mark, "%s", rules)
-	left := max(height-len(lines)-1, 0)
-	for _, l := range s.Last[max(len(s.Last)-left, 0):] {
+	remaining := max(height-len(lines)-1, 0)
+	for _, l := range s.Last[max(len(s.Last)-remaining, 0):] {
 		add(Plain, "%s", l)
 	}
 	for i := range lines {
-		lines[i].Text = cut(lines[i].Text, width)
+		lines[i].Text = truncate(lines[i].Text, width)
 	}
 	return lines[:min(len(lines), height)]
 }
 
-// more adds a line with the number of items that are not shown.
-func more(add func(Mark, string, ...any), n int, what string) {
+// addRemainder adds a line with the number of items that are not shown.
+func addRemainder(add func(Mark, string, ...any), n int, items string) {
 	if n > 0 {
-		add(Plain, "  and %d more %s", n, what)
+		add(Plain, "  and %d more %s", n, items)
 	}
 }
 
-// per converts a count of the last 10 s to a rate per second.
-func per(n int) float64 { return float64(n) / 10 }
+// perSecond converts a count of the last 10 s to a rate per second.
+func perSecond(n int) float64 { return float64(n) / 10 }
 
-// cut truncates s to width characters, with an ellipsis if there is room for one.
-func cut(s string, width int) string {
+// truncate truncates s to width characters, with an ellipsis if there is room for one.
+func truncate(s string, width int) string {
 	r := []rune(s)
 	if len(r) <= width {
 		return s
@@ -241,8 +241,8 @@
 	quit := make(chan struct{})
 	go screen.ChannelEvents(events, quit)
 	defer close(quit)
-	every := time.NewTicker(200 * time.Millisecond)
-	defer every.Stop()
+	ticker := time.NewTicker(200 * time.Millisecond)
+	defer ticker.Stop()
 	s.draw(screen)
 	for {
 		select {
@@ -266,7 +266,7 @@
 				continue
 			}
 			s.Item(i)
-		case <-every.C:
+		case <-ticker.C:
 			s.draw(screen)
 		}
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -67,7 +67,7 @@
 }
 
 // At any size the lines fit the screen, and the number of items that are not shown is displayed.
-func TestAnySize(t *testing.T) {
+func TestLinesFitAnySize(t *testing.T) {
 	s := full(30, 30)
 	for width := 0; width < 130; width += 7 {
 		for height := 0; height < 60; height += 3 {
--- a/internal/node/dialer.go
+++ b/internal/node/dialer.go
@@ -17,15 +17,15 @@
 }
 
 // MaxConns implements routing.Dialer.
-func (d *dialer) MaxConns(addr string) int { return d.dialect(addr).MaxConns(addr) }
+func (d *dialer) MaxConns(addr string) int { return d.dialerFor(addr).MaxConns(addr) }
 
 // Dial implements routing.Dialer.
 func (d *dialer) Dial(ctx context.Context, addr string, events routing.ServerEvents) (routing.ServerConn, error) {
-	return d.dialect(addr).Dial(ctx, addr, events)
+	return d.dialerFor(addr).Dial(ctx, addr, events)
 }
 
 // dialerFor returns the dialer that handles an address.
-func (d *dialer) dialect(addr string) routing.Dialer {
+func (d *dialer) dialerFor(addr string) routing.Dialer {
 	switch {
 	case !strings.HasPrefix(addr, "sip:"):
 		return d.platform
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -15,20 +15,19 @@
 		Servers: n.listedServers, SetInFlightLimit: n.core.SetInFlightLimit, SetBusyNumber: n.core.SetBusy, Now: n.core.Now, Log: n.log})
 }
 
-// listedServers returns the servers on the list. If the core does not answer within summaryWithin, it returns its previous
-// result.
+// listedServers returns the servers on the list, or its previous result if the core does not answer within summaryTimeout.
 func (n *Node) listedServers() []outlier.Server {
 	answer := make(chan []outlier.Server, 1)
 	n.core.Views(func(views []control.View, _ control.Micros) {
-		var out []outlier.Server
+		var servers []outlier.Server
 		for _, v := range views {
-			out = append(out, outlier.Server{ID: v.Server, Since: v.Since, Level: v.Level})
+			servers = append(servers, outlier.Server{ID: v.Server, Since: v.Since, Level: v.Level})
 		}
-		answer <- out
+		answer <- servers
 	})
 	select {
 	case n.lastListed = <-answer:
-	case <-time.After(summaryWithin):
+	case <-time.After(summaryTimeout):
 	}
 	return n.lastListed
 }
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -25,8 +25,8 @@
 	"beammux/internal/routing"
 )
 
-// soon receives a value within 10 s.
-func soon[T any](t *testing.T, from <-chan T) (got T) {
+// receive receives a value within 10 s.
+func receive[T any](t *testing.T, from <-chan T) (got T) {
 	t.Helper()
 	select {
 	case got = <-from:
@@ -38,7 +38,7 @@
 
 // Callers that never stop sending do not keep a drain from ending. Each set-up they write gets one final answer, except those
 // that cross the close of their connection.
-func TestDrainEndsUnderCallersWhoGoOn(t *testing.T) {
+func TestDrainEndsWhileCallersKeepSending(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	withServer(t, n, 20*time.Millisecond)
 	const conns, pace, cross = 4, 3 * time.Millisecond, 50 * time.Millisecond
@@ -83,7 +83,7 @@
 				own.Lock()
 				sent[id] = time.Now()
 				own.Unlock()
-				open(conn, id, "5", 3000)
+				sendSetup(conn, id, "5", 3000)
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	go func() { defer close(drained); n.Drain() }()
 	select {
 	case <-drained:
-	case <-time.After(openFor + n.restartTime() + 5*time.Second):
+	case <-time.After(settleAfter + n.restartTime() + 5*time.Second):
 		t.Fatal("the drain did not end")
 	}
 	clients.Wait()
@@ -102,29 +102,29 @@
 }
 
 // A set-up that is accepted during a shutdown is answered before the process may be killed, even if its own deadline is later.
-func TestAnswersComeBeforeTheKill(t *testing.T) {
+func TestAnswersBeforeKill(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, nil) // never answers
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
-	open(c, "0000000000000001", "1", 3000)
+	sendSetup(c, "0000000000000001", "1", 3000)
 	server.Wait("INVITE", siptest.Is("INVITE"))
 	began, settled := time.Now(), make(chan struct{})
 	wait := n.beginSettling()
 	go func() { defer close(settled); wait() }()
-	n.core.Learned(func(control.Learned) { open(c, "0000000000000002", "2", 6000) }) // on the core's goroutine, which has the bound by now
-	require.Equal(t, "0000000000000002close", soon(t, answers))
+	n.core.Learned(func(control.Learned) { sendSetup(c, "0000000000000002", "2", 6000) }) // on the core's goroutine, which has the bound by now
+	require.Equal(t, "0000000000000002close", receive(t, answers))
 	if took := time.Since(began); took > n.restartTime() {
 		t.Errorf("answered %v after beginSettling; the process may be killed after %v", took, n.restartTime())
 	}
-	require.Equal(t, "0000000000000001close", soon(t, answers))
+	require.Equal(t, "0000000000000001close", receive(t, answers))
 	<-settled
 }
 
 // A process that is shutting down releases no established call, however long its drain takes: the call continues without it. A
 // release that the server sends meanwhile is forwarded on the caller's connection, which stays open for it.
-func TestEndingLeavesCallsStanding(t *testing.T) {
+func TestShutdownKeepsEstablishedCalls(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	release := make(chan struct{})
 	server := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
@@ -137,18 +137,18 @@
 			}
 		}
 	})
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
 	for i, key := range []string{"stands", "ends"} {
 		id := fmt.Sprintf("%016x", i+1)
-		open(c, id, key, 4000)
-		require.Equal(t, id+"ready", soon(t, answers))
+		sendSetup(c, id, key, 4000)
+		require.Equal(t, id+"ready", receive(t, answers))
 	}
-	n.sendAway((*drain.Drain).End) // like Drain while a pending answer delays its end
-	time.Sleep(time.Duration(drain.Cut)*time.Microsecond + 5*sweepEvery)
+	n.startDrain((*drain.Drain).End) // like Drain while a pending answer delays its end
+	time.Sleep(time.Duration(drain.Cut)*time.Microsecond + 5*sweepInterval)
 	close(release)
-	require.Equal(t, "0000000000000002close", soon(t, answers))
+	require.Equal(t, "0000000000000002close", receive(t, answers))
 	if n := server.Count(siptest.Is("BYE")); n != 0 || len(answers) != 0 {
 		t.Errorf("%d calls released during the shutdown, %d more messages to the caller", n, len(answers))
 	}
@@ -156,7 +156,7 @@
 
 // A set-up that is still unread on an open connection when the drain last checks for pending answers is answered before the
 // connection closes. To force this, the connection's reader is blocked while the set-up is written and the check is made.
-func TestSetupThatCrossesTheEndOfADrainIsAnswered(t *testing.T) {
+func TestDrainAnswersUnreadSetup(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	hold, held := make(chan struct{}), make(chan struct{})
 	n.front.Seen = func(string, bool) { close(held); <-hold }
@@ -165,17 +165,17 @@
 	fmt.Fprintln(c, `{"msg":"probe","sid":"0000000000000009","attrs":{},"code":0}`)
 	<-held
 	<-answers
-	open(c, "0000000000000001", "1", 3000)
+	sendSetup(c, "0000000000000001", "1", 3000)
 	ended := make(chan struct{})
 	looks := make(chan struct{})
 	go func() {
 		defer close(ended)
 		n.beginSettling()()
-		n.listener.Finish(flushFor)
+		n.listener.Finish(flushTimeout)
 	}()
 	go func() { // at least two checks: each is an event on the core's goroutine
 		for range 2 {
-			time.Sleep(2 * settleEvery)
+			time.Sleep(2 * settleInterval)
 			turn := make(chan struct{})
 			n.core.Post(func() { close(turn) })
 			<-turn
@@ -200,10 +200,10 @@
 
 // After a caller closes its connection or cancels its call, no attempt begins more than 0.1 s later, neither a first one nor a
 // retry that the call waits for, even with many calls at once.
-func TestNoAttemptForOneWhoLeft(t *testing.T) {
+func TestNoAttemptAfterCallerLeft(t *testing.T) {
 	const gone = 100 * time.Millisecond
 	for _, how := range []string{"close", "reset", "cancel"} {
-		for _, when := range []string{"at once", "while it waits"} {
+		for _, when := range []string{"at once", "while the call waits"} {
 			t.Run(how+" "+when, func(t *testing.T) {
 				n := testNode(t, &config.Deploy{})
 				cut := func(p *siptest.Party, e siptest.Entry) {
@@ -212,16 +212,16 @@
 					}
 				}
 				servers := []*siptest.Party{siptest.New(t, cut), siptest.New(t, cut)}
-				n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
+				n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
 					{Name: "b", Addr: servers[1].Addr("TCP"), Cell: 1, State: control.Ready}}})
 				const calls = 40
 				c := dial(t, n).(*net.TCPConn)
 				go io.Copy(io.Discard, c)
 				id := func(i int) string { return fmt.Sprintf("%016x", i+1) }
 				for i := range calls {
-					open(c, id(i), fmt.Sprint(i), 3000)
+					sendSetup(c, id(i), fmt.Sprint(i), 3000)
 				}
-				if when == "while it waits" {
+				if when == "while the call waits" {
 					servers[0].Wait("INVITE", siptest.Is("INVITE"))
 					time.Sleep(50 * time.Millisecond) // within the release guard of 300 ms
 				}
@@ -249,7 +249,7 @@
 						}
 					}
 				}
-				if late > 0 || when == "while it waits" && all == 0 {
+				if late > 0 || when == "while the call waits" && all == 0 {
 					t.Errorf("%d of %d attempts began over %v after the caller had left", late, all, gone)
 				}
 			})
@@ -259,7 +259,7 @@
 
 // Idle clients that use up the descriptors while the event bus is down do not block recovery: descriptors for the reconnect to
 // the bus and for dialling servers are reserved, so the list arrives and a new caller is served in place of idle ones.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsDuringBusOutage(t *testing.T) {
 	bus := porttest.Reserve(t) // no listener at first
 	cfg, err := config.Load(testConfig(t))
 	require.NoError(t, err)
@@ -277,7 +277,7 @@
 			fmt.Fprintln(c, `{"msg":"probe","sid":"0000000000000009","attrs":{},"code":0}`)
 		}
 	}
-	server := siptest.New(t, slowly(0))
+	server := siptest.New(t, answerAfter(0))
 	l, err := net.Listen("tcp", bus)
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -297,7 +297,7 @@
 	for i := 0; ; i++ {
 		c, err := net.Dial("tcp", n.Addr())
 		require.NoError(t, err)
-		open(c, fmt.Sprintf("%016x", i+1), "1", 2000)
+		sendSetup(c, fmt.Sprintf("%016x", i+1), "1", 2000)
 		c.SetReadDeadline(time.Now().Add(3 * time.Second))
 		line, err := bufio.NewReader(c).ReadString('\n')
 		c.Close()
@@ -321,18 +321,18 @@
 	cfg.Sockets = 96
 	log, _ := logtest.NewNullLogger()
 	n := startNode(t, cfg, &config.Deploy{}, log)
-	server := siptest.New(t, slowly(0))
+	server := siptest.New(t, answerAfter(0))
 	var hosts []routing.Host
 	for i := range 3 * cfg.Sockets {
 		hosts = append(hosts, routing.Host{Name: fmt.Sprint("s-", i), Addr: server.Addr("TCP"), State: control.Ready})
 	}
-	n.applied(routing.Update{Whole: true, Hosts: hosts})
+	n.applyAndWait(routing.Update{Whole: true, Hosts: hosts})
 	time.Sleep(500 * time.Millisecond) // until the servers are dialled
 	served := 0
 	for i := range 20 {
 		c, err := net.Dial("tcp", n.Addr())
 		require.NoError(t, err)
-		open(c, fmt.Sprintf("%016x", i+1), fmt.Sprint(i), 2000)
+		sendSetup(c, fmt.Sprintf("%016x", i+1), fmt.Sprint(i), 2000)
 		c.SetReadDeadline(time.Now().Add(4 * time.Second))
 		line, err := bufio.NewReader(c).ReadString('\n')
 		c.Close()
@@ -347,7 +347,7 @@
 
 // Calls of alternating classes share one caller connection and one server connection. Each set-up reaches the server with its
 // own class, number and body, and each answer returns to its own call.
-func TestCallsInTurnKeepTheirOwn(t *testing.T) {
+func TestAlternatingClassesShareConnections(t *testing.T) {
 	file := strings.Replace(testSettings, `"worth":1}]`, `"worth":1},{"aim-us":1500000,"deadline-us":9000000,"late-worth":0.5,"name":"diet","repeat":"non_idempotent","worth":3}]`, 1)
 	require.NotEqual(t, testSettings, file)
 	site, err := control.ParseSite(file)
@@ -362,19 +362,19 @@
 			e.Back(p.Reply(e.Msg, 200, "OK", e.Msg.Get("X-Cos")+" "+keyOf(e.Msg)+" "+string(e.Msg.Body)))
 		}
 	})
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	got := make(chan [2]string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { got <- [2]string{fmt.Sprint(m["sid"]), fmt.Sprint(m["text"])} })
 	for i := range 60 {
 		id, class := fmt.Sprintf("%016x", i+1), []string{"menu-view", "diet"}[i%2]
 		body := strings.Repeat(fmt.Sprint(i, " "), 1+i%5)
 		fmt.Fprintf(c, `{"msg":"open","sid":%q,"attrs":{"class":%q,"left":3000,"key":"7%d"},"text":%q}`+"\n", id, class, i, body)
-		require.Equal(t, [2]string{id, fmt.Sprintf("%s 7%d %s", class, i, body)}, soon(t, got))
+		require.Equal(t, [2]string{id, fmt.Sprintf("%s 7%d %s", class, i, body)}, receive(t, got))
 	}
 }
 
 // A drained gatekeeper leaves no goroutines, whether its callers were idle, silent or waiting for an answer.
-func TestDrainLeavesNothingBehind(t *testing.T) {
+func TestDrainLeavesNoGoroutines(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	cfg, err := config.Load(testConfig(t))
 	require.NoError(t, err)
@@ -384,13 +384,13 @@
 	server := withServer(t, n, 100*time.Millisecond)
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["msg"]) })
-	open(c, "0000000000000001", "1", 3000)
+	sendSetup(c, "0000000000000001", "1", 3000)
 	silent := dial(t, n)
 	io.WriteString(dial(t, n), `{"msg":"op`)
-	require.Equal(t, "ready", soon(t, answers))
-	open(c, "0000000000000002", "1", 3000)
+	require.Equal(t, "ready", receive(t, answers))
+	sendSetup(c, "0000000000000002", "1", 3000)
 	n.Drain()
-	require.Equal(t, "ready", soon(t, answers))
+	require.Equal(t, "ready", receive(t, answers))
 	n.Close()
 	server.Stop()
 	c.Close()
@@ -399,7 +399,7 @@
 
 // A caller without a tenant belongs to none: on both fronts, a limit of one tenant does not apply to it, not even that of the
 // tenant with index 0.
-func TestNobodyIsTakenForTheFirstTenant(t *testing.T) {
+func TestCallerWithoutTenantIsNotLimited(t *testing.T) {
 	site, err := control.ParseSite(strings.Replace(testSettings, `"classes"`, `"over-share-worth":0.1,"tenants":[{"name":"north","quota-per-s":1},{"name":"south","quota-per-s":9}],"classes"`, 1))
 	require.NoError(t, err)
 	require.Len(t, site.Tenants, 2)
@@ -414,8 +414,8 @@
 	c := dialJSON(t, n, func(m map[string]any) { got <- fmt.Sprint(m["sid"], m["msg"]) })
 	for i := range 3 {
 		id := fmt.Sprintf("%016x", i+1)
-		open(c, id, "1", 3000)
-		require.Equal(t, id+"ready", soon(t, got))
+		sendSetup(c, id, "1", 3000)
+		require.Equal(t, id+"ready", receive(t, got))
 		caller := siptest.New(t, nil)
 		caller.Send("UDP", n.agent.Addr("UDP"), caller.Invite("UDP", id, "1", ""))
 		caller.Wait("200", siptest.Status(200, "INVITE"))
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -26,26 +26,26 @@
 	if d == nil {
 		return nil
 	}
-	o := fleet.Options{Name: cmp.Or(d.Name, n.cfg.Name, "beammux"), Zone: d.Zone, Region: d.Region, Group: d.Group, RegisterBytes: d.RegisterBytes, Program: program(), Bind: d.Bind,
+	o := fleet.Options{Name: cmp.Or(d.Name, n.cfg.Name, "beammux"), Zone: d.Zone, Region: d.Region, Group: d.Group, RegisterBytes: d.RegisterBytes, Program: programVersion(), Bind: d.Bind,
 		Advertise: d.Advertise, Seeds: d.Seeds, Keys: d.Keys, Via: d.Via, ReapAfter: d.ReapAfter, State: fleetview.Ready, Summaries: n.summaries, Log: n.log}
 	f, err := fleet.Open(o)
 	if err != nil {
 		return err
 	}
 	n.fleet = f
-	n.figures.addFleet(f)
-	n.figures.addRegisters(f)
-	n.telling.Go(func() { n.tellRates(ctx) })
+	n.exporter.addFleet(f)
+	n.exporter.addRegisters(f)
+	n.publishers.Go(func() { n.publishRates(ctx) })
 	if n.outliers != nil {
 		n.outliers.Open(f)
-		n.figures.addEjections(n.outliers)
+		n.exporter.addEjections(n.outliers)
 	}
 	n.log.WithField("listen", f.Addr()).Info("fleet listening")
 	return nil
 }
 
-// program returns the version control revision that this program was built from, or "unknown".
-func program() string {
+// programVersion returns the version control revision that this program was built from, or "unknown".
+func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
@@ -56,32 +56,32 @@
 	return "unknown"
 }
 
-// summaryWithin bounds the wait for the core's view of its servers.
-const summaryWithin = 500 * time.Millisecond
+// summaryTimeout bounds the wait for the core's view of its servers.
+const summaryTimeout = 500 * time.Millisecond
 
-// summaries returns this gatekeeper's view of the servers, which the fleet distributes to the other members as a hint. If the
-// core does not answer within summaryWithin, it returns its previous result.
+// summaries returns this gatekeeper's view of the servers, or its previous result if the core does not answer within
+// summaryTimeout. The fleet distributes it to the other members as a hint.
 func (n *Node) summaries() []fleetview.Summary {
 	answer := make(chan []fleetview.Summary, 1)
 	n.core.Views(func(views []control.View, now control.Micros) {
-		var out []fleetview.Summary
+		var result []fleetview.Summary
 		for _, v := range views {
 			s := fleetview.Summary{Server: v.Server, Level: v.Level, Age: -1}
 			if v.LastHeard > 0 {
 				s.Age = now - v.LastHeard
 			}
-			out = append(out, s)
+			result = append(result, s)
 		}
-		answer <- out
+		answer <- result
 	})
 	select {
-	case n.lastSeen = <-answer:
-	case <-time.After(summaryWithin):
+	case n.lastSummaries = <-answer:
+	case <-time.After(summaryTimeout):
 	}
-	return slices.Clone(n.lastSeen)
+	return slices.Clone(n.lastSummaries)
 }
 
-// ClassRates holds the rates of calls of one class, in calls per second.
+// ClassRates holds the rates of calls of one class, in calls per second, by outcome.
 type ClassRates struct {
 	Arrived     float64 `cbor:"1,keyasint" json:"arrived"`
 	Established float64 `cbor:"2,keyasint" json:"stood"`
@@ -107,26 +107,26 @@
 	Settings *follow.Status `json:"settings,omitempty"` // received from the control machines
 }
 
-// ratesEvery is the interval at which this gatekeeper publishes its call rates.
-const ratesEvery = 500 * time.Millisecond
+// ratesInterval is the interval at which this gatekeeper publishes its call rates.
+const ratesInterval = 500 * time.Millisecond
 
-// tellRates publishes this gatekeeper's call rates until ctx is done.
-func (n *Node) tellRates(ctx context.Context) {
-	tick := time.NewTicker(ratesEvery)
+// publishRates publishes this gatekeeper's call rates until ctx is done.
+func (n *Node) publishRates(ctx context.Context) {
+	tick := time.NewTicker(ratesInterval)
 	defer tick.Stop()
 	for {
-		own := map[string]ClassRates{}
+		rates := map[string]ClassRates{}
 		for i, c := range n.counters.Rates(n.core.Now()).Classes {
 			name := "unknown"
 			if i < len(n.cfg.Site.ClassNames) {
 				name = n.cfg.Site.ClassNames[i]
 			}
-			if c[counting.Arrived] > leastRate {
-				own[name] = ClassRates{rounded(c[counting.Arrived]), rounded(c[counting.Established]), rounded(c[counting.Refused]), rounded(c[counting.Failed])}
+			if c[counting.Arrived] > minRate {
+				rates[name] = ClassRates{rounded(c[counting.Arrived]), rounded(c[counting.Established]), rounded(c[counting.Refused]), rounded(c[counting.Failed])}
 			}
 		}
-		if text, err := sortedCBOR.Marshal(own); err == nil {
-			n.fleet.Publish(registers.Rates, text) // the fleet logs its errors
+		if encoded, err := sortedCBOR.Marshal(rates); err == nil {
+			n.fleet.Publish(registers.Rates, encoded) // the fleet logs its errors
 		}
 		select {
 		case <-ctx.Done():
@@ -136,7 +136,7 @@
 	}
 }
 
-const leastRate = 0.005 // calls per second; lower rates are not published
+const minRate = 0.005 // calls per second; lower rates are not published
 
 // rounded returns v rounded to two decimals.
 func rounded(v float64) float64 { return math.Round(v*100) / 100 }
@@ -152,20 +152,20 @@
 
 // fleetRates sums the rates that members publish. A register that cannot be decoded is skipped.
 func (n *Node) fleetRates() FleetRates {
-	all := FleetRates{Classes: map[string]ClassRates{}}
+	total := FleetRates{Classes: map[string]ClassRates{}}
 	for _, r := range n.fleet.Read(registers.Rates) {
-		var told map[string]ClassRates
-		if err := cbor.Unmarshal(r.Value, &told); err != nil {
+		var rates map[string]ClassRates
+		if err := cbor.Unmarshal(r.Value, &rates); err != nil {
 			continue
 		}
-		all.Members++
-		all.Oldest = max(all.Oldest, r.Age)
-		for name, c := range told {
-			sum := all.Classes[name]
-			all.Classes[name] = ClassRates{sum.Arrived + c.Arrived, sum.Established + c.Established, sum.Refused + c.Refused, sum.Failed + c.Failed}
+		total.Members++
+		total.Oldest = max(total.Oldest, r.Age)
+		for name, c := range rates {
+			sum := total.Classes[name]
+			total.Classes[name] = ClassRates{sum.Arrived + c.Arrived, sum.Established + c.Established, sum.Refused + c.Refused, sum.Failed + c.Failed}
 		}
 	}
-	return all
+	return total
 }
 
 // Fleet implements ops.Gatekeeper. It reports false if this gatekeeper neither belongs to a fleet nor follows control machines.
@@ -191,8 +191,8 @@
 	return st, true
 }
 
-// tellFleet publishes this member's state if the fleet is enabled.
-func (n *Node) tellFleet(s fleetview.State) {
+// publishState publishes this member's state if the fleet is enabled.
+func (n *Node) publishState(s fleetview.State) {
 	if n.fleet != nil {
 		n.fleet.SetState(s)
 	}
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -53,15 +53,15 @@
 		n.list.Apply(u, loaded.Done)
 	}
 	loaded.Wait()
-	n.store.Watch(InventoryKey, n.imported)
+	n.store.Watch(InventoryKey, n.applyImported)
 	if r, ok := n.store.Get(InventoryKey); ok {
-		n.imported(r)
+		n.applyImported(r)
 	}
 	return nil
 }
 
-// imported applies an inventory record of the store. An invalid one leaves the list unchanged.
-func (n *Node) imported(r store.Record) {
+// applyImported applies an inventory record of the store. An invalid one leaves the list unchanged.
+func (n *Node) applyImported(r store.Record) {
 	if r.Key != InventoryKey || r.Value == nil {
 		return
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -26,8 +26,8 @@
 	if n.fleet != nil {
 		o.Gossip, o.Start = n.fleet, n.fleet.Start()
 	}
-	n.leaseAt.Store(leaseAddresses(d))
-	if len(*n.leaseAt.Load()) > 0 || n.storeShared() || n.deploy.Control != nil {
+	n.leaseMembers.Store(leaseAddresses(d))
+	if len(*n.leaseMembers.Load()) > 0 || n.storeShared() || n.deploy.Control != nil {
 		o.Lease = n.leaser()
 	}
 	l, err := limits.Open(o)
@@ -36,7 +36,7 @@
 	}
 	n.limits = l
 	n.core.SetQuotas(l)
-	n.figures.setLimits(o.Limits, l)
+	n.exporter.setLimits(o.Limits, l)
 	n.log.WithField("rules", len(o.Limits.Rules)).Info("limits of the fleet in force")
 	return nil
 }
@@ -44,28 +44,28 @@
 // leaser returns a function that requests leases from the store members that the limits in force name, or from this
 // gatekeeper's own store if they name none. After a failed request it moves to the next member.
 func (n *Node) leaser() limits.Leaser {
-	var at atomic.Uint32
+	var next atomic.Uint32
 	return func(ctx context.Context, request []byte) ([]byte, error) {
-		addresses := *n.leaseAt.Load()
+		addresses := *n.leaseMembers.Load()
 		if len(addresses) == 0 {
 			return n.store.Reduce(ctx, limits.LeaseKey, request)
 		}
-		ctx, cancel := context.WithTimeout(ctx, leaseWithin)
+		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
-		i := at.Load()
+		i := next.Load()
 		answer, err := store.ReduceAt(ctx, addresses[int(i)%len(addresses)], limits.LeaseKey, request)
 		if err != nil {
-			at.CompareAndSwap(i, i+1)
+			next.CompareAndSwap(i, i+1)
 		}
 		return answer, err
 	}
 }
 
-// leaseWithin bounds a lease request to one member; a lease lasts 1.5 s.
-const leaseWithin = 600 * time.Millisecond
+// leaseTimeout bounds a lease request to one member; a lease lasts 1.5 s.
+const leaseTimeout = 600 * time.Millisecond
 
-// closeShared closes the parts that depend on the fleet or the control machines: settings, limits and outlier detection.
-func (n *Node) closeShared() {
+// closeFleetFeatures closes the parts that depend on the fleet or the control machines: settings, limits and outlier detection.
+func (n *Node) closeFleetFeatures() {
 	n.closeSettings()
 	if n.limits != nil {
 		n.limits.Close()
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -68,8 +68,8 @@
 	return n
 }
 
-// applied applies an update to the list and waits until the core has it.
-func (n *Node) applied(u routing.Update) {
+// applyAndWait applies an update to the list and waits until the core has it.
+func (n *Node) applyAndWait(u routing.Update) {
 	done := make(chan struct{})
 	n.list.Apply(u, func() { close(done) })
 	<-done
@@ -102,77 +102,77 @@
 	servers  *history.Checker
 	callers  *history.Checker
 	sent     map[string]int // attempts received by servers, by number called
-	names    map[string]uint32
+	numbers  map[string]uint32
 	answered chan struct{}
 	attempts int
 }
 
 // Rule settings for the observer, relaxed for a busy machine.
 const (
-	guard = 200 * time.Millisecond // of 300 ms: a busy machine receives a CANCEL late; without the guard the gap is 50 ms or less
-	grace = 250 * time.Millisecond // the checker adds 50 ms
-	late  = time.Second            // the core's own limit of 15 ms is tested in its package
+	releaseGuard = 200 * time.Millisecond // of 300 ms: a busy machine receives a CANCEL late; without the guard the gap is 50 ms or less
+	drainGrace   = 250 * time.Millisecond // the checker adds 50 ms
+	answerSlack  = time.Second            // the core's own limit of 15 ms is tested in its package
 )
 
 func newObserver(t *testing.T, calls int) *observer {
 	o := &observer{t: t, servers: history.NewChecker(nil), callers: history.NewChecker(nil), sent: map[string]int{},
-		names: map[string]uint32{}, answered: make(chan struct{}, 4*calls)}
-	rules := &history.Rules{Classes: []history.Class{{Name: "menu-view"}}, ReleaseGuard: control.Micros(guard.Microseconds()),
-		DrainGrace: control.Micros(grace.Microseconds()), AnswerSlack: control.Micros(late.Microseconds())}
+		numbers: map[string]uint32{}, answered: make(chan struct{}, 4*calls)}
+	rules := &history.Rules{Classes: []history.Class{{Name: "menu-view"}}, ReleaseGuard: control.Micros(releaseGuard.Microseconds()),
+		DrainGrace: control.Micros(drainGrace.Microseconds()), AnswerSlack: control.Micros(answerSlack.Microseconds())}
 	for _, c := range []*history.Checker{o.servers, o.callers} {
-		o.see(c, history.Event{Kind: history.Started, Rules: rules})
+		o.record(c, history.Event{Kind: history.Started, Rules: rules})
 	}
 	return o
 }
 
-func (o *observer) see(c *history.Checker, e history.Event) {
+func (o *observer) record(c *history.Checker, e history.Event) {
 	e.At, e.Node = control.Micros(time.Now().UnixMicro()), "observed"
 	c.Event(&e)
 }
 
-func (o *observer) taken(key string, left time.Duration) {
+func (o *observer) callTaken(key string, left time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.see(o.callers, history.Event{Kind: history.Taken, Call: key, Span: control.Micros(left.Microseconds())})
-	o.see(o.servers, history.Event{Kind: history.Taken, Call: key, Span: 3600e6}) // servers see no final answer
+	o.record(o.callers, history.Event{Kind: history.Taken, Call: key, Span: control.Micros(left.Microseconds())})
+	o.record(o.servers, history.Event{Kind: history.Taken, Call: key, Span: 3600e6}) // servers see no final answer
 }
 
-func (o *observer) number(server string) uint32 {
-	if o.names[server] == 0 {
-		o.names[server] = uint32(len(o.names) + 1)
+func (o *observer) serverNumber(server string) uint32 {
+	if o.numbers[server] == 0 {
+		o.numbers[server] = uint32(len(o.numbers) + 1)
 	}
-	return o.names[server]
+	return o.numbers[server]
 }
 
-func (o *observer) begin(key, server string) {
+func (o *observer) attemptBegan(key, server string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts++
-	o.see(o.servers, history.Event{Kind: history.Sent, Call: key, Attempt: o.sent[key], Server: o.number(server)})
+	o.record(o.servers, history.Event{Kind: history.Sent, Call: key, Attempt: o.sent[key], Server: o.serverNumber(server)})
 	o.sent[key]++
 }
 
-func (o *observer) end(key string, code control.Code) {
+func (o *observer) attemptEnded(key string, code control.Code) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.see(o.servers, history.Event{Kind: history.Ended, Call: key, Attempt: o.sent[key] - 1, Code: code})
+	o.record(o.servers, history.Event{Kind: history.Ended, Call: key, Attempt: o.sent[key] - 1, Code: code})
 }
 
 func (o *observer) drained(server string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.see(o.servers, history.Event{Kind: history.Listed, Server: o.number(server), Name: server, State: control.Draining})
+	o.record(o.servers, history.Event{Kind: history.Listed, Server: o.serverNumber(server), Name: server, State: control.Draining})
 }
 
 func (o *observer) answer(key string, kind history.Kind) {
 	o.mu.Lock()
-	o.see(o.callers, history.Event{Kind: kind, Call: key})
+	o.record(o.callers, history.Event{Kind: kind, Call: key})
 	o.mu.Unlock()
 	o.answered <- struct{}{}
 }
 
-// judge fails the test for each rule that does not hold.
-func (o *observer) judge() {
+// check fails the test for each rule that does not hold.
+func (o *observer) check() {
 	o.t.Helper()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -191,8 +191,8 @@
 	return user
 }
 
-// server simulates a menu server. The number called determines its response, so that runs are reproducible.
-func (r *observer) server(name string) func(*siptest.Party, siptest.Entry) {
+// serverHandler simulates a menu server. The number called determines its response, so that runs are reproducible.
+func (o *observer) serverHandler(name string) func(*siptest.Party, siptest.Entry) {
 	var mu sync.Mutex
 	seen := map[string]bool{}
 	keys := map[string]string{}
@@ -208,12 +208,12 @@
 			if again {
 				return // ignore a retransmission
 			}
-			r.begin(key, name)
+			o.attemptBegan(key, name)
 			e.Back(p.Reply(m, 100, "Trying", ""))
 			var digits int
 			fmt.Sscan(key, &digits)
 			final := func(status int, body string, code control.Code) {
-				r.end(key, code)
+				o.attemptEnded(key, code)
 				e.Back(p.Reply(m, status, "Final", body))
 			}
 			switch (digits + len(name)) % 16 {
@@ -231,7 +231,7 @@
 			mu.Lock()
 			key := keys[id]
 			mu.Unlock()
-			r.end(key, control.Cancelled)
+			o.attemptEnded(key, control.Cancelled)
 			e.Back(p.Reply(m, 200, "OK", ""))
 		case siptest.Is("BYE")(m):
 			e.Back(p.Reply(m, 200, "OK", ""))
@@ -241,7 +241,7 @@
 
 // Every rule holds for SIP callers over UDP and TCP and JSON callers on one core, in front of platform and SIP servers. Guards
 // against one front enforcing weaker rules than the other.
-func TestMixedCallersKeepTheRules(t *testing.T) {
+func TestRulesHoldForMixedCallers(t *testing.T) {
 	records := t.TempDir()
 	n := testNode(t, &config.Deploy{SIPUDP: "127.0.0.1:0", SIPTCP: "127.0.0.1:0", DefaultClass: "menu-view",
 		Records: &config.Records{Dir: records}})
@@ -249,7 +249,7 @@
 	r := newObserver(t, calls)
 	var hosts []routing.Host
 	for i, kind := range []string{"platform", "UDP", "TCP", "drained"} {
-		p := siptest.New(t, r.server(kind))
+		p := siptest.New(t, r.serverHandler(kind))
 		addr := p.Addr("TCP")
 		switch kind {
 		case "UDP", "TCP":
@@ -259,7 +259,7 @@
 		}
 		hosts = append(hosts, routing.Host{Name: kind, Addr: addr, Cell: i, State: control.Ready})
 	}
-	n.applied(routing.Update{Whole: true, Hosts: hosts})
+	n.applyAndWait(routing.Update{Whole: true, Hosts: hosts})
 
 	ids := sync.Map{} // JSON ids to numbers
 	j := dialJSON(t, n, func(m map[string]any) {
@@ -310,7 +310,7 @@
 	for i := range calls {
 		<-pace.C
 		key := fmt.Sprint(1000 + i)
-		r.taken(key, left)
+		r.callTaken(key, left)
 		switch rng.IntN(3) {
 		case 0:
 			sid := fmt.Sprintf("%016x", 1000+i)
@@ -326,7 +326,7 @@
 		}
 		if i == calls/2 {
 			hosts[3].State = control.Draining
-			n.applied(routing.Update{Hosts: hosts[3:]})
+			n.applyAndWait(routing.Update{Hosts: hosts[3:]})
 			r.drained("drained")
 		}
 	}
@@ -342,7 +342,7 @@
 	if r.attempts < calls/4 {
 		t.Errorf("only %d attempts for %d calls: too few to test the rules", r.attempts, calls)
 	}
-	r.judge()
+	r.check()
 	n.Close()
 	own, err := report.Build(report.Options{Dirs: []string{records}}) // check the gatekeeper's own records too
 	if err != nil {
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -22,8 +22,8 @@
 // A gatekeeper keeps what it has learned about its servers in a local file, never in the store: store records are replicated
 // to every member, and gatekeepers share no load state.
 const (
-	memoryFile  = "learned"
-	memoryEvery = time.Second
+	memoryFile     = "learned"
+	memoryInterval = time.Second
 )
 
 // memoryFile returns the path of the memory file: in the store's directory if there is one, else in $TMPDIR. A process that is
@@ -35,8 +35,8 @@
 	case n.deploy.StoreDir != "":
 		return filepath.Join(n.deploy.StoreDir, memoryFile)
 	case tmp != "" && n.cfg.Name != "":
-		whose := fmt.Sprintf("%016x", xxhash.Sum64String(n.cfg.Listen+" "+settingsName(n.cfg.Site)))
-		return filepath.Join(tmp, "beammux-"+url.PathEscape(n.cfg.Name)+"-"+whose+"-"+memoryFile)
+		owner := fmt.Sprintf("%016x", xxhash.Sum64String(n.cfg.Listen+" "+settingsName(n.cfg.Site)))
+		return filepath.Join(tmp, "beammux-"+url.PathEscape(n.cfg.Name)+"-"+owner+"-"+memoryFile)
 	}
 	return ""
 }
@@ -53,20 +53,20 @@
 	if file == "" {
 		return
 	}
-	m, err := readMemory(file)
+	memory, err := readMemory(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		n.log.WithError(err).Warn("memory can't be read: started without it")
 	}
 	now := n.core.Now()
-	l, doubt, ok := warm.Recall(m, now, settingsName(n.cfg.Site))
+	learned, doubt, ok := warm.Recall(memory, now, settingsName(n.cfg.Site))
 	if !ok {
-		if m != nil {
+		if memory != nil {
 			n.log.WithField("why", doubt).Info("started without the memory")
 		}
 		return
 	}
-	n.core.Recall(l)
-	n.log.WithFields(logrus.Fields{"age_ms": (now - m.Learned.At) / 1000, "servers": len(l.Servers), "doubt": doubt}).Info("started warm")
+	n.core.Recall(learned)
+	n.log.WithFields(logrus.Fields{"age_ms": (now - memory.Learned.At) / 1000, "servers": len(learned.Servers), "doubt": doubt}).Info("started warm")
 }
 
 // remember writes what the core has learned to the memory file at every interval until ctx is done. No call waits for it.
@@ -77,7 +77,7 @@
 	}
 	name := settingsName(n.cfg.Site)
 	failed := false
-	tick := time.NewTicker(memoryEvery)
+	tick := time.NewTicker(memoryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -109,11 +109,11 @@
 		return err
 	}
 	text = append(fmt.Appendf(nil, "%016x\n", xxhash.Sum64(text)), text...)
-	fresh := fmt.Sprintf("%s.new%d", file, os.Getpid())
-	if err := os.WriteFile(fresh, text, 0o600); err != nil {
+	tempFile := fmt.Sprintf("%s.new%d", file, os.Getpid())
+	if err := os.WriteFile(tempFile, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(fresh, file)
+	return os.Rename(tempFile, file)
 }
 
 // readMemory reads a file that writeMemory wrote, and checks its checksum.
@@ -122,8 +122,8 @@
 	if err != nil {
 		return nil, err
 	}
-	sum, text, _ := bytes.Cut(text, []byte("\n"))
-	if string(sum) != fmt.Sprintf("%016x", xxhash.Sum64(text)) {
+	checksum, text, _ := bytes.Cut(text, []byte("\n"))
+	if string(checksum) != fmt.Sprintf("%016x", xxhash.Sum64(text)) {
 		return nil, fmt.Errorf("%s: its checksum is wrong", file)
 	}
 	m := &warm.Memory{}
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -19,7 +19,7 @@
 // A restarted gatekeeper knows its overloaded server from the first call, which it refuses immediately; without a memory it
 // sends the call. A memory that is damaged, old or from other settings is ignored.
 func TestStartsWarm(t *testing.T) {
-	server := siptest.New(t, slowly(0))
+	server := siptest.New(t, answerAfter(0))
 	dir := t.TempDir()
 	inv := filepath.Join(dir, "servers.csv")
 	if err := os.WriteFile(inv, []byte("name,address\ns-00000007,"+server.Addr("TCP")+"\n"), 0o600); err != nil {
@@ -63,7 +63,7 @@
 		n := startNode(t, cfg, &config.Deploy{Inventory: inv, StoreDir: store}, log)
 		answers := make(chan map[string]any, 1)
 		c := dialJSON(t, n, func(m map[string]any) { answers <- m })
-		open(c, "0000000000000001", "1", 2000)
+		sendSetup(c, "0000000000000001", "1", 2000)
 		if m := <-answers; m["msg"] != row.want {
 			t.Errorf("%s: the first call was answered with %v, want %s", name, m["msg"], row.want)
 		}
@@ -80,9 +80,9 @@
 }
 
 // What is learned from calls is written to the memory file in the form that the next start reads.
-func TestRemembers(t *testing.T) {
+func TestMemoryIsWritten(t *testing.T) {
 	dir := t.TempDir()
-	server := siptest.New(t, slowly(20*time.Millisecond))
+	server := siptest.New(t, answerAfter(20*time.Millisecond))
 	inv := filepath.Join(dir, "servers.csv")
 	if err := os.WriteFile(inv, []byte("name,address\ns-00000007,"+server.Addr("TCP")+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	c := dialJSON(t, n, func(m map[string]any) { answers <- m })
 	file := filepath.Join(dir, memoryFile)
 	for i := 0; ; i++ {
-		open(c, fmt.Sprintf("%016x", i+1), "1", 2000)
+		sendSetup(c, fmt.Sprintf("%016x", i+1), "1", 2000)
 		<-answers
 		if m, err := readMemory(file); err == nil && m.Learned.Base > 0 && len(m.Learned.Servers) == 1 && m.Learned.Servers[0].Server == 7 {
 			break
@@ -107,7 +107,7 @@
 // other's memory: a set-up to the server known as overloaded is refused immediately.
 func TestHandOverStartsWarm(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	server := siptest.New(t, slowly(0))
+	server := siptest.New(t, answerAfter(0))
 	inv := filepath.Join(t.TempDir(), "servers.csv")
 	if err := os.WriteFile(inv, []byte("name,address\ns-00000007,"+server.Addr("TCP")+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 		log, _ := logtest.NewNullLogger()
 		n := startNode(t, cfg, &config.Deploy{Inventory: inv}, log)
 		answers := make(chan string, 9)
-		open(dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["msg"]) }), "0000000000000001", "1", 3000)
+		sendSetup(dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["msg"]) }), "0000000000000001", "1", 3000)
 		if got := <-answers; got != want {
 			t.Errorf("process %d: %s, want %s", i, got, want)
 		}
@@ -138,7 +138,7 @@
 
 // Deployments that share a name and a $TMPDIR use separate memory files, even if they differ only in the names of their classes
 // or in their address.
-func TestDeploymentsRememberApart(t *testing.T) {
+func TestMemoryFilePerDeployment(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	file := func(change func(*config.Config)) string {
 		cfg, err := config.Load(testConfig(t))
--- a/internal/node/figures.go
+++ b/internal/node/metrics.go
@@ -16,17 +16,17 @@
 	"beammux/internal/routing"
 )
 
-// figures exports the gatekeeper's metrics in the Prometheus text format. Each value is read from its source when the metrics
+// exporter exports the gatekeeper's metrics in the Prometheus text format. Each value is read from its source when the metrics
 // are written, so it is never older than the request. VictoriaMetrics/metrics is used because it is small, needs no protobuf
 // and offers a separate set per gatekeeper, which isolates gatekeepers that share a test process. Rejected:
 // prometheus/client_golang, which adds protobuf, a global registry and collectors for seven metrics.
-type figures struct {
+type exporter struct {
 	set    *metrics.Set
 	limits []string // names of the metrics of the limit rules in force
 }
 
-// newFigures registers the metrics of calls, by class, and of the servers.
-func newFigures(f *routing.Figures, classes []string) *figures {
+// newExporter registers the metrics of calls, by class, and of the servers.
+func newExporter(f *routing.Figures, classes []string) *exporter {
 	set := metrics.NewSet()
 	names := append(append([]string(nil), classes...), "unknown")
 	for i, name := range names {
@@ -42,28 +42,28 @@
 	set.NewGauge("proxy_concurrent", func() float64 { return float64(f.Open.Load()) })
 	set.NewGauge("proxy_targets", func() float64 { return float64(f.Targets.Load()) })
 	set.NewGauge("proxy_targets_disabled", func() float64 { return float64(f.Disabled.Load()) })
-	return &figures{set: set}
+	return &exporter{set: set}
 }
 
 // addFleet registers the metrics of the fleet's membership view. They exist only where the fleet is enabled.
-func (f *figures) addFleet(v *fleet.Fleet) {
+func (e *exporter) addFleet(v *fleet.Fleet) {
 	for _, h := range fleetview.Healths {
-		f.set.NewGauge(fmt.Sprintf("proxy_fleet_members{state=%q}", h), func() float64 {
+		e.set.NewGauge(fmt.Sprintf("proxy_fleet_members{state=%q}", h), func() float64 {
 			n, _ := v.Count(h)
 			return float64(n)
 		})
 	}
-	f.set.NewGauge("proxy_fleet_view_changes_total", func() float64 {
+	e.set.NewGauge("proxy_fleet_view_changes_total", func() float64 {
 		_, changes := v.Count(fleetview.Alive)
 		return float64(changes)
 	})
 }
 
 // addRegisters registers the metrics of the fleet's registers.
-func (f *figures) addRegisters(v *fleet.Fleet) {
+func (e *exporter) addRegisters(v *fleet.Fleet) {
 	for t := range fleet.Topics {
-		f.set.NewGauge(fmt.Sprintf("proxy_fleet_registers{topic=%q}", t), func() float64 { return float64(len(v.Read(t))) })
-		f.set.NewGauge(fmt.Sprintf("proxy_fleet_register_oldest_seconds{topic=%q}", t), func() float64 {
+		e.set.NewGauge(fmt.Sprintf("proxy_fleet_registers{topic=%q}", t), func() float64 { return float64(len(v.Read(t))) })
+		e.set.NewGauge(fmt.Sprintf("proxy_fleet_register_oldest_seconds{topic=%q}", t), func() float64 {
 			oldest := control.Micros(0)
 			for _, r := range v.Read(t) {
 				oldest = max(oldest, r.Age)
@@ -71,28 +71,28 @@
 			return float64(oldest) / 1e6
 		})
 	}
-	f.set.NewGauge("proxy_fleet_registers_news_total", func() float64 {
+	e.set.NewGauge("proxy_fleet_registers_news_total", func() float64 {
 		news, _ := v.RegisterCounts()
 		return float64(news)
 	})
-	f.set.NewGauge("proxy_fleet_registers_not_newer_total", func() float64 {
+	e.set.NewGauge("proxy_fleet_registers_not_newer_total", func() float64 {
 		_, old := v.RegisterCounts()
 		return float64(old)
 	})
 }
 
 // setLimits replaces the metrics of the previous limit rules by those of the rules in force at this gatekeeper.
-func (f *figures) setLimits(in quota.Limits, l *limits.Limiter) {
-	for _, name := range f.limits {
-		f.set.UnregisterMetric(name)
+func (e *exporter) setLimits(inForce quota.Limits, limiter *limits.Limiter) {
+	for _, name := range e.limits {
+		e.set.UnregisterMetric(name)
 	}
-	f.limits = nil
-	for _, r := range in.Rules {
-		of := func(name string, value func(quota.Status) float64) {
-			figure := fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name)
-			f.limits = append(f.limits, figure)
-			f.set.GetOrCreateGauge(figure, func() float64 {
-				for _, s := range l.Status().Rules {
+	e.limits = nil
+	for _, r := range inForce.Rules {
+		addGauge := func(name string, value func(quota.Status) float64) {
+			metric := fmt.Sprintf("proxy_fleet_limit_%s{rule=%q}", name, r.Name)
+			e.limits = append(e.limits, metric)
+			e.set.GetOrCreateGauge(metric, func() float64 {
+				for _, s := range limiter.Status().Rules {
 					if s.Name == r.Name {
 						return value(s)
 					}
@@ -100,34 +100,34 @@
 				return 0
 			})
 		}
-		of("rate", func(s quota.Status) float64 { return s.Rate })
-		of("demand", func(s quota.Status) float64 { return s.Demand })
-		of("standing", func(s quota.Status) float64 { return float64(s.Standing) })
-		of("taken_total", func(s quota.Status) float64 { return float64(s.Admitted) })
-		of("turned_away_total", func(s quota.Status) float64 { return float64(s.Refused) })
+		addGauge("rate", func(s quota.Status) float64 { return s.Rate })
+		addGauge("demand", func(s quota.Status) float64 { return s.Demand })
+		addGauge("standing", func(s quota.Status) float64 { return float64(s.Standing) })
+		addGauge("taken_total", func(s quota.Status) float64 { return float64(s.Admitted) })
+		addGauge("turned_away_total", func(s quota.Status) float64 { return float64(s.Refused) })
 		if r.Mode == quota.Leased {
-			of("lease_seconds", func(s quota.Status) float64 { return float64(s.LeaseRemaining) / 1e6 })
+			addGauge("lease_seconds", func(s quota.Status) float64 { return float64(s.LeaseRemaining) / 1e6 })
 		}
 	}
 }
 
 // addEjections registers the metrics of the ejections in force at this gatekeeper. Their names are part of the documented
 // interface (docs/verdicts.md).
-func (f *figures) addEjections(monitor *ejection.Monitor) {
+func (e *exporter) addEjections(monitor *ejection.Monitor) {
 	for _, p := range []outlier.Phase{outlier.Ejected, outlier.Trial} {
-		f.set.NewGauge(fmt.Sprintf("proxy_fleet_verdicts{phase=%q}", p), func() float64 {
+		e.set.NewGauge(fmt.Sprintf("proxy_fleet_verdicts{phase=%q}", p), func() float64 {
 			now, _ := monitor.Count(p)
 			return float64(now)
 		})
 	}
-	f.set.NewGauge("proxy_fleet_convictions_total", func() float64 {
+	e.set.NewGauge("proxy_fleet_convictions_total", func() float64 {
 		_, total := monitor.Count(outlier.Ejected)
 		return float64(total)
 	})
-	f.set.NewGauge("proxy_fleet_callers_turned_away_total", func() float64 { return float64(monitor.BlockedConnections()) })
-	f.set.NewGauge("proxy_fleet_busy_numbers", func() float64 { return float64(len(monitor.Status().Numbers)) })
-	f.set.NewGauge("proxy_fleet_apart", func() float64 { return float64(len(monitor.Status().Isolated)) })
+	e.set.NewGauge("proxy_fleet_callers_turned_away_total", func() float64 { return float64(monitor.BlockedConnections()) })
+	e.set.NewGauge("proxy_fleet_busy_numbers", func() float64 { return float64(len(monitor.Status().Numbers)) })
+	e.set.NewGauge("proxy_fleet_apart", func() float64 { return float64(len(monitor.Status().Isolated)) })
 }
 
 // write writes all metrics in the Prometheus text format.
-func (f *figures) write(w io.Writer) { f.set.WritePrometheus(w) }
+func (e *exporter) write(w io.Writer) { e.set.WritePrometheus(w) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,39 +39,39 @@
 
 // Times of a drain.
 const (
-	takeFor     = 500 * time.Millisecond // after SIGTERM, new connections are accepted for this long
-	openFor     = 700 * time.Millisecond // after SIGTERM, time until the answers to open calls are bounded
-	flushFor    = 300 * time.Millisecond // bounds the writing of queued output at the end
-	settleEvery = 5 * time.Millisecond   // between checks for connections that are still in use
-	killSlack   = 200 * time.Millisecond // answers are due this long before the process may be killed
+	acceptFor      = 500 * time.Millisecond // after SIGTERM, new connections are accepted for this long
+	settleAfter    = 700 * time.Millisecond // after SIGTERM, time until the answers to open calls are bounded
+	flushTimeout   = 300 * time.Millisecond // bounds the writing of queued output at the end
+	settleInterval = 5 * time.Millisecond   // between checks for connections that are still in use
+	killMargin     = 200 * time.Millisecond // answers are due this long before the process may be killed
 )
 
 // Node is one running gatekeeper.
 type Node struct {
-	cfg      *config.Config
-	deploy   *config.Deploy
-	log      logrus.FieldLogger
-	core     *routing.Core
-	list     *routing.List
-	front    *jsonl.Front
-	listener *transport.Listener
-	bus      *bus.Reader
-	agent    *sip.Agent // nil while the SIP front is disabled
-	store    *store.Node
-	records  *record.Recorder // nil if disabled
-	hub      *admin.Hub       // nil if the console socket is disabled
-	calls    atomic.Value     // version of the limits of calls in force, a string
-	ops      operators
-	figures  *figures
-	fleet    *fleet.Fleet             // nil if disabled
-	counters *counting.Counters       // nil if the fleet is disabled
-	limits   *limits.Limiter          // of the whole fleet; nil if disabled
-	leaseAt  atomic.Pointer[[]string] // addresses of the store members that grant leases; empty for this gatekeeper's own store
-	outliers *ejection.Monitor        // nil if disabled
-	settings settings                 // from the deploy file and the control machines
-	telling  sync.WaitGroup           // goroutines that publish to the fleet
-	lastSeen []fleetview.Summary      // as last returned by summaries
-	stop     context.CancelFunc
+	cfg           *config.Config
+	deploy        *config.Deploy
+	log           logrus.FieldLogger
+	core          *routing.Core
+	list          *routing.List
+	front         *jsonl.Front
+	listener      *transport.Listener
+	bus           *bus.Reader
+	agent         *sip.Agent // nil while the SIP front is disabled
+	store         *store.Node
+	records       *record.Recorder // nil if disabled
+	hub           *admin.Hub       // nil if the console socket is disabled
+	calls         atomic.Value     // version of the limits of calls in force, a string
+	ops           operators
+	exporter      *exporter
+	fleet         *fleet.Fleet             // nil if disabled
+	counters      *counting.Counters       // nil if the fleet is disabled
+	limits        *limits.Limiter          // of the whole fleet; nil if disabled
+	leaseMembers  atomic.Pointer[[]string] // addresses of the store members that grant leases; empty for this gatekeeper's own store
+	outliers      *ejection.Monitor        // nil if disabled
+	settings      settings                 // from the deploy file and the control machines
+	publishers    sync.WaitGroup           // goroutines that publish to the fleet
+	lastSummaries []fleetview.Summary      // as last returned by summaries
+	stop          context.CancelFunc
 
 	lastListed []outlier.Server // as last returned by listedServers
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -25,8 +25,8 @@
 	"beammux/internal/store"
 )
 
-// slowly answers set-ups after a delay.
-func slowly(after time.Duration) func(*siptest.Party, siptest.Entry) {
+// answerAfter answers set-ups after a delay.
+func answerAfter(after time.Duration) func(*siptest.Party, siptest.Entry) {
 	return func(p *siptest.Party, e siptest.Entry) {
 		if siptest.Is("INVITE")(e.Msg) {
 			time.AfterFunc(after, func() { e.Back(p.Reply(e.Msg, 200, "OK", "for "+keyOf(e.Msg))) })
@@ -34,27 +34,27 @@
 	}
 }
 
-// open writes a set-up.
-func open(c net.Conn, sid, key string, left int) {
-	fmt.Fprintf(c, `{"msg":"open","sid":%q,"attrs":{"class":"menu-view","left":%d,"key":%q}}`+"\n", sid, left, key)
+// sendSetup writes a set-up.
+func sendSetup(c net.Conn, sid, key string, leftMs int) {
+	fmt.Fprintf(c, `{"msg":"open","sid":%q,"attrs":{"class":"menu-view","left":%d,"key":%q}}`+"\n", sid, leftMs, key)
 }
 
 // Guards against calls lost at a planned restart: during the drain after SIGTERM, new connections are still accepted, and all
 // accepted calls are answered before the process ends.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
+func TestDrainAnswersAcceptedCalls(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
-	server := siptest.New(t, slowly(900*time.Millisecond))
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	server := siptest.New(t, answerAfter(900*time.Millisecond))
+	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	on := func(m map[string]any) { answers <- fmt.Sprint(m["sid"], " ", m["msg"], " ", m["code"]) }
 	c := dialJSON(t, n, on)
-	open(c, "0000000000000001", "1", 3000)
+	sendSetup(c, "0000000000000001", "1", 3000)
 	server.Wait("INVITE", siptest.Is("INVITE"))
 	drained := make(chan struct{})
 	go func() { n.Drain(); close(drained) }()
 	late := dialJSON(t, n, on) // after SIGTERM a connection is accepted, but its probe may fail
 	fmt.Fprintln(late, `{"msg":"probe","sid":"0000000000000002","attrs":{},"code":0}`)
-	open(late, "0000000000000003", "3", 3000)
+	sendSetup(late, "0000000000000003", "3", 3000)
 	got := map[string]bool{}
 	for range 3 {
 		select {
@@ -75,10 +75,10 @@
 
 // Clients continue to send on every open connection during a planned restart. Each set-up gets one final answer, except those
 // that cross the close of their connection, which clients send again.
-func TestClientsGoOnSendingThroughADrain(t *testing.T) {
+func TestClientsSendDuringDrain(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
-	server := siptest.New(t, slowly(20*time.Millisecond))
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	server := siptest.New(t, answerAfter(20*time.Millisecond))
+	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	const conns, pace, goOn, cross = 4, 25 * time.Millisecond, 600 * time.Millisecond, 50 * time.Millisecond
 	var mu sync.Mutex
 	sent, answers := map[string]time.Time{}, map[string]int{}
@@ -128,7 +128,7 @@
 				}
 				sent[id] = time.Now()
 				mu.Unlock()
-				open(conn, id, "5", 3000)
+				sendSetup(conn, id, "5", 3000)
 			}
 		})
 	}
@@ -149,14 +149,14 @@
 }
 
 // A restarted gatekeeper restores its dialogs from the store and forwards the server's BYE to the caller.
-func TestDialogsOutliveTheProcess(t *testing.T) {
+func TestDialogsSurviveRestart(t *testing.T) {
 	first := testNode(t, &config.Deploy{SIPUDP: "127.0.0.1:0"})
 	server := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
 		if siptest.Is("INVITE")(e.Msg) {
 			e.Back(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
-	first.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
+	first.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
 	caller := siptest.New(t, nil)
 	m := caller.Invite("UDP", "abc", "1", "").Set("X-Cos", "menu-view")
 	send := caller.Send("UDP", first.agent.Addr("UDP"), m)
@@ -193,24 +193,24 @@
 // An inventory imported into the store replaces the list; an invalid one leaves it unchanged.
 func TestImportedInventory(t *testing.T) {
 	n := testNode(t, &config.Deploy{SIPUDP: "127.0.0.1:0"})
-	server := siptest.New(t, slowly(0))
+	server := siptest.New(t, answerAfter(0))
 	for _, text := range []string{".csv\nname,address\na," + server.Addr("TCP") + "\n", ".csv\nname,address\na,nowhere\n"} {
 		if _, err := n.store.Put(t.Context(), InventoryKey, []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	n.applied(routing.Update{Source: fromBus})
+	n.applyAndWait(routing.Update{Source: fromBus})
 	answers := make(chan map[string]any, 1)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- m })
-	open(c, "0000000000000001", "1", 2000)
+	sendSetup(c, "0000000000000001", "1", 2000)
 	if m := <-answers; m["msg"] != "ready" {
 		t.Errorf("%v", m)
 	}
 }
 
 // A reload with an invalid inventory keeps the last valid one.
-func TestReloadKeepsTheLastGoodInventory(t *testing.T) {
-	server := siptest.New(t, slowly(0))
+func TestReloadKeepsLastValidInventory(t *testing.T) {
+	server := siptest.New(t, answerAfter(0))
 	dir := t.TempDir()
 	inv, deploy, cfg := filepath.Join(dir, "servers.csv"), filepath.Join(dir, "deploy.json"), filepath.Join(dir, "config.json")
 	write := func(file, text string) {
@@ -226,28 +226,28 @@
 	for i, text := range []string{"name,address\na,bad\n", "", "name\n"} {
 		write(inv, text)
 		n.Reload(cfg, deploy)
-		n.applied(routing.Update{Source: fromBus})
+		n.applyAndWait(routing.Update{Source: fromBus})
 		answers := make(chan map[string]any, 1)
 		c := dialJSON(t, n, func(m map[string]any) { answers <- m })
 		sid := fmt.Sprintf("%016x", i+1)
-		open(c, sid, "1", 2000)
+		sendSetup(c, sid, "1", 2000)
 		if m := <-answers; m["msg"] != "ready" {
 			t.Errorf("after %q: %v", text, m)
 		}
 	}
 	write(inv, "name,address\n")
 	n.Reload(cfg, deploy)
-	n.applied(routing.Update{Source: fromBus})
+	n.applyAndWait(routing.Update{Source: fromBus})
 	answers := make(chan map[string]any, 1)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- m })
-	open(c, "00000000000000ff", "1", 2000)
+	sendSetup(c, "00000000000000ff", "1", 2000)
 	if m := <-answers; m["msg"] != "close" || m["code"] != 34.0 {
 		t.Errorf("a call after a reload with an empty inventory: %v", m)
 	}
 }
 
-// A reload applies new limits of calls to later calls, and an invalid file changes nothing: bus, inventory and limits stay. Each
-// reload logs one line, or one line per fault.
+// A reload applies new limits of calls to later calls, and an invalid file changes nothing: bus, inventory and limits stay.
+// Each reload logs one line, or one line per fault.
 func TestReloadOfLimits(t *testing.T) {
 	refuse := func(p *siptest.Party, e siptest.Entry) {
 		if siptest.Is("INVITE")(e.Msg) {
@@ -285,7 +285,7 @@
 	conn := dialJSON(t, n, func(m map[string]any) { answers <- m })
 	attempts := func(sid string) (sent int) {
 		t.Helper()
-		open(conn, sid, sid, 1500)
+		sendSetup(conn, sid, sid, 1500)
 		if m := <-answers; m["msg"] != "close" || m["code"] != 34.0 {
 			t.Errorf("%v", m)
 		}
@@ -332,7 +332,7 @@
 
 // Guards against a gatekeeper that stays connected to an event bus that was moved: a reload connects to the address in the new
 // configuration, and an unreadable file changes nothing.
-func TestReloadMovesToTheNewBus(t *testing.T) {
+func TestReloadMovesToNewBus(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	n := testNode(t, &config.Deploy{})
 	asked := make(chan string, 9)
@@ -380,8 +380,8 @@
 // Guards against dialling SIP servers before the SIP socket is open. Whether that fails depends on timing, so the test checks
 // the order by which of two errors ends the start: a missing inventory is found when servers are loaded, an address in use
 // when the sockets are opened.
-func TestSIPServersOfTheInventoryAreReadyAtTheStart(t *testing.T) {
-	server := siptest.New(t, slowly(0))
+func TestSIPSocketOpensBeforeServersAreDialled(t *testing.T) {
+	server := siptest.New(t, answerAfter(0))
 	inv := filepath.Join(t.TempDir(), "servers.csv")
 	log, lines := logtest.NewNullLogger()
 	cfg, err := config.Load(testConfig(t))
@@ -398,7 +398,7 @@
 	n := testNodeLogging(t, &config.Deploy{SIPUDP: "127.0.0.1:0", Inventory: inv}, log)
 	answers := make(chan map[string]any, 1)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- m })
-	open(c, "0000000000000001", "1", 2000)
+	sendSetup(c, "0000000000000001", "1", 2000)
 	if m := <-answers; m["msg"] != "ready" {
 		t.Errorf("%v", m)
 	}
@@ -412,10 +412,10 @@
 // While the SIP front is disabled, a call to a SIP server is refused and not lost.
 func TestSIPServerWithoutSIPFront(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
-	n.applied(routing.Update{Hosts: []routing.Host{{Name: "a", Addr: "sip:127.0.0.1:9;transport=udp", State: control.Ready}}})
+	n.applyAndWait(routing.Update{Hosts: []routing.Host{{Name: "a", Addr: "sip:127.0.0.1:9;transport=udp", State: control.Ready}}})
 	answers := make(chan map[string]any, 1)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- m })
-	open(c, "0000000000000001", "1", 1000)
+	sendSetup(c, "0000000000000001", "1", 1000)
 	if m := <-answers; m["msg"] != "close" || !strings.Contains(fmt.Sprint(m["attrs"]), "wait") {
 		t.Errorf("%v", m)
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -13,13 +13,13 @@
 	"beammux/internal/ops"
 )
 
-// sweepEvery is the interval at which callers' connections are checked while the gatekeeper is evacuated.
-const sweepEvery = 100 * time.Millisecond
+// sweepInterval is the interval at which callers' connections are checked while the gatekeeper is evacuated.
+const sweepInterval = 100 * time.Millisecond
 
 // operators holds the state that operators' requests change: whether the gatekeeper accepts clients. The drain package makes
 // the decisions.
 type operators struct {
-	up      atomic.Bool // Start has finished and callers are accepted
+	serving atomic.Bool // Start has finished and callers are accepted
 	mu      sync.Mutex
 	drain   drain.Drain
 	started time.Time
@@ -35,20 +35,20 @@
 func (n *Node) Ready() bool {
 	n.ops.mu.Lock()
 	defer n.ops.mu.Unlock()
-	return n.ops.up.Load() && n.ops.drain.Ready()
+	return n.ops.serving.Load() && n.ops.drain.Ready()
 }
 
 // Evacuate implements ops.Gatekeeper. Health probes of clients fail from now on, and each connection is closed once no answer
 // is pending on it.
-func (n *Node) Evacuate() { n.sendAway((*drain.Drain).Evacuate) }
+func (n *Node) Evacuate() { n.startDrain((*drain.Drain).Evacuate) }
 
-// sendAway applies a transition of the drain state that stops accepting clients, and reports it to the fleet.
-func (n *Node) sendAway(how func(*drain.Drain, control.Micros)) {
+// startDrain applies a transition of the drain state that stops accepting clients, and reports it to the fleet.
+func (n *Node) startDrain(transition func(*drain.Drain, control.Micros)) {
 	n.ops.mu.Lock()
-	how(&n.ops.drain, n.ops.now())
+	transition(&n.ops.drain, n.ops.now())
 	n.ops.mu.Unlock()
 	n.front.Drain()
-	n.tellFleet(fleetview.Draining)
+	n.publishState(fleetview.Draining)
 	n.log.Info("evacuating: clients are sent away")
 }
 
@@ -62,16 +62,16 @@
 		return
 	}
 	n.front.Rejoin()
-	n.tellFleet(fleetview.Ready)
+	n.publishState(fleetview.Ready)
 	n.log.Info("rejoined: clients are taken again")
 }
 
 // WriteFigures implements ops.Gatekeeper.
-func (n *Node) WriteFigures(w io.Writer) { n.figures.write(w) }
+func (n *Node) WriteFigures(w io.Writer) { n.exporter.write(w) }
 
 // sweep closes callers' connections while the gatekeeper is evacuated, as the drain state decides, until ctx is done.
 func (n *Node) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -80,13 +80,13 @@
 		case <-tick.C:
 		}
 		n.ops.mu.Lock()
-		d, at := n.ops.drain, n.ops.now()
+		state, elapsed := n.ops.drain, n.ops.now()
 		n.ops.mu.Unlock()
-		if d.Ready() {
+		if state.Ready() {
 			continue
 		}
-		n.front.Sweep(func(used time.Time, owed, standing bool) drain.Verdict {
-			return d.Connection(at, control.Micros(used.Sub(n.ops.started)/time.Microsecond), owed, standing)
+		n.front.Sweep(func(lastUsed time.Time, pending, established bool) drain.Verdict {
+			return state.Connection(elapsed, control.Micros(lastUsed.Sub(n.ops.started)/time.Microsecond), pending, established)
 		})
 	}
 }
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -33,8 +33,8 @@
 // withServer replaces the list by one simulated server, which answers set-ups after a delay.
 func withServer(t *testing.T, n *Node, after time.Duration) *siptest.Party {
 	t.Helper()
-	server := siptest.New(t, slowly(after))
-	n.applied(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	server := siptest.New(t, answerAfter(after))
+	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	return server
 }
 
@@ -49,8 +49,8 @@
 	return c
 }
 
-// call sends a request to the operators' address and returns status and body.
-func call(t *testing.T, n *Node, method, path string) (int, string) {
+// operatorsRequest sends a request to the operators' address and returns status and body.
+func operatorsRequest(t *testing.T, n *Node, method, path string) (int, string) {
 	t.Helper()
 	req, _ := http.NewRequest(method, "http://"+n.OperatorsAddr()+path, nil)
 	client := http.Client{Timeout: time.Second}
@@ -65,39 +65,39 @@
 
 func TestReadyFlipsOnEvacuateAndRejoin(t *testing.T) {
 	n := operatorsNode(t)
-	if code, _ := call(t, n, "GET", "/api/ready"); code != 200 {
+	if code, _ := operatorsRequest(t, n, "GET", "/api/ready"); code != 200 {
 		t.Fatalf("ready at the start: %d", code)
 	}
-	if code, _ := call(t, n, "POST", "/api/evacuate"); code != 200 {
+	if code, _ := operatorsRequest(t, n, "POST", "/api/evacuate"); code != 200 {
 		t.Fatalf("evacuate: %d", code)
 	}
-	if code, _ := call(t, n, "GET", "/api/ready"); code != 503 {
+	if code, _ := operatorsRequest(t, n, "GET", "/api/ready"); code != 503 {
 		t.Fatalf("ready after evacuate: %d", code)
 	}
-	if code, _ := call(t, n, "POST", "/api/rejoin"); code != 200 {
+	if code, _ := operatorsRequest(t, n, "POST", "/api/rejoin"); code != 200 {
 		t.Fatalf("rejoin: %d", code)
 	}
-	if code, _ := call(t, n, "GET", "/api/ready"); code != 200 {
+	if code, _ := operatorsRequest(t, n, "GET", "/api/ready"); code != 200 {
 		t.Fatalf("ready after rejoin: %d", code)
 	}
-	if code, _ := call(t, n, "GET", "/api/nothing"); code != 404 {
+	if code, _ := operatorsRequest(t, n, "GET", "/api/nothing"); code != 404 {
 		t.Errorf("unknown path: %d", code)
 	}
-	if code, _ := call(t, n, "POST", "/api/ready"); code != 405 {
+	if code, _ := operatorsRequest(t, n, "POST", "/api/ready"); code != 405 {
 		t.Errorf("wrong method: %d", code)
 	}
 }
 
 // After an evacuate, an idle connection is closed. One with a pending answer stays open until the answer is sent, and while its
 // call is established, so that the release can be sent on it.
-func TestKeptConnectionClosesOnceIdleAfterEvacuate(t *testing.T) {
+func TestEvacuateClosesIdleConnections(t *testing.T) {
 	n := operatorsNode(t)
 	server := withServer(t, n, 600*time.Millisecond)
 	idle, busy := dial(t, n), dial(t, n)
-	open(busy, "00000000000000b1", "1", 3000)
+	sendSetup(busy, "00000000000000b1", "1", 3000)
 	server.Wait("INVITE", siptest.Is("INVITE"))
 	evacuated := time.Now()
-	call(t, n, "POST", "/api/evacuate")
+	operatorsRequest(t, n, "POST", "/api/evacuate")
 	idle.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("idle connection after evacuate: %v", err)
@@ -122,7 +122,7 @@
 
 // The metrics match the calls made: two refused while no server is known, one invalid, and three answered by a server, which
 // stay open until their release.
-func TestFiguresEqualTheCallsDriven(t *testing.T) {
+func TestMetricsMatchCalls(t *testing.T) {
 	n := operatorsNode(t)
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["msg"]) })
@@ -138,17 +138,17 @@
 		}
 	}
 	for i := range 2 {
-		open(c, fmt.Sprintf("00000000000000a%d", i), "1", 1500)
+		sendSetup(c, fmt.Sprintf("00000000000000a%d", i), "1", 1500)
 		wait("close")
 	}
-	open(c, "00000000000000e1", "not a number", 1500) // invalid: fails immediately
+	sendSetup(c, "00000000000000e1", "not a number", 1500) // invalid: fails immediately
 	wait("close")
 	withServer(t, n, 10*time.Millisecond)
 	for i := range 3 {
-		open(c, fmt.Sprintf("00000000000000c%d", i), "1", 3000)
+		sendSetup(c, fmt.Sprintf("00000000000000c%d", i), "1", 3000)
 		wait("ready")
 	}
-	_, text := call(t, n, "GET", "/api/telemetry")
+	_, text := operatorsRequest(t, n, "GET", "/api/telemetry")
 	for _, want := range []string{`proxy_success_total{type="menu-view"} 3`, `proxy_overload_total{type="menu-view"} 2`,
 		`proxy_error_total{type="menu-view"} 1`, `proxy_dispatches_total{type="menu-view"} 3`, "proxy_concurrent 3",
 		"proxy_targets 1", "proxy_targets_disabled 0"} {
@@ -159,13 +159,13 @@
 	// An established call stays open until its release.
 	fmt.Fprintln(c, `{"msg":"close","sid":"00000000000000c0","attrs":{},"code":16}`)
 	wait("closed")
-	if _, text = call(t, n, "GET", "/api/telemetry"); !strings.Contains(text, "proxy_concurrent 2\n") {
+	if _, text = operatorsRequest(t, n, "GET", "/api/telemetry"); !strings.Contains(text, "proxy_concurrent 2\n") {
 		t.Errorf("after a release:\n%s", text)
 	}
 }
 
 // Clients that send nothing or half a request do not delay the answers to others.
-func TestSilentOperatorCallersDelayNoAnswer(t *testing.T) {
+func TestSilentOperatorClientsDelayNoAnswer(t *testing.T) {
 	n := operatorsNode(t)
 	for i := range 40 {
 		c, err := net.Dial("tcp", n.OperatorsAddr())
@@ -178,7 +178,7 @@
 		}
 	}
 	started := time.Now()
-	if code, _ := call(t, n, "GET", "/api/ready"); code != 200 {
+	if code, _ := operatorsRequest(t, n, "GET", "/api/ready"); code != 200 {
 		t.Fatalf("ready: %d", code)
 	}
 	if took := time.Since(started); took > time.Second {
@@ -202,18 +202,18 @@
 
 // A call that is still established 2 s after an evacuate is released towards caller and server, and its connection closes: the
 // callers' front end counts an idle connection against the gatekeeper after 4 s.
-func TestStandingCallIsReleasedAtTheCut(t *testing.T) {
+func TestEstablishedCallIsReleasedAfterEvacuate(t *testing.T) {
 	n := operatorsNode(t)
 	server := withServer(t, n, 10*time.Millisecond)
 	c := dial(t, n)
-	open(c, "00000000000000d1", "1", 3000)
+	sendSetup(c, "00000000000000d1", "1", 3000)
 	r := bufio.NewReader(c)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, `"ready"`) {
 		t.Fatalf("answer: %q %v", line, err)
 	}
 	evacuated := time.Now()
-	call(t, n, "POST", "/api/evacuate")
+	operatorsRequest(t, n, "POST", "/api/evacuate")
 	line, err := r.ReadString('\n')
 	if err != nil || !strings.Contains(line, `"close"`) || !strings.Contains(line, `"code":16`) {
 		t.Fatalf("release: %q %v", line, err)
--- a/internal/node/orphans.go
+++ b/internal/node/orphans.go
@@ -11,18 +11,18 @@
 	n.agent.Orphan(id, cause, func() { n.front.Orphan(id, cause) })
 }
 
-// restarted is the core as the JSON front uses it. It also ends calls that were established at SIP servers before this process
-// started.
-type restarted struct {
+// orphanAwareCore is the core as the JSON front uses it. It also ends calls that were established at SIP servers before this
+// process started.
+type orphanAwareCore struct {
 	*routing.Core
 	node *Node
 }
 
 // Hangup ends a call. If the core does not know it, the SIP agent ends it.
-func (r restarted) Hangup(id string, cause int, caller routing.Caller, done func(known bool)) {
-	r.Core.Hangup(id, cause, caller, func(known bool) {
-		if !known && r.node.agent != nil {
-			r.node.agent.OrphanHangup(id, cause)
+func (c orphanAwareCore) Hangup(id string, cause int, caller routing.Caller, done func(known bool)) {
+	c.Core.Hangup(id, cause, caller, func(known bool) {
+		if !known && c.node.agent != nil {
+			c.node.agent.OrphanHangup(id, cause)
 		}
 		done(known)
 	})
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -12,8 +12,8 @@
 	"beammux/internal/routing"
 )
 
-// usedEvery is the interval at which memory and descriptors are recorded.
-const usedEvery = 5 * time.Second
+// usageInterval is the interval at which memory and descriptors are recorded.
+const usageInterval = 5 * time.Second
 
 // openRecords opens the receivers of events that the deploy file configures: the records of this process and the console
 // socket. It returns nil if there are none.
@@ -32,7 +32,7 @@
 			return r, nil
 		}
 	}
-	n.hub = &admin.Hub{Node: n.cfg.Name, Known: n.known}
+	n.hub = &admin.Hub{Node: n.cfg.Name, Snapshot: n.snapshot}
 	if n.records != nil {
 		n.hub.Records = n.records
 	}
@@ -45,7 +45,7 @@
 		return
 	}
 	n.core.Note(history.Event{Kind: history.Started, Rules: n.rules(), Name: n.deploy.Calls.Version()})
-	go n.noteUsed(ctx)
+	go n.recordUsage(ctx)
 }
 
 // rules returns the settings that reports need.
@@ -60,8 +60,8 @@
 	return r
 }
 
-// known returns the events that a new watcher receives first: the current settings and state.
-func (n *Node) known() []history.Event {
+// snapshot returns the events that a new watcher receives first: the current settings and state.
+func (n *Node) snapshot() []history.Event {
 	version, _ := n.calls.Load().(string)
 	events := []history.Event{{At: n.core.Now(), Kind: history.Continued, Rules: n.rules(), Name: version}}
 	return append(events, n.core.Known(n.list)...)
@@ -77,8 +77,8 @@
 	}
 }
 
-// noteUsed records the memory and the open descriptors of the process at every interval until ctx is done.
-func (n *Node) noteUsed(ctx context.Context) {
+// recordUsage records the memory and the open descriptors of the process at every interval until ctx is done.
+func (n *Node) recordUsage(ctx context.Context) {
 	memory := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	for {
 		metrics.Read(memory)
@@ -91,7 +91,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(usedEvery):
+		case <-time.After(usageInterval):
 		}
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -37,11 +37,11 @@
 		n.log.Warn("reload: fleet.limits is new; it takes effect at the next start")
 	}
 	n.bus.Move(cfg.Bus)
-	now, delivered := n.reloadSections(sections{calls: deploy.Calls, limits: deploy.Limits, hosts: hosts})
+	current, fromRecords := n.reloadSections(sections{calls: deploy.Calls, limits: deploy.Limits, hosts: hosts})
 	n.recordConfiguration(cfg)
-	log := n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(now.hosts), "calls": now.calls.Version()})
-	if len(delivered) > 0 {
-		log = log.WithField("from_control_machines", strings.Join(delivered, " "))
+	log := n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(current.hosts), "calls": current.calls.Version()})
+	if len(fromRecords) > 0 {
+		log = log.WithField("from_control_machines", strings.Join(fromRecords, " "))
 	}
 	log.Info("reloaded event bus, inventory and limits of calls; other changes take effect at the next start")
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -23,15 +23,15 @@
 	"beammux/internal/routing"
 )
 
-// settingsWithin bounds how long a start without stored settings waits for the control machines. After that the gatekeeper
+// settingsTimeout bounds how long a start without stored settings waits for the control machines. After that the gatekeeper
 // serves with its deploy file, and applies the settings when they arrive.
-const settingsWithin = time.Second
+const settingsTimeout = time.Second
 
-// settingsFiles is the number of descriptors of the session: its connection, and the next one while it changes replicas.
-const settingsFiles = 2
+// settingsDescriptors is the number of descriptors of the session: its connection, and the next one while it changes replicas.
+const settingsDescriptors = 2
 
-// settingsPoll is the interval at which a waiting start checks for settings.
-const settingsPoll = 5 * time.Millisecond
+// settingsPollInterval is the interval at which a waiting start checks for settings.
+const settingsPollInterval = 5 * time.Millisecond
 
 // sections are the parts of the settings that may change while a gatekeeper runs.
 type sections struct {
@@ -44,43 +44,43 @@
 // precedence over the same section of the deploy file. Neither a reload of the file nor a change of the records overwrites
 // the other source.
 type settings struct {
-	mu       sync.Mutex
-	file     sections
-	records  sections
-	named    map[string]scope.Record // the records, by section
-	changes  atomic.Int64            // candidates put in force
-	refusals atomic.Int64            // candidates refused
-	follower atomic.Pointer[follow.Follower]
+	mu        sync.Mutex
+	file      sections
+	records   sections
+	bySection map[string]scope.Record // the records, by section
+	changes   atomic.Int64            // candidates put in force
+	refusals  atomic.Int64            // candidates refused
+	follower  atomic.Pointer[follow.Follower]
 }
 
 // inForce returns the sections that apply. The caller must hold mu.
 func (s *settings) inForce() sections {
-	now := s.file
-	if _, ok := s.named[scope.SectionCalls]; ok {
-		now.calls = s.records.calls
+	current := s.file
+	if _, ok := s.bySection[scope.SectionCalls]; ok {
+		current.calls = s.records.calls
 	}
-	if _, ok := s.named[scope.SectionLimits]; ok {
-		now.limits = s.records.limits
+	if _, ok := s.bySection[scope.SectionLimits]; ok {
+		current.limits = s.records.limits
 	}
-	if _, ok := s.named[scope.SectionInventory]; ok {
-		now.hosts = s.records.hosts
+	if _, ok := s.bySection[scope.SectionInventory]; ok {
+		current.hosts = s.records.hosts
 	}
-	return now
+	return current
 }
 
-// names returns the sorted names of the sections that records contain. The caller must hold mu.
-func (s *settings) names() []string {
-	names := []string{}
-	for name := range s.named {
-		names = append(names, name)
+// sectionNames returns the sorted names of the sections that records contain. The caller must hold mu.
+func (s *settings) sectionNames() []string {
+	sectionNames := []string{}
+	for name := range s.bySection {
+		sectionNames = append(sectionNames, name)
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(sectionNames)
+	return sectionNames
 }
 
 // openSettings follows the settings of the control machines if the deploy file names any. When it returns, the settings stored
 // by an earlier process are in force and their servers are loaded.
-func (n *Node) openSettings(begin context.Context) error {
+func (n *Node) openSettings(startCtx context.Context) error {
 	c := n.deploy.Control
 	if c == nil {
 		return nil
@@ -93,7 +93,7 @@
 		Self:     scope.Target{Name: n.settingsName(), Region: c.Region, Zone: c.Zone, Service: c.Service},
 		Replicas: replicas,
 		Dir:      c.Dir,
-		Dial:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		Dial:     (&net.Dialer{Timeout: defaultDialTimeout}).DialContext,
 		Apply:    n.applySettings,
 		Log:      n.log,
 		Seed:     n.cfg.Seed,
@@ -102,9 +102,9 @@
 		return err
 	}
 	n.settings.follower.Store(f)
-	n.figures.addSettings(n)
-	n.awaitSettings(begin, f)
-	n.listLoaded()
+	n.exporter.addSettings(n)
+	n.awaitSettings(startCtx, f)
+	n.waitForList()
 	return nil
 }
 
@@ -116,21 +116,21 @@
 	return n.cfg.Name
 }
 
-// awaitSettings waits until settings are in force or a control machine has answered, for settingsWithin at most.
-func (n *Node) awaitSettings(begin context.Context, f *follow.Follower) {
-	ctx, cancel := context.WithTimeout(begin, settingsWithin)
+// awaitSettings waits until settings are in force or a control machine has answered, for settingsTimeout at most.
+func (n *Node) awaitSettings(startCtx context.Context, f *follow.Follower) {
+	ctx, cancel := context.WithTimeout(startCtx, settingsTimeout)
 	defer cancel()
 	began := time.Now()
 	st := f.Status()
-	for !answered(st) && ctx.Err() == nil {
+	for !hasAnswer(st) && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(settingsPoll):
+		case <-time.After(settingsPollInterval):
 		}
 		st = f.Status()
 	}
 	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "kept": st.Kept, "waited_ms": time.Since(began).Milliseconds()})
-	if !answered(st) {
+	if !hasAnswer(st) {
 		log.WithField("advice", "check that the control machines run and are reachable from here; the gatekeeper keeps trying").
 			Warn("settings: no control machine has answered; serving with the deploy file, the settings follow")
 		return
@@ -138,11 +138,11 @@
 	log.Info("settings ready")
 }
 
-// answered reports whether the start need not wait: settings are in force, or a control machine has answered.
-func answered(s follow.Status) bool { return s.InForce > 0 || s.Connected || s.Refused != nil }
+// hasAnswer reports whether the start need not wait: settings are in force, or a control machine has answered.
+func hasAnswer(s follow.Status) bool { return s.InForce > 0 || s.Connected || s.Refused != nil }
 
-// listLoaded returns once the core has applied all updates given to the list before.
-func (n *Node) listLoaded() {
+// waitForList returns once the core has applied all updates given to the list before.
+func (n *Node) waitForList() {
 	loaded := make(chan struct{})
 	n.list.Apply(routing.Update{Source: fromFile}, func() { close(loaded) })
 	<-loaded
@@ -159,11 +159,11 @@
 	s := &n.settings
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.records, s.named = records, c.Sections
-	now := n.putInForce()
+	s.records, s.bySection = records, c.Sections
+	current := n.applySections()
 	s.changes.Add(1)
-	n.log.WithFields(logrus.Fields{"revision": c.Revision, "sections": strings.Join(s.names(), " "),
-		"calls": now.calls.Version(), "servers": len(now.hosts)}).Info("settings in force")
+	n.log.WithFields(logrus.Fields{"revision": c.Revision, "sections": strings.Join(s.sectionNames(), " "),
+		"calls": current.calls.Version(), "servers": len(current.hosts)}).Info("settings in force")
 	return nil
 }
 
@@ -193,7 +193,7 @@
 		case scope.SectionCalls:
 			all.calls, err = config.ParseCalls(r.Key, r.Value, n.cfg.Site)
 		case scope.SectionLimits:
-			all.limits, err = config.ParseLimits(r.Key, r.Value, n.cfg.Site, n.around())
+			all.limits, err = config.ParseLimits(r.Key, r.Value, n.cfg.Site, n.facilities())
 		case scope.SectionInventory:
 			all.hosts, err = config.ParseInventory(r.Key, r.Value)
 		}
@@ -211,8 +211,8 @@
 	return all, nil
 }
 
-// around returns the facilities of this gatekeeper that limits of the fleet may require.
-func (n *Node) around() config.Around {
+// facilities returns the facilities of this gatekeeper that limits of the fleet may require.
+func (n *Node) facilities() config.Around {
 	return config.Around{Gossip: n.deploy.Fleet != nil, Store: n.storeShared()}
 }
 
@@ -221,31 +221,31 @@
 
 // reloadSections applies the sections of a reloaded deploy file. It returns the sections in force and the names of those that
 // come from records.
-func (n *Node) reloadSections(file sections) (now sections, fromRecords []string) {
+func (n *Node) reloadSections(file sections) (current sections, fromRecords []string) {
 	n.settings.mu.Lock()
 	defer n.settings.mu.Unlock()
 	n.settings.file = file
-	return n.putInForce(), n.settings.names()
+	return n.applySections(), n.settings.sectionNames()
 }
 
-// putInForce applies the sections that result from the file and the records. The limits of calls and of the fleet change
+// applySections applies the sections that result from the file and the records. The limits of calls and of the fleet change
 // together in one event of the core; the list of servers follows. The caller must hold settings.mu.
-func (n *Node) putInForce() sections {
-	now := n.settings.inForce()
+func (n *Node) applySections() sections {
+	current := n.settings.inForce()
 	limiter := n.limits
-	n.leaseAt.Store(leaseAddresses(now.limits))
-	n.core.Change(now.calls, func() {
+	n.leaseMembers.Store(leaseAddresses(current.limits))
+	n.core.Change(current.calls, func() {
 		if limiter != nil {
-			limiter.Change(quotaLimits(now.limits))
+			limiter.Change(quotaLimits(current.limits))
 		}
 	})
-	n.calls.Store(now.calls.Version())
-	n.core.Note(history.Event{Kind: history.Reloaded, Name: now.calls.Version()})
-	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: now.hosts}, nil)
+	n.calls.Store(current.calls.Version())
+	n.core.Note(history.Event{Kind: history.Reloaded, Name: current.calls.Version()})
+	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: current.hosts}, nil)
 	if limiter != nil {
-		n.figures.setLimits(quotaLimits(now.limits), limiter)
+		n.exporter.setLimits(quotaLimits(current.limits), limiter)
 	}
-	return now
+	return current
 }
 
 // quotaLimits returns the fleet's limits in the form of the limiter; nil gives limits without rules.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -19,18 +19,18 @@
 	"beammux/internal/jsonfile"
 )
 
-// followingNobody starts a gatekeeper that follows an unreachable control machine.
-func followingNobody(t *testing.T) *Node {
+// nodeWithoutControl starts a gatekeeper that follows an unreachable control machine.
+func nodeWithoutControl(t *testing.T) *Node {
 	t.Helper()
 	return testNode(t, &config.Deploy{Control: &config.Control{Zone: "z1", Replicas: []config.Replica{{Name: "c1", Address: "127.0.0.1:1"}}}})
 }
 
-// seen describes the settings in force, as they apply to calls.
-type seen struct{ calls, limits, servers string }
+// effectiveSettings describes the settings in force, as they apply to calls.
+type effectiveSettings struct{ calls, limits, servers string }
 
-// sees waits until the core has applied all changes and returns the settings in force.
-func (n *Node) sees() seen {
-	n.listLoaded()
+// awaitEffective waits until the core has applied all changes and returns the settings in force.
+func (n *Node) awaitEffective() effectiveSettings {
+	n.waitForList()
 	done := make(chan struct{})
 	n.core.Post(func() { close(done) })
 	<-done
@@ -49,7 +49,7 @@
 	if count := <-listed; count != len(names) {
 		names = append(names, fmt.Sprintf("(but %d on the list)", count))
 	}
-	return seen{n.calls.Load().(string), strings.Join(rules, " "), strings.Join(names, " ")}
+	return effectiveSettings{n.calls.Load().(string), strings.Join(rules, " "), strings.Join(names, " ")}
 }
 
 func callsText(attempts int) string { return fmt.Sprintf(`{"defaults":{"attempts":%d}}`, attempts) }
@@ -60,8 +60,9 @@
 
 func inventoryText(name string) string { return ".csv\nname,address\n" + name + ",127.0.0.1:9\n" }
 
-// version returns the version of the calls section with this number of attempts, as a gatekeeper logs it; 0 means no section.
-func version(t require.TestingT, n *Node, attempts int) string {
+// callsVersion returns the version of the calls section with this number of attempts, as a gatekeeper logs it; 0 means no
+// section.
+func callsVersion(t require.TestingT, n *Node, attempts int) string {
 	if attempts == 0 {
 		return "none"
 	}
@@ -72,8 +73,8 @@
 
 // After any sequence of reloads and record changes, each section is that of the records if they contain it, else that of the
 // file. A candidate with one invalid section changes nothing.
-func TestSettingsOfFileAndRecords(t *testing.T) {
-	n := followingNobody(t)
+func TestSettingsFromFileAndRecords(t *testing.T) {
+	n := nodeWithoutControl(t)
 	rapid.Check(t, func(t *rapid.T) {
 		type values struct {
 			calls             int
@@ -148,17 +149,17 @@
 				if calls == 0 {
 					calls = file.calls
 				}
-				want := seen{version(t, n, calls), either(records.limits, file.limits), either(records.inventory, file.inventory)}
-				require.Equal(t, want, n.sees())
+				want := effectiveSettings{callsVersion(t, n, calls), either(records.limits, file.limits), either(records.inventory, file.inventory)}
+				require.Equal(t, want, n.awaitEffective())
 			},
 		})
 	})
 }
 
 // With concurrent reloads, record changes and status requests, calls and limits in force always stem from the same change.
-func TestSettingsChangeInOneTurn(t *testing.T) {
-	n := followingNobody(t)
-	versions := map[string]string{"a": version(t, n, 1), "b": version(t, n, 2)}
+func TestSettingsChangeAtomically(t *testing.T) {
+	n := nodeWithoutControl(t)
+	versions := map[string]string{"a": callsVersion(t, n, 1), "b": callsVersion(t, n, 2)}
 	candidate := func(name string, attempts int) follow.Candidate {
 		return follow.Candidate{Revision: 1, Sections: map[string]scope.Record{
 			scope.SectionCalls:  {Key: "settings/all/calls", Value: []byte(callsText(attempts))},
@@ -209,7 +210,7 @@
 
 // Limits that require facilities that the gatekeeper lacks are refused, and the error lists all faults of all sections.
 func TestSettingsRefused(t *testing.T) {
-	n := followingNobody(t)
+	n := nodeWithoutControl(t)
 	err := n.applySettings(follow.Candidate{Revision: 9, Sections: map[string]scope.Record{
 		scope.SectionLimits: {Key: "settings/zone/z1/limits", Value: []byte(`{"parts":1,"rules":[{"name":"a","mode":"near","per_s":9}]}`)},
 		scope.SectionCalls:  {Key: "settings/all/calls", Value: []byte("{\"defaults\":\n{\"attempts\":99}}")}}})
@@ -229,23 +230,23 @@
 	require.NoError(t, os.WriteFile(inventory, []byte("name,address\ns-1,127.0.0.1:9\n"), 0o600))
 	began := time.Now()
 	n := testNode(t, &config.Deploy{Inventory: inventory, Control: &config.Control{Replicas: []config.Replica{{Name: "c1", Address: "127.0.0.1:1"}}}})
-	require.Less(t, time.Since(began), settingsWithin+5*time.Second) // the machine may be busy
-	require.Equal(t, seen{"none", "", "s-1"}, n.sees())
+	require.Less(t, time.Since(began), settingsTimeout+5*time.Second) // the machine may be busy
+	require.Equal(t, effectiveSettings{"none", "", "s-1"}, n.awaitEffective())
 	require.Equal(t, "n1", n.settingsName())
 }
 
 // The metrics of limits are those of the rules in force, also after many changes.
-func TestFiguresFollowTheLimits(t *testing.T) {
-	n := followingNobody(t)
+func TestMetricsFollowLimits(t *testing.T) {
+	n := nodeWithoutControl(t)
 	for i := range 50 {
 		c := follow.Candidate{Sections: map[string]scope.Record{scope.SectionLimits: {Key: "settings/all/limits", Value: []byte(limitsText(fmt.Sprint("r", i)))}}}
 		require.NoError(t, n.applySettings(c))
 	}
-	n.sees()
+	n.awaitEffective()
 	var text strings.Builder
 	n.WriteFigures(&text)
 	require.Contains(t, text.String(), `proxy_fleet_limit_rate{rule="r49"} 9`)
 	require.NotContains(t, text.String(), `rule="r48"`)
 	require.Equal(t, 50, int(n.settings.changes.Load()))
-	require.False(t, slices.Contains(n.figures.set.ListMetricNames(), `proxy_fleet_limit_rate{rule="r0"}`))
+	require.False(t, slices.Contains(n.exporter.set.ListMetricNames(), `proxy_fleet_limit_rate{rule="r0"}`))
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -20,9 +20,9 @@
 		n.agent.Close()
 	}
 	n.stop()
-	n.endRouting()
-	n.closeShared()
-	n.telling.Wait()
+	n.stopRouting()
+	n.closeFleetFeatures()
+	n.publishers.Wait()
 	if n.fleet != nil {
 		n.fleet.Close()
 	}
@@ -30,8 +30,8 @@
 	n.closeRecords()
 }
 
-// endRouting stops the list, its connections and the core. No answers may be pending.
-func (n *Node) endRouting() {
+// stopRouting stops the list, its connections and the core. No answers may be pending.
+func (n *Node) stopRouting() {
 	n.list.End()
 	n.core.Post(n.core.Stop)
 }
@@ -40,23 +40,23 @@
 func (n *Node) Drain() {
 	n.log.Info("draining: answering the accepted calls")
 	n.core.Note(history.Event{Kind: history.Draining})
-	n.sendAway((*drain.Drain).End)
-	n.tellFleet(fleetview.Leaving)
+	n.startDrain((*drain.Drain).End)
+	n.publishState(fleetview.Leaving)
 	if n.agent != nil {
 		n.agent.Drain()
 	}
-	time.Sleep(takeFor)
+	time.Sleep(acceptFor)
 	n.listener.Stop()
-	time.Sleep(openFor - takeFor)
+	time.Sleep(settleAfter - acceptFor)
 	wait := n.beginSettling()
 	wait()
-	n.listener.Finish(flushFor)
+	n.listener.Finish(flushTimeout)
 	if n.agent != nil {
 		n.agent.Close()
 	}
 	n.stop()
-	n.closeShared()
-	n.telling.Wait()
+	n.closeFleetFeatures()
+	n.publishers.Wait()
 	if n.fleet != nil {
 		n.fleet.Leave()
 	}
@@ -65,7 +65,7 @@
 	}
 	n.store.Close()
 	n.core.Note(history.Event{Kind: history.Finished})
-	n.endRouting()
+	n.stopRouting()
 	n.closeRecords()
 	n.log.Info("drained")
 }
@@ -76,10 +76,10 @@
 // meanwhile, and receive their answers before the process may be killed. They do not delay the end: after half of the
 // remaining time new set-ups are refused, and unread bytes no longer keep a connection open.
 func (n *Node) beginSettling() (wait func()) {
-	left := n.restartTime()
-	n.core.AnswerWithin(max(0, left-killSlack))
+	remaining := n.restartTime()
+	n.core.AnswerWithin(max(0, remaining-killMargin))
 	var late atomic.Bool
-	turnAway := time.AfterFunc(left/2, func() {
+	refuseTimer := time.AfterFunc(remaining/2, func() {
 		late.Store(true)
 		n.front.TurnAway()
 		if n.agent != nil {
@@ -87,7 +87,7 @@
 		}
 	})
 	return func() {
-		defer turnAway.Stop()
+		defer refuseTimer.Stop()
 		for {
 			drained := make(chan struct{})
 			n.core.Drained(func() { close(drained) })
@@ -95,12 +95,12 @@
 			if n.listener.FinishIdle(late.Load()) {
 				return
 			}
-			time.Sleep(settleEvery)
+			time.Sleep(settleInterval)
 		}
 	}
 }
 
-// restartTime returns the minimum time that a planned restart leaves between openFor and SIGKILL: the longest deadline of a
+// restartTime returns the minimum time that a planned restart leaves between settleAfter and SIGKILL: the longest deadline of a
 // class, at most 3 s.
 func (n *Node) restartTime() time.Duration {
 	longest := control.Micros(0)
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -20,21 +20,21 @@
 
 // Descriptor counts and the default dial timeout.
 const (
-	ownFiles    = 24   // descriptors reserved for neither callers nor servers
-	plainFiles  = 1024 // if the configuration sets no limit
-	leastFiles  = 8    // minimum for callers and servers together, however low the limit is
-	callersPart = 8    // the share limit/callersPart is reserved for new callers
-	dialTimeout = 500 * time.Millisecond
+	reservedDescriptors = 24   // descriptors reserved for neither callers nor servers
+	defaultDescriptors  = 1024 // if the configuration sets no limit
+	minDescriptors      = 8    // minimum for callers and servers together, however low the limit is
+	callerShare         = 8    // the share limit/callerShare is reserved for new callers
+	defaultDialTimeout  = 500 * time.Millisecond
 )
 
 // Start starts a gatekeeper. When it returns, known servers are loaded and callers are accepted. The operators' address opens
 // first and answers "not ready" until then. If the list of servers is only in the store, Start waits for the store without a
-// timeout, until begin is done, and then returns the cause; all other waits are short.
-func Start(begin context.Context, cfg *config.Config, deploy *config.Deploy, log logrus.FieldLogger) (*Node, error) {
+// timeout, until startCtx is done, and then returns the cause; all other waits are short.
+func Start(startCtx context.Context, cfg *config.Config, deploy *config.Deploy, log logrus.FieldLogger) (*Node, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	n := &Node{cfg: cfg, deploy: deploy, log: log, stop: stop, ops: operators{started: time.Now()}}
-	if err := n.open(ctx, begin); err != nil {
-		n.abandon()
+	if err := n.open(ctx, startCtx); err != nil {
+		n.cleanUp()
 		return nil, err
 	}
 	n.serve(ctx)
@@ -42,7 +42,7 @@
 }
 
 // open opens all parts in the order of their dependencies.
-func (n *Node) open(ctx, begin context.Context) error {
+func (n *Node) open(ctx, startCtx context.Context) error {
 	network := n.networkLimits()
 	if err := n.openCore(ctx); err != nil {
 		return err
@@ -50,10 +50,10 @@
 	if err := n.openOperators(); err != nil {
 		return err
 	}
-	if err := n.openStore(begin); err != nil {
+	if err := n.openStore(startCtx); err != nil {
 		return err
 	}
-	if err := n.openServers(begin, network); err != nil {
+	if err := n.openServers(startCtx, network); err != nil {
 		return err
 	}
 	if err := n.openListeners(network); err != nil {
@@ -65,15 +65,15 @@
 	return n.openLimits()
 }
 
-// abandon closes the parts that a failed start has opened.
-func (n *Node) abandon() {
+// cleanUp closes the parts that a failed start has opened.
+func (n *Node) cleanUp() {
 	n.stop()
 	if n.listener != nil {
 		n.listener.Close()
 		if n.agent != nil {
 			n.agent.Close()
 		}
-		n.closeShared()
+		n.closeFleetFeatures()
 	}
 	if n.fleet != nil {
 		n.fleet.Close()
@@ -96,22 +96,22 @@
 
 // networkLimits derives the limits from the configuration.
 func (n *Node) networkLimits() networkLimits {
-	files := n.cfg.Sockets
-	if files <= 0 {
-		files = plainFiles
+	descriptors := n.cfg.Sockets
+	if descriptors <= 0 {
+		descriptors = defaultDescriptors
 	}
-	own := ownFiles
+	reserved := reservedDescriptors
 	if n.cfg.Admin != "" {
-		own += ops.ConnsMost + 1 // the operators' connections and listener count towards the same limit
+		reserved += ops.ConnsMost + 1 // the operators' connections and listener count towards the same limit
 	}
 	if n.deploy.Control != nil {
-		own += settingsFiles
+		reserved += settingsDescriptors
 	}
 	timeout := time.Duration(n.cfg.Site.DialTimeout) * time.Microsecond
 	if timeout <= 0 {
-		timeout = dialTimeout
+		timeout = defaultDialTimeout
 	}
-	return networkLimits{transport.NewBudget(max(leastFiles, files-own), files/callersPart), timeout}
+	return networkLimits{transport.NewBudget(max(minDescriptors, descriptors-reserved), descriptors/callerShare), timeout}
 }
 
 // openCore creates the core with its records and metrics, and the JSON lines front.
@@ -121,7 +121,7 @@
 		return err
 	}
 	n.core = routing.NewCore(n.cfg.Site.Settings, n.cfg.Seed, recorder, n.log)
-	n.figures = newFigures(n.core.Figures(), n.cfg.Site.ClassNames)
+	n.exporter = newExporter(n.core.Figures(), n.cfg.Site.ClassNames)
 	if err := n.observeCalls(); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	n.settings.file = sections{calls: n.deploy.Calls, limits: n.deploy.Limits}
 	n.core.SetLimits(n.deploy.Calls)
 	n.calls.Store(n.deploy.Calls.Version())
-	n.front = jsonl.NewFront(restarted{n.core, n}, n.cfg.Site.ClassNames, n.log)
+	n.front = jsonl.NewFront(orphanAwareCore{n.core, n}, n.cfg.Site.ClassNames, n.log)
 	if n.outliers != nil {
 		n.front.Seen = n.outliers.ObserveCaller
 	}
@@ -155,7 +155,7 @@
 
 // openServers opens the dialers to servers, loads the known servers and the stored memory of them, and follows the control
 // machines' settings.
-func (n *Node) openServers(begin context.Context, network networkLimits) error {
+func (n *Node) openServers(startCtx context.Context, network networkLimits) error {
 	site := n.cfg.Site
 	d := &dialer{platform: &sip.PlatformDialer{Budget: network.budget, Timeout: network.timeout, Classes: site.ClassNames,
 		Reports: site.ReportNames, Log: n.log}}
@@ -171,7 +171,7 @@
 		return err
 	}
 	n.recall()
-	return n.openSettings(begin)
+	return n.openSettings(startCtx)
 }
 
 // openAgent opens the SIP front and restores the dialogs that the store holds.
@@ -180,7 +180,7 @@
 	for _, c := range n.cfg.Site.Classes {
 		deadlines = append(deadlines, c.Deadline)
 	}
-	records := newDialogs(n.store, n.cfg.Name, n.log)
+	records := newDialogWriter(n.store, n.cfg.Name, n.log)
 	o := sip.Options{Classes: n.cfg.Site.ClassNames, Deadlines: deadlines,
 		DefaultClass: n.deploy.DefaultClass, Reports: n.cfg.Site.ReportNames, DialTimeout: network.timeout, Budget: network.budget,
 		Dialogs: records, Log: n.log}
@@ -236,6 +236,6 @@
 	go n.remember(ctx)
 	go n.sweep(ctx)
 	go n.listener.Serve(n.front.Serve)
-	n.ops.up.Store(true)
+	n.ops.serving.Store(true)
 	n.log.WithFields(logrus.Fields{"listen": n.Addr(), "calls": n.calls.Load()}).Info("serving")
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -15,7 +15,7 @@
 )
 
 // openStore opens this gatekeeper's member of the store, and waits for it if it has a log or other members.
-func (n *Node) openStore(begin context.Context) error {
+func (n *Node) openStore(startCtx context.Context) error {
 	o := store.Options{Node: n.deploy.StoreNode, Dir: n.deploy.StoreDir, Sync: n.deploy.StoreSync,
 		Join: n.deploy.StoreJoin, Via: n.deploy.StoreVia, Log: n.log, Reducers: map[string]store.Reducer{limits.LeaseKey: quota.Reduce}}
 	if o.Node == "" {
@@ -44,7 +44,7 @@
 	}
 	n.store = s
 	if o.Dir != "" || o.Listener != nil {
-		if err := n.awaitStore(begin); err != nil {
+		if err := n.awaitStore(startCtx); err != nil {
 			return err
 		}
 	}
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// storeReadyWithin bounds how long a start waits for a store that it can serve without. A store group without a quorum must
+// storeReadyTimeout bounds how long a start waits for a store that it can serve without. A store group without a quorum must
 // not keep a gatekeeper from serving if the inventory file or the event bus names its servers: after this time it serves with
 // those, and uses the store's records as they are applied.
-const storeReadyWithin = 10 * time.Second
+const storeReadyTimeout = 10 * time.Second
 
-// sayEvery is the interval at which a waiting start logs that it waits.
-const sayEvery = 10 * time.Second
+// waitLogInterval is the interval at which a waiting start logs that it waits.
+const waitLogInterval = 10 * time.Second
 
 // onlyInStore reports whether the store is the only source of the gatekeeper's servers, so that it cannot serve without it.
 func (n *Node) onlyInStore() bool {
@@ -67,14 +67,14 @@
 
 // awaitStore blocks the start until the member has replayed its log and caught up with a leader, so that neither the "serving"
 // log line nor a positive /api/ready appears while the store would answer from an older state.
-func (n *Node) awaitStore(begin context.Context) error {
+func (n *Node) awaitStore(startCtx context.Context) error {
 	began := time.Now()
-	within := storeReadyWithin
+	timeout := storeReadyTimeout
 	if n.onlyInStore() {
-		within = time.Second // then the wait is logged and continues
+		timeout = time.Second // then the wait is logged and continues
 	}
 	for {
-		ctx, cancel := context.WithTimeout(begin, within)
+		ctx, cancel := context.WithTimeout(startCtx, timeout)
 		err := n.store.WaitReady(ctx)
 		cancel()
 		log := n.log.WithField("waited_ms", time.Since(began).Milliseconds())
@@ -83,24 +83,24 @@
 			st := n.store.Status()
 			log.WithFields(logrus.Fields{"records": st.Records, "applied": st.Applied}).Info("store ready")
 			return nil
-		case begin.Err() != nil:
-			return fmt.Errorf("start ended while it waited for the store: %w", context.Cause(begin))
+		case startCtx.Err() != nil:
+			return fmt.Errorf("start ended while it waited for the store: %w", context.Cause(startCtx))
 		case !n.onlyInStore():
 			log.WithError(err).Warn("store: not ready; serving with the inventory file and the event bus, the store's records follow")
 			return nil
 		}
 		log.WithError(err).Warn("store: not ready; the start waits, since it alone holds the list of servers")
-		within = sayEvery
+		timeout = waitLogInterval
 	}
 }
 
-// storeWithin bounds one write to the store.
-const storeWithin = 10 * time.Second
+// storeTimeout bounds one write to the store.
+const storeTimeout = 10 * time.Second
 
 // recordConfiguration writes this gatekeeper's configuration to the store in the background.
 func (n *Node) recordConfiguration(cfg *config.Config) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), storeWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
 		if _, err := n.store.Put(ctx, configurationKey+cfg.Name, cfg.Text); err != nil {
 			n.log.WithError(err).Warn("store: configuration not recorded")
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -33,10 +33,10 @@
 
 // Timeouts and bounds of the server.
 const (
-	headerWithin = 800 * time.Millisecond // for reading a whole request; then the connection is closed
-	answerWithin = time.Second
-	headerMost   = 8 << 10
-	ConnsMost    = 32 // maximum of open connections, each a descriptor; a further one closes the oldest
+	readTimeout    = 800 * time.Millisecond // for reading a whole request; then the connection is closed
+	writeTimeout   = time.Second
+	maxHeaderBytes = 8 << 10
+	ConnsMost      = 32 // maximum of open connections, each a descriptor; a further one closes the oldest
 )
 
 // Process serves the operators' requests that any process answers. Its methods do not block.
@@ -93,9 +93,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: &bounded{Listener: ln}}
-	s.http = &http.Server{Handler: handler, ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin,
-		WriteTimeout: answerWithin, IdleTimeout: headerWithin, MaxHeaderBytes: headerMost,
+	s := &Server{ln: &limitListener{Listener: ln}}
+	s.http = &http.Server{Handler: handler, ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
+		WriteTimeout: writeTimeout, IdleTimeout: readTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: stdlog.New(io.Discard, "", 0)} // aborted requests are frequent and not worth logging
 	s.http.SetKeepAlivesEnabled(false)
 	go func() {
@@ -123,9 +123,9 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if p.Ready() {
-			text(w, http.StatusOK, "ready\n")
+			writeText(w, http.StatusOK, "ready\n")
 		} else {
-			text(w, http.StatusServiceUnavailable, "not ready\n")
+			writeText(w, http.StatusServiceUnavailable, "not ready\n")
 		}
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
@@ -141,7 +141,7 @@
 	mux.HandleFunc("GET /api/fleet", func(w http.ResponseWriter, _ *http.Request) {
 		view, on := g.Fleet()
 		if !on {
-			text(w, http.StatusNotFound, "the fleet is off\n")
+			writeText(w, http.StatusNotFound, "the fleet is off\n")
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -149,73 +149,73 @@
 	})
 	mux.HandleFunc("POST /api/evacuate", func(w http.ResponseWriter, _ *http.Request) {
 		g.Evacuate()
-		text(w, http.StatusOK, "evacuating\n")
+		writeText(w, http.StatusOK, "evacuating\n")
 	})
 	mux.HandleFunc("POST /api/rejoin", func(w http.ResponseWriter, _ *http.Request) {
 		if g.Rejoin(); !g.Ready() { // shutting down, or not started yet
-			text(w, http.StatusConflict, "not ready\n")
+			writeText(w, http.StatusConflict, "not ready\n")
 			return
 		}
-		text(w, http.StatusOK, "rejoined\n")
+		writeText(w, http.StatusOK, "rejoined\n")
 	})
 	return mux
 }
 
-// text writes a plain text response.
-func text(w http.ResponseWriter, code int, body string) {
+// writeText writes a plain text response.
+func writeText(w http.ResponseWriter, code int, body string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(code)
 	io.WriteString(w, body)
 }
 
-// bounded is a listener that keeps at most ConnsMost connections open, so that many silent clients use a bounded number of
-// descriptors. Over the limit it closes the oldest connection: a proper request is answered within milliseconds, so the oldest
+// limitListener is a listener that keeps at most ConnsMost connections open, so that many silent clients use a bounded number
+// of descriptors. Over the limit it closes the oldest connection: a proper request is answered within milliseconds, so the oldest
 // connection belongs to a client that sends nothing or half a request. Accept never waits for a connection to close.
-type bounded struct {
+type limitListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open []*counted // oldest first
+	open []*limitedConn // oldest first
 }
 
 // Accept implements net.Listener.
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *limitListener) Accept() (net.Conn, error) {
 	c, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	k := &counted{Conn: c, from: b}
-	var oldest *counted
+	conn := &limitedConn{Conn: c, listener: b}
+	var oldest *limitedConn
 	b.mu.Lock()
 	if len(b.open) >= ConnsMost {
 		oldest = b.open[0]
 		b.open = b.open[1:]
 	}
-	b.open = append(b.open, k)
+	b.open = append(b.open, conn)
 	b.mu.Unlock()
 	if oldest != nil {
 		oldest.Conn.Close()
 	}
-	return k, nil
+	return conn, nil
 }
 
-// forget removes a closed connection from the open ones.
-func (b *bounded) forget(k *counted) {
+// remove removes a closed connection from the open ones.
+func (b *limitListener) remove(conn *limitedConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if i := slices.Index(b.open, k); i >= 0 {
+	if i := slices.Index(b.open, conn); i >= 0 {
 		b.open = slices.Delete(b.open, i, i+1)
 	}
 }
 
-// counted is a connection that removes itself from its listener when it is closed.
-type counted struct {
+// limitedConn is a connection that removes itself from its listener when it is closed.
+type limitedConn struct {
 	net.Conn
-	from *bounded
-	once sync.Once
+	listener *limitListener
+	once     sync.Once
 }
 
 // Close implements net.Conn.
-func (c *counted) Close() error {
-	c.once.Do(func() { c.from.forget(c) })
+func (c *limitedConn) Close() error {
+	c.once.Do(func() { c.listener.remove(c) })
 	return c.Conn.Close()
 }
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -22,7 +22,7 @@
 
 // With more silent clients than the limit, the oldest connections are closed, the number of open connections stays within the
 // limit, and a proper request is answered immediately.
-func TestCrowdOfSilentCallers(t *testing.T) {
+func TestSilentClientsBeyondLimit(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	s, err := Listen("127.0.0.1:0", &fake{ready: true}, log)
 	if err != nil {
@@ -52,7 +52,7 @@
 	if _, err := first.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("read on the oldest silent connection: %v, want EOF", err)
 	}
-	b := s.ln.(*bounded)
+	b := s.ln.(*limitListener)
 	b.mu.Lock()
 	open := len(b.open)
 	b.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestAddresses(t *testing.T) {
+func TestSplitAddress(t *testing.T) {
 	for _, bad := range []string{"nowhere", "127.0.0.1:http", "127.0.0.1:70000", ":"} {
 		if _, _, err := Split(bad); err == nil {
 			t.Errorf("%q accepted", bad)
@@ -75,15 +75,15 @@
 	}
 }
 
-// ending is a gatekeeper whose process is shutting down: it ignores a rejoin.
-type ending struct{ fake }
+// shuttingDown is a gatekeeper whose process is shutting down: it ignores a rejoin.
+type shuttingDown struct{ fake }
 
-func (*ending) Rejoin() {}
+func (*shuttingDown) Rejoin() {}
 
 // A rejoin without effect is answered with status 409.
-func TestRejoinInAProcessThatEnds(t *testing.T) {
+func TestRejoinDuringShutdown(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	for want, g := range map[int]Gatekeeper{http.StatusOK: &fake{}, http.StatusConflict: &ending{}} {
+	for want, g := range map[int]Gatekeeper{http.StatusOK: &fake{}, http.StatusConflict: &shuttingDown{}} {
 		s, err := Listen("127.0.0.1:0", g, log)
 		if err != nil {
 			t.Fatal(err)
