--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -111,17 +111,17 @@
 
 // Line is one line of the screen with its style.
 type Line struct {
-	Text string
-	Mark Mark
+	Text  string
+	Style Style
 }
 
-// Mark is the style of a line.
-type Mark int
+// Style is the style of a line.
+type Style int
 
 // The styles of lines.
 const (
-	Plain Mark = iota
-	Head
+	Plain Style = iota
+	Heading
 	Good
 	Warn
 	Bad
@@ -131,24 +131,24 @@
 // the rules, and the latest events in the remaining lines. 80x24 fits 3 classes, 4 servers and 4 gatekeepers; if there are
 // more, the first ones are shown.
 func (s *State) Lines(width, height int) (lines []Line) {
-	add := func(mark Mark, format string, args ...any) {
-		lines = append(lines, Line{fmt.Sprintf(format, args...), mark})
+	add := func(style Style, format string, args ...any) {
+		lines = append(lines, Line{fmt.Sprintf(format, args...), style})
 	}
-	add(Head, "beammux  %s  %s UTC  gatekeepers: %d  events: %d", s.Mode, clock(s.Now), len(s.Fleet.Nodes), s.Fleet.Events)
+	add(Heading, "beammux  %s  %s UTC  gatekeepers: %d  events: %d", s.Mode, clock(s.Now), len(s.Fleet.Nodes), s.Fleet.Events)
 	maxRows := max((height-11)/3, 2) // lines for the servers, and as many for the gatekeepers
-	add(Head, "%-14s %9s %9s %9s %9s", "class, last 10 s", "offered/s", "stood/s", "refused/s", "failed/s")
+	add(Heading, "%-14s %9s %9s %9s %9s", "class, last 10 s", "offered/s", "stood/s", "refused/s", "failed/s")
 	for i, c := range s.Fleet.Rules.Classes[:min(len(s.Fleet.Rules.Classes), 4)] {
 		r := s.Rates.Last(s.Now, i)
-		mark := Plain
+		style := Plain
 		if r.Failed > 0 {
-			mark = Bad
+			style = Bad
 		} else if r.Refused > 0 {
-			mark = Warn
+			style = Warn
 		}
-		add(mark, "%-16s %7.1f   %7.1f   %7.1f   %7.1f", truncate(printable(c.Name), 16), perSecond(r.Offered), perSecond(r.Served), perSecond(r.Refused), perSecond(r.Failed))
+		add(style, "%-16s %7.1f   %7.1f   %7.1f   %7.1f", truncate(printable(c.Name), 16), perSecond(r.Offered), perSecond(r.Served), perSecond(r.Refused), perSecond(r.Failed))
 	}
 	servers := s.Fleet.ServerList()
-	add(Head, "%-20s %-8s %6s %7s %6s %8s", "server", "list", "gated", "wait", "stood", "full")
+	add(Heading, "%-20s %-8s %6s %7s %6s %8s", "server", "list", "gated", "wait", "stood", "full")
 	for _, sv := range servers[:min(len(servers), maxRows)] {
 		gated, wait := 0, control.Micros(0)
 		for _, n := range s.Fleet.NodeList() {
@@ -158,34 +158,34 @@
 			}
 			wait = max(wait, l.wait)
 		}
-		mark := Plain
+		style := Plain
 		if gated > 0 {
-			mark = Bad
+			style = Bad
 		} else if sv.State != control.Ready {
-			mark = Warn
+			style = Warn
 		}
-		add(mark, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", truncate(s.serverName(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
+		add(style, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", truncate(s.serverName(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
 	}
 	addRemainder(add, len(servers)-maxRows, "servers")
 	nodes := s.Fleet.NodeList()
-	add(Head, "%-20s %-5s %6s %7s %7s %7s %6s", "gatekeeper", "", "open", "taken", "stood", "refused", "MB")
+	add(Heading, "%-20s %-5s %6s %7s %7s %7s %6s", "gatekeeper", "", "open", "taken", "stood", "refused", "MB")
 	for _, n := range nodes[:min(len(nodes), maxRows)] {
-		up, mark := "up", Plain
+		up, style := "up", Plain
 		if !n.Up {
-			up, mark = "down", Warn
+			up, style = "down", Warn
 		}
-		add(mark, "%-20s %-5s %6d %7d %7d %7d %6.0f", truncate(printable(n.Name), 20), up, n.Open, n.Counts.Offered, n.Counts.Served+n.Counts.Late, n.Counts.Refused, n.Memory/(1<<20))
+		add(style, "%-20s %-5s %6d %7d %7d %7d %6.0f", truncate(printable(n.Name), 20), up, n.Open, n.Counts.Offered, n.Counts.Served+n.Counts.Late, n.Counts.Refused, n.Memory/(1<<20))
 	}
 	addRemainder(add, len(nodes)-maxRows, "gatekeepers")
-	rules, mark := "rules so far:", Good
+	rules, style := "rules so far:", Good
 	for i, f := range s.Checker.SoFar() {
 		verdict := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.NotShown: "-"}[f.Verdict]
 		rules += fmt.Sprintf("  %s %s", [...]string{"answer", "one", "drain", "cold", "release"}[i], verdict)
 		if f.Verdict == history.Broken {
-			mark = Bad
+			style = Bad
 		}
 	}
-	add(mark, "%s", rules)
+	add(style, "%s", rules)
 	remaining := max(height-len(lines)-1, 0)
 	for _, l := range s.Last[max(len(s.Last)-remaining, 0):] {
 		add(Plain, "%s", l)
@@ -197,7 +197,7 @@
 }
 
 // addRemainder adds a line with the number of items that are not shown.
-func addRemainder(add func(Mark, string, ...any), n int, items string) {
+func addRemainder(add func(Style, string, ...any), n int, items string) {
 	if n > 0 {
 		add(Plain, "  and %d more %s", n, items)
 	}
@@ -229,8 +229,8 @@
 }
 
 // styles maps the styles of lines to those of the terminal.
-var styles = map[Mark]tcell.Style{
-	Plain: tcell.StyleDefault, Head: tcell.StyleDefault.Bold(true), Good: tcell.StyleDefault.Foreground(tcell.ColorGreen),
+var styles = map[Style]tcell.Style{
+	Plain: tcell.StyleDefault, Heading: tcell.StyleDefault.Bold(true), Good: tcell.StyleDefault.Foreground(tcell.ColorGreen),
 	Warn: tcell.StyleDefault.Foreground(tcell.ColorYellow), Bad: tcell.StyleDefault.Foreground(tcell.ColorRed).Bold(true),
 }
 
@@ -281,7 +281,7 @@
 	for y, l := range lines {
 		x := 0
 		for _, r := range l.Text {
-			screen.SetContent(x, y, r, nil, styles[l.Mark])
+			screen.SetContent(x, y, r, nil, styles[l.Style])
 			x++
 		}
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,8 +15,8 @@
 	"beammux/internal/record"
 )
 
-// full returns a state with calls at every gatekeeper and one gated server.
-func full(nodes, servers int) *State {
+// fullState returns a state with calls at every gatekeeper and one gated server.
+func fullState(nodes, servers int) *State {
 	s := NewState("live")
 	rules := &history.Rules{ReleaseGuard: 300000, Classes: []history.Class{{Name: "menu-view", Worth: 1}, {Name: "diet-order", Worth: 3}, {Name: "tray-count", Worth: 1}}}
 	at := control.Micros(1e12)
@@ -51,7 +51,7 @@
 
 // A screen of 80x24 shows rates by class, servers, gatekeepers, rules and the latest events.
 func TestLines(t *testing.T) {
-	s := full(4, 4)
+	s := fullState(4, 4)
 	lines := s.Lines(80, 23)
 	got := text(lines)
 	for _, want := range []string{"menu-view            0.4       0.4       0.0       0.0", "diet-order           0.4       0.0       0.4       0.0",
@@ -68,7 +68,7 @@
 
 // At any size the lines fit the screen, and the number of items that are not shown is displayed.
 func TestLinesFitAnySize(t *testing.T) {
-	s := full(30, 30)
+	s := fullState(30, 30)
 	for width := 0; width < 130; width += 7 {
 		for height := 0; height < 60; height += 3 {
 			lines := s.Lines(width, height)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -41,48 +41,48 @@
 func TestDrainEndsWhileCallersKeepSending(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	withServer(t, n, 20*time.Millisecond)
-	const conns, pace, cross = 4, 3 * time.Millisecond, 50 * time.Millisecond
+	const conns, pace, crossing = 4, 3 * time.Millisecond, 50 * time.Millisecond
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	lost, answered := []string{}, 0
 	for i := range conns {
 		conn := dial(t, n)
 		sent, finals := map[string]time.Time{}, map[string]int{}
-		var own sync.Mutex
+		var connMu sync.Mutex
 		closed := make(chan struct{})
 		clients.Go(func() {
 			for s := bufio.NewScanner(conn); s.Scan(); {
 				var m struct{ Msg, Sid string }
 				if json.Unmarshal(s.Bytes(), &m) == nil && (m.Msg == "ready" || m.Msg == "close") {
-					own.Lock()
+					connMu.Lock()
 					finals[m.Sid]++
-					own.Unlock()
+					connMu.Unlock()
 				}
 			}
 			close(closed)
 			end := time.Now()
-			own.Lock()
-			defer own.Unlock()
+			connMu.Lock()
+			defer connMu.Unlock()
 			mu.Lock()
 			defer mu.Unlock()
 			for id, at := range sent {
-				if finals[id] == 0 && end.Sub(at) > cross || finals[id] > 1 {
+				if finals[id] == 0 && end.Sub(at) > crossing || finals[id] > 1 {
 					lost = append(lost, fmt.Sprintf("%s: %d answers, written %v before the close", id, finals[id], end.Sub(at)))
 				}
 			}
 			answered += len(finals)
 		})
 		clients.Go(func() {
-			for k := 0; ; k++ {
+			for seq := 0; ; seq++ {
 				select {
 				case <-closed:
 					return
 				case <-time.After(pace):
 				}
-				id := fmt.Sprintf("%08d%08d", i, k)
-				own.Lock()
+				id := fmt.Sprintf("%08d%08d", i, seq)
+				connMu.Lock()
 				sent[id] = time.Now()
-				own.Unlock()
+				connMu.Unlock()
 				sendSetup(conn, id, "5", 3000)
 			}
 		})
@@ -140,7 +140,7 @@
 	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
-	for i, key := range []string{"stands", "ends"} {
+	for i, key := range []string{"stays", "ends"} {
 		id := fmt.Sprintf("%016x", i+1)
 		sendSetup(c, id, key, 4000)
 		require.Equal(t, id+"ready", receive(t, answers))
@@ -167,7 +167,7 @@
 	<-answers
 	sendSetup(c, "0000000000000001", "1", 3000)
 	ended := make(chan struct{})
-	looks := make(chan struct{})
+	checked := make(chan struct{})
 	go func() {
 		defer close(ended)
 		n.beginSettling()()
@@ -176,13 +176,13 @@
 	go func() { // at least two checks: each is an event on the core's goroutine
 		for range 2 {
 			time.Sleep(2 * settleInterval)
-			turn := make(chan struct{})
-			n.core.Post(func() { close(turn) })
-			<-turn
+			done := make(chan struct{})
+			n.core.Post(func() { close(done) })
+			<-done
 		}
-		close(looks)
+		close(checked)
 	}()
-	<-looks
+	<-checked
 	select {
 	case <-ended:
 		t.Error("the drain ended with an unread set-up")
@@ -201,7 +201,7 @@
 // After a caller closes its connection or cancels its call, no attempt begins more than 0.1 s later, neither a first one nor a
 // retry that the call waits for, even with many calls at once.
 func TestNoAttemptAfterCallerLeft(t *testing.T) {
-	const gone = 100 * time.Millisecond
+	const maxDelay = 100 * time.Millisecond
 	for _, how := range []string{"close", "reset", "cancel"} {
 		for _, when := range []string{"at once", "while the call waits"} {
 			t.Run(how+" "+when, func(t *testing.T) {
@@ -243,14 +243,14 @@
 					for _, e := range s.Log() {
 						if siptest.Is("INVITE")(e.Msg) {
 							all++
-							if e.At.Sub(left) > gone {
+							if e.At.Sub(left) > maxDelay {
 								late++
 							}
 						}
 					}
 				}
 				if late > 0 || when == "while the call waits" && all == 0 {
-					t.Errorf("%d of %d attempts began over %v after the caller had left", late, all, gone)
+					t.Errorf("%d of %d attempts began over %v after the caller had left", late, all, maxDelay)
 				}
 			})
 		}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -28,7 +28,7 @@
 	}
 	n.leaseMembers.Store(leaseAddresses(d))
 	if len(*n.leaseMembers.Load()) > 0 || n.storeShared() || n.deploy.Control != nil {
-		o.Lease = n.leaser()
+		o.Lease = n.newLeaser()
 	}
 	l, err := limits.Open(o)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// leaser returns a function that requests leases from the store members that the limits in force name, or from this
+// newLeaser returns a function that requests leases from the store members that the limits in force name, or from this
 // gatekeeper's own store if they name none. After a failed request it moves to the next member.
-func (n *Node) leaser() limits.Leaser {
+func (n *Node) newLeaser() limits.Leaser {
 	var next atomic.Uint32
 	return func(ctx context.Context, request []byte) ([]byte, error) {
 		addresses := *n.leaseMembers.Load()
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -246,10 +246,10 @@
 	n := testNode(t, &config.Deploy{SIPUDP: "127.0.0.1:0", SIPTCP: "127.0.0.1:0", DefaultClass: "menu-view",
 		Records: &config.Records{Dir: records}})
 	const calls, left = 120, 1500 * time.Millisecond
-	r := newObserver(t, calls)
+	obs := newObserver(t, calls)
 	var hosts []routing.Host
 	for i, kind := range []string{"platform", "UDP", "TCP", "drained"} {
-		p := siptest.New(t, r.serverHandler(kind))
+		p := siptest.New(t, obs.serverHandler(kind))
 		addr := p.Addr("TCP")
 		switch kind {
 		case "UDP", "TCP":
@@ -262,16 +262,16 @@
 	n.applyAndWait(routing.Update{Whole: true, Hosts: hosts})
 
 	ids := sync.Map{} // JSON ids to numbers
-	j := dialJSON(t, n, func(m map[string]any) {
+	jsonConn := dialJSON(t, n, func(m map[string]any) {
 		key, _ := ids.Load(m["sid"])
 		switch m["msg"] {
 		case "ready":
 			if m["text"] != "for "+key.(string) {
 				t.Errorf("call %v was answered with %v", key, m["text"])
 			}
-			r.answer(key.(string), history.Established)
+			obs.answer(key.(string), history.Established)
 		case "close":
-			r.answer(key.(string), history.Refused)
+			obs.answer(key.(string), history.Refused)
 		}
 	})
 	var acked sync.Map
@@ -302,7 +302,7 @@
 		if e.Msg.Status >= 300 {
 			kind = history.Refused
 		}
-		r.answer(key, kind)
+		obs.answer(key, kind)
 	})
 	rng := rand.New(rand.NewPCG(1, 2))
 	pace := time.NewTicker(15 * time.Millisecond) // the core would refuse nearly all calls if they arrived at once
@@ -310,12 +310,12 @@
 	for i := range calls {
 		<-pace.C
 		key := fmt.Sprint(1000 + i)
-		r.callTaken(key, left)
+		obs.callTaken(key, left)
 		switch rng.IntN(3) {
 		case 0:
 			sid := fmt.Sprintf("%016x", 1000+i)
 			ids.Store(sid, key)
-			fmt.Fprintf(j, `{"msg":"open","sid":%q,"attrs":{"class":"menu-view","left":%d,"key":%q,"extras":"dest:%d;width:1"}}`+"\n",
+			fmt.Fprintf(jsonConn, `{"msg":"open","sid":%q,"attrs":{"class":"menu-view","left":%d,"key":%q,"extras":"dest:%d;width:1"}}`+"\n",
 				sid, left.Milliseconds(), key, i%4)
 		case 1:
 			m := caller.Invite("UDP", "call"+key, key, "").Set("X-Dest", fmt.Sprint(i%4))
@@ -327,22 +327,22 @@
 		if i == calls/2 {
 			hosts[3].State = control.Draining
 			n.applyAndWait(routing.Update{Hosts: hosts[3:]})
-			r.drained("drained")
+			obs.drained("drained")
 		}
 	}
 	limit := time.After(20 * time.Second)
 	for i := range calls {
 		select {
-		case <-r.answered:
+		case <-obs.answered:
 		case <-limit:
 			t.Fatalf("%d of %d calls answered", i, calls)
 		}
 	}
-	t.Logf("%d attempts for %d calls", r.attempts, calls)
-	if r.attempts < calls/4 {
-		t.Errorf("only %d attempts for %d calls: too few to test the rules", r.attempts, calls)
+	t.Logf("%d attempts for %d calls", obs.attempts, calls)
+	if obs.attempts < calls/4 {
+		t.Errorf("only %d attempts for %d calls: too few to test the rules", obs.attempts, calls)
 	}
-	r.check()
+	obs.check()
 	n.Close()
 	own, err := report.Build(report.Options{Dirs: []string{records}}) // check the gatekeeper's own records too
 	if err != nil {
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -35,15 +35,15 @@
 	case n.deploy.StoreDir != "":
 		return filepath.Join(n.deploy.StoreDir, memoryFile)
 	case tmp != "" && n.cfg.Name != "":
-		owner := fmt.Sprintf("%016x", xxhash.Sum64String(n.cfg.Listen+" "+settingsName(n.cfg.Site)))
+		owner := fmt.Sprintf("%016x", xxhash.Sum64String(n.cfg.Listen+" "+settingsHash(n.cfg.Site)))
 		return filepath.Join(tmp, "beammux-"+url.PathEscape(n.cfg.Name)+"-"+owner+"-"+memoryFile)
 	}
 	return ""
 }
 
-// settingsName returns an identifier of the settings under which the memory was learned. It covers every field, including the
+// settingsHash returns an identifier of the settings under which the memory was learned. It covers every field, including the
 // names of classes.
-func settingsName(s *control.Site) string {
+func settingsHash(s *control.Site) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%+v", *s)))
 }
 
@@ -58,7 +58,7 @@
 		n.log.WithError(err).Warn("memory can't be read: started without it")
 	}
 	now := n.core.Now()
-	learned, doubt, ok := warm.Recall(memory, now, settingsName(n.cfg.Site))
+	learned, doubt, ok := warm.Recall(memory, now, settingsHash(n.cfg.Site))
 	if !ok {
 		if memory != nil {
 			n.log.WithField("why", doubt).Info("started without the memory")
@@ -75,7 +75,7 @@
 	if file == "" {
 		return
 	}
-	name := settingsName(n.cfg.Site)
+	name := settingsHash(n.cfg.Site)
 	failed := false
 	tick := time.NewTicker(memoryInterval)
 	defer tick.Stop()
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -39,12 +39,12 @@
 		log   string
 	}{
 		"none":     {func(string) error { return nil }, "ready", ""},
-		"fresh":    {func(f string) error { return writeMemory(f, memory(time.Second, settingsName(cfg.Site))) }, "close", "started warm"},
-		"old":      {func(f string) error { return writeMemory(f, memory(time.Minute, settingsName(cfg.Site))) }, "ready", "started warm"},
-		"days old": {func(f string) error { return writeMemory(f, memory(72*time.Hour, settingsName(cfg.Site))) }, "ready", "started without the memory"},
+		"fresh":    {func(f string) error { return writeMemory(f, memory(time.Second, settingsHash(cfg.Site))) }, "close", "started warm"},
+		"old":      {func(f string) error { return writeMemory(f, memory(time.Minute, settingsHash(cfg.Site))) }, "ready", "started warm"},
+		"days old": {func(f string) error { return writeMemory(f, memory(72*time.Hour, settingsHash(cfg.Site))) }, "ready", "started without the memory"},
 		"settings": {func(f string) error { return writeMemory(f, memory(time.Second, "others")) }, "ready", "started without the memory"},
 		"damaged": {func(f string) error {
-			if err := writeMemory(f, memory(time.Second, settingsName(cfg.Site))); err != nil {
+			if err := writeMemory(f, memory(time.Second, settingsHash(cfg.Site))); err != nil {
 				return err
 			}
 			text, err := os.ReadFile(f)
@@ -126,7 +126,7 @@
 			t.Errorf("process %d: %s, want %s", i, got, want)
 		}
 		if i == 0 { // simulates what the first process learned
-			m := &warm.Memory{Settings: settingsName(cfg.Site), Learned: control.Learned{At: n.core.Now(), Base: 20000,
+			m := &warm.Memory{Settings: settingsHash(cfg.Site), Learned: control.Learned{At: n.core.Now(), Base: 20000,
 				Servers: []control.LearnedServer{{Server: 7, Wait: 3e6, Spare: -1}}}}
 			n.stop() // stop writing the memory
 			if err := writeMemory(n.memoryFile(), m); err != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -79,7 +79,7 @@
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, answerAfter(20*time.Millisecond))
 	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
-	const conns, pace, goOn, cross = 4, 25 * time.Millisecond, 600 * time.Millisecond, 50 * time.Millisecond
+	const conns, pace, sendFor, crossing = 4, 25 * time.Millisecond, 600 * time.Millisecond, 50 * time.Millisecond
 	var mu sync.Mutex
 	sent, answers := map[string]time.Time{}, map[string]int{}
 	var term time.Time
@@ -104,22 +104,22 @@
 			}
 			mu.Lock() // set-ups written just before the close crossed it
 			for id, at := range sent {
-				if strings.HasPrefix(id, fmt.Sprintf("%08d", i)) && answers[id] == 0 && time.Since(at) < cross {
+				if strings.HasPrefix(id, fmt.Sprintf("%08d", i)) && answers[id] == 0 && time.Since(at) < crossing {
 					delete(sent, id)
 				}
 			}
 			mu.Unlock()
 		})
 		clients.Go(func() {
-			for k := 0; ; k++ {
+			for seq := 0; ; seq++ {
 				select {
 				case <-closed:
 					return
 				case <-time.After(pace):
 				}
-				id := fmt.Sprintf("%08d%08d", i, k)
+				id := fmt.Sprintf("%08d%08d", i, seq)
 				mu.Lock()
-				if !term.IsZero() && time.Since(term) > goOn {
+				if !term.IsZero() && time.Since(term) > sendFor {
 					mu.Unlock()
 					return
 				}
@@ -335,7 +335,7 @@
 func TestReloadMovesToNewBus(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	n := testNode(t, &config.Deploy{})
-	asked := make(chan string, 9)
+	connected := make(chan string, 9)
 	listen := func(name string) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -349,7 +349,7 @@
 					return
 				}
 				t.Cleanup(func() { c.Close() })
-				asked <- name
+				connected <- name
 			}
 		}()
 		return l.Addr().String()
@@ -367,7 +367,7 @@
 			continue
 		}
 		select {
-		case got := <-asked:
+		case got := <-connected:
 			if got != step.want {
 				t.Fatalf("step %d: connected to bus %s, want %s", i, got, step.want)
 			}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -170,8 +170,10 @@
 // SettingsFault reports the faults of settings that a gatekeeper refuses to put in force.
 type SettingsFault struct{ Faults jsonfile.Faults }
 
+// Error implements error. It returns one line per fault.
 func (e *SettingsFault) Error() string { return e.Faults.Error() }
 
+// Unwrap returns the faults.
 func (e *SettingsFault) Unwrap() error { return e.Faults }
 
 // Advice implements advice.Error.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -87,7 +87,7 @@
 		draw := func(t *rapid.T) values {
 			return values{rapid.IntRange(0, 4).Draw(t, "attempts"), names.Draw(t, "limits"), names.Draw(t, "inventory")}
 		}
-		read := func(t *rapid.T, v values, change func(candidate *follow.Candidate)) error {
+		applyRecords := func(t *rapid.T, v values, change func(candidate *follow.Candidate)) error {
 			c := follow.Candidate{Revision: 1, Sections: map[string]scope.Record{}}
 			put := func(section, value string) {
 				c.Sections[section] = scope.Record{Key: "settings/all/" + section, Value: []byte(value), Revision: 1}
@@ -127,11 +127,11 @@
 			},
 			"records": func(t *rapid.T) {
 				records = draw(t)
-				require.NoError(t, read(t, records, nil))
+				require.NoError(t, applyRecords(t, records, nil))
 			},
 			"bad records": func(t *rapid.T) {
 				bad := rapid.SampledFrom(scope.Sections()).Draw(t, "section")
-				err := read(t, draw(t), func(c *follow.Candidate) {
+				err := applyRecords(t, draw(t), func(c *follow.Candidate) {
 					c.Sections[bad] = scope.Record{Key: "settings/zone/z1/" + bad, Value: []byte("{\n\"x\":}")}
 				})
 				var faults jsonfile.Faults
@@ -139,7 +139,7 @@
 				require.Equal(t, "settings/zone/z1/"+bad, faults[0].File)
 			},
 			"": func(t *rapid.T) {
-				either := func(record, file string) string {
+				recordOrFile := func(record, file string) string {
 					if record != "" {
 						return record
 					}
@@ -149,7 +149,7 @@
 				if calls == 0 {
 					calls = file.calls
 				}
-				want := effectiveSettings{callsVersion(t, n, calls), either(records.limits, file.limits), either(records.inventory, file.inventory)}
+				want := effectiveSettings{callsVersion(t, n, calls), recordOrFile(records.limits, file.limits), recordOrFile(records.inventory, file.inventory)}
 				require.Equal(t, want, n.awaitEffective())
 			},
 		})
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -216,14 +216,14 @@
 }
 
 // newBusReader returns the reader of the event bus, which updates the list of servers.
-func (n *Node) newBusReader(dialWithin time.Duration) *bus.Reader {
+func (n *Node) newBusReader(dialTimeout time.Duration) *bus.Reader {
 	return &bus.Reader{Addr: n.cfg.Bus, Last: n.cfg.Last, Log: n.log,
 		Apply: func(u routing.Update) {
 			u.Source = fromBus
 			n.list.Apply(u, nil)
 		},
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: dialWithin}).DialContext(ctx, "tcp", addr)
+			return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 		}}
 }
 
