--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -109,18 +109,18 @@
 	}, s)
 }
 
-// Line is one line of the screen with its style.
+// Line is one line of the screen with its emphasis.
 type Line struct {
-	Text  string
-	Style Style
+	Text     string
+	Emphasis Emphasis
 }
 
-// Style is the style of a line.
-type Style int
+// Emphasis is the role of a line, which selects its terminal style.
+type Emphasis int
 
-// The styles of lines.
+// The values of Emphasis.
 const (
-	Plain Style = iota
+	Plain Emphasis = iota
 	Heading
 	Good
 	Warn
@@ -131,21 +131,21 @@
 // the rules, and the latest events in the remaining lines. 80x24 fits 3 classes, 4 servers and 4 gatekeepers; if there are
 // more, the first ones are shown.
 func (s *State) Lines(width, height int) (lines []Line) {
-	add := func(style Style, format string, args ...any) {
-		lines = append(lines, Line{fmt.Sprintf(format, args...), style})
+	add := func(emphasis Emphasis, format string, args ...any) {
+		lines = append(lines, Line{fmt.Sprintf(format, args...), emphasis})
 	}
 	add(Heading, "beammux  %s  %s UTC  gatekeepers: %d  events: %d", s.Mode, clock(s.Now), len(s.Fleet.Nodes), s.Fleet.Events)
 	maxRows := max((height-11)/3, 2) // lines for the servers, and as many for the gatekeepers
 	add(Heading, "%-14s %9s %9s %9s %9s", "class, last 10 s", "offered/s", "stood/s", "refused/s", "failed/s")
 	for i, c := range s.Fleet.Rules.Classes[:min(len(s.Fleet.Rules.Classes), 4)] {
 		r := s.Rates.Last(s.Now, i)
-		style := Plain
+		emphasis := Plain
 		if r.Failed > 0 {
-			style = Bad
+			emphasis = Bad
 		} else if r.Refused > 0 {
-			style = Warn
+			emphasis = Warn
 		}
-		add(style, "%-16s %7.1f   %7.1f   %7.1f   %7.1f", truncate(printable(c.Name), 16), perSecond(r.Offered), perSecond(r.Served), perSecond(r.Refused), perSecond(r.Failed))
+		add(emphasis, "%-16s %7.1f   %7.1f   %7.1f   %7.1f", truncate(printable(c.Name), 16), perSecond(r.Offered), perSecond(r.Served), perSecond(r.Refused), perSecond(r.Failed))
 	}
 	servers := s.Fleet.ServerList()
 	add(Heading, "%-20s %-8s %6s %7s %6s %8s", "server", "list", "gated", "wait", "stood", "full")
@@ -158,34 +158,34 @@
 			}
 			wait = max(wait, l.wait)
 		}
-		style := Plain
+		emphasis := Plain
 		if gated > 0 {
-			style = Bad
+			emphasis = Bad
 		} else if sv.State != control.Ready {
-			style = Warn
+			emphasis = Warn
 		}
-		add(style, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", truncate(s.serverName(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
+		add(emphasis, "%-20s %-8s %2d of %2d %5.2f s %6d %8d", truncate(s.serverName(sv.ID), 20), sv.State, gated, len(s.Fleet.Nodes), float64(wait)/1e6, sv.Established, sv.Full)
 	}
 	addRemainder(add, len(servers)-maxRows, "servers")
 	nodes := s.Fleet.NodeList()
 	add(Heading, "%-20s %-5s %6s %7s %7s %7s %6s", "gatekeeper", "", "open", "taken", "stood", "refused", "MB")
 	for _, n := range nodes[:min(len(nodes), maxRows)] {
-		up, style := "up", Plain
+		up, emphasis := "up", Plain
 		if !n.Up {
-			up, style = "down", Warn
+			up, emphasis = "down", Warn
 		}
-		add(style, "%-20s %-5s %6d %7d %7d %7d %6.0f", truncate(printable(n.Name), 20), up, n.Open, n.Counts.Offered, n.Counts.Served+n.Counts.Late, n.Counts.Refused, n.Memory/(1<<20))
+		add(emphasis, "%-20s %-5s %6d %7d %7d %7d %6.0f", truncate(printable(n.Name), 20), up, n.Open, n.Counts.Offered, n.Counts.Served+n.Counts.Late, n.Counts.Refused, n.Memory/(1<<20))
 	}
 	addRemainder(add, len(nodes)-maxRows, "gatekeepers")
-	rules, style := "rules so far:", Good
+	rules, emphasis := "rules so far:", Good
 	for i, f := range s.Checker.SoFar() {
 		verdict := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.NotShown: "-"}[f.Verdict]
 		rules += fmt.Sprintf("  %s %s", [...]string{"answer", "one", "drain", "cold", "release"}[i], verdict)
 		if f.Verdict == history.Broken {
-			style = Bad
+			emphasis = Bad
 		}
 	}
-	add(style, "%s", rules)
+	add(emphasis, "%s", rules)
 	remaining := max(height-len(lines)-1, 0)
 	for _, l := range s.Last[max(len(s.Last)-remaining, 0):] {
 		add(Plain, "%s", l)
@@ -197,7 +197,7 @@
 }
 
 // addRemainder adds a line with the number of items that are not shown.
-func addRemainder(add func(Style, string, ...any), n int, items string) {
+func addRemainder(add func(Emphasis, string, ...any), n int, items string) {
 	if n > 0 {
 		add(Plain, "  and %d more %s", n, items)
 	}
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// styles maps the styles of lines to those of the terminal.
-var styles = map[Style]tcell.Style{
+// styles holds the terminal style for each emphasis.
+var styles = map[Emphasis]tcell.Style{
 	Plain: tcell.StyleDefault, Heading: tcell.StyleDefault.Bold(true), Good: tcell.StyleDefault.Foreground(tcell.ColorGreen),
 	Warn: tcell.StyleDefault.Foreground(tcell.ColorYellow), Bad: tcell.StyleDefault.Foreground(tcell.ColorRed).Bold(true),
 }
@@ -281,7 +281,7 @@
 	for y, l := range lines {
 		x := 0
 		for _, r := range l.Text {
-			screen.SetContent(x, y, r, nil, styles[l.Style])
+			screen.SetContent(x, y, r, nil, styles[l.Emphasis])
 			x++
 		}
 	}
