--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -68,8 +68,8 @@
 // unixPrefix marks the address of a Unix domain socket.
 const unixPrefix = "unix:"
 
-// Split parses a console address, unix:PATH or HOST:PORT with a loopback host, into the network and address of package net.
-func Split(addr string) (network, address string, err error) {
+// ParseAddress parses a console address, unix:PATH or HOST:PORT with a loopback host, into the network and address of package net.
+func ParseAddress(addr string) (network, address string, err error) {
 	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		if path == "" {
 			return "", "", fmt.Errorf("no path after %s", unixPrefix)
@@ -88,7 +88,7 @@
 
 // Listen opens the socket and serves watchers until Close.
 func (h *Hub) Listen(addr string) error {
-	network, address, err := Split(addr)
+	network, address, err := ParseAddress(addr)
 	if err != nil {
 		return err
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -27,7 +27,7 @@
 // attach connects a watcher and reads the snapshot.
 func attach(t *testing.T, addr string) (*record.StreamReader, net.Conn) {
 	t.Helper()
-	network, address, err := Split(addr)
+	network, address, err := ParseAddress(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 func TestSplit(t *testing.T) {
 	for addr, ok := range map[string]bool{"unix:/x": true, "127.0.0.1:1": true, "[::1]:1": true, "unix:": false, "0.0.0.0:1": false,
 		"10.0.0.1:1": false, "localhost:1": false, "127.0.0.1": false, "": false} {
-		if _, _, err := Split(addr); (err == nil) != ok {
+		if _, _, err := ParseAddress(addr); (err == nil) != ok {
 			t.Errorf("%q: %v", addr, err)
 		}
 	}
@@ -137,7 +137,7 @@
 // A socket file that a killed process left is replaced; one that is in use is not.
 func TestStaleSocketIsReplaced(t *testing.T) {
 	addr := "unix:" + filepath.Join(t.TempDir(), "admin.sock")
-	_, path, _ := Split(addr)
+	_, path, _ := ParseAddress(addr)
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlmachine/figures.go
+++ b/internal/controlmachine/figures.go
@@ -61,8 +61,8 @@
 	return float64(sample[0].Value.Uint64())
 }
 
-// WriteFigures implements ops.Process.
-func (m *Machine) WriteFigures(w io.Writer) {
+// WriteMetrics implements ops.Process.
+func (m *Machine) WriteMetrics(w io.Writer) {
 	m.figures.mu.Lock()
 	defer m.figures.mu.Unlock()
 	m.figures.status = m.store.Status()
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -15,9 +15,9 @@
 // and the text of the file.
 const InventoryKey = "inventory"
 
-// Import replaces the list of servers by an inventory, as if it had been imported into the store. The extension of name
+// ImportInventory replaces the list of servers by an inventory, as if it had been imported into the store. The extension of name
 // selects the format. Import returns once the list has been applied.
-func (n *Node) Import(name string, text []byte) error {
+func (n *Node) ImportInventory(name string, text []byte) error {
 	hosts, err := inventory.Parse(name, text)
 	if err != nil {
 		return err
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -66,8 +66,8 @@
 	n.log.Info("rejoined: clients are taken again")
 }
 
-// WriteFigures implements ops.Gatekeeper.
-func (n *Node) WriteFigures(w io.Writer) { n.exporter.write(w) }
+// WriteMetrics implements ops.Gatekeeper.
+func (n *Node) WriteMetrics(w io.Writer) { n.exporter.write(w) }
 
 // sweep closes callers' connections while the gatekeeper is evacuated, as the drain state decides, until ctx is done.
 func (n *Node) sweep(ctx context.Context) {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -192,7 +192,7 @@
 			default:
 				n.reloadSections(sections{})
 				n.Fleet()
-				n.WriteFigures(new(strings.Builder))
+				n.WriteMetrics(new(strings.Builder))
 			}
 		}
 	})
@@ -244,7 +244,7 @@
 	}
 	n.awaitEffective()
 	var text strings.Builder
-	n.WriteFigures(&text)
+	n.WriteMetrics(&text)
 	require.Contains(t, text.String(), `proxy_fleet_limit_rate{rule="r49"} 9`)
 	require.NotContains(t, text.String(), `rule="r48"`)
 	require.Equal(t, 50, int(n.settings.changes.Load()))
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -102,7 +102,7 @@
 	}
 	reserved := reservedDescriptors
 	if n.cfg.Admin != "" {
-		reserved += ops.ConnsMost + 1 // the operators' connections and listener count towards the same limit
+		reserved += ops.MaxOpenConns + 1 // the operators' connections and listener count towards the same limit
 	}
 	if n.deploy.Control != nil {
 		reserved += settingsDescriptors
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -36,15 +36,15 @@
 	readTimeout    = 800 * time.Millisecond // for reading a whole request; then the connection is closed
 	writeTimeout   = time.Second
 	maxHeaderBytes = 8 << 10
-	ConnsMost      = 32 // maximum of open connections, each a descriptor; a further one closes the oldest
+	MaxOpenConns   = 32 // maximum of open connections, each a descriptor; a further one closes the oldest
 )
 
 // Process serves the operators' requests that any process answers. Its methods do not block.
 type Process interface {
 	// Ready reports whether the process accepts clients.
 	Ready() bool
-	// WriteFigures writes the metrics in the Prometheus text format.
-	WriteFigures(w io.Writer)
+	// WriteMetrics writes the metrics in the Prometheus text format.
+	WriteMetrics(w io.Writer)
 }
 
 // Gatekeeper serves the operators' requests to a gatekeeper. Its methods do not block.
@@ -64,8 +64,8 @@
 	http *http.Server
 }
 
-// Split splits an operators' address, HOST:PORT with a numeric port, and validates the port.
-func Split(addr string) (host, port string, err error) {
+// SplitAddress splits an operators' address, HOST:PORT with a numeric port, and validates the port.
+func SplitAddress(addr string) (host, port string, err error) {
 	host, port, err = net.SplitHostPort(addr)
 	if err == nil {
 		if n, e := strconv.Atoi(port); e != nil || n < 0 || n > 65535 {
@@ -86,7 +86,7 @@
 }
 
 func listen(addr string, handler http.Handler, log logrus.FieldLogger) (*Server, error) {
-	if _, _, err := Split(addr); err != nil {
+	if _, _, err := SplitAddress(addr); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp", addr)
@@ -130,7 +130,7 @@
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		p.WriteFigures(w)
+		p.WriteMetrics(w)
 	})
 	return mux
 }
@@ -186,7 +186,7 @@
 	conn := &limitedConn{Conn: c, listener: b}
 	var oldest *limitedConn
 	b.mu.Lock()
-	if len(b.open) >= ConnsMost {
+	if len(b.open) >= MaxOpenConns {
 		oldest = b.open[0]
 		b.open = b.open[1:]
 	}
