--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,8 +24,8 @@
 
 // Hub forwards events to a recorder and to all watchers. It implements routing.Recorder.
 type Hub struct {
-	Node     string
-	Records  routing.Recorder       // may be nil
+	Node     string                 // name of the gatekeeper
+	Records  routing.Recorder       // receives every event; may be nil
 	Snapshot func() []history.Event // returns the snapshot for a new watcher
 
 	mu       sync.Mutex
@@ -68,7 +68,8 @@
 // unixPrefix marks the address of a Unix domain socket.
 const unixPrefix = "unix:"
 
-// ParseAddress parses a console address, unix:PATH or HOST:PORT with a loopback host, into the network and address of package net.
+// ParseAddress parses a console address, unix:PATH or HOST:PORT with a loopback host, into the network and address of package
+// net.
 func ParseAddress(addr string) (network, address string, err error) {
 	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		if path == "" {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -125,7 +125,7 @@
 	attach(t, h.Addr())
 }
 
-func TestSplit(t *testing.T) {
+func TestParseAddress(t *testing.T) {
 	for addr, ok := range map[string]bool{"unix:/x": true, "127.0.0.1:1": true, "[::1]:1": true, "unix:": false, "0.0.0.0:1": false,
 		"10.0.0.1:1": false, "localhost:1": false, "127.0.0.1": false, "": false} {
 		if _, _, err := ParseAddress(addr); (err == nil) != ok {
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -15,8 +15,8 @@
 // and the text of the file.
 const InventoryKey = "inventory"
 
-// ImportInventory replaces the list of servers by an inventory, as if it had been imported into the store. The extension of name
-// selects the format. Import returns once the list has been applied.
+// ImportInventory replaces the list of servers by an inventory, as if it had been imported into the store. The extension of
+// name selects the format. ImportInventory returns once the list has been applied.
 func (n *Node) ImportInventory(name string, text []byte) error {
 	hosts, err := inventory.Parse(name, text)
 	if err != nil {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -168,9 +168,10 @@
 	io.WriteString(w, body)
 }
 
-// limitListener is a listener that keeps at most ConnsMost connections open, so that many silent clients use a bounded number
-// of descriptors. Over the limit it closes the oldest connection: a proper request is answered within milliseconds, so the oldest
-// connection belongs to a client that sends nothing or half a request. Accept never waits for a connection to close.
+// limitListener is a listener that keeps at most MaxOpenConns connections open, so that many silent clients use a bounded
+// number of descriptors. Over the limit it closes the oldest connection: a proper request is answered within milliseconds, so
+// the oldest connection belongs to a client that sends nothing or half a request. Accept never waits for a connection to
+// close.
 type limitListener struct {
 	net.Listener
 	mu   sync.Mutex
