--- a/cmd/drill/translate.go
+++ b/cmd/drill/translate.go
@@ -240,11 +240,11 @@
 			Repeat: p.bool(m, "repeat"), Transit: p.bool(m, "in-transit"), WasCut: p.bool(m, "again")}
 		e = c
 	case "opened":
-		e = control.Opened{ID: p.text(m, "request-id"), Attempt: int(p.int(m, "try")), Server: p.server(m),
-			Took: control.Micros(p.int(m, "took-us"))}
+		e = control.CallEstablished{ID: p.text(m, "request-id"), Attempt: int(p.int(m, "try")), Server: p.server(m),
+			Elapsed: control.Micros(p.int(m, "took-us"))}
 	case "resolved":
-		o := control.Resolved{ID: p.text(m, "request-id"), Attempt: int(p.int(m, "try")), Server: p.server(m),
-			Code: p.code(m), Took: control.Micros(p.intOr(m, "took-us")), Settled: p.bool(m, "settled"),
+		o := control.AttemptEnded{ID: p.text(m, "request-id"), Attempt: int(p.int(m, "try")), Server: p.server(m),
+			Code: p.code(m), Elapsed: control.Micros(p.intOr(m, "took-us")), Settled: p.bool(m, "settled"),
 			Reason: int(p.intOr(m, "reason")), Report: p.row(m)}
 		if at := h.instances[i]; at != nil && at.tellsWait {
 			o.RetryAfter = control.Micros(o.Reason/16) * 1000
@@ -252,7 +252,7 @@
 		}
 		e = o
 	case "status_back":
-		e = control.Status{Server: p.server(m), Code: p.code(m), Took: control.Micros(p.intOr(m, "took-us")),
+		e = control.Status{Server: p.server(m), Code: p.code(m), Elapsed: control.Micros(p.intOr(m, "took-us")),
 			Report: p.row(m)}
 	case "withdrawn":
 		e = control.Withdrawn{ID: p.text(m, "request-id")}
@@ -278,11 +278,11 @@
 		return line("report_failure").Text("request-id", a.ID).End()
 	case control.Cancel:
 		return line("retract").Text("request-id", a.ID).Int("try", int64(a.Attempt)).End()
-	case control.Defer:
+	case control.SetTimer:
 		return line("defer").Int("time-us", int64(a.At)).Text("key-back", a.Key).End()
 	case control.Watch:
 		return line("watch").Int("on", 1).End()
-	case control.Note:
+	case control.Log:
 		return line("note_down").Text("line", a.Text).End()
 	}
 	panic(fmt.Sprintf("drill: unknown action %d", a.Kind))
--- a/control/control.go
+++ b/control/control.go
@@ -194,9 +194,9 @@
 		c.list(e)
 	case Call:
 		c.arrive(e)
-	case Opened:
+	case CallEstablished:
 		c.opened(e)
-	case Resolved:
+	case AttemptEnded:
 		c.resolved(e)
 	case Status:
 		c.status(e)
@@ -231,7 +231,7 @@
 	c.stall = gap
 	if c.now-c.notedAt >= noteInterval {
 		c.notedAt = c.now
-		c.emit(Action{Kind: Note, Text: fmt.Sprintf("stood still for %d ms", gap/1000)})
+		c.emit(Action{Kind: Log, Text: fmt.Sprintf("stood still for %d ms", gap/1000)})
 	}
 	for _, s := range c.servers {
 		s.waitSeenAt, s.lastHeard, s.lastAnswered = s.waitSeenAt+gap, s.lastHeard+gap, s.lastAnswered+gap
@@ -247,7 +247,7 @@
 func (c *Controller) note(s *server, format string, args ...any) {
 	if s.notedAt == 0 || c.now-s.notedAt >= noteInterval {
 		s.notedAt = c.now
-		c.emit(Action{Kind: Note, Text: fmt.Sprintf("server %d ", s.id) + fmt.Sprintf(format, args...)})
+		c.emit(Action{Kind: Log, Text: fmt.Sprintf("server %d ", s.id) + fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -266,7 +266,7 @@
 func (c *Controller) list(l List) {
 	if l.Failed {
 		if c.set.SubscribeList {
-			c.emit(Action{Kind: Defer, At: c.now + silentFall, Key: "watch"})
+			c.emit(Action{Kind: SetTimer, At: c.now + silentFall, Key: "watch"})
 		}
 		return
 	}
@@ -531,7 +531,7 @@
 
 // cancelAttempt cancels a call's attempt where another one can still succeed.
 func (c *Controller) cancelAttempt(k *call) {
-	if !c.set.Cancel || k.cancelled || c.class(k).Repeat != ReadLike || !c.mayRetry(k, Cancelled) ||
+	if !c.set.Cancel || k.cancelled || c.class(k).Repeat != Idempotent || !c.mayRetry(k, Cancelled) ||
 		c.earliestElsewhere(k) > k.Deadline {
 		return
 	}
@@ -671,11 +671,11 @@
 	delete(c.calls, k.ID)
 }
 
-func (c *Controller) opened(e Opened) {
+func (c *Controller) opened(e CallEstablished) {
 	k := c.calls[e.ID]
 	if s := c.find(e.Server); s != nil {
-		if c.baseDelay == 0 || float64(e.Took) < c.baseDelay {
-			c.baseDelay = float64(e.Took)
+		if c.baseDelay == 0 || float64(e.Elapsed) < c.baseDelay {
+			c.baseDelay = float64(e.Elapsed)
 		}
 		c.lossRate -= c.lossRate / lossMemory
 		s.lastHeard = c.now
@@ -683,8 +683,8 @@
 		if k != nil && k.server == s && k.delayUnknown {
 			s.lastAnswered = max(s.lastAnswered, k.sentAt)
 		} else {
-			s.lastAnswered = max(s.lastAnswered, c.now-e.Took)
-			c.observeWait(s, c.waitOfDelay(e.Took))
+			s.lastAnswered = max(s.lastAnswered, c.now-e.Elapsed)
+			c.observeWait(s, c.waitOfDelay(e.Elapsed))
 		}
 	}
 	if k != nil {
@@ -692,7 +692,7 @@
 	}
 }
 
-func (c *Controller) resolved(e Resolved) {
+func (c *Controller) resolved(e AttemptEnded) {
 	k := c.calls[e.ID]
 	if k != nil && (k.server == nil || k.attempts-1 != e.Attempt) {
 		k = nil // an attempt that is no longer in flight
@@ -732,7 +732,7 @@
 }
 
 // attemptEnded takes what the end of an attempt says about its server.
-func (c *Controller) attemptEnded(s *server, k *call, e Resolved) {
+func (c *Controller) attemptEnded(s *server, k *call, e AttemptEnded) {
 	if c.applyReport(s, e.Report) {
 		// A server that reports a short wait has answered what came long before, or that is lost.
 		s.lastAnswered = max(s.lastAnswered, c.now-Micros(c.baseDelay+passes*s.wait)-reportSlack)
@@ -746,7 +746,7 @@
 	case e.Code == Unreachable:
 		c.observeWaitAtLeast(s, onset[topLevel]*c.gateWait)
 	case e.Code == TimedOut && k != nil && !c.overtaken(s, k.sentAt):
-		c.observeWaitAtLeast(s, c.waitOfDelay(e.Took))
+		c.observeWaitAtLeast(s, c.waitOfDelay(e.Elapsed))
 	}
 }
 
@@ -758,7 +758,7 @@
 	if l.Jitter > 0 {
 		from = max(from, c.now+l.Wait+Micros(c.rng.Int64N(int64(l.Jitter)+1)))
 	}
-	if !c.mayRetry(k, code) || k.mayHaveRun && c.class(k).Repeat != ReadLike ||
+	if !c.mayRetry(k, code) || k.mayHaveRun && c.class(k).Repeat != Idempotent ||
 		from+Micros(c.baseDelay)+2*tickInterval >= k.Deadline ||
 		l.Budget != nil && !l.Budget.Take(c.now, k.Class) {
 		c.refuse(k)
@@ -791,7 +791,7 @@
 	if k.Class >= 0 && k.Class < len(c.set.Classes) {
 		return c.set.Classes[k.Class]
 	}
-	return Class{Repeat: Once}
+	return Class{Repeat: NonIdempotent}
 }
 
 func (c *Controller) timer(e Timer) {
@@ -856,7 +856,7 @@
 		if c.now-c.lastTick > 4*tickInterval {
 			c.lastTick = c.now
 		}
-		c.emit(Action{Kind: Defer, At: c.now + tickInterval, Key: "tick"})
+		c.emit(Action{Kind: SetTimer, At: c.now + tickInterval, Key: "tick"})
 	}
 }
 
@@ -1002,7 +1002,7 @@
 // refuse gives a call its final answer.
 func (c *Controller) refuse(k *call) {
 	c.remove(k)
-	if k.mayHaveRun && c.class(k).Repeat != ReadLike {
+	if k.mayHaveRun && c.class(k).Repeat != Idempotent {
 		c.emit(Action{Kind: Fail, ID: k.ID})
 		return
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -89,7 +89,7 @@
 	if f.count(Cancel) != 1 {
 		t.Fatalf("%d cancels of the lost set-up, want 1", f.count(Cancel))
 	}
-	f.do(Resolved{ID: lost, Server: 10, Code: Cancelled})
+	f.do(AttemptEnded{ID: lost, Server: 10, Code: Cancelled})
 	at := f.now
 	f.acts = nil
 	f.pass(1e6)
@@ -136,13 +136,13 @@
 	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	id, _ := f.call(0, 0)
-	acts := f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
+	acts := f.do(AttemptEnded{ID: id, Server: 10, Code: Full, Reason: NoAgent})
 	if f.c.find(10).level != 0 || acts[0].Kind != Send || acts[0].Server != 20 {
 		t.Errorf("no agent: level %d, %v", f.c.find(10).level, acts)
 	}
-	f.do(Opened{ID: id, Attempt: 1, Server: 20, Took: 5e4})
+	f.do(CallEstablished{ID: id, Attempt: 1, Server: 20, Elapsed: 5e4})
 	id, _ = f.call(0, 0)
-	acts = f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
+	acts = f.do(AttemptEnded{ID: id, Server: 10, Code: Full, Reason: ProcessorFull})
 	if f.c.find(10).level < gateLevel {
 		t.Error("processor full did not gate")
 	}
@@ -162,7 +162,7 @@
 	f.report(10, 900)
 	was := f.c.find(10).wait
 	f.report(10, -1)
-	f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true})
+	f.do(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true})
 	if f.c.find(10).wait != was {
 		t.Error("a missing value moved the wait")
 	}
@@ -262,7 +262,7 @@
 	f := newGatekeeper(t, set)
 	f.servers(two...)
 	f.do(Call{ID: "a", Key: "busy", Deadline: f.now + 3e6})
-	f.do(Resolved{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
+	f.do(AttemptEnded{ID: "a", Server: 10, Code: Failed, Reason: LinesBusy})
 	if f.count(Refuse) != 1 {
 		t.Error("a busy number is final")
 	}
@@ -373,8 +373,8 @@
 	f := newGatekeeper(t, testSettings())
 	f.servers(two...)
 	id, _ := f.call(9, 0)
-	f.do(Resolved{ID: id, Server: 10, Code: Full, Reason: NoAgent})
-	f.do(Resolved{ID: id, Attempt: 1, Server: 20, Code: TimedOut})
+	f.do(AttemptEnded{ID: id, Server: 10, Code: Full, Reason: NoAgent})
+	f.do(AttemptEnded{ID: id, Attempt: 1, Server: 20, Code: TimedOut})
 	if f.count(Fail) != 1 {
 		t.Error("a call of an unknown class that may have run must end as failed")
 	}
@@ -394,7 +394,7 @@
 		f := newGatekeeper(t, set)
 		f.servers(two...)
 		for _, v := range row.use {
-			f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
+			f.do(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 		}
 		if l := f.c.find(10).level; l != row.want {
 			t.Errorf("use %v: level %d, want %d", row.use, l, row.want)
@@ -411,7 +411,7 @@
 	f.servers(two...)
 	s := f.c.find(10)
 	told := func(busy, queue float64) {
-		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
+		f.do(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{50, 100, busy, queue}})
 	}
 	told(0.4, 2)
 	f.c.observeWait(s, 1e5)
@@ -435,7 +435,7 @@
 	f := newGatekeeper(t, set)
 	f.servers(two...)
 	for _, v := range []float64{1, 0.5} {
-		f.do(Resolved{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
+		f.do(AttemptEnded{ID: "old", Server: 10, Code: OK, Settled: true, Report: []float64{v}})
 	}
 	if s := f.c.find(10); s.level != 0 || s.shed < 0.2 || s.shed > 0.5 {
 		t.Errorf("level %d, thinned part %.2f just out of the gate", s.level, s.shed)
@@ -477,7 +477,7 @@
 	id, _ := f.call(0, 0)
 	f.answer(id, 10, 5e4)
 	f.pass(1e5)
-	f.do(Resolved{ID: lost, Server: 10, Code: Cancelled})
+	f.do(AttemptEnded{ID: lost, Server: 10, Code: Cancelled})
 	f.acts = nil
 	f.pass(5e5)
 	if f.count(Send) != 1 || f.count(Refuse) != 0 {
@@ -507,7 +507,7 @@
 		id := fmt.Sprintf("k%05d", f.n)
 		f.do(Call{ID: id, Key: id, Deadline: f.now + 3e6})
 		f.pass(5e4)
-		f.do(Resolved{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
+		f.do(AttemptEnded{ID: id, Server: uint32(100 + i), Code: Failed, Reason: LinesBusy})
 	}
 	c := f.c
 	if len(c.calls) != 0 || len(c.waiting) != 0 || len(c.servers) > 2 || len(c.busyNumbers) > maxBusyNumbers {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -26,7 +26,7 @@
 	show(control.List{Entries: []control.Entry{{Server: 7, State: control.Ready}}})
 	show(control.Call{ID: "a", Deadline: now + 3_000_000})
 	now += 40_000
-	show(control.Opened{ID: "a", Server: 7, Took: 40_000})
+	show(control.CallEstablished{ID: "a", Server: 7, Elapsed: 40_000})
 	show(control.List{Delta: true, Entries: []control.Entry{{Server: 7, State: control.Draining}}})
 	show(control.Call{ID: "b", Deadline: now + 3_000_000})
 	// Output:
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -119,12 +119,12 @@
 }
 
 func quick(s uint32, id string, try int) (Micros, Event) {
-	return 3e4, Opened{ID: id, Attempt: try, Server: s, Took: 3e4}
+	return 3e4, CallEstablished{ID: id, Attempt: try, Server: s, Elapsed: 3e4}
 }
 
 // gate reports a long wait at a server.
 func gate(f *gatekeeper, s uint32) {
-	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
+	f.do(AttemptEnded{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{900, 1000, 2000}})
 }
 
 var four = []Entry{{Server: 10, Cell: 0, State: Ready}, {Server: 20, Cell: 1, State: Ready},
@@ -185,7 +185,7 @@
 	fl.run(12e6, 4*perServer, 4, quick)
 	full := func(s uint32, id string, try int) (Micros, Event) {
 		if s == 40 {
-			return 3e4, Resolved{ID: id, Attempt: try, Server: s, Code: Full, Reason: ProcessorFull,
+			return 3e4, AttemptEnded{ID: id, Attempt: try, Server: s, Code: Full, Reason: ProcessorFull,
 				Report: []float64{900, 1000, 2500}}
 		}
 		return quick(s, id, try)
@@ -216,7 +216,7 @@
 				gate(f, s)
 			}
 			small(f)
-			f.do(Resolved{ID: "old", Server: 40, Code: OK, Settled: true, Report: []float64{28, 30, 1}})
+			f.do(AttemptEnded{ID: "old", Server: 40, Code: OK, Settled: true, Report: []float64{28, 30, 1}})
 		}
 		fl.run(1e6, perS, 3, quick)
 	}
@@ -233,7 +233,7 @@
 	id, s := f.call(0, 0)
 	f.now += 1.8e6 // no tick, no event
 	f.do(Timer{"tick"})
-	f.do(Opened{ID: id, Server: s, Took: 1.8e6})
+	f.do(CallEstablished{ID: id, Server: s, Elapsed: 1.8e6})
 	if l, w := f.c.find(s).level, f.c.find(s).wait; l != 0 || w > 5e4 {
 		t.Errorf("level %d, wait %.0f us after the front's own stall", l, w)
 	}
@@ -299,7 +299,7 @@
 		at := Micros(0)
 		for _, e := range []Event{Start{}, Call{ID: "a"}, Timer{"tick"}, Timer{"?"}, List{Failed: true},
 			List{Entries: []Entry{two[1], two[0], two[0], {Server: 10, State: Gone}, two[1]}}, Call{ID: "b", Class: -1,
-				Tenant: 7, Deadline: 5}, Call{ID: "b"}, Opened{ID: "x", Server: 20}, Resolved{ID: "x", Server: 20, Attempt: -1,
+				Tenant: 7, Deadline: 5}, Call{ID: "b"}, CallEstablished{ID: "x", Server: 20}, AttemptEnded{ID: "x", Server: 20, Attempt: -1,
 				Report: []float64{1, 2, 3, 4, 5}}, Status{Server: 20, Code: OK, Report: nil}, Peer{}, Withdrawn{},
 			List{}, Timer{"tick"}, Call{ID: "c", Deadline: 1 << 40}, nil} {
 			at += 7e5
--- a/control/gatekeeper_test.go
+++ b/control/gatekeeper_test.go
@@ -37,7 +37,7 @@
 func (f *gatekeeper) do(e Event) []Action {
 	acts := append([]Action(nil), f.c.Handle(f.now, e)...)
 	for _, a := range acts {
-		if a.Kind == Defer && a.Key == "tick" {
+		if a.Kind == SetTimer && a.Key == "tick" {
 			f.tick = a.At
 		}
 	}
@@ -48,7 +48,7 @@
 // notes counts the log lines that begin with a text.
 func (f *gatekeeper) notes(prefix string) (n int) {
 	for _, a := range f.acts {
-		if a.Kind == Note && strings.HasPrefix(a.Text, prefix) {
+		if a.Kind == Log && strings.HasPrefix(a.Text, prefix) {
 			n++
 		}
 	}
@@ -81,7 +81,7 @@
 
 func (f *gatekeeper) answer(id string, s uint32, took Micros) {
 	f.pass(took)
-	f.do(Opened{ID: id, Server: s, Took: took})
+	f.do(CallEstablished{ID: id, Server: s, Elapsed: took})
 }
 
 // warmGatekeeper makes a gatekeeper with two servers that has had enough calls answered at both to have rates.
@@ -99,7 +99,7 @@
 
 // report ends an old call at a server with a report of its wait.
 func (f *gatekeeper) report(s uint32, waitMs float64) {
-	f.do(Resolved{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
+	f.do(AttemptEnded{ID: "old", Server: s, Code: OK, Settled: true, Report: []float64{90, 100, waitMs}})
 }
 
 func (f *gatekeeper) count(do ActionKind) int {
--- a/control/interface.go
+++ b/control/interface.go
@@ -11,9 +11,9 @@
 
 // A ReadLike call may be sent again freely; a Keyed one within its key's scope; an Once one only while nothing ran.
 const (
-	ReadLike Repeat = iota
-	Keyed
-	Once
+	Idempotent Repeat = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
 // Field names one value of a load report.
@@ -147,12 +147,12 @@
 	Quota                   Quota   // nil: none
 }
 
-// Opened says that a set-up succeeded: the call is established.
-type Opened struct {
+// CallEstablished says that a set-up succeeded: the call is established.
+type CallEstablished struct {
 	ID      string
 	Attempt int
 	Server  uint32
-	Took    Micros
+	Elapsed Micros
 }
 
 // Code tells how an attempt ended.
@@ -186,13 +186,13 @@
 	LinesBusy     = 4
 )
 
-// Resolved is the end of an attempt.
-type Resolved struct {
+// AttemptEnded is the end of an attempt.
+type AttemptEnded struct {
 	ID         string
 	Attempt    int
 	Server     uint32
 	Code       Code
-	Took       Micros
+	Elapsed    Micros
 	Settled    bool
 	Reason     int // without RetryAfter
 	RetryAfter Micros
@@ -201,10 +201,10 @@
 
 // Status is the answer to a probe, or a report sent unasked (Took is 0 then).
 type Status struct {
-	Server uint32
-	Code   Code
-	Took   Micros
-	Report []float64
+	Server  uint32
+	Code    Code
+	Elapsed Micros
+	Report  []float64
 }
 
 // InFlightLimit bounds the set-ups that this gatekeeper may have in flight at a server which the fleet has ejected: 0 none, under 0
@@ -237,13 +237,13 @@
 
 // The actions.
 const (
-	Send   ActionKind = iota // start a set-up of ID at Server, given up after Wait (0: at the call's end)
-	Refuse                   // final answer, turned away; Wait is the advice to stay away (0: none)
-	Fail                     // final answer, given up
-	Cancel                   // stop waiting for Attempt of ID
-	Defer                    // ask for Timer Key at time At
-	Watch                    // subscribe to list changes
-	Note                     // log line Text
+	Send     ActionKind = iota // start a set-up of ID at Server, given up after Wait (0: at the call's end)
+	Refuse                     // final answer, turned away; Wait is the advice to stay away (0: none)
+	Fail                       // final answer, given up
+	Cancel                     // stop waiting for Attempt of ID
+	SetTimer                   // ask for Timer Key at time At
+	Watch                      // subscribe to list changes
+	Log                        // log line Text
 )
 
 // Action is one decision. Fields that its Kind does not use are zero.
--- a/control/learned.go
+++ b/control/learned.go
@@ -3,12 +3,12 @@
 // Learned is what a gatekeeper has learned of its servers and its traffic, without any call: what it saves at its end and may
 // restore at its next start. Package warm says how much of it still counts then.
 type Learned struct {
-	At      Micros          `json:"at"`   // when it was so, Unix microseconds
-	Base    float64         `json:"base"` // us; lowest set-up delay seen
-	Loss    float64         `json:"loss"` // part of the set-ups that were lost
-	Unit    float64         `json:"unit"` // own answers a second for each agent of a warm server, at best
-	Mix     []float64       `json:"mix"`  // recent arrivals by worth
-	Servers []LearnedServer `json:"servers"`
+	At        Micros          `json:"at"`   // when it was so, Unix microseconds
+	BaseDelay float64         `json:"base"` // us; lowest set-up delay seen
+	LossRate  float64         `json:"loss"` // part of the set-ups that were lost
+	BestRate  float64         `json:"unit"` // own answers a second for each agent of a warm server, at best
+	WorthMix  []float64       `json:"mix"`  // recent arrivals by worth
+	Servers   []LearnedServer `json:"servers"`
 }
 
 // LearnedServer is what is known of one server.
@@ -26,7 +26,7 @@
 
 // Learned returns what this gatekeeper has learned.
 func (c *Controller) Learned() Learned {
-	l := Learned{At: c.now, Base: c.baseDelay, Loss: c.lossRate, Unit: c.bestRate, Mix: append([]float64(nil), c.worthMix[:]...)}
+	l := Learned{At: c.now, BaseDelay: c.baseDelay, LossRate: c.lossRate, BestRate: c.bestRate, WorthMix: append([]float64(nil), c.worthMix[:]...)}
 	for _, s := range c.servers {
 		if s.state != Gone {
 			l.Servers = append(l.Servers, LearnedServer{s.id, s.since, s.wait, min(max(s.shed, 0), 1), s.spare, s.total})
@@ -38,11 +38,11 @@
 // recall restores what was learned. The list takes precedence: a server that is not on it, has started since,
 // or is cold gets nothing, and a cold server's budget counts by what has been seen since this start alone.
 func (c *Controller) recall(l Learned) {
-	c.baseDelay, c.lossRate, c.bestRate = max(l.Base, 0), min(max(l.Loss, 0), 1), max(c.bestRate, l.Unit)
+	c.baseDelay, c.lossRate, c.bestRate = max(l.BaseDelay, 0), min(max(l.LossRate, 0), 1), max(c.bestRate, l.BestRate)
 	c.worthTotal, c.mixDecayedAt = 0, c.now
 	for i := range c.worthMix {
-		if i < len(l.Mix) {
-			c.worthMix[i] = max(l.Mix[i], 0)
+		if i < len(l.WorthMix) {
+			c.worthMix[i] = max(l.WorthMix[i], 0)
 		}
 		c.worthTotal += c.worthMix[i]
 	}
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -14,7 +14,7 @@
 		f.pass(20000)
 	}
 	l := f.c.Learned()
-	if len(l.Servers) != 2 || l.Base == 0 || l.Unit == 0 || l.Servers[0].Wait+l.Servers[1].Wait == 0 {
+	if len(l.Servers) != 2 || l.BaseDelay == 0 || l.BestRate == 0 || l.Servers[0].Wait+l.Servers[1].Wait == 0 {
 		t.Fatalf("%+v", l)
 	}
 	g := newGatekeeper(t, testSettings())
@@ -22,7 +22,7 @@
 	g.servers(two...)
 	g.do(Recall{l})
 	got := g.c.Learned()
-	if got.Base != l.Base || got.Unit != l.Unit || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] {
+	if got.BaseDelay != l.BaseDelay || got.BestRate != l.BestRate || got.Servers[0] != l.Servers[0] || got.Servers[1] != l.Servers[1] {
 		t.Errorf("got  %+v\nwant %+v", got, l)
 	}
 	before, after := f.c.Views(nil), g.c.Views(nil)
@@ -39,7 +39,7 @@
 	cold := f.now - 1e6
 	f.servers(Entry{Server: 10, Cell: 0, State: Ready}, Entry{Server: 11, Cell: 0, State: Draining},
 		Entry{Server: 12, Cell: 1, State: Ready, Since: f.now - 100e6}, Entry{Server: 13, Cell: 1, State: Ready, Since: cold})
-	l := Learned{Base: 50000}
+	l := Learned{BaseDelay: 50000}
 	for id := range uint32(6) {
 		l.Servers = append(l.Servers, LearnedServer{Server: 10 + id, Wait: 9e5, Shed: 0.9, Total: 40, Spare: 1})
 	}
@@ -74,7 +74,7 @@
 		return n
 	}
 	without := sent(nil)
-	with := sent(&Learned{Base: 1, Unit: 1e4, Servers: []LearnedServer{{Server: 10, Total: 1e6, Spare: 1e6}}})
+	with := sent(&Learned{BaseDelay: 1, BestRate: 1e4, Servers: []LearnedServer{{Server: 10, Total: 1e6, Spare: 1e6}}})
 	if without == 0 || with > without {
 		t.Errorf("%d set-ups without a memory, %d with one that is wrong", without, with)
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -116,7 +116,7 @@
 			w.t.Fatalf("rule 5: %s resent %d us early", a.ID, k.blocked-w.now)
 		case k.attempt+1 >= w.set.AttemptsCap:
 			w.t.Fatalf("%s sent more than %d times", a.ID, w.set.AttemptsCap)
-		case k.ran && w.set.Classes[k.class].Repeat != ReadLike:
+		case k.ran && w.set.Classes[k.class].Repeat != Idempotent:
 			w.t.Fatalf("%s may have run and was sent again", a.ID)
 		}
 		w.limited(k, a)
@@ -126,7 +126,7 @@
 		if k == nil || k.over || k.out {
 			w.t.Fatalf("rule 1: final answer for %s, which is over, out or unknown", a.ID)
 		}
-		if a.Kind == Refuse && k.ran && w.set.Classes[k.class].Repeat != ReadLike {
+		if a.Kind == Refuse && k.ran && w.set.Classes[k.class].Repeat != Idempotent {
 			w.t.Fatalf("%s may have run and was refused", a.ID)
 		}
 		k.over = true
@@ -136,7 +136,7 @@
 			w.t.Fatalf("cancel of attempt %d of %s", a.Attempt, a.ID)
 		}
 		k.cancelled = true
-	case Defer:
+	case SetTimer:
 		w.timers = append(w.timers, a)
 	}
 }
@@ -194,7 +194,7 @@
 	if w.rng.IntN(2) == 0 {
 		row = []float64{float64(w.rng.IntN(50) - 1), 60, float64(w.rng.IntN(900) - 1)}
 	}
-	w.handle(Resolved{ID: id, Attempt: k.attempt, Server: k.server, Code: code, Took: w.now - k.sentAt, Reason: reason,
+	w.handle(AttemptEnded{ID: id, Attempt: k.attempt, Server: k.server, Code: code, Elapsed: w.now - k.sentAt, Reason: reason,
 		Report: row})
 }
 
@@ -221,7 +221,7 @@
 		k := w.calls[id]
 		k.out, k.over = false, true
 		k.ends++
-		w.handle(Opened{ID: id, Attempt: k.attempt, Server: k.server, Took: w.now - k.sentAt})
+		w.handle(CallEstablished{ID: id, Attempt: k.attempt, Server: k.server, Elapsed: w.now - k.sentAt})
 	case r < 16 && len(out) > 0:
 		id := out[w.rng.IntN(len(out))]
 		codes := []Code{Failed, Full, Unreachable, Cut, NotSent}
@@ -242,8 +242,8 @@
 		w.servers[s] = e.State
 		w.handle(List{Delta: true, Entries: []Entry{e}})
 	case r == 18: // a late or foreign event: passed over
-		w.handle(Resolved{ID: "none", Attempt: 3, Server: 99, Code: Full, Reason: ProcessorFull})
-		w.handle(Opened{ID: "none", Server: 98, Took: 5})
+		w.handle(AttemptEnded{ID: "none", Attempt: 3, Server: 99, Code: Full, Reason: ProcessorFull})
+		w.handle(CallEstablished{ID: "none", Server: 98, Elapsed: 5})
 		w.handle(Peer{From: 1, Data: []byte{9, 9}})
 	default:
 		w.handle(Status{Server: w.ids[0], Code: OK, Report: []float64{float64(w.rng.IntN(9)), 60, -1}})
@@ -254,7 +254,7 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.Classes = append(set.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Once}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: Keyed})
+	set.Classes = append(set.Classes, Class{LatencyTarget: 1e6, Worth: 3, Repeat: NonIdempotent}, Class{LatencyTarget: 1e6, Worth: 3, Repeat: IdempotentByKey})
 	if seed%3 == 0 {
 		set.Report, set.Cancel, set.ResendGap = nil, false, 0
 	}
--- a/control/retry/proof.go
+++ b/control/retry/proof.go
@@ -212,7 +212,7 @@
 				course = append(course, Step{Start: start, End: end, Code: code})
 				visit(course)
 				if len(course) < l.Attempts && l.RetryOn.Has(code) && (code != control.TimedOut || l.AttemptTimeout > 0) {
-					if ran && class.Repeat != control.ReadLike {
+					if ran && class.Repeat != control.Idempotent {
 						p.breach(repeated, course)
 					}
 					for _, w := range p.waits(l, code) {
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -239,7 +239,7 @@
 	k := p.rules.Classes[class]
 	r := &Resolved{Class: class, Route: at, Values: Values{Attempts: int64(p.rules.AttemptsCap), GiveUp: int64(k.Deadline),
 		RetryOn: int64(control.Retryable)}}
-	if k.Repeat != control.ReadLike { // it may not be repeated once it may have run
+	if k.Repeat != control.Idempotent { // it may not be repeated once it may have run
 		r.Values[RetryOn] = int64(control.Retryable &^ control.MayHaveRun)
 	}
 	for f := range Figures {
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -27,7 +27,7 @@
 
 func rules() Rules {
 	return Rules{Names: []string{"menu-view", "diet-order", "billing"}, AttemptsCap: 5, ReleaseGuard: 300000, ResendGap: 500000,
-		Classes: []control.Class{{Deadline: 9e6, Worth: 1}, {Deadline: 9e6, Worth: 3}, {Deadline: 9e6, Worth: 1, Repeat: control.Once}}}
+		Classes: []control.Class{{Deadline: 9e6, Worth: 1}, {Deadline: 9e6, Worth: 3}, {Deadline: 9e6, Worth: 1, Repeat: control.NonIdempotent}}}
 }
 
 func compile(t testing.TB, f File) *Policy {
@@ -185,7 +185,7 @@
 		if n >= l.Attempts || !l.RetryOn.Has(code) || code == control.TimedOut && l.AttemptTimeout == 0 {
 			return ""
 		}
-		if ran && class.Repeat != control.ReadLike {
+		if ran && class.Repeat != control.Idempotent {
 			return "repeated"
 		}
 		wait := l.Wait + control.Micros(rapid.Int64Range(0, int64(l.Jitter)).Draw(t, "jitter"))
--- a/control/settings.go
+++ b/control/settings.go
@@ -35,10 +35,10 @@
 	"x0": Spare, "x1": Total, "latency_ms": WaitMs, "queue": Queue, "util": Busy,
 }
 
-// FieldNamed gives the value that a report's field name stands for; Ignored for one not used.
-func FieldNamed(name string) Field { return fieldNames[name] }
+// ParseField gives the value that a report's field name stands for; Ignored for one not used.
+func ParseField(name string) Field { return fieldNames[name] }
 
-var repeatNames = map[string]Repeat{"read_like": ReadLike, "idempotency_key": Keyed, "non_idempotent": Once}
+var repeatNames = map[string]Repeat{"read_like": Idempotent, "idempotency_key": IdempotentByKey, "non_idempotent": NonIdempotent}
 
 // ParseSite reads a settings object from its text.
 func ParseSite(text string) (*Site, error) {
@@ -102,7 +102,7 @@
 	for _, f := range d.array(v, "report", "fields") {
 		name := d.text(f)
 		s.ReportNames = append(s.ReportNames, name)
-		s.Report = append(s.Report, FieldNamed(name))
+		s.Report = append(s.Report, ParseField(name))
 	}
 	return s, d.err
 }
--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -88,14 +88,14 @@
 	}
 	l.At = now
 	if slow(baseHalf) > 0 { // a delay is right or it is not: half of it would be wrong for certain
-		l.Base = m.Learned.Base
+		l.BaseDelay = m.Learned.BaseDelay
 	}
-	l.Unit = m.Learned.Unit * slow(unitHalf)
-	l.Loss = m.Learned.Loss * fade(lossHalf)
+	l.BestRate = m.Learned.BestRate * slow(unitHalf)
+	l.LossRate = m.Learned.LossRate * fade(lossHalf)
 	if w := fade(mixHalf); w > 0 {
-		l.Mix = make([]float64, len(m.Learned.Mix))
-		for i, v := range m.Learned.Mix {
-			l.Mix[i] = v * w
+		l.WorthMix = make([]float64, len(m.Learned.WorthMix))
+		for i, v := range m.Learned.WorthMix {
+			l.WorthMix[i] = v * w
 		}
 	}
 	for _, s := range m.Learned.Servers {
@@ -120,7 +120,7 @@
 		return true
 	}
 	const minute, many = 60e6, 1e6
-	if !fits(0, minute, l.Base) || !fits(0, 1, l.Loss) || !fits(0, many, l.Unit) || !fits(0, many, l.Mix...) {
+	if !fits(0, minute, l.BaseDelay) || !fits(0, 1, l.LossRate) || !fits(0, many, l.BestRate) || !fits(0, many, l.WorthMix...) {
 		return false
 	}
 	for _, s := range l.Servers {
--- a/control/warm/warm_test.go
+++ b/control/warm/warm_test.go
@@ -21,7 +21,7 @@
 const now = control.Micros(1.8e15)
 
 func memory(at control.Micros) *Memory {
-	return &Memory{Settings: "a", Learned: control.Learned{At: at, Base: 60000, Loss: 0.02, Unit: 4, Mix: []float64{1, 2},
+	return &Memory{Settings: "a", Learned: control.Learned{At: at, BaseDelay: 60000, LossRate: 0.02, BestRate: 4, WorthMix: []float64{1, 2},
 		Servers: []control.LearnedServer{{Server: 7, Since: 5, Wait: 400000, Shed: 0.5, Spare: 12, Total: 40}}}}
 }
 
@@ -40,11 +40,11 @@
 		l, doubt, ok := Recall(memory(now-control.Micros(row.age*1e6)), now, "a")
 		s := l.Servers[0]
 		mix := 0.0
-		if len(l.Mix) > 0 {
-			mix = l.Mix[1]
+		if len(l.WorthMix) > 0 {
+			mix = l.WorthMix[1]
 		}
 		if !ok || doubt != None || !near(s.Wait, row.wait) || !near(s.Shed, row.thin) || s.Spare != row.spare || !near(mix, row.mix) ||
-			!near(l.Unit, row.unit) || l.Base != row.base || s.Total != 40 || s.Since != 5 || s.Server != 7 {
+			!near(l.BestRate, row.unit) || l.BaseDelay != row.base || s.Total != 40 || s.Since != 5 || s.Server != 7 {
 			t.Errorf("after %g s: %+v, %q", row.age, l, doubt)
 		}
 	}
@@ -70,11 +70,11 @@
 			t.Errorf("%s: %q, %t", name, doubt, ok)
 		}
 		for _, s := range l.Servers {
-			if (doubt == ClockBack || doubt == NoTime) && (s.Wait != 0 || s.Shed != 0 || s.Spare != -1 || l.Loss != 0 || len(l.Mix) != 0 || l.Unit != 2) {
+			if (doubt == ClockBack || doubt == NoTime) && (s.Wait != 0 || s.Shed != 0 || s.Spare != -1 || l.LossRate != 0 || len(l.WorthMix) != 0 || l.BestRate != 2) {
 				t.Errorf("%s: %+v", name, l)
 			}
 		}
-		if doubt == OtherRules && (len(l.Servers) != 0 || len(l.Mix) != 0 || l.Base != 0 || l.Unit != 0 || l.Loss != 0) {
+		if doubt == OtherRules && (len(l.Servers) != 0 || len(l.WorthMix) != 0 || l.BaseDelay != 0 || l.BestRate != 0 || l.LossRate != 0) {
 			t.Errorf("%s: %+v", name, l)
 		}
 	}
@@ -88,14 +88,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := memory(control.Micros(rapid.Int64().Draw(t, "at")))
 		l := &m.Learned
-		l.Base, l.Loss, l.Unit = value(t, "base"), value(t, "loss"), value(t, "unit")
+		l.BaseDelay, l.LossRate, l.BestRate = value(t, "base"), value(t, "loss"), value(t, "unit")
 		s := &l.Servers[0]
 		s.Wait, s.Shed, s.Spare, s.Total = value(t, "wait"), value(t, "thin"), value(t, "spare"), value(t, "total")
 		got, _, ok := Recall(m, control.Micros(rapid.Int64().Draw(t, "now")), "a")
 		if !ok {
 			return
 		}
-		if !sound(got) || got.Base > l.Base || got.Unit > l.Unit || got.Loss > l.Loss || got.Servers[0].Wait > s.Wait || got.Servers[0].Shed > s.Shed {
+		if !sound(got) || got.BaseDelay > l.BaseDelay || got.BestRate > l.BestRate || got.LossRate > l.LossRate || got.Servers[0].Wait > s.Wait || got.Servers[0].Shed > s.Shed {
 			t.Fatalf("%+v of %+v", got, *l)
 		}
 	})
--- a/internal/capacity/depth/depth_test.go
+++ b/internal/capacity/depth/depth_test.go
@@ -54,7 +54,7 @@
 // nothing tells a level that the failure came from below and has been repeated there.
 func TestEachLevelRepeatsToday(t *testing.T) {
 	settings := control.Settings{Gatekeepers: 1, Position: -1, OwnCell: -1, AttemptsCap: platformAttempts,
-		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.ReadLike}}}
+		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.Idempotent}}}
 	require.Equal(t, platformAttempts, sends(t, settings, 1))
 	require.Equal(t, platformAttempts*platformAttempts, sends(t, settings, 2))
 	require.Equal(t, platformAttempts*platformAttempts*platformAttempts, sends(t, settings, 3))
@@ -111,7 +111,7 @@
 			last += sends(t, settings, levels-1)
 		}
 		now += 1000
-		queue = append(queue, c.Handle(now, control.Resolved{ID: a.ID, Attempt: attempt, Server: a.Server, Code: control.Failed, Took: 1000})...)
+		queue = append(queue, c.Handle(now, control.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: control.Failed, Elapsed: 1000})...)
 		attempt++
 	}
 	return last
--- a/internal/config/calls_test.go
+++ b/internal/config/calls_test.go
@@ -13,9 +13,9 @@
 
 // site has the classes of the examples: two that may be repeated and one that may not.
 func site() *control.Site {
-	class := control.Class{Deadline: 9e6, Worth: 1, Repeat: control.ReadLike}
+	class := control.Class{Deadline: 9e6, Worth: 1, Repeat: control.Idempotent}
 	once := class
-	once.Repeat = control.Once
+	once.Repeat = control.NonIdempotent
 	return &control.Site{ClassNames: []string{"menu-view", "diet-order", "billing"}, Settings: control.Settings{
 		Classes: []control.Class{class, class, once}, AttemptsCap: 5, ReleaseGuard: 300000, ResendGap: 500000}}
 }
--- a/internal/latencylab/decision.go
+++ b/internal/latencylab/decision.go
@@ -59,7 +59,7 @@
 func (d *Decider) take(actions []control.Action) (server uint32) {
 	for _, a := range actions {
 		switch {
-		case a.Kind == control.Defer && a.Key == "tick":
+		case a.Kind == control.SetTimer && a.Key == "tick":
 			d.tickAt = a.At
 		case a.Kind == control.Send:
 			server = a.Server
@@ -83,8 +83,8 @@
 	took := time.Since(start)
 	if server := d.take(actions); server != 0 {
 		d.now += decisionTook / 100 // the clock goes on less than the delay, so that calls keep their pace
-		d.take(d.control.Handle(d.now, control.Opened{ID: id, Server: server, Took: decisionTook}))
-		d.take(d.control.Handle(d.now, control.Resolved{ID: id, Server: server, Code: control.OK, Settled: true,
+		d.take(d.control.Handle(d.now, control.CallEstablished{ID: id, Server: server, Elapsed: decisionTook}))
+		d.take(d.control.Handle(d.now, control.AttemptEnded{ID: id, Server: server, Code: control.OK, Settled: true,
 			Report: []float64{0.3, 1}}))
 	}
 	return took
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	memory := func(age time.Duration, settings string) *warm.Memory {
-		return &warm.Memory{Settings: settings, Learned: control.Learned{At: control.Micros(time.Now().Add(-age).UnixMicro()), Base: 20000,
+		return &warm.Memory{Settings: settings, Learned: control.Learned{At: control.Micros(time.Now().Add(-age).UnixMicro()), BaseDelay: 20000,
 			Servers: []control.LearnedServer{{Server: 7, Wait: 3e6, Spare: -1}}}}
 	}
 	for name, row := range map[string]struct {
@@ -94,7 +94,7 @@
 	for i := 0; ; i++ {
 		sendSetup(c, fmt.Sprintf("%016x", i+1), "1", 2000)
 		<-answers
-		if m, err := readMemory(file); err == nil && m.Learned.Base > 0 && len(m.Learned.Servers) == 1 && m.Learned.Servers[0].Server == 7 {
+		if m, err := readMemory(file); err == nil && m.Learned.BaseDelay > 0 && len(m.Learned.Servers) == 1 && m.Learned.Servers[0].Server == 7 {
 			break
 		}
 		if i > 5000 {
@@ -126,7 +126,7 @@
 			t.Errorf("process %d: %s, want %s", i, got, want)
 		}
 		if i == 0 { // simulates what the first process learned
-			m := &warm.Memory{Settings: settingsHash(cfg.Site), Learned: control.Learned{At: n.core.Now(), Base: 20000,
+			m := &warm.Memory{Settings: settingsHash(cfg.Site), Learned: control.Learned{At: n.core.Now(), BaseDelay: 20000,
 				Servers: []control.LearnedServer{{Server: 7, Wait: 3e6, Spare: -1}}}}
 			n.stop() // stop writing the memory
 			if err := writeMemory(n.memoryFile(), m); err != nil {
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -307,7 +307,7 @@
 			continue
 		}
 		for i, n := range names {
-			if n == name || control.FieldNamed(n) != control.Ignored && control.FieldNamed(n) == control.FieldNamed(name) {
+			if n == name || control.ParseField(n) != control.Ignored && control.ParseField(n) == control.ParseField(name) {
 				row[i] = v
 			}
 		}
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -24,7 +24,7 @@
 	if at.peer == nil || left <= 0 || k.current != nil {
 		// Not on the list any more, too late, or a second copy: it never leaves.
 		c.Post(func() {
-			c.handle(control.Resolved{ID: k.ID, Attempt: at.number, Server: a.Server, Code: control.NotSent})
+			c.handle(control.AttemptEnded{ID: k.ID, Attempt: at.number, Server: a.Server, Code: control.NotSent})
 		})
 		return
 	}
@@ -60,8 +60,8 @@
 	c.observeEnd(k, a, code)
 	a.peer.cancel(ref{k.ID, a.number})
 	k.releaseLateAnswer(a.peer)
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
-		Took: c.clock.now() - a.sentAt, Settled: settled})
+	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
+		Elapsed: c.clock.now() - a.sentAt, Settled: settled})
 }
 
 // observeEnd counts the end of an attempt that failed. What was never sent, or cancelled from this side, says nothing
@@ -106,7 +106,7 @@
 	c.observe(counting.Answered, &k.Setup, a.server)
 	c.note(history.Event{Kind: history.Established, Call: k.ID, Attempt: a.number, Server: a.server, Span: k.establishedAt - k.arrived})
 	delivered := k.caller.Answer(body)
-	c.handle(control.Opened{ID: k.ID, Attempt: a.number, Server: a.server, Took: k.establishedAt - a.sentAt})
+	c.handle(control.CallEstablished{ID: k.ID, Attempt: a.number, Server: a.server, Elapsed: k.establishedAt - a.sentAt})
 	if !delivered && c.calls[k.ID] == k {
 		c.releaseEstablished(k, CauseNormal)
 	}
@@ -158,8 +158,8 @@
 	}
 	c.noteReport(a.server, o.Report)
 	k.releaseLateAnswer(a.peer)
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: o.Code,
-		Took: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
+	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: o.Code,
+		Elapsed: c.clock.now() - a.sentAt, Reason: o.Reason, RetryAfter: o.RetryAfter, Report: o.Report})
 }
 
 // released handles the release of an established call by its server. A repeated one is passed on once.
@@ -190,8 +190,8 @@
 	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
 	c.noteReport(a.server, report)
 	k.caller.Release(cause)
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
-		Took: c.clock.now() - a.sentAt, Settled: true, Report: report})
+	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: code,
+		Elapsed: c.clock.now() - a.sentAt, Settled: true, Report: report})
 }
 
 // serverDied ends the calls established at a peer before a time: the process behind it is gone. Where that is
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -227,8 +227,8 @@
 	a.peer.release(k.ID, cause)
 	c.close(k)
 	c.note(history.Event{Kind: history.Released, Call: k.ID, Server: a.server, N: int64(cause)})
-	c.handle(control.Resolved{ID: k.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
-		Took: c.clock.now() - a.sentAt, Settled: true})
+	c.handle(control.AttemptEnded{ID: k.ID, Attempt: a.number, Server: a.server, Code: control.Cancelled,
+		Elapsed: c.clock.now() - a.sentAt, Settled: true})
 }
 
 // close takes a call off the table.
@@ -336,10 +336,10 @@
 		if k != nil && k.current != nil && k.current.number == a.Attempt {
 			c.endAttempt(k, control.Cancelled, false)
 		}
-	case control.Defer:
+	case control.SetTimer:
 		c.After(span(a.At-c.clock.now()), func() { c.handle(control.Timer{Key: a.Key}) })
 	case control.Watch: // the list comes by itself
-	case control.Note:
+	case control.Log:
 		c.log.Info(a.Text)
 	}
 }
