--- a/cmd/beammux/calls.go
+++ b/cmd/beammux/calls.go
@@ -110,7 +110,7 @@
 	}
 	if policy == nil { // no section: what the settings say, shown the same way
 		var faults []retry.Fault
-		if policy, faults = retry.Compile(&retry.File{}, retry.RulesOf(cfg.Site)); len(faults) > 0 {
+		if policy, faults = retry.Compile(&retry.File{}, retry.RulesFromSettings(cfg.Site)); len(faults) > 0 {
 			return fmt.Errorf("%s: %s", c.Config, faults[0].What)
 		}
 	}
@@ -148,8 +148,8 @@
 
 // figures lists limits with where each came from.
 func figures(r *retry.Resolved, deploy *config.Deploy) (list []figure) {
-	for f := range retry.Figures {
-		value, from := f.Text(r.Values[f]), r.From[f]
+	for f := range retry.ParameterCount {
+		value, from := f.FormatValue(r.Values[f]), r.From[f]
 		switch {
 		case r.Values[f] != 0:
 		case f == retry.AttemptTimeout || f == retry.GiveUp:
@@ -186,7 +186,7 @@
 	if err != nil {
 		return fault(err, 2)
 	}
-	changes := retry.Diff(before, after, retry.RulesOf(cfg.Site))
+	changes := retry.Diff(before, after, retry.RulesFromSettings(cfg.Site))
 	if c.JSON {
 		if err := printJSON(append([]retry.Change{}, changes...)); err != nil {
 			return err
@@ -207,7 +207,7 @@
 				}
 				return s
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t-> %s\n", who, x.What, none(x.Before), none(x.After))
+			fmt.Fprintf(w, "%s\t%s\t%s\t-> %s\n", who, x.Property, none(x.Before), none(x.After))
 		}
 		w.Flush()
 	}
--- a/control/quota/errors.go
+++ b/control/quota/errors.go
@@ -16,12 +16,12 @@
 
 // Unreadable says that a table or a request can't be read.
 type Unreadable struct {
-	What string
-	Err  error
+	Document string
+	Err      error
 }
 
 func (e *Unreadable) Error() string {
-	return fmt.Sprintf("quota: the %s can't be read: %v", e.What, e.Err)
+	return fmt.Sprintf("quota: the %s can't be read: %v", e.Document, e.Err)
 }
 
 func (e *Unreadable) Unwrap() error { return e.Err }
--- a/control/quota/near.go
+++ b/control/quota/near.go
@@ -72,9 +72,9 @@
 
 // Claims are what a member publishes of one rule.
 type Claims struct {
-	Rate     float64 `cbor:"1,keyasint,omitempty"` // a second
-	Open     float64 `cbor:"2,keyasint,omitempty"` // slots
-	Standing float64 `cbor:"3,keyasint,omitempty"` // of them in use
+	Rate      float64 `cbor:"1,keyasint,omitempty"` // a second
+	Open      float64 `cbor:"2,keyasint,omitempty"` // slots
+	OpenCalls float64 `cbor:"3,keyasint,omitempty"` // of them in use
 }
 
 // Report is what another member that is up published, at least Age ago.
@@ -96,7 +96,7 @@
 			c.Rate = s.rateClaim.announce(now, roundUp(s.demand.read(now)*headroom+s.PerS*minClaimShare), s.PerS)
 		}
 		if s.Open > 0 {
-			c.Standing = float64(s.open)
+			c.OpenCalls = float64(s.open)
 			c.Open = s.slotClaim.announce(now, math.Ceil(float64(s.open)+spareSlots+s.refusedOpen.read(now)), float64(s.Open))
 		}
 		out[s.Name] = c
@@ -129,7 +129,7 @@
 			mayHaveGrown := float64(max(0, r.Age+TransitAllowance+ReportLifetime-SettleTime)) / float64(GrowTime)
 			rates = append(rates, c.Rate+mayHaveGrown*s.PerS)
 			slots = append(slots, c.Open+mayHaveGrown*float64(s.Open))
-			othersOpen += c.Standing
+			othersOpen += c.OpenCalls
 		}
 		s.rateClaim.othersWant, s.slotClaim.othersWant, s.slotClaim.othersOpen, s.rateClaim.reportedAt = rates, slots, othersOpen, now
 		m.refreshNear(now, s)
--- a/control/quota/quota.go
+++ b/control/quota/quota.go
@@ -37,8 +37,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (m Mode) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// ModeNamed finds a mode by its name.
-func ModeNamed(name string) (Mode, bool) {
+// ParseMode finds a mode by its name.
+func ParseMode(name string) (Mode, bool) {
 	for i, n := range modeNames {
 		if n == name {
 			return Mode(i), true
@@ -71,9 +71,9 @@
 
 // Limits are the rules in force.
 type Limits struct {
-	Rules []Rule
-	Parts int    // gatekeepers that run at most: each may count on that part of a limit
-	Dear  []bool // by class: whether it is of the greatest worth
+	Rules         []Rule
+	Parts         int    // gatekeepers that run at most: each may count on that part of a limit
+	MayUseReserve []bool // by class: whether it is of the greatest worth
 }
 
 // Parameters of the modes.
@@ -253,11 +253,11 @@
 	return max(1, math.Floor(float64(s.Open)*s.Floor/parts))
 }
 
-// Claim is what an admitted call holds. Done returns it when the call is over.
-type Claim struct{ states []*ruleState }
+// Permit is what an admitted call holds. Done returns it when the call is over.
+type Permit struct{ states []*ruleState }
 
-// Arrived counts a call, whatever becomes of it, and tells whether any rule matches it.
-func (m *Member) Arrived(now control.Micros, tenant, class int, number string) (limited bool) {
+// CountArrival counts a call, whatever becomes of it, and tells whether any rule matches it.
+func (m *Member) CountArrival(now control.Micros, tenant, class int, number string) (limited bool) {
 	for _, s := range m.states {
 		if s.matches(tenant, class, number) {
 			s.demand.count(now)
@@ -269,8 +269,8 @@
 
 // Take admits a call, or returns the wait, with jitter, after which there may be room. A call needs room under every rule that
 // matches it; the claim is nil where none does.
-func (m *Member) Take(now control.Micros, tenant, class int, number string) (claim *Claim, ok bool, wait control.Micros) {
-	reserved := class >= 0 && class < len(m.limits.Dear) && m.limits.Dear[class]
+func (m *Member) Take(now control.Micros, tenant, class int, number string) (claim *Permit, ok bool, wait control.Micros) {
+	reserved := class >= 0 && class < len(m.limits.MayUseReserve) && m.limits.MayUseReserve[class]
 	longestWait := 0.0
 	var matching []*ruleState
 	for _, s := range m.states {
@@ -306,7 +306,7 @@
 		s.open++
 		s.admitted++
 	}
-	return &Claim{matching}, true, 0
+	return &Permit{matching}, true, 0
 }
 
 // wait is the time until there is room for a refused call, after those that arrived before it. It returns microseconds.
@@ -322,7 +322,7 @@
 }
 
 // Done returns what an admitted call held. It may be called once for each claim; nil is allowed.
-func (m *Member) Done(c *Claim) {
+func (m *Member) Done(c *Permit) {
 	if c == nil {
 		return
 	}
@@ -335,9 +335,9 @@
 
 const slotPoolSuffix = " open" // appended to a rule's name; names of rules hold no space
 
-// Renewal makes the next request for leases; ok is false where no rule is leased. The member first goes down to its fair share:
+// NextRequest makes the next request for leases; ok is false where no rule is leased. The member first goes down to its fair share:
 // what the request keeps is all that it spends from now on, whether or not the request arrives.
-func (m *Member) Renewal(now control.Micros) (r Request, ok bool) {
+func (m *Member) NextRequest(now control.Micros) (r Request, ok bool) {
 	parts := float64(m.limits.Parts)
 	for _, s := range m.states {
 		if s.Mode != Leased {
@@ -350,7 +350,7 @@
 				demand = 0
 			}
 			s.rateLease.rate = min(s.rateLease.rate, s.rateLease.target, demand)
-			r.Asks = append(r.Asks, Ask{s.Name, s.PerS * (1 - s.Floor), s.rateLease.rate, demand})
+			r.Capacities = append(r.Capacities, CapacityRequest{s.Name, s.PerS * (1 - s.Floor), s.rateLease.rate, demand})
 		}
 		if s.Open > 0 {
 			floor := s.slotFloor(parts)
@@ -360,18 +360,18 @@
 			if s.open > 0 || s.refusedOpen.read(now) > minDemand {
 				demand = math.Ceil(used + spareSlots + s.refusedOpen.read(now))
 			}
-			r.Asks = append(r.Asks, Ask{s.Name + slotPoolSuffix, float64(s.Open) - parts*floor, s.slotLease.rate, demand})
+			r.Capacities = append(r.Capacities, CapacityRequest{s.Name + slotPoolSuffix, float64(s.Open) - parts*floor, s.slotLease.rate, demand})
 		}
 		m.refresh(now, s)
 	}
 	m.seq++
 	m.sentAt = now
 	r.Member, r.Incarnation, r.Seq, r.Duration = m.name, m.incarnation, m.seq, LeaseDuration
-	return r, len(r.Asks) > 0
+	return r, len(r.Capacities) > 0
 }
 
-// Renewed applies the answer to the last request. Answers to older requests are ignored: this member may have gone down since.
-func (m *Member) Renewed(now control.Micros, a *Answer) {
+// ApplyResponse applies the answer to the last request. Answers to older requests are ignored: this member may have gone down since.
+func (m *Member) ApplyResponse(now control.Micros, a *Response) {
 	if a.Seq != m.seq {
 		return
 	}
@@ -402,7 +402,7 @@
 	Open           int            `json:"open,omitempty"`
 	Rate           float64        `json:"rate"`   // that this member may spend now, a second
 	Demand         float64        `json:"demand"` // that it sees, a second
-	Standing       int            `json:"standing"`
+	OpenCalls      int            `json:"standing"`
 	Slots          float64        `json:"slots"`
 	Admitted       int64          `json:"taken"`
 	Refused        int64          `json:"turned_away"`
@@ -415,7 +415,7 @@
 	for _, s := range m.states {
 		m.refresh(now, s)
 		st := Status{Name: s.Name, Mode: s.Mode, PerS: s.PerS, Burst: s.Burst, Open: s.Open, Rate: s.bucket.rate,
-			Demand: s.demand.read(now), Standing: s.open, Slots: s.slots, Admitted: s.admitted, Refused: s.refused}
+			Demand: s.demand.read(now), OpenCalls: s.open, Slots: s.slots, Admitted: s.admitted, Refused: s.refused}
 		if s.Mode == Leased {
 			st.LeaseRemaining = max(0, m.leasedUntil-now)
 		}
--- a/control/quota/quota_test.go
+++ b/control/quota/quota_test.go
@@ -71,7 +71,7 @@
 			to      int
 			start   uint64
 			request []byte
-			answer  *Answer
+			answer  *Response
 		}
 		var requests, answers []message
 		member, set := rapid.IntRange(0, n-1), rapid.IntRange(0, 1<<n-1)
@@ -80,18 +80,18 @@
 			after, answer, err := Reduce(table, q.request, epoch, leader.now(now))
 			require.NoError(t, err)
 			table = after
-			a := &Answer{}
+			a := &Response{}
 			require.NoError(t, json.Unmarshal(answer, a))
 			answers = append(answers, message{to: q.to, start: q.start, answer: a})
 		}
 		hear := func(k int) {
 			a := answers[k]
 			if members[a.to].incarnation == a.start {
-				members[a.to].Renewed(clocks[a.to].now(now), a.answer)
+				members[a.to].ApplyResponse(clocks[a.to].now(now), a.answer)
 			}
 		}
 		ask := func(i int) {
-			r, ok := members[i].Renewal(clocks[i].now(now))
+			r, ok := members[i].NextRequest(clocks[i].now(now))
 			require.True(t, ok)
 			text, err := json.Marshal(r)
 			require.NoError(t, err)
@@ -100,7 +100,7 @@
 		spend := func(i, most int) {
 			for range most {
 				m, at := members[i], clocks[i].now(now)
-				m.Arrived(at, -1, 0, anyCall)
+				m.CountArrival(at, -1, 0, anyCall)
 				if claim, ok, _ := m.Take(at, -1, 0, anyCall); ok {
 					m.Done(claim)
 					bound.take(t, now)
@@ -212,7 +212,7 @@
 				}
 				at := clocks[i].now(now)
 				for range busy[i] {
-					m.Arrived(at, -1, 0, anyCall)
+					m.CountArrival(at, -1, 0, anyCall)
 					if claim, ok, _ := m.Take(at, -1, 0, anyCall); ok {
 						m.Done(claim)
 						bound.take(t, now)
@@ -276,7 +276,7 @@
 					for i, m := range members {
 						if i >= from && i < to {
 							for range 4 { // 80 a second
-								m.Arrived(now, -1, 0, anyCall)
+								m.CountArrival(now, -1, 0, anyCall)
 								if c, ok, wait := m.Take(now, -1, 0, anyCall); ok {
 									m.Done(c)
 									taken++
@@ -286,14 +286,14 @@
 							}
 						}
 						if mode == Leased && (k+i)%8 == 0 {
-							q, _ := m.Renewal(now)
+							q, _ := m.NextRequest(now)
 							text, _ := json.Marshal(q)
 							after, answer, err := Reduce(table, text, 1, now)
 							require.NoError(t, err)
 							table = after
-							a := &Answer{}
+							a := &Response{}
 							require.NoError(t, json.Unmarshal(answer, a))
-							m.Renewed(now, a)
+							m.ApplyResponse(now, a)
 						}
 						if mode == Near {
 							claims[i] = m.OwnClaims(now)
@@ -327,7 +327,7 @@
 	few.Name, few.Number, few.PerS, few.Open = "few", "555", 0, 2
 	m := NewMember("g", 1, Limits{Rules: []Rule{all, few}, Parts: 1}, 0)
 	now := control.Micros(10e6)
-	take := func(number string) *Claim {
+	take := func(number string) *Permit {
 		c, ok, _ := m.Take(now, -1, 0, number)
 		require.Equal(t, ok, c != nil)
 		return c
@@ -341,14 +341,14 @@
 	m.Done(first)
 	require.NotNil(t, take("5554"))
 	require.Equal(t, int64(1), m.Status(now)[1].Refused)
-	require.Equal(t, 2, m.Status(now)[1].Standing)
+	require.Equal(t, 2, m.Status(now)[1].OpenCalls)
 }
 
 // Calls of the greatest worth go before the rest, up to the reserved part.
 func TestReserve(t *testing.T) {
 	r := rule(Alone)
 	r.Reserve = 0.25
-	m := NewMember("g", 1, Limits{Rules: []Rule{r}, Parts: 1, Dear: []bool{false, true}}, 0)
+	m := NewMember("g", 1, Limits{Rules: []Rule{r}, Parts: 1, MayUseReserve: []bool{false, true}}, 0)
 	taken := [2]int{}
 	for now := control.Micros(0); now < 60e6; now += 10_000 { // 100 a second of the plain ones, 20 of the dear, in turn
 		for class := range 2 {
@@ -370,13 +370,13 @@
 	now := control.Micros(10e6)
 	m := NewMember("g", 1, Limits{Rules: []Rule{rule(Leased)}, Parts: 2}, 0)
 	for range 20 {
-		m.Arrived(now, -1, 0, anyCall)
+		m.CountArrival(now, -1, 0, anyCall)
 	}
-	q, _ := m.Renewal(now)
+	q, _ := m.NextRequest(now)
 	tab := &Table{}
 	a, err := tab.Apply(q, 1, 5)
 	require.NoError(t, err)
-	m.Renewed(now, a)
+	m.ApplyResponse(now, a)
 	require.Positive(t, m.Status(now)[0].LeaseRemaining)
 	require.Greater(t, m.Status(now)[0].Rate, 10.0)
 	now += 60e6
--- a/control/quota/silence_test.go
+++ b/control/quota/silence_test.go
@@ -17,7 +17,7 @@
 	a, b := NewMember("a", 1, limits, now), NewMember("b", 1, limits, now)
 	taken := map[*Member]int{}
 	call := func(m *Member) {
-		m.Arrived(now, -1, 0, "x")
+		m.CountArrival(now, -1, 0, "x")
 		if c, ok, _ := m.Take(now, -1, 0, "x"); ok {
 			m.Done(c)
 			taken[m]++
--- a/control/quota/table.go
+++ b/control/quota/table.go
@@ -9,8 +9,8 @@
 	"beammux/control"
 )
 
-// Ask is the part of a request that concerns one capacity.
-type Ask struct {
+// CapacityRequest is the part of a request that concerns one capacity.
+type CapacityRequest struct {
 	Name     string  `json:"name"`
 	Capacity float64 `json:"capacity"` // as configured at the member; the lowest of all holders counts
 	Keep     float64 `json:"keep"`     // of its lease: the member has gone down to that before it asked
@@ -19,11 +19,11 @@
 
 // Request asks for leases on all capacities that a member shares, and renews them.
 type Request struct {
-	Member      string         `json:"member"`
-	Incarnation uint64         `json:"start"` // of its process
-	Seq         uint64         `json:"seq"`   // counts its requests
-	Duration    control.Micros `json:"for_us"`
-	Asks        []Ask          `json:"asks"`
+	Member      string            `json:"member"`
+	Incarnation uint64            `json:"start"` // of its process
+	Seq         uint64            `json:"seq"`   // counts its requests
+	Duration    control.Micros    `json:"for_us"`
+	Capacities  []CapacityRequest `json:"asks"`
 }
 
 // Lease is what a member holds of one capacity.
@@ -33,8 +33,8 @@
 	Target float64 `json:"target"` // its fair share now: it goes down to that before it asks again
 }
 
-// Answer is what a request brought.
-type Answer struct {
+// Response is what a request brought.
+type Response struct {
 	Seq    uint64  `json:"seq"` // of the last request that was applied: an older one was ignored
 	Leases []Lease `json:"leases"`
 }
@@ -98,7 +98,7 @@
 }
 
 // Take is Reduce on a table that is read.
-func (t *Table) Apply(r Request, epoch uint64, now control.Micros) (*Answer, error) {
+func (t *Table) Apply(r Request, epoch uint64, now control.Micros) (*Response, error) {
 	if epoch < t.Epoch {
 		return nil, &StaleEpochError{epoch, t.Epoch}
 	}
@@ -116,15 +116,15 @@
 	t.Now = max(t.Now, now)
 	t.expire()
 	who := fmt.Sprintf("%s@%d", r.Member, r.Incarnation)
-	a := &Answer{Seq: t.LastSeq[who]}
+	a := &Response{Seq: t.LastSeq[who]}
 	if r.Seq > a.Seq {
 		a.Seq = r.Seq
 		t.LastSeq[who] = r.Seq
-		for _, ask := range r.Asks {
+		for _, ask := range r.Capacities {
 			t.grant(who, &r, ask)
 		}
 	}
-	for _, ask := range r.Asks {
+	for _, ask := range r.Capacities {
 		p := t.Pools[ask.Name]
 		if p == nil || p.Holders[who] == nil {
 			continue
@@ -158,7 +158,7 @@
 
 // grant renews a holder's lease: it never grows by more than nobody else holds. A late copy of a request of a process whose
 // lease has ended finds nothing to keep.
-func (t *Table) grant(who string, r *Request, ask Ask) {
+func (t *Table) grant(who string, r *Request, ask CapacityRequest) {
 	p := t.Pools[ask.Name]
 	if p == nil {
 		p = &pool{Holders: map[string]*holder{}}
--- a/control/registers/errors.go
+++ b/control/registers/errors.go
@@ -4,13 +4,13 @@
 
 // TooLarge says that a value is over its topic's bound. It was not taken.
 type TooLarge struct {
-	Topic       Topic
-	Origin      string
-	Bytes, Most int
+	Topic      Topic
+	Origin     string
+	Bytes, Max int
 }
 
 func (e *TooLarge) Error() string {
-	return fmt.Sprintf("registers: %s of %s has %d bytes, over %d", e.Topic, e.Origin, e.Bytes, e.Most)
+	return fmt.Sprintf("registers: %s of %s has %d bytes, over %d", e.Topic, e.Origin, e.Bytes, e.Max)
 }
 
 // Advice implements advice.Error.
@@ -33,11 +33,11 @@
 // Crowded says that registers of too many origins are held already.
 type Crowded struct {
 	Origin string
-	Most   int
+	Max    int
 }
 
 func (e *Crowded) Error() string {
-	return fmt.Sprintf("registers: no room for %s: %d origins are held", e.Origin, e.Most)
+	return fmt.Sprintf("registers: no room for %s: %d origins are held", e.Origin, e.Max)
 }
 
 // Advice implements advice.Error.
@@ -47,12 +47,12 @@
 
 // Doubled says that somebody else publishes under this member's name, with a later start than its own.
 type Doubled struct {
-	Origin     string
-	Start, Own uint64
+	Origin          string
+	Start, OwnStart uint64
 }
 
 func (e *Doubled) Error() string {
-	return fmt.Sprintf("registers: %s of start %d publishes under the name of this member, which started at %d", e.Origin, e.Start, e.Own)
+	return fmt.Sprintf("registers: %s of start %d publishes under the name of this member, which started at %d", e.Origin, e.Start, e.OwnStart)
 }
 
 // Advice implements advice.Error.
--- a/control/registers/registers.go
+++ b/control/registers/registers.go
@@ -43,10 +43,10 @@
 
 // Spec bounds a topic.
 type Spec struct {
-	Bytes   int            // most of a value
-	Every   control.Micros // least time between changes that are sent, times the members by membersAtFullPace
-	Refresh control.Micros // an unchanged value is sent again after this, since silence must not pass for no change
-	Stale   control.Micros // a register of this age no longer counts
+	MaxBytes        int            // most of a value
+	MinInterval     control.Micros // least time between changes that are sent, times the members by membersAtFullPace
+	RefreshInterval control.Micros // an unchanged value is sent again after this, since silence must not pass for no change
+	MaxAge          control.Micros // a register of this age no longer counts
 }
 
 // Bounds of a book.
@@ -80,8 +80,8 @@
 	changed      bool
 }
 
-// Book holds the registers of one member. It is not safe for concurrent use.
-type Book struct {
+// Replica holds the registers of one member. It is not safe for concurrent use.
+type Replica struct {
 	self     string
 	start    uint64
 	specs    map[Topic]Spec
@@ -92,8 +92,8 @@
 }
 
 // New makes the book of a member. Topics that are not in specs are not kept: a member of an older build passes over them.
-func New(self string, start uint64, specs map[Topic]Spec) *Book {
-	b := &Book{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*received{}}
+func New(self string, start uint64, specs map[Topic]Spec) *Replica {
+	b := &Replica{self: self, start: start, specs: specs, own: map[Topic]*ownRegister{}, others: map[Topic]map[string]*received{}}
 	for t := range specs {
 		b.others[t] = map[string]*received{}
 	}
@@ -101,17 +101,17 @@
 }
 
 // Put sets this member's own value under a topic. The book keeps the slice.
-func (b *Book) Put(now control.Micros, t Topic, value []byte) error {
+func (b *Replica) Put(now control.Micros, t Topic, value []byte) error {
 	spec, ok := b.specs[t]
 	if !ok {
 		return &Unset{t}
 	}
-	if len(value) > spec.Bytes {
-		return &TooLarge{t, b.self, len(value), spec.Bytes}
+	if len(value) > spec.MaxBytes {
+		return &TooLarge{t, b.self, len(value), spec.MaxBytes}
 	}
 	o := b.own[t]
 	if o == nil {
-		o = &ownRegister{received: received{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.Refresh}
+		o = &ownRegister{received: received{Register: Register{Topic: t, Origin: b.self, Start: b.start}}, handedOverAt: now - spec.RefreshInterval}
 		b.own[t] = o
 	}
 	// The sequence counts what is sent: a value that was not sent yet is replaced in its place. A value that is put again is
@@ -125,15 +125,15 @@
 
 // Due returns the own registers to be sent now in a fleet of so many members: changed ones at their topic's pace, the others
 // after Refresh.
-func (b *Book) Due(now control.Micros, members int) (due []Register) {
+func (b *Replica) Due(now control.Micros, members int) (due []Register) {
 	for _, t := range b.topics() {
 		o, spec := b.own[t], b.specs[t]
 		if o == nil {
 			continue
 		}
-		interval := control.Micros(max(1, float64(members)/membersAtFullPace) * float64(spec.Every))
+		interval := control.Micros(max(1, float64(members)/membersAtFullPace) * float64(spec.MinInterval))
 		since := now - o.handedOverAt
-		if !(o.changed && since >= interval || since >= max(interval, spec.Refresh)) {
+		if !(o.changed && since >= interval || since >= max(interval, spec.RefreshInterval)) {
 			continue
 		}
 		o.Seq++
@@ -149,11 +149,11 @@
 	return r
 }
 
-func (b *Book) topics() []Topic { return slices.Sorted(maps.Keys(b.specs)) }
+func (b *Replica) topics() []Topic { return slices.Sorted(maps.Keys(b.specs)) }
 
 // Merge takes a received register. It returns whether that is new, and to be passed on. Topics that the book does not carry
 // are ignored without an error: a newer build may have more.
-func (b *Book) Merge(now control.Micros, r Register) (news bool, err error) {
+func (b *Replica) Merge(now control.Micros, r Register) (news bool, err error) {
 	spec, ok := b.specs[r.Topic]
 	if !ok {
 		return false, nil
@@ -161,11 +161,11 @@
 	switch {
 	case r.Origin == "" || len(r.Origin) > maxNameLength:
 		return false, &BadOrigin{len(r.Origin)}
-	case len(r.Value) > spec.Bytes:
-		return false, &TooLarge{r.Topic, r.Origin, len(r.Value), spec.Bytes}
+	case len(r.Value) > spec.MaxBytes:
+		return false, &TooLarge{r.Topic, r.Origin, len(r.Value), spec.MaxBytes}
 	case r.Origin == b.self && r.Start > b.start:
 		return false, &Doubled{r.Origin, r.Start, b.start}
-	case r.Origin == b.self || r.Age < 0 || r.Age > spec.Stale:
+	case r.Origin == b.self || r.Age < 0 || r.Age > spec.MaxAge:
 		return false, nil // of an earlier process of this name; or nobody counts it any more
 	}
 	at := now - r.Age
@@ -190,13 +190,13 @@
 }
 
 // State returns every register that still counts by its age, for another member's Merge.
-func (b *Book) State(now control.Micros) (all []Register) {
+func (b *Replica) State(now control.Micros) (all []Register) {
 	for _, t := range b.topics() {
-		if o := b.own[t]; o != nil && o.Seq > 0 && !o.changed && now-o.publishedAt <= b.specs[t].Stale {
+		if o := b.own[t]; o != nil && o.Seq > 0 && !o.changed && now-o.publishedAt <= b.specs[t].MaxAge {
 			all = append(all, o.copy(now))
 		}
 		for _, name := range b.origins(t) {
-			if h := b.others[t][name]; now-h.publishedAt <= b.specs[t].Stale {
+			if h := b.others[t][name]; now-h.publishedAt <= b.specs[t].MaxAge {
 				all = append(all, h.copy(now))
 			}
 		}
@@ -204,12 +204,12 @@
 	return all
 }
 
-func (b *Book) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
+func (b *Replica) origins(t Topic) []string { return slices.Sorted(maps.Keys(b.others[t])) }
 
 // Read returns what counts under a topic now: the own value, and those of members that are up with that start and not older
 // than Stale; by origin.
-func (b *Book) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
-	stale := b.specs[t].Stale
+func (b *Replica) Read(now control.Micros, t Topic, up func(origin string, start uint64) bool) (all []Register) {
+	stale := b.specs[t].MaxAge
 	if o := b.own[t]; o != nil && now-o.publishedAt <= stale {
 		all = append(all, o.copy(now))
 	}
@@ -222,12 +222,12 @@
 	return all
 }
 
-// Forget drops what has long ceased to count, so that names of the past use no memory. Copies of it that still circulate are
+// Prune drops what has long ceased to count, so that names of the past use no memory. Copies of it that still circulate are
 // older than Stale and are not accepted again.
-func (b *Book) Forget(now control.Micros) {
+func (b *Replica) Prune(now control.Micros) {
 	for t, all := range b.others {
 		for name, h := range all {
-			if now-h.publishedAt > 4*b.specs[t].Stale {
+			if now-h.publishedAt > 4*b.specs[t].MaxAge {
 				delete(all, name)
 			}
 		}
@@ -235,4 +235,4 @@
 }
 
 // Counts returns how many received registers were new, and how many were duplicates or late.
-func (b *Book) Counts() (news, old int64) { return b.newCount, b.oldCount }
+func (b *Replica) Counts() (news, old int64) { return b.newCount, b.oldCount }
--- a/control/registers/registers_test.go
+++ b/control/registers/registers_test.go
@@ -13,7 +13,7 @@
 	"beammux/control/advice"
 )
 
-var specs = map[Topic]Spec{Rates: {Bytes: 8, Every: 1e5, Refresh: 1e6, Stale: 3e6}}
+var specs = map[Topic]Spec{Rates: {MaxBytes: 8, MinInterval: 1e5, RefreshInterval: 1e6, MaxAge: 3e6}}
 
 func everybody(string, uint64) bool { return true }
 
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 4
 		now := control.Micros(1e9)
-		var books [n]*Book
+		var books [n]*Replica
 		starts, said := [n]uint64{}, [n]byte{}
 		skew := [n]control.Micros{0, 5e8, -3e8, 7} // clocks of members share nothing
 		name := func(i int) string { return fmt.Sprint("g", i) }
@@ -126,7 +126,7 @@
 	news, err = b.Merge(10e6, r)
 	require.False(t, news, "too old to be taken at all")
 	require.NoError(t, err)
-	b.Forget(30e6)
+	b.Prune(30e6)
 	require.Empty(t, b.others[Rates])
 }
 
--- a/control/retry/budget.go
+++ b/control/retry/budget.go
@@ -22,7 +22,7 @@
 //
 // A clock that steps back loses nothing and brings nothing; one that steps ahead empties the window.
 type Budget struct {
-	figures BudgetFigures
+	figures BudgetConfig
 	worth   []float64 // by class
 	*counts
 }
@@ -42,7 +42,7 @@
 type tally struct{ first, again int }
 
 // NewBudget makes a full budget for the classes of the settings. Not safe for concurrent use.
-func NewBudget(f BudgetFigures, classes []control.Class) *Budget {
+func NewBudget(f BudgetConfig, classes []control.Class) *Budget {
 	b := &Budget{figures: f, counts: &counts{sum: make([]tally, len(classes)), tokens: float64(f.Burst)}}
 	for i := range b.slots {
 		b.slots[i] = make([]tally, len(classes))
--- a/control/retry/diff.go
+++ b/control/retry/diff.go
@@ -8,11 +8,11 @@
 
 // Change is one difference between two policies for calls of one class.
 type Change struct {
-	Class  string `json:"class,omitempty"` // none: for all calls
-	Route  string `json:"route,omitempty"` // name; none: calls that no route takes
-	What   string `json:"what"`            // a figure, match, order, budget or second_copies
-	Before string `json:"before"`          // empty: there was none
-	After  string `json:"after"`           // empty: there is none any more
+	Class    string `json:"class,omitempty"` // none: for all calls
+	Route    string `json:"route,omitempty"` // name; none: calls that no route takes
+	Property string `json:"what"`            // a figure, match, order, budget or second_copies
+	Before   string `json:"before"`          // empty: there was none
+	After    string `json:"after"`           // empty: there is none any more
 }
 
 // Diff tells what a new policy changes for which class and route. Routes are known by their names. Either may be nil: then
@@ -31,8 +31,8 @@
 		}
 	}
 	figures := func(class, route string, x, y *Resolved) {
-		for f := range Figures {
-			add(class, route, f.String(), f.Text(x.Values[f]), f.Text(y.Values[f]))
+		for f := range ParameterCount {
+			add(class, route, f.String(), f.FormatValue(x.Values[f]), f.FormatValue(y.Values[f]))
 		}
 	}
 	add("", "", "second_copies", fmt.Sprint(before.file.SecondCopies), fmt.Sprint(after.file.SecondCopies))
@@ -97,7 +97,7 @@
 }
 
 // String gives a budget as words; a nil one as none.
-func (b *BudgetFigures) String() string {
+func (b *BudgetConfig) String() string {
 	if b == nil {
 		return "none"
 	}
--- a/control/retry/proof.go
+++ b/control/retry/proof.go
@@ -58,7 +58,7 @@
 // proven marks what needs no second proof: the same values from the same places in a class of the same rules.
 type proven struct {
 	Values
-	from     [Figures]string
+	from     [ParameterCount]string
 	repeat   control.Repeat
 	deadline control.Micros
 }
@@ -85,7 +85,7 @@
 	return p.found
 }
 
-func (p *proof) fault(r *Resolved, f Figure, what string) {
+func (p *proof) fault(r *Resolved, f Parameter, what string) {
 	path := r.From[f] + "." + f.String()
 	i := slices.IndexFunc(p.found, func(o Fault) bool { return o.Path == path })
 	if i >= 0 {
@@ -96,9 +96,9 @@
 }
 
 // cause picks the figure to blame: the first of those that the file sets.
-func cause(r *Resolved, figures ...Figure) Figure {
+func cause(r *Resolved, figures ...Parameter) Parameter {
 	for _, f := range figures {
-		if r.Set(f) {
+		if r.IsSet(f) {
 			return f
 		}
 	}
@@ -116,14 +116,14 @@
 	who := p.rules.who(r)
 	ms := func(m control.Micros) string { return fmt.Sprintf("%d ms", m/1000) }
 	l := &r.Limits
-	if r.Set(Attempts) && l.Attempts > p.rules.AttemptsCap {
+	if r.IsSet(Attempts) && l.Attempts > p.rules.AttemptsCap {
 		p.fault(r, Attempts, fmt.Sprintf("%d is over %d, the most that the deployment allows", l.Attempts, p.rules.AttemptsCap))
 		l.Attempts = p.rules.AttemptsCap // the file is refused; what else breaks a rule is told too
 	}
 	if slices.Min(r.Values[:]) < 0 {
 		return
 	}
-	if r.Set(GiveUp) && l.GiveUp > class.Deadline && class.Deadline > 0 {
+	if r.IsSet(GiveUp) && l.GiveUp > class.Deadline && class.Deadline > 0 {
 		p.fault(r, GiveUp, fmt.Sprintf("%s outlasts the callers: %s are given up by them after %s", ms(l.GiveUp), who, ms(class.Deadline)))
 		l.GiveUp = class.Deadline
 	}
--- a/control/retry/retry.go
+++ b/control/retry/retry.go
@@ -17,33 +17,33 @@
 	"beammux/control"
 )
 
-// Figure names one of the values that the file can set.
-type Figure int
+// Parameter names one of the values that the file can set.
+type Parameter int
 
 // The figures. Their names in the file are those of String.
 const (
-	Attempts       Figure = iota // most attempts of a call, the first included
-	AttemptTimeout               // microseconds after which an attempt is given up
-	RetryWait                    // microseconds between the end of an attempt and the next
-	RetryJitter                  // microseconds: the most that is added to the wait, drawn evenly
-	GiveUp                       // microseconds from a call's arrival to its final answer
-	RetryOn                      // a control.Outcomes
-	Figures                      // their number
+	Attempts       Parameter = iota // most attempts of a call, the first included
+	AttemptTimeout                  // microseconds after which an attempt is given up
+	RetryWait                       // microseconds between the end of an attempt and the next
+	RetryJitter                     // microseconds: the most that is added to the wait, drawn evenly
+	GiveUp                          // microseconds from a call's arrival to its final answer
+	RetryOn                         // a control.Outcomes
+	ParameterCount                  // their number
 )
 
-var figureNames = [Figures]string{"attempts", "attempt_timeout_ms", "retry_wait_ms", "retry_jitter_ms", "give_up_ms", "retry_on"}
+var figureNames = [ParameterCount]string{"attempts", "attempt_timeout_ms", "retry_wait_ms", "retry_jitter_ms", "give_up_ms", "retry_on"}
 
-func (f Figure) String() string { return figureNames[f] }
+func (f Parameter) String() string { return figureNames[f] }
 
 // Values are figures that one part of the file sets; 0 is one that it leaves open.
-type Values [Figures]int64
+type Values [ParameterCount]int64
 
-// Unreadable stands for a figure that the file sets to what is none. Such a file is refused; the proof leaves out what
+// InvalidValue stands for a figure that the file sets to what is none. Such a file is refused; the proof leaves out what
 // hangs on the figure.
-const Unreadable = -1
+const InvalidValue = -1
 
-// Text gives a value as the file would say it.
-func (f Figure) Text(v int64) string {
+// FormatValue gives a value as the file would say it.
+func (f Parameter) FormatValue(v int64) string {
 	switch f {
 	case Attempts:
 		return strconv.FormatInt(v, 10)
@@ -70,8 +70,8 @@
 	return names
 }
 
-// OutcomeNamed gives the end that a word of the file stands for.
-func OutcomeNamed(name string) (control.Code, bool) {
+// ParseOutcome gives the end that a word of the file stands for.
+func ParseOutcome(name string) (control.Code, bool) {
 	for _, o := range outcomes {
 		if o.String() == name {
 			return o, true
@@ -101,8 +101,8 @@
 	Values
 }
 
-// BudgetFigures bound the further attempts of all calls together over a moving window of 10 s.
-type BudgetFigures struct {
+// BudgetConfig bound the further attempts of all calls together over a moving window of 10 s.
+type BudgetConfig struct {
 	Ratio   float64 // of the first attempts, over 0 to 1
 	MinPerS int     // that are always allowed, a second; 1 to 10,000
 	Burst   int     // that may go at the same moment; 1 to 10,000
@@ -113,7 +113,7 @@
 	Defaults     Values
 	Classes      []ClassValues
 	Routes       []Route
-	Budget       *BudgetFigures
+	Budget       *BudgetConfig
 	SecondCopies bool
 }
 
@@ -127,8 +127,8 @@
 	SecondCopies bool
 }
 
-// RulesOf takes the rules out of the settings.
-func RulesOf(s *control.Site) Rules {
+// RulesFromSettings takes the rules out of the settings.
+func RulesFromSettings(s *control.Site) Rules {
 	return Rules{Names: s.ClassNames, Classes: s.Classes, AttemptsCap: s.AttemptsCap, ReleaseGuard: s.ReleaseGuard,
 		ResendGap: s.ResendGap, SecondCopies: s.SecondCopies}
 }
@@ -136,13 +136,13 @@
 // Fault is one reason to refuse a file. Path names the value that is at fault, as in calls.routes[0].attempts. Where
 // Word is set it is a name that is not known, and Known has those that are.
 type Fault struct {
-	Path, What string
-	Word       string
-	Known      []string
+	Path, What  string
+	UnknownName string
+	KnownNames  []string
 }
 
-// Settings is the origin of a value that the file does not set.
-const Settings = "settings"
+// FromSettings is the origin of a value that the file does not set.
+const FromSettings = "settings"
 
 // Resolved are the limits of the calls of one class that one route takes, or none.
 type Resolved struct {
@@ -150,8 +150,8 @@
 	Route  int // place in the file, -1 for calls that no route takes
 	Name   string
 	Limits control.Limits
-	Values Values          // in force; 0 where nothing bounds a figure
-	From   [Figures]string // where each value came from: the path of a part of the file, or Settings
+	Values Values                 // in force; 0 where nothing bounds a figure
+	From   [ParameterCount]string // where each value came from: the path of a part of the file, or Settings
 }
 
 // Policy answers which limits a call has. It is immutable but for the counts of its budget, which is used by one
@@ -212,7 +212,7 @@
 	known := func(path, name string) {
 		if !slices.Contains(p.rules.Names, name) {
 			faults = append(faults, Fault{Path: path, What: "the settings name no such class: " + strconv.Quote(name),
-				Word: name, Known: p.rules.Names})
+				UnknownName: name, KnownNames: p.rules.Names})
 		}
 	}
 	for _, c := range p.file.Classes {
@@ -242,8 +242,8 @@
 	if k.Repeat != control.Idempotent { // it may not be repeated once it may have run
 		r.Values[RetryOn] = int64(control.Retryable &^ control.MayHaveRun)
 	}
-	for f := range Figures {
-		r.From[f] = Settings
+	for f := range ParameterCount {
+		r.From[f] = FromSettings
 	}
 	take := func(path string, v Values) {
 		for f, x := range v {
@@ -262,7 +262,7 @@
 		r.Name = p.file.Routes[at].Name
 		take(fmt.Sprintf("calls.routes[%d]", at), p.file.Routes[at].Values)
 	}
-	us := func(f Figure) control.Micros { return control.Micros(r.Values[f]) }
+	us := func(f Parameter) control.Micros { return control.Micros(r.Values[f]) }
 	r.Limits = control.Limits{Attempts: int(r.Values[Attempts]), AttemptTimeout: us(AttemptTimeout), Wait: us(RetryWait),
 		Jitter: us(RetryJitter), GiveUp: us(GiveUp), RetryOn: control.Outcomes(r.Values[RetryOn])}
 	if p.budget != nil {
@@ -271,8 +271,8 @@
 	return r
 }
 
-// Set tells whether the file sets a figure, by the route, the class or the defaults.
-func (r *Resolved) Set(f Figure) bool { return r.From[f] != Settings }
+// IsSet tells whether the file sets a figure, by the route, the class or the defaults.
+func (r *Resolved) IsSet(f Parameter) bool { return r.From[f] != FromSettings }
 
 // who names the calls that limits are for.
 func (u *Rules) who(r *Resolved) string {
@@ -357,9 +357,9 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Adopt goes on with the counts of the policy that was in force before, so that a reload is no fresh start for the
+// InheritCounts goes on with the counts of the policy that was in force before, so that a reload is no fresh start for the
 // budget. Calls that began under the old one still count in it and in this one, since both share the counts.
-func (p *Policy) Adopt(old *Policy) {
+func (p *Policy) InheritCounts(old *Policy) {
 	if p != nil && old != nil && p.budget != nil && old.budget != nil {
 		p.budget.counts = old.budget.counts
 	}
--- a/control/retry/retry_test.go
+++ b/control/retry/retry_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	r := p.Resolve(1, "7f3a", 3, false)
-	want := [Figures]string{"calls.classes.diet-order", "calls.routes[0]", Settings, Settings, "calls.defaults", Settings}
+	want := [ParameterCount]string{"calls.classes.diet-order", "calls.routes[0]", FromSettings, FromSettings, "calls.defaults", FromSettings}
 	if r.From != want {
 		t.Errorf("from %v, want %v", r.From, want)
 	}
@@ -91,7 +91,7 @@
 func TestVersion(t *testing.T) {
 	a := compile(t, File{Defaults: Values{Attempts: 3}})
 	same := compile(t, File{Classes: []ClassValues{{"menu-view", Values{Attempts: 3}}, {"diet-order", Values{Attempts: 3}}, {"billing", Values{Attempts: 3}}}})
-	other := compile(t, File{Defaults: Values{Attempts: 3}, Budget: &BudgetFigures{0.2, 1, 10}})
+	other := compile(t, File{Defaults: Values{Attempts: 3}, Budget: &BudgetConfig{0.2, 1, 10}})
 	matched := compile(t, File{Defaults: Values{Attempts: 3}, Routes: []Route{{"r", Match{Number: "1"}, Values{}}}})
 	rematched := compile(t, File{Defaults: Values{Attempts: 3}, Routes: []Route{{"r", Match{Number: "2"}, Values{}}}})
 	if a.Version() != same.Version() || len(a.Version()) != 16 || (*Policy)(nil).Version() != "none" {
@@ -115,11 +115,11 @@
 
 func genValues(t *rapid.T, label string, in span) (v Values) {
 	for f, most := range in.most {
-		if rapid.IntRange(0, 2).Draw(t, label+" sets "+Figure(f).String()) == 0 {
+		if rapid.IntRange(0, 2).Draw(t, label+" sets "+Parameter(f).String()) == 0 {
 			continue
 		}
 		v[f] = rapid.Int64Range(in.least[f], most).Draw(t, label)
-		switch Figure(f) {
+		switch Parameter(f) {
 		case Attempts:
 		case RetryOn:
 			v[f] &= int64(control.Retryable)
@@ -229,7 +229,7 @@
 		f := genFile(t, anyFigures)
 		_, faults := Compile(f, rules())
 		for _, fault := range faults {
-			if !strings.HasPrefix(fault.Path, "calls.") || strings.HasPrefix(fault.Path, Settings) || fault.What == "" {
+			if !strings.HasPrefix(fault.Path, "calls.") || strings.HasPrefix(fault.Path, FromSettings) || fault.What == "" {
 				t.Fatalf("%+v", fault)
 			}
 		}
@@ -306,7 +306,7 @@
 // least that it promises to the dearest class.
 func TestBudgetKeepsToItsWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := BudgetFigures{Ratio: float64(rapid.IntRange(1, 10).Draw(t, "tenths")) / 10,
+		f := BudgetConfig{Ratio: float64(rapid.IntRange(1, 10).Draw(t, "tenths")) / 10,
 			MinPerS: rapid.IntRange(1, 3).Draw(t, "least"), Burst: rapid.IntRange(1, 20).Draw(t, "burst")}
 		b := NewBudget(f, rules().Classes)
 		type event struct {
@@ -356,7 +356,7 @@
 
 // A budget drained by one class still has what dearer calls brought into it.
 func TestDearerCallsGoLast(t *testing.T) {
-	b := NewBudget(BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
+	b := NewBudget(BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
 	now := control.Micros(1e12)
 	for i := range 1000 { // a fifth of them diet-order: 200 further attempts in all, 40 of them earned by these
 		b.First(now, i%5/4)
@@ -372,7 +372,7 @@
 	if cheap != 160 || dear != 40 {
 		t.Errorf("%d cheap and %d dear further attempts, want 160 and 40", cheap, dear)
 	}
-	b = NewBudget(BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
+	b = NewBudget(BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 1000}, rules().Classes)
 	for i := range 1000 {
 		b.First(now, i%5/4)
 	}
@@ -389,7 +389,7 @@
 // A clock that steps back brings no new budget and takes none away for good; one that steps ahead empties the window.
 func TestBudgetOverClockSteps(t *testing.T) {
 	for _, step := range []control.Micros{-3600e6, 3600e6} {
-		b := NewBudget(BudgetFigures{Ratio: 0.5, MinPerS: 1, Burst: 5}, rules().Classes)
+		b := NewBudget(BudgetConfig{Ratio: 0.5, MinPerS: 1, Burst: 5}, rules().Classes)
 		now := control.Micros(1e13)
 		for range 5 {
 			b.First(now, 0)
@@ -416,25 +416,25 @@
 
 // A reload goes on with the counts.
 func TestAdopt(t *testing.T) {
-	old := compile(t, File{Budget: &BudgetFigures{0.2, 1, 2}})
+	old := compile(t, File{Budget: &BudgetConfig{0.2, 1, 2}})
 	now := control.Micros(1e12)
 	for old.budget.Take(now, 1) {
 	}
-	young := compile(t, File{Budget: &BudgetFigures{0.2, 1, 100}})
-	young.Adopt(old)
+	young := compile(t, File{Budget: &BudgetConfig{0.2, 1, 100}})
+	young.InheritCounts(old)
 	if young.budget.Take(now, 1) {
 		t.Error("a reload filled the bucket")
 	}
-	compile(t, File{}).Adopt(old)
-	(*Policy)(nil).Adopt(old)
-	young.Adopt(nil)
+	compile(t, File{}).InheritCounts(old)
+	(*Policy)(nil).InheritCounts(old)
+	young.InheritCounts(nil)
 }
 
 func TestDiff(t *testing.T) {
 	a := compile(t, File{Defaults: Values{Attempts: 3}, Routes: []Route{{"gone", Match{Number: "1"}, Values{Attempts: 2}},
 		{"x", Match{Number: "2"}, Values{}}, {"y", Match{Number: "3"}, Values{}}}})
 	b := compile(t, File{Defaults: Values{Attempts: 3}, Classes: []ClassValues{{"diet-order", Values{Attempts: 4}}},
-		Routes: []Route{{"y", Match{Number: "3*"}, Values{}}, {"x", Match{Number: "2"}, Values{}}}, Budget: &BudgetFigures{0.1, 1, 10}})
+		Routes: []Route{{"y", Match{Number: "3*"}, Values{}}, {"x", Match{Number: "2"}, Values{}}}, Budget: &BudgetConfig{0.1, 1, 10}})
 	if d := Diff(a, a, rules()); len(d) != 0 {
 		t.Errorf("a file differs from itself: %v", d)
 	}
@@ -492,7 +492,7 @@
 }
 
 func BenchmarkBudget(b *testing.B) {
-	budget := NewBudget(BudgetFigures{0.2, 1, 10}, rules().Classes)
+	budget := NewBudget(BudgetConfig{0.2, 1, 10}, rules().Classes)
 	now := control.Micros(1e12)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/capacity/depth/depth_test.go
+++ b/internal/capacity/depth/depth_test.go
@@ -64,7 +64,7 @@
 // With a budget each level sends up to 1 + ratio for each call, as Amplify counts.
 func TestBudgetBoundsOneLevel(t *testing.T) {
 	const warm, calls = 20000, 60000 // a millisecond apart: the budget's window of 10 s is full after the first part
-	budget := retry.NewBudget(retry.BudgetFigures{Ratio: exampleRatio, MinPerS: 1, Burst: 10}, make([]control.Class, 1))
+	budget := retry.NewBudget(retry.BudgetConfig{Ratio: exampleRatio, MinPerS: 1, Burst: 10}, make([]control.Class, 1))
 	sent := 0
 	for i := range warm + calls {
 		if i == warm {
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -26,10 +26,10 @@
 	for name, want := range map[string]float64{
 		"lease_every":            seconds(quota.RenewInterval),
 		"heartbeat_within":       seconds(session.DefaultHeartbeatWithin),
-		"register_every":         seconds(fleet.Topics[registers.Rates].Every),
-		"register_stale":         seconds(fleet.Topics[registers.Rates].Stale),
-		"evidence_every":         seconds(fleet.Topics[registers.Evidence].Every),
-		"evidence_stale":         seconds(fleet.Topics[registers.Evidence].Stale),
+		"register_every":         seconds(fleet.Topics[registers.Rates].MinInterval),
+		"register_stale":         seconds(fleet.Topics[registers.Rates].MaxAge),
+		"evidence_every":         seconds(fleet.Topics[registers.Evidence].MinInterval),
+		"evidence_stale":         seconds(fleet.Topics[registers.Evidence].MaxAge),
 		"connections_per_server": float64((&sip.PlatformDialer{}).MaxConns("")),
 		"own_descriptors":        24 + ops.MaxOpenConns + 1,
 	} {
--- a/internal/capacity/slopes/leases.go
+++ b/internal/capacity/slopes/leases.go
@@ -77,7 +77,7 @@
 // lease renews one holder's lease on one rule.
 func (r *run) lease(n *store.Node, holder int, sequence uint64) error {
 	request, err := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", holder), Incarnation: 1, Seq: sequence, Duration: leaseHeld,
-		Asks: []quota.Ask{{Name: leaseRule, Capacity: leasePerS, Keep: leaseWanted, Want: leaseWanted}}})
+		Capacities: []quota.CapacityRequest{{Name: leaseRule, Capacity: leasePerS, Keep: leaseWanted, Want: leaseWanted}}})
 	if err != nil {
 		return err
 	}
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -309,14 +309,14 @@
 )
 
 // What a budget has that leaves a figure open.
-var plainBudget = retry.BudgetFigures{Ratio: 0.2, MinPerS: 1, Burst: 10}
+var plainBudget = retry.BudgetConfig{Ratio: 0.2, MinPerS: 1, Burst: 10}
 
 func (d *Deploy) readCalls(v *jsonfile.Value) {
 	f, c := d.file, &retry.File{}
 	m := f.Members(v, "defaults", "classes", "routes", "budget", "second_copies")
-	figureKeys := make([]string, retry.Figures)
+	figureKeys := make([]string, retry.ParameterCount)
 	for i := range figureKeys {
-		figureKeys[i] = retry.Figure(i).String()
+		figureKeys[i] = retry.Parameter(i).String()
 	}
 	c.Defaults = d.values(f.Members(m[0], figureKeys...))
 	if f.Is(m[1], jsonfile.Object) {
@@ -347,7 +347,7 @@
 	}
 	if m[3] != nil {
 		b := f.Members(m[3], "ratio", "min_per_s", "burst")
-		c.Budget = &retry.BudgetFigures{Ratio: f.Part(b[0]), MinPerS: int(f.Whole(b[1], 1, mostRetries)), Burst: int(f.Whole(b[2], 1, mostRetries))}
+		c.Budget = &retry.BudgetConfig{Ratio: f.Part(b[0]), MinPerS: int(f.Whole(b[1], 1, mostRetries)), Burst: int(f.Whole(b[2], 1, mostRetries))}
 		if b[0] == nil {
 			c.Budget.Ratio = plainBudget.Ratio
 		}
@@ -373,7 +373,7 @@
 			continue
 		}
 		if v[f] = unit * d.file.Whole(m[f], 1, most); v[f] == 0 {
-			v[f] = retry.Unreadable
+			v[f] = retry.InvalidValue
 		}
 	}
 	if on := m[retry.RetryOn]; on != nil {
@@ -384,7 +384,7 @@
 
 func (d *Deploy) retryOn(on *jsonfile.Value) int64 {
 	if !d.file.Is(on, jsonfile.Array) {
-		return retry.Unreadable
+		return retry.InvalidValue
 	}
 	if len(on.Items) == 0 {
 		d.file.Fault(on.Path, "is empty; for one attempt alone set attempts to 1")
@@ -394,7 +394,7 @@
 		if !d.file.Is(item, jsonfile.String) {
 			continue
 		}
-		code, ok := retry.OutcomeNamed(item.Text)
+		code, ok := retry.ParseOutcome(item.Text)
 		switch {
 		case !ok:
 			known := retry.OutcomeNames(0)
@@ -407,7 +407,7 @@
 		}
 	}
 	if set == 0 {
-		return retry.Unreadable
+		return retry.InvalidValue
 	}
 	return int64(set)
 }
@@ -442,11 +442,11 @@
 
 // prove resolves the section "calls" and notes every fault of its meaning beside those of its form.
 func (d *Deploy) prove(site *control.Site) {
-	policy, faults := retry.Compile(d.calls, retry.RulesOf(site))
+	policy, faults := retry.Compile(d.calls, retry.RulesFromSettings(site))
 	for _, fault := range faults {
 		what := fault.What
-		if fault.Word != "" {
-			what += jsonfile.Hint(fault.Word, fault.Known)
+		if fault.UnknownName != "" {
+			what += jsonfile.Hint(fault.UnknownName, fault.KnownNames)
 		}
 		d.file.Fault(fault.Path, what)
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	l.Dear = dearest(site)
+	l.MayUseReserve = dearest(site)
 	if m[2] == nil {
 		f.Fault(v.Path, "rules is missing")
 	}
@@ -106,7 +106,7 @@
 		f.Fault(m[0].Path, fmt.Sprintf("must have 1 to %d characters without white space", mostFleetName))
 	}
 	d.limitMatch(m[1], &r, site)
-	mode, known := quota.ModeNamed(f.String(m[2]))
+	mode, known := quota.ParseMode(f.String(m[2]))
 	switch {
 	case m[2] == nil:
 		f.Fault(v.Path, "mode is missing: "+strings.Join(quota.ModeNames(), ", "))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -92,7 +92,7 @@
 	budget      *registerBudget // of registers sent
 
 	registersMu  sync.Mutex // never held while mu is taken
-	registerBook *registers.Book
+	registerBook *registers.Replica
 	faults       map[string]*Fault
 }
 
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -18,11 +18,11 @@
 // Topics are what members publish to each other, with its bounds. A register and what goes around it must fit into a datagram of
 // the gossip (1,400 bytes with encryption).
 var Topics = map[registers.Topic]registers.Spec{
-	registers.Rates:    {Bytes: 512, Every: 1e6, Refresh: 2e6, Stale: 6e6},
-	registers.Evidence: {Bytes: 1024, Every: 100e3, Refresh: 500e3, Stale: 3e6},
-	registers.Numbers:  {Bytes: 1024, Every: 100e3, Refresh: 1e6, Stale: 4e6},
-	registers.Callers:  {Bytes: 1024, Every: 200e3, Refresh: 1e6, Stale: 4e6},
-	registers.Limits:   {Bytes: 1024, Every: 150e3, Refresh: 250e3, Stale: 2e6},
+	registers.Rates:    {MaxBytes: 512, MinInterval: 1e6, RefreshInterval: 2e6, MaxAge: 6e6},
+	registers.Evidence: {MaxBytes: 1024, MinInterval: 100e3, RefreshInterval: 500e3, MaxAge: 3e6},
+	registers.Numbers:  {MaxBytes: 1024, MinInterval: 100e3, RefreshInterval: 1e6, MaxAge: 4e6},
+	registers.Callers:  {MaxBytes: 1024, MinInterval: 200e3, RefreshInterval: 1e6, MaxAge: 4e6},
+	registers.Limits:   {MaxBytes: 1024, MinInterval: 150e3, RefreshInterval: 250e3, MaxAge: 2e6},
 }
 
 const (
@@ -138,7 +138,7 @@
 		members := f.membersUp()
 		f.registersMu.Lock()
 		due := f.registerBook.Due(f.now(), members)
-		f.registerBook.Forget(f.now())
+		f.registerBook.Prune(f.now())
 		f.registersMu.Unlock()
 		for _, r := range due {
 			f.broadcastRegister(r)
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -184,7 +184,7 @@
 		rules[i] = quota.Rule{Name: fmt.Sprintf("r%d", i), Tenant: -1, Class: -1, Number: fmt.Sprintf("%08d", i), Mode: quota.Alone,
 			PerS: 1e9, Burst: 1e9}
 	}
-	m := quota.NewMember("g1", 1, quota.Limits{Rules: rules, Parts: 1, Dear: []bool{false, true, false}}, 1e6)
+	m := quota.NewMember("g1", 1, quota.Limits{Rules: rules, Parts: 1, MayUseReserve: []bool{false, true, false}}, 1e6)
 	return m
 }
 
@@ -201,7 +201,7 @@
 	m, now, i := quotaMember(n), control.Micros(2e6), 0
 	return each(func() {
 		now, i = now+decisionGap, i+1
-		m.Arrived(now, -1, 0, fmt.Sprintf("%08d", i*7%n))
+		m.CountArrival(now, -1, 0, fmt.Sprintf("%08d", i*7%n))
 	}), "one rule matches each call", nil
 }
 
@@ -209,7 +209,7 @@
 func leaseTable(n int) (table []byte, request func(seq uint64) []byte, err error) {
 	ask := func(member int, seq uint64) []byte {
 		text, _ := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", member), Incarnation: 1, Seq: seq, Duration: quota.LeaseDuration,
-			Asks: []quota.Ask{{Name: "all-calls", Capacity: 420000, Keep: 420000 / float64(n), Want: 191}}})
+			Capacities: []quota.CapacityRequest{{Name: "all-calls", Capacity: 420000, Keep: 420000 / float64(n), Want: 191}}})
 		return text
 	}
 	// Built in one process, as the table would be at rest; each request is carried out once.
@@ -292,7 +292,7 @@
 }
 
 // book makes a book that has heard a limits register of each of n origins, and counts the origins that it refused.
-func book(n int) (b *registers.Book, refused int) {
+func book(n int) (b *registers.Replica, refused int) {
 	b = registers.New("g-self", 1, fleet.Topics)
 	b.Put(1e6, registers.Limits, make([]byte, registerBytes))
 	for i := range n {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -148,7 +148,7 @@
 // lease renews this member's leases.
 func (l *Limiter) renewLeases(ctx context.Context) {
 	l.mu.Lock()
-	request, ok := l.member.Renewal(l.options.Now())
+	request, ok := l.member.NextRequest(l.options.Now())
 	l.mu.Unlock()
 	if !ok {
 		return
@@ -160,10 +160,10 @@
 		answer, err = l.options.Lease(within, text)
 		cancel()
 		if err == nil {
-			a := &quota.Answer{}
+			a := &quota.Response{}
 			if err = json.Unmarshal(answer, a); err == nil {
 				l.mu.Lock()
-				l.member.Renewed(l.options.Now(), a)
+				l.member.ApplyResponse(l.options.Now(), a)
 				l.mu.Unlock()
 			}
 		}
@@ -234,7 +234,7 @@
 func (l *Limiter) For(s *routing.Setup) routing.Quota {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.member.Arrived(l.options.Now(), s.Tenant, s.Class, s.Key) {
+	if !l.member.CountArrival(l.options.Now(), s.Tenant, s.Class, s.Key) {
 		return nil
 	}
 	return &admission{limiter: l, tenant: s.Tenant, class: s.Class, number: s.Key}
@@ -245,7 +245,7 @@
 	limiter       *Limiter
 	tenant, class int
 	number        string
-	claim         *quota.Claim
+	claim         *quota.Permit
 }
 
 // Take implements control.Quota.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -102,7 +102,7 @@
 		}
 		addGauge("rate", func(s quota.Status) float64 { return s.Rate })
 		addGauge("demand", func(s quota.Status) float64 { return s.Demand })
-		addGauge("standing", func(s quota.Status) float64 { return float64(s.Standing) })
+		addGauge("standing", func(s quota.Status) float64 { return float64(s.OpenCalls) })
 		addGauge("taken_total", func(s quota.Status) float64 { return float64(s.Admitted) })
 		addGauge("turned_away_total", func(s quota.Status) float64 { return float64(s.Refused) })
 		if r.Mode == quota.Leased {
--- a/internal/routing/change.go
+++ b/internal/routing/change.go
@@ -6,7 +6,7 @@
 // the two. also must not block.
 func (c *Core) Change(p *retry.Policy, also func()) {
 	c.Post(func() {
-		p.Adopt(c.limits)
+		p.InheritCounts(c.limits)
 		c.limits = p
 		also()
 	})
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -86,7 +86,7 @@
 // budget's counts go on.
 func (c *Core) SetLimits(p *retry.Policy) {
 	c.Post(func() {
-		p.Adopt(c.limits)
+		p.InheritCounts(c.limits)
 		c.limits = p
 	})
 }
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -200,7 +200,7 @@
 		b := newBench("a")
 		defer b.end()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
-		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
+		f.Budget = &retry.BudgetConfig{Ratio: 0.01, MinPerS: 1, Burst: 1}
 		b.core.SetLimits(limits(t, f))
 		b.call("1", 2*time.Second)
 		b.fail("1", Outcome{Code: control.Full, Reason: control.ProcessorFull}) // gates the only server; takes the budget
@@ -219,7 +219,7 @@
 		b := newBench("a", "b", "c")
 		defer b.end()
 		f := defaults(retry.Values{retry.Attempts: 5, retry.RetryWait: 300 * msec})
-		f.Budget = &retry.BudgetFigures{Ratio: 0.01, MinPerS: 1, Burst: 1}
+		f.Budget = &retry.BudgetConfig{Ratio: 0.01, MinPerS: 1, Burst: 1}
 		b.core.SetLimits(limits(t, f))
 		first, second := b.call("1", 2*time.Second), b.call("2", 2*time.Second)
 		b.fail("1", Outcome{Code: control.Full, Reason: control.NoAgent})
