--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -370,7 +370,7 @@
 	keeps.start(t)
 	s := keeps.shows(t)
 	require.True(t, inForce(s), "%+v", s)
-	require.True(t, s.Settings.Kept)
+	require.True(t, s.Settings.RestoredFromDir)
 	require.False(t, s.Settings.Connected)
 	require.GreaterOrEqual(t, s.Settings.InForce, first)
 	targets, err := viaHTTP(keeps.ops, "/api/telemetry")
@@ -387,7 +387,7 @@
 		group.processes[i] = program("control", "serve", "--file", group.files[i])
 		require.NoError(t, group.processes[i].Start())
 	}
-	eventually(t, "followed again", all, func(s shown) bool { return inForce(s) && s.Settings.Connected && !s.Settings.Kept })
+	eventually(t, "followed again", all, func(s shown) bool { return inForce(s) && s.Settings.Connected && !s.Settings.RestoredFromDir })
 	for _, g := range all {
 		g.end(t, syscall.SIGTERM)
 	}
--- a/cmd/beammux/settings.go
+++ b/cmd/beammux/settings.go
@@ -38,7 +38,7 @@
 // currency tells how sure it is that what is in force is current.
 func currency(s *follow.Status) string {
 	switch {
-	case s.Kept:
+	case s.RestoredFromDir:
 		return "kept from before the restart, not confirmed by any control machine since"
 	case s.Age < 0:
 		return "no control machine has answered yet"
--- a/internal/capacity/slopes/gossip.go
+++ b/internal/capacity/slopes/gossip.go
@@ -113,7 +113,7 @@
 func fewestUp(members []*fleet.Fleet) int {
 	fewest := len(members)
 	for _, m := range members {
-		fewest = min(fewest, m.Up())
+		fewest = min(fewest, m.UpCount())
 	}
 	return fewest
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -91,7 +91,7 @@
 		}
 		until(t, "each group has met and reads its register", func() bool {
 			read := first[i].Read(registers.Rates)
-			return first[i].Up() == 2 && second[i].Up() == 2 && len(read) == 1 && string(read[0].Value) == string(value)
+			return first[i].UpCount() == 2 && second[i].UpCount() == 2 && len(read) == 1 && string(read[0].Value) == string(value)
 		})
 	}
 	time.Sleep(2 * rejoinInterval) // in which each tries the others' seeds again
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/fleet/fleettest/fleettest.go
@@ -63,5 +63,5 @@
 	return m.members
 }
 
-// Up counts them.
-func (m Member) Up() int { return len(m.UpNames()) }
+// UpCount counts them.
+func (m Member) UpCount() int { return len(m.UpNames()) }
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -119,8 +119,8 @@
 	return f.registerBook.Read(f.now(), t, func(origin string, start uint64) bool { return starts[origin] == start })
 }
 
-// Up returns how many members are up in this one's view, itself included.
-func (f *Fleet) Up() int { return f.membersUp() }
+// UpCount returns how many members are up in this one's view, itself included.
+func (f *Fleet) UpCount() int { return f.membersUp() }
 
 // Start is this member's incarnation, as its registers carry it.
 func (f *Fleet) Start() uint64 { return f.incarnation }
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -378,7 +378,7 @@
 	require.Equal(t, "1", again.value())
 	require.GreaterOrEqual(t, s.InForce, one)
 	require.GreaterOrEqual(t, s.Seen, one)
-	require.True(t, s.Kept)
+	require.True(t, s.RestoredFromDir)
 	require.False(t, s.Connected)
 	require.GreaterOrEqual(t, s.Age, 300*time.Millisecond)
 	require.LessOrEqual(t, s.Age, time.Since(gone)+time.Second)
@@ -388,7 +388,7 @@
 		c.net.SetDoor("g", name(i), relay.Open)
 	}
 	s = has(t, f, again, "2", two)
-	require.False(t, s.Kept)
+	require.False(t, s.RestoredFromDir)
 	require.Empty(t, s.Fault)
 	require.Equal(t, 2, again.applied())
 }
--- a/internal/follow/disk.go
+++ b/internal/follow/disk.go
@@ -206,7 +206,7 @@
 	if f.settings.refused == nil {
 		f.settings.inForce.Revision = max(f.settings.inForce.Revision, held)
 	}
-	f.status.Kept = len(f.settings.inForce.Sections) > 0
+	f.status.RestoredFromDir = len(f.settings.inForce.Sections) > 0
 	return held, max(held, last.Seen)
 }
 
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -22,10 +22,10 @@
 	// Connected tells whether there is a session, and Replica with which control machine.
 	Connected bool   `json:"connected"`
 	Replica   string `json:"replica,omitempty"`
-	// Kept tells that what is in force comes from Dir, and that there was no session since the start.
-	Kept     bool      `json:"kept,omitempty"`
-	Sections []Section `json:"sections"` // in force
-	Refused  *Refused  `json:"refused,omitempty"`
+	// RestoredFromDir tells that what is in force comes from Dir, and that there was no session since the start.
+	RestoredFromDir bool      `json:"kept,omitempty"`
+	Sections        []Section `json:"sections"` // in force
+	Refused         *Refused  `json:"refused,omitempty"`
 	// Fleet is what the control machines last said of all gatekeepers; nil: nothing yet.
 	Fleet *store.FleetCounts `json:"fleet,omitempty"`
 	// Fault is why there is no session, and Advice what an operator can do about it.
@@ -91,7 +91,7 @@
 	s.Connected, s.Replica = connected, replica.Name
 	s.Fault, s.Advice = f.fault, f.advice
 	if connected {
-		s.Fault, s.Advice, s.Kept = "", "", false
+		s.Fault, s.Advice, s.RestoredFromDir = "", "", false
 	}
 	if f.disk != nil {
 		s.DirFault = f.disk.fault
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -32,7 +32,7 @@
 type Gossip interface {
 	Publish(t registers.Topic, value []byte) error
 	Read(t registers.Topic) []registers.Register
-	Up() int
+	UpCount() int
 }
 
 // Leaser hands a request to the reducer of LeaseKey in the store.
@@ -120,7 +120,7 @@
 			reports = append(reports, quota.Report{Origin: r.Origin, Age: r.Age, Claims: claims})
 		}
 	}
-	up := l.options.Gossip.Up()
+	up := l.options.Gossip.UpCount()
 	l.mu.Lock()
 	now := l.options.Now()
 	claims := l.member.OwnClaims(now)
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -129,7 +129,7 @@
 		}
 		st = f.Status()
 	}
-	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "kept": st.Kept, "waited_ms": time.Since(began).Milliseconds()})
+	log := n.log.WithFields(logrus.Fields{"revision": st.InForce, "kept": st.RestoredFromDir, "waited_ms": time.Since(began).Milliseconds()})
 	if !hasAnswer(st) {
 		log.WithField("advice", "check that the control machines run and are reachable from here; the gatekeeper keeps trying").
 			Warn("settings: no control machine has answered; serving with the deploy file, the settings follow")
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -193,7 +193,7 @@
 		s = g.follower.state()
 	}
 	if g.fleet != nil {
-		met = g.fleet.Up()
+		met = g.fleet.UpCount()
 	}
 	return s, met
 }
