--- a/control/admission/admission.go
+++ b/control/admission/admission.go
@@ -20,23 +20,23 @@
 const (
 	// MinBurst is the least burst. With less, a client that comes a moment after its slot would cost the next its token.
 	MinBurst = 2
-	// Grace is how long after its slot a client is still expected. Then its slot is given up.
-	Grace = control.Micros(5e6)
+	// SlotGracePeriod is how long after its slot a client is still expected. Then its slot is given up.
+	SlotGracePeriod = control.Micros(5e6)
 	// MaxSlots is how many refused clients can hold a slot.
 	MaxSlots = 16384
 )
 
 // Request is a client that asks for a session.
 type Request struct {
-	Client   string // a name by which the client is known again; "": it can hold no slot
-	Snapshot bool   // it needs a snapshot, not only the changes since a revision
+	Client        string // a name by which the client is known again; "": it can hold no slot
+	NeedsSnapshot bool   // it needs a snapshot, not only the changes since a revision
 }
 
 // Decision is the answer to a Request.
 type Decision struct {
 	Admitted   bool
 	Full       bool           // as many sessions are open as may be: the client is to go elsewhere, and holds no slot
-	ComeBackIn control.Micros // if not admitted and not full; at least 1
+	RetryAfter control.Micros // if not admitted and not full; at least 1
 }
 
 // Controller decides on requests.
@@ -73,22 +73,22 @@
 	}
 	s, held := c.slots[r.Client]
 	if held && s.at > c.now { // too early: the slot stays as it is
-		return Decision{ComeBackIn: s.at - c.now}
+		return Decision{RetryAfter: s.at - c.now}
 	}
 	delete(c.slots, r.Client)
 	if !c.harmless(r, held) {
-		return Decision{ComeBackIn: c.assign(r)}
+		return Decision{RetryAfter: c.assign(r)}
 	}
-	c.tokens.spend(r.Snapshot)
+	c.tokens.spend(r.NeedsSnapshot)
 	c.open++
 	return Decision{Admitted: true}
 }
 
-// End says that a session which was admitted is over.
-func (c *Controller) End() { c.open-- }
+// Release says that a session which was admitted is over.
+func (c *Controller) Release() { c.open-- }
 
 // Defer gives a slot to a client whose session has to end, and reports in what time it is.
-func (c *Controller) Defer(now control.Micros, r Request) (comeBackIn control.Micros) {
+func (c *Controller) Defer(now control.Micros, r Request) (retryAfter control.Micros) {
 	c.advance(now)
 	if s, held := c.slots[r.Client]; held && s.at > c.now {
 		return s.at - c.now
@@ -105,7 +105,7 @@
 		c.late = append(c.late, c.expected[0])
 		c.expected = c.expected[1:]
 	}
-	for len(c.late) > 0 && (!c.holds(c.late[0]) || c.late[0].at+Grace < c.now) {
+	for len(c.late) > 0 && (!c.holds(c.late[0]) || c.late[0].at+SlotGracePeriod < c.now) {
 		if c.holds(c.late[0]) {
 			delete(c.slots, c.late[0].client)
 		}
@@ -120,10 +120,10 @@
 // slot of its own must also leave the tokens for those who are late.
 func (c *Controller) harmless(r Request, held bool) bool {
 	tokens := c.tokens
-	if !tokens.hold(r.Snapshot) {
+	if !tokens.hold(r.NeedsSnapshot) {
 		return false
 	}
-	tokens.spend(r.Snapshot)
+	tokens.spend(r.NeedsSnapshot)
 	if !held {
 		for _, s := range c.late {
 			if !c.holds(s) {
@@ -150,16 +150,16 @@
 
 // assign gives a client the first slot behind all others, and reports in what time it is.
 func (c *Controller) assign(r Request) control.Micros {
-	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.Snapshot}
+	tokens, s := c.tokens, slot{r.Client, c.now + 1, r.NeedsSnapshot}
 	for _, other := range c.expected {
 		if !c.holds(other) {
 			continue
 		}
 		tokens.advance(other.at)
 		tokens.spend(other.snapshot)
-		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.Snapshot))
+		s.at = max(s.at, other.at+tokens.spacing(other.snapshot && r.NeedsSnapshot))
 	}
-	s.at = max(s.at, tokens.ready(r.Snapshot))
+	s.at = max(s.at, tokens.ready(r.NeedsSnapshot))
 	if r.Client != "" && len(c.slots) < MaxSlots {
 		c.slots[r.Client] = s
 		c.expected = append(c.expected, s)
--- a/control/admission/admission_test.go
+++ b/control/admission/admission_test.go
@@ -25,7 +25,7 @@
 
 func (a *admissions) note(now control.Micros, r Request) {
 	a.sessions = append(a.sessions, now)
-	if r.Snapshot {
+	if r.NeedsSnapshot {
 		a.snapshots = append(a.snapshots, now)
 	}
 }
@@ -64,7 +64,7 @@
 		var a admissions
 		for range rapid.IntRange(1, 150).Draw(t, "requests") {
 			now += control.Micros(rapid.IntRange(0, 100_000).Draw(t, "later"))
-			r := Request{Client: fmt.Sprint(rapid.IntRange(0, 40).Draw(t, "client")), Snapshot: rapid.Bool().Draw(t, "snapshot")}
+			r := Request{Client: fmt.Sprint(rapid.IntRange(0, 40).Draw(t, "client")), NeedsSnapshot: rapid.Bool().Draw(t, "snapshot")}
 			if r.Client == "0" {
 				r.Client = ""
 			}
@@ -74,7 +74,7 @@
 				continue
 			}
 			d := c.Admit(now, r)
-			require.NotEqual(t, d.Admitted, d.ComeBackIn > 0)
+			require.NotEqual(t, d.Admitted, d.RetryAfter > 0)
 			if d.Admitted {
 				a.note(now, r)
 			}
@@ -94,11 +94,11 @@
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += control.Micros(rapid.IntRange(0, 200_000).Draw(t, "later"))
 			if open > 0 && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
-				c.End()
+				c.Release()
 				open--
 				continue
 			}
-			r := Request{Client: fmt.Sprint(rapid.IntRange(1, 20).Draw(t, "client")), Snapshot: rapid.Bool().Draw(t, "snapshot")}
+			r := Request{Client: fmt.Sprint(rapid.IntRange(1, 20).Draw(t, "client")), NeedsSnapshot: rapid.Bool().Draw(t, "snapshot")}
 			d := c.Admit(now, r)
 			require.Equal(t, open == l.Sessions, d.Full)
 			if d.Full {
@@ -152,13 +152,13 @@
 		play(c, queue, func(a arrival, d Decision) *arrival {
 			if a.obeys {
 				require.Equal(t, 1, a.refused, "client %s was refused at its slot", a.request.Client)
-				a.at += d.ComeBackIn
+				a.at += d.RetryAfter
 				return &a
 			}
 			if a.refused > 5 || rapid.Bool().Draw(t, "gives up") {
 				return nil
 			}
-			a.at += control.Micros(rapid.IntRange(0, int(2*d.ComeBackIn)).Draw(t, "its own time"))
+			a.at += control.Micros(rapid.IntRange(0, int(2*d.RetryAfter)).Draw(t, "its own time"))
 			return &a
 		}, func(arrival) {})
 	})
@@ -178,8 +178,8 @@
 	play(New(l), queue, func(a arrival, d Decision) *arrival {
 		mostRefused = max(mostRefused, a.refused)
 		require.Less(t, a.refused, 50, "client %s starves", a.request.Client)
-		require.LessOrEqual(t, d.ComeBackIn, longest)
-		a.at += d.ComeBackIn + control.Micros(rapid.IntRange(0, int(late)).Draw(t, "late by"))
+		require.LessOrEqual(t, d.RetryAfter, longest)
+		a.at += d.RetryAfter + control.Micros(rapid.IntRange(0, int(late)).Draw(t, "late by"))
 		return &a
 	}, func(arrival) { count++ })
 	require.Equal(t, clients, count)
@@ -189,7 +189,7 @@
 // Clients that obey are all admitted, however late they are below Grace.
 func TestLateClientsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		playLate(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(Grace)-1).Draw(t, "late")))
+		playLate(t, limits(t), rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(rapid.IntRange(0, int(SlotGracePeriod)-1).Draw(t, "late")))
 	})
 }
 
@@ -199,7 +199,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits(t)
 		spare := func(burst int, rate float64) float64 { return float64(max(burst, MinBurst)-2) / rate }
-		late := min(spare(l.SessionsBurst, l.SessionsPerSecond), spare(l.SnapshotsBurst, l.SnapshotsPerSecond), float64(Grace)/1e6)
+		late := min(spare(l.SessionsBurst, l.SessionsPerSecond), spare(l.SnapshotsBurst, l.SnapshotsPerSecond), float64(SlotGracePeriod)/1e6)
 		require.LessOrEqual(t, playLate(t, l, rapid.IntRange(1, 80).Draw(t, "clients"), control.Micros(late*1e6)), 1)
 	})
 }
@@ -211,7 +211,7 @@
 	var back []control.Micros
 	for i := range clients {
 		if d := c.Admit(0, Request{fmt.Sprint(i), true}); !d.Admitted {
-			back = append(back, d.ComeBackIn)
+			back = append(back, d.RetryAfter)
 		}
 	}
 	require.Len(t, back, clients-burst)
@@ -228,9 +228,9 @@
 	for i := range MinBurst {
 		require.True(t, c.Admit(0, Request{Client: fmt.Sprint(i)}).Admitted)
 	}
-	require.Equal(t, Decision{ComeBackIn: second}, c.Admit(0, Request{Client: "a"}))
-	require.Equal(t, Decision{ComeBackIn: second - 10}, c.Admit(10, Request{Client: "a"}))
-	require.Equal(t, 2*second-20, c.Admit(20, Request{Client: "b"}).ComeBackIn)
+	require.Equal(t, Decision{RetryAfter: second}, c.Admit(0, Request{Client: "a"}))
+	require.Equal(t, Decision{RetryAfter: second - 10}, c.Admit(10, Request{Client: "a"}))
+	require.Equal(t, 2*second-20, c.Admit(20, Request{Client: "b"}).RetryAfter)
 	require.True(t, c.Admit(second, Request{Client: "a"}).Admitted)
 	require.False(t, c.Admit(second, Request{Client: "c"}).Admitted)
 	require.True(t, c.Admit(2*second, Request{Client: "b"}).Admitted)
@@ -244,7 +244,7 @@
 	}
 	require.Len(t, c.slots, 3)
 	require.False(t, c.Admit(4*second, Request{Client: "new"}).Admitted, "three are late and the bucket holds two")
-	require.True(t, c.Admit(3*second+Grace+second+1, Request{Client: "newer"}).Admitted)
+	require.True(t, c.Admit(3*second+SlotGracePeriod+second+1, Request{Client: "newer"}).Admitted)
 	require.LessOrEqual(t, len(c.slots), 1)
 }
 
--- a/control/drain/drain.go
+++ b/control/drain/drain.go
@@ -17,8 +17,8 @@
 // Quiet is how long a connection with nothing owed on it stays open once the gatekeeper is evacuated. Cut is when
 // calls that still stand on a connection are released, so that it can close.
 const (
-	Quiet control.Micros = 300_000
-	Cut   control.Micros = 2_000_000
+	QuietPeriod  control.Micros = 300_000
+	ReleaseDelay control.Micros = 2_000_000
 )
 
 // Drain is the state of one gatekeeper: serving, or evacuated since a time. The zero value serves.
@@ -35,9 +35,9 @@
 	}
 }
 
-// End is Evacuate for a process that ends: there is no rejoin, and no call is released for it. What stands goes on without the
+// Shutdown is Evacuate for a process that ends: there is no rejoin, and no call is released for it. What stands goes on without the
 // process; its connections stay while that lives, since releases that come meanwhile are told there.
-func (d *Drain) End(now control.Micros) {
+func (d *Drain) Shutdown(now control.Micros) {
 	d.Evacuate(now)
 	d.ending = true
 }
@@ -55,30 +55,30 @@
 // Evacuated tells whether clients are sent away, and since when.
 func (d *Drain) Evacuated() (bool, control.Micros) { return d.evacuated, d.since }
 
-// Verdict is what becomes of one caller's connection.
-type Verdict int
+// Decision is what becomes of one caller's connection.
+type Decision int
 
 const (
-	Keep    Verdict = iota
-	Close           // nothing is owed on it: closed once what is queued is written
-	Release         // the calls that came on it and stand are released towards both sides, then it is closed
+	KeepOpen     Decision = iota
+	Close                 // nothing is owed on it: closed once what is queued is written
+	ReleaseCalls          // the calls that came on it and stand are released towards both sides, then it is closed
 )
 
-// Connection decides of a caller's connection. used: when it last carried a message or an answer; owed: a set-up on it
+// DecideConnection decides of a caller's connection. used: when it last carried a message or an answer; owed: a set-up on it
 // waits for its answer; standing: a call that came on it stands.
 //
 // The front holds against the gatekeeper any connection still open 4 s after the evacuate that is idle or has carried a
 // request in the last 2 s. So up to Cut a connection whose calls stand is kept, and their releases are told there as they
 // come; from Cut on those calls are released by the gatekeeper and the connection closes, which leaves 2 s for the
 // answers still owed on the others.
-func (d *Drain) Connection(now, used control.Micros, owed, standing bool) Verdict {
+func (d *Drain) DecideConnection(now, lastUsed control.Micros, answerPending, callStanding bool) Decision {
 	switch {
-	case !d.evacuated || owed:
-		return Keep
-	case standing && now-d.since >= Cut && !d.ending:
-		return Release
-	case !standing && now-max(used, d.since) >= Quiet:
+	case !d.evacuated || answerPending:
+		return KeepOpen
+	case callStanding && now-d.since >= ReleaseDelay && !d.ending:
+		return ReleaseCalls
+	case !callStanding && now-max(lastUsed, d.since) >= QuietPeriod:
 		return Close
 	}
-	return Keep
+	return KeepOpen
 }
--- a/control/drain/drain_test.go
+++ b/control/drain/drain_test.go
@@ -29,26 +29,26 @@
 
 func TestIdleConnectionsCloseAfterEvacuate(t *testing.T) {
 	var d Drain
-	if d.Connection(10_000_000, 0, false, false) != Keep {
+	if d.DecideConnection(10_000_000, 0, false, false) != KeepOpen {
 		t.Fatal("a serving gatekeeper closed an idle connection")
 	}
 	d.Evacuate(10_000_000)
-	if d.Connection(10_000_000+Quiet-1, 0, false, false) != Keep {
+	if d.DecideConnection(10_000_000+QuietPeriod-1, 0, false, false) != KeepOpen {
 		t.Fatal("closed before the quiet time since the evacuate")
 	}
-	if d.Connection(10_000_000+Quiet, 0, false, false) != Close {
+	if d.DecideConnection(10_000_000+QuietPeriod, 0, false, false) != Close {
 		t.Fatal("idle connection kept after the quiet time")
 	}
-	if d.Connection(20_000_000, 0, true, true) != Keep {
+	if d.DecideConnection(20_000_000, 0, true, true) != KeepOpen {
 		t.Fatal("closed a connection on which an answer is owed")
 	}
-	if d.Connection(10_000_000+Quiet, 10_000_000+1, false, false) != Keep {
+	if d.DecideConnection(10_000_000+QuietPeriod, 10_000_000+1, false, false) != KeepOpen {
 		t.Fatal("closed a connection that was just used")
 	}
-	if d.Connection(10_000_000+Cut-1, 0, false, true) != Keep {
+	if d.DecideConnection(10_000_000+ReleaseDelay-1, 0, false, true) != KeepOpen {
 		t.Fatal("calls that stand were released before the cut")
 	}
-	if d.Connection(10_000_000+Cut, 0, false, true) != Release {
+	if d.DecideConnection(10_000_000+ReleaseDelay, 0, false, true) != ReleaseCalls {
 		t.Fatal("calls that stand were kept past the cut")
 	}
 }
@@ -69,14 +69,14 @@
 			}
 			used := now - control.Micros(rapid.Int64Range(0, 3_000_000).Draw(t, "idle"))
 			owed, standing := rapid.Bool().Draw(t, "owed"), rapid.Bool().Draw(t, "standing")
-			got := d.Connection(now, used, owed, standing)
+			got := d.DecideConnection(now, used, owed, standing)
 			ev, since := d.Evacuated()
-			want := Keep
+			want := KeepOpen
 			switch {
 			case !ev || owed:
-			case standing && now-since >= Cut:
-				want = Release
-			case !standing && now-used >= Quiet && now-since >= Quiet:
+			case standing && now-since >= ReleaseDelay:
+				want = ReleaseCalls
+			case !standing && now-used >= QuietPeriod && now-since >= QuietPeriod:
 				want = Close
 			}
 			if got != want || d.Ready() == ev {
@@ -90,9 +90,9 @@
 // A process that ends releases nothing, and takes no rejoin.
 func TestEnd(t *testing.T) {
 	var d Drain
-	d.End(1_000_000)
+	d.Shutdown(1_000_000)
 	d.Rejoin(2_000_000)
-	if d.Ready() || d.Connection(1_000_000+2*Cut, 0, false, true) != Keep || d.Connection(1_000_000+2*Cut, 0, false, false) != Close {
+	if d.Ready() || d.DecideConnection(1_000_000+2*ReleaseDelay, 0, false, true) != KeepOpen || d.DecideConnection(1_000_000+2*ReleaseDelay, 0, false, false) != Close {
 		t.Error("a process that ends rejoined, or would release what stands")
 	}
 }
--- a/control/fleetview/fleetview.go
+++ b/control/fleetview/fleetview.go
@@ -51,8 +51,8 @@
 
 var healthNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// Healths are all of them, in order.
-var Healths = []Health{Alive, Suspect, Dead, Left}
+// AllHealths are all of them, in order.
+var AllHealths = []Health{Alive, Suspect, Dead, Left}
 
 func (h Health) String() string {
 	if int(h) >= len(healthNames) {
@@ -97,14 +97,14 @@
 
 // The kinds, with the fields of Event that each uses beside Name.
 const (
-	Met       Kind = iota + 1 // Member: it is alive, and says this of itself
-	Suspected                 // its probe was not answered
-	Answered                  // it answered a probe
-	Died                      // the fleet has given it up
-	Went                      // it left
-	Published                 // Member.Start, ToldSeq, Servers: what it sees of servers
-	Own                       // Member.State, Servers: what this member says of itself
-	Tick                      // time has passed
+	EventAlive         Kind = iota + 1 // Member: it is alive, and says this of itself
+	EventSuspected                     // its probe was not answered
+	EventProbeAnswered                 // it answered a probe
+	EventDead                          // the fleet has given it up
+	EventLeft                          // it left
+	EventSummaries                     // Member.Start, ToldSeq, Servers: what it sees of servers
+	EventLocalState                    // Member.State, Servers: what this member says of itself
+	EventTick                          // time has passed
 )
 
 // Event is something that this member received or noticed.
@@ -120,7 +120,7 @@
 	Health Health
 	State  State
 	Reaped bool
-	Fresh  bool // it was not known, or comes back with a new start
+	Joined bool // it was not known, or comes back with a new start
 }
 
 // View is the view of one member. It is not safe for use by several goroutines.
@@ -141,19 +141,19 @@
 
 // Apply takes one event and gives what it changed.
 func (v *View) Apply(now control.Micros, e Event) []Change {
-	if e.Kind == Tick {
+	if e.Kind == EventTick {
 		return v.tick(now)
 	}
 	m := v.members[e.Name]
-	if e.Name == v.self && e.Kind != Own {
+	if e.Name == v.self && e.Kind != EventLocalState {
 		return nil // what others say of this member is refuted, not believed
 	}
 	switch e.Kind {
-	case Own:
+	case EventLocalState:
 		return v.own(now, m, e)
-	case Met:
+	case EventAlive:
 		return v.met(now, m, e)
-	case Published:
+	case EventSummaries:
 		if m != nil && e.Member.Start == m.Start && e.Member.ServersSeq > m.ServersSeq {
 			m.ServersSeq, m.ServersAt, m.Servers = e.Member.ServersSeq, now, slices.Clone(e.Member.Servers)
 		}
@@ -162,9 +162,9 @@
 	if m == nil {
 		return nil
 	}
-	to := map[Kind]Health{Suspected: Suspect, Answered: Alive, Died: Dead, Went: Left}[e.Kind]
-	if e.Kind == Suspected && m.Health != Alive || e.Kind == Answered && m.Health != Suspect ||
-		(e.Kind == Died || e.Kind == Went) && !m.Health.Up() {
+	to := map[Kind]Health{EventSuspected: Suspect, EventProbeAnswered: Alive, EventDead: Dead, EventLeft: Left}[e.Kind]
+	if e.Kind == EventSuspected && m.Health != Alive || e.Kind == EventProbeAnswered && m.Health != Suspect ||
+		(e.Kind == EventDead || e.Kind == EventLeft) && !m.Health.Up() {
 		return nil // a dead member comes back by Met alone
 	}
 	return v.turn(now, m, to, false)
@@ -192,7 +192,7 @@
 		n.Health, n.Since, n.Servers, n.ServersSeq, n.ServersAt = Alive, now, nil, 0, 0
 		v.members[e.Name] = &n
 		v.version++
-		return []Change{{Name: n.Name, Health: Alive, State: n.State, Fresh: true}}
+		return []Change{{Name: n.Name, Health: Alive, State: n.State, Joined: true}}
 	case n.Start < m.Start:
 		return nil
 	}
@@ -285,8 +285,8 @@
 	return out
 }
 
-// EachUp hands each member that is up to f, which must not keep or change it.
-func (v *View) EachUp(f func(*Member)) {
+// ForEachUp hands each member that is up to f, which must not keep or change it.
+func (v *View) ForEachUp(f func(*Member)) {
 	for _, m := range v.members {
 		if m.Health.Up() {
 			f(m)
@@ -307,9 +307,9 @@
 	return n
 }
 
-// Lost gives the addresses of members that are dead and not yet forgotten: who was cut off from them tries them again. One
+// DeadAddresses gives the addresses of members that are dead and not yet forgotten: who was cut off from them tries them again. One
 // that left is not waited for.
-func (v *View) Lost() (addresses []string) {
+func (v *View) DeadAddresses() (addresses []string) {
 	for _, name := range v.names() {
 		if m := v.members[name]; m.Health == Dead && m.Address != "" {
 			addresses = append(addresses, m.Address)
--- a/control/fleetview/fleetview_test.go
+++ b/control/fleetview/fleetview_test.go
@@ -14,7 +14,7 @@
 func self() Member { return Member{Name: "me", Zone: "a", Start: 5, State: Ready} }
 
 func met(name string, start, seq uint64, s State) Event {
-	return Event{Kind: Met, Name: name, Member: Member{Start: start, Seq: seq, State: s, Zone: "a", Address: name + ":1"}}
+	return Event{Kind: EventAlive, Name: name, Member: Member{Start: start, Seq: seq, State: s, Zone: "a", Address: name + ":1"}}
 }
 
 // What a member's course of events makes of it, step by step.
@@ -31,19 +31,19 @@
 		{2, met("x", 10, 1, Draining), Alive, Ready, false}, // nothing new said
 		{3, met("x", 10, 2, Draining), Alive, Draining, true},
 		{4, met("x", 10, 1, Ready), Alive, Draining, false}, // older
-		{5, Event{Kind: Suspected, Name: "x"}, Suspect, Draining, true},
-		{6, Event{Kind: Answered, Name: "x"}, Alive, Draining, true},
-		{7, Event{Kind: Answered, Name: "x"}, Alive, Draining, false},
-		{8, Event{Kind: Suspected, Name: "x"}, Suspect, Draining, true},
-		{9, Event{Kind: Died, Name: "x"}, Dead, Draining, true},
-		{10, Event{Kind: Suspected, Name: "x"}, Dead, Draining, false},
-		{11, Event{Kind: Answered, Name: "x"}, Dead, Draining, false},
-		{12, Event{Kind: Went, Name: "x"}, Dead, Draining, false},
+		{5, Event{Kind: EventSuspected, Name: "x"}, Suspect, Draining, true},
+		{6, Event{Kind: EventProbeAnswered, Name: "x"}, Alive, Draining, true},
+		{7, Event{Kind: EventProbeAnswered, Name: "x"}, Alive, Draining, false},
+		{8, Event{Kind: EventSuspected, Name: "x"}, Suspect, Draining, true},
+		{9, Event{Kind: EventDead, Name: "x"}, Dead, Draining, true},
+		{10, Event{Kind: EventSuspected, Name: "x"}, Dead, Draining, false},
+		{11, Event{Kind: EventProbeAnswered, Name: "x"}, Dead, Draining, false},
+		{12, Event{Kind: EventLeft, Name: "x"}, Dead, Draining, false},
 		{13, met("x", 10, 2, Draining), Alive, Draining, true}, // refuted
 		{14, met("x", 11, 1, Ready), Alive, Ready, true},       // the same name, a new start
 		{15, met("x", 10, 9, Leaving), Alive, Ready, false},    // from before it
-		{16, Event{Kind: Went, Name: "x"}, Left, Ready, true},
-		{1015, Event{Kind: Tick}, Left, Ready, false},
+		{16, Event{Kind: EventLeft, Name: "x"}, Left, Ready, true},
+		{1015, Event{Kind: EventTick}, Left, Ready, false},
 	} {
 		changes := v.Apply(step.at, step.event)
 		m := v.members["x"]
@@ -51,7 +51,7 @@
 			t.Fatalf("step %d: %v %v, changes %+v", i, m.Health, m.State, changes)
 		}
 	}
-	if c := v.Apply(1016, Event{Kind: Tick}); len(c) != 1 || !c[0].Reaped || v.members["x"] != nil {
+	if c := v.Apply(1016, Event{Kind: EventTick}); len(c) != 1 || !c[0].Reaped || v.members["x"] != nil {
 		t.Errorf("not forgotten: %+v", c)
 	}
 }
@@ -60,7 +60,7 @@
 	v := New(self(), 0, 1000)
 	v.Apply(1, met("x", 10, 1, Ready))
 	told := func(start, seq uint64, level int) {
-		v.Apply(2, Event{Kind: Published, Name: "x", Member: Member{Start: start, ServersSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
+		v.Apply(2, Event{Kind: EventSummaries, Name: "x", Member: Member{Start: start, ServersSeq: seq, Servers: []Summary{{Server: 7, Level: level}}}})
 	}
 	told(10, 2, 3)
 	told(10, 1, 0) // overtaken
@@ -91,39 +91,39 @@
 			"event": func(r *rapid.T) {
 				now += control.Micros(rapid.IntRange(0, 20).Draw(r, "passed"))
 				name := rapid.SampledFrom([]string{"me", "x", "y"}).Draw(r, "name")
-				e := Event{Kind: rapid.SampledFrom([]Kind{Met, Suspected, Answered, Died, Went, Tick}).Draw(r, "kind"), Name: name}
+				e := Event{Kind: rapid.SampledFrom([]Kind{EventAlive, EventSuspected, EventProbeAnswered, EventDead, EventLeft, EventTick}).Draw(r, "kind"), Name: name}
 				start, seq := uint64(rapid.IntRange(1, 3).Draw(r, "start")), uint64(rapid.IntRange(1, 3).Draw(r, "seq"))
 				state := State(rapid.IntRange(0, 3).Draw(r, "state"))
-				if e.Kind == Met {
+				if e.Kind == EventAlive {
 					e = met(name, start, seq, state)
 				}
 				before := maps.Clone(model)
 				f, known := model[name]
 				switch {
-				case e.Kind == Tick:
+				case e.Kind == EventTick:
 					for name, f := range model {
 						if !f.health.Up() && now-since[name] >= 50 {
 							delete(model, name)
 						}
 					}
 				case name == "me":
-				case e.Kind == Met && (!known || start > f.start):
+				case e.Kind == EventAlive && (!known || start > f.start):
 					model[name] = fact{start, seq, state, Alive}
-				case e.Kind == Met && start == f.start:
+				case e.Kind == EventAlive && start == f.start:
 					if seq > f.seq {
 						f.seq, f.state = seq, state
 					}
 					f.health = Alive
 					model[name] = f
-				case !known || e.Kind == Met:
-				case e.Kind == Suspected && f.health == Alive:
+				case !known || e.Kind == EventAlive:
+				case e.Kind == EventSuspected && f.health == Alive:
 					f.health = Suspect
 					model[name] = f
-				case e.Kind == Answered && f.health == Suspect:
+				case e.Kind == EventProbeAnswered && f.health == Suspect:
 					f.health = Alive
 					model[name] = f
-				case (e.Kind == Died || e.Kind == Went) && f.health.Up():
-					f.health = map[Kind]Health{Died: Dead, Went: Left}[e.Kind]
+				case (e.Kind == EventDead || e.Kind == EventLeft) && f.health.Up():
+					f.health = map[Kind]Health{EventDead: Dead, EventLeft: Left}[e.Kind]
 					model[name] = f
 				}
 				for name, f := range model {
@@ -159,7 +159,7 @@
 					f := model[name]
 					other.Apply(0, met(name, f.start, f.seq, f.state))
 					if !f.health.Up() {
-						other.Apply(0, Event{Kind: Died, Name: name})
+						other.Apply(0, Event{Kind: EventDead, Name: name})
 					}
 				}
 				me := self()
@@ -190,8 +190,8 @@
 	}
 	v, w := New(self(), 0, 1000), New(self(), 0, 1000)
 	v.Apply(0, met("x", 1, 1, Ready))
-	v.Apply(1, Event{Kind: Died, Name: "x"})
-	if v.Hash() != w.Hash() || fmt.Sprint(v.Lost()) != "[x:1]" {
-		t.Errorf("a dead member counts, or is not looked for: %v", v.Lost())
+	v.Apply(1, Event{Kind: EventDead, Name: "x"})
+	if v.Hash() != w.Hash() || fmt.Sprint(v.DeadAddresses()) != "[x:1]" {
+		t.Errorf("a dead member counts, or is not looked for: %v", v.DeadAddresses())
 	}
 }
--- a/control/heavy/heavy.go
+++ b/control/heavy/heavy.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Rated gives a copy whose weights are multiplied by a factor over 0. A copy is read only: it is not added to.
-func (s *Summary) Rated(factor float64) *Summary {
+// Scaled gives a copy whose weights are multiplied by a factor over 0. A copy is read only: it is not added to.
+func (s *Summary) Scaled(factor float64) *Summary {
 	c := &Summary{slots: slices.Clone(s.slots), heap: slices.Clone(s.heap), at: slices.Clone(s.at), total: s.total}
 	if len(s.slots) < cap(s.slots) {
 		c.slots = append(make([]slot, 0, len(s.slots)+1), s.slots...) // it has room left: nothing was put out
@@ -186,8 +186,8 @@
 // Total is the weight of all that was counted.
 func (s *Summary) Total() float64 { return s.total }
 
-// Slack is the most that the true weight of a key which is not held can be.
-func (s *Summary) Slack() float64 {
+// MaxUntracked is the most that the true weight of a key which is not held can be.
+func (s *Summary) MaxUntracked() float64 {
 	if len(s.slots) < cap(s.slots) {
 		return 0
 	}
@@ -201,7 +201,7 @@
 	sums := map[string]*sum{}
 	slack := 0.0
 	for _, p := range parts {
-		slack += p.Slack()
+		slack += p.MaxUntracked()
 	}
 	for _, p := range parts {
 		for _, c := range p.Top(len(p.slots)) {
@@ -210,8 +210,8 @@
 				v = &sum{slack, slack}
 				sums[c.Key] = v
 			}
-			v.count += c.Count - p.Slack()
-			v.err += c.Err - p.Slack()
+			v.count += c.Count - p.MaxUntracked()
+			v.err += c.Err - p.MaxUntracked()
 		}
 	}
 	all := make([]Counter, 0, len(sums))
--- a/control/heavy/heavy_test.go
+++ b/control/heavy/heavy_test.go
@@ -46,8 +46,8 @@
 					}
 					for key, w := range truth[i] {
 						whole[key] += w
-						if !held[key] && (w > p.Slack()+tiny || w > p.Total()/float64(slots)+tiny) {
-							t.Fatalf("%s of %g is not held, slack %g", key, w, p.Slack())
+						if !held[key] && (w > p.MaxUntracked()+tiny || w > p.Total()/float64(slots)+tiny) {
+							t.Fatalf("%s of %g is not held, slack %g", key, w, p.MaxUntracked())
 						}
 					}
 				}
--- a/control/member/member.go
+++ b/control/member/member.go
@@ -17,46 +17,46 @@
 	Node, Address string
 	Voter         bool
 	Up            bool   // it answered just now
-	Behind        uint64 // log entries that it lacks
+	Lag           uint64 // log entries that it lacks
 }
 
 // Group is what the leader knows.
 type Group struct {
-	Members  []Member
-	Leader   string
-	Changing bool // a change is not committed yet
+	Members       []Member
+	Leader        string
+	ChangePending bool // a change is not committed yet
 }
 
 // BehindMost is how many entries a learner may lack when it gets its vote: less than a second of a busy store.
 const BehindMost = 64
 
-// Do names what a change does.
-type Do string
+// Change names what a change does.
+type Change string
 
 // The changes.
 const (
-	Nothing  Do = "nothing" // the group is so already
-	AddOne   Do = "add"     // as a learner
-	MoveOne  Do = "move"    // the same member at another address; it keeps its vote
-	Promote  Do = "promote"
-	RemoveIt Do = "remove"
+	NoChange       Change = "nothing" // the group is so already
+	AddLearner     Change = "add"     // as a learner
+	ChangeAddress  Change = "move"    // the same member at another address; it keeps its vote
+	PromoteLearner Change = "promote"
+	RemoveMember   Change = "remove"
 )
 
-// Refusal says why a change is not safe, and whether it can be forced.
-type Refusal struct {
-	Why       string
+// RefusedError says why a change is not safe, and whether it can be forced.
+type RefusedError struct {
+	Reason    string
 	Forceable bool
 }
 
-func (r *Refusal) Error() string {
+func (r *RefusedError) Error() string {
 	if r.Forceable {
-		return r.Why + "; --force does it all the same"
+		return r.Reason + "; --force does it all the same"
 	}
-	return r.Why
+	return r.Reason
 }
 
-func refuse(forceable bool, format string, args ...any) *Refusal {
-	return &Refusal{fmt.Sprintf(format, args...), forceable}
+func refuse(forceable bool, format string, args ...any) *RefusedError {
+	return &RefusedError{fmt.Sprintf(format, args...), forceable}
 }
 
 func (g *Group) find(node string) *Member {
@@ -82,62 +82,62 @@
 func majority(voters int) int { return voters/2 + 1 }
 
 // Add decides on a member that wants to join, or that comes back at another address.
-func (g *Group) Add(node, address string) (Do, error) {
-	if g.Changing {
-		return Nothing, refuse(false, "another change of members is on its way: one at a time")
+func (g *Group) Add(node, address string) (Change, error) {
+	if g.ChangePending {
+		return NoChange, refuse(false, "another change of members is on its way: one at a time")
 	}
 	if i := slices.IndexFunc(g.Members, func(m Member) bool { return m.Address == address && m.Node != node }); i >= 0 {
-		return Nothing, refuse(false, "%s is the address of %s already", address, g.Members[i].Node)
+		return NoChange, refuse(false, "%s is the address of %s already", address, g.Members[i].Node)
 	}
 	m := g.find(node)
 	switch {
 	case m == nil:
-		return AddOne, nil
+		return AddLearner, nil
 	case m.Address == address:
-		return Nothing, nil
+		return NoChange, nil
 	case m.Up:
-		return Nothing, refuse(false, "%s is up at %s: two members of one name would both vote", node, m.Address)
+		return NoChange, refuse(false, "%s is up at %s: two members of one name would both vote", node, m.Address)
 	}
 	// While it moves it is not up, so nothing is lost that was there.
-	return MoveOne, nil
+	return ChangeAddress, nil
 }
 
-// MayVote decides on a learner's vote.
-func (g *Group) MayVote(node string) (Do, error) {
+// Promote decides on a learner's vote.
+func (g *Group) Promote(node string) (Change, error) {
 	m := g.find(node)
 	switch {
-	case g.Changing:
-		return Nothing, refuse(false, "another change of members is on its way: one at a time")
+	case g.ChangePending:
+		return NoChange, refuse(false, "another change of members is on its way: one at a time")
 	case m == nil:
-		return Nothing, refuse(false, "%s is not a member; add it first", node)
+		return NoChange, refuse(false, "%s is not a member; add it first", node)
 	case m.Voter:
-		return Nothing, nil
+		return NoChange, nil
 	case !m.Up:
-		return Nothing, refuse(false, "%s does not answer: as a voter it would count for the majority and not make one", node)
-	case m.Behind > BehindMost:
-		return Nothing, refuse(false, "%s lacks %d entries, %d at most: wait until it has them", node, m.Behind, BehindMost)
+		return NoChange, refuse(false, "%s does not answer: as a voter it would count for the majority and not make one", node)
+	case m.Lag > BehindMost:
+		return NoChange, refuse(false, "%s lacks %d entries, %d at most: wait until it has them", node, m.Lag, BehindMost)
 	}
-	return Promote, nil
+	return PromoteLearner, nil
 }
 
 // Remove decides on taking a member out. What can be forced is what leaves no majority up; taking out the last voter can't.
-func (g *Group) Remove(node string, force bool) (Do, error) {
+func (g *Group) Remove(node string, force bool) (Change, error) {
 	m := g.find(node)
 	switch {
-	case g.Changing:
-		return Nothing, refuse(false, "another change of members is on its way: one at a time")
+	case g.ChangePending:
+		return NoChange, refuse(false, "another change of members is on its way: one at a time")
 	case m == nil:
-		return Nothing, nil
+		return NoChange, nil
 	case !m.Voter:
-		return RemoveIt, nil
+		return RemoveMember, nil
 	}
 	all, up := g.voters(node)
 	if all == 0 {
-		return Nothing, refuse(false, "%s is the last voter: without it the group is at its end", node)
+		return NoChange, refuse(false, "%s is the last voter: without it the group is at its end", node)
 	}
 	if need := majority(all); up < need && !force {
-		return Nothing, refuse(true, "of the %d voters left %d are up and %d are needed: nothing could be written, and what only %s holds would be lost",
+		return NoChange, refuse(true, "of the %d voters left %d are up and %d are needed: nothing could be written, and what only %s holds would be lost",
 			all, up, need, node)
 	}
-	return RemoveIt, nil
+	return RemoveMember, nil
 }
--- a/control/member/member_test.go
+++ b/control/member/member_test.go
@@ -28,38 +28,38 @@
 	g := &Group{Leader: "n0"}
 	for i, w := range words {
 		g.Members = append(g.Members, Member{Node: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Voter: strings.Contains(w, "v"), Up: strings.Contains(w, "u"),
-			Behind: map[bool]uint64{true: 1000}[strings.Contains(w, "b")]})
+			Lag: map[bool]uint64{true: 1000}[strings.Contains(w, "b")]})
 	}
 	return g
 }
 
 func TestDecisions(t *testing.T) {
 	changing := group("vu", "vu", "vu")
-	changing.Changing = true
+	changing.ChangePending = true
 	for name, row := range map[string]struct {
-		do   func() (Do, error)
-		want Do
+		do   func() (Change, error)
+		want Change
 		why  string
 	}{
-		"a new one":                {func() (Do, error) { return group("vu", "vu").Add("n9", "a9") }, AddOne, ""},
-		"there already":            {func() (Do, error) { return group("vu", "vu").Add("n1", "a1") }, Nothing, ""},
-		"moved, and down":          {func() (Do, error) { return group("vu", "v").Add("n1", "a9") }, MoveOne, ""},
-		"moved, and still up":      {func() (Do, error) { return group("vu", "vu").Add("n1", "a9") }, Nothing, "would both vote"},
-		"another's address":        {func() (Do, error) { return group("vu", "vu").Add("n9", "a1") }, Nothing, "address of n1"},
-		"a change is on its way":   {func() (Do, error) { return changing.Add("n9", "a9") }, Nothing, "one at a time"},
-		"a learner that is ready":  {func() (Do, error) { return group("vu", "vu", "u").MayVote("n2") }, Promote, ""},
-		"a learner that is behind": {func() (Do, error) { return group("vu", "vu", "ub").MayVote("n2") }, Nothing, "lacks 1000"},
-		"a learner that is down":   {func() (Do, error) { return group("vu", "vu", "").MayVote("n2") }, Nothing, "does not answer"},
-		"a voter":                  {func() (Do, error) { return group("vu", "vu").MayVote("n1") }, Nothing, ""},
-		"a stranger's vote":        {func() (Do, error) { return group("vu").MayVote("n7") }, Nothing, "add it first"},
-		"a dead one of three":      {func() (Do, error) { return group("vu", "vu", "v").Remove("n2", false) }, RemoveIt, ""},
-		"one up of three, one dead": {func() (Do, error) { return group("vu", "vu", "v").Remove("n1", false) }, Nothing,
+		"a new one":                {func() (Change, error) { return group("vu", "vu").Add("n9", "a9") }, AddLearner, ""},
+		"there already":            {func() (Change, error) { return group("vu", "vu").Add("n1", "a1") }, NoChange, ""},
+		"moved, and down":          {func() (Change, error) { return group("vu", "v").Add("n1", "a9") }, ChangeAddress, ""},
+		"moved, and still up":      {func() (Change, error) { return group("vu", "vu").Add("n1", "a9") }, NoChange, "would both vote"},
+		"another's address":        {func() (Change, error) { return group("vu", "vu").Add("n9", "a1") }, NoChange, "address of n1"},
+		"a change is on its way":   {func() (Change, error) { return changing.Add("n9", "a9") }, NoChange, "one at a time"},
+		"a learner that is ready":  {func() (Change, error) { return group("vu", "vu", "u").Promote("n2") }, PromoteLearner, ""},
+		"a learner that is behind": {func() (Change, error) { return group("vu", "vu", "ub").Promote("n2") }, NoChange, "lacks 1000"},
+		"a learner that is down":   {func() (Change, error) { return group("vu", "vu", "").Promote("n2") }, NoChange, "does not answer"},
+		"a voter":                  {func() (Change, error) { return group("vu", "vu").Promote("n1") }, NoChange, ""},
+		"a stranger's vote":        {func() (Change, error) { return group("vu").Promote("n7") }, NoChange, "add it first"},
+		"a dead one of three":      {func() (Change, error) { return group("vu", "vu", "v").Remove("n2", false) }, RemoveMember, ""},
+		"one up of three, one dead": {func() (Change, error) { return group("vu", "vu", "v").Remove("n1", false) }, NoChange,
 			"of the 2 voters left 1 are up and 2 are needed"},
-		"the same, forced":    {func() (Do, error) { return group("vu", "vu", "v").Remove("n1", true) }, RemoveIt, ""},
-		"the last voter":      {func() (Do, error) { return group("vu", "u").Remove("n0", true) }, Nothing, "the last voter"},
-		"a learner":           {func() (Do, error) { return group("vu", "").Remove("n1", false) }, RemoveIt, ""},
-		"one that is gone":    {func() (Do, error) { return group("vu").Remove("n5", false) }, Nothing, ""},
-		"removal in a change": {func() (Do, error) { return changing.Remove("n1", true) }, Nothing, "one at a time"},
+		"the same, forced":    {func() (Change, error) { return group("vu", "vu", "v").Remove("n1", true) }, RemoveMember, ""},
+		"the last voter":      {func() (Change, error) { return group("vu", "u").Remove("n0", true) }, NoChange, "the last voter"},
+		"a learner":           {func() (Change, error) { return group("vu", "").Remove("n1", false) }, RemoveMember, ""},
+		"one that is gone":    {func() (Change, error) { return group("vu").Remove("n5", false) }, NoChange, ""},
+		"removal in a change": {func() (Change, error) { return changing.Remove("n1", true) }, NoChange, "one at a time"},
 	} {
 		do, err := row.do()
 		if do != row.want || (err == nil) != (row.why == "") || err != nil && !strings.Contains(err.Error(), row.why) {
@@ -71,7 +71,7 @@
 // A model: whatever operators ask for, in whatever order members come and go, a group that could write before a change that
 // was not forced can write after it, and no vote is ever given to a member that is down or far behind.
 func TestNoChangeLosesTheMajority(t *testing.T) {
-	changes := map[Do]int{}
+	changes := map[Change]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		g := group("vu", "vu", "vu")
 		writes := func() bool { all, up := g.voters(""); return up >= majority(all) }
@@ -79,7 +79,7 @@
 			node := fmt.Sprint("n", rapid.IntRange(0, 4).Draw(t, "node"))
 			m := g.find(node)
 			before := writes()
-			var do Do
+			var do Change
 			var err error
 			address := ""
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
@@ -90,33 +90,33 @@
 				continue
 			case 1:
 				if m != nil {
-					m.Behind = rapid.Uint64Range(0, 100).Draw(t, "behind")
+					m.Lag = rapid.Uint64Range(0, 100).Draw(t, "behind")
 				}
 				continue
 			case 2:
 				address = fmt.Sprint("a", rapid.IntRange(0, 9).Draw(t, "address"))
 				do, err = g.Add(node, address)
 			case 3:
-				do, err = g.MayVote(node)
+				do, err = g.Promote(node)
 			case 4:
 				do, err = g.Remove(node, false)
 			}
-			var refusal *Refusal
-			if err != nil && (!errors.As(err, &refusal) || do != Nothing) {
+			var refusal *RefusedError
+			if err != nil && (!errors.As(err, &refusal) || do != NoChange) {
 				t.Fatalf("%s with %v", do, err)
 			}
 			changes[do]++
 			switch do {
-			case AddOne:
-				g.Members = append(g.Members, Member{Node: node, Address: address, Up: true, Behind: 500})
-			case MoveOne:
+			case AddLearner:
+				g.Members = append(g.Members, Member{Node: node, Address: address, Up: true, Lag: 500})
+			case ChangeAddress:
 				m.Address = address
-			case Promote:
-				if !m.Up || m.Behind > BehindMost {
+			case PromoteLearner:
+				if !m.Up || m.Lag > BehindMost {
 					t.Fatalf("a vote for %+v", *m)
 				}
 				m.Voter = true
-			case RemoveIt:
+			case RemoveMember:
 				g.Members = slices.DeleteFunc(g.Members, func(o Member) bool { return o.Node == node })
 			}
 			if before && !writes() {
@@ -127,7 +127,7 @@
 			}
 		}
 	})
-	for _, do := range []Do{AddOne, MoveOne, Promote, RemoveIt} {
+	for _, do := range []Change{AddLearner, ChangeAddress, PromoteLearner, RemoveMember} {
 		if changes[do] < 10 {
 			t.Errorf("%s happened %d times: not tested", do, changes[do])
 		}
--- a/control/scope/errors.go
+++ b/control/scope/errors.go
@@ -10,11 +10,11 @@
 
 // The faults of a key.
 const (
-	NoPrefix  KeyFault = iota // it does not begin with Prefix
-	NoScope                   // the part after the prefix is no kind of scope
-	NoForm                    // it has too few or too many parts
-	NoName                    // the scope's name can't be one
-	NoSection                 // there is no such section
+	MissingPrefix  KeyFault = iota // it does not begin with Prefix
+	UnknownScope                   // the part after the prefix is no kind of scope
+	WrongPartCount                 // it has too few or too many parts
+	InvalidName                    // the scope's name can't be one
+	UnknownSection                 // there is no such section
 )
 
 // KeyError says that a key is not that of a settings record.
@@ -29,13 +29,13 @@
 
 func (e *KeyError) what() string {
 	switch e.Fault {
-	case NoPrefix:
+	case MissingPrefix:
 		return fmt.Sprintf("does not begin with %q", Prefix)
-	case NoScope:
+	case UnknownScope:
 		return "names no scope"
-	case NoForm:
+	case WrongPartCount:
 		return "does not have the parts of a settings key"
-	case NoName:
+	case InvalidName:
 		return fmt.Sprintf("has a name that is empty, longer than %d bytes, or holds spaces or control characters", MaxName)
 	}
 	return "names no section"
@@ -44,11 +44,11 @@
 // Advice implements advice.Error.
 func (e *KeyError) Advice() string {
 	switch e.Fault {
-	case NoScope:
+	case UnknownScope:
 		return "the scope is one of " + strings.Join(kindNames[:], ", ") + ": for instance settings/zone/NAME/limits"
-	case NoName:
+	case InvalidName:
 		return "write the name of the region, zone, service or gatekeeper as its deploy file has it"
-	case NoSection:
+	case UnknownSection:
 		return "the section is one of " + strings.Join(sections, ", ")
 	}
 	return "write settings/all/SECTION, or settings/SCOPE/NAME/SECTION with SCOPE one of " + strings.Join(kindNames[1:], ", ")
--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -53,12 +53,12 @@
 // Key is the key of a settings record, in its parts.
 type Key struct {
 	Kind    Kind
-	Of      string // the name of the region, zone, service or gatekeeper; "" of All
+	Name    string // the name of the region, zone, service or gatekeeper; "" of All
 	Section string
 }
 
 // String gives the key as it stands in the store: settings/all/SECTION or settings/KIND/NAME/SECTION.
-func (k Key) String() string { return scopePrefix(k.Kind, k.Of) + k.Section }
+func (k Key) String() string { return scopePrefix(k.Kind, k.Name) + k.Section }
 
 // scopePrefix is what all keys of one scope begin with.
 func scopePrefix(kind Kind, of string) string {
@@ -72,12 +72,12 @@
 func ParseKey(key string) (Key, error) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
-		return Key{}, &KeyError{key, NoPrefix}
+		return Key{}, &KeyError{key, MissingPrefix}
 	}
 	parts := strings.Split(rest, "/")
 	kind := slices.Index(kindNames[:], parts[0])
 	if kind < 0 {
-		return Key{}, &KeyError{key, NoScope}
+		return Key{}, &KeyError{key, UnknownScope}
 	}
 	k := Key{Kind: Kind(kind)}
 	want := 3
@@ -85,17 +85,17 @@
 		want = 2
 	}
 	if len(parts) != want {
-		return Key{}, &KeyError{key, NoForm}
+		return Key{}, &KeyError{key, WrongPartCount}
 	}
 	k.Section = parts[want-1]
 	if k.Kind != All {
-		k.Of = parts[1]
-		if !validName(k.Of) {
-			return Key{}, &KeyError{key, NoName}
+		k.Name = parts[1]
+		if !validName(k.Name) {
+			return Key{}, &KeyError{key, InvalidName}
 		}
 	}
 	if !slices.Contains(sections, k.Section) {
-		return Key{}, &KeyError{key, NoSection}
+		return Key{}, &KeyError{key, UnknownSection}
 	}
 	return k, nil
 }
@@ -155,7 +155,7 @@
 }
 
 // holds tells whether a key is of one of the target's scopes.
-func (t Target) holds(k Key) bool { return k.Kind == All || k.Of == t.of(k.Kind) }
+func (t Target) holds(k Key) bool { return k.Kind == All || k.Name == t.of(k.Kind) }
 
 // Record is one record of the store.
 type Record struct {
--- a/control/scope/scope_test.go
+++ b/control/scope/scope_test.go
@@ -38,28 +38,28 @@
 		require.Equal(t, key, got.String())
 	}
 	for key, want := range map[string]KeyFault{
-		"":                                      NoPrefix,
-		"settings":                              NoPrefix,
-		"Settings/all/calls":                    NoPrefix,
-		"inventory/all/calls":                   NoPrefix,
-		"settings/":                             NoScope,
-		"settings//calls":                       NoScope,
-		"settings/rack/r1/calls":                NoScope,
-		"settings/All/calls":                    NoScope,
-		"settings/all":                          NoForm,
-		"settings/all/x/calls":                  NoForm,
-		"settings/zone/calls":                   NoForm,
-		"settings/zone/a/b/calls":               NoForm,
-		"settings/zone/n1/calls/":               NoForm,
-		"settings/zone//calls":                  NoName,
-		"settings/zone/a b/calls":               NoName,
-		"settings/zone/a\x00/calls":             NoName,
-		"settings/zone/a\xff/calls":             NoName,
-		"settings/zone/" + long(129) + "/calls": NoName,
-		"settings/all/":                         NoSection,
-		"settings/all/verdicts":                 NoSection,
-		"settings/zone/n1/":                     NoSection,
-		"settings/zone/n1/Calls":                NoSection,
+		"":                                      MissingPrefix,
+		"settings":                              MissingPrefix,
+		"Settings/all/calls":                    MissingPrefix,
+		"inventory/all/calls":                   MissingPrefix,
+		"settings/":                             UnknownScope,
+		"settings//calls":                       UnknownScope,
+		"settings/rack/r1/calls":                UnknownScope,
+		"settings/All/calls":                    UnknownScope,
+		"settings/all":                          WrongPartCount,
+		"settings/all/x/calls":                  WrongPartCount,
+		"settings/zone/calls":                   WrongPartCount,
+		"settings/zone/a/b/calls":               WrongPartCount,
+		"settings/zone/n1/calls/":               WrongPartCount,
+		"settings/zone//calls":                  InvalidName,
+		"settings/zone/a b/calls":               InvalidName,
+		"settings/zone/a\x00/calls":             InvalidName,
+		"settings/zone/a\xff/calls":             InvalidName,
+		"settings/zone/" + long(129) + "/calls": InvalidName,
+		"settings/all/":                         UnknownSection,
+		"settings/all/verdicts":                 UnknownSection,
+		"settings/zone/n1/":                     UnknownSection,
+		"settings/zone/n1/Calls":                UnknownSection,
 	} {
 		_, err := ParseKey(key)
 		var fault *KeyError
@@ -131,7 +131,7 @@
 		for i := range rapid.IntRange(0, 40).Draw(t, "records") {
 			k := Key{Kind(rapid.IntRange(int(All), int(Gatekeeper)).Draw(t, "kind")), "", rapid.SampledFrom(append(Sections(), "later")).Draw(t, "section")}
 			if k.Kind != All {
-				k.Of = name.Draw(t, "of")
+				k.Name = name.Draw(t, "of")
 			}
 			var value []byte
 			if rapid.IntRange(0, 3).Draw(t, "deleted") > 0 {
--- a/control/session/fleet_test.go
+++ b/control/session/fleet_test.go
@@ -158,7 +158,7 @@
 // step carries out actions of a client, and has it woken when it wants to be.
 func (f *fleet) step(c *fleetClient, actions []Action) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Type {
 		case Connect:
 			r := f.byName[a.Replica.Name]
 			c.open[a.Session] = r
@@ -173,7 +173,7 @@
 
 // wake has a client's machine ticked when it wants to be. A call that is due earlier already looks again then.
 func (f *fleet) wake(c *fleetClient) {
-	at, _ := c.machine.Wake()
+	at, _ := c.machine.NextTick()
 	if c.waking && c.wakeAt <= at {
 		return
 	}
@@ -183,7 +183,7 @@
 			return // an earlier call took its place
 		}
 		c.waking = false
-		if due, _ := c.machine.Wake(); due > f.now {
+		if due, _ := c.machine.NextTick(); due > f.now {
 			f.wake(c)
 			return
 		}
@@ -204,18 +204,18 @@
 		f.end(c, a.Session, End{Reason: Full})
 		return
 	}
-	if d := r.admit(f.now, c.name, a.After == 0); !d.Admitted {
-		f.end(c, a.Session, End{ComeBack, d.ComeBackIn})
+	if d := r.admit(f.now, c.name, a.StartRevision == 0); !d.Admitted {
+		f.end(c, a.Session, End{RetryLater, d.RetryAfter})
 		return
 	}
 	r.sessions[fleetSession{c, a.Session}] = true
 	r.mostLoad = max(r.mostLoad, len(r.sessions))
 	f.opened[r.Name][f.now/loadWindow]++
 	kind := Heartbeat
-	if a.After == 0 {
+	if a.StartRevision == 0 {
 		kind = Snapshot
 	}
-	f.step(c, c.machine.Heard(f.now, a.Session, Event{Kind: kind, Revision: 1}))
+	f.step(c, c.machine.HandleEvent(f.now, a.Session, Event{Kind: kind, Revision: 1}))
 }
 
 // admits sets the rate and the burst at which a replica takes sessions, and sends snapshots.
@@ -229,13 +229,13 @@
 	if r.admitter == nil {
 		return admission.Decision{Admitted: true}
 	}
-	return r.admitter.Admit(now, admission.Request{Client: client, Snapshot: snapshot})
+	return r.admitter.Admit(now, admission.Request{Client: client, NeedsSnapshot: snapshot})
 }
 
 func (f *fleet) end(c *fleetClient, session uint64, e End) {
 	if r := c.open[session]; r != nil {
 		delete(c.open, session)
-		f.step(c, c.machine.Ended(f.now, session, e))
+		f.step(c, c.machine.HandleEnd(f.now, session, e))
 	}
 }
 
@@ -243,7 +243,7 @@
 	if r.health == up {
 		for _, s := range r.list() {
 			if r.sessions[s] {
-				f.step(s.client, s.client.machine.Heard(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
+				f.step(s.client, s.client.machine.HandleEvent(f.now, s.id, Event{Kind: Heartbeat, Revision: 1}))
 			}
 		}
 	}
@@ -385,12 +385,12 @@
 			took := f.runUntil(t, 2*timing.BackoffBase+slack, "all have a session again", f.connected)
 			require.Equal(t, most, left.mostLoad, "%d gatekeepers of its zone would go there", zoneClients)
 			require.LessOrEqual(t, f.mostLoad(), most)
-			f.runFor(2 * timing.ReturnEvery)
+			f.runFor(2 * timing.ReturnInterval)
 			require.True(t, f.connected())
 			require.LessOrEqual(t, f.mostLoad(), most, "they look for room in their zone, and find none")
 
 			f.recover(lost)
-			back := f.runUntil(t, timing.ReturnEvery+slack, "all are back where they prefer to be", f.settled)
+			back := f.runUntil(t, timing.ReturnInterval+slack, "all are back where they prefer to be", f.settled)
 			require.LessOrEqual(t, f.mostLoad(), most)
 			t.Logf("all have a session again in %.2f s, and are back in %.2f s", float64(took)/1e6, float64(back)/1e6)
 		})
@@ -432,7 +432,7 @@
 					within := control.Micros(failure.attempts)*timing.BackoffBase + slack
 					if how == silent {
 						unanswered := control.Micros(failure.silent)
-						within = timing.HeartbeatWithin + unanswered*timing.ConnectWithin + (unanswered+1)*timing.BackoffBase + slack
+						within = timing.HeartbeatTimeout + unanswered*timing.ConnectTimeout + (unanswered+1)*timing.BackoffBase + slack
 					}
 					took := f.runUntil(t, within, "all have a session again", f.connected)
 					second, window := f.peak()
@@ -443,24 +443,24 @@
 						require.LessOrEqual(t, window, chance(failure.peak, float64(loadWindow)/float64(timing.BackoffBase)), "new sessions in a window")
 					}
 
-					f.runFor(timing.ReturnEvery + timing.ReturnEvery/2)
+					f.runFor(timing.ReturnInterval + timing.ReturnInterval/2)
 					require.Equal(t, fleetClients, f.sessions())
 					f.recover(lost...)
 					// Each looks within ReturnEvery at all machines that it prefers, after a look that may just be under way.
-					within = timing.ReturnEvery + slack
+					within = timing.ReturnInterval + slack
 					if how == silent {
-						within += control.Micros(failure.attempts) * timing.ConnectWithin
+						within += control.Micros(failure.attempts) * timing.ConnectTimeout
 					}
 					took = f.runUntil(t, within, "all are back where they prefer to be", f.settled)
 					second, window = f.peak()
 					t.Logf("back in %.2f s; most new sessions at a machine %d in 1 s, %d in 0.1 s", float64(took)/1e6, second, window)
 					// Spread over the second half of ReturnEvery at the least. Where no answer comes a look takes a time, and those
 					// that are looking just then go on to another machine within ConnectWithin.
-					spread := float64(timing.ReturnEvery) / 2e6
+					spread := float64(timing.ReturnInterval) / 2e6
 					most := chance(zoneClients, 1/spread)
 					if how == silent {
-						looking := float64(failure.attempts) * float64(timing.ConnectWithin) / (0.75 * float64(timing.ReturnEvery))
-						most += chance(moved, looking/(float64(timing.ConnectWithin)/1e6)/float64(len(lost)))
+						looking := float64(failure.attempts) * float64(timing.ConnectTimeout) / (0.75 * float64(timing.ReturnInterval))
+						most += chance(moved, looking/(float64(timing.ConnectTimeout)/1e6)/float64(len(lost)))
 					}
 					require.LessOrEqual(t, second, most, "new sessions in a second at the return")
 					require.Equal(t, fleetClients, f.sessions())
@@ -513,7 +513,7 @@
 	t.Logf("all in %.2f s, most new sessions at a machine %d in 1 s", float64(took)/1e6, second)
 	// Of waits drawn evenly up to BackoffCap the rest is at its densest at its beginning: two in BackoffCap; at any machine.
 	require.LessOrEqual(t, second, chance(fleetClients, 2/(float64(timing.BackoffCap)/1e6)/fleetReplicas))
-	f.runUntil(t, timing.ReturnEvery+500e3, "all are back where they prefer to be", f.settled)
+	f.runUntil(t, timing.ReturnInterval+500e3, "all are back where they prefer to be", f.settled)
 }
 
 // The same with machines that admit 50 sessions a second each and promise the others a place: after an outage of any length all
--- a/control/session/machine.go
+++ b/control/session/machine.go
@@ -49,18 +49,18 @@
 		timing: o.Timing.WithDefaults(), random: o.Random, replicas: Rank(o.Self, o.Replicas),
 		holds: make([]control.Micros, len(o.Replicas)), refusals: make([]int, len(o.Replicas)),
 		connect: newSearch(len(o.Replicas)), better: newSearch(len(o.Replicas)),
-		seen: max(o.Seen, o.Held), records: o.Held > 0 && o.Held >= o.Seen,
+		seen: max(o.HighestRevision, o.HeldRevision), records: o.HeldRevision > 0 && o.HeldRevision >= o.HighestRevision,
 	}
 	for rank, r := range m.replicas {
 		m.holds[rank] = now
 		m.tiers = append(m.tiers, tier(o.Self, r))
 	}
-	m.connect.at = now + control.Micros(m.random()*float64(m.timing.StartWithin))
+	m.connect.at = now + control.Micros(m.random()*float64(m.timing.MaxStartDelay))
 	return m
 }
 
-// Seen is the highest revision seen.
-func (m *Machine) Seen() uint64 { return m.seen }
+// HighestRevision is the highest revision seen.
+func (m *Machine) HighestRevision() uint64 { return m.seen }
 
 // Current gives the replica of the current session, and whether there is one.
 func (m *Machine) Current() (Replica, bool) {
@@ -70,8 +70,8 @@
 	return m.replicas[m.current.rank], true
 }
 
-// Wake is when Tick is to be called next, unless something happens before; false: not at all.
-func (m *Machine) Wake() (control.Micros, bool) {
+// NextTick is when Tick is to be called next, unless something happens before; false: not at all.
+func (m *Machine) NextTick() (control.Micros, bool) {
 	if len(m.replicas) == 0 {
 		return 0, false
 	}
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case m.attempt != nil:
-		next = min(next, m.attempt.begun+m.timing.ConnectWithin)
+		next = min(next, m.attempt.begun+m.timing.ConnectTimeout)
 	case m.current == nil:
 		next = m.connect.at
 	case m.searching():
@@ -95,7 +95,7 @@
 
 // heartbeatDue is when the current session is given up unless an event comes.
 func (m *Machine) heartbeatDue() control.Micros {
-	return m.current.heard + max(m.timing.HeartbeatWithin, HeartbeatsMissed*m.current.every)
+	return m.current.heard + max(m.timing.HeartbeatTimeout, MaxMissedHeartbeats*m.current.every)
 }
 
 // searching tells whether there may be a better replica than that of the current session.
@@ -110,19 +110,19 @@
 		return nil
 	}
 	if m.current != nil && now >= m.heartbeatDue() {
-		m.do(Action{Do: Close, Session: m.current.id})
+		m.do(Action{Type: Close, Session: m.current.id})
 		m.lost(now, End{Reason: noAnswer})
 	}
-	if m.attempt != nil && now >= m.attempt.begun+m.timing.ConnectWithin {
-		m.do(Action{Do: Close, Session: m.attempt.id})
+	if m.attempt != nil && now >= m.attempt.begun+m.timing.ConnectTimeout {
+		m.do(Action{Type: Close, Session: m.attempt.id})
 		m.failed(now, End{Reason: noAnswer})
 	}
 	m.start(now)
 	return m.actions
 }
 
-// Ended hands in that a session has ended that was not closed.
-func (m *Machine) Ended(now control.Micros, session uint64, e End) []Action {
+// HandleEnd hands in that a session has ended that was not closed.
+func (m *Machine) HandleEnd(now control.Micros, session uint64, e End) []Action {
 	m.actions = nil
 	m.ended(now, session, e)
 	m.start(now)
@@ -138,8 +138,8 @@
 	}
 }
 
-// Heard hands in an event of a session. Its records are to be taken over only if Accept is among the actions.
-func (m *Machine) Heard(now control.Micros, session uint64, e Event) []Action {
+// HandleEvent hands in an event of a session. Its records are to be taken over only if Accept is among the actions.
+func (m *Machine) HandleEvent(now control.Micros, session uint64, e Event) []Action {
 	m.actions = nil
 	var l *link
 	switch {
@@ -151,16 +151,16 @@
 		return nil // it was closed
 	}
 	if l.breaks(e) {
-		m.do(Action{Do: Close, Session: l.id})
-		m.ended(now, session, End{Reason: Refused})
+		m.do(Action{Type: Close, Session: l.id})
+		m.ended(now, session, End{Reason: ProtocolError})
 		m.start(now)
 		return m.actions
 	}
 	l.heard, l.revision = now, e.Revision
 	l.events++
 	if e.Kind == Heartbeat {
-		l.every = min(e.Every, maxEvery)
-		m.setLeaderless(now, l, e.Leaderless > m.timing.LeaderlessAfter)
+		l.every = min(e.HeartbeatInterval, maxEvery)
+		m.setLeaderless(now, l, e.LeaderlessFor > m.timing.LeaderlessAfter)
 	}
 	if l == m.current || m.adopt(now, e.Kind) {
 		m.accept(e)
@@ -193,7 +193,7 @@
 	if m.current.leaderless {
 		return m.backoff(&m.better)
 	}
-	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnEvery))
+	return control.Micros((1 + m.random()) / 2 * float64(m.timing.ReturnInterval))
 }
 
 // breaks tells whether an event breaks the protocol: a session's revisions never fall, and one without a revision to go on
@@ -207,7 +207,7 @@
 	l := m.attempt
 	switch {
 	case l.revision < l.after, l.revision < m.seen && l.after == 0: // older than what was asked for; a snapshot that is too old
-		m.do(Action{Do: Close, Session: l.id})
+		m.do(Action{Type: Close, Session: l.id})
 		m.failed(now, End{Reason: Behind})
 		return false
 	case l.revision < m.seen: // the current session has moved on meanwhile: this one must draw level within ConnectWithin
@@ -215,7 +215,7 @@
 	case m.current != nil && kind != Heartbeat && l.revision == m.seen: // only a heartbeat tells whether it has a leader
 		return false
 	case m.current != nil && !m.improves(l):
-		m.do(Action{Do: Close, Session: l.id})
+		m.do(Action{Type: Close, Session: l.id})
 		if l.leaderless {
 			m.holds[l.rank] = now + m.timing.LeaderlessHold
 		}
@@ -223,7 +223,7 @@
 		return false
 	}
 	if m.current != nil {
-		m.do(Action{Do: Close, Session: m.current.id})
+		m.do(Action{Type: Close, Session: m.current.id})
 		m.settle(now)
 	}
 	m.current, m.attempt = l, nil
@@ -247,7 +247,7 @@
 		return
 	}
 	m.seen, m.records = e.Revision, true
-	m.do(Action{Do: Accept, Session: m.current.id})
+	m.do(Action{Type: Accept, Session: m.current.id})
 }
 
 // lost ends the current session. After the backoff another replica is tried; one that cut off a session that had lasted,
@@ -302,13 +302,13 @@
 // hold keeps a replica from being tried for as long as the end of its session demands.
 func (m *Machine) hold(now control.Micros, rank int, e End) {
 	switch e.Reason {
-	case ComeBack:
+	case RetryLater:
 		m.refusals[rank]++
-		m.holds[rank] = now + max(e.After, m.timing.BehindWait) // never at once, whatever the replica says
-	case Refused:
+		m.holds[rank] = now + max(e.RetryAfter, m.timing.BehindHold) // never at once, whatever the replica says
+	case ProtocolError:
 		m.holds[rank] = now + m.timing.FaultHold
 	case Behind:
-		m.holds[rank] = now + m.timing.BehindWait + control.Micros(m.random()*float64(m.timing.BehindWait))
+		m.holds[rank] = now + m.timing.BehindHold + control.Micros(m.random()*float64(m.timing.BehindHold))
 	}
 }
 
@@ -316,11 +316,11 @@
 // place, and keeps room for it: a gatekeeper that asked the others meanwhile would have a place at each of them, and after an
 // outage all of these together are many times what the replicas admit.
 func (m *Machine) waitsFor(rank int, e End) bool {
-	tries := SameTries
+	tries := FirstRoundAttempts
 	if m.connect.round > 0 {
-		tries = LaterTries
+		tries = LaterRoundAttempts
 	}
-	return e.Reason == ComeBack && e.After <= m.timing.ComeBackWait && m.refusals[rank] < tries
+	return e.Reason == RetryLater && e.RetryAfter <= m.timing.MaxRetryAfter && m.refusals[rank] < tries
 }
 
 // start begins an attempt if one is due.
@@ -378,7 +378,7 @@
 		after = 0
 	}
 	m.attempt = &link{id: m.lastID, rank: rank, after: after, begun: now, heard: now}
-	m.do(Action{Do: Connect, Session: m.lastID, Replica: m.replicas[rank], After: after})
+	m.do(Action{Type: Connect, Session: m.lastID, Replica: m.replicas[rank], StartRevision: after})
 }
 
 func (m *Machine) do(a Action) { m.actions = append(m.actions, a) }
--- a/control/session/model_test.go
+++ b/control/session/model_test.go
@@ -69,16 +69,16 @@
 // carryOut carries out actions; records takes over those of the event that led to them.
 func (m *model) carryOut(actions []Action, revision uint64, records func()) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Type {
 		case Connect:
 			i := m.index[a.Replica.Name]
 			if m.now < m.holds[i] {
 				m.t.Fatalf("%s is tried %d us before it said to come back", a.Replica.Name, m.holds[i]-m.now)
 			}
-			if a.After != 0 && a.After != m.at {
-				m.t.Fatalf("a session goes on from %d, held is %d", a.After, m.at)
+			if a.StartRevision != 0 && a.StartRevision != m.at {
+				m.t.Fatalf("a session goes on from %d, held is %d", a.StartRevision, m.at)
 			}
-			m.sessions = append(m.sessions, &modelSession{id: a.Session, replica: i, after: a.After, sent: a.After})
+			m.sessions = append(m.sessions, &modelSession{id: a.Session, replica: i, after: a.StartRevision, sent: a.StartRevision})
 			if len(m.sessions) > 2 {
 				m.t.Fatalf("%d sessions at a time", len(m.sessions))
 			}
@@ -118,7 +118,7 @@
 	case 1:
 		after := control.Micros(rapid.IntRange(0, 20e6).Draw(m.t, "come back"))
 		m.holds[s.replica] = m.now + after
-		m.end(s, End{ComeBack, after})
+		m.end(s, End{RetryLater, after})
 	default:
 		if r.applied < s.after {
 			m.end(s, End{Reason: Behind})
@@ -148,13 +148,13 @@
 }
 
 func (m *model) event(s *modelSession, kind EventKind, revision uint64, records func()) {
-	e := Event{Kind: kind, Revision: revision, Leaderless: m.replicas[s.replica].leaderless}
-	m.carryOut(m.machine.Heard(m.now, s.id, e), revision, records)
+	e := Event{Kind: kind, Revision: revision, LeaderlessFor: m.replicas[s.replica].leaderless}
+	m.carryOut(m.machine.HandleEvent(m.now, s.id, e), revision, records)
 }
 
 func (m *model) end(s *modelSession, e End) {
 	m.drop(s.id)
-	m.carryOut(m.machine.Ended(m.now, s.id, e), 0, nil)
+	m.carryOut(m.machine.HandleEnd(m.now, s.id, e), 0, nil)
 }
 
 // Transactions, lagging replicas, sessions that are refused, break and overlap, restarts with and without the records: what a
@@ -175,7 +175,7 @@
 		boot := func(held uint64) {
 			m.machine = New(m.now, Options{
 				Self: scope.Target{Name: "g", Zone: "z0", Region: "r0"}, Replicas: replicas, Timing: m.timing,
-				Random: func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") }, Held: held, Seen: m.highest,
+				Random: func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "random") }, HeldRevision: held, HighestRevision: m.highest,
 			})
 			m.sessions = nil
 			clear(m.holds)
@@ -214,7 +214,7 @@
 			"event": func(*rapid.T) { m.next(some(true)) },
 			"more":  func(*rapid.T) { m.next(some(true)) },
 			"break": func(t *rapid.T) {
-				m.end(some(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, Refused}).Draw(t, "reason")})
+				m.end(some(true), End{Reason: rapid.SampledFrom([]Reason{Lost, TooSlow, ProtocolError}).Draw(t, "reason")})
 			},
 			"late": func(t *rapid.T) { // of a session that was closed, or never was
 				id := uint64(rapid.IntRange(0, 50).Draw(t, "id"))
@@ -223,12 +223,12 @@
 						t.Skip("it is open")
 					}
 				}
-				m.carryOut(m.machine.Heard(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("a closed session's event is accepted") })
-				m.carryOut(m.machine.Ended(m.now, id, End{}), 0, nil)
+				m.carryOut(m.machine.HandleEvent(m.now, id, Event{Kind: Snapshot, Revision: 1 << 40}), 1<<40, func() { t.Fatal("a closed session's event is accepted") })
+				m.carryOut(m.machine.HandleEnd(m.now, id, End{}), 0, nil)
 			},
 			"wake": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "times") {
-					at, ok := m.machine.Wake()
+					at, ok := m.machine.NextTick()
 					require.True(t, ok)
 					m.now = max(m.now, at)
 					m.carryOut(m.machine.Tick(m.now), 0, nil)
@@ -247,11 +247,11 @@
 				boot(0)
 			},
 			"": func(t *rapid.T) { // a machine that was ticked wants to be so later: at most one step for each draw of zero
-				if at, ok := m.machine.Wake(); !ok || at < m.now-max(m.timing.HeartbeatWithin, m.timing.ConnectWithin) {
+				if at, ok := m.machine.NextTick(); !ok || at < m.now-max(m.timing.HeartbeatTimeout, m.timing.ConnectTimeout) {
 					t.Fatalf("at %d it wants to be woken at %d, %v", m.now, at, ok)
 				}
-				if m.machine.Seen() != m.highest {
-					t.Fatalf("seen %d, accepted up to %d", m.machine.Seen(), m.highest)
+				if m.machine.HighestRevision() != m.highest {
+					t.Fatalf("seen %d, accepted up to %d", m.machine.HighestRevision(), m.highest)
 				}
 			},
 		})
@@ -268,30 +268,30 @@
 		}
 		random := rapid.Float64Range(0.4, 0.6).Draw(t, "random")
 		timing := Timing{}.WithDefaults()
-		m := New(0, Options{Replicas: replicas, Random: func() float64 { return random }, Held: 1, Seen: 1})
-		reason := rapid.SampledFrom([]Reason{Lost, TooSlow, Behind, Refused, ComeBack}).Draw(t, "reason")
+		m := New(0, Options{Replicas: replicas, Random: func() float64 { return random }, HeldRevision: 1, HighestRevision: 1})
+		reason := rapid.SampledFrom([]Reason{Lost, TooSlow, Behind, ProtocolError, RetryLater}).Draw(t, "reason")
 		const length = 600e6
 		steps, attempts := 0, 0
 		for {
-			at, _ := m.Wake()
+			at, _ := m.NextTick()
 			if at > length {
 				break
 			}
 			steps++
 			for _, a := range m.Tick(at) {
-				if a.Do == Connect {
+				if a.Type == Connect {
 					attempts++
-					require.Empty(t, m.Ended(at, a.Session, End{Reason: reason}))
+					require.Empty(t, m.HandleEnd(at, a.Session, End{Reason: reason}))
 				}
 			}
 		}
 		// In full rounds an attempt waits 0.4 of BackoffCap at least; the rounds before it is reached, and repeated questions
 		// to a replica that lags or is full, come on top. One that says when to come back is asked then, in each round.
 		perBackoff := 1.
-		if reason == ComeBack {
-			perBackoff = LaterTries
+		if reason == RetryLater {
+			perBackoff = LaterRoundAttempts
 		}
-		most := perBackoff*length/(0.4*float64(timing.BackoffCap)) + float64(n)*(SameTries+4)
+		most := perBackoff*length/(0.4*float64(timing.BackoffCap)) + float64(n)*(FirstRoundAttempts+4)
 		require.Less(t, float64(attempts), most, reason)
 		require.Less(t, float64(steps), 2.5*most, reason)
 	})
--- a/control/session/session_test.go
+++ b/control/session/session_test.go
@@ -21,8 +21,8 @@
 
 // timing has times that can be told apart.
 var timing = Timing{
-	StartWithin: 1e6, ConnectWithin: 3e6, HeartbeatWithin: 5e6, BackoffBase: 1e6, BackoffCap: 6e6, StableAfter: 10e6, ReturnEvery: 60e6,
-	LeaderlessAfter: 4e6, LeaderlessHold: 30e6, BehindWait: 200e3, ComeBackWait: 5e6, FaultHold: 25e6,
+	MaxStartDelay: 1e6, ConnectTimeout: 3e6, HeartbeatTimeout: 5e6, BackoffBase: 1e6, BackoffCap: 6e6, StableAfter: 10e6, ReturnInterval: 60e6,
+	LeaderlessAfter: 4e6, LeaderlessHold: 30e6, BehindHold: 200e3, MaxRetryAfter: 5e6, FaultHold: 25e6,
 }
 
 // ordered gives replicas r0, r1, ... that a gatekeeper of their region prefers in this order: each in a tier or, within one, as ranked.
@@ -37,14 +37,14 @@
 
 func play(t *testing.T, n int, held, seen uint64) *player {
 	self, replicas := ordered(n)
-	m := New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }, Held: held, Seen: seen})
+	m := New(0, Options{Self: self, Replicas: replicas, Timing: timing, Random: func() float64 { return half }, HeldRevision: held, HighestRevision: seen})
 	return &player{t: t, m: m}
 }
 
 // wake goes on to when the machine wants to be called, checks the time, and gives what it does.
 func (p *player) wake(want control.Micros) []Action {
 	p.t.Helper()
-	at, ok := p.m.Wake()
+	at, ok := p.m.NextTick()
 	require.True(p.t, ok)
 	require.Equal(p.t, want, at)
 	p.now = at
@@ -61,16 +61,16 @@
 }
 
 func (p *player) heard(session uint64, kind EventKind, revision uint64) []Action {
-	return p.m.Heard(p.now, session, Event{Kind: kind, Revision: revision})
+	return p.m.HandleEvent(p.now, session, Event{Kind: kind, Revision: revision})
 }
 
 func (p *player) ended(session uint64, reason Reason) []Action {
-	return p.m.Ended(p.now, session, End{Reason: reason})
+	return p.m.HandleEnd(p.now, session, End{Reason: reason})
 }
 
-func accepts(session uint64) []Action { return []Action{{Do: Accept, Session: session}} }
+func accepts(session uint64) []Action { return []Action{{Type: Accept, Session: session}} }
 
-func closes(session uint64) []Action { return []Action{{Do: Close, Session: session}} }
+func closes(session uint64) []Action { return []Action{{Type: Close, Session: session}} }
 
 // opened gives a machine with a session at the replica of a rank, those before it having failed.
 func opened(t *testing.T, n, rank int) (*player, uint64) {
@@ -89,7 +89,7 @@
 
 func TestWithoutReplicas(t *testing.T) {
 	m := New(0, Options{Random: func() float64 { return half }})
-	_, ok := m.Wake()
+	_, ok := m.NextTick()
 	require.False(t, ok)
 	require.Empty(t, m.Tick(1e9))
 }
@@ -97,8 +97,8 @@
 // The first attempt comes after a wait of its own, which is no backoff.
 func TestStart(t *testing.T) {
 	self, replicas := ordered(1)
-	m := New(7, Options{Self: self, Replicas: replicas, Timing: Timing{StartWithin: 200}, Random: func() float64 { return half }})
-	at, ok := m.Wake()
+	m := New(7, Options{Self: self, Replicas: replicas, Timing: Timing{MaxStartDelay: 200}, Random: func() float64 { return half }})
+	at, ok := m.NextTick()
 	require.True(t, ok)
 	require.Equal(t, control.Micros(107), at)
 }
@@ -173,16 +173,16 @@
 // Where the replica sends heartbeats seldom more time is given; a later statement holds.
 func TestSlowHeartbeats(t *testing.T) {
 	p, s := opened(t, 2, 0)
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 7e6}))
-	at, _ := p.m.Wake()
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 7e6}))
+	at, _ := p.m.NextTick()
 	require.Equal(t, p.now+21e6, at)
 	require.Empty(t, p.m.Tick(at-1))
 	p.now = at - 1
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1 << 62}))
-	at, _ = p.m.Wake()
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 1e6}))
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 1 << 62}))
+	at, _ = p.m.NextTick()
 	require.Equal(t, p.now+90e6, at)
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Every: 1e6}))
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, HeartbeatInterval: 1e6}))
 	require.Equal(t, closes(s), p.wake(p.now+5e6))
 }
 
@@ -190,13 +190,13 @@
 func TestComeBackSoon(t *testing.T) {
 	p := play(t, 2, 0, 0)
 	at := control.Micros(5e5)
-	for range SameTries - 1 {
+	for range FirstRoundAttempts - 1 {
 		s := p.connects(0, 0, p.wake(at))
-		require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 5e6}))
+		require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 5e6}))
 		at = p.now + 5e6
 	}
 	s := p.connects(0, 0, p.wake(at))
-	require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 5e6}))
+	require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 5e6}))
 	p.connects(1, 0, p.wake(p.now+5e5))
 }
 
@@ -204,10 +204,10 @@
 func TestComeBackLater(t *testing.T) {
 	p := play(t, 2, 0, 0)
 	s := p.connects(0, 0, p.wake(5e5))
-	require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 20e6}))
+	require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 20e6}))
 	until := p.now + 20e6
 	for p.now < until {
-		at, _ := p.m.Wake()
+		at, _ := p.m.NextTick()
 		p.now = at
 		for _, a := range p.m.Tick(at) {
 			if at < until {
@@ -219,9 +219,9 @@
 	// And where all have said so, the first that may be asked is.
 	p = play(t, 2, 0, 0)
 	s = p.connects(0, 0, p.wake(5e5))
-	require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 20e6}))
+	require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 20e6}))
 	s = p.connects(1, 0, p.wake(p.now+5e5))
-	require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 30e6}))
+	require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 30e6}))
 	require.Empty(t, p.wake(p.now+1e6))
 	p.connects(0, 0, p.wake(205e5))
 }
@@ -237,7 +237,7 @@
 	require.Empty(t, p.ended(s, Behind))
 	// Alone it is asked again after BehindWait and half of it, if the backoff is shorter.
 	p = play(t, 1, 10, 10)
-	p.m.timing.BehindWait = 2e6
+	p.m.timing.BehindHold = 2e6
 	s = p.connects(0, 10, p.wake(5e5))
 	begun := p.now
 	require.Empty(t, p.ended(s, Behind))
@@ -252,7 +252,7 @@
 	require.Equal(t, closes(s), p.heard(s, Snapshot, 9))
 	s = p.connects(1, 0, p.wake(p.now+5e5))
 	require.Equal(t, accepts(s), p.heard(s, Snapshot, 10))
-	require.Equal(t, uint64(10), p.m.Seen())
+	require.Equal(t, uint64(10), p.m.HighestRevision())
 }
 
 // A resumed session that answers with less than was asked for isn't taken either.
@@ -260,7 +260,7 @@
 	p := play(t, 2, 10, 10)
 	s := p.connects(0, 10, p.wake(5e5))
 	require.Equal(t, closes(s), p.heard(s, Heartbeat, 9))
-	require.Equal(t, uint64(10), p.m.Seen())
+	require.Equal(t, uint64(10), p.m.HighestRevision())
 }
 
 // Whoever breaks the protocol isn't tried for a time: revisions that fall, a first event that is no snapshot, no control machine.
@@ -268,18 +268,18 @@
 	p, s := opened(t, 1, 0)
 	require.Equal(t, accepts(s), p.heard(s, Change, 12))
 	require.Equal(t, closes(s), p.heard(s, Heartbeat, 11))
-	require.Equal(t, uint64(12), p.m.Seen())
+	require.Equal(t, uint64(12), p.m.HighestRevision())
 	require.Empty(t, p.wake(p.now+1e6)) // the wait of the second round
 	s = p.connects(0, 12, p.wake(p.now+24e6))
 	refusedAt := p.now
-	require.Empty(t, p.ended(s, Refused))
+	require.Empty(t, p.ended(s, ProtocolError))
 	require.Empty(t, p.wake(p.now+2e6)) // and of the third
 	p.connects(0, 12, p.wake(refusedAt+25e6))
 
 	p = play(t, 1, 0, 0)
 	s = p.connects(0, 0, p.wake(5e5))
 	require.Equal(t, closes(s), p.heard(s, Change, 3))
-	require.Equal(t, uint64(0), p.m.Seen())
+	require.Equal(t, uint64(0), p.m.HighestRevision())
 }
 
 // What brings nothing new is not handed on.
@@ -318,7 +318,7 @@
 	p.t.Helper()
 	for p.now+2e6 < until {
 		p.now += 2e6
-		require.Empty(p.t, p.m.Heard(p.now, session, e))
+		require.Empty(p.t, p.m.HandleEvent(p.now, session, e))
 	}
 }
 
@@ -345,7 +345,7 @@
 	require.Equal(t, accepts(back), p.heard(back, Change, 13))
 	current, _ = p.m.Current()
 	require.Equal(t, p.m.replicas[0], current)
-	at, _ := p.m.Wake()
+	at, _ := p.m.NextTick()
 	require.Equal(t, p.now+5e6, at) // with the preferred one nothing more is tried
 }
 
@@ -377,10 +377,10 @@
 // A live session that is sent away is resumed at the same replica when it said, if that is soon.
 func TestSentAway(t *testing.T) {
 	p, s := opened(t, 2, 0)
-	require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 2e6}))
+	require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 2e6}))
 	p.connects(0, 10, p.wake(p.now+2e6))
 	p, s = opened(t, 2, 0)
-	require.Empty(t, p.m.Ended(p.now, s, End{ComeBack, 20e6}))
+	require.Empty(t, p.m.HandleEnd(p.now, s, End{RetryLater, 20e6}))
 	p.connects(1, 10, p.wake(p.now+5e5))
 }
 
@@ -399,12 +399,12 @@
 // A replica long without a leader is left only for one that has a leader; until then the session goes on.
 func TestLeaderless(t *testing.T) {
 	p, s := opened(t, 3, 0)
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6})) // not yet long
-	at, _ := p.m.Wake()
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 4e6})) // not yet long
+	at, _ := p.m.NextTick()
 	require.Equal(t, p.now+5e6, at)
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 4e6 + 1}))
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 4e6 + 1}))
 	other := p.connects(1, 10, p.wake(p.now+5e5))
-	require.Equal(t, closes(other), p.m.Heard(p.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 9e6})) // no better
+	require.Equal(t, closes(other), p.m.HandleEvent(p.now, other, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 9e6})) // no better
 	other = p.connects(2, 10, p.wake(p.now+5e5))
 	require.Equal(t, closes(s), p.heard(other, Heartbeat, 10))
 	current, _ := p.m.Current()
@@ -420,32 +420,32 @@
 // is good again once there is a leader.
 func TestLeaderlessAlone(t *testing.T) {
 	p, s := opened(t, 2, 0)
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	for _, bound := range []control.Micros{1e6, 2e6, 4e6, 6e6, 6e6} {
 		other := p.connects(1, 10, p.wake(p.now+bound/2))
 		require.Empty(t, p.ended(other, Lost))
-		require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+		require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 		require.Empty(t, p.wake(p.now+bound/2))
-		require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+		require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	}
 	require.Equal(t, accepts(s), p.heard(s, Heartbeat, 11))
-	at, _ := p.m.Wake()
+	at, _ := p.m.NextTick()
 	require.Equal(t, p.now+5e6, at)
 }
 
 // A replica that turned out to have no leader either is not tried again for a time, others are.
 func TestLeaderlessHold(t *testing.T) {
 	p, s := opened(t, 3, 0)
-	require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	other := p.connects(1, 10, p.wake(p.now+5e5))
-	require.Equal(t, closes(other), p.m.Heard(p.now, other, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+	require.Equal(t, closes(other), p.m.HandleEvent(p.now, other, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 	until := p.now + timing.LeaderlessHold
 	tried := map[string]int{}
 	for p.now < until+3*timing.BackoffCap {
-		at, _ := p.m.Wake()
+		at, _ := p.m.NextTick()
 		p.now = min(at, p.now+2e6)
 		if p.now < at {
-			require.Empty(t, p.m.Heard(p.now, s, Event{Kind: Heartbeat, Revision: 10, Leaderless: 5e6}))
+			require.Empty(t, p.m.HandleEvent(p.now, s, Event{Kind: Heartbeat, Revision: 10, LeaderlessFor: 5e6}))
 			continue
 		}
 		for _, a := range p.m.Tick(p.now) {
--- a/control/warm/warm.go
+++ b/control/warm/warm.go
@@ -46,15 +46,15 @@
 	NoSuchValue Doubt = "it holds values that none can be"
 )
 
-// Memory is what is kept between two starts.
-type Memory struct {
+// SavedState is what is kept between two starts.
+type SavedState struct {
 	Settings string          `json:"settings"` // names the settings that it was learned under
 	Learned  control.Learned `json:"learned"`
 }
 
-// Recall gives what of a memory counts at a time under settings, and what casts doubt on it. With nothing to recall ok is
+// Restore gives what of a memory counts at a time under settings, and what casts doubt on it. With nothing to recall ok is
 // unset.
-func Recall(m *Memory, now control.Micros, settings string) (l control.Learned, doubt Doubt, ok bool) {
+func Restore(m *SavedState, now control.Micros, settings string) (l control.Learned, doubt Doubt, ok bool) {
 	if m == nil {
 		return l, NoMemory, false
 	}
--- a/control/warm/warm_test.go
+++ b/control/warm/warm_test.go
@@ -20,8 +20,8 @@
 
 const now = control.Micros(1.8e15)
 
-func memory(at control.Micros) *Memory {
-	return &Memory{Settings: "a", Learned: control.Learned{At: at, BaseDelay: 60000, LossRate: 0.02, BestRate: 4, WorthMix: []float64{1, 2},
+func memory(at control.Micros) *SavedState {
+	return &SavedState{Settings: "a", Learned: control.Learned{At: at, BaseDelay: 60000, LossRate: 0.02, BestRate: 4, WorthMix: []float64{1, 2},
 		Servers: []control.LearnedServer{{Server: 7, Since: 5, Wait: 400000, Shed: 0.5, Spare: 12, Total: 40}}}}
 }
 
@@ -37,7 +37,7 @@
 		{6, 100000, 0.5 * math.Exp2(-6.0/8), -1, 2 * math.Exp2(-0.1), 4 * math.Exp2(-6.0/1800), 60000},
 		{60, 0, 0, -1, 1, 4 * math.Exp2(-60.0/1800), 60000}, {1800, 0, 0, -1, 0, 2, 60000}, {20000, 0, 0, -1, 0, 0, 0},
 	} {
-		l, doubt, ok := Recall(memory(now-control.Micros(row.age*1e6)), now, "a")
+		l, doubt, ok := Restore(memory(now-control.Micros(row.age*1e6)), now, "a")
 		s := l.Servers[0]
 		mix := 0.0
 		if len(l.WorthMix) > 0 {
@@ -55,7 +55,7 @@
 	bad := memory(now)
 	bad.Learned.Servers[0].Wait = math.NaN()
 	for name, row := range map[string]struct {
-		m        *Memory
+		m        *SavedState
 		settings string
 		doubt    Doubt
 		ok       bool
@@ -65,7 +65,7 @@
 		"no time": {memory(0), "a", NoTime, true}, "other settings": {memory(now - 1e6), "b", OtherRules, false},
 		"no number": {bad, "a", NoSuchValue, false},
 	} {
-		l, doubt, ok := Recall(row.m, now, row.settings)
+		l, doubt, ok := Restore(row.m, now, row.settings)
 		if doubt != row.doubt || ok != row.ok {
 			t.Errorf("%s: %q, %t", name, doubt, ok)
 		}
@@ -91,7 +91,7 @@
 		l.BaseDelay, l.LossRate, l.BestRate = value(t, "base"), value(t, "loss"), value(t, "unit")
 		s := &l.Servers[0]
 		s.Wait, s.Shed, s.Spare, s.Total = value(t, "wait"), value(t, "thin"), value(t, "spare"), value(t, "total")
-		got, _, ok := Recall(m, control.Micros(rapid.Int64().Draw(t, "now")), "a")
+		got, _, ok := Restore(m, control.Micros(rapid.Int64().Draw(t, "now")), "a")
 		if !ok {
 			return
 		}
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -25,7 +25,7 @@
 	seconds := func(m control.Micros) float64 { return float64(m) / 1e6 }
 	for name, want := range map[string]float64{
 		"lease_every":            seconds(quota.RenewInterval),
-		"heartbeat_within":       seconds(session.DefaultHeartbeatWithin),
+		"heartbeat_within":       seconds(session.DefaultHeartbeatTimeout),
 		"register_every":         seconds(fleet.Topics[registers.Rates].MinInterval),
 		"register_stale":         seconds(fleet.Topics[registers.Rates].MaxAge),
 		"evidence_every":         seconds(fleet.Topics[registers.Evidence].MinInterval),
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -43,9 +43,9 @@
 	}
 	hint := ""
 	switch parts := strings.Split(key, "/"); e.Fault {
-	case scope.NoScope:
+	case scope.UnknownScope:
 		hint = jsonfile.Hint(parts[1], scopeKinds())
-	case scope.NoSection:
+	case scope.UnknownSection:
 		hint = jsonfile.Hint(parts[len(parts)-1], scope.Sections())
 	}
 	return jsonfile.Faults{{File: key, What: "is no key of settings" + hint + ": " + e.Advice()}}
--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -243,7 +243,7 @@
 	for _, s := range c.shards {
 		s.mu.Lock()
 		if s.landmark != math.MinInt64 && s.numbers.Total() > 0 {
-			parts = append(parts, s.numbers.Rated(c.perS(s, now)))
+			parts = append(parts, s.numbers.Scaled(c.perS(s, now)))
 		}
 		s.mu.Unlock()
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -211,7 +211,7 @@
 		switch {
 		case c.Reaped:
 			log.Info("fleet: member forgotten")
-		case c.Fresh:
+		case c.Joined:
 			log.Info("fleet: member met")
 		case c.Health == fleetview.Dead:
 			log.Warn("fleet: member given up")
@@ -238,7 +238,7 @@
 	f.mu.Lock()
 	servers := f.view.Self().Servers
 	f.mu.Unlock()
-	f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: s, Servers: servers}})
+	f.apply(fleetview.Event{Kind: fleetview.EventLocalState, Name: f.options.Name, Member: fleetview.Member{State: s, Servers: servers}})
 }
 
 // rejoin tries to join one unreachable member or seed each rejoinInterval. Where none is, and the view has changed of late, it
@@ -248,7 +248,7 @@
 	rng := rand.New(rand.NewPCG(uint64(f.startMicros), uint64(f.net.port)))
 	for first := true; ; first = false {
 		f.mu.Lock()
-		unreachable := f.view.Lost()
+		unreachable := f.view.DeadAddresses()
 		members := f.view.Members()
 		unsettled := time.Since(f.viewChangedAt) < unsettledTime
 		f.mu.Unlock()
@@ -292,7 +292,7 @@
 			return
 		case <-tick.C:
 		}
-		f.apply(fleetview.Event{Kind: fleetview.Tick})
+		f.apply(fleetview.Event{Kind: fleetview.EventTick})
 		if f.options.Summaries == nil {
 			continue
 		}
@@ -305,7 +305,7 @@
 			continue
 		}
 		f.publishedAt = time.Now()
-		f.apply(fleetview.Event{Kind: fleetview.Own, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: seen}})
+		f.apply(fleetview.Event{Kind: fleetview.EventLocalState, Name: f.options.Name, Member: fleetview.Member{State: self.State, Servers: seen}})
 		f.mu.Lock()
 		self = f.view.Self()
 		f.mu.Unlock()
@@ -322,7 +322,7 @@
 // UpNames returns the members that are up in this one's view, itself included, by name.
 func (f *Fleet) UpNames() (names []string) {
 	f.mu.Lock()
-	f.view.EachUp(func(m *fleetview.Member) { names = append(names, m.Name) })
+	f.view.ForEachUp(func(m *fleetview.Member) { names = append(names, m.Name) })
 	f.mu.Unlock()
 	slices.Sort(names)
 	return names
@@ -438,7 +438,7 @@
 		}
 		return
 	}
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Published, Name: s.Name,
+	d.fleet().apply(fleetview.Event{Kind: fleetview.EventSummaries, Name: s.Name,
 		Member: fleetview.Member{Start: s.Start, ServersSeq: s.Seq, Servers: s.Servers}})
 }
 
@@ -495,7 +495,7 @@
 		d.log.WithField("member", n.Name).Warn("fleet: member tells nothing that can be read of itself; is it a gatekeeper of this version?")
 		return
 	}
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Met, Name: n.Name, Member: fleetview.Member{Zone: m.Zone, Region: m.Region,
+	d.fleet().apply(fleetview.Event{Kind: fleetview.EventAlive, Name: n.Name, Member: fleetview.Member{Zone: m.Zone, Region: m.Region,
 		Program: m.Program, Start: m.Start, Seq: m.Seq, State: m.State, Address: n.Address()}})
 }
 
@@ -508,10 +508,10 @@
 // NotifyLeave implements memberlist.EventDelegate: the library calls it for dead members and for those that left. A member
 // that left had published the state Leaving before.
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	kind := fleetview.Died
+	kind := fleetview.EventDead
 	var m meta
 	if decoding.Unmarshal(n.Meta, &m) == nil && m.State == fleetview.Leaving {
-		kind = fleetview.Went
+		kind = fleetview.EventLeft
 	}
 	d.fleet().apply(fleetview.Event{Kind: kind, Name: n.Name})
 }
@@ -527,7 +527,7 @@
 
 // NotifyPingComplete implements memberlist.PingDelegate.
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.fleet().apply(fleetview.Event{Kind: fleetview.Answered, Name: n.Name})
+	d.fleet().apply(fleetview.Event{Kind: fleetview.EventProbeAnswered, Name: n.Name})
 }
 
 // suspectLine finds in the library's log that a probe was not answered: the library reports it nowhere else (v0.7.0, state.go,
@@ -542,7 +542,7 @@
 func (l libraryLog) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	if m := suspectLine.FindStringSubmatch(text); m != nil {
-		l.f.apply(fleetview.Event{Kind: fleetview.Suspected, Name: m[1]})
+		l.f.apply(fleetview.Event{Kind: fleetview.EventSuspected, Name: m[1]})
 	}
 	switch level, what, _ := strings.Cut(text, " "); level {
 	case "[ERR]", "[WARN]":
--- a/internal/fleet/registers.go
+++ b/internal/fleet/registers.go
@@ -112,7 +112,7 @@
 func (f *Fleet) Read(t registers.Topic) []registers.Register {
 	starts := map[string]uint64{}
 	f.mu.Lock()
-	f.view.EachUp(func(m *fleetview.Member) { starts[m.Name] = m.Start })
+	f.view.ForEachUp(func(m *fleetview.Member) { starts[m.Name] = m.Start })
 	f.mu.Unlock()
 	f.registersMu.Lock()
 	defer f.registersMu.Unlock()
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -32,8 +32,8 @@
 
 // timing for control machines that send a heartbeat each 50 ms. The bounds leave room for a busy machine.
 var realTiming = session.Timing{
-	StartWithin: 50e3, ConnectWithin: 3e6, HeartbeatWithin: 2e6, BackoffBase: 50e3, BackoffCap: 500e3, StableAfter: 500e3, ReturnEvery: 1e6,
-	LeaderlessAfter: 3e6, LeaderlessHold: 1e6, BehindWait: 50e3, ComeBackWait: 5e6, FaultHold: 1e6,
+	MaxStartDelay: 50e3, ConnectTimeout: 3e6, HeartbeatTimeout: 2e6, BackoffBase: 50e3, BackoffCap: 500e3, StableAfter: 500e3, ReturnInterval: 1e6,
+	LeaderlessAfter: 3e6, LeaderlessHold: 1e6, BehindHold: 50e3, MaxRetryAfter: 5e6, FaultHold: 1e6,
 }
 
 // startControls starts voters and then non-voters. Machine i is in zone zi, all in region r1.
@@ -332,7 +332,7 @@
 func TestControlCutsOff(t *testing.T) {
 	c := startControls(t, 3, 0, store.ServeOptions{HistorySize: 4})
 	a := &checked{t: t}
-	f := c.follow(a, Options{Timing: session.Timing{BackoffBase: 50e3, HeartbeatWithin: 60e6, ConnectWithin: 60e6, ReturnEvery: 3600e6}})
+	f := c.follow(a, Options{Timing: session.Timing{BackoffBase: 50e3, HeartbeatTimeout: 60e6, ConnectTimeout: 60e6, ReturnInterval: 3600e6}})
 	has(t, f, a, "1", c.all(0, "1"))
 	hold := make(chan struct{})
 	a.mu.Lock()
--- a/internal/follow/disk.go
+++ b/internal/follow/disk.go
@@ -266,6 +266,6 @@
 
 // saveSeen keeps the highest revision seen.
 func (f *Follower) saveSeen() {
-	f.disk.write(seenFile, seen{f.word(), f.settings.recordsAt, f.machine.Seen()}, false)
+	f.disk.write(seenFile, seen{f.word(), f.settings.recordsAt, f.machine.HighestRevision()}, false)
 	f.disk.seenAt = time.Now()
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -80,7 +80,7 @@
 	}
 	held, seen := f.restore()
 	f.machine = session.New(f.now(), session.Options{
-		Self: o.Self, Replicas: o.Replicas, Timing: o.Timing, Random: o.random(), Held: held, Seen: seen,
+		Self: o.Self, Replicas: o.Replicas, Timing: o.Timing, Random: o.random(), HeldRevision: held, HighestRevision: seen,
 	})
 	f.publish()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -180,7 +180,7 @@
 	return all
 }
 
-var quick = session.Timing{StartWithin: 1e3, BackoffBase: 1e3, BackoffCap: 10e3, BehindWait: 1e3, ConnectWithin: 20e6, HeartbeatWithin: 20e6, ReturnEvery: 3600e6}
+var quick = session.Timing{MaxStartDelay: 1e3, BackoffBase: 1e3, BackoffCap: 10e3, BehindHold: 1e3, ConnectTimeout: 20e6, HeartbeatTimeout: 20e6, ReturnInterval: 3600e6}
 
 func start(t *testing.T, s *scripted, a *applied, o Options) *Follower {
 	t.Helper()
@@ -271,7 +271,7 @@
 func TestSlowApply(t *testing.T) {
 	s := newScripted(t)
 	timing := quick
-	timing.HeartbeatWithin = 300e3
+	timing.HeartbeatTimeout = 300e3
 	f, err := open(Options{Self: self, Replicas: replicas(3), Log: quiet(), Seed: 1, Timing: timing, Apply: func(Candidate) error {
 		time.Sleep(time.Second)
 		return nil
@@ -342,7 +342,7 @@
 		timing := quick
 		timing.FaultHold, timing.BackoffBase = 3600e6, 50e3
 		if end.left {
-			timing.BehindWait = 3600e6
+			timing.BehindHold = 3600e6
 		}
 		f := start(t, s, a, Options{Timing: timing})
 		c := s.next()
--- a/internal/follow/idle_test.go
+++ b/internal/follow/idle_test.go
@@ -133,7 +133,7 @@
 			Self:     scope.Target{Name: fmt.Sprintf("gatekeeper-%04d", i), Region: "r", Zone: "z", Service: "s"},
 			Replicas: []session.Replica{{Name: "c0", Address: address, Zone: "z", Region: "r"}},
 			Dial:     dial, Apply: func(Candidate) error { return nil }, Log: quiet(), Seed: 1,
-			Timing: session.Timing{HeartbeatWithin: 30e6, ConnectWithin: 30e6},
+			Timing: session.Timing{HeartbeatTimeout: 30e6, ConnectTimeout: 30e6},
 		})
 		require.NoError(tb, err)
 		all = append(all, f)
--- a/internal/follow/run.go
+++ b/internal/follow/run.go
@@ -41,7 +41,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if at, ok := f.machine.Wake(); ok {
+		if at, ok := f.machine.NextTick(); ok {
 			timer.Reset(time.Duration(at-f.now()) * time.Microsecond)
 		}
 		select {
@@ -85,9 +85,9 @@
 func (f *Follower) take(ctx context.Context, a arrival) {
 	if a.event != nil {
 		e := session.Event{
-			Kind: kindOf(a.event.Kind), Revision: a.event.Revision, Leaderless: micros(a.event.Age), Every: micros(a.event.Every),
+			Kind: kindOf(a.event.Kind), Revision: a.event.Revision, LeaderlessFor: micros(a.event.Age), HeartbeatInterval: micros(a.event.Every),
 		}
-		f.carryOut(ctx, f.machine.Heard(f.now(), a.session, e), a.event)
+		f.carryOut(ctx, f.machine.HandleEvent(f.now(), a.session, e), a.event)
 		f.heard(a)
 		return
 	}
@@ -98,7 +98,7 @@
 	w.cancel()
 	delete(f.open, a.session)
 	f.setFault(w, a.end)
-	f.carryOut(ctx, f.machine.Ended(f.now(), a.session, endOf(a.end)), nil)
+	f.carryOut(ctx, f.machine.HandleEnd(f.now(), a.session, endOf(a.end)), nil)
 }
 
 func kindOf(k store.WatchKind) session.EventKind {
@@ -114,7 +114,7 @@
 // carryOut carries out actions; the event is the one that led to them, if any.
 func (f *Follower) carryOut(ctx context.Context, actions []session.Action, e *store.WatchEvent) {
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Type {
 		case session.Connect:
 			f.connect(ctx, a)
 		case session.Close:
@@ -136,7 +136,7 @@
 	if e == nil {
 		f.setFault(w, &NoAnswerError{})
 	} else {
-		f.setFault(w, &UnusableError{Revision: e.Revision, Seen: f.machine.Seen()})
+		f.setFault(w, &UnusableError{Revision: e.Revision, Seen: f.machine.HighestRevision()})
 	}
 }
 
@@ -152,7 +152,7 @@
 	f.open[a.Session] = w
 	self := f.options.Self
 	request := store.WatchRequest{
-		Prefixes: self.Prefixes(), After: a.After,
+		Prefixes: self.Prefixes(), After: a.StartRevision,
 		Session: store.SessionInfo{Name: self.Name, Region: self.Region, Zone: self.Zone, Service: self.Service},
 	}
 	f.work.Add(1)
@@ -256,7 +256,7 @@
 	var full *store.SessionsFull
 	switch {
 	case errors.As(err, &back):
-		return session.End{Reason: session.ComeBack, After: micros(back.After)}
+		return session.End{Reason: session.RetryLater, RetryAfter: micros(back.After)}
 	case errors.As(err, &behind):
 		return session.End{Reason: session.Behind}
 	case errors.As(err, &slow):
@@ -264,7 +264,7 @@
 	case errors.As(err, &full):
 		return session.End{Reason: session.Full}
 	case errors.As(err, &control), errors.As(err, &request):
-		return session.End{Reason: session.Refused}
+		return session.End{Reason: session.ProtocolError}
 	}
 	return session.End{Reason: session.Lost}
 }
--- a/internal/follow/status.go
+++ b/internal/follow/status.go
@@ -87,7 +87,7 @@
 	s := &f.status
 	wasConnected, was := s.Connected, s.Replica
 	s.InForce, s.Since, s.Sections = f.settings.inForce.Revision, f.settings.since, f.settings.listed
-	s.Seen = f.machine.Seen()
+	s.Seen = f.machine.HighestRevision()
 	s.Connected, s.Replica = connected, replica.Name
 	s.Fault, s.Advice = f.fault, f.advice
 	if connected {
@@ -100,7 +100,7 @@
 	f.mu.Unlock()
 	switch {
 	case connected && (!wasConnected || was != replica.Name):
-		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.Seen()}).Info("settings are followed")
+		f.log.WithFields(logrus.Fields{"replica": replica.Name, "revision": f.machine.HighestRevision()}).Info("settings are followed")
 	case !connected && wasConnected:
 		f.log.WithFields(logrus.Fields{"replica": was, "fault": f.fault, "advice": f.advice}).
 			Warn("no control machine is connected: settings stay as they are")
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -364,7 +364,7 @@
 		v := fleetview.New(viewMember(0, 1), 1e6, 60e6)
 		for i := 1; i < n; i++ {
 			m := viewMember(i, 1)
-			v.Apply(1e6, fleetview.Event{Kind: fleetview.Met, Name: m.Name, Member: m})
+			v.Apply(1e6, fleetview.Event{Kind: fleetview.EventAlive, Name: m.Name, Member: m})
 		}
 		if got := len(v.Members()); got != n {
 			return nil, "", fmt.Errorf("the view has %d members", got)
@@ -380,8 +380,8 @@
 // applyOne lets a member be suspected and answer again: two events.
 func applyOne(v *fleetview.View, i int) {
 	name := fmt.Sprintf("gatekeeper-%04d", i)
-	v.Apply(2e6, fleetview.Event{Kind: fleetview.Suspected, Name: name})
-	v.Apply(2e6, fleetview.Event{Kind: fleetview.Answered, Name: name})
+	v.Apply(2e6, fleetview.Event{Kind: fleetview.EventSuspected, Name: name})
+	v.Apply(2e6, fleetview.Event{Kind: fleetview.EventProbeAnswered, Name: name})
 }
 
 // judge makes a round of a bench: members that each tell of some servers on a list of servers, all well.
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -145,8 +145,8 @@
 		sendSetup(c, id, key, 4000)
 		require.Equal(t, id+"ready", receive(t, answers))
 	}
-	n.startDrain((*drain.Drain).End) // like Drain while a pending answer delays its end
-	time.Sleep(time.Duration(drain.Cut)*time.Microsecond + 5*sweepInterval)
+	n.startDrain((*drain.Drain).Shutdown) // like Drain while a pending answer delays its end
+	time.Sleep(time.Duration(drain.ReleaseDelay)*time.Microsecond + 5*sweepInterval)
 	close(release)
 	require.Equal(t, "0000000000000002close", receive(t, answers))
 	if n := server.Count(siptest.Is("BYE")); n != 0 || len(answers) != 0 {
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -58,7 +58,7 @@
 		n.log.WithError(err).Warn("memory can't be read: started without it")
 	}
 	now := n.core.Now()
-	learned, doubt, ok := warm.Recall(memory, now, settingsHash(n.cfg.Site))
+	learned, doubt, ok := warm.Restore(memory, now, settingsHash(n.cfg.Site))
 	if !ok {
 		if memory != nil {
 			n.log.WithField("why", doubt).Info("started without the memory")
@@ -89,7 +89,7 @@
 		n.core.Learned(func(l control.Learned) { learned <- l })
 		select {
 		case l := <-learned:
-			err := writeMemory(file, &warm.Memory{Settings: name, Learned: l})
+			err := writeMemory(file, &warm.SavedState{Settings: name, Learned: l})
 			if err != nil && !failed {
 				n.log.WithError(err).Warn("memory can't be written")
 			}
@@ -103,7 +103,7 @@
 // writeMemory replaces the file atomically: a line with the checksum, then JSON. The file is not synced, since its content is
 // valid only for seconds. During a hand-over two processes may write at the same time, so each writes a temporary file of its
 // own and renames it.
-func writeMemory(file string, m *warm.Memory) error {
+func writeMemory(file string, m *warm.SavedState) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 }
 
 // readMemory reads a file that writeMemory wrote, and checks its checksum.
-func readMemory(file string) (*warm.Memory, error) {
+func readMemory(file string) (*warm.SavedState, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	if string(checksum) != fmt.Sprintf("%016x", xxhash.Sum64(text)) {
 		return nil, fmt.Errorf("%s: its checksum is wrong", file)
 	}
-	m := &warm.Memory{}
+	m := &warm.SavedState{}
 	if err := json.Unmarshal(text, m); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	memory := func(age time.Duration, settings string) *warm.Memory {
-		return &warm.Memory{Settings: settings, Learned: control.Learned{At: control.Micros(time.Now().Add(-age).UnixMicro()), BaseDelay: 20000,
+	memory := func(age time.Duration, settings string) *warm.SavedState {
+		return &warm.SavedState{Settings: settings, Learned: control.Learned{At: control.Micros(time.Now().Add(-age).UnixMicro()), BaseDelay: 20000,
 			Servers: []control.LearnedServer{{Server: 7, Wait: 3e6, Spare: -1}}}}
 	}
 	for name, row := range map[string]struct {
@@ -126,7 +126,7 @@
 			t.Errorf("process %d: %s, want %s", i, got, want)
 		}
 		if i == 0 { // simulates what the first process learned
-			m := &warm.Memory{Settings: settingsHash(cfg.Site), Learned: control.Learned{At: n.core.Now(), BaseDelay: 20000,
+			m := &warm.SavedState{Settings: settingsHash(cfg.Site), Learned: control.Learned{At: n.core.Now(), BaseDelay: 20000,
 				Servers: []control.LearnedServer{{Server: 7, Wait: 3e6, Spare: -1}}}}
 			n.stop() // stop writing the memory
 			if err := writeMemory(n.memoryFile(), m); err != nil {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -47,7 +47,7 @@
 
 // addFleet registers the metrics of the fleet's membership view. They exist only where the fleet is enabled.
 func (e *exporter) addFleet(v *fleet.Fleet) {
-	for _, h := range fleetview.Healths {
+	for _, h := range fleetview.AllHealths {
 		e.set.NewGauge(fmt.Sprintf("proxy_fleet_members{state=%q}", h), func() float64 {
 			n, _ := v.Count(h)
 			return float64(n)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -85,8 +85,8 @@
 		if state.Ready() {
 			continue
 		}
-		n.front.Sweep(func(lastUsed time.Time, pending, established bool) drain.Verdict {
-			return state.Connection(elapsed, control.Micros(lastUsed.Sub(n.ops.started)/time.Microsecond), pending, established)
+		n.front.Sweep(func(lastUsed time.Time, pending, established bool) drain.Decision {
+			return state.DecideConnection(elapsed, control.Micros(lastUsed.Sub(n.ops.started)/time.Microsecond), pending, established)
 		})
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -40,7 +40,7 @@
 func (n *Node) Drain() {
 	n.log.Info("draining: answering the accepted calls")
 	n.core.Note(history.Event{Kind: history.Draining})
-	n.startDrain((*drain.Drain).End)
+	n.startDrain((*drain.Drain).Shutdown)
 	n.publishState(fleetview.Leaving)
 	if n.agent != nil {
 		n.agent.Drain()
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -93,7 +93,7 @@
 // Sweep carries out what decide says of each connection; it hears when one was last used, whether an answer to a
 // set-up is owed on it, and whether a call that came on it stands. Calls released here are told to both sides: the
 // server by the core, the caller on the connection, before it closes.
-func (f *Front) Sweep(decide func(used time.Time, owed, standing bool) drain.Verdict) {
+func (f *Front) Sweep(decide func(used time.Time, owed, standing bool) drain.Decision) {
 	f.mu.Lock()
 	conns := slices.Clone(f.conns)
 	f.mu.Unlock()
@@ -101,7 +101,7 @@
 		switch decide(c.Used(), c.Held(), c.InUse() && !c.Held()) {
 		case drain.Close:
 			c.FinishIdle()
-		case drain.Release:
+		case drain.ReleaseCalls:
 			for _, id := range f.standing(c) {
 				f.core.Hangup(id, causeNormal, nil, func(bool) {})
 				c.send(Message{Type: "close", ID: id, Code: causeNormal})
--- a/internal/protocol/jsonl/jsonl_test.go
+++ b/internal/protocol/jsonl/jsonl_test.go
@@ -360,7 +360,7 @@
 	io.WriteString(near, `{"msg":"probe","sid":"`+id+`","attrs":{},"code":0}`+"\n")
 	r := bufio.NewReader(near)
 	b.line(r) // it is served, and idle
-	b.front.Sweep(func(time.Time, bool, bool) drain.Verdict { return drain.Close })
+	b.front.Sweep(func(time.Time, bool, bool) drain.Decision { return drain.Close })
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Fatalf("after the close began: %v", err)
 	}
--- a/internal/protocol/jsonl/model_test.go
+++ b/internal/protocol/jsonl/model_test.go
@@ -188,9 +188,9 @@
 				slowed = true
 			case step == "drain":
 				f.Drain()
-				f.Sweep(func(_ time.Time, owed, standing bool) drain.Verdict {
+				f.Sweep(func(_ time.Time, owed, standing bool) drain.Decision {
 					if owed {
-						return drain.Keep
+						return drain.KeepOpen
 					}
 					return drain.Close
 				})
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -69,13 +69,13 @@
 		return "", err
 	}
 	g := n.group(ctx, f.Configuration())
-	var do member.Do
+	var do member.Change
 	var err error
 	switch c.Do {
 	case MemberAdd:
 		do, err = g.Add(c.Node, c.Address)
 	case MemberPromote:
-		do, err = g.MayVote(c.Node)
+		do, err = g.Promote(c.Node)
 	case MemberRemove:
 		do, err = g.Remove(c.Node, c.Force)
 	default:
@@ -89,7 +89,7 @@
 
 // carryOut makes a change that was allowed, if the members are still those that it was decided on: raft refuses it when
 // the configuration has another index by then, so two changes at once can't both be made.
-func (n *Node) carryOut(do member.Do, c MemberChange, was raft.Configuration, index uint64) error {
+func (n *Node) carryOut(do member.Change, c MemberChange, was raft.Configuration, index uint64) error {
 	id, address := raft.ServerID(c.Node), raft.ServerAddress(c.Address)
 	voter := false
 	for _, s := range was.Servers {
@@ -101,11 +101,11 @@
 		}
 	}
 	switch {
-	case do == member.AddOne, do == member.MoveOne && !voter:
+	case do == member.AddLearner, do == member.ChangeAddress && !voter:
 		return n.raft.AddNonvoter(id, address, index, applyWithin).Error()
-	case do == member.Promote, do == member.MoveOne:
+	case do == member.PromoteLearner, do == member.ChangeAddress:
 		return n.raft.AddVoter(id, address, index, applyWithin).Error()
-	case do == member.RemoveIt:
+	case do == member.RemoveMember:
 		return n.raft.RemoveServer(id, index, applyWithin).Error()
 	}
 	return nil
@@ -128,7 +128,7 @@
 			m := &g.Members[i]
 			st, err := StatusFrom(ctx, m.Address)
 			if err == nil && st.Node == m.Node {
-				m.Up, m.Behind = true, last-min(st.Last, last)
+				m.Up, m.Lag = true, last-min(st.Last, last)
 			}
 		})
 	}
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -91,7 +91,7 @@
 	s.conn.SetDeadline(time.Time{})
 	floor, _, _ := s.server.history.state()
 	snapshot := s.request.After == 0 || s.request.After < floor
-	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, Snapshot: snapshot}); err != nil {
+	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, NeedsSnapshot: snapshot}); err != nil {
 		return err
 	}
 	s.admitted = true
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -231,7 +231,7 @@
 	case d.Full:
 		return &SessionsFull{s.options.Admission.Sessions}
 	case !d.Admitted:
-		return &ComeBack{duration(d.ComeBackIn)}
+		return &ComeBack{duration(d.RetryAfter)}
 	}
 	return nil
 }
@@ -240,14 +240,14 @@
 func (s *sessionServer) release() {
 	s.admitMu.Lock()
 	defer s.admitMu.Unlock()
-	s.admit.End()
+	s.admit.Release()
 }
 
 // comeBack gives a client that must begin anew, with a snapshot, the time for that.
 func (s *sessionServer) comeBack(client string) error {
 	s.admitMu.Lock()
 	defer s.admitMu.Unlock()
-	return &ComeBack{duration(s.admit.Defer(s.clock(), admission.Request{Client: client, Snapshot: true}))}
+	return &ComeBack{duration(s.admit.Defer(s.clock(), admission.Request{Client: client, NeedsSnapshot: true}))}
 }
 
 func (s *sessionServer) clock() control.Micros {
