--- a/internal/counting/counting.go
+++ b/internal/counting/counting.go
@@ -18,12 +18,12 @@
 	"beammux/control/heavy"
 )
 
-// What is what was seen.
-type What uint8
+// Kind is what was seen.
+type Kind uint8
 
 // What is counted. Arrived and Refused, Failed, Established are of calls; the rest are of attempts at a server.
 const (
-	Arrived What = iota
+	Arrived Kind = iota
 	Established
 	Refused
 	Failed
@@ -34,22 +34,22 @@
 	Full
 	Busy    // a server said that all lines of the number are busy
 	Overdue // an attempt was out for some time without an answer
-	Whats
+	KindCount
 )
 
-var whatNames = [Whats]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
+var whatNames = [KindCount]string{"arrived", "stood", "refused", "failed", "sent", "answered", "timed_out", "errored", "full", "busy", "overdue"}
 
-func (w What) String() string {
-	if w >= Whats {
+func (w Kind) String() string {
+	if w >= KindCount {
 		return "unknown"
 	}
 	return whatNames[w]
 }
 
-// Seen is one thing that was seen. Fields that do not concern it are zero; Class and Tenant are -1 for those that the
+// Event is one thing that was seen. Fields that do not concern it are zero; Class and Tenant are -1 for those that the
 // settings do not name.
-type Seen struct {
-	What   What
+type Event struct {
+	Kind   Kind
 	Class  int
 	Tenant int
 	Number string // counted on Arrived
@@ -61,15 +61,15 @@
 	Classes, Tenants int            // of the settings
 	Numbers          int            // most called numbers that each shard holds; 0: NumbersHeld
 	Shards           int            // 0: twice the threads that run at once
-	Memory           control.Micros // time in which a rate follows a change to 1 - 1/e; 0: Memory
+	DecayTime        control.Micros // time in which a rate follows a change to 1 - 1/e; 0: Memory
 }
 
 // Figures where the options do not say.
 const (
-	NumbersHeld = 256
-	Memory      = control.Micros(2e6)
-	mostServers = 4096 // of more, the rest count as server 0
-	mostExp     = 600  // exponent at which a landmark moves: float64 reaches 709
+	TrackedNumbers = 256
+	DecayTime      = control.Micros(2e6)
+	mostServers    = 4096 // of more, the rest count as server 0
+	mostExp        = 600  // exponent at which a landmark moves: float64 reaches 709
 )
 
 // Counters count. Any goroutine may use them.
@@ -85,10 +85,10 @@
 	landmark control.Micros
 	at       control.Micros // of weight
 	weight   float64
-	classes  [][Whats]float64 // the last one is for those that are not named
-	tenants  [][Whats]float64
+	classes  [][KindCount]float64 // the last one is for those that are not named
+	tenants  [][KindCount]float64
 	servers  map[uint32]int
-	byServer [][Whats]float64
+	byServer [][KindCount]float64
 	numbers  *heavy.Summary
 	_        [64]byte // the next shard's lock is on a line of its own
 }
@@ -102,22 +102,22 @@
 		o.Shards = 2 * runtime.GOMAXPROCS(0)
 	}
 	if o.Numbers <= 0 {
-		o.Numbers = NumbersHeld
+		o.Numbers = TrackedNumbers
 	}
-	if o.Memory <= 0 {
-		o.Memory = Memory
+	if o.DecayTime <= 0 {
+		o.DecayTime = DecayTime
 	}
-	c := &Counters{o: o, decay: 1 / float64(o.Memory)}
+	c := &Counters{o: o, decay: 1 / float64(o.DecayTime)}
 	for range o.Shards {
-		c.shards = append(c.shards, &shard{landmark: math.MinInt64, classes: make([][Whats]float64, o.Classes+1),
-			tenants: make([][Whats]float64, o.Tenants+1), servers: map[uint32]int{}, numbers: heavy.New(o.Numbers)})
+		c.shards = append(c.shards, &shard{landmark: math.MinInt64, classes: make([][KindCount]float64, o.Classes+1),
+			tenants: make([][KindCount]float64, o.Tenants+1), servers: map[uint32]int{}, numbers: heavy.New(o.Numbers)})
 	}
 	c.tokens.New = func() any { return &token{rand.Uint32N(uint32(o.Shards))} }
 	return c
 }
 
 // Observe counts one thing that was seen at a time. Times of one process may come a little out of order.
-func (c *Counters) Observe(now control.Micros, seen Seen) {
+func (c *Counters) Observe(now control.Micros, seen Event) {
 	t := c.tokens.Get().(*token)
 	s := c.shards[t.shard]
 	if !s.mu.TryLock() { // another thread has it: move on
@@ -130,26 +130,26 @@
 	c.tokens.Put(t)
 }
 
-func (c *Counters) count(s *shard, now control.Micros, seen *Seen) {
+func (c *Counters) count(s *shard, now control.Micros, seen *Event) {
 	if s.at != now || s.weight == 0 {
 		c.weigh(s, now)
 	}
 	w := s.weight
-	place(s.classes, seen.Class)[seen.What] += w
-	place(s.tenants, seen.Tenant)[seen.What] += w
+	place(s.classes, seen.Class)[seen.Kind] += w
+	place(s.tenants, seen.Tenant)[seen.Kind] += w
 	if seen.Server != 0 {
 		i, ok := s.servers[seen.Server]
 		if !ok {
 			i = s.server(seen.Server)
 		}
-		s.byServer[i][seen.What] += w
+		s.byServer[i][seen.Kind] += w
 	}
-	if seen.What == Arrived && seen.Number != "" {
+	if seen.Kind == Arrived && seen.Number != "" {
 		s.numbers.Add(seen.Number, w)
 	}
 }
 
-func place(all [][Whats]float64, i int) *[Whats]float64 {
+func place(all [][KindCount]float64, i int) *[KindCount]float64 {
 	if i < 0 || i >= len(all)-1 {
 		i = len(all) - 1
 	}
@@ -164,7 +164,7 @@
 		}
 		id = 0
 	}
-	s.byServer = append(s.byServer, [Whats]float64{})
+	s.byServer = append(s.byServer, [KindCount]float64{})
 	s.servers[id] = len(s.byServer) - 1
 	return s.servers[id]
 }
@@ -177,7 +177,7 @@
 	e := c.decay * float64(now-s.landmark)
 	if e > mostExp {
 		factor := math.Exp(-e)
-		for _, all := range [][][Whats]float64{s.classes, s.tenants, s.byServer} {
+		for _, all := range [][][KindCount]float64{s.classes, s.tenants, s.byServer} {
 			for i := range all {
 				for k := range all[i] {
 					all[i][k] *= factor
@@ -195,7 +195,7 @@
 }
 
 // Counts are rates of one class, tenant or server, a second, by What.
-type Counts [Whats]float64
+type Counts [KindCount]float64
 
 // Rates are what was counted, as rates a second at a time. The last of Classes and Tenants are those that are not named.
 type Rates struct {
@@ -211,7 +211,7 @@
 // Rates adds the shards up, one lock at a time.
 func (c *Counters) Rates(now control.Micros) Rates {
 	r := Rates{Classes: make([]Counts, c.o.Classes+1), Tenants: make([]Counts, c.o.Tenants+1), Servers: map[uint32]Counts{}}
-	add := func(to *Counts, from *[Whats]float64, f float64) {
+	add := func(to *Counts, from *[KindCount]float64, f float64) {
 		for k := range from {
 			to[k] += from[k] * f
 		}
--- a/internal/counting/counting_test.go
+++ b/internal/counting/counting_test.go
@@ -24,8 +24,8 @@
 		all.Go(func() {
 			for i := range perS * seconds {
 				now := control.Micros(1e9 + float64(i)*1e6/perS)
-				c.Observe(now, Seen{What: Arrived, Class: i % 2, Tenant: 0, Number: []string{"hot", fmt.Sprint(i)}[i%2]})
-				c.Observe(now, Seen{What: Answered, Class: i % 2, Tenant: -1, Server: uint32(1 + i%3)})
+				c.Observe(now, Event{Kind: Arrived, Class: i % 2, Tenant: 0, Number: []string{"hot", fmt.Sprint(i)}[i%2]})
+				c.Observe(now, Event{Kind: Answered, Class: i % 2, Tenant: -1, Server: uint32(1 + i%3)})
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 	require.Equal(t, "hot", top.Key)
 	require.GreaterOrEqual(t, top.Count*1.01, float64(threads*perS/2))
 	require.LessOrEqual(t, top.Count-top.Err, threads*perS/2*1.01)
-	later := c.Rates(end + 2*Memory)
+	later := c.Rates(end + 2*DecayTime)
 	require.InEpsilon(t, r.Classes[0][Arrived]*math.Exp(-2), later.Classes[0][Arrived], 0.001, "it decays by its law alone")
 }
 
@@ -52,7 +52,7 @@
 	now := control.Micros(1)
 	for range 10_000 {
 		now += control.Micros(1e6)
-		c.Observe(now, Seen{Class: 0, Tenant: -1, Number: "n", Server: 9})
+		c.Observe(now, Event{Class: 0, Tenant: -1, Number: "n", Server: 9})
 		if r := c.Rates(now); now > 20e6 && math.Abs(r.Classes[0][Arrived]-r.Servers[9][Arrived]) > 1e-9 {
 			t.Fatalf("at %d: %v", now, r)
 		}
@@ -60,7 +60,7 @@
 	steady := 1e6 * c.decay / (1 - math.Exp(-c.decay*1e6)) // one a second, read at once after it came
 	require.InEpsilon(t, steady, c.Rates(now).Classes[0][Arrived], 1e-9)
 	require.InEpsilon(t, steady, c.Numbers(now, 1)[0].Count, 1e-9)
-	c.Observe(now+5e9, Seen{Class: 0, Tenant: -1, Number: "m"})
+	c.Observe(now+5e9, Event{Class: 0, Tenant: -1, Number: "m"})
 	require.InEpsilon(t, 1e6*c.decay, c.Rates(now + 5e9).Classes[0][Arrived], 1e-9)
 	require.Equal(t, "m", c.Numbers(now+5e9, 1)[0].Key)
 }
@@ -71,7 +71,7 @@
 	i := 0
 	see := func() {
 		i++
-		c.Observe(control.Micros(i), Seen{Class: i % 3, Tenant: i % 2, Number: keys[i%len(keys)], Server: uint32(1 + i%8)})
+		c.Observe(control.Micros(i), Event{Class: i % 3, Tenant: i % 2, Number: keys[i%len(keys)], Server: uint32(1 + i%8)})
 	}
 	for range 10_000 {
 		see()
@@ -99,7 +99,7 @@
 					if i++; i >= n {
 						i = 0
 					}
-					c.Observe(control.Micros(i>>4), Seen{Class: i & 1, Tenant: i & 3, Number: keys[i], Server: uint32(1 + i&7)})
+					c.Observe(control.Micros(i>>4), Event{Class: i & 1, Tenant: i & 3, Number: keys[i], Server: uint32(1 + i&7)})
 				}
 			})
 		})
--- a/internal/ejection/ejection.go
+++ b/internal/ejection/ejection.go
@@ -38,9 +38,9 @@
 	renotifyAfter       = control.Micros(500000) // least time between two calls of SetBusyNumber for a number
 )
 
-// LieVariable is an environment variable for the laboratory. It names a file: while that exists, this gatekeeper publishes that
+// FalseEvidenceVariable is an environment variable for the laboratory. It names a file: while that exists, this gatekeeper publishes that
 // every server fails it.
-const LieVariable = "BEAMMUX_LAB_LIE"
+const FalseEvidenceVariable = "BEAMMUX_LAB_LIE"
 
 // Gossip publishes and reads registers. *fleet.Fleet implements it.
 type Gossip interface {
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Monitor{options: o, decoding: read, falseEvidenceFile: os.Getenv(LieVariable), serverTallies: map[uint32]*tally{}, numberTallies: map[string]*numberTally{}, callerTallies: map[string]*tally{}, callerFilter: outlier.NewCallerFilter(), lastNotified: map[string]control.Micros{}, detector: outlier.New(o.Name, o.MaxEjected),
+	return &Monitor{options: o, decoding: read, falseEvidenceFile: os.Getenv(FalseEvidenceVariable), serverTallies: map[uint32]*tally{}, numberTallies: map[string]*numberTally{}, callerTallies: map[string]*tally{}, callerFilter: outlier.NewCallerFilter(), lastNotified: map[string]control.Micros{}, detector: outlier.New(o.Name, o.MaxEjected),
 		phaseCounts: map[outlier.Phase]int64{}}, nil
 }
 
@@ -139,15 +139,15 @@
 }
 
 // Observe implements routing.Observer.
-func (m *Monitor) Observe(now control.Micros, s counting.Seen) {
-	if s.What == counting.Busy || s.What == counting.Established {
+func (m *Monitor) Observe(now control.Micros, s counting.Event) {
+	if s.Kind == counting.Busy || s.Kind == counting.Established {
 		m.observeNumber(now, s)
 		return
 	}
 	if s.Server == 0 {
 		return
 	}
-	switch s.What {
+	switch s.Kind {
 	case counting.Answered, counting.Overdue, counting.Errored, counting.TimedOut:
 	default:
 		return
@@ -160,7 +160,7 @@
 		m.serverTallies[s.Server] = t
 	}
 	t.decay(now)
-	switch s.What {
+	switch s.Kind {
 	case counting.Answered:
 		t.successes++
 		t.lastSuccess, t.failureStreak = now, 0
--- a/internal/ejection/ejection_test.go
+++ b/internal/ejection/ejection_test.go
@@ -36,7 +36,7 @@
 	monitors := map[string]*Monitor{}
 	for _, name := range names {
 		if name == "g3" {
-			t.Setenv(LieVariable, lie)
+			t.Setenv(FalseEvidenceVariable, lie)
 		}
 		log, _ := logtest.NewNullLogger()
 		rooms[name] = map[uint32]int{}
@@ -53,10 +53,10 @@
 		j.Open(g.Member(name))
 		defer j.Close()
 	}
-	see := func(what counting.What, server uint32, names ...string) {
+	see := func(what counting.Kind, server uint32, names ...string) {
 		for _, name := range names {
-			monitors[name].Observe(now(), counting.Seen{What: what, Server: server})
-			monitors[name].Observe(now(), counting.Seen{What: what, Server: server})
+			monitors[name].Observe(now(), counting.Event{Kind: what, Server: server})
+			monitors[name].Observe(now(), counting.Event{Kind: what, Server: server})
 		}
 	}
 	for _, s := range []uint32{1, 3, 4} {
@@ -78,7 +78,7 @@
 		return true
 	}, 10*time.Second, 5*time.Millisecond, "all three keep away")
 	for _, name := range names[:2] {
-		monitors[name].Observe(now(), counting.Seen{What: counting.Busy, Number: "555"})
+		monitors[name].Observe(now(), counting.Event{Kind: counting.Busy, Number: "555"})
 	}
 	require.Eventually(t, func() bool { mu.Lock(); defer mu.Unlock(); return rooms["g3"][0] > 0 }, 10*time.Second, 5*time.Millisecond)
 	n, ever := monitors["g3"].Count(outlier.Ejected)
--- a/internal/ejection/numbers.go
+++ b/internal/ejection/numbers.go
@@ -19,18 +19,18 @@
 }
 
 // observeNumber counts a busy answer, or notes that a call to a number known as busy was established.
-func (m *Monitor) observeNumber(now control.Micros, s counting.Seen) {
+func (m *Monitor) observeNumber(now control.Micros, s counting.Event) {
 	m.tallyMu.Lock()
 	defer m.tallyMu.Unlock()
 	t := m.numberTallies[s.Number]
 	switch {
-	case t == nil && (s.What == counting.Established || len(m.numberTallies) >= maxNumbers || len(s.Number) > maxNumberLength):
+	case t == nil && (s.Kind == counting.Established || len(m.numberTallies) >= maxNumbers || len(s.Number) > maxNumberLength):
 		return
 	case t == nil:
 		t = &numberTally{lastSuccess: -1}
 		m.numberTallies[s.Number] = t
 	}
-	if s.What == counting.Established {
+	if s.Kind == counting.Established {
 		t.lastSuccess = now
 		return
 	}
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -80,7 +80,7 @@
 		capacities[uint32(i+1)] = lab.PlatformWork().Capacity()
 	}
 	if s.Fleet {
-		invariants = append(invariants, fleetcheck.NewRates(control.Micros(gossip.Topics[registers.Rates].MaxAge), control.Micros(counting.Memory)))
+		invariants = append(invariants, fleetcheck.NewRates(control.Micros(gossip.Topics[registers.Rates].MaxAge), control.Micros(counting.DecayTime)))
 	}
 	var judged *fleetcheck.Verdicts
 	if s.Verdicts {
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -44,7 +44,7 @@
 	p, err := spawn(f.Program, g.name, "", f.file("logs", g.name+".log"), []string{"--log-format", "json", "serve",
 		"--config", f.file("etc", g.name, "config.json"), "--deploy", f.file("etc", g.name, "deploy.json")},
 		[]string{"PROXY_ADMIN_ADDR=127.0.0.1:0", "TMPDIR=" + tmp, "GOMAXPROCS=1",
-			ejection.LieVariable + "=" + f.file("state", g.name, lieFile)},
+			ejection.FalseEvidenceVariable + "=" + f.file("state", g.name, lieFile)},
 		func(s said) {
 			switch s.Msg {
 			case "store listening":
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -257,7 +257,7 @@
 	c, now, i := counting.New(counting.Options{Classes: 3}), control.Micros(1e6), 0
 	see := func() {
 		now, i = now+decisionGap, i+1
-		c.Observe(now, counting.Seen{What: counting.Answered, Class: i % 3, Tenant: -1, Server: uint32(i*7%n + 1)})
+		c.Observe(now, counting.Event{Kind: counting.Answered, Class: i % 3, Tenant: -1, Server: uint32(i*7%n + 1)})
 	}
 	for range 4 * n {
 		see()
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -64,8 +64,8 @@
 
 // Fault is what is wrong with the limits now, as operators read it.
 type Fault struct {
-	What   string `json:"what"`
-	Advice string `json:"advice"`
+	Message string `json:"what"`
+	Advice  string `json:"advice"`
 }
 
 // Open puts limits in force.
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -105,7 +105,7 @@
 func TestAnswersBeforeKill(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, nil) // never answers
-	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
 	sendSetup(c, "0000000000000001", "1", 3000)
@@ -137,7 +137,7 @@
 			}
 		}
 	})
-	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
 	for i, key := range []string{"stays", "ends"} {
@@ -212,7 +212,7 @@
 					}
 				}
 				servers := []*siptest.Party{siptest.New(t, cut), siptest.New(t, cut)}
-				n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
+				n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
 					{Name: "b", Addr: servers[1].Addr("TCP"), Cell: 1, State: control.Ready}}})
 				const calls = 40
 				c := dial(t, n).(*net.TCPConn)
@@ -326,7 +326,7 @@
 	for i := range 3 * cfg.Sockets {
 		hosts = append(hosts, routing.Host{Name: fmt.Sprint("s-", i), Addr: server.Addr("TCP"), State: control.Ready})
 	}
-	n.applyAndWait(routing.Update{Whole: true, Hosts: hosts})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: hosts})
 	time.Sleep(500 * time.Millisecond) // until the servers are dialled
 	served := 0
 	for i := range 20 {
@@ -362,7 +362,7 @@
 			e.Back(p.Reply(e.Msg, 200, "OK", e.Msg.Get("X-Cos")+" "+keyOf(e.Msg)+" "+string(e.Msg.Body)))
 		}
 	})
-	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	got := make(chan [2]string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { got <- [2]string{fmt.Sprint(m["sid"]), fmt.Sprint(m["text"])} })
 	for i := range 60 {
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	loaded := make(chan struct{})
-	n.list.Apply(routing.Update{Source: fromStore, Whole: true, Hosts: hosts}, func() { close(loaded) })
+	n.list.Apply(routing.Update{Source: fromStore, Complete: true, Hosts: hosts}, func() { close(loaded) })
 	<-loaded
 	return nil
 }
@@ -45,7 +45,7 @@
 			return err
 		}
 		n.settings.file.hosts = hosts
-		updates = append(updates, routing.Update{Source: fromFile, Whole: true, Hosts: hosts})
+		updates = append(updates, routing.Update{Source: fromFile, Complete: true, Hosts: hosts})
 	}
 	var loaded sync.WaitGroup
 	for _, u := range updates {
@@ -70,7 +70,7 @@
 		n.log.WithError(err).Error("inventory in store is bad, last good one kept")
 		return
 	}
-	n.list.Apply(routing.Update{Source: fromStore, Whole: true, Hosts: hosts}, nil)
+	n.list.Apply(routing.Update{Source: fromStore, Complete: true, Hosts: hosts}, nil)
 	n.log.WithFields(logrus.Fields{"servers": len(hosts), "revision": r.Revision}).Info("inventory applied from store")
 }
 
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -259,7 +259,7 @@
 		}
 		hosts = append(hosts, routing.Host{Name: kind, Addr: addr, Cell: i, State: control.Ready})
 	}
-	n.applyAndWait(routing.Update{Whole: true, Hosts: hosts})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: hosts})
 
 	ids := sync.Map{} // JSON ids to numbers
 	jsonConn := dialJSON(t, n, func(m map[string]any) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -26,7 +26,7 @@
 }
 
 // newExporter registers the metrics of calls, by class, and of the servers.
-func newExporter(f *routing.Figures, classes []string) *exporter {
+func newExporter(f *routing.Stats, classes []string) *exporter {
 	set := metrics.NewSet()
 	names := append(append([]string(nil), classes...), "unknown")
 	for i, name := range names {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -44,7 +44,7 @@
 func TestDrainAnswersAcceptedCalls(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, answerAfter(900*time.Millisecond))
-	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	answers := make(chan string, 9)
 	on := func(m map[string]any) { answers <- fmt.Sprint(m["sid"], " ", m["msg"], " ", m["code"]) }
 	c := dialJSON(t, n, on)
@@ -78,7 +78,7 @@
 func TestClientsSendDuringDrain(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	server := siptest.New(t, answerAfter(20*time.Millisecond))
-	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	const conns, pace, sendFor, crossing = 4, 25 * time.Millisecond, 600 * time.Millisecond, 50 * time.Millisecond
 	var mu sync.Mutex
 	sent, answers := map[string]time.Time{}, map[string]int{}
@@ -156,7 +156,7 @@
 			e.Back(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
-	first.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
+	first.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
 	caller := siptest.New(t, nil)
 	m := caller.Invite("UDP", "abc", "1", "").Set("X-Cos", "menu-view")
 	send := caller.Send("UDP", first.agent.Addr("UDP"), m)
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -34,7 +34,7 @@
 func withServer(t *testing.T, n *Node, after time.Duration) *siptest.Party {
 	t.Helper()
 	server := siptest.New(t, answerAfter(after))
-	n.applyAndWait(routing.Update{Whole: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
+	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
 	return server
 }
 
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -64,7 +64,7 @@
 func (n *Node) snapshot() []history.Event {
 	version, _ := n.calls.Load().(string)
 	events := []history.Event{{At: n.core.Now(), Kind: history.Continued, Rules: n.rules(), Name: version}}
-	return append(events, n.core.Known(n.list)...)
+	return append(events, n.core.StateEvents(n.list)...)
 }
 
 // closeRecords closes the receivers of events.
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -243,7 +243,7 @@
 	})
 	n.calls.Store(current.calls.Version())
 	n.core.Note(history.Event{Kind: history.Reloaded, Name: current.calls.Version()})
-	n.list.Apply(routing.Update{Source: fromFile, Whole: true, Hosts: current.hosts}, nil)
+	n.list.Apply(routing.Update{Source: fromFile, Complete: true, Hosts: current.hosts}, nil)
 	if limiter != nil {
 		n.exporter.setLimits(quotaLimits(current.limits), limiter)
 	}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -45,7 +45,7 @@
 	}
 	n.settings.mu.Unlock()
 	listed := make(chan int)
-	n.core.Post(func() { listed <- int(n.core.Figures().Targets.Load()) })
+	n.core.Post(func() { listed <- int(n.core.Stats().Targets.Load()) })
 	if count := <-listed; count != len(names) {
 		names = append(names, fmt.Sprintf("(but %d on the list)", count))
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -90,7 +90,7 @@
 		defer refuseTimer.Stop()
 		for {
 			drained := make(chan struct{})
-			n.core.Drained(func() { close(drained) })
+			n.core.OnDrained(func() { close(drained) })
 			<-drained
 			if n.listener.FinishIdle(late.Load()) {
 				return
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	n.core = routing.NewCore(n.cfg.Site.Settings, n.cfg.Seed, recorder, n.log)
-	n.exporter = newExporter(n.core.Figures(), n.cfg.Site.ClassNames)
+	n.exporter = newExporter(n.core.Stats(), n.cfg.Site.ClassNames)
 	if err := n.observeCalls(); err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 		DefaultClass: n.deploy.DefaultClass, Reports: n.cfg.Site.ReportNames, DialTimeout: network.timeout, Budget: network.budget,
 		Dialogs: records, Log: n.log}
 	if n.outliers != nil {
-		o.Seen, o.Away = n.outliers.ObserveCaller, n.outliers.Blocked
+		o.Seen, o.IsBlocked = n.outliers.ObserveCaller, n.outliers.Blocked
 	}
 	n.agent = sip.NewAgent(n.core, o)
 	if err := n.agent.Listen(n.deploy.SIPUDP, n.deploy.SIPTCP); err != nil {
@@ -230,7 +230,7 @@
 // serve starts the goroutines that run until the shutdown. Callers are accepted from now on.
 func (n *Node) serve(ctx context.Context) {
 	if n.outliers != nil {
-		n.listener.Away = n.outliers.Blocked
+		n.listener.IsBlocked = n.outliers.Blocked
 	}
 	go n.bus.Run(ctx)
 	go n.remember(ctx)
--- a/internal/protocol/bus/bus_test.go
+++ b/internal/protocol/bus/bus_test.go
@@ -75,7 +75,7 @@
 	if h.Name != "a" || h.Addr != "127.0.0.1:9" || h.Cell != 2 || h.State != control.Draining || h.Since != 1500000 {
 		t.Errorf("%+v", h)
 	}
-	if !updates[2].Whole {
+	if !updates[2].Complete {
 		t.Error("the third is a whole list")
 	}
 }
--- a/internal/protocol/bus/event.go
+++ b/internal/protocol/bus/event.go
@@ -49,7 +49,7 @@
 	if hosts == nil || hosts.Type() != fastjson.TypeArray {
 		return e, fmt.Errorf("key topology.hosts is not a list")
 	}
-	u := &routing.Update{Whole: t.GetBool("whole")}
+	u := &routing.Update{Complete: t.GetBool("whole")}
 	for i, h := range hosts.GetArray() {
 		host, err := decodeHost(h)
 		if err != nil {
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -185,7 +185,7 @@
 	case err != nil:
 	case e.Offset <= r.Last:
 		return nil
-	case e.Offset > r.Last+1 && (e.Update == nil || !e.Update.Whole):
+	case e.Offset > r.Last+1 && (e.Update == nil || !e.Update.Complete):
 		err = fmt.Errorf("gap: event %d came after %d", e.Offset, r.Last)
 	}
 	if err != nil {
--- a/internal/protocol/jsonl/endings_test.go
+++ b/internal/protocol/jsonl/endings_test.go
@@ -47,7 +47,7 @@
 		defer close(ended)
 		b.front.Serve(tc)
 		tc.Finish()
-		<-tc.Gone()
+		<-tc.Closed()
 	}()
 	b.t.Cleanup(func() { c.Close(); <-ended })
 	return c.(*net.TCPConn), ended
@@ -284,13 +284,13 @@
 	want := map[string]routing.Setup{}
 	for i := range 200 {
 		s := routing.Setup{ID: fmt.Sprintf("%016x", i), Class: i % 2, Tenant: -1, Key: fmt.Sprint("7", i), FirstChoice: i % 3, WasCut: i%5 == 0,
-			Left: time.Duration(1000+i) * time.Millisecond, Body: []byte(strings.Repeat(fmt.Sprint(i), 1+i%7))}
+			TimeLeft: time.Duration(1000+i) * time.Millisecond, Body: []byte(strings.Repeat(fmt.Sprint(i), 1+i%7))}
 		again := 0
 		if s.WasCut {
 			again = 1
 		}
 		fmt.Fprintf(&all, `{"msg":"open","sid":%q,"attrs":{"class":%q,"left":%d,"key":%q,"extras":"dest:%d;again:%d"},"text":%q}`+"\n",
-			s.ID, []string{"menu-view", "diet-order"}[s.Class], s.Left.Milliseconds(), s.Key, s.FirstChoice, again, s.Body)
+			s.ID, []string{"menu-view", "diet-order"}[s.Class], s.TimeLeft.Milliseconds(), s.Key, s.FirstChoice, again, s.Body)
 		want[s.ID] = s
 	}
 	c.Write(all.Bytes())
--- a/internal/protocol/jsonl/front.go
+++ b/internal/protocol/jsonl/front.go
@@ -46,7 +46,7 @@
 	Open(routing.Setup, routing.Caller)
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	Unreadable(class int) // a set-up that could not be read was told that it failed
+	CountMalformed(class int) // a set-up that could not be read was told that it failed
 }
 
 // Front serves callers.
@@ -98,7 +98,7 @@
 	conns := slices.Clone(f.conns)
 	f.mu.Unlock()
 	for _, c := range conns {
-		switch decide(c.Used(), c.Held(), c.InUse() && !c.Held()) {
+		switch decide(c.LastUsed(), c.Held(), c.InUse() && !c.Held()) {
 		case drain.Close:
 			c.FinishIdle()
 		case drain.ReleaseCalls:
@@ -119,7 +119,7 @@
 		if o == c {
 			ids = append(ids, id)
 			delete(f.stands, id)
-			c.Call(-1)
+			c.AddCalls(-1)
 		}
 	}
 	return ids
@@ -184,7 +184,7 @@
 			return
 		case <-left:
 			return
-		case <-c.Gone():
+		case <-c.Closed():
 			return
 		}
 	}
@@ -242,7 +242,7 @@
 		if err == nil {
 			spoke := !first.IsZero()
 			first = time.Time{}
-			c.Spoke()
+			c.NoteMessage()
 			if err = f.take(c, &m); err == nil && spoke {
 				seen(true)
 			}
@@ -335,7 +335,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stands[k.id] = k.conn
-	k.conn.Call(1)
+	k.conn.AddCalls(1)
 }
 
 // over notes the end of a call, whoever ended it.
@@ -344,7 +344,7 @@
 	defer f.mu.Unlock()
 	if c := f.stands[id]; c != nil {
 		delete(f.stands, id)
-		c.Call(-1)
+		c.AddCalls(-1)
 	}
 }
 
@@ -352,7 +352,7 @@
 // ends before it is written goes the same way again.
 func (f *Front) deliver(c *conn, w late) {
 	send := func(c *conn) bool {
-		return !c.Left() && c.Send(transport.Packet{Data: w.data, Done: func(err error) {
+		return !c.PeerClosed() && c.Send(transport.Packet{Data: w.data, Done: func(err error) {
 			if err != nil {
 				f.deliver(nil, w)
 			}
@@ -424,7 +424,7 @@
 		if !known {
 			class = -1
 		}
-		f.core.Unreadable(class)
+		f.core.CountMalformed(class)
 		invalid()
 		return nil
 	}
@@ -449,7 +449,7 @@
 		return routing.Setup{}, ErrMalformed
 	}
 	s := routing.Setup{ID: m.ID, Class: class, Tenant: -1, Key: key, FirstChoice: -1,
-		Left: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
+		TimeLeft: time.Duration(left * float64(time.Millisecond)), Body: []byte(m.Text)}
 	for part := range strings.SplitSeq(m.Attrs["extras"], ";") {
 		name, value, _ := strings.Cut(part, ":")
 		least := -1 // none
@@ -490,7 +490,7 @@
 	cancelled atomic.Bool
 }
 
-func (k *caller) Gone() bool { return k.cancelled.Load() || k.conn.Left() }
+func (k *caller) Gone() bool { return k.cancelled.Load() || k.conn.PeerClosed() }
 
 func (k *caller) Answer(body []byte) bool {
 	k.front.stand(k)
--- a/internal/protocol/jsonl/jsonl_test.go
+++ b/internal/protocol/jsonl/jsonl_test.go
@@ -26,7 +26,7 @@
 }
 
 func (c *core) Open(s routing.Setup, k routing.Caller) { c.callers <- k; c.opened <- s }
-func (c *core) Unreadable(int)                         {}
+func (c *core) CountMalformed(int)                     {}
 
 func (c *core) Withdraw(id string, _ routing.Caller, done func(bool)) {
 	c.withdrawn <- id
@@ -88,7 +88,7 @@
 	io.WriteString(c, open(id))
 	s, k := <-b.core.opened, <-b.core.callers
 	if s.ID != id || s.Class != 1 || s.Key != "7f3a" || s.FirstChoice != 2 || !s.WasCut ||
-		s.Left != 1500*time.Millisecond || string(s.Body) != "a\r\nb" {
+		s.TimeLeft != 1500*time.Millisecond || string(s.Body) != "a\r\nb" {
 		t.Errorf("%+v", s)
 	}
 	k.Answer([]byte("x\r\n\"y\""))
--- a/internal/protocol/jsonl/model_test.go
+++ b/internal/protocol/jsonl/model_test.go
@@ -49,7 +49,7 @@
 	l.calls[s.ID] = &entry{caller: k}
 }
 
-func (l *ledger) Unreadable(int) {}
+func (l *ledger) CountMalformed(int) {}
 
 func (l *ledger) Withdraw(id string, k routing.Caller, done func(bool)) {
 	l.mu.Lock()
@@ -123,7 +123,7 @@
 		c := nc.(*net.TCPConn)
 		tc := transport.NewConn(far, nil)
 		served := make(chan struct{})
-		go func() { defer close(served); f.Serve(tc); tc.Finish(); <-tc.Gone() }()
+		go func() { defer close(served); f.Serve(tc); tc.Finish(); <-tc.Closed() }()
 		heard, reading := map[string]int{}, make(chan struct{})
 		var slow sync.Mutex // held while the caller does not read
 		var hear sync.Mutex
--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -18,8 +18,8 @@
 	Open(routing.Setup, routing.Caller)
 	Withdraw(id string, caller routing.Caller, done func(inTime bool))
 	Hangup(id string, cause int, caller routing.Caller, done func(known bool))
-	// Unreadable counts a set-up that was refused before the core saw it: class is its place in the settings, or -1.
-	Unreadable(class int)
+	// CountMalformed counts a set-up that was refused before the core saw it: class is its place in the settings, or -1.
+	CountMalformed(class int)
 }
 
 // Dialogs keeps records of established calls, for the next start. Its methods must not block.
@@ -41,9 +41,9 @@
 	// Seen, if not nil, is called once for each caller's TCP connection, with its address and whether it brought a whole message
 	// first: false for one that can't be read, and for none in time. From any goroutine.
 	Seen func(address string, wellFormed bool)
-	// Away, if not nil, tells whether TCP connections from a caller's address are closed at once.
-	Away func(address string) bool
-	Log  logrus.FieldLogger
+	// IsBlocked, if not nil, tells whether TCP connections from a caller's address are closed at once.
+	IsBlocked func(address string) bool
+	Log       logrus.FieldLogger
 }
 
 // Agent is a back-to-back user agent: SIP callers on one side, the core's connections to SIP servers on the other. All of
@@ -95,7 +95,7 @@
 			}
 			return err
 		}
-		l.Away = a.Away
+		l.IsBlocked = a.IsBlocked
 		a.tcp = l
 	}
 	return nil
--- a/internal/protocol/sip/agent_dialogs.go
+++ b/internal/protocol/sip/agent_dialogs.go
@@ -107,7 +107,7 @@
 func (a *Agent) dialogFlow(d *dialog, then func(flow, error)) {
 	if t, ok := d.flow.(*tcpFlow); ok && len(d.Routes) == 0 {
 		select {
-		case <-t.conn.Gone():
+		case <-t.conn.Closed():
 		default:
 			then(d.flow, nil)
 			return
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -56,7 +56,7 @@
 	agent.Serve()
 	t.Cleanup(agent.Close)
 	b := &bench{agent, core, routing.NewList(core, agent, log)}
-	b.apply(routing.Update{Whole: true, Hosts: servers})
+	b.apply(routing.Update{Complete: true, Hosts: servers})
 	return b
 }
 
@@ -340,7 +340,7 @@
 	caller.Wait("answer on a good connection", Status(200, "INVITE"))
 	// New set-ups told that they failed are in error_total, by both ways: three refused as they were read (no From tag,
 	// CSeq of another method, too long) and three by the agent (scheme, extension, Expires); PUBLISH and BYE are none.
-	if n := b.core.Figures().Class(0).Error.Load(); n != 12 {
+	if n := b.core.Stats().Class(0).Error.Load(); n != 12 {
 		t.Errorf("error_total of menu-view is %d, want 12", n)
 	}
 }
@@ -460,7 +460,7 @@
 		t.Errorf("%d set-ups came to the server", n)
 	}
 	// Each was told that it failed, so each is in error_total of its class, as on the JSON front.
-	f := b.core.Figures()
+	f := b.core.Stats()
 	if own, other := f.Class(0).Error.Load(), f.Class(-1).Error.Load(); own != 3 || other != 1 {
 		t.Errorf("error_total: menu-view %d, want 3; unknown class %d, want 1", own, other)
 	}
--- a/internal/protocol/sip/dispatch.go
+++ b/internal/protocol/sip/dispatch.go
@@ -24,7 +24,7 @@
 	m.setReceived(f.remote())
 	f.send(Respond(m, status, reason).Append(nil), nil, nil)
 	if m.Method == "INVITE" && m.Get("To") != "" && tag(m.Get("To")) == "" { // a new set-up, told that it failed
-		a.core.Unreadable(slices.Index(a.Classes, cmp.Or(m.Get("X-Cos"), a.DefaultClass)))
+		a.core.CountMalformed(slices.Index(a.Classes, cmp.Or(m.Get("X-Cos"), a.DefaultClass)))
 	}
 }
 
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -36,7 +36,7 @@
 }
 
 func (f *tcpFlow) send(data []byte, still func() bool, done func(error)) error {
-	p := transport.Packet{Data: data, Still: still}
+	p := transport.Packet{Data: data, StillWanted: still}
 	if done != nil {
 		p.Done = func(err error) {
 			if err != nil {
@@ -138,7 +138,7 @@
 	for {
 		m, err := r.Next()
 		if err == nil {
-			c.Spoke()
+			c.NoteMessage()
 			seen(true)
 			if first {
 				first = false
@@ -164,7 +164,7 @@
 			if a.conns[key] == c {
 				delete(a.conns, key)
 			}
-			if c.Left() {
+			if c.PeerClosed() {
 				a.callerLeft(c)
 			}
 			c.Finish()
--- a/internal/protocol/sip/platform.go
+++ b/internal/protocol/sip/platform.go
@@ -97,7 +97,7 @@
 	}
 	m.Set("X-Timer-Ms", strconv.FormatInt(max(1, time.Until(a.Deadline).Milliseconds()), 10))
 	m.Body = a.Body
-	c.conn.Send(transport.Packet{Data: m.Append(nil), Still: still, Done: func(err error) {
+	c.conn.Send(transport.Packet{Data: m.Append(nil), StillWanted: still, Done: func(err error) {
 		if err == transport.ErrDropped {
 			c.mu.Lock()
 			delete(c.inFlight, a.ID())
@@ -122,7 +122,7 @@
 	}
 	if ok {
 		// A set-up that was dropped unsent, ahead of this in the queue, has nothing to cancel.
-		c.conn.Send(transport.Packet{Data: request("CANCEL", id, s.Key, "CANCEL").Append(nil), Still: func() bool {
+		c.conn.Send(transport.Packet{Data: request("CANCEL", id, s.Key, "CANCEL").Append(nil), StillWanted: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.inFlight[id].cancelled
--- a/internal/protocol/sip/uas.go
+++ b/internal/protocol/sip/uas.go
@@ -63,7 +63,7 @@
 	s := routing.Setup{ID: k.id, Tenant: -1, Key: target.user, FirstChoice: -1, Body: m.Body, Excess: a.closing}
 	bad := a.read(m, &s)
 	unread := func(status int, reason string, header ...string) { // in error_total, as on the JSON front
-		a.core.Unreadable(s.Class)
+		a.core.CountMalformed(s.Class)
 		refuse(status, reason, header...)
 	}
 	switch {
@@ -120,7 +120,7 @@
 		}
 		left = min(left, time.Duration(n)*time.Second)
 	}
-	s.Left = left
+	s.TimeLeft = left
 	if v := m.Get("X-Dest"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil {
@@ -173,7 +173,7 @@
 }
 
 // Gone implements routing.Caller.
-func (k *uasCall) Gone() bool { return k.gone.Load() || k.conn != nil && k.conn.Left() }
+func (k *uasCall) Gone() bool { return k.gone.Load() || k.conn != nil && k.conn.PeerClosed() }
 
 // Answer implements routing.Caller: the call stands.
 func (k *uasCall) Answer(body []byte) bool {
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -174,7 +174,7 @@
 
 func (b *bench) call(id string, left time.Duration) *caller {
 	c := &caller{}
-	b.core.Open(Setup{ID: id, FirstChoice: 0, Left: left}, c)
+	b.core.Open(Setup{ID: id, FirstChoice: 0, TimeLeft: left}, c)
 	synctest.Wait()
 	return c
 }
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -23,7 +23,7 @@
 	Key         string // number called
 	FirstChoice int    // cell
 	WasCut      bool
-	Left        time.Duration // how long the caller still waits
+	TimeLeft    time.Duration // how long the caller still waits
 	Body        []byte        // description, passed on unchanged
 	Excess      bool          // more than its front takes at a time: it is refused at once, and goes to no server
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -40,7 +40,7 @@
 	viewedAt      control.Micros
 	reported      map[uint32][]float64
 
-	figures   *Figures
+	figures   *Stats
 	observers []Observer
 	counted   []control.View
 	countedAt control.Micros
@@ -61,7 +61,7 @@
 
 // Observer receives the outcomes of calls and attempts, from any goroutine. It must not block.
 type Observer interface {
-	Observe(now control.Micros, seen counting.Seen)
+	Observe(now control.Micros, seen counting.Event)
 }
 
 // SetObservers sets the observers. It must be called before any call arrives.
@@ -76,9 +76,9 @@
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
 // observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
-func (c *Core) observe(what counting.What, s *Setup, server uint32) {
+func (c *Core) observe(what counting.Kind, s *Setup, server uint32) {
 	for _, o := range c.observers {
-		o.Observe(c.clock.now(), counting.Seen{What: what, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
+		o.Observe(c.clock.now(), counting.Event{Kind: what, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
 	}
 }
 
@@ -107,7 +107,7 @@
 }
 
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
-	deadline := arrived + control.Micros(s.Left/time.Microsecond)
+	deadline := arrived + control.Micros(s.TimeLeft/time.Microsecond)
 	if at, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-at < c.releaseGuard {
 		// The id is in use: the first call goes on by its own rules, and the second caller gets a failure. An id
 		// used again at once would be sent again within the release guard.
@@ -255,8 +255,8 @@
 	c.Post(func() { c.answerBy = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
-// Drained calls f once no caller is owed an answer.
-func (c *Core) Drained(f func()) {
+// OnDrained calls f once no caller is owed an answer.
+func (c *Core) OnDrained(f func()) {
 	c.Post(func() {
 		c.drained = f
 		c.checkDrained()
--- a/internal/routing/endings_test.go
+++ b/internal/routing/endings_test.go
@@ -26,13 +26,13 @@
 		"before the core takes it": func(b *bench, w *wire) *caller {
 			c := &caller{}
 			c.gone.Store(true)
-			b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
+			b.core.Open(Setup{ID: "1", FirstChoice: 0, TimeLeft: time.Second}, c)
 			return c
 		},
 		"in the peer's mailbox": func(b *bench, w *wire) *caller {
 			c, hold := &caller{}, make(chan struct{})
 			b.list.hosts["a"].peer.Post(func() { <-hold })
-			b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second}, c)
+			b.core.Open(Setup{ID: "1", FirstChoice: 0, TimeLeft: time.Second}, c)
 			synctest.Wait()
 			c.gone.Store(true)
 			close(hold)
@@ -99,7 +99,7 @@
 		b := newBench("a")
 		defer b.end()
 		c := &caller{}
-		b.core.Open(Setup{ID: "1", FirstChoice: 0, Left: time.Second, Excess: true}, c)
+		b.core.Open(Setup{ID: "1", FirstChoice: 0, TimeLeft: time.Second, Excess: true}, c)
 		synctest.Wait()
 		if c.finals != 1 || c.stood || c.wait <= 0 || len(b.wires["a"].out) != 0 {
 			t.Errorf("%d answers, wait %v, %d attempts", c.finals, c.wait, len(b.wires["a"].out))
@@ -114,7 +114,7 @@
 		b := newBench()
 		defer b.end()
 		for i := range 20000 {
-			b.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, Left: time.Second}, &caller{})
+			b.core.Open(Setup{ID: fmt.Sprint(i), FirstChoice: 0, TimeLeft: time.Second}, &caller{})
 		}
 		synctest.Wait()
 		if n := len(b.core.ended.current) + len(b.core.ended.previous); n != 0 {
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -6,9 +6,9 @@
 	"beammux/control"
 )
 
-// Figures are the counts that the core keeps where each outcome is decided: what the operators read. They start at 0
+// Stats are the counts that the core keeps where each outcome is decided: what the operators read. They start at 0
 // with the process. Each is read without the core's actor, so that a busy core never holds an answer back.
-type Figures struct {
+type Stats struct {
 	classes  []classFigures // by place in the settings; the last one is for classes that they don't name
 	Open     atomic.Int64   // taken and not yet ended: owed an answer, or standing until its release
 	Targets  atomic.Int64   // servers on the list
@@ -20,20 +20,20 @@
 }
 
 // Class gives the counts of a class: its place in the settings, or -1 for one that they don't name.
-func (f *Figures) Class(class int) *ClassFigures {
+func (f *Stats) Class(class int) *ClassStats {
 	if class < 0 || class >= len(f.classes)-1 {
 		class = len(f.classes) - 1
 	}
-	return (*ClassFigures)(&f.classes[class])
+	return (*ClassStats)(&f.classes[class])
 }
 
-// ClassFigures are the counts of one class.
-type ClassFigures classFigures
+// ClassStats are the counts of one class.
+type ClassStats classFigures
 
-func newFigures(classes int) *Figures { return &Figures{classes: make([]classFigures, classes+1)} }
+func newFigures(classes int) *Stats { return &Stats{classes: make([]classFigures, classes+1)} }
 
-// Figures gives the core's counts.
-func (c *Core) Figures() *Figures { return c.figures }
+// Stats gives the core's counts.
+func (c *Core) Stats() *Stats { return c.figures }
 
 // countTargets takes the list's size and the servers avoided from the module, at most every lookEvery.
 func (c *Core) countTargets(now control.Micros) {
@@ -52,6 +52,6 @@
 	c.figures.Disabled.Store(int64(disabled))
 }
 
-// Unreadable counts a set-up that a front could not read and told that it failed: class is its place in the settings,
+// CountMalformed counts a set-up that a front could not read and told that it failed: class is its place in the settings,
 // or -1. The core never saw it, but its caller had its final answer.
-func (c *Core) Unreadable(class int) { c.figures.Class(class).Error.Add(1) }
+func (c *Core) CountMalformed(class int) { c.figures.Class(class).Error.Add(1) }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -23,9 +23,9 @@
 
 // Update is one change of the list, or where Whole is set all that its source knows. Servers of other sources stay.
 type Update struct {
-	Source string
-	Whole  bool
-	Hosts  []Host
+	Source   string
+	Complete bool
+	Hosts    []Host
 }
 
 // List is the actor that owns the list of servers and their peers. Buses and inventories feed it.
@@ -83,7 +83,7 @@
 			l.record(h.Name, e)
 		}
 	}
-	if u.Whole {
+	if u.Complete {
 		for name, old := range l.hosts {
 			if old.source == u.Source && !named[name] {
 				l.remove(old)
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -71,7 +71,7 @@
 				case 0, 1, 2:
 					id := fmt.Sprint(len(calls))
 					calls[id] = &model{caller: &caller{}, opened: time.Now()}
-					b.core.Open(Setup{ID: id, FirstChoice: rapid.IntRange(0, 1).Draw(r, "first"), Left: left}, calls[id].caller)
+					b.core.Open(Setup{ID: id, FirstChoice: rapid.IntRange(0, 1).Draw(r, "first"), TimeLeft: left}, calls[id].caller)
 				case 3, 4:
 					if id := pick("out", w); id != "" && w.events != nil {
 						w.answer(id, "")
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -107,8 +107,8 @@
 
 const knownTimeout = 2 * time.Second
 
-// Known gives what the core and a list know now, as the events by which it became known.
-func (c *Core) Known(l *List) (events []history.Event) {
+// StateEvents gives what the core and a list know now, as the events by which it became known.
+func (c *Core) StateEvents(l *List) (events []history.Event) {
 	now := c.clock.now()
 	ask := func(post func(func()), what func() []history.Event) {
 		answer := make(chan []history.Event, 1)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -153,7 +153,7 @@
 			defer b.end()
 			c := b.call("1", time.Second)
 			finals := -1
-			b.core.Drained(func() { finals = c.finals })
+			b.core.OnDrained(func() { finals = c.finals })
 			synctest.Wait()
 			if finals != -1 {
 				t.Fatal("drained while a call is open")
@@ -218,10 +218,10 @@
 		b := newBench()
 		defer b.end()
 		b.wires["a"], b.wires["b"] = newWire(), newWire()
-		b.list.Apply(Update{Source: "bus", Whole: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
-		b.list.Apply(Update{Source: "file", Whole: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
+		b.list.Apply(Update{Source: "bus", Complete: true, Hosts: []Host{{Name: "a", Addr: "a", State: control.Ready}}}, nil)
+		b.list.Apply(Update{Source: "file", Complete: true, Hosts: []Host{{Name: "b", Addr: "b", State: control.Ready}}}, nil)
 		synctest.Wait()
-		b.list.Apply(Update{Source: "file", Whole: true}, nil)
+		b.list.Apply(Update{Source: "file", Complete: true}, nil)
 		synctest.Wait()
 		if b.wires["a"].closed != 0 || b.wires["b"].closed != 1 {
 			t.Errorf("closed %d and %d, want 0 and 1", b.wires["a"].closed, b.wires["b"].closed)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -31,9 +31,9 @@
 // A Packet is one message to be written.
 type Packet struct {
 	Data []byte
-	// Still is asked just before the first byte is written; the packet is dropped if it gives false. What was true
+	// StillWanted is asked just before the first byte is written; the packet is dropped if it gives false. What was true
 	// when the packet was queued may no longer be.
-	Still func() bool
+	StillWanted func() bool
 	// Done hears whether the packet went out whole: nil, ErrDropped or the fault of the connection.
 	Done func(error)
 }
@@ -84,9 +84,9 @@
 	return n, err
 }
 
-// Left tells whether the other side has ended or broken the connection, as far as its owner has read. A half-close is taken
+// PeerClosed tells whether the other side has ended or broken the connection, as far as its owner has read. A half-close is taken
 // for a close: TCP tells the two apart for nobody who reads.
-func (c *Conn) Left() bool { return c.left.Load() }
+func (c *Conn) PeerClosed() bool { return c.left.Load() }
 
 // receive reads once, and sets taking for what it returns. On a socket taking is set before the kernel gives the bytes up, so
 // that at each instant one of the two accounts for them; unread relies on that.
@@ -165,8 +165,8 @@
 	return raw
 }
 
-// Spoke notes that a whole message has come.
-func (c *Conn) Spoke() {
+// NoteMessage notes that a whole message has come.
+func (c *Conn) NoteMessage() {
 	c.spoke.Store(true)
 	c.used.Store(time.Now().UnixNano())
 }
@@ -190,15 +190,15 @@
 	c.held.Add(-1)
 }
 
-// Used tells when the connection last carried a message or an answer.
-func (c *Conn) Used() time.Time { return time.Unix(0, c.used.Load()) }
+// LastUsed tells when the connection last carried a message or an answer.
+func (c *Conn) LastUsed() time.Time { return time.Unix(0, c.used.Load()) }
 
 // Held tells whether something is owed on the connection.
 func (c *Conn) Held() bool { return c.held.Load() > 0 }
 
-// Call notes a call that came on the connection and stands (1), or its end (-1). Nothing is owed on the connection then,
+// AddCalls notes a call that came on the connection and stands (1), or its end (-1). Nothing is owed on the connection then,
 // but its end is best told there.
-func (c *Conn) Call(change int32) {
+func (c *Conn) AddCalls(change int32) {
 	c.used.Store(time.Now().UnixNano())
 	c.calls.Add(change)
 }
@@ -299,7 +299,7 @@
 			c.queue = c.queue[1:]
 			c.bytes -= len(p.Data)
 			c.mu.Unlock()
-			if p.Still != nil && !p.Still() {
+			if p.StillWanted != nil && !p.StillWanted() {
 				p.done(ErrDropped)
 				continue
 			}
@@ -380,5 +380,5 @@
 	return c.err != nil || len(c.queue) > 0
 }
 
-// Gone is closed when the connection is.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+// Closed is closed when the connection is.
+func (c *Conn) Closed() <-chan struct{} { return c.gone }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -94,7 +94,7 @@
 				case 0, 1, 2, 3, 4:
 					b := byte(i)
 					var asked, held bool
-					err := c.Send(Packet{Data: []byte{b}, Still: func() bool { asked, held = true, still; return still }, Done: func(err error) {
+					err := c.Send(Packet{Data: []byte{b}, StillWanted: func() bool { asked, held = true, still; return still }, Done: func(err error) {
 						told++
 						if err == nil {
 							want.WriteByte(b)
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	held := make(chan *Conn, 4)
-	go l.Serve(func(c *Conn) { c.Hold(); held <- c; <-c.Gone() })
+	go l.Serve(func(c *Conn) { c.Hold(); held <- c; <-c.Closed() })
 	defer l.Close()
 	var conns []net.Conn
 	for i := range 3 {
@@ -214,7 +214,7 @@
 		t.Fatal(err)
 	}
 	taken := make(chan *Conn, 9)
-	go l.Serve(func(c *Conn) { taken <- c; <-c.Gone() })
+	go l.Serve(func(c *Conn) { taken <- c; <-c.Closed() })
 	defer l.Close()
 	connect := func() *Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -226,24 +226,24 @@
 	}
 	owed, calling, idle, recent, silent := connect(), connect(), connect(), connect(), connect()
 	for i, c := range []*Conn{owed, calling, idle, recent} {
-		c.Spoke()
+		c.NoteMessage()
 		c.used.Store(int64(i + 1))
 	}
 	owed.Hold()
-	calling.Call(1)
+	calling.AddCalls(1)
 	calling.used.Store(2)
 	for i, want := range []*Conn{silent, idle, recent, calling} {
 		c := connect()
-		c.Spoke()
+		c.NoteMessage()
 		c.Hold()
 		select {
-		case <-want.Gone():
+		case <-want.Closed():
 		case <-time.After(10 * time.Second):
 			t.Fatalf("step %d closed another", i)
 		}
 	}
 	select {
-	case <-owed.Gone():
+	case <-owed.Closed():
 		t.Error("closed a connection on which an answer is owed")
 	default:
 	}
@@ -261,7 +261,7 @@
 	go l.Serve(func(c *Conn) {
 		taken <- c
 		c.Read(make([]byte, 64)) // as a front reads the first bytes of a message
-		<-c.Gone()
+		<-c.Closed()
 	})
 	defer l.Close()
 	connect := func() (net.Conn, *Conn) {
@@ -283,8 +283,8 @@
 	for _, want := range []*Conn{silent, silent2} {
 		connect()
 		select {
-		case <-want.Gone():
-		case <-slow.Gone():
+		case <-want.Closed():
+		case <-slow.Closed():
 			t.Fatal("the slow writer made room before a silent connection")
 		case <-time.After(10 * time.Second):
 			t.Fatal("nothing made room")
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -77,7 +77,7 @@
 		t.Fatal("no room")
 	}
 	select {
-	case <-second.Gone():
+	case <-second.Closed():
 	default:
 		t.Error("the one with bytes was closed")
 	}
@@ -127,8 +127,8 @@
 	for _, reset := range []bool{false, true} {
 		near, far := pair(t)
 		near.SetReadDeadline(time.Now())
-		if _, err := near.Read(make([]byte, 1)); !os.IsTimeout(err) || near.Left() {
-			t.Fatalf("after a time-out (%v): left %v", err, near.Left())
+		if _, err := near.Read(make([]byte, 1)); !os.IsTimeout(err) || near.PeerClosed() {
+			t.Fatalf("after a time-out (%v): left %v", err, near.PeerClosed())
 		}
 		near.SetReadDeadline(time.Time{})
 		if reset {
@@ -138,7 +138,7 @@
 			far.CloseWrite() // a half-close is taken for a close
 		}
 		near.Read(make([]byte, 1))
-		if !near.Left() {
+		if !near.PeerClosed() {
 			t.Errorf("reset %v: not seen", reset)
 		}
 	}
@@ -278,7 +278,7 @@
 			end.by(near, far)
 			require.ErrorIs(t, <-ended, end.want)
 			require.Zero(t, n)
-			require.Equal(t, how != "deadline", near.Left())
+			require.Equal(t, how != "deadline", near.PeerClosed())
 			require.False(t, near.taking.Load())
 			if broken := net.Error(nil); end.want != io.EOF {
 				require.ErrorAs(t, err, &broken)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -102,8 +102,8 @@
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
 
-	// Away, if not nil, tells whether a caller's address is turned away at the door. It is set before Serve.
-	Away func(address string) bool
+	// IsBlocked, if not nil, tells whether a caller's address is turned away at the door. It is set before Serve.
+	IsBlocked func(address string) bool
 }
 
 // Listen binds a TCP address. The address may be shared with another process that binds it the same way
@@ -170,7 +170,7 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		if l.Away != nil && l.Away(AddressOf(nc.RemoteAddr())) {
+		if l.IsBlocked != nil && l.IsBlocked(AddressOf(nc.RemoteAddr())) {
 			nc.Close()
 			continue
 		}
@@ -257,7 +257,7 @@
 	}
 	for _, c := range conns {
 		select {
-		case <-c.Gone():
+		case <-c.Closed():
 		case <-timeout:
 			return
 		}
