--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -192,14 +192,14 @@
 }
 
 // serverHandler simulates a menu server. The number called determines its response, so that runs are reproducible.
-func (o *observer) serverHandler(name string) func(*siptest.Party, siptest.Entry) {
+func (o *observer) serverHandler(name string) func(*siptest.UserAgent, siptest.ReceivedMessage) {
 	var mu sync.Mutex
 	seen := map[string]bool{}
 	keys := map[string]string{}
-	return func(p *siptest.Party, e siptest.Entry) {
+	return func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
 		m, id := e.Msg, e.Msg.Get("Call-ID")
 		switch {
-		case siptest.Is("INVITE")(m):
+		case siptest.IsMethod("INVITE")(m):
 			key := keyOf(m)
 			mu.Lock()
 			again := seen[id]
@@ -209,12 +209,12 @@
 				return // ignore a retransmission
 			}
 			o.attemptBegan(key, name)
-			e.Back(p.Reply(m, 100, "Trying", ""))
+			e.SendBack(p.Reply(m, 100, "Trying", ""))
 			var digits int
 			fmt.Sscan(key, &digits)
 			final := func(status int, body string, code control.Code) {
 				o.attemptEnded(key, code)
-				e.Back(p.Reply(m, status, "Final", body))
+				e.SendBack(p.Reply(m, status, "Final", body))
 			}
 			switch (digits + len(name)) % 16 {
 			case 0:
@@ -227,14 +227,14 @@
 			default:
 				time.AfterFunc(time.Duration(digits%40)*time.Millisecond, func() { final(200, "for "+key, control.OK) })
 			}
-		case siptest.Is("CANCEL")(m):
+		case siptest.IsMethod("CANCEL")(m):
 			mu.Lock()
 			key := keys[id]
 			mu.Unlock()
 			o.attemptEnded(key, control.Cancelled)
-			e.Back(p.Reply(m, 200, "OK", ""))
-		case siptest.Is("BYE")(m):
-			e.Back(p.Reply(m, 200, "OK", ""))
+			e.SendBack(p.Reply(m, 200, "OK", ""))
+		case siptest.IsMethod("BYE")(m):
+			e.SendBack(p.Reply(m, 200, "OK", ""))
 		}
 	}
 }
@@ -275,7 +275,7 @@
 		}
 	})
 	var acked sync.Map
-	caller := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
+	caller := siptest.New(t, func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
 		_, method, _ := e.Msg.CSeq()
 		if method != "INVITE" || e.Msg.Status < 200 {
 			return
@@ -286,12 +286,12 @@
 			proto = "TCP"
 		}
 		invite := p.Invite(proto, "call"+key, key, "")
-		ack := siptest.Within(invite, e.Msg, "ACK", 1)
+		ack := siptest.InDialog(invite, e.Msg, "ACK", 1)
 		if e.Msg.Status >= 300 { // it belongs to the INVITE's transaction
 			ack.URI = invite.URI
 			ack.Set("Via", invite.Get("Via"))
 		}
-		e.Back(ack)
+		e.SendBack(ack)
 		if _, again := acked.LoadOrStore(key, true); again {
 			return // a retransmission
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -26,10 +26,10 @@
 )
 
 // answerAfter answers set-ups after a delay.
-func answerAfter(after time.Duration) func(*siptest.Party, siptest.Entry) {
-	return func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			time.AfterFunc(after, func() { e.Back(p.Reply(e.Msg, 200, "OK", "for "+keyOf(e.Msg))) })
+func answerAfter(after time.Duration) func(*siptest.UserAgent, siptest.ReceivedMessage) {
+	return func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			time.AfterFunc(after, func() { e.SendBack(p.Reply(e.Msg, 200, "OK", "for "+keyOf(e.Msg))) })
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	on := func(m map[string]any) { answers <- fmt.Sprint(m["sid"], " ", m["msg"], " ", m["code"]) }
 	c := dialJSON(t, n, on)
 	sendSetup(c, "0000000000000001", "1", 3000)
-	server.Wait("INVITE", siptest.Is("INVITE"))
+	server.Wait("INVITE", siptest.IsMethod("INVITE"))
 	drained := make(chan struct{})
 	go func() { n.Drain(); close(drained) }()
 	late := dialJSON(t, n, on) // after SIGTERM a connection is accepted, but its probe may fail
@@ -151,18 +151,18 @@
 // A restarted gatekeeper restores its dialogs from the store and forwards the server's BYE to the caller.
 func TestDialogsSurviveRestart(t *testing.T) {
 	first := testNode(t, &config.Deploy{SIPUDP: "127.0.0.1:0"})
-	server := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 200, "OK", ""))
+	server := siptest.New(t, func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
 	first.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
 	caller := siptest.New(t, nil)
 	m := caller.Invite("UDP", "abc", "1", "").Set("X-Cos", "menu-view")
 	send := caller.Send("UDP", first.agent.Addr("UDP"), m)
-	send(siptest.Within(m, caller.Wait("answer", siptest.Status(200, "INVITE")).Msg, "ACK", 1))
-	in := server.Wait("INVITE", siptest.Is("INVITE"))
-	server.Wait("ACK", siptest.Is("ACK"))
+	send(siptest.InDialog(m, caller.Wait("answer", siptest.Status(200, "INVITE")).Msg, "ACK", 1))
+	in := server.Wait("INVITE", siptest.IsMethod("INVITE"))
+	server.Wait("ACK", siptest.IsMethod("ACK"))
 
 	records := make(chan store.Record, 9)
 	first.store.Watch(dialogKey, func(r store.Record) { records <- r })
@@ -184,10 +184,10 @@
 		}
 	}
 	first.agent.Close()
-	bye := siptest.Bye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16)
+	bye := siptest.ServerBye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16)
 	server.Send("UDP", second.agent.Addr("UDP"), bye)
 	server.Wait("200 to BYE", siptest.Status(200, "BYE"))
-	caller.Wait("BYE", siptest.Is("BYE"))
+	caller.Wait("BYE", siptest.IsMethod("BYE"))
 }
 
 // An inventory imported into the store replaces the list; an invalid one leaves it unchanged.
@@ -249,12 +249,12 @@
 // A reload applies new limits of calls to later calls, and an invalid file changes nothing: bus, inventory and limits stay.
 // Each reload logs one line, or one line per fault.
 func TestReloadOfLimits(t *testing.T) {
-	refuse := func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
+	refuse := func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
 		}
 	}
-	servers := []*siptest.Party{siptest.New(t, refuse), siptest.New(t, refuse), siptest.New(t, refuse)}
+	servers := []*siptest.UserAgent{siptest.New(t, refuse), siptest.New(t, refuse), siptest.New(t, refuse)}
 	dir := t.TempDir()
 	inv, deploy, cfg := filepath.Join(dir, "servers.csv"), filepath.Join(dir, "deploy.json"), filepath.Join(dir, "config.json")
 	write := func(file, text string) {
@@ -290,7 +290,7 @@
 			t.Errorf("%v", m)
 		}
 		for _, p := range servers {
-			sent += p.Count(func(m *sip.Message) bool { return siptest.Is("INVITE")(m) && keyOf(m) == sid })
+			sent += p.Count(func(m *sip.Message) bool { return siptest.IsMethod("INVITE")(m) && keyOf(m) == sid })
 		}
 		return sent
 	}
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -31,7 +31,7 @@
 }
 
 // withServer replaces the list by one simulated server, which answers set-ups after a delay.
-func withServer(t *testing.T, n *Node, after time.Duration) *siptest.Party {
+func withServer(t *testing.T, n *Node, after time.Duration) *siptest.UserAgent {
 	t.Helper()
 	server := siptest.New(t, answerAfter(after))
 	n.applyAndWait(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
@@ -95,7 +95,7 @@
 	server := withServer(t, n, 600*time.Millisecond)
 	idle, busy := dial(t, n), dial(t, n)
 	sendSetup(busy, "00000000000000b1", "1", 3000)
-	server.Wait("INVITE", siptest.Is("INVITE"))
+	server.Wait("INVITE", siptest.IsMethod("INVITE"))
 	evacuated := time.Now()
 	operatorsRequest(t, n, "POST", "/api/evacuate")
 	idle.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -224,5 +224,5 @@
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Fatalf("connection after the release: %v", err)
 	}
-	server.Wait("BYE", siptest.Is("BYE"))
+	server.Wait("BYE", siptest.IsMethod("BYE"))
 }
