--- a/internal/controlmachine/figures.go
+++ b/internal/controlmachine/figures.go
@@ -28,7 +28,7 @@
 	f.set.NewGauge("proxy_control_ready", func() float64 { return oneIf(m.Ready()) })
 	of("leads", func(s store.Status) float64 { return oneIf(s.LeaderNode == s.Node) })
 	of("leader_known", func(s store.Status) float64 { return oneIf(s.Leader != "") })
-	of("leader_contact_seconds", func(s store.Status) float64 { return s.Contact.Seconds() })
+	of("leader_contact_seconds", func(s store.Status) float64 { return s.SinceLeaderContact.Seconds() })
 	of("votes", func(s store.Status) float64 { return oneIf(votes(s)) })
 	of("members", func(s store.Status) float64 { return float64(len(s.Members)) })
 	of("records", func(s store.Status) float64 { return float64(s.Records) })
