--- a/internal/controlmachine/machine.go
+++ b/internal/controlmachine/machine.go
@@ -40,7 +40,7 @@
 
 // Machine is a running control machine.
 type Machine struct {
-	cfg     *config.Machine
+	cfg     *config.ControlMachine
 	log     logrus.FieldLogger
 	store   *store.Node
 	server  *ops.Server // nil: off
@@ -52,7 +52,7 @@
 
 // Start brings a control machine up, and returns once it has replayed its log and caught up with a leader, however long that
 // takes, or when begin ends. The operators' address opens first, and says not ready until then.
-func Start(begin context.Context, cfg *config.Machine, log logrus.FieldLogger) (_ *Machine, err error) {
+func Start(begin context.Context, cfg *config.ControlMachine, log logrus.FieldLogger) (_ *Machine, err error) {
 	m := &Machine{cfg: cfg, log: log}
 	m.site.Store(cfg.Site)
 	defer func() {
@@ -64,8 +64,8 @@
 		return nil, err
 	}
 	m.figures = newFigures(m)
-	if cfg.Admin != "" {
-		if m.server, err = ops.ListenProcess(cfg.Admin, m, log); err != nil {
+	if cfg.AdminAddr != "" {
+		if m.server, err = ops.ListenProcess(cfg.AdminAddr, m, log); err != nil {
 			return nil, err
 		}
 		log.WithField("listen", m.server.Addr()).Info("operators' address serving")
@@ -84,7 +84,7 @@
 func (m *Machine) openStore() error {
 	s := m.cfg.Store
 	o := store.Options{Node: s.Node, Dir: s.Dir, Sync: s.Sync, Join: s.Join, Via: s.Via, Log: m.log,
-		Election: m.cfg.Election,
+		Election: m.cfg.ElectionTimeout,
 		Reducers: map[string]store.Reducer{limits.LeaseKey: quota.Reduce},
 		Check:    func(writes []store.Write) error { return Check(writes, m.site.Load()) },
 		Serve: &store.ServeOptions{Name: m.cfg.Name, Zone: m.cfg.Zone, Region: m.cfg.Region, Prefix: scope.Prefix,
@@ -148,7 +148,7 @@
 		case errors.As(err, &found):
 			faults = append(faults, found...)
 		case err != nil:
-			faults = append(faults, jsonfile.Fault{File: w.Key, What: err.Error()})
+			faults = append(faults, jsonfile.Fault{File: w.Key, Reason: err.Error()})
 		}
 	}
 	if len(faults) == 0 {
@@ -160,7 +160,7 @@
 // Reload reads the file again and proves what is written from now on against the gatekeeper's configuration that it names.
 // All else takes effect at the next start. A bad file leaves all as it was.
 func (m *Machine) Reload(file string) {
-	cfg, err := config.LoadMachine(file)
+	cfg, err := config.LoadControlMachine(file)
 	if err != nil {
 		for line := range strings.SplitSeq(err.Error(), "\n") {
 			m.log.WithField("error", line).Error("reload: file is bad, last good one kept")
@@ -168,7 +168,7 @@
 		return
 	}
 	m.site.Store(cfg.Site)
-	m.log.WithFields(logrus.Fields{"gatekeeper": cfg.Gatekeeper, "proved": cfg.Site != nil}).
+	m.log.WithFields(logrus.Fields{"gatekeeper": cfg.GatekeeperConfig, "proved": cfg.Site != nil}).
 		Info("reloaded the gatekeeper's configuration that settings are proved against; other changes take effect at the next start")
 }
 
--- a/internal/controlmachine/machine_test.go
+++ b/internal/controlmachine/machine_test.go
@@ -47,10 +47,10 @@
 	require.NoError(t, Check(writes[2:5], testSite(t)))
 }
 
-func alone(t *testing.T) *config.Machine {
+func alone(t *testing.T) *config.ControlMachine {
 	t.Helper()
 	address := porttest.Reserve(t)
-	return &config.Machine{Name: "c1", Admin: "127.0.0.1:0", Store: config.Store{Node: "c1", Listen: address,
+	return &config.ControlMachine{Name: "c1", AdminAddr: "127.0.0.1:0", Store: config.Store{Node: "c1", Listen: address,
 		Peers: []config.StorePeer{{Node: "c1", Address: address}}}}
 }
 
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -32,7 +32,7 @@
 // store for imported inventories.
 func (n *Node) loadServers() error {
 	var updates []routing.Update
-	for _, e := range n.cfg.Known {
+	for _, e := range n.cfg.KnownEvents {
 		if e.Update != nil {
 			u := *e.Update
 			u.Source = fromBus
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -93,10 +93,10 @@
 
 // openOperators starts to serve the operators' address if one is configured.
 func (n *Node) openOperators() error {
-	if n.cfg.Admin == "" {
+	if n.cfg.AdminAddr == "" {
 		return nil
 	}
-	s, err := ops.Listen(n.cfg.Admin, n, n.log)
+	s, err := ops.Listen(n.cfg.AdminAddr, n, n.log)
 	if err != nil {
 		return err
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -36,7 +36,7 @@
 	if n.deploy.Limits == nil && n.deploy.Control == nil && deploy.Limits != nil {
 		n.log.Warn("reload: fleet.limits is new; it takes effect at the next start")
 	}
-	n.bus.Move(cfg.Bus)
+	n.bus.SetAddr(cfg.Bus)
 	current, fromRecords := n.reloadSections(sections{calls: deploy.Calls, limits: deploy.Limits, hosts: hosts})
 	n.recordConfiguration(cfg)
 	log := n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(current.hosts), "calls": current.calls.Version()})
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -204,7 +204,7 @@
 		case errors.As(err, &found):
 			faults = append(faults, found...)
 		case err != nil:
-			faults = append(faults, jsonfile.Fault{File: r.Key, What: err.Error()})
+			faults = append(faults, jsonfile.Fault{File: r.Key, Reason: err.Error()})
 		}
 	}
 	if len(faults) > 0 {
@@ -214,8 +214,8 @@
 }
 
 // facilities returns the facilities of this gatekeeper that limits of the fleet may require.
-func (n *Node) facilities() config.Around {
-	return config.Around{Gossip: n.deploy.Fleet != nil, Store: n.storeShared()}
+func (n *Node) facilities() config.Features {
+	return config.Features{Gossip: n.deploy.Fleet != nil, Store: n.storeShared()}
 }
 
 // storeShared reports whether this gatekeeper's store has other members.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -116,7 +116,7 @@
 					require.NoError(t, err)
 				}
 				if file.limits != "" {
-					s.limits, err = config.ParseLimits("f", []byte(limitsText(file.limits)), n.cfg.Site, config.Around{})
+					s.limits, err = config.ParseLimits("f", []byte(limitsText(file.limits)), n.cfg.Site, config.Features{})
 					require.NoError(t, err)
 				}
 				if file.inventory != "" {
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -101,7 +101,7 @@
 		descriptors = defaultDescriptors
 	}
 	reserved := reservedDescriptors
-	if n.cfg.Admin != "" {
+	if n.cfg.AdminAddr != "" {
 		reserved += ops.MaxOpenConns + 1 // the operators' connections and listener count towards the same limit
 	}
 	if n.deploy.Control != nil {
@@ -143,7 +143,7 @@
 	}
 	n.counters = counting.New(counting.Options{Classes: len(n.cfg.Site.Classes), Tenants: len(n.cfg.Site.Tenants)})
 	observers := []routing.Observer{n.counters}
-	if n.deploy.Fleet.MaxOut > 0 {
+	if n.deploy.Fleet.MaxKeptOut > 0 {
 		if n.outliers, err = n.newOutlierMonitor(); err != nil {
 			return err
 		}
@@ -217,7 +217,7 @@
 
 // newBusReader returns the reader of the event bus, which updates the list of servers.
 func (n *Node) newBusReader(dialTimeout time.Duration) *bus.Reader {
-	return &bus.Reader{Addr: n.cfg.Bus, Last: n.cfg.Last, Log: n.log,
+	return &bus.Reader{Addr: n.cfg.Bus, LastOffset: n.cfg.LastOffset, Log: n.log,
 		Apply: func(u routing.Update) {
 			u.Source = fromBus
 			n.list.Apply(u, nil)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -62,7 +62,7 @@
 
 // onlyInStore reports whether the store is the only source of the gatekeeper's servers, so that it cannot serve without it.
 func (n *Node) onlyInStore() bool {
-	return n.deploy.Inventory == "" && n.cfg.Bus == "" && len(n.cfg.Known) == 0
+	return n.deploy.Inventory == "" && n.cfg.Bus == "" && len(n.cfg.KnownEvents) == 0
 }
 
 // awaitStore blocks the start until the member has replayed its log and caught up with a leader, so that neither the "serving"
