--- a/cmd/beammux/apply.go
+++ b/cmd/beammux/apply.go
@@ -15,10 +15,10 @@
 )
 
 type storeApplyCmd struct {
-	Write  []string          `arg:"" optional:"" name:"KEY=FILE" help:"A record to write and the file with its value; - for standard input."`
-	Delete []string          `help:"Key of a record to delete; may be given again." placeholder:"KEY" sep:"none"`
-	At     map[string]uint64 `help:"Only if that record is at this revision, 0: if there is none; may be given again." placeholder:"KEY=REVISION"`
-	member
+	Write  []string          `arg:"" optional:"" name:"KEY=FILE" help:"Key of a record to write and the file with its value; - for standard input."`
+	Delete []string          `help:"Key of a record to delete; may be repeated." placeholder:"KEY" sep:"none"`
+	At     map[string]uint64 `help:"Write only if that record has this revision; 0: only if there is none; may be repeated." placeholder:"KEY=REVISION"`
+	memberFlags
 }
 
 func (c storeApplyCmd) Run() error {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	return c.ask(func(ctx context.Context) error {
+	return c.request(func(ctx context.Context) error {
 		revision, err := store.TransactTo(ctx, c.Store, writes)
 		if err != nil {
 			return err
@@ -39,30 +39,31 @@
 			return printJSON(map[string]any{"keys": keys, "revision": revision})
 		}
 		for _, w := range writes {
-			what := "written"
+			action := "written"
 			if w.Delete {
-				what = "deleted"
+				action = "deleted"
 			}
-			fmt.Printf("%s: %s, revision %d\n", printable(w.Key), what, revision)
+			fmt.Printf("%s: %s, revision %d\n", printable(w.Key), action, revision)
 		}
 		return nil
 	})
 }
 
-// exitUsage is the code of a call whose arguments make no sense.
+// exitUsage is the exit code for invalid arguments.
 const exitUsage = 2
 
-func wrongCall(format string, args ...any) error {
-	return fault(fmt.Errorf(format, args...), exitUsage)
+// usageError returns an error with the exit code for invalid arguments.
+func usageError(format string, args ...any) error {
+	return withExitCode(fmt.Errorf(format, args...), exitUsage)
 }
 
-// writes reads what is to be written.
+// writes returns the writes and deletions that the arguments ask for, with the values read from their files.
 func (c storeApplyCmd) writes() ([]store.Write, error) {
 	var writes []store.Write
 	seen := map[string]bool{}
 	add := func(w store.Write) error {
 		if seen[w.Key] {
-			return wrongCall("%s is named twice", w.Key)
+			return usageError("%s is named twice", w.Key)
 		}
 		seen[w.Key] = true
 		if at, ok := c.At[w.Key]; ok {
@@ -74,7 +75,7 @@
 	for _, arg := range c.Write {
 		key, file, ok := strings.Cut(arg, "=")
 		if !ok || key == "" || file == "" {
-			return nil, wrongCall("%q is not KEY=FILE", arg)
+			return nil, usageError("%q is not KEY=FILE", arg)
 		}
 		value, err := recordValue(key, file)
 		if err != nil {
@@ -91,17 +92,17 @@
 	}
 	for key := range c.At {
 		if !seen[key] {
-			return nil, wrongCall("--at names %s, which is neither written nor deleted", key)
+			return nil, usageError("--at names %s, which is neither written nor deleted", key)
 		}
 	}
 	if len(writes) == 0 {
-		return nil, wrongCall("nothing to write or delete: name KEY=FILE or --delete KEY")
+		return nil, usageError("nothing to write or delete: name KEY=FILE or --delete KEY")
 	}
 	return writes, nil
 }
 
-// recordValue reads the value of a record from a file, - for standard input. That of a section inventory is taken as it is
-// kept, with the file's ending in the first line, or from a .csv or .yaml file, whose ending is then put before it.
+// recordValue reads the value of a record from a file; - stands for standard input. The stored value of an inventory begins with
+// a line that holds the file extension. For a .csv or .yaml file this line is added; other input must contain it already.
 func recordValue(key, file string) ([]byte, error) {
 	in := os.Stdin
 	if file != "-" {
@@ -116,17 +117,17 @@
 	if err != nil {
 		return nil, err
 	}
-	ending := filepath.Ext(file)
-	if k, err := scope.ParseKey(key); err == nil && k.Section == scope.SectionInventory && config.IsInventoryForm(ending) {
-		value = config.InventoryRecord(ending, value)
+	extension := filepath.Ext(file)
+	if parsed, err := scope.ParseKey(key); err == nil && parsed.Section == scope.SectionInventory && config.IsInventoryForm(extension) {
+		value = config.InventoryRecord(extension, value)
 	}
 	return value, nil
 }
 
-// checkSettings checks a file as a control machine does the value of a record.
+// checkSettings checks the value of a settings record in a file in the same way as a control machine.
 func checkSettings(key, file string, site *control.Site) error {
 	if key == "" || file == "" {
-		return wrongCall("--settings and --key go together")
+		return usageError("--settings and --key must be given together")
 	}
 	value, err := recordValue(key, file)
 	if err != nil {
--- a/cmd/beammux/calls.go
+++ b/cmd/beammux/calls.go
@@ -14,18 +14,18 @@
 )
 
 type callsCmd struct {
-	Check   callsCheckCmd   `cmd:"" help:"Prove a file's time-outs and attempts against the rules; exit 1 with every fault."`
-	Explain callsExplainCmd `cmd:"" help:"Show the limits of a call, the rule that gave each, and the call's worst course."`
-	Diff    callsDiffCmd    `cmd:"" help:"Show what a new file changes for which class and route; exit 1 if anything."`
+	Check   callsCheckCmd   `cmd:"" help:"Validate a file's time-outs and attempts; exit 1 and print every error if any is invalid."`
+	Explain callsExplainCmd `cmd:"" help:"Show the limits of a call, the rule that sets each limit, and the call's worst course."`
+	Diff    callsDiffCmd    `cmd:"" help:"Show the changes of a new file by class and route; exit 1 if there are any."`
 }
 
-// compiled reads a deploy file and proves its section "calls" against a configuration's settings.
-func compiled(file, configuration string) (*config.Config, *config.Deploy, *retry.Policy, error) {
+// loadPolicy reads a deploy file and validates its section "calls" against the settings of a configuration.
+func loadPolicy(file, configuration string) (*config.Config, *config.Deploy, *retry.Policy, error) {
 	cfg, err := config.Load(configuration)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if _, err := os.Stat(file); err != nil { // that it may be absent is for a gatekeeper alone
+	if _, err := os.Stat(file); err != nil { // only a gatekeeper may start without a deploy file
 		return nil, nil, nil, fmt.Errorf("%s: can't be read: %w", file, err)
 	}
 	deploy, err := config.LoadDeploy(file, cfg.Site)
@@ -42,21 +42,21 @@
 }
 
 func (c callsCheckCmd) Run() error {
-	_, _, policy, err := compiled(c.File, c.Config)
-	faults, form := err.(jsonfile.Faults)
+	_, _, policy, err := loadPolicy(c.File, c.Config)
+	faults, invalid := err.(jsonfile.Faults)
 	switch {
-	case c.JSON && (err == nil || form):
-		if e := printJSON(map[string]any{"file": c.File, "good": err == nil, "calls": policy.Version(),
-			"faults": append(jsonfile.Faults{}, faults...)}); e != nil {
-			return e
+	case c.JSON && (err == nil || invalid):
+		if printErr := printJSON(map[string]any{"file": c.File, "good": err == nil, "calls": policy.Version(),
+			"faults": append(jsonfile.Faults{}, faults...)}); printErr != nil {
+			return printErr
 		}
-		if form {
-			return exit(1)
+		if invalid {
+			return silentExit(1)
 		}
 	case err != nil:
 		return err
 	case policy == nil:
-		fmt.Printf("%s: good: no limits of its own, those of the settings hold\n", c.File)
+		fmt.Printf("%s: good: no limits of its own, those of the settings apply\n", c.File)
 	default:
 		fmt.Printf("%s: good: %d classes, %d routes, version %s\n", c.File, len(policy.File().Classes), len(policy.File().Routes), policy.Version())
 	}
@@ -67,29 +67,31 @@
 	File        string `arg:"" help:"Deploy file (JSON)."`
 	Config      string `help:"Configuration file (JSON) with the deployment's settings." env:"PROXY_CONFIG" required:""`
 	Class       string `help:"Class of the call." required:""`
-	Number      string `help:"Number called." required:""`
-	FirstChoice int    `help:"Cell of the server of first choice." default:"-1"`
-	Again       bool   `help:"The call was cut and comes again."`
+	Number      string `help:"Called number." required:""`
+	FirstChoice int    `help:"Cell of the first-choice server; -1: none." default:"-1"`
+	Again       bool   `help:"The call was cut and is repeated."`
 	JSON        bool   `help:"Print JSON."`
 }
 
-// explanation is what explain prints.
+// explanation is the output of calls explain.
 type explanation struct {
-	Class   string       `json:"class"`
-	Route   string       `json:"route,omitempty"`
-	Version string       `json:"version"`
-	Limits  []figure     `json:"limits"`
-	Budget  string       `json:"budget"`
-	Worst   []courseStep `json:"worst_course"`
+	Class   string        `json:"class"`
+	Route   string        `json:"route,omitempty"`
+	Version string        `json:"version"`
+	Limits  []configValue `json:"limits"`
+	Budget  string        `json:"budget"`
+	Worst   []courseStep  `json:"worst_course"`
 }
 
-type figure struct {
+// configValue is a value in force and where it was set.
+type configValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 	From  string `json:"from"`
 	Where string `json:"where,omitempty"`
 }
 
+// courseStep is one attempt of a call's worst course.
 type courseStep struct {
 	Attempt int    `json:"attempt"`
 	StartMs int64  `json:"start_ms"`
@@ -99,70 +101,71 @@
 }
 
 func (c callsExplainCmd) Run() error {
-	cfg, deploy, policy, err := compiled(c.File, c.Config)
+	cfg, deploy, policy, err := loadPolicy(c.File, c.Config)
 	if err != nil {
 		return err
 	}
 	class := slices.Index(cfg.Site.ClassNames, c.Class)
 	if class < 0 {
-		return fmt.Errorf("%s: the settings name no class %q, but %s%s", c.Config, c.Class,
+		return fmt.Errorf("%s: the settings define no class %q, only %s%s", c.Config, c.Class,
 			strings.Join(cfg.Site.ClassNames, ", "), jsonfile.Hint(c.Class, cfg.Site.ClassNames))
 	}
-	if policy == nil { // no section: what the settings say, shown the same way
+	if policy == nil { // no section calls: the limits of the settings are shown instead
 		var faults []retry.Fault
 		if policy, faults = retry.Compile(&retry.File{}, retry.RulesFromSettings(cfg.Site)); len(faults) > 0 {
 			return fmt.Errorf("%s: %s", c.Config, faults[0].What)
 		}
 	}
-	r := policy.Resolve(class, c.Number, c.FirstChoice, c.Again)
-	e := explanation{Class: c.Class, Route: r.Name, Version: policy.Version(), Budget: policy.File().Budget.String(),
-		Limits: figures(r, deploy)}
-	for i, s := range policy.Worst(r) {
-		e.Worst = append(e.Worst, courseStep{i + 1, ms(s.Start), ms(s.End), s.Code.String(), ms(s.Wait)})
+	limits := policy.Resolve(class, c.Number, c.FirstChoice, c.Again)
+	explained := explanation{Class: c.Class, Route: limits.Name, Version: policy.Version(), Budget: policy.File().Budget.String(),
+		Limits: limitValues(limits, deploy)}
+	for i, s := range policy.Worst(limits) {
+		explained.Worst = append(explained.Worst, courseStep{i + 1, milliseconds(s.Start), milliseconds(s.End), s.Code.String(), milliseconds(s.Wait)})
 	}
 	if c.JSON {
-		return printJSON(e)
+		return printJSON(explained)
 	}
 	rule := "no route: the class's limits"
-	if r.Route >= 0 {
-		path := fmt.Sprintf("calls.routes[%d]", r.Route)
-		rule = fmt.Sprintf("route %q (%s, %s)", r.Name, path, deploy.Where(path))
+	if limits.Route >= 0 {
+		path := fmt.Sprintf("calls.routes[%d]", limits.Route)
+		rule = fmt.Sprintf("route %q (%s, %s)", limits.Name, path, deploy.Where(path))
 	}
 	fmt.Printf("%s to %s: %s\n\n", c.Class, c.Number, rule)
-	printFigures(e.Limits)
-	fmt.Printf("\nbudget: %s\n\nworst course\n", e.Budget)
-	for _, s := range e.Worst {
+	printValues(explained.Limits)
+	fmt.Printf("\nbudget: %s\n\nworst course\n", explained.Budget)
+	for _, s := range explained.Worst {
 		fmt.Printf("  %6d ms  attempt %d is sent\n  %6d ms  attempt %d ended: %s", s.StartMs, s.Attempt, s.EndMs, s.Attempt, s.Outcome)
 		if s.WaitMs > 0 {
 			fmt.Printf("; wait %d ms", s.WaitMs)
 		}
 		fmt.Println()
 	}
-	if len(e.Worst) > 0 {
-		fmt.Printf("  %6d ms  the call gets its final answer\n", e.Worst[len(e.Worst)-1].EndMs)
+	if len(explained.Worst) > 0 {
+		fmt.Printf("  %6d ms  the call gets its final answer\n", explained.Worst[len(explained.Worst)-1].EndMs)
 	}
 	return nil
 }
 
-func ms(m control.Micros) int64 { return int64(m / 1000) }
+// milliseconds converts microseconds to milliseconds.
+func milliseconds(m control.Micros) int64 { return int64(m / 1000) }
 
-// figures lists limits with where each came from.
-func figures(r *retry.Resolved, deploy *config.Deploy) (list []figure) {
-	for f := range retry.ParameterCount {
-		value, from := f.FormatValue(r.Values[f]), r.From[f]
+// limitValues lists the limits of a call and where each was set.
+func limitValues(limits *retry.Resolved, deploy *config.Deploy) (list []configValue) {
+	for parameter := range retry.ParameterCount {
+		value, from := parameter.FormatValue(limits.Values[parameter]), limits.From[parameter]
 		switch {
-		case r.Values[f] != 0:
-		case f == retry.AttemptTimeout || f == retry.GiveUp:
+		case limits.Values[parameter] != 0:
+		case parameter == retry.AttemptTimeout || parameter == retry.GiveUp:
 			from = "the call's end"
-		case f == retry.RetryWait:
+		case parameter == retry.RetryWait:
 			from += ", but at least the release guard"
 		}
-		list = append(list, figure{f.String(), value, from, deploy.Where(r.From[f] + "." + f.String())})
+		list = append(list, configValue{parameter.String(), value, from, deploy.Where(limits.From[parameter] + "." + parameter.String())})
 	}
 	return list
 }
 
-func printFigures(list []figure) {
+func printValues(list []configValue) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, f := range list {
 		fmt.Fprintf(w, "  %s\t%s\t%s\t%s\n", f.Key, f.Value, f.From, f.Where)
@@ -172,19 +175,19 @@
 
 type callsDiffCmd struct {
 	Old    string `arg:"" help:"Deploy file in force."`
-	New    string `arg:"" help:"Deploy file to come."`
+	New    string `arg:"" help:"New deploy file."`
 	Config string `help:"Configuration file (JSON) with the deployment's settings." env:"PROXY_CONFIG" required:""`
 	JSON   bool   `help:"Print JSON."`
 }
 
 func (c callsDiffCmd) Run() error {
-	cfg, _, before, err := compiled(c.Old, c.Config)
+	cfg, _, before, err := loadPolicy(c.Old, c.Config)
 	if err != nil {
-		return fault(err, 2)
+		return withExitCode(err, 2)
 	}
-	_, _, after, err := compiled(c.New, c.Config)
+	_, _, after, err := loadPolicy(c.New, c.Config)
 	if err != nil {
-		return fault(err, 2)
+		return withExitCode(err, 2)
 	}
 	changes := retry.Diff(before, after, retry.RulesFromSettings(cfg.Site))
 	if c.JSON {
@@ -193,26 +196,26 @@
 		}
 	} else {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		for _, x := range changes {
-			who := "all calls"
-			if x.Class != "" {
-				who = x.Class
+		for _, change := range changes {
+			calls := "all calls"
+			if change.Class != "" {
+				calls = change.Class
 			}
-			if x.Route != "" {
-				who += fmt.Sprintf(" by route %q", x.Route)
+			if change.Route != "" {
+				calls += fmt.Sprintf(" by route %q", change.Route)
 			}
-			none := func(s string) string {
+			orNone := func(s string) string {
 				if s == "" {
 					return "none"
 				}
 				return s
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t-> %s\n", who, x.Property, none(x.Before), none(x.After))
+			fmt.Fprintf(w, "%s\t%s\t%s\t-> %s\n", calls, change.Property, orNone(change.Before), orNone(change.After))
 		}
 		w.Flush()
 	}
 	if len(changes) > 0 {
-		return exit(1)
+		return silentExit(1)
 	}
 	return nil
 }
--- a/cmd/beammux/calls_test.go
+++ b/cmd/beammux/calls_test.go
@@ -13,10 +13,10 @@
 
 const example, exampleConfig = "deploy/example/beammux.json", "deploy/example/gatekeeper.json"
 
-// run runs the program to its end and gives its output and exit code.
+// run runs the program to completion and returns its output and exit code.
 func run(t *testing.T, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
-	cmd := program(args...)
+	cmd := newProgram(args...)
 	var errs strings.Builder
 	cmd.Stderr = &errs
 	out, err := cmd.Output()
@@ -27,7 +27,8 @@
 	return string(out), errs.String(), cmd.ProcessState.ExitCode()
 }
 
-func edited(t *testing.T, replace ...string) string {
+// editedExample writes a copy of the example deploy file with replacements and returns its path.
+func editedExample(t *testing.T, replace ...string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../" + example)
 	if err != nil {
@@ -45,7 +46,7 @@
 	if code != 0 || !strings.Contains(out, ": good: 1 classes, 1 routes, version ") {
 		t.Errorf("exit %d, %s", code, out)
 	}
-	bad := edited(t, `"attempts": 4`, `"attempts": 6`, `"retry_wait_ms": 300`, `"retry_wait_ms": 20`)
+	bad := editedExample(t, `"attempts": 4`, `"attempts": 6`, `"retry_wait_ms": 300`, `"retry_wait_ms": 20`)
 	_, errs, code := run(t, "calls", "check", bad, "--config", exampleConfig)
 	lines := strings.Split(strings.TrimSpace(errs), "\n")
 	if code != 1 || len(lines) != 2 || !strings.HasPrefix(lines[0], bad+":7:") || !strings.HasPrefix(lines[1], bad+":10:32: calls.classes.diet-order.attempts: 6 is over 5") {
@@ -72,7 +73,7 @@
 	out, _, code := run(t, append(args, "--json")...)
 	var e explanation
 	if err := json.Unmarshal([]byte(out), &e); err != nil || code != 0 || e.Route != "el-paso wards" || len(e.Worst) != 2 ||
-		e.Worst[1].EndMs != 2950 || e.Limits[0] != (figure{"attempts", "2", "calls.routes[0]", example + ":15"}) {
+		e.Worst[1].EndMs != 2950 || e.Limits[0] != (configValue{"attempts", "2", "calls.routes[0]", example + ":15"}) {
 		t.Errorf("exit %d, %v, %s", code, err, out)
 	}
 	if out, _, code = run(t, args...); code != 0 || !strings.Contains(out, "2950 ms  the call gets its final answer") {
@@ -91,24 +92,24 @@
 	if out, _, code := run(t, "calls", "diff", example, example, "--config", exampleConfig); code != 0 || out != "" {
 		t.Errorf("exit %d, %s", code, out)
 	}
-	other := edited(t, `"attempts": 4`, `"attempts": 2`)
+	other := editedExample(t, `"attempts": 4`, `"attempts": 2`)
 	out, _, code := run(t, "calls", "diff", example, other, "--config", exampleConfig)
 	if code != 1 || strings.Join(strings.Fields(out), " ") != "diet-order attempts 4 -> 2" {
 		t.Errorf("exit %d, %s", code, out)
 	}
-	if _, errs, code := run(t, "calls", "diff", example, edited(t, `"attempts": 4`, `"attempts": 0`), "--config", exampleConfig); code != 2 || errs == "" {
+	if _, errs, code := run(t, "calls", "diff", example, editedExample(t, `"attempts": 4`, `"attempts": 0`), "--config", exampleConfig); code != 2 || errs == "" {
 		t.Errorf("exit %d, %s", code, errs)
 	}
 }
 
-// What a start would put in force, with the version that a running gatekeeper logs.
-func TestConfigShowAndTheFirstCommand(t *testing.T) {
+// `config show` prints the values that a start would put in force, with the version of the limits that `serve` logs.
+func TestConfigShowMatchesServe(t *testing.T) {
 	out, _, code := run(t, "config", "show", "--config", exampleConfig, "--deploy", example, "--json")
-	var all []figure
+	var all []configValue
 	if err := json.Unmarshal([]byte(out), &all); err != nil || code != 0 {
 		t.Fatalf("exit %d, %v", code, err)
 	}
-	byKey := map[string]figure{}
+	byKey := map[string]configValue{}
 	for _, f := range all {
 		byKey[f.Key] = f
 	}
@@ -120,10 +121,10 @@
 	}
 	version := byKey["calls"].Value
 
-	cmd := program("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy",
-		edited(t, "127.0.0.1:5070", "127.0.0.1:0"))
+	cmd := newProgram("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy",
+		editedExample(t, "127.0.0.1:5070", "127.0.0.1:0"))
 	logged := ""
-	for lines := started(t, cmd); lines.Scan(); {
+	for lines := startProgram(t, cmd); lines.Scan(); {
 		var l struct{ Msg, Calls string }
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			t.Errorf("not JSON: %s", lines.Text())
--- a/cmd/beammux/console.go
+++ b/cmd/beammux/console.go
@@ -24,8 +24,8 @@
 type consoleCmd struct {
 	Records []string      `help:"Folders of records to replay." xor:"source" required:""`
 	Attach  []string      `help:"Console sockets of gatekeepers: unix:PATH or HOST:PORT." xor:"source" required:""`
-	Speed   float64       `help:"Of a replay, in real time." default:"10"`
-	For     time.Duration `help:"How long to watch before a plain table is printed, where the output is no terminal." default:"2s"`
+	Speed   float64       `help:"Speed of a replay, as a multiple of real time." default:"10"`
+	For     time.Duration `help:"How long to watch before a plain table is printed, if the output is not a terminal." default:"2s"`
 }
 
 func (c consoleCmd) Run() error {
@@ -33,7 +33,7 @@
 	defer stop()
 	terminal := term.IsTerminal(int(os.Stdout.Fd()))
 	if c.Speed <= 0 {
-		return fault(fmt.Errorf("console: --speed must be over 0"), 2)
+		return withExitCode(fmt.Errorf("console: --speed must be over 0"), 2)
 	}
 	mode := "live"
 	items := make(chan record.Item, 1024)
@@ -58,31 +58,31 @@
 	} else {
 		for _, addr := range c.Attach {
 			if _, _, err := admin.Split(addr); err != nil {
-				return fault(fmt.Errorf("console: --attach %s: %w", addr, err), 2)
+				return withExitCode(fmt.Errorf("console: --attach %s: %w", addr, err), 2)
 			}
 		}
-		for i, addr := range c.Attach {
-			first, err := dialConsole(addr)
+		for item, addr := range c.Attach {
+			conn, err := dialConsole(addr)
 			if err != nil {
 				return err
 			}
-			go watch(ctx, c.Attach[i], first, items)
+			go watch(ctx, c.Attach[item], conn, items)
 		}
 	}
-	s := console.NewState(mode)
+	state := console.NewState(mode)
 	if !terminal {
-		limit := time.After(c.For)
+		deadline := time.After(c.For)
 		if len(c.Records) > 0 {
-			limit = nil
+			deadline = nil
 		}
 		for {
 			select {
-			case i, ok := <-items:
+			case item, ok := <-items:
 				if ok {
-					s.Item(i)
+					state.Item(item)
 					continue
 				}
-			case <-limit:
+			case <-deadline:
 			case <-ctx.Done():
 			}
 			break
@@ -91,7 +91,7 @@
 		case err := <-failed:
 			return err
 		default:
-			return s.Print(os.Stdout)
+			return state.Print(os.Stdout)
 		}
 	}
 	screen, err := tcell.NewScreen()
@@ -102,30 +102,31 @@
 		return err
 	}
 	defer screen.Fini()
-	console.Show(screen, s, items, ctx.Done())
+	console.Show(screen, state, items, ctx.Done())
 	return nil
 }
 
-// replay brings records at a speed, 0 for all at once. Events are copied, since the reader uses its own again.
-func replay(ctx context.Context, r *record.Reader, speed float64, items chan<- record.Item) error {
+// replay sends records to items at a speed, as a multiple of real time; 0 sends them without delay. Events are copied, since the
+// reader reuses its buffer.
+func replay(ctx context.Context, reader *record.Reader, speed float64, items chan<- record.Item) error {
 	var first control.Micros
 	began := time.Now()
 	for {
-		i, err := r.Next()
+		item, err := reader.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if i.Event != nil {
-			e := *i.Event
-			i.Event = &e
+		if item.Event != nil {
+			event := *item.Event
+			item.Event = &event
 			if first == 0 {
-				first = e.At
+				first = event.At
 			}
 			if speed > 0 {
-				due := began.Add(time.Duration(float64(e.At-first) / speed * 1000))
+				due := began.Add(time.Duration(float64(event.At-first) / speed * 1000))
 				select {
 				case <-time.After(time.Until(due)):
 				case <-ctx.Done():
@@ -134,13 +135,14 @@
 			}
 		}
 		select {
-		case items <- i:
+		case items <- item:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
+// dialConsole connects to the console socket of a gatekeeper.
 func dialConsole(addr string) (net.Conn, error) {
 	network, address, err := admin.Split(addr)
 	if err != nil {
@@ -149,32 +151,33 @@
 	return net.DialTimeout(network, address, 2*time.Second)
 }
 
-// watch brings a gatekeeper's events, and connects again when the connection breaks; what was missed is a gap.
+// watch sends a gatekeeper's events to items and reconnects when the connection breaks. It reports the time without a connection
+// as a gap.
 func watch(ctx context.Context, addr string, conn net.Conn, items chan<- record.Item) {
 	var last history.Event
 	for ; ; conn, _ = dialConsole(addr) {
 		if conn != nil {
-			var once sync.Once
-			end := context.AfterFunc(ctx, func() { once.Do(func() { conn.Close() }) })
-			if s, err := record.NewStreamReader(conn); err == nil {
+			var closeOnce sync.Once
+			stop := context.AfterFunc(ctx, func() { closeOnce.Do(func() { conn.Close() }) })
+			if stream, err := record.NewStreamReader(conn); err == nil {
 				for {
-					e, err := s.Next()
+					event, err := stream.Next()
 					if err != nil {
 						break
 					}
 					if last.At > 0 {
-						items <- record.Item{Gap: &history.Gap{Node: e.Node, From: last.At, To: e.At, Why: history.Restart, Hides: true}}
+						items <- record.Item{Gap: &history.Gap{Node: event.Node, From: last.At, To: event.At, Why: history.Restart, Hides: true}}
 					}
 					last = history.Event{}
-					if e.Kind == history.Dropped {
-						items <- record.Item{Gap: &history.Gap{Node: e.Node, From: e.At, To: e.At, Why: history.Lost, Hides: true, Count: e.N}}
+					if event.Kind == history.Dropped {
+						items <- record.Item{Gap: &history.Gap{Node: event.Node, From: event.At, To: event.At, Why: history.Lost, Hides: true, Count: event.N}}
 					}
-					items <- record.Item{Event: e}
+					items <- record.Item{Event: event}
 					last.At = 0
 				}
 			}
-			end()
-			once.Do(func() { conn.Close() })
+			stop()
+			closeOnce.Do(func() { conn.Close() })
 			last.At = control.Micros(time.Now().UnixMicro())
 		}
 		select {
--- a/cmd/beammux/control.go
+++ b/cmd/beammux/control.go
@@ -18,18 +18,18 @@
 )
 
 type controlCmd struct {
-	Serve    controlServeCmd    `cmd:"" help:"Run a control machine: a member of the store that gatekeepers follow their settings at."`
-	Check    controlCheckCmd    `cmd:"" help:"Read a control machine's file and say whether it is good."`
-	Sessions controlSessionsCmd `cmd:"" help:"The gatekeepers that follow their settings at a control machine, and what each has in force."`
+	Serve    controlServeCmd    `cmd:"" help:"Run a control machine: a member of the store from which gatekeepers receive their settings."`
+	Check    controlCheckCmd    `cmd:"" help:"Read a control machine's file and report whether it is valid."`
+	Sessions controlSessionsCmd `cmd:"" help:"List the gatekeepers that follow their settings at a control machine, with the revision that each has in force."`
 }
 
 type controlServeCmd struct {
 	File  string `help:"The control machine's file (JSON)." required:""`
-	Admin string `name:"admin-addr" help:"Operators' HTTP address, HOST:PORT, in place of the file's admin_addr."`
+	Admin string `name:"admin-addr" help:"Operators' HTTP address, HOST:PORT; overrides the file's admin_addr."`
 }
 
 func (c controlServeCmd) Run(log logrus.FieldLogger) error {
-	hup := make(chan os.Signal, 1) // first of all: uncaught, a signal that comes early would end the process
+	hup := make(chan os.Signal, 1) // installed first: an early SIGHUP without a handler would end the process
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -44,9 +44,9 @@
 		cfg.Admin = c.Admin
 	}
 	log = log.WithField("node", cfg.Name)
-	m, err := controlmachine.Start(ctx, cfg, log)
+	machine, err := controlmachine.Start(ctx, cfg, log)
 	if err != nil && ctx.Err() != nil {
-		log.WithError(err).Info("ended before it was ready")
+		log.WithError(err).Info("stopped before the control machine was ready")
 		return nil
 	}
 	if err != nil {
@@ -55,9 +55,9 @@
 	for {
 		select {
 		case <-hup:
-			m.Reload(c.File)
+			machine.Reload(c.File)
 		case <-ctx.Done():
-			m.Drain()
+			machine.Drain()
 			return nil
 		}
 	}
@@ -68,22 +68,22 @@
 }
 
 func (c controlCheckCmd) Run() error {
-	m, err := config.LoadMachine(c.File)
+	machine, err := config.LoadMachine(c.File)
 	if err != nil {
 		return err
 	}
-	proof := "settings are proved against " + m.Gatekeeper
-	if m.Site == nil {
-		proof = "only the form of settings is checked: no gatekeeper's configuration is named"
+	validation := "settings are validated against " + machine.Gatekeeper
+	if machine.Site == nil {
+		validation = "only the syntax of settings is checked: the file names no gatekeeper's configuration"
 	}
-	fmt.Printf("%s: good: control machine %s at %s, %d members; %s\n", c.File, m.Name, m.Store.Listen, len(m.Store.Peers), proof)
+	fmt.Printf("%s: good: control machine %s at %s, %d members; %s\n", c.File, machine.Name, machine.Store.Listen, len(machine.Store.Peers), validation)
 	return nil
 }
 
-type controlSessionsCmd struct{ member }
+type controlSessionsCmd struct{ memberFlags }
 
 func (c controlSessionsCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
+	return c.request(func(ctx context.Context) error {
 		sessions, err := store.SessionsFrom(ctx, nil, c.Store)
 		if err != nil {
 			return err
@@ -105,5 +105,5 @@
 	})
 }
 
-// oneLine keeps a text with several lines in one line of a table.
+// oneLine replaces line breaks, so that a text fits in one line of a table.
 func oneLine(s string) string { return strings.ReplaceAll(s, "\n", "; ") }
--- a/cmd/beammux/control_test.go
+++ b/cmd/beammux/control_test.go
@@ -17,17 +17,17 @@
 	"beammux/internal/porttest"
 )
 
-// controlGroup is a group of control machines in processes of their own.
+// controlGroup is a group of control machines, each in its own process.
 type controlGroup struct {
-	names, addresses, files, ops []string
-	processes                    []*exec.Cmd
+	names, addresses, files, admin []string
+	processes                      []*exec.Cmd
 }
 
-// startControl starts so many control machines, the last one without a vote, which prove settings against a gatekeeper's
-// configuration, and waits until all are ready.
+// startControl starts control machines, the last one without a vote, and waits until all are ready. They validate settings
+// against a gatekeeper's configuration.
 func startControl(t *testing.T, count int, configuration string) *controlGroup {
 	t.Helper()
-	g := &controlGroup{addresses: porttest.ReserveAll(t, count), processes: make([]*exec.Cmd, count), ops: make([]string, count)}
+	g := &controlGroup{addresses: porttest.ReserveAll(t, count), processes: make([]*exec.Cmd, count), admin: make([]string, count)}
 	dir := t.TempDir()
 	var peers []map[string]any
 	for i, address := range g.addresses {
@@ -39,8 +39,8 @@
 		writeJSON(t, file, map[string]any{"name": name, "zone": "z1", "region": "r1", "gatekeeper": configuration,
 			"store": map[string]any{"listen": g.addresses[i], "peers": peers, "dir": filepath.Join(dir, name)}})
 		g.files = append(g.files, file)
-		g.processes[i] = program("control", "serve", "--file", file, "--admin-addr", "127.0.0.1:0", "--log-format", "json")
-		g.ops[i] = logged(t, g.processes[i], "operators' address serving")
+		g.processes[i] = newProgram("control", "serve", "--file", file, "--admin-addr", "127.0.0.1:0", "--log-format", "json")
+		g.admin[i] = startUntilLogged(t, g.processes[i], "operators' address serving")
 	}
 	t.Cleanup(func() {
 		for _, p := range g.processes {
@@ -48,8 +48,8 @@
 			p.Wait()
 		}
 	})
-	for _, ops := range g.ops {
-		require.Eventually(t, func() bool { return ready(t, ops) }, 20*time.Second, 20*time.Millisecond)
+	for _, admin := range g.admin {
+		require.Eventually(t, func() bool { return isReady(t, admin) }, 20*time.Second, 20*time.Millisecond)
 	}
 	return g
 }
@@ -61,7 +61,7 @@
 	require.NoError(t, os.WriteFile(file, text, 0o600))
 }
 
-// textFile writes a file of a test and gives its path.
+// textFile writes a file in a temporary directory and returns its path.
 func textFile(t *testing.T, name, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name)
@@ -71,8 +71,8 @@
 
 var plainConfiguration = `{"name":"g1","listen":"127.0.0.1:0","settings":` + lab.Settings(1) + `}`
 
-// What does not check is refused by any control machine, voter or not, with a line for each fault, and nothing of the
-// transaction is committed. What checks is written at one revision, and every machine has it.
+// Every control machine, voter or not, refuses invalid settings with a line for each error, and commits nothing of the
+// transaction. A valid transaction is written at one revision and reaches every machine.
 func TestControlMachinesCheckWrites(t *testing.T) {
 	g := startControl(t, 3, textFile(t, "config.json", plainConfiguration))
 	good := textFile(t, "good", `{"defaults":{"attempts":2}}`)
@@ -93,7 +93,7 @@
 	require.Contains(t, errs, `settings/zone/z1/cals: is no key of settings; did you mean "calls"?`)
 	out, _, code := run(t, "store", "list", "--store", g.addresses[0])
 	require.Zero(t, code)
-	require.Empty(t, out, "what was refused was written")
+	require.Empty(t, out, "a refused transaction was written")
 
 	out, errs, code = run(t, "store", "apply", "settings/all/calls="+good, "settings/zone/z1/calls="+good, "--at", "settings/zone/z1/calls=0",
 		"--delete", "settings/zone/z2/calls", "--store", g.addresses[2], "--json")
@@ -114,17 +114,17 @@
 	require.Equal(t, exitUsage, code, errs)
 	out, errs, code = run(t, "control", "sessions", "--store", g.addresses[1])
 	require.Zero(t, code, errs)
-	require.Equal(t, 1, strings.Count(out, "\n"), "nobody follows: %s", out)
+	require.Equal(t, 1, strings.Count(out, "\n"), "sessions without any gatekeeper: %s", out)
 }
 
-// A control machine that is told to end hands the lead on, says that it drains, and ends with no fault; its group goes on
-// with the machines that are left. The figures say what it was.
+// A leader that receives SIGTERM exits cleanly, and the remaining machines accept writes. The metrics show which machine leads
+// and which vote.
 func TestControlMachineDrains(t *testing.T) {
 	g := startControl(t, 4, textFile(t, "config.json", plainConfiguration))
 	good := textFile(t, "good", `{"defaults":{"attempts":2}}`)
 	leader := -1
-	for i, ops := range g.ops {
-		figures, err := viaHTTP(ops, "/api/telemetry")
+	for i, admin := range g.admin {
+		figures, err := httpGet(admin, "/api/telemetry")
 		require.NoError(t, err)
 		if strings.Contains(figures, "proxy_control_leads 1\n") {
 			leader = i
@@ -134,18 +134,18 @@
 		require.Contains(t, figures, "proxy_control_sessions 0\n")
 		require.Contains(t, figures, `proxy_control_fleet{state="holding"} 0`)
 	}
-	require.GreaterOrEqual(t, leader, 0, "nobody leads")
+	require.GreaterOrEqual(t, leader, 0, "no machine leads")
 	require.NoError(t, g.processes[leader].Process.Signal(syscall.SIGTERM))
 	require.NoError(t, g.processes[leader].Wait())
 	_, errs, code := run(t, "store", "put", "settings/all/calls", good, "--store", g.addresses[(leader+1)%4], "--timeout", "10s")
 	require.Zero(t, code, errs)
 }
 
-// SIGHUP has a control machine prove what is written against the gatekeeper's configuration as it is now.
+// SIGHUP makes a control machine validate writes against the current contents of the gatekeeper's configuration.
 func TestControlMachineReloads(t *testing.T) {
-	configuration := textFile(t, "config.json", `{"name":"g1","listen":"127.0.0.1:0","settings":`+siteAllowing(3)+`}`)
+	configuration := textFile(t, "config.json", `{"name":"g1","listen":"127.0.0.1:0","settings":`+settingsWithAttempts(3)+`}`)
 	g := startControl(t, 1, configuration)
-	four := textFile(t, "calls", fourTries)
+	four := textFile(t, "calls", fourAttempts)
 	put := func() int {
 		_, _, code := run(t, "store", "put", "settings/all/calls", four, "--store", g.addresses[0])
 		return code
@@ -154,13 +154,13 @@
 	require.NoError(t, os.WriteFile(configuration, []byte("{"), 0o600))
 	require.NoError(t, g.processes[0].Process.Signal(syscall.SIGHUP))
 	time.Sleep(100 * time.Millisecond)
-	require.Equal(t, 1, put(), "a bad file changes nothing")
-	require.NoError(t, os.WriteFile(configuration, []byte(`{"name":"g1","listen":"127.0.0.1:0","settings":`+siteAllowing(5)+`}`), 0o600))
+	require.Equal(t, 1, put(), "an invalid file must change nothing")
+	require.NoError(t, os.WriteFile(configuration, []byte(`{"name":"g1","listen":"127.0.0.1:0","settings":`+settingsWithAttempts(5)+`}`), 0o600))
 	require.NoError(t, g.processes[0].Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool { return put() == 0 }, 10*time.Second, 20*time.Millisecond)
 }
 
-// Faults of a control machine's file are lines that name file, line and key; the start ends with exit 1.
+// Errors in a control machine's file are printed as lines with file, line, column and key, and the program exits with 1.
 func TestBadControlFile(t *testing.T) {
 	file := textFile(t, "c.json", `{"name":"c1","store":{"listen":"127.0.0.1:0","pers":[]}}`)
 	for _, args := range [][]string{{"control", "serve", "--file", file}, {"control", "check", file}} {
@@ -171,11 +171,11 @@
 	}
 	out, errs, code := run(t, "control", "check", "deploy/example/control.json")
 	require.Zero(t, code, errs)
-	require.Contains(t, out, "control machine control-1 at 127.0.0.1:7401, 3 members; settings are proved against deploy/example/gatekeeper.json")
+	require.Contains(t, out, "control machine control-1 at 127.0.0.1:7401, 3 members; settings are validated against deploy/example/gatekeeper.json")
 }
 
-// check-config checks the value of a settings record as a control machine does.
-func TestCheckConfigOfSettings(t *testing.T) {
+// check-config checks the value of a settings record in the same way as a control machine.
+func TestCheckConfigChecksSettingsRecord(t *testing.T) {
 	configuration := textFile(t, "config.json", plainConfiguration)
 	value := textFile(t, "value", `{"classes":{"menu-vew":{"attempts":1}}}`)
 	_, errs, code := run(t, "check-config", configuration, "--settings", value, "--key", "settings/all/calls")
--- a/cmd/beammux/endings_test.go
+++ b/cmd/beammux/endings_test.go
@@ -21,13 +21,13 @@
 const oneClass = `{"classes":[{"name":"menu-view","repeat":"read_like","aim-us":1500000,"deadline-us":9000000,"worth":1}],
 "bounds":{"attempts-cap":5,"cancel":true,"retry-after":true,"max-retry-after-us":2000000}}`
 
-// bus listens as an event bus that takes connections and says nothing; asked tells of each.
-func bus(t *testing.T) (addr string, asked chan struct{}) {
+// bus listens as an event bus that accepts connections and sends nothing. It sends to asked on each connection.
+func bus(t *testing.T) (addr string, accepted chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	asked = make(chan struct{}, 99)
+	accepted = make(chan struct{}, 99)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -35,28 +35,29 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			asked <- struct{}{}
+			accepted <- struct{}{}
 		}
 	}()
-	return l.Addr().String(), asked
+	return l.Addr().String(), accepted
 }
 
-func within(t *testing.T, what string, c <-chan struct{}, span time.Duration) {
+// receiveWithin waits for a value from a channel and fails the test after a time.
+func receiveWithin(t *testing.T, what string, received <-chan struct{}, timeout time.Duration) {
 	t.Helper()
 	select {
-	case <-c:
-	case <-time.After(span):
-		t.Fatalf("%s: not within %v", what, span)
+	case <-received:
+	case <-time.After(timeout):
+		t.Fatalf("%s: not within %v", what, timeout)
 	}
 }
 
-// SIGHUP in a drain, and twice in a row, moves the event bus at once: further attempts of the calls that are answered then go
-// by the list. The drain is held by a call whose server says nothing.
-func TestSIGHUPInADrain(t *testing.T) {
+// SIGHUP during a drain, also twice in a row, moves the connection to the new event bus immediately, since further attempts of
+// open calls depend on the server list. A call whose server never answers keeps the drain going.
+func TestSIGHUPDuringDrain(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer server.Close()
-	got := make(chan struct{}, 99)
+	invites := make(chan struct{}, 99)
 	go func() {
 		for {
 			c, err := server.Accept()
@@ -67,7 +68,7 @@
 			go func() {
 				for in := bufio.NewScanner(c); in.Scan(); {
 					if strings.HasPrefix(in.Text(), "INVITE") {
-						got <- struct{}{}
+						invites <- struct{}{}
 					}
 				}
 			}()
@@ -82,44 +83,44 @@
 	}
 	old, first := bus(t)
 	write(old)
-	cmd := program("serve", "--log-format", "json")
+	cmd := newProgram("serve", "--log-format", "json")
 	cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file)
-	addr := logged(t, cmd, "serving")
-	within(t, "the first bus", first, 10*time.Second)
+	addr := startUntilLogged(t, cmd, "serving")
+	receiveWithin(t, "the first bus", first, 10*time.Second)
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
 	fmt.Fprintln(c, `{"msg":"open","sid":"0000000000000001","attrs":{"class":"menu-view","left":5000,"key":"1"}}`)
-	within(t, "the set-up", got, 10*time.Second)
+	receiveWithin(t, "the set-up", invites, 10*time.Second)
 	cmd.Process.Signal(syscall.SIGTERM)
-	time.Sleep(100 * time.Millisecond) // in the drain
+	time.Sleep(100 * time.Millisecond) // until the drain has begun
 	for range 2 {
-		next, asked := bus(t)
+		next, accepted := bus(t)
 		write(next)
 		cmd.Process.Signal(syscall.SIGHUP)
-		within(t, "the bus of the new configuration", asked, time.Second)
+		receiveWithin(t, "the bus of the new configuration", accepted, time.Second)
 	}
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if !strings.Contains(line, `"close"`) || !strings.Contains(line, "0000000000000001") {
-		t.Errorf("the call that was owed its answer got %q, %v", line, err)
+		t.Errorf("the open call got %q, %v instead of its final answer", line, err)
 	}
 	require.NoError(t, cmd.Wait())
 }
 
-// Nine in ten processes that start again are ready within 10 s, also while discovery is down: here each of ten, killed with a
-// set-up open, by the clients' own test.
+// At least nine in ten restarted processes must be ready within 10 s, also while discovery is down. Here ten processes in turn
+// are killed with a set-up open, and probed as clients do.
 func TestReadyWithDiscoveryDown(t *testing.T) {
 	bus := porttest.Reserve(t)
 	listen := porttest.Reserve(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, `{"listen":%q,"bus":%q,"settings":%s}`, listen, bus, oneClass), 0o600))
 	const starts, limit = 10, 10 * time.Second
-	soon, most := 0, time.Duration(0)
+	readyInTime, slowest := 0, time.Duration(0)
 	for range starts {
-		cmd := program("serve")
+		cmd := newProgram("serve")
 		cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file)
 		began := time.Now()
-		started(t, cmd)
+		startProgram(t, cmd)
 		var line string
 		for line == "" && time.Since(began) < limit {
 			c, err := net.DialTimeout("tcp", listen, time.Second)
@@ -133,15 +134,15 @@
 			defer c.Close()
 		}
 		if strings.Contains(line, `"code":1`) {
-			soon++
+			readyInTime++
 		}
-		most = max(most, time.Since(began))
+		slowest = max(slowest, time.Since(began))
 		cmd.Process.Kill()
 		cmd.Wait()
 	}
-	t.Logf("%d of %d ready in time, the last after %v", soon, starts, most)
-	if soon < starts*9/10 {
-		t.Errorf("%d of %d ready within %v", soon, starts, limit)
+	t.Logf("%d of %d ready in time, the last after %v", readyInTime, starts, slowest)
+	if readyInTime < starts*9/10 {
+		t.Errorf("%d of %d ready within %v", readyInTime, starts, limit)
 	}
 }
 
--- a/cmd/beammux/fleet.go
+++ b/cmd/beammux/fleet.go
@@ -19,17 +19,17 @@
 )
 
 type fleetCmd struct {
-	Members fleetMembersCmd `cmd:"" help:"The members that a gatekeeper knows; exit 5 if it does not answer, 4 if its fleet is off."`
-	View    fleetViewCmd    `cmd:"" help:"What a gatekeeper's members see of the menu servers, and the hash of its view."`
+	Members fleetMembersCmd `cmd:"" help:"List the members that a gatekeeper knows; exit 5 if it does not answer, 4 if its fleet is off."`
+	View    fleetViewCmd    `cmd:"" help:"Show how a gatekeeper's members see the menu servers, and the hash of its view."`
 }
 
 type fleetFlags struct {
 	Admin   string        `help:"Operators' HTTP address of a gatekeeper, HOST:PORT." required:""`
 	JSON    bool          `help:"Print JSON."`
-	Timeout time.Duration `help:"For the answer." default:"2s"`
+	Timeout time.Duration `help:"How long to wait for the answer." default:"2s"`
 }
 
-// fleetStatus is the answer of GET /api/fleet, as far as it is printed.
+// fleetStatus holds the printed parts of the answer to GET /api/fleet.
 type fleetStatus struct {
 	Name    string `json:"name"`
 	View    uint64 `json:"view"`
@@ -95,10 +95,10 @@
 	Settings *follow.Status
 }
 
-// gossips tells whether the gatekeeper takes part in the fleet's gossip.
-func (s *fleetStatus) gossips() bool { return s.Hash != "" }
+// gossipEnabled reports whether the gatekeeper takes part in the fleet's gossip.
+func (s *fleetStatus) gossipEnabled() bool { return s.Hash != "" }
 
-// printShared prints what the members tell each other, and the limits that they share.
+// printShared prints the registers that the members exchange, their shared limits and their verdicts.
 func (s *fleetStatus) printShared(w *tabwriter.Writer) {
 	type topic struct {
 		origins int
@@ -165,11 +165,11 @@
 	}
 }
 
-// exitFleetOff says that a gatekeeper answers and has no fleet.
+// exitFleetOff is the exit code for a gatekeeper whose fleet is off.
 const exitFleetOff = 4
 
-// ask gives a gatekeeper's view; nil where it could not, or where it is printed as JSON already.
-func (c fleetFlags) ask() (*fleetStatus, error) {
+// fetchStatus fetches a gatekeeper's view of the fleet. It returns nil with an error, or after printing the view as JSON.
+func (c fleetFlags) fetchStatus() (*fleetStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Admin+"/api/fleet", nil)
@@ -178,105 +178,106 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fault(fmt.Errorf("%s does not answer: %w", c.Admin, errors.Unwrap(err)), exitNoAnswer)
+		return nil, withExitCode(fmt.Errorf("%s does not answer: %w", c.Admin, errors.Unwrap(err)), exitNoAnswer)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
 	switch {
 	case err != nil:
-		return nil, fault(fmt.Errorf("%s: %w", c.Admin, err), exitNoAnswer)
+		return nil, withExitCode(fmt.Errorf("%s: %w", c.Admin, err), exitNoAnswer)
 	case resp.StatusCode == http.StatusNotFound:
-		return nil, fault(fmt.Errorf("%s: %s", c.Admin, strings.TrimSpace(string(text))), exitFleetOff)
+		return nil, withExitCode(fmt.Errorf("%s: %s", c.Admin, strings.TrimSpace(string(text))), exitFleetOff)
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("%s answers %s", c.Admin, resp.Status)
+		return nil, fmt.Errorf("%s answered %s", c.Admin, resp.Status)
 	}
-	s := &fleetStatus{}
-	if err := json.Unmarshal(text, s); err != nil {
+	status := &fleetStatus{}
+	if err := json.Unmarshal(text, status); err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Admin, err)
 	}
 	if c.JSON {
 		_, err := os.Stdout.Write(text)
 		return nil, err
 	}
-	return s, nil
+	return status, nil
 }
 
 type fleetMembersCmd struct{ fleetFlags }
 
 func (c fleetMembersCmd) Run() error {
-	s, err := c.ask()
-	if s == nil {
+	status, err := c.fetchStatus()
+	if status == nil {
 		return err
 	}
-	if !s.gossips() {
-		return fault(fmt.Errorf("%s: the fleet's gossip is off", c.Admin), exitFleetOff)
+	if !status.gossipEnabled() {
+		return withExitCode(fmt.Errorf("%s: the fleet's gossip is off", c.Admin), exitFleetOff)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tzone\tregion\tstate\thealth\tsince\tstarted\taddress\tprogram")
-	for _, m := range s.Members {
+	for _, m := range status.Members {
 		name := m.Name
-		if name == s.Name {
+		if name == status.Name {
 			name += " *"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", name, m.Zone, m.Region, m.State, m.Health, clock(int64(m.Since)),
-			clock(m.Start*1000), m.Address, m.Program)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", name, m.Zone, m.Region, m.State, m.Health, timeOfDay(int64(m.Since)),
+			timeOfDay(m.Start*1000), m.Address, m.Program)
 	}
 	w.Flush()
-	fmt.Printf("view %d of %s, hash %s\n", s.View, s.Name, s.Hash)
+	fmt.Printf("view %d of %s, hash %s\n", status.View, status.Name, status.Hash)
 	return nil
 }
 
-func clock(us int64) string { return time.UnixMicro(us).UTC().Format("15:04:05") }
+// timeOfDay formats a time in microseconds since the epoch as the time of day in UTC.
+func timeOfDay(us int64) string { return time.UnixMicro(us).UTC().Format("15:04:05") }
 
 type fleetViewCmd struct{ fleetFlags }
 
 func (c fleetViewCmd) Run() error {
-	s, err := c.ask()
-	if s == nil {
+	status, err := c.fetchStatus()
+	if status == nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	if s.gossips() {
-		fmt.Printf("view %d of %s, hash %s\n", s.View, s.Name, s.Hash)
-		s.printServers(w)
+	if status.gossipEnabled() {
+		fmt.Printf("view %d of %s, hash %s\n", status.View, status.Name, status.Hash)
+		status.printServers(w)
 	} else {
-		fmt.Printf("%s takes no part in the fleet's gossip\n", s.Name)
+		fmt.Printf("%s does not take part in the fleet's gossip\n", status.Name)
 	}
-	s.printShared(w)
-	if s.Settings != nil {
-		printSettings(w, s.Settings)
+	status.printShared(w)
+	if status.Settings != nil {
+		printSettings(w, status.Settings)
 	}
 	return w.Flush()
 }
 
-// printServers prints what the members see of the servers.
+// printServers prints how many members see each server, and at which levels of congestion.
 func (s *fleetStatus) printServers(w io.Writer) {
 	fmt.Fprintln(w, "server\tseen by\tgated by\tlevels")
-	type seen struct {
-		by, gated int
-		levels    [5]int
+	type serverViews struct {
+		seenBy, gatedBy int
+		levels          [5]int
 	}
-	all, order := map[uint32]*seen{}, []uint32{}
+	byServer, order := map[uint32]*serverViews{}, []uint32{}
 	for _, m := range s.Members {
 		if m.Health != "alive" && m.Health != "suspect" {
 			continue
 		}
 		for _, v := range m.Servers {
-			k := all[v.Server]
-			if k == nil {
-				k = &seen{}
-				all[v.Server] = k
+			views := byServer[v.Server]
+			if views == nil {
+				views = &serverViews{}
+				byServer[v.Server] = views
 				order = append(order, v.Server)
 			}
-			k.by++
-			k.levels[min(max(v.Level, 0), 4)]++
+			views.seenBy++
+			views.levels[min(max(v.Level, 0), 4)]++
 			if (control.View{Level: v.Level}).Gated() {
-				k.gated++
+				views.gatedBy++
 			}
 		}
 	}
 	for _, id := range order {
-		k := all[id]
-		fmt.Fprintf(w, "s-%08x\t%d\t%d\t%v\n", id, k.by, k.gated, k.levels)
+		views := byServer[id]
+		fmt.Fprintf(w, "s-%08x\t%d\t%d\t%v\n", id, views.seenBy, views.gatedBy, views.levels)
 	}
 }
--- a/cmd/beammux/fleet_test.go
+++ b/cmd/beammux/fleet_test.go
@@ -13,8 +13,8 @@
 	"beammux/internal/porttest"
 )
 
-// `fleet members` and `fleet view` show what a running gatekeeper's view holds; a gatekeeper without a fleet and one that
-// does not answer have exit codes of their own, and the fleet's figures are there only where it is on.
+// `fleet members` and `fleet view` print the view of a running gatekeeper. A gatekeeper without a fleet and one that does not
+// answer have specific exit codes, and the fleet's metrics exist only if the fleet is on.
 func TestFleetCommands(t *testing.T) {
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.json")
@@ -31,10 +31,10 @@
 		if err := os.WriteFile(deploy, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := program("serve", "--deploy", deploy, "--log-format", "json")
+		cmd := newProgram("serve", "--deploy", deploy, "--log-format", "json")
 		cmd.Env = append(cmd.Env, "PROXY_CONFIG="+config, "PROXY_ADMIN_ADDR=127.0.0.1:0")
-		admin := logged(t, cmd, "operators' address serving")
-		for !ready(t, admin) {
+		admin := startUntilLogged(t, cmd, "operators' address serving")
+		for !isReady(t, admin) {
 		}
 		out, errs, code := run(t, "fleet", "members", "--admin", admin)
 		if on && (code != 0 || !strings.Contains(out, "g1 *") || !strings.Contains(out, "east")) {
@@ -67,7 +67,7 @@
 				t.Errorf("limit %g after the reload, view: %s", limit(), out)
 			}
 		}
-		resp, err := viaHTTP(admin, "/api/telemetry")
+		resp, err := httpGet(admin, "/api/telemetry")
 		if err != nil || strings.Contains(resp, `proxy_fleet_limit_rate{rule="views"}`) != on || strings.Contains(resp, `proxy_fleet_registers{topic="rates"} 1`) != on {
 			t.Errorf("fleet on %v: %v, figures\n%s", on, err, resp)
 		}
@@ -80,6 +80,6 @@
 		}
 	}
 	if _, errs, code := run(t, "fleet", "members", "--admin", porttest.Reserve(t)); code != exitNoAnswer || !strings.Contains(errs, "does not answer") {
-		t.Errorf("nobody: exit %d, %s", code, errs)
+		t.Errorf("no listener: exit %d, %s", code, errs)
 	}
 }
--- a/cmd/beammux/inventory.go
+++ b/cmd/beammux/inventory.go
@@ -14,7 +14,7 @@
 )
 
 type inventoryCmd struct {
-	Check  inventoryCheckCmd  `cmd:"" help:"Read an inventory and say whether it is good."`
+	Check  inventoryCheckCmd  `cmd:"" help:"Read an inventory and report whether it is valid."`
 	Import inventoryImportCmd `cmd:"" help:"Write an inventory into the store of a running group of gatekeepers."`
 }
 
@@ -34,12 +34,12 @@
 type inventoryImportCmd struct {
 	File  string        `arg:"" help:"Inventory (CSV or YAML)."`
 	Store string        `help:"Address of any member of the store." required:""`
-	At    *uint64       `help:"Write only if the inventory in the store is at this revision; 0: only if there is none."`
-	Wait  time.Duration `help:"How long to try while the group has no leader." default:"10s"`
+	At    *uint64       `help:"Write only if the inventory in the store has this revision; 0: only if there is none."`
+	Wait  time.Duration `help:"How long to retry while the group has no leader." default:"10s"`
 }
 
 func (c inventoryImportCmd) Run() error {
-	hosts, err := inventory.Load(c.File) // a bad one never reaches the store
+	hosts, err := inventory.Load(c.File) // an invalid inventory is never written to the store
 	if err != nil {
 		return err
 	}
@@ -57,11 +57,11 @@
 			return nil
 		}
 		if errors.Is(err, store.ErrRevision) {
-			return fault(fmt.Errorf("%s: not imported: %w", c.Store, err), exitRevision)
+			return withExitCode(fmt.Errorf("%s: not imported: %w", c.Store, err), exitRevision)
 		}
 		select {
 		case <-ctx.Done():
-			return fault(fmt.Errorf("%s: not imported: %w", c.Store, err), exitNoAnswer)
+			return withExitCode(fmt.Errorf("%s: not imported: %w", c.Store, err), exitNoAnswer)
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -18,74 +18,74 @@
 )
 
 type labCmd struct {
-	Fleet       labFleetCmd       `cmd:"" help:"Many gatekeeper processes on loopback, with faults between them."`
-	Scale       labScaleCmd       `cmd:"" help:"A control plane and many hollow gatekeepers on loopback: what control costs, how settings come into force; exit 1 if a rule was broken."`
-	ScaleSeries labScaleSeriesCmd `cmd:"" help:"Put reports of lab scale together, by the number of gatekeepers."`
+	Fleet       labFleetCmd       `cmd:"" help:"Run many gatekeeper processes on loopback with injected faults."`
+	Scale       labScaleCmd       `cmd:"" help:"Run a control plane and many hollow gatekeepers on loopback, and measure the cost of control and how settings come into force; exit 1 if a rule was broken."`
+	ScaleSeries labScaleSeriesCmd `cmd:"" help:"Combine reports of lab scale by the number of gatekeepers."`
 	Hollow      labHollowCmd      `cmd:"" hidden:"" help:"A process of lab scale."`
-	Latency     labLatencyCmd     `cmd:"" help:"What one gatekeeper adds to a call: latency, processor time, memory, descriptors."`
-	Decision    labDecisionCmd    `cmd:"" help:"Time of the pure steps of a call and of the fleet's upkeep, at growing sizes."`
+	Latency     labLatencyCmd     `cmd:"" help:"Measure what one gatekeeper adds to a call: latency, processor time, memory, descriptors."`
+	Decision    labDecisionCmd    `cmd:"" help:"Measure the time of the pure steps of a call and of fleet maintenance, at growing sizes."`
 	Slopes      labSlopesCmd      `cmd:"" help:"Measure costs at several sizes, for docs/CAPACITY.md."`
 }
 
 type labFleetCmd struct {
-	Run     labRunCmd     `cmd:"" help:"Draw a fault script from a seed and play it; exit 1 if a rule was broken."`
-	Replay  labReplayCmd  `cmd:"" help:"Play a script again; exit 1 if a rule was broken."`
-	Draw    labDrawCmd    `cmd:"" help:"Print the script that run would play."`
-	Compare labCompareCmd `cmd:"" help:"Put runs together by the number of gatekeepers: times to agree, cost of the gossip."`
-	Check   labCheckCmd   `cmd:"" help:"Judge again what a run wrote; exit 1 if a rule was broken."`
+	Run     labRunCmd     `cmd:"" help:"Generate a fault script from a seed and run it; exit 1 if a rule was broken."`
+	Replay  labReplayCmd  `cmd:"" help:"Run a script from a file; exit 1 if a rule was broken."`
+	Draw    labDrawCmd    `cmd:"" help:"Print the script that run would generate."`
+	Compare labCompareCmd `cmd:"" help:"Combine runs by the number of gatekeepers: time to agreement, cost of gossip."`
+	Check   labCheckCmd   `cmd:"" help:"Check the files of a finished run again; exit 1 if a rule was broken."`
 }
 
-// shapeFlags say which fleet a script is drawn for.
+// shapeFlags describe the fleet that a script is generated for.
 type shapeFlags struct {
 	Gatekeepers int     `help:"Gatekeeper processes, up to 32." default:"4"`
-	Servers     int     `help:"Stand-in menu servers, up to 64." default:"6"`
-	Zones       int     `help:"Zones that both are dealt out over." default:"2"`
-	Members     int     `name:"store-members" help:"How many of the gatekeepers share a replicated store." default:"3"`
-	Load        float64 `help:"Offered calls, in the servers' capacity." default:"0.6"`
-	Fleet       bool    `help:"The gatekeepers keep a view of the fleet by gossip."`
-	Seed        uint64  `help:"Of the script, the callers and the links." default:"1"`
-	Faults      string  `help:"all, or kinds with + between them: kill, term, pause, lose, slow, drain, partition, cut, delay, bandwidth, reset, blackhole, refuse, loss, duplicate, reorder." default:"all"`
+	Servers     int     `help:"Fake menu servers, up to 64." default:"6"`
+	Zones       int     `help:"Zones over which gatekeepers and servers are distributed." default:"2"`
+	Members     int     `name:"store-members" help:"Number of gatekeepers that are members of the replicated store." default:"3"`
+	Load        float64 `help:"Offered calls as a multiple of the servers' capacity." default:"0.6"`
+	Fleet       bool    `help:"Let the gatekeepers maintain a view of the fleet by gossip."`
+	Seed        uint64  `help:"Seed of the script, the callers and the links." default:"1"`
+	Faults      string  `help:"all, or kinds joined by +: kill, term, pause, lose, slow, drain, partition, cut, delay, bandwidth, reset, blackhole, refuse, loss, duplicate, reorder." default:"all"`
 }
 
-func (s shapeFlags) draw() (*script.Script, error) {
+func (s shapeFlags) generate() (*script.Script, error) {
 	kinds, err := script.KindsOf(s.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("--faults: %w", err)
 	}
 	if s.Load <= 0 || s.Load > 3 {
-		return nil, fmt.Errorf("--load: %v is not over 0 and up to 3", s.Load)
+		return nil, fmt.Errorf("--load: %v is not greater than 0 and at most 3", s.Load)
 	}
-	drawn, err := script.Draw(s.Seed, script.Shape{Gatekeepers: s.Gatekeepers, Servers: s.Servers, Zones: s.Zones,
+	generated, err := script.Draw(s.Seed, script.Shape{Gatekeepers: s.Gatekeepers, Servers: s.Servers, Zones: s.Zones,
 		Members: min(s.Members, s.Gatekeepers), Load: s.Load, Fleet: s.Fleet}, kinds)
 	if err != nil {
 		return nil, err
 	}
-	// What is played is what a file would hold: one more reading proves it, and names what is out of range.
-	return script.Parse("--gatekeepers, --servers, --zones, --store-members", drawn.Marshal())
+	// The script is parsed from its file form, so that a run and a replay use the same script and values out of range are reported.
+	return script.Parse("--gatekeepers, --servers, --zones, --store-members", generated.Marshal())
 }
 
 type labRunCmd struct {
 	shapeFlags
-	playFlags
+	runFlags
 }
 
-type playFlags struct {
-	Out     string `help:"Folder for scripts, logs, records and the report; new or empty." required:"" type:"path"`
-	Program string `help:"Gatekeeper to start; this program if not set." type:"path"`
+type runFlags struct {
+	Out     string `help:"Directory for scripts, logs, records and the report; new or empty." required:"" type:"path"`
+	Program string `help:"Gatekeeper program to start; default: this program." type:"path"`
 	JSON    bool   `help:"Print the summary as JSON."`
 }
 
 func (c labRunCmd) Run(log logrus.FieldLogger) error {
-	s, err := c.draw()
+	s, err := c.generate()
 	if err != nil {
 		return err
 	}
-	return c.play(s, log)
+	return c.runScript(s, log)
 }
 
 type labReplayCmd struct {
-	Script string `arg:"" help:"Script file (YAML), as run and draw write it." type:"path"`
-	playFlags
+	Script string `arg:"" help:"Script file (YAML), as written by run and draw." type:"path"`
+	runFlags
 }
 
 func (c labReplayCmd) Run(log logrus.FieldLogger) error {
@@ -93,58 +93,59 @@
 	if err != nil {
 		return err
 	}
-	return c.play(s, log)
+	return c.runScript(s, log)
 }
 
-// play plays a script, shows how far it is and ends cleanly on SIGINT and SIGTERM.
-func (c playFlags) play(s *script.Script, log logrus.FieldLogger) error {
+// runScript runs a script, prints its progress and stops cleanly on SIGINT and SIGTERM.
+func (c runFlags) runScript(s *script.Script, log logrus.FieldLogger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	program := fleetlab.Program{Path: c.Program}
 	if c.Program == "" {
-		self, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		program.Path = self
+		program.Path = executable
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	sum, err := fleetlab.Run(ctx, fleetlab.Options{Program: program, Dir: c.Out, Script: s, Log: log.WithField("lab", "fleet"),
-		Progress: func(at time.Duration, what string) {
-			fmt.Fprintf(os.Stderr, "lab: %5.1f of %.1f s: %s\n", at.Seconds(), time.Duration(s.Length).Seconds(), what)
+	summary, err := fleetlab.Run(ctx, fleetlab.Options{Program: program, Dir: c.Out, Script: s, Log: log.WithField("lab", "fleet"),
+		Progress: func(elapsed time.Duration, step string) {
+			fmt.Fprintf(os.Stderr, "lab: %5.1f of %.1f s: %s\n", elapsed.Seconds(), time.Duration(s.Length).Seconds(), step)
 		}})
 	if err != nil {
 		return err
 	}
-	return tellSummary(sum, c.JSON)
+	return printSummary(summary, c.JSON)
 }
 
-func tellSummary(sum *fleetlab.Summary, asJSON bool) error {
+// printSummary prints the summary of a run and returns the error that sets the exit code.
+func printSummary(summary *fleetlab.Summary, asJSON bool) error {
 	if asJSON {
-		if err := printJSON(sum); err != nil {
+		if err := printJSON(summary); err != nil {
 			return err
 		}
 	} else {
-		fmt.Print(sum.Table())
+		fmt.Print(summary.Table())
 	}
 	switch {
-	case sum.Stopped:
-		return fault(errors.New("stopped before its time: nothing is shown of what was left"), 130)
-	case !sum.Held():
-		return exit(1)
+	case summary.Stopped:
+		return withExitCode(errors.New("stopped early: the rest of the run was not checked"), 130)
+	case !summary.Held():
+		return silentExit(1)
 	}
 	return nil
 }
 
 type labDrawCmd struct {
 	shapeFlags
-	Out string `help:"File to write; the standard output if not set." type:"path"`
+	Out string `help:"File to write; default: standard output." type:"path"`
 }
 
 func (c labDrawCmd) Run() error {
-	s, err := c.draw()
+	s, err := c.generate()
 	if err != nil {
 		return err
 	}
@@ -156,24 +157,24 @@
 }
 
 type labCheckCmd struct {
-	Dir  string `arg:"" help:"Folder of a run." type:"path"`
+	Dir  string `arg:"" help:"Directory of a run." type:"path"`
 	JSON bool   `help:"Print the summary as JSON."`
 }
 
 func (c labCheckCmd) Run() error {
 	if _, err := os.Stat(filepath.Join(c.Dir, "script.yaml")); err != nil {
-		return fmt.Errorf("%s: is no folder of a run: %s", c.Dir, strings.TrimPrefix(err.Error(), "stat "))
+		return fmt.Errorf("%s: not the directory of a run: %s", c.Dir, strings.TrimPrefix(err.Error(), "stat "))
 	}
-	sum, err := fleetlab.Check(c.Dir)
+	summary, err := fleetlab.Check(c.Dir)
 	if err != nil {
 		return err
 	}
-	return tellSummary(sum, c.JSON)
+	return printSummary(summary, c.JSON)
 }
 
 type labCompareCmd struct {
-	Dirs []string `arg:"" help:"Folders of runs." type:"path"`
-	Plot string   `help:"SVG file for what the gossip sends against the size of the fleet." type:"path"`
+	Dirs []string `arg:"" help:"Directories of runs." type:"path"`
+	Plot string   `help:"SVG file for a plot of the gossip traffic against the size of the fleet." type:"path"`
 	JSON bool     `help:"Print JSON."`
 }
 
--- a/cmd/beammux/lab_latency.go
+++ b/cmd/beammux/lab_latency.go
@@ -14,70 +14,71 @@
 	"beammux/internal/latencylab"
 )
 
-// labLatencyCmd measures what a gatekeeper adds to a call.
+// labLatencyCmd measures the latency and the resources that a gatekeeper adds to a call.
 type labLatencyCmd struct {
-	Sizes       []int         `help:"Servers that the gatekeeper knows." default:"34,400,2200"`
-	Active      int           `help:"Servers that take calls, at most; the others are listed, connected and tell their state." default:"34"`
-	Rates       []float64     `help:"Calls a second through the gatekeeper; as many go direct. 0: none." default:"0,50,100,191,382,573"`
+	Sizes       []int         `help:"Numbers of servers in the gatekeeper's list." default:"34,400,2200"`
+	Active      int           `help:"Most servers that take calls; the others are listed, connected and report their state." default:"34"`
+	Rates       []float64     `help:"Calls per second through the gatekeeper; as many are sent direct. 0: none." default:"0,50,100,191,382,573"`
 	Repeats     int           `help:"Runs of each size and rate." default:"3"`
-	Length      time.Duration `help:"Measured time of each run." default:"10s"`
-	Warm        time.Duration `help:"Time before that, with calls." default:"3s"`
-	Descriptors int           `help:"Descriptors that the gatekeeper may hold." default:"1024"`
-	Gatekeepers int           `help:"Gatekeepers of the fleet, as the settings say." default:"2200"`
-	StateEvery  time.Duration `help:"How often each server tells its state on its connections." default:"250ms"`
-	Setup       time.Duration `help:"Time that a set-up takes at a server." default:"0s"`
-	Append      bool          `help:"Keep the runs that the file of --json holds, and add these."`
-	Callers     int           `help:"Connections of callers." default:"8"`
-	Seed        uint64        `help:"Of the schedule, the holding times and the chains; counts up with the repetitions." default:"1"`
-	Program     string        `help:"Gatekeeper to start; this program if not set." type:"path"`
+	Length      time.Duration `help:"Measured duration of each run." default:"10s"`
+	Warm        time.Duration `help:"Warm-up before it, with calls." default:"3s"`
+	Descriptors int           `help:"Limit of the gatekeeper's open file descriptors." default:"1024"`
+	Gatekeepers int           `help:"Number of gatekeepers in the fleet, as set in the settings." default:"2200"`
+	StateEvery  time.Duration `help:"Interval at which each server reports its state on its connections." default:"250ms"`
+	Setup       time.Duration `help:"Duration of a set-up at a server." default:"0s"`
+	Append      bool          `help:"Keep the runs in the file of --json and add these."`
+	Callers     int           `help:"Number of caller connections." default:"8"`
+	Seed        uint64        `help:"Seed of the schedule, the holding times and the chains; incremented with each repetition." default:"1"`
+	Program     string        `help:"Gatekeeper program to start; default: this program." type:"path"`
 	JSON        string        `help:"File for the results." type:"path"`
 }
 
-// Bounds of the flags: load on the machine stays small.
+// Upper bounds of the flags, which keep the load on the machine small.
 const (
-	latencySizeMost = 4000
-	latencyRateMost = 2000.0
-	latencyTimeMost = 10 * time.Minute
+	maxLatencySize = 4000
+	maxLatencyRate = 2000.0
+	maxLatencyTime = 10 * time.Minute
 )
 
+// check returns an error if a flag is out of range.
 func (c labLatencyCmd) check() error {
 	for _, size := range c.Sizes {
-		if size < 1 || size > latencySizeMost {
-			return fmt.Errorf("--sizes: %d is not from 1 to %d", size, latencySizeMost)
+		if size < 1 || size > maxLatencySize {
+			return fmt.Errorf("--sizes: %d is not between 1 and %d", size, maxLatencySize)
 		}
 	}
 	for _, rate := range c.Rates {
-		if rate < 0 || rate > latencyRateMost {
-			return fmt.Errorf("--rates: %v is not from 0 to %v", rate, latencyRateMost)
+		if rate < 0 || rate > maxLatencyRate {
+			return fmt.Errorf("--rates: %v is not between 0 and %v", rate, maxLatencyRate)
 		}
 	}
 	switch {
 	case len(c.Sizes) == 0 || len(c.Rates) == 0:
-		return fmt.Errorf("--sizes and --rates: one of each is needed")
+		return fmt.Errorf("--sizes and --rates: at least one of each is required")
 	case c.Repeats < 1 || c.Active < 1 || c.Callers < 1 || c.Gatekeepers < 1 || c.Descriptors < 1:
-		return fmt.Errorf("--repeats, --active, --callers, --gatekeepers, --descriptors: each is 1 at least")
-	case c.Length <= 0 || c.Length > latencyTimeMost || c.StateEvery < time.Millisecond || c.Setup < 0 || c.Warm < 0 || c.Warm > latencyTimeMost:
-		return fmt.Errorf("--length, --warm, --state-every, --setup: over 0 and up to %v", latencyTimeMost)
+		return fmt.Errorf("--repeats, --active, --callers, --gatekeepers, --descriptors: each must be at least 1")
+	case c.Length <= 0 || c.Length > maxLatencyTime || c.StateEvery < time.Millisecond || c.Setup < 0 || c.Warm < 0 || c.Warm > maxLatencyTime:
+		return fmt.Errorf("--length, --warm, --state-every, --setup: must be over 0 and at most %v", maxLatencyTime)
 	}
 	return nil
 }
 
-// Run plays all runs and prints a line for each.
+// Run executes all runs and prints a line for each.
 func (c labLatencyCmd) Run() error {
 	if err := c.check(); err != nil {
 		return err
 	}
 	if c.Program == "" {
-		self, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		c.Program = self
+		c.Program = executable
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	before := latencylab.LoadAverage()
-	fmt.Println(latencyHead)
+	loadBefore := latencylab.LoadAverage()
+	fmt.Println(latencyHeader)
 	plan := latencylab.Plan{Sizes: c.Sizes, Rates: c.Rates, Repeats: c.Repeats, MostCalls: c.Active, Tell: printRun,
 		Latency: latencylab.Latency{Program: latencylab.Program{Path: c.Program}, Seed: c.Seed, Descriptors: c.Descriptors,
 			Gatekeepers: c.Gatekeepers, Callers: c.Callers, Setup: c.Setup, StateEvery: c.StateEvery, Warm: c.Warm, Length: c.Length}}
@@ -96,10 +97,11 @@
 	for _, f := range report.Fits {
 		fmt.Printf("%s: %.4f + %.2f us x %s, no run off by more than %.4f\n", f.Name, f.Fixed, 1e6*f.Slope, f.Of, f.Worst)
 	}
-	return finishReport(report, err, c.JSON, before, earlier)
+	return finishReport(report, err, c.JSON, loadBefore, earlier)
 }
 
-const latencyHead = "servers  calls/s  seed   load  direct p50/p99/p99.9 ms    through p50/p99/p99.9 ms   added p50/p99/p99.9 ms    " +
+// latencyHeader is the header of the table that printRun prints.
+const latencyHeader = "servers  calls/s  seed   load  direct p50/p99/p99.9 ms    through p50/p99/p99.9 ms   added p50/p99/p99.9 ms    " +
 	"19 deep p50/p99   of calm pairs: part, added p50/p99, 19 deep p99   core  waits   MB  fds  unanswered"
 
 func printRun(r *latencylab.Run) {
@@ -117,22 +119,22 @@
 		r.Held, r.Through.Calls-r.Through.Established, r.Through.Calls, r.Through.Refused, r.Through.Failed, r.Through.Unsent)
 }
 
-// labDecisionCmd measures the pure steps at growing sizes.
+// labDecisionCmd measures the pure steps of a call and of fleet maintenance at growing sizes.
 type labDecisionCmd struct {
 	Repeats int           `help:"Values of each point." default:"5"`
-	Span    time.Duration `help:"Time of each value." default:"100ms"`
-	Only    string        `help:"Part of the names of the series to measure."`
+	Span    time.Duration `help:"Measured duration of each value." default:"100ms"`
+	Only    string        `help:"Measure only series with this text in their names."`
 	JSON    string        `help:"File for the results." type:"path"`
 }
 
 // Run measures all steps and prints a line for each point.
 func (c labDecisionCmd) Run() error {
 	if c.Repeats < 1 || c.Span <= 0 || c.Span > time.Minute {
-		return fmt.Errorf("--repeats is 1 at least, --span over 0 and up to %v", time.Minute)
+		return fmt.Errorf("--repeats must be at least 1, --span over 0 and at most %v", time.Minute)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	before := latencylab.LoadAverage()
+	loadBefore := latencylab.LoadAverage()
 	report, err := latencylab.Steps{Repeats: c.Repeats, Span: c.Span, Only: c.Only, Tell: func(line string) { fmt.Println(line) }}.Run(ctx)
 	if report == nil {
 		return err
@@ -140,24 +142,24 @@
 	if err == nil && len(report.Series) == 0 {
 		return fmt.Errorf("--only: no series has %q in its name", c.Only)
 	}
-	return finishReport(report, err, c.JSON, before, nil)
+	return finishReport(report, err, c.JSON, loadBefore, nil)
 }
 
-// finishReport writes what was measured, also where the run was stopped before its time. earlier is the report that was added
-// to, nil without one.
-func finishReport(report *latencylab.Report, err error, file, before string, earlier *latencylab.Report) error {
+// finishReport completes a report and writes it to file, also if the run was stopped early. before is the load average before
+// the run, and earlier the report that the new runs were appended to, nil without one.
+func finishReport(report *latencylab.Report, err error, file, loadBefore string, earlier *latencylab.Report) error {
 	command := "bin/beammux " + strings.Join(os.Args[1:], " ")
 	if earlier != nil && earlier.Command() != "" {
 		command = earlier.Command() + "; " + command
 	}
-	report.Stamp(command, latencylab.Beside(before, latencylab.LoadAverage(), runtime.NumCPU()), time.Now())
+	report.Stamp(command, latencylab.Beside(loadBefore, latencylab.LoadAverage(), runtime.NumCPU()), time.Now())
 	if file != "" {
-		if e := report.WriteFile(file); e != nil {
-			return e
+		if writeErr := report.WriteFile(file); writeErr != nil {
+			return writeErr
 		}
 	}
 	if errors.Is(err, context.Canceled) {
-		return fault(fmt.Errorf("stopped before its time: %d runs and %d series were measured", len(report.Runs), len(report.Series)), 130)
+		return withExitCode(fmt.Errorf("stopped early: %d runs and %d series were measured", len(report.Runs), len(report.Series)), 130)
 	}
 	return err
 }
--- a/cmd/beammux/lab_latency_test.go
+++ b/cmd/beammux/lab_latency_test.go
@@ -42,12 +42,12 @@
 
 func TestLabLatencyBadInput(t *testing.T) {
 	for _, row := range []struct{ args, want string }{
-		{"latency --sizes 0", "--sizes: 0 is not from 1 to 4000"},
-		{"latency --rates=-1", "--rates: -1 is not from 0 to 2000"},
-		{"latency --repeats 0", "each is 1 at least"},
-		{"latency --length 0s", "--length, --warm, --state-every, --setup: over 0"},
+		{"latency --sizes 0", "--sizes: 0 is not between 1 and 4000"},
+		{"latency --rates=-1", "--rates: -1 is not between 0 and 2000"},
+		{"latency --repeats 0", "each must be at least 1"},
+		{"latency --length 0s", "--length, --warm, --state-every, --setup: must be over 0"},
 		{"latency --append --sizes 34", "--append: "},
-		{"decision --repeats 0", "--repeats is 1 at least"},
+		{"decision --repeats 0", "--repeats must be at least 1"},
 		{"decision --only no-such-step", "--only: no series"},
 	} {
 		_, errs, code := run(t, append([]string{"lab"}, strings.Fields(row.args)...)...)
--- a/cmd/beammux/lab_scale_test.go
+++ b/cmd/beammux/lab_scale_test.go
@@ -14,17 +14,17 @@
 	"beammux/internal/scalelab"
 )
 
-// A run that is stopped by SIGINT ends cleanly, says so, writes its report, and leaves no process and no folder behind.
+// A run that is stopped by SIGINT exits cleanly, reports that it was stopped, writes its report and leaves no process behind.
 func TestLabScaleStoppedBySIGINT(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "run")
 	report := filepath.Join(t.TempDir(), "report.json")
-	cmd := program("lab", "scale", "--gatekeepers", "6", "--control", "3", "--voters", "3", "--length", "30s", "--dir", dir, "--json", report)
+	cmd := newProgram("lab", "scale", "--gatekeepers", "6", "--control", "3", "--voters", "3", "--length", "30s", "--dir", dir, "--json", report)
 	var out bytes.Buffer
 	cmd.Stdout = &out
-	lines := started(t, cmd)
+	lines := startProgram(t, cmd)
 	for lines.Scan() && !strings.Contains(lines.Text(), " changes, ") {
 	}
-	require.NotEmpty(t, processesIn(t, dir), "no process was there to be ended")
+	require.NotEmpty(t, processesIn(t, dir), "the run started no process")
 	cmd.Process.Signal(syscall.SIGINT)
 	for lines.Scan() {
 	}
@@ -39,7 +39,7 @@
 	require.False(t, r.Held())
 }
 
-// processesIn lists the processes that work in a folder.
+// processesIn lists the processes with a given working directory.
 func processesIn(t *testing.T, dir string) (found []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/cwd")
@@ -63,7 +63,7 @@
 		{[]string{"--faults", "pause"}, `--faults: "pause" is no kind of fault`},
 		{[]string{"--faults", bad}, `bad.yaml:2: fault "kill-leder" is no kind; did you mean "kill-leader"?`},
 		{[]string{"--gatekeepers", "0"}, "--gatekeepers: 0 is not 1 to 20000"},
-		{[]string{"--with", "gossip"}, `--with: "gossip" is none of membership, registers, limits`},
+		{[]string{"--with", "gossip"}, `--with: "gossip" is not one of membership, registers, limits`},
 		{[]string{"--control", "0"}, "--control: 0 needs --with membership"},
 		{[]string{"--faults", "restart", "--length", "10s"}, "the faults end at 2m5s"},
 	} {
--- a/cmd/beammux/lab_slopes.go
+++ b/cmd/beammux/lab_slopes.go
@@ -18,30 +18,30 @@
 	"beammux/internal/capacity/slopes"
 )
 
-// labSlopesCmd measures series for docs/measured, which docs/CAPACITY.md is computed from.
+// labSlopesCmd measures the series in docs/measured, from which docs/CAPACITY.md is computed.
 type labSlopesCmd struct {
-	JSON        string   `help:"File to write the series to; the standard output if not set." type:"path"`
-	Only        []string `help:"Groups to measure: commits, snapshots, gossip, leases, figures; all if not set."`
-	Repetitions int      `help:"Values at each size, 3 or more." default:"3"`
-	Dir         string   `help:"Folder, on the disk to measure, for the stores' files; removed at the end. The default for temporary files if not set." type:"path"`
-	Beside      string   `help:"What else runs on this machine, for the record." default:"nothing known"`
+	JSON        string   `help:"File to write the series to; default: standard output." type:"path"`
+	Only        []string `help:"Groups to measure: commits, snapshots, gossip, leases, figures; default: all."`
+	Repetitions int      `help:"Values at each size, at least 3." default:"3"`
+	Dir         string   `help:"Directory for the stores' files, on the disk to measure; removed at the end. Default: the directory for temporary files." type:"path"`
+	Beside      string   `help:"Other load on this machine, noted in the result." default:"nothing known"`
 }
 
-// Run implements the command.
+// Run measures the series and writes them.
 func (c labSlopesCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	quiet := logrus.New()
-	quiet.SetOutput(io.Discard) // hundreds of members speak of each other
+	quiet.SetOutput(io.Discard) // hundreds of members log changes of their peers
 	began := time.Now()
 	file, err := slopes.Run(ctx, slopes.Options{Groups: c.Only, Repetitions: c.Repetitions, Dir: c.Dir, Beside: c.Beside,
-		Command: c.again(), Log: quiet, Progress: func(text string) {
+		Command: c.commandLine(), Log: quiet, Progress: func(text string) {
 			fmt.Fprintf(os.Stderr, "slopes: %5.1f s: %s\n", time.Since(began).Seconds(), text)
 		}})
 	if file == nil {
 		return err
 	}
-	return errors.Join(err, c.write(file)) // what was measured before an error is kept
+	return errors.Join(err, c.write(file)) // series measured before an error are written too
 }
 
 func (c labSlopesCmd) write(file *capacity.File) error {
@@ -55,8 +55,8 @@
 	return os.WriteFile(c.JSON, append(text, '\n'), 0o644)
 }
 
-// again is the command that measures the same.
-func (c labSlopesCmd) again() string {
+// commandLine returns the command line that repeats the measurement.
+func (c labSlopesCmd) commandLine() string {
 	command := "beammux lab slopes"
 	if len(c.Only) > 0 {
 		command += " --only " + strings.Join(c.Only, ",")
--- a/cmd/beammux/lab_slopes_test.go
+++ b/cmd/beammux/lab_slopes_test.go
@@ -11,25 +11,25 @@
 	"beammux/internal/capacity"
 )
 
-// Bad input is one clear line, before anything is started.
+// Invalid flags are reported in one line before anything is started.
 func TestLabSlopesBadInput(t *testing.T) {
 	for want, args := range map[string][]string{
 		`"none" is no group; there are commits, snapshots, gossip, leases, figures`: {"--only", "none"},
 		"2 repetitions: at least 3": {"--repetitions", "2"},
 	} {
-		text, err := program(append([]string{"lab", "slopes"}, args...)...).CombinedOutput()
+		text, err := newProgram(append([]string{"lab", "slopes"}, args...)...).CombinedOutput()
 		if err == nil || strings.TrimSpace(string(text)) != "beammux: "+want {
-			t.Errorf("%v: %v, said %s", args, err, text)
+			t.Errorf("%v: %v, printed %s", args, err, text)
 		}
 	}
 }
 
-// A run that is stopped by SIGINT leaves what it has measured, as package capacity reads it, and exit 1.
+// A run that is stopped by SIGINT writes the values measured so far, in the form that package capacity reads, and exits with 1.
 func TestLabSlopesStoppedBySIGINT(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "series.json")
-	cmd := program("lab", "slopes", "--only", "leases", "--json", file, "--dir", dir, "--beside", "a test")
-	lines := started(t, cmd)
+	cmd := newProgram("lab", "slopes", "--only", "leases", "--json", file, "--dir", dir, "--beside", "a test")
+	lines := startProgram(t, cmd)
 	for lines.Scan() && !strings.Contains(lines.Text(), "leases: 50 holders") {
 	}
 	cmd.Process.Signal(syscall.SIGINT)
@@ -39,7 +39,7 @@
 	}
 	cmd.Wait()
 	if code := cmd.ProcessState.ExitCode(); code != 1 || last != "beammux: leases: context canceled" {
-		t.Errorf("exit %d, said %q", code, last)
+		t.Errorf("exit %d, last line %q", code, last)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -55,6 +55,6 @@
 		t.Errorf("%s", written)
 	}
 	if left, err := filepath.Glob(filepath.Join(dir, "slopes-*")); err != nil || len(left) > 0 {
-		t.Errorf("left %v, %v", left, err)
+		t.Errorf("files left behind: %v, %v", left, err)
 	}
 }
--- a/cmd/beammux/lab_test.go
+++ b/cmd/beammux/lab_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// A run that is stopped by SIGINT ends cleanly, says so, leaves its report, and leaves no process behind, by their numbers.
+// A run that is stopped by SIGINT exits cleanly, reports that it was stopped, writes its summary and leaves no process behind.
 func TestLabStoppedBySIGINT(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "run")
-	cmd := program("lab", "fleet", "run", "--gatekeepers", "3", "--servers", "2", "--zones", "1", "--faults", "pause", "--out", dir)
+	cmd := newProgram("lab", "fleet", "run", "--gatekeepers", "3", "--servers", "2", "--zones", "1", "--faults", "pause", "--out", dir)
 	var out bytes.Buffer
 	cmd.Stdout = &out
-	lines := started(t, cmd)
+	lines := startProgram(t, cmd)
 	for lines.Scan() && !strings.Contains(lines.Text(), " pause g") {
 	}
 	cmd.Process.Signal(syscall.SIGINT)
@@ -29,7 +29,7 @@
 		t.Errorf("exit %d", code)
 	}
 	if !strings.Contains(out.String(), "stopped before its time") {
-		t.Errorf("said %s", out.String())
+		t.Errorf("printed %s", out.String())
 	}
 	f, err := os.Open(filepath.Join(dir, "run.jsonl"))
 	if err != nil {
@@ -45,7 +45,7 @@
 		if pid, err := strconv.Atoi(strings.TrimPrefix(l.What, "pid ")); l.Kind == "ready" && err == nil {
 			pids++
 			if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
-				t.Errorf("process %d is still there: %v", pid, err)
+				t.Errorf("process %d still exists: %v", pid, err)
 			}
 		}
 	}
@@ -69,10 +69,10 @@
 	}{
 		{[]string{"lab", "fleet", "draw", "--faults", "kil"}, `did you mean "kill"?`},
 		{[]string{"lab", "fleet", "draw", "--gatekeepers", "40"}, `gatekeepers: "40" is not a whole number from 1 to 32`},
-		{[]string{"lab", "fleet", "draw", "--load", "9"}, "--load: 9 is not over 0 and up to 3"},
+		{[]string{"lab", "fleet", "draw", "--load", "9"}, "--load: 9 is not greater than 0 and at most 3"},
 		{[]string{"lab", "fleet", "run", "--out", dir, "--faults", "kill"}, "is not empty"},
 		{[]string{"lab", "fleet", "replay", bad, "--out", filepath.Join(dir, "o")}, `bad.yaml:2:7: seed: "x" is not a whole number of 64 bits`},
-		{[]string{"lab", "fleet", "check", dir}, "is no folder of a run"},
+		{[]string{"lab", "fleet", "check", dir}, "not the directory of a run"},
 	} {
 		_, errs, code := run(t, row.args...)
 		if code != 1 || !strings.Contains(errs, row.want) {
@@ -82,6 +82,6 @@
 	one, _, _ := run(t, "lab", "fleet", "draw", "--seed", "5")
 	two, _, code := run(t, "lab", "fleet", "draw", "--seed", "5")
 	if one != two || code != 0 || !strings.Contains(one, "fault: partition") {
-		t.Errorf("exit %d, two drawings differ: %v", code, one != two)
+		t.Errorf("exit %d, two generated scripts differ: %v", code, one != two)
 	}
 }
--- a/cmd/beammux/main.go
+++ b/cmd/beammux/main.go
@@ -1,4 +1,4 @@
-// Command beammux is the gatekeeper.
+// Command beammux runs and operates the gatekeeper, its control machines and its test laboratories.
 package main
 
 import (
@@ -18,23 +18,23 @@
 )
 
 type cli struct {
-	LogLevel  string `help:"Least level that is logged." enum:"debug,info,warn,error" default:"info" env:"BEAMMUX_LOG"`
-	LogFormat string `help:"Form of log lines." enum:"text,json" default:"text" env:"BEAMMUX_LOG_FORMAT"`
+	LogLevel  string `help:"Lowest level that is logged." enum:"debug,info,warn,error" default:"info" env:"BEAMMUX_LOG"`
+	LogFormat string `help:"Format of log lines." enum:"text,json" default:"text" env:"BEAMMUX_LOG_FORMAT"`
 
 	Serve       serveCmd       `cmd:"" help:"Run the gatekeeper."`
 	Version     versionCmd     `cmd:"" help:"Print the version."`
-	CheckConfig checkConfigCmd `cmd:"" help:"Read a configuration and say whether it is good."`
-	Calls       callsCmd       `cmd:"" help:"Time-outs and attempts in the deploy file."`
-	Config      configCmd      `cmd:"" help:"What is in force."`
-	Report      reportCmd      `cmd:"" help:"Make an incident report of records; exit 1 if a rule was broken."`
-	Records     recordsCmd     `cmd:"" help:"Records of what gatekeepers knew and did."`
+	CheckConfig checkConfigCmd `cmd:"" help:"Read a configuration and report whether it is valid."`
+	Calls       callsCmd       `cmd:"" help:"Check, explain and compare the time-outs and attempts in deploy files."`
+	Config      configCmd      `cmd:"" help:"Show the configuration in force."`
+	Report      reportCmd      `cmd:"" help:"Make an incident report from records; exit 1 if a rule was broken."`
+	Records     recordsCmd     `cmd:"" help:"Verify and print the event records of gatekeepers."`
 	Console     consoleCmd     `cmd:"" help:"Watch a fleet on a terminal, live or from its records."`
-	Incident    incidentCmd    `cmd:"" help:"Incidents to try things out on."`
-	Store       storeCmd       `cmd:"" help:"The replicated store: ask members, read their files."`
-	Inventory   inventoryCmd   `cmd:"" help:"Lists of servers as configuration tools keep them."`
-	Fleet       fleetCmd       `cmd:"" help:"The fleet as a gatekeeper sees it."`
-	Control     controlCmd     `cmd:"" help:"Control machines: they hold the settings that gatekeepers follow."`
-	Lab         labCmd         `cmd:"" help:"Laboratories on loopback: many processes, stand-ins and faults."`
+	Incident    incidentCmd    `cmd:"" help:"Simulated incidents."`
+	Store       storeCmd       `cmd:"" help:"The replicated store: query and change running members, inspect their files."`
+	Inventory   inventoryCmd   `cmd:"" help:"Server lists as configuration tools write them."`
+	Fleet       fleetCmd       `cmd:"" help:"Show the fleet as a gatekeeper sees it."`
+	Control     controlCmd     `cmd:"" help:"Control machines, which hold the settings that gatekeepers follow."`
+	Lab         labCmd         `cmd:"" help:"Laboratories on loopback: many processes, fake servers and injected faults."`
 }
 
 type versionCmd struct{}
@@ -55,9 +55,9 @@
 
 type checkConfigCmd struct {
 	File     string `arg:"" help:"Configuration file (JSON)." env:"PROXY_CONFIG"`
-	Deploy   string `help:"The project's own file: SIP front, store, inventory." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
-	Settings string `help:"Check the value of a settings record in this file too, as a control machine does before it commits it; needs --key." placeholder:"FILE"`
-	Key      string `help:"Key of that record, as settings/all/calls."`
+	Deploy   string `help:"Deploy file (JSON): SIP front, store, inventory." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
+	Settings string `help:"Also check the value of a settings record in this file, as a control machine does before it commits the record; needs --key." placeholder:"FILE"`
+	Key      string `help:"Key of that record, for example settings/all/calls."`
 }
 
 func (c checkConfigCmd) Run() error {
@@ -86,35 +86,37 @@
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	log.SetLevel(level)
-	const stamp = "2006-01-02T15:04:05.000Z07:00"
-	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, TimestampFormat: stamp})
+	const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, TimestampFormat: timestampFormat})
 	if c.LogFormat == "json" {
-		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: stamp})
+		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: timestampFormat})
 	}
 	ctx.BindTo(log, (*logrus.FieldLogger)(nil))
 	if err := ctx.Run(); err != nil {
-		os.Exit(complain(os.Stderr, err))
+		os.Exit(reportError(os.Stderr, err))
 	}
 }
 
-// exit is an end without a word but with a code.
-type exit int
+// silentExit is an error that ends the program with an exit code and prints nothing.
+type silentExit int
 
-func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e silentExit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
-// coded is an error with an exit code of its own.
-type coded struct {
+// exitError is an error with its own exit code.
+type exitError struct {
 	error
 	code int
 }
 
-func (c coded) Unwrap() error { return c.error }
+func (c exitError) Unwrap() error { return c.error }
 
-func fault(err error, code int) error { return coded{err, code} }
+// withExitCode attaches an exit code to an error.
+func withExitCode(err error, code int) error { return exitError{err, code} }
 
-// complain writes an error and gives the exit code. Faults of a file are lines that an editor can follow.
-func complain(w io.Writer, err error) int {
-	var e exit
+// reportError prints an error and returns the exit code. Errors in a file are printed as lines with file, line and column, which
+// editors can follow.
+func reportError(w io.Writer, err error) int {
+	var e silentExit
 	if errors.As(err, &e) {
 		return int(e)
 	}
@@ -127,16 +129,17 @@
 	} else {
 		fmt.Fprintln(w, "beammux:", err)
 	}
-	var c coded
+	var c exitError
 	if errors.As(err, &c) {
 		return c.code
 	}
 	return 1
 }
 
-// printLine prints a JSON object on a line of its own.
-func printLine(v any) error { return json.NewEncoder(os.Stdout).Encode(v) }
+// printJSONLine prints a value as a JSON object on one line.
+func printJSONLine(v any) error { return json.NewEncoder(os.Stdout).Encode(v) }
 
+// printJSON prints a value as indented JSON.
 func printJSON(v any) error {
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -22,7 +22,7 @@
 )
 
 type recordsCmd struct {
-	Verify recordsVerifyCmd `cmd:"" help:"Read all records and say what is there, missing and damaged; exit 1 on damage."`
+	Verify recordsVerifyCmd `cmd:"" help:"Read all records and report counts, gaps and damage; exit 1 on damage."`
 	Cat    recordsCatCmd    `cmd:"" help:"Print records in time order."`
 }
 
@@ -68,30 +68,30 @@
 		}
 	}
 	if damaged {
-		return exit(1)
+		return silentExit(1)
 	}
 	return nil
 }
 
 type recordsCatCmd struct {
 	Dir    []string `arg:"" help:"Folders of records."`
-	Call   string   `help:"Only of this call."`
-	Server int64    `help:"Only of this server (its number)." default:"-1"`
+	Call   string   `help:"Print only records of this call."`
+	Server int64    `help:"Print only records of this server (its number)." default:"-1"`
 	JSON   bool     `help:"Print a JSON object a line."`
 }
 
-// line is an event as cat prints it.
-type line struct {
+// eventLine is an event as records cat prints it.
+type eventLine struct {
 	Time string `json:"time"`
 	Node string `json:"gatekeeper"`
 	Kind string `json:"kind"`
-	Code string `json:"code,omitempty"`  // of ended
-	List string `json:"state,omitempty"` // of told
+	Code string `json:"code,omitempty"`  // set for history.Ended
+	List string `json:"state,omitempty"` // set for history.Listed
 	history.Event
 }
 
-func newLine(e *history.Event) line {
-	l := line{Time: stamp(e.At), Node: e.Node, Kind: e.Kind.String(), Event: *e}
+func newEventLine(e *history.Event) eventLine {
+	l := eventLine{Time: formatTime(e.At), Node: e.Node, Kind: e.Kind.String(), Event: *e}
 	switch e.Kind {
 	case history.Ended:
 		l.Code = e.Code.String()
@@ -120,13 +120,13 @@
 			if c.JSON {
 				err = encode.Encode(map[string]any{"gap": g})
 			} else {
-				_, err = fmt.Printf("%s  %s  -- gap of %d ms: %s\n", stamp(g.From), printable(g.Node), (g.To-g.From)/1000, g.Why)
+				_, err = fmt.Printf("%s  %s  -- gap of %d ms: %s\n", formatTime(g.From), printable(g.Node), (g.To-g.From)/1000, g.Why)
 			}
 		} else if e := item.Event; (c.Call == "" || e.Call == c.Call) && (c.Server < 0 || int64(e.Server) == c.Server) {
 			if c.JSON {
-				err = encode.Encode(newLine(e))
+				err = encode.Encode(newEventLine(e))
 			} else {
-				_, err = fmt.Printf("%s  %s  %s\n", stamp(e.At), printable(e.Node), describe(e))
+				_, err = fmt.Printf("%s  %s  %s\n", formatTime(e.At), printable(e.Node), describeEvent(e))
 			}
 		}
 		if err != nil {
@@ -135,11 +135,12 @@
 	}
 }
 
-func stamp(at control.Micros) string {
+// formatTime formats a time as RFC 3339 with milliseconds, in UTC.
+func formatTime(at control.Micros) string {
 	return time.UnixMicro(int64(at)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// printable keeps what callers and names bring from steering a terminal.
+// printable quotes a text that holds control characters, so that texts of callers and files can't send commands to a terminal.
 func printable(s string) string {
 	if q := strconv.QuoteToGraphic(s); q != `"`+s+`"` {
 		return q
@@ -147,10 +148,10 @@
 	return s
 }
 
-// describe gives an event in words, without its time.
-func describe(e *history.Event) string {
-	words := []string{e.Kind.String()}
-	add := func(format string, args ...any) { words = append(words, fmt.Sprintf(format, args...)) }
+// describeEvent returns an event as text, without its time.
+func describeEvent(e *history.Event) string {
+	parts := []string{e.Kind.String()}
+	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
 	if e.Call != "" {
 		add("call %s", printable(e.Call))
 	}
@@ -180,20 +181,20 @@
 	case history.Dropped:
 		add("%d records over %d ms", e.N, e.Span/1000)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(parts, " ")
 }
 
 type reportCmd struct {
-	Dir  []string  `arg:"" help:"Folders of records, or folders whose records/ holds them."`
+	Dir  []string  `arg:"" help:"Directories of records, or directories with a subdirectory records."`
 	Out  string    `help:"File for the HTML page." type:"path"`
-	JSON string    `help:"File for the findings as JSON; - for standard output." name:"json"`
-	From time.Time `help:"Begin (RFC 3339)."`
-	To   time.Time `help:"End (RFC 3339)."`
+	JSON string    `help:"File for the findings in JSON; - for standard output." name:"json"`
+	From time.Time `help:"Start of the reported time (RFC 3339)."`
+	To   time.Time `help:"End of the reported time (RFC 3339)."`
 }
 
 func (c reportCmd) Run() error {
 	if c.Out == "" && c.JSON == "" {
-		return fault(fmt.Errorf("report: neither --out nor --json names a file"), 2)
+		return withExitCode(fmt.Errorf("report: --out or --json is required"), 2)
 	}
 	for _, dir := range c.Dir {
 		fmt.Fprintf(os.Stderr, "report: records from %s\n", record.Folder(dir))
@@ -208,7 +209,7 @@
 		fmt.Fprintln(os.Stderr)
 	}
 	if c.Out != "" {
-		if err := writeFile(c.Out, r.HTML); err != nil {
+		if err := writeFileAtomic(c.Out, r.HTML); err != nil {
 			return err
 		}
 	}
@@ -219,7 +220,7 @@
 			return err
 		}
 	default:
-		if err := writeFile(c.JSON, r.JSON); err != nil {
+		if err := writeFileAtomic(c.JSON, r.JSON); err != nil {
 			return err
 		}
 	}
@@ -234,13 +235,13 @@
 		fmt.Fprintln(os.Stderr)
 	}
 	if r.Broken() {
-		return exit(1)
+		return silentExit(1)
 	}
 	return nil
 }
 
-// writeFile writes a file whole or not at all.
-func writeFile(name string, write func(io.Writer) error) error {
+// writeFileAtomic writes a file atomically: it is written completely or not at all.
+func writeFileAtomic(name string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(name), ".report-*")
 	if err == nil {
 		defer os.Remove(f.Name())
@@ -257,33 +258,33 @@
 }
 
 type incidentCmd struct {
-	Play incidentPlayCmd `cmd:"" help:"Play a seeded incident on loopback and report on it."`
+	Play incidentPlayCmd `cmd:"" help:"Run a seeded incident on loopback and make a report of it."`
 }
 
 type incidentPlayCmd struct {
-	Seed        uint64        `help:"Of what happens when." default:"1"`
-	Gatekeepers int           `help:"How many." default:"8"`
-	Length      time.Duration `help:"Of the incident." default:"30s"`
-	Out         string        `help:"Folder for the records, report.html and report.json." required:"" type:"path"`
+	Seed        uint64        `help:"Seed of the incident." default:"1"`
+	Gatekeepers int           `help:"Number of gatekeepers." default:"8"`
+	Length      time.Duration `help:"Length of the incident." default:"30s"`
+	Out         string        `help:"Directory for the records, report.html and report.json." required:"" type:"path"`
 }
 
 func (c incidentPlayCmd) Run() error {
 	if c.Gatekeepers < 1 || c.Gatekeepers > 64 || c.Length < 5*time.Second || c.Length > 10*time.Minute {
-		return fault(fmt.Errorf("incident play: 1 to 64 gatekeepers, 5s to 10m"), 2)
+		return withExitCode(fmt.Errorf("incident play: --gatekeepers must be 1 to 64 and --length 5s to 10m"), 2)
 	}
 	dir := filepath.Join(c.Out, "records")
 	if _, err := record.Nodes(dir); err == nil {
-		return fault(fmt.Errorf("%s: holds records already; name another --out", dir), 2)
+		return withExitCode(fmt.Errorf("%s: already holds records; choose another --out", dir), 2)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	began := time.Now()
-	o, err := lab.Incident{Seed: c.Seed, Gatekeepers: c.Gatekeepers, Length: c.Length, Dir: dir, Progress: func(what string) {
-		fmt.Fprintf(os.Stderr, "%5.1f s  %s\n", time.Since(began).Seconds(), what)
+	outcome, err := lab.Incident{Seed: c.Seed, Gatekeepers: c.Gatekeepers, Length: c.Length, Dir: dir, Progress: func(step string) {
+		fmt.Fprintf(os.Stderr, "%5.1f s  %s\n", time.Since(began).Seconds(), step)
 	}}.Play(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "%5.1f s  played: %d calls, %d set-ups at servers\n", time.Since(began).Seconds(), o.First, o.Setups)
+	fmt.Fprintf(os.Stderr, "%5.1f s  finished: %d calls, %d set-ups at servers\n", time.Since(began).Seconds(), outcome.First, outcome.Setups)
 	return reportCmd{Dir: []string{dir}, Out: filepath.Join(c.Out, "report.html"), JSON: filepath.Join(c.Out, "report.json")}.Run()
 }
--- a/cmd/beammux/records_test.go
+++ b/cmd/beammux/records_test.go
@@ -15,8 +15,8 @@
 	"beammux/internal/record"
 )
 
-// written makes a folder with the records of a short story; broken adds a second final answer.
-func written(t *testing.T, broken bool) string {
+// writeRecords writes records of two calls and returns their directory. With broken, one call gets a second final answer.
+func writeRecords(t *testing.T, broken bool) string {
 	t.Helper()
 	dir := t.TempDir()
 	r, err := record.Open(record.Options{Dir: dir, Node: "n1"})
@@ -42,7 +42,7 @@
 }
 
 func TestRecordsCommands(t *testing.T) {
-	dir := written(t, false)
+	dir := writeRecords(t, false)
 	out, _, code := run(t, "records", "cat", dir, "--call", "a\x1b[31m")
 	if code != 0 || strings.Count(out, "\n") != 4 || strings.Contains(out, "\x1b") || !strings.Contains(out, "attempt 0 at server 7: full") ||
 		!strings.Contains(out, "told to wait 1500 ms") || !strings.HasPrefix(out, "2027-01-15T08:00:00.002Z  n1  taken call ") {
@@ -74,7 +74,7 @@
 
 func TestReportCommand(t *testing.T) {
 	for _, broken := range []bool{false, true} {
-		dir, page := written(t, broken), filepath.Join(t.TempDir(), "r.html")
+		dir, page := writeRecords(t, broken), filepath.Join(t.TempDir(), "r.html")
 		out, errs, code := run(t, "report", dir, "--out", page, "--json", "-")
 		text, err := os.ReadFile(page)
 		want, verdict := 0, "held"
@@ -94,9 +94,9 @@
 	}
 }
 
-// Where the output is no terminal the console prints a plain table.
+// The console prints a plain table if the output is not a terminal.
 func TestConsoleWithoutTerminal(t *testing.T) {
-	out, _, code := run(t, "console", "--records", written(t, false))
+	out, _, code := run(t, "console", "--records", writeRecords(t, false))
 	if code != 0 || !strings.Contains(out, "rules so far:  answer held") || !strings.Contains(out, "menu-view") || strings.Contains(out, "\x1b") {
 		t.Errorf("exit %d, %s", code, out)
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// A seeded incident is played, reported on, and each rule held. Five seconds are enough to see that the parts work together.
+// A seeded incident runs, and its report shows that each rule held. Five seconds suffice to exercise all parts together.
 func TestIncidentPlay(t *testing.T) {
 	out := t.TempDir()
 	_, errs, code := run(t, "incident", "play", "--seed", "2", "--gatekeepers", "3", "--length", "5s", "--out", out)
@@ -125,8 +125,8 @@
 	}
 }
 
-// A gatekeeper that is killed outright while it takes calls leaves records that can be read to the end; its rules are not
-// held, since what it did last is hidden.
+// A gatekeeper that is killed by SIGKILL while it takes calls leaves records that can be read to the end. The report shows no
+// rule as held, since the last events of each process are missing.
 func TestKilledWhileRecording(t *testing.T) {
 	dir := t.TempDir()
 	deploy := filepath.Join(dir, "deploy.json")
@@ -137,9 +137,9 @@
 	const starts, written = 4, 20000
 	folder := filepath.Join(dir, "records")
 	for start := range starts {
-		cmd := program("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy", deploy)
+		cmd := newProgram("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy", deploy)
 		var l struct{ Msg, Listen string }
-		for lines := started(t, cmd); l.Msg != "serving" && lines.Scan(); {
+		for lines := startProgram(t, cmd); l.Msg != "serving" && lines.Scan(); {
 			json.Unmarshal(lines.Bytes(), &l)
 		}
 		c, err := net.Dial("tcp", l.Listen)
@@ -148,7 +148,7 @@
 		}
 		answers := bufio.NewScanner(c)
 		for i := 0; ; i++ {
-			if i%100 == 0 { // until something has been written
+			if i%100 == 0 { // until records have been written
 				if info, err := os.Stat(filepath.Join(folder, fmt.Sprintf("example-%08x-000000.rec", start+1))); err == nil && info.Size() > written {
 					break
 				}
@@ -174,7 +174,7 @@
 	}
 }
 
-// The console attaches to a gatekeeper that runs, and shows its servers and the calls that come while it watches.
+// The console attaches to a running gatekeeper and shows its servers and the calls that arrive meanwhile.
 func TestConsoleAttached(t *testing.T) {
 	dir := t.TempDir()
 	socket := "unix:" + filepath.Join(dir, "admin.sock")
@@ -183,9 +183,9 @@
 	if err := os.WriteFile(deploy, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := program("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy", deploy)
+	cmd := newProgram("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy", deploy)
 	var l struct{ Msg, Listen string }
-	for lines := started(t, cmd); l.Msg != "serving" && lines.Scan(); {
+	for lines := startProgram(t, cmd); l.Msg != "serving" && lines.Scan(); {
 		json.Unmarshal(lines.Bytes(), &l)
 	}
 	defer cmd.Wait()
@@ -195,7 +195,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	go func() { // calls until the gatekeeper ends; its servers are out of reach, so they are refused
+	go func() { // calls until the gatekeeper ends; all are refused, since its servers are unreachable
 		answers := bufio.NewScanner(c)
 		for i := 0; ; i++ {
 			if fmt.Fprintf(c, `{"msg":"open","sid":"%016x","attrs":{"class":"diet-order","left":100,"key":"1"}}`+"\n", i); !answers.Scan() {
--- a/cmd/beammux/restart_test.go
+++ b/cmd/beammux/restart_test.go
@@ -17,10 +17,9 @@
 	"beammux/internal/store"
 )
 
-// A gatekeeper with store.dir is killed by SIGKILL and started again. A read at once after `serving` gives the record
-// whole, or "not ready", and never "no such record": before the fix the member answered from a machine that had not yet
-// replayed its log.
-func TestReadAtOnceAfterRestart(t *testing.T) {
+// A gatekeeper with store.dir is killed by SIGKILL and restarted. A read immediately after `serving` returns the complete record
+// or "not ready", never "no such record": a member must not answer from a state machine that has not yet replayed its log.
+func TestReadImmediatelyAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	addr := porttest.Reserve(t)
 	deploy, _ := json.Marshal(map[string]any{"store": map[string]any{"node": "n0", "listen": addr, "dir": filepath.Join(dir, "store"),
@@ -34,9 +33,9 @@
 		t.Fatal(err)
 	}
 	start := func(until string) (*os.Process, string) {
-		cmd := program("serve", "--deploy", deployFile, "--log-format", "json")
+		cmd := newProgram("serve", "--deploy", deployFile, "--log-format", "json")
 		cmd.Env = append(cmd.Env, "PROXY_CONFIG="+configFile, "PROXY_ADMIN_ADDR=127.0.0.1:0")
-		listen := logged(t, cmd, until)
+		listen := startUntilLogged(t, cmd, until)
 		return cmd.Process, listen
 	}
 	p, _ := start("serving")
@@ -49,13 +48,13 @@
 	for round := range 3 {
 		p.Kill()
 		p.Wait()
-		// In the last round the operators' yes is what the read comes after, asked from before the store is opened.
+		// In the last round the read follows the first positive answer to /api/ready, which is polled from before the store opens.
 		if round < 2 {
 			p, _ = start("serving")
 		} else {
 			var ops string
 			p, ops = start("operators' address serving")
-			for !ready(t, ops) {
+			for !isReady(t, ops) {
 			}
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -63,7 +62,7 @@
 		cancel()
 		switch {
 		case errors.Is(err, store.ErrNotFound):
-			t.Fatalf("round %d: %v at once after serving", round, err)
+			t.Fatalf("round %d: %v immediately after serving", round, err)
 		case err != nil && (round == 2 || !errors.Is(err, store.ErrNotReady)):
 			t.Fatalf("round %d: %v", round, err)
 		case err == nil && string(got.Value) != "whole":
@@ -78,50 +77,50 @@
 	p.Wait()
 }
 
-// Where the store alone can name the servers, ready stays no until the store has a leader, however long that takes:
-// a member of two whose other one is down says so and waits, ends cleanly on SIGTERM, and serves once the other is up.
-func TestNotReadyWithoutAMajority(t *testing.T) {
+// If only the store can provide the server list, a gatekeeper is not ready until the store has a leader. One of two members
+// whose peer is down logs that it waits, exits cleanly on SIGTERM, and serves once the peer is up.
+func TestNotReadyWithoutMajority(t *testing.T) {
 	dir := t.TempDir()
 	var peers []map[string]string
 	for _, node := range []string{"a", "b"} {
 		peers = append(peers, map[string]string{"node": node, "address": porttest.Reserve(t)})
 	}
-	command := func(at int) *exec.Cmd {
-		deploy, _ := json.Marshal(map[string]any{"store": map[string]any{"node": peers[at]["node"], "listen": peers[at]["address"], "peers": peers}})
-		deployFile, configFile := filepath.Join(dir, fmt.Sprint("deploy", at)), filepath.Join(dir, fmt.Sprint("config", at))
+	command := func(index int) *exec.Cmd {
+		deploy, _ := json.Marshal(map[string]any{"store": map[string]any{"node": peers[index]["node"], "listen": peers[index]["address"], "peers": peers}})
+		deployFile, configFile := filepath.Join(dir, fmt.Sprint("deploy", index)), filepath.Join(dir, fmt.Sprint("config", index))
 		if err := os.WriteFile(deployFile, deploy, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.WriteFile(configFile, []byte(`{"listen":"127.0.0.1:0","settings":{"classes":[{"name":"menu-view","repeat":"read_like"}]}}`), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := program("serve", "--deploy", deployFile, "--log-format", "json")
+		cmd := newProgram("serve", "--deploy", deployFile, "--log-format", "json")
 		cmd.Env = append(cmd.Env, "PROXY_CONFIG="+configFile, "PROXY_ADMIN_ADDR=127.0.0.1:0")
 		return cmd
 	}
 	waiting := "store: not ready; the start waits"
 	ended := command(0)
-	logged(t, ended, waiting)
+	startUntilLogged(t, ended, waiting)
 	ended.Process.Signal(syscall.SIGTERM)
 	if err := ended.Wait(); err != nil {
 		t.Errorf("SIGTERM while waiting: %v", err)
 	}
 	first, second := command(0), command(1)
-	lines := started(t, first)
-	ops, said := "", false
-	for !said && lines.Scan() {
+	lines := startProgram(t, first)
+	ops, waitLogged := "", false
+	for !waitLogged && lines.Scan() {
 		var line struct{ Msg, Listen string }
 		json.Unmarshal(lines.Bytes(), &line)
 		if line.Msg == "operators' address serving" {
 			ops = line.Listen
 		}
-		said = strings.HasPrefix(line.Msg, waiting)
+		waitLogged = strings.HasPrefix(line.Msg, waiting)
 	}
-	if ops == "" || ready(t, ops) {
+	if ops == "" || isReady(t, ops) {
 		t.Fatalf("ready without a leader (operators' address %q)", ops)
 	}
-	logged(t, second, "serving")
-	for !ready(t, ops) {
+	startUntilLogged(t, second, "serving")
+	for !isReady(t, ops) {
 	}
 	for _, cmd := range []*exec.Cmd{first, second} {
 		cmd.Process.Kill()
@@ -129,8 +128,8 @@
 	}
 }
 
-// The folder that `incident play` writes is one that `report` reads, and it says which folder that was.
-func TestReportOfAnIncidentsOwnFolder(t *testing.T) {
+// `report` reads the directory that `incident play` writes, and prints which directory it reads.
+func TestReportReadsIncidentDirectory(t *testing.T) {
 	dir := t.TempDir()
 	if _, errs, code := run(t, "incident", "play", "--out", dir, "--gatekeepers", "2", "--length", "5s"); code != 0 {
 		t.Fatalf("exit %d: %s", code, errs)
--- a/cmd/beammux/serve.go
+++ b/cmd/beammux/serve.go
@@ -18,13 +18,13 @@
 
 type serveCmd struct {
 	Config string `help:"Configuration file (JSON)." env:"PROXY_CONFIG" required:""`
-	Listen string `help:"Address for callers, in place of the configuration's." env:"PROXY_LISTEN"`
-	Admin  string `name:"admin-addr" help:"Operators' HTTP address, HOST:PORT, in place of the configuration's admin_addr." env:"PROXY_ADMIN_ADDR"`
-	Deploy string `help:"The project's own file: SIP front, store, inventory." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
+	Listen string `help:"Address for callers; overrides the configuration's listen." env:"PROXY_LISTEN"`
+	Admin  string `name:"admin-addr" help:"Operators' HTTP address, HOST:PORT; overrides the configuration's admin_addr." env:"PROXY_ADMIN_ADDR"`
+	Deploy string `help:"Deploy file (JSON): SIP front, store, inventory." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
 }
 
 func (s serveCmd) Run(log logrus.FieldLogger) error {
-	// First of all: uncaught, a signal that comes early would end the process.
+	// The handlers are installed before anything else: an early SIGHUP without a handler would end the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -49,25 +49,25 @@
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
-	limits(cfg)
-	n, err := node.Start(ctx, cfg, deploy, log.WithField("node", cfg.Name))
+	applyResourceLimits(cfg)
+	gatekeeper, err := node.Start(ctx, cfg, deploy, log.WithField("node", cfg.Name))
 	if err != nil && ctx.Err() != nil {
-		log.WithError(err).Info("ended before it served")
+		log.WithError(err).Info("stopped before the gatekeeper served")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	term, drained := ctx.Done(), make(chan struct{})
-	for { // SIGHUP counts to the end: while it drains, the list must not fall silent either
+	terminated, drained := ctx.Done(), make(chan struct{})
+	for { // SIGHUP is handled until the end: the server list must stay current during the drain too
 		select {
 		case <-hup:
-			n.Reload(s.Config, s.Deploy)
-		case <-term:
-			term = nil
+			gatekeeper.Reload(s.Config, s.Deploy)
+		case <-terminated:
+			terminated = nil
 			go func() {
 				defer close(drained)
-				n.Drain()
+				gatekeeper.Drain()
 			}()
 		case <-drained:
 			return nil
@@ -75,8 +75,8 @@
 	}
 }
 
-// limits keeps the runtime within what the machine gives.
-func limits(cfg *config.Config) {
+// applyResourceLimits applies the configured processor and memory limits to the Go runtime.
+func applyResourceLimits(cfg *config.Config) {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cfg.Cores+0.5)))
 	}
--- a/cmd/beammux/serve_test.go
+++ b/cmd/beammux/serve_test.go
@@ -18,7 +18,7 @@
 	"beammux/internal/porttest"
 )
 
-// As the program itself, when a test starts it.
+// TestMain runs the program instead of the tests if a test started this binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("BEAMMUX_TEST_MAIN") != "" {
 		main()
@@ -27,16 +27,16 @@
 	os.Exit(m.Run())
 }
 
-// program makes a command that runs the program, from the root of the repository's example files.
-func program(args ...string) *exec.Cmd {
+// newProgram returns a command that runs the program with the repository's root as working directory.
+func newProgram(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "BEAMMUX_TEST_MAIN=1")
 	cmd.Dir = "../.."
 	return cmd
 }
 
-// started starts the program and gives its log, which it must be killed or told to end: after half a minute it is.
-func started(t *testing.T, cmd *exec.Cmd) *bufio.Scanner {
+// startProgram starts the program and returns a scanner of its standard error. The test must end the program; it is killed after 30 s.
+func startProgram(t *testing.T, cmd *exec.Cmd) *bufio.Scanner {
 	t.Helper()
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -50,10 +50,10 @@
 	return bufio.NewScanner(stderr)
 }
 
-// logged starts the program and reads its JSON log until a message; it gives the line's field "listen".
-func logged(t *testing.T, cmd *exec.Cmd, until string) string {
+// startUntilLogged starts the program, reads its JSON log until a message and returns the field "listen" of that line.
+func startUntilLogged(t *testing.T, cmd *exec.Cmd, until string) string {
 	t.Helper()
-	lines := started(t, cmd)
+	lines := startProgram(t, cmd)
 	for lines.Scan() {
 		var line struct{ Msg, Listen string }
 		if json.Unmarshal(lines.Bytes(), &line) == nil && strings.HasPrefix(line.Msg, until) {
@@ -64,12 +64,12 @@
 			return line.Listen
 		}
 	}
-	t.Fatalf("the program ended before it said %q: %v", until, cmd.Wait())
+	t.Fatalf("the program ended before it logged %q: %v", until, cmd.Wait())
 	return ""
 }
 
-// viaHTTP gives the body of one of the operators' calls.
-func viaHTTP(addr, path string) (string, error) {
+// httpGet returns the body of a GET request to the operators' address.
+func httpGet(addr, path string) (string, error) {
 	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + addr + path)
 	if err != nil {
 		return "", err
@@ -79,8 +79,8 @@
 	return string(body), err
 }
 
-// ready asks a gatekeeper's operators' address.
-func ready(t *testing.T, addr string) bool {
+// isReady reports whether the process at an operators' address is ready.
+func isReady(t *testing.T, addr string) bool {
 	t.Helper()
 	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + addr + "/api/ready")
 	if err != nil {
@@ -90,16 +90,16 @@
 	return resp.StatusCode == 200
 }
 
-// Guards against SIGHUP ending a gatekeeper that is not up yet: it is caught from the first and served once it is up.
-// The configuration is a FIFO, so the test knows when the program reads it.
+// Guards against SIGHUP ending a gatekeeper during its start: the signal is caught from the beginning and handled once the
+// gatekeeper serves. The configuration is a FIFO, so the test knows when the program reads it.
 func TestSIGHUPBeforeReady(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := program("serve")
+	cmd := newProgram("serve")
 	cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file, "PROXY_LISTEN=127.0.0.1:0")
-	lines := started(t, cmd)
+	lines := startProgram(t, cmd)
 	w, err := os.OpenFile(file, os.O_WRONLY, 0) // returns when the program has opened it
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	os.Rename(file+".new", file) // for the second reading
+	os.Rename(file+".new", file) // read by the reload
 	fmt.Fprint(w, text)
 	w.Close()
 	reloaded := false
@@ -120,15 +120,15 @@
 		}
 	}
 	if !reloaded {
-		t.Error("the signal was not served")
+		t.Error("the signal was not handled")
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("the program ended with: %v", err)
 	}
 }
 
-// A hand-over: a second process with the same callers' address and another operators' address starts beside the first,
-// says ready, and the first ends cleanly on SIGTERM while the second goes on serving.
+// A hand-over: a second process with the same callers' address and another operators' address starts and becomes ready. The first
+// process then exits cleanly on SIGTERM while the second one keeps serving.
 func TestHandOver(t *testing.T) {
 	listen := porttest.Reserve(t)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -137,16 +137,16 @@
 		t.Fatal(err)
 	}
 	start := func() (*exec.Cmd, string) {
-		cmd := program("serve", "--log-format", "json")
+		cmd := newProgram("serve", "--log-format", "json")
 		cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file, "PROXY_ADMIN_ADDR=127.0.0.1:0")
-		addr := logged(t, cmd, "operators' address serving")
-		for !ready(t, addr) {
+		addr := startUntilLogged(t, cmd, "operators' address serving")
+		for !isReady(t, addr) {
 		}
 		return cmd, addr
 	}
 	old, oldAddr := start()
 	next, nextAddr := start()
-	if !ready(t, oldAddr) || !ready(t, nextAddr) {
+	if !isReady(t, oldAddr) || !isReady(t, nextAddr) {
 		t.Fatal("not both ready")
 	}
 	old.Process.Signal(syscall.SIGTERM)
@@ -172,27 +172,27 @@
 	}
 }
 
-// A bad operators' address stops the start with one line that names it.
+// A start with an invalid operators' address fails with a message that names the address.
 func TestBadOperatorsAddress(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","admin_addr":"nowhere","settings":%s}`, `{"classes":[{"name":"menu-view","repeat":"read_like"}]}`)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := program("serve")
+	cmd := newProgram("serve")
 	cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file)
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "key admin_addr: \"nowhere\" is not HOST:PORT") {
-		t.Fatalf("exit %v, said %q", err, out)
+		t.Fatalf("exit %v, printed %q", err, out)
 	}
 	text = fmt.Sprintf(`{"listen":"127.0.0.1:0","settings":%s}`, `{"classes":[{"name":"menu-view","repeat":"read_like"}]}`)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd = program("serve")
+	cmd = newProgram("serve")
 	cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file, "PROXY_ADMIN_ADDR=127.0.0.1:http")
 	out, err = cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "PROXY_ADMIN_ADDR") {
-		t.Fatalf("exit %v, said %q", err, out)
+		t.Fatalf("exit %v, printed %q", err, out)
 	}
 }
--- a/cmd/beammux/settings.go
+++ b/cmd/beammux/settings.go
@@ -9,9 +9,9 @@
 	"beammux/internal/follow"
 )
 
-// printSettings prints how a gatekeeper stands to the settings of the control machines.
+// printSettings prints which settings of the control machines a gatekeeper has in force, has refused or is missing.
 func printSettings(w io.Writer, s *follow.Status) {
-	fmt.Fprintf(w, "\nsettings: revision %d in force, %d seen, %s\n", s.InForce, s.Seen, currency(s))
+	fmt.Fprintf(w, "\nsettings: revision %d in force, %d seen, %s\n", s.InForce, s.Seen, freshness(s))
 	for _, section := range s.Sections {
 		fmt.Fprintf(w, "  %s\t%s\trevision %d\n", section.Section, section.Key, section.Revision)
 	}
@@ -35,11 +35,11 @@
 	}
 }
 
-// currency tells how sure it is that what is in force is current.
-func currency(s *follow.Status) string {
+// freshness describes when the settings in force were last confirmed as current.
+func freshness(s *follow.Status) string {
 	switch {
 	case s.RestoredFromDir:
-		return "kept from before the restart, not confirmed by any control machine since"
+		return "restored after the restart, not yet confirmed by a control machine"
 	case s.Age < 0:
 		return "no control machine has answered yet"
 	case !s.Connected:
--- a/cmd/beammux/show.go
+++ b/cmd/beammux/show.go
@@ -11,13 +11,13 @@
 )
 
 type configCmd struct {
-	Show configShowCmd `cmd:"" help:"Show everything that a start with these files would put in force, and where each value comes from."`
+	Show configShowCmd `cmd:"" help:"Show all values that a start with these files would put in force, and the origin of each."`
 }
 
 type configShowCmd struct {
 	Config string `help:"Configuration file (JSON)." env:"PROXY_CONFIG" required:""`
-	Listen string `help:"Address for callers, in place of the configuration's." env:"PROXY_LISTEN"`
-	Deploy string `help:"The project's own file." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
+	Listen string `help:"Address for callers; overrides the configuration's listen." env:"PROXY_LISTEN"`
+	Deploy string `help:"Deploy file (JSON)." default:"deploy/beammux.json" env:"BEAMMUX_DEPLOY"`
 	JSON   bool   `help:"Print JSON."`
 }
 
@@ -31,9 +31,9 @@
 		return err
 	}
 	policy := deploy.Calls
-	var all []figure
+	var values []configValue
 	add := func(key string, value any, from string) {
-		all = append(all, figure{Key: key, Value: fmt.Sprint(value), From: from})
+		values = append(values, configValue{Key: key, Value: fmt.Sprint(value), From: from})
 	}
 	add("name", cfg.Name, c.Config)
 	if c.Listen != "" {
@@ -45,70 +45,70 @@
 	add("limits.cores", cfg.Cores, c.Config)
 	add("limits.memory_mb", cfg.MemoryMB, c.Config)
 	add("limits.sockets", cfg.Sockets, c.Config)
-	s := cfg.Site
+	site := cfg.Site
 	settings := c.Config + ": settings"
-	add("settings.classes", strings.Join(s.ClassNames, " "), settings)
-	add("settings.balancers", s.Gatekeepers, settings)
-	add("settings.bounds.attempts-cap", s.AttemptsCap, settings)
-	add("settings.bounds.cancel", s.Cancel, settings)
-	add("settings.bounds.retry-after", s.RetryAfter, settings)
-	add("settings.bounds.max-retry-after-us", s.MaxRetryAfter, settings)
-	add("settings.bounds.second-copies", s.SecondCopies, settings)
-	add("settings.extra.release-guard-us", s.ReleaseGuard, settings)
-	add("settings.extra.t1-us", s.ResendGap, settings)
-	own := func(key, value string) {
+	add("settings.classes", strings.Join(site.ClassNames, " "), settings)
+	add("settings.balancers", site.Gatekeepers, settings)
+	add("settings.bounds.attempts-cap", site.AttemptsCap, settings)
+	add("settings.bounds.cancel", site.Cancel, settings)
+	add("settings.bounds.retry-after", site.RetryAfter, settings)
+	add("settings.bounds.max-retry-after-us", site.MaxRetryAfter, settings)
+	add("settings.bounds.second-copies", site.SecondCopies, settings)
+	add("settings.extra.release-guard-us", site.ReleaseGuard, settings)
+	add("settings.extra.t1-us", site.ResendGap, settings)
+	addDeploy := func(key, value string) {
 		from := deploy.Where(key)
 		if from == "" {
 			from = "default: off"
 		}
 		add(key, value, from)
 	}
-	own("sip.udp", deploy.SIPUDP)
-	own("sip.tcp", deploy.SIPTCP)
-	own("sip.default_class", deploy.DefaultClass)
-	own("store.node", deploy.StoreNode)
-	own("store.listen", deploy.StoreListen)
+	addDeploy("sip.udp", deploy.SIPUDP)
+	addDeploy("sip.tcp", deploy.SIPTCP)
+	addDeploy("sip.default_class", deploy.DefaultClass)
+	addDeploy("store.node", deploy.StoreNode)
+	addDeploy("store.listen", deploy.StoreListen)
 	var peers []string
 	for _, p := range deploy.StorePeers {
 		peers = append(peers, p.Node+"="+p.Address)
 	}
-	own("store.peers", strings.Join(peers, " "))
-	own("store.dir", deploy.StoreDir)
-	own("store.sync", deploy.StoreSync)
-	own("store.join", fmt.Sprint(deploy.StoreJoin))
-	own("inventory", deploy.Inventory)
-	if configuration, c := c.Config, deploy.Control; c != nil { // what the control machines name wins over this file: `fleet view` shows it
+	addDeploy("store.peers", strings.Join(peers, " "))
+	addDeploy("store.dir", deploy.StoreDir)
+	addDeploy("store.sync", deploy.StoreSync)
+	addDeploy("store.join", fmt.Sprint(deploy.StoreJoin))
+	addDeploy("inventory", deploy.Inventory)
+	if configuration, c := c.Config, deploy.Control; c != nil { // settings of the control machines override this file; `fleet view` shows them
 		add("control.name", cmp.Or(c.Name, cfg.Name), cmp.Or(deploy.Where("control.name"), configuration))
-		own("control.region", c.Region)
-		own("control.zone", c.Zone)
-		own("control.service", c.Service)
+		addDeploy("control.region", c.Region)
+		addDeploy("control.zone", c.Zone)
+		addDeploy("control.service", c.Service)
 		var replicas []string
 		for _, r := range c.Replicas {
 			replicas = append(replicas, r.Name+"="+r.Address)
 		}
-		own("control.replicas", strings.Join(replicas, " "))
-		own("control.dir", c.Dir)
+		addDeploy("control.replicas", strings.Join(replicas, " "))
+		addDeploy("control.dir", c.Dir)
 	}
 	add("calls", policy.Version(), "version in force")
 	if policy != nil {
-		own("calls.second_copies", fmt.Sprint(policy.File().SecondCopies))
-		own("calls.budget", policy.File().Budget.String())
+		addDeploy("calls.second_copies", fmt.Sprint(policy.File().SecondCopies))
+		addDeploy("calls.budget", policy.File().Budget.String())
 	}
 	for _, r := range policy.All() {
-		name := "calls of " + s.ClassNames[r.Class]
+		name := "calls of " + site.ClassNames[r.Class]
 		if r.Route >= 0 {
 			name += fmt.Sprintf(" by route %q", r.Name)
 		}
-		for _, f := range figures(r, deploy) {
+		for _, f := range limitValues(r, deploy) {
 			f.Key = name + ": " + f.Key
-			all = append(all, f)
+			values = append(values, f)
 		}
 	}
 	if c.JSON {
-		return printJSON(all)
+		return printJSON(values)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	for _, f := range all {
+	for _, f := range values {
 		from := f.Where
 		if from == "" {
 			from = f.From
--- a/cmd/beammux/store.go
+++ b/cmd/beammux/store.go
@@ -17,37 +17,37 @@
 )
 
 type storeCmd struct {
-	Status  storeStatusCmd  `cmd:"" help:"How a member stands, and who the members are."`
+	Status  storeStatusCmd  `cmd:"" help:"Show the state of a member and the members of the group."`
 	Get     storeGetCmd     `cmd:"" help:"Print a record's value."`
 	List    storeListCmd    `cmd:"" help:"List records."`
 	Put     storePutCmd     `cmd:"" help:"Write a record from a file."`
 	Apply   storeApplyCmd   `cmd:"" help:"Write and delete several records in one transaction: all or none, at one revision."`
-	Member  storeMemberCmd  `cmd:"" help:"Change the members of a running group, one at a time."`
+	Member  storeMemberCmd  `cmd:"" help:"List or change the members of a running group, one at a time."`
 	Watch   storeWatchCmd   `cmd:"" help:"Print changes as they are committed."`
 	Backup  storeBackupCmd  `cmd:"" help:"Write all records of a running group to a file."`
 	Restore storeRestoreCmd `cmd:"" help:"Write the records of a backup into a running group, and raise its revisions above the backup's."`
-	Raise   storeRaiseCmd   `cmd:"" help:"Lift the revisions of a group that was made anew above what its clients hold."`
-	Verify  storeVerifyCmd  `cmd:"" help:"Read a member's files and say whether they are whole; nothing is changed."`
+	Raise   storeRaiseCmd   `cmd:"" help:"Raise the revisions of a recreated group above those that its clients hold."`
+	Verify  storeVerifyCmd  `cmd:"" help:"Read a member's files and report whether they are intact; nothing is changed."`
 	Dump    storeDumpCmd    `cmd:"" help:"Print the records in a member's files."`
 }
 
-// Exit codes of the store commands, beside 0, 1 for any other fault and 2 for a wrong call.
+// Exit codes of the store commands, besides 0 for success, 1 for any other error and 2 for wrong usage.
 const (
 	exitNotFound = 3
 	exitRevision = 4
-	exitNoAnswer = 5 // nobody answers, or the group has no leader
+	exitNoAnswer = 5 // no member answers, or the group has no leader
 	exitNotReady = 6 // the member has not replayed its log or caught up with a leader within --timeout
 )
 
-// member is what commands that ask a running member have in common.
-type member struct {
+// memberFlags holds the flags of commands that send requests to a running member.
+type memberFlags struct {
 	Store   string        `help:"Address of any member of the store." required:""`
-	Timeout time.Duration `help:"How long to wait for an answer, also for a member that is not ready yet." default:"5s"`
+	Timeout time.Duration `help:"How long to wait for an answer, including the time until the member is ready." default:"5s"`
 	JSON    bool          `help:"Print JSON."`
 }
 
-// ask runs a command with its time-out, and gives its errors their exit codes.
-func (m member) ask(f func(ctx context.Context) error) error {
+// request calls f with the time-out of the command and attaches exit codes to its errors.
+func (m memberFlags) request(f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), m.Timeout)
 	defer cancel()
 	err := f(ctx)
@@ -56,7 +56,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &refused): // its lines name what is at fault
+	case errors.As(err, &refused): // its lines name the errors in the records
 		return refused
 	case errors.Is(err, store.ErrNotFound):
 		code = exitNotFound
@@ -67,39 +67,39 @@
 	default:
 		code = exitNoAnswer
 	}
-	return fault(fmt.Errorf("%s: %w", m.Store, err), code)
+	return withExitCode(fmt.Errorf("%s: %w", m.Store, err), code)
 }
 
-type storeStatusCmd struct{ member }
+type storeStatusCmd struct{ memberFlags }
 
 func (c storeStatusCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
-		s, err := store.StatusFrom(ctx, c.Store)
+	return c.request(func(ctx context.Context) error {
+		status, err := store.StatusFrom(ctx, c.Store)
 		if err != nil {
 			return err
 		}
 		if c.JSON {
-			return printJSON(s)
+			return printJSON(status)
 		}
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		leader := "none"
-		if s.Leader != "" {
-			leader = fmt.Sprintf("%s at %s", s.LeaderNode, s.Leader)
+		if status.Leader != "" {
+			leader = fmt.Sprintf("%s at %s", status.LeaderNode, status.Leader)
 		}
 		ready := "yes"
-		if !s.Ready {
-			ready = "no: it has not replayed its log or caught up with a leader"
+		if !status.Ready {
+			ready = "no: the member has not replayed its log or caught up with a leader"
 		}
-		fmt.Fprintf(w, "member\t%s, %s\nleader\t%s\nready\t%s\nterm\t%d\nrecords\t%d\napplied\t%d of %d\nsnapshot\tto %d\n", s.Node,
-			strings.ToLower(s.State), leader, ready, s.Term, s.Records, s.Applied, s.Last, s.Snapshot)
-		fmt.Fprintf(w, "revision\t%d\n", s.Revision)
-		if s.Held > 0 {
-			fmt.Fprintf(w, "held by a client\t%d: this group was made anew; lift it above that (beammux store raise %d)\n", s.Held, s.Held)
+		fmt.Fprintf(w, "member\t%s, %s\nleader\t%s\nready\t%s\nterm\t%d\nrecords\t%d\napplied\t%d of %d\nsnapshot\tto %d\n", status.Node,
+			strings.ToLower(status.State), leader, ready, status.Term, status.Records, status.Applied, status.Last, status.Snapshot)
+		fmt.Fprintf(w, "revision\t%d\n", status.Revision)
+		if status.Held > 0 {
+			fmt.Fprintf(w, "held by a client\t%d: this group was recreated; raise its revisions above that (beammux store raise %d)\n", status.Held, status.Held)
 		}
-		if s.Contact > 0 {
-			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", s.Contact.Milliseconds())
+		if status.Contact > 0 {
+			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", status.Contact.Milliseconds())
 		}
-		for _, m := range s.Members {
+		for _, m := range status.Members {
 			role := "learner"
 			if m.Voter {
 				role = "voter"
@@ -109,7 +109,7 @@
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		if s.Leader == "" {
+		if status.Leader == "" {
 			return errors.New("the group has no leader: nothing can be written")
 		}
 		return nil
@@ -118,11 +118,11 @@
 
 type storeGetCmd struct {
 	Key string `arg:"" help:"Key of the record."`
-	member
+	memberFlags
 }
 
 func (c storeGetCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
+	return c.request(func(ctx context.Context) error {
 		r, err := store.GetFrom(ctx, c.Store, c.Key)
 		if err != nil {
 			return err
@@ -136,12 +136,12 @@
 }
 
 type storeListCmd struct {
-	Prefix string `arg:"" optional:"" help:"Beginning of the keys."`
-	member
+	Prefix string `arg:"" optional:"" help:"Prefix of the keys."`
+	memberFlags
 }
 
 func (c storeListCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
+	return c.request(func(ctx context.Context) error {
 		records, err := store.ListFrom(ctx, c.Store, c.Prefix)
 		if err != nil {
 			return err
@@ -164,8 +164,8 @@
 type storePutCmd struct {
 	Key  string  `arg:"" help:"Key of the record."`
 	File string  `arg:"" help:"File with the value; - for standard input."`
-	At   *uint64 `help:"Write only if the record is at this revision; 0: only if there is none."`
-	member
+	At   *uint64 `help:"Write only if the record has this revision; 0: only if there is none."`
+	memberFlags
 }
 
 func (c storePutCmd) Run() error {
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	return c.ask(func(ctx context.Context) error {
+	return c.request(func(ctx context.Context) error {
 		revision, err := store.PutTo(ctx, c.Store, c.Key, value, c.At)
 		if err != nil {
 			return err
@@ -187,7 +187,7 @@
 }
 
 type storeWatchCmd struct {
-	Prefix string `arg:"" optional:"" help:"Beginning of the keys."`
+	Prefix string `arg:"" optional:"" help:"Prefix of the keys."`
 	Store  string `help:"Address of any member of the store." required:""`
 	JSON   bool   `help:"Print a JSON object a line."`
 }
@@ -197,19 +197,19 @@
 	defer stop()
 	err := store.WatchFrom(ctx, c.Store, c.Prefix, func(r store.Record) {
 		if c.JSON {
-			printLine(r)
+			printJSONLine(r)
 			return
 		}
-		what := strconv.Itoa(len(r.Value)) + " bytes"
+		change := strconv.Itoa(len(r.Value)) + " bytes"
 		if r.Value == nil {
-			what = "deleted"
+			change = "deleted"
 		}
-		fmt.Printf("%s  revision %d  %s\n", printable(r.Key), r.Revision, what)
+		fmt.Printf("%s  revision %d  %s\n", printable(r.Key), r.Revision, change)
 	})
-	if ctx.Err() != nil { // it was told to stop
+	if ctx.Err() != nil { // stopped by a signal
 		return nil
 	}
-	return fault(fmt.Errorf("%s: %w", c.Store, err), exitNoAnswer)
+	return withExitCode(fmt.Errorf("%s: %w", c.Store, err), exitNoAnswer)
 }
 
 type storeVerifyCmd struct {
@@ -218,17 +218,17 @@
 }
 
 func (c storeVerifyCmd) Run() error {
-	h, err := store.Inspect(c.Dir)
+	contents, err := store.Inspect(c.Dir)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(h)
+		return printJSON(contents)
 	}
 	fmt.Printf("%s: whole: %d records; log entries %d to %d in %d segments, %d bytes; snapshots: %d, the newest up to entry %d\n", c.Dir,
-		len(h.Records), h.Log.First, h.Log.Last, h.Log.Segments, h.Log.Bytes, h.Snapshots, h.Snapshot)
-	if h.Log.Torn > 0 {
-		fmt.Printf("%d bytes of a torn end will be cut off at the next start; they had not been acknowledged as safe\n", h.Log.Torn)
+		len(contents.Records), contents.Log.First, contents.Log.Last, contents.Log.Segments, contents.Log.Bytes, contents.Snapshots, contents.Snapshot)
+	if contents.Log.Torn > 0 {
+		fmt.Printf("%d bytes of an incomplete last write will be cut off at the next start; they were never acknowledged\n", contents.Log.Torn)
 	}
 	return nil
 }
@@ -239,38 +239,38 @@
 }
 
 func (c storeDumpCmd) Run() error {
-	h, err := store.Inspect(c.Dir)
+	contents, err := store.Inspect(c.Dir)
 	if err != nil {
 		return err
 	}
-	return printRecords(h.Records, c.JSON)
+	return printRecords(contents.Records, c.JSON)
 }
 
 type storeMemberCmd struct {
 	List    memberListCmd    `cmd:"" help:"List the members."`
-	Add     memberAddCmd     `cmd:"" help:"Let a member join as a learner, or move to another address while it is down."`
-	Promote memberPromoteCmd `cmd:"" help:"Give a learner its vote once it has what the others have."`
-	Remove  memberRemoveCmd  `cmd:"" help:"Take a member out."`
+	Add     memberAddCmd     `cmd:"" help:"Add a member as a learner, or move a member that is down to another address."`
+	Promote memberPromoteCmd `cmd:"" help:"Make a learner a voter once it has caught up with the others."`
+	Remove  memberRemoveCmd  `cmd:"" help:"Remove a member."`
 }
 
-type memberListCmd struct{ member }
+type memberListCmd struct{ memberFlags }
 
 func (c memberListCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
-		s, err := store.StatusFrom(ctx, c.Store)
+	return c.request(func(ctx context.Context) error {
+		status, err := store.StatusFrom(ctx, c.Store)
 		if err != nil {
 			return err
 		}
 		if c.JSON {
-			return printJSON(s.Members)
+			return printJSON(status.Members)
 		}
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		for _, m := range s.Members {
+		for _, m := range status.Members {
 			role := "learner"
 			if m.Voter {
 				role = "voter"
 			}
-			if m.Node == s.LeaderNode {
+			if m.Node == status.LeaderNode {
 				role += ", leads"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\n", m.Node, m.Address, role)
@@ -281,51 +281,51 @@
 
 type memberAddCmd struct {
 	Node    string `arg:"" help:"Name of the member."`
-	Address string `arg:"" help:"Where it listens for the others."`
-	member
+	Address string `arg:"" help:"Address where it listens for the others."`
+	memberFlags
 }
 
 func (c memberAddCmd) Run() error {
-	return c.change(store.MemberChange{Do: store.MemberAdd, Node: c.Node, Address: c.Address})
+	return c.changeMembers(store.MemberChange{Do: store.MemberAdd, Node: c.Node, Address: c.Address})
 }
 
 type memberPromoteCmd struct {
 	Node string `arg:"" help:"Name of the member."`
-	member
+	memberFlags
 }
 
 func (c memberPromoteCmd) Run() error {
-	return c.change(store.MemberChange{Do: store.MemberPromote, Node: c.Node})
+	return c.changeMembers(store.MemberChange{Do: store.MemberPromote, Node: c.Node})
 }
 
 type memberRemoveCmd struct {
 	Node  string `arg:"" help:"Name of the member."`
-	Force bool   `help:"Also where too few voters are left to write."`
-	member
+	Force bool   `help:"Remove it even if too few voters remain to write."`
+	memberFlags
 }
 
 func (c memberRemoveCmd) Run() error {
-	return c.change(store.MemberChange{Do: store.MemberRemove, Node: c.Node, Force: c.Force})
+	return c.changeMembers(store.MemberChange{Do: store.MemberRemove, Node: c.Node, Force: c.Force})
 }
 
-// change asks for a change. One that is refused is an ordinary fault, exit 1.
-func (m member) change(c store.MemberChange) error {
+// changeMembers requests a change of the members and prints the result. A refused change is an ordinary error with exit code 1.
+func (m memberFlags) changeMembers(c store.MemberChange) error {
 	refused := error(nil)
-	err := m.ask(func(ctx context.Context) error {
-		done, err := store.ChangeMemberAt(ctx, m.Store, c)
+	err := m.request(func(ctx context.Context) error {
+		result, err := store.ChangeMemberAt(ctx, m.Store, c)
 		var network net.Error
 		if err != nil && !errors.As(err, &network) && !strings.Contains(err.Error(), store.ErrNoLeader.Error()) {
-			refused = fmt.Errorf("%s: not done: %w", c.Node, err)
+			refused = fmt.Errorf("%s: change refused: %w", c.Node, err)
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		if m.JSON {
-			return printJSON(map[string]string{"node": c.Node, "done": done})
+			return printJSON(map[string]string{"node": c.Node, "done": result})
 		}
-		fmt.Printf("%s: %s\n", c.Node, map[string]string{"nothing": "is so already", "add": "joined as a learner", "move": "moved to " + c.Address,
-			"promote": "votes now", "remove": "is no member any more"}[done])
+		fmt.Printf("%s: %s\n", c.Node, map[string]string{"nothing": "nothing to change", "add": "joined as a learner", "move": "moved to " + c.Address,
+			"promote": "is a voter now", "remove": "is no longer a member"}[result])
 		return nil
 	})
 	if refused != nil {
@@ -336,40 +336,40 @@
 
 type storeBackupCmd struct {
 	File string `arg:"" help:"File to write."`
-	member
+	memberFlags
 }
 
 func (c storeBackupCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
-		b, err := store.BackupFrom(ctx, c.Store)
+	return c.request(func(ctx context.Context) error {
+		backup, err := store.BackupFrom(ctx, c.Store)
 		if err != nil {
 			return err
 		}
-		if err := b.Write(c.File); err != nil {
+		if err := backup.Write(c.File); err != nil {
 			return err
 		}
 		if c.JSON {
-			return printJSON(map[string]any{"file": c.File, "records": len(b.Records), "applied": b.Applied})
+			return printJSON(map[string]any{"file": c.File, "records": len(backup.Records), "applied": backup.Applied})
 		}
-		fmt.Printf("%s: %d records, up to entry %d\n", c.File, len(b.Records), b.Applied)
+		fmt.Printf("%s: %d records, up to entry %d\n", c.File, len(backup.Records), backup.Applied)
 		return nil
 	})
 }
 
 type storeRestoreCmd struct {
-	File string `arg:"" help:"Backup."`
-	Over bool   `help:"Also write over records that the group holds; else those stay."`
-	Keep bool   `name:"keep-revisions" help:"Do not raise the revisions: the group has lived on since the backup."`
-	member
+	File string `arg:"" help:"Backup file."`
+	Over bool   `help:"Also overwrite records that the group holds; by default those stay."`
+	Keep bool   `name:"keep-revisions" help:"Do not raise the revisions, for a group that has been running since the backup."`
+	memberFlags
 }
 
 func (c storeRestoreCmd) Run() error {
-	b, err := store.ReadBackup(c.File) // a bad one never reaches the store
+	backup, err := store.ReadBackup(c.File) // a damaged backup is never written to the store
 	if err != nil {
 		return err
 	}
-	return c.ask(func(ctx context.Context) error {
-		done, err := b.Restore(ctx, c.Store, store.RestoreOptions{Over: c.Over, KeepRevisions: c.Keep})
+	return c.request(func(ctx context.Context) error {
+		restored, err := backup.Restore(ctx, c.Store, store.RestoreOptions{Over: c.Over, KeepRevisions: c.Keep})
 		if err != nil {
 			return err
 		}
@@ -377,28 +377,28 @@
 			return printJSON(struct {
 				File string `json:"file"`
 				store.Restored
-			}{c.File, done})
+			}{c.File, restored})
 		}
-		fmt.Printf("%s: %d records written, %d left as they are%s\n", c.File, done.Written, done.Kept, raisedTo(done.Revision))
+		fmt.Printf("%s: %d records written, %d left unchanged%s\n", c.File, restored.Written, restored.Kept, describeRaise(restored.Revision))
 		return nil
 	})
 }
 
-// raisedTo says to which revision a group was raised, if it was.
-func raisedTo(revision uint64) string {
+// describeRaise describes the revision that a group was raised to. It returns "" for 0: not raised.
+func describeRaise(revision uint64) string {
 	if revision == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; revisions go on from %d", revision)
+	return fmt.Sprintf("; revisions continue from %d", revision)
 }
 
 type storeRaiseCmd struct {
-	Above uint64 `arg:"" help:"Revision: the highest that a client holds (fleet view, or store status)."`
-	member
+	Above uint64 `arg:"" help:"The highest revision that a client holds (see fleet view, or store status)."`
+	memberFlags
 }
 
 func (c storeRaiseCmd) Run() error {
-	return c.ask(func(ctx context.Context) error {
+	return c.request(func(ctx context.Context) error {
 		revision, err := store.RaiseTo(ctx, c.Store, c.Above)
 		if err != nil {
 			return err
--- a/cmd/beammux/store_test.go
+++ b/cmd/beammux/store_test.go
@@ -19,8 +19,8 @@
 	"beammux/internal/store"
 )
 
-// members starts the first of a group in this process; the others are named and never come up.
-func members(t *testing.T, up, all int, dir string) (addr string, first *store.Node) {
+// startMembers starts the first members of a group in this process. The others are configured but never start.
+func startMembers(t *testing.T, running, all int, dir string) (addr string, first *store.Node) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -28,7 +28,7 @@
 	for i, address := range porttest.ReserveAll(t, all) {
 		peers = append(peers, store.Peer{Node: fmt.Sprint("n", i), Address: address})
 	}
-	for i, peer := range peers[:up] {
+	for i, peer := range peers[:running] {
 		l, err := net.Listen("tcp", peer.Address)
 		if err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 
 func TestStoreCommands(t *testing.T) {
 	dir := t.TempDir()
-	addr, n := members(t, 1, 1, dir)
+	addr, n := startMembers(t, 1, 1, dir)
 	value := filepath.Join(t.TempDir(), "value")
 	if err := os.WriteFile(value, []byte("hello"), 0o600); err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 		}
 		return out + errs
 	}
-	watch := program("store", "watch", "a/", "--store", addr, "--json")
+	watch := newProgram("store", "watch", "a/", "--store", addr, "--json")
 	changes, err := watch.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -137,11 +137,11 @@
 	}
 }
 
-// Without a leader, and without anybody at the address, commands end in time with one clear line and a code of their own:
-// a member that has no leader answers reads and writes with "not ready", never "no such record".
-func TestStoreWithoutALeader(t *testing.T) {
-	addr, _ := members(t, 1, 2, "")
-	nobody := porttest.Reserve(t)
+// Without a leader, or with no listener at the address, commands end in time with one line and a specific exit code. A member
+// without a leader answers reads and writes with "not ready", never with "no such record".
+func TestStoreWithoutLeader(t *testing.T) {
+	addr, _ := startMembers(t, 1, 2, "")
+	unusedAddr := porttest.Reserve(t)
 	for _, row := range []struct {
 		addr, want string
 		code       int
@@ -151,7 +151,7 @@
 		{addr, "not ready: no leader yet", exitNotReady, []string{"get", "k"}},
 		{addr, "not ready: no leader yet", exitNotReady, []string{"list"}},
 		{addr, "no leader", exitNoAnswer, []string{"status"}},
-		{nobody, "connection refused", exitNoAnswer, []string{"get", "k"}}, {nobody, "connection refused", exitNoAnswer, []string{"watch"}},
+		{unusedAddr, "connection refused", exitNoAnswer, []string{"get", "k"}}, {unusedAddr, "connection refused", exitNoAnswer, []string{"watch"}},
 	} {
 		args := append(append([]string{"store"}, row.args...), "--store", row.addr)
 		if row.code == exitNotReady {
@@ -164,9 +164,10 @@
 	}
 }
 
-// Members by the command line: a learner joins, is told to wait or votes, and what would end the group is refused.
+// The member commands add, promote and remove members. A learner that does not answer is not promoted, and the last voter can't
+// be removed.
 func TestMemberCommands(t *testing.T) {
-	addr, _ := members(t, 3, 3, "")
+	addr, _ := startMembers(t, 3, 3, "")
 	call := func(want int, args ...string) string {
 		t.Helper()
 		out, errs, code := run(t, append(append([]string{"store", "member"}, args...), "--store", addr)...)
@@ -199,7 +200,7 @@
 		t.Error(got)
 	}
 	l.Close()
-	if got := call(0, "remove", "n9"); !strings.Contains(got, "is so already") {
+	if got := call(0, "remove", "n9"); !strings.Contains(got, "nothing to change") {
 		t.Error(got)
 	}
 	call(0, "remove", "n2")
@@ -209,11 +210,11 @@
 	}
 }
 
-// A backup of one group is restored into another; records that are there stay, unless they are to be written over; a damaged
-// backup is refused before anything is written.
+// A backup of one group is restored into another. Existing records stay unless they are to be overwritten, and a damaged backup
+// is refused before anything is written.
 func TestBackupAndRestore(t *testing.T) {
-	from, a := members(t, 1, 1, "")
-	to, b := members(t, 1, 1, "")
+	from, a := startMembers(t, 1, 1, "")
+	to, b := startMembers(t, 1, 1, "")
 	for i := range 20 {
 		if _, err := a.Put(t.Context(), fmt.Sprint("k", i), fmt.Append(nil, i)); err != nil {
 			t.Fatal(err)
@@ -242,7 +243,7 @@
 	}
 	before, _ := b.Get("k3")
 	out, errs, code := run(t, "store", "restore", file, "--store", to)
-	if code != 0 || !strings.Contains(out, "19 records written, 1 left as they are; revisions go on from ") {
+	if code != 0 || !strings.Contains(out, "19 records written, 1 left unchanged; revisions continue from ") {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
 	raised, _ := b.Get("k3")
@@ -256,7 +257,7 @@
 		t.Errorf("exit %d, %s", code, errs)
 	}
 	if r, _ := b.Get("k3"); r.Revision > raised.Revision+10 {
-		t.Errorf("revision %d, raised though it was to be kept", r.Revision)
+		t.Errorf("revision %d was raised despite --keep-revisions", r.Revision)
 	}
 	if out, errs, code := run(t, "store", "raise", fmt.Sprint(3*raised.Revision), "--store", to); code != 0 || out != fmt.Sprintf("the group is at revision %d\n", 3*raised.Revision+1) {
 		t.Errorf("exit %d, %s%s", code, out, errs)
--- a/cmd/drill/drill_test.go
+++ b/cmd/drill/drill_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The golden exchange: a start, calls, an answer, a drain, a stop and restart in one batch, rosters reused in a batch.
+// The golden exchange covers a start, calls, an answer, a drain, a stop and restart in one batch, and rosters reused in a batch.
 func TestGoldenExchange(t *testing.T) {
 	in, err := os.ReadFile("testdata/exchange.in")
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Instances share nothing: one that drains a server does not keep another from it.
+// Instances share no state: a server that drains for one instance stays usable for another.
 func TestInstancesAreIsolated(t *testing.T) {
 	in := start + `new_instance i=1 nonce64=2 settings={}
 census roster-id=0 items=1
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts isolated instances of the decision module on the simulator's wire. It translates only.
+// Command drill connects the simulator to isolated instances of the decision module. It only translates between the two.
 package main
 
 import (
--- a/cmd/drill/translate.go
+++ b/cmd/drill/translate.go
@@ -9,41 +9,42 @@
 	"beammux/internal/wire"
 )
 
-var codes = map[string]control.Code{
+// codesByName maps the code names of the simulator's messages to the outcomes of attempts.
+var codesByName = map[string]control.Code{
 	"OK": control.OK, "INTERNAL": control.Failed, "RESOURCE_EXHAUSTED": control.Full,
 	"DEADLINE_EXCEEDED": control.TimedOut, "UNAVAILABLE": control.Unreachable, "ABORTED": control.Cut,
 	"CANCELLED": control.Cancelled, "TOO_LATE": control.NotSent,
 }
 
-// instance is one front: its module and whether a told wait comes in its reasons.
+// instance is one gatekeeper: its decision module, and whether its servers send a retry wait in the reasons of attempts.
 type instance struct {
-	module    *control.Controller
-	tellsWait bool
+	module          *control.Controller
+	reasonsHoldWait bool
 }
 
-// host holds the instances of this process and the numbered lists of the current input.
+// host holds the instances of this process and the server lists received so far, by roster ID.
 type host struct {
 	instances map[int64]*instance
 	rosters   map[int64][]control.Entry
 	now       control.Micros
-	open      bool // inside a batch
+	inBatch   bool // inside a batch
 	out       *bufio.Writer
 }
 
-// run answers batches until the input ends.
+// run processes the batches of the input and writes the resulting actions until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[int64]*instance{}, rosters: map[int64][]control.Entry{}, out: bufio.NewWriter(out)}
 	r := wire.NewReader(in)
 	for {
 		m, err := r.Next()
 		if err == io.EOF {
-			if h.open {
+			if h.inBatch {
 				return &wire.Error{Line: m.Line, What: "input ends inside a batch"}
 			}
 			return nil
 		}
 		if err == nil {
-			err = h.line(&m, r)
+			err = h.handleMessage(&m, r)
 		}
 		if err != nil {
 			return err
@@ -51,25 +52,26 @@
 	}
 }
 
-func (h *host) line(m *wire.Message, r *wire.Reader) error {
+// handleMessage processes one message of the input.
+func (h *host) handleMessage(m *wire.Message, r *wire.Reader) error {
 	if m.Name == "mark" {
 		clock, err := m.Int("clock-us")
-		if err == nil && h.open {
+		if err == nil && h.inBatch {
 			err = m.Fault("mark", "the batch before has no eob")
 		}
-		h.now, h.open = control.Micros(clock), true
+		h.now, h.inBatch = control.Micros(clock), true
 		return err
 	}
-	if !h.open {
+	if !h.inBatch {
 		return m.Fault(m.Name, "outside a batch")
 	}
 	switch m.Name {
 	case "eob":
-		h.open = false
+		h.inBatch = false
 		h.out.WriteString("ready\n")
 		return h.out.Flush()
 	case "census":
-		return h.census(m, r)
+		return h.readCensus(m, r)
 	}
 	i, err := m.Int("i")
 	if err != nil {
@@ -80,33 +82,34 @@
 		delete(h.instances, i)
 		return nil
 	case "new_instance":
-		return h.start(m, i)
+		return h.startInstance(m, i)
 	}
 	event, err := h.event(m, i)
 	if err != nil || event == nil {
 		return err
 	}
-	at := h.instances[i]
-	if at == nil {
+	inst := h.instances[i]
+	if inst == nil {
 		return m.Fault("i", fmt.Sprintf("no instance %d", i))
 	}
-	h.handle(i, at, event)
+	h.handleEvent(i, inst, event)
 	return nil
 }
 
-// handle runs the module. A panic in it becomes the wire's own fault action.
-func (h *host) handle(i int64, at *instance, event control.Event) {
+// handleEvent passes an event to a module and writes its actions. A panic in the module is written as an internal_error message.
+func (h *host) handleEvent(i int64, inst *instance, event control.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.out.Write(wire.NewLine("internal_error").Int("i", i).Text("line", fmt.Sprint(p)).End())
 		}
 	}()
-	for _, a := range at.module.Handle(h.now, event) {
+	for _, a := range inst.module.Handle(h.now, event) {
 		h.out.Write(encode(i, a))
 	}
 }
 
-func (h *host) start(m *wire.Message, i int64) error {
+// startInstance creates an instance with the settings of a new_instance message.
+func (h *host) startInstance(m *wire.Message, i int64) error {
 	seed, err := m.Unsigned("nonce64")
 	if err != nil {
 		return err
@@ -119,13 +122,14 @@
 	if err != nil {
 		return m.Fault("settings", err.Error())
 	}
-	at := &instance{control.New(site.Settings, seed), site.TellsWait}
-	h.instances[i] = at
-	h.handle(i, at, control.Start{})
+	inst := &instance{control.New(site.Settings, seed), site.TellsWait}
+	h.instances[i] = inst
+	h.handleEvent(i, inst, control.Start{})
 	return nil
 }
 
-func (h *host) census(m *wire.Message, r *wire.Reader) error {
+// readCensus reads the server lines that follow a census message and keeps them as a list under its roster ID.
+func (h *host) readCensus(m *wire.Message, r *wire.Reader) error {
 	id, err := m.Int("roster-id")
 	if err != nil {
 		return err
@@ -149,7 +153,7 @@
 		if e.Name != "server" {
 			return e.Fault(e.Name, "a server line was due")
 		}
-		var p parts
+		var p fieldReader
 		entry := control.Entry{Server: p.server(&e), Cell: int(p.int(&e, "cell")),
 			State: control.State(p.int(&e, "phase")), Since: control.Micros(p.intOr(&e, "since-us"))}
 		if p.err == nil && (entry.State < control.Gone || entry.State > control.Draining) {
@@ -164,58 +168,58 @@
 	return nil
 }
 
-// parts reads fields and keeps the first fault.
-type parts struct{ err error }
+// fieldReader reads the fields of a message and keeps the first error.
+type fieldReader struct{ err error }
 
-func keep[T any](p *parts, v T, err error) T {
+func keepError[T any](p *fieldReader, v T, err error) T {
 	if p.err == nil {
 		p.err = err
 	}
 	return v
 }
 
-func (p *parts) int(m *wire.Message, name string) int64 {
+func (p *fieldReader) int(m *wire.Message, name string) int64 {
 	v, err := m.Int(name)
-	return keep(p, v, err)
+	return keepError(p, v, err)
 }
 
-func (p *parts) intOr(m *wire.Message, name string) int64 {
+func (p *fieldReader) intOr(m *wire.Message, name string) int64 {
 	v, err := m.IntOr(name, 0)
-	return keep(p, v, err)
+	return keepError(p, v, err)
 }
 
-func (p *parts) server(m *wire.Message) uint32 {
+func (p *fieldReader) server(m *wire.Message) uint32 {
 	v, err := m.Server("server")
-	return keep(p, v, err)
+	return keepError(p, v, err)
 }
 
-func (p *parts) text(m *wire.Message, name string) string {
+func (p *fieldReader) text(m *wire.Message, name string) string {
 	v, err := m.Text(name)
-	return keep(p, v, err)
+	return keepError(p, v, err)
 }
 
-func (p *parts) bool(m *wire.Message, name string) bool {
+func (p *fieldReader) bool(m *wire.Message, name string) bool {
 	v, err := m.BoolOr(name, false)
-	return keep(p, v, err)
+	return keepError(p, v, err)
 }
 
-func (p *parts) row(m *wire.Message) []float64 {
+func (p *fieldReader) stats(m *wire.Message) []float64 {
 	v, err := m.Row("stats")
-	return keep(p, v, err)
+	return keepError(p, v, err)
 }
 
-func (p *parts) code(m *wire.Message) control.Code {
+func (p *fieldReader) code(m *wire.Message) control.Code {
 	name := p.text(m, "code")
-	code, ok := codes[name]
+	code, ok := codesByName[name]
 	if !ok && p.err == nil {
 		p.err = m.Fault("code", fmt.Sprintf("not known: %q", name))
 	}
 	return code
 }
 
-// event translates one line; nil for a message that is not known.
+// event translates a message to an event of the decision module. It returns nil for an unknown message.
 func (h *host) event(m *wire.Message, i int64) (control.Event, error) {
-	var p parts
+	var p fieldReader
 	var e control.Event
 	switch m.Name {
 	case "backends_changed":
@@ -245,27 +249,27 @@
 	case "resolved":
 		o := control.AttemptEnded{ID: p.text(m, "request-id"), Attempt: int(p.int(m, "try")), Server: p.server(m),
 			Code: p.code(m), Elapsed: control.Micros(p.intOr(m, "took-us")), Settled: p.bool(m, "settled"),
-			Reason: int(p.intOr(m, "reason")), Report: p.row(m)}
-		if at := h.instances[i]; at != nil && at.tellsWait {
+			Reason: int(p.intOr(m, "reason")), Report: p.stats(m)}
+		if inst := h.instances[i]; inst != nil && inst.reasonsHoldWait {
 			o.RetryAfter = control.Micros(o.Reason/16) * 1000
 			o.Reason %= 16
 		}
 		e = o
 	case "status_back":
 		e = control.Status{Server: p.server(m), Code: p.code(m), Elapsed: control.Micros(p.intOr(m, "took-us")),
-			Report: p.row(m)}
+			Report: p.stats(m)}
 	case "withdrawn":
 		e = control.Withdrawn{ID: p.text(m, "request-id")}
 	case "timeout_fired":
 		e = control.Timer{Key: p.text(m, "key-back")}
 	case "peer":
 		data, err := m.Bytes("raw")
-		e = control.Peer{From: int(p.int(m, "src-peer")), Data: keep(&p, data, err)}
+		e = control.Peer{From: int(p.int(m, "src-peer")), Data: keepError(&p, data, err)}
 	}
 	return e, p.err
 }
 
-// encode writes one action as a line.
+// encode returns the line that carries an action.
 func encode(i int64, a control.Action) []byte {
 	line := func(name string) *wire.Line { return wire.NewLine(name).Int("i", i) }
 	switch a.Kind {
