--- a/cmd/beammux/apply.go
+++ b/cmd/beammux/apply.go
@@ -17,7 +17,7 @@
 type storeApplyCmd struct {
 	Write  []string          `arg:"" optional:"" name:"KEY=FILE" help:"Key of a record to write and the file with its value; - for standard input."`
 	Delete []string          `help:"Key of a record to delete; may be repeated." placeholder:"KEY" sep:"none"`
-	At     map[string]uint64 `help:"Write only if that record has this revision; 0: only if there is none; may be repeated." placeholder:"KEY=REVISION"`
+	At     map[string]uint64 `help:"Apply only if that record has this revision; 0: only if there is none; may be repeated." placeholder:"KEY=REVISION"`
 	memberFlags
 }
 
--- a/cmd/beammux/calls.go
+++ b/cmd/beammux/calls.go
@@ -165,6 +165,7 @@
 	return list
 }
 
+// printValues prints values as a table.
 func printValues(list []configValue) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, f := range list {
--- a/cmd/beammux/console.go
+++ b/cmd/beammux/console.go
@@ -22,7 +22,7 @@
 )
 
 type consoleCmd struct {
-	Records []string      `help:"Folders of records to replay." xor:"source" required:""`
+	Records []string      `help:"Directories of records to replay." xor:"source" required:""`
 	Attach  []string      `help:"Console sockets of gatekeepers: unix:PATH or HOST:PORT." xor:"source" required:""`
 	Speed   float64       `help:"Speed of a replay, as a multiple of real time." default:"10"`
 	For     time.Duration `help:"How long to watch before a plain table is printed, if the output is not a terminal." default:"2s"`
@@ -61,12 +61,12 @@
 				return withExitCode(fmt.Errorf("console: --attach %s: %w", addr, err), 2)
 			}
 		}
-		for item, addr := range c.Attach {
+		for i, addr := range c.Attach {
 			conn, err := dialConsole(addr)
 			if err != nil {
 				return err
 			}
-			go watch(ctx, c.Attach[item], conn, items)
+			go watch(ctx, c.Attach[i], conn, items)
 		}
 	}
 	state := console.NewState(mode)
@@ -77,9 +77,9 @@
 		}
 		for {
 			select {
-			case item, ok := <-items:
+			case i, ok := <-items:
 				if ok {
-					state.Item(item)
+					state.Item(i)
 					continue
 				}
 			case <-deadline:
--- a/cmd/beammux/control_test.go
+++ b/cmd/beammux/control_test.go
@@ -54,6 +54,7 @@
 	return g
 }
 
+// writeJSON writes a value to a file as JSON.
 func writeJSON(t *testing.T, file string, value any) {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -124,15 +125,15 @@
 	good := textFile(t, "good", `{"defaults":{"attempts":2}}`)
 	leader := -1
 	for i, admin := range g.admin {
-		figures, err := httpGet(admin, "/api/telemetry")
+		metrics, err := httpGet(admin, "/api/telemetry")
 		require.NoError(t, err)
-		if strings.Contains(figures, "proxy_control_leads 1\n") {
+		if strings.Contains(metrics, "proxy_control_leads 1\n") {
 			leader = i
 		}
-		require.Contains(t, figures, fmt.Sprintf("proxy_control_votes %d\n", map[bool]int{true: 1}[i < 3]))
-		require.Contains(t, figures, "proxy_control_members 4\n")
-		require.Contains(t, figures, "proxy_control_sessions 0\n")
-		require.Contains(t, figures, `proxy_control_fleet{state="holding"} 0`)
+		require.Contains(t, metrics, fmt.Sprintf("proxy_control_votes %d\n", map[bool]int{true: 1}[i < 3]))
+		require.Contains(t, metrics, "proxy_control_members 4\n")
+		require.Contains(t, metrics, "proxy_control_sessions 0\n")
+		require.Contains(t, metrics, `proxy_control_fleet{state="holding"} 0`)
 	}
 	require.GreaterOrEqual(t, leader, 0, "no machine leads")
 	require.NoError(t, g.processes[leader].Process.Signal(syscall.SIGTERM))
--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// logText returns the log lines of the process so far.
 func (g *gatekeeperProcess) logText() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,6 +102,7 @@
 	}
 }
 
+// status queries the operators' address for the settings and limits in force.
 func (g *gatekeeperProcess) status(t *testing.T) (s gatekeeperStatus) {
 	t.Helper()
 	text, err := httpGet(g.adminAddr, "/api/fleet")
@@ -120,20 +122,20 @@
 }
 
 // eventually waits until the status of every gatekeeper fulfils a condition.
-func eventually(t *testing.T, what string, all []*gatekeeperProcess, wanted func(gatekeeperStatus) bool) {
+func eventually(t *testing.T, condition string, all []*gatekeeperProcess, fulfilled func(gatekeeperStatus) bool) {
 	t.Helper()
 	began := time.Now()
 	for _, g := range all {
 		var last gatekeeperStatus
-		for !wanted(last) {
+		for !fulfilled(last) {
 			if time.Since(began) > inForceWithin {
-				t.Fatalf("%s: %s not within %v; last status %+v", g.name, what, inForceWithin, last)
+				t.Fatalf("%s: %s not within %v; last status %+v", g.name, condition, inForceWithin, last)
 			}
 			time.Sleep(10 * time.Millisecond)
 			last = g.status(t)
 		}
 	}
-	t.Logf("%s: seen at %d gatekeepers after %v", what, len(all), time.Since(began).Round(time.Millisecond))
+	t.Logf("%s: seen at %d gatekeepers after %v", condition, len(all), time.Since(began).Round(time.Millisecond))
 }
 
 // settingsWithAttempts returns a gatekeeper's settings with a maximum number of attempts.
@@ -197,6 +199,7 @@
 	unexpected map[lab.SeenKind]int    // outcomes that no call should have
 }
 
+// record notes what a caller saw of a call.
 func (c *outcomeRecorder) record(s lab.Seen) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -265,11 +268,11 @@
 	finished := make(chan struct{})
 	go func() { defer close(finished); callers.Play(ctx) }()
 
-	both := group.apply(t, "settings/all/limits="+textFile(t, "limits", trayLimit), "settings/all/calls="+textFile(t, "calls", twoAttempts))
+	initial := group.apply(t, "settings/all/limits="+textFile(t, "limits", trayLimit), "settings/all/calls="+textFile(t, "calls", twoAttempts))
 	eventually(t, "limits and calls in force", all, func(s gatekeeperStatus) bool {
 		_, limits := s.section("limits")
 		_, calls := s.section("calls")
-		return limits == both && calls == both && len(s.Limits.Rules) == 1 && s.Limits.Rules[0].PerS == 0.5
+		return limits == initial && calls == initial && len(s.Limits.Rules) == 1 && s.Limits.Rules[0].PerS == 0.5
 	})
 	eventually(t, "calls turned away by the limit", all, func(s gatekeeperStatus) bool { return s.Limits.Rules != nil && s.Limits.Rules[0].Turned > 0 })
 
@@ -289,7 +292,7 @@
 	require.Equal(t, "settings/all/calls:1:14: calls.defaults.attempts: 4 is over 3, the most that the deployment allows", s.Settings.Refused.Fault)
 	require.NotEmpty(t, s.Settings.Refused.Advice)
 	_, calls := s.section("calls")
-	require.Equal(t, both, calls, "the last good settings are not in force")
+	require.Equal(t, initial, calls, "the last good settings are not in force")
 	require.Less(t, s.Settings.InForce, four)
 	eventually(t, "one of three refused it", all, func(s gatekeeperStatus) bool {
 		c := s.Settings.Fleet
@@ -303,11 +306,11 @@
 	require.Equal(t, exitFleetOff, code)
 	require.Contains(t, errs, "the fleet's gossip is off")
 	require.Regexp(t, `settings refused.*advice|advice.*settings refused`, g3.logText())
-	figures, err := httpGet(g3.adminAddr, "/api/telemetry")
+	metrics, err := httpGet(g3.adminAddr, "/api/telemetry")
 	require.NoError(t, err)
 	for _, want := range []string{"proxy_settings_refused 1\n", "proxy_settings_refused_total 1\n", "proxy_settings_connected 1\n",
 		fmt.Sprintf("proxy_settings_seen_revision %d\n", s.Settings.Seen), `proxy_settings_fleet{state="refused"} 1`, `proxy_fleet_limit_turned_away_total{rule="trays"}`} {
-		require.Contains(t, figures, want)
+		require.Contains(t, metrics, want)
 	}
 	sessions, errs, code := run(t, "control", "sessions", "--store", group.addresses[0], "--json")
 	require.Zero(t, code, errs)
@@ -331,7 +334,7 @@
 	}
 }
 
-// callsVersion returns the version of the limits of calls in the last log line whose message has a prefix.
+// callsVersion returns the version of the limits of calls in the last log line whose message begins with message.
 func callsVersion(log, message string) (version string) {
 	for line := range strings.SplitSeq(log, "\n") {
 		var l struct{ Msg, Calls string }
@@ -411,9 +414,9 @@
 	require.Contains(t, g.status(t).Settings.Refused.Fault, "settings/all/limits:1:35: fleet.limits.rules[0].mode: leased needs a store")
 	group.apply(t, "settings/all/limits="+textFile(t, "limits", strings.Replace(leased, "{", fmt.Sprintf(`{"store":[%q],`, group.addresses[0]), 1)))
 	eventually(t, "a lease", all, func(s gatekeeperStatus) bool { return len(s.Limits.Rules) == 1 && s.Limits.Rules[0].Lease > 0 })
-	figures, err := httpGet(g.adminAddr, "/api/telemetry")
+	metrics, err := httpGet(g.adminAddr, "/api/telemetry")
 	require.NoError(t, err)
-	require.Contains(t, figures, `proxy_fleet_limit_lease_seconds{rule="all"}`)
+	require.Contains(t, metrics, `proxy_fleet_limit_lease_seconds{rule="all"}`)
 	group.apply(t, "--delete", "settings/all/limits")
 	eventually(t, "no limits", all, func(s gatekeeperStatus) bool {
 		return s.Settings.InForce > 0 && len(s.Limits.Rules) == 0 && len(s.Settings.Sections) == 0
@@ -430,8 +433,8 @@
 	require.NoError(t, err)
 	resp.Body.Close()
 	require.Equal(t, http.StatusNotFound, resp.StatusCode)
-	figures, err := httpGet(g.adminAddr, "/api/telemetry")
+	metrics, err := httpGet(g.adminAddr, "/api/telemetry")
 	require.NoError(t, err)
-	require.NotContains(t, figures, "proxy_settings")
+	require.NotContains(t, metrics, "proxy_settings")
 	g.stop(t, syscall.SIGTERM)
 }
--- a/cmd/beammux/endings_test.go
+++ b/cmd/beammux/endings_test.go
@@ -21,7 +21,7 @@
 const oneClass = `{"classes":[{"name":"menu-view","repeat":"read_like","aim-us":1500000,"deadline-us":9000000,"worth":1}],
 "bounds":{"attempts-cap":5,"cancel":true,"retry-after":true,"max-retry-after-us":2000000}}`
 
-// bus listens as an event bus that accepts connections and sends nothing. It sends to asked on each connection.
+// bus listens as an event bus that accepts connections and sends nothing. It sends to accepted on each connection.
 func bus(t *testing.T) (addr string, accepted chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,12 +42,12 @@
 }
 
 // receiveWithin waits for a value from a channel and fails the test after a time.
-func receiveWithin(t *testing.T, what string, received <-chan struct{}, timeout time.Duration) {
+func receiveWithin(t *testing.T, event string, received <-chan struct{}, timeout time.Duration) {
 	t.Helper()
 	select {
 	case <-received:
 	case <-time.After(timeout):
-		t.Fatalf("%s: not within %v", what, timeout)
+		t.Fatalf("%s: not within %v", event, timeout)
 	}
 }
 
--- a/cmd/beammux/fleet.go
+++ b/cmd/beammux/fleet.go
@@ -23,6 +23,7 @@
 	View    fleetViewCmd    `cmd:"" help:"Show how a gatekeeper's members see the menu servers, and the hash of its view."`
 }
 
+// fleetFlags are the flags of commands that query a gatekeeper for its view of the fleet.
 type fleetFlags struct {
 	Admin   string        `help:"Operators' HTTP address of a gatekeeper, HOST:PORT." required:""`
 	JSON    bool          `help:"Print JSON."`
--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -47,6 +47,7 @@
 	Faults      string  `help:"all, or kinds joined by +: kill, term, pause, lose, slow, drain, partition, cut, delay, bandwidth, reset, blackhole, refuse, loss, duplicate, reorder." default:"all"`
 }
 
+// generate creates a script from the seed and checks it.
 func (s shapeFlags) generate() (*script.Script, error) {
 	kinds, err := script.KindsOf(s.Faults)
 	if err != nil {
@@ -69,6 +70,7 @@
 	runFlags
 }
 
+// runFlags are the flags of commands that run a script.
 type runFlags struct {
 	Out     string `help:"Directory for scripts, logs, records and the report; new or empty." required:"" type:"path"`
 	Program string `help:"Gatekeeper program to start; default: this program." type:"path"`
--- a/cmd/beammux/lab_latency.go
+++ b/cmd/beammux/lab_latency.go
@@ -104,6 +104,7 @@
 const latencyHeader = "servers  calls/s  seed   load  direct p50/p99/p99.9 ms    through p50/p99/p99.9 ms   added p50/p99/p99.9 ms    " +
 	"19 deep p50/p99   of calm pairs: part, added p50/p99, 19 deep p99   core  waits   MB  fds  unanswered"
 
+// printRun prints the results of a run as a line of the table.
 func printRun(r *latencylab.Run) {
 	fmt.Printf("%7d %8g %5d %6s %7.3f %7.3f %7.3f   %7.3f %7.3f %7.3f  ", r.Servers, r.PerSecond, r.Seed,
 		strings.Fields(r.Load)[0], r.Direct.P50, r.Direct.P99, r.Direct.P999, r.Through.P50, r.Through.P99, r.Through.P999)
--- a/cmd/beammux/lab_scale.go
+++ b/cmd/beammux/lab_scale.go
@@ -43,6 +43,7 @@
 	JSON          string        `help:"File for the report." name:"json" type:"path"`
 }
 
+// buildOptions converts the flags to the options of a run and checks them.
 func (c labScaleCmd) buildOptions() (options scalelab.Options, err error) {
 	faults, err := script.Load(c.Faults)
 	if err != nil {
--- a/cmd/beammux/lab_slopes.go
+++ b/cmd/beammux/lab_slopes.go
@@ -44,6 +44,7 @@
 	return errors.Join(err, c.write(file)) // series measured before an error are written too
 }
 
+// write writes the series to the file of --json, or prints them.
 func (c labSlopesCmd) write(file *capacity.File) error {
 	if c.JSON == "" {
 		return printJSON(file)
--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -27,7 +27,7 @@
 }
 
 type recordsVerifyCmd struct {
-	Dir  []string `arg:"" help:"Folders of records."`
+	Dir  []string `arg:"" help:"Directories of records."`
 	JSON bool     `help:"Print JSON."`
 }
 
@@ -74,10 +74,10 @@
 }
 
 type recordsCatCmd struct {
-	Dir    []string `arg:"" help:"Folders of records."`
+	Dir    []string `arg:"" help:"Directories of records."`
 	Call   string   `help:"Print only records of this call."`
 	Server int64    `help:"Print only records of this server (its number)." default:"-1"`
-	JSON   bool     `help:"Print a JSON object a line."`
+	JSON   bool     `help:"Print one JSON object per line."`
 }
 
 // eventLine is an event as records cat prints it.
@@ -90,6 +90,7 @@
 	history.Event
 }
 
+// newEventLine converts an event to its printed form.
 func newEventLine(e *history.Event) eventLine {
 	l := eventLine{Time: formatTime(e.At), Node: e.Node, Kind: e.Kind.String(), Event: *e}
 	switch e.Kind {
--- a/cmd/beammux/records_test.go
+++ b/cmd/beammux/records_test.go
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	const starts, written = 4, 20000
-	folder := filepath.Join(dir, "records")
+	recordsDir := filepath.Join(dir, "records")
 	for start := range starts {
 		cmd := newProgram("--log-format", "json", "serve", "--config", exampleConfig, "--listen", "127.0.0.1:0", "--deploy", deploy)
 		var l struct{ Msg, Listen string }
@@ -149,7 +149,7 @@
 		answers := bufio.NewScanner(c)
 		for i := 0; ; i++ {
 			if i%100 == 0 { // until records have been written
-				if info, err := os.Stat(filepath.Join(folder, fmt.Sprintf("example-%08x-000000.rec", start+1))); err == nil && info.Size() > written {
+				if info, err := os.Stat(filepath.Join(recordsDir, fmt.Sprintf("example-%08x-000000.rec", start+1))); err == nil && info.Size() > written {
 					break
 				}
 			}
@@ -162,13 +162,13 @@
 		cmd.Wait()
 		c.Close()
 	}
-	out, _, code := run(t, "records", "verify", folder, "--json")
+	out, _, code := run(t, "records", "verify", recordsDir, "--json")
 	var stats []record.Stats
 	if err := json.Unmarshal([]byte(out), &stats); err != nil || code != 0 || len(stats) != 1 || stats[0].Starts != starts ||
 		stats[0].Gaps != starts-1 || stats[0].Records < starts*100 {
 		t.Errorf("exit %d, %v, %s", code, err, out)
 	}
-	out, _, code = run(t, "report", folder, "--json", "-")
+	out, _, code = run(t, "report", recordsDir, "--json", "-")
 	if code != 0 || strings.Count(out, `"verdict": "not shown"`) != 5 || strings.Count(out, `"why": "restart"`) != starts-1 {
 		t.Errorf("exit %d, %s", code, out)
 	}
--- a/cmd/beammux/restart_test.go
+++ b/cmd/beammux/restart_test.go
@@ -52,9 +52,9 @@
 		if round < 2 {
 			p, _ = start("serving")
 		} else {
-			var ops string
-			p, ops = start("operators' address serving")
-			for !isReady(t, ops) {
+			var admin string
+			p, admin = start("operators' address serving")
+			for !isReady(t, admin) {
 			}
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -99,28 +99,28 @@
 		return cmd
 	}
 	waiting := "store: not ready; the start waits"
-	ended := command(0)
-	startUntilLogged(t, ended, waiting)
-	ended.Process.Signal(syscall.SIGTERM)
-	if err := ended.Wait(); err != nil {
+	interrupted := command(0)
+	startUntilLogged(t, interrupted, waiting)
+	interrupted.Process.Signal(syscall.SIGTERM)
+	if err := interrupted.Wait(); err != nil {
 		t.Errorf("SIGTERM while waiting: %v", err)
 	}
 	first, second := command(0), command(1)
 	lines := startProgram(t, first)
-	ops, waitLogged := "", false
+	admin, waitLogged := "", false
 	for !waitLogged && lines.Scan() {
 		var line struct{ Msg, Listen string }
 		json.Unmarshal(lines.Bytes(), &line)
 		if line.Msg == "operators' address serving" {
-			ops = line.Listen
+			admin = line.Listen
 		}
 		waitLogged = strings.HasPrefix(line.Msg, waiting)
 	}
-	if ops == "" || isReady(t, ops) {
-		t.Fatalf("ready without a leader (operators' address %q)", ops)
+	if admin == "" || isReady(t, admin) {
+		t.Fatalf("ready without a leader (operators' address %q)", admin)
 	}
 	startUntilLogged(t, second, "serving")
-	for !isReady(t, ops) {
+	for !isReady(t, admin) {
 	}
 	for _, cmd := range []*exec.Cmd{first, second} {
 		cmd.Process.Kill()
--- a/cmd/beammux/settings.go
+++ b/cmd/beammux/settings.go
@@ -9,7 +9,8 @@
 	"beammux/internal/follow"
 )
 
-// printSettings prints which settings of the control machines a gatekeeper has in force, has refused or is missing.
+// printSettings prints the settings of the control machines that a gatekeeper has in force, those that it refused, and the state
+// of its session.
 func printSettings(w io.Writer, s *follow.Status) {
 	fmt.Fprintf(w, "\nsettings: revision %d in force, %d seen, %s\n", s.InForce, s.Seen, freshness(s))
 	for _, section := range s.Sections {
@@ -27,7 +28,7 @@
 		printAdvice(w, s.Advice)
 	}
 	if s.DirFault != "" {
-		fmt.Fprintf(w, "  not kept over a restart: %s\n", s.DirFault)
+		fmt.Fprintf(w, "  not stored, lost at a restart: %s\n", s.DirFault)
 	}
 	if c := s.Fleet; c != nil {
 		fmt.Fprintf(w, "  of %d gatekeepers %d hold revision %d, %d are behind (the longest for %s), %d refused it\n",
@@ -48,6 +49,7 @@
 	return fmt.Sprintf("current %s ago by %s", s.Age.Round(time.Millisecond), s.Replica)
 }
 
+// printAdvice prints a hint for the operator, if there is one.
 func printAdvice(w io.Writer, advice string) {
 	if advice != "" {
 		fmt.Fprintf(w, "    %s\n", advice)
--- a/cmd/beammux/store.go
+++ b/cmd/beammux/store.go
@@ -150,6 +150,7 @@
 	})
 }
 
+// printRecords prints records as JSON with their values, or as a table with the sizes of the values.
 func printRecords(records []store.Record, asJSON bool) error {
 	if asJSON {
 		return printJSON(append([]store.Record{}, records...))
@@ -189,7 +190,7 @@
 type storeWatchCmd struct {
 	Prefix string `arg:"" optional:"" help:"Prefix of the keys."`
 	Store  string `help:"Address of any member of the store." required:""`
-	JSON   bool   `help:"Print a JSON object a line."`
+	JSON   bool   `help:"Print one JSON object per line."`
 }
 
 func (c storeWatchCmd) Run() error {
@@ -213,7 +214,7 @@
 }
 
 type storeVerifyCmd struct {
-	Dir  string `arg:"" help:"Folder of a member's store (store.dir)."`
+	Dir  string `arg:"" help:"Directory of a member's store (store.dir)."`
 	JSON bool   `help:"Print JSON."`
 }
 
@@ -228,13 +229,13 @@
 	fmt.Printf("%s: whole: %d records; log entries %d to %d in %d segments, %d bytes; snapshots: %d, the newest up to entry %d\n", c.Dir,
 		len(contents.Records), contents.Log.First, contents.Log.Last, contents.Log.Segments, contents.Log.Bytes, contents.Snapshots, contents.Snapshot)
 	if contents.Log.Torn > 0 {
-		fmt.Printf("%d bytes of an incomplete last write will be cut off at the next start; they were never acknowledged\n", contents.Log.Torn)
+		fmt.Printf("%d bytes of an incomplete last write will be cut off at the next start; they had not been acknowledged as durable\n", contents.Log.Torn)
 	}
 	return nil
 }
 
 type storeDumpCmd struct {
-	Dir  string `arg:"" help:"Folder of a member's store (store.dir)."`
+	Dir  string `arg:"" help:"Directory of a member's store (store.dir)."`
 	JSON bool   `help:"Print JSON, with the values."`
 }
 
@@ -315,7 +316,7 @@
 		result, err := store.ChangeMemberAt(ctx, m.Store, c)
 		var network net.Error
 		if err != nil && !errors.As(err, &network) && !strings.Contains(err.Error(), store.ErrNoLeader.Error()) {
-			refused = fmt.Errorf("%s: change refused: %w", c.Node, err)
+			refused = fmt.Errorf("%s: not changed: %w", c.Node, err)
 			return nil
 		}
 		if err != nil {
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -42,6 +42,7 @@
 "retry_on":["full","unreachable","not_sent","timed_out","cut","cancelled","failed"]},"budget":{"ratio":0.2,"min_per_s":1,"burst":10}}`},
 }
 
+// result is the outcome of one run of a variant.
 type result struct {
 	Variant string `json:"variant"`
 	Seed    uint64 `json:"seed"`
