--- a/cmd/beammux/store.go
+++ b/cmd/beammux/store.go
@@ -91,13 +91,13 @@
 			ready = "no: the member has not replayed its log or caught up with a leader"
 		}
 		fmt.Fprintf(w, "member\t%s, %s\nleader\t%s\nready\t%s\nterm\t%d\nrecords\t%d\napplied\t%d of %d\nsnapshot\tto %d\n", status.Node,
-			strings.ToLower(status.State), leader, ready, status.Term, status.Records, status.Applied, status.Last, status.Snapshot)
+			strings.ToLower(status.State), leader, ready, status.Term, status.Records, status.Applied, status.LastLogIndex, status.SnapshotIndex)
 		fmt.Fprintf(w, "revision\t%d\n", status.Revision)
-		if status.Held > 0 {
-			fmt.Fprintf(w, "held by a client\t%d: this group was recreated; raise its revisions above that (beammux store raise %d)\n", status.Held, status.Held)
+		if status.MaxClientRevision > 0 {
+			fmt.Fprintf(w, "held by a client\t%d: this group was recreated; raise its revisions above that (beammux store raise %d)\n", status.MaxClientRevision, status.MaxClientRevision)
 		}
-		if status.Contact > 0 {
-			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", status.Contact.Milliseconds())
+		if status.SinceLeaderContact > 0 {
+			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", status.SinceLeaderContact.Milliseconds())
 		}
 		for _, m := range status.Members {
 			role := "learner"
