--- a/cmd/beammux/apply.go
+++ b/cmd/beammux/apply.go
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	extension := filepath.Ext(file)
-	if parsed, err := scope.ParseKey(key); err == nil && parsed.Section == scope.SectionInventory && config.IsInventoryForm(extension) {
+	if parsed, err := scope.ParseKey(key); err == nil && parsed.Section == scope.SectionInventory && config.IsInventoryFormat(extension) {
 		value = config.InventoryRecord(extension, value)
 	}
 	return value, nil
--- a/cmd/beammux/calls.go
+++ b/cmd/beammux/calls.go
@@ -128,7 +128,7 @@
 	rule := "no route: the class's limits"
 	if limits.Route >= 0 {
 		path := fmt.Sprintf("calls.routes[%d]", limits.Route)
-		rule = fmt.Sprintf("route %q (%s, %s)", limits.Name, path, deploy.Where(path))
+		rule = fmt.Sprintf("route %q (%s, %s)", limits.Name, path, deploy.Position(path))
 	}
 	fmt.Printf("%s to %s: %s\n\n", c.Class, c.Number, rule)
 	printValues(explained.Limits)
@@ -160,7 +160,7 @@
 		case parameter == retry.RetryWait:
 			from += ", but at least the release guard"
 		}
-		list = append(list, configValue{parameter.String(), value, from, deploy.Where(limits.From[parameter] + "." + parameter.String())})
+		list = append(list, configValue{parameter.String(), value, from, deploy.Position(limits.From[parameter] + "." + parameter.String())})
 	}
 	return list
 }
--- a/cmd/beammux/control.go
+++ b/cmd/beammux/control.go
@@ -33,15 +33,15 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := config.LoadMachine(c.File)
+	cfg, err := config.LoadControlMachine(c.File)
 	if err != nil {
 		return err
 	}
 	if c.Admin != "" {
-		if err := config.CheckAdmin(c.Admin); err != nil {
+		if err := config.CheckAdminAddr(c.Admin); err != nil {
 			return fmt.Errorf("--admin-addr: %v", err)
 		}
-		cfg.Admin = c.Admin
+		cfg.AdminAddr = c.Admin
 	}
 	log = log.WithField("node", cfg.Name)
 	machine, err := controlmachine.Start(ctx, cfg, log)
@@ -68,11 +68,11 @@
 }
 
 func (c controlCheckCmd) Run() error {
-	machine, err := config.LoadMachine(c.File)
+	machine, err := config.LoadControlMachine(c.File)
 	if err != nil {
 		return err
 	}
-	validation := "settings are validated against " + machine.Gatekeeper
+	validation := "settings are validated against " + machine.GatekeeperConfig
 	if machine.Site == nil {
 		validation = "only the syntax of settings is checked: the file names no gatekeeper's configuration"
 	}
--- a/cmd/beammux/show.go
+++ b/cmd/beammux/show.go
@@ -57,7 +57,7 @@
 	add("settings.extra.release-guard-us", site.ReleaseGuard, settings)
 	add("settings.extra.t1-us", site.ResendGap, settings)
 	addDeploy := func(key, value string) {
-		from := deploy.Where(key)
+		from := deploy.Position(key)
 		if from == "" {
 			from = "default: off"
 		}
@@ -78,7 +78,7 @@
 	addDeploy("store.join", fmt.Sprint(deploy.StoreJoin))
 	addDeploy("inventory", deploy.Inventory)
 	if configuration, c := c.Config, deploy.Control; c != nil { // settings of the control machines override this file; `fleet view` shows them
-		add("control.name", cmp.Or(c.Name, cfg.Name), cmp.Or(deploy.Where("control.name"), configuration))
+		add("control.name", cmp.Or(c.Name, cfg.Name), cmp.Or(deploy.Position("control.name"), configuration))
 		addDeploy("control.region", c.Region)
 		addDeploy("control.zone", c.Zone)
 		addDeploy("control.service", c.Service)
