--- a/cmd/beammux/console.go
+++ b/cmd/beammux/console.go
@@ -57,7 +57,7 @@
 		}()
 	} else {
 		for _, addr := range c.Attach {
-			if _, _, err := admin.Split(addr); err != nil {
+			if _, _, err := admin.ParseAddress(addr); err != nil {
 				return withExitCode(fmt.Errorf("console: --attach %s: %w", addr, err), 2)
 			}
 		}
@@ -144,7 +144,7 @@
 
 // dialConsole connects to the console socket of a gatekeeper.
 func dialConsole(addr string) (net.Conn, error) {
-	network, address, err := admin.Split(addr)
+	network, address, err := admin.ParseAddress(addr)
 	if err != nil {
 		return nil, err
 	}
