--- a/cmd/beammux/settings.go
+++ b/cmd/beammux/settings.go
@@ -9,9 +9,10 @@
 	"beammux/internal/follow"
 )
 
-// printSettings prints how a gatekeeper stands to the settings of the control machines.
+// printSettings prints the settings of the control machines that a gatekeeper has in force, those that it refused, and the state
+// of its session.
 func printSettings(w io.Writer, s *follow.Status) {
-	fmt.Fprintf(w, "\nsettings: revision %d in force, %d seen, %s\n", s.InForce, s.Seen, currency(s))
+	fmt.Fprintf(w, "\nsettings: revision %d in force, %d seen, %s\n", s.InForce, s.Seen, freshness(s))
 	for _, section := range s.Sections {
 		fmt.Fprintf(w, "  %s\t%s\trevision %d\n", section.Section, section.Key, section.Revision)
 	}
@@ -27,7 +28,7 @@
 		printAdvice(w, s.Advice)
 	}
 	if s.DirFault != "" {
-		fmt.Fprintf(w, "  not kept over a restart: %s\n", s.DirFault)
+		fmt.Fprintf(w, "  not stored, lost at a restart: %s\n", s.DirFault)
 	}
 	if c := s.Fleet; c != nil {
 		fmt.Fprintf(w, "  of %d gatekeepers %d hold revision %d, %d are behind (the longest for %s), %d refused it\n",
@@ -35,11 +36,11 @@
 	}
 }
 
-// currency tells how sure it is that what is in force is current.
-func currency(s *follow.Status) string {
+// freshness describes when the settings in force were last confirmed as current.
+func freshness(s *follow.Status) string {
 	switch {
 	case s.RestoredFromDir:
-		return "kept from before the restart, not confirmed by any control machine since"
+		return "restored after the restart, not yet confirmed by a control machine"
 	case s.Age < 0:
 		return "no control machine has answered yet"
 	case !s.Connected:
@@ -48,6 +49,7 @@
 	return fmt.Sprintf("current %s ago by %s", s.Age.Round(time.Millisecond), s.Replica)
 }
 
+// printAdvice prints a hint for the operator, if there is one.
 func printAdvice(w io.Writer, advice string) {
 	if advice != "" {
 		fmt.Fprintf(w, "    %s\n", advice)
