--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -1,13 +1,13 @@
-// Package record keeps the events of gatekeepers in files: a recorder that never delays a call, and readers that bring the
-// records of a fleet back in time order and say where they are damaged or missing.
+// Package record stores the events of gatekeepers in files. It provides a recorder that never delays a call, and readers
+// that return the records of a fleet in time order and report where they are damaged or missing.
 //
-// A folder holds the segments of any number of gatekeepers. A segment is named NODE-START-NUMBER.rec, with the number of
-// the start and of the segment in hex; a full one is compressed to .rec.zst. It begins with eight bytes of magic, then
-// comes one frame after another:
+// A folder holds the segments of any number of gatekeepers. A segment is named NODE-START-NUMBER.rec, with the numbers of
+// the process start and of the segment in hex; a full segment is compressed to .rec.zst. A segment begins with eight magic
+// bytes, followed by a sequence of frames:
 //
-//	length   4 bytes, little endian: of the payload
+//	length   4 bytes, little endian: length of the payload
 //	checksum 8 bytes, little endian: XXH64 of the payload
-//	payload  CBOR (RFC 8949): in the first frame a header, in the others a history.Event
+//	payload  CBOR (RFC 8949): a header in the first frame, a history.Event in the others
 package record
 
 import (
@@ -25,9 +25,10 @@
 	"beammux/internal/history"
 )
 
+// Parameters of the format. Version is the version of the format, which each segment's header carries.
 const (
 	magic    = "beamrec\x01"
-	Version  = 1 // of the format, in each segment's header
+	Version  = 1
 	frameTop = 12
 	frameMax = 64 << 10
 
@@ -35,19 +36,19 @@
 	compressed = ".rec.zst"
 )
 
-// header is the first frame of a segment.
+// header is the payload of a segment's first frame.
 type header struct {
 	Version int    `cbor:"1,keyasint"`
 	Node    string `cbor:"2,keyasint"`
 	Start   uint64 `cbor:"3,keyasint"`
 	Segment uint64 `cbor:"4,keyasint"`
 
-	// Of the start, since its own segment may be gone when this one is read.
+	// Copied from the Started event, since the segment that holds it may have been removed by the time this one is read.
 	Rules *history.Rules `cbor:"5,keyasint,omitempty"`
 	Calls string         `cbor:"6,keyasint,omitempty"`
 }
 
-// segment is a file by its name.
+// segment describes a segment file by its name.
 type segment struct {
 	file  string
 	node  string
@@ -58,7 +59,7 @@
 
 func (s segment) name() string { return fmt.Sprintf("%s-%08x-%06x%s", s.node, s.start, s.seq, suffix) }
 
-// parseName reads a file's name; ok is unset for one that is no segment.
+// parseName parses a file name; ok is false if it is not the name of a segment.
 func parseName(file string) (s segment, ok bool) {
 	base, ok := strings.CutSuffix(file, compressed)
 	if !ok {
@@ -75,6 +76,7 @@
 	return s, ok1 && ok2 && err1 == nil && err2 == nil && node != ""
 }
 
+// cutLast slices s around the last instance of sep, as strings.Cut does around the first.
 func cutLast(s, sep string) (before, after string, found bool) {
 	if i := strings.LastIndex(s, sep); i >= 0 {
 		return s[:i], s[i+len(sep):], true
@@ -82,7 +84,7 @@
 	return s, "", false
 }
 
-// fileName makes of a gatekeeper's name one that a file can have.
+// fileName converts a gatekeeper's name to one that is safe as part of a file name.
 func fileName(node string) string {
 	clean := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '.' || r == '_' {
@@ -96,18 +98,18 @@
 	return clean
 }
 
-// appendFrame adds one frame.
+// appendFrame appends a frame with the payload to b.
 func appendFrame(b, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint64(b, xxhash.Sum64(payload))
 	return append(b, payload...)
 }
 
-// Faults of a frame.
+// Errors of a frame.
 var (
-	errTorn = errors.New("the file ends within a record")
-	errSum  = errors.New("a record's checksum is wrong")
-	errSize = errors.New("a record's length is wrong")
+	errTorn = errors.New("file ends in the middle of a record")
+	errSum  = errors.New("record has a wrong checksum")
+	errSize = errors.New("record has an invalid length")
 )
 
 // frames reads a segment frame by frame.
@@ -117,8 +119,8 @@
 	at  int64 // offset of the next frame
 }
 
-// next gives the payload of the next frame, valid until the call after. After errSum the frame has been passed over and
-// reading can go on; after any other error it can't.
+// next returns the payload of the next frame, which is valid until the following call. After errSum the frame has been
+// skipped and reading can continue; after any other error it cannot.
 func (f *frames) next() ([]byte, error) {
 	var top [frameTop]byte
 	n, err := io.ReadFull(f.in, top[:])
@@ -151,7 +153,7 @@
 	return f.buf, nil
 }
 
-// decoding refuses what no record holds: repeated keys, deep nesting, huge arrays.
+// decoding rejects input that no recorder writes: repeated keys, deep nesting, huge arrays.
 var decoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 64,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -18,35 +18,36 @@
 	"beammux/internal/history"
 )
 
+// compareSegments orders the segments of one gatekeeper by start and number.
 func compareSegments(a, b segment) int {
 	return cmp.Or(cmp.Compare(a.start, b.start), cmp.Compare(a.seq, b.seq))
 }
 
-// Item is what a reader brings: an event or a gap.
+// Item is one result of a reader: either an event or a gap.
 type Item struct {
 	Event *history.Event // valid until the next call
 	Gap   *history.Gap
 }
 
-// Damage is one thing that is wrong with a file.
+// Damage describes one defect of a file.
 type Damage struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	What   string `json:"what"`
 }
 
-// Stats is what was read of one gatekeeper.
+// Stats summarizes the records that were read of one gatekeeper.
 type Stats struct {
 	Node     string   `json:"gatekeeper"`
 	Segments int      `json:"segments"`
 	Starts   int      `json:"starts"`
 	Records  int      `json:"records"`
 	Gaps     int      `json:"gaps"`
-	Torn     int64    `json:"torn_bytes"` // cut off at the end of starts that were killed
+	Torn     int64    `json:"torn_bytes"` // incomplete records at the end of starts that were killed
 	Damage   []Damage `json:"damage"`
 }
 
-// Node reads the records of one gatekeeper in its own order.
+// Node reads the records of one gatekeeper in the order in which they were written.
 type Node struct {
 	Stats
 	dir      string
@@ -55,22 +56,22 @@
 	frames   *frames
 	current  segment
 	begun    bool
-	seq      uint64 // of the last event of the current start
-	started  uint64 // number of that start
+	seq      uint64 // sequence number of the last event
+	started  uint64 // start number of the last event
 	at       control.Micros
-	ended    bool   // the current start has come to its planned end
-	hurt     bool   // something was lost since the last event
-	lost     int64  // events known to be lost there
-	pending  []Item // a gap that goes before an event
-	header   header // of the current segment
+	ended    bool   // the current start has reached its planned end
+	hurt     bool   // damage was found since the last event
+	lost     int64  // number of events known to be lost in the next gap
+	pending  []Item // items to return before the next frame is read
+	header   header // header of the current segment
 	event    history.Event
 }
 
-// Sub is the folder within a folder that the project's own commands write records to (`incident play --out DIR`).
+// Sub is the name of the subfolder to which this program's own commands write records (`incident play --out DIR`).
 const Sub = "records"
 
-// Folder is where the records of a named folder are: the folder itself where it holds any, else its Sub folder where that
-// holds some, else the folder as named.
+// Folder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder Sub if that
+// holds any, else dir.
 func Folder(dir string) string {
 	if holds(dir) {
 		return dir
@@ -81,6 +82,7 @@
 	return dir
 }
 
+// holds reports whether a folder contains any segment.
 func holds(dir string) bool {
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
@@ -91,8 +93,8 @@
 	return false
 }
 
-// Nodes lists the gatekeepers whose records are in some folders, each looked up by Folder. One that holds no records at
-// all is an error that says so.
+// Nodes returns a reader for each gatekeeper that has records in the given folders, each resolved by Folder. A folder
+// without any records is an error.
 func Nodes(dirs ...string) ([]*Node, error) {
 	var nodes []*Node
 	for _, dir := range dirs {
@@ -121,14 +123,14 @@
 	}
 	for _, n := range nodes {
 		slices.SortFunc(n.segments, compareSegments)
-		// One that was killed while it compressed a segment left it in both forms: the whole one is taken.
+		// A process that was killed while it compressed a segment leaves it in both forms; only one of them is read.
 		n.segments = slices.CompactFunc(n.segments, func(a, b segment) bool { return compareSegments(a, b) == 0 })
 	}
 	slices.SortFunc(nodes, func(a, b *Node) int { return strings.Compare(a.Node, b.Node) })
 	return nodes, nil
 }
 
-// Next gives the next item, io.EOF after the last.
+// Next returns the next item, or io.EOF after the last one.
 func (n *Node) Next() (Item, error) {
 	for {
 		if len(n.pending) > 0 {
@@ -159,7 +161,7 @@
 	}
 }
 
-// atEnd ends the records, with a last gap where they end in damage.
+// atEnd returns io.EOF. If the records end in damage, it first queues a last gap and returns errAgain.
 func (n *Node) atEnd() error {
 	if n.hurt {
 		n.gap(n.at, n.at, history.Damaged, true)
@@ -169,17 +171,20 @@
 	return io.EOF
 }
 
+// errMagic reports a file that does not begin with the magic bytes.
 var errMagic = errors.New("not a segment of records")
 
-// errAgain asks for one more look at what is pending.
-var errAgain = errors.New("again")
+// errAgain asks the caller to call Next once more, since an item has been queued.
+var errAgain = errors.New("call again")
 
+// gap queues a gap with the number of events known to be lost in it.
 func (n *Node) gap(from, to control.Micros, why history.Why, hides bool) {
 	n.Gaps++
 	n.pending = append(n.pending, Item{Gap: &history.Gap{Node: n.Node, From: from, To: max(from, to), Why: why, Hides: hides, Count: n.lost}})
 	n.lost = 0
 }
 
+// damage records a defect at the current offset.
 func (n *Node) damage(what string) {
 	n.hurt = true
 	if len(n.Damage) < 1000 {
@@ -187,7 +192,7 @@
 	}
 }
 
-// enter opens the next segment.
+// enter opens the next segment and reads its header.
 func (n *Node) enter() error {
 	s := n.segments[0]
 	n.segments = n.segments[1:]
@@ -243,11 +248,13 @@
 	return nil
 }
 
+// closers closes two closers in order.
 type closers [2]io.Closer
 
+// Close implements io.Closer.
 func (c closers) Close() error { return errors.Join(c[0].Close(), c[1].Close()) }
 
-// leave closes the segment.
+// leave closes the current segment.
 func (n *Node) leave() {
 	if n.file != nil {
 		n.file.Close()
@@ -255,12 +262,12 @@
 	n.file, n.frames = nil, nil
 }
 
-// lastOfStart tells whether the current segment is the last of its start.
+// lastOfStart reports whether the current segment is the last one of its start.
 func (n *Node) lastOfStart() bool {
 	return len(n.segments) == 0 || n.segments[0].start != n.current.start
 }
 
-// stumble takes a fault of the frames.
+// stumble handles an error from reading a frame.
 func (n *Node) stumble(err error) {
 	switch {
 	case err == io.EOF:
@@ -268,7 +275,7 @@
 	case err == errSum:
 		n.damage(err.Error())
 	case err == errTorn && n.lastOfStart():
-		// The end of one that was killed: cut, as what it was writing then.
+		// The process was killed while it wrote this record: the incomplete record is dropped.
 		n.Torn += n.tail()
 		n.leave()
 	default:
@@ -277,7 +284,7 @@
 	}
 }
 
-// tail is how many bytes lie behind the last whole record.
+// tail returns the number of bytes after the last complete record, at least 1.
 func (n *Node) tail() int64 {
 	if info, err := os.Stat(filepath.Join(n.dir, n.current.file)); err == nil && strings.HasSuffix(n.current.file, suffix) {
 		return max(info.Size()-n.frames.at, 1)
@@ -285,7 +292,7 @@
 	return 1
 }
 
-// take queues the event just read, with the gap that goes before it.
+// take queues the event just read, preceded by a gap if events are missing before it.
 func (n *Node) take() {
 	e := &n.event
 	e.Node, e.Start = n.Node, n.current.start
@@ -321,22 +328,24 @@
 	n.pending = append(n.pending, Item{Event: e})
 }
 
-// Close ends reading before the last item.
+// Close releases the open segment; it may be called before the last item.
 func (n *Node) Close() { n.leave() }
 
-// Reader merges the records of several gatekeepers by time. Those of one gatekeeper stay in its order, also where its
-// clock stepped back: then they come at the latest time that it had told.
+// Reader merges the records of several gatekeepers by time. Records of one gatekeeper keep their order even if its clock
+// stepped back: they are then sorted by the latest time recorded before them.
 type Reader struct {
 	Nodes []*Node
 	next  nodeHeap
 }
 
+// head is the next item of one gatekeeper.
 type head struct {
 	node *Node
 	item Item
 	key  control.Micros
 }
 
+// nodeHeap implements heap.Interface, ordered by time, then by gatekeeper name.
 type nodeHeap []*head
 
 func (h nodeHeap) Len() int { return len(h) }
@@ -352,7 +361,7 @@
 	return x
 }
 
-// OpenAll begins to read the records in some folders.
+// OpenAll opens the records in the given folders for reading.
 func OpenAll(dirs ...string) (*Reader, error) {
 	nodes, err := Nodes(dirs...)
 	if err != nil {
@@ -371,7 +380,7 @@
 	return r, nil
 }
 
-// advance reads the next item of a gatekeeper.
+// advance reads the next item of the gatekeeper.
 func (h *head) advance() (err error) {
 	for {
 		h.item, err = h.node.Next()
@@ -392,11 +401,11 @@
 	return nil
 }
 
-// Next gives the next item of all, io.EOF after the last.
+// Next returns the next item in time order, or io.EOF after the last one.
 func (r *Reader) Next() (Item, error) {
 	for len(r.next) > 0 {
 		h := r.next[0]
-		if h.item == (Item{}) { // given out: its event is void once the next is read
+		if h.item == (Item{}) { // returned by the previous call; reading the next item overwrites its event
 			if err := h.advance(); err == io.EOF {
 				heap.Pop(&r.next)
 			} else if err != nil {
@@ -413,7 +422,7 @@
 	return Item{}, io.EOF
 }
 
-// Close ends reading.
+// Close releases all open segments.
 func (r *Reader) Close() {
 	for _, n := range r.Nodes {
 		n.Close()
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -32,19 +32,21 @@
 	return r
 }
 
-// fill records n events, at one a millisecond from a time on.
+// fill records n events, one per millisecond, beginning at from.
 func fill(r *Recorder, from control.Micros, n int) {
 	for i := range n {
 		r.Record(history.Event{At: from + control.Micros(i)*1000, Kind: history.Taken, Call: fmt.Sprintf("%016x", i), Span: 9e6})
 	}
 }
 
+// readAll is everything that a reader returned.
 type readAll struct {
 	events []history.Event
 	gaps   []history.Gap
 	nodes  []*Node
 }
 
+// whys lists the gaps as text.
 func (r readAll) whys() string {
 	var s []string
 	for _, g := range r.gaps {
@@ -89,7 +91,7 @@
 	return names
 }
 
-// What is recorded is read back, over segments that were compressed.
+// Recorded events are read back unchanged, across compressed segments.
 func TestRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	r := recorder(t, Options{Dir: dir, Segment: 4096})
@@ -97,7 +99,7 @@
 		Level: 3, Name: "x", State: control.Draining, N: -4, Since: 6, Again: true, Class: -1, Values: []float64{-1, 0.5},
 		Rules: &history.Rules{Reports: []string{"q"}, Classes: []history.Class{{Name: "menu-view", Aim: 3, Worth: 1}}}}
 	r.Record(want)
-	for i := range 20 { // batches, so that segments fill one after another
+	for i := range 20 { // in batches, so that several segments fill up
 		fill(r, control.Micros(1000+i*100000), 50)
 		r.Flush()
 	}
@@ -121,8 +123,8 @@
 	}
 }
 
-// A process that is killed in the middle of a record: whatever was written of the last one, all before it is read, the rest
-// is cut and counted, and the next start comes after a gap that hides what was lost.
+// A process is killed in the middle of a record. However much of the last record was written, all records before it are
+// read, the incomplete bytes are counted, and a gap that hides events precedes the next start.
 func TestTornTail(t *testing.T) {
 	whole := t.TempDir()
 	r := recorder(t, Options{Dir: whole})
@@ -148,7 +150,7 @@
 	}
 }
 
-// After a planned end nothing is hidden.
+// The gap after a planned end hides no events.
 func TestPlannedEndHidesNothing(t *testing.T) {
 	dir := t.TempDir()
 	for start := range 2 {
@@ -162,7 +164,7 @@
 	}
 }
 
-// Whatever byte is flipped: no event is read that was not recorded, and what is missing is a gap.
+// Flipping any byte yields no event that was not recorded, and a gap covers the missing events.
 func TestFlippedByte(t *testing.T) {
 	whole := t.TempDir()
 	r := recorder(t, Options{Dir: whole})
@@ -188,10 +190,10 @@
 		}
 		n := all.nodes[0]
 		if len(all.events) == 8 {
-			t.Errorf("byte %d: not seen", at)
+			t.Errorf("byte %d: the damage was not detected", at)
 		}
 		if len(n.Damage) == 0 && n.Torn == 0 {
-			t.Errorf("byte %d: %d events and nothing said: %+v", at, len(all.events), n.Stats)
+			t.Errorf("byte %d: %d events and no damage reported: %+v", at, len(all.events), n.Stats)
 		}
 		if len(n.Damage) > 0 && len(all.events) > 0 && !strings.Contains(all.whys(), "damaged hides=true") && all.events[0].Seq == 1 {
 			t.Errorf("byte %d: damage without a gap: %s", at, all.whys())
@@ -199,10 +201,11 @@
 		hurt++
 	}
 	if hurt < 300 {
-		t.Errorf("only %d bytes", hurt)
+		t.Errorf("only %d bytes tested", hurt)
 	}
 }
 
+// A missing segment in the middle is one gap with the number of lost events; missing oldest segments are none.
 func TestMissingSegment(t *testing.T) {
 	dir := t.TempDir()
 	r := recorder(t, Options{Dir: dir, Segment: 2048})
@@ -218,13 +221,13 @@
 		int64(len(all.events))+all.gaps[0].Count != 600 {
 		t.Errorf("%d files, %d events, gaps %s", len(names), len(all.events), all.whys())
 	}
-	os.Remove(filepath.Join(dir, names[0])) // the oldest ones may go: records begin later, with the figures of the rules
+	os.Remove(filepath.Join(dir, names[0])) // the oldest segments may be removed: records then begin later, with the parameters of the rules
 	if all = read(t, dir); len(all.gaps) != 0 || all.events[0].Kind == history.Taken && all.events[0].Seq == 1 {
 		t.Errorf("after the oldest were removed: gaps %s", all.whys())
 	}
 }
 
-// Records that begin with a later segment bring the figures of the rules along.
+// Records that begin with a later segment still carry the parameters of the rules.
 func TestLaterSegmentsKnowTheRules(t *testing.T) {
 	dir := t.TempDir()
 	r := recorder(t, Options{Dir: dir, Segment: 2048, MaxBytes: 4000})
@@ -240,7 +243,7 @@
 	}
 }
 
-// Two starts in the same second are told apart by their number, and two gatekeepers in one folder by their names.
+// Two starts in the same second are distinguished by their number, and two gatekeepers in one folder by their names.
 func TestStartsInTheSameSecond(t *testing.T) {
 	dir := t.TempDir()
 	for range 3 {
@@ -261,13 +264,13 @@
 	}
 }
 
-// A clock that was set back between two starts: the order of the gatekeeper's own records stays.
+// The records of a gatekeeper keep their order if its clock is set back between two starts.
 func TestClockThatStepsBack(t *testing.T) {
 	dir := t.TempDir()
 	for _, from := range []control.Micros{5e9, 1e9} {
 		r := recorder(t, Options{Dir: dir})
 		fill(r, from, 2)
-		r.Record(history.Event{At: from - 5e6, Kind: history.Draining}) // within a start time never goes back
+		r.Record(history.Event{At: from - 5e6, Kind: history.Draining}) // time never decreases within a start
 		r.Close()
 	}
 	other := recorder(t, Options{Dir: dir, Node: "n2"})
@@ -282,11 +285,11 @@
 	}
 }
 
-// full stands in for a disk that has so many bytes left.
+// full is a disk with a limited number of free bytes.
 type full struct {
 	Disk
 	left int
-	hold chan struct{} // if not nil, writes wait for it
+	hold chan struct{} // if not nil, writes block until it is closed
 }
 
 type fullFile struct {
@@ -310,7 +313,7 @@
 	return f.WriteCloser.Write(b)
 }
 
-// A disk that is full turns recording off with one line, and nobody waits.
+// A full disk disables recording with one log line, and no caller blocks.
 func TestDiskFull(t *testing.T) {
 	log, lines := logtest.NewNullLogger()
 	dir := t.TempDir()
@@ -320,20 +323,20 @@
 		r.Flush()
 	}
 	r.Close()
-	if len(lines.Entries) != 1 || lines.LastEntry().Message != "records: can't be written, recording is off" {
+	if len(lines.Entries) != 1 || lines.LastEntry().Message != "records: cannot write, recording is disabled" {
 		t.Errorf("%d log lines, %+v", len(lines.Entries), lines.LastEntry())
 	}
 	if all := read(t, dir); len(all.events) == 0 {
-		t.Error("what was written before is lost")
+		t.Error("the events written before the disk was full are lost")
 	}
 }
 
-// A flood beyond the queue is dropped, counted and marked, and nobody waits.
+// Events beyond the queue's capacity are dropped, counted and reported as a gap, and no caller blocks.
 func TestFlood(t *testing.T) {
 	dir := t.TempDir()
 	disk := &full{left: 1 << 20}
 	r := recorder(t, Options{Dir: dir, FS: disk, Queue: 16})
-	r.mu.Lock() // the writer can't fetch
+	r.mu.Lock() // keeps the writer from fetching a batch
 	hold := make(chan struct{})
 	disk.hold = hold
 	r.mu.Unlock()
@@ -349,7 +352,7 @@
 			taken++
 		}
 	}
-	for _, g := range all.gaps { // more than one if the writer fetched some meanwhile
+	for _, g := range all.gaps { // several if the writer fetched a batch in between
 		lost += g.Count
 		if g.Why != history.Lost || !g.Hides || g.From < 1000 || g.To > 2e6 {
 			t.Errorf("%+v", g)
@@ -360,7 +363,7 @@
 	}
 }
 
-// Records of another version are damage that says so, and no guess is made at them.
+// Records of another version are reported as damage that names the version, and are not decoded.
 func TestAnotherVersion(t *testing.T) {
 	dir := t.TempDir()
 	top, _ := cbor.Marshal(header{Version: 2, Node: "n1", Start: 1})
@@ -372,6 +375,7 @@
 	}
 }
 
+// A folder without records and a missing folder are errors.
 func TestNoRecords(t *testing.T) {
 	if _, err := OpenAll(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no records") {
 		t.Error(err)
@@ -381,7 +385,7 @@
 	}
 }
 
-// Files over the bounds go, the oldest first, and only this gatekeeper's.
+// Files beyond the limits are removed, oldest first, and only those of this gatekeeper.
 func TestPrune(t *testing.T) {
 	dir := t.TempDir()
 	other := recorder(t, Options{Dir: dir, Node: "n2"})
@@ -406,7 +410,7 @@
 	}
 }
 
-// Whatever a file holds, reading it ends without a panic and without an event that its checksum doesn't vouch for.
+// Reading a file of arbitrary content ends without a panic and returns no event without a valid checksum.
 func FuzzRead(f *testing.F) {
 	dir := f.TempDir()
 	r := recorder(f, Options{Dir: dir})
@@ -431,7 +435,7 @@
 	})
 }
 
-// nowhere takes all and keeps nothing.
+// nowhere is a file system that discards everything.
 type nowhere struct{ Disk }
 
 func (nowhere) Create(string) (io.WriteCloser, error) { return discard{}, nil }
@@ -445,7 +449,7 @@
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 func (discard) Close() error                { return nil }
 
-// BenchmarkCall is the cost of one call's records, the writing goroutine's included.
+// BenchmarkCall measures the cost of recording one call, including the writing goroutine.
 func BenchmarkCall(b *testing.B) {
 	r := recorder(b, Options{Dir: "x", FS: nowhere{}, Queue: 1 << 20})
 	defer r.Close()
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -19,16 +19,16 @@
 	"beammux/internal/history"
 )
 
-// FS is what a recorder needs of a file system. Tests stand in for it.
+// FS is the part of a file system that a recorder uses. Tests replace it.
 type FS interface {
 	Create(name string) (io.WriteCloser, error)
 	Open(name string) (io.ReadCloser, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	List(dir string) ([]fs.FileInfo, error) // makes the folder if there is none
+	List(dir string) ([]fs.FileInfo, error) // creates the folder if it does not exist
 }
 
-// Disk is the system's own.
+// Disk is the FS of the operating system.
 type Disk struct{}
 
 // Create implements FS.
@@ -52,26 +52,26 @@
 	}
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
-		if info, err := e.Info(); err == nil { // one that has just been removed has none
+		if info, err := e.Info(); err == nil { // fails for a file that has been removed in the meantime
 			list = append(list, info)
 		}
 	}
 	return list, err
 }
 
-// Options say where and how much is recorded.
+// Options configure a Recorder. Zero values select the defaults.
 type Options struct {
 	Dir      string
 	Node     string
-	MaxBytes int64         // of this gatekeeper's files; the oldest go first. 0: 1 GiB
-	MaxAge   time.Duration // of a file since its last record. 0: no bound
-	Segment  int64         // bytes of a segment before it is compressed. 0: 8 MiB
-	Queue    int           // events that wait to be written. 0: 16384
-	FS       FS            // nil: the disk
+	MaxBytes int64         // total size of this gatekeeper's files; the oldest are removed first. 0: 1 GiB
+	MaxAge   time.Duration // age of a file since its last record. 0: no limit
+	Segment  int64         // size in bytes at which a segment is closed and compressed. 0: 8 MiB
+	Queue    int           // capacity of the queue of events to write. 0: 16384
+	FS       FS            // nil: Disk
 	Log      logrus.FieldLogger
 }
 
-// Recorder writes the events of one start of a gatekeeper. Its methods may be called from any goroutine.
+// Recorder writes the events of one start of a gatekeeper. Its methods are safe for concurrent use.
 type Recorder struct {
 	Options
 	start uint64
@@ -80,15 +80,15 @@
 	queue   []history.Event
 	seq     uint64
 	last    control.Micros
-	dropped int64 // since the queue was last found to have room
+	dropped int64 // events dropped since the queue last had room
 	since   control.Micros
 	off     bool
 	closed  bool
 	wake    chan struct{}
-	hurry   chan struct{} // don't wait for more
+	hurry   chan struct{} // ends the wait for a larger batch
 	done    chan struct{}
 	busy    bool       // a batch is being written
-	idle    *sync.Cond // told when one has been
+	idle    *sync.Cond // signalled when a batch has been written
 
 	// Owned by the writing goroutine.
 	file    io.WriteCloser
@@ -96,12 +96,12 @@
 	buf     []byte
 	event   bytes.Buffer
 	spare   []history.Event
-	rules   *history.Rules // as recorded at the start
-	calls   string         // version of limits in force
+	rules   *history.Rules // from the Started event
+	calls   string         // version of the limits in force
 }
 
-// Open begins the records of a start. Its number is one over the highest in the folder, so two starts in the same second
-// are told apart.
+// Open starts a recorder. The number of the start is one above the highest in the folder, so that two starts in the same
+// second are distinguishable.
 func Open(o Options) (*Recorder, error) {
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = 1 << 30
@@ -134,8 +134,8 @@
 	return r, nil
 }
 
-// Record takes an event. It never blocks: when the queue is full the event is dropped, and the records say so. Seq is set
-// here, and At never goes back within a start.
+// Record queues an event for writing. It never blocks: if the queue is full, it drops the event, and a later Dropped event
+// reports the number. Record sets Seq, and raises At where needed so that it never decreases within a start.
 func (r *Recorder) Record(e history.Event) {
 	r.mu.Lock()
 	if r.off || r.closed {
@@ -168,7 +168,7 @@
 	}
 }
 
-// signal sets a flag that a goroutine waits for.
+// signal wakes the goroutine that receives from the channel, without blocking.
 func signal(flag chan<- struct{}) {
 	select {
 	case flag <- struct{}{}:
@@ -176,7 +176,7 @@
 	}
 }
 
-// mark says what was dropped, once there is room again.
+// mark queues a Dropped event if events have been dropped since the queue last had room.
 func (r *Recorder) mark(now control.Micros) {
 	if r.dropped > 0 {
 		r.seq++
@@ -185,7 +185,7 @@
 	}
 }
 
-// Flush returns when all that was recorded before has been written, or can't be.
+// Flush waits until all events recorded before the call have been written, or recording has been disabled.
 func (r *Recorder) Flush() {
 	signal(r.hurry)
 	r.mu.Lock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// Close writes what waits and ends the recorder.
+// Close writes the queued events and stops the recorder.
 func (r *Recorder) Close() {
 	r.mu.Lock()
 	if !r.closed && !r.off {
@@ -208,11 +208,11 @@
 	<-r.done
 }
 
-// gather is how long the writer waits for more to write at once: a write and a turn of the processor for each event cost
-// far more than the event. A process that is killed loses as much.
+// gather is how long the writer collects events into one batch: a system call and a context switch for each event would
+// cost far more than the event itself. A killed process loses the events of up to this time.
 const gather = 250 * time.Millisecond
 
-// write is the writing goroutine.
+// write runs the writing goroutine until the recorder is closed or a write fails.
 func (r *Recorder) write() {
 	defer close(r.done)
 	for range r.wake {
@@ -251,17 +251,18 @@
 	}
 }
 
-// fail turns recording off: service goes on without.
+// fail disables recording after an error; the gatekeeper continues to serve without it.
 func (r *Recorder) fail(err error) {
 	r.mu.Lock()
 	r.off, r.busy, r.queue = true, false, nil
 	r.idle.Broadcast()
 	r.mu.Unlock()
 	if r.Log != nil {
-		r.Log.WithError(err).WithField("dir", r.Dir).Error("records: can't be written, recording is off")
+		r.Log.WithError(err).WithField("dir", r.Dir).Error("records: cannot write, recording is disabled")
 	}
 }
 
+// put encodes a batch of events and writes it.
 func (r *Recorder) put(batch []history.Event) error {
 	r.buf = r.buf[:0]
 	for i := range batch {
@@ -285,7 +286,7 @@
 	return r.flush()
 }
 
-// flush writes the buffer in one call, so a process that is killed leaves at most one torn record.
+// flush writes the buffer in one system call, so that a killed process leaves at most one incomplete record.
 func (r *Recorder) flush() error {
 	if len(r.buf) == 0 {
 		return nil
@@ -302,6 +303,7 @@
 	return nil
 }
 
+// open creates a segment and writes its header.
 func (r *Recorder) open(number uint64) error {
 	r.segment = segment{node: fileName(r.Node), start: r.start, seq: number}
 	f, err := r.FS.Create(filepath.Join(r.Dir, r.segment.name()))
@@ -318,7 +320,7 @@
 	return err
 }
 
-// rotate compresses the segment that is full, removes what is over the bounds, and begins the next.
+// rotate starts the next segment, compresses the full one, and removes old files that exceed the limits.
 func (r *Recorder) rotate() error {
 	if err := r.file.Close(); err != nil {
 		return err
@@ -333,6 +335,7 @@
 	return r.prune()
 }
 
+// compress replaces a segment by its compressed form.
 func (r *Recorder) compress(name string) error {
 	from := filepath.Join(r.Dir, name)
 	in, err := r.FS.Open(from)
@@ -341,7 +344,7 @@
 	}
 	defer in.Close()
 	to := from[:len(from)-len(suffix)] + compressed
-	out, err := r.FS.Create(to + ".new") // not a segment's name: half of one is never read
+	out, err := r.FS.Create(to + ".new") // not the name of a segment, so readers ignore an incomplete one
 	if err != nil {
 		return err
 	}
@@ -364,7 +367,7 @@
 	return err
 }
 
-// prune removes this gatekeeper's oldest files until the others are within the bounds of size and age.
+// prune removes this gatekeeper's oldest files until the rest is within the limits of size and age.
 func (r *Recorder) prune() error {
 	list, err := r.FS.List(r.Dir)
 	if err != nil {
@@ -390,7 +393,7 @@
 			break
 		}
 		if err := r.FS.Remove(filepath.Join(r.Dir, f.file)); err != nil {
-			return fmt.Errorf("old records: %w", err)
+			return fmt.Errorf("removing old records: %w", err)
 		}
 		total -= f.size
 	}
--- a/internal/record/stream.go
+++ b/internal/record/stream.go
@@ -12,14 +12,14 @@
 	"beammux/internal/history"
 )
 
-// StreamWriter writes events to a connection in the form of a segment.
+// StreamWriter writes events to a connection in the format of a segment.
 type StreamWriter struct {
 	out   io.Writer
 	event bytes.Buffer
 	buf   []byte
 }
 
-// NewStreamWriter writes the head of a stream of a gatekeeper's events.
+// NewStreamWriter writes the magic bytes and the header of a stream of a gatekeeper's events.
 func NewStreamWriter(out io.Writer, node string) (*StreamWriter, error) {
 	top, err := cbor.Marshal(header{Version: Version, Node: node, Start: 1})
 	if err == nil {
@@ -28,7 +28,7 @@
 	return &StreamWriter{out: out}, err
 }
 
-// Write writes events in one call of the connection.
+// Write writes the events with a single Write call on the connection.
 func (s *StreamWriter) Write(events []history.Event) error {
 	s.buf = s.buf[:0]
 	for i := range events {
@@ -48,7 +48,7 @@
 	frames frames
 }
 
-// NewStreamReader reads the head of a stream.
+// NewStreamReader reads the magic bytes and the header of a stream.
 func NewStreamReader(in io.Reader) (*StreamReader, error) {
 	s := &StreamReader{frames: frames{in: bufio.NewReader(in)}}
 	top := make([]byte, len(magic))
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// Next reads one event.
+// Next reads the next event, or returns io.EOF at the end of the stream.
 func (s *StreamReader) Next() (*history.Event, error) {
 	payload, err := s.frames.next()
 	if err != nil {
