--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -27,13 +27,13 @@
 
 // Parameters of the format. Version is the version of the format, which each segment's header carries.
 const (
-	magic    = "beamrec\x01"
-	Version  = 1
-	frameTop = 12
-	frameMax = 64 << 10
+	magic            = "beamrec\x01"
+	Version          = 1
+	frameHeaderBytes = 12
+	maxPayloadBytes  = 64 << 10
 
-	suffix     = ".rec"
-	compressed = ".rec.zst"
+	segmentSuffix    = ".rec"
+	compressedSuffix = ".rec.zst"
 )
 
 // header is the payload of a segment's first frame.
@@ -57,23 +57,25 @@
 	size  int64
 }
 
-func (s segment) name() string { return fmt.Sprintf("%s-%08x-%06x%s", s.node, s.start, s.seq, suffix) }
+func (s segment) name() string {
+	return fmt.Sprintf("%s-%08x-%06x%s", s.node, s.start, s.seq, segmentSuffix)
+}
 
 // parseName parses a file name; ok is false if it is not the name of a segment.
 func parseName(file string) (s segment, ok bool) {
-	base, ok := strings.CutSuffix(file, compressed)
+	base, ok := strings.CutSuffix(file, compressedSuffix)
 	if !ok {
-		if base, ok = strings.CutSuffix(file, suffix); !ok {
+		if base, ok = strings.CutSuffix(file, segmentSuffix); !ok {
 			return s, false
 		}
 	}
-	rest, number, ok1 := cutLast(base, "-")
-	node, start, ok2 := cutLast(rest, "-")
-	var err1, err2 error
-	s.seq, err1 = strconv.ParseUint(number, 16, 64)
-	s.start, err2 = strconv.ParseUint(start, 16, 64)
+	rest, number, hasNumber := cutLast(base, "-")
+	node, start, hasStart := cutLast(rest, "-")
+	var numberErr, startErr error
+	s.seq, numberErr = strconv.ParseUint(number, 16, 64)
+	s.start, startErr = strconv.ParseUint(start, 16, 64)
 	s.file, s.node = file, node
-	return s, ok1 && ok2 && err1 == nil && err2 == nil && node != ""
+	return s, hasNumber && hasStart && numberErr == nil && startErr == nil && node != ""
 }
 
 // cutLast slices s around the last instance of sep, as strings.Cut does around the first.
@@ -107,34 +109,34 @@
 
 // Errors of a frame.
 var (
-	errTorn = errors.New("file ends in the middle of a record")
-	errSum  = errors.New("record has a wrong checksum")
-	errSize = errors.New("record has an invalid length")
+	errTruncated = errors.New("file ends in the middle of a record")
+	errChecksum  = errors.New("record has a wrong checksum")
+	errLength    = errors.New("record has an invalid length")
 )
 
-// frames reads a segment frame by frame.
-type frames struct {
-	in  *bufio.Reader
-	buf []byte
-	at  int64 // offset of the next frame
+// frameReader reads a segment frame by frame.
+type frameReader struct {
+	in     *bufio.Reader
+	buf    []byte
+	offset int64 // offset of the next frame
 }
 
 // next returns the payload of the next frame, which is valid until the following call. After errSum the frame has been
 // skipped and reading can continue; after any other error it cannot.
-func (f *frames) next() ([]byte, error) {
-	var top [frameTop]byte
-	n, err := io.ReadFull(f.in, top[:])
+func (f *frameReader) next() ([]byte, error) {
+	var frameHeader [frameHeaderBytes]byte
+	n, err := io.ReadFull(f.in, frameHeader[:])
 	switch {
 	case err == io.EOF:
 		return nil, io.EOF
 	case err == io.ErrUnexpectedEOF:
-		return nil, errTorn
+		return nil, errTruncated
 	case err != nil:
 		return nil, err
 	}
-	size := int(binary.LittleEndian.Uint32(top[:]))
-	if size == 0 || size > frameMax {
-		return nil, errSize
+	size := int(binary.LittleEndian.Uint32(frameHeader[:]))
+	if size == 0 || size > maxPayloadBytes {
+		return nil, errLength
 	}
 	if cap(f.buf) < size {
 		f.buf = make([]byte, max(size, 512))
@@ -142,23 +144,23 @@
 	f.buf = f.buf[:size]
 	if _, err := io.ReadFull(f.in, f.buf); err != nil {
 		if err == io.EOF || err == io.ErrUnexpectedEOF {
-			return nil, errTorn
+			return nil, errTruncated
 		}
 		return nil, err
 	}
-	f.at += int64(n + size)
-	if xxhash.Sum64(f.buf) != binary.LittleEndian.Uint64(top[4:]) {
-		return nil, errSum
+	f.offset += int64(n + size)
+	if xxhash.Sum64(f.buf) != binary.LittleEndian.Uint64(frameHeader[4:]) {
+		return nil, errChecksum
 	}
 	return f.buf, nil
 }
 
-// decoding rejects input that no recorder writes: repeated keys, deep nesting, huge arrays.
-var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 64,
+// decodeMode rejects input that no recorder writes: repeated keys, deep nesting, huge arrays.
+var decodeMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 64,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	return m
+	return mode
 }()
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -50,40 +50,40 @@
 // Node reads the records of one gatekeeper in the order in which they were written.
 type Node struct {
 	Stats
-	dir      string
-	segments []segment
-	file     io.Closer
-	frames   *frames
-	current  segment
-	begun    bool
-	seq      uint64 // sequence number of the last event
-	started  uint64 // start number of the last event
-	at       control.Micros
-	ended    bool   // the current start has reached its planned end
-	hurt     bool   // damage was found since the last event
-	lost     int64  // number of events known to be lost in the next gap
-	pending  []Item // items to return before the next frame is read
-	header   header // header of the current segment
-	event    history.Event
+	dir            string
+	segments       []segment
+	file           io.Closer
+	frameReader    *frameReader
+	current        segment
+	begun          bool
+	lastSeq        uint64 // sequence number of the last event
+	lastStart      uint64 // start number of the last event
+	lastAt         control.Micros
+	endedAsPlanned bool   // the current start has reached its planned end
+	damaged        bool   // damage was found since the last event
+	lostEvents     int64  // number of events known to be lost in the next gap
+	pending        []Item // items to return before the next frame is read
+	header         header // header of the current segment
+	event          history.Event
 }
 
-// Sub is the name of the subfolder to which this program's own commands write records (`incident play --out DIR`).
-const Sub = "records"
+// Subfolder is the name of the subfolder to which this program's own commands write records (`incident play --out DIR`).
+const Subfolder = "records"
 
-// Folder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder Sub if that
+// Folder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder Subfolder if that
 // holds any, else dir.
 func Folder(dir string) string {
-	if holds(dir) {
+	if holdsRecords(dir) {
 		return dir
 	}
-	if sub := filepath.Join(dir, Sub); holds(sub) {
+	if sub := filepath.Join(dir, Subfolder); holdsRecords(sub) {
 		return sub
 	}
 	return dir
 }
 
-// holds reports whether a folder contains any segment.
-func holds(dir string) bool {
+// holdsRecords reports whether a folder contains any segment.
+func holdsRecords(dir string) bool {
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
 		if _, ok := parseName(e.Name()); ok && !e.IsDir() {
@@ -138,34 +138,34 @@
 			n.pending = n.pending[1:]
 			return i, nil
 		}
-		if n.frames == nil {
+		if n.frameReader == nil {
 			if len(n.segments) == 0 {
-				return Item{}, n.atEnd()
+				return Item{}, n.finish()
 			}
-			if err := n.enter(); err != nil {
+			if err := n.openSegment(); err != nil {
 				return Item{}, err
 			}
 			continue
 		}
-		payload, err := n.frames.next()
+		payload, err := n.frameReader.next()
 		if err != nil {
-			n.stumble(err)
+			n.handleFrameError(err)
 			continue
 		}
 		n.event = history.Event{}
-		if err := decoding.Unmarshal(payload, &n.event); err != nil {
-			n.damage("not a record: " + err.Error())
+		if err := decodeMode.Unmarshal(payload, &n.event); err != nil {
+			n.addDamage("not a record: " + err.Error())
 			continue
 		}
-		n.take()
+		n.queueEvent()
 	}
 }
 
-// atEnd returns io.EOF. If the records end in damage, it first queues a last gap and returns errAgain.
-func (n *Node) atEnd() error {
-	if n.hurt {
-		n.gap(n.at, n.at, history.Damaged, true)
-		n.hurt = false
+// finish returns io.EOF. If the records end in damage, it first queues a last gap and returns errAgain.
+func (n *Node) finish() error {
+	if n.damaged {
+		n.queueGap(n.lastAt, n.lastAt, history.Damaged, true)
+		n.damaged = false
 		return errAgain
 	}
 	return io.EOF
@@ -177,71 +177,71 @@
 // errAgain asks the caller to call Next once more, since an item has been queued.
 var errAgain = errors.New("call again")
 
-// gap queues a gap with the number of events known to be lost in it.
-func (n *Node) gap(from, to control.Micros, why history.Why, hides bool) {
+// queueGap queues a gap with the number of events known to be lost in it.
+func (n *Node) queueGap(from, to control.Micros, why history.Why, hides bool) {
 	n.Gaps++
-	n.pending = append(n.pending, Item{Gap: &history.Gap{Node: n.Node, From: from, To: max(from, to), Why: why, Hides: hides, Count: n.lost}})
-	n.lost = 0
+	n.pending = append(n.pending, Item{Gap: &history.Gap{Node: n.Node, From: from, To: max(from, to), Why: why, Hides: hides, Count: n.lostEvents}})
+	n.lostEvents = 0
 }
 
-// damage records a defect at the current offset.
-func (n *Node) damage(what string) {
-	n.hurt = true
+// addDamage records a defect at the current offset.
+func (n *Node) addDamage(what string) {
+	n.damaged = true
 	if len(n.Damage) < 1000 {
-		n.Damage = append(n.Damage, Damage{filepath.Join(n.dir, n.current.file), n.frames.at, what})
+		n.Damage = append(n.Damage, Damage{filepath.Join(n.dir, n.current.file), n.frameReader.offset, what})
 	}
 }
 
-// enter opens the next segment and reads its header.
-func (n *Node) enter() error {
+// openSegment opens the next segment and reads its header.
+func (n *Node) openSegment() error {
 	s := n.segments[0]
 	n.segments = n.segments[1:]
-	was := n.current
+	previous := n.current
 	n.current = s
 	f, err := os.Open(filepath.Join(n.dir, s.file))
 	if err != nil {
 		return err
 	}
 	n.Segments++
-	n.file, n.frames = f, &frames{}
+	n.file, n.frameReader = f, &frameReader{}
 	var in io.Reader = f
-	if strings.HasSuffix(s.file, compressed) {
+	if strings.HasSuffix(s.file, compressedSuffix) {
 		z, err := zstd.NewReader(f, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 		if err != nil {
 			return err
 		}
 		in, n.file = z, closers{z.IOReadCloser(), f}
 	}
-	n.frames.in = bufio.NewReaderSize(in, 64<<10)
+	n.frameReader.in = bufio.NewReaderSize(in, 64<<10)
 	if n.begun {
 		switch {
-		case s.start == was.start && s.seq != was.seq+1, s.start != was.start && s.start != was.start+1, s.start != was.start && s.seq != 0:
-			n.damage(fmt.Sprintf("segments are missing between %s and this one", was.file))
+		case s.start == previous.start && s.seq != previous.seq+1, s.start != previous.start && s.start != previous.start+1, s.start != previous.start && s.seq != 0:
+			n.addDamage(fmt.Sprintf("segments are missing between %s and this one", previous.file))
 		}
 	}
-	top := make([]byte, len(magic))
-	_, err = io.ReadFull(n.frames.in, top)
-	if err == nil && string(top) != magic {
+	magicBytes := make([]byte, len(magic))
+	_, err = io.ReadFull(n.frameReader.in, magicBytes)
+	if err == nil && string(magicBytes) != magic {
 		err = errMagic
 	}
 	var h header
 	if err == nil {
-		n.frames.at = int64(len(magic))
+		n.frameReader.offset = int64(len(magic))
 		var payload []byte
-		if payload, err = n.frames.next(); err == nil {
-			err = decoding.Unmarshal(payload, &h)
+		if payload, err = n.frameReader.next(); err == nil {
+			err = decodeMode.Unmarshal(payload, &h)
 		}
 	}
 	switch {
-	case err != nil && n.lastOfStart() && (errors.Is(err, errTorn) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
-		n.Torn += n.tail()
-		n.leave()
+	case err != nil && n.lastOfStart() && (errors.Is(err, errTruncated) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
+		n.Torn += n.incompleteBytes()
+		n.closeSegment()
 	case err != nil:
-		n.damage("no header: " + err.Error())
-		n.leave()
+		n.addDamage("no header: " + err.Error())
+		n.closeSegment()
 	case h.Version != Version:
-		n.damage(fmt.Sprintf("records of version %d, this program reads version %d", h.Version, Version))
-		n.leave()
+		n.addDamage(fmt.Sprintf("records of version %d, this program reads version %d", h.Version, Version))
+		n.closeSegment()
 	default:
 		n.Node, n.header = h.Node, h
 	}
@@ -254,12 +254,12 @@
 // Close implements io.Closer.
 func (c closers) Close() error { return errors.Join(c[0].Close(), c[1].Close()) }
 
-// leave closes the current segment.
-func (n *Node) leave() {
+// closeSegment closes the current segment.
+func (n *Node) closeSegment() {
 	if n.file != nil {
 		n.file.Close()
 	}
-	n.file, n.frames = nil, nil
+	n.file, n.frameReader = nil, nil
 }
 
 // lastOfStart reports whether the current segment is the last one of its start.
@@ -267,69 +267,69 @@
 	return len(n.segments) == 0 || n.segments[0].start != n.current.start
 }
 
-// stumble handles an error from reading a frame.
-func (n *Node) stumble(err error) {
+// handleFrameError handles an error from reading a frame.
+func (n *Node) handleFrameError(err error) {
 	switch {
 	case err == io.EOF:
-		n.leave()
-	case err == errSum:
-		n.damage(err.Error())
-	case err == errTorn && n.lastOfStart():
+		n.closeSegment()
+	case err == errChecksum:
+		n.addDamage(err.Error())
+	case err == errTruncated && n.lastOfStart():
 		// The process was killed while it wrote this record: the incomplete record is dropped.
-		n.Torn += n.tail()
-		n.leave()
+		n.Torn += n.incompleteBytes()
+		n.closeSegment()
 	default:
-		n.damage(err.Error())
-		n.leave()
+		n.addDamage(err.Error())
+		n.closeSegment()
 	}
 }
 
-// tail returns the number of bytes after the last complete record, at least 1.
-func (n *Node) tail() int64 {
-	if info, err := os.Stat(filepath.Join(n.dir, n.current.file)); err == nil && strings.HasSuffix(n.current.file, suffix) {
-		return max(info.Size()-n.frames.at, 1)
+// incompleteBytes returns the number of bytes after the last complete record, at least 1.
+func (n *Node) incompleteBytes() int64 {
+	if info, err := os.Stat(filepath.Join(n.dir, n.current.file)); err == nil && strings.HasSuffix(n.current.file, segmentSuffix) {
+		return max(info.Size()-n.frameReader.offset, 1)
 	}
 	return 1
 }
 
-// take queues the event just read, preceded by a gap if events are missing before it.
-func (n *Node) take() {
+// queueEvent queues the event just read, preceded by a gap if events are missing before it.
+func (n *Node) queueEvent() {
 	e := &n.event
 	e.Node, e.Start = n.Node, n.current.start
-	first := !n.begun || n.started != e.Start
+	first := !n.begun || n.lastStart != e.Start
 	switch {
 	case !n.begun && e.Kind != history.Started && n.header.Rules != nil:
 		n.pending = append(n.pending, Item{Event: &history.Event{At: e.At, Kind: history.Continued, Rules: n.header.Rules,
 			Name: n.header.Calls, Node: n.Node, Start: e.Start}})
 	case first && n.begun:
-		if n.hurt || e.Seq != 1 {
-			n.gap(n.at, e.At, history.Damaged, true)
+		if n.damaged || e.Seq != 1 {
+			n.queueGap(n.lastAt, e.At, history.Damaged, true)
 		} else {
-			n.gap(n.at, e.At, history.Restart, !n.ended)
+			n.queueGap(n.lastAt, e.At, history.Restart, !n.endedAsPlanned)
 		}
-	case !first && e.Seq != n.seq+1 && !(e.Kind == history.Dropped && e.Seq == n.seq+uint64(e.N)+1):
-		n.lost = int64(e.Seq) - int64(n.seq) - 1
-		n.gap(n.at, e.At, history.Damaged, true)
-	case n.hurt && n.begun:
-		n.gap(n.at, e.At, history.Damaged, true)
+	case !first && e.Seq != n.lastSeq+1 && !(e.Kind == history.Dropped && e.Seq == n.lastSeq+uint64(e.N)+1):
+		n.lostEvents = int64(e.Seq) - int64(n.lastSeq) - 1
+		n.queueGap(n.lastAt, e.At, history.Damaged, true)
+	case n.damaged && n.begun:
+		n.queueGap(n.lastAt, e.At, history.Damaged, true)
 	}
 	if first {
 		n.Starts++
-		n.ended = false
-		n.started = e.Start
+		n.endedAsPlanned = false
+		n.lastStart = e.Start
 	}
 	if e.Kind == history.Dropped {
-		n.lost = e.N
-		n.gap(e.At-e.Span, e.At, history.Lost, true)
+		n.lostEvents = e.N
+		n.queueGap(e.At-e.Span, e.At, history.Lost, true)
 	}
-	n.begun, n.hurt, n.seq, n.at = true, false, e.Seq, e.At
-	n.ended = e.Kind == history.Finished
+	n.begun, n.damaged, n.lastSeq, n.lastAt = true, false, e.Seq, e.At
+	n.endedAsPlanned = e.Kind == history.Finished
 	n.Records++
 	n.pending = append(n.pending, Item{Event: e})
 }
 
 // Close releases the open segment; it may be called before the last item.
-func (n *Node) Close() { n.leave() }
+func (n *Node) Close() { n.closeSegment() }
 
 // Reader merges the records of several gatekeepers by time. Records of one gatekeeper keep their order even if its clock
 // stepped back: they are then sorted by the latest time recorded before them.
@@ -338,22 +338,22 @@
 	next  nodeHeap
 }
 
-// head is the next item of one gatekeeper.
-type head struct {
-	node *Node
-	item Item
-	key  control.Micros
+// heapEntry is the next item of one gatekeeper.
+type heapEntry struct {
+	node     *Node
+	item     Item
+	sortTime control.Micros
 }
 
 // nodeHeap implements heap.Interface, ordered by time, then by gatekeeper name.
-type nodeHeap []*head
+type nodeHeap []*heapEntry
 
 func (h nodeHeap) Len() int { return len(h) }
 func (h nodeHeap) Less(i, j int) bool {
-	return h[i].key < h[j].key || h[i].key == h[j].key && h[i].node.Node < h[j].node.Node
+	return h[i].sortTime < h[j].sortTime || h[i].sortTime == h[j].sortTime && h[i].node.Node < h[j].node.Node
 }
 func (h nodeHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *nodeHeap) Push(x any)   { *h = append(*h, x.(*head)) }
+func (h *nodeHeap) Push(x any)   { *h = append(*h, x.(*heapEntry)) }
 func (h *nodeHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
@@ -369,7 +369,7 @@
 	}
 	r := &Reader{Nodes: nodes}
 	for _, n := range nodes {
-		h := &head{node: n}
+		h := &heapEntry{node: n}
 		if err := h.advance(); err == nil {
 			r.next = append(r.next, h)
 		} else if err != io.EOF {
@@ -381,7 +381,7 @@
 }
 
 // advance reads the next item of the gatekeeper.
-func (h *head) advance() (err error) {
+func (h *heapEntry) advance() (err error) {
 	for {
 		h.item, err = h.node.Next()
 		if err != errAgain {
@@ -397,7 +397,7 @@
 	} else {
 		at = h.item.Gap.From
 	}
-	h.key = max(h.key, at)
+	h.sortTime = max(h.sortTime, at)
 	return nil
 }
 
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -76,28 +76,28 @@
 	Options
 	start uint64
 
-	mu      sync.Mutex
-	queue   []history.Event
-	seq     uint64
-	last    control.Micros
-	dropped int64 // events dropped since the queue last had room
-	since   control.Micros
-	off     bool
-	closed  bool
-	wake    chan struct{}
-	hurry   chan struct{} // ends the wait for a larger batch
-	done    chan struct{}
-	busy    bool       // a batch is being written
-	idle    *sync.Cond // signalled when a batch has been written
+	mu           sync.Mutex
+	queue        []history.Event
+	seq          uint64
+	lastAt       control.Micros
+	dropped      int64 // events dropped since the queue last had room
+	droppedSince control.Micros
+	disabled     bool
+	closed       bool
+	wake         chan struct{}
+	flushNow     chan struct{} // ends the wait for a larger batch
+	done         chan struct{}
+	writing      bool       // a batch is being written
+	batchWritten *sync.Cond // signalled when a batch has been written
 
 	// Owned by the writing goroutine.
-	file    io.WriteCloser
-	segment segment
-	buf     []byte
-	event   bytes.Buffer
-	spare   []history.Event
-	rules   *history.Rules // from the Started event
-	calls   string         // version of the limits in force
+	file          io.WriteCloser
+	segment       segment
+	buf           []byte
+	eventBuffer   bytes.Buffer
+	spareQueue    []history.Event
+	rules         *history.Rules // from the Started event
+	limitsVersion string         // version of the limits in force
 }
 
 // Open starts a recorder. The number of the start is one above the highest in the folder, so that two starts in the same
@@ -115,8 +115,8 @@
 	if o.FS == nil {
 		o.FS = Disk{}
 	}
-	r := &Recorder{Options: o, wake: make(chan struct{}, 1), hurry: make(chan struct{}, 1), done: make(chan struct{})}
-	r.idle = sync.NewCond(&r.mu)
+	r := &Recorder{Options: o, wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1), done: make(chan struct{})}
+	r.batchWritten = sync.NewCond(&r.mu)
 	list, err := o.FS.List(o.Dir)
 	if err != nil {
 		return nil, err
@@ -127,10 +127,10 @@
 		}
 	}
 	r.start++
-	if err := r.open(0); err != nil {
+	if err := r.openSegment(0); err != nil {
 		return nil, err
 	}
-	go r.write()
+	go r.writeLoop()
 	return r, nil
 }
 
@@ -138,110 +138,110 @@
 // reports the number. Record sets Seq, and raises At where needed so that it never decreases within a start.
 func (r *Recorder) Record(e history.Event) {
 	r.mu.Lock()
-	if r.off || r.closed {
+	if r.disabled || r.closed {
 		r.mu.Unlock()
 		return
 	}
-	e.At = max(e.At, r.last)
-	r.last = e.At
+	e.At = max(e.At, r.lastAt)
+	r.lastAt = e.At
 	if len(r.queue) >= r.Queue {
 		if r.dropped == 0 {
-			r.since = e.At
+			r.droppedSince = e.At
 		}
 		r.dropped++
 		r.seq++
 		r.mu.Unlock()
 		return
 	}
-	first := len(r.queue) == 0
-	r.mark(e.At)
+	wasEmpty := len(r.queue) == 0
+	r.queueDropped(e.At)
 	r.seq++
 	e.Seq = r.seq
 	r.queue = append(r.queue, e)
-	many := len(r.queue) == max(r.Queue/4, 1)
+	quarterFull := len(r.queue) == max(r.Queue/4, 1)
 	r.mu.Unlock()
-	if first {
+	if wasEmpty {
 		signal(r.wake)
 	}
-	if many {
-		signal(r.hurry)
+	if quarterFull {
+		signal(r.flushNow)
 	}
 }
 
 // signal wakes the goroutine that receives from the channel, without blocking.
-func signal(flag chan<- struct{}) {
+func signal(wake chan<- struct{}) {
 	select {
-	case flag <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
 
-// mark queues a Dropped event if events have been dropped since the queue last had room.
-func (r *Recorder) mark(now control.Micros) {
+// queueDropped queues a Dropped event if events have been dropped since the queue last had room.
+func (r *Recorder) queueDropped(now control.Micros) {
 	if r.dropped > 0 {
 		r.seq++
-		r.queue = append(r.queue, history.Event{At: now, Kind: history.Dropped, Seq: r.seq, N: r.dropped, Span: now - r.since})
+		r.queue = append(r.queue, history.Event{At: now, Kind: history.Dropped, Seq: r.seq, N: r.dropped, Span: now - r.droppedSince})
 		r.dropped = 0
 	}
 }
 
 // Flush waits until all events recorded before the call have been written, or recording has been disabled.
 func (r *Recorder) Flush() {
-	signal(r.hurry)
+	signal(r.flushNow)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.queue) > 0 || r.busy {
-		r.idle.Wait()
+	for len(r.queue) > 0 || r.writing {
+		r.batchWritten.Wait()
 	}
 }
 
 // Close writes the queued events and stops the recorder.
 func (r *Recorder) Close() {
 	r.mu.Lock()
-	if !r.closed && !r.off {
-		r.mark(r.last)
+	if !r.closed && !r.disabled {
+		r.queueDropped(r.lastAt)
 	}
 	r.closed = true
 	r.mu.Unlock()
 	signal(r.wake)
-	signal(r.hurry)
+	signal(r.flushNow)
 	<-r.done
 }
 
-// gather is how long the writer collects events into one batch: a system call and a context switch for each event would
+// batchDelay is how long the writer collects events into one batch: a system call and a context switch for each event would
 // cost far more than the event itself. A killed process loses the events of up to this time.
-const gather = 250 * time.Millisecond
+const batchDelay = 250 * time.Millisecond
 
-// write runs the writing goroutine until the recorder is closed or a write fails.
-func (r *Recorder) write() {
+// writeLoop runs the writing goroutine until the recorder is closed or a write fails.
+func (r *Recorder) writeLoop() {
 	defer close(r.done)
 	for range r.wake {
 		select {
-		case <-time.After(gather):
-		case <-r.hurry:
+		case <-time.After(batchDelay):
+		case <-r.flushNow:
 		}
 		for {
 			r.mu.Lock()
 			batch, closed := r.queue, r.closed
-			r.queue = r.spare[:0]
-			r.busy = len(batch) > 0
+			r.queue = r.spareQueue[:0]
+			r.writing = len(batch) > 0
 			r.mu.Unlock()
 			if len(batch) > 0 {
-				if err := r.put(batch); err != nil {
-					r.fail(err)
+				if err := r.writeBatch(batch); err != nil {
+					r.disable(err)
 					return
 				}
 			}
 			clear(batch)
-			r.spare = batch
+			r.spareQueue = batch
 			r.mu.Lock()
-			r.busy = false
-			r.idle.Broadcast()
+			r.writing = false
+			r.batchWritten.Broadcast()
 			r.mu.Unlock()
 			if len(batch) == 0 {
 				if closed {
 					if err := r.file.Close(); err != nil {
-						r.fail(err)
+						r.disable(err)
 					}
 					return
 				}
@@ -251,43 +251,43 @@
 	}
 }
 
-// fail disables recording after an error; the gatekeeper continues to serve without it.
-func (r *Recorder) fail(err error) {
+// disable disables recording after an error; the gatekeeper continues to serve without it.
+func (r *Recorder) disable(err error) {
 	r.mu.Lock()
-	r.off, r.busy, r.queue = true, false, nil
-	r.idle.Broadcast()
+	r.disabled, r.writing, r.queue = true, false, nil
+	r.batchWritten.Broadcast()
 	r.mu.Unlock()
 	if r.Log != nil {
 		r.Log.WithError(err).WithField("dir", r.Dir).Error("records: cannot write, recording is disabled")
 	}
 }
 
-// put encodes a batch of events and writes it.
-func (r *Recorder) put(batch []history.Event) error {
+// writeBatch encodes a batch of events and writes it.
+func (r *Recorder) writeBatch(batch []history.Event) error {
 	r.buf = r.buf[:0]
 	for i := range batch {
 		switch e := &batch[i]; e.Kind {
 		case history.Started:
-			r.rules, r.calls = e.Rules, e.Name
+			r.rules, r.limitsVersion = e.Rules, e.Name
 		case history.Reloaded:
-			r.calls = e.Name
+			r.limitsVersion = e.Name
 		}
-		r.event.Reset()
-		if err := cbor.MarshalToBuffer(&batch[i], &r.event); err != nil {
+		r.eventBuffer.Reset()
+		if err := cbor.MarshalToBuffer(&batch[i], &r.eventBuffer); err != nil {
 			return err
 		}
-		r.buf = appendFrame(r.buf, r.event.Bytes())
+		r.buf = appendFrame(r.buf, r.eventBuffer.Bytes())
 		if len(r.buf) >= 256<<10 {
-			if err := r.flush(); err != nil {
+			if err := r.flushBuffer(); err != nil {
 				return err
 			}
 		}
 	}
-	return r.flush()
+	return r.flushBuffer()
 }
 
-// flush writes the buffer in one system call, so that a killed process leaves at most one incomplete record.
-func (r *Recorder) flush() error {
+// flushBuffer writes the buffer in one system call, so that a killed process leaves at most one incomplete record.
+func (r *Recorder) flushBuffer() error {
 	if len(r.buf) == 0 {
 		return nil
 	}
@@ -303,19 +303,19 @@
 	return nil
 }
 
-// open creates a segment and writes its header.
-func (r *Recorder) open(number uint64) error {
+// openSegment creates a segment and writes its header.
+func (r *Recorder) openSegment(number uint64) error {
 	r.segment = segment{node: fileName(r.Node), start: r.start, seq: number}
 	f, err := r.FS.Create(filepath.Join(r.Dir, r.segment.name()))
 	if err != nil {
 		return err
 	}
 	r.file = f
-	top, err := cbor.Marshal(header{Version, r.Node, r.start, number, r.rules, r.calls})
+	encodedHeader, err := cbor.Marshal(header{Version, r.Node, r.start, number, r.rules, r.limitsVersion})
 	if err != nil {
 		return err
 	}
-	n, err := f.Write(appendFrame([]byte(magic), top))
+	n, err := f.Write(appendFrame([]byte(magic), encodedHeader))
 	r.segment.size = int64(n)
 	return err
 }
@@ -326,7 +326,7 @@
 		return err
 	}
 	full := r.segment
-	if err := r.open(full.seq + 1); err != nil {
+	if err := r.openSegment(full.seq + 1); err != nil {
 		return err
 	}
 	if err := r.compress(full.name()); err != nil {
@@ -343,7 +343,7 @@
 		return err
 	}
 	defer in.Close()
-	to := from[:len(from)-len(suffix)] + compressed
+	to := from[:len(from)-len(segmentSuffix)] + compressedSuffix
 	out, err := r.FS.Create(to + ".new") // not the name of a segment, so readers ignore an incomplete one
 	if err != nil {
 		return err
@@ -373,20 +373,20 @@
 	if err != nil {
 		return err
 	}
-	type old struct {
+	type oldFile struct {
 		segment
 		at time.Time
 	}
-	var files []old
+	var files []oldFile
 	total := int64(0)
 	for _, info := range list {
 		if s, ok := parseName(info.Name()); ok && s.node == r.segment.node && (s.start != r.start || s.seq != r.segment.seq) {
 			s.size = info.Size()
-			files = append(files, old{s, info.ModTime()})
+			files = append(files, oldFile{s, info.ModTime()})
 			total += s.size
 		}
 	}
-	slices.SortFunc(files, func(a, b old) int { return compareSegments(a.segment, b.segment) })
+	slices.SortFunc(files, func(a, b oldFile) int { return compareSegments(a.segment, b.segment) })
 	newest := time.Now()
 	for _, f := range files {
 		if total <= r.MaxBytes && (r.MaxAge <= 0 || newest.Sub(f.at) <= r.MaxAge) {
--- a/internal/record/stream.go
+++ b/internal/record/stream.go
@@ -14,16 +14,16 @@
 
 // StreamWriter writes events to a connection in the format of a segment.
 type StreamWriter struct {
-	out   io.Writer
-	event bytes.Buffer
-	buf   []byte
+	out         io.Writer
+	eventBuffer bytes.Buffer
+	buf         []byte
 }
 
 // NewStreamWriter writes the magic bytes and the header of a stream of a gatekeeper's events.
 func NewStreamWriter(out io.Writer, node string) (*StreamWriter, error) {
-	top, err := cbor.Marshal(header{Version: Version, Node: node, Start: 1})
+	encodedHeader, err := cbor.Marshal(header{Version: Version, Node: node, Start: 1})
 	if err == nil {
-		_, err = out.Write(appendFrame([]byte(magic), top))
+		_, err = out.Write(appendFrame([]byte(magic), encodedHeader))
 	}
 	return &StreamWriter{out: out}, err
 }
@@ -32,11 +32,11 @@
 func (s *StreamWriter) Write(events []history.Event) error {
 	s.buf = s.buf[:0]
 	for i := range events {
-		s.event.Reset()
-		if err := cbor.MarshalToBuffer(&events[i], &s.event); err != nil {
+		s.eventBuffer.Reset()
+		if err := cbor.MarshalToBuffer(&events[i], &s.eventBuffer); err != nil {
 			return err
 		}
-		s.buf = appendFrame(s.buf, s.event.Bytes())
+		s.buf = appendFrame(s.buf, s.eventBuffer.Bytes())
 	}
 	_, err := s.out.Write(s.buf)
 	return err
@@ -44,26 +44,26 @@
 
 // StreamReader reads what a StreamWriter wrote.
 type StreamReader struct {
-	Node   string
-	frames frames
+	Node        string
+	frameReader frameReader
 }
 
 // NewStreamReader reads the magic bytes and the header of a stream.
 func NewStreamReader(in io.Reader) (*StreamReader, error) {
-	s := &StreamReader{frames: frames{in: bufio.NewReader(in)}}
-	top := make([]byte, len(magic))
-	if _, err := io.ReadFull(s.frames.in, top); err != nil {
+	s := &StreamReader{frameReader: frameReader{in: bufio.NewReader(in)}}
+	magicBytes := make([]byte, len(magic))
+	if _, err := io.ReadFull(s.frameReader.in, magicBytes); err != nil {
 		return nil, err
 	}
-	if string(top) != magic {
+	if string(magicBytes) != magic {
 		return nil, errors.New("not a stream of records")
 	}
-	payload, err := s.frames.next()
+	payload, err := s.frameReader.next()
 	if err != nil {
 		return nil, err
 	}
 	var h header
-	if err := decoding.Unmarshal(payload, &h); err != nil {
+	if err := decodeMode.Unmarshal(payload, &h); err != nil {
 		return nil, err
 	}
 	if h.Version != Version {
@@ -75,12 +75,12 @@
 
 // Next reads the next event, or returns io.EOF at the end of the stream.
 func (s *StreamReader) Next() (*history.Event, error) {
-	payload, err := s.frames.next()
+	payload, err := s.frameReader.next()
 	if err != nil {
 		return nil, err
 	}
 	e := &history.Event{}
-	if err := decoding.Unmarshal(payload, e); err != nil {
+	if err := decodeMode.Unmarshal(payload, e); err != nil {
 		return nil, err
 	}
 	e.Node, e.Start = s.Node, 1
