--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -7,14 +7,14 @@
 	"beammux/control"
 )
 
-// Verdict tells whether a rule held.
+// Verdict is the result of checking a rule.
 type Verdict string
 
 // The verdicts.
 const (
 	Held     Verdict = "held"
 	Broken   Verdict = "broken"
-	NotShown Verdict = "not shown" // a gap hides what would decide it, or nothing decides it
+	NotShown Verdict = "not shown" // a gap hides events that the check needs, or the records do not suffice
 )
 
 // The names of the rules, in order.
@@ -28,7 +28,7 @@
 
 var ruleNames = []string{RuleAnswer, RuleOne, RuleDrain, RuleCold, RuleRelease}
 
-// Evidence is one break of a rule.
+// Evidence describes one violation of a rule.
 type Evidence struct {
 	Node   string         `json:"gatekeeper,omitempty"`
 	Call   string         `json:"call,omitempty"`
@@ -37,84 +37,88 @@
 	What   string         `json:"what"`
 }
 
-// Finding is what the records show of one rule.
+// Finding is the result of checking one rule against the records.
 type Finding struct {
 	Rule     string     `json:"rule"`
 	Verdict  Verdict    `json:"verdict"`
-	Why      string     `json:"why,omitempty"` // of "not shown", or what "held" rests on
+	Why      string     `json:"why,omitempty"` // reason for the verdict NotShown
 	Evidence []Evidence `json:"evidence"`
-	Count    int        `json:"count"` // of all breaks; Evidence has the first of them
+	Count    int        `json:"count"` // number of all violations; Evidence holds the first ones
 }
 
-// Figures of the check.
+// Parameters of the check.
 const (
-	evidenceMost  = 100                     // kept for each rule
-	SocketSlack   = control.Micros(50000)   // by which each limit is longer on sockets (PROTOCOL, the rules on sockets)
-	ClockSlack    = control.Micros(100000)  // by which clocks of gatekeepers may differ
-	rememberEnded = control.Micros(2000000) // ends of attempts are kept for this much more than the release guard
-	capacitySpan  = control.Micros(5000000) // over which a warm server's answers show what it can do
-	capacityLeast = 20                      // answers within it that are believed
-	coldFree      = 2                       // set-ups that push nothing over, whatever it can do
+	evidenceMost  = 100                     // violations listed per rule
+	SocketSlack   = control.Micros(50000)   // extension of each time limit on sockets (PROTOCOL, the rules on sockets)
+	ClockSlack    = control.Micros(100000)  // maximum difference between the clocks of gatekeepers
+	rememberEnded = control.Micros(2000000) // time for which ends of attempts are kept in addition to the release guard
+	capacitySpan  = control.Micros(5000000) // span over which the answers of a warm server are counted to estimate its capacity
+	capacityLeast = 20                      // minimum number of answers in that span for an estimate
+	coldFree      = 2                       // set-ups allowed in any window: they overload no server, whatever its capacity
 )
 
-// Checker judges the rules by the events of a fleet, merged by time. Events of one gatekeeper must come in its own order;
-// those of several may be out of order by ClockSlack. It keeps what is open alone, so its memory doesn't grow with time.
+// Checker checks the rules against the events of a fleet, merged by time. Events of one gatekeeper must arrive in the
+// order in which they were recorded; those of different gatekeepers may be out of order by ClockSlack. It keeps only
+// open calls, so its memory doesn't grow with time.
 type Checker struct {
 	rules    Rules
 	nodes    map[string]*checked
 	found    [5]Finding
-	hidden   []Gap // the first of them
+	hidden   []Gap // the first gaps that hide events
 	gaps     int
 	now      control.Micros
 	cold     map[uint32]*coldServer
-	capacity map[uint32]float64 // of a server whose capacity is known from elsewhere, set-ups a second
+	capacity map[uint32]float64 // set-ups per second of servers whose capacity is known from another source
 	seen     int
 }
 
-// ending is the end of an attempt from which the release guard counts.
+// ending is the end of an attempt, at which the release guard begins.
 type ending struct {
 	at      control.Micros
 	attempt int
 }
 
-// checked is what the checker knows of one gatekeeper.
+// checked is the state of one gatekeeper in the checker.
 type checked struct {
 	calls  map[string]*openCall
-	ended  map[string]ending // when the release guard began, for calls that still may be sent
+	ended  map[string]ending // begin of the release guard, for calls of which further attempts may be sent
 	states map[uint32]told
-	dirty  bool // a gap hid events: what is not known may have been told there
+	dirty  bool // a gap hid events, so states may be incomplete
 }
 
+// told is the state of a server in the inventory and the time since which it holds.
 type told struct {
 	state control.State
 	at    control.Micros
 }
 
+// openCall is the state of a call in the checker.
 type openCall struct {
 	taken    control.Micros
 	deadline control.Micros
-	attempt  int // that is out, -1 if none
-	over     int // attempts that have ended
+	attempt  int // attempt in flight, -1 if none
+	over     int // number of attempts that have ended
 	server   uint32
 	answered bool
 }
 
-// coldServer is a server over all gatekeepers, as far as its starts are concerned.
+// coldServer holds the starts of a server and the set-ups that all gatekeepers sent to it while it was cold.
 type coldServer struct {
-	since   control.Micros   // its last start, 0 if long ago
-	sent    []control.Micros // while it was cold after that
+	since   control.Micros   // last start, 0 if it is long past
+	sent    []control.Micros // set-ups while it was cold after that start
 	before  []coldSpell
-	answers []control.Micros // of the last capacitySpan
-	best    float64          // most answers a second seen while it was warm
+	answers []control.Micros // answers within the last capacitySpan
+	best    float64          // highest rate of answers while it was warm, per second
 }
 
+// coldSpell is the cold phase after one start of a server: the time of the start and the times of the set-ups.
 type coldSpell struct {
 	since control.Micros
 	sent  []control.Micros
 }
 
-// NewChecker makes a checker. capacities gives set-ups a second that warm servers can do, where that is known from
-// elsewhere than the records, as in a test; it may be nil.
+// NewChecker returns a checker. capacities gives the set-ups per second that warm servers can handle, where that is known
+// from another source than the records, as in a test; it may be nil.
 func NewChecker(capacities map[uint32]float64) *Checker {
 	c := &Checker{nodes: map[string]*checked{}, cold: map[uint32]*coldServer{}, capacity: capacities}
 	for i, name := range ruleNames {
@@ -132,6 +136,7 @@
 	return n
 }
 
+// breaks records a violation of a rule.
 func (c *Checker) breaks(rule string, e Evidence) {
 	f := &c.found[slices.Index(ruleNames, rule)]
 	f.Count++
@@ -140,7 +145,7 @@
 	}
 }
 
-// Gap takes a gap at its place among the events: after what came before it, before what came after.
+// Gap processes a gap. It must be called in order with Event: after the events before the gap, before those after it.
 func (c *Checker) Gap(g Gap) {
 	n := c.node(g.Node)
 	if g.Hides {
@@ -150,16 +155,16 @@
 		}
 	}
 	if g.Why == Restart {
-		// What the process that ended held is gone: a rule binds gatekeepers that run. After a planned end nothing may be
-		// open; that was seen at Finished.
+		// The state of the process is lost, and the rules apply to running gatekeepers only. Calls that were still open at
+		// a planned shutdown have been reported at Finished.
 		n.calls, n.ended, n.states, n.dirty = map[string]*openCall{}, map[string]ending{}, map[uint32]told{}, false
 		return
 	}
-	// Ends, answers and new attempts of these calls may lie in the gap: they are judged no more.
+	// Ends, answers and new attempts of these calls may be hidden in the gap: the calls are no longer checked.
 	n.calls, n.ended, n.dirty = map[string]*openCall{}, map[string]ending{}, true
 }
 
-// Event takes one event.
+// Event processes one event.
 func (c *Checker) Event(e *Event) {
 	c.seen++
 	c.now = max(c.now, e.At)
@@ -171,7 +176,7 @@
 		}
 	case Taken:
 		if k := n.calls[e.Call]; k != nil && !k.answered {
-			c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, "taken again before its final answer"})
+			c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, "received again before its final answer"})
 		}
 		n.calls[e.Call] = &openCall{taken: e.At, deadline: e.At + e.Span, attempt: -1}
 	case Sent:
@@ -195,7 +200,7 @@
 	case Finished:
 		for id, k := range n.calls {
 			if !k.answered {
-				c.breaks(RuleAnswer, Evidence{e.Node, id, 0, e.At, "no final answer when the gatekeeper ended as planned"})
+				c.breaks(RuleAnswer, Evidence{e.Node, id, 0, e.At, "no final answer at the planned shutdown of the gatekeeper"})
 			}
 		}
 		n.calls = map[string]*openCall{}
@@ -205,17 +210,18 @@
 	}
 }
 
-// limit is how long a final answer may take past the deadline.
+// limit returns how long after the deadline a final answer still counts as in time.
 func (c *Checker) limit() control.Micros { return c.rules.AnswerSlack + SocketSlack }
 
+// sent checks a set-up against the rules on attempts, the release guard and draining servers.
 func (c *Checker) sent(n *checked, e *Event) {
 	k := n.calls[e.Call]
 	if k != nil && e.Attempt < k.over {
-		return // given up while it was on its way out: its CANCEL follows it on the same line
+		return // abandoned while it was being sent: its CANCEL follows on the same connection
 	}
 	if k != nil {
 		if k.attempt >= 0 && k.attempt != e.Attempt {
-			c.breaks(RuleOne, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("attempt %d sent to server %d while attempt %d is out at server %d",
+			c.breaks(RuleOne, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("attempt %d sent to server %d while attempt %d is in flight to server %d",
 				e.Attempt, e.Server, k.attempt, k.server)})
 		}
 		if k.answered {
@@ -225,15 +231,15 @@
 	}
 	if end, ok := n.ended[e.Call]; ok {
 		if k == nil && e.Attempt <= end.attempt {
-			return // its caller has gone since: the same attempt, given up while it was on its way out
+			return // the caller has withdrawn the call: this is the same attempt, abandoned while it was being sent
 		}
 		if gap := e.At - end.at; gap < c.rules.ReleaseGuard {
-			c.breaks(RuleRelease, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after an attempt that may have run ended", gap/1000)})
+			c.breaks(RuleRelease, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after the end of an attempt that may have been executed", gap/1000)})
 		}
 		delete(n.ended, e.Call)
 	}
 	if s, ok := n.states[e.Server]; ok && s.state != control.Ready && e.At > s.at+c.rules.DrainGrace+SocketSlack {
-		c.breaks(RuleDrain, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after the list was heard to call server %d %s",
+		c.breaks(RuleDrain, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after the inventory reported server %d as %s",
 			(e.At-s.at)/1000, e.Server, s.state)})
 	}
 	if s := c.cold[e.Server]; s != nil && e.At < s.since+c.rules.WarmWithin {
@@ -241,27 +247,28 @@
 	}
 }
 
+// answered checks a final answer.
 func (c *Checker) answered(n *checked, e *Event) {
 	if e.Kind == Established {
 		c.stood(e)
 	}
 	k := n.calls[e.Call]
-	if k == nil { // taken before the records begin, or in a gap
+	if k == nil { // received before the records begin, or in a gap
 		return
 	}
 	switch {
 	case k.answered:
-		c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, "a second final answer: " + e.Kind.String()})
+		c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, "second final answer: " + e.Kind.String()})
 	case e.At > k.deadline+c.limit():
-		c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, fmt.Sprintf("%s %d ms after its caller had given up", e.Kind, (e.At-k.deadline)/1000)})
+		c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, fmt.Sprintf("%s %d ms after the caller's deadline", e.Kind, (e.At-k.deadline)/1000)})
 	}
 	if e.Kind != Established && k.attempt >= 0 {
-		c.breaks(RuleOne, Evidence{e.Node, e.Call, k.server, e.At, fmt.Sprintf("%s while attempt %d is out at server %d", e.Kind, k.attempt, k.server)})
+		c.breaks(RuleOne, Evidence{e.Node, e.Call, k.server, e.At, fmt.Sprintf("%s while attempt %d is in flight to server %d", e.Kind, k.attempt, k.server)})
 	}
 	k.answered, k.attempt = true, -1
 }
 
-// stood notes what a warm server is seen to do: at least that is its capacity.
+// stood counts an established call of a warm server: the highest rate of them is a lower bound of its capacity.
 func (c *Checker) stood(e *Event) {
 	s := c.cold[e.Server]
 	if s == nil {
@@ -282,12 +289,13 @@
 	}
 }
 
+// told records the state and the start of a server from the inventory.
 func (c *Checker) told(n *checked, e *Event) {
 	was, known := n.states[e.Server]
 	if !known || was.state == control.Ready || e.State == control.Ready {
 		n.states[e.Server] = told{e.State, e.At}
 	} else {
-		n.states[e.Server] = told{e.State, was.at} // drained and then gone: the grace counts from the first
+		n.states[e.Server] = told{e.State, was.at} // drained and then gone: the grace period begins with the first of them
 	}
 	s := c.cold[e.Server]
 	if s == nil {
@@ -302,10 +310,10 @@
 	}
 }
 
-// sameStart tells whether two gatekeepers, each by its own clock, speak of the same start of a server.
+// sameStart reports whether two times, each by the clock of another gatekeeper, are the same start of a server.
 func sameStart(a, b control.Micros) bool { return max(a-b, b-a) <= 2*ClockSlack }
 
-// sweep forgets calls that are over and judges those that should be.
+// sweep removes finished calls and reports those without a final answer long after their deadline.
 func (c *Checker) sweep() {
 	for name, n := range c.nodes {
 		for id, k := range n.calls {
@@ -325,12 +333,13 @@
 	}
 }
 
+// unanswered records a call without a final answer.
 func (c *Checker) unanswered(node, id string, k *openCall) {
-	c.breaks(RuleAnswer, Evidence{node, id, 0, k.deadline, "no final answer by the time its caller gave up"})
+	c.breaks(RuleAnswer, Evidence{node, id, 0, k.deadline, "no final answer by the caller's deadline"})
 }
 
-// Findings judges what is left at the end of the records and gives all five rules. Calls that are open where a
-// gatekeeper's records end, and whose callers still wait then, decide nothing.
+// Findings checks the remaining calls at the end of the records and returns the results of all five rules. Calls that are
+// open where a gatekeeper's records end, and whose deadline has not passed by then, do not count.
 func (c *Checker) Findings() []Finding {
 	for name, n := range c.nodes {
 		for id, k := range n.calls {
@@ -351,7 +360,7 @@
 		case c.seen == 0:
 			f.Verdict, f.Why = NotShown, "there are no records"
 		case c.rules.ReleaseGuard == 0 && c.rules.FallTime == 0 && len(c.rules.Classes) == 0:
-			f.Verdict, f.Why = NotShown, "no start is recorded, so the figures of the rules are not known"
+			f.Verdict, f.Why = NotShown, "no start is recorded, so the parameters of the rules are not known"
 		case c.gaps > 0:
 			f.Verdict, f.Why = NotShown, fmt.Sprintf("%d gaps hide events, the first at %s (%s)", c.gaps, c.hidden[0].Node, c.hidden[0].Why)
 		case f.Verdict == "":
@@ -361,8 +370,8 @@
 	return out
 }
 
-// SoFar gives the rules in the middle of the records: what is open is not judged yet, and neither are cold servers, so
-// "held" is said of what has been seen.
+// SoFar returns interim results: open calls and cold servers are not yet checked, so "held" covers only the events
+// processed so far.
 func (c *Checker) SoFar() []Finding {
 	out := slices.Clone(c.found[:])
 	for i := range out {
@@ -378,9 +387,10 @@
 	return out
 }
 
-// judgeCold goes through each window of the rule's length after a server's start. What a server can do is told nowhere;
-// what it answered once warm is the least that it can, and under a limit made of that the rule held for certain. Over it,
-// nothing is shown, unless the capacity is known from elsewhere. Windows are longer by the clocks' difference.
+// judgeCold checks each window of the rule's length after a server's start. The records do not contain a server's capacity;
+// the rate that it answered once warm is a lower bound. If a limit derived from that bound is kept, the rule held. If it is
+// exceeded, the result is open, unless the capacity is known from another source. Windows are extended by the maximum
+// difference between clocks.
 func (c *Checker) judgeCold() {
 	f := &c.found[slices.Index(ruleNames, RuleCold)]
 	most := 0.0
@@ -391,7 +401,7 @@
 		s := c.cold[id]
 		capacity, known := c.capacity[id]
 		if !known {
-			if capacity = s.best; capacity == 0 { // it did not get warm: those it joined tell
+			if capacity = s.best; capacity == 0 { // it never became warm: the highest rate of the other servers stands in
 				capacity = most
 			}
 		}
@@ -403,13 +413,14 @@
 				c.breaks(RuleCold, Evidence{"", "", id, at, what})
 			case f.Verdict == "":
 				f.Verdict = NotShown
-				f.Why = fmt.Sprintf("server %d: %s by what it was seen to answer, and what it can do is told nowhere", id, what)
+				f.Why = fmt.Sprintf("server %d: %s by the observed answer rate, and its capacity is not recorded", id, what)
 			}
 		}
 	}
 }
 
-// overrun finds the first window that holds more set-ups than a capacity allows.
+// overrun returns the first window with more set-ups than the capacity allows, as the time of the set-up that exceeds the
+// limit and a description, which is empty if there is no such window.
 func (c *Checker) overrun(spell coldSpell, capacity float64) (at control.Micros, what string) {
 	window := c.rules.FallTime + 2*ClockSlack
 	slices.Sort(spell.sent)
@@ -422,12 +433,13 @@
 		warmed := min(float64(age)/float64(max(c.rules.WarmWithin, 1)), 1)
 		limit := c.rules.FallMultiple * (c.rules.StartCapacity + (1-c.rules.StartCapacity)*warmed) * capacity * float64(window) / 1e6
 		if n := i - first + 1; float64(n) > max(limit, coldFree) {
-			return at, fmt.Sprintf("%d set-ups within %d ms, %d ms after its start; %.1f are allowed", n, window/1000, age/1000, limit)
+			return at, fmt.Sprintf("%d set-ups within %d ms, %d ms after its start; the limit is %.1f", n, window/1000, age/1000, limit)
 		}
 	}
 	return 0, ""
 }
 
+// sortedIDs returns the keys of a map in ascending order.
 func sortedIDs[V any](m map[uint32]V) []uint32 {
 	ids := make([]uint32, 0, len(m))
 	for id := range m {
--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	binsMost   = 1200                    // bins of a course; over it two neighbours become one
-	binFirst   = control.Micros(1000000) // width of a bin at first
-	worstSpan  = 10                      // seconds of the worst span
-	delayMost  = 60000                   // ms; longest set-up delay told apart
-	momentMost = 4000                    // moments kept; of later ones only the number
-	momentSpan = control.Micros(10e6)    // moments of one kind so close to each other are one episode
-	heardLate  = control.Micros(30e6)    // by so much one gatekeeper may hear later of a server than another
-	callerMost = control.Micros(120e6)   // a call without an end for so long is taken for one whose end is not recorded
+	binsMost   = 1200                    // maximum number of bins; beyond it each two neighbours are merged
+	binFirst   = control.Micros(1000000) // initial width of a bin
+	worstSpan  = 10                      // length of the worst span in seconds
+	delayMost  = 60000                   // highest set-up delay that histograms distinguish, in ms
+	momentMost = 4000                    // maximum number of episodes kept; further ones are only counted
+	momentSpan = control.Micros(10e6)    // maximum distance between moments of one kind in an episode
+	heardLate  = control.Micros(30e6)    // maximum time between the reports of one server change by different gatekeepers
+	callerMost = control.Micros(120e6)   // time after which a call without an end is assumed to have ended unrecorded
 )
 
-// Counts are calls by what came of them. Each is counted where it was taken.
+// Counts are numbers of calls by outcome. Each call is counted at the time of its arrival.
 type Counts struct {
 	Offered, Served, Late, Refused, Failed, Gone int // Served within the class's aim, Late after it
 }
@@ -34,7 +34,7 @@
 	c.Gone += o.Gone
 }
 
-// Extremes are the least and the most of something in a bin.
+// Extremes are the minimum and the maximum of a value in a bin. Seen reports whether there is any value.
 type Extremes struct {
 	Least, Most float64
 	Seen        bool
@@ -55,17 +55,17 @@
 	}
 }
 
-// View is what a gatekeeper believed of a server in a bin.
+// View is a gatekeeper's estimate of a server's level and wait in a bin.
 type View struct{ Level, Wait Extremes } // wait in microseconds
 
-// Bin is one piece of the course.
+// Bin is one interval of the time series.
 type Bin struct {
 	Classes []Counts                // by class
-	Delay   *hdrhistogram.Histogram // of calls that stood, ms from being taken; nil if none
+	Delay   *hdrhistogram.Histogram // delay of established calls since their arrival, in ms; nil if there are none
 	Views   map[Pair]View
 }
 
-// Pair is a gatekeeper's view of a server.
+// Pair identifies a gatekeeper's view of a server.
 type Pair struct {
 	Node   string
 	Server uint32
@@ -84,12 +84,12 @@
 	TimedOut    int            `json:"timed_out"`
 	Cut         int            `json:"cut"`
 	Other       int            `json:"other_ends"`
-	Gated       int            `json:"gated"` // times that a gatekeeper took it to level 2 or more
+	Gated       int            `json:"gated"` // how often a gatekeeper raised it to level 2 or higher
 	LongestWait control.Micros `json:"longest_wait_us"`
 	heard       map[heard]control.Micros
 }
 
-// heard is what a list says of a server.
+// heard is a change of a server as an inventory reports it.
 type heard struct {
 	state control.State
 	since control.Micros
@@ -99,34 +99,35 @@
 type Node struct {
 	Name        string         `json:"gatekeeper"`
 	Starts      int            `json:"starts"`
-	Version     string         `json:"calls"` // limits in force
+	Version     string         `json:"calls"` // version of the limits in force
 	First, Last control.Micros `json:"-"`
 	Counts      Counts         `json:"calls_counted"`
 	Sent        int            `json:"sent"`
-	Memory      float64        `json:"memory_bytes"`                    // most
-	Descriptors float64        `json:"descriptors"`                     // most
-	Open        int            `json:"open"`                            // calls without a final answer now
-	Up          bool           `json:"up"`                              // by the last record
-	SteppedBack control.Micros `json:"clock_stepped_back_us,omitempty"` // most that its clock went back between two records
+	Memory      float64        `json:"memory_bytes"`                    // maximum
+	Descriptors float64        `json:"descriptors"`                     // maximum
+	Open        int            `json:"open"`                            // current number of calls without a final answer
+	Up          bool           `json:"up"`                              // according to the last record
+	SteppedBack control.Micros `json:"clock_stepped_back_us,omitempty"` // largest backward step of its clock between two records
 	calls       map[string]taken
 	levels      map[uint32]int
 }
 
+// taken is the arrival of an open call.
 type taken struct {
 	at    control.Micros
 	class int
 }
 
-// Moment is something that staff would tell of an incident.
+// Moment is an event that is worth mentioning in an incident report.
 type Moment struct {
 	At     control.Micros `json:"at"`
 	Node   string         `json:"gatekeeper,omitempty"`
 	Server uint32         `json:"server,omitempty"`
-	What   string         `json:"what"` // a word of the list below
+	What   string         `json:"what"` // one of the Moment constants
 	Detail string         `json:"detail,omitempty"`
 }
 
-// The words of moments.
+// The types of moments.
 const (
 	MomentStart  = "started"
 	MomentEnd    = "ended"
@@ -138,52 +139,54 @@
 	MomentGap    = "gap"
 )
 
-// Episode is moments of one kind that lie close together.
+// Episode is a series of moments of one kind that are close together in time.
 type Episode struct {
 	Moment
 	Last  control.Micros
 	Count int
-	Nodes []string // that it happened at
+	Nodes []string // gatekeepers at which the moments happened
 }
 
+// episodeKey identifies the moments that may join one episode.
 type episodeKey struct {
 	what   string
 	server uint32
 	detail string
 }
 
-// Fleet is the state of a fleet and its course so far, rebuilt from events in time order. Its memory is bounded by the
-// number of gatekeepers, servers and open calls: the course has at most 1,200 bins, and where it grows longer neighbours
-// are joined, by adding counts and histograms and keeping the least and the most of what was believed.
+// Fleet is the state of a fleet and its history so far, rebuilt from events in time order. Its memory is bounded by the
+// number of gatekeepers, servers and open calls: the time series has at most 1,200 bins. When it would exceed them,
+// neighbouring bins are merged by adding counts and histograms and keeping the extremes of the views.
 type Fleet struct {
 	Rules    Rules
 	From, To control.Micros // first and last event
-	Width    control.Micros // of a bin
+	Width    control.Micros // width of a bin
 	Bins     []Bin
 	Servers  map[uint32]*Server
 	Nodes    map[string]*Node
 	Gaps     []Gap
-	Tell     func(Moment) // hears of each moment, if not nil
+	Tell     func(Moment) // called with each moment, if not nil
 	Episodes []*Episode
-	Left     int // moments of episodes over the most that are kept
+	Left     int // number of moments that were not kept, beyond the maximum number of episodes
 	open     map[episodeKey]*Episode
 	Events   int
 	Total    []Counts // by class
 	Worst    Worst
-	seconds  []second // the last ones, that calls may still change
-	base     int64    // Unix second of the first
+	seconds  []second // the last seconds, which answers to open calls may still change
+	base     int64    // Unix second of the first of them
 }
 
-// Worst is the worst 10 s: the least worth served of that offered.
+// Worst is the worst span of 10 s, the one with the lowest ratio of served to offered worth.
 type Worst struct {
 	From          control.Micros `json:"from"`
 	Offered, Part float64        // worth
 	Known         bool           `json:"known"`
 }
 
+// second is the worth offered and served of the calls that arrived in one second.
 type second struct{ offered, served float64 }
 
-// NewFleet makes an empty one.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
 	return &Fleet{Width: binFirst, Servers: map[uint32]*Server{}, Nodes: map[string]*Node{}, open: map[episodeKey]*Episode{}}
 }
@@ -206,12 +209,13 @@
 	return s
 }
 
+// moment passes a moment to the callback and adds it to its episode.
 func (f *Fleet) moment(m Moment) {
 	if f.Tell != nil {
 		f.Tell(m)
 	}
 	if m.What == MomentOpen {
-		return // an episode of gating ends by itself
+		return // does not belong to any episode; an episode of gating needs no end
 	}
 	key := episodeKey{m.What, m.Server, m.Detail}
 	e := f.open[key]
@@ -231,7 +235,7 @@
 	}
 }
 
-// Gap takes a gap at its place among the events.
+// Gap processes a gap. It must be called in order with Event.
 func (f *Fleet) Gap(g Gap) {
 	f.Gaps = append(f.Gaps, g)
 	n := f.node(g.Node)
@@ -241,7 +245,7 @@
 	}
 }
 
-// Event takes one event.
+// Event processes one event.
 func (f *Fleet) Event(e *Event) {
 	if f.Events == 0 {
 		f.From = e.At
@@ -298,7 +302,8 @@
 	}
 }
 
-// Known takes what was so before the first event that counts: figures, limits and the list, but no moments.
+// Known processes an event from before the range of interest: it applies parameters, limits and the inventory, but
+// records no moments.
 func (f *Fleet) Known(e *Event) {
 	episodes, left := f.Episodes, f.Left
 	switch n := f.node(e.Node); e.Kind {
@@ -315,6 +320,7 @@
 	f.Episodes, f.Left, f.open = episodes, left, map[episodeKey]*Episode{}
 }
 
+// started applies the first event of a start.
 func (f *Fleet) started(n *Node, e *Event) {
 	n.Starts++
 	n.Version = e.Name
@@ -324,6 +330,7 @@
 	f.moment(Moment{e.At, e.Node, 0, MomentStart, ""})
 }
 
+// ended counts a failed attempt at its server.
 func (f *Fleet) ended(s *Server, code control.Code) {
 	switch code {
 	case control.Full:
@@ -337,7 +344,7 @@
 	}
 }
 
-// final counts what came of a call where it was taken. One whose taking is not recorded is left out.
+// final counts the outcome of a call at the time of its arrival. Calls whose arrival is not recorded are ignored.
 func (f *Fleet) final(n *Node, e *Event) {
 	if e.Kind == Established {
 		f.server(e.Server).Established++
@@ -372,7 +379,7 @@
 	}
 }
 
-// ClassOf gives the class of a call that a gatekeeper holds, -1 for one that is not known.
+// ClassOf returns the class of an open call of a gatekeeper, -1 if the call is unknown.
 func (f *Fleet) ClassOf(node, call string) int {
 	if n := f.Nodes[node]; n != nil {
 		if k, ok := n.calls[call]; ok {
@@ -389,6 +396,7 @@
 	return Class{Name: "unknown"}
 }
 
+// viewed applies a gatekeeper's new view of a server.
 func (f *Fleet) viewed(n *Node, e *Event) {
 	s := f.server(e.Server)
 	s.LongestWait = max(s.LongestWait, e.Span)
@@ -411,12 +419,13 @@
 	}
 }
 
+// told applies the state of a server from an inventory, once for all gatekeepers that report it.
 func (f *Fleet) told(e *Event) {
 	s := f.server(e.Server)
 	if s.heard == nil {
 		s.heard = map[heard]control.Micros{}
 	}
-	// Every gatekeeper hears of the same change, some of them seconds late, and tells the server's start by its own clock.
+	// All gatekeepers report the same change, some of them seconds later, with the server's start by their own clocks.
 	since := e.Since
 	if sameStart(since, s.Since) {
 		since = s.Since
@@ -428,19 +437,19 @@
 	}
 	known := s.Name != ""
 	if known && s.State == e.State && s.Since == since {
-		return // a gatekeeper that has just started is told what the others know
+		return // a gatekeeper that has just started reports a state that is already known
 	}
 	s.Name, s.Cell, s.State, s.Since = e.Name, e.N, e.State, since
 	if known || e.State != control.Ready || e.Since > 0 {
 		detail := e.State.String()
 		if e.State == control.Ready && e.Since > 0 {
-			detail = "started anew"
+			detail = "started again"
 		}
 		f.moment(Moment{e.At, "", e.Server, MomentServer, detail})
 	}
 }
 
-// bin gives the bin of a time, nil for one before the first.
+// bin returns the bin of a time, nil for a time before the first bin.
 func (f *Fleet) bin(at control.Micros) *Bin {
 	if at < f.From {
 		return nil
@@ -455,7 +464,7 @@
 	return &f.Bins[i]
 }
 
-// join makes one bin of each two.
+// join doubles the width of the bins and merges each pair of neighbours.
 func (f *Fleet) join() {
 	f.Width *= 2
 	for i := 0; i < len(f.Bins); i += 2 {
@@ -470,6 +479,7 @@
 	f.Bins = f.Bins[:half]
 }
 
+// join merges another bin into b.
 func (b *Bin) join(o Bin) {
 	for len(b.Classes) < len(o.Classes) {
 		b.Classes = append(b.Classes, Counts{})
@@ -495,6 +505,7 @@
 	}
 }
 
+// count adds counts to a class's total, to the gatekeeper, and to the bin of the call's arrival.
 func (f *Fleet) count(n *Node, at control.Micros, class int, c Counts) {
 	class = max(class, 0)
 	for len(f.Total) <= class {
@@ -510,7 +521,8 @@
 	}
 }
 
-// worth keeps the worth of each second while calls that were taken in it may still be answered.
+// worth adds the worth of a call to the second of its arrival. Seconds are kept as long as their calls may still be
+// answered.
 func (f *Fleet) worth(at control.Micros, class int, offered bool, part float64) {
 	s := int64(at / 1e6)
 	if len(f.seconds) == 0 {
@@ -534,7 +546,7 @@
 	}
 }
 
-// settle looks at the spans that begin in the first so many seconds, and forgets those seconds.
+// settle compares the spans that begin in the given number of first seconds with the worst one, and removes those seconds.
 func (f *Fleet) settle(seconds int) {
 	for i := 0; i < seconds && i+worstSpan <= len(f.seconds); i++ {
 		offered, served := 0.0, 0.0
@@ -551,9 +563,10 @@
 	f.base += int64(seconds)
 }
 
-// Settle ends the course: what is still open stays so. The worst span is final then.
+// Settle finishes the evaluation after the last event: Worst is final, and calls that are still open stay open.
 func (f *Fleet) Settle() { f.settle(len(f.seconds)) }
 
+// sweep removes calls whose end is missing in the records.
 func (f *Fleet) sweep() {
 	for _, n := range f.Nodes {
 		for id, k := range n.calls {
@@ -564,7 +577,8 @@
 	}
 }
 
-// WorstClass gives the class with the least part of its calls served in their aim, -1 if none was offered.
+// WorstClass returns the class with the lowest fraction of its calls served within their aim, and that fraction; the class
+// is -1 if no calls were offered.
 func (f *Fleet) WorstClass() (class int, part float64) {
 	class = -1
 	for i, c := range f.Total {
@@ -577,7 +591,7 @@
 	return class, part
 }
 
-// ServerList and NodeList give the tables in order.
+// ServerList returns the servers in order of their numbers.
 func (f *Fleet) ServerList() []*Server {
 	list := make([]*Server, 0, len(f.Servers))
 	for _, id := range sortedIDs(f.Servers) {
@@ -586,7 +600,7 @@
 	return list
 }
 
-// NodeList gives the gatekeepers by name.
+// NodeList returns the gatekeepers in order of their names.
 func (f *Fleet) NodeList() []*Node {
 	list := make([]*Node, 0, len(f.Nodes))
 	for _, n := range f.Nodes {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -12,7 +12,7 @@
 	"beammux/control"
 )
 
-// The same steps each time: a verdict must not change from run to run.
+// TestMain fixes the seed of the random tests, so that their results do not vary between runs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	flag.Set("rapid.seed", "20261201")
@@ -26,7 +26,7 @@
 		ReleaseGuard: 300 * ms, FallMultiple: 2, FallTime: 1000 * ms, StartCapacity: 0.33, WarmWithin: 15000 * ms}
 }
 
-// story is a script of events at one gatekeeper, at times in milliseconds.
+// story feeds events of one gatekeeper to a checker and a fleet, at times in milliseconds.
 type story struct {
 	c   *Checker
 	f   *Fleet
@@ -84,7 +84,7 @@
 	return s.at(at, e)
 }
 
-// verdicts gives the five in order, as letters: h, b, n.
+// verdicts returns the first letters of the five verdicts in order: h, b or n.
 func (s *story) verdicts() string {
 	out := ""
 	for _, f := range s.c.Findings() {
@@ -93,7 +93,7 @@
 	return out
 }
 
-// Each rule is found to be held and to be broken by the figures of the rule: just in, just out.
+// Each rule is held and broken on either side of its limits.
 func TestVerdicts(t *testing.T) {
 	good := func() *story {
 		return newStory(nil).told(1, 1, control.Ready, 0).taken(10, "a").sent(11, "a", 0, 1).ended(500, "a", 0, control.TimedOut).
@@ -103,34 +103,34 @@
 		s    *story
 		want string
 	}{
-		"all is well":                      {good(), "hhhhh"},
+		"no violation":                     {good(), "hhhhh"},
 		"refused at once":                  {good().taken(1000, "b").final(1001, "b", Refused), "hhhhh"},
 		"withdrawn":                        {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cancelled).final(1100, "b", Gone).final(9000, "c", Refused), "hhhhh"},
-		"at the last moment":               {good().taken(1000, "b").final(4050, "b", Failed), "hhhhh"},
+		"just in time":                     {good().taken(1000, "b").final(4050, "b", Failed), "hhhhh"},
 		"too late":                         {good().taken(1000, "b").final(4051, "b", Failed), "bhhhh"},
 		"never answered":                   {good().taken(1000, "b").taken(9000, "c").final(9001, "c", Refused), "bhhhh"},
 		"still open at the end":            {good().taken(1000, "b").taken(2000, "c").final(2001, "c", Refused), "hhhhh"},
 		"answered twice":                   {good().final(950, "a", Refused), "bhhhh"},
 		"sent after its answer":            {good().sent(1900, "a", 2, 1), "bhhhh"},
-		"taken twice":                      {good().taken(1000, "b").taken(1100, "b").final(1200, "b", Refused), "bhhhh"},
+		"received twice":                   {good().taken(1000, "b").taken(1100, "b").final(1200, "b", Refused), "bhhhh"},
 		"two attempts at once":             {good().taken(1000, "b").sent(1001, "b", 0, 1).sent(1002, "b", 1, 2).final(1003, "b", Established), "hbhhh"},
-		"refused while an attempt is out":  {good().taken(1000, "b").sent(1001, "b", 0, 1).final(1003, "b", Refused), "hbhhh"},
-		"a copy that was on its way":       {good().taken(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
-		"gone while it was on its way":     {good().taken(1000, "b").ended(1001, "b", 0, control.Cancelled).final(1001, "b", Gone).sent(1002, "b", 0, 1).final(9000, "c", Refused), "hhhhh"},
-		"gone, and sent once more":         {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1002, "b", 0, control.Cancelled).final(1002, "b", Gone).sent(1003, "b", 1, 1).final(9000, "c", Refused), "hhhhb"},
+		"refused with attempt in flight":   {good().taken(1000, "b").sent(1001, "b", 0, 1).final(1003, "b", Refused), "hbhhh"},
+		"an attempt abandoned when sent":   {good().taken(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
+		"withdrawn when sent":              {good().taken(1000, "b").ended(1001, "b", 0, control.Cancelled).final(1001, "b", Gone).sent(1002, "b", 0, 1).final(9000, "c", Refused), "hhhhh"},
+		"withdrawn, then sent again":       {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1002, "b", 0, control.Cancelled).final(1002, "b", Gone).sent(1003, "b", 1, 1).final(9000, "c", Refused), "hhhhb"},
 		"drained, within the grace":        {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Established), "hhhhh"},
 		"drained, after the grace":         {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
-		"drained and gone: from the first": {good().told(1000, 1, control.Draining, 0).told(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
-		"up again":                         {good().told(1000, 1, control.Draining, 0).told(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
+		"drained, then gone":               {good().told(1000, 1, control.Draining, 0).told(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"ready again":                      {good().told(1000, 1, control.Draining, 0).told(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
 		"sent again within the guard":      {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cut).sent(1399, "b", 1, 1).final(1400, "b", Established), "hhhhb"},
 		"full needs no guard":              {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Full).sent(1101, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
 		"ended as planned, one still open": {good().taken(1000, "b").at(1200, Event{Kind: Finished}), "bhhhh"},
 		"a planned restart hides nothing":  {good().at(1200, Event{Kind: Finished}).gap(1200, 2000, Restart, false).at(2000, Event{Kind: Started, Rules: rules()}).taken(2001, "b").final(2002, "b", Refused), "hhhhh"},
-		"a crash hides":                    {good().taken(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: rules()}).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
-		"dropped records hide":             {good().gap(1200, 2000, Lost, true), "nnnnn"},
-		"damage hides":                     {good().gap(1200, 2000, Damaged, true), "nnnnn"},
-		"what is broken stays so":          {good().final(950, "a", Refused).gap(1200, 2000, Damaged, true), "bnnnn"},
-		"an end in the gap is no break":    {good().taken(1000, "b").sent(1001, "b", 0, 1).gap(1100, 1900, Lost, true).sent(1901, "b", 1, 1).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
+		"a crash hides events":             {good().taken(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: rules()}).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
+		"dropped records hide events":      {good().gap(1200, 2000, Lost, true), "nnnnn"},
+		"damage hides events":              {good().gap(1200, 2000, Damaged, true), "nnnnn"},
+		"broken before a gap":              {good().final(950, "a", Refused).gap(1200, 2000, Damaged, true), "bnnnn"},
+		"an end in the gap":                {good().taken(1000, "b").sent(1001, "b", 0, 1).gap(1100, 1900, Lost, true).sent(1901, "b", 1, 1).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
 	} {
 		if got := row.s.verdicts(); got != row.want {
 			t.Errorf("%s: %s, want %s: %+v", name, got, row.want, row.s.c.Findings())
@@ -141,15 +141,16 @@
 	}
 	unknown := &story{c: NewChecker(nil), f: NewFleet()}
 	if got := unknown.taken(1, "a").final(2, "a", Refused).verdicts(); got != "nnnnn" {
-		t.Errorf("without the figures of the rules: %s", got)
+		t.Errorf("without the parameters of the rules: %s", got)
 	}
 }
 
-// The cold rule over two gatekeepers: what the warm server answered is the least that it can do.
+// The set-ups of two gatekeepers to a cold server count together. The answer rate of a warm server is a lower bound of the
+// capacity.
 func TestColdServer(t *testing.T) {
 	play := func(capacity map[uint32]float64, perS int) string {
 		s := newStory(capacity).told(1, 1, control.Ready, 0).told(1, 2, control.Ready, 20000)
-		for i := range 400 { // server 1 is seen to answer 40 a second
+		for i := range 400 { // server 1 answers 40 set-ups per second
 			call := fmt.Sprint("w", i)
 			s.taken(control.Micros(i*25+10), call).final(control.Micros(i*25+11), call, Established)
 		}
@@ -164,17 +165,16 @@
 		perS     int
 		want     string
 	}{
-		{nil, 20, "hhhhh"}, {nil, 60, "hhhnh"}, // 2 x 0.33 x 40 = 26 a second are allowed at first
+		{nil, 20, "hhhhh"}, {nil, 60, "hhhnh"}, // 2 x 0.33 x 40 = 26 per second are allowed at first
 		{map[uint32]float64{2: 40}, 20, "hhhhh"}, {map[uint32]float64{2: 40}, 60, "hhhbh"}, {map[uint32]float64{2: 400}, 60, "hhhhh"},
 	} {
 		if got := play(row.capacity, row.perS); got != row.want {
-			t.Errorf("%d a second, capacity %v: %s, want %s", row.perS, row.capacity, got, row.want)
+			t.Errorf("%d per second, capacity %v: %s, want %s", row.perS, row.capacity, got, row.want)
 		}
 	}
 }
 
-// Random legal courses break no rule; with one event taken out, put twice or moved, a gap in its place never makes a
-// rule held.
+// Random valid sequences of events break no rule. With one event replaced by a gap, no rule is reported as held.
 func TestGapsNeverHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type step struct {
@@ -213,7 +213,7 @@
 			return s.verdicts()
 		}
 		if got := play(-1); got != "hhhhh" {
-			t.Fatalf("a legal course: %s", got)
+			t.Fatalf("a valid sequence: %s", got)
 		}
 		if got := play(rapid.IntRange(0, len(steps)-1).Draw(t, "hidden")); got != "nnnnn" {
 			t.Fatalf("with an event hidden: %s", got)
@@ -221,7 +221,7 @@
 	})
 }
 
-// The checker's memory is what is open, not what has been.
+// The checker and the fleet keep open calls only, so their memory does not grow with time.
 func TestCheckerForgets(t *testing.T) {
 	s := newStory(nil).told(1, 1, control.Ready, 0)
 	for i := range 50000 {
@@ -237,11 +237,11 @@
 	}
 }
 
-// The course counts calls where they were taken, by what came of them, also when bins are joined; extremes stay.
+// The fleet counts calls at the time of their arrival by outcome, and merging bins loses neither counts nor extremes.
 func TestFleet(t *testing.T) {
 	s := newStory(nil).told(1, 1, control.Ready, 0)
 	hours := 6
-	for i := range hours * 360 { // one call in 10 s
+	for i := range hours * 360 { // one call per 10 s
 		call, at := fmt.Sprint("c", i), control.Micros(i*10000+100)
 		s.at(at, Event{Kind: Taken, Call: call, Class: i % 2, Span: 9000 * ms})
 		switch i % 4 {
@@ -291,14 +291,14 @@
 	}
 }
 
-// Moments of one kind that lie close together are one episode, however many there are; hours of them stay bounded.
+// Moments of one kind that are close together form one episode, however many there are, so hours of them stay bounded.
 func TestEpisodes(t *testing.T) {
 	s := newStory(nil)
-	for i := range 50000 { // a server that is gated and opened, every second for ten minutes in each hour
+	for i := range 50000 { // the server is gated and opened every second for ten minutes of each hour
 		at := control.Micros(i/600*3600000 + i%600*1000)
 		s.at(at, Event{Kind: Viewed, Server: 1, Level: 2, Node: fmt.Sprint("n", i%3)}).at(at+1, Event{Kind: Viewed, Server: 1, Level: 0, Node: fmt.Sprint("n", i%3)})
 	}
-	if n := len(s.f.Episodes); n != 1+84 { // the start
+	if n := len(s.f.Episodes); n != 1+84 { // 1 for the start
 		t.Fatalf("%d episodes", n)
 	}
 	if e := s.f.Episodes[1]; e.Count != 600 || len(e.Nodes) != 3 || e.Last-e.At != 599e6 {
@@ -306,10 +306,10 @@
 	}
 }
 
-// The worst 10 s are found where they are, by worth.
+// The worst 10 s are found by worth at the right place.
 func TestWorstSpan(t *testing.T) {
 	s := newStory(nil)
-	for i := range 600 { // one a second; those of 300 to 309 are refused, and dear
+	for i := range 600 { // one call per second; calls 300 to 309 have a higher worth and are refused
 		call, at := fmt.Sprint("c", i), control.Micros(i*1000+500)
 		bad := i >= 300 && i < 310
 		class, kind := 0, Established
@@ -324,7 +324,7 @@
 	}
 }
 
-// Gatekeepers tell a server's start by their own clocks: that is one start, and what they sent counts together.
+// Gatekeepers report a server's start by their own clocks. It counts as one start, and their set-ups count together.
 func TestOneStartByManyClocks(t *testing.T) {
 	s := newStory(map[uint32]float64{2: 10})
 	for i := range 40 {
@@ -337,7 +337,7 @@
 	}
 }
 
-// What an incident was made of is told once, also when every gatekeeper hears of it.
+// Each change is reported as one moment, even if every gatekeeper records it.
 func TestMoments(t *testing.T) {
 	s := newStory(nil)
 	var got []string
@@ -354,7 +354,7 @@
 	s.at(100, Event{Kind: Listed, Server: 2, Name: "s-2", State: control.Ready, Since: 5 + 90*ms, Node: "n3"}) // by its own clock
 	s.at(200, Event{Kind: Viewed, Server: 1, Level: 2}).at(300, Event{Kind: Viewed, Server: 1, Level: 1}).at(400, Event{Kind: Reloaded, Name: "v2"})
 	s.gap(500, 600, Lost, true)
-	want := "server  1 draining; server  2 started anew; gated n1 1; open again n1 1; reloaded n1 0 v2; gap n1 0 dropped"
+	want := "server  1 draining; server  2 started again; gated n1 1; open again n1 1; reloaded n1 0 v2; gap n1 0 dropped"
 	if strings.Join(got, "; ") != want {
 		t.Errorf("got  %s\nwant %s", strings.Join(got, "; "), want)
 	}
--- a/internal/history/rates.go
+++ b/internal/history/rates.go
@@ -2,15 +2,15 @@
 
 import "beammux/control"
 
-const rateSlots = 10 // seconds
+const rateSlots = 10 // one slot per second
 
-// Rates counts the calls of the last 10 s by class, each in the second of its event.
+// Rates counts the events of calls of the last 10 s by class, each in the second in which it happened.
 type Rates struct {
 	slots [rateSlots][]Counts
 	at    int64 // Unix second of the newest slot
 }
 
-// Event takes one event; class is that of its call, which Taken alone brings.
+// Event counts one event. The caller passes the class of the call, since only the event Taken carries it.
 func (r *Rates) Event(e *Event, class int) {
 	r.advance(e.At)
 	if class < 0 || int64(e.At/1e6) <= r.at-rateSlots {
@@ -35,6 +35,7 @@
 	}
 }
 
+// advance clears the slots between the newest one and now.
 func (r *Rates) advance(now control.Micros) {
 	s := int64(now / 1e6)
 	for n := min(s-r.at, rateSlots); n > 0; n-- {
@@ -43,7 +44,7 @@
 	r.at = max(r.at, s)
 }
 
-// Last gives the calls of a class in the 10 s up to now.
+// Last returns the counts of a class over the 10 s up to now.
 func (r *Rates) Last(now control.Micros, class int) (sum Counts) {
 	r.advance(now)
 	for _, slot := range r.slots {
