--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	binsMost   = 1200                    // maximum number of bins; beyond it each two neighbours are merged
-	binFirst   = control.Micros(1000000) // initial width of a bin
-	worstSpan  = 10                      // length of the worst span in seconds
-	delayMost  = 60000                   // highest set-up delay that histograms distinguish, in ms
-	momentMost = 4000                    // maximum number of episodes kept; further ones are only counted
-	momentSpan = control.Micros(10e6)    // maximum distance between moments of one kind in an episode
-	heardLate  = control.Micros(30e6)    // maximum time between the reports of one server change by different gatekeepers
-	callerMost = control.Micros(120e6)   // time after which a call without an end is assumed to have ended unrecorded
+	maxBins          = 1200                    // maximum number of bins; beyond it each two neighbours are merged
+	initialBinWidth  = control.Micros(1000000) // initial width of a bin
+	worstSpanSeconds = 10                      // length of the worst span in seconds
+	maxDelayMillis   = 60000                   // highest set-up delay that histograms distinguish, in ms
+	maxEpisodes      = 4000                    // maximum number of episodes kept; further ones are only counted
+	episodeGap       = control.Micros(10e6)    // maximum distance between moments of one kind in an episode
+	maxReportDelay   = control.Micros(30e6)    // maximum time between the reports of one server change by different gatekeepers
+	maxCallDuration  = control.Micros(120e6)   // time after which a call without an end is assumed to have ended unrecorded
 )
 
 // Counts are numbers of calls by outcome. Each call is counted at the time of its arrival.
@@ -40,7 +40,7 @@
 	Seen        bool
 }
 
-func (x *Extremes) see(v float64) {
+func (x *Extremes) add(v float64) {
 	if !x.Seen {
 		*x = Extremes{v, v, true}
 		return
@@ -48,10 +48,10 @@
 	x.Least, x.Most = min(x.Least, v), max(x.Most, v)
 }
 
-func (x *Extremes) join(o Extremes) {
+func (x *Extremes) merge(o Extremes) {
 	if o.Seen {
-		x.see(o.Least)
-		x.see(o.Most)
+		x.add(o.Least)
+		x.add(o.Most)
 	}
 }
 
@@ -73,24 +73,24 @@
 
 // Server is one row of the table of servers.
 type Server struct {
-	ID          uint32         `json:"server"`
-	Name        string         `json:"name"`
-	Cell        int64          `json:"cell"`
-	State       control.State  `json:"-"`
-	Since       control.Micros `json:"since,omitempty"`
-	Sent        int            `json:"sent"`
-	Established int            `json:"stood"`
-	Full        int            `json:"full"`
-	TimedOut    int            `json:"timed_out"`
-	Cut         int            `json:"cut"`
-	Other       int            `json:"other_ends"`
-	Gated       int            `json:"gated"` // how often a gatekeeper raised it to level 2 or higher
-	LongestWait control.Micros `json:"longest_wait_us"`
-	heard       map[heard]control.Micros
-}
-
-// heard is a change of a server as an inventory reports it.
-type heard struct {
+	ID            uint32                           `json:"server"`
+	Name          string                           `json:"name"`
+	Cell          int64                            `json:"cell"`
+	State         control.State                    `json:"-"`
+	Since         control.Micros                   `json:"since,omitempty"`
+	Sent          int                              `json:"sent"`
+	Established   int                              `json:"stood"`
+	Full          int                              `json:"full"`
+	TimedOut      int                              `json:"timed_out"`
+	Cut           int                              `json:"cut"`
+	Other         int                              `json:"other_ends"`
+	Gated         int                              `json:"gated"` // how often a gatekeeper raised it to level 2 or higher
+	LongestWait   control.Micros                   `json:"longest_wait_us"`
+	reportedState map[reportedState]control.Micros // time of the last report of each state
+}
+
+// reportedState is the state and the last start of a server, as an inventory reports them.
+type reportedState struct {
 	state control.State
 	since control.Micros
 }
@@ -108,12 +108,12 @@
 	Open        int            `json:"open"`                            // current number of calls without a final answer
 	Up          bool           `json:"up"`                              // according to the last record
 	SteppedBack control.Micros `json:"clock_stepped_back_us,omitempty"` // largest backward step of its clock between two records
-	calls       map[string]taken
+	calls       map[string]arrival
 	levels      map[uint32]int
 }
 
-// taken is the arrival of an open call.
-type taken struct {
+// arrival is the arrival of an open call.
+type arrival struct {
 	at    control.Micros
 	class int
 }
@@ -149,7 +149,7 @@
 
 // episodeKey identifies the moments that may join one episode.
 type episodeKey struct {
-	what   string
+	kind   string
 	server uint32
 	detail string
 }
@@ -158,22 +158,22 @@
 // number of gatekeepers, servers and open calls: the time series has at most 1,200 bins. When it would exceed them,
 // neighbouring bins are merged by adding counts and histograms and keeping the extremes of the views.
 type Fleet struct {
-	Rules    Rules
-	From, To control.Micros // first and last event
-	Width    control.Micros // width of a bin
-	Bins     []Bin
-	Servers  map[uint32]*Server
-	Nodes    map[string]*Node
-	Gaps     []Gap
-	Tell     func(Moment) // called with each moment, if not nil
-	Episodes []*Episode
-	Left     int // number of moments that were not kept, beyond the maximum number of episodes
-	open     map[episodeKey]*Episode
-	Events   int
-	Total    []Counts // by class
-	Worst    Worst
-	seconds  []second // the last seconds, which answers to open calls may still change
-	base     int64    // Unix second of the first of them
+	Rules        Rules
+	From, To     control.Micros // first and last event
+	Width        control.Micros // width of a bin
+	Bins         []Bin
+	Servers      map[uint32]*Server
+	Nodes        map[string]*Node
+	Gaps         []Gap
+	Tell         func(Moment) // called with each moment, if not nil
+	Episodes     []*Episode
+	Left         int // number of moments that were not kept, beyond the maximum number of episodes
+	openEpisodes map[episodeKey]*Episode
+	Events       int
+	Total        []Counts // by class
+	Worst        Worst
+	seconds      []second // the last seconds, which answers to open calls may still change
+	firstSecond  int64    // Unix second of the first of them
 }
 
 // Worst is the worst span of 10 s, the one with the lowest ratio of served to offered worth.
@@ -188,13 +188,13 @@
 
 // NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
-	return &Fleet{Width: binFirst, Servers: map[uint32]*Server{}, Nodes: map[string]*Node{}, open: map[episodeKey]*Episode{}}
+	return &Fleet{Width: initialBinWidth, Servers: map[uint32]*Server{}, Nodes: map[string]*Node{}, openEpisodes: map[episodeKey]*Episode{}}
 }
 
 func (f *Fleet) node(name string) *Node {
 	n := f.Nodes[name]
 	if n == nil {
-		n = &Node{Name: name, calls: map[string]taken{}, levels: map[uint32]int{}}
+		n = &Node{Name: name, calls: map[string]arrival{}, levels: map[uint32]int{}}
 		f.Nodes[name] = n
 	}
 	return n
@@ -209,8 +209,8 @@
 	return s
 }
 
-// moment passes a moment to the callback and adds it to its episode.
-func (f *Fleet) moment(m Moment) {
+// addMoment passes a moment to the callback and adds it to its episode.
+func (f *Fleet) addMoment(m Moment) {
 	if f.Tell != nil {
 		f.Tell(m)
 	}
@@ -218,14 +218,14 @@
 		return // does not belong to any episode; an episode of gating needs no end
 	}
 	key := episodeKey{m.What, m.Server, m.Detail}
-	e := f.open[key]
-	if e == nil || m.At-e.Last > momentSpan {
-		if len(f.Episodes) >= momentMost {
+	e := f.openEpisodes[key]
+	if e == nil || m.At-e.Last > episodeGap {
+		if len(f.Episodes) >= maxEpisodes {
 			f.Left++
 			return
 		}
 		e = &Episode{Moment: m}
-		f.open[key] = e
+		f.openEpisodes[key] = e
 		f.Episodes = append(f.Episodes, e)
 	}
 	e.Last = max(e.Last, m.At)
@@ -239,9 +239,9 @@
 func (f *Fleet) Gap(g Gap) {
 	f.Gaps = append(f.Gaps, g)
 	n := f.node(g.Node)
-	n.calls, n.levels = map[string]taken{}, map[uint32]int{}
+	n.calls, n.levels = map[string]arrival{}, map[uint32]int{}
 	if g.Hides {
-		f.moment(Moment{At: g.From, Node: g.Node, What: MomentGap, Detail: string(g.Why)})
+		f.addMoment(Moment{At: g.From, Node: g.Node, What: MomentGap, Detail: string(g.Why)})
 	}
 }
 
@@ -262,43 +262,43 @@
 	n.Last, n.Up = e.At, true
 	switch e.Kind {
 	case Started:
-		f.started(n, e)
+		f.applyStart(n, e)
 	case Continued:
 		n.Version = e.Name
 		if e.Rules != nil {
 			f.Rules = *e.Rules
 		}
 	case Taken:
-		n.calls[e.Call] = taken{e.At, e.Class}
+		n.calls[e.Call] = arrival{e.At, e.Class}
 		f.count(n, e.At, e.Class, Counts{Offered: 1})
-		f.worth(e.At, e.Class, true, 1)
+		f.addWorth(e.At, e.Class, true, 1)
 	case Sent:
 		n.Sent++
 		f.server(e.Server).Sent++
 	case Ended:
-		f.ended(f.server(e.Server), e.Code)
+		f.countAttemptEnd(f.server(e.Server), e.Code)
 	case Established, Refused, Failed, Gone:
-		f.final(n, e)
+		f.countOutcome(n, e)
 	case Viewed:
-		f.viewed(n, e)
+		f.applyView(n, e)
 	case Listed:
-		f.told(e)
+		f.applyServer(e)
 	case Reloaded:
 		n.Version = e.Name
-		f.moment(Moment{e.At, e.Node, 0, MomentReload, e.Name})
+		f.addMoment(Moment{e.At, e.Node, 0, MomentReload, e.Name})
 	case Used:
 		if len(e.Values) >= 2 {
 			n.Memory, n.Descriptors = max(n.Memory, e.Values[0]), max(n.Descriptors, e.Values[1])
 		}
 	case Draining:
-		f.moment(Moment{e.At, e.Node, 0, MomentDrain, ""})
+		f.addMoment(Moment{e.At, e.Node, 0, MomentDrain, ""})
 	case Finished:
 		n.Up = false
-		f.moment(Moment{e.At, e.Node, 0, MomentEnd, ""})
+		f.addMoment(Moment{e.At, e.Node, 0, MomentEnd, ""})
 	}
 	n.Open = len(n.calls)
 	if f.Events%65536 == 0 {
-		f.sweep()
+		f.removeOldCalls()
 	}
 }
 
@@ -315,23 +315,23 @@
 	case Reloaded:
 		n.Version = e.Name
 	case Listed:
-		f.told(e)
+		f.applyServer(e)
 	}
-	f.Episodes, f.Left, f.open = episodes, left, map[episodeKey]*Episode{}
+	f.Episodes, f.Left, f.openEpisodes = episodes, left, map[episodeKey]*Episode{}
 }
 
-// started applies the first event of a start.
-func (f *Fleet) started(n *Node, e *Event) {
+// applyStart applies the first event of a start.
+func (f *Fleet) applyStart(n *Node, e *Event) {
 	n.Starts++
 	n.Version = e.Name
 	if e.Rules != nil {
 		f.Rules = *e.Rules
 	}
-	f.moment(Moment{e.At, e.Node, 0, MomentStart, ""})
+	f.addMoment(Moment{e.At, e.Node, 0, MomentStart, ""})
 }
 
-// ended counts a failed attempt at its server.
-func (f *Fleet) ended(s *Server, code control.Code) {
+// countAttemptEnd counts a failed attempt at its server.
+func (f *Fleet) countAttemptEnd(s *Server, code control.Code) {
 	switch code {
 	case control.Full:
 		s.Full++
@@ -344,37 +344,37 @@
 	}
 }
 
-// final counts the outcome of a call at the time of its arrival. Calls whose arrival is not recorded are ignored.
-func (f *Fleet) final(n *Node, e *Event) {
+// countOutcome counts the outcome of a call at the time of its arrival. Calls whose arrival is not recorded are ignored.
+func (f *Fleet) countOutcome(n *Node, e *Event) {
 	if e.Kind == Established {
 		f.server(e.Server).Established++
 	}
-	k, ok := n.calls[e.Call]
+	call, ok := n.calls[e.Call]
 	if !ok {
 		return
 	}
 	delete(n.calls, e.Call)
 	switch e.Kind {
 	case Refused:
-		f.count(n, k.at, k.class, Counts{Refused: 1})
+		f.count(n, call.at, call.class, Counts{Refused: 1})
 	case Failed:
-		f.count(n, k.at, k.class, Counts{Failed: 1})
+		f.count(n, call.at, call.class, Counts{Failed: 1})
 	case Gone:
-		f.count(n, k.at, k.class, Counts{Gone: 1})
+		f.count(n, call.at, call.class, Counts{Gone: 1})
 	case Established:
-		took, class := e.Span, f.class(k.class)
-		if class.Aim == 0 || took <= class.Aim {
-			f.count(n, k.at, k.class, Counts{Served: 1})
-			f.worth(k.at, k.class, false, 1)
+		delay, class := e.Span, f.class(call.class)
+		if class.Aim == 0 || delay <= class.Aim {
+			f.count(n, call.at, call.class, Counts{Served: 1})
+			f.addWorth(call.at, call.class, false, 1)
 		} else {
-			f.count(n, k.at, k.class, Counts{Late: 1})
-			f.worth(k.at, k.class, false, class.LateWorth)
+			f.count(n, call.at, call.class, Counts{Late: 1})
+			f.addWorth(call.at, call.class, false, class.LateWorth)
 		}
-		if b := f.bin(k.at); b != nil {
+		if b := f.bin(call.at); b != nil {
 			if b.Delay == nil {
-				b.Delay = hdrhistogram.New(1, delayMost, 2)
+				b.Delay = hdrhistogram.New(1, maxDelayMillis, 2)
 			}
-			b.Delay.RecordValue(int64(min(max(took/1000, 1), delayMost)))
+			b.Delay.RecordValue(int64(min(max(delay/1000, 1), maxDelayMillis)))
 		}
 	}
 }
@@ -382,8 +382,8 @@
 // ClassOf returns the class of an open call of a gatekeeper, -1 if the call is unknown.
 func (f *Fleet) ClassOf(node, call string) int {
 	if n := f.Nodes[node]; n != nil {
-		if k, ok := n.calls[call]; ok {
-			return k.class
+		if arrival, ok := n.calls[call]; ok {
+			return arrival.class
 		}
 	}
 	return -1
@@ -396,8 +396,8 @@
 	return Class{Name: "unknown"}
 }
 
-// viewed applies a gatekeeper's new view of a server.
-func (f *Fleet) viewed(n *Node, e *Event) {
+// applyView applies a gatekeeper's new view of a server.
+func (f *Fleet) applyView(n *Node, e *Event) {
 	s := f.server(e.Server)
 	s.LongestWait = max(s.LongestWait, e.Span)
 	if b := f.bin(e.At); b != nil {
@@ -405,34 +405,34 @@
 			b.Views = map[Pair]View{}
 		}
 		v := b.Views[Pair{e.Node, e.Server}]
-		v.Level.see(float64(e.Level))
-		v.Wait.see(float64(e.Span))
+		v.Level.add(float64(e.Level))
+		v.Wait.add(float64(e.Span))
 		b.Views[Pair{e.Node, e.Server}] = v
 	}
-	was := n.levels[e.Server]
+	previous := n.levels[e.Server]
 	n.levels[e.Server] = e.Level
-	if was < 2 && e.Level >= 2 {
+	if previous < 2 && e.Level >= 2 {
 		s.Gated++
-		f.moment(Moment{e.At, e.Node, e.Server, MomentGate, ""})
-	} else if was >= 2 && e.Level < 2 {
-		f.moment(Moment{e.At, e.Node, e.Server, MomentOpen, ""})
+		f.addMoment(Moment{e.At, e.Node, e.Server, MomentGate, ""})
+	} else if previous >= 2 && e.Level < 2 {
+		f.addMoment(Moment{e.At, e.Node, e.Server, MomentOpen, ""})
 	}
 }
 
-// told applies the state of a server from an inventory, once for all gatekeepers that report it.
-func (f *Fleet) told(e *Event) {
+// applyServer applies the state of a server from an inventory, once for all gatekeepers that report it.
+func (f *Fleet) applyServer(e *Event) {
 	s := f.server(e.Server)
-	if s.heard == nil {
-		s.heard = map[heard]control.Micros{}
+	if s.reportedState == nil {
+		s.reportedState = map[reportedState]control.Micros{}
 	}
 	// All gatekeepers report the same change, some of them seconds later, with the server's start by their own clocks.
 	since := e.Since
 	if sameStart(since, s.Since) {
 		since = s.Since
 	}
-	at, again := s.heard[heard{e.State, since}]
-	s.heard[heard{e.State, since}] = e.At
-	if again && e.At-at < heardLate {
+	at, reported := s.reportedState[reportedState{e.State, since}]
+	s.reportedState[reportedState{e.State, since}] = e.At
+	if reported && e.At-at < maxReportDelay {
 		return
 	}
 	known := s.Name != ""
@@ -445,7 +445,7 @@
 		if e.State == control.Ready && e.Since > 0 {
 			detail = "started again"
 		}
-		f.moment(Moment{e.At, "", e.Server, MomentServer, detail})
+		f.addMoment(Moment{e.At, "", e.Server, MomentServer, detail})
 	}
 }
 
@@ -454,8 +454,8 @@
 	if at < f.From {
 		return nil
 	}
-	for int((at-f.From)/f.Width) >= binsMost {
-		f.join()
+	for int((at-f.From)/f.Width) >= maxBins {
+		f.merge()
 	}
 	i := int((at - f.From) / f.Width)
 	for len(f.Bins) <= i {
@@ -464,13 +464,13 @@
 	return &f.Bins[i]
 }
 
-// join doubles the width of the bins and merges each pair of neighbours.
-func (f *Fleet) join() {
+// merge doubles the width of the bins by merging each pair of neighbours.
+func (f *Fleet) merge() {
 	f.Width *= 2
 	for i := 0; i < len(f.Bins); i += 2 {
 		b := f.Bins[i]
 		if i+1 < len(f.Bins) {
-			b.join(f.Bins[i+1])
+			b.merge(f.Bins[i+1])
 		}
 		f.Bins[i/2] = b
 	}
@@ -479,8 +479,8 @@
 	f.Bins = f.Bins[:half]
 }
 
-// join merges another bin into b.
-func (b *Bin) join(o Bin) {
+// merge merges another bin into b.
+func (b *Bin) merge(o Bin) {
 	for len(b.Classes) < len(o.Classes) {
 		b.Classes = append(b.Classes, Counts{})
 	}
@@ -498,10 +498,10 @@
 		return
 	}
 	for pair, v := range o.Views {
-		mine := b.Views[pair]
-		mine.Level.join(v.Level)
-		mine.Wait.join(v.Wait)
-		b.Views[pair] = mine
+		merged := b.Views[pair]
+		merged.Level.merge(v.Level)
+		merged.Wait.merge(v.Wait)
+		b.Views[pair] = merged
 	}
 }
 
@@ -521,56 +521,57 @@
 	}
 }
 
-// worth adds the worth of a call to the second of its arrival. Seconds are kept as long as their calls may still be
+// addWorth adds the worth of a call to the second of its arrival. Seconds are kept as long as their calls may still be
 // answered.
-func (f *Fleet) worth(at control.Micros, class int, offered bool, part float64) {
+func (f *Fleet) addWorth(at control.Micros, class int, offered bool, part float64) {
 	s := int64(at / 1e6)
 	if len(f.seconds) == 0 {
-		f.base = s
+		f.firstSecond = s
 	}
-	if s < f.base {
+	if s < f.firstSecond {
 		return
 	}
-	for int64(len(f.seconds)) <= s-f.base {
+	for int64(len(f.seconds)) <= s-f.firstSecond {
 		f.seconds = append(f.seconds, second{})
 	}
 	w := part * f.class(class).Worth
 	if offered {
-		f.seconds[s-f.base].offered += w
+		f.seconds[s-f.firstSecond].offered += w
 	} else {
-		f.seconds[s-f.base].served += w
+		f.seconds[s-f.firstSecond].served += w
 	}
-	const keep = int(callerMost/1e6) + worstSpan
-	if len(f.seconds) > 2*keep {
-		f.settle(len(f.seconds) - keep)
+	const retainedSeconds = int(maxCallDuration/1e6) + worstSpanSeconds
+	if len(f.seconds) > 2*retainedSeconds {
+		f.findWorst(len(f.seconds) - retainedSeconds)
 	}
 }
 
-// settle compares the spans that begin in the given number of first seconds with the worst one, and removes those seconds.
-func (f *Fleet) settle(seconds int) {
-	for i := 0; i < seconds && i+worstSpan <= len(f.seconds); i++ {
+// findWorst compares the spans that begin within the first seconds, up to the given number, with the worst span so far, and
+// removes those seconds.
+func (f *Fleet) findWorst(seconds int) {
+	for i := 0; i < seconds && i+worstSpanSeconds <= len(f.seconds); i++ {
 		offered, served := 0.0, 0.0
-		for _, s := range f.seconds[i : i+worstSpan] {
+		for _, s := range f.seconds[i : i+worstSpanSeconds] {
 			offered += s.offered
 			served += s.served
 		}
 		if offered > 0 && (!f.Worst.Known || served/offered < f.Worst.Part) {
-			f.Worst = Worst{control.Micros((f.base + int64(i)) * 1e6), offered, served / offered, true}
+			f.Worst = Worst{control.Micros((f.firstSecond + int64(i)) * 1e6), offered, served / offered, true}
 		}
 	}
 	seconds = min(seconds, len(f.seconds))
 	f.seconds = slices.Clone(f.seconds[seconds:])
-	f.base += int64(seconds)
+	f.firstSecond += int64(seconds)
 }
 
 // Settle finishes the evaluation after the last event: Worst is final, and calls that are still open stay open.
-func (f *Fleet) Settle() { f.settle(len(f.seconds)) }
+func (f *Fleet) Settle() { f.findWorst(len(f.seconds)) }
 
-// sweep removes calls whose end is missing in the records.
-func (f *Fleet) sweep() {
+// removeOldCalls removes calls whose end is missing in the records.
+func (f *Fleet) removeOldCalls() {
 	for _, n := range f.Nodes {
-		for id, k := range n.calls {
-			if f.To-k.at > callerMost {
+		for id, call := range n.calls {
+			if f.To-call.at > maxCallDuration {
 				delete(n.calls, id)
 			}
 		}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -21,73 +21,73 @@
 
 const ms = control.Micros(1000)
 
-func rules() *Rules {
+func testRules() *Rules {
 	return &Rules{Classes: []Class{{"menu-view", 1500 * ms, 1, 0.25}, {"diet-order", 2000 * ms, 3, 0.25}}, Fronts: 2, DrainGrace: 250 * ms,
 		ReleaseGuard: 300 * ms, FallMultiple: 2, FallTime: 1000 * ms, StartCapacity: 0.33, WarmWithin: 15000 * ms}
 }
 
-// story feeds events of one gatekeeper to a checker and a fleet, at times in milliseconds.
-type story struct {
-	c   *Checker
-	f   *Fleet
-	seq uint64
+// scenario feeds events of one gatekeeper to a checker and a fleet, at times in milliseconds.
+type scenario struct {
+	checker *Checker
+	fleet   *Fleet
+	seq     uint64
 }
 
-func newStory(capacity map[uint32]float64) *story {
-	s := &story{c: NewChecker(capacity), f: NewFleet()}
-	s.at(0, Event{Kind: Started, Rules: rules()})
+func newScenario(capacity map[uint32]float64) *scenario {
+	s := &scenario{checker: NewChecker(capacity), fleet: NewFleet()}
+	s.at(0, Event{Kind: Started, Rules: testRules()})
 	return s
 }
 
-func (s *story) at(at control.Micros, e Event) *story {
+func (s *scenario) at(at control.Micros, e Event) *scenario {
 	s.seq++
 	e.At, e.Seq = 1e12+at*ms, s.seq
 	if e.Node == "" {
 		e.Node = "n1"
 	}
-	s.c.Event(&e)
-	s.f.Event(&e)
+	s.checker.Event(&e)
+	s.fleet.Event(&e)
 	return s
 }
 
-func (s *story) gap(at, to control.Micros, why Why, hides bool) *story {
+func (s *scenario) gap(at, to control.Micros, why Why, hides bool) *scenario {
 	g := Gap{Node: "n1", From: 1e12 + at*ms, To: 1e12 + to*ms, Why: why, Hides: hides}
-	s.c.Gap(g)
-	s.f.Gap(g)
+	s.checker.Gap(g)
+	s.fleet.Gap(g)
 	return s
 }
 
-func (s *story) taken(at control.Micros, call string) *story {
+func (s *scenario) taken(at control.Micros, call string) *scenario {
 	return s.at(at, Event{Kind: Taken, Call: call, Span: 3000 * ms})
 }
 
-func (s *story) sent(at control.Micros, call string, attempt int, server uint32) *story {
+func (s *scenario) sent(at control.Micros, call string, attempt int, server uint32) *scenario {
 	return s.at(at, Event{Kind: Sent, Call: call, Attempt: attempt, Server: server})
 }
 
-func (s *story) ended(at control.Micros, call string, attempt int, code control.Code) *story {
+func (s *scenario) ended(at control.Micros, call string, attempt int, code control.Code) *scenario {
 	return s.at(at, Event{Kind: Ended, Call: call, Attempt: attempt, Server: 1, Code: code})
 }
 
-func (s *story) told(at control.Micros, server uint32, state control.State, since control.Micros) *story {
+func (s *scenario) listed(at control.Micros, server uint32, state control.State, since control.Micros) *scenario {
 	if since > 0 {
 		since = 1e12 + since*ms
 	}
 	return s.at(at, Event{Kind: Listed, Server: server, Name: fmt.Sprint("s-", server), State: state, Since: since})
 }
 
-func (s *story) final(at control.Micros, call string, kind Kind) *story {
+func (s *scenario) final(at control.Micros, call string, kind Kind) *scenario {
 	e := Event{Kind: kind, Call: call, Server: 1}
-	if n := s.f.Nodes["n1"]; n != nil && kind == Established {
+	if n := s.fleet.Nodes["n1"]; n != nil && kind == Established {
 		e.Span = 1e12 + at*ms - n.calls[call].at
 	}
 	return s.at(at, e)
 }
 
 // verdicts returns the first letters of the five verdicts in order: h, b or n.
-func (s *story) verdicts() string {
+func (s *scenario) verdicts() string {
 	out := ""
-	for _, f := range s.c.Findings() {
+	for _, f := range s.checker.Findings() {
 		out += string(f.Verdict[0])
 	}
 	return out
@@ -95,12 +95,12 @@
 
 // Each rule is held and broken on either side of its limits.
 func TestVerdicts(t *testing.T) {
-	good := func() *story {
-		return newStory(nil).told(1, 1, control.Ready, 0).taken(10, "a").sent(11, "a", 0, 1).ended(500, "a", 0, control.TimedOut).
+	good := func() *scenario {
+		return newScenario(nil).listed(1, 1, control.Ready, 0).taken(10, "a").sent(11, "a", 0, 1).ended(500, "a", 0, control.TimedOut).
 			sent(800, "a", 1, 1).final(900, "a", Established)
 	}
 	for name, row := range map[string]struct {
-		s    *story
+		s    *scenario
 		want string
 	}{
 		"no violation":                     {good(), "hhhhh"},
@@ -118,28 +118,28 @@
 		"an attempt abandoned when sent":   {good().taken(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
 		"withdrawn when sent":              {good().taken(1000, "b").ended(1001, "b", 0, control.Cancelled).final(1001, "b", Gone).sent(1002, "b", 0, 1).final(9000, "c", Refused), "hhhhh"},
 		"withdrawn, then sent again":       {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1002, "b", 0, control.Cancelled).final(1002, "b", Gone).sent(1003, "b", 1, 1).final(9000, "c", Refused), "hhhhb"},
-		"drained, within the grace":        {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Established), "hhhhh"},
-		"drained, after the grace":         {good().told(1000, 1, control.Draining, 0).taken(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
-		"drained, then gone":               {good().told(1000, 1, control.Draining, 0).told(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
-		"ready again":                      {good().told(1000, 1, control.Draining, 0).told(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
+		"drained, within the grace":        {good().listed(1000, 1, control.Draining, 0).taken(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Established), "hhhhh"},
+		"drained, after the grace":         {good().listed(1000, 1, control.Draining, 0).taken(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"drained, then gone":               {good().listed(1000, 1, control.Draining, 0).listed(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"ready again":                      {good().listed(1000, 1, control.Draining, 0).listed(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
 		"sent again within the guard":      {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cut).sent(1399, "b", 1, 1).final(1400, "b", Established), "hhhhb"},
 		"full needs no guard":              {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Full).sent(1101, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
 		"ended as planned, one still open": {good().taken(1000, "b").at(1200, Event{Kind: Finished}), "bhhhh"},
-		"a planned restart hides nothing":  {good().at(1200, Event{Kind: Finished}).gap(1200, 2000, Restart, false).at(2000, Event{Kind: Started, Rules: rules()}).taken(2001, "b").final(2002, "b", Refused), "hhhhh"},
-		"a crash hides events":             {good().taken(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: rules()}).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
+		"a planned restart hides nothing":  {good().at(1200, Event{Kind: Finished}).gap(1200, 2000, Restart, false).at(2000, Event{Kind: Started, Rules: testRules()}).taken(2001, "b").final(2002, "b", Refused), "hhhhh"},
+		"a crash hides events":             {good().taken(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: testRules()}).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
 		"dropped records hide events":      {good().gap(1200, 2000, Lost, true), "nnnnn"},
 		"damage hides events":              {good().gap(1200, 2000, Damaged, true), "nnnnn"},
 		"broken before a gap":              {good().final(950, "a", Refused).gap(1200, 2000, Damaged, true), "bnnnn"},
 		"an end in the gap":                {good().taken(1000, "b").sent(1001, "b", 0, 1).gap(1100, 1900, Lost, true).sent(1901, "b", 1, 1).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
 	} {
 		if got := row.s.verdicts(); got != row.want {
-			t.Errorf("%s: %s, want %s: %+v", name, got, row.want, row.s.c.Findings())
+			t.Errorf("%s: %s, want %s: %+v", name, got, row.want, row.s.checker.Findings())
 		}
 	}
-	if got := (&story{c: NewChecker(nil), f: NewFleet()}).verdicts(); got != "nnnnn" {
+	if got := (&scenario{checker: NewChecker(nil), fleet: NewFleet()}).verdicts(); got != "nnnnn" {
 		t.Errorf("without records: %s", got)
 	}
-	unknown := &story{c: NewChecker(nil), f: NewFleet()}
+	unknown := &scenario{checker: NewChecker(nil), fleet: NewFleet()}
 	if got := unknown.taken(1, "a").final(2, "a", Refused).verdicts(); got != "nnnnn" {
 		t.Errorf("without the parameters of the rules: %s", got)
 	}
@@ -148,8 +148,8 @@
 // The set-ups of two gatekeepers to a cold server count together. The answer rate of a warm server is a lower bound of the
 // capacity.
 func TestColdServer(t *testing.T) {
-	play := func(capacity map[uint32]float64, perS int) string {
-		s := newStory(capacity).told(1, 1, control.Ready, 0).told(1, 2, control.Ready, 20000)
+	run := func(capacity map[uint32]float64, perS int) string {
+		s := newScenario(capacity).listed(1, 1, control.Ready, 0).listed(1, 2, control.Ready, 20000)
 		for i := range 400 { // server 1 answers 40 set-ups per second
 			call := fmt.Sprint("w", i)
 			s.taken(control.Micros(i*25+10), call).final(control.Micros(i*25+11), call, Established)
@@ -168,14 +168,14 @@
 		{nil, 20, "hhhhh"}, {nil, 60, "hhhnh"}, // 2 x 0.33 x 40 = 26 per second are allowed at first
 		{map[uint32]float64{2: 40}, 20, "hhhhh"}, {map[uint32]float64{2: 40}, 60, "hhhbh"}, {map[uint32]float64{2: 400}, 60, "hhhhh"},
 	} {
-		if got := play(row.capacity, row.perS); got != row.want {
+		if got := run(row.capacity, row.perS); got != row.want {
 			t.Errorf("%d per second, capacity %v: %s, want %s", row.perS, row.capacity, got, row.want)
 		}
 	}
 }
 
 // Random valid sequences of events break no rule. With one event replaced by a gap, no rule is reported as held.
-func TestGapsNeverHold(t *testing.T) {
+func TestGapsPreventHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type step struct {
 			at control.Micros
@@ -200,8 +200,8 @@
 			steps = append(steps, step{at + 1, Event{Kind: rapid.SampledFrom([]Kind{Refused, Failed, Gone}).Draw(t, "final"), Call: id}})
 			now = at + 2
 		}
-		play := func(hide int) string {
-			s := newStory(nil)
+		run := func(hide int) string {
+			s := newScenario(nil)
 			for i, x := range steps {
 				if i == hide {
 					s.gap(x.at, x.at, Lost, true)
@@ -212,34 +212,34 @@
 			s.at(now+20000, Event{Kind: Draining})
 			return s.verdicts()
 		}
-		if got := play(-1); got != "hhhhh" {
+		if got := run(-1); got != "hhhhh" {
 			t.Fatalf("a valid sequence: %s", got)
 		}
-		if got := play(rapid.IntRange(0, len(steps)-1).Draw(t, "hidden")); got != "nnnnn" {
+		if got := run(rapid.IntRange(0, len(steps)-1).Draw(t, "hidden")); got != "nnnnn" {
 			t.Fatalf("with an event hidden: %s", got)
 		}
 	})
 }
 
 // The checker and the fleet keep open calls only, so their memory does not grow with time.
-func TestCheckerForgets(t *testing.T) {
-	s := newStory(nil).told(1, 1, control.Ready, 0)
+func TestCheckerMemoryIsBounded(t *testing.T) {
+	s := newScenario(nil).listed(1, 1, control.Ready, 0)
 	for i := range 50000 {
 		call, at := fmt.Sprint("c", i), control.Micros(i*10)
 		s.taken(at, call).sent(at+1, call, 0, 1).ended(at+2, call, 0, control.TimedOut).final(at+3, call, Refused)
 	}
-	n := s.c.nodes["n1"]
-	if len(n.calls) > 3000 || len(n.ended) > 3000 || len(s.f.Nodes["n1"].calls) > 0 {
+	n := s.checker.nodes["n1"]
+	if len(n.calls) > 3000 || len(n.ended) > 3000 || len(s.fleet.Nodes["n1"].calls) > 0 {
 		t.Errorf("%d calls and %d ends kept", len(n.calls), len(n.ended))
 	}
-	if len(s.f.Bins) > binsMost {
-		t.Errorf("%d bins", len(s.f.Bins))
+	if len(s.fleet.Bins) > maxBins {
+		t.Errorf("%d bins", len(s.fleet.Bins))
 	}
 }
 
 // The fleet counts calls at the time of their arrival by outcome, and merging bins loses neither counts nor extremes.
 func TestFleet(t *testing.T) {
-	s := newStory(nil).told(1, 1, control.Ready, 0)
+	s := newScenario(nil).listed(1, 1, control.Ready, 0)
 	hours := 6
 	for i := range hours * 360 { // one call per 10 s
 		call, at := fmt.Sprint("c", i), control.Micros(i*10000+100)
@@ -257,16 +257,16 @@
 	}
 	s.at(5000000, Event{Kind: Viewed, Server: 1, Level: 4, Span: 9 * 1e6})
 	s.at(5000100, Event{Kind: Viewed, Server: 1, Level: 0, Span: 1000})
-	f := s.f
-	f.Settle()
+	fleet := s.fleet
+	fleet.Settle()
 	n := hours * 360 / 4
 	want := []Counts{{Offered: 2 * n, Served: n, Refused: n}, {Offered: 2 * n, Late: n, Failed: n}}
-	if fmt.Sprint(f.Total) != fmt.Sprint(want) || f.Width < 16*1e6 || len(f.Bins) > binsMost {
-		t.Errorf("total %v, want %v; %d bins of %d s", f.Total, want, len(f.Bins), f.Width/1e6)
+	if fmt.Sprint(fleet.Total) != fmt.Sprint(want) || fleet.Width < 16*1e6 || len(fleet.Bins) > maxBins {
+		t.Errorf("total %v, want %v; %d bins of %d s", fleet.Total, want, len(fleet.Bins), fleet.Width/1e6)
 	}
 	sum := []Counts{{}, {}}
 	delays, most := int64(0), 0.0
-	for _, b := range f.Bins {
+	for _, b := range fleet.Bins {
 		for i, c := range b.Classes {
 			sum[i].add(c)
 		}
@@ -283,32 +283,32 @@
 	if fmt.Sprint(sum) != fmt.Sprint(want) || delays != int64(2*n) || most != 4 {
 		t.Errorf("bins hold %v and %d delays, level up to %g", sum, delays, most)
 	}
-	if class, part := f.WorstClass(); class != 1 || part != 0 {
+	if class, part := fleet.WorstClass(); class != 1 || part != 0 {
 		t.Errorf("worst class %d, %g", class, part)
 	}
-	if sv := f.Servers[1]; sv.Gated != 1 || sv.LongestWait != 9e6 || sv.Established != 2*n {
+	if sv := fleet.Servers[1]; sv.Gated != 1 || sv.LongestWait != 9e6 || sv.Established != 2*n {
 		t.Errorf("%+v", sv)
 	}
 }
 
 // Moments of one kind that are close together form one episode, however many there are, so hours of them stay bounded.
 func TestEpisodes(t *testing.T) {
-	s := newStory(nil)
+	s := newScenario(nil)
 	for i := range 50000 { // the server is gated and opened every second for ten minutes of each hour
 		at := control.Micros(i/600*3600000 + i%600*1000)
 		s.at(at, Event{Kind: Viewed, Server: 1, Level: 2, Node: fmt.Sprint("n", i%3)}).at(at+1, Event{Kind: Viewed, Server: 1, Level: 0, Node: fmt.Sprint("n", i%3)})
 	}
-	if n := len(s.f.Episodes); n != 1+84 { // 1 for the start
+	if n := len(s.fleet.Episodes); n != 1+84 { // 1 for the start
 		t.Fatalf("%d episodes", n)
 	}
-	if e := s.f.Episodes[1]; e.Count != 600 || len(e.Nodes) != 3 || e.Last-e.At != 599e6 {
+	if e := s.fleet.Episodes[1]; e.Count != 600 || len(e.Nodes) != 3 || e.Last-e.At != 599e6 {
 		t.Errorf("%+v", e)
 	}
 }
 
 // The worst 10 s are found by worth at the right place.
 func TestWorstSpan(t *testing.T) {
-	s := newStory(nil)
+	s := newScenario(nil)
 	for i := range 600 { // one call per second; calls 300 to 309 have a higher worth and are refused
 		call, at := fmt.Sprint("c", i), control.Micros(i*1000+500)
 		bad := i >= 300 && i < 310
@@ -318,15 +318,15 @@
 		}
 		s.at(at, Event{Kind: Taken, Call: call, Class: class, Span: 9000 * ms}).final(at+10, call, kind)
 	}
-	s.f.Settle()
-	if w := s.f.Worst; !w.Known || w.From != 1e12+300e6 || w.Part != 0 || w.Offered != 30 {
+	s.fleet.Settle()
+	if w := s.fleet.Worst; !w.Known || w.From != 1e12+300e6 || w.Part != 0 || w.Offered != 30 {
 		t.Errorf("%+v", w)
 	}
 }
 
 // Gatekeepers report a server's start by their own clocks. It counts as one start, and their set-ups count together.
-func TestOneStartByManyClocks(t *testing.T) {
-	s := newStory(map[uint32]float64{2: 10})
+func TestServerStartByDifferentClocks(t *testing.T) {
+	s := newScenario(map[uint32]float64{2: 10})
 	for i := range 40 {
 		node := fmt.Sprint("n", i%4)
 		s.at(control.Micros(100+i*10), Event{Kind: Listed, Server: 2, Name: "s-2", State: control.Ready, Since: 1e12 + 50*ms + control.Micros(i%4)*20*ms, Node: node})
@@ -339,9 +339,9 @@
 
 // Each change is reported as one moment, even if every gatekeeper records it.
 func TestMoments(t *testing.T) {
-	s := newStory(nil)
+	s := newScenario(nil)
 	var got []string
-	s.f.Tell = func(m Moment) {
+	s.fleet.Tell = func(m Moment) {
 		got = append(got, strings.TrimSpace(fmt.Sprintf("%s %s %d %s", m.What, m.Node, m.Server, m.Detail)))
 	}
 	for _, node := range []string{"n1", "n2"} {
--- a/internal/history/rates.go
+++ b/internal/history/rates.go
@@ -6,14 +6,14 @@
 
 // Rates counts the events of calls of the last 10 s by class, each in the second in which it happened.
 type Rates struct {
-	slots [rateSlots][]Counts
-	at    int64 // Unix second of the newest slot
+	slots  [rateSlots][]Counts
+	newest int64 // Unix second of the newest slot
 }
 
 // Event counts one event. The caller passes the class of the call, since only the event Taken carries it.
 func (r *Rates) Event(e *Event, class int) {
 	r.advance(e.At)
-	if class < 0 || int64(e.At/1e6) <= r.at-rateSlots {
+	if class < 0 || int64(e.At/1e6) <= r.newest-rateSlots {
 		return
 	}
 	slot := &r.slots[int64(e.At/1e6)%rateSlots]
@@ -38,10 +38,10 @@
 // advance clears the slots between the newest one and now.
 func (r *Rates) advance(now control.Micros) {
 	s := int64(now / 1e6)
-	for n := min(s-r.at, rateSlots); n > 0; n-- {
+	for n := min(s-r.newest, rateSlots); n > 0; n-- {
 		clear(r.slots[(s-n+1)%rateSlots])
 	}
-	r.at = max(r.at, s)
+	r.newest = max(r.newest, s)
 }
 
 // Last returns the counts of a class over the 10 s up to now.
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -59,7 +59,7 @@
 	lastSeq        uint64 // sequence number of the last event
 	lastStart      uint64 // start number of the last event
 	lastAt         control.Micros
-	endedAsPlanned bool   // the current start has reached its planned end
+	endedAsPlanned bool   // the current start has completed its planned shutdown
 	damaged        bool   // damage was found since the last event
 	lostEvents     int64  // number of events known to be lost in the next gap
 	pending        []Item // items to return before the next frame is read
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// The gap after a planned end hides no events.
+// The gap after a planned shutdown hides no events.
 func TestPlannedEndHidesNothing(t *testing.T) {
 	dir := t.TempDir()
 	for start := range 2 {
--- a/internal/report/build.go
+++ b/internal/report/build.go
@@ -1,5 +1,5 @@
-// Package report makes of a fleet's records what people read after an incident: findings on the rules, tables, and an
-// HTML page in one file.
+// Package report creates an incident report from a fleet's records: findings on the rules, tables, and an HTML page in a
+// single file.
 package report
 
 import (
@@ -13,17 +13,18 @@
 	"beammux/internal/record"
 )
 
-// lookBack is how far before the asked range events are taken in for the check: calls that are open at its beginning.
-const lookBack = 30 * time.Second
+// checkLeadTime is how long before the requested range the check begins, so that it covers the calls that are open at the
+// beginning of the range.
+const checkLeadTime = 30 * time.Second
 
-// Options say what a report covers.
+// Options select the records that a report covers.
 type Options struct {
 	Dirs     []string
-	From, To time.Time        // zero: all
-	Progress func(events int) // called now and then, if not nil
+	From, To time.Time        // zero: unlimited
+	Progress func(events int) // called periodically with the number of items read, if not nil
 }
 
-// Report is all that a page shows.
+// Report is the content of a report.
 type Report struct {
 	Fleet    *history.Fleet
 	Findings []history.Finding
@@ -33,14 +34,14 @@
 	Asked    [2]time.Time
 }
 
-// Build reads the records and judges them. Its memory is that of the fleet's state, whatever the time covered.
+// Build reads the records and checks the rules. Its memory depends on the size of the fleet, not on the time covered.
 func Build(o Options) (*Report, error) {
 	began := time.Now()
-	in, err := record.OpenAll(o.Dirs...)
+	reader, err := record.OpenAll(o.Dirs...)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
+	defer reader.Close()
 	from, to := control.Micros(0), control.Micros(1<<62)
 	if !o.From.IsZero() {
 		from = control.Micros(o.From.UnixMicro())
@@ -48,11 +49,11 @@
 	if !o.To.IsZero() {
 		to = control.Micros(o.To.UnixMicro())
 	}
-	early := from - control.Micros(lookBack.Microseconds())
+	checkFrom := from - control.Micros(checkLeadTime.Microseconds())
 	r := &Report{Fleet: history.NewFleet(), Made: began, Asked: [2]time.Time{o.From, o.To}}
 	checker := history.NewChecker(nil)
 	for n := 0; ; n++ {
-		item, err := in.Next()
+		item, err := reader.Next()
 		if err == io.EOF {
 			break
 		}
@@ -63,7 +64,7 @@
 			o.Progress(n)
 		}
 		if g := item.Gap; g != nil {
-			if g.To >= early && g.From <= to {
+			if g.To >= checkFrom && g.From <= to {
 				checker.Gap(*g)
 				if g.To >= from {
 					r.Fleet.Gap(*g)
@@ -72,15 +73,15 @@
 			continue
 		}
 		e := item.Event
-		state := e.Kind == history.Started || e.Kind == history.Continued || e.Kind == history.Listed || e.Kind == history.Reloaded
-		if e.At > to || e.At < early && !state {
+		isState := e.Kind == history.Started || e.Kind == history.Continued || e.Kind == history.Listed || e.Kind == history.Reloaded
+		if e.At > to || e.At < checkFrom && !isState {
 			continue
 		}
 		checker.Event(e)
 		switch {
 		case e.At >= from:
 			r.Fleet.Event(e)
-		case state:
+		case isState:
 			r.Fleet.Known(e)
 		}
 	}
@@ -90,19 +91,19 @@
 		f := &r.Findings[i]
 		f.Evidence = slices.DeleteFunc(f.Evidence, func(e history.Evidence) bool { return e.At < from })
 	}
-	for _, n := range in.Nodes {
+	for _, n := range reader.Nodes {
 		r.Stats = append(r.Stats, n.Stats)
 	}
 	r.Took = time.Since(began)
 	return r, nil
 }
 
-// Broken tells whether any rule was broken.
+// Broken reports whether any rule was broken.
 func (r *Report) Broken() bool {
 	return slices.ContainsFunc(r.Findings, func(f history.Finding) bool { return f.Verdict == history.Broken })
 }
 
-// JSON writes the findings, gaps and tables. Times are Unix microseconds.
+// JSON writes the findings, gaps and tables as JSON. Times are in Unix microseconds.
 func (r *Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -119,4 +120,5 @@
 	})
 }
 
-const clockNote = "clocks of gatekeepers may differ by some 100 ms: events of different gatekeepers that are closer than that may stand in the wrong order; the check of cold servers allows for it, the other rules are judged within one gatekeeper"
+// clockNote explains the effect of clock differences to the readers of a report.
+const clockNote = "clocks of gatekeepers may differ by about 100 ms: events of different gatekeepers that are closer than that may appear in the wrong order; the check of cold servers allows for it, the other rules are checked for each gatekeeper alone"
--- a/internal/report/course.go
+++ b/internal/report/course.go
@@ -11,88 +11,91 @@
 )
 
 const (
-	tellMost      = 80                   // sentences of a course
-	restartWithin = control.Micros(60e6) // a start so soon after a planned end is a restart
+	maxSentences  = 80                   // maximum number of sentences
+	restartWithin = control.Micros(60e6) // maximum time from a planned shutdown to the start for both to count as a restart
 )
 
-// Sentence is one step of an incident's course.
+// Sentence is one entry in the timeline of an incident.
 type Sentence struct {
 	At     control.Micros
 	Text   string
 	weight int
 }
 
-// Course tells an incident in words, in order. Of more than 80 sentences those that weigh most are told: gaps, changes of
-// servers and limits, then what happened most often. left is the number of the others.
-func (r *Report) Course() (told []Sentence, left int) {
-	restarted := map[*history.Episode]*history.Episode{} // starts, by the planned end before
-	hidden := map[*history.Episode]bool{}
+// Course returns the timeline of the incident in sentences, in order of time. If there are more than 80, it selects those of
+// the highest weight: gaps, changes of servers and limits, then the most frequent moments. omitted is the number of left-out
+// sentences plus the number of moments that the fleet did not keep.
+func (r *Report) Course() (sentences []Sentence, omitted int) {
+	shutdowns := map[*history.Episode]*history.Episode{} // planned shutdowns, by the start that followed
+	merged := map[*history.Episode]bool{}
 	for i, start := range r.Fleet.Episodes {
 		for j := i - 1; start.What == history.MomentStart && j >= 0 && start.At-r.Fleet.Episodes[j].At < restartWithin; j-- {
 			e := r.Fleet.Episodes[j]
-			if !hidden[e] && sameNodes(e.Nodes, start.Nodes) {
+			if !merged[e] && sameNodes(e.Nodes, start.Nodes) {
 				switch e.What {
 				case history.MomentEnd:
-					restarted[start] = e
-					hidden[e] = true
+					shutdowns[start] = e
+					merged[e] = true
 				case history.MomentDrain:
-					hidden[e] = true
+					merged[e] = true
 				}
 			}
 		}
 	}
 	for _, e := range r.Fleet.Episodes {
-		if hidden[e] {
+		if merged[e] {
 			continue
 		}
-		text, weight := r.tell(e, restarted[e])
-		told = append(told, Sentence{e.At, text, weight})
+		text, weight := r.sentence(e, shutdowns[e])
+		sentences = append(sentences, Sentence{e.At, text, weight})
 	}
-	if len(told) > tellMost {
-		left = len(told) - tellMost
-		slices.SortStableFunc(told, func(a, b Sentence) int { return b.weight - a.weight })
-		told = told[:tellMost]
-		slices.SortStableFunc(told, func(a, b Sentence) int { return int(min(max(a.At-b.At, -1), 1)) })
+	if len(sentences) > maxSentences {
+		omitted = len(sentences) - maxSentences
+		slices.SortStableFunc(sentences, func(a, b Sentence) int { return b.weight - a.weight })
+		sentences = sentences[:maxSentences]
+		slices.SortStableFunc(sentences, func(a, b Sentence) int { return int(min(max(a.At-b.At, -1), 1)) })
 	}
-	return told, left + r.Fleet.Left
+	return sentences, omitted + r.Fleet.Left
 }
 
+// sameNodes reports whether two lists contain the same gatekeepers.
 func sameNodes(a, b []string) bool {
 	return len(a) == len(b) && !slices.ContainsFunc(a, func(n string) bool { return !slices.Contains(b, n) })
 }
 
-// tell gives an episode as a sentence, with its weight.
-func (r *Report) tell(e, ended *history.Episode) (text string, weight int) {
-	who, server, over := nodesText(e.Nodes, len(r.Fleet.Nodes)), r.serverName(e.Server), ""
+// sentence returns the sentence for an episode, with its weight. ended is the planned shutdown before a start, or nil.
+func (r *Report) sentence(e, ended *history.Episode) (text string, weight int) {
+	nodes, server, duration := formatNodes(e.Nodes, len(r.Fleet.Nodes)), r.serverName(e.Server), ""
 	if span := e.Last - e.At; span >= 1e6 {
-		over = " over " + spanText(span)
+		duration = " over " + formatSpan(span)
 	}
 	weight = e.Count
 	switch e.What {
 	case history.MomentStart:
-		text = who + " started" + over
+		text = nodes + " started" + duration
 		if ended != nil {
-			text = fmt.Sprintf("%s restarted as planned%s", who, over)
+			text = fmt.Sprintf("%s restarted as planned%s", nodes, duration)
 		}
 	case history.MomentEnd:
-		text = who + " ended as planned" + over
+		text = nodes + " shut down as planned" + duration
 	case history.MomentDrain:
-		text = who + " began a planned end" + over
+		text = nodes + " began a planned shutdown" + duration
 	case history.MomentReload:
-		text, weight = fmt.Sprintf("%s put limits of calls %s in force%s", who, e.Detail, over), 1e6
+		text, weight = fmt.Sprintf("%s applied the call limits %s%s", nodes, e.Detail, duration), 1e6
 	case history.MomentServer:
-		text, weight = fmt.Sprintf("The list called %s %s", server, e.Detail), 1e6
+		text, weight = fmt.Sprintf("The inventory reported %s as %s", server, e.Detail), 1e6
 	case history.MomentGate:
-		text = fmt.Sprintf("%s held back from %s, which was overloaded: %d times%s", who, server, e.Count, over)
+		text = fmt.Sprintf("%s stopped sending to %s, which was overloaded: %d times%s", nodes, server, e.Count, duration)
 	case history.MomentGap:
-		text, weight = fmt.Sprintf("Records of %s are incomplete from here (%s)", who, e.Detail), 1e7
+		text, weight = fmt.Sprintf("Records of %s are incomplete from here (%s)", nodes, e.Detail), 1e7
 	default:
 		text = e.What
 	}
 	return text + ".", weight
 }
 
-func nodesText(nodes []string, total int) string {
+// formatNodes names the gatekeepers, or their number if there are many.
+func formatNodes(nodes []string, total int) string {
 	switch {
 	case len(nodes) == 0:
 		return "A gatekeeper"
@@ -106,6 +109,7 @@
 	return fmt.Sprintf("%d gatekeepers", len(nodes))
 }
 
+// serverName returns the name of a server in sentences, or its number if the name is not known.
 func (r *Report) serverName(id uint32) string {
 	if s := r.Fleet.Servers[id]; s != nil && s.Name != "" {
 		return "server " + s.Name
@@ -113,7 +117,7 @@
 	return fmt.Sprintf("server %d", id)
 }
 
-// Summary is the incident in three sentences.
+// Summary returns up to three sentences that summarize the incident.
 func (r *Report) Summary() []string {
 	f := r.Fleet
 	var all history.Counts
@@ -126,30 +130,31 @@
 		all.Gone += c.Gone
 	}
 	if all.Offered == 0 {
-		return []string{"There are no calls in the records of this time."}
+		return []string{"There are no calls in the records of this time range."}
 	}
 	part := func(n int) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(all.Offered)) }
-	out := []string{fmt.Sprintf("%s took %d set-ups in %s: %s stood in time, %s stood late, %s were refused, %s failed and %s were withdrawn.",
-		plural(len(f.Nodes), "gatekeeper"), all.Offered, spanText(f.To-f.From), part(all.Served), part(all.Late),
+	sentences := []string{fmt.Sprintf("%s received %d set-ups in %s: %s were established in time, %s late, %s were refused, %s failed and %s were withdrawn.",
+		plural(len(f.Nodes), "gatekeeper"), all.Offered, formatSpan(f.To-f.From), part(all.Served), part(all.Late),
 		part(all.Refused), part(all.Failed), part(all.Gone))}
 	if f.Worst.Known {
-		out = append(out, fmt.Sprintf("The worst 10 seconds began at %s: %.0f%% of the worth offered stood.", clock(f.Worst.From), 100*f.Worst.Part))
+		sentences = append(sentences, fmt.Sprintf("The worst 10 seconds began at %s: %.0f%% of the offered worth was served.", clockTime(f.Worst.From), 100*f.Worst.Part))
 	}
 	if class, p := f.WorstClass(); class >= 0 {
-		out = append(out, fmt.Sprintf("The worst class was %s: %.1f%% stood in time.", r.className(class), 100*p))
+		sentences = append(sentences, fmt.Sprintf("The worst class was %s: %.1f%% were established in time.", r.className(class), 100*p))
 	}
-	return out
+	return sentences
 }
 
-func plural(n int, what string) string {
+// plural returns a number with its noun.
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, what)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// spanText gives a span in hours and minutes, or in seconds where it is short.
-func spanText(m control.Micros) string {
+// formatSpan formats a span in hours and minutes, or in seconds if it is short.
+func formatSpan(m control.Micros) string {
 	s := int64(m / 1e6)
 	if s < 120 {
 		return fmt.Sprintf("%d s", s)
@@ -160,6 +165,7 @@
 	return fmt.Sprintf("%d h %d min", s/3600, s%3600/60)
 }
 
+// className returns the name of a class, or its index if the rules do not name it.
 func (r *Report) className(i int) string {
 	if i < len(r.Fleet.Rules.Classes) {
 		return r.Fleet.Rules.Classes[i].Name
@@ -167,4 +173,5 @@
 	return fmt.Sprintf("class %d", i)
 }
 
-func clock(at control.Micros) string { return time.UnixMicro(int64(at)).UTC().Format("15:04:05") }
+// clockTime formats the time of day in UTC.
+func clockTime(at control.Micros) string { return time.UnixMicro(int64(at)).UTC().Format("15:04:05") }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -21,19 +21,20 @@
 
 var start = control.Micros(time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC).UnixMicro())
 
-func figures() *history.Rules {
+// testRules returns parameters of the rules.
+func testRules() *history.Rules {
 	return &history.Rules{Classes: []history.Class{{Name: "menu-view", Aim: 1500000, Worth: 1, LateWorth: 0.25}}, DrainGrace: 250000,
 		ReleaseGuard: 300000, FallMultiple: 2, FallTime: 1e6, StartCapacity: 0.33, WarmWithin: 15e6, Fronts: 1}
 }
 
-// write records a story of one gatekeeper.
-func write(t *testing.T, dir, node string, events ...history.Event) {
+// writeRecords records a start and the given events of one gatekeeper.
+func writeRecords(t *testing.T, dir, node string, events ...history.Event) {
 	t.Helper()
 	r, err := record.Open(record.Options{Dir: dir, Node: node})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Record(history.Event{At: start, Kind: history.Started, Rules: figures(), Name: "none"})
+	r.Record(history.Event{At: start, Kind: history.Started, Rules: testRules(), Name: "none"})
 	for _, e := range events {
 		r.Record(e)
 	}
@@ -49,7 +50,7 @@
 	return r
 }
 
-func html(t *testing.T, r *Report) string {
+func renderHTML(t *testing.T, r *Report) string {
 	t.Helper()
 	var b bytes.Buffer
 	if err := r.HTML(&b); err != nil {
@@ -58,7 +59,7 @@
 	return b.String()
 }
 
-// wellFormed goes through a page as XML with HTML's void elements: every tag is closed in order.
+// wellFormed parses a page as XML with HTML's void elements, and returns an error if tags are not closed in order.
 func wellFormed(page string) error {
 	d := xml.NewDecoder(strings.NewReader(page))
 	d.Strict, d.AutoClose, d.Entity = true, xml.HTMLAutoClose, xml.HTMLEntity
@@ -72,27 +73,27 @@
 	}
 }
 
-// What a record brings can't become markup, and the page refers to nothing outside of it and runs nothing.
+// Text from records never becomes markup, and the page contains no external references and no scripts.
 func TestHostileNames(t *testing.T) {
 	dir := t.TempDir()
-	bad := "<script>alert(1)</script>\x1b[31m\x00\"'&"
-	write(t, dir, bad,
-		history.Event{At: start + 1, Kind: history.Listed, Server: 1, Name: bad, State: control.Ready},
-		history.Event{At: start + 2, Kind: history.Taken, Call: bad, Span: second},
-		history.Event{At: start + 3, Kind: history.Refused, Call: bad},
-		history.Event{At: start + 4, Kind: history.Refused, Call: bad},
-		history.Event{At: start + 5, Kind: history.Reloaded, Name: bad},
+	hostileName := "<script>alert(1)</script>\x1b[31m\x00\"'&"
+	writeRecords(t, dir, hostileName,
+		history.Event{At: start + 1, Kind: history.Listed, Server: 1, Name: hostileName, State: control.Ready},
+		history.Event{At: start + 2, Kind: history.Taken, Call: hostileName, Span: second},
+		history.Event{At: start + 3, Kind: history.Refused, Call: hostileName},
+		history.Event{At: start + 4, Kind: history.Refused, Call: hostileName},
+		history.Event{At: start + 5, Kind: history.Reloaded, Name: hostileName},
 		history.Event{At: start + 6, Kind: history.Viewed, Server: 1, Level: 3, Span: second},
 		history.Event{At: start + 5*second, Kind: history.Finished})
 	r := build(t, Options{Dirs: []string{dir}})
-	page := html(t, r)
-	for _, never := range []string{"<script", "\x1b", "\x00", "http://", "https://", "javascript:", "@import", " src=", "url("} {
-		if strings.Contains(strings.ToLower(page), never) {
-			t.Errorf("the page holds %q", never)
+	page := renderHTML(t, r)
+	for _, forbidden := range []string{"<script", "\x1b", "\x00", "http://", "https://", "javascript:", "@import", " src=", "url("} {
+		if strings.Contains(strings.ToLower(page), forbidden) {
+			t.Errorf("the page contains %q", forbidden)
 		}
 	}
 	if !strings.Contains(page, "&lt;script&gt;") {
-		t.Error("the name is not shown at all")
+		t.Error("the page does not contain the escaped name")
 	}
 	if err := wellFormed(page); err != nil {
 		t.Error(err)
@@ -106,11 +107,11 @@
 	}
 }
 
-// The JSON has the form that other tools read.
+// The JSON has the structure that other tools expect.
 func TestJSONForm(t *testing.T) {
 	dir := t.TempDir()
 	for i := range 2 {
-		write(t, dir, "n1", history.Event{At: start + control.Micros(i)*60*second + 1, Kind: history.Taken, Call: "a", Span: second},
+		writeRecords(t, dir, "n1", history.Event{At: start + control.Micros(i)*60*second + 1, Kind: history.Taken, Call: "a", Span: second},
 			history.Event{At: start + control.Micros(i)*60*second + 2, Kind: history.Refused, Call: "a"})
 	}
 	var b bytes.Buffer
@@ -141,7 +142,7 @@
 	}
 }
 
-// A range without records is an empty report, not a fault; a range takes in what was so before it.
+// A range without records is an empty report, not an error. A range includes the state from before its beginning.
 func TestRanges(t *testing.T) {
 	dir := t.TempDir()
 	var events []history.Event
@@ -152,7 +153,7 @@
 			history.Event{At: at + 5, Kind: history.Established, Call: fmt.Sprint(i), Server: 7, Span: 5})
 	}
 	events = append(events, history.Event{At: start + 600*second, Kind: history.Finished})
-	write(t, dir, "n1", events...)
+	writeRecords(t, dir, "n1", events...)
 	at := func(s int) time.Time { return time.UnixMicro(int64(start)).Add(time.Duration(s) * time.Second) }
 	r := build(t, Options{Dirs: []string{dir}, From: at(100), To: at(199)})
 	if c := r.Fleet.Total[0]; c.Offered != 100 || c.Served < 99 {
@@ -162,20 +163,20 @@
 		t.Errorf("%+v, %+v", s, r.Findings[0])
 	}
 	r = build(t, Options{Dirs: []string{dir}, From: at(5000), To: at(6000)})
-	if page := html(t, r); !strings.Contains(page, "There are no calls") || r.Fleet.Events != 0 {
+	if page := renderHTML(t, r); !strings.Contains(page, "There are no calls") || r.Fleet.Events != 0 {
 		t.Errorf("%d events", r.Fleet.Events)
 	}
 	if _, err := Build(Options{Dirs: []string{t.TempDir()}}); err == nil {
-		t.Error("an empty folder made a report")
+		t.Error("Build returned no error for an empty folder")
 	}
 }
 
-// An incident's course is told in words, with gaps drawn where a gatekeeper was down.
+// The timeline describes the incident in sentences, and plots show gaps where a gatekeeper was down.
 func TestCourseAndPlots(t *testing.T) {
 	dir := t.TempDir()
 	for n := range 3 {
 		name := fmt.Sprint("n", n+1)
-		write(t, dir, name,
+		writeRecords(t, dir, name,
 			history.Event{At: start + 1, Kind: history.Listed, Server: 7, Name: "s-7", State: control.Ready},
 			history.Event{At: start + 10*second, Kind: history.Viewed, Server: 7, Level: 3, Span: 2 * second},
 			history.Event{At: start + 12*second, Kind: history.Viewed, Server: 7, Level: 1, Span: second / 10},
@@ -185,29 +186,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Record(history.Event{At: start + 25*second, Kind: history.Started, Rules: figures()})
+			r.Record(history.Event{At: start + 25*second, Kind: history.Started, Rules: testRules()})
 			r.Record(history.Event{At: start + 40*second, Kind: history.Finished})
 			r.Close()
 		}
 	}
 	r := build(t, Options{Dirs: []string{dir}})
 	course, _ := r.Course()
-	var told []string
+	var sentences []string
 	for _, s := range course {
-		told = append(told, clock(s.At)+" "+s.Text)
+		sentences = append(sentences, clockTime(s.At)+" "+s.Text)
 	}
-	want := []string{"18:00:00 All 3 gatekeepers started.", "18:00:10 All 3 gatekeepers held back from server s-7, which was overloaded: 3 times.",
-		"18:00:20 All 3 gatekeepers began a planned end.", "18:00:21 All 3 gatekeepers ended as planned.", "18:00:25 Gatekeeper n1 started.",
-		"18:00:40 Gatekeeper n1 ended as planned."}
-	if strings.Join(told, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s", strings.Join(told, "\n"))
+	want := []string{"18:00:00 All 3 gatekeepers started.", "18:00:10 All 3 gatekeepers stopped sending to server s-7, which was overloaded: 3 times.",
+		"18:00:20 All 3 gatekeepers began a planned shutdown.", "18:00:21 All 3 gatekeepers shut down as planned.", "18:00:25 Gatekeeper n1 started.",
+		"18:00:40 Gatekeeper n1 shut down as planned."}
+	if strings.Join(sentences, "\n") != strings.Join(want, "\n") {
+		t.Errorf("got\n%s", strings.Join(sentences, "\n"))
 	}
-	page := html(t, r)
+	page := renderHTML(t, r)
 	rect := regexp.MustCompile(`class="gap restart" x="([0-9.]+)" y="[0-9.]+" width="([0-9.]+)"`).FindStringSubmatch(page)
-	if rect == nil || rect[1] != "547.4" || rect[2] != "93.6" { // 21 to 25 of 40 s on 936 units
+	if rect == nil || rect[1] != "547.4" || rect[2] != "93.6" { // 21 s to 25 s of 40 s, on 936 units
 		t.Errorf("gap drawn at %v", rect)
 	}
-	if n := strings.Count(page, `class="level l3"`); n != 3+1 { // and in the key
+	if n := strings.Count(page, `class="level l3"`); n != 3+1 { // and once in the key
 		t.Errorf("%d spans at level 3", n)
 	}
 	if strings.Count(page, "<svg viewBox=\"0 0 1000") != strings.Count(page, "<title id=") {
