--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -12,29 +12,29 @@
 
 // The verdicts.
 const (
-	Held     Verdict = "held"
-	Broken   Verdict = "broken"
-	NotShown Verdict = "not shown" // a gap hides events that the check needs, or the records do not suffice
+	Held         Verdict = "held"
+	Broken       Verdict = "broken"
+	Inconclusive Verdict = "not shown" // a gap hides events that the check needs, or the records do not suffice
 )
 
 // The names of the rules, in order.
 const (
-	RuleAnswer  = "one final answer in time"
-	RuleOne     = "never two attempts at once"
-	RuleDrain   = "nothing new to a draining server"
-	RuleCold    = "no cold server pushed over"
-	RuleRelease = "release awaited"
+	RuleAnswer        = "one final answer in time"
+	RuleSingleAttempt = "never two attempts at once"
+	RuleDrain         = "nothing new to a draining server"
+	RuleColdServer    = "no cold server pushed over"
+	RuleReleaseGuard  = "release awaited"
 )
 
-var ruleNames = []string{RuleAnswer, RuleOne, RuleDrain, RuleCold, RuleRelease}
+var ruleNames = []string{RuleAnswer, RuleSingleAttempt, RuleDrain, RuleColdServer, RuleReleaseGuard}
 
 // Evidence describes one violation of a rule.
 type Evidence struct {
-	Node   string         `json:"gatekeeper,omitempty"`
-	Call   string         `json:"call,omitempty"`
-	Server uint32         `json:"server,omitempty"`
-	At     control.Micros `json:"at"`
-	What   string         `json:"what"`
+	Node        string         `json:"gatekeeper,omitempty"`
+	Call        string         `json:"call,omitempty"`
+	Server      uint32         `json:"server,omitempty"`
+	At          control.Micros `json:"at"`
+	Description string         `json:"what"`
 }
 
 // Finding is the result of checking one rule against the records.
@@ -175,7 +175,7 @@
 		if e.Rules != nil {
 			c.rules = *e.Rules
 		}
-	case Taken:
+	case Received:
 		if call := n.calls[e.Call]; call != nil && !call.answered {
 			c.addViolation(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, "received again before its final answer"})
 		}
@@ -222,7 +222,7 @@
 	}
 	if call != nil {
 		if call.attempt >= 0 && call.attempt != e.Attempt {
-			c.addViolation(RuleOne, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("attempt %d sent to server %d while attempt %d is in flight to server %d",
+			c.addViolation(RuleSingleAttempt, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("attempt %d sent to server %d while attempt %d is in flight to server %d",
 				e.Attempt, e.Server, call.attempt, call.server)})
 		}
 		if call.answered {
@@ -235,7 +235,7 @@
 			return // the caller has withdrawn the call: this is the same attempt, abandoned while it was being sent
 		}
 		if gap := e.At - end.since; gap < c.rules.ReleaseGuard {
-			c.addViolation(RuleRelease, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after the end of an attempt that may have been executed", gap/1000)})
+			c.addViolation(RuleReleaseGuard, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after the end of an attempt that may have been executed", gap/1000)})
 		}
 		delete(n.ended, e.Call)
 	}
@@ -264,7 +264,7 @@
 		c.addViolation(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, fmt.Sprintf("%s %d ms after the caller's deadline", e.Kind, (e.At-call.deadline)/1000)})
 	}
 	if e.Kind != Established && call.attempt >= 0 {
-		c.addViolation(RuleOne, Evidence{e.Node, e.Call, call.server, e.At, fmt.Sprintf("%s while attempt %d is in flight to server %d", e.Kind, call.attempt, call.server)})
+		c.addViolation(RuleSingleAttempt, Evidence{e.Node, e.Call, call.server, e.At, fmt.Sprintf("%s while attempt %d is in flight to server %d", e.Kind, call.attempt, call.server)})
 	}
 	call.answered, call.attempt = true, -1
 }
@@ -359,11 +359,11 @@
 		case f.Count > 0:
 			f.Verdict = Broken
 		case c.events == 0:
-			f.Verdict, f.Why = NotShown, "there are no records"
+			f.Verdict, f.Why = Inconclusive, "there are no records"
 		case c.rules.ReleaseGuard == 0 && c.rules.FallTime == 0 && len(c.rules.Classes) == 0:
-			f.Verdict, f.Why = NotShown, "no start is recorded, so the parameters of the rules are not known"
+			f.Verdict, f.Why = Inconclusive, "no start is recorded, so the parameters of the rules are not known"
 		case c.hidingGapCount > 0:
-			f.Verdict, f.Why = NotShown, fmt.Sprintf("%d gaps hide events, the first at %s (%s)", c.hidingGapCount, c.hidingGaps[0].Node, c.hidingGaps[0].Why)
+			f.Verdict, f.Why = Inconclusive, fmt.Sprintf("%d gaps hide events, the first at %s (%s)", c.hidingGapCount, c.hidingGaps[0].Node, c.hidingGaps[0].Why)
 		case f.Verdict == "":
 			f.Verdict = Held
 		}
@@ -371,16 +371,16 @@
 	return result
 }
 
-// SoFar returns interim results: open calls and cold servers are not yet checked, so "held" covers only the events
+// InterimFindings returns interim results: open calls and cold servers are not yet checked, so "held" covers only the events
 // processed so far.
-func (c *Checker) SoFar() []Finding {
+func (c *Checker) InterimFindings() []Finding {
 	result := slices.Clone(c.findings[:])
 	for i := range result {
 		switch {
 		case result[i].Count > 0:
 			result[i].Verdict = Broken
-		case c.hidingGapCount > 0 || c.events == 0 || result[i].Rule == RuleCold:
-			result[i].Verdict = NotShown
+		case c.hidingGapCount > 0 || c.events == 0 || result[i].Rule == RuleColdServer:
+			result[i].Verdict = Inconclusive
 		default:
 			result[i].Verdict = Held
 		}
@@ -393,7 +393,7 @@
 // the rule held. If it is exceeded, the verdict is NotShown, unless the capacity is known from another source. Windows are
 // extended by the maximum difference between clocks.
 func (c *Checker) checkColdServers() {
-	f := &c.findings[slices.Index(ruleNames, RuleCold)]
+	f := &c.findings[slices.Index(ruleNames, RuleColdServer)]
 	highestRate := 0.0
 	for _, s := range c.servers {
 		highestRate = max(highestRate, s.maxRate)
@@ -411,9 +411,9 @@
 			switch {
 			case description == "":
 			case known:
-				c.addViolation(RuleCold, Evidence{"", "", id, at, description})
+				c.addViolation(RuleColdServer, Evidence{"", "", id, at, description})
 			case f.Verdict == "":
-				f.Verdict = NotShown
+				f.Verdict = Inconclusive
 				f.Why = fmt.Sprintf("server %d: %s by the observed answer rate, and its capacity is not recorded", id, description)
 			}
 		}
--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -36,8 +36,8 @@
 
 // Extremes are the minimum and the maximum of a value in a bin. Seen reports whether there is any value.
 type Extremes struct {
-	Least, Most float64
-	Seen        bool
+	Lowest, Highest float64
+	Seen            bool
 }
 
 func (x *Extremes) add(v float64) {
@@ -45,13 +45,13 @@
 		*x = Extremes{v, v, true}
 		return
 	}
-	x.Least, x.Most = min(x.Least, v), max(x.Most, v)
+	x.Lowest, x.Highest = min(x.Lowest, v), max(x.Highest, v)
 }
 
 func (x *Extremes) merge(o Extremes) {
 	if o.Seen {
-		x.add(o.Least)
-		x.add(o.Most)
+		x.add(o.Lowest)
+		x.add(o.Highest)
 	}
 }
 
@@ -62,11 +62,11 @@
 type Bin struct {
 	Classes []Counts                // by class
 	Delay   *hdrhistogram.Histogram // delay of established calls since their arrival, in ms; nil if there are none
-	Views   map[Pair]View
+	Views   map[ViewKey]View
 }
 
-// Pair identifies a gatekeeper's view of a server.
-type Pair struct {
+// ViewKey identifies a gatekeeper's view of a server.
+type ViewKey struct {
 	Node   string
 	Server uint32
 }
@@ -123,7 +123,7 @@
 	At     control.Micros `json:"at"`
 	Node   string         `json:"gatekeeper,omitempty"`
 	Server uint32         `json:"server,omitempty"`
-	What   string         `json:"what"` // one of the Moment constants
+	Type   string         `json:"what"` // one of the Moment constants
 	Detail string         `json:"detail,omitempty"`
 }
 
@@ -158,26 +158,26 @@
 // number of gatekeepers, servers and open calls: the time series has at most 1,200 bins. When it would exceed them,
 // neighbouring bins are merged by adding counts and histograms and keeping the extremes of the views.
 type Fleet struct {
-	Rules        Rules
-	From, To     control.Micros // first and last event
-	Width        control.Micros // width of a bin
-	Bins         []Bin
-	Servers      map[uint32]*Server
-	Nodes        map[string]*Node
-	Gaps         []Gap
-	Tell         func(Moment) // called with each moment, if not nil
-	Episodes     []*Episode
-	Left         int // number of moments that were not kept, beyond the maximum number of episodes
-	openEpisodes map[episodeKey]*Episode
-	Events       int
-	Total        []Counts // by class
-	Worst        Worst
-	seconds      []second // the last seconds, which answers to open calls may still change
-	firstSecond  int64    // Unix second of the first of them
-}
-
-// Worst is the worst span of 10 s, the one with the lowest ratio of served to offered worth.
-type Worst struct {
+	Rules          Rules
+	From, To       control.Micros // first and last event
+	Width          control.Micros // width of a bin
+	Bins           []Bin
+	Servers        map[uint32]*Server
+	Nodes          map[string]*Node
+	Gaps           []Gap
+	OnMoment       func(Moment) // called with each moment, if not nil
+	Episodes       []*Episode
+	OmittedMoments int // number of moments that were not kept, beyond the maximum number of episodes
+	openEpisodes   map[episodeKey]*Episode
+	Events         int
+	Totals         []Counts // by class
+	WorstSpan      WorstSpan
+	seconds        []second // the last seconds, which answers to open calls may still change
+	firstSecond    int64    // Unix second of the first of them
+}
+
+// WorstSpan is the worst span of 10 s, the one with the lowest ratio of served to offered worth.
+type WorstSpan struct {
 	From          control.Micros `json:"from"`
 	Offered, Part float64        // worth
 	Known         bool           `json:"known"`
@@ -211,17 +211,17 @@
 
 // addMoment passes a moment to the callback and adds it to its episode.
 func (f *Fleet) addMoment(m Moment) {
-	if f.Tell != nil {
-		f.Tell(m)
+	if f.OnMoment != nil {
+		f.OnMoment(m)
 	}
-	if m.What == MomentOpen {
+	if m.Type == MomentOpen {
 		return // does not belong to any episode; an episode of gating needs no end
 	}
-	key := episodeKey{m.What, m.Server, m.Detail}
+	key := episodeKey{m.Type, m.Server, m.Detail}
 	e := f.openEpisodes[key]
 	if e == nil || m.At-e.Last > episodeGap {
 		if len(f.Episodes) >= maxEpisodes {
-			f.Left++
+			f.OmittedMoments++
 			return
 		}
 		e = &Episode{Moment: m}
@@ -241,7 +241,7 @@
 	n := f.node(g.Node)
 	n.calls, n.levels = map[string]arrival{}, map[uint32]int{}
 	if g.Hides {
-		f.addMoment(Moment{At: g.From, Node: g.Node, What: MomentGap, Detail: string(g.Why)})
+		f.addMoment(Moment{At: g.From, Node: g.Node, Type: MomentGap, Detail: string(g.Why)})
 	}
 }
 
@@ -268,7 +268,7 @@
 		if e.Rules != nil {
 			f.Rules = *e.Rules
 		}
-	case Taken:
+	case Received:
 		n.calls[e.Call] = arrival{e.At, e.Class}
 		f.count(n, e.At, e.Class, Counts{Offered: 1})
 		f.addWorth(e.At, e.Class, true, 1)
@@ -286,7 +286,7 @@
 	case Reloaded:
 		n.Version = e.Name
 		f.addMoment(Moment{e.At, e.Node, 0, MomentReload, e.Name})
-	case Used:
+	case ResourceUsage:
 		if len(e.Values) >= 2 {
 			n.Memory, n.Descriptors = max(n.Memory, e.Values[0]), max(n.Descriptors, e.Values[1])
 		}
@@ -302,10 +302,10 @@
 	}
 }
 
-// Known processes an event from before the range of interest: it applies parameters, limits and the inventory, but
+// ApplyBaseline processes an event from before the range of interest: it applies parameters, limits and the inventory, but
 // records no moments.
-func (f *Fleet) Known(e *Event) {
-	episodes, left := f.Episodes, f.Left
+func (f *Fleet) ApplyBaseline(e *Event) {
+	episodes, left := f.Episodes, f.OmittedMoments
 	switch n := f.node(e.Node); e.Kind {
 	case Started, Continued:
 		n.Version = e.Name
@@ -317,7 +317,7 @@
 	case Listed:
 		f.applyServer(e)
 	}
-	f.Episodes, f.Left, f.openEpisodes = episodes, left, map[episodeKey]*Episode{}
+	f.Episodes, f.OmittedMoments, f.openEpisodes = episodes, left, map[episodeKey]*Episode{}
 }
 
 // applyStart applies the first event of a start.
@@ -402,12 +402,12 @@
 	s.LongestWait = max(s.LongestWait, e.Span)
 	if b := f.bin(e.At); b != nil {
 		if b.Views == nil {
-			b.Views = map[Pair]View{}
+			b.Views = map[ViewKey]View{}
 		}
-		v := b.Views[Pair{e.Node, e.Server}]
+		v := b.Views[ViewKey{e.Node, e.Server}]
 		v.Level.add(float64(e.Level))
 		v.Wait.add(float64(e.Span))
-		b.Views[Pair{e.Node, e.Server}] = v
+		b.Views[ViewKey{e.Node, e.Server}] = v
 	}
 	previous := n.levels[e.Server]
 	n.levels[e.Server] = e.Level
@@ -508,10 +508,10 @@
 // count adds counts to a class's total, to the gatekeeper, and to the bin of the call's arrival.
 func (f *Fleet) count(n *Node, at control.Micros, class int, c Counts) {
 	class = max(class, 0)
-	for len(f.Total) <= class {
-		f.Total = append(f.Total, Counts{})
+	for len(f.Totals) <= class {
+		f.Totals = append(f.Totals, Counts{})
 	}
-	f.Total[class].add(c)
+	f.Totals[class].add(c)
 	n.Counts.add(c)
 	if b := f.bin(at); b != nil {
 		for len(b.Classes) <= class {
@@ -555,8 +555,8 @@
 			offered += s.offered
 			served += s.served
 		}
-		if offered > 0 && (!f.Worst.Known || served/offered < f.Worst.Part) {
-			f.Worst = Worst{control.Micros((f.firstSecond + int64(i)) * 1e6), offered, served / offered, true}
+		if offered > 0 && (!f.WorstSpan.Known || served/offered < f.WorstSpan.Part) {
+			f.WorstSpan = WorstSpan{control.Micros((f.firstSecond + int64(i)) * 1e6), offered, served / offered, true}
 		}
 	}
 	seconds = min(seconds, len(f.seconds))
@@ -564,8 +564,8 @@
 	f.firstSecond += int64(seconds)
 }
 
-// Settle finishes the evaluation after the last event: Worst is final, and calls that are still open stay open.
-func (f *Fleet) Settle() { f.findWorst(len(f.seconds)) }
+// Finalize finishes the evaluation after the last event: Worst is final, and calls that are still open stay open.
+func (f *Fleet) Finalize() { f.findWorst(len(f.seconds)) }
 
 // removeOldCalls removes calls whose end is missing in the records.
 func (f *Fleet) removeOldCalls() {
@@ -582,7 +582,7 @@
 // is -1 if no calls were offered.
 func (f *Fleet) WorstClass() (class int, part float64) {
 	class = -1
-	for i, c := range f.Total {
+	for i, c := range f.Totals {
 		if c.Offered > 0 {
 			if p := float64(c.Served) / float64(c.Offered); class < 0 || p < part {
 				class, part = i, p
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -31,20 +31,20 @@
 
 // Damage describes one defect of a file.
 type Damage struct {
-	File   string `json:"file"`
-	Offset int64  `json:"offset"`
-	What   string `json:"what"`
+	File        string `json:"file"`
+	Offset      int64  `json:"offset"`
+	Description string `json:"what"`
 }
 
 // Stats summarizes the records that were read of one gatekeeper.
 type Stats struct {
-	Node     string   `json:"gatekeeper"`
-	Segments int      `json:"segments"`
-	Starts   int      `json:"starts"`
-	Records  int      `json:"records"`
-	Gaps     int      `json:"gaps"`
-	Torn     int64    `json:"torn_bytes"` // incomplete records at the end of starts that were killed
-	Damage   []Damage `json:"damage"`
+	Node      string   `json:"gatekeeper"`
+	Segments  int      `json:"segments"`
+	Starts    int      `json:"starts"`
+	Records   int      `json:"records"`
+	Gaps      int      `json:"gaps"`
+	TornBytes int64    `json:"torn_bytes"` // incomplete records at the end of starts that were killed
+	Damage    []Damage `json:"damage"`
 }
 
 // Node reads the records of one gatekeeper in the order in which they were written.
@@ -70,9 +70,9 @@
 // Subfolder is the name of the subfolder to which this program's own commands write records (`incident play --out DIR`).
 const Subfolder = "records"
 
-// Folder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder Subfolder if that
+// ResolveFolder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder Subfolder if that
 // holds any, else dir.
-func Folder(dir string) string {
+func ResolveFolder(dir string) string {
 	if holdsRecords(dir) {
 		return dir
 	}
@@ -98,7 +98,7 @@
 func Nodes(dirs ...string) ([]*Node, error) {
 	var nodes []*Node
 	for _, dir := range dirs {
-		dir = Folder(dir)
+		dir = ResolveFolder(dir)
 		entries, err := os.ReadDir(dir)
 		if err != nil {
 			return nil, err
@@ -234,7 +234,7 @@
 	}
 	switch {
 	case err != nil && n.lastOfStart() && (errors.Is(err, errTruncated) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
-		n.Torn += n.incompleteBytes()
+		n.TornBytes += n.incompleteBytes()
 		n.closeSegment()
 	case err != nil:
 		n.addDamage("no header: " + err.Error())
@@ -276,7 +276,7 @@
 		n.addDamage(err.Error())
 	case err == errTruncated && n.lastOfStart():
 		// The process was killed while it wrote this record: the incomplete record is dropped.
-		n.Torn += n.incompleteBytes()
+		n.TornBytes += n.incompleteBytes()
 		n.closeSegment()
 	default:
 		n.addDamage(err.Error())
@@ -361,8 +361,8 @@
 	return x
 }
 
-// OpenAll opens the records in the given folders for reading.
-func OpenAll(dirs ...string) (*Reader, error) {
+// NewReader opens the records in the given folders for reading.
+func NewReader(dirs ...string) (*Reader, error) {
 	nodes, err := Nodes(dirs...)
 	if err != nil {
 		return nil, err
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -25,7 +25,7 @@
 	if o.Node == "" {
 		o.Node = "n1"
 	}
-	r, err := Open(o)
+	r, err := NewRecorder(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 // fill records n events, one per millisecond, beginning at from.
 func fill(r *Recorder, from control.Micros, n int) {
 	for i := range n {
-		r.Record(history.Event{At: from + control.Micros(i)*1000, Kind: history.Taken, Call: fmt.Sprintf("%016x", i), Span: 9e6})
+		r.Record(history.Event{At: from + control.Micros(i)*1000, Kind: history.Received, Call: fmt.Sprintf("%016x", i), Span: 9e6})
 	}
 }
 
@@ -57,7 +57,7 @@
 
 func readRecords(t testing.TB, dirs ...string) (all readResult) {
 	t.Helper()
-	r, err := OpenAll(dirs...)
+	r, err := NewReader(dirs...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,9 +94,9 @@
 // Recorded events are read back unchanged, across compressed segments.
 func TestRoundTrip(t *testing.T) {
 	dir := t.TempDir()
-	r := newRecorder(t, Options{Dir: dir, Segment: 4096})
+	r := newRecorder(t, Options{Dir: dir, SegmentBytes: 4096})
 	want := history.Event{At: 5, Kind: history.Ended, Call: "abc", Attempt: 2, Server: 7, Code: control.TimedOut, Span: 9, Value: 1.5,
-		Level: 3, Name: "x", State: control.Draining, N: -4, Since: 6, Again: true, Class: -1, Values: []float64{-1, 0.5},
+		Level: 3, Name: "x", State: control.Draining, N: -4, Since: 6, Repeated: true, Class: -1, Values: []float64{-1, 0.5},
 		Rules: &history.Rules{Reports: []string{"q"}, Classes: []history.Class{{Name: "menu-view", Aim: 3, Worth: 1}}}}
 	r.Record(want)
 	for i := range 20 { // in batches, so that several segments fill up
@@ -141,7 +141,7 @@
 		all := readRecords(t, dir)
 		n := all.nodes[0]
 		if len(all.events) != n.Records || n.Records > 10 || n.Records < 9 && cut < 40 || len(n.Damage) != 0 ||
-			all.gapTexts() != "restart hides=true lost=0" || n.Torn == 0 && n.Records != 10 && cut < 40 {
+			all.gapTexts() != "restart hides=true lost=0" || n.TornBytes == 0 && n.Records != 10 && cut < 40 {
 			t.Errorf("cut %d: %d events, gaps %s, %+v", cut, len(all.events), all.gapTexts(), n.Stats)
 		}
 		if last := all.events[len(all.events)-1]; last.Start != 2 || last.At != 50000 {
@@ -192,7 +192,7 @@
 		if len(all.events) == 8 {
 			t.Errorf("byte %d: the damage was not detected", at)
 		}
-		if len(n.Damage) == 0 && n.Torn == 0 {
+		if len(n.Damage) == 0 && n.TornBytes == 0 {
 			t.Errorf("byte %d: %d events and no damage reported: %+v", at, len(all.events), n.Stats)
 		}
 		if len(n.Damage) > 0 && len(all.events) > 0 && !strings.Contains(all.gapTexts(), "damaged hides=true") && all.events[0].Seq == 1 {
@@ -208,7 +208,7 @@
 // A missing segment in the middle is one gap with the number of lost events; missing oldest segments are none.
 func TestMissingSegment(t *testing.T) {
 	dir := t.TempDir()
-	r := newRecorder(t, Options{Dir: dir, Segment: 2048})
+	r := newRecorder(t, Options{Dir: dir, SegmentBytes: 2048})
 	for i := range 10 {
 		fill(r, control.Micros(1000+i*100000), 60)
 		r.Flush()
@@ -222,7 +222,7 @@
 		t.Errorf("%d files, %d events, gaps %s", len(names), len(all.events), all.gapTexts())
 	}
 	os.Remove(filepath.Join(dir, names[0])) // the oldest segments may be removed: records then begin later, with the parameters of the rules
-	if all = readRecords(t, dir); len(all.gaps) != 0 || all.events[0].Kind == history.Taken && all.events[0].Seq == 1 {
+	if all = readRecords(t, dir); len(all.gaps) != 0 || all.events[0].Kind == history.Received && all.events[0].Seq == 1 {
 		t.Errorf("after the oldest were removed: gaps %s", all.gapTexts())
 	}
 }
@@ -230,7 +230,7 @@
 // Records that begin with a later segment still carry the parameters of the rules.
 func TestLaterSegmentsCarryTheRules(t *testing.T) {
 	dir := t.TempDir()
-	r := newRecorder(t, Options{Dir: dir, Segment: 2048, MaxBytes: 4000})
+	r := newRecorder(t, Options{Dir: dir, SegmentBytes: 2048, MaxBytes: 4000})
 	r.Record(history.Event{At: 1, Kind: history.Started, Name: "v1", Rules: &history.Rules{ReleaseGuard: 300000}})
 	for i := range 10 {
 		fill(r, control.Micros(1000+i*100000), 60)
@@ -335,7 +335,7 @@
 func TestQueueOverflow(t *testing.T) {
 	dir := t.TempDir()
 	disk := &limitedDisk{freeBytes: 1 << 20}
-	r := newRecorder(t, Options{Dir: dir, FS: disk, Queue: 16})
+	r := newRecorder(t, Options{Dir: dir, FS: disk, QueueSize: 16})
 	r.mu.Lock() // keeps the writer from fetching a batch
 	release := make(chan struct{})
 	disk.release = release
@@ -348,7 +348,7 @@
 	all := readRecords(t, dir)
 	taken, lost := 0, int64(0)
 	for _, e := range all.events {
-		if e.Kind == history.Taken {
+		if e.Kind == history.Received {
 			taken++
 		}
 	}
@@ -370,17 +370,17 @@
 	text := appendFrame(appendFrame([]byte(magic), top), []byte("something else"))
 	os.WriteFile(filepath.Join(dir, segment{node: "n1", start: 1}.name()), text, 0o600)
 	all := readRecords(t, dir)
-	if d := all.nodes[0].Damage; len(d) != 1 || !strings.Contains(d[0].What, "version 2") || len(all.events) != 0 {
+	if d := all.nodes[0].Damage; len(d) != 1 || !strings.Contains(d[0].Description, "version 2") || len(all.events) != 0 {
 		t.Errorf("%+v, %d events", d, len(all.events))
 	}
 }
 
 // A folder without records and a missing folder are errors.
 func TestNoRecords(t *testing.T) {
-	if _, err := OpenAll(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no records") {
+	if _, err := NewReader(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no records") {
 		t.Error(err)
 	}
-	if _, err := OpenAll(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := NewReader(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
 }
@@ -391,7 +391,7 @@
 	other := newRecorder(t, Options{Dir: dir, Node: "n2"})
 	fill(other, 1, 100)
 	other.Close()
-	r := newRecorder(t, Options{Dir: dir, Segment: 2048, MaxBytes: 6000})
+	r := newRecorder(t, Options{Dir: dir, SegmentBytes: 2048, MaxBytes: 6000})
 	for i := range 40 {
 		fill(r, control.Micros(i*100000), 60)
 		r.Flush()
@@ -451,13 +451,13 @@
 
 // BenchmarkCall measures the cost of recording one call, including the writing goroutine.
 func BenchmarkCall(b *testing.B) {
-	r := newRecorder(b, Options{Dir: "x", FS: discardFS{}, Queue: 1 << 20})
+	r := newRecorder(b, Options{Dir: "x", FS: discardFS{}, QueueSize: 1 << 20})
 	defer r.Close()
 	b.ReportAllocs()
 	at := control.Micros(1e12)
 	for b.Loop() {
 		at += 5000
-		for _, kind := range []history.Kind{history.Taken, history.Sent, history.Established, history.Viewed, history.Reported, history.Released} {
+		for _, kind := range []history.Kind{history.Received, history.Sent, history.Established, history.Viewed, history.Reported, history.Released} {
 			r.Record(history.Event{At: at, Kind: kind, Call: "9b1f03aa5c7e2d41", Server: 77, Span: 12345})
 		}
 	}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -61,14 +61,14 @@
 
 // Options configure a Recorder. Zero values select the defaults.
 type Options struct {
-	Dir      string
-	Node     string
-	MaxBytes int64         // total size of this gatekeeper's files; the oldest are removed first. 0: 1 GiB
-	MaxAge   time.Duration // age of a file since its last record. 0: no limit
-	Segment  int64         // size in bytes at which a segment is closed and compressed. 0: 8 MiB
-	Queue    int           // capacity of the queue of events to write. 0: 16384
-	FS       FS            // nil: Disk
-	Log      logrus.FieldLogger
+	Dir          string
+	Node         string
+	MaxBytes     int64         // total size of this gatekeeper's files; the oldest are removed first. 0: 1 GiB
+	MaxAge       time.Duration // age of a file since its last record. 0: no limit
+	SegmentBytes int64         // size in bytes at which a segment is closed and compressed. 0: 8 MiB
+	QueueSize    int           // capacity of the queue of events to write. 0: 16384
+	FS           FS            // nil: Disk
+	Log          logrus.FieldLogger
 }
 
 // Recorder writes the events of one start of a gatekeeper. Its methods are safe for concurrent use.
@@ -100,17 +100,17 @@
 	limitsVersion string         // version of the limits in force
 }
 
-// Open starts a recorder. The number of the start is one above the highest in the folder, so that two starts in the same
+// NewRecorder starts a recorder. The number of the start is one above the highest in the folder, so that two starts in the same
 // second are distinguishable.
-func Open(o Options) (*Recorder, error) {
+func NewRecorder(o Options) (*Recorder, error) {
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = 1 << 30
 	}
-	if o.Segment <= 0 {
-		o.Segment = 8 << 20
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 8 << 20
 	}
-	if o.Queue <= 0 {
-		o.Queue = 16384
+	if o.QueueSize <= 0 {
+		o.QueueSize = 16384
 	}
 	if o.FS == nil {
 		o.FS = Disk{}
@@ -144,7 +144,7 @@
 	}
 	e.At = max(e.At, r.lastAt)
 	r.lastAt = e.At
-	if len(r.queue) >= r.Queue {
+	if len(r.queue) >= r.QueueSize {
 		if r.dropped == 0 {
 			r.droppedSince = e.At
 		}
@@ -158,7 +158,7 @@
 	r.seq++
 	e.Seq = r.seq
 	r.queue = append(r.queue, e)
-	quarterFull := len(r.queue) == max(r.Queue/4, 1)
+	quarterFull := len(r.queue) == max(r.QueueSize/4, 1)
 	r.mu.Unlock()
 	if wasEmpty {
 		signal(r.wake)
@@ -297,7 +297,7 @@
 	if err != nil {
 		return err
 	}
-	if r.segment.size >= r.Segment {
+	if r.segment.size >= r.SegmentBytes {
 		return r.rotate()
 	}
 	return nil
--- a/internal/report/build.go
+++ b/internal/report/build.go
@@ -26,18 +26,18 @@
 
 // Report is the content of a report.
 type Report struct {
-	Fleet    *history.Fleet
-	Findings []history.Finding
-	Stats    []record.Stats
-	Took     time.Duration
-	Made     time.Time
-	Asked    [2]time.Time
+	Fleet          *history.Fleet
+	Findings       []history.Finding
+	Stats          []record.Stats
+	BuildTime      time.Duration
+	GeneratedAt    time.Time
+	RequestedRange [2]time.Time
 }
 
 // Build reads the records and checks the rules. Its memory depends on the size of the fleet, not on the time covered.
 func Build(o Options) (*Report, error) {
 	began := time.Now()
-	reader, err := record.OpenAll(o.Dirs...)
+	reader, err := record.NewReader(o.Dirs...)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 		to = control.Micros(o.To.UnixMicro())
 	}
 	checkFrom := from - control.Micros(checkLeadTime.Microseconds())
-	r := &Report{Fleet: history.NewFleet(), Made: began, Asked: [2]time.Time{o.From, o.To}}
+	r := &Report{Fleet: history.NewFleet(), GeneratedAt: began, RequestedRange: [2]time.Time{o.From, o.To}}
 	checker := history.NewChecker(nil)
 	for n := 0; ; n++ {
 		item, err := reader.Next()
@@ -82,10 +82,10 @@
 		case e.At >= from:
 			r.Fleet.Event(e)
 		case isState:
-			r.Fleet.Known(e)
+			r.Fleet.ApplyBaseline(e)
 		}
 	}
-	r.Fleet.Settle()
+	r.Fleet.Finalize()
 	r.Findings = checker.Findings()
 	for i := range r.Findings {
 		f := &r.Findings[i]
@@ -94,7 +94,7 @@
 	for _, n := range reader.Nodes {
 		r.Stats = append(r.Stats, n.Stats)
 	}
-	r.Took = time.Since(began)
+	r.BuildTime = time.Since(began)
 	return r, nil
 }
 
@@ -112,7 +112,7 @@
 		"gaps":        append([]history.Gap{}, r.Fleet.Gaps...),
 		"gatekeepers": r.Fleet.NodeList(),
 		"servers":     r.Fleet.ServerList(),
-		"worst_10s":   r.Fleet.Worst,
+		"worst_10s":   r.Fleet.WorstSpan,
 		"records":     r.Stats,
 		"from":        r.Fleet.From,
 		"to":          r.Fleet.To,
--- a/internal/report/course.go
+++ b/internal/report/course.go
@@ -22,17 +22,17 @@
 	weight int
 }
 
-// Course returns the timeline of the incident in sentences, in order of time. If there are more than 80, it selects those of
+// Timeline returns the timeline of the incident in sentences, in order of time. If there are more than 80, it selects those of
 // the highest weight: gaps, changes of servers and limits, then the most frequent moments. omitted is the number of left-out
 // sentences plus the number of moments that the fleet did not keep.
-func (r *Report) Course() (sentences []Sentence, omitted int) {
+func (r *Report) Timeline() (sentences []Sentence, omitted int) {
 	shutdowns := map[*history.Episode]*history.Episode{} // planned shutdowns, by the start that followed
 	merged := map[*history.Episode]bool{}
 	for i, start := range r.Fleet.Episodes {
-		for j := i - 1; start.What == history.MomentStart && j >= 0 && start.At-r.Fleet.Episodes[j].At < restartWithin; j-- {
+		for j := i - 1; start.Type == history.MomentStart && j >= 0 && start.At-r.Fleet.Episodes[j].At < restartWithin; j-- {
 			e := r.Fleet.Episodes[j]
 			if !merged[e] && sameNodes(e.Nodes, start.Nodes) {
-				switch e.What {
+				switch e.Type {
 				case history.MomentEnd:
 					shutdowns[start] = e
 					merged[e] = true
@@ -55,7 +55,7 @@
 		sentences = sentences[:maxSentences]
 		slices.SortStableFunc(sentences, func(a, b Sentence) int { return int(min(max(a.At-b.At, -1), 1)) })
 	}
-	return sentences, omitted + r.Fleet.Left
+	return sentences, omitted + r.Fleet.OmittedMoments
 }
 
 // sameNodes reports whether two lists contain the same gatekeepers.
@@ -70,7 +70,7 @@
 		duration = " over " + formatSpan(span)
 	}
 	weight = e.Count
-	switch e.What {
+	switch e.Type {
 	case history.MomentStart:
 		text = nodes + " started" + duration
 		if ended != nil {
@@ -89,7 +89,7 @@
 	case history.MomentGap:
 		text, weight = fmt.Sprintf("Records of %s are incomplete from here (%s)", nodes, e.Detail), 1e7
 	default:
-		text = e.What
+		text = e.Type
 	}
 	return text + ".", weight
 }
@@ -121,7 +121,7 @@
 func (r *Report) Summary() []string {
 	f := r.Fleet
 	var all history.Counts
-	for _, c := range f.Total {
+	for _, c := range f.Totals {
 		all.Offered += c.Offered
 		all.Served += c.Served
 		all.Late += c.Late
@@ -136,8 +136,8 @@
 	sentences := []string{fmt.Sprintf("%s received %d set-ups in %s: %s were established in time, %s late, %s were refused, %s failed and %s were withdrawn.",
 		plural(len(f.Nodes), "gatekeeper"), all.Offered, formatSpan(f.To-f.From), part(all.Served), part(all.Late),
 		part(all.Refused), part(all.Failed), part(all.Gone))}
-	if f.Worst.Known {
-		sentences = append(sentences, fmt.Sprintf("The worst 10 seconds began at %s: %.0f%% of the offered worth was served.", clockTime(f.Worst.From), 100*f.Worst.Part))
+	if f.WorstSpan.Known {
+		sentences = append(sentences, fmt.Sprintf("The worst 10 seconds began at %s: %.0f%% of the offered worth was served.", clockTime(f.WorstSpan.From), 100*f.WorstSpan.Part))
 	}
 	if class, p := f.WorstClass(); class >= 0 {
 		sentences = append(sentences, fmt.Sprintf("The worst class was %s: %.1f%% were established in time.", r.className(class), 100*p))
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -44,7 +44,7 @@
 // HTML writes the page as a single file without external references or scripts. The template escapes all text from
 // records, and control characters, which are not allowed in HTML, are replaced.
 func (r *Report) HTML(w io.Writer) error {
-	course, omitted := r.Course()
+	course, omitted := r.Timeline()
 	f := r.Fleet
 	var text bytes.Buffer
 	err := page.Execute(&text, map[string]any{
@@ -71,7 +71,7 @@
 }
 
 func (r *Report) classRows() (rows []classRow) {
-	for i, c := range r.Fleet.Total {
+	for i, c := range r.Fleet.Totals {
 		rows = append(rows, classRow{r.className(i), c, fmt.Sprintf("%.1f%%", 100*float64(c.Served)/math.Max(float64(c.Offered), 1))})
 	}
 	return rows
@@ -86,18 +86,18 @@
 	if n[history.Held] == len(r.Findings) {
 		return "Each of the five rules held"
 	}
-	return fmt.Sprintf("Of the five rules, %d held, %d were broken, and %d are not shown", n[history.Held], n[history.Broken], n[history.NotShown])
+	return fmt.Sprintf("Of the five rules, %d held, %d were broken, and %d are not shown", n[history.Held], n[history.Broken], n[history.Inconclusive])
 }
 
 // Plot is one figure of the page.
 type Plot struct {
 	ID, Title, Desc string
 	SVG             template.HTML // contains only numbers, constant text and escaped names
-	Key             []KeyEntry
+	Legend          []LegendEntry
 }
 
-// KeyEntry is an entry in a plot's key: the CSS class of a line or colour, and its meaning.
-type KeyEntry struct{ Class, Text string }
+// LegendEntry is an entry in a plot's key: the CSS class of a line or colour, and its meaning.
+type LegendEntry struct{ Class, Text string }
 
 // plotDrawing builds the SVG shapes of one plot.
 type plotDrawing struct {
@@ -200,7 +200,7 @@
 		return nil
 	}
 	perSecond := 1e6 / float64(f.Width)
-	for i := range f.Total {
+	for i := range f.Totals {
 		series := map[string][]float64{}
 		maximum := 0.0
 		for _, b := range f.Bins {
@@ -221,10 +221,10 @@
 		}
 		d.drawTimeAxis()
 		id, title := fmt.Sprintf("class-%d", i), "Set-ups of "+r.className(i)
-		c := f.Total[i]
+		c := f.Totals[i]
 		desc := fmt.Sprintf("Set-ups per second by their time of arrival: %d offered, %d established in time, %d late, %d refused, %d failed. At most %.1f per second were offered.",
 			c.Offered, c.Served, c.Late, c.Refused, c.Failed, maximum)
-		plots = append(plots, Plot{id, title, desc, d.svg(id, title, desc), []KeyEntry{{"offered", "offered"}, {"served", "established in time"},
+		plots = append(plots, Plot{id, title, desc, d.svg(id, title, desc), []LegendEntry{{"offered", "offered"}, {"served", "established in time"},
 			{"refused", "refused"}, {"failed", "failed or late"}}})
 	}
 	plots = append(plots, r.delays())
@@ -259,7 +259,7 @@
 	}
 	d.drawTimeAxis()
 	desc := fmt.Sprintf("Time from the arrival of a set-up to its answer, for established calls: the median, the 95th and the 99th percentile. The longest took %.1f s.", worst)
-	return Plot{"delay", "Set-up delay", desc, d.svg("delay", "Set-up delay", desc), []KeyEntry{{"q50", "median"}, {"q95", "95%"}, {"q99", "99%"}}}
+	return Plot{"delay", "Set-up delay", desc, d.svg("delay", "Set-up delay", desc), []LegendEntry{{"q50", "median"}, {"q95", "95%"}, {"q99", "99%"}}}
 }
 
 // views plots the gatekeepers' views of a server: a strip of levels for each gatekeeper, and the longest wait of all.
@@ -268,7 +268,7 @@
 	nodes := f.NodeList()
 	var viewers []string
 	for _, n := range nodes {
-		if slices.ContainsFunc(f.Bins, func(b history.Bin) bool { _, ok := b.Views[history.Pair{Node: n.Name, Server: s.ID}]; return ok }) {
+		if slices.ContainsFunc(f.Bins, func(b history.Bin) bool { _, ok := b.Views[history.ViewKey{Node: n.Name, Server: s.ID}]; return ok }) {
 			viewers = append(viewers, n.Name)
 		}
 	}
@@ -296,12 +296,12 @@
 		last := 0
 		for i, b := range f.Bins {
 			now := last
-			if v, ok := b.Views[history.Pair{Node: node, Server: s.ID}]; ok {
-				now, last = int(v.Level.Most), int(v.Level.Most)
-				if v.Level.Least < 2 {
-					last = int(v.Level.Least)
+			if v, ok := b.Views[history.ViewKey{Node: node, Server: s.ID}]; ok {
+				now, last = int(v.Level.Highest), int(v.Level.Highest)
+				if v.Level.Lowest < 2 {
+					last = int(v.Level.Lowest)
 				}
-				w := v.Wait.Most / 1e6
+				w := v.Wait.Highest / 1e6
 				if math.IsNaN(waits[i]) || w > waits[i] {
 					waits[i] = w
 				}
@@ -321,7 +321,7 @@
 	id := fmt.Sprintf("levels-%d", s.ID)
 	title := "Level of " + name + " in the view of each gatekeeper"
 	desc := fmt.Sprintf("One row for each of %d gatekeepers, with the highest level in each interval. From level 2 on, no new set-ups are sent. Gated %d times in total.", len(viewers), s.Gated)
-	key := []KeyEntry{{"l1", "level 1"}, {"l2", "level 2: gated"}, {"l3", "level 3"}, {"l4", "level 4"}}
+	key := []LegendEntry{{"l1", "level 1"}, {"l2", "level 2: gated"}, {"l3", "level 3"}, {"l4", "level 4"}}
 	plots := []Plot{{id, title, desc, strips.svg(id, title, desc), key}}
 
 	last := math.NaN()
@@ -341,7 +341,7 @@
 	id = fmt.Sprintf("wait-%d", s.ID)
 	title = "Wait at " + name
 	desc = fmt.Sprintf("The longest wait for its processor that any gatekeeper estimated in each interval; %.2f s at most.", maximum)
-	return append(plots, Plot{id, title, desc, d.svg(id, title, desc), []KeyEntry{{"wait", "longest estimated wait"}}})
+	return append(plots, Plot{id, title, desc, d.svg(id, title, desc), []LegendEntry{{"wait", "longest estimated wait"}}})
 }
 
 // truncateName truncates a name to fit the margin of a plot.
