--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -26,6 +26,7 @@
 	RuleReleaseGuard  = "release awaited"
 )
 
+// ruleNames are the names of the rules in the order of the findings.
 var ruleNames = []string{RuleAnswer, RuleSingleAttempt, RuleDrain, RuleColdServer, RuleReleaseGuard}
 
 // Evidence describes one violation of a rule.
@@ -41,7 +42,7 @@
 type Finding struct {
 	Rule     string     `json:"rule"`
 	Verdict  Verdict    `json:"verdict"`
-	Why      string     `json:"why,omitempty"` // reason for the verdict NotShown
+	Why      string     `json:"why,omitempty"` // reason for the verdict Inconclusive
 	Evidence []Evidence `json:"evidence"`
 	Count    int        `json:"count"` // number of all violations; Evidence holds the first ones
 }
@@ -117,8 +118,8 @@
 	setups    []control.Micros
 }
 
-// NewChecker returns a checker. capacities gives the set-ups per second that warm servers can handle, where that is known
-// from another source than the records, as in a test; it may be nil.
+// NewChecker returns a checker. capacities holds the set-ups per second that warm servers can handle, where that is
+// known from another source than the records, as in a test; it may be nil.
 func NewChecker(capacities map[uint32]float64) *Checker {
 	c := &Checker{nodes: map[string]*nodeState{}, servers: map[uint32]*serverHistory{}, capacity: capacities}
 	for i, name := range ruleNames {
@@ -390,8 +391,8 @@
 
 // checkColdServers checks each window of the rule's length after a server's start. The records do not contain a server's
 // capacity; the rate at which it answered once it was warm is a lower bound. If the limit derived from that bound is kept,
-// the rule held. If it is exceeded, the verdict is NotShown, unless the capacity is known from another source. Windows are
-// extended by the maximum difference between clocks.
+// the rule held. If it is exceeded, the verdict is Inconclusive, unless the capacity is known from another source. Windows
+// are extended by the maximum difference between clocks.
 func (c *Checker) checkColdServers() {
 	f := &c.findings[slices.Index(ruleNames, RuleColdServer)]
 	highestRate := 0.0
--- a/internal/history/event.go
+++ b/internal/history/event.go
@@ -10,7 +10,7 @@
 // The kinds of events, with the fields of Event that each uses in addition to At, Kind and Seq.
 const (
 	Started       Kind = 1 + iota // Rules, Name (version of limits): the first event of a start
-	Received                      // Call, Class, Value (worth), Span (time until the caller gives up), Again: a call arrived
+	Received                      // Call, Class, Value (worth), Span (time until the caller gives up), Repeated: a call arrived
 	Sent                          // Call, Attempt, Server, Level (at the decision): the first byte of a set-up is about to be sent
 	Ended                         // Call, Attempt, Server, Code, Span (since it was sent): an attempt ended without an established call
 	Established                   // Call, Attempt, Server, Span (since the call arrived): final answer, the call is established
--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -9,6 +9,7 @@
 	"beammux/control"
 )
 
+// Parameters of the fleet's history.
 const (
 	maxBins          = 1200                    // maximum number of bins; beyond it each two neighbours are merged
 	initialBinWidth  = control.Micros(1000000) // initial width of a bin
@@ -564,7 +565,7 @@
 	f.firstSecond += int64(seconds)
 }
 
-// Finalize finishes the evaluation after the last event: Worst is final, and calls that are still open stay open.
+// Finalize finishes the evaluation after the last event: WorstSpan is final, and calls that are still open stay open.
 func (f *Fleet) Finalize() { f.findWorst(len(f.seconds)) }
 
 // removeOldCalls removes calls whose end is missing in the records.
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (s *scenario) taken(at control.Micros, call string) *scenario {
+func (s *scenario) received(at control.Micros, call string) *scenario {
 	return s.at(at, Event{Kind: Received, Call: call, Span: 3000 * ms})
 }
 
@@ -96,7 +96,7 @@
 // Each rule is held and broken on either side of its limits.
 func TestVerdicts(t *testing.T) {
 	good := func() *scenario {
-		return newScenario(nil).listed(1, 1, control.Ready, 0).taken(10, "a").sent(11, "a", 0, 1).ended(500, "a", 0, control.TimedOut).
+		return newScenario(nil).listed(1, 1, control.Ready, 0).received(10, "a").sent(11, "a", 0, 1).ended(500, "a", 0, control.TimedOut).
 			sent(800, "a", 1, 1).final(900, "a", Established)
 	}
 	for name, row := range map[string]struct {
@@ -104,33 +104,33 @@
 		want string
 	}{
 		"no violation":                     {good(), "hhhhh"},
-		"refused at once":                  {good().taken(1000, "b").final(1001, "b", Refused), "hhhhh"},
-		"withdrawn":                        {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cancelled).final(1100, "b", Gone).final(9000, "c", Refused), "hhhhh"},
-		"just in time":                     {good().taken(1000, "b").final(4050, "b", Failed), "hhhhh"},
-		"too late":                         {good().taken(1000, "b").final(4051, "b", Failed), "bhhhh"},
-		"never answered":                   {good().taken(1000, "b").taken(9000, "c").final(9001, "c", Refused), "bhhhh"},
-		"still open at the end":            {good().taken(1000, "b").taken(2000, "c").final(2001, "c", Refused), "hhhhh"},
+		"refused at once":                  {good().received(1000, "b").final(1001, "b", Refused), "hhhhh"},
+		"withdrawn":                        {good().received(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cancelled).final(1100, "b", Gone).final(9000, "c", Refused), "hhhhh"},
+		"just in time":                     {good().received(1000, "b").final(4050, "b", Failed), "hhhhh"},
+		"too late":                         {good().received(1000, "b").final(4051, "b", Failed), "bhhhh"},
+		"never answered":                   {good().received(1000, "b").received(9000, "c").final(9001, "c", Refused), "bhhhh"},
+		"still open at the end":            {good().received(1000, "b").received(2000, "c").final(2001, "c", Refused), "hhhhh"},
 		"answered twice":                   {good().final(950, "a", Refused), "bhhhh"},
 		"sent after its answer":            {good().sent(1900, "a", 2, 1), "bhhhh"},
-		"received twice":                   {good().taken(1000, "b").taken(1100, "b").final(1200, "b", Refused), "bhhhh"},
-		"two attempts at once":             {good().taken(1000, "b").sent(1001, "b", 0, 1).sent(1002, "b", 1, 2).final(1003, "b", Established), "hbhhh"},
-		"refused with attempt in flight":   {good().taken(1000, "b").sent(1001, "b", 0, 1).final(1003, "b", Refused), "hbhhh"},
-		"an attempt abandoned when sent":   {good().taken(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
-		"withdrawn when sent":              {good().taken(1000, "b").ended(1001, "b", 0, control.Cancelled).final(1001, "b", Gone).sent(1002, "b", 0, 1).final(9000, "c", Refused), "hhhhh"},
-		"withdrawn, then sent again":       {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1002, "b", 0, control.Cancelled).final(1002, "b", Gone).sent(1003, "b", 1, 1).final(9000, "c", Refused), "hhhhb"},
-		"drained, within the grace":        {good().listed(1000, 1, control.Draining, 0).taken(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Established), "hhhhh"},
-		"drained, after the grace":         {good().listed(1000, 1, control.Draining, 0).taken(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
-		"drained, then gone":               {good().listed(1000, 1, control.Draining, 0).listed(1200, 1, control.Gone, 0).taken(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
-		"ready again":                      {good().listed(1000, 1, control.Draining, 0).listed(2000, 1, control.Ready, 0).taken(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
-		"sent again within the guard":      {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cut).sent(1399, "b", 1, 1).final(1400, "b", Established), "hhhhb"},
-		"full needs no guard":              {good().taken(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Full).sent(1101, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
-		"ended as planned, one still open": {good().taken(1000, "b").at(1200, Event{Kind: Finished}), "bhhhh"},
-		"a planned restart hides nothing":  {good().at(1200, Event{Kind: Finished}).gap(1200, 2000, Restart, false).at(2000, Event{Kind: Started, Rules: testRules()}).taken(2001, "b").final(2002, "b", Refused), "hhhhh"},
-		"a crash hides events":             {good().taken(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: testRules()}).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
+		"received twice":                   {good().received(1000, "b").received(1100, "b").final(1200, "b", Refused), "bhhhh"},
+		"two attempts at once":             {good().received(1000, "b").sent(1001, "b", 0, 1).sent(1002, "b", 1, 2).final(1003, "b", Established), "hbhhh"},
+		"refused with attempt in flight":   {good().received(1000, "b").sent(1001, "b", 0, 1).final(1003, "b", Refused), "hbhhh"},
+		"an attempt abandoned when sent":   {good().received(1000, "b").ended(1001, "b", 0, control.TimedOut).sent(1002, "b", 0, 1).sent(1310, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
+		"withdrawn when sent":              {good().received(1000, "b").ended(1001, "b", 0, control.Cancelled).final(1001, "b", Gone).sent(1002, "b", 0, 1).final(9000, "c", Refused), "hhhhh"},
+		"withdrawn, then sent again":       {good().received(1000, "b").sent(1001, "b", 0, 1).ended(1002, "b", 0, control.Cancelled).final(1002, "b", Gone).sent(1003, "b", 1, 1).final(9000, "c", Refused), "hhhhb"},
+		"drained, within the grace":        {good().listed(1000, 1, control.Draining, 0).received(1001, "b").sent(1300, "b", 0, 1).final(1301, "b", Established), "hhhhh"},
+		"drained, after the grace":         {good().listed(1000, 1, control.Draining, 0).received(1001, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"drained, then gone":               {good().listed(1000, 1, control.Draining, 0).listed(1200, 1, control.Gone, 0).received(1201, "b").sent(1301, "b", 0, 1).final(1302, "b", Established), "hhbhh"},
+		"ready again":                      {good().listed(1000, 1, control.Draining, 0).listed(2000, 1, control.Ready, 0).received(2001, "b").sent(2301, "b", 0, 1).final(2302, "b", Established), "hhhhh"},
+		"sent again within the guard":      {good().received(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Cut).sent(1399, "b", 1, 1).final(1400, "b", Established), "hhhhb"},
+		"full needs no guard":              {good().received(1000, "b").sent(1001, "b", 0, 1).ended(1100, "b", 0, control.Full).sent(1101, "b", 1, 1).final(1400, "b", Established), "hhhhh"},
+		"ended as planned, one still open": {good().received(1000, "b").at(1200, Event{Kind: Finished}), "bhhhh"},
+		"a planned restart hides nothing":  {good().at(1200, Event{Kind: Finished}).gap(1200, 2000, Restart, false).at(2000, Event{Kind: Started, Rules: testRules()}).received(2001, "b").final(2002, "b", Refused), "hhhhh"},
+		"a crash hides events":             {good().received(1000, "b").gap(1200, 2000, Restart, true).at(2000, Event{Kind: Started, Rules: testRules()}).received(9000, "c").final(9001, "c", Refused), "nnnnn"},
 		"dropped records hide events":      {good().gap(1200, 2000, Lost, true), "nnnnn"},
 		"damage hides events":              {good().gap(1200, 2000, Damaged, true), "nnnnn"},
 		"broken before a gap":              {good().final(950, "a", Refused).gap(1200, 2000, Damaged, true), "bnnnn"},
-		"an end in the gap":                {good().taken(1000, "b").sent(1001, "b", 0, 1).gap(1100, 1900, Lost, true).sent(1901, "b", 1, 1).taken(9000, "c").final(9001, "c", Refused), "nnnnn"},
+		"an end in the gap":                {good().received(1000, "b").sent(1001, "b", 0, 1).gap(1100, 1900, Lost, true).sent(1901, "b", 1, 1).received(9000, "c").final(9001, "c", Refused), "nnnnn"},
 	} {
 		if got := row.s.verdicts(); got != row.want {
 			t.Errorf("%s: %s, want %s: %+v", name, got, row.want, row.s.checker.Findings())
@@ -140,7 +140,7 @@
 		t.Errorf("without records: %s", got)
 	}
 	unknown := &scenario{checker: NewChecker(nil), fleet: NewFleet()}
-	if got := unknown.taken(1, "a").final(2, "a", Refused).verdicts(); got != "nnnnn" {
+	if got := unknown.received(1, "a").final(2, "a", Refused).verdicts(); got != "nnnnn" {
 		t.Errorf("without the parameters of the rules: %s", got)
 	}
 }
@@ -152,7 +152,7 @@
 		s := newScenario(capacity).listed(1, 1, control.Ready, 0).listed(1, 2, control.Ready, 20000)
 		for i := range 400 { // server 1 answers 40 set-ups per second
 			call := fmt.Sprint("w", i)
-			s.taken(control.Micros(i*25+10), call).final(control.Micros(i*25+11), call, Established)
+			s.received(control.Micros(i*25+10), call).final(control.Micros(i*25+11), call, Established)
 		}
 		for i := range perS * 3 { // 3 s, from both gatekeepers
 			e := Event{Kind: Sent, Call: fmt.Sprint("c", i), Server: 2, Node: []string{"n1", "n2"}[i%2]}
@@ -226,7 +226,7 @@
 	s := newScenario(nil).listed(1, 1, control.Ready, 0)
 	for i := range 50000 {
 		call, at := fmt.Sprint("c", i), control.Micros(i*10)
-		s.taken(at, call).sent(at+1, call, 0, 1).ended(at+2, call, 0, control.TimedOut).final(at+3, call, Refused)
+		s.received(at, call).sent(at+1, call, 0, 1).ended(at+2, call, 0, control.TimedOut).final(at+3, call, Refused)
 	}
 	n := s.checker.nodes["n1"]
 	if len(n.calls) > 3000 || len(n.ended) > 3000 || len(s.fleet.Nodes["n1"].calls) > 0 {
--- a/internal/history/rates.go
+++ b/internal/history/rates.go
@@ -10,7 +10,7 @@
 	newest int64 // Unix second of the newest slot
 }
 
-// Event counts one event. The caller passes the class of the call, since only the event Taken carries it.
+// Event counts one event. The caller passes the class of the call, since only the event Received carries it.
 func (r *Rates) Event(e *Event, class int) {
 	r.advance(e.At)
 	if class < 0 || int64(e.At/1e6) <= r.newest-rateSlots {
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -70,8 +70,8 @@
 // Subfolder is the name of the subfolder to which this program's own commands write records (`incident play --out DIR`).
 const Subfolder = "records"
 
-// ResolveFolder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder Subfolder if that
-// holds any, else dir.
+// ResolveFolder returns the folder that holds the records of dir: dir itself if it holds any, else its subfolder named
+// Subfolder if that holds any, else dir.
 func ResolveFolder(dir string) string {
 	if holdsRecords(dir) {
 		return dir
@@ -93,8 +93,8 @@
 	return false
 }
 
-// Nodes returns a reader for each gatekeeper that has records in the given folders, each resolved by Folder. A folder
-// without any records is an error.
+// Nodes returns a reader for each gatekeeper that has records in the given folders, each resolved by ResolveFolder. A
+// folder without any records is an error.
 func Nodes(dirs ...string) ([]*Node, error) {
 	var nodes []*Node
 	for _, dir := range dirs {
@@ -185,10 +185,10 @@
 }
 
 // addDamage records a defect at the current offset.
-func (n *Node) addDamage(what string) {
+func (n *Node) addDamage(description string) {
 	n.damaged = true
 	if len(n.Damage) < 1000 {
-		n.Damage = append(n.Damage, Damage{filepath.Join(n.dir, n.current.file), n.frameReader.offset, what})
+		n.Damage = append(n.Damage, Damage{filepath.Join(n.dir, n.current.file), n.frameReader.offset, description})
 	}
 }
 
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -100,8 +100,8 @@
 	limitsVersion string         // version of the limits in force
 }
 
-// NewRecorder starts a recorder. The number of the start is one above the highest in the folder, so that two starts in the same
-// second are distinguishable.
+// NewRecorder creates a recorder and starts its writing goroutine. The number of the start is one above the highest in the
+// folder, so that two starts in the same second are distinguishable.
 func NewRecorder(o Options) (*Recorder, error) {
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = 1 << 30
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -21,6 +21,7 @@
 //go:embed page.tmpl
 var pageTemplate string
 
+// page is the parsed template of the page.
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
 	"clock": clockTime,
 	"stamp": func(at control.Micros) string {
@@ -44,11 +45,11 @@
 // HTML writes the page as a single file without external references or scripts. The template escapes all text from
 // records, and control characters, which are not allowed in HTML, are replaced.
 func (r *Report) HTML(w io.Writer) error {
-	course, omitted := r.Timeline()
+	timeline, omitted := r.Timeline()
 	f := r.Fleet
 	var text bytes.Buffer
 	err := page.Execute(&text, map[string]any{
-		"R": r, "F": f, "Summary": r.Summary(), "Course": course, "CourseLeft": omitted, "Plots": r.plots(),
+		"R": r, "F": f, "Summary": r.Summary(), "Course": timeline, "CourseLeft": omitted, "Plots": r.plots(),
 		"Servers": f.ServerList(), "Nodes": f.NodeList(), "Width": f.Width / 1e6, "ClockNote": clockNote,
 		"Classes": r.classRows(), "Verdicts": r.verdicts(),
 	})
@@ -70,6 +71,7 @@
 	Part string
 }
 
+// classRows returns the table of classes.
 func (r *Report) classRows() (rows []classRow) {
 	for i, c := range r.Fleet.Totals {
 		rows = append(rows, classRow{r.className(i), c, fmt.Sprintf("%.1f%%", 100*float64(c.Served)/math.Max(float64(c.Offered), 1))})
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -172,7 +172,7 @@
 }
 
 // The timeline describes the incident in sentences, and plots show gaps where a gatekeeper was down.
-func TestCourseAndPlots(t *testing.T) {
+func TestTimelineAndPlots(t *testing.T) {
 	dir := t.TempDir()
 	for n := range 3 {
 		name := fmt.Sprint("n", n+1)
@@ -192,9 +192,9 @@
 		}
 	}
 	r := build(t, Options{Dirs: []string{dir}})
-	course, _ := r.Timeline()
+	timeline, _ := r.Timeline()
 	var sentences []string
-	for _, s := range course {
+	for _, s := range timeline {
 		sentences = append(sentences, clockTime(s.At)+" "+s.Text)
 	}
 	want := []string{"18:00:00 All 3 gatekeepers started.", "18:00:10 All 3 gatekeepers stopped sending to server s-7, which was overloaded: 3 times.",
--- a/internal/report/course.go
+++ b/internal/report/timeline.go
@@ -22,9 +22,9 @@
 	weight int
 }
 
-// Timeline returns the timeline of the incident in sentences, in order of time. If there are more than 80, it selects those of
-// the highest weight: gaps, changes of servers and limits, then the most frequent moments. omitted is the number of left-out
-// sentences plus the number of moments that the fleet did not keep.
+// Timeline returns the timeline of the incident in sentences, in order of time. If there are more than 80, it selects those
+// of the highest weight: gaps, changes of servers and limits, then the most frequent moments. omitted is the number of
+// left-out sentences plus the number of moments that the fleet did not keep.
 func (r *Report) Timeline() (sentences []Sentence, omitted int) {
 	shutdowns := map[*history.Episode]*history.Episode{} // planned shutdowns, by the start that followed
 	merged := map[*history.Episode]bool{}
