--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -26,6 +26,7 @@
 	Offered, Served, Late, Refused, Failed, Gone int // Served within the class's aim, Late after it
 }
 
+// add adds other counts to c.
 func (c *Counts) add(o Counts) {
 	c.Offered += o.Offered
 	c.Served += o.Served
@@ -41,6 +42,7 @@
 	Seen            bool
 }
 
+// add includes a value.
 func (x *Extremes) add(v float64) {
 	if !x.Seen {
 		*x = Extremes{v, v, true}
@@ -49,6 +51,7 @@
 	x.Lowest, x.Highest = min(x.Lowest, v), max(x.Highest, v)
 }
 
+// merge includes other extremes.
 func (x *Extremes) merge(o Extremes) {
 	if o.Seen {
 		x.add(o.Lowest)
@@ -101,7 +104,7 @@
 	Name        string         `json:"gatekeeper"`
 	Starts      int            `json:"starts"`
 	Version     string         `json:"calls"` // version of the limits in force
-	First, Last control.Micros `json:"-"`
+	First, Last control.Micros `json:"-"`     // times of the first and the last record
 	Counts      Counts         `json:"calls_counted"`
 	Sent        int            `json:"sent"`
 	Memory      float64        `json:"memory_bytes"`                    // maximum
@@ -180,7 +183,7 @@
 // WorstSpan is the worst span of 10 s, the one with the lowest ratio of served to offered worth.
 type WorstSpan struct {
 	From          control.Micros `json:"from"`
-	Offered, Part float64        // worth
+	Offered, Part float64        // offered worth, and the fraction of it that was served
 	Known         bool           `json:"known"`
 }
 
@@ -192,6 +195,7 @@
 	return &Fleet{Width: initialBinWidth, Servers: map[uint32]*Server{}, Nodes: map[string]*Node{}, openEpisodes: map[episodeKey]*Episode{}}
 }
 
+// node returns the row of a gatekeeper, which it creates if needed.
 func (f *Fleet) node(name string) *Node {
 	n := f.Nodes[name]
 	if n == nil {
@@ -201,6 +205,7 @@
 	return n
 }
 
+// server returns the row of a server, which it creates if needed.
 func (f *Fleet) server(id uint32) *Server {
 	s := f.Servers[id]
 	if s == nil {
@@ -390,6 +395,7 @@
 	return -1
 }
 
+// class returns the parameters of a class by its index.
 func (f *Fleet) class(i int) Class {
 	if i >= 0 && i < len(f.Rules.Classes) {
 		return f.Rules.Classes[i]
