--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -109,7 +109,7 @@
 	answers := make(chan string, 9)
 	c := dialJSON(t, n, func(m map[string]any) { answers <- fmt.Sprint(m["sid"], m["msg"]) })
 	open(c, "0000000000000001", "1", 3000)
-	server.Wait("INVITE", siptest.Is("INVITE"))
+	server.Wait("INVITE", siptest.IsMethod("INVITE"))
 	began, settled := time.Now(), make(chan struct{})
 	wait := n.beginSettling()
 	go func() { defer close(settled); wait() }()
@@ -127,13 +127,13 @@
 func TestEndingLeavesCallsStanding(t *testing.T) {
 	n := testNode(t, &config.Deploy{})
 	release := make(chan struct{})
-	server := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
+	server := siptest.New(t, func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
 			ok := p.Reply(e.Msg, 200, "OK", "")
-			e.Back(ok)
+			e.SendBack(ok)
 			if keyOf(e.Msg) == "ends" {
 				bye := sip.Request("BYE", "sip:x@net").Set("Call-ID", e.Msg.Get("Call-ID")).Set("CSeq", "2 BYE").Set("Reason", "Q.850;cause=16")
-				go func() { <-release; e.Back(bye) }()
+				go func() { <-release; e.SendBack(bye) }()
 			}
 		}
 	})
@@ -149,7 +149,7 @@
 	time.Sleep(time.Duration(drain.ReleaseDelay)*time.Microsecond + 5*sweepEvery)
 	close(release)
 	require.Equal(t, "0000000000000002close", soon(t, answers))
-	if n := server.Count(siptest.Is("BYE")); n != 0 || len(answers) != 0 {
+	if n := server.Count(siptest.IsMethod("BYE")); n != 0 || len(answers) != 0 {
 		t.Errorf("%d calls released by the process that ends, %d more messages to the caller", n, len(answers))
 	}
 }
@@ -206,12 +206,12 @@
 		for _, when := range []string{"at once", "while it waits"} {
 			t.Run(how+" "+when, func(t *testing.T) {
 				n := testNode(t, &config.Deploy{})
-				cut := func(p *siptest.Party, e siptest.Entry) {
-					if siptest.Is("INVITE")(e.Msg) {
-						e.Back(p.Reply(e.Msg, 504, "Reset", ""))
+				cut := func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+					if siptest.IsMethod("INVITE")(e.Msg) {
+						e.SendBack(p.Reply(e.Msg, 504, "Reset", ""))
 					}
 				}
-				servers := []*siptest.Party{siptest.New(t, cut), siptest.New(t, cut)}
+				servers := []*siptest.UserAgent{siptest.New(t, cut), siptest.New(t, cut)}
 				n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: servers[0].Addr("TCP"), State: control.Ready},
 					{Name: "b", Addr: servers[1].Addr("TCP"), Cell: 1, State: control.Ready}}})
 				const calls = 40
@@ -222,7 +222,7 @@
 					open(c, id(i), fmt.Sprint(i), 3000)
 				}
 				if when == "while it waits" {
-					servers[0].Wait("INVITE", siptest.Is("INVITE"))
+					servers[0].Wait("INVITE", siptest.IsMethod("INVITE"))
 					time.Sleep(50 * time.Millisecond) // inside the guard of 300 ms
 				}
 				switch how {
@@ -240,10 +240,10 @@
 				time.Sleep(700 * time.Millisecond) // a further attempt would have come by now
 				late, all := 0, 0
 				for _, s := range servers {
-					for _, e := range s.Log() {
-						if siptest.Is("INVITE")(e.Msg) {
+					for _, e := range s.Received() {
+						if siptest.IsMethod("INVITE")(e.Msg) {
 							all++
-							if e.At.Sub(left) > gone {
+							if e.ReceivedAt.Sub(left) > gone {
 								late++
 							}
 						}
@@ -357,9 +357,9 @@
 	cfg.Site = site
 	log, _ := logtest.NewNullLogger()
 	n := startNode(t, cfg, &config.Deploy{}, log)
-	server := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 200, "OK", e.Msg.Get("X-Cos")+" "+keyOf(e.Msg)+" "+string(e.Msg.Body)))
+	server := siptest.New(t, func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 200, "OK", e.Msg.Get("X-Cos")+" "+keyOf(e.Msg)+" "+string(e.Msg.Body)))
 		}
 	})
 	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -189,14 +189,14 @@
 }
 
 // server plays a menu server: the call's number decides what it does, so that a run is the same each time.
-func (r *observer) server(name string) func(*siptest.Party, siptest.Entry) {
+func (r *observer) server(name string) func(*siptest.UserAgent, siptest.ReceivedMessage) {
 	var mu sync.Mutex
 	seen := map[string]bool{}
 	keys := map[string]string{}
-	return func(p *siptest.Party, e siptest.Entry) {
+	return func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
 		m, id := e.Msg, e.Msg.Get("Call-ID")
 		switch {
-		case siptest.Is("INVITE")(m):
+		case siptest.IsMethod("INVITE")(m):
 			key := keyOf(m)
 			mu.Lock()
 			again := seen[id]
@@ -206,12 +206,12 @@
 				return // a retransmission, to be absorbed
 			}
 			r.begin(key, name)
-			e.Back(p.Reply(m, 100, "Trying", ""))
+			e.SendBack(p.Reply(m, 100, "Trying", ""))
 			var digits int
 			fmt.Sscan(key, &digits)
 			final := func(status int, body string, code control.Code) {
 				r.end(key, code)
-				e.Back(p.Reply(m, status, "Final", body))
+				e.SendBack(p.Reply(m, status, "Final", body))
 			}
 			switch (digits + len(name)) % 16 {
 			case 0:
@@ -224,14 +224,14 @@
 			default:
 				time.AfterFunc(time.Duration(digits%40)*time.Millisecond, func() { final(200, "for "+key, control.OK) })
 			}
-		case siptest.Is("CANCEL")(m):
+		case siptest.IsMethod("CANCEL")(m):
 			mu.Lock()
 			key := keys[id]
 			mu.Unlock()
 			r.end(key, control.Cancelled)
-			e.Back(p.Reply(m, 200, "OK", ""))
-		case siptest.Is("BYE")(m):
-			e.Back(p.Reply(m, 200, "OK", ""))
+			e.SendBack(p.Reply(m, 200, "OK", ""))
+		case siptest.IsMethod("BYE")(m):
+			e.SendBack(p.Reply(m, 200, "OK", ""))
 		}
 	}
 }
@@ -272,7 +272,7 @@
 		}
 	})
 	var acked sync.Map
-	caller := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
+	caller := siptest.New(t, func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
 		_, method, _ := e.Msg.CSeq()
 		if method != "INVITE" || e.Msg.Status < 200 {
 			return
@@ -283,12 +283,12 @@
 			proto = "TCP"
 		}
 		invite := p.Invite(proto, "call"+key, key, "")
-		ack := siptest.Within(invite, e.Msg, "ACK", 1)
+		ack := siptest.InDialog(invite, e.Msg, "ACK", 1)
 		if e.Msg.Status >= 300 { // it belongs to the INVITE's transaction
 			ack.URI = invite.URI
 			ack.Set("Via", invite.Get("Via"))
 		}
-		e.Back(ack)
+		e.SendBack(ack)
 		if _, again := acked.LoadOrStore(key, true); again {
 			return // a retransmission
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -26,10 +26,10 @@
 )
 
 // slowly answers set-ups of the platform after a time.
-func slowly(after time.Duration) func(*siptest.Party, siptest.Entry) {
-	return func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			time.AfterFunc(after, func() { e.Back(p.Reply(e.Msg, 200, "OK", "for "+keyOf(e.Msg))) })
+func slowly(after time.Duration) func(*siptest.UserAgent, siptest.ReceivedMessage) {
+	return func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			time.AfterFunc(after, func() { e.SendBack(p.Reply(e.Msg, 200, "OK", "for "+keyOf(e.Msg))) })
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	on := func(m map[string]any) { answers <- fmt.Sprint(m["sid"], " ", m["msg"], " ", m["code"]) }
 	c := dialJSON(t, n, on)
 	open(c, "0000000000000001", "1", 3000)
-	server.Wait("INVITE", siptest.Is("INVITE"))
+	server.Wait("INVITE", siptest.IsMethod("INVITE"))
 	drained := make(chan struct{})
 	go func() { n.Drain(); close(drained) }()
 	late := dialJSON(t, n, on) // a connection that comes after SIGTERM is taken, but its test fails
@@ -150,18 +150,18 @@
 // A gatekeeper that starts again finds its dialogs in the store and passes the server's BYE on to the caller.
 func TestDialogsOutliveTheProcess(t *testing.T) {
 	first := testNode(t, &config.Deploy{SIPUDP: "127.0.0.1:0"})
-	server := siptest.New(t, func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 200, "OK", ""))
+	server := siptest.New(t, func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
 	first.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.URI("UDP"), State: control.Ready}}})
 	caller := siptest.New(t, nil)
 	m := caller.Invite("UDP", "abc", "1", "").Set("X-Cos", "menu-view")
 	send := caller.Send("UDP", first.agent.Addr("UDP"), m)
-	send(siptest.Within(m, caller.Wait("answer", siptest.Status(200, "INVITE")).Msg, "ACK", 1))
-	in := server.Wait("INVITE", siptest.Is("INVITE"))
-	server.Wait("ACK", siptest.Is("ACK"))
+	send(siptest.InDialog(m, caller.Wait("answer", siptest.Status(200, "INVITE")).Msg, "ACK", 1))
+	in := server.Wait("INVITE", siptest.IsMethod("INVITE"))
+	server.Wait("ACK", siptest.IsMethod("ACK"))
 
 	records := make(chan store.Record, 9)
 	first.store.Watch(dialogKey, func(r store.Record) { records <- r })
@@ -183,10 +183,10 @@
 		}
 	}
 	first.agent.Close()
-	bye := siptest.Bye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16)
+	bye := siptest.ServerBye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16)
 	server.Send("UDP", second.agent.Addr("UDP"), bye)
 	server.Wait("200 to BYE", siptest.Status(200, "BYE"))
-	caller.Wait("BYE", siptest.Is("BYE"))
+	caller.Wait("BYE", siptest.IsMethod("BYE"))
 }
 
 // An inventory imported into the store becomes the list; a bad one leaves it as it is.
@@ -248,12 +248,12 @@
 // SIGHUP puts new limits of calls in force for calls that come then, and a bad file keeps all: bus, inventory and limits.
 // Each is told by one log line, faults one by one.
 func TestReloadOfLimits(t *testing.T) {
-	refuse := func(p *siptest.Party, e siptest.Entry) {
-		if siptest.Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
+	refuse := func(p *siptest.UserAgent, e siptest.ReceivedMessage) {
+		if siptest.IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
 		}
 	}
-	servers := []*siptest.Party{siptest.New(t, refuse), siptest.New(t, refuse), siptest.New(t, refuse)}
+	servers := []*siptest.UserAgent{siptest.New(t, refuse), siptest.New(t, refuse), siptest.New(t, refuse)}
 	dir := t.TempDir()
 	inv, deploy, cfg := filepath.Join(dir, "servers.csv"), filepath.Join(dir, "deploy.json"), filepath.Join(dir, "config.json")
 	write := func(file, text string) {
@@ -289,7 +289,7 @@
 			t.Errorf("%v", m)
 		}
 		for _, p := range servers {
-			sent += p.Count(func(m *sip.Message) bool { return siptest.Is("INVITE")(m) && keyOf(m) == sid })
+			sent += p.Count(func(m *sip.Message) bool { return siptest.IsMethod("INVITE")(m) && keyOf(m) == sid })
 		}
 		return sent
 	}
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -30,7 +30,7 @@
 }
 
 // withServer puts one stand-in server on the list, which answers set-ups after a time.
-func withServer(t *testing.T, n *Node, after time.Duration) *siptest.Party {
+func withServer(t *testing.T, n *Node, after time.Duration) *siptest.UserAgent {
 	t.Helper()
 	server := siptest.New(t, slowly(after))
 	n.applied(routing.Update{Complete: true, Hosts: []routing.Host{{Name: "a", Addr: server.Addr("TCP"), State: control.Ready}}})
@@ -93,7 +93,7 @@
 	server := withServer(t, n, 600*time.Millisecond)
 	idle, busy := dial(t, n), dial(t, n)
 	open(busy, "00000000000000b1", "1", 3000)
-	server.Wait("INVITE", siptest.Is("INVITE"))
+	server.Wait("INVITE", siptest.IsMethod("INVITE"))
 	evacuated := time.Now()
 	call(t, n, "POST", "/api/evacuate")
 	idle.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -222,5 +222,5 @@
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Fatalf("connection after the release: %v", err)
 	}
-	server.Wait("BYE", siptest.Is("BYE"))
+	server.Wait("BYE", siptest.IsMethod("BYE"))
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -183,7 +183,7 @@
 		DefaultClass: n.deploy.DefaultClass, Reports: n.cfg.Site.ReportNames, DialTimeout: network.timeout, Budget: network.budget,
 		Dialogs: records, Log: n.log}
 	if n.outliers != nil {
-		o.Seen, o.IsBlocked = n.outliers.ObserveCaller, n.outliers.Blocked
+		o.OnFirstMessage, o.IsBlocked = n.outliers.ObserveCaller, n.outliers.Blocked
 	}
 	n.agent = sip.NewAgent(n.core, o)
 	if err := n.agent.Listen(n.deploy.SIPUDP, n.deploy.SIPTCP); err != nil {
--- a/internal/protocol/sip/agent.go
+++ b/internal/protocol/sip/agent.go
@@ -38,9 +38,9 @@
 	DialTimeout  time.Duration
 	Budget       *transport.Budget
 	Dialogs      Dialogs // may be nil
-	// Seen, if not nil, is called once for each caller's TCP connection, with its address and whether it brought a whole message
+	// OnFirstMessage, if not nil, is called once for each caller's TCP connection, with its address and whether it brought a whole message
 	// first: false for one that can't be read, and for none in time. From any goroutine.
-	Seen func(address string, wellFormed bool)
+	OnFirstMessage func(address string, wellFormed bool)
 	// IsBlocked, if not nil, tells whether TCP connections from a caller's address are closed at once.
 	IsBlocked func(address string) bool
 	Log       logrus.FieldLogger
--- a/internal/protocol/sip/agent_retry_test.go
+++ b/internal/protocol/sip/agent_retry_test.go
@@ -23,33 +23,33 @@
 }
 
 // noAgent turns a set-up away as a server does that has a processor but no agent: it is passed over and not gated.
-func noAgent(p *Party, e Entry) {
-	if Is("INVITE")(e.Msg) {
-		e.Back(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
+func noAgent(p *UserAgent, e ReceivedMessage) {
+	if IsMethod("INVITE")(e.Msg) {
+		e.SendBack(p.Reply(e.Msg, 503, "No", "").Set("X-Diagnosis", "atb"))
 	}
 }
 
 // An INVITE that is repeated over UDP while its call waits for its second attempt is no further attempt, and no second
 // call: each server hears of it in one transaction, and the caller gets one answer.
 func TestRetransmissionDuringTheWait(t *testing.T) {
-	servers := []*Party{New(t, noAgent), New(t, noAgent)}
+	servers := []*UserAgent{New(t, noAgent), New(t, noAgent)}
 	b := newBench(t, 5*time.Second, host("s-1", servers[0].URI("UDP"), 0), host("s-2", servers[1].URI("UDP"), 1))
 	limited(t, b)
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "").Set("X-Dest", "0")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
-	servers[0].Wait("ACK to the refusal", Is("ACK")) // from here the call waits
+	servers[0].Wait("ACK to the refusal", IsMethod("ACK")) // from here the call waits
 	for range 5 {
 		send(invite)
 	}
-	servers[1].Wait("second attempt", Is("INVITE"))
+	servers[1].Wait("second attempt", IsMethod("INVITE"))
 	caller.Wait("refusal", Status(503, "INVITE"))
 	for i, s := range servers {
-		if n := s.Transactions(Is("INVITE")); n != 1 {
+		if n := s.Transactions(IsMethod("INVITE")); n != 1 {
 			t.Errorf("server %d heard %d INVITE transactions, want 1", i, n)
 		}
 	}
-	if first, second := servers[0].Wait("", Is("INVITE")).At, servers[1].Wait("", Is("INVITE")).At; second.Sub(first) < 300*time.Millisecond {
+	if first, second := servers[0].Wait("", IsMethod("INVITE")).ReceivedAt, servers[1].Wait("", IsMethod("INVITE")).ReceivedAt; second.Sub(first) < 300*time.Millisecond {
 		t.Errorf("second attempt after %v, want 300 ms at least", second.Sub(first))
 	}
 }
@@ -57,22 +57,22 @@
 // A CANCEL that comes during the wait ends the call: 487 at once, and no second attempt.
 func TestCancelDuringTheWait(t *testing.T) {
 	each(t, func(t *testing.T, proto string) {
-		servers := []*Party{New(t, noAgent), New(t, noAgent)}
+		servers := []*UserAgent{New(t, noAgent), New(t, noAgent)}
 		b := newBench(t, 5*time.Second, host("s-1", servers[0].URI(proto), 0), host("s-2", servers[1].URI(proto), 1))
 		limited(t, b)
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "").Set("X-Dest", "0")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
-		servers[0].Wait("ACK to the refusal", Is("ACK"))
+		servers[0].Wait("ACK to the refusal", IsMethod("ACK"))
 		send(sip.Request("CANCEL", invite.URI).Set("Via", invite.Get("Via")).Set("From", invite.Get("From")).
 			Set("To", invite.Get("To")).Set("Call-ID", "abc").Set("CSeq", "1 CANCEL"))
 		caller.Wait("487", Status(487, "INVITE"))
 		other := caller.Invite(proto, "next", "4712", "").Set("X-Dest", "1") // by its two attempts the wait is over
 		caller.Send(proto, b.agent.Addr(proto), other)
 		servers[0].Wait("second attempt of the next call", func(m *sip.Message) bool {
-			return Is("INVITE")(m) && strings.Contains(m.URI, "4712")
+			return IsMethod("INVITE")(m) && strings.Contains(m.URI, "4712")
 		})
-		if n := servers[1].Count(func(m *sip.Message) bool { return Is("INVITE")(m) && strings.Contains(m.URI, "4711") }); n != 0 {
+		if n := servers[1].Count(func(m *sip.Message) bool { return IsMethod("INVITE")(m) && strings.Contains(m.URI, "4711") }); n != 0 {
 			t.Errorf("a cancelled call was sent again")
 		}
 	})
@@ -90,12 +90,12 @@
 		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		caller.Send("TCP", b.agent.Addr("TCP"), caller.Invite("TCP", "abc", "1", ""))
-		server.Wait("INVITE", Is("INVITE"))
+		server.Wait("INVITE", IsMethod("INVITE"))
 		caller.Wait("100", Status(100, "INVITE"))
 		left := time.Now()
 		caller.Stop()
-		if e := server.Wait("CANCEL", Is("CANCEL")); e.At.Sub(left) > 100*time.Millisecond {
-			t.Errorf("cancelled after %v", e.At.Sub(left))
+		if e := server.Wait("CANCEL", IsMethod("CANCEL")); e.ReceivedAt.Sub(left) > 100*time.Millisecond {
+			t.Errorf("cancelled after %v", e.ReceivedAt.Sub(left))
 		}
 	})
 }
@@ -109,7 +109,7 @@
 			caller := New(t, nil)
 			invite := caller.Invite("TCP", "abc", "1", "").Set("X-Dest", "0")
 			send := caller.Send("TCP", b.agent.Addr("TCP"), invite)
-			first.Wait("ACK", Is("ACK"))
+			first.Wait("ACK", IsMethod("ACK"))
 			if how == "close" {
 				caller.Stop()
 			} else {
@@ -119,8 +119,8 @@
 			other := New(t, nil) // a later call shows that the guard's time has passed
 			time.Sleep(400 * time.Millisecond)
 			other.Send("UDP", b.agent.Addr("UDP"), other.Invite("UDP", "later", "2", "").Set("X-Dest", "1"))
-			second.Wait("INVITE", Is("INVITE"))
-			if n := second.Count(Is("INVITE")); n != 1 {
+			second.Wait("INVITE", IsMethod("INVITE"))
+			if n := second.Count(IsMethod("INVITE")); n != 1 {
 				t.Errorf("%d INVITEs at the second server, want that of the later call alone", n)
 			}
 		})
@@ -134,37 +134,37 @@
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "1", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
-	e := server.Wait("INVITE", Is("INVITE"))
+	e := server.Wait("INVITE", IsMethod("INVITE"))
 	send(cancelOf(invite))
 	caller.Wait("487", Status(487, "INVITE"))
-	n := server.Count(Is("INVITE"))
-	time.Sleep(10 * quick.T1)                           // three copies would be due
-	if more := server.Count(Is("INVITE")); more > n+1 { // one may have been on its way
+	n := server.Count(IsMethod("INVITE"))
+	time.Sleep(10 * quick.T1)                                 // three copies would be due
+	if more := server.Count(IsMethod("INVITE")); more > n+1 { // one may have been on its way
 		t.Errorf("%d copies went out after it was given up", more-n)
 	}
-	e.Back(server.Reply(e.Msg, 180, "Ringing", ""))
-	server.Wait("CANCEL", Is("CANCEL"))
+	e.SendBack(server.Reply(e.Msg, 180, "Ringing", ""))
+	server.Wait("CANCEL", IsMethod("CANCEL"))
 }
 
 // Once it is to turn away, an INVITE is refused at once, and one that came before is still answered.
 func TestTurnAway(t *testing.T) {
 	each(t, func(t *testing.T, proto string) {
 		release := make(chan struct{})
-		server := New(t, func(p *Party, e Entry) {
-			if Is("INVITE")(e.Msg) {
+		server := New(t, func(p *UserAgent, e ReceivedMessage) {
+			if IsMethod("INVITE")(e.Msg) {
 				go func() { <-release; answering(p, e) }()
 			}
 		})
 		b := newBench(t, 5*time.Second, host("s-1", server.URI(proto), 0))
 		first, second := New(t, nil), New(t, nil)
 		first.Send(proto, b.agent.Addr(proto), first.Invite(proto, "abc", "1", ""))
-		server.Wait("INVITE", Is("INVITE"))
+		server.Wait("INVITE", IsMethod("INVITE"))
 		b.agent.TurnAway()
 		second.Send(proto, b.agent.Addr(proto), second.Invite(proto, "def", "2", ""))
 		second.Wait("503", Status(503, "INVITE"))
 		close(release)
 		first.Wait("200", Status(200, "INVITE"))
-		if n := server.Count(Is("INVITE")); n != 1 {
+		if n := server.Count(IsMethod("INVITE")); n != 1 {
 			t.Errorf("%d INVITEs at the server", n)
 		}
 	})
--- a/internal/protocol/sip/agent_test.go
+++ b/internal/protocol/sip/agent_test.go
@@ -71,32 +71,32 @@
 }
 
 // answering is a server that answers every set-up.
-func answering(p *Party, e Entry) {
+func answering(p *UserAgent, e ReceivedMessage) {
 	switch {
-	case Is("INVITE")(e.Msg):
-		e.Back(p.Reply(e.Msg, 100, "Trying", ""))
-		e.Back(p.Reply(e.Msg, 200, "OK", "answer to "+string(e.Msg.Body)))
-	case Is("BYE")(e.Msg), Is("CANCEL")(e.Msg):
-		e.Back(p.Reply(e.Msg, 200, "OK", ""))
+	case IsMethod("INVITE")(e.Msg):
+		e.SendBack(p.Reply(e.Msg, 100, "Trying", ""))
+		e.SendBack(p.Reply(e.Msg, 200, "OK", "answer to "+string(e.Msg.Body)))
+	case IsMethod("BYE")(e.Msg), IsMethod("CANCEL")(e.Msg):
+		e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 	}
 }
 
 // refusing turns every set-up away.
-func refusing(status int) func(*Party, Entry) {
-	return func(p *Party, e Entry) {
-		if Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, status, "No", ""))
+func refusing(status int) func(*UserAgent, ReceivedMessage) {
+	return func(p *UserAgent, e ReceivedMessage) {
+		if IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, status, "No", ""))
 		}
 	}
 }
 
 // silent takes set-ups and says no more than Trying.
-func silent(p *Party, e Entry) {
-	if Is("INVITE")(e.Msg) {
-		e.Back(p.Reply(e.Msg, 100, "Trying", ""))
+func silent(p *UserAgent, e ReceivedMessage) {
+	if IsMethod("INVITE")(e.Msg) {
+		e.SendBack(p.Reply(e.Msg, 100, "Trying", ""))
 	}
-	if Is("CANCEL")(e.Msg) {
-		e.Back(p.Reply(e.Msg, 200, "OK", ""))
+	if IsMethod("CANCEL")(e.Msg) {
+		e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 	}
 }
 
@@ -118,12 +118,12 @@
 		if string(ok.Body) != "answer to offer" {
 			t.Errorf("body %q", ok.Body)
 		}
-		send(Within(invite, ok, "ACK", 1))
-		server.Wait("ACK", Is("ACK"))
-		send(Within(invite, ok, "BYE", 2))
+		send(InDialog(invite, ok, "ACK", 1))
+		server.Wait("ACK", IsMethod("ACK"))
+		send(InDialog(invite, ok, "BYE", 2))
 		caller.Wait("200 to BYE", Status(200, "BYE"))
-		server.Wait("BYE", Is("BYE"))
-		send(Within(invite, ok, "BYE", 3).Set("Via", invite.Get("Via")+"again"))
+		server.Wait("BYE", IsMethod("BYE"))
+		send(InDialog(invite, ok, "BYE", 3).Set("Via", invite.Get("Via")+"again"))
 		caller.Wait("481", Status(481, "BYE"))
 	})
 }
@@ -133,18 +133,18 @@
 	each(t, func(t *testing.T, proto string) {
 		server := New(t, answering)
 		b := newBench(t, 2*time.Second, host("s-1", server.URI(proto), 0))
-		caller := New(t, func(p *Party, e Entry) {
-			if Is("BYE")(e.Msg) {
-				e.Back(p.Reply(e.Msg, 200, "OK", ""))
+		caller := New(t, func(p *UserAgent, e ReceivedMessage) {
+			if IsMethod("BYE")(e.Msg) {
+				e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 			}
 		})
 		invite := caller.Invite(proto, "abc", "4711", "offer")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
-		send(Within(invite, caller.Wait("answer", Status(200, "INVITE")).Msg, "ACK", 1))
-		in := server.Wait("INVITE", Is("INVITE"))
-		server.Wait("ACK", Is("ACK"))
-		in.Back(Bye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16))
-		bye := caller.Wait("BYE", Is("BYE")).Msg
+		send(InDialog(invite, caller.Wait("answer", Status(200, "INVITE")).Msg, "ACK", 1))
+		in := server.Wait("INVITE", IsMethod("INVITE"))
+		server.Wait("ACK", IsMethod("ACK"))
+		in.SendBack(ServerBye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16))
+		bye := caller.Wait("BYE", IsMethod("BYE")).Msg
 		if bye.Get("Reason") != "Q.850;cause=16" {
 			t.Errorf("Reason %q", bye.Get("Reason"))
 		}
@@ -163,7 +163,7 @@
 		send(invite)
 	}
 	caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
-	if n := server.Count(Is("INVITE")); n != 1 {
+	if n := server.Count(IsMethod("INVITE")); n != 1 {
 		t.Errorf("%d INVITEs at the server, want 1", n)
 	}
 }
@@ -175,13 +175,13 @@
 	b := newBench(t, 3*time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
-	server.Wait("INVITE", Is("INVITE"))
+	server.Wait("INVITE", IsMethod("INVITE"))
 	b.apply(routing.Update{Hosts: []routing.Host{{Name: "s-1", Addr: server.URI("UDP"), State: control.Draining}}})
 	drained := time.Now()
 	caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
-	for _, e := range server.Log() {
-		if Is("INVITE")(e.Msg) && e.At.After(drained.Add(250*time.Millisecond)) {
-			t.Errorf("a copy came %v after the drain", e.At.Sub(drained))
+	for _, e := range server.Received() {
+		if IsMethod("INVITE")(e.Msg) && e.ReceivedAt.After(drained.Add(250*time.Millisecond)) {
+			t.Errorf("a copy came %v after the drain", e.ReceivedAt.Sub(drained))
 		}
 	}
 }
@@ -201,8 +201,8 @@
 		if w := no.Get("Retry-After"); w != "1" && w != "2" {
 			t.Errorf("Retry-After %q", w)
 		}
-		server.Wait("ACK to the error", Is("ACK"))
-		send(Within(caller.Invite(proto, "abc", "4711", ""), no, "ACK", 1).Set("Via", caller.Invite(proto, "abc", "4711", "").Get("Via")))
+		server.Wait("ACK to the error", IsMethod("ACK"))
+		send(InDialog(caller.Invite(proto, "abc", "4711", ""), no, "ACK", 1).Set("Via", caller.Invite(proto, "abc", "4711", "").Get("Via")))
 	})
 }
 
@@ -218,7 +218,7 @@
 		if d := time.Since(began); d < 290*time.Millisecond || d > 5*time.Second {
 			t.Errorf("answered after %v, want 300 ms and not the 60 s of Expires", d)
 		}
-		server.Wait("CANCEL", Is("CANCEL"))
+		server.Wait("CANCEL", IsMethod("CANCEL"))
 	})
 }
 
@@ -230,33 +230,33 @@
 		caller := New(t, nil)
 		invite := caller.Invite(proto, "abc", "4711", "")
 		send := caller.Send(proto, b.agent.Addr(proto), invite)
-		server.Wait("INVITE", Is("INVITE"))
+		server.Wait("INVITE", IsMethod("INVITE"))
 		send(sip.Request("CANCEL", invite.URI).Set("Via", invite.Get("Via")).Set("From", invite.Get("From")).
 			Set("To", invite.Get("To")).Set("Call-ID", "abc").Set("CSeq", "1 CANCEL"))
 		caller.Wait("200 to CANCEL", Status(200, "CANCEL"))
 		caller.Wait("487", Status(487, "INVITE"))
-		server.Wait("CANCEL", Is("CANCEL"))
+		server.Wait("CANCEL", IsMethod("CANCEL"))
 	})
 }
 
 // Guards against a call that nobody holds: an answer that crosses the CANCEL is confirmed and released.
 func TestLateAnswerIsAckedAndReleased(t *testing.T) {
 	each(t, func(t *testing.T, proto string) {
-		server := New(t, func(p *Party, e Entry) {
+		server := New(t, func(p *UserAgent, e ReceivedMessage) {
 			switch {
-			case Is("INVITE")(e.Msg):
-				e.Back(p.Reply(e.Msg, 180, "Ringing", ""))
-			case Is("CANCEL")(e.Msg):
-				e.Back(p.Reply(e.Msg, 200, "OK", ""))
-				e.Back(p.Reply(p.Wait("INVITE", Is("INVITE")).Msg, 200, "OK", "late"))
+			case IsMethod("INVITE")(e.Msg):
+				e.SendBack(p.Reply(e.Msg, 180, "Ringing", ""))
+			case IsMethod("CANCEL")(e.Msg):
+				e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
+				e.SendBack(p.Reply(p.Wait("INVITE", IsMethod("INVITE")).Msg, 200, "OK", "late"))
 			}
 		})
 		b := newBench(t, 200*time.Millisecond, host("s-1", server.URI(proto), 0))
 		caller := New(t, nil)
 		caller.Send(proto, b.agent.Addr(proto), caller.Invite(proto, "abc", "4711", ""))
 		caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 })
-		server.Wait("ACK", Is("ACK"))
-		server.Wait("BYE", Is("BYE"))
+		server.Wait("ACK", IsMethod("ACK"))
+		server.Wait("BYE", IsMethod("BYE"))
 		if n := caller.Count(Status(200, "INVITE")); n != 0 {
 			t.Errorf("the caller got %d answers after its refusal", n)
 		}
@@ -266,36 +266,36 @@
 // A set-up cut by a server that stops gets one final answer; a standing call one BYE.
 func TestServerDies(t *testing.T) {
 	first := true
-	server := New(t, func(p *Party, e Entry) {
-		if !Is("INVITE")(e.Msg) {
+	server := New(t, func(p *UserAgent, e ReceivedMessage) {
+		if !IsMethod("INVITE")(e.Msg) {
 			return
 		}
 		if first {
 			first = false
-			e.Back(p.Reply(e.Msg, 200, "OK", ""))
+			e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 			return
 		}
-		e.Back(p.Reply(e.Msg, 100, "Trying", ""))
+		e.SendBack(p.Reply(e.Msg, 100, "Trying", ""))
 	})
 	b := newBench(t, 1500*time.Millisecond, host("s-1", server.URI("TCP"), 0))
 	caller := New(t, nil)
 	one := caller.Invite("TCP", "one", "1", "")
 	send := caller.Send("TCP", b.agent.Addr("TCP"), one)
-	send(Within(one, caller.Wait("answer", Status(200, "INVITE")).Msg, "ACK", 1))
-	server.Wait("ACK", Is("ACK"))
+	send(InDialog(one, caller.Wait("answer", Status(200, "INVITE")).Msg, "ACK", 1))
+	server.Wait("ACK", IsMethod("ACK"))
 	send(caller.Invite("TCP", "two", "2", ""))
-	server.Wait("second INVITE", func(m *sip.Message) bool { return Is("INVITE")(m) && m.URI[4:5] == "2" })
+	server.Wait("second INVITE", func(m *sip.Message) bool { return IsMethod("INVITE")(m) && m.URI[4:5] == "2" })
 	b.apply(routing.Update{Hosts: []routing.Host{{Name: "s-1", Addr: server.URI("TCP"), State: control.Draining}}})
 	server.Stop()
 	caller.Wait("final answer", func(m *sip.Message) bool { return m.Status >= 300 && m.Get("Call-ID") == "two" })
-	caller.Wait("BYE", func(m *sip.Message) bool { return Is("BYE")(m) && m.Get("Call-ID") == "one" })
+	caller.Wait("BYE", func(m *sip.Message) bool { return IsMethod("BYE")(m) && m.Get("Call-ID") == "one" })
 	b.apply(routing.Update{Hosts: []routing.Host{{Name: "s-1", State: control.Gone}}})
 	barrier := make(chan struct{})
 	b.agent.Post(func() { close(barrier) })
 	<-barrier
 	byes := map[string]bool{}
-	for _, e := range caller.Log() {
-		if Is("BYE")(e.Msg) {
+	for _, e := range caller.Received() {
+		if IsMethod("BYE")(e.Msg) {
 			byes[e.Msg.Get("CSeq")] = true // a retransmission has the same number
 		}
 	}
@@ -364,8 +364,8 @@
 	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
-	server.Wait("BYE", Is("BYE"))
-	caller.Wait("BYE", Is("BYE"))
+	server.Wait("BYE", IsMethod("BYE"))
+	caller.Wait("BYE", IsMethod("BYE"))
 	if n := caller.Count(Status(200, "INVITE")); n < 3 {
 		t.Errorf("2xx sent %d times, want it repeated", n)
 	}
@@ -379,38 +379,38 @@
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
 	ok := caller.Wait("answer", Status(200, "INVITE")).Msg
-	in := server.Wait("INVITE", Is("INVITE"))
-	server.Wait("ACK", Is("ACK"))
-	in.Back(Bye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16))
+	in := server.Wait("INVITE", IsMethod("INVITE"))
+	server.Wait("ACK", IsMethod("ACK"))
+	in.SendBack(ServerBye(in.Msg, server.Reply(in.Msg, 200, "OK", ""), 16))
 	server.Wait("200 to BYE", Status(200, "BYE"))
 	// A second call goes the way that the release went: once it is answered, the release has reached the agent.
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "second", "4712", ""))
 	caller.Wait("second answer", func(m *sip.Message) bool { return Status(200, "INVITE")(m) && m.Get("Call-ID") == "second" })
-	if n := caller.Count(Is("BYE")); n != 0 {
+	if n := caller.Count(IsMethod("BYE")); n != 0 {
 		t.Errorf("%d BYEs before the ACK", n)
 	}
-	send(Within(invite, ok, "ACK", 1))
-	caller.Wait("BYE", Is("BYE"))
+	send(InDialog(invite, ok, "ACK", 1))
+	caller.Wait("BYE", IsMethod("BYE"))
 }
 
 // A forked answer stands once: the second is confirmed and released.
 func TestSecondForkIsReleased(t *testing.T) {
-	server := New(t, func(p *Party, e Entry) {
-		if Is("INVITE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 200, "OK", "first"))
+	server := New(t, func(p *UserAgent, e ReceivedMessage) {
+		if IsMethod("INVITE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 200, "OK", "first"))
 			second := p.Reply(e.Msg, 200, "OK", "second")
-			e.Back(second.Set("To", e.Msg.Get("To")+";tag=other"))
+			e.SendBack(second.Set("To", e.Msg.Get("To")+";tag=other"))
 		}
-		if Is("BYE")(e.Msg) {
-			e.Back(p.Reply(e.Msg, 200, "OK", ""))
+		if IsMethod("BYE")(e.Msg) {
+			e.SendBack(p.Reply(e.Msg, 200, "OK", ""))
 		}
 	})
 	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	invite := caller.Invite("UDP", "abc", "4711", "")
 	send := caller.Send("UDP", b.agent.Addr("UDP"), invite)
-	send(Within(invite, caller.Wait("answer", Status(200, "INVITE")).Msg, "ACK", 1))
-	bye := server.Wait("BYE to the second fork", Is("BYE")).Msg
+	send(InDialog(invite, caller.Wait("answer", Status(200, "INVITE")).Msg, "ACK", 1))
+	bye := server.Wait("BYE to the second fork", IsMethod("BYE")).Msg
 	if to := bye.Get("To"); to[len(to)-5:] != "other" {
 		t.Errorf("BYE went to %q", to)
 	}
@@ -419,19 +419,19 @@
 // A route set is kept: the ACK and the BYE name it.
 func TestRouteSet(t *testing.T) {
 	proxy := ""
-	server := New(t, func(p *Party, e Entry) {
-		if Is("INVITE")(e.Msg) {
+	server := New(t, func(p *UserAgent, e ReceivedMessage) {
+		if IsMethod("INVITE")(e.Msg) {
 			proxy = "<sip:" + p.Addr("UDP") + ";lr>"
 			r := p.Reply(e.Msg, 200, "OK", "")
 			r.Set("Contact", "<sip:behind@192.0.2.1>") // never reached but through the route
 			r.Header["Record-Route"] = []string{"<sip:far@192.0.2.9;lr>, " + proxy}
-			e.Back(r)
+			e.SendBack(r)
 		}
 	})
 	b := newBench(t, time.Second, host("s-1", server.URI("UDP"), 0))
 	caller := New(t, nil)
 	caller.Send("UDP", b.agent.Addr("UDP"), caller.Invite("UDP", "abc", "4711", ""))
-	ack := server.Wait("ACK", Is("ACK")).Msg
+	ack := server.Wait("ACK", IsMethod("ACK")).Msg
 	want := []string{proxy, "<sip:far@192.0.2.9;lr>"}
 	if got := ack.Header["Route"]; len(got) != 2 || got[0] != want[0] || got[1] != want[1] || ack.URI != "sip:behind@192.0.2.1" {
 		t.Errorf("ACK to %s by %v, want %v", ack.URI, got, want)
@@ -456,7 +456,7 @@
 			return Status(row.status, "INVITE")(r) && r.Get("Call-ID") == m.Get("Call-ID")
 		})
 	}
-	if n := server.Count(Is("INVITE")); n != 0 {
+	if n := server.Count(IsMethod("INVITE")); n != 0 {
 		t.Errorf("%d set-ups came to the server", n)
 	}
 	// Each was told that it failed, so each is in error_total of its class, as on the JSON front.
--- a/internal/protocol/sip/callers_test.go
+++ b/internal/protocol/sip/callers_test.go
@@ -27,7 +27,7 @@
 	var away atomic.Bool
 	server := New(t, answering)
 	b := newBenchWith(t, 5*time.Second, func(o *sip.Options) {
-		o.Seen = func(address string, wellFormed bool) { seen <- observation{address, wellFormed} }
+		o.OnFirstMessage = func(address string, wellFormed bool) { seen <- observation{address, wellFormed} }
 		o.IsBlocked = func(string) bool { return away.Load() }
 	}, host("s-1", server.URI("TCP"), 0))
 	next := func(want bool) {
--- a/internal/protocol/sip/flow.go
+++ b/internal/protocol/sip/flow.go
@@ -111,14 +111,14 @@
 // observer gives a function that tells Options.Seen once what a caller's connection has brought. Datagrams are not observed: anybody
 // can write another's address into them.
 func (a *Agent) observer(c *transport.Conn) func(wellFormed bool) {
-	if a.Seen == nil {
+	if a.OnFirstMessage == nil {
 		return nil
 	}
 	reported := false
 	return func(wellFormed bool) {
 		if !reported {
 			reported = true
-			a.Seen(transport.AddressOf(c.RemoteAddr()), wellFormed)
+			a.OnFirstMessage(transport.AddressOf(c.RemoteAddr()), wellFormed)
 		}
 	}
 }
--- a/internal/protocol/sip/siptest/siptest.go
+++ b/internal/protocol/sip/siptest/siptest.go
@@ -14,27 +14,27 @@
 	"beammux/internal/protocol/sip"
 )
 
-// Entry is one message that a stand-in received.
-type Entry struct {
-	At   time.Time
-	Msg  *sip.Message
-	Back func(*sip.Message) // sends on the way that the message came
+// ReceivedMessage is one message that a stand-in received.
+type ReceivedMessage struct {
+	ReceivedAt time.Time
+	Msg        *sip.Message
+	SendBack   func(*sip.Message) // sends on the way that the message came
 }
 
-// Party is one side: a UDP socket and a TCP listener on the same port's address family, each on a port of its own.
-type Party struct {
+// UserAgent is one side: a UDP socket and a TCP listener on the same port's address family, each on a port of its own.
+type UserAgent struct {
 	t   testing.TB
 	pc  net.PacketConn
 	ln  net.Listener
 	mu  sync.Mutex
-	log []Entry
+	log []ReceivedMessage
 	new chan struct{}
-	on  func(*Party, Entry)
+	on  func(*UserAgent, ReceivedMessage)
 	cns []net.Conn
 }
 
 // New starts a party; on is called for each message, in a goroutine of its connection. It may be nil.
-func New(t testing.TB, on func(*Party, Entry)) *Party {
+func New(t testing.TB, on func(*UserAgent, ReceivedMessage)) *UserAgent {
 	t.Helper()
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Party{t: t, pc: pc, ln: ln, new: make(chan struct{}), on: on}
+	p := &UserAgent{t: t, pc: pc, ln: ln, new: make(chan struct{}), on: on}
 	t.Cleanup(p.Stop)
 	go p.udp()
 	go func() {
@@ -60,14 +60,14 @@
 	return p
 }
 
-func (p *Party) keep(c net.Conn) {
+func (p *UserAgent) keep(c net.Conn) {
 	p.mu.Lock()
 	p.cns = append(p.cns, c)
 	p.mu.Unlock()
 }
 
 // Stop ends the party's sockets, as a process that dies does.
-func (p *Party) Stop() {
+func (p *UserAgent) Stop() {
 	p.pc.Close()
 	p.ln.Close()
 	p.mu.Lock()
@@ -82,7 +82,7 @@
 }
 
 // Addr gives the party's address for "UDP" or "TCP".
-func (p *Party) Addr(proto string) string {
+func (p *UserAgent) Addr(proto string) string {
 	if proto == "UDP" {
 		return p.pc.LocalAddr().String()
 	}
@@ -90,11 +90,11 @@
 }
 
 // URI gives the party's address as a server's.
-func (p *Party) URI(proto string) string {
+func (p *UserAgent) URI(proto string) string {
 	return "sip:" + p.Addr(proto) + ";transport=" + strings.ToLower(proto)
 }
 
-func (p *Party) udp() {
+func (p *UserAgent) udp() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := p.pc.ReadFrom(buf)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (p *Party) tcp(c net.Conn) {
+func (p *UserAgent) tcp(c net.Conn) {
 	r := sip.NewReader(bufio.NewReaderSize(c, sip.MaxMessage))
 	for {
 		m, err := r.Next()
@@ -118,8 +118,8 @@
 	}
 }
 
-func (p *Party) got(m *sip.Message, back func(*sip.Message)) {
-	e := Entry{time.Now(), m, back}
+func (p *UserAgent) got(m *sip.Message, back func(*sip.Message)) {
+	e := ReceivedMessage{time.Now(), m, back}
 	p.mu.Lock()
 	p.log = append(p.log, e)
 	close(p.new)
@@ -130,16 +130,16 @@
 	}
 }
 
-// Log gives what was received so far.
-func (p *Party) Log() []Entry {
+// Received gives what was received so far.
+func (p *UserAgent) Received() []ReceivedMessage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Entry(nil), p.log...)
+	return append([]ReceivedMessage(nil), p.log...)
 }
 
 // Count tells how many messages were received that fit.
-func (p *Party) Count(fits func(*sip.Message) bool) (n int) {
-	for _, e := range p.Log() {
+func (p *UserAgent) Count(fits func(*sip.Message) bool) (n int) {
+	for _, e := range p.Received() {
 		if fits(e.Msg) {
 			n++
 		}
@@ -149,9 +149,9 @@
 
 // Transactions counts the transactions (RFC 3261, 17.2.3: the branch of the topmost Via) of the messages that fit. Over UDP a
 // request that is not answered within T1 comes again in the same one.
-func (p *Party) Transactions(fits func(*sip.Message) bool) int {
+func (p *UserAgent) Transactions(fits func(*sip.Message) bool) int {
 	seen := map[string]bool{}
-	for _, e := range p.Log() {
+	for _, e := range p.Received() {
 		if fits(e.Msg) {
 			seen[e.Msg.Get("Via")] = true
 		}
@@ -160,7 +160,7 @@
 }
 
 // Wait gives the first message that fits, waiting for it.
-func (p *Party) Wait(what string, fits func(*sip.Message) bool) Entry {
+func (p *UserAgent) Wait(what string, fits func(*sip.Message) bool) ReceivedMessage {
 	p.t.Helper()
 	limit := time.After(10 * time.Second)
 	for {
@@ -180,16 +180,16 @@
 	}
 }
 
-func (p *Party) seen() string {
+func (p *UserAgent) seen() string {
 	var b strings.Builder
-	for _, e := range p.Log() {
+	for _, e := range p.Received() {
 		fmt.Fprintf(&b, "[%s%d %s] ", e.Msg.Method, e.Msg.Status, e.Msg.Get("CSeq"))
 	}
 	return b.String()
 }
 
 // Send opens a way to an address, sends a message, and gives what sends more on the same way.
-func (p *Party) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
+func (p *UserAgent) Send(proto, addr string, m *sip.Message) func(*sip.Message) {
 	p.t.Helper()
 	var send func(*sip.Message)
 	if proto == "UDP" {
@@ -212,7 +212,7 @@
 }
 
 // Invite makes a caller's INVITE.
-func (p *Party) Invite(proto, callID, key, body string) *sip.Message {
+func (p *UserAgent) Invite(proto, callID, key, body string) *sip.Message {
 	m := sip.Request("INVITE", "sip:"+key+"@beammux").
 		Set("Via", "SIP/2.0/"+proto+" "+p.Addr(proto)+";rport;branch=z9hG4bK"+callID).
 		Set("Max-Forwards", "70").Set("From", "<sip:caller@test>;tag=c"+callID).Set("To", "<sip:"+key+"@beammux>").
@@ -222,8 +222,8 @@
 	return m
 }
 
-// Within makes a request inside the dialog that an answer to an INVITE opened.
-func Within(invite, answer *sip.Message, method string, number int) *sip.Message {
+// InDialog makes a request inside the dialog that an answer to an INVITE opened.
+func InDialog(invite, answer *sip.Message, method string, number int) *sip.Message {
 	uri := answer.Get("Contact")
 	uri = strings.Trim(uri, "<>")
 	if uri == "" {
@@ -235,7 +235,7 @@
 }
 
 // Reply makes a server's response, with a tag and a Contact as a dialog needs.
-func (p *Party) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
+func (p *UserAgent) Reply(req *sip.Message, status int, reason, body string) *sip.Message {
 	r := sip.Respond(req, status, reason)
 	if status > 100 && !strings.Contains(r.Get("To"), "tag=") {
 		r.Set("To", r.Get("To")+";tag=s"+req.Get("Call-ID"))
@@ -249,16 +249,16 @@
 	return r
 }
 
-// Bye makes the BYE of a server that answered an INVITE.
-func Bye(invite, answer *sip.Message, cause int) *sip.Message {
+// ServerBye makes the BYE of a server that answered an INVITE.
+func ServerBye(invite, answer *sip.Message, cause int) *sip.Message {
 	contact := strings.Trim(invite.Get("Contact"), "<>")
 	return sip.Request("BYE", contact).Set("Via", answer.Get("Via")+"bye").Set("Max-Forwards", "70").
 		Set("From", answer.Get("To")).Set("To", invite.Get("From")).Set("Call-ID", invite.Get("Call-ID")).
 		Set("CSeq", "1 BYE").Set("Reason", fmt.Sprintf("Q.850;cause=%d", cause))
 }
 
-// Is fits a request with a method.
-func Is(method string) func(*sip.Message) bool {
+// IsMethod fits a request with a method.
+func IsMethod(method string) func(*sip.Message) bool {
 	return func(m *sip.Message) bool { return m.IsRequest() && m.Method == method }
 }
 
