--- a/cmd/beammux/store.go
+++ b/cmd/beammux/store.go
@@ -91,13 +91,13 @@
 			ready = "no: it has not replayed its log or caught up with a leader"
 		}
 		fmt.Fprintf(w, "member\t%s, %s\nleader\t%s\nready\t%s\nterm\t%d\nrecords\t%d\napplied\t%d of %d\nsnapshot\tto %d\n", s.Node,
-			strings.ToLower(s.State), leader, ready, s.Term, s.Records, s.Applied, s.Last, s.Snapshot)
+			strings.ToLower(s.State), leader, ready, s.Term, s.Records, s.Applied, s.LastLogIndex, s.SnapshotIndex)
 		fmt.Fprintf(w, "revision\t%d\n", s.Revision)
-		if s.Held > 0 {
-			fmt.Fprintf(w, "held by a client\t%d: this group was made anew; lift it above that (beammux store raise %d)\n", s.Held, s.Held)
+		if s.MaxClientRevision > 0 {
+			fmt.Fprintf(w, "held by a client\t%d: this group was made anew; lift it above that (beammux store raise %d)\n", s.MaxClientRevision, s.MaxClientRevision)
 		}
-		if s.Contact > 0 {
-			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", s.Contact.Milliseconds())
+		if s.SinceLeaderContact > 0 {
+			fmt.Fprintf(w, "last word from the leader\t%d ms ago\n", s.SinceLeaderContact.Milliseconds())
 		}
 		for _, m := range s.Members {
 			role := "learner"
--- a/internal/controlmachine/figures.go
+++ b/internal/controlmachine/figures.go
@@ -29,7 +29,7 @@
 	g.set.NewGauge("proxy_control_ready", func() float64 { return boolToFloat(m.Ready()) })
 	addStoreGauge("leads", func(s store.Status) float64 { return boolToFloat(s.LeaderNode == s.Node) })
 	addStoreGauge("leader_known", func(s store.Status) float64 { return boolToFloat(s.Leader != "") })
-	addStoreGauge("leader_contact_seconds", func(s store.Status) float64 { return s.Contact.Seconds() })
+	addStoreGauge("leader_contact_seconds", func(s store.Status) float64 { return s.SinceLeaderContact.Seconds() })
 	addStoreGauge("votes", func(s store.Status) float64 { return boolToFloat(isVoter(s)) })
 	addStoreGauge("members", func(s store.Status) float64 { return float64(len(s.Members)) })
 	addStoreGauge("records", func(s store.Status) float64 { return float64(s.Records) })
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -66,7 +66,7 @@
 	for i := range peers {
 		o := serve
 		o.Name, o.Zone, o.Region, o.Prefix = name(i), fmt.Sprint("z", i), "r1", scope.Prefix
-		o.HeartbeatEvery, o.ReportEvery = 50*time.Millisecond, 50*time.Millisecond
+		o.HeartbeatInterval, o.ReportInterval = 50*time.Millisecond, 50*time.Millisecond
 		n, err := store.Open(store.Options{Node: name(i), Listener: listeners[i], Peers: peers, Via: vias[i], Serve: &o, Log: discardLogger()})
 		require.NoError(t, err)
 		c.nodes = append(c.nodes, n)
--- a/internal/scalelab/hollow/stuck_test.go
+++ b/internal/scalelab/hollow/stuck_test.go
@@ -23,7 +23,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	n, err := store.Open(store.Options{Node: "c1", Listener: l, Peers: []store.Peer{{Node: "c1", Address: l.Addr().String()}}, Log: log,
-		Serve: &store.ServeOptions{Name: "c1", HeartbeatEvery: 100 * time.Millisecond}})
+		Serve: &store.ServeOptions{Name: "c1", HeartbeatInterval: 100 * time.Millisecond}})
 	require.NoError(t, err)
 	defer n.Close()
 	require.NoError(t, n.WaitReady(t.Context()))
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -19,38 +19,38 @@
 
 // Status is how a member stands.
 type Status struct {
-	Node       string        `json:"node"`
-	State      string        `json:"state"`       // Leader, Follower, Candidate or Shutdown
-	LeaderNode string        `json:"leader_node"` // "" while there is none
-	Leader     string        `json:"leader"`      // its address
-	Term       uint64        `json:"term"`
-	Applied    uint64        `json:"applied"`        // index of the last entry that is in the records
-	Revision   uint64        `json:"revision"`       // of the records
-	Held       uint64        `json:"held,omitempty"` // highest revision that a client of a session said it holds, where that is above Revision
-	Last       uint64        `json:"last"`           // and of the last in the log
-	Snapshot   uint64        `json:"snapshot"`
-	Contact    time.Duration `json:"last_contact_ns"` // since word from the leader; 0 at the leader
-	Records    int           `json:"records"`
-	Ready      bool          `json:"ready"` // what it reads is as new as its log and its leader: see Node.Ready
-	Members    []Member      `json:"members"`
+	Node               string        `json:"node"`
+	State              string        `json:"state"`       // Leader, Follower, Candidate or Shutdown
+	LeaderNode         string        `json:"leader_node"` // "" while there is none
+	Leader             string        `json:"leader"`      // its address
+	Term               uint64        `json:"term"`
+	Applied            uint64        `json:"applied"`        // index of the last entry that is in the records
+	Revision           uint64        `json:"revision"`       // of the records
+	MaxClientRevision  uint64        `json:"held,omitempty"` // highest revision that a client of a session said it holds, where that is above Revision
+	LastLogIndex       uint64        `json:"last"`           // and of the last in the log
+	SnapshotIndex      uint64        `json:"snapshot"`
+	SinceLeaderContact time.Duration `json:"last_contact_ns"` // since word from the leader; 0 at the leader
+	Records            int           `json:"records"`
+	Ready              bool          `json:"ready"` // what it reads is as new as its log and its leader: see Node.Ready
+	Members            []Member      `json:"members"`
 
-	Transactions bool `json:"transactions"` // this version carries out transactions
-	Raises       bool `json:"raises"`       // and raises revisions
+	SupportsTransactions bool `json:"transactions"` // this version carries out transactions
+	SupportsRaise        bool `json:"raises"`       // and raises revisions
 }
 
 // Status tells how this member stands.
 func (n *Node) Status() Status {
 	leader, id := n.raft.LeaderWithID()
 	s := Status{Node: n.id, State: n.raft.State().String(), LeaderNode: string(id), Leader: string(leader), Term: n.raft.CurrentTerm(),
-		Applied: n.raft.AppliedIndex(), Last: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{},
-		Revision: n.fsm.lastRevision(), Transactions: true, Raises: true}
+		Applied: n.raft.AppliedIndex(), LastLogIndex: n.raft.LastIndex(), Records: n.fsm.count(), Ready: n.Ready(), Members: []Member{},
+		Revision: n.fsm.lastRevision(), SupportsTransactions: true, SupportsRaise: true}
 	if n.sessions != nil {
-		s.Held = n.sessions.heldAbove(s.Revision)
+		s.MaxClientRevision = n.sessions.heldAbove(s.Revision)
 	}
 	if !n.Leader() && !n.raft.LastContact().IsZero() {
-		s.Contact = time.Since(n.raft.LastContact())
+		s.SinceLeaderContact = time.Since(n.raft.LastContact())
 	}
-	fmt.Sscan(n.raft.Stats()["last_snapshot_index"], &s.Snapshot)
+	fmt.Sscan(n.raft.Stats()["last_snapshot_index"], &s.SnapshotIndex)
 	if f := n.raft.GetConfiguration(); f.Error() == nil {
 		for _, m := range f.Configuration().Servers {
 			s.Members = append(s.Members, Member{string(m.ID), string(m.Address), m.Suffrage == 0})
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -73,7 +73,7 @@
 
 // gatherCounts asks the other control machines for their counts, again and again.
 func (s *sessionServer) gatherCounts() {
-	tick := time.NewTicker(s.options.ReportEvery)
+	tick := time.NewTicker(s.options.ReportInterval)
 	defer tick.Stop()
 	for {
 		fleet := s.gather()
@@ -90,7 +90,7 @@
 
 // gather asks all at the same time; who does not answer within the interval is unheard.
 func (s *sessionServer) gather() *FleetCounts {
-	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportEvery, upWithin))
+	ctx, cancel := context.WithTimeout(s.ctx, max(s.options.ReportInterval, upWithin))
 	defer cancel()
 	heard, unheard := []counts{s.counts()}, 0
 	var mu sync.Mutex
@@ -143,7 +143,7 @@
 // sum of the counts of several control machines. What one holds that lacks the newest change is not the newest, so all its
 // sessions are behind, at least since its last word from the leader.
 func sum(heard []counts, unheard int) *FleetCounts {
-	f := &FleetCounts{Replicas: len(heard), Unheard: unheard}
+	f := &FleetCounts{Replicas: len(heard), Unreachable: unheard}
 	for _, c := range heard {
 		f.Revision = max(f.Revision, c.Changed)
 	}
--- a/internal/store/counts_test.go
+++ b/internal/store/counts_test.go
@@ -84,13 +84,13 @@
 	second := g.put("settings/a", "2")
 	require.Equal(t, second, near.next(Change).Revision)
 	near.reports <- WatchReport{InForce: second}
-	e := near.until(func(e WatchEvent) bool { return e.Fleet.Unheard == 1 && e.Fleet.Holding == 1 })
+	e := near.until(func(e WatchEvent) bool { return e.Fleet.Unreachable == 1 && e.Fleet.Holding == 1 })
 	require.Equal(t, 1, e.Fleet.Sessions)
 	g.cut(3, false)
 	require.Equal(t, second, far.next(Change).Revision)
 	near.until(func(e WatchEvent) bool { return e.Fleet.Behind == 1 && e.Fleet.Sessions == 2 })
 	far.reports <- WatchReport{InForce: second}
-	near.until(func(e WatchEvent) bool { return e.Fleet.Holding == 2 && e.Fleet.Unheard == 0 })
+	near.until(func(e WatchEvent) bool { return e.Fleet.Holding == 2 && e.Fleet.Unreachable == 0 })
 }
 
 // Every session is in one count of the sum, and none of a replica that lacks the newest change holds it.
@@ -112,7 +112,7 @@
 		require.Equal(t, sessions, f.Holding+f.Behind+f.Refused)
 		require.Equal(t, newest, f.Revision)
 		require.Equal(t, len(heard), f.Replicas)
-		require.Equal(t, 2, f.Unheard)
+		require.Equal(t, 2, f.Unreachable)
 		holding := 0
 		for _, c := range heard {
 			if c.Applied >= newest {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -39,11 +39,11 @@
 
 // SessionsFull is a control machine's answer to a session beyond the most that it is set to hold.
 type SessionsFull struct {
-	Most int // sessions
+	Limit int // sessions
 }
 
 func (e *SessionsFull) Error() string {
-	return fmt.Sprintf("the control machine holds %d sessions, the most that it may", e.Most)
+	return fmt.Sprintf("the control machine holds %d sessions, the most that it may", e.Limit)
 }
 
 // Advice implements advice.Error.
@@ -168,7 +168,7 @@
 	case errors.As(err, &away):
 		r.Typed = &wireFault{Code: codeAway, What: away.Cause, Member: away.Member}
 	case errors.As(err, &full):
-		r.Typed = &wireFault{Code: codeFull, Have: uint64(full.Most)}
+		r.Typed = &wireFault{Code: codeFull, Have: uint64(full.Limit)}
 	}
 }
 
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -11,8 +11,8 @@
 	"beammux/internal/store/journal"
 )
 
-// Held is what the files of a member hold.
-type Held struct {
+// Contents is what the files of a member hold.
+type Contents struct {
 	Log       journal.Stats `json:"log"`
 	Snapshots int           `json:"snapshots"`
 	Snapshot  uint64        `json:"snapshot_index"` // of the newest
@@ -21,11 +21,11 @@
 
 // Inspect reads a member's files and changes nothing. It must not be used on the folder of a running member. The error
 // names the file that is at fault.
-func Inspect(dir string) (*Held, error) {
+func Inspect(dir string) (*Contents, error) {
 	if _, err := os.Stat(logDir(dir)); err != nil {
 		return nil, fmt.Errorf("%s: no store: %w", dir, err)
 	}
-	h := &Held{}
+	h := &Contents{}
 	m := newMachine()
 	if err := h.snapshot(dir, m); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 }
 
 // snapshot reads the newest snapshot; raft's own checksum is checked on the way.
-func (h *Held) snapshot(dir string, m *machine) error {
+func (h *Contents) snapshot(dir string, m *machine) error {
 	if _, err := os.Stat(filepath.Join(dir, "snapshots")); err != nil {
 		return nil // none yet; asking raft for them would make the folder
 	}
--- a/internal/store/member.go
+++ b/internal/store/member.go
@@ -128,7 +128,7 @@
 			m := &g.Members[i]
 			st, err := StatusFrom(ctx, m.Address)
 			if err == nil && st.Node == m.Node {
-				m.Up, m.Lag = true, last-min(st.Last, last)
+				m.Up, m.Lag = true, last-min(st.LastLogIndex, last)
 			}
 		})
 	}
--- a/internal/store/raise.go
+++ b/internal/store/raise.go
@@ -105,7 +105,7 @@
 	switch {
 	case err != nil:
 		return &MemberAway{name, err.Error()}
-	case !s.Raises:
+	case !s.SupportsRaise:
 		return &EarlierVersion{raises, name}
 	}
 	return nil
--- a/internal/store/raise_test.go
+++ b/internal/store/raise_test.go
@@ -100,7 +100,7 @@
 		require.Equal(t, uint64(held), behind.Want)
 		s, err := StatusFrom(within(t), g.address(i))
 		require.NoError(t, err)
-		require.Equal(t, uint64(held), s.Held)
+		require.Equal(t, uint64(held), s.MaxClientRevision)
 	}
 	follows := watchSession(t, g.address(3), WatchRequest{Session: SessionInfo{Name: "g2"}})
 	follows.next(Snapshot)
@@ -122,7 +122,7 @@
 		require.Equal(t, revision, e.Records[1].Revision, "settings/b, which was written before alone")
 		s, err := StatusFrom(within(t), g.address(i))
 		require.NoError(t, err)
-		require.Zero(t, s.Held)
+		require.Zero(t, s.MaxClientRevision)
 		after := g.putAll("settings/a", fmt.Sprint("after ", i))
 		require.Greater(t, after, revision)
 		require.Equal(t, after, c.next(Change).Revision)
@@ -252,7 +252,7 @@
 	watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "g2"}}).next(Snapshot)
 	var full *SessionsFull
 	require.ErrorAs(t, watchSession(t, g.address(0), WatchRequest{Session: SessionInfo{Name: "g3"}}).end(), &full)
-	require.Equal(t, 2, full.Most)
+	require.Equal(t, 2, full.Limit)
 	one.leave()
 	require.Eventually(t, func() bool {
 		sessions, err := SessionsFrom(within(t), nil, g.address(0))
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -113,7 +113,7 @@
 
 // send brings changes and heartbeats until the session ends.
 func (s *session) send() error {
-	beats := time.NewTicker(s.server.options.HeartbeatEvery)
+	beats := time.NewTicker(s.server.options.HeartbeatInterval)
 	defer beats.Stop()
 	for beat := true; ; {
 		if err := s.catchUp(); err != nil {
@@ -182,7 +182,7 @@
 func (s *session) readReports() {
 	defer close(s.gone)
 	for {
-		s.conn.SetReadDeadline(time.Now().Add(silenceAfter(s.server.options.HeartbeatEvery)))
+		s.conn.SetReadDeadline(time.Now().Add(silenceAfter(s.server.options.HeartbeatInterval)))
 		line, err := s.in.next(maxReport)
 		if err != nil {
 			return
--- a/internal/store/session_bench_test.go
+++ b/internal/store/session_bench_test.go
@@ -34,7 +34,7 @@
 func BenchmarkChangeInServer(b *testing.B) {
 	for _, sessions := range []int{100, 400, 1000} {
 		b.Run(fmt.Sprint("sessions=", sessions), func(b *testing.B) {
-			n, err := Open(Options{Node: "a", Log: quiet(), Serve: &ServeOptions{Prefix: "settings/", HeartbeatEvery: time.Hour}})
+			n, err := Open(Options{Node: "a", Log: quiet(), Serve: &ServeOptions{Prefix: "settings/", HeartbeatInterval: time.Hour}})
 			require.NoError(b, err)
 			defer n.Close()
 			_, err = n.Put(b.Context(), "settings/all/calls", nil)
@@ -71,7 +71,7 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(b, err)
 			n, err := Open(Options{Node: "a", Listener: l, Peers: []Peer{{Node: "a", Address: l.Addr().String()}}, Log: quiet(),
-				Serve: &ServeOptions{Prefix: "settings/", HeartbeatEvery: time.Minute}})
+				Serve: &ServeOptions{Prefix: "settings/", HeartbeatInterval: time.Minute}})
 			require.NoError(b, err)
 			defer n.Close()
 			first, err := n.Put(b.Context(), "settings/all/calls", nil)
--- a/internal/store/session_life_test.go
+++ b/internal/store/session_life_test.go
@@ -21,7 +21,7 @@
 
 // A change is sent when it is applied, not with the next heartbeat; a session whose prefixes it has nothing of is not woken.
 func TestChangeIsSentAtOnce(t *testing.T) {
-	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = time.Hour }))
+	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatInterval = time.Hour }))
 	g.put("settings/a/1", "1")
 	c := watchSession(t, g.address(0), WatchRequest{Prefixes: []string{"settings/a/"}})
 	other := watchSession(t, g.address(0), WatchRequest{Prefixes: []string{"settings/b/"}, Session: SessionInfo{Name: "g2"}})
@@ -68,7 +68,7 @@
 
 // A report that is made before the first heartbeat holds nobody up, and is sent with it.
 func TestReportFromSnapshot(t *testing.T) {
-	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatEvery = 2 * time.Second }))
+	g := newControlGroup(t, 1, 0, serveWith(func(s *ServeOptions) { s.HeartbeatInterval = 2 * time.Second }))
 	g.put("settings/a", "1")
 	reports := make(chan WatchReport)
 	ctx, cancel := context.WithCancel(within(t))
--- a/internal/store/session_model_test.go
+++ b/internal/store/session_model_test.go
@@ -159,7 +159,7 @@
 // once and in order, or a snapshot in place of some; it never goes back; and what it holds is always what the store held
 // at its revision.
 func TestResumeIsExactlyOnce(t *testing.T) {
-	g := newControlGroup(t, 3, 2, serveWith(func(s *ServeOptions) { s.HistorySize, s.HeartbeatEvery = 6, 10*time.Millisecond }))
+	g := newControlGroup(t, 3, 2, serveWith(func(s *ServeOptions) { s.HistorySize, s.HeartbeatInterval = 6, 10*time.Millisecond }))
 	require.NoError(t, g.nodes[0].WaitReady(within(t)))
 	keys := []string{"settings/a/1", "settings/a/2", "settings/b/1", "settings/b/2", "settings/c/1"}
 	all := &oracle{}
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -272,13 +272,13 @@
 	now := time.Now()
 	s.beatMu.Lock()
 	defer s.beatMu.Unlock()
-	if s.beat.line != nil && s.beat.revision == revision && now.Sub(s.beat.at) < s.options.HeartbeatEvery/8 {
+	if s.beat.line != nil && s.beat.revision == revision && now.Sub(s.beat.at) < s.options.HeartbeatInterval/8 {
 		return s.beat.line
 	}
 	s.mu.Lock()
 	fleet := s.fleet
 	s.mu.Unlock()
-	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleet, Age: s.node.contactAge(), Every: s.options.HeartbeatEvery}
+	e := wireEvent{Kind: Heartbeat, Revision: revision, Fleet: fleet, Age: s.node.contactAge(), Every: s.options.HeartbeatInterval}
 	s.beat = sharedBeat{e.line(), revision, now}
 	return s.beat.line
 }
--- a/internal/store/session_test.go
+++ b/internal/store/session_test.go
@@ -47,7 +47,7 @@
 func (g *controlGroup) start(i int, l net.Listener) {
 	g.t.Helper()
 	o := Options{Node: g.peers[i].Node, Listener: l, Peers: g.peers, Log: quiet(),
-		Serve: &ServeOptions{Name: g.peers[i].Node, Prefix: "settings/", HeartbeatEvery: 50 * time.Millisecond, ReportEvery: 50 * time.Millisecond}}
+		Serve: &ServeOptions{Name: g.peers[i].Node, Prefix: "settings/", HeartbeatInterval: 50 * time.Millisecond, ReportInterval: 50 * time.Millisecond}}
 	for j, p := range g.peers {
 		if j == i {
 			continue
--- a/internal/store/transact.go
+++ b/internal/store/transact.go
@@ -154,7 +154,7 @@
 			switch {
 			case err != nil:
 				n.versions.settle[string(m.ID)] = time.Now().Add(askVersionAgain)
-			case !s.Transactions:
+			case !s.SupportsTransactions:
 				return &EarlierVersion{transactions, string(m.ID)}
 			default:
 				n.versions.settle[string(m.ID)] = time.Time{}
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -92,7 +92,7 @@
 	Refused      int           `json:"refused"` // of those that do not hold it, those that have refused it
 	OldestBehind time.Duration `json:"oldest_behind_ns"`
 	Replicas     int           `json:"replicas"` // control machines that are counted
-	Unheard      int           `json:"unheard"`  // control machines that could not be asked
+	Unreachable  int           `json:"unheard"`  // control machines that could not be asked
 }
 
 // SessionStatus is one session of a control machine.
@@ -122,10 +122,10 @@
 	Name, Zone, Region string
 	Admission          AdmissionOptions
 	Prefix             string        // sessions may follow keys under it; history is kept of these alone. "": all keys
-	HeartbeatEvery     time.Duration // 0: 1 s
+	HeartbeatInterval  time.Duration // 0: 1 s
 	HistorySize        int           // transactions that are kept for sessions to resume from; 0: 1024
 	HistoryBytes       int           // and bytes of their records at most; 0: 64 MiB
-	ReportEvery        time.Duration // how often the other control machines' counts are gathered; 0: 1 s
+	ReportInterval     time.Duration // how often the other control machines' counts are gathered; 0: 1 s
 }
 
 const (
@@ -142,8 +142,8 @@
 			*d = value
 		}
 	}
-	fill(&o.HeartbeatEvery, heartbeatEvery)
-	fill(&o.ReportEvery, reportEvery)
+	fill(&o.HeartbeatInterval, heartbeatEvery)
+	fill(&o.ReportInterval, reportEvery)
 	if o.HistorySize <= 0 {
 		o.HistorySize = historySize
 	}
