--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -9,22 +9,24 @@
 	"beammux/control"
 )
 
+// Parameters of the fleet's history.
 const (
-	binsMost   = 1200                    // bins of a course; over it two neighbours become one
-	binFirst   = control.Micros(1000000) // width of a bin at first
-	worstSpan  = 10                      // seconds of the worst span
-	delayMost  = 60000                   // ms; longest set-up delay told apart
-	momentMost = 4000                    // moments kept; of later ones only the number
-	momentSpan = control.Micros(10e6)    // moments of one kind so close to each other are one episode
-	heardLate  = control.Micros(30e6)    // by so much one gatekeeper may hear later of a server than another
-	callerMost = control.Micros(120e6)   // a call without an end for so long is taken for one whose end is not recorded
+	maxBins          = 1200                    // maximum number of bins; beyond it each two neighbours are merged
+	initialBinWidth  = control.Micros(1000000) // initial width of a bin
+	worstSpanSeconds = 10                      // length of the worst span in seconds
+	maxDelayMillis   = 60000                   // highest set-up delay that histograms distinguish, in ms
+	maxEpisodes      = 4000                    // maximum number of episodes kept; further ones are only counted
+	episodeGap       = control.Micros(10e6)    // maximum distance between moments of one kind in an episode
+	maxReportDelay   = control.Micros(30e6)    // maximum time between the reports of one server change by different gatekeepers
+	maxCallDuration  = control.Micros(120e6)   // time after which a call without an end is assumed to have ended unrecorded
 )
 
-// Counts are calls by what came of them. Each is counted where it was taken.
+// Counts are numbers of calls by outcome. Each call is counted at the time of its arrival.
 type Counts struct {
 	Offered, Served, Late, Refused, Failed, Gone int // Served within the class's aim, Late after it
 }
 
+// add adds other counts to c.
 func (c *Counts) add(o Counts) {
 	c.Offered += o.Offered
 	c.Served += o.Served
@@ -34,13 +36,14 @@
 	c.Gone += o.Gone
 }
 
-// Extremes are the least and the most of something in a bin.
+// Extremes are the minimum and the maximum of a value in a bin. Seen reports whether there is any value.
 type Extremes struct {
 	Lowest, Highest float64
 	Seen            bool
 }
 
-func (x *Extremes) see(v float64) {
+// add includes a value.
+func (x *Extremes) add(v float64) {
 	if !x.Seen {
 		*x = Extremes{v, v, true}
 		return
@@ -48,24 +51,25 @@
 	x.Lowest, x.Highest = min(x.Lowest, v), max(x.Highest, v)
 }
 
-func (x *Extremes) join(o Extremes) {
+// merge includes other extremes.
+func (x *Extremes) merge(o Extremes) {
 	if o.Seen {
-		x.see(o.Lowest)
-		x.see(o.Highest)
+		x.add(o.Lowest)
+		x.add(o.Highest)
 	}
 }
 
-// View is what a gatekeeper believed of a server in a bin.
+// View is a gatekeeper's estimate of a server's level and wait in a bin.
 type View struct{ Level, Wait Extremes } // wait in microseconds
 
-// Bin is one piece of the course.
+// Bin is one interval of the time series.
 type Bin struct {
 	Classes []Counts                // by class
-	Delay   *hdrhistogram.Histogram // of calls that stood, ms from being taken; nil if none
+	Delay   *hdrhistogram.Histogram // delay of established calls since their arrival, in ms; nil if there are none
 	Views   map[ViewKey]View
 }
 
-// ViewKey is a gatekeeper's view of a server.
+// ViewKey identifies a gatekeeper's view of a server.
 type ViewKey struct {
 	Node   string
 	Server uint32
@@ -73,24 +77,24 @@
 
 // Server is one row of the table of servers.
 type Server struct {
-	ID          uint32         `json:"server"`
-	Name        string         `json:"name"`
-	Cell        int64          `json:"cell"`
-	State       control.State  `json:"-"`
-	Since       control.Micros `json:"since,omitempty"`
-	Sent        int            `json:"sent"`
-	Established int            `json:"stood"`
-	Full        int            `json:"full"`
-	TimedOut    int            `json:"timed_out"`
-	Cut         int            `json:"cut"`
-	Other       int            `json:"other_ends"`
-	Gated       int            `json:"gated"` // times that a gatekeeper took it to level 2 or more
-	LongestWait control.Micros `json:"longest_wait_us"`
-	heard       map[heard]control.Micros
-}
-
-// heard is what a list says of a server.
-type heard struct {
+	ID            uint32                           `json:"server"`
+	Name          string                           `json:"name"`
+	Cell          int64                            `json:"cell"`
+	State         control.State                    `json:"-"`
+	Since         control.Micros                   `json:"since,omitempty"`
+	Sent          int                              `json:"sent"`
+	Established   int                              `json:"stood"`
+	Full          int                              `json:"full"`
+	TimedOut      int                              `json:"timed_out"`
+	Cut           int                              `json:"cut"`
+	Other         int                              `json:"other_ends"`
+	Gated         int                              `json:"gated"` // how often a gatekeeper raised it to level 2 or higher
+	LongestWait   control.Micros                   `json:"longest_wait_us"`
+	reportedState map[reportedState]control.Micros // time of the last report of each state
+}
+
+// reportedState is the state and the last start of a server, as an inventory reports them.
+type reportedState struct {
 	state control.State
 	since control.Micros
 }
@@ -99,34 +103,35 @@
 type Node struct {
 	Name        string         `json:"gatekeeper"`
 	Starts      int            `json:"starts"`
-	Version     string         `json:"calls"` // limits in force
-	First, Last control.Micros `json:"-"`
+	Version     string         `json:"calls"` // version of the limits in force
+	First, Last control.Micros `json:"-"`     // times of the first and the last record
 	Counts      Counts         `json:"calls_counted"`
 	Sent        int            `json:"sent"`
-	Memory      float64        `json:"memory_bytes"`                    // most
-	Descriptors float64        `json:"descriptors"`                     // most
-	Open        int            `json:"open"`                            // calls without a final answer now
-	Up          bool           `json:"up"`                              // by the last record
-	SteppedBack control.Micros `json:"clock_stepped_back_us,omitempty"` // most that its clock went back between two records
-	calls       map[string]taken
+	Memory      float64        `json:"memory_bytes"`                    // maximum
+	Descriptors float64        `json:"descriptors"`                     // maximum
+	Open        int            `json:"open"`                            // current number of calls without a final answer
+	Up          bool           `json:"up"`                              // according to the last record
+	SteppedBack control.Micros `json:"clock_stepped_back_us,omitempty"` // largest backward step of its clock between two records
+	calls       map[string]arrival
 	levels      map[uint32]int
 }
 
-type taken struct {
+// arrival is the arrival of an open call.
+type arrival struct {
 	at    control.Micros
 	class int
 }
 
-// Moment is something that staff would tell of an incident.
+// Moment is an event that is worth mentioning in an incident report.
 type Moment struct {
 	At     control.Micros `json:"at"`
 	Node   string         `json:"gatekeeper,omitempty"`
 	Server uint32         `json:"server,omitempty"`
-	Type   string         `json:"what"` // a word of the list below
+	Type   string         `json:"what"` // one of the Moment constants
 	Detail string         `json:"detail,omitempty"`
 }
 
-// The words of moments.
+// The types of moments.
 const (
 	MomentStart  = "started"
 	MomentEnd    = "ended"
@@ -138,65 +143,69 @@
 	MomentGap    = "gap"
 )
 
-// Episode is moments of one kind that lie close together.
+// Episode is a series of moments of one kind that are close together in time.
 type Episode struct {
 	Moment
 	Last  control.Micros
 	Count int
-	Nodes []string // that it happened at
+	Nodes []string // gatekeepers at which the moments happened
 }
 
+// episodeKey identifies the moments that may join one episode.
 type episodeKey struct {
-	what   string
+	kind   string
 	server uint32
 	detail string
 }
 
-// Fleet is the state of a fleet and its course so far, rebuilt from events in time order. Its memory is bounded by the
-// number of gatekeepers, servers and open calls: the course has at most 1,200 bins, and where it grows longer neighbours
-// are joined, by adding counts and histograms and keeping the least and the most of what was believed.
+// Fleet is the state of a fleet and its history so far, rebuilt from events in time order. Its memory is bounded by the
+// number of gatekeepers, servers and open calls: the time series has at most 1,200 bins. When it would exceed them,
+// neighbouring bins are merged by adding counts and histograms and keeping the extremes of the views.
 type Fleet struct {
 	Rules          Rules
 	From, To       control.Micros // first and last event
-	Width          control.Micros // of a bin
+	Width          control.Micros // width of a bin
 	Bins           []Bin
 	Servers        map[uint32]*Server
 	Nodes          map[string]*Node
 	Gaps           []Gap
-	OnMoment       func(Moment) // hears of each moment, if not nil
+	OnMoment       func(Moment) // called with each moment, if not nil
 	Episodes       []*Episode
-	OmittedMoments int // moments of episodes over the most that are kept
-	open           map[episodeKey]*Episode
+	OmittedMoments int // number of moments that were not kept, beyond the maximum number of episodes
+	openEpisodes   map[episodeKey]*Episode
 	Events         int
 	Totals         []Counts // by class
 	WorstSpan      WorstSpan
-	seconds        []second // the last ones, that calls may still change
-	base           int64    // Unix second of the first
+	seconds        []second // the last seconds, which answers to open calls may still change
+	firstSecond    int64    // Unix second of the first of them
 }
 
-// WorstSpan is the worst 10 s: the least worth served of that offered.
+// WorstSpan is the worst span of 10 s, the one with the lowest ratio of served to offered worth.
 type WorstSpan struct {
 	From          control.Micros `json:"from"`
-	Offered, Part float64        // worth
+	Offered, Part float64        // offered worth, and the fraction of it that was served
 	Known         bool           `json:"known"`
 }
 
+// second is the worth offered and served of the calls that arrived in one second.
 type second struct{ offered, served float64 }
 
-// NewFleet makes an empty one.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
-	return &Fleet{Width: binFirst, Servers: map[uint32]*Server{}, Nodes: map[string]*Node{}, open: map[episodeKey]*Episode{}}
+	return &Fleet{Width: initialBinWidth, Servers: map[uint32]*Server{}, Nodes: map[string]*Node{}, openEpisodes: map[episodeKey]*Episode{}}
 }
 
+// node returns the row of a gatekeeper, which it creates if needed.
 func (f *Fleet) node(name string) *Node {
 	n := f.Nodes[name]
 	if n == nil {
-		n = &Node{Name: name, calls: map[string]taken{}, levels: map[uint32]int{}}
+		n = &Node{Name: name, calls: map[string]arrival{}, levels: map[uint32]int{}}
 		f.Nodes[name] = n
 	}
 	return n
 }
 
+// server returns the row of a server, which it creates if needed.
 func (f *Fleet) server(id uint32) *Server {
 	s := f.Servers[id]
 	if s == nil {
@@ -206,22 +215,23 @@
 	return s
 }
 
-func (f *Fleet) moment(m Moment) {
+// addMoment passes a moment to the callback and adds it to its episode.
+func (f *Fleet) addMoment(m Moment) {
 	if f.OnMoment != nil {
 		f.OnMoment(m)
 	}
 	if m.Type == MomentOpen {
-		return // an episode of gating ends by itself
+		return // does not belong to any episode; an episode of gating needs no end
 	}
 	key := episodeKey{m.Type, m.Server, m.Detail}
-	e := f.open[key]
-	if e == nil || m.At-e.Last > momentSpan {
-		if len(f.Episodes) >= momentMost {
+	e := f.openEpisodes[key]
+	if e == nil || m.At-e.Last > episodeGap {
+		if len(f.Episodes) >= maxEpisodes {
 			f.OmittedMoments++
 			return
 		}
 		e = &Episode{Moment: m}
-		f.open[key] = e
+		f.openEpisodes[key] = e
 		f.Episodes = append(f.Episodes, e)
 	}
 	e.Last = max(e.Last, m.At)
@@ -231,17 +241,17 @@
 	}
 }
 
-// Gap takes a gap at its place among the events.
+// Gap processes a gap. It must be called in order with Event.
 func (f *Fleet) Gap(g Gap) {
 	f.Gaps = append(f.Gaps, g)
 	n := f.node(g.Node)
-	n.calls, n.levels = map[string]taken{}, map[uint32]int{}
+	n.calls, n.levels = map[string]arrival{}, map[uint32]int{}
 	if g.Hides {
-		f.moment(Moment{At: g.From, Node: g.Node, Type: MomentGap, Detail: string(g.Why)})
+		f.addMoment(Moment{At: g.From, Node: g.Node, Type: MomentGap, Detail: string(g.Why)})
 	}
 }
 
-// Event takes one event.
+// Event processes one event.
 func (f *Fleet) Event(e *Event) {
 	if f.Events == 0 {
 		f.From = e.At
@@ -258,47 +268,48 @@
 	n.Last, n.Up = e.At, true
 	switch e.Kind {
 	case Started:
-		f.started(n, e)
+		f.applyStart(n, e)
 	case Continued:
 		n.Version = e.Name
 		if e.Rules != nil {
 			f.Rules = *e.Rules
 		}
 	case Received:
-		n.calls[e.Call] = taken{e.At, e.Class}
+		n.calls[e.Call] = arrival{e.At, e.Class}
 		f.count(n, e.At, e.Class, Counts{Offered: 1})
-		f.worth(e.At, e.Class, true, 1)
+		f.addWorth(e.At, e.Class, true, 1)
 	case Sent:
 		n.Sent++
 		f.server(e.Server).Sent++
 	case Ended:
-		f.ended(f.server(e.Server), e.Code)
+		f.countAttemptEnd(f.server(e.Server), e.Code)
 	case Established, Refused, Failed, Gone:
-		f.final(n, e)
+		f.countOutcome(n, e)
 	case Viewed:
-		f.viewed(n, e)
+		f.applyView(n, e)
 	case Listed:
-		f.told(e)
+		f.applyServer(e)
 	case Reloaded:
 		n.Version = e.Name
-		f.moment(Moment{e.At, e.Node, 0, MomentReload, e.Name})
+		f.addMoment(Moment{e.At, e.Node, 0, MomentReload, e.Name})
 	case ResourceUsage:
 		if len(e.Values) >= 2 {
 			n.Memory, n.Descriptors = max(n.Memory, e.Values[0]), max(n.Descriptors, e.Values[1])
 		}
 	case Draining:
-		f.moment(Moment{e.At, e.Node, 0, MomentDrain, ""})
+		f.addMoment(Moment{e.At, e.Node, 0, MomentDrain, ""})
 	case Finished:
 		n.Up = false
-		f.moment(Moment{e.At, e.Node, 0, MomentEnd, ""})
+		f.addMoment(Moment{e.At, e.Node, 0, MomentEnd, ""})
 	}
 	n.Open = len(n.calls)
 	if f.Events%65536 == 0 {
-		f.sweep()
+		f.removeOldCalls()
 	}
 }
 
-// ApplyBaseline takes what was so before the first event that counts: figures, limits and the list, but no moments.
+// ApplyBaseline processes an event from before the range of interest: it applies parameters, limits and the inventory, but
+// records no moments.
 func (f *Fleet) ApplyBaseline(e *Event) {
 	episodes, left := f.Episodes, f.OmittedMoments
 	switch n := f.node(e.Node); e.Kind {
@@ -310,21 +321,23 @@
 	case Reloaded:
 		n.Version = e.Name
 	case Listed:
-		f.told(e)
+		f.applyServer(e)
 	}
-	f.Episodes, f.OmittedMoments, f.open = episodes, left, map[episodeKey]*Episode{}
+	f.Episodes, f.OmittedMoments, f.openEpisodes = episodes, left, map[episodeKey]*Episode{}
 }
 
-func (f *Fleet) started(n *Node, e *Event) {
+// applyStart applies the first event of a start.
+func (f *Fleet) applyStart(n *Node, e *Event) {
 	n.Starts++
 	n.Version = e.Name
 	if e.Rules != nil {
 		f.Rules = *e.Rules
 	}
-	f.moment(Moment{e.At, e.Node, 0, MomentStart, ""})
+	f.addMoment(Moment{e.At, e.Node, 0, MomentStart, ""})
 }
 
-func (f *Fleet) ended(s *Server, code control.Code) {
+// countAttemptEnd counts a failed attempt at its server.
+func (f *Fleet) countAttemptEnd(s *Server, code control.Code) {
 	switch code {
 	case control.Full:
 		s.Full++
@@ -337,51 +350,52 @@
 	}
 }
 
-// final counts what came of a call where it was taken. One whose taking is not recorded is left out.
-func (f *Fleet) final(n *Node, e *Event) {
+// countOutcome counts the outcome of a call at the time of its arrival. Calls whose arrival is not recorded are ignored.
+func (f *Fleet) countOutcome(n *Node, e *Event) {
 	if e.Kind == Established {
 		f.server(e.Server).Established++
 	}
-	k, ok := n.calls[e.Call]
+	call, ok := n.calls[e.Call]
 	if !ok {
 		return
 	}
 	delete(n.calls, e.Call)
 	switch e.Kind {
 	case Refused:
-		f.count(n, k.at, k.class, Counts{Refused: 1})
+		f.count(n, call.at, call.class, Counts{Refused: 1})
 	case Failed:
-		f.count(n, k.at, k.class, Counts{Failed: 1})
+		f.count(n, call.at, call.class, Counts{Failed: 1})
 	case Gone:
-		f.count(n, k.at, k.class, Counts{Gone: 1})
+		f.count(n, call.at, call.class, Counts{Gone: 1})
 	case Established:
-		took, class := e.Span, f.class(k.class)
-		if class.Aim == 0 || took <= class.Aim {
-			f.count(n, k.at, k.class, Counts{Served: 1})
-			f.worth(k.at, k.class, false, 1)
+		delay, class := e.Span, f.class(call.class)
+		if class.Aim == 0 || delay <= class.Aim {
+			f.count(n, call.at, call.class, Counts{Served: 1})
+			f.addWorth(call.at, call.class, false, 1)
 		} else {
-			f.count(n, k.at, k.class, Counts{Late: 1})
-			f.worth(k.at, k.class, false, class.LateWorth)
+			f.count(n, call.at, call.class, Counts{Late: 1})
+			f.addWorth(call.at, call.class, false, class.LateWorth)
 		}
-		if b := f.bin(k.at); b != nil {
+		if b := f.bin(call.at); b != nil {
 			if b.Delay == nil {
-				b.Delay = hdrhistogram.New(1, delayMost, 2)
+				b.Delay = hdrhistogram.New(1, maxDelayMillis, 2)
 			}
-			b.Delay.RecordValue(int64(min(max(took/1000, 1), delayMost)))
+			b.Delay.RecordValue(int64(min(max(delay/1000, 1), maxDelayMillis)))
 		}
 	}
 }
 
-// ClassOf gives the class of a call that a gatekeeper holds, -1 for one that is not known.
+// ClassOf returns the class of an open call of a gatekeeper, -1 if the call is unknown.
 func (f *Fleet) ClassOf(node, call string) int {
 	if n := f.Nodes[node]; n != nil {
-		if k, ok := n.calls[call]; ok {
-			return k.class
+		if arrival, ok := n.calls[call]; ok {
+			return arrival.class
 		}
 	}
 	return -1
 }
 
+// class returns the parameters of a class by its index.
 func (f *Fleet) class(i int) Class {
 	if i >= 0 && i < len(f.Rules.Classes) {
 		return f.Rules.Classes[i]
@@ -389,7 +403,8 @@
 	return Class{Name: "unknown"}
 }
 
-func (f *Fleet) viewed(n *Node, e *Event) {
+// applyView applies a gatekeeper's new view of a server.
+func (f *Fleet) applyView(n *Node, e *Event) {
 	s := f.server(e.Server)
 	s.LongestWait = max(s.LongestWait, e.Span)
 	if b := f.bin(e.At); b != nil {
@@ -397,56 +412,57 @@
 			b.Views = map[ViewKey]View{}
 		}
 		v := b.Views[ViewKey{e.Node, e.Server}]
-		v.Level.see(float64(e.Level))
-		v.Wait.see(float64(e.Span))
+		v.Level.add(float64(e.Level))
+		v.Wait.add(float64(e.Span))
 		b.Views[ViewKey{e.Node, e.Server}] = v
 	}
-	was := n.levels[e.Server]
+	previous := n.levels[e.Server]
 	n.levels[e.Server] = e.Level
-	if was < 2 && e.Level >= 2 {
+	if previous < 2 && e.Level >= 2 {
 		s.Gated++
-		f.moment(Moment{e.At, e.Node, e.Server, MomentGate, ""})
-	} else if was >= 2 && e.Level < 2 {
-		f.moment(Moment{e.At, e.Node, e.Server, MomentOpen, ""})
+		f.addMoment(Moment{e.At, e.Node, e.Server, MomentGate, ""})
+	} else if previous >= 2 && e.Level < 2 {
+		f.addMoment(Moment{e.At, e.Node, e.Server, MomentOpen, ""})
 	}
 }
 
-func (f *Fleet) told(e *Event) {
+// applyServer applies the state of a server from an inventory, once for all gatekeepers that report it.
+func (f *Fleet) applyServer(e *Event) {
 	s := f.server(e.Server)
-	if s.heard == nil {
-		s.heard = map[heard]control.Micros{}
+	if s.reportedState == nil {
+		s.reportedState = map[reportedState]control.Micros{}
 	}
-	// Every gatekeeper hears of the same change, some of them seconds late, and tells the server's start by its own clock.
+	// All gatekeepers report the same change, some of them seconds later, with the server's start by their own clocks.
 	since := e.Since
 	if sameStart(since, s.Since) {
 		since = s.Since
 	}
-	at, again := s.heard[heard{e.State, since}]
-	s.heard[heard{e.State, since}] = e.At
-	if again && e.At-at < heardLate {
+	at, reported := s.reportedState[reportedState{e.State, since}]
+	s.reportedState[reportedState{e.State, since}] = e.At
+	if reported && e.At-at < maxReportDelay {
 		return
 	}
 	known := s.Name != ""
 	if known && s.State == e.State && s.Since == since {
-		return // a gatekeeper that has just started is told what the others know
+		return // a gatekeeper that has just started reports a state that is already known
 	}
 	s.Name, s.Cell, s.State, s.Since = e.Name, e.N, e.State, since
 	if known || e.State != control.Ready || e.Since > 0 {
 		detail := e.State.String()
 		if e.State == control.Ready && e.Since > 0 {
-			detail = "started anew"
+			detail = "started again"
 		}
-		f.moment(Moment{e.At, "", e.Server, MomentServer, detail})
+		f.addMoment(Moment{e.At, "", e.Server, MomentServer, detail})
 	}
 }
 
-// bin gives the bin of a time, nil for one before the first.
+// bin returns the bin of a time, nil for a time before the first bin.
 func (f *Fleet) bin(at control.Micros) *Bin {
 	if at < f.From {
 		return nil
 	}
-	for int((at-f.From)/f.Width) >= binsMost {
-		f.join()
+	for int((at-f.From)/f.Width) >= maxBins {
+		f.merge()
 	}
 	i := int((at - f.From) / f.Width)
 	for len(f.Bins) <= i {
@@ -455,13 +471,13 @@
 	return &f.Bins[i]
 }
 
-// join makes one bin of each two.
-func (f *Fleet) join() {
+// merge doubles the width of the bins by merging each pair of neighbours.
+func (f *Fleet) merge() {
 	f.Width *= 2
 	for i := 0; i < len(f.Bins); i += 2 {
 		b := f.Bins[i]
 		if i+1 < len(f.Bins) {
-			b.join(f.Bins[i+1])
+			b.merge(f.Bins[i+1])
 		}
 		f.Bins[i/2] = b
 	}
@@ -470,7 +486,8 @@
 	f.Bins = f.Bins[:half]
 }
 
-func (b *Bin) join(o Bin) {
+// merge merges another bin into b.
+func (b *Bin) merge(o Bin) {
 	for len(b.Classes) < len(o.Classes) {
 		b.Classes = append(b.Classes, Counts{})
 	}
@@ -488,13 +505,14 @@
 		return
 	}
 	for pair, v := range o.Views {
-		mine := b.Views[pair]
-		mine.Level.join(v.Level)
-		mine.Wait.join(v.Wait)
-		b.Views[pair] = mine
+		merged := b.Views[pair]
+		merged.Level.merge(v.Level)
+		merged.Wait.merge(v.Wait)
+		b.Views[pair] = merged
 	}
 }
 
+// count adds counts to a class's total, to the gatekeeper, and to the bin of the call's arrival.
 func (f *Fleet) count(n *Node, at control.Micros, class int, c Counts) {
 	class = max(class, 0)
 	for len(f.Totals) <= class {
@@ -510,61 +528,65 @@
 	}
 }
 
-// worth keeps the worth of each second while calls that were taken in it may still be answered.
-func (f *Fleet) worth(at control.Micros, class int, offered bool, part float64) {
+// addWorth adds the worth of a call to the second of its arrival. Seconds are kept as long as their calls may still be
+// answered.
+func (f *Fleet) addWorth(at control.Micros, class int, offered bool, part float64) {
 	s := int64(at / 1e6)
 	if len(f.seconds) == 0 {
-		f.base = s
+		f.firstSecond = s
 	}
-	if s < f.base {
+	if s < f.firstSecond {
 		return
 	}
-	for int64(len(f.seconds)) <= s-f.base {
+	for int64(len(f.seconds)) <= s-f.firstSecond {
 		f.seconds = append(f.seconds, second{})
 	}
 	w := part * f.class(class).Worth
 	if offered {
-		f.seconds[s-f.base].offered += w
+		f.seconds[s-f.firstSecond].offered += w
 	} else {
-		f.seconds[s-f.base].served += w
+		f.seconds[s-f.firstSecond].served += w
 	}
-	const keep = int(callerMost/1e6) + worstSpan
-	if len(f.seconds) > 2*keep {
-		f.settle(len(f.seconds) - keep)
+	const retainedSeconds = int(maxCallDuration/1e6) + worstSpanSeconds
+	if len(f.seconds) > 2*retainedSeconds {
+		f.findWorst(len(f.seconds) - retainedSeconds)
 	}
 }
 
-// settle looks at the spans that begin in the first so many seconds, and forgets those seconds.
-func (f *Fleet) settle(seconds int) {
-	for i := 0; i < seconds && i+worstSpan <= len(f.seconds); i++ {
+// findWorst compares the spans that begin within the first seconds, up to the given number, with the worst span so far, and
+// removes those seconds.
+func (f *Fleet) findWorst(seconds int) {
+	for i := 0; i < seconds && i+worstSpanSeconds <= len(f.seconds); i++ {
 		offered, served := 0.0, 0.0
-		for _, s := range f.seconds[i : i+worstSpan] {
+		for _, s := range f.seconds[i : i+worstSpanSeconds] {
 			offered += s.offered
 			served += s.served
 		}
 		if offered > 0 && (!f.WorstSpan.Known || served/offered < f.WorstSpan.Part) {
-			f.WorstSpan = WorstSpan{control.Micros((f.base + int64(i)) * 1e6), offered, served / offered, true}
+			f.WorstSpan = WorstSpan{control.Micros((f.firstSecond + int64(i)) * 1e6), offered, served / offered, true}
 		}
 	}
 	seconds = min(seconds, len(f.seconds))
 	f.seconds = slices.Clone(f.seconds[seconds:])
-	f.base += int64(seconds)
+	f.firstSecond += int64(seconds)
 }
 
-// Finalize ends the course: what is still open stays so. The worst span is final then.
-func (f *Fleet) Finalize() { f.settle(len(f.seconds)) }
+// Finalize finishes the evaluation after the last event: WorstSpan is final, and calls that are still open stay open.
+func (f *Fleet) Finalize() { f.findWorst(len(f.seconds)) }
 
-func (f *Fleet) sweep() {
+// removeOldCalls removes calls whose end is missing in the records.
+func (f *Fleet) removeOldCalls() {
 	for _, n := range f.Nodes {
-		for id, k := range n.calls {
-			if f.To-k.at > callerMost {
+		for id, call := range n.calls {
+			if f.To-call.at > maxCallDuration {
 				delete(n.calls, id)
 			}
 		}
 	}
 }
 
-// WorstClass gives the class with the least part of its calls served in their aim, -1 if none was offered.
+// WorstClass returns the class with the lowest fraction of its calls served within their aim, and that fraction; the class
+// is -1 if no calls were offered.
 func (f *Fleet) WorstClass() (class int, part float64) {
 	class = -1
 	for i, c := range f.Totals {
@@ -577,7 +599,7 @@
 	return class, part
 }
 
-// ServerList and NodeList give the tables in order.
+// ServerList returns the servers in order of their numbers.
 func (f *Fleet) ServerList() []*Server {
 	list := make([]*Server, 0, len(f.Servers))
 	for _, id := range sortedIDs(f.Servers) {
@@ -586,7 +608,7 @@
 	return list
 }
 
-// NodeList gives the gatekeepers by name.
+// NodeList returns the gatekeepers in order of their names.
 func (f *Fleet) NodeList() []*Node {
 	list := make([]*Node, 0, len(f.Nodes))
 	for _, n := range f.Nodes {
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -19,16 +19,16 @@
 	"beammux/internal/history"
 )
 
-// FS is what a recorder needs of a file system. Tests stand in for it.
+// FS is the part of a file system that a recorder uses. Tests replace it.
 type FS interface {
 	Create(name string) (io.WriteCloser, error)
 	Open(name string) (io.ReadCloser, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	List(dir string) ([]fs.FileInfo, error) // makes the folder if there is none
+	List(dir string) ([]fs.FileInfo, error) // creates the folder if it does not exist
 }
 
-// Disk is the system's own.
+// Disk is the FS of the operating system.
 type Disk struct{}
 
 // Create implements FS.
@@ -52,56 +52,56 @@
 	}
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
-		if info, err := e.Info(); err == nil { // one that has just been removed has none
+		if info, err := e.Info(); err == nil { // fails for a file that has been removed in the meantime
 			list = append(list, info)
 		}
 	}
 	return list, err
 }
 
-// Options say where and how much is recorded.
+// Options configure a Recorder. Zero values select the defaults.
 type Options struct {
 	Dir          string
 	Node         string
-	MaxBytes     int64         // of this gatekeeper's files; the oldest go first. 0: 1 GiB
-	MaxAge       time.Duration // of a file since its last record. 0: no bound
-	SegmentBytes int64         // bytes of a segment before it is compressed. 0: 8 MiB
-	QueueSize    int           // events that wait to be written. 0: 16384
-	FS           FS            // nil: the disk
+	MaxBytes     int64         // total size of this gatekeeper's files; the oldest are removed first. 0: 1 GiB
+	MaxAge       time.Duration // age of a file since its last record. 0: no limit
+	SegmentBytes int64         // size in bytes at which a segment is closed and compressed. 0: 8 MiB
+	QueueSize    int           // capacity of the queue of events to write. 0: 16384
+	FS           FS            // nil: Disk
 	Log          logrus.FieldLogger
 }
 
-// Recorder writes the events of one start of a gatekeeper. Its methods may be called from any goroutine.
+// Recorder writes the events of one start of a gatekeeper. Its methods are safe for concurrent use.
 type Recorder struct {
 	Options
 	start uint64
 
-	mu      sync.Mutex
-	queue   []history.Event
-	seq     uint64
-	last    control.Micros
-	dropped int64 // since the queue was last found to have room
-	since   control.Micros
-	off     bool
-	closed  bool
-	wake    chan struct{}
-	hurry   chan struct{} // don't wait for more
-	done    chan struct{}
-	busy    bool       // a batch is being written
-	idle    *sync.Cond // told when one has been
+	mu           sync.Mutex
+	queue        []history.Event
+	seq          uint64
+	lastAt       control.Micros
+	dropped      int64 // events dropped since the queue last had room
+	droppedSince control.Micros
+	disabled     bool
+	closed       bool
+	wake         chan struct{}
+	flushNow     chan struct{} // ends the wait for a larger batch
+	done         chan struct{}
+	writing      bool       // a batch is being written
+	batchWritten *sync.Cond // signalled when a batch has been written
 
 	// Owned by the writing goroutine.
-	file    io.WriteCloser
-	segment segment
-	buf     []byte
-	event   bytes.Buffer
-	spare   []history.Event
-	rules   *history.Rules // as recorded at the start
-	calls   string         // version of limits in force
+	file          io.WriteCloser
+	segment       segment
+	buf           []byte
+	eventBuffer   bytes.Buffer
+	spareQueue    []history.Event
+	rules         *history.Rules // from the Started event
+	limitsVersion string         // version of the limits in force
 }
 
-// NewRecorder begins the records of a start. Its number is one over the highest in the folder, so two starts in the same second
-// are told apart.
+// NewRecorder creates a recorder and starts its writing goroutine. The number of the start is one above the highest in the
+// folder, so that two starts in the same second are distinguishable.
 func NewRecorder(o Options) (*Recorder, error) {
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = 1 << 30
@@ -115,8 +115,8 @@
 	if o.FS == nil {
 		o.FS = Disk{}
 	}
-	r := &Recorder{Options: o, wake: make(chan struct{}, 1), hurry: make(chan struct{}, 1), done: make(chan struct{})}
-	r.idle = sync.NewCond(&r.mu)
+	r := &Recorder{Options: o, wake: make(chan struct{}, 1), flushNow: make(chan struct{}, 1), done: make(chan struct{})}
+	r.batchWritten = sync.NewCond(&r.mu)
 	list, err := o.FS.List(o.Dir)
 	if err != nil {
 		return nil, err
@@ -127,121 +127,121 @@
 		}
 	}
 	r.start++
-	if err := r.open(0); err != nil {
+	if err := r.openSegment(0); err != nil {
 		return nil, err
 	}
-	go r.write()
+	go r.writeLoop()
 	return r, nil
 }
 
-// Record takes an event. It never blocks: when the queue is full the event is dropped, and the records say so. Seq is set
-// here, and At never goes back within a start.
+// Record queues an event for writing. It never blocks: if the queue is full, it drops the event, and a later Dropped event
+// reports the number. Record sets Seq, and raises At where needed so that it never decreases within a start.
 func (r *Recorder) Record(e history.Event) {
 	r.mu.Lock()
-	if r.off || r.closed {
+	if r.disabled || r.closed {
 		r.mu.Unlock()
 		return
 	}
-	e.At = max(e.At, r.last)
-	r.last = e.At
+	e.At = max(e.At, r.lastAt)
+	r.lastAt = e.At
 	if len(r.queue) >= r.QueueSize {
 		if r.dropped == 0 {
-			r.since = e.At
+			r.droppedSince = e.At
 		}
 		r.dropped++
 		r.seq++
 		r.mu.Unlock()
 		return
 	}
-	first := len(r.queue) == 0
-	r.mark(e.At)
+	wasEmpty := len(r.queue) == 0
+	r.queueDropped(e.At)
 	r.seq++
 	e.Seq = r.seq
 	r.queue = append(r.queue, e)
-	many := len(r.queue) == max(r.QueueSize/4, 1)
+	quarterFull := len(r.queue) == max(r.QueueSize/4, 1)
 	r.mu.Unlock()
-	if first {
+	if wasEmpty {
 		signal(r.wake)
 	}
-	if many {
-		signal(r.hurry)
+	if quarterFull {
+		signal(r.flushNow)
 	}
 }
 
-// signal sets a flag that a goroutine waits for.
-func signal(flag chan<- struct{}) {
+// signal wakes the goroutine that receives from the channel, without blocking.
+func signal(wake chan<- struct{}) {
 	select {
-	case flag <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
 
-// mark says what was dropped, once there is room again.
-func (r *Recorder) mark(now control.Micros) {
+// queueDropped queues a Dropped event if events have been dropped since the queue last had room.
+func (r *Recorder) queueDropped(now control.Micros) {
 	if r.dropped > 0 {
 		r.seq++
-		r.queue = append(r.queue, history.Event{At: now, Kind: history.Dropped, Seq: r.seq, N: r.dropped, Span: now - r.since})
+		r.queue = append(r.queue, history.Event{At: now, Kind: history.Dropped, Seq: r.seq, N: r.dropped, Span: now - r.droppedSince})
 		r.dropped = 0
 	}
 }
 
-// Flush returns when all that was recorded before has been written, or can't be.
+// Flush waits until all events recorded before the call have been written, or recording has been disabled.
 func (r *Recorder) Flush() {
-	signal(r.hurry)
+	signal(r.flushNow)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.queue) > 0 || r.busy {
-		r.idle.Wait()
+	for len(r.queue) > 0 || r.writing {
+		r.batchWritten.Wait()
 	}
 }
 
-// Close writes what waits and ends the recorder.
+// Close writes the queued events and stops the recorder.
 func (r *Recorder) Close() {
 	r.mu.Lock()
-	if !r.closed && !r.off {
-		r.mark(r.last)
+	if !r.closed && !r.disabled {
+		r.queueDropped(r.lastAt)
 	}
 	r.closed = true
 	r.mu.Unlock()
 	signal(r.wake)
-	signal(r.hurry)
+	signal(r.flushNow)
 	<-r.done
 }
 
-// gather is how long the writer waits for more to write at once: a write and a turn of the processor for each event cost
-// far more than the event. A process that is killed loses as much.
-const gather = 250 * time.Millisecond
+// batchDelay is how long the writer collects events into one batch: a system call and a context switch for each event would
+// cost far more than the event itself. A killed process loses the events of up to this time.
+const batchDelay = 250 * time.Millisecond
 
-// write is the writing goroutine.
-func (r *Recorder) write() {
+// writeLoop runs the writing goroutine until the recorder is closed or a write fails.
+func (r *Recorder) writeLoop() {
 	defer close(r.done)
 	for range r.wake {
 		select {
-		case <-time.After(gather):
-		case <-r.hurry:
+		case <-time.After(batchDelay):
+		case <-r.flushNow:
 		}
 		for {
 			r.mu.Lock()
 			batch, closed := r.queue, r.closed
-			r.queue = r.spare[:0]
-			r.busy = len(batch) > 0
+			r.queue = r.spareQueue[:0]
+			r.writing = len(batch) > 0
 			r.mu.Unlock()
 			if len(batch) > 0 {
-				if err := r.put(batch); err != nil {
-					r.fail(err)
+				if err := r.writeBatch(batch); err != nil {
+					r.disable(err)
 					return
 				}
 			}
 			clear(batch)
-			r.spare = batch
+			r.spareQueue = batch
 			r.mu.Lock()
-			r.busy = false
-			r.idle.Broadcast()
+			r.writing = false
+			r.batchWritten.Broadcast()
 			r.mu.Unlock()
 			if len(batch) == 0 {
 				if closed {
 					if err := r.file.Close(); err != nil {
-						r.fail(err)
+						r.disable(err)
 					}
 					return
 				}
@@ -251,42 +251,43 @@
 	}
 }
 
-// fail turns recording off: service goes on without.
-func (r *Recorder) fail(err error) {
+// disable disables recording after an error; the gatekeeper continues to serve without it.
+func (r *Recorder) disable(err error) {
 	r.mu.Lock()
-	r.off, r.busy, r.queue = true, false, nil
-	r.idle.Broadcast()
+	r.disabled, r.writing, r.queue = true, false, nil
+	r.batchWritten.Broadcast()
 	r.mu.Unlock()
 	if r.Log != nil {
-		r.Log.WithError(err).WithField("dir", r.Dir).Error("records: can't be written, recording is off")
+		r.Log.WithError(err).WithField("dir", r.Dir).Error("records: cannot write, recording is disabled")
 	}
 }
 
-func (r *Recorder) put(batch []history.Event) error {
+// writeBatch encodes a batch of events and writes it.
+func (r *Recorder) writeBatch(batch []history.Event) error {
 	r.buf = r.buf[:0]
 	for i := range batch {
 		switch e := &batch[i]; e.Kind {
 		case history.Started:
-			r.rules, r.calls = e.Rules, e.Name
+			r.rules, r.limitsVersion = e.Rules, e.Name
 		case history.Reloaded:
-			r.calls = e.Name
+			r.limitsVersion = e.Name
 		}
-		r.event.Reset()
-		if err := cbor.MarshalToBuffer(&batch[i], &r.event); err != nil {
+		r.eventBuffer.Reset()
+		if err := cbor.MarshalToBuffer(&batch[i], &r.eventBuffer); err != nil {
 			return err
 		}
-		r.buf = appendFrame(r.buf, r.event.Bytes())
+		r.buf = appendFrame(r.buf, r.eventBuffer.Bytes())
 		if len(r.buf) >= 256<<10 {
-			if err := r.flush(); err != nil {
+			if err := r.flushBuffer(); err != nil {
 				return err
 			}
 		}
 	}
-	return r.flush()
+	return r.flushBuffer()
 }
 
-// flush writes the buffer in one call, so a process that is killed leaves at most one torn record.
-func (r *Recorder) flush() error {
+// flushBuffer writes the buffer in one system call, so that a killed process leaves at most one incomplete record.
+func (r *Recorder) flushBuffer() error {
 	if len(r.buf) == 0 {
 		return nil
 	}
@@ -302,29 +303,30 @@
 	return nil
 }
 
-func (r *Recorder) open(number uint64) error {
+// openSegment creates a segment and writes its header.
+func (r *Recorder) openSegment(number uint64) error {
 	r.segment = segment{node: fileName(r.Node), start: r.start, seq: number}
 	f, err := r.FS.Create(filepath.Join(r.Dir, r.segment.name()))
 	if err != nil {
 		return err
 	}
 	r.file = f
-	top, err := cbor.Marshal(header{Version, r.Node, r.start, number, r.rules, r.calls})
+	encodedHeader, err := cbor.Marshal(header{Version, r.Node, r.start, number, r.rules, r.limitsVersion})
 	if err != nil {
 		return err
 	}
-	n, err := f.Write(appendFrame([]byte(magic), top))
+	n, err := f.Write(appendFrame([]byte(magic), encodedHeader))
 	r.segment.size = int64(n)
 	return err
 }
 
-// rotate compresses the segment that is full, removes what is over the bounds, and begins the next.
+// rotate starts the next segment, compresses the full one, and removes old files that exceed the limits.
 func (r *Recorder) rotate() error {
 	if err := r.file.Close(); err != nil {
 		return err
 	}
 	full := r.segment
-	if err := r.open(full.seq + 1); err != nil {
+	if err := r.openSegment(full.seq + 1); err != nil {
 		return err
 	}
 	if err := r.compress(full.name()); err != nil {
@@ -333,6 +335,7 @@
 	return r.prune()
 }
 
+// compress replaces a segment by its compressed form.
 func (r *Recorder) compress(name string) error {
 	from := filepath.Join(r.Dir, name)
 	in, err := r.FS.Open(from)
@@ -340,8 +343,8 @@
 		return err
 	}
 	defer in.Close()
-	to := from[:len(from)-len(suffix)] + compressed
-	out, err := r.FS.Create(to + ".new") // not a segment's name: half of one is never read
+	to := from[:len(from)-len(segmentSuffix)] + compressedSuffix
+	out, err := r.FS.Create(to + ".new") // not the name of a segment, so readers ignore an incomplete one
 	if err != nil {
 		return err
 	}
@@ -364,33 +367,33 @@
 	return err
 }
 
-// prune removes this gatekeeper's oldest files until the others are within the bounds of size and age.
+// prune removes this gatekeeper's oldest files until the rest is within the limits of size and age.
 func (r *Recorder) prune() error {
 	list, err := r.FS.List(r.Dir)
 	if err != nil {
 		return err
 	}
-	type old struct {
+	type oldFile struct {
 		segment
 		at time.Time
 	}
-	var files []old
+	var files []oldFile
 	total := int64(0)
 	for _, info := range list {
 		if s, ok := parseName(info.Name()); ok && s.node == r.segment.node && (s.start != r.start || s.seq != r.segment.seq) {
 			s.size = info.Size()
-			files = append(files, old{s, info.ModTime()})
+			files = append(files, oldFile{s, info.ModTime()})
 			total += s.size
 		}
 	}
-	slices.SortFunc(files, func(a, b old) int { return compareSegments(a.segment, b.segment) })
+	slices.SortFunc(files, func(a, b oldFile) int { return compareSegments(a.segment, b.segment) })
 	newest := time.Now()
 	for _, f := range files {
 		if total <= r.MaxBytes && (r.MaxAge <= 0 || newest.Sub(f.at) <= r.MaxAge) {
 			break
 		}
 		if err := r.FS.Remove(filepath.Join(r.Dir, f.file)); err != nil {
-			return fmt.Errorf("old records: %w", err)
+			return fmt.Errorf("removing old records: %w", err)
 		}
 		total -= f.size
 	}
