--- a/internal/porttest/porttest_test.go
+++ b/internal/porttest/porttest_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// drawn is how many ports a test draws: about two thirds of those that the kernel usually has for it (ip_local_port_range).
+// drawn is the number of ephemeral ports that a test requests: about two thirds of the kernel's usual range (ip_local_port_range).
 const drawn = 18000
 
-// A reserved port refuses connections, is given to nobody who asks for any port, and can be listened at.
+// A reserved port refuses connections, is not assigned to a listener on port 0, and accepts a listener that requests it by number.
 func TestReserve(t *testing.T) {
 	address := Reserve(t)
 	_, err := net.Dial("tcp", address)
@@ -31,11 +31,11 @@
 	require.NoError(t, c.Close())
 	require.NoError(t, l.Close())
 	l, err = net.Listen("tcp", address)
-	require.NoError(t, err, "once more, as a process that starts again")
+	require.NoError(t, err, "listen again, as a restarted process does")
 	require.NoError(t, l.Close())
 }
 
-// The port is not drawn for an outgoing connection either.
+// A reserved port is not assigned to an outgoing connection.
 func TestReserveAgainstOutgoing(t *testing.T) {
 	address := Reserve(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,7 +53,7 @@
 	}
 }
 
-// What listened at an address may do so again.
+// A test can listen again at an address returned by Listen after it closes the listener.
 func TestListen(t *testing.T) {
 	l := Listen(t)
 	address := l.Addr().String()
@@ -63,7 +63,7 @@
 	require.NoError(t, l.Close())
 }
 
-// Addresses drawn together differ.
+// ReserveAll returns distinct addresses.
 func TestReserveAll(t *testing.T) {
 	seen := map[string]bool{}
 	for _, address := range ReserveAll(t, 50) {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	chunk       = 16 << 10
-	queueMost   = 32 // chunks on their way in one direction of a connection; then its sender waits, as in a full socket
+	chunk       = 16 << 10 // bytes per read
+	queueMost   = 32       // chunks queued in one direction of a connection; beyond it the sender blocks, as on a full socket buffer
 	dialWithin  = 2 * time.Second
 	packetMost  = 64 << 10
-	natFor      = 30 * time.Second // a datagram's way back is known for so long
-	leastBehind = 5 * time.Millisecond
+	natFor      = 30 * time.Second     // idle time after which the return path of a datagram sender is forgotten
+	leastBehind = 5 * time.Millisecond // minimum extra delay of a reordered datagram
 )
 
-// Link carries what one process opens to one service of another.
+// Link forwards the connections or datagrams that one process opens to one service of another.
 type Link struct {
 	From, To string
 	service  string
 	network  *Network
-	forth    *direction // From to To
-	back     *direction
+	forth    *direction // from From to To
+	back     *direction // from To to From
 
 	port    int
-	guard   int // socket that keeps the port while the listener is closed; -1 for UDP
+	guard   int // bound socket that reserves the port while the listener is closed; -1 for UDP
 	udp     *net.UDPConn
 	wg      sync.WaitGroup
 	resetAt atomic.Int64
 
-	bytes, packets, dropped atomic.Int64 // towards To
+	bytes, packets, dropped atomic.Int64 // from From to To
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	target string // where To serves; "": not known yet
+	target string // address at which To serves; empty while unknown or down
 	door   Door
 	ln     net.Listener
 	pairs  map[*pair]struct{}
@@ -57,14 +57,15 @@
 	return err
 }}
 
-// TCP opens a link from one process to a service of another. It refuses while Network.Up has not named where that serves.
+// TCP opens a link for connections from one process to a service of another. The link refuses connections until Network.Up
+// sets the address of the service.
 func (n *Network) TCP(from, to, service string) (*Link, error) {
 	l, err := n.link(from, to, service)
 	if err != nil {
 		return nil, err
 	}
-	// A bound socket that does not listen keeps the port and refuses, so that a link can refuse as a dead process does
-	// and still be opened again at the same address.
+	// A bound socket that does not listen reserves the port while the kernel refuses connections to it. The link can thus
+	// refuse connections like a dead process and listen again later at the same address.
 	if l.guard, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err != nil {
 		return nil, err
 	}
@@ -84,7 +85,7 @@
 	return l, n.add(l)
 }
 
-// UDP opens a link for datagrams. What To answers to the datagram's source finds its way back to the sender.
+// UDP opens a link for datagrams. Datagrams that To sends back to the source address are returned to the original sender.
 func (n *Network) UDP(from, to, service string) (*Link, error) {
 	return n.udpAt(from, to, service, 0)
 }
@@ -102,9 +103,9 @@
 	return l, n.add(l)
 }
 
-// Both opens a link for connections and one for datagrams at the same address.
+// Both opens one link for connections and one for datagrams at the same address.
 func (n *Network) Both(from, to, service string) (tcp, udp *Link, err error) {
-	for range 20 { // the port may be taken for datagrams
+	for range 20 { // the UDP port of the same number may be in use
 		if tcp, err = n.TCP(from, to, service); err != nil {
 			return nil, nil, err
 		}
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// Addr is what From must call to reach To.
+// Addr returns the address, host:port, at which From reaches To through the link.
 func (l *Link) Addr() string {
 	return (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: l.port}).String()
 }
@@ -152,11 +153,11 @@
 	return l.rng.Float64()
 }
 
-// setTarget names where To serves; "" says that it is down.
+// setTarget sets the address at which To serves; an empty address means that To is down.
 func (l *Link) setTarget(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.target != addr { // datagrams go to where To is now
+	if l.target != addr { // drop the sockets that are connected to the previous address
 		for key, c := range l.nat {
 			c.Close()
 			delete(l.nat, key)
@@ -173,7 +174,7 @@
 	l.apply()
 }
 
-// aim gives where connections go on, and how the link treats them.
+// aim returns the address to forward to and how the link treats connections.
 func (l *Link) aim() (string, Door) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +184,8 @@
 	return l.target, l.door
 }
 
-// apply opens or closes the listener, and resets what is open where connections are refused from now on. The lock is held.
+// apply opens or closes the listener according to the target and the door, and resets open connections when it closes the
+// listener. The caller holds l.mu.
 func (l *Link) apply() {
 	if l.closed || l.udp != nil {
 		return
@@ -192,7 +194,7 @@
 	switch {
 	case listens && l.ln == nil:
 		ln, err := reuse.Listen(context.Background(), "tcp4", l.Addr())
-		if err != nil { // the guard holds the port: only a machine out of descriptors comes here, and then it refuses
+		if err != nil { // the guard reserves the port, so only descriptor exhaustion fails here; the link then refuses
 			return
 		}
 		l.ln = ln
@@ -262,18 +264,18 @@
 	}
 }
 
-// pair is one connection on its way through a link.
+// pair is one forwarded connection: the socket to From and the socket to To.
 type pair struct {
 	link   *Link
-	near   *net.TCPConn // From's
+	near   *net.TCPConn // socket to From
 	mu     sync.Mutex
-	far    *net.TCPConn // To's; nil until dialled
+	far    *net.TCPConn // socket to To; nil until dialled
 	passed atomic.Int64
 	once   sync.Once
 	over   chan struct{}
 }
 
-// reset ends both sides by RST.
+// reset closes both sockets with an RST.
 func (p *pair) reset() {
 	p.once.Do(func() {
 		close(p.over)
@@ -288,7 +290,7 @@
 	})
 }
 
-// finish ends both sides in order, once all is passed on.
+// finish closes both sockets in order, after all data is forwarded.
 func (p *pair) finish() {
 	p.once.Do(func() {
 		close(p.over)
@@ -318,7 +320,8 @@
 	both.Wait()
 }
 
-// connect dials the far side. A cut in either direction keeps a connection from coming about, as it would a handshake.
+// connect dials To and reports whether the pair is connected. While either direction is cut it waits, since a TCP handshake
+// would not complete either.
 func (p *pair) connect() bool {
 	l := p.link
 	for {
@@ -349,7 +352,7 @@
 	p.far = c.(*net.TCPConn)
 	p.mu.Unlock()
 	select {
-	case <-p.over: // reset meanwhile
+	case <-p.over: // reset during the dial
 		p.far.Close()
 		return false
 	default:
@@ -357,7 +360,7 @@
 	return true
 }
 
-// piece is what is on its way: bytes, or the end that follows them.
+// piece is a queued chunk of data, or the end of the stream that follows it.
 type piece struct {
 	data  []byte
 	due   time.Time
@@ -365,8 +368,8 @@
 	reset bool
 }
 
-// carry moves one direction until its end: a reader that stamps what it reads, and a writer that holds it back until it
-// is due and the direction is not cut. The end of the stream and a reset travel in order with the bytes.
+// carry forwards one direction until its end of stream. It reads data and stamps it with its due time; a writer goroutine holds
+// it back until then and while the direction is cut. The end of the stream and a reset stay in order with the data.
 func (p *pair) carry(from, to *net.TCPConn, d *direction, forth bool) {
 	queue := make(chan piece, queueMost)
 	var writer sync.WaitGroup
@@ -382,7 +385,7 @@
 		if n > 0 {
 			total := p.passed.Add(int64(n))
 			if most := p.link.resetAt.Load(); most > 0 && total >= most {
-				// What stands before the limit goes out first, so that the far side has part of a message.
+				// The bytes before the limit are forwarded first, so that the far side receives part of a message.
 				part := max(int64(n)-(total-most), 0)
 				last = due(last, now, c, int(part), p.link.draw)
 				queue <- piece{data: buf[:part], due: last}
@@ -434,13 +437,14 @@
 	}
 }
 
-// drop empties a queue whose reader may wait to put more into it.
+// drop drains the queue, so that the reading goroutine does not block on a send to it.
 func (p *pair) drop(queue <-chan piece) {
 	for range queue {
 	}
 }
 
-// await returns at a time, and not while the direction is cut or the link is a black hole; false once the pair is over.
+// await blocks until a time, and beyond it while the direction is cut or the link is a black hole. It returns false if the
+// pair is closed first.
 func (p *pair) await(d *direction, at time.Time) bool {
 	for {
 		c, changed := d.now()
@@ -466,7 +470,7 @@
 			}
 			continue
 		}
-		again := time.NewTimer(holeLook) // a door is no channel: it is looked at now and then
+		again := time.NewTimer(holeLook) // a door change sends no signal, so it is polled
 		select {
 		case <-changed:
 		case <-again.C:
@@ -478,9 +482,9 @@
 	}
 }
 
-const holeLook = 20 * time.Millisecond
+const holeLook = 20 * time.Millisecond // interval between checks whether a black hole is still in force
 
-// datagrams carries what comes at the link's socket, each by the condition of the moment.
+// datagrams forwards the datagrams that the link's socket receives, each under the current condition.
 func (l *Link) datagrams() {
 	buf := make([]byte, packetMost)
 	for {
@@ -505,7 +509,8 @@
 	}
 }
 
-// pass sends a datagram by the condition of a direction: never, at once, later, or twice. It tells whether it goes out.
+// pass applies the condition of a direction to a datagram: it drops it, sends it at once, sends it later, or sends it twice.
+// It reports whether the datagram is sent.
 func (l *Link) pass(d *direction, size int, send func()) bool {
 	c, _ := d.now()
 	if _, door := l.aim(); c.Cut || door != Open || c.Loss > 0 && l.draw() < c.Loss {
@@ -537,7 +542,7 @@
 	return true
 }
 
-// way gives the socket by which a sender's datagrams go on, and on which the answers to it come back.
+// way returns the socket that forwards the datagrams of a sender and receives the answers to them; nil if there is no target.
 func (l *Link) way(from *net.UDPAddr) *net.UDPConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -568,7 +573,7 @@
 			c.SetReadDeadline(time.Now().Add(natFor))
 			n, err := c.Read(buf)
 			if err != nil {
-				if errors.Is(err, syscall.ECONNREFUSED) { // told of an earlier datagram: the way stands
+				if errors.Is(err, syscall.ECONNREFUSED) { // ICMP error for an earlier datagram: the socket stays usable
 					continue
 				}
 				return
--- a/internal/relay/network.go
+++ b/internal/relay/network.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Network is all links of a laboratory. Its methods are the control API; any goroutine may call them.
+// Network owns the links between the processes of a laboratory. Its methods control the faults and are safe for concurrent use.
 type Network struct {
 	seed uint64
 
@@ -18,7 +18,8 @@
 	nextRNG uint64
 }
 
-// New makes a network; what is drawn (jitter, loss) comes from the seed, for each link its own stream.
+// New returns an empty network. Random decisions (jitter, loss, duplicates, reordering) derive from the seed; each link has its
+// own random stream.
 func New(seed uint64) *Network {
 	return &Network{seed: seed, links: map[[2]string][]*Link{}, dirs: map[[2]string]*direction{}}
 }
@@ -27,7 +28,7 @@
 type direction struct {
 	mu      sync.Mutex
 	is      Condition
-	changed chan struct{} // closed when is changes
+	changed chan struct{} // closed and replaced whenever the condition changes
 }
 
 func (d *direction) now() (Condition, <-chan struct{}) {
@@ -47,7 +48,7 @@
 	d.changed = make(chan struct{})
 }
 
-// direction gives the one from a process to another. The lock is held.
+// direction returns the direction from one process to another and creates it if needed. The caller holds n.mu.
 func (n *Network) direction(from, to string) *direction {
 	d := n.dirs[[2]string{from, to}]
 	if d == nil {
@@ -62,7 +63,7 @@
 	return rand.New(rand.NewPCG(n.seed, n.nextRNG))
 }
 
-// Set puts a condition in force from one process to another, in that direction only.
+// Set applies a condition to the traffic from one process to another, in that direction only.
 func (n *Network) Set(from, to string, c Condition) error {
 	if err := c.Check(); err != nil {
 		return fmt.Errorf("link %s to %s: %w", from, to, err)
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// Cut cuts or heals one direction for each pair of two sets of processes; other parts of the conditions stay.
+// Cut cuts or heals the direction from each process in from to each process in to; the other fields of the conditions stay.
 func (n *Network) Cut(from, to []string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,8 +90,8 @@
 	}
 }
 
-// Heal lets everything pass again between all processes, and opens every door; those of processes that are down refuse
-// all the same.
+// Heal clears the conditions of all directions, sets every link to Open and clears the limits of Reset. Links to processes that
+// are down still refuse connections.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// SetDoor changes how the links from one process to another treat connections.
+// SetDoor sets how the links from one process to another treat connections.
 func (n *Network) SetDoor(from, to string, d Door) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,12 +115,12 @@
 	}
 }
 
-// Down says that a process has ended: every link to it refuses from now on, as the kernel of its machine would.
+// Down marks a process as ended: every link to it refuses connections from now on, as the kernel of its machine would.
 func (n *Network) Down(name string) {
 	n.to(name, func(l *Link) { l.setTarget("") })
 }
 
-// Up says at which address a process serves a named service of its links.
+// Up sets the address at which a process serves the named service.
 func (n *Network) Up(name, service, addr string) {
 	n.to(name, func(l *Link) {
 		if l.service == service {
@@ -140,8 +141,8 @@
 	}
 }
 
-// Reset resets every open connection from one process to another at once; after > 0 instead resets each connection that
-// is opened from then on once so many bytes of it have passed in either direction, and 0 ends that.
+// Reset with after = 0 resets every open connection from one process to another at once and clears any limit. With after > 0
+// it sets a limit instead: each connection is reset once it has forwarded that many bytes, counting both directions together.
 func (n *Network) Reset(from, to string, after int64) {
 	n.mu.Lock()
 	links := n.links[[2]string{from, to}]
@@ -154,7 +155,7 @@
 	}
 }
 
-// ClearReset ends Reset's limit without touching what is open.
+// ClearReset clears the limit set by Reset and leaves open connections alone.
 func (n *Network) ClearReset(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -163,10 +164,10 @@
 	}
 }
 
-// Traffic is what passed one way between two processes.
+// Traffic counts the traffic in one direction between two processes.
 type Traffic struct{ Bytes, Packets, Dropped int64 }
 
-// Traffic counts what one process opened to another has carried towards it, by all their links.
+// Traffic returns the traffic from one process to another, summed over the links that the first opens to the second.
 func (n *Network) Traffic(from, to string) (t Traffic) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -178,7 +179,7 @@
 	return t
 }
 
-// Close ends all links and waits for their goroutines.
+// Close closes all links and waits for their goroutines.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -195,6 +196,8 @@
 	}
 }
 
+// due returns when data read at now is to be sent under a condition. The result is not before last, the due time of the
+// preceding data.
 func due(last, now time.Time, c Condition, size int, rng func() float64) time.Time {
 	at := now.Add(c.Delay)
 	if c.Jitter > 0 {
--- a/internal/relay/overhead_test.go
+++ b/internal/relay/overhead_test.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// What a link adds to a message there and back (a set-up's size), in turn with the same over a plain connection in the same
-// run. What it adds to a whole call is measured in fleetlab (BenchmarkRelayOnACall).
+// BenchmarkOverhead measures the latency that a link adds to the round trip of a message of a set-up's size. Round trips over a
+// direct connection alternate with those over the link. BenchmarkRelayOnACall in fleetlab measures the overhead on a whole call.
 //
 //	go test -run '^$' -bench Overhead -benchtime 20000x ./internal/relay
 func BenchmarkOverhead(b *testing.B) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// echo serves TCP: it sends back what comes, and ends when its caller does.
+// echo starts a TCP server that echoes each connection until its client closes it, and returns the server's address.
 func echo(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -71,7 +71,7 @@
 	return time.Since(began)
 }
 
-// silent tells whether nothing comes for a while.
+// silent reports whether the connection receives nothing for 150 ms.
 func silent(c net.Conn) bool {
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	defer c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -80,8 +80,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// A link refuses as a dead process does, before its process serves, after it is down and by a fault, and is open again at
-// the same address; what was open is reset.
+// A link refuses connections before its target is up, after the target is down and under the Refuse fault. It then resets open
+// connections, and accepts new ones again at the same address later.
 func TestRefusesAndOpensAgain(t *testing.T) {
 	n, l := network(t)
 	refused := func(when string) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// A cut keeps what was sent, one way or both, and delivers it at the heal; a connection that is opened meanwhile waits.
+// A cut in either direction holds back the data sent and delivers it after the heal; a connection opened during the cut waits too.
 func TestCutHoldsAndHeals(t *testing.T) {
 	n, l := network(t)
 	n.Up("b", "", echo(t))
@@ -115,11 +115,11 @@
 		c := dial(t, l)
 		roundTrip(t, c, "before")
 		n.Cut(cut[0], cut[1], true)
-		fresh := dial(t, l) // accepted by this side's kernel, as on a real network by none: nothing comes of it
+		fresh := dial(t, l) // accepted by the local kernel, which a real network would not do, but not connected to the target
 		for _, conn := range []net.Conn{c, fresh} {
 			io.WriteString(conn, "held")
 			if !silent(conn) {
-				t.Fatalf("something passed a cut %v", cut)
+				t.Fatalf("data passed the cut %v", cut)
 			}
 		}
 		n.Cut(cut[0], cut[1], false)
@@ -148,11 +148,11 @@
 		t.Errorf("20 kB at 100 kB/s took %v", took)
 	}
 	if err := n.Set("a", "b", Condition{Loss: 1.5}); err == nil {
-		t.Error("a loss of 1.5 was taken")
+		t.Error("a loss of 1.5 was accepted")
 	}
 }
 
-// A reset comes in the middle of a message: the far side has the first bytes of it, and then an RST.
+// A reset after a byte limit happens in the middle of a message: the far side receives the first bytes and then an RST.
 func TestResetMidMessage(t *testing.T) {
 	n, l := network(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -202,7 +202,7 @@
 	}
 }
 
-// Bytes pass whole and in order, whatever they are cut into and however they are delayed, and so does the end.
+// Data and the end of the stream arrive complete and in order for any write sizes and any jitter.
 func TestBytesPassUnchanged(t *testing.T) {
 	n, l := network(t)
 	n.Up("b", "", echo(t))
@@ -267,13 +267,13 @@
 	if got != "one" {
 		t.Fatalf("%q", got)
 	}
-	server.WriteToUDP([]byte("back"), from) // an answer to the source finds its way
+	server.WriteToUDP([]byte("back"), from) // an answer to the source address returns to the sender
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	buf := make([]byte, 10)
 	if k, err := c.Read(buf); err != nil || string(buf[:k]) != "back" {
 		t.Fatalf("answer %q %v", buf[:k], err)
 	}
-	again, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // it starts again at another address
+	again, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // the server restarts at another address
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,13 +284,13 @@
 	server = again
 	io.WriteString(c, "to its next start")
 	if got, _ := receive(5 * time.Second); got != "to its next start" {
-		t.Fatalf("after a new start came %q", got)
+		t.Fatalf("after the restart: got %q", got)
 	}
 	n.Set("a", "b", Condition{Duplicate: 1})
 	io.WriteString(c, "two")
 	for range 2 {
 		if got, _ := receive(5 * time.Second); got != "two" {
-			t.Fatalf("of two copies came %q", got)
+			t.Fatalf("duplicated datagram: got %q", got)
 		}
 	}
 	n.Set("a", "b", Condition{Loss: 1})
@@ -298,12 +298,12 @@
 	n.Set("a", "b", Condition{Cut: true})
 	io.WriteString(c, "cut")
 	if got, _ := receive(150 * time.Millisecond); got != "" {
-		t.Errorf("%q came", got)
+		t.Errorf("%q arrived despite loss and cut", got)
 	}
-	// One held back comes after a later one.
+	// A delayed datagram arrives after a later one.
 	n.Set("a", "b", Condition{Reorder: 1, Delay: 50 * time.Millisecond})
 	io.WriteString(c, "early")
-	for n.Traffic("a", "b").Packets < 6 { // the relay has it
+	for n.Traffic("a", "b").Packets < 6 { // until the relay has received it
 		time.Sleep(time.Millisecond)
 	}
 	n.Set("a", "b", Condition{})
@@ -311,6 +311,6 @@
 	first, _ := receive(5 * time.Second)
 	second, _ := receive(5 * time.Second)
 	if first != "late" || second != "early" {
-		t.Errorf("came %q, then %q", first, second)
+		t.Errorf("received %q, then %q", first, second)
 	}
 }
