--- a/internal/fleetcheck/delays.go
+++ b/internal/fleetcheck/delays.go
@@ -10,43 +10,44 @@
 	"beammux/internal/history"
 )
 
-// Laboratory is the process of a Delayed event that tells of the laboratory itself: its stand-ins and relays.
+// Laboratory is the process name of Delayed events that concern the laboratory itself: its stand-ins and relays.
 const Laboratory = "laboratory"
 
-const wireSlack = history.SocketSlack // by which an answer on sockets may be late
+const wireSlack = history.SocketSlack // tolerated lateness of an answer on sockets
 
-// delays holds how long the processes of a run had work and waited for a processor, as the kernel and the laboratory's own
-// timers measured it. An answer is late through no fault of its process by at most what was waited where it counts: on the
-// way to the gatekeeper, just after the call was sent, and from the moment that the answer was due.
+// delays holds how long the runnable threads of the processes of a run waited for a processor, as measured by the kernel and the
+// laboratory's own timers. A late answer is excused if its lateness does not exceed the waits in two intervals: just after the
+// call was sent, on its way to the gatekeeper, and from the time at which the answer was due.
 //
-// The waits of all threads of a process are added up, since one may wait after the other on the way of one answer. Threads that
-// wait beside each other count each, up to the time between two looks beside the longest wait. An answer that never comes is
-// never excused, nor is one while whose time nothing waited.
+// The waits of all threads of a process are added up, since several threads may wait one after the other for the same answer.
+// Threads that wait at the same time each count, but the sum for one measurement is at most the time since the previous one plus
+// the longest wait. An answer that never arrives is never excused, nor is a late one without any wait.
 type delays struct {
 	waits map[string][]wait
-	late  map[string]control.Micros    // first answer to calls whose time was up
-	due   map[[2]string]control.Micros // by gatekeeper and call, as its records say
+	late  map[string]control.Micros    // time of the first answer to a call whose deadline had passed
+	due   map[[2]string]control.Micros // time at which an answer is due, by gatekeeper and call, from the gatekeeper's records
 
 	disturbed Disturbance
 }
 
-// wait is what was waited in all by waits that ended between two looks.
+// wait is the total time of the waits that ended between two measurements, at from and to.
 type wait struct{ from, to, span control.Micros }
 
-// Disturbance is how a run was kept from showing what the fleet does: a thread that could run was held up for as long as the
-// gatekeepers' own figures count on being heard within.
+// Disturbance describes waits for a processor so long that a run no longer shows the behaviour of the fleet: a runnable thread
+// waited longer than the gatekeepers' own timing allows for messages between them.
 type Disturbance struct {
-	Count   int            `json:"count"`                // looks in which a thread had waited so long
-	Longest control.Micros `json:"longest_us,omitempty"` // that one thread waited
-	Process string         `json:"process,omitempty"`    // whose thread that was
+	Count   int            `json:"count"`                // measurements with such a wait
+	Longest control.Micros `json:"longest_us,omitempty"` // longest wait of a single thread
+	Process string         `json:"process,omitempty"`    // process of that thread
 	At      control.Micros `json:"at,omitempty"`
 }
 
-// disturbing is the wait of one thread that leaves a run without meaning. What the near mode of limits worked out holds for
-// quota.ReportLifetime and is worked out anew at each quota.SettleTime/10: a member that is held up for the difference spends nothing.
-// All other times that members count on between each other (leases, votes, overdue attempts, tests of members) are longer.
+// disturbing is the wait of a single thread that invalidates a run. In the near mode of limits a computed share is valid for
+// quota.ReportLifetime and recomputed every quota.SettleTime/10, so a member that is delayed by the difference admits nothing.
+// All other timeouts between members (leases, votes, overdue attempts, probes of members) are longer.
 const disturbing = quota.ReportLifetime - quota.SettleTime/10
 
+// add records a Delayed event.
 func (d *delays) add(e *Event) {
 	if longest, err := strconv.ParseInt(e.Class, 10, 64); err == nil && control.Micros(longest) >= disturbing {
 		d.disturbed.Count++
@@ -60,7 +61,7 @@
 	d.waits[e.Process] = append(d.waits[e.Process], wait{e.At - control.Micros(e.Value*1e6), e.At, e.Span})
 }
 
-// answered takes an answer that came after its caller's time.
+// answered records an answer that arrived after its caller's deadline.
 func (d *delays) answered(e *Event) {
 	if d.late == nil {
 		d.late = map[string]control.Micros{}
@@ -68,7 +69,7 @@
 	d.late[e.Call] = e.At
 }
 
-// taken notes when a gatekeeper owes an answer.
+// taken records the time at which a gatekeeper's answer to a call is due.
 func (d *delays) taken(e *history.Event) {
 	if d.due == nil {
 		d.due = map[[2]string]control.Micros{}
@@ -76,7 +77,8 @@
 	d.due[[2]string{e.Node, e.Call}] = e.At + e.Span
 }
 
-// waited gives what a process waited, by the looks that a time overlaps with. One look counts once.
+// waited returns the total wait of a process over the measurements that overlap with any of the given intervals, which are in
+// order of time. Each measurement counts once.
 func (d *delays) waited(process string, times ...span) (sum control.Micros) {
 	all := d.waits[process]
 	begin, end := times[0].from, times[len(times)-1].to
@@ -92,8 +94,8 @@
 	return sum
 }
 
-// explain tells whether waiting explains that a call's caller had its answer late: sent at a time, due at another, and come
-// at a third, or 0 where it came after the caller's time, if at all.
+// explain reports whether waits for a processor explain the late answer to a call that was sent, due and answered at the given
+// times. came is 0 if no answer arrived by the end of the caller's time.
 func (d *delays) explain(call, process string, sent, due, came control.Micros) bool {
 	if came == 0 {
 		came = d.late[call]
@@ -106,7 +108,7 @@
 	return late <= wireSlack+d.waited(process, times...)+d.waited(Laboratory, times...)
 }
 
-// explainRecord tells whether waiting explains a late answer in a gatekeeper's records.
+// explainRecord reports whether waits for a processor explain a late answer in a gatekeeper's records.
 func (d *delays) explainRecord(process, call string, at control.Micros) bool {
 	due, known := d.due[[2]string{process, call}]
 	return known && at > due && at-due <= wireSlack+d.waited(process, span{due, at})
--- a/internal/fleetcheck/delays_test.go
+++ b/internal/fleetcheck/delays_test.go
@@ -7,9 +7,9 @@
 	"beammux/internal/history"
 )
 
-// A late answer is excused by what its gatekeeper or the laboratory was measured to have waited where that counts, and by no
-// more. A program that is really broken is found under any disturbance: one that never answers, one that is later than what was
-// waited, and one that is late while another waited.
+// A late answer is excused by the measured waits of its gatekeeper or the laboratory in the intervals that count, and by nothing
+// else. A faulty program is reported under any disturbance: one that never answers, one that is later than the measured waits
+// explain, and one that is late while another process waited.
 func TestLateAnswersAreExcusedByMeasuredWaitsAlone(t *testing.T) {
 	waited := func(from, to control.Micros, process string, span control.Micros) Event {
 		e := at(to, Delayed, process)
@@ -23,23 +23,23 @@
 		broken, excused int
 		events          []Event
 	}{
-		"never answered, whatever waited":   {1, 0, []Event{ready, tried, expired, waited(2050, 2100, "g1", 5000), waited(2050, 2100, Laboratory, 5000)}},
-		"nothing waited":                    {1, 0, []Event{ready, tried, expired, late(2120)}},
-		"its gatekeeper waited":             {0, 1, []Event{ready, tried, expired, waited(2050, 2100, "g1", 80), late(2120)}},
-		"seen after the answer":             {0, 1, []Event{ready, tried, expired, late(2120), waited(2110, 2300, "g1", 80)}},
-		"it waited for less":                {1, 0, []Event{ready, tried, expired, waited(2050, 2100, "g1", 60), late(2120)}},
-		"another gatekeeper waited":         {1, 0, []Event{ready, tried, expired, waited(2050, 2100, "g2", 80), late(2120)}},
-		"the laboratory waited":             {0, 1, []Event{ready, tried, expired, waited(2010, 2100, Laboratory, 80), late(2120)}},
-		"both waited":                       {0, 1, []Event{ready, tried, expired, waited(2010, 2100, Laboratory, 40), waited(2050, 2100, "g1", 40), late(2120)}},
-		"on the way to the gatekeeper":      {0, 1, []Event{ready, tried, waited(1010, 1100, "g1", 80), expired, late(2120)}},
-		"while the call was out":            {1, 0, []Event{ready, tried, waited(1400, 1450, "g1", 80), expired, late(2120)}},
-		"after the answer":                  {1, 0, []Event{ready, tried, expired, late(2120), waited(2130, 2300, "g1", 80)}},
-		"answered late, nothing waited":     {1, 0, []Event{ready, tried, called(2200, Refused, "")}},
-		"answered late, waited as long":     {0, 1, []Event{ready, tried, waited(2000, 2190, "g1", 150), called(2200, Refused, "")}},
-		"answered late, waited for less":    {1, 0, []Event{ready, tried, waited(2000, 2190, "g1", 140), called(2200, Refused, "")}},
-		"its connection ended, all waited":  {1, 0, []Event{ready, tried, waited(1050, 1100, "g1", 5000), called(1400, Broken, "")}},
-		"a second answer, whatever waited":  {1, 0, []Event{ready, tried, waited(1010, 1100, "g1", 500), called(1200, Refused, ""), called(1300, Failed, "")}},
-		"always late, disturbed for a call": {2, 1, broken(ready, waited)},
+		"never answered, long waits":    {1, 0, []Event{ready, tried, expired, waited(2050, 2100, "g1", 5000), waited(2050, 2100, Laboratory, 5000)}},
+		"no wait":                       {1, 0, []Event{ready, tried, expired, late(2120)}},
+		"its gatekeeper waited":         {0, 1, []Event{ready, tried, expired, waited(2050, 2100, "g1", 80), late(2120)}},
+		"measured after the answer":     {0, 1, []Event{ready, tried, expired, late(2120), waited(2110, 2300, "g1", 80)}},
+		"its gatekeeper waited less":    {1, 0, []Event{ready, tried, expired, waited(2050, 2100, "g1", 60), late(2120)}},
+		"another gatekeeper waited":     {1, 0, []Event{ready, tried, expired, waited(2050, 2100, "g2", 80), late(2120)}},
+		"the laboratory waited":         {0, 1, []Event{ready, tried, expired, waited(2010, 2100, Laboratory, 80), late(2120)}},
+		"both waited":                   {0, 1, []Event{ready, tried, expired, waited(2010, 2100, Laboratory, 40), waited(2050, 2100, "g1", 40), late(2120)}},
+		"on the way to the gatekeeper":  {0, 1, []Event{ready, tried, waited(1010, 1100, "g1", 80), expired, late(2120)}},
+		"while the call was pending":    {1, 0, []Event{ready, tried, waited(1400, 1450, "g1", 80), expired, late(2120)}},
+		"after the answer":              {1, 0, []Event{ready, tried, expired, late(2120), waited(2130, 2300, "g1", 80)}},
+		"answered late, no wait":        {1, 0, []Event{ready, tried, called(2200, Refused, "")}},
+		"answered late, waited as long": {0, 1, []Event{ready, tried, waited(2000, 2190, "g1", 150), called(2200, Refused, "")}},
+		"answered late, waited less":    {1, 0, []Event{ready, tried, waited(2000, 2190, "g1", 140), called(2200, Refused, "")}},
+		"connection ended, long wait":   {1, 0, []Event{ready, tried, waited(1050, 1100, "g1", 5000), called(1400, Broken, "")}},
+		"second answer, long wait":      {1, 0, []Event{ready, tried, waited(1010, 1100, "g1", 500), called(1200, Refused, ""), called(1300, Failed, "")}},
+		"always late, one wait":         {2, 1, broken(ready, waited)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if f := find(t, judge(t, row.events...), RuleFinal); f.Count != row.broken || f.Excused != row.excused {
@@ -49,7 +49,7 @@
 	}
 }
 
-// broken is a program that is always 100 ms late, of which one call of three was disturbed.
+// broken returns the events of a program that answers three calls, each 100 ms late, with a wait during only one of them.
 func broken(ready Event, waited func(from, to control.Micros, process string, span control.Micros) Event) []Event {
 	all := []Event{ready}
 	for i := range control.Micros(3) {
@@ -62,7 +62,7 @@
 	return append(all, waited(6050, 6200, "g1", 500))
 }
 
-// The same for the answers in a gatekeeper's own records.
+// A late answer in a gatekeeper's own records is excused by the measured waits of that gatekeeper alone.
 func TestLateRecordsAreExcusedByMeasuredWaitsAlone(t *testing.T) {
 	for _, row := range []struct {
 		waits            string
@@ -93,7 +93,7 @@
 	}
 }
 
-// A conviction counts as one while the callers call up to their last try, and not after it.
+// A verdict counts as reached during calls if it is not later than the callers' last call.
 func TestConvictionsWhileCalled(t *testing.T) {
 	for _, row := range []struct {
 		lastTry control.Micros
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -1,12 +1,12 @@
-// Package fleetcheck judges a run of many gatekeepers by what was seen from outside (callers, servers, processes, links)
-// and by the gatekeepers' own records. It does no I/O and reads no clock: events in, findings out. Package history judges
-// the five rules of one gatekeeper's conduct by its records; this package adds what only the outside can know, and the
-// invariants of a fleet, which later parts add by the Invariant interface.
+// Package fleetcheck checks a run of many gatekeepers against the rules of a fleet. Its input are events observed from outside
+// (at callers, servers, processes, links) and the gatekeepers' own records; its output are findings. It does no I/O and reads
+// no clock. Package history checks the five rules on a single gatekeeper from its records. This package adds the rules that
+// need observations from outside, and invariants of the whole fleet, which implement the Invariant interface.
 //
-// Rules and figures are PROTOCOL's ("The rules on sockets", "Figures") and DESIGN's. A rule binds a process that runs and
-// can be reached: what a killed or paused gatekeeper owed, or one whose callers' link was in trouble, is excused; so is an
-// answer that was late by no more than its process, or the laboratory, was measured to have waited for a processor. Nothing
-// else is. Trouble between a gatekeeper and servers, bus or peers excuses nothing.
+// The rules and figures are those of the protocol ("The rules on sockets", "Figures") and of the design. A rule binds a process
+// that runs and is reachable. Missing answers are excused while a gatekeeper is killed or paused or the link to its callers is
+// faulty, and so is an answer that is late by no more than its process, or the laboratory, was measured to have waited for a
+// processor. Nothing else is excused; in particular not faults between a gatekeeper and servers, the event bus or peers.
 package fleetcheck
 
 import (
@@ -18,45 +18,46 @@
 	"beammux/internal/history"
 )
 
-// Kind tells what an event is.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds, with the fields that each uses beside At and Place.
+// The kinds of events, with the fields of Event that each uses besides At and Place.
 const (
-	Ready       Kind = iota + 1 // Process takes callers
-	Asked                       // Process was told to end (SIGTERM)
-	Stopped                     // Process was ended on purpose, or ended after it was asked
-	Crashed                     // Process ended by itself; What says how
-	Paused                      // Process was stopped (SIGSTOP)
-	Woken                       // and goes on (SIGCONT)
-	Troubled                    // what goes from Process to Peer is in trouble, or a connection opened that way
-	Healed                      // and is no more
-	Logged                      // Process wrote a line of its log; Level, What
-	Tried                       // Call was sent to Process; Span is the caller's time
-	Established                 // Call has its final answer from Process; What is its description
-	Refused                     // Call has its final answer
-	Failed                      // Call has its final answer
-	Second                      // Call has a further final answer; What tells which
-	Expired                     // Call's time was up without an answer
+	Ready       Kind = iota + 1 // Process accepts callers
+	Asked                       // Process received SIGTERM
+	Stopped                     // Process was killed on purpose, or ended after SIGTERM
+	Crashed                     // Process ended by itself; What describes how
+	Paused                      // Process received SIGSTOP
+	Woken                       // Process received SIGCONT
+	Troubled                    // the traffic from Process to Peer, or connections opened in that direction, are subject to a fault
+	Healed                      // that fault has ended
+	Logged                      // Process wrote a log line; Level, What, and Peer and Health if it concerns a member
+	Tried                       // Call was sent to Process; Span is the time allowed for its answer
+	Established                 // Call was established by Process, a final answer; What is the session description
+	Refused                     // Call was refused, a final answer
+	Failed                      // Call failed, a final answer
+	Second                      // Call received another final answer; What names it
+	Expired                     // Call received no answer within its time
 	Broken                      // Call's connection ended without an answer
-	Unsent                      // Call found no gatekeeper
-	Given                       // server Process answered Call: it stands; What is the description
-	FaultFrom                   // a fault begins; What names it
-	FaultTo                     // it is over; What names it
-	Viewed                      // Process holds the fleet to be What (a hash), with the members Peer up (names with spaces between)
-	Heard                       // Process counts what members Peer tell of calls; Value arrive a second in all, the oldest is Span old at least
-	Limited                     // the files of gatekeepers Process (names with spaces between) let Value calls a second through, and a burst of Class
-	Moved                       // from now on first calls come to gatekeepers Process (names with + between)
-	Judged                      // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
-	Late                        // Call has the first answer of Process after its time was up
-	Delayed                     // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
-	Changed                     // Process logged that server Peer (its number) came into phase What of a verdict
+	Unsent                      // no gatekeeper was found for Call
+	Given                       // server Process established Call; What is the session description
+	FaultFrom                   // a fault begins; What is its name
+	FaultTo                     // a fault ends; What is its name
+	Viewed                      // view of the fleet read from Process: What is its hash, Peer the members that are up (names separated by spaces)
+	Heard                       // call rate of the fleet read from Process: Value calls per second, summed over the reports of members Peer; the oldest report is at least Span old
+	Limited                     // the files of gatekeepers Process (names separated by spaces) allow Value calls per second and a burst of Class
+	Moved                       // callers now place first calls at gatekeepers Process (names separated by +)
+	Judged                      // verdicts of the fleet read from Process: it excludes servers Peer (their numbers), busy numbers Class and client addresses Call
+	Late                        // Call received its first answer from Process after its time
+	Delayed                     // threads of Process (or Laboratory) were runnable but waited for a processor in the last Value seconds: Span in total, and Class microseconds the longest wait of a single thread
+	Changed                     // Process logged that its verdict on server Peer (its number) entered phase What
 	kinds
 )
 
 var kindNames = [kinds]string{"", "ready", "asked", "stopped", "crashed", "paused", "woken", "troubled", "healed", "logged", "tried",
 	"stood", "refused", "failed", "second", "expired", "broken", "unsent", "given", "fault from", "fault to", "viewed", "heard", "limited", "moved", "judged", "late", "delayed", "changed"}
 
+// String returns the name of the kind as written to event files.
 func (k Kind) String() string {
 	if k >= kinds {
 		return "unknown"
@@ -64,21 +65,23 @@
 	return kindNames[k]
 }
 
-// KindNamed finds a kind by its name; ok is unset where there is none.
+// KindNamed returns the kind with the given name; ok is false if there is none.
 func KindNamed(name string) (k Kind, ok bool) {
 	i := slices.Index(kindNames[:], name)
 	return Kind(max(i, 0)), i > 0
 }
 
-// Place is where an event was read: "FILE:LINE", or what the reader can say in its stead.
+// Place is the source position of an event: the file and line from which it was read.
 type Place struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 }
 
+// String returns the place as FILE:LINE.
 func (p Place) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
-// Event is one thing that was seen. Times are Unix microseconds by the one clock of the laboratory's machine.
+// Event is one observation. Times are Unix microseconds of the laboratory machine's single clock. The meaning of most fields
+// depends on Kind.
 type Event struct {
 	At      control.Micros
 	Kind    Kind
@@ -87,14 +90,14 @@
 	Call    string
 	Class   string
 	Level   string
-	Health  string // of a member, in the line of a log
+	Health  string // health of a member in a log line
 	What    string
 	Span    control.Micros
 	Value   float64
 	Place   Place
 }
 
-// The rules that are judged here, beside the five of package history.
+// The rules that this package checks, in addition to the five of package history.
 const (
 	RuleFinal  = "each caller gets one final answer"
 	RuleServed = "served only what a server answered"
@@ -104,16 +107,16 @@
 	RuleGiven  = "no member given up that runs and is reached"
 )
 
-// Figures of the check.
+// Tolerances of the check.
 const (
-	AnswerSlack = control.Micros(50000 + 100000) // sockets' 50 ms (PROTOCOL) and what a loaded laboratory machine may be late
-	crossWithin = control.Micros(50000)          // a set-up that crosses a close so soon is sent once more by its caller (PROTOCOL)
-	takeAfter   = control.Micros(700000)         // after SIGTERM nothing that comes later is owed (PROTOCOL, Figures)
-	settleGrace = control.Micros(300000)         // after a wake, a heal or a ready, what was held up still comes late
-	evidenceMax = 20
+	AnswerSlack = control.Micros(50000 + 100000) // 50 ms that the protocol allows on sockets, and 100 ms for a loaded laboratory machine
+	crossWithin = control.Micros(50000)          // the caller resends a set-up whose connection closes this soon after it was sent (protocol)
+	takeAfter   = control.Micros(700000)         // calls that arrive later than this after SIGTERM need no answer (protocol)
+	settleGrace = control.Micros(300000)         // after a process resumes or starts, or a link heals, delayed messages may still arrive late
+	evidenceMax = 20                             // pieces of evidence kept for each rule
 )
 
-// Evidence is one break of a rule.
+// Evidence describes one violation of a rule.
 type Evidence struct {
 	At      control.Micros `json:"at"`
 	Process string         `json:"process"`
@@ -122,6 +125,7 @@
 	What    string         `json:"what"`
 }
 
+// String returns the evidence as one line of text.
 func (e Evidence) String() string {
 	s := fmt.Sprintf("%s %s", e.Process, e.Place)
 	if e.Call != "" {
@@ -130,32 +134,34 @@
 	return s + ": " + e.What
 }
 
-// Finding is what a run shows of one rule.
+// Finding is the result of one rule for a run.
 type Finding struct {
 	Rule     string          `json:"rule"`
 	Verdict  history.Verdict `json:"verdict"`
 	Why      string          `json:"why,omitempty"`
 	Count    int             `json:"count"`
-	Excused  int             `json:"excused,omitempty"` // would have broken it, but for trouble that excuses
+	Excused  int             `json:"excused,omitempty"` // violations that are excused by a fault or a delay
 	Evidence []Evidence      `json:"evidence,omitempty"`
 }
 
-// Invariant is a rule of the fleet that another part adds. Event is called in the order of time, End once at the end.
+// Invariant is an additional rule on the fleet. Event is called for each event in order of time, End once at the end. Both pass
+// violations to the given function.
 type Invariant interface {
 	Rule() string
 	Event(e *Event, broke func(Evidence))
 	End(broke func(Evidence))
 }
 
-// RecordInvariant is an Invariant that also reads the gatekeepers' own records, in their place among the events.
+// RecordInvariant is an Invariant that also receives the gatekeepers' own records, merged into the events by time.
 type RecordInvariant interface {
 	Invariant
 	Record(e *history.Event, place Place, broke func(Evidence))
 }
 
-// span is a time in which something was in trouble; to is 0 while it lasts.
+// span is an interval, for example of a fault; to is 0 while the interval is open.
 type span struct{ from, to control.Micros }
 
+// overlaps reports whether a span overlaps with the interval between two times.
 func overlaps(spans []span, from, to control.Micros) bool {
 	for _, s := range spans {
 		if s.from <= to && (s.to == 0 || s.to >= from) {
@@ -165,34 +171,37 @@
 	return false
 }
 
+// open reports whether the last span is still open.
 func open(spans []span) bool { return len(spans) > 0 && spans[len(spans)-1].to == 0 }
 
+// process holds the events at one process that may excuse a missing answer.
 type process struct {
-	down  []span           // not ready, or paused; with settleGrace
-	asked []control.Micros // SIGTERM
-	link  []span           // to and from its callers
+	down  []span           // while not ready or paused, extended by settleGrace
+	asked []control.Micros // times of SIGTERM
+	link  []span           // faults on the link to or from its callers
 }
 
+// try is the event of a call together with the gatekeeper to which the call was sent.
 type try struct {
 	Event
 	gatekeeper string
 }
 
-// suspect is what may have broken a rule, judged once all trouble is known.
+// suspect is a possible violation. Whether it is excused is decided at the end, when all faults and delays are known.
 type suspect struct {
 	rule string
-	from control.Micros
-	due  control.Micros // of an answer that was late; 0: no waiting for a processor excuses it
-	came control.Micros // of that answer; 0: after its caller's time
+	from control.Micros // beginning of the interval in which a fault excuses it
+	due  control.Micros // time at which a late answer was due; 0: waits for a processor do not excuse it
+	came control.Micros // time of the late answer; 0: not before the end of the caller's time
 	Evidence
 }
 
-// Checker takes the events of a run in the order of time.
+// Checker checks the events of a run, which it receives in order of time.
 type Checker struct {
 	front      string
 	processes  map[string]*process
 	tries      map[string]try
-	answers    map[string]try // those that have their final answer, with its time
+	answers    map[string]try // final answers by call
 	final      map[string]Kind
 	given      map[string]string
 	suspects   []suspect
@@ -208,7 +217,7 @@
 	delays     delays
 }
 
-// Stats counts what callers met with.
+// Stats counts the calls of a run by outcome.
 type Stats struct {
 	Tries       int `json:"tries"`
 	Established int `json:"stood"`
@@ -220,8 +229,8 @@
 	Gated       int `json:"setups_to_gated_servers"`
 }
 
-// New makes a checker. The names of the callers' processes begin with front, those of no other do; capacities gives the set-ups a
-// second of each warm server, by its number in the records.
+// New returns a checker. The names of the callers' processes, and of no others, begin with front. capacities holds the set-ups
+// per second of each warm server, by its number in the records.
 func New(front string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
 	c := &Checker{front: front, processes: map[string]*process{}, tries: map[string]try{}, answers: map[string]try{}, final: map[string]Kind{}, given: map[string]string{},
 		found: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
@@ -234,6 +243,7 @@
 	return c
 }
 
+// rule returns the finding of a rule and creates it if needed.
 func (c *Checker) rule(name string) *Finding {
 	f := c.found[name]
 	if f == nil {
@@ -244,6 +254,7 @@
 	return f
 }
 
+// broke counts a violation of a rule and keeps the first evidenceMax pieces of evidence.
 func (c *Checker) broke(rule string, e Evidence) {
 	f := c.rule(rule)
 	f.Count++
@@ -252,6 +263,7 @@
 	}
 }
 
+// process returns the state of a process and creates it if needed.
 func (c *Checker) process(name string) *process {
 	p := c.processes[name]
 	if p == nil {
@@ -261,7 +273,7 @@
 	return p
 }
 
-// Event takes one event.
+// Event processes one event.
 func (c *Checker) Event(e *Event) {
 	c.now = max(c.now, e.At)
 	evidence := func(what string) Evidence { return Evidence{e.At, e.Process, e.Call, e.Place.String(), what} }
@@ -289,7 +301,7 @@
 	case Logged:
 		c.logged = true
 		if e.What == givenUp {
-			c.givenUp(e, evidence("gave up "+e.Peer+", which ran and could be reached"))
+			c.givenUp(e, evidence("gave up "+e.Peer+", which was running and reachable"))
 		}
 		c.log(e, evidence)
 	case Tried:
@@ -320,7 +332,7 @@
 	}
 }
 
-// link notes trouble on a way between callers and a gatekeeper; other links excuse nothing.
+// link records faults on links between callers and a gatekeeper. Faults on other links excuse nothing.
 func (c *Checker) link(e *Event) {
 	gatekeeper := ""
 	switch {
@@ -340,8 +352,8 @@
 	}
 }
 
-// log judges a line of a process's log. The core says "no decision by the deadline" where the module failed a call; a
-// process that stood still for a while may say so.
+// log checks a log line of a process. "no decision by the deadline" means that the core failed a call because the module did not
+// decide in time, which is excused for a process that was paused shortly before.
 func (c *Checker) log(e *Event, evidence func(string) Evidence) {
 	switch {
 	case e.Level == "panic" || e.Level == "fatal":
@@ -351,11 +363,13 @@
 	}
 }
 
+// isMissed reports whether a log message is about a missed decision or a panic of the module.
 func isMissed(what string) bool {
 	const missed, panicked = "no decision by the deadline", "module panicked"
 	return len(what) >= len(missed) && what[:len(missed)] == missed || len(what) >= len(panicked) && what[:len(panicked)] == panicked
 }
 
+// answered processes the first final answer to a call.
 func (c *Checker) answered(e *Event, evidence func(string) Evidence) {
 	if was, again := c.final[e.Call]; again {
 		c.broke(RuleFinal, evidence(fmt.Sprintf("a second final answer (%d after %d)", e.Kind, was)))
@@ -373,7 +387,7 @@
 	case Established:
 		c.stats.Established++
 		if body, ok := c.given[e.Call]; !ok || body != e.What {
-			c.broke(RuleServed, evidence(fmt.Sprintf("served %q, and the servers answered %q", e.What, body)))
+			c.broke(RuleServed, evidence(fmt.Sprintf("served %q, but the servers answered %q", e.What, body)))
 		}
 	case Refused:
 		c.stats.Refused++
@@ -382,14 +396,15 @@
 	}
 	c.course.over(e, e.Kind == Established)
 	if late := e.At - (k.At + k.Span + AnswerSlack); late > 0 {
-		c.suspects = append(c.suspects, suspect{RuleFinal, k.At, k.At + k.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's time", late/1000))})
+		c.suspects = append(c.suspects, suspect{RuleFinal, k.At, k.At + k.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's deadline", late/1000))})
 	}
 }
 
+// unanswered processes the end of a call that received no final answer.
 func (c *Checker) unanswered(e *Event, evidence func(string) Evidence) {
 	k, known := c.tries[e.Call]
 	delete(c.tries, e.Call)
-	if !known { // it found no gatekeeper: counted there
+	if !known { // no gatekeeper was found for it: counted as Unsent
 		return
 	}
 	if e.Kind == Expired {
@@ -399,20 +414,20 @@
 	}
 	c.course.over(e, false)
 	c.final[e.Call] = e.Kind
-	what, due := "no final answer by its caller's time", k.At+k.Span
+	what, due := "no final answer by its caller's deadline", k.At+k.Span
 	if e.Kind == Broken {
 		due = 0
 		if e.At-k.At <= crossWithin {
 			return
 		}
-		what = fmt.Sprintf("its connection ended without an answer, %d ms after it was sent", (e.At-k.At)/1000)
+		what = fmt.Sprintf("its connection ended without an answer %d ms after the call was sent", (e.At-k.At)/1000)
 	}
 	c.suspects = append(c.suspects, suspect{RuleFinal, k.At, due, 0, evidence(what)})
 }
 
-// second judges a further answer. One that is a release may come from a process that has started since and does not know
-// the call: a server holds it to stand whose answer was lost on its way, and its release is passed on (PROTOCOL, the rules
-// on sockets: what has stood is released to its client).
+// second checks another answer to a call that has its final answer. A release is excused if the process restarted since: the
+// new process does not know the call, while a server whose answer was lost still considers it established, and the process
+// forwards the server's release (protocol, "The rules on sockets": an established call is released to its client).
 func (c *Checker) second(e *Event, evidence Evidence) {
 	was, known := c.answers[e.Call]
 	if known {
@@ -425,7 +440,7 @@
 	c.broke(RuleFinal, evidence)
 }
 
-// excused tells whether trouble at a process excuses what it owed from a time to another.
+// excused reports whether a fault at a process excuses a missing answer in the interval between two times.
 func (c *Checker) excused(name string, from, to control.Micros) bool {
 	p := c.process(name)
 	if overlaps(p.down, from, to) || overlaps(p.link, from, to) {
@@ -439,7 +454,7 @@
 	return false
 }
 
-// readySince tells whether a process that was asked to end has been up again by a time.
+// readySince reports whether a process that received SIGTERM at asked is ready again by a time.
 func (c *Checker) readySince(p *process, asked, by control.Micros) bool {
 	for _, d := range p.down {
 		if d.from >= asked && d.to != 0 && d.to <= by {
@@ -449,7 +464,7 @@
 	return false
 }
 
-// Record takes one event of a gatekeeper's own records, in its place among the others; place says where it was read.
+// Record processes one event of a gatekeeper's own records, merged into the events by time; place is its source position.
 func (c *Checker) Record(e *history.Event, place Place) {
 	c.records.Event(e)
 	if e.Kind == history.Taken {
@@ -463,12 +478,12 @@
 	}
 }
 
-// Gap takes a gap of the records.
+// Gap processes a gap in the records.
 func (c *Checker) Gap(g history.Gap) { c.records.Gap(g) }
 
-// gated judges set-ups to a server that the gatekeeper itself held at level 2 or more when it decided (DESIGN: no new set-ups
-// there). The views in the records are too coarse for it: a level that falls for a report and rises with the next delay
-// may lie between two of them.
+// gated checks that no set-up is sent to a server that its gatekeeper considers gated (level 2 or more). It uses the level recorded
+// with the decision. The periodic views in the records are too coarse: between two of them a level may fall with a report and
+// rise again with the next delay.
 func (c *Checker) gated(e *history.Event, place Place) {
 	if e.Kind != history.Sent || !(control.View{Level: e.Level}).Gated() {
 		return
@@ -478,22 +493,22 @@
 		fmt.Sprintf("sent to server %d, which it held at level %d", e.Server, e.Level)})
 }
 
-// Result is what a run shows.
+// Result is the outcome of the check of a run.
 type Result struct {
 	Findings []Finding `json:"findings"`
 	Stats    Stats     `json:"stats"`
 	Faults   []Settled `json:"faults"`
 	Course   []Bucket  `json:"-"`
-	First    *Evidence `json:"first_broken,omitempty"` // the first break by time
+	First    *Evidence `json:"first_broken,omitempty"` // the earliest violation
 	Rule     string    `json:"first_broken_rule,omitempty"`
 
 	Disturbance Disturbance `json:"disturbance"`
 }
 
-// Held tells whether no rule was broken.
+// Held reports whether no rule was violated.
 func (r *Result) Held() bool { return r.First == nil }
 
-// Result judges what is left. The checker takes nothing more.
+// Result decides on the remaining possible violations and returns the outcome. The checker must not be used afterwards.
 func (c *Checker) Result() *Result {
 	for _, i := range c.invariants {
 		i.End(func(ev Evidence) { c.broke(i.Rule(), ev) })
@@ -516,7 +531,7 @@
 			f.Verdict = history.Broken
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
-			f.Verdict, f.Why = history.NotShown, "no caller sent anything"
+			f.Verdict, f.Why = history.NotShown, "no calls were sent"
 		case name == RuleGiven && len(c.agree.views) == 0:
 			f.Verdict, f.Why = history.NotShown, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
@@ -532,7 +547,7 @@
 	return r
 }
 
-// ofRecords takes over what package history finds. A process that stood still answers late through no fault of its own.
+// ofRecords adds the findings of package history. Late answers of a process that was paused or delayed are excused.
 func (c *Checker) ofRecords() {
 	for _, h := range c.records.Findings() {
 		f := c.rule("records: " + h.Rule)
@@ -551,7 +566,7 @@
 		f.Count += h.Count - len(h.Evidence)
 		if f.Count == 0 {
 			f.Verdict = history.Held
-			f.Why = "what broke it is excused"
+			f.Why = "all violations are excused"
 		}
 	}
 }
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -12,7 +12,7 @@
 
 const ms = control.Micros(1000)
 
-// course is a run of one call, c, sent to g1 at 1 s with 1 s to be answered; what is added is merged by time.
+// judge runs a checker over the events, which must be in order of time, and returns its result.
 func judge(t *testing.T, events ...Event) *Result {
 	t.Helper()
 	c := New("front-", nil)
@@ -26,6 +26,7 @@
 	return c.Result()
 }
 
+// find returns the finding of a rule.
 func find(t *testing.T, r *Result, rule string) Finding {
 	t.Helper()
 	for _, f := range r.Findings {
@@ -37,10 +38,12 @@
 	return Finding{}
 }
 
+// at returns an event of a process at a time in milliseconds.
 func at(when control.Micros, kind Kind, process string) Event {
 	return Event{At: when * ms, Kind: kind, Process: process, Place: Place{"f", int(when)}}
 }
 
+// called returns an event of call c, which is sent to g1 with 1 s to be answered.
 func called(when control.Micros, kind Kind, what string) Event {
 	e := at(when, kind, "g1")
 	e.Call, e.What = "c", what
@@ -50,13 +53,14 @@
 	return e
 }
 
+// way returns an event of the link from one process to another.
 func way(when control.Micros, kind Kind, from, to string) Event {
 	e := at(when, kind, from)
 	e.Peer = to
 	return e
 }
 
-// Each rule is judged just in and just out of its figures, and what excuses is told from what does not.
+// Each rule is checked just within and just beyond its tolerances, and with faults that do and do not excuse a violation.
 func TestVerdicts(t *testing.T) {
 	ready, tried := at(0, Ready, "g1"), called(1000, Tried, "")
 	given := at(1100, Given, "s1")
@@ -71,35 +75,35 @@
 		excused int
 		events  []Event
 	}{
-		"served":                 {RuleServed, 0, 0, []Event{ready, tried, given, called(1200, Established, "d")}},
-		"served by none":         {RuleServed, 1, 0, []Event{ready, tried, called(1200, Established, "d")}},
-		"served another's":       {RuleServed, 1, 0, []Event{ready, tried, given, called(1200, Established, "e")}},
-		"two answers":            {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Failed, "")}},
-		"told twice":             {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Second, "ready")}},
-		"released unknown":       {RuleFinal, 1, 0, []Event{ready, tried, given, called(1200, Refused, ""), called(1900, Second, "close")}},
-		"released, new start":    {RuleFinal, 0, 1, []Event{ready, tried, given, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
-		"released, never stood":  {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
-		"to nobody's call":       {RuleFinal, 1, 0, []Event{ready, called(1200, Refused, "")}},
-		"in time":                {RuleFinal, 0, 0, []Event{ready, tried, called(2150, Refused, "")}},
-		"late":                   {RuleFinal, 1, 0, []Event{ready, tried, called(2151, Refused, "")}},
-		"never":                  {RuleFinal, 1, 0, []Event{ready, tried, called(2200, Expired, "")}},
-		"never, killed":          {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Stopped, "g1"), called(2200, Expired, "")}},
-		"never, another killed":  {RuleFinal, 1, 0, []Event{ready, tried, at(1500, Stopped, "g2"), called(2200, Expired, "")}},
-		"never, killed before":   {RuleFinal, 1, 0, []Event{ready, at(100, Stopped, "g1"), at(500, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"never, just back":       {RuleFinal, 0, 1, []Event{ready, at(100, Stopped, "g1"), at(800, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"never, paused":          {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Paused, "g1"), at(1600, Woken, "g1"), called(2200, Expired, "")}},
-		"never, callers cut":     {RuleFinal, 0, 1, []Event{ready, tried, way(1500, Troubled, "g1", "front-a"), way(1600, Healed, "g1", "front-a"), called(2200, Expired, "")}},
-		"never, servers cut":     {RuleFinal, 1, 0, []Event{ready, tried, way(1500, Troubled, "g1", "s1"), way(1600, Healed, "g1", "s1"), called(2200, Expired, "")}},
-		"never, cut and healed":  {RuleFinal, 1, 0, []Event{ready, way(500, Troubled, "front-a", "g1"), way(600, Healed, "front-a", "g1"), tried, called(2200, Expired, "")}},
-		"connection ended":       {RuleFinal, 1, 0, []Event{ready, tried, called(1051, Broken, "")}},
-		"crossed the close":      {RuleFinal, 0, 0, []Event{ready, tried, called(1050, Broken, "")}},
-		"asked, owed":            {RuleFinal, 1, 0, []Event{ready, at(400, Asked, "g1"), tried, called(2200, Expired, "")}},
-		"asked, too late":        {RuleFinal, 0, 1, []Event{ready, at(299, Asked, "g1"), tried, called(2200, Expired, "")}},
-		"asked, and up again":    {RuleFinal, 1, 0, []Event{ready, at(100, Asked, "g1"), at(200, Stopped, "g1"), at(400, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"crash":                  {RuleRuns, 1, 0, []Event{ready, at(500, Crashed, "g1")}},
-		"panic in the log":       {RuleLog, 1, 0, []Event{ready, panicLine}},
-		"missed decision":        {RuleLog, 1, 0, []Event{ready, errorLine}},
-		"missed, it stood still": {RuleLog, 0, 1, []Event{ready, at(900, Paused, "g1"), at(1400, Woken, "g1"), errorLine}},
+		"served":                     {RuleServed, 0, 0, []Event{ready, tried, given, called(1200, Established, "d")}},
+		"served, no server answered": {RuleServed, 1, 0, []Event{ready, tried, called(1200, Established, "d")}},
+		"served another answer":      {RuleServed, 1, 0, []Event{ready, tried, given, called(1200, Established, "e")}},
+		"two answers":                {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Failed, "")}},
+		"answered again":             {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Second, "ready")}},
+		"released, no restart":       {RuleFinal, 1, 0, []Event{ready, tried, given, called(1200, Refused, ""), called(1900, Second, "close")}},
+		"released after restart":     {RuleFinal, 0, 1, []Event{ready, tried, given, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
+		"released, not established":  {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
+		"answer without a call":      {RuleFinal, 1, 0, []Event{ready, called(1200, Refused, "")}},
+		"in time":                    {RuleFinal, 0, 0, []Event{ready, tried, called(2150, Refused, "")}},
+		"late":                       {RuleFinal, 1, 0, []Event{ready, tried, called(2151, Refused, "")}},
+		"never":                      {RuleFinal, 1, 0, []Event{ready, tried, called(2200, Expired, "")}},
+		"never, killed":              {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Stopped, "g1"), called(2200, Expired, "")}},
+		"never, another killed":      {RuleFinal, 1, 0, []Event{ready, tried, at(1500, Stopped, "g2"), called(2200, Expired, "")}},
+		"never, killed before":       {RuleFinal, 1, 0, []Event{ready, at(100, Stopped, "g1"), at(500, Ready, "g1"), tried, called(2200, Expired, "")}},
+		"never, just back":           {RuleFinal, 0, 1, []Event{ready, at(100, Stopped, "g1"), at(800, Ready, "g1"), tried, called(2200, Expired, "")}},
+		"never, paused":              {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Paused, "g1"), at(1600, Woken, "g1"), called(2200, Expired, "")}},
+		"never, callers cut":         {RuleFinal, 0, 1, []Event{ready, tried, way(1500, Troubled, "g1", "front-a"), way(1600, Healed, "g1", "front-a"), called(2200, Expired, "")}},
+		"never, servers cut":         {RuleFinal, 1, 0, []Event{ready, tried, way(1500, Troubled, "g1", "s1"), way(1600, Healed, "g1", "s1"), called(2200, Expired, "")}},
+		"never, cut and healed":      {RuleFinal, 1, 0, []Event{ready, way(500, Troubled, "front-a", "g1"), way(600, Healed, "front-a", "g1"), tried, called(2200, Expired, "")}},
+		"connection closed":          {RuleFinal, 1, 0, []Event{ready, tried, called(1051, Broken, "")}},
+		"crossed the close":          {RuleFinal, 0, 0, []Event{ready, tried, called(1050, Broken, "")}},
+		"SIGTERM, answer due":        {RuleFinal, 1, 0, []Event{ready, at(400, Asked, "g1"), tried, called(2200, Expired, "")}},
+		"SIGTERM long before":        {RuleFinal, 0, 1, []Event{ready, at(299, Asked, "g1"), tried, called(2200, Expired, "")}},
+		"SIGTERM, restarted":         {RuleFinal, 1, 0, []Event{ready, at(100, Asked, "g1"), at(200, Stopped, "g1"), at(400, Ready, "g1"), tried, called(2200, Expired, "")}},
+		"crash":                      {RuleRuns, 1, 0, []Event{ready, at(500, Crashed, "g1")}},
+		"panic in the log":           {RuleLog, 1, 0, []Event{ready, panicLine}},
+		"missed decision":            {RuleLog, 1, 0, []Event{ready, errorLine}},
+		"missed while paused":        {RuleLog, 0, 1, []Event{ready, at(900, Paused, "g1"), at(1400, Woken, "g1"), errorLine}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := judge(t, row.events...)
@@ -108,7 +112,7 @@
 				t.Errorf("broken %d, excused %d: %+v", f.Count, f.Excused, f)
 			}
 			if (row.broken > 0) == r.Held() {
-				t.Errorf("held %v with %d breaks", r.Held(), row.broken)
+				t.Errorf("held %v with %d violations", r.Held(), row.broken)
 			}
 			if row.broken > 0 && (r.Rule != row.rule || r.First.Process != "g1" || r.First.Place == "") {
 				t.Errorf("first broken: %s, %v", r.Rule, r.First)
@@ -117,7 +121,7 @@
 	}
 }
 
-// A set-up counts by the level that its gatekeeper held the server at when it decided.
+// A set-up violates RuleGated if its record shows that the gatekeeper decided while the server was at level 2 or more.
 func TestGated(t *testing.T) {
 	for level, broken := range []int{0, 0, 1, 1, 1} {
 		c := New("front-", nil)
@@ -129,8 +133,8 @@
 	}
 }
 
-// The five rules of the records count too: a set-up that a draining server gets is found, and a late answer of a gatekeeper
-// that was paused is excused.
+// The rules of package history are part of the result: a set-up sent to a draining server is reported, and a late answer of a
+// paused gatekeeper is excused.
 func TestRulesOfRecords(t *testing.T) {
 	rules := &history.Rules{Classes: []history.Class{{Name: "x"}}, DrainGrace: 250 * ms, ReleaseGuard: 300 * ms, FallTime: 1000 * ms}
 	run := func(paused bool) *Result {
@@ -164,8 +168,8 @@
 	}
 }
 
-// The time to settle counts from the end of a fault to the first second in which calls stand as before, and not before the
-// gatekeepers that it took down are ready.
+// The time to settle lasts from the end of a fault to the first second in which calls are established as before, and at least
+// until the gatekeepers that the fault stopped are ready.
 func TestSettle(t *testing.T) {
 	run := func(until control.Micros, back control.Micros) Settled {
 		c := New("front-", nil)
@@ -193,27 +197,28 @@
 		return c.Result().Faults[0]
 	}
 	if s := run(6500, 6200); s.Before != 1 || s.During > 0.05 || s.Took < 400*ms || s.Took > 600*ms {
-		t.Errorf("calls stand 0.5 s after: %+v", s)
+		t.Errorf("calls established again after 0.5 s: %+v", s)
 	}
 	if s := run(6500, 8000); s.Took != 2000*ms {
-		t.Errorf("ready 2 s after: %+v", s)
+		t.Errorf("ready after 2 s: %+v", s)
 	}
 	if s := run(6500, 13000); s.Took != -1 {
 		t.Errorf("never ready: %+v", s)
 	}
 	if s := run(12000, 6200); s.Took != -1 {
-		t.Errorf("never back: %+v", s)
+		t.Errorf("calls never established again: %+v", s)
 	}
 }
 
+// seen returns the reading of a gatekeeper's view, with the members up.
 func seen(when control.Micros, process, hash, up string) Event {
 	e := at(when, Viewed, process)
 	e.What, e.Peer = hash, up
 	return e
 }
 
-// Views agree when every gatekeeper that runs holds the same, with just those up. A kill is noticed once the others hold
-// themselves alone, and over once all hold all again; agreement that does not last is none.
+// Views agree if all running gatekeepers have the same view with just these gatekeepers up. A kill is noticed when the remaining
+// gatekeepers agree, and recovered from when all agree again; agreement that does not last does not count.
 func TestViews(t *testing.T) {
 	events := []Event{at(0, Ready, "g1"), at(0, Ready, "g2"), at(0, Ready, "g3")}
 	for when := control.Micros(100); when < 12000; when += 200 {
@@ -230,13 +235,13 @@
 			switch {
 			case when > 2000 && when < 7500 && g == "g1":
 				continue
-			case when > 5000 && when < 8500 || g == "g3" && when > 4000 && when < 8500: // g3 gives g1 up a second before g2
+			case when > 5000 && when < 8500 || g == "g3" && when > 4000 && when < 8500: // g3 gives up g1 a second before g2 does
 				hash, up = "two", "g2 g3"
 			}
 			events = append(events, seen(when, g, hash, up))
 		}
 	}
-	// Another fault half a second after they agreed again: that agreement counts, although it did not last.
+	// Another fault begins half a second after they agree again: that agreement counts although the fault ends it.
 	short := []Event{}
 	for _, e := range events {
 		if e.At > 9000*ms && len(short) < len(events) {
@@ -246,7 +251,7 @@
 		short = append(short, e)
 	}
 	if f := judge(t, short...).Faults[0]; f.Agreed != 1100*ms {
-		t.Errorf("cut short by the next fault: agreed after %d", f.Agreed)
+		t.Errorf("agreement ended by the next fault: agreed after %d", f.Agreed)
 	}
 	f := judge(t, events...).Faults[0]
 	if f.Noticed != 3100*ms || f.Agreed != 1100*ms || f.Whole != 8500*ms {
@@ -254,8 +259,7 @@
 	}
 }
 
-// A member that is given up while it runs and nothing is in trouble breaks the rule; trouble among gatekeepers, a restart
-// or a pause shortly before excuses it.
+// Giving up a member that runs violates the rule. A fault between gatekeepers, a restart or a pause shortly before excuses it.
 func TestGivenUp(t *testing.T) {
 	gave := at(40000, Logged, "g1")
 	gave.What, gave.Peer = "fleet: member given up", "g2"
@@ -265,16 +269,16 @@
 		broken int
 		events []Event
 	}{
-		"calm":             {1, nil},
-		"long ago":         {1, []Event{way(10000, Troubled, "g1", "g2"), way(20000, Healed, "g1", "g2")}},
-		"still cut":        {0, []Event{way(10000, Troubled, "g1", "g2")}},
-		"just healed":      {0, []Event{way(10000, Troubled, "g1", "g2"), way(30000, Healed, "g1", "g2")}},
-		"callers' way":     {1, []Event{way(10000, Troubled, "front-a", "g2")}},
-		"paused":           {0, []Event{at(30000, Paused, "g2"), at(39000, Woken, "g2")}},
-		"it was paused":    {0, []Event{at(30000, Paused, "g1"), at(39000, Woken, "g1")}},
-		"down":             {0, []Event{at(10000, Stopped, "g2")}},
-		"restarted":        {0, []Event{at(38000, Stopped, "g2"), at(39000, Ready, "g2")}},
-		"restarted before": {1, []Event{at(10000, Stopped, "g2"), at(11000, Ready, "g2")}},
+		"no fault":                  {1, nil},
+		"link healed long ago":      {1, []Event{way(10000, Troubled, "g1", "g2"), way(20000, Healed, "g1", "g2")}},
+		"link still cut":            {0, []Event{way(10000, Troubled, "g1", "g2")}},
+		"link just healed":          {0, []Event{way(10000, Troubled, "g1", "g2"), way(30000, Healed, "g1", "g2")}},
+		"link of callers cut":       {1, []Event{way(10000, Troubled, "front-a", "g2")}},
+		"member paused":             {0, []Event{at(30000, Paused, "g2"), at(39000, Woken, "g2")}},
+		"own process paused":        {0, []Event{at(30000, Paused, "g1"), at(39000, Woken, "g1")}},
+		"member stopped":            {0, []Event{at(10000, Stopped, "g2")}},
+		"member restarted":          {0, []Event{at(38000, Stopped, "g2"), at(39000, Ready, "g2")}},
+		"member restarted long ago": {1, []Event{at(10000, Stopped, "g2"), at(11000, Ready, "g2")}},
 	} {
 		events := append(append(append([]Event{}, base...), row.events...), gave)
 		if f := find(t, judge(t, events...), RuleGiven); f.Count != row.broken || f.Excused != 1-row.broken {
@@ -283,7 +287,7 @@
 	}
 }
 
-// A gatekeeper that counts calls twice is found, and one that counts a dead member; neither is what goes by the callers.
+// A rate above the callers' own is reported, as if calls were counted twice, and so is a rate that includes a stopped member.
 func TestRatesRule(t *testing.T) {
 	run := func(value float64, readAt control.Micros, origins string) Finding {
 		c := New("front-", nil, NewRates(6e6, 2e6))
@@ -311,12 +315,12 @@
 	}
 }
 
-// A fleet that lets in one call more than its limit allows over any window is found; a lower limit binds once it has settled,
-// and the near mode's looseness counts only while what makes it loose is on.
+// Admitting one call more than the limit allows over any window is reported. A lower limit binds after its settle time, and the
+// looseness of the near mode applies only during the faults that cause it.
 func TestLimitRule(t *testing.T) {
 	type row struct {
 		at   control.Micros // ms
-		kind Kind           // 0: so many are let in
+		kind Kind           // 0: n calls are admitted
 		n    int
 	}
 	run := func(loose float64, rows ...row) Finding {
@@ -344,7 +348,7 @@
 		{run(0, row{1000, 0, 6}), 1},
 		{run(0, row{1000, 0, 5}, row{1099, 0, 1}), 1},
 		{run(0, row{1000, 0, 5}, row{9000, 0, 6}), 1},
-		{run(0, row{1000, Limited, 0}, row{2900, 0, 5}, row{3000, 0, 1}, row{3100, 0, 1}), 0}, // the lower one begins at 3 s, anew
+		{run(0, row{1000, Limited, 0}, row{2900, 0, 5}, row{3000, 0, 1}, row{3100, 0, 1}), 0}, // the lower limit takes effect at 3 s with a full bucket
 		{run(0, row{1000, Limited, 0}, row{3100, 0, 5}, row{3200, 0, 1}), 1},
 		{run(2, row{1000, 0, 5}, row{1001, FaultFrom, 0}, row{1101, 0, 3}), 0},
 		{run(2, row{1000, 0, 5}, row{1001, FaultFrom, 0}, row{1101, 0, 4}), 1},
@@ -356,7 +360,8 @@
 	}
 }
 
-// Verdicts on a server that is well, that one member misses, or that are not kept to are found; those on an ill one are not.
+// Verdicts on a server without a fault, verdicts that a member misses and set-ups to an excluded server are reported; verdicts on a
+// faulty server are not.
 func TestVerdictsRule(t *testing.T) {
 	judged := func(when control.Micros, who, held string) Event {
 		e := at(when, Judged, who)
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -10,43 +10,43 @@
 	"beammux/internal/history"
 )
 
-// RuleLimit is judged where the fleet has a limit for all calls.
+// RuleLimit is checked if the fleet has a limit for all calls.
 const RuleLimit = "the fleet's limit holds over every time"
 
-// Figures of the rule.
+// Parameters of the rule.
 const (
-	limitWarm  = control.Micros(4000000) // after the first call and after each move of demand, before use is measured
-	limitFrom  = 0.9                     // part of the limit at which moved demand has its part
-	limitSight = control.Micros(500000)  // over which that is looked at
+	limitWarm  = control.Micros(4000000) // warm-up after the first call and after each shift of demand, excluded from the measured use
+	limitFrom  = 0.9                     // fraction of the limit at which shifted demand counts as served
+	limitSight = control.Micros(500000)  // window over which that fraction is measured
 )
 
-// OverWindows are the windows over which the most that was let in is told.
+// OverWindows are the window lengths of LimitStats.Over.
 var OverWindows = [3]control.Micros{100000, 1000000, 10000000}
 
-// LimitStats is what a run shows of its limit.
+// LimitStats describes how a run used its limit.
 type LimitStats struct {
 	Admitted int        `json:"admitted"`
-	Over     [3]float64 `json:"most_over"`     // calls over per_s x t in windows of 0.1, 1 and 10 s, of which burst is allowed
-	Bound    float64    `json:"most_of_bound"` // the most that any window used of per_s x t + burst, as tokens short of 0: over 0 breaks it
-	Used     float64    `json:"used"`          // part of the limit, while callers offered more; -1: they did not
-	Moved    []float64  `json:"moved_s"`       // until a moved demand had nine tenths of the limit for half a second; -1: never
+	Over     [3]float64 `json:"most_over"`     // largest number of calls above per_s x t in any window of 0.1, 1 and 10 s; up to burst is allowed
+	Bound    float64    `json:"most_of_bound"` // largest excess of any window over per_s x t + burst, in tokens; above 0 the rule is violated
+	Used     float64    `json:"used"`          // admitted fraction of the limit while callers offered more; -1: they never did
+	Moved    []float64  `json:"moved_s"`       // for each shift of demand, seconds until it used nine tenths of the limit for half a second; -1: never
 }
 
-// Limit holds what all gatekeepers together let in against their limit, by their own records of each admission: no window of
-// any length holds more than per_s x t + burst. That is the same as a bucket of burst tokens that fills at per_s never lacking
-// one.
+// Limit checks the admissions of all gatekeepers together, from their records, against the limit of the fleet: no window of any
+// length t contains more than per_s x t + burst. Equivalently, a token bucket of capacity burst that fills at per_s is never
+// short of a token.
 type Limit struct {
 	perS, burst float64
-	measure     float64            // a second; what use is measured against, where that is not what is judged
-	settle      control.Micros     // after a lower limit was told, until it binds all
-	loose       map[string]float64 // by fault: how many times the limit may be let in beside it meanwhile
-	wakes       float64            // the same for woken gatekeepers
+	measure     float64            // calls per second against which use is measured, if not the checked limit; 0: the checked limit
+	settle      control.Micros     // time from the change to a lower limit until it binds all gatekeepers
+	loose       map[string]float64 // by fault: multiple of the limit that may be admitted in addition during the fault
+	wakes       float64            // the same after a gatekeeper resumes from a pause
 
 	tokens   float64
 	at       control.Micros
 	next     []change
 	on       map[string]float64
-	until    control.Micros // looseness of a fault that is over, or a wake, lasts till then
+	until    control.Micros // end of the looseness after a fault ended or a gatekeeper resumed
 	lately   float64
 	most     float64
 	admitted []control.Micros
@@ -54,20 +54,21 @@
 	moved    []control.Micros
 }
 
+// change is a new limit and the time from which it is in force.
 type change struct {
 	at          control.Micros
 	perS, burst float64
 }
 
-const looseAfter = control.Micros(2000000) // past the end of what made it loose: the age at which a register no longer counts
+const looseAfter = control.Micros(2000000) // looseness continues for this long after its cause ends: the age at which a register expires
 
-// NewLimit makes the rule. settle is how long after a reload a lower limit binds; loose and wakes are the looseness of the near
-// mode's bound, zero for the others.
+// NewLimit returns the rule for a limit of perS calls per second with a burst. settle is the time after a reload until a lower
+// limit binds. loose and wakes are the looseness of the near mode's bound during faults and after pauses; zero for other modes.
 func NewLimit(perS, burst float64, settle control.Micros, loose map[string]float64, wakes float64) *Limit {
 	return &Limit{perS: perS, burst: burst, settle: settle, loose: loose, wakes: wakes, tokens: burst, on: map[string]float64{}}
 }
 
-// Measure lets use and overshoot be measured against another limit than the one that is judged.
+// Measure sets the limit against which use and overshoot are measured, if it differs from the checked one. It returns l.
 func (l *Limit) Measure(perS float64) *Limit {
 	l.measure = perS
 	return l
@@ -110,18 +111,19 @@
 	}
 }
 
-// advance fills the bucket up to a time.
+// advance applies the changes of the limit up to a time and fills the bucket.
 func (l *Limit) advance(now control.Micros) {
 	for len(l.next) > 0 && l.next[0].at <= now {
 		c := l.next[0]
 		l.next = l.next[1:]
 		l.fill(c.at)
 		l.perS, l.burst = c.perS, c.burst
-		l.tokens = l.burst // what was let in before is not held against the new limit
+		l.tokens = l.burst // earlier admissions do not count against the new limit
 	}
 	l.fill(now)
 }
 
+// fill adds the tokens for the time since the last call, at an increased rate while the limit is loose.
 func (l *Limit) fill(now control.Micros) {
 	if now <= l.at || l.at == 0 {
 		l.at = max(l.at, now)
@@ -149,12 +151,12 @@
 	l.most = max(l.most, -l.tokens)
 	if l.tokens < -1e-6 {
 		broke(Evidence{e.At, e.Node, e.Call, place.String(),
-			fmt.Sprintf("%.2f calls more than %g a second and a burst of %g allow", -l.tokens, l.perS, l.burst)})
-		l.tokens = 0 // one break is told once
+			fmt.Sprintf("%.2f calls more than a rate of %g per second and a burst of %g allow", -l.tokens, l.perS, l.burst)})
+		l.tokens = 0 // report each excess once
 	}
 }
 
-// Stats gives what the run showed, once it is over. Limits that changed are measured against the last.
+// Stats returns the statistics of the run after its end. If the limit changed, they are measured against the last one.
 func (l *Limit) Stats() LimitStats {
 	slices.Sort(l.admitted)
 	if l.measure > 0 {
--- a/internal/fleetcheck/rates.go
+++ b/internal/fleetcheck/rates.go
@@ -9,25 +9,25 @@
 	"beammux/control"
 )
 
-// RuleRates is judged where the gatekeepers tell each other their rates of calls.
+// RuleRates is checked if the gatekeepers exchange their call rates.
 const RuleRates = "fleet rates count each call once, and no one that is dead"
 
-// Figures of the rule.
+// Tolerances of the rule.
 const (
-	readSlack = control.Micros(1500000) // a reading may be late by a busy machine, and the register on its way meanwhile
-	overRate  = 1.3                     // rates add up what was told at moments apart
-	overSigma = 4
+	readSlack = control.Micros(1500000) // a reading may be late on a busy machine, and a register may be in flight
+	overRate  = 1.3                     // factor: a sum adds rates that were reported at different times
+	overSigma = 4                       // standard deviations of counting noise
 )
 
-// Rates holds what gatekeepers say of the whole fleet's calls against the callers' own: no more arrive than the callers sent,
-// within the noise of counting, and a member that was ended counts no more once its last word is stale.
+// Rates compares the call rates that gatekeepers compute for the whole fleet with the calls that were sent. A rate must not exceed
+// that of the callers beyond counting noise, and a member that stopped must not be counted after its last register expired.
 type Rates struct {
 	stale, memory control.Micros
-	sent          map[string][]control.Micros // by gatekeeper
-	gone          map[string]control.Micros   // gatekeepers that do not run, since when
+	sent          map[string][]control.Micros // times of the calls sent to each gatekeeper
+	gone          map[string]control.Micros   // gatekeepers that do not run, by the time they stopped
 }
 
-// NewRates makes the rule for registers that count until stale and rates that remember so long.
+// NewRates returns the rule for registers that expire after stale and rates that are averaged over memory.
 func NewRates(stale, memory control.Micros) *Rates {
 	return &Rates{stale: stale, memory: memory, sent: map[string][]control.Micros{}, gone: map[string]control.Micros{}}
 }
@@ -52,18 +52,18 @@
 	case Heard:
 		for name := range strings.SplitSeq(e.Peer, " ") {
 			if since, ok := r.gone[name]; ok && e.At-since > r.stale+readSlack {
-				broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("still counts %s, ended %d ms ago", name, (e.At-since)/1000)})
+				broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("still counts calls of %s, which stopped %d ms ago", name, (e.At-since)/1000)})
 			}
 		}
 		if most := r.most(e.At); e.Value > most {
-			broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("counts %.1f calls a second, and the callers sent at most %.1f", e.Value, most)})
+			broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("counts %.1f calls per second, but the callers sent at most %.1f", e.Value, most)})
 		}
 	}
 }
 
-// most is the most that can be counted at a time: what was sent to each gatekeeper in its fullest window as long as the rates'
-// memory, among those whose rates may still be told, with the noise of counting. Demand that moves, or goes around a
-// gatekeeper that stands still, is counted where it was until that is stale.
+// most returns the largest valid rate at a time, in calls per second. For each gatekeeper it takes the window of the averaging time
+// with the most calls, among those whose rates may still be in use, and adds the counting noise. Each gatekeeper has its own
+// window, since demand that shifts to another gatekeeper is also counted at the previous one until that register expires.
 func (r *Rates) most(now control.Micros) float64 {
 	all := 0
 	for name, sent := range r.sent {
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -6,31 +6,31 @@
 	"beammux/control"
 )
 
-// How the time to settle is measured. A fault has settled once every gatekeeper that it took down is ready again and the
-// part of the tries that stand, over a window, is back at most of what it was before the fault.
+// Parameters of the time to settle. A fault has settled once every gatekeeper that it stopped is ready again and the share of
+// established calls, over a window, is back to most of its value before the fault.
 const (
-	bucketOf   = control.Micros(100000)
-	windowOf   = 10 // buckets: 1 s
-	beforeFor  = control.Micros(3000000)
-	back       = 0.9 // of what it was before
-	leastTries = 5   // in a window, to say anything
+	bucketOf   = control.Micros(100000)  // length of a bucket
+	windowOf   = 10                      // buckets: 1 s
+	beforeFor  = control.Micros(3000000) // interval before a fault over which the previous share is measured
+	back       = 0.9                     // fraction of the previous share
+	leastTries = 5                       // minimum number of calls in a window for a valid share
 )
 
-// Settled is how long the fleet took after one fault was over.
+// Settled describes how the fleet recovered from one fault.
 type Settled struct {
 	Fault   string         `json:"fault"`
 	From    control.Micros `json:"from"`
 	To      control.Micros `json:"to"`
-	Before  float64        `json:"stood_before"` // part of the tries, over the 3 s before it
-	During  float64        `json:"stood_during"`
-	Took    control.Micros `json:"settled_us"`         // from its end; -1: not within the run, or nothing to tell it by
-	Noticed control.Micros `json:"noticed_us"`         // from its begin until all views of those that ran held them alone; -1: not before its end
-	Agreed  control.Micros `json:"agreed_us"`          // from its end (and all being ready) until all views are the same and hold all; -1: not in the run
-	Whole   control.Micros `json:"whole_at,omitempty"` // when that was; 0: not in the run
-	Overlap bool           `json:"overlapped"`         // another fault was on before it settled
+	Before  float64        `json:"stood_before"`       // share of established calls over the 3 s before the fault
+	During  float64        `json:"stood_during"`       // share of established calls during the fault
+	Took    control.Micros `json:"settled_us"`         // from the end of the fault; -1: not within the run, or too few calls to measure
+	Noticed control.Micros `json:"noticed_us"`         // from the beginning of the fault until the views of all running gatekeepers contain just these; -1: not before its end
+	Agreed  control.Micros `json:"agreed_us"`          // from the end of the fault, or until all are ready, until all views are equal and contain all; -1: not within the run
+	Whole   control.Micros `json:"whole_at,omitempty"` // time of that agreement; 0: not within the run
+	Overlap bool           `json:"overlapped"`         // another fault was active before this one settled
 }
 
-// Bucket is what came of the tries of a tenth of a second, by when they were sent.
+// Bucket counts the outcomes of the calls that were sent in one tenth of a second.
 type Bucket struct {
 	At                    control.Micros
 	Tries                 int
@@ -38,15 +38,17 @@
 	Refused, Failed, Lost int
 }
 
+// course is the timeline of a run: the outcomes of calls over time and the faults.
 type course struct {
 	begin    control.Micros
 	rows     []Bucket
-	at       map[string]int // try -> bucket
+	at       map[string]int // index of the bucket of each call without an outcome
 	faults   []Settled
 	notReady map[string][]span
 	names    map[string]int
 }
 
+// bucket returns the index of the bucket of a time and adds buckets up to it if needed.
 func (c *course) bucket(at control.Micros) int {
 	if c.at == nil {
 		c.begin, c.at = at, map[string]int{}
@@ -58,12 +60,14 @@
 	return i
 }
 
+// tried counts a call that was sent.
 func (c *course) tried(e *Event) {
 	i := c.bucket(e.At)
 	c.rows[i].Tries++
 	c.at[e.Call] = i
 }
 
+// over counts the outcome of a call.
 func (c *course) over(e *Event, stood bool) {
 	i, known := c.at[e.Call]
 	if !known { // never sent
@@ -83,6 +87,7 @@
 	}
 }
 
+// down records that a gatekeeper is not ready; a paused one stays ready.
 func (c *course) down(e *Event) {
 	if c.notReady == nil {
 		c.notReady = map[string][]span{}
@@ -92,12 +97,14 @@
 	}
 }
 
+// ready records that a gatekeeper is ready.
 func (c *course) ready(e *Event) {
 	if s := c.notReady[e.Process]; open(s) {
 		s[len(s)-1].to = e.At
 	}
 }
 
+// fault records the beginning or end of a fault.
 func (c *course) fault(e *Event) {
 	if c.names == nil {
 		c.names = map[string]int{}
@@ -112,9 +119,10 @@
 	}
 }
 
+// buckets returns a copy of all buckets.
 func (c *course) buckets() []Bucket { return slices.Clone(c.rows) }
 
-// part is the part of the tries sent in a time that stood; ok is unset where there were too few.
+// part returns the share of established calls among those sent between two times; ok is false if there are too few calls.
 func (c *course) part(from, to control.Micros) (p float64, ok bool) {
 	tries, stood := 0, 0
 	for _, b := range c.rows {
@@ -129,6 +137,7 @@
 	return float64(stood) / float64(tries), true
 }
 
+// settled returns the faults with their times to settle.
 func (c *course) settled() []Settled {
 	out := slices.Clone(c.faults)
 	for i := range out {
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -10,81 +10,82 @@
 	"beammux/internal/history"
 )
 
-// RuleVerdicts is judged where the fleet comes to verdicts on servers.
+// RuleVerdicts is checked if the fleet reaches verdicts on servers.
 const RuleVerdicts = "verdicts: on the ill alone, at every member in time, and kept to"
 
-// Figures of the rule.
+// Tolerances of the rule.
 const (
-	verdictWithin = control.Micros(4000000) // from the first reading at one member to each other that is reached
-	joinWithin    = control.Micros(6000000) // a member that has just started, or woke, hears the others only then
-	faultMemory   = control.Micros(8000000) // evidence of what a server did is remembered so long
-	keptSlack     = control.Micros(600000)  // a set-up may be on its way, and a reading is as old as its pace
+	verdictWithin = control.Micros(4000000) // from the first reading at one member until every other reachable member has the verdict
+	joinWithin    = control.Micros(6000000) // time until a member that starts or resumes has the state of the others
+	faultMemory   = control.Micros(8000000) // gatekeepers use evidence of a fault for this long
+	keptSlack     = control.Micros(600000)  // a set-up may be in flight, and a reading may be one interval old
 )
 
-// RudeAddress is where callers come from in the laboratory that send what can't be read; no others do.
+// RudeAddress is the source address of the laboratory's clients that send malformed messages. No other clients use it.
 const RudeAddress = "127.0.0.9"
 
-// VerdictStats is what a run shows of its verdicts.
+// VerdictStats describes the verdicts of a run.
 type VerdictStats struct {
-	Convicted int     `json:"convicted"`              // servers, each time it began at the first member
-	Called    int     `json:"convicted_while_called"` // of those before the callers' last try
-	Wrongful  int     `json:"wrongful"`               // of those that nothing was wrong with
-	First     float64 `json:"first_out_s"`            // from the first fault of a server to the first member that keeps away; -1: never
-	All       float64 `json:"all_out_s"`              // and to the last one that runs
-	Numbers   int     `json:"numbers_held_busy"`      // each at each member counts
-	Sent      int     `json:"setups_while_kept_out"`  // by a gatekeeper to a server that it held out
+	Convicted int     `json:"convicted"`              // verdicts on servers, counted when the first member has them
+	Called    int     `json:"convicted_while_called"` // verdicts not later than the callers' last call
+	Wrongful  int     `json:"wrongful"`               // verdicts on servers without a fault
+	First     float64 `json:"first_out_s"`            // seconds from the first fault of a server until the first member excludes a server; -1: never
+	All       float64 `json:"all_out_s"`              // seconds until all running members exclude it; -1: never
+	Numbers   int     `json:"numbers_held_busy"`      // busy numbers, counted once for each member
+	Sent      int     `json:"setups_while_kept_out"`  // set-ups that a gatekeeper sent to a server that it excluded
 }
 
+// outSpan is the interval in which the readings of a member show a server as excluded.
 type outSpan struct {
-	from, to control.Micros // of readings; to 0 while it lasts
-	last     control.Micros
+	from, to control.Micros // of readings; to is 0 while the exclusion lasts
+	last     control.Micros // latest reading
 }
 
-// Verdicts holds the verdicts that gatekeepers were read to have in force against what was done to servers, and against the
-// set-ups that they sent.
+// Verdicts compares the verdicts read from gatekeepers with the faults injected at servers, and with the set-ups that the
+// gatekeepers sent.
 type Verdicts struct {
-	suspects map[string][]uint32       // by fault: servers that may seem ill by it
-	numbers  map[string]string         // by fault
-	busyTo   map[string]control.Micros // numbers, until when they may rightly be held busy; 0: while it lasts
-	busyBy   map[string]map[string]bool
-	illTo    map[uint32]control.Micros
-	ill      map[uint32]int
-	began    control.Micros // of the first fault of a server
+	suspects map[string][]uint32        // by fault: servers that may appear faulty because of it
+	numbers  map[string]string          // by fault: number that is busy because of it
+	busyTo   map[string]control.Micros  // by number: time until which it may be considered busy; 0: the fault is active
+	busyBy   map[string]map[string]bool // by number: members that consider it busy
+	illTo    map[uint32]control.Micros  // by server: end of its last fault
+	ill      map[uint32]int             // by server: number of active faults
+	began    control.Micros             // beginning of the first fault of a server
 
-	running   map[string]control.Micros // since when it runs
-	trouble   int
-	calm      control.Micros // since when no link between gatekeepers is in trouble
-	out       map[string]map[uint32]*outSpan
-	past      map[string]map[uint32][]outSpan
-	first     map[uint32]control.Micros // when the first member came to hold it out, 0: none does
-	checked   map[uint32]bool
-	sent      []history.Event
-	firstOut  control.Micros
-	allOut    control.Micros
+	running   map[string]control.Micros       // by gatekeeper: time since which it runs
+	trouble   int                             // number of faulty links between gatekeepers
+	calm      control.Micros                  // last change of a link between gatekeepers
+	out       map[string]map[uint32]*outSpan  // by member and server: current exclusions
+	past      map[string]map[uint32][]outSpan // by member and server: earlier exclusions
+	first     map[uint32]control.Micros       // by server: time at which the first member excluded it; 0: none
+	checked   map[uint32]bool                 // by server: whether checkMembers has decided on the current verdict
+	sent      []history.Event                 // set-ups, from the records
+	firstOut  control.Micros                  // first exclusion of any server
+	allOut    control.Micros                  // first time at which all running members exclude a faulty server
 	stats     VerdictStats
 	front     string
-	convicted []control.Micros                    // convictions, each when it began at the first member
-	phases    map[string]map[uint32][]phaseChange // as gatekeepers logged them
-	tried     control.Micros                      // the callers' last try
+	convicted []control.Micros                    // times at which the first member excluded a server
+	phases    map[string]map[uint32][]phaseChange // by gatekeeper and server: phases of its verdict, from its log
+	tried     control.Micros                      // time of the callers' last call
 }
 
-// NewVerdicts makes the rule. suspects gives, by the name of each fault, the servers that may rightly seem ill because of it.
-// numbers gives the number whose lines it makes busy.
+// NewVerdicts returns the rule. The names of callers' processes begin with front. suspects holds, by the name of each fault, the
+// servers that may appear faulty because of it, and numbers the number whose lines it makes busy.
 func NewVerdicts(front string, suspects map[string][]uint32, numbers map[string]string) *Verdicts {
 	return &Verdicts{front: front, suspects: suspects, numbers: numbers, busyTo: map[string]control.Micros{}, busyBy: map[string]map[string]bool{}, illTo: map[uint32]control.Micros{}, ill: map[uint32]int{},
 		running: map[string]control.Micros{}, out: map[string]map[uint32]*outSpan{}, past: map[string]map[uint32][]outSpan{},
 		first: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{First: -1, All: -1}}
 }
 
-// phaseChange is the phase of a verdict on a server from a time on.
+// phaseChange is the beginning of a phase of a verdict on a server.
 type phaseChange struct {
 	at    control.Micros
 	phase string
 }
 
-const trialPhase = "trial"
+const trialPhase = "trial" // phase in which a gatekeeper probes a server with single set-ups
 
-// changed notes a phase that a gatekeeper logged.
+// changed records a phase that a gatekeeper logged.
 func (v *Verdicts) changed(e *Event) {
 	n, err := strconv.ParseUint(e.Peer, 10, 32)
 	if err != nil {
@@ -100,7 +101,8 @@
 	v.phases[e.Process][id] = append(v.phases[e.Process][id], phaseChange{e.At, e.What})
 }
 
-// onTrial tells whether a gatekeeper tried a server at a time. A trial that fails at once is over between two readings.
+// onTrial reports whether a gatekeeper had a server on trial at a time. Logged phases are needed because a trial that fails at
+// once may start and end between two readings.
 func (v *Verdicts) onTrial(process string, id uint32, at control.Micros) bool {
 	phase := ""
 	for _, c := range v.phases[process][id] {
@@ -160,7 +162,7 @@
 	}
 }
 
-// judged takes a reading of the servers that a gatekeeper holds out.
+// judged processes a reading of the verdicts that are in force at a gatekeeper.
 func (v *Verdicts) judged(e *Event, broke func(Evidence)) {
 	var held []uint32
 	for _, word := range strings.Fields(e.Peer) {
@@ -170,7 +172,7 @@
 	}
 	for n := range strings.FieldsSeq(e.Class) {
 		if to, ok := v.busyTo[n]; !ok || to != 0 && e.At > to {
-			broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("holds number %q busy, and it is not", n)})
+			broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("treats number %q as busy, but it is not", n)})
 		}
 		if v.busyBy[n] == nil {
 			v.busyBy[n] = map[string]bool{}
@@ -179,7 +181,7 @@
 	}
 	for address := range strings.FieldsSeq(e.Call) {
 		if address != RudeAddress {
-			broke(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends nothing bad"})
+			broke(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends no malformed messages"})
 		}
 	}
 	mine := v.out[e.Process]
@@ -206,7 +208,7 @@
 				v.first[id], v.checked[id] = e.At, false
 				if v.ill[id] == 0 && (v.illTo[id] == 0 || e.At-v.illTo[id] > faultMemory) {
 					v.stats.Wrongful++
-					broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("holds server %d out, and nothing was wrong with it", id)})
+					broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("excludes server %d, which had no fault", id)})
 				}
 			}
 			if v.firstOut == 0 {
@@ -218,6 +220,7 @@
 	}
 }
 
+// heldBy reports whether any member other than but excludes a server.
 func (v *Verdicts) heldBy(id uint32, but string) bool {
 	for name, all := range v.out {
 		if name != but && all[id] != nil {
@@ -227,8 +230,8 @@
 	return false
 }
 
-// everybody looks, once a verdict has been in force at one member for as long as is stated, whether all that run have it, or
-// have had it since. Trouble between gatekeepers excuses.
+// everybody checks that every running member has, or has had, a verdict within verdictWithin of the first member. Faults between
+// gatekeepers excuse a violation.
 func (v *Verdicts) everybody(e *Event, id uint32, broke func(Evidence)) {
 	since := v.first[id]
 	if v.checked[id] || since == 0 {
@@ -253,7 +256,7 @@
 	case e.At-since > verdictWithin:
 		v.checked[id] = true
 		if v.trouble == 0 && (v.calm == 0 || e.At-v.calm > 2*verdictWithin) {
-			broke(Evidence{e.At, missing, "", e.Place.String(), fmt.Sprintf("does not hold server %d out, %d ms after the first member", id, (e.At-since)/1000)})
+			broke(Evidence{e.At, missing, "", e.Place.String(), fmt.Sprintf("does not exclude server %d, %d ms after the first member did", id, (e.At-since)/1000)})
 		}
 	}
 }
@@ -265,7 +268,7 @@
 	}
 }
 
-// End implements Invariant: set-ups that were sent while their gatekeeper was read to hold the server out, before and after.
+// End implements Invariant. It reports set-ups sent to a server that readings before and after show as excluded.
 func (v *Verdicts) End(broke func(Evidence)) {
 	for name, all := range v.out {
 		for id, s := range all {
@@ -279,7 +282,7 @@
 		for _, s := range v.past[e.Node][e.Server] {
 			if e.At > s.from+keptSlack && e.At < s.to-keptSlack && !v.onTrial(e.Node, e.Server, e.At) {
 				v.stats.Sent++
-				broke(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it held out", e.Server)})
+				broke(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it excluded", e.Server)})
 			}
 		}
 	}
@@ -299,5 +302,5 @@
 	}
 }
 
-// Stats gives what the run showed, after End.
+// Stats returns the statistics of the run. It is valid after End.
 func (v *Verdicts) Stats() VerdictStats { return v.stats }
--- a/internal/fleetcheck/views.go
+++ b/internal/fleetcheck/views.go
@@ -7,37 +7,40 @@
 	"beammux/control"
 )
 
-// givenUp is what a gatekeeper logs when its fleet gives a member up.
+// givenUp is the log message of a gatekeeper that removes an unreachable member from its fleet.
 const givenUp = "fleet: member given up"
 
-// Figures of the views.
+// Parameters of the views.
 const (
-	staleAfter = control.Micros(2000000)  // a view not read for so long says nothing; a busy machine may miss some readings
-	stays      = control.Micros(1000000)  // agreement that does not last so long is none
-	troubleFor = control.Micros(15000000) // trouble among gatekeepers may give a member up so long after it
+	staleAfter = control.Micros(2000000)  // age at which a view is no longer used; a busy machine may miss some readings
+	stays      = control.Micros(1000000)  // minimum duration of agreement
+	troubleFor = control.Micros(15000000) // time after a fault between gatekeepers in which a member may still be given up because of it
 )
 
-// agree follows whether the gatekeepers that run hold the fleet to be the same, and to be themselves.
+// agree tracks whether all running gatekeepers have the same view of the fleet, with just themselves as its members.
 type agree struct {
-	running map[string]bool // ready, and not paused
-	views   map[string]seenView
-	is      bool
-	turns   []turn
-	trouble control.Micros            // when trouble between gatekeepers was last on
-	open    int                       // ways between gatekeepers that are in trouble now
-	down    map[string]control.Micros // when a gatekeeper was last not running
+	running map[string]bool           // ready, and not paused
+	views   map[string]seenView       // latest view of each gatekeeper
+	is      bool                      // whether they agree now
+	turns   []turn                    // changes between agreement and disagreement
+	trouble control.Micros            // last beginning or end of a fault between gatekeepers
+	open    int                       // directions between gatekeepers that have a fault now
+	down    map[string]control.Micros // last time at which a gatekeeper stopped or started running
 }
 
+// seenView is a view of the fleet as read from a gatekeeper.
 type seenView struct {
 	at       control.Micros
-	hash, up string
+	hash, up string // up: names of the members that are up, sorted, separated by spaces
 }
 
+// turn is a change between agreement and disagreement.
 type turn struct {
 	at control.Micros
 	is bool
 }
 
+// agreement updates the agreement of views for an event.
 func (c *Checker) agreement(e *Event) {
 	a := &c.agree
 	if a.running == nil {
@@ -75,7 +78,7 @@
 	}
 }
 
-// holds tells whether every gatekeeper that runs was lately seen to hold the same view, with just those up.
+// holds reports whether recent views of all running gatekeepers are the same and have just these gatekeepers up.
 func (a *agree) holds(now control.Micros) bool {
 	names := make([]string, 0, len(a.running))
 	for name := range a.running {
@@ -96,7 +99,7 @@
 	return true
 }
 
-// broken gives the first time from one on at which agreement was lost, or the end.
+// broken returns the first time not before from at which agreement was lost, or end if there is none.
 func (a *agree) broken(from, end control.Micros) control.Micros {
 	for _, t := range a.turns {
 		if !t.is && t.at >= from {
@@ -106,8 +109,8 @@
 	return end
 }
 
-// since gives the first time from one on at which agreement begins or is there already, and lasts: for a second, or to an
-// end that cuts it short; -1 if there is none.
+// since returns the first time not before from, and before before, at which lasting agreement exists. Agreement is lasting if it
+// holds for the minimum duration or until end. It returns -1 if there is none.
 func (a *agree) since(from, before, end control.Micros) control.Micros {
 	for i, t := range a.turns {
 		until := end
@@ -122,7 +125,7 @@
 	return -1
 }
 
-// agreed puts the times of the views to the faults.
+// agreed fills in the times of the faults that derive from the views.
 func (c *Checker) agreed(faults []Settled) []Settled {
 	for i := range faults {
 		f := &faults[i]
@@ -141,7 +144,7 @@
 				}
 			}
 		}
-		next := c.now // the next fault may end an agreement that would have lasted
+		next := c.now // the next fault may end an agreement before the minimum duration
 		for _, o := range faults {
 			if o.From > from {
 				next = min(next, o.From)
@@ -154,7 +157,7 @@
 	return faults
 }
 
-// givenUp judges a member that was given up: it must not have run, or there was trouble among the gatekeepers.
+// givenUp checks that a member that was given up was not running, or that there was a fault among the gatekeepers.
 func (c *Checker) givenUp(e *Event, evidence Evidence) {
 	a := &c.agree
 	lately := func(at control.Micros, known bool) bool { return known && e.At-at < troubleFor }
