--- a/internal/porttest/porttest_test.go
+++ b/internal/porttest/porttest_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// drawn is the number of ephemeral ports that a test requests: about two thirds of the kernel's usual range (ip_local_port_range).
-const drawn = 18000
+// portsRequested is the number of ephemeral ports that a test requests: about two thirds of the kernel's usual range (ip_local_port_range).
+const portsRequested = 18000
 
 // A reserved port refuses connections, is not assigned to a listener on port 0, and accepts a listener that requests it by number.
 func TestReserve(t *testing.T) {
@@ -17,7 +17,7 @@
 	_, err := net.Dial("tcp", address)
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
 
-	for range drawn {
+	for range portsRequested {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		require.NotEqual(t, address, l.Addr().String())
@@ -41,7 +41,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	for range drawn / 4 {
+	for range portsRequested / 4 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		require.NotEqual(t, address, c.LocalAddr().String())
--- a/internal/relay/condition.go
+++ b/internal/relay/condition.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// passes reports whether the condition forwards everything unchanged.
-func (c Condition) passes() bool { return c == Condition{} }
+// isZero reports whether the condition forwards everything unchanged.
+func (c Condition) isZero() bool { return c == Condition{} }
 
 // Door is how a link treats connections, in addition to the conditions of its two directions.
 type Door int
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	chunk       = 16 << 10 // bytes per read
-	queueMost   = 32       // chunks queued in one direction of a connection; beyond it the sender blocks, as on a full socket buffer
-	dialWithin  = 2 * time.Second
-	packetMost  = 64 << 10
-	natFor      = 30 * time.Second     // idle time after which the return path of a datagram sender is forgotten
-	leastBehind = 5 * time.Millisecond // minimum extra delay of a reordered datagram
+	chunkSize       = 16 << 10 // bytes per read
+	maxQueuedChunks = 32       // chunks queued in one direction of a connection; beyond it the sender blocks, as on a full socket buffer
+	dialTimeout     = 2 * time.Second
+	maxPacketSize   = 64 << 10
+	natTimeout      = 30 * time.Second     // idle time after which the return path of a datagram sender is forgotten
+	minReorderDelay = 5 * time.Millisecond // minimum extra delay of a reordered datagram
 )
 
 // Link forwards the connections or datagrams that one process opens to one service of another.
@@ -32,25 +32,25 @@
 	forth    *direction // from From to To
 	back     *direction // from To to From
 
-	port    int
-	guard   int // bound socket that reserves the port while the listener is closed; -1 for UDP
-	udp     *net.UDPConn
-	wg      sync.WaitGroup
-	resetAt atomic.Int64
+	port            int
+	portGuard       int // bound socket that reserves the port while the listener is closed; -1 for UDP
+	udp             *net.UDPConn
+	wg              sync.WaitGroup
+	resetAfterBytes atomic.Int64
 
 	bytes, packets, dropped atomic.Int64 // from From to To
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	target string // address at which To serves; empty while unknown or down
-	door   Door
-	ln     net.Listener
-	pairs  map[*pair]struct{}
-	nat    map[string]*net.UDPConn
-	closed bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	target      string // address at which To serves; empty while unknown or down
+	door        Door
+	listener    net.Listener
+	pairs       map[*pair]struct{}
+	returnPaths map[string]*net.UDPConn
+	closed      bool
 }
 
-var reuse = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
 	}
@@ -60,29 +60,29 @@
 // TCP opens a link for connections from one process to a service of another. The link refuses connections until Network.Up
 // sets the address of the service.
 func (n *Network) TCP(from, to, service string) (*Link, error) {
-	l, err := n.link(from, to, service)
+	l, err := n.newLink(from, to, service)
 	if err != nil {
 		return nil, err
 	}
 	// A bound socket that does not listen reserves the port while the kernel refuses connections to it. The link can thus
 	// refuse connections like a dead process and listen again later at the same address.
-	if l.guard, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err != nil {
+	if l.portGuard, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err != nil {
 		return nil, err
 	}
-	err = unix.SetsockoptInt(l.guard, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	err = unix.SetsockoptInt(l.portGuard, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	if err == nil {
-		err = unix.Bind(l.guard, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+		err = unix.Bind(l.portGuard, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
-	var at unix.Sockaddr
+	var bound unix.Sockaddr
 	if err == nil {
-		at, err = unix.Getsockname(l.guard)
+		bound, err = unix.Getsockname(l.portGuard)
 	}
 	if err != nil {
-		unix.Close(l.guard)
+		unix.Close(l.portGuard)
 		return nil, err
 	}
-	l.port = at.(*unix.SockaddrInet4).Port
-	return l, n.add(l)
+	l.port = bound.(*unix.SockaddrInet4).Port
+	return l, n.addLink(l)
 }
 
 // UDP opens a link for datagrams. Datagrams that To sends back to the source address are returned to the original sender.
@@ -91,16 +91,16 @@
 }
 
 func (n *Network) udpAt(from, to, service string, port int) (*Link, error) {
-	l, err := n.link(from, to, service)
+	l, err := n.newLink(from, to, service)
 	if err != nil {
 		return nil, err
 	}
 	if l.udp, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port}); err != nil {
 		return nil, err
 	}
-	l.port, l.nat = l.udp.LocalAddr().(*net.UDPAddr).Port, map[string]*net.UDPConn{}
-	l.wg.Go(l.datagrams)
-	return l, n.add(l)
+	l.port, l.returnPaths = l.udp.LocalAddr().(*net.UDPAddr).Port, map[string]*net.UDPConn{}
+	l.wg.Go(l.forwardDatagrams)
+	return l, n.addLink(l)
 }
 
 // Both opens one link for connections and one for datagrams at the same address.
@@ -112,12 +112,12 @@
 		if udp, err = n.udpAt(from, to, service, tcp.port); err == nil {
 			return tcp, udp, nil
 		}
-		n.remove(tcp)
+		n.removeLink(tcp)
 	}
 	return nil, nil, err
 }
 
-func (n *Network) remove(l *Link) {
+func (n *Network) removeLink(l *Link) {
 	n.mu.Lock()
 	ends := [2]string{l.From, l.To}
 	n.links[ends] = slices.DeleteFunc(n.links[ends], func(o *Link) bool { return o == l })
@@ -125,17 +125,17 @@
 	l.close()
 }
 
-func (n *Network) link(from, to, service string) (*Link, error) {
+func (n *Network) newLink(from, to, service string) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		return nil, errors.New("relay: the network is closed")
 	}
 	return &Link{From: from, To: to, service: service, network: n, forth: n.direction(from, to), back: n.direction(to, from),
-		guard: -1, rng: n.rng(), pairs: map[*pair]struct{}{}}, nil
+		portGuard: -1, rng: n.rng(), pairs: map[*pair]struct{}{}}, nil
 }
 
-func (n *Network) add(l *Link) error {
+func (n *Network) addLink(l *Link) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[[2]string{l.From, l.To}] = append(n.links[[2]string{l.From, l.To}], l)
@@ -147,7 +147,7 @@
 	return (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: l.port}).String()
 }
 
-func (l *Link) draw() float64 {
+func (l *Link) random() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
@@ -158,24 +158,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target != addr { // drop the sockets that are connected to the previous address
-		for key, c := range l.nat {
+		for key, c := range l.returnPaths {
 			c.Close()
-			delete(l.nat, key)
+			delete(l.returnPaths, key)
 		}
 	}
 	l.target = addr
-	l.apply()
+	l.updateListener()
 }
 
 func (l *Link) setDoor(d Door) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.door = d
-	l.apply()
+	l.updateListener()
 }
 
-// aim returns the address to forward to and how the link treats connections.
-func (l *Link) aim() (string, Door) {
+// targetAndMode returns the address to forward to and how the link treats connections.
+func (l *Link) targetAndMode() (string, Door) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target == "" {
@@ -184,24 +184,24 @@
 	return l.target, l.door
 }
 
-// apply opens or closes the listener according to the target and the door, and resets open connections when it closes the
+// updateListener opens or closes the listener according to the target and the door, and resets open connections when it closes the
 // listener. The caller holds l.mu.
-func (l *Link) apply() {
+func (l *Link) updateListener() {
 	if l.closed || l.udp != nil {
 		return
 	}
 	listens := l.target != "" && l.door != Refuse
 	switch {
-	case listens && l.ln == nil:
-		ln, err := reuse.Listen(context.Background(), "tcp4", l.Addr())
+	case listens && l.listener == nil:
+		listener, err := reusePort.Listen(context.Background(), "tcp4", l.Addr())
 		if err != nil { // the guard reserves the port, so only descriptor exhaustion fails here; the link then refuses
 			return
 		}
-		l.ln = ln
-		l.wg.Go(func() { l.accept(ln) })
-	case !listens && l.ln != nil:
-		l.ln.Close()
-		l.ln = nil
+		l.listener = listener
+		l.wg.Go(func() { l.accept(listener) })
+	case !listens && l.listener != nil:
+		l.listener.Close()
+		l.listener = nil
 		for p := range l.pairs {
 			p.reset()
 		}
@@ -223,16 +223,16 @@
 		return
 	}
 	l.closed = true
-	if l.ln != nil {
-		l.ln.Close()
+	if l.listener != nil {
+		l.listener.Close()
 	}
-	if l.guard >= 0 {
-		unix.Close(l.guard)
+	if l.portGuard >= 0 {
+		unix.Close(l.portGuard)
 	}
 	if l.udp != nil {
 		l.udp.Close()
 	}
-	for _, c := range l.nat {
+	for _, c := range l.returnPaths {
 		c.Close()
 	}
 	for p := range l.pairs {
@@ -240,18 +240,18 @@
 	}
 }
 
-func (l *Link) accept(ln net.Listener) {
+func (l *Link) accept(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		p := &pair{link: l, near: c.(*net.TCPConn), over: make(chan struct{})}
+		p := &pair{link: l, near: c.(*net.TCPConn), done: make(chan struct{})}
 		l.mu.Lock()
-		refused := l.closed || l.ln != ln
+		refused := l.closed || l.listener != listener
 		if !refused {
 			l.pairs[p] = struct{}{}
 		}
@@ -266,19 +266,19 @@
 
 // pair is one forwarded connection: the socket to From and the socket to To.
 type pair struct {
-	link   *Link
-	near   *net.TCPConn // socket to From
-	mu     sync.Mutex
-	far    *net.TCPConn // socket to To; nil until dialled
-	passed atomic.Int64
-	once   sync.Once
-	over   chan struct{}
+	link      *Link
+	near      *net.TCPConn // socket to From
+	mu        sync.Mutex
+	far       *net.TCPConn // socket to To; nil until dialled
+	forwarded atomic.Int64
+	once      sync.Once
+	done      chan struct{}
 }
 
 // reset closes both sockets with an RST.
 func (p *pair) reset() {
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, c := range []*net.TCPConn{p.near, p.far} {
@@ -293,7 +293,7 @@
 // finish closes both sockets in order, after all data is forwarded.
 func (p *pair) finish() {
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.near.Close()
@@ -315,8 +315,8 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(p.near, p.far, l.forth, true) })
-	both.Go(func() { p.carry(p.far, p.near, l.back, false) })
+	both.Go(func() { p.forward(p.near, p.far, l.forth, true) })
+	both.Go(func() { p.forward(p.far, p.near, l.back, false) })
 	both.Wait()
 }
 
@@ -333,16 +333,16 @@
 		select {
 		case <-fChanged:
 		case <-bChanged:
-		case <-p.over:
+		case <-p.done:
 			return false
 		}
 	}
-	target, door := l.aim()
+	target, door := l.targetAndMode()
 	if door == BlackHole {
-		<-p.over
+		<-p.done
 		return false
 	}
-	d := net.Dialer{Timeout: dialWithin}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.Dial("tcp4", target)
 	if err != nil {
 		p.reset()
@@ -352,7 +352,7 @@
 	p.far = c.(*net.TCPConn)
 	p.mu.Unlock()
 	select {
-	case <-p.over: // reset during the dial
+	case <-p.done: // reset during the dial
 		p.far.Close()
 		return false
 	default:
@@ -368,26 +368,26 @@
 	reset bool
 }
 
-// carry forwards one direction until its end of stream. It reads data and stamps it with its due time; a writer goroutine holds
+// forward forwards one direction until its end of stream. It reads data and stamps it with its due time; a writer goroutine holds
 // it back until then and while the direction is cut. The end of the stream and a reset stay in order with the data.
-func (p *pair) carry(from, to *net.TCPConn, d *direction, forth bool) {
-	queue := make(chan piece, queueMost)
+func (p *pair) forward(from, to *net.TCPConn, d *direction, forth bool) {
+	queue := make(chan piece, maxQueuedChunks)
 	var writer sync.WaitGroup
 	writer.Go(func() { p.write(to, d, queue) })
 	defer writer.Wait()
 	defer close(queue)
 	var last time.Time
 	for {
-		buf := make([]byte, chunk)
+		buf := make([]byte, chunkSize)
 		n, err := from.Read(buf)
 		now := time.Now()
 		c, _ := d.now()
 		if n > 0 {
-			total := p.passed.Add(int64(n))
-			if most := p.link.resetAt.Load(); most > 0 && total >= most {
+			total := p.forwarded.Add(int64(n))
+			if most := p.link.resetAfterBytes.Load(); most > 0 && total >= most {
 				// The bytes before the limit are forwarded first, so that the far side receives part of a message.
 				part := max(int64(n)-(total-most), 0)
-				last = due(last, now, c, int(part), p.link.draw)
+				last = dueTime(last, now, c, int(part), p.link.random)
 				queue <- piece{data: buf[:part], due: last}
 				queue <- piece{reset: true, due: last}
 				return
@@ -396,18 +396,18 @@
 				p.link.bytes.Add(int64(n))
 				p.link.packets.Add(1)
 			}
-			last = due(last, now, c, n, p.link.draw)
+			last = dueTime(last, now, c, n, p.link.random)
 			select {
 			case queue <- piece{data: buf[:n], due: last}:
-			case <-p.over:
+			case <-p.done:
 				return
 			}
 		}
 		if err != nil {
-			last = due(last, now, c, 0, p.link.draw)
+			last = dueTime(last, now, c, 0, p.link.random)
 			select {
 			case queue <- piece{end: true, reset: err != io.EOF, due: last}:
-			case <-p.over:
+			case <-p.done:
 			}
 			return
 		}
@@ -416,44 +416,44 @@
 
 func (p *pair) write(to *net.TCPConn, d *direction, queue <-chan piece) {
 	for q := range queue {
-		if !p.await(d, q.due) {
-			p.drop(queue)
+		if !p.waitUntil(d, q.due) {
+			p.drainQueue(queue)
 			return
 		}
 		switch {
 		case q.reset:
 			p.reset()
-			p.drop(queue)
+			p.drainQueue(queue)
 			return
 		case q.end:
 			to.CloseWrite()
 		default:
 			if _, err := to.Write(q.data); err != nil {
 				p.reset()
-				p.drop(queue)
+				p.drainQueue(queue)
 				return
 			}
 		}
 	}
 }
 
-// drop drains the queue, so that the reading goroutine does not block on a send to it.
-func (p *pair) drop(queue <-chan piece) {
+// drainQueue drains the queue, so that the reading goroutine does not block on a send to it.
+func (p *pair) drainQueue(queue <-chan piece) {
 	for range queue {
 	}
 }
 
-// await blocks until a time, and beyond it while the direction is cut or the link is a black hole. It returns false if the
+// waitUntil blocks until a time, and beyond it while the direction is cut or the link is a black hole. It returns false if the
 // pair is closed first.
-func (p *pair) await(d *direction, at time.Time) bool {
+func (p *pair) waitUntil(d *direction, at time.Time) bool {
 	for {
 		c, changed := d.now()
-		_, door := p.link.aim()
+		_, door := p.link.targetAndMode()
 		if !c.Cut && door != BlackHole {
 			wait := time.Until(at)
 			if wait <= 0 {
 				select {
-				case <-p.over:
+				case <-p.done:
 					return false
 				default:
 					return true
@@ -464,17 +464,17 @@
 			case <-timer.C:
 			case <-changed:
 				timer.Stop()
-			case <-p.over:
+			case <-p.done:
 				timer.Stop()
 				return false
 			}
 			continue
 		}
-		again := time.NewTimer(holeLook) // a door change sends no signal, so it is polled
+		again := time.NewTimer(blackHolePollInterval) // a door change sends no signal, so it is polled
 		select {
 		case <-changed:
 		case <-again.C:
-		case <-p.over:
+		case <-p.done:
 			again.Stop()
 			return false
 		}
@@ -482,11 +482,11 @@
 	}
 }
 
-const holeLook = 20 * time.Millisecond // interval between checks whether a black hole is still in force
+const blackHolePollInterval = 20 * time.Millisecond // interval between checks whether a black hole is still in force
 
-// datagrams forwards the datagrams that the link's socket receives, each under the current condition.
-func (l *Link) datagrams() {
-	buf := make([]byte, packetMost)
+// forwardDatagrams forwards the datagrams that the link's socket receives, each under the current condition.
+func (l *Link) forwardDatagrams() {
+	buf := make([]byte, maxPacketSize)
 	for {
 		n, from, err := l.udp.ReadFromUDP(buf)
 		if err != nil {
@@ -495,39 +495,39 @@
 			}
 			continue
 		}
-		out := l.way(from)
-		if out == nil {
+		path := l.returnPath(from)
+		if path == nil {
 			l.dropped.Add(1)
 			continue
 		}
 		l.bytes.Add(int64(n))
 		l.packets.Add(1)
 		data := append([]byte(nil), buf[:n]...)
-		if !l.pass(l.forth, n, func() { out.Write(data) }) {
+		if !l.sendDatagram(l.forth, n, func() { path.Write(data) }) {
 			l.dropped.Add(1)
 		}
 	}
 }
 
-// pass applies the condition of a direction to a datagram: it drops it, sends it at once, sends it later, or sends it twice.
+// sendDatagram applies the condition of a direction to a datagram: it drops it, sends it at once, sends it later, or sends it twice.
 // It reports whether the datagram is sent.
-func (l *Link) pass(d *direction, size int, send func()) bool {
+func (l *Link) sendDatagram(d *direction, size int, send func()) bool {
 	c, _ := d.now()
-	if _, door := l.aim(); c.Cut || door != Open || c.Loss > 0 && l.draw() < c.Loss {
+	if _, door := l.targetAndMode(); c.Cut || door != Open || c.Loss > 0 && l.random() < c.Loss {
 		return false
 	}
-	if c.passes() {
+	if c.isZero() {
 		send()
 		return true
 	}
 	copies := 1
-	if c.Duplicate > 0 && l.draw() < c.Duplicate {
+	if c.Duplicate > 0 && l.random() < c.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		wait := time.Until(due(time.Time{}, time.Now(), c, size, l.draw))
-		if c.Reorder > 0 && l.draw() < c.Reorder {
-			wait += max(2*(c.Delay+c.Jitter), leastBehind)
+		wait := time.Until(dueTime(time.Time{}, time.Now(), c, size, l.random))
+		if c.Reorder > 0 && l.random() < c.Reorder {
+			wait += max(2*(c.Delay+c.Jitter), minReorderDelay)
 		}
 		if wait <= 0 {
 			send()
@@ -542,12 +542,12 @@
 	return true
 }
 
-// way returns the socket that forwards the datagrams of a sender and receives the answers to them; nil if there is no target.
-func (l *Link) way(from *net.UDPAddr) *net.UDPConn {
+// returnPath returns the socket that forwards the datagrams of a sender and receives the answers to them; nil if there is no target.
+func (l *Link) returnPath(from *net.UDPAddr) *net.UDPConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := from.String()
-	if c := l.nat[key]; c != nil || l.closed || l.target == "" {
+	if c := l.returnPaths[key]; c != nil || l.closed || l.target == "" {
 		return c
 	}
 	to, err := net.ResolveUDPAddr("udp4", l.target)
@@ -558,19 +558,19 @@
 	if err != nil {
 		return nil
 	}
-	l.nat[key] = c
+	l.returnPaths[key] = c
 	l.wg.Go(func() {
 		defer func() {
 			c.Close()
 			l.mu.Lock()
-			if l.nat[key] == c {
-				delete(l.nat, key)
+			if l.returnPaths[key] == c {
+				delete(l.returnPaths, key)
 			}
 			l.mu.Unlock()
 		}()
-		buf := make([]byte, packetMost)
+		buf := make([]byte, maxPacketSize)
 		for {
-			c.SetReadDeadline(time.Now().Add(natFor))
+			c.SetReadDeadline(time.Now().Add(natTimeout))
 			n, err := c.Read(buf)
 			if err != nil {
 				if errors.Is(err, syscall.ECONNREFUSED) { // ICMP error for an earlier datagram: the socket stays usable
@@ -579,7 +579,7 @@
 				return
 			}
 			data := append([]byte(nil), buf[:n]...)
-			l.pass(l.back, n, func() { l.udp.WriteToUDP(data, from) })
+			l.sendDatagram(l.back, n, func() { l.udp.WriteToUDP(data, from) })
 		}
 	})
 	return c
--- a/internal/relay/network.go
+++ b/internal/relay/network.go
@@ -11,56 +11,56 @@
 type Network struct {
 	seed uint64
 
-	mu      sync.Mutex
-	closed  bool
-	links   map[[2]string][]*Link
-	dirs    map[[2]string]*direction
-	nextRNG uint64
+	mu         sync.Mutex
+	closed     bool
+	links      map[[2]string][]*Link
+	directions map[[2]string]*direction
+	rngCount   uint64
 }
 
 // New returns an empty network. Random decisions (jitter, loss, duplicates, reordering) derive from the seed; each link has its
 // own random stream.
 func New(seed uint64) *Network {
-	return &Network{seed: seed, links: map[[2]string][]*Link{}, dirs: map[[2]string]*direction{}}
+	return &Network{seed: seed, links: map[[2]string][]*Link{}, directions: map[[2]string]*direction{}}
 }
 
 // direction is the condition from one process to another, shared by every link between them.
 type direction struct {
-	mu      sync.Mutex
-	is      Condition
-	changed chan struct{} // closed and replaced whenever the condition changes
+	mu        sync.Mutex
+	condition Condition
+	changed   chan struct{} // closed and replaced whenever the condition changes
 }
 
 func (d *direction) now() (Condition, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.is, d.changed
+	return d.condition, d.changed
 }
 
 func (d *direction) set(c Condition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c == d.is {
+	if c == d.condition {
 		return
 	}
-	d.is = c
+	d.condition = c
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 // direction returns the direction from one process to another and creates it if needed. The caller holds n.mu.
 func (n *Network) direction(from, to string) *direction {
-	d := n.dirs[[2]string{from, to}]
+	d := n.directions[[2]string{from, to}]
 	if d == nil {
 		d = &direction{changed: make(chan struct{})}
-		n.dirs[[2]string{from, to}] = d
+		n.directions[[2]string{from, to}] = d
 	}
 	return d
 }
 
 func (n *Network) rng() *rand.Rand {
-	n.nextRNG++
-	return rand.New(rand.NewPCG(n.seed, n.nextRNG))
+	n.rngCount++
+	return rand.New(rand.NewPCG(n.seed, n.rngCount))
 }
 
 // Set applies a condition to the traffic from one process to another, in that direction only.
@@ -95,12 +95,12 @@
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, d := range n.dirs {
+	for _, d := range n.directions {
 		d.set(Condition{})
 	}
 	for _, links := range n.links {
 		for _, l := range links {
-			l.resetAt.Store(0)
+			l.resetAfterBytes.Store(0)
 			l.setDoor(Open)
 		}
 	}
@@ -117,19 +117,19 @@
 
 // Down marks a process as ended: every link to it refuses connections from now on, as the kernel of its machine would.
 func (n *Network) Down(name string) {
-	n.to(name, func(l *Link) { l.setTarget("") })
+	n.forEachLinkTo(name, func(l *Link) { l.setTarget("") })
 }
 
 // Up sets the address at which a process serves the named service.
 func (n *Network) Up(name, service, addr string) {
-	n.to(name, func(l *Link) {
+	n.forEachLinkTo(name, func(l *Link) {
 		if l.service == service {
 			l.setTarget(addr)
 		}
 	})
 }
 
-func (n *Network) to(name string, f func(*Link)) {
+func (n *Network) forEachLinkTo(name string, f func(*Link)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for ends, links := range n.links {
@@ -148,7 +148,7 @@
 	links := n.links[[2]string{from, to}]
 	n.mu.Unlock()
 	for _, l := range links {
-		l.resetAt.Store(after)
+		l.resetAfterBytes.Store(after)
 		if after == 0 {
 			l.resetAll()
 		}
@@ -160,7 +160,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links[[2]string{from, to}] {
-		l.resetAt.Store(0)
+		l.resetAfterBytes.Store(0)
 	}
 }
 
@@ -196,9 +196,9 @@
 	}
 }
 
-// due returns when data read at now is to be sent under a condition. The result is not before last, the due time of the
+// dueTime returns when data read at now is to be sent under a condition. The result is not before last, the due time of the
 // preceding data.
-func due(last, now time.Time, c Condition, size int, rng func() float64) time.Time {
+func dueTime(last, now time.Time, c Condition, size int, rng func() float64) time.Time {
 	at := now.Add(c.Delay)
 	if c.Jitter > 0 {
 		at = at.Add(time.Duration(rng() * float64(c.Jitter)))
--- a/internal/relay/overhead_test.go
+++ b/internal/relay/overhead_test.go
@@ -62,11 +62,11 @@
 			began := time.Now()
 			c.Write(buf)
 			for got := 0; got < len(buf); {
-				k, err := c.Read(buf[got:])
+				read, err := c.Read(buf[got:])
 				if err != nil {
 					b.Fatal(err)
 				}
-				got += k
+				got += read
 			}
 			pair[i] = time.Since(began)
 			took[i].RecordValue(max(1, pair[i].Nanoseconds()/100))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -256,11 +256,11 @@
 	receive := func(within time.Duration) (string, *net.UDPAddr) {
 		buf := make([]byte, 100)
 		server.SetReadDeadline(time.Now().Add(within))
-		k, from, err := server.ReadFromUDP(buf)
+		length, from, err := server.ReadFromUDP(buf)
 		if err != nil {
 			return "", nil
 		}
-		return string(buf[:k]), from
+		return string(buf[:length]), from
 	}
 	io.WriteString(c, "one")
 	got, from := receive(5 * time.Second)
@@ -270,18 +270,18 @@
 	server.WriteToUDP([]byte("back"), from) // an answer to the source address returns to the sender
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	buf := make([]byte, 10)
-	if k, err := c.Read(buf); err != nil || string(buf[:k]) != "back" {
-		t.Fatalf("answer %q %v", buf[:k], err)
+	if length, err := c.Read(buf); err != nil || string(buf[:length]) != "back" {
+		t.Fatalf("answer %q %v", buf[:length], err)
 	}
-	again, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // the server restarts at another address
+	restarted, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // the server restarts at another address
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
+	defer restarted.Close()
 	n.Down("b")
-	n.Up("b", "", again.LocalAddr().String())
+	n.Up("b", "", restarted.LocalAddr().String())
 	server.Close()
-	server = again
+	server = restarted
 	io.WriteString(c, "to its next start")
 	if got, _ := receive(5 * time.Second); got != "to its next start" {
 		t.Fatalf("after the restart: got %q", got)
