--- a/internal/fleetcheck/delays.go
+++ b/internal/fleetcheck/delays.go
@@ -42,14 +42,14 @@
 	At      control.Micros `json:"at,omitempty"`
 }
 
-// disturbing is the wait of a single thread that invalidates a run. In the near mode of limits a computed share is valid for
+// disturbingWait is the wait of a single thread that invalidates a run. In the near mode of limits a computed share is valid for
 // quota.ReportLifetime and recomputed every quota.SettleTime/10, so a member that is delayed by the difference admits nothing.
 // All other timeouts between members (leases, votes, overdue attempts, probes of members) are longer.
-const disturbing = quota.ReportLifetime - quota.SettleTime/10
+const disturbingWait = quota.ReportLifetime - quota.SettleTime/10
 
 // add records a Delayed event.
 func (d *delays) add(e *Event) {
-	if longest, err := strconv.ParseInt(e.Class, 10, 64); err == nil && control.Micros(longest) >= disturbing {
+	if longest, err := strconv.ParseInt(e.Class, 10, 64); err == nil && control.Micros(longest) >= disturbingWait {
 		d.disturbed.Count++
 		if control.Micros(longest) > d.disturbed.Longest {
 			d.disturbed.Longest, d.disturbed.Process, d.disturbed.At = control.Micros(longest), e.Process, e.At
@@ -80,10 +80,10 @@
 // waited returns the total wait of a process over the measurements that overlap with any of the given intervals, which are in
 // order of time. Each measurement counts once.
 func (d *delays) waited(process string, times ...span) (sum control.Micros) {
-	all := d.waits[process]
+	readings := d.waits[process]
 	begin, end := times[0].from, times[len(times)-1].to
-	first, _ := slices.BinarySearchFunc(all, begin, func(w wait, at control.Micros) int { return cmp.Compare(w.to, at) })
-	for _, w := range all[first:] {
+	first, _ := slices.BinarySearchFunc(readings, begin, func(w wait, at control.Micros) int { return cmp.Compare(w.to, at) })
+	for _, w := range readings[first:] {
 		if w.from > end {
 			break
 		}
@@ -94,9 +94,9 @@
 	return sum
 }
 
-// explain reports whether waits for a processor explain the late answer to a call that was sent, due and answered at the given
+// explains reports whether waits for a processor explain the late answer to a call that was sent, due and answered at the given
 // times. came is 0 if no answer arrived by the end of the caller's time.
-func (d *delays) explain(call, process string, sent, due, came control.Micros) bool {
+func (d *delays) explains(call, process string, sent, due, came control.Micros) bool {
 	if came == 0 {
 		came = d.late[call]
 	}
@@ -108,8 +108,8 @@
 	return late <= wireSlack+d.waited(process, times...)+d.waited(Laboratory, times...)
 }
 
-// explainRecord reports whether waits for a processor explain a late answer in a gatekeeper's records.
-func (d *delays) explainRecord(process, call string, at control.Micros) bool {
+// explainsRecord reports whether waits for a processor explain a late answer in a gatekeeper's records.
+func (d *delays) explainsRecord(process, call string, at control.Micros) bool {
 	due, known := d.due[[2]string{process, call}]
 	return known && at > due && at-due <= wireSlack+d.waited(process, span{due, at})
 }
--- a/internal/fleetcheck/delays_test.go
+++ b/internal/fleetcheck/delays_test.go
@@ -16,9 +16,9 @@
 		e.Span, e.Value = span*ms, float64(to-from)/1000
 		return e
 	}
-	ready, tried := at(0, Ready, "g1"), called(1000, Tried, "") // due at 2000
-	expired := called(2050, Expired, "")
-	late := func(when control.Micros) Event { return called(when, Late, "close") }
+	ready, tried := at(0, Ready, "g1"), callEvent(1000, Tried, "") // due at 2000
+	expired := callEvent(2050, Expired, "")
+	late := func(when control.Micros) Event { return callEvent(when, Late, "close") }
 	for name, row := range map[string]struct {
 		broken, excused int
 		events          []Event
@@ -34,11 +34,11 @@
 		"on the way to the gatekeeper":  {0, 1, []Event{ready, tried, waited(1010, 1100, "g1", 80), expired, late(2120)}},
 		"while the call was pending":    {1, 0, []Event{ready, tried, waited(1400, 1450, "g1", 80), expired, late(2120)}},
 		"after the answer":              {1, 0, []Event{ready, tried, expired, late(2120), waited(2130, 2300, "g1", 80)}},
-		"answered late, no wait":        {1, 0, []Event{ready, tried, called(2200, Refused, "")}},
-		"answered late, waited as long": {0, 1, []Event{ready, tried, waited(2000, 2190, "g1", 150), called(2200, Refused, "")}},
-		"answered late, waited less":    {1, 0, []Event{ready, tried, waited(2000, 2190, "g1", 140), called(2200, Refused, "")}},
-		"connection ended, long wait":   {1, 0, []Event{ready, tried, waited(1050, 1100, "g1", 5000), called(1400, Broken, "")}},
-		"second answer, long wait":      {1, 0, []Event{ready, tried, waited(1010, 1100, "g1", 500), called(1200, Refused, ""), called(1300, Failed, "")}},
+		"answered late, no wait":        {1, 0, []Event{ready, tried, callEvent(2200, Refused, "")}},
+		"answered late, waited as long": {0, 1, []Event{ready, tried, waited(2000, 2190, "g1", 150), callEvent(2200, Refused, "")}},
+		"answered late, waited less":    {1, 0, []Event{ready, tried, waited(2000, 2190, "g1", 140), callEvent(2200, Refused, "")}},
+		"connection ended, long wait":   {1, 0, []Event{ready, tried, waited(1050, 1100, "g1", 5000), callEvent(1400, Broken, "")}},
+		"second answer, long wait":      {1, 0, []Event{ready, tried, waited(1010, 1100, "g1", 500), callEvent(1200, Refused, ""), callEvent(1300, Failed, "")}},
 		"always late, one wait":         {2, 1, broken(ready, waited)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 	all := []Event{ready}
 	for i := range control.Micros(3) {
 		start := 1000 + 2000*i
-		for _, e := range []Event{called(start, Tried, ""), called(start+1050, Expired, ""), called(start+1100, Late, "close")} {
+		for _, e := range []Event{callEvent(start, Tried, ""), callEvent(start+1050, Expired, ""), callEvent(start+1100, Late, "close")} {
 			e.Call = string(rune('a' + i))
 			all = append(all, e)
 		}
@@ -105,11 +105,11 @@
 		slow.What = "1 slow"
 		judged := at(8000, Judged, "g1")
 		judged.Peer = "3"
-		for _, e := range []Event{at(0, Ready, "g1"), slow, called(min(row.lastTry, 8000), Tried, ""), judged} {
+		for _, e := range []Event{at(0, Ready, "g1"), slow, callEvent(min(row.lastTry, 8000), Tried, ""), judged} {
 			c.Event(&e)
 		}
 		if row.lastTry > 8000 {
-			e := called(row.lastTry, Tried, "")
+			e := callEvent(row.lastTry, Tried, "")
 			c.Event(&e)
 		}
 		c.Result()
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -109,11 +109,11 @@
 
 // Tolerances of the check.
 const (
-	AnswerSlack = control.Micros(50000 + 100000) // 50 ms that the protocol allows on sockets, and 100 ms for a loaded laboratory machine
-	crossWithin = control.Micros(50000)          // the caller resends a set-up whose connection closes this soon after it was sent (protocol)
-	takeAfter   = control.Micros(700000)         // calls that arrive later than this after SIGTERM need no answer (protocol)
-	settleGrace = control.Micros(300000)         // after a process resumes or starts, or a link heals, delayed messages may still arrive late
-	evidenceMax = 20                             // pieces of evidence kept for each rule
+	AnswerSlack     = control.Micros(50000 + 100000) // 50 ms that the protocol allows on sockets, and 100 ms for a loaded laboratory machine
+	closeCrossing   = control.Micros(50000)          // the caller resends a set-up whose connection closes this soon after it was sent (protocol)
+	acceptAfterStop = control.Micros(700000)         // calls that arrive later than this after SIGTERM need no answer (protocol)
+	recoveryGrace   = control.Micros(300000)         // after a process resumes or starts, or a link heals, delayed messages may still arrive late
+	maxEvidence     = 20                             // pieces of evidence kept for each rule
 )
 
 // Evidence describes one violation of a rule.
@@ -148,14 +148,14 @@
 // violations to the given function.
 type Invariant interface {
 	Rule() string
-	Event(e *Event, broke func(Evidence))
-	End(broke func(Evidence))
+	Event(e *Event, report func(Evidence))
+	End(report func(Evidence))
 }
 
 // RecordInvariant is an Invariant that also receives the gatekeepers' own records, merged into the events by time.
 type RecordInvariant interface {
 	Invariant
-	Record(e *history.Event, place Place, broke func(Evidence))
+	Record(e *history.Event, place Place, report func(Evidence))
 }
 
 // span is an interval, for example of a fault; to is 0 while the interval is open.
@@ -176,45 +176,45 @@
 
 // process holds the events at one process that may excuse a missing answer.
 type process struct {
-	down  []span           // while not ready or paused, extended by settleGrace
-	asked []control.Micros // times of SIGTERM
-	link  []span           // faults on the link to or from its callers
+	down         []span           // while not ready or paused, extended by settleGrace
+	stopRequests []control.Micros // times of SIGTERM
+	link         []span           // faults on the link to or from its callers
 }
 
-// try is the event of a call together with the gatekeeper to which the call was sent.
-type try struct {
+// sentCall is the event of a call together with the gatekeeper to which the call was sent.
+type sentCall struct {
 	Event
 	gatekeeper string
 }
 
-// suspect is a possible violation. Whether it is excused is decided at the end, when all faults and delays are known.
-type suspect struct {
-	rule string
-	from control.Micros // beginning of the interval in which a fault excuses it
-	due  control.Micros // time at which a late answer was due; 0: waits for a processor do not excuse it
-	came control.Micros // time of the late answer; 0: not before the end of the caller's time
+// possibleViolation is a possible violation. Whether it is excused is decided at the end, when all faults and delays are known.
+type possibleViolation struct {
+	rule     string
+	from     control.Micros // beginning of the interval in which a fault excuses it
+	deadline control.Micros // time at which a late answer was due; 0: waits for a processor do not excuse it
+	answered control.Micros // time of the late answer; 0: not before the end of the caller's time
 	Evidence
 }
 
 // Checker checks the events of a run, which it receives in order of time.
 type Checker struct {
-	front      string
-	processes  map[string]*process
-	tries      map[string]try
-	answers    map[string]try // final answers by call
-	final      map[string]Kind
-	given      map[string]string
-	suspects   []suspect
-	found      map[string]*Finding
-	order      []string
-	invariants []Invariant
-	records    *history.Checker
-	stats      Stats
-	now        control.Micros
-	course     course
-	logged     bool
-	agree      agree
-	delays     delays
+	callerPrefix       string
+	processes          map[string]*process
+	tries              map[string]sentCall
+	answers            map[string]sentCall // final answers by call
+	finalKinds         map[string]Kind
+	serverAnswers      map[string]string
+	possibleViolations []possibleViolation
+	findings           map[string]*Finding
+	order              []string
+	invariants         []Invariant
+	records            *history.Checker
+	stats              Stats
+	now                control.Micros
+	timeline           timeline
+	logged             bool
+	viewAgreement      viewAgreement
+	delays             delays
 }
 
 // Stats counts the calls of a run by outcome.
@@ -231,9 +231,9 @@
 
 // New returns a checker. The names of the callers' processes, and of no others, begin with front. capacities holds the set-ups
 // per second of each warm server, by its number in the records.
-func New(front string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
-	c := &Checker{front: front, processes: map[string]*process{}, tries: map[string]try{}, answers: map[string]try{}, final: map[string]Kind{}, given: map[string]string{},
-		found: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
+func New(callerPrefix string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
+	c := &Checker{callerPrefix: callerPrefix, processes: map[string]*process{}, tries: map[string]sentCall{}, answers: map[string]sentCall{}, finalKinds: map[string]Kind{}, serverAnswers: map[string]string{},
+		findings: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
 	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleRuns, RuleLog, RuleGiven} {
 		c.rule(rule)
 	}
@@ -245,20 +245,20 @@
 
 // rule returns the finding of a rule and creates it if needed.
 func (c *Checker) rule(name string) *Finding {
-	f := c.found[name]
+	f := c.findings[name]
 	if f == nil {
 		f = &Finding{Rule: name}
-		c.found[name] = f
+		c.findings[name] = f
 		c.order = append(c.order, name)
 	}
 	return f
 }
 
-// broke counts a violation of a rule and keeps the first evidenceMax pieces of evidence.
-func (c *Checker) broke(rule string, e Evidence) {
+// addViolation counts a violation of a rule and keeps the first evidenceMax pieces of evidence.
+func (c *Checker) addViolation(rule string, e Evidence) {
 	f := c.rule(rule)
 	f.Count++
-	if len(f.Evidence) < evidenceMax {
+	if len(f.Evidence) < maxEvidence {
 		f.Evidence = append(f.Evidence, e)
 	}
 }
@@ -280,55 +280,55 @@
 	switch e.Kind {
 	case Ready, Woken:
 		if p := c.process(e.Process); open(p.down) {
-			p.down[len(p.down)-1].to = e.At + settleGrace
+			p.down[len(p.down)-1].to = e.At + recoveryGrace
 		}
 		if e.Kind == Ready {
-			c.course.ready(e)
+			c.timeline.ready(e)
 		}
 	case Asked:
 		p := c.process(e.Process)
-		p.asked = append(p.asked, e.At)
+		p.stopRequests = append(p.stopRequests, e.At)
 	case Stopped, Paused, Crashed:
 		if p := c.process(e.Process); !open(p.down) {
 			p.down = append(p.down, span{from: e.At})
 		}
 		if e.Kind == Crashed {
-			c.broke(RuleRuns, evidence(e.What))
+			c.addViolation(RuleRuns, evidence(e.What))
 		}
-		c.course.down(e)
+		c.timeline.down(e)
 	case Troubled, Healed:
 		c.link(e)
 	case Logged:
 		c.logged = true
-		if e.What == givenUp {
-			c.givenUp(e, evidence("gave up "+e.Peer+", which was running and reachable"))
+		if e.What == memberGivenUp {
+			c.memberGivenUp(e, evidence("gave up "+e.Peer+", which was running and reachable"))
 		}
 		c.log(e, evidence)
 	case Tried:
 		c.stats.Tries++
-		c.tries[e.Call] = try{*e, e.Process}
-		c.course.tried(e)
+		c.tries[e.Call] = sentCall{*e, e.Process}
+		c.timeline.tried(e)
 	case Established, Refused, Failed:
 		c.answered(e, evidence)
 	case Second:
-		c.second(e, evidence("a second final answer: "+e.What))
+		c.extraAnswer(e, evidence("a second final answer: "+e.What))
 	case Expired, Broken:
 		c.unanswered(e, evidence)
 	case Unsent:
 		c.stats.Unsent++
-		c.course.over(e, false)
+		c.timeline.outcome(e, false)
 	case Late:
 		c.delays.answered(e)
 	case Delayed:
 		c.delays.add(e)
 	case Given:
-		c.given[e.Call] = e.What
+		c.serverAnswers[e.Call] = e.What
 	case FaultFrom, FaultTo:
-		c.course.fault(e)
+		c.timeline.fault(e)
 	}
-	c.agreement(e)
+	c.updateAgreement(e)
 	for _, i := range c.invariants {
-		i.Event(e, func(ev Evidence) { c.broke(i.Rule(), ev) })
+		i.Event(e, func(ev Evidence) { c.addViolation(i.Rule(), ev) })
 	}
 }
 
@@ -336,9 +336,9 @@
 func (c *Checker) link(e *Event) {
 	gatekeeper := ""
 	switch {
-	case strings.HasPrefix(e.Process, c.front):
+	case strings.HasPrefix(e.Process, c.callerPrefix):
 		gatekeeper = e.Peer
-	case strings.HasPrefix(e.Peer, c.front):
+	case strings.HasPrefix(e.Peer, c.callerPrefix):
 		gatekeeper = e.Process
 	default:
 		return
@@ -348,7 +348,7 @@
 	case e.Kind == Troubled && !open(p.link):
 		p.link = append(p.link, span{from: e.At})
 	case e.Kind == Healed && open(p.link):
-		p.link[len(p.link)-1].to = e.At + settleGrace
+		p.link[len(p.link)-1].to = e.At + recoveryGrace
 	}
 }
 
@@ -357,9 +357,9 @@
 func (c *Checker) log(e *Event, evidence func(string) Evidence) {
 	switch {
 	case e.Level == "panic" || e.Level == "fatal":
-		c.broke(RuleLog, evidence(e.Level+": "+e.What))
+		c.addViolation(RuleLog, evidence(e.Level+": "+e.What))
 	case e.Level == "error" && isMissed(e.What):
-		c.suspects = append(c.suspects, suspect{rule: RuleLog, from: e.At - 5e6, Evidence: evidence(e.What)})
+		c.possibleViolations = append(c.possibleViolations, possibleViolation{rule: RuleLog, from: e.At - 5e6, Evidence: evidence(e.What)})
 	}
 }
 
@@ -371,38 +371,38 @@
 
 // answered processes the first final answer to a call.
 func (c *Checker) answered(e *Event, evidence func(string) Evidence) {
-	if was, again := c.final[e.Call]; again {
-		c.broke(RuleFinal, evidence(fmt.Sprintf("a second final answer (%d after %d)", e.Kind, was)))
+	if previous, answeredBefore := c.finalKinds[e.Call]; answeredBefore {
+		c.addViolation(RuleFinal, evidence(fmt.Sprintf("a second final answer (%d after %d)", e.Kind, previous)))
 		return
 	}
-	c.final[e.Call] = e.Kind
-	k, known := c.tries[e.Call]
+	c.finalKinds[e.Call] = e.Kind
+	sent, known := c.tries[e.Call]
 	delete(c.tries, e.Call)
 	if !known {
-		c.broke(RuleFinal, evidence("an answer to a set-up that no caller sent"))
+		c.addViolation(RuleFinal, evidence("an answer to a set-up that no caller sent"))
 		return
 	}
-	c.answers[e.Call] = try{*e, k.gatekeeper}
+	c.answers[e.Call] = sentCall{*e, sent.gatekeeper}
 	switch e.Kind {
 	case Established:
 		c.stats.Established++
-		if body, ok := c.given[e.Call]; !ok || body != e.What {
-			c.broke(RuleServed, evidence(fmt.Sprintf("served %q, but the servers answered %q", e.What, body)))
+		if body, ok := c.serverAnswers[e.Call]; !ok || body != e.What {
+			c.addViolation(RuleServed, evidence(fmt.Sprintf("served %q, but the servers answered %q", e.What, body)))
 		}
 	case Refused:
 		c.stats.Refused++
 	default:
 		c.stats.Failed++
 	}
-	c.course.over(e, e.Kind == Established)
-	if late := e.At - (k.At + k.Span + AnswerSlack); late > 0 {
-		c.suspects = append(c.suspects, suspect{RuleFinal, k.At, k.At + k.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's deadline", late/1000))})
+	c.timeline.outcome(e, e.Kind == Established)
+	if late := e.At - (sent.At + sent.Span + AnswerSlack); late > 0 {
+		c.possibleViolations = append(c.possibleViolations, possibleViolation{RuleFinal, sent.At, sent.At + sent.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's deadline", late/1000))})
 	}
 }
 
 // unanswered processes the end of a call that received no final answer.
 func (c *Checker) unanswered(e *Event, evidence func(string) Evidence) {
-	k, known := c.tries[e.Call]
+	sent, known := c.tries[e.Call]
 	delete(c.tries, e.Call)
 	if !known { // no gatekeeper was found for it: counted as Unsent
 		return
@@ -412,32 +412,32 @@
 	} else {
 		c.stats.Broken++
 	}
-	c.course.over(e, false)
-	c.final[e.Call] = e.Kind
-	what, due := "no final answer by its caller's deadline", k.At+k.Span
+	c.timeline.outcome(e, false)
+	c.finalKinds[e.Call] = e.Kind
+	what, due := "no final answer by its caller's deadline", sent.At+sent.Span
 	if e.Kind == Broken {
 		due = 0
-		if e.At-k.At <= crossWithin {
+		if e.At-sent.At <= closeCrossing {
 			return
 		}
-		what = fmt.Sprintf("its connection ended without an answer %d ms after the call was sent", (e.At-k.At)/1000)
+		what = fmt.Sprintf("its connection ended without an answer %d ms after the call was sent", (e.At-sent.At)/1000)
 	}
-	c.suspects = append(c.suspects, suspect{RuleFinal, k.At, due, 0, evidence(what)})
+	c.possibleViolations = append(c.possibleViolations, possibleViolation{RuleFinal, sent.At, due, 0, evidence(what)})
 }
 
-// second checks another answer to a call that has its final answer. A release is excused if the process restarted since: the
+// extraAnswer checks another answer to a call that has its final answer. A release is excused if the process restarted since: the
 // new process does not know the call, while a server whose answer was lost still considers it established, and the process
 // forwards the server's release (protocol, "The rules on sockets": an established call is released to its client).
-func (c *Checker) second(e *Event, evidence Evidence) {
-	was, known := c.answers[e.Call]
+func (c *Checker) extraAnswer(e *Event, evidence Evidence) {
+	answer, known := c.answers[e.Call]
 	if known {
-		evidence.Process = was.gatekeeper
+		evidence.Process = answer.gatekeeper
 	}
-	if _, stood := c.given[e.Call]; e.What == "close" && known && stood {
-		c.suspects = append(c.suspects, suspect{rule: RuleFinal, from: was.At, Evidence: evidence})
+	if _, established := c.serverAnswers[e.Call]; e.What == "close" && known && established {
+		c.possibleViolations = append(c.possibleViolations, possibleViolation{rule: RuleFinal, from: answer.At, Evidence: evidence})
 		return
 	}
-	c.broke(RuleFinal, evidence)
+	c.addViolation(RuleFinal, evidence)
 }
 
 // excused reports whether a fault at a process excuses a missing answer in the interval between two times.
@@ -446,8 +446,8 @@
 	if overlaps(p.down, from, to) || overlaps(p.link, from, to) {
 		return true
 	}
-	for _, at := range p.asked {
-		if from > at+takeAfter && !c.readySince(p, at, from) {
+	for _, stopRequested := range p.stopRequests {
+		if from > stopRequested+acceptAfterStop && !c.readySince(p, stopRequested, from) {
 			return true
 		}
 	}
@@ -455,9 +455,9 @@
 }
 
 // readySince reports whether a process that received SIGTERM at asked is ready again by a time.
-func (c *Checker) readySince(p *process, asked, by control.Micros) bool {
+func (c *Checker) readySince(p *process, stopRequested, by control.Micros) bool {
 	for _, d := range p.down {
-		if d.from >= asked && d.to != 0 && d.to <= by {
+		if d.from >= stopRequested && d.to != 0 && d.to <= by {
 			return true
 		}
 	}
@@ -473,7 +473,7 @@
 	c.gated(e, place)
 	for _, i := range c.invariants {
 		if r, ok := i.(RecordInvariant); ok {
-			r.Record(e, place, func(ev Evidence) { c.broke(i.Rule(), ev) })
+			r.Record(e, place, func(ev Evidence) { c.addViolation(i.Rule(), ev) })
 		}
 	}
 }
@@ -489,7 +489,7 @@
 		return
 	}
 	c.stats.Gated++
-	c.broke(RuleGated, Evidence{e.At, e.Node, e.Call, place.String(),
+	c.addViolation(RuleGated, Evidence{e.At, e.Node, e.Call, place.String(),
 		fmt.Sprintf("sent to server %d, which it held at level %d", e.Server, e.Level)})
 }
 
@@ -511,20 +511,20 @@
 // Result decides on the remaining possible violations and returns the outcome. The checker must not be used afterwards.
 func (c *Checker) Result() *Result {
 	for _, i := range c.invariants {
-		i.End(func(ev Evidence) { c.broke(i.Rule(), ev) })
+		i.End(func(ev Evidence) { c.addViolation(i.Rule(), ev) })
 	}
-	for _, s := range c.suspects {
-		if c.excused(s.Process, s.from, s.At) || s.due > 0 && c.delays.explain(s.Call, s.Process, s.from, s.due, s.came) {
+	for _, s := range c.possibleViolations {
+		if c.excused(s.Process, s.from, s.At) || s.deadline > 0 && c.delays.explains(s.Call, s.Process, s.from, s.deadline, s.answered) {
 			c.rule(s.rule).Excused++
 			continue
 		}
-		c.broke(s.rule, s.Evidence)
+		c.addViolation(s.rule, s.Evidence)
 	}
-	c.suspects = nil
-	c.ofRecords()
-	r := &Result{Disturbance: c.delays.disturbed, Stats: c.stats, Faults: c.agreed(c.course.settled()), Course: c.course.buckets()}
+	c.possibleViolations = nil
+	c.addRecordFindings()
+	r := &Result{Disturbance: c.delays.disturbed, Stats: c.stats, Faults: c.addViewTimes(c.timeline.settledFaults()), Course: c.timeline.buckets()}
 	for _, name := range c.order {
-		f := c.found[name]
+		f := c.findings[name]
 		slices.SortStableFunc(f.Evidence, func(a, b Evidence) int { return int(min(max(a.At-b.At, -1), 1)) })
 		switch {
 		case f.Count > 0:
@@ -532,7 +532,7 @@
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
 			f.Verdict, f.Why = history.NotShown, "no calls were sent"
-		case name == RuleGiven && len(c.agree.views) == 0:
+		case name == RuleGiven && len(c.viewAgreement.views) == 0:
 			f.Verdict, f.Why = history.NotShown, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
 			f.Verdict, f.Why = history.NotShown, "no log was read"
@@ -547,23 +547,23 @@
 	return r
 }
 
-// ofRecords adds the findings of package history. Late answers of a process that was paused or delayed are excused.
-func (c *Checker) ofRecords() {
-	for _, h := range c.records.Findings() {
-		f := c.rule("records: " + h.Rule)
-		f.Why = h.Why
-		if h.Verdict != history.Broken {
-			f.Verdict = h.Verdict
+// addRecordFindings adds the findings of package history. Late answers of a process that was paused or delayed are excused.
+func (c *Checker) addRecordFindings() {
+	for _, recordFinding := range c.records.Findings() {
+		f := c.rule("records: " + recordFinding.Rule)
+		f.Why = recordFinding.Why
+		if recordFinding.Verdict != history.Broken {
+			f.Verdict = recordFinding.Verdict
 			continue
 		}
-		for _, e := range h.Evidence {
-			if h.Rule == history.RuleAnswer && (c.excused(e.Node, e.At-10e6, e.At) || c.delays.explainRecord(e.Node, e.Call, e.At)) {
+		for _, e := range recordFinding.Evidence {
+			if recordFinding.Rule == history.RuleAnswer && (c.excused(e.Node, e.At-10e6, e.At) || c.delays.explainsRecord(e.Node, e.Call, e.At)) {
 				f.Excused++
 				continue
 			}
-			c.broke(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.What})
+			c.addViolation(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.What})
 		}
-		f.Count += h.Count - len(h.Evidence)
+		f.Count += recordFinding.Count - len(recordFinding.Evidence)
 		if f.Count == 0 {
 			f.Verdict = history.Held
 			f.Why = "all violations are excused"
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -43,8 +43,8 @@
 	return Event{At: when * ms, Kind: kind, Process: process, Place: Place{"f", int(when)}}
 }
 
-// called returns an event of call c, which is sent to g1 with 1 s to be answered.
-func called(when control.Micros, kind Kind, what string) Event {
+// callEvent returns an event of call c, which is sent to g1 with 1 s to be answered.
+func callEvent(when control.Micros, kind Kind, what string) Event {
 	e := at(when, kind, "g1")
 	e.Call, e.What = "c", what
 	if kind == Tried {
@@ -53,8 +53,8 @@
 	return e
 }
 
-// way returns an event of the link from one process to another.
-func way(when control.Micros, kind Kind, from, to string) Event {
+// linkEvent returns an event of the link from one process to another.
+func linkEvent(when control.Micros, kind Kind, from, to string) Event {
 	e := at(when, kind, from)
 	e.Peer = to
 	return e
@@ -62,7 +62,7 @@
 
 // Each rule is checked just within and just beyond its tolerances, and with faults that do and do not excuse a violation.
 func TestVerdicts(t *testing.T) {
-	ready, tried := at(0, Ready, "g1"), called(1000, Tried, "")
+	ready, tried := at(0, Ready, "g1"), callEvent(1000, Tried, "")
 	given := at(1100, Given, "s1")
 	given.Call, given.What = "c", "d"
 	errorLine := at(1500, Logged, "g1")
@@ -75,31 +75,31 @@
 		excused int
 		events  []Event
 	}{
-		"served":                     {RuleServed, 0, 0, []Event{ready, tried, given, called(1200, Established, "d")}},
-		"served, no server answered": {RuleServed, 1, 0, []Event{ready, tried, called(1200, Established, "d")}},
-		"served another answer":      {RuleServed, 1, 0, []Event{ready, tried, given, called(1200, Established, "e")}},
-		"two answers":                {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Failed, "")}},
-		"answered again":             {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Second, "ready")}},
-		"released, no restart":       {RuleFinal, 1, 0, []Event{ready, tried, given, called(1200, Refused, ""), called(1900, Second, "close")}},
-		"released after restart":     {RuleFinal, 0, 1, []Event{ready, tried, given, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
-		"released, not established":  {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
-		"answer without a call":      {RuleFinal, 1, 0, []Event{ready, called(1200, Refused, "")}},
-		"in time":                    {RuleFinal, 0, 0, []Event{ready, tried, called(2150, Refused, "")}},
-		"late":                       {RuleFinal, 1, 0, []Event{ready, tried, called(2151, Refused, "")}},
-		"never":                      {RuleFinal, 1, 0, []Event{ready, tried, called(2200, Expired, "")}},
-		"never, killed":              {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Stopped, "g1"), called(2200, Expired, "")}},
-		"never, another killed":      {RuleFinal, 1, 0, []Event{ready, tried, at(1500, Stopped, "g2"), called(2200, Expired, "")}},
-		"never, killed before":       {RuleFinal, 1, 0, []Event{ready, at(100, Stopped, "g1"), at(500, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"never, just back":           {RuleFinal, 0, 1, []Event{ready, at(100, Stopped, "g1"), at(800, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"never, paused":              {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Paused, "g1"), at(1600, Woken, "g1"), called(2200, Expired, "")}},
-		"never, callers cut":         {RuleFinal, 0, 1, []Event{ready, tried, way(1500, Troubled, "g1", "front-a"), way(1600, Healed, "g1", "front-a"), called(2200, Expired, "")}},
-		"never, servers cut":         {RuleFinal, 1, 0, []Event{ready, tried, way(1500, Troubled, "g1", "s1"), way(1600, Healed, "g1", "s1"), called(2200, Expired, "")}},
-		"never, cut and healed":      {RuleFinal, 1, 0, []Event{ready, way(500, Troubled, "front-a", "g1"), way(600, Healed, "front-a", "g1"), tried, called(2200, Expired, "")}},
-		"connection closed":          {RuleFinal, 1, 0, []Event{ready, tried, called(1051, Broken, "")}},
-		"crossed the close":          {RuleFinal, 0, 0, []Event{ready, tried, called(1050, Broken, "")}},
-		"SIGTERM, answer due":        {RuleFinal, 1, 0, []Event{ready, at(400, Asked, "g1"), tried, called(2200, Expired, "")}},
-		"SIGTERM long before":        {RuleFinal, 0, 1, []Event{ready, at(299, Asked, "g1"), tried, called(2200, Expired, "")}},
-		"SIGTERM, restarted":         {RuleFinal, 1, 0, []Event{ready, at(100, Asked, "g1"), at(200, Stopped, "g1"), at(400, Ready, "g1"), tried, called(2200, Expired, "")}},
+		"served":                     {RuleServed, 0, 0, []Event{ready, tried, given, callEvent(1200, Established, "d")}},
+		"served, no server answered": {RuleServed, 1, 0, []Event{ready, tried, callEvent(1200, Established, "d")}},
+		"served another answer":      {RuleServed, 1, 0, []Event{ready, tried, given, callEvent(1200, Established, "e")}},
+		"two answers":                {RuleFinal, 1, 0, []Event{ready, tried, callEvent(1200, Refused, ""), callEvent(1300, Failed, "")}},
+		"answered again":             {RuleFinal, 1, 0, []Event{ready, tried, callEvent(1200, Refused, ""), callEvent(1300, Second, "ready")}},
+		"released, no restart":       {RuleFinal, 1, 0, []Event{ready, tried, given, callEvent(1200, Refused, ""), callEvent(1900, Second, "close")}},
+		"released after restart":     {RuleFinal, 0, 1, []Event{ready, tried, given, callEvent(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), callEvent(1900, Second, "close")}},
+		"released, not established":  {RuleFinal, 1, 0, []Event{ready, tried, callEvent(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), callEvent(1900, Second, "close")}},
+		"answer without a call":      {RuleFinal, 1, 0, []Event{ready, callEvent(1200, Refused, "")}},
+		"in time":                    {RuleFinal, 0, 0, []Event{ready, tried, callEvent(2150, Refused, "")}},
+		"late":                       {RuleFinal, 1, 0, []Event{ready, tried, callEvent(2151, Refused, "")}},
+		"never":                      {RuleFinal, 1, 0, []Event{ready, tried, callEvent(2200, Expired, "")}},
+		"never, killed":              {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Stopped, "g1"), callEvent(2200, Expired, "")}},
+		"never, another killed":      {RuleFinal, 1, 0, []Event{ready, tried, at(1500, Stopped, "g2"), callEvent(2200, Expired, "")}},
+		"never, killed before":       {RuleFinal, 1, 0, []Event{ready, at(100, Stopped, "g1"), at(500, Ready, "g1"), tried, callEvent(2200, Expired, "")}},
+		"never, just back":           {RuleFinal, 0, 1, []Event{ready, at(100, Stopped, "g1"), at(800, Ready, "g1"), tried, callEvent(2200, Expired, "")}},
+		"never, paused":              {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Paused, "g1"), at(1600, Woken, "g1"), callEvent(2200, Expired, "")}},
+		"never, callers cut":         {RuleFinal, 0, 1, []Event{ready, tried, linkEvent(1500, Troubled, "g1", "front-a"), linkEvent(1600, Healed, "g1", "front-a"), callEvent(2200, Expired, "")}},
+		"never, servers cut":         {RuleFinal, 1, 0, []Event{ready, tried, linkEvent(1500, Troubled, "g1", "s1"), linkEvent(1600, Healed, "g1", "s1"), callEvent(2200, Expired, "")}},
+		"never, cut and healed":      {RuleFinal, 1, 0, []Event{ready, linkEvent(500, Troubled, "front-a", "g1"), linkEvent(600, Healed, "front-a", "g1"), tried, callEvent(2200, Expired, "")}},
+		"connection closed":          {RuleFinal, 1, 0, []Event{ready, tried, callEvent(1051, Broken, "")}},
+		"crossed the close":          {RuleFinal, 0, 0, []Event{ready, tried, callEvent(1050, Broken, "")}},
+		"SIGTERM, answer due":        {RuleFinal, 1, 0, []Event{ready, at(400, Asked, "g1"), tried, callEvent(2200, Expired, "")}},
+		"SIGTERM long before":        {RuleFinal, 0, 1, []Event{ready, at(299, Asked, "g1"), tried, callEvent(2200, Expired, "")}},
+		"SIGTERM, restarted":         {RuleFinal, 1, 0, []Event{ready, at(100, Asked, "g1"), at(200, Stopped, "g1"), at(400, Ready, "g1"), tried, callEvent(2200, Expired, "")}},
 		"crash":                      {RuleRuns, 1, 0, []Event{ready, at(500, Crashed, "g1")}},
 		"panic in the log":           {RuleLog, 1, 0, []Event{ready, panicLine}},
 		"missed decision":            {RuleLog, 1, 0, []Event{ready, errorLine}},
@@ -171,7 +171,7 @@
 // The time to settle lasts from the end of a fault to the first second in which calls are established as before, and at least
 // until the gatekeepers that the fault stopped are ready.
 func TestSettle(t *testing.T) {
-	run := func(until control.Micros, back control.Micros) Settled {
+	run := func(until control.Micros, readyAt control.Micros) Settled {
 		c := New("front-", nil)
 		events := []Event{}
 		for when := control.Micros(0); when < 12000; when += 20 {
@@ -180,7 +180,7 @@
 				events = append(events, Event{At: when * ms, Kind: FaultFrom, What: "kill"}, at(when, Stopped, "g1"))
 			case 6000:
 				events = append(events, Event{At: when * ms, Kind: FaultTo, What: "kill"})
-			case back:
+			case readyAt:
 				events = append(events, at(when, Ready, "g1"))
 			}
 			e := Event{At: when * ms, Kind: Tried, Process: "g2", Call: string(rune(when)), Span: 100 * ms}
@@ -210,8 +210,8 @@
 	}
 }
 
-// seen returns the reading of a gatekeeper's view, with the members up.
-func seen(when control.Micros, process, hash, up string) Event {
+// viewEvent returns the reading of a gatekeeper's view, with the members up.
+func viewEvent(when control.Micros, process, hash, up string) Event {
 	e := at(when, Viewed, process)
 	e.What, e.Peer = hash, up
 	return e
@@ -238,7 +238,7 @@
 			case when > 5000 && when < 8500 || g == "g3" && when > 4000 && when < 8500: // g3 gives up g1 a second before g2 does
 				hash, up = "two", "g2 g3"
 			}
-			events = append(events, seen(when, g, hash, up))
+			events = append(events, viewEvent(when, g, hash, up))
 		}
 	}
 	// Another fault begins half a second after they agree again: that agreement counts although the fault ends it.
@@ -261,26 +261,26 @@
 
 // Giving up a member that runs violates the rule. A fault between gatekeepers, a restart or a pause shortly before excuses it.
 func TestGivenUp(t *testing.T) {
-	gave := at(40000, Logged, "g1")
-	gave.What, gave.Peer = "fleet: member given up", "g2"
-	first := called(100, Tried, "")
+	givenUp := at(40000, Logged, "g1")
+	givenUp.What, givenUp.Peer = "fleet: member given up", "g2"
+	first := callEvent(100, Tried, "")
 	base := []Event{at(0, Ready, "g1"), at(0, Ready, "g2"), first}
 	for name, row := range map[string]struct {
 		broken int
 		events []Event
 	}{
 		"no fault":                  {1, nil},
-		"link healed long ago":      {1, []Event{way(10000, Troubled, "g1", "g2"), way(20000, Healed, "g1", "g2")}},
-		"link still cut":            {0, []Event{way(10000, Troubled, "g1", "g2")}},
-		"link just healed":          {0, []Event{way(10000, Troubled, "g1", "g2"), way(30000, Healed, "g1", "g2")}},
-		"link of callers cut":       {1, []Event{way(10000, Troubled, "front-a", "g2")}},
+		"link healed long ago":      {1, []Event{linkEvent(10000, Troubled, "g1", "g2"), linkEvent(20000, Healed, "g1", "g2")}},
+		"link still cut":            {0, []Event{linkEvent(10000, Troubled, "g1", "g2")}},
+		"link just healed":          {0, []Event{linkEvent(10000, Troubled, "g1", "g2"), linkEvent(30000, Healed, "g1", "g2")}},
+		"link of callers cut":       {1, []Event{linkEvent(10000, Troubled, "front-a", "g2")}},
 		"member paused":             {0, []Event{at(30000, Paused, "g2"), at(39000, Woken, "g2")}},
 		"own process paused":        {0, []Event{at(30000, Paused, "g1"), at(39000, Woken, "g1")}},
 		"member stopped":            {0, []Event{at(10000, Stopped, "g2")}},
 		"member restarted":          {0, []Event{at(38000, Stopped, "g2"), at(39000, Ready, "g2")}},
 		"member restarted long ago": {1, []Event{at(10000, Stopped, "g2"), at(11000, Ready, "g2")}},
 	} {
-		events := append(append(append([]Event{}, base...), row.events...), gave)
+		events := append(append(append([]Event{}, base...), row.events...), givenUp)
 		if f := find(t, judge(t, events...), RuleGiven); f.Count != row.broken || f.Excused != 1-row.broken {
 			t.Errorf("%s: %+v", name, f)
 		}
@@ -363,19 +363,19 @@
 // Verdicts on a server without a fault, verdicts that a member misses and set-ups to an excluded server are reported; verdicts on a
 // faulty server are not.
 func TestVerdictsRule(t *testing.T) {
-	judged := func(when control.Micros, who, held string) Event {
+	verdicts := func(when control.Micros, who, held string) Event {
 		e := at(when, Judged, who)
 		e.Peer = held
 		return e
 	}
-	run := func(ill bool, sent control.Micros, events ...Event) Finding {
+	run := func(faulty bool, sent control.Micros, events ...Event) Finding {
 		v := NewVerdicts("front-", map[string][]uint32{"1 hang": {3}}, nil)
 		c := New("front-", nil, v)
 		for _, name := range []string{"g1", "g2"} {
 			e := at(0, Ready, name)
 			c.Event(&e)
 		}
-		if ill {
+		if faulty {
 			e := at(7500, FaultFrom, "")
 			e.What = "1 hang"
 			c.Event(&e)
@@ -390,7 +390,7 @@
 	}
 	var both []Event
 	for when := control.Micros(8000); when <= 14000; when += 200 {
-		both = append(both, judged(when, "g1", "3"), judged(when, "g2", "3"))
+		both = append(both, verdicts(when, "g1", "3"), verdicts(when, "g2", "3"))
 	}
 	phase := func(when control.Micros, phase string) Event {
 		e := at(when, Changed, "g1")
@@ -404,7 +404,7 @@
 	}
 	var one []Event
 	for when := control.Micros(8000); when <= 14000; when += 200 {
-		one = append(one, judged(when, "g1", "3"), judged(when, "g2", ""))
+		one = append(one, verdicts(when, "g1", "3"), verdicts(when, "g2", ""))
 	}
 	for i, row := range []struct {
 		got  Finding
@@ -418,7 +418,7 @@
 		{run(true, 10050, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 0}, // a trial between two readings
 		{run(true, 10120, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 1},
 		{run(true, 10005, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 1},
-		{run(true, 0, append([]Event{way(7900, Troubled, "g1", "g2")}, one...)...), 0},
+		{run(true, 0, append([]Event{linkEvent(7900, Troubled, "g1", "g2")}, one...)...), 0},
 	} {
 		if row.got.Count != row.want {
 			t.Errorf("%d: %+v", i, row.got)
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -15,9 +15,9 @@
 
 // Parameters of the rule.
 const (
-	limitWarm  = control.Micros(4000000) // warm-up after the first call and after each shift of demand, excluded from the measured use
-	limitFrom  = 0.9                     // fraction of the limit at which shifted demand counts as served
-	limitSight = control.Micros(500000)  // window over which that fraction is measured
+	limitWarmup  = control.Micros(4000000) // warm-up after the first call and after each shift of demand, excluded from the measured use
+	servedShare  = 0.9                     // fraction of the limit at which shifted demand counts as served
+	servedWindow = control.Micros(500000)  // window over which that fraction is measured
 )
 
 // OverWindows are the window lengths of LimitStats.Over.
@@ -36,41 +36,41 @@
 // length t contains more than per_s x t + burst. Equivalently, a token bucket of capacity burst that fills at per_s is never
 // short of a token.
 type Limit struct {
-	perS, burst float64
-	measure     float64            // calls per second against which use is measured, if not the checked limit; 0: the checked limit
-	settle      control.Micros     // time from the change to a lower limit until it binds all gatekeepers
-	loose       map[string]float64 // by fault: multiple of the limit that may be admitted in addition during the fault
-	wakes       float64            // the same after a gatekeeper resumes from a pause
-
-	tokens   float64
-	at       control.Micros
-	next     []change
-	on       map[string]float64
-	until    control.Micros // end of the looseness after a fault ended or a gatekeeper resumed
-	lately   float64
-	most     float64
-	admitted []control.Micros
-	tried    []control.Micros
-	moved    []control.Micros
+	perSecond, burst  float64
+	measuredPerSecond float64            // calls per second against which use is measured, if not the checked limit; 0: the checked limit
+	settleTime        control.Micros     // time from the change to a lower limit until it binds all gatekeepers
+	faultLooseness    map[string]float64 // by fault: multiple of the limit that may be admitted in addition during the fault
+	resumeLooseness   float64            // the same after a gatekeeper resumes from a pause
+
+	tokens          float64
+	filledAt        control.Micros
+	pendingChanges  []limitChange
+	activeLooseness map[string]float64
+	recentUntil     control.Micros // end of the looseness after a fault ended or a gatekeeper resumed
+	recentLooseness float64
+	maxExcess       float64
+	admitted        []control.Micros
+	tried           []control.Micros
+	moved           []control.Micros
 }
 
-// change is a new limit and the time from which it is in force.
-type change struct {
-	at          control.Micros
-	perS, burst float64
+// limitChange is a new limit and the time from which it is in force.
+type limitChange struct {
+	at               control.Micros
+	perSecond, burst float64
 }
 
-const looseAfter = control.Micros(2000000) // looseness continues for this long after its cause ends: the age at which a register expires
+const loosenessExtension = control.Micros(2000000) // looseness continues for this long after its cause ends: the age at which a register expires
 
 // NewLimit returns the rule for a limit of perS calls per second with a burst. settle is the time after a reload until a lower
 // limit binds. loose and wakes are the looseness of the near mode's bound during faults and after pauses; zero for other modes.
-func NewLimit(perS, burst float64, settle control.Micros, loose map[string]float64, wakes float64) *Limit {
-	return &Limit{perS: perS, burst: burst, settle: settle, loose: loose, wakes: wakes, tokens: burst, on: map[string]float64{}}
+func NewLimit(perSecond, burst float64, settleTime control.Micros, faultLooseness map[string]float64, resumeLooseness float64) *Limit {
+	return &Limit{perSecond: perSecond, burst: burst, settleTime: settleTime, faultLooseness: faultLooseness, resumeLooseness: resumeLooseness, tokens: burst, activeLooseness: map[string]float64{}}
 }
 
 // Measure sets the limit against which use and overshoot are measured, if it differs from the checked one. It returns l.
-func (l *Limit) Measure(perS float64) *Limit {
-	l.measure = perS
+func (l *Limit) Measure(perSecond float64) *Limit {
+	l.measuredPerSecond = perSecond
 	return l
 }
 
@@ -91,33 +91,33 @@
 	case Limited:
 		burst, _ := strconv.ParseFloat(e.Class, 64)
 		at := e.At
-		if e.Value < l.perS {
-			at += l.settle
+		if e.Value < l.perSecond {
+			at += l.settleTime
 		}
-		l.next = append(l.next, change{at, e.Value, burst})
+		l.pendingChanges = append(l.pendingChanges, limitChange{at, e.Value, burst})
 	case FaultFrom:
-		if f := l.loose[e.What]; f > 0 {
-			l.on[e.What] = f
+		if looseness := l.faultLooseness[e.What]; looseness > 0 {
+			l.activeLooseness[e.What] = looseness
 		}
 	case FaultTo:
-		if f := l.on[e.What]; f > 0 {
-			delete(l.on, e.What)
-			l.lately, l.until = f, e.At+looseAfter
+		if looseness := l.activeLooseness[e.What]; looseness > 0 {
+			delete(l.activeLooseness, e.What)
+			l.recentLooseness, l.recentUntil = looseness, e.At+loosenessExtension
 		}
 	case Woken:
-		if l.wakes > 0 {
-			l.lately, l.until = l.wakes, e.At+looseAfter
+		if l.resumeLooseness > 0 {
+			l.recentLooseness, l.recentUntil = l.resumeLooseness, e.At+loosenessExtension
 		}
 	}
 }
 
 // advance applies the changes of the limit up to a time and fills the bucket.
 func (l *Limit) advance(now control.Micros) {
-	for len(l.next) > 0 && l.next[0].at <= now {
-		c := l.next[0]
-		l.next = l.next[1:]
+	for len(l.pendingChanges) > 0 && l.pendingChanges[0].at <= now {
+		c := l.pendingChanges[0]
+		l.pendingChanges = l.pendingChanges[1:]
 		l.fill(c.at)
-		l.perS, l.burst = c.perS, c.burst
+		l.perSecond, l.burst = c.perSecond, c.burst
 		l.tokens = l.burst // earlier admissions do not count against the new limit
 	}
 	l.fill(now)
@@ -125,33 +125,33 @@
 
 // fill adds the tokens for the time since the last call, at an increased rate while the limit is loose.
 func (l *Limit) fill(now control.Micros) {
-	if now <= l.at || l.at == 0 {
-		l.at = max(l.at, now)
+	if now <= l.filledAt || l.filledAt == 0 {
+		l.filledAt = max(l.filledAt, now)
 		return
 	}
 	factor := 1.0
-	for _, f := range l.on {
-		factor = max(factor, 1+f)
+	for _, looseness := range l.activeLooseness {
+		factor = max(factor, 1+looseness)
 	}
-	if now <= l.until {
-		factor = max(factor, 1+l.lately)
+	if now <= l.recentUntil {
+		factor = max(factor, 1+l.recentLooseness)
 	}
-	l.tokens = min(l.burst, l.tokens+factor*l.perS*float64(now-l.at)/1e6)
-	l.at = now
+	l.tokens = min(l.burst, l.tokens+factor*l.perSecond*float64(now-l.filledAt)/1e6)
+	l.filledAt = now
 }
 
 // Record implements RecordInvariant.
-func (l *Limit) Record(e *history.Event, place Place, broke func(Evidence)) {
+func (l *Limit) Record(e *history.Event, place Place, report func(Evidence)) {
 	if e.Kind != history.Admitted {
 		return
 	}
 	l.advance(e.At)
 	l.admitted = append(l.admitted, e.At)
 	l.tokens--
-	l.most = max(l.most, -l.tokens)
+	l.maxExcess = max(l.maxExcess, -l.tokens)
 	if l.tokens < -1e-6 {
-		broke(Evidence{e.At, e.Node, e.Call, place.String(),
-			fmt.Sprintf("%.2f calls more than a rate of %g per second and a burst of %g allow", -l.tokens, l.perS, l.burst)})
+		report(Evidence{e.At, e.Node, e.Call, place.String(),
+			fmt.Sprintf("%.2f calls more than a rate of %g per second and a burst of %g allow", -l.tokens, l.perSecond, l.burst)})
 		l.tokens = 0 // report each excess once
 	}
 }
@@ -159,17 +159,17 @@
 // Stats returns the statistics of the run after its end. If the limit changed, they are measured against the last one.
 func (l *Limit) Stats() LimitStats {
 	slices.Sort(l.admitted)
-	if l.measure > 0 {
-		l.perS = l.measure
+	if l.measuredPerSecond > 0 {
+		l.perSecond = l.measuredPerSecond
 	}
-	s := LimitStats{Admitted: len(l.admitted), Bound: l.most, Used: -1}
+	s := LimitStats{Admitted: len(l.admitted), Bound: l.maxExcess, Used: -1}
 	for i, w := range OverWindows {
 		s.Over[i] = math.Inf(-1)
 		for from, to := 0, 0; to < len(l.admitted); to++ {
 			for l.admitted[to]-l.admitted[from] > w {
 				from++
 			}
-			s.Over[i] = max(s.Over[i], float64(to-from+1)-l.perS*float64(w)/1e6)
+			s.Over[i] = max(s.Over[i], float64(to-from+1)-l.perSecond*float64(w)/1e6)
 		}
 		if len(l.admitted) == 0 {
 			s.Over[i] = 0
@@ -178,12 +178,12 @@
 	if len(l.tried) == 0 {
 		return s
 	}
-	within := func(all []control.Micros, from, to control.Micros) float64 {
+	countBetween := func(all []control.Micros, from, to control.Micros) float64 {
 		a, _ := slices.BinarySearch(all, from)
 		b, _ := slices.BinarySearch(all, to)
 		return float64(b - a)
 	}
-	var used, could float64
+	var used, available float64
 	starts := append([]control.Micros{l.tried[0]}, l.moved...)
 	end := l.tried[len(l.tried)-1]
 	for i, from := range starts {
@@ -191,28 +191,28 @@
 		if i+1 < len(starts) {
 			to = starts[i+1]
 		}
-		from += limitWarm
-		if seconds := float64(to-from) / 1e6; seconds > 1 && within(l.tried, from, to) > l.perS*seconds {
-			used += within(l.admitted, from, to)
-			could += l.perS * seconds
+		from += limitWarmup
+		if seconds := float64(to-from) / 1e6; seconds > 1 && countBetween(l.tried, from, to) > l.perSecond*seconds {
+			used += countBetween(l.admitted, from, to)
+			available += l.perSecond * seconds
 		}
 	}
-	if could > 0 {
-		s.Used = used / could
+	if available > 0 {
+		s.Used = used / available
 	}
 	for i, from := range l.moved {
 		to := end
 		if i+1 < len(l.moved) {
 			to = l.moved[i+1]
 		}
-		took := -1.0
-		for at := from; at+limitSight <= to; at += 50000 {
-			if within(l.admitted, at, at+limitSight) >= limitFrom*l.perS*float64(limitSight)/1e6 {
-				took = float64(at-from) / 1e6
+		reachedAfter := -1.0
+		for at := from; at+servedWindow <= to; at += 50000 {
+			if countBetween(l.admitted, at, at+servedWindow) >= servedShare*l.perSecond*float64(servedWindow)/1e6 {
+				reachedAfter = float64(at-from) / 1e6
 				break
 			}
 		}
-		s.Moved = append(s.Moved, took)
+		s.Moved = append(s.Moved, reachedAfter)
 	}
 	return s
 }
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -9,11 +9,11 @@
 // Parameters of the time to settle. A fault has settled once every gatekeeper that it stopped is ready again and the share of
 // established calls, over a window, is back to most of its value before the fault.
 const (
-	bucketOf   = control.Micros(100000)  // length of a bucket
-	windowOf   = 10                      // buckets: 1 s
-	beforeFor  = control.Micros(3000000) // interval before a fault over which the previous share is measured
-	back       = 0.9                     // fraction of the previous share
-	leastTries = 5                       // minimum number of calls in a window for a valid share
+	bucketLength   = control.Micros(100000)  // length of a bucket
+	windowBuckets  = 10                      // buckets: 1 s
+	baselineLength = control.Micros(3000000) // interval before a fault over which the previous share is measured
+	recoveredShare = 0.9                     // fraction of the previous share
+	minCalls       = 5                       // minimum number of calls in a window for a valid share
 )
 
 // Settled describes how the fleet recovered from one fault.
@@ -38,37 +38,37 @@
 	Refused, Failed, Lost int
 }
 
-// course is the timeline of a run: the outcomes of calls over time and the faults.
-type course struct {
-	begin    control.Micros
-	rows     []Bucket
-	at       map[string]int // index of the bucket of each call without an outcome
-	faults   []Settled
-	notReady map[string][]span
-	names    map[string]int
+// timeline is the timeline of a run: the outcomes of calls over time and the faults.
+type timeline struct {
+	begin      control.Micros
+	rows       []Bucket
+	at         map[string]int // index of the bucket of each call without an outcome
+	faults     []Settled
+	notReady   map[string][]span
+	faultIndex map[string]int
 }
 
 // bucket returns the index of the bucket of a time and adds buckets up to it if needed.
-func (c *course) bucket(at control.Micros) int {
+func (c *timeline) bucket(at control.Micros) int {
 	if c.at == nil {
 		c.begin, c.at = at, map[string]int{}
 	}
-	i := int(max(at-c.begin, 0) / bucketOf)
+	i := int(max(at-c.begin, 0) / bucketLength)
 	for len(c.rows) <= i {
-		c.rows = append(c.rows, Bucket{At: c.begin + control.Micros(len(c.rows))*bucketOf})
+		c.rows = append(c.rows, Bucket{At: c.begin + control.Micros(len(c.rows))*bucketLength})
 	}
 	return i
 }
 
 // tried counts a call that was sent.
-func (c *course) tried(e *Event) {
+func (c *timeline) tried(e *Event) {
 	i := c.bucket(e.At)
 	c.rows[i].Tries++
 	c.at[e.Call] = i
 }
 
-// over counts the outcome of a call.
-func (c *course) over(e *Event, stood bool) {
+// outcome counts the outcome of a call.
+func (c *timeline) outcome(e *Event, established bool) {
 	i, known := c.at[e.Call]
 	if !known { // never sent
 		i = c.bucket(e.At)
@@ -76,7 +76,7 @@
 	}
 	delete(c.at, e.Call)
 	switch row := &c.rows[i]; {
-	case stood:
+	case established:
 		row.Established++
 	case e.Kind == Refused:
 		row.Refused++
@@ -88,7 +88,7 @@
 }
 
 // down records that a gatekeeper is not ready; a paused one stays ready.
-func (c *course) down(e *Event) {
+func (c *timeline) down(e *Event) {
 	if c.notReady == nil {
 		c.notReady = map[string][]span{}
 	}
@@ -98,56 +98,56 @@
 }
 
 // ready records that a gatekeeper is ready.
-func (c *course) ready(e *Event) {
+func (c *timeline) ready(e *Event) {
 	if s := c.notReady[e.Process]; open(s) {
 		s[len(s)-1].to = e.At
 	}
 }
 
 // fault records the beginning or end of a fault.
-func (c *course) fault(e *Event) {
-	if c.names == nil {
-		c.names = map[string]int{}
+func (c *timeline) fault(e *Event) {
+	if c.faultIndex == nil {
+		c.faultIndex = map[string]int{}
 	}
 	if e.Kind == FaultFrom {
-		c.names[e.What] = len(c.faults)
+		c.faultIndex[e.What] = len(c.faults)
 		c.faults = append(c.faults, Settled{Fault: e.What, From: e.At, Took: -1})
 		return
 	}
-	if i, ok := c.names[e.What]; ok && c.faults[i].To == 0 {
+	if i, ok := c.faultIndex[e.What]; ok && c.faults[i].To == 0 {
 		c.faults[i].To = e.At
 	}
 }
 
 // buckets returns a copy of all buckets.
-func (c *course) buckets() []Bucket { return slices.Clone(c.rows) }
+func (c *timeline) buckets() []Bucket { return slices.Clone(c.rows) }
 
-// part returns the share of established calls among those sent between two times; ok is false if there are too few calls.
-func (c *course) part(from, to control.Micros) (p float64, ok bool) {
-	tries, stood := 0, 0
+// establishedShare returns the share of established calls among those sent between two times; ok is false if there are too few calls.
+func (c *timeline) establishedShare(from, to control.Micros) (share float64, ok bool) {
+	tries, established := 0, 0
 	for _, b := range c.rows {
-		if b.At+bucketOf > from && b.At < to {
+		if b.At+bucketLength > from && b.At < to {
 			tries += b.Tries
-			stood += b.Established
+			established += b.Established
 		}
 	}
-	if tries < leastTries {
+	if tries < minCalls {
 		return 0, false
 	}
-	return float64(stood) / float64(tries), true
+	return float64(established) / float64(tries), true
 }
 
-// settled returns the faults with their times to settle.
-func (c *course) settled() []Settled {
-	out := slices.Clone(c.faults)
-	for i := range out {
-		f := &out[i]
+// settledFaults returns the faults with their times to settle.
+func (c *timeline) settledFaults() []Settled {
+	results := slices.Clone(c.faults)
+	for i := range results {
+		f := &results[i]
 		if f.To == 0 {
 			continue
 		}
-		f.Before, _ = c.part(f.From-beforeFor, f.From)
-		f.During, _ = c.part(f.From, f.To)
-		goal := f.Before * back
+		f.Before, _ = c.establishedShare(f.From-baselineLength, f.From)
+		f.During, _ = c.establishedShare(f.From, f.To)
+		goal := f.Before * recoveredShare
 		from := f.To
 		for _, spans := range c.notReady {
 			for _, s := range spans {
@@ -163,19 +163,19 @@
 		if from < 0 || len(c.rows) == 0 {
 			continue
 		}
-		end := c.rows[len(c.rows)-1].At + bucketOf
-		for at := from; at+windowOf*bucketOf <= end; at += bucketOf {
-			if p, ok := c.part(at, at+windowOf*bucketOf); ok && p >= goal {
+		end := c.rows[len(c.rows)-1].At + bucketLength
+		for at := from; at+windowBuckets*bucketLength <= end; at += bucketLength {
+			if p, ok := c.establishedShare(at, at+windowBuckets*bucketLength); ok && p >= goal {
 				f.Took = at - f.To
 				break
 			}
 		}
-		for j, o := range out {
+		for j, other := range results {
 			settledAt := f.To + max(f.Took, 0)
-			if j != i && o.From < settledAt && (o.To == 0 || o.To > f.From) {
+			if j != i && other.From < settledAt && (other.To == 0 || other.To > f.From) {
 				f.Overlap = true
 			}
 		}
 	}
-	return out
+	return results
 }
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -15,10 +15,10 @@
 
 // Tolerances of the rule.
 const (
-	verdictWithin = control.Micros(4000000) // from the first reading at one member until every other reachable member has the verdict
-	joinWithin    = control.Micros(6000000) // time until a member that starts or resumes has the state of the others
-	faultMemory   = control.Micros(8000000) // gatekeepers use evidence of a fault for this long
-	keptSlack     = control.Micros(600000)  // a set-up may be in flight, and a reading may be one interval old
+	verdictSpreadTime = control.Micros(4000000) // from the first reading at one member until every other reachable member has the verdict
+	joinTime          = control.Micros(6000000) // time until a member that starts or resumes has the state of the others
+	evidenceLifetime  = control.Micros(8000000) // gatekeepers use evidence of a fault for this long
+	exclusionSlack    = control.Micros(600000)  // a set-up may be in flight, and a reading may be one interval old
 )
 
 // RudeAddress is the source address of the laboratory's clients that send malformed messages. No other clients use it.
@@ -35,8 +35,8 @@
 	Sent      int     `json:"setups_while_kept_out"`  // set-ups that a gatekeeper sent to a server that it excluded
 }
 
-// outSpan is the interval in which the readings of a member show a server as excluded.
-type outSpan struct {
+// exclusion is the interval in which the readings of a member show a server as excluded.
+type exclusion struct {
 	from, to control.Micros // of readings; to is 0 while the exclusion lasts
 	last     control.Micros // latest reading
 }
@@ -44,37 +44,37 @@
 // Verdicts compares the verdicts read from gatekeepers with the faults injected at servers, and with the set-ups that the
 // gatekeepers sent.
 type Verdicts struct {
-	suspects map[string][]uint32        // by fault: servers that may appear faulty because of it
-	numbers  map[string]string          // by fault: number that is busy because of it
-	busyTo   map[string]control.Micros  // by number: time until which it may be considered busy; 0: the fault is active
-	busyBy   map[string]map[string]bool // by number: members that consider it busy
-	illTo    map[uint32]control.Micros  // by server: end of its last fault
-	ill      map[uint32]int             // by server: number of active faults
-	began    control.Micros             // beginning of the first fault of a server
+	affectedServers map[string][]uint32        // by fault: servers that may appear faulty because of it
+	affectedNumbers map[string]string          // by fault: number that is busy because of it
+	busyUntil       map[string]control.Micros  // by number: time until which it may be considered busy; 0: the fault is active
+	busyMembers     map[string]map[string]bool // by number: members that consider it busy
+	faultEnd        map[uint32]control.Micros  // by server: end of its last fault
+	activeFaults    map[uint32]int             // by server: number of active faults
+	firstFault      control.Micros             // beginning of the first fault of a server
 
-	running   map[string]control.Micros       // by gatekeeper: time since which it runs
-	trouble   int                             // number of faulty links between gatekeepers
-	calm      control.Micros                  // last change of a link between gatekeepers
-	out       map[string]map[uint32]*outSpan  // by member and server: current exclusions
-	past      map[string]map[uint32][]outSpan // by member and server: earlier exclusions
-	first     map[uint32]control.Micros       // by server: time at which the first member excluded it; 0: none
-	checked   map[uint32]bool                 // by server: whether checkMembers has decided on the current verdict
-	sent      []history.Event                 // set-ups, from the records
-	firstOut  control.Micros                  // first exclusion of any server
-	allOut    control.Micros                  // first time at which all running members exclude a faulty server
-	stats     VerdictStats
-	front     string
-	convicted []control.Micros                    // times at which the first member excluded a server
-	phases    map[string]map[uint32][]phaseChange // by gatekeeper and server: phases of its verdict, from its log
-	tried     control.Micros                      // time of the callers' last call
+	running        map[string]control.Micros         // by gatekeeper: time since which it runs
+	faultyLinks    int                               // number of faulty links between gatekeepers
+	lastLinkChange control.Micros                    // last change of a link between gatekeepers
+	exclusions     map[string]map[uint32]*exclusion  // by member and server: current exclusions
+	pastExclusions map[string]map[uint32][]exclusion // by member and server: earlier exclusions
+	firstExcluded  map[uint32]control.Micros         // by server: time at which the first member excluded it; 0: none
+	checked        map[uint32]bool                   // by server: whether checkMembers has decided on the current verdict
+	sent           []history.Event                   // set-ups, from the records
+	firstExclusion control.Micros                    // first exclusion of any server
+	allExcluded    control.Micros                    // first time at which all running members exclude a faulty server
+	stats          VerdictStats
+	callerPrefix   string
+	convicted      []control.Micros                    // times at which the first member excluded a server
+	phases         map[string]map[uint32][]phaseChange // by gatekeeper and server: phases of its verdict, from its log
+	lastCall       control.Micros                      // time of the callers' last call
 }
 
 // NewVerdicts returns the rule. The names of callers' processes begin with front. suspects holds, by the name of each fault, the
 // servers that may appear faulty because of it, and numbers the number whose lines it makes busy.
-func NewVerdicts(front string, suspects map[string][]uint32, numbers map[string]string) *Verdicts {
-	return &Verdicts{front: front, suspects: suspects, numbers: numbers, busyTo: map[string]control.Micros{}, busyBy: map[string]map[string]bool{}, illTo: map[uint32]control.Micros{}, ill: map[uint32]int{},
-		running: map[string]control.Micros{}, out: map[string]map[uint32]*outSpan{}, past: map[string]map[uint32][]outSpan{},
-		first: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{First: -1, All: -1}}
+func NewVerdicts(callerPrefix string, affectedServers map[string][]uint32, affectedNumbers map[string]string) *Verdicts {
+	return &Verdicts{callerPrefix: callerPrefix, affectedServers: affectedServers, affectedNumbers: affectedNumbers, busyUntil: map[string]control.Micros{}, busyMembers: map[string]map[string]bool{}, faultEnd: map[uint32]control.Micros{}, activeFaults: map[uint32]int{},
+		running: map[string]control.Micros{}, exclusions: map[string]map[uint32]*exclusion{}, pastExclusions: map[string]map[uint32][]exclusion{},
+		firstExcluded: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{First: -1, All: -1}}
 }
 
 // phaseChange is the beginning of a phase of a verdict on a server.
@@ -85,8 +85,8 @@
 
 const trialPhase = "trial" // phase in which a gatekeeper probes a server with single set-ups
 
-// changed records a phase that a gatekeeper logged.
-func (v *Verdicts) changed(e *Event) {
+// phaseChanged records a phase that a gatekeeper logged.
+func (v *Verdicts) phaseChanged(e *Event) {
 	n, err := strconv.ParseUint(e.Peer, 10, 32)
 	if err != nil {
 		return
@@ -118,52 +118,52 @@
 func (v *Verdicts) Rule() string { return RuleVerdicts }
 
 // Event implements Invariant.
-func (v *Verdicts) Event(e *Event, broke func(Evidence)) {
+func (v *Verdicts) Event(e *Event, report func(Evidence)) {
 	switch e.Kind {
 	case FaultFrom:
-		if n := v.numbers[e.What]; n != "" {
-			v.busyTo[n] = 0
+		if n := v.affectedNumbers[e.What]; n != "" {
+			v.busyUntil[n] = 0
 		}
-		for _, id := range v.suspects[e.What] {
-			v.ill[id]++
-			if v.began == 0 {
-				v.began = e.At
+		for _, id := range v.affectedServers[e.What] {
+			v.activeFaults[id]++
+			if v.firstFault == 0 {
+				v.firstFault = e.At
 			}
 		}
 	case FaultTo:
-		if n := v.numbers[e.What]; n != "" {
-			v.busyTo[n] = e.At + faultMemory
+		if n := v.affectedNumbers[e.What]; n != "" {
+			v.busyUntil[n] = e.At + evidenceLifetime
 		}
-		for _, id := range v.suspects[e.What] {
-			v.ill[id]--
-			v.illTo[id] = e.At
+		for _, id := range v.affectedServers[e.What] {
+			v.activeFaults[id]--
+			v.faultEnd[id] = e.At
 		}
 	case Ready, Woken:
 		v.running[e.Process] = e.At
 	case Stopped, Crashed, Paused, Asked:
 		delete(v.running, e.Process)
-		delete(v.out, e.Process)
+		delete(v.exclusions, e.Process)
 	case Troubled, Healed:
-		if strings.HasPrefix(e.Process, v.front) || strings.HasPrefix(e.Peer, v.front) {
+		if strings.HasPrefix(e.Process, v.callerPrefix) || strings.HasPrefix(e.Peer, v.callerPrefix) {
 			return
 		}
-		v.calm = e.At
+		v.lastLinkChange = e.At
 		if e.Kind == Troubled {
-			v.trouble++
+			v.faultyLinks++
 		} else {
-			v.trouble--
+			v.faultyLinks--
 		}
 	case Tried:
-		v.tried = e.At
+		v.lastCall = e.At
 	case Changed:
-		v.changed(e)
+		v.phaseChanged(e)
 	case Judged:
-		v.judged(e, broke)
+		v.verdictsRead(e, report)
 	}
 }
 
-// judged processes a reading of the verdicts that are in force at a gatekeeper.
-func (v *Verdicts) judged(e *Event, broke func(Evidence)) {
+// verdictsRead processes a reading of the verdicts that are in force at a gatekeeper.
+func (v *Verdicts) verdictsRead(e *Event, report func(Evidence)) {
 	var held []uint32
 	for _, word := range strings.Fields(e.Peer) {
 		if n, err := strconv.ParseUint(word, 10, 32); err == nil {
@@ -171,92 +171,92 @@
 		}
 	}
 	for n := range strings.FieldsSeq(e.Class) {
-		if to, ok := v.busyTo[n]; !ok || to != 0 && e.At > to {
-			broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("treats number %q as busy, but it is not", n)})
+		if to, ok := v.busyUntil[n]; !ok || to != 0 && e.At > to {
+			report(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("treats number %q as busy, but it is not", n)})
 		}
-		if v.busyBy[n] == nil {
-			v.busyBy[n] = map[string]bool{}
+		if v.busyMembers[n] == nil {
+			v.busyMembers[n] = map[string]bool{}
 		}
-		v.busyBy[n][e.Process] = true
+		v.busyMembers[n][e.Process] = true
 	}
 	for address := range strings.FieldsSeq(e.Call) {
 		if address != RudeAddress {
-			broke(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends no malformed messages"})
+			report(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends no malformed messages"})
 		}
 	}
-	mine := v.out[e.Process]
-	if mine == nil {
-		mine = map[uint32]*outSpan{}
-		v.out[e.Process] = mine
+	own := v.exclusions[e.Process]
+	if own == nil {
+		own = map[uint32]*exclusion{}
+		v.exclusions[e.Process] = own
 	}
-	for id, s := range mine {
+	for id, s := range own {
 		if !slices.Contains(held, id) {
 			s.to = s.last
-			if v.past[e.Process] == nil {
-				v.past[e.Process] = map[uint32][]outSpan{}
+			if v.pastExclusions[e.Process] == nil {
+				v.pastExclusions[e.Process] = map[uint32][]exclusion{}
 			}
-			v.past[e.Process][id] = append(v.past[e.Process][id], *s)
-			delete(mine, id)
+			v.pastExclusions[e.Process][id] = append(v.pastExclusions[e.Process][id], *s)
+			delete(own, id)
 		}
 	}
 	for _, id := range held {
-		if mine[id] == nil {
-			mine[id] = &outSpan{from: e.At}
-			if !v.heldBy(id, e.Process) {
+		if own[id] == nil {
+			own[id] = &exclusion{from: e.At}
+			if !v.excludedByOther(id, e.Process) {
 				v.stats.Convicted++
 				v.convicted = append(v.convicted, e.At)
-				v.first[id], v.checked[id] = e.At, false
-				if v.ill[id] == 0 && (v.illTo[id] == 0 || e.At-v.illTo[id] > faultMemory) {
+				v.firstExcluded[id], v.checked[id] = e.At, false
+				if v.activeFaults[id] == 0 && (v.faultEnd[id] == 0 || e.At-v.faultEnd[id] > evidenceLifetime) {
 					v.stats.Wrongful++
-					broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("excludes server %d, which had no fault", id)})
+					report(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("excludes server %d, which had no fault", id)})
 				}
 			}
-			if v.firstOut == 0 {
-				v.firstOut = e.At
+			if v.firstExclusion == 0 {
+				v.firstExclusion = e.At
 			}
 		}
-		mine[id].last = e.At
-		v.everybody(e, id, broke)
+		own[id].last = e.At
+		v.checkMembers(e, id, report)
 	}
 }
 
-// heldBy reports whether any member other than but excludes a server.
-func (v *Verdicts) heldBy(id uint32, but string) bool {
-	for name, all := range v.out {
-		if name != but && all[id] != nil {
+// excludedByOther reports whether any member other than but excludes a server.
+func (v *Verdicts) excludedByOther(id uint32, except string) bool {
+	for name, all := range v.exclusions {
+		if name != except && all[id] != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// everybody checks that every running member has, or has had, a verdict within verdictWithin of the first member. Faults between
+// checkMembers checks that every running member has, or has had, a verdict within verdictWithin of the first member. Faults between
 // gatekeepers excuse a violation.
-func (v *Verdicts) everybody(e *Event, id uint32, broke func(Evidence)) {
-	since := v.first[id]
+func (v *Verdicts) checkMembers(e *Event, id uint32, report func(Evidence)) {
+	since := v.firstExcluded[id]
 	if v.checked[id] || since == 0 {
 		return
 	}
 	missing := ""
 	for name, from := range v.running {
-		had := v.out[name] != nil && v.out[name][id] != nil
-		for _, s := range v.past[name][id] {
-			had = had || s.to >= since
+		excluded := v.exclusions[name] != nil && v.exclusions[name][id] != nil
+		for _, s := range v.pastExclusions[name][id] {
+			excluded = excluded || s.to >= since
 		}
-		if !had && from+joinWithin < since {
+		if !excluded && from+joinTime < since {
 			missing = name
 		}
 	}
 	switch {
 	case missing == "":
 		v.checked[id] = true
-		if v.allOut == 0 && v.ill[id] > 0 {
-			v.allOut = e.At
+		if v.allExcluded == 0 && v.activeFaults[id] > 0 {
+			v.allExcluded = e.At
 		}
-	case e.At-since > verdictWithin:
+	case e.At-since > verdictSpreadTime:
 		v.checked[id] = true
-		if v.trouble == 0 && (v.calm == 0 || e.At-v.calm > 2*verdictWithin) {
-			broke(Evidence{e.At, missing, "", e.Place.String(), fmt.Sprintf("does not exclude server %d, %d ms after the first member did", id, (e.At-since)/1000)})
+		if v.faultyLinks == 0 && (v.lastLinkChange == 0 || e.At-v.lastLinkChange > 2*verdictSpreadTime) {
+			report(Evidence{e.At, missing, "", e.Place.String(), fmt.Sprintf("does not exclude server %d, %d ms after the first member did", id, (e.At-since)/1000)})
 		}
 	}
 }
@@ -269,36 +269,36 @@
 }
 
 // End implements Invariant. It reports set-ups sent to a server that readings before and after show as excluded.
-func (v *Verdicts) End(broke func(Evidence)) {
-	for name, all := range v.out {
+func (v *Verdicts) End(report func(Evidence)) {
+	for name, all := range v.exclusions {
 		for id, s := range all {
-			if v.past[name] == nil {
-				v.past[name] = map[uint32][]outSpan{}
+			if v.pastExclusions[name] == nil {
+				v.pastExclusions[name] = map[uint32][]exclusion{}
 			}
-			v.past[name][id] = append(v.past[name][id], outSpan{from: s.from, to: s.last})
+			v.pastExclusions[name][id] = append(v.pastExclusions[name][id], exclusion{from: s.from, to: s.last})
 		}
 	}
 	for _, e := range v.sent {
-		for _, s := range v.past[e.Node][e.Server] {
-			if e.At > s.from+keptSlack && e.At < s.to-keptSlack && !v.onTrial(e.Node, e.Server, e.At) {
+		for _, s := range v.pastExclusions[e.Node][e.Server] {
+			if e.At > s.from+exclusionSlack && e.At < s.to-exclusionSlack && !v.onTrial(e.Node, e.Server, e.At) {
 				v.stats.Sent++
-				broke(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it excluded", e.Server)})
+				report(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it excluded", e.Server)})
 			}
 		}
 	}
 	for _, at := range v.convicted {
-		if at <= v.tried {
+		if at <= v.lastCall {
 			v.stats.Called++
 		}
 	}
-	for _, by := range v.busyBy {
+	for _, by := range v.busyMembers {
 		v.stats.Numbers += len(by)
 	}
-	if v.began > 0 && v.firstOut > v.began {
-		v.stats.First = float64(v.firstOut-v.began) / 1e6
+	if v.firstFault > 0 && v.firstExclusion > v.firstFault {
+		v.stats.First = float64(v.firstExclusion-v.firstFault) / 1e6
 	}
-	if v.began > 0 && v.allOut > v.began {
-		v.stats.All = float64(v.allOut-v.began) / 1e6
+	if v.firstFault > 0 && v.allExcluded > v.firstFault {
+		v.stats.All = float64(v.allExcluded-v.firstFault) / 1e6
 	}
 }
 
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -362,10 +362,10 @@
 
 // piece is a queued chunk of data, or the end of the stream that follows it.
 type piece struct {
-	data  []byte
-	due   time.Time
-	end   bool
-	reset bool
+	data    []byte
+	dueTime time.Time
+	end     bool
+	reset   bool
 }
 
 // forward forwards one direction until its end of stream. It reads data and stamps it with its due time; a writer goroutine holds
@@ -388,8 +388,8 @@
 				// The bytes before the limit are forwarded first, so that the far side receives part of a message.
 				part := max(int64(n)-(total-most), 0)
 				last = dueTime(last, now, c, int(part), p.link.random)
-				queue <- piece{data: buf[:part], due: last}
-				queue <- piece{reset: true, due: last}
+				queue <- piece{data: buf[:part], dueTime: last}
+				queue <- piece{reset: true, dueTime: last}
 				return
 			}
 			if forth {
@@ -398,7 +398,7 @@
 			}
 			last = dueTime(last, now, c, n, p.link.random)
 			select {
-			case queue <- piece{data: buf[:n], due: last}:
+			case queue <- piece{data: buf[:n], dueTime: last}:
 			case <-p.done:
 				return
 			}
@@ -406,7 +406,7 @@
 		if err != nil {
 			last = dueTime(last, now, c, 0, p.link.random)
 			select {
-			case queue <- piece{end: true, reset: err != io.EOF, due: last}:
+			case queue <- piece{end: true, reset: err != io.EOF, dueTime: last}:
 			case <-p.done:
 			}
 			return
@@ -416,7 +416,7 @@
 
 func (p *pair) write(to *net.TCPConn, d *direction, queue <-chan piece) {
 	for q := range queue {
-		if !p.waitUntil(d, q.due) {
+		if !p.waitUntil(d, q.dueTime) {
 			p.drainQueue(queue)
 			return
 		}
