--- a/internal/fleetcheck/delays.go
+++ b/internal/fleetcheck/delays.go
@@ -95,16 +95,16 @@
 }
 
 // explains reports whether waits for a processor explain the late answer to a call that was sent, due and answered at the given
-// times. came is 0 if no answer arrived by the end of the caller's time.
-func (d *delays) explains(call, process string, sent, due, came control.Micros) bool {
-	if came == 0 {
-		came = d.late[call]
+// times. answered is 0 if no answer arrived by the end of the caller's time.
+func (d *delays) explains(call, process string, sent, due, answered control.Micros) bool {
+	if answered == 0 {
+		answered = d.late[call]
 	}
-	if came == 0 {
+	if answered == 0 {
 		return false
 	}
-	late := came - due
-	times := []span{{sent, min(sent+late, due)}, {due, came}}
+	late := answered - due
+	times := []span{{sent, min(sent+late, due)}, {due, answered}}
 	return late <= wireSlack+d.waited(process, times...)+d.waited(Laboratory, times...)
 }
 
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -176,7 +176,7 @@
 
 // process holds the events at one process that may excuse a missing answer.
 type process struct {
-	down         []span           // while not ready or paused, extended by settleGrace
+	down         []span           // while not ready or paused, extended by recoveryGrace
 	stopRequests []control.Micros // times of SIGTERM
 	link         []span           // faults on the link to or from its callers
 }
@@ -187,7 +187,7 @@
 	gatekeeper string
 }
 
-// possibleViolation is a possible violation. Whether it is excused is decided at the end, when all faults and delays are known.
+// possibleViolation violates a rule unless it is excused, which is decided at the end, when all faults and delays are known.
 type possibleViolation struct {
 	rule     string
 	from     control.Micros // beginning of the interval in which a fault excuses it
@@ -229,7 +229,7 @@
 	Gated       int `json:"setups_to_gated_servers"`
 }
 
-// New returns a checker. The names of the callers' processes, and of no others, begin with front. capacities holds the set-ups
+// New returns a checker. The names of the callers' processes, and of no others, begin with callerPrefix. capacities holds the set-ups
 // per second of each warm server, by its number in the records.
 func New(callerPrefix string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
 	c := &Checker{callerPrefix: callerPrefix, processes: map[string]*process{}, tries: map[string]sentCall{}, answers: map[string]sentCall{}, finalKinds: map[string]Kind{}, serverAnswers: map[string]string{},
@@ -254,7 +254,7 @@
 	return f
 }
 
-// addViolation counts a violation of a rule and keeps the first evidenceMax pieces of evidence.
+// addViolation counts a violation of a rule and keeps the first maxEvidence pieces of evidence.
 func (c *Checker) addViolation(rule string, e Evidence) {
 	f := c.rule(rule)
 	f.Count++
@@ -454,7 +454,7 @@
 	return false
 }
 
-// readySince reports whether a process that received SIGTERM at asked is ready again by a time.
+// readySince reports whether a process that received SIGTERM at stopRequested is ready again by a time.
 func (c *Checker) readySince(p *process, stopRequested, by control.Micros) bool {
 	for _, d := range p.down {
 		if d.from >= stopRequested && d.to != 0 && d.to <= by {
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -62,8 +62,9 @@
 
 const loosenessExtension = control.Micros(2000000) // looseness continues for this long after its cause ends: the age at which a register expires
 
-// NewLimit returns the rule for a limit of perS calls per second with a burst. settle is the time after a reload until a lower
-// limit binds. loose and wakes are the looseness of the near mode's bound during faults and after pauses; zero for other modes.
+// NewLimit returns the rule for a limit of perSecond calls per second with a burst. settleTime is the time after a reload until a
+// lower limit binds. faultLooseness and resumeLooseness are the looseness of the near mode's bound during faults and after
+// pauses; zero for other modes.
 func NewLimit(perSecond, burst float64, settleTime control.Micros, faultLooseness map[string]float64, resumeLooseness float64) *Limit {
 	return &Limit{perSecond: perSecond, burst: burst, settleTime: settleTime, faultLooseness: faultLooseness, resumeLooseness: resumeLooseness, tokens: burst, activeLooseness: map[string]float64{}}
 }
--- a/internal/fleetcheck/rates.go
+++ b/internal/fleetcheck/rates.go
@@ -27,7 +27,8 @@
 	stopped                         map[string]control.Micros   // gatekeepers that do not run, by the time they stopped
 }
 
-// NewRates returns the rule for registers that expire after stale and rates that are averaged over memory.
+// NewRates returns the rule for registers that expire after registerLifetime and rates that are averaged over
+// averagingTime.
 func NewRates(registerLifetime, averagingTime control.Micros) *Rates {
 	return &Rates{registerLifetime: registerLifetime, averagingTime: averagingTime, sent: map[string][]control.Micros{}, stopped: map[string]control.Micros{}}
 }
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -38,7 +38,7 @@
 	Refused, Failed, Lost int
 }
 
-// timeline is the timeline of a run: the outcomes of calls over time and the faults.
+// timeline holds the outcomes of calls over time and the faults of a run.
 type timeline struct {
 	begin      control.Micros
 	rows       []Bucket
@@ -49,33 +49,33 @@
 }
 
 // bucket returns the index of the bucket of a time and adds buckets up to it if needed.
-func (c *timeline) bucket(at control.Micros) int {
-	if c.at == nil {
-		c.begin, c.at = at, map[string]int{}
+func (t *timeline) bucket(at control.Micros) int {
+	if t.at == nil {
+		t.begin, t.at = at, map[string]int{}
 	}
-	i := int(max(at-c.begin, 0) / bucketLength)
-	for len(c.rows) <= i {
-		c.rows = append(c.rows, Bucket{At: c.begin + control.Micros(len(c.rows))*bucketLength})
+	i := int(max(at-t.begin, 0) / bucketLength)
+	for len(t.rows) <= i {
+		t.rows = append(t.rows, Bucket{At: t.begin + control.Micros(len(t.rows))*bucketLength})
 	}
 	return i
 }
 
 // tried counts a call that was sent.
-func (c *timeline) tried(e *Event) {
-	i := c.bucket(e.At)
-	c.rows[i].Tries++
-	c.at[e.Call] = i
+func (t *timeline) tried(e *Event) {
+	i := t.bucket(e.At)
+	t.rows[i].Tries++
+	t.at[e.Call] = i
 }
 
 // outcome counts the outcome of a call.
-func (c *timeline) outcome(e *Event, established bool) {
-	i, known := c.at[e.Call]
+func (t *timeline) outcome(e *Event, established bool) {
+	i, known := t.at[e.Call]
 	if !known { // never sent
-		i = c.bucket(e.At)
-		c.rows[i].Tries++
+		i = t.bucket(e.At)
+		t.rows[i].Tries++
 	}
-	delete(c.at, e.Call)
-	switch row := &c.rows[i]; {
+	delete(t.at, e.Call)
+	switch row := &t.rows[i]; {
 	case established:
 		row.Established++
 	case e.Kind == Refused:
@@ -88,44 +88,44 @@
 }
 
 // down records that a gatekeeper is not ready; a paused one stays ready.
-func (c *timeline) down(e *Event) {
-	if c.notReady == nil {
-		c.notReady = map[string][]span{}
+func (t *timeline) down(e *Event) {
+	if t.notReady == nil {
+		t.notReady = map[string][]span{}
 	}
-	if s := c.notReady[e.Process]; e.Kind != Paused && !open(s) {
-		c.notReady[e.Process] = append(s, span{from: e.At})
+	if s := t.notReady[e.Process]; e.Kind != Paused && !open(s) {
+		t.notReady[e.Process] = append(s, span{from: e.At})
 	}
 }
 
 // ready records that a gatekeeper is ready.
-func (c *timeline) ready(e *Event) {
-	if s := c.notReady[e.Process]; open(s) {
+func (t *timeline) ready(e *Event) {
+	if s := t.notReady[e.Process]; open(s) {
 		s[len(s)-1].to = e.At
 	}
 }
 
 // fault records the beginning or end of a fault.
-func (c *timeline) fault(e *Event) {
-	if c.faultIndex == nil {
-		c.faultIndex = map[string]int{}
+func (t *timeline) fault(e *Event) {
+	if t.faultIndex == nil {
+		t.faultIndex = map[string]int{}
 	}
 	if e.Kind == FaultFrom {
-		c.faultIndex[e.What] = len(c.faults)
-		c.faults = append(c.faults, Settled{Fault: e.What, From: e.At, Took: -1})
+		t.faultIndex[e.What] = len(t.faults)
+		t.faults = append(t.faults, Settled{Fault: e.What, From: e.At, Took: -1})
 		return
 	}
-	if i, ok := c.faultIndex[e.What]; ok && c.faults[i].To == 0 {
-		c.faults[i].To = e.At
+	if i, ok := t.faultIndex[e.What]; ok && t.faults[i].To == 0 {
+		t.faults[i].To = e.At
 	}
 }
 
 // buckets returns a copy of all buckets.
-func (c *timeline) buckets() []Bucket { return slices.Clone(c.rows) }
+func (t *timeline) buckets() []Bucket { return slices.Clone(t.rows) }
 
 // establishedShare returns the share of established calls among those sent between two times; ok is false if there are too few calls.
-func (c *timeline) establishedShare(from, to control.Micros) (share float64, ok bool) {
+func (t *timeline) establishedShare(from, to control.Micros) (share float64, ok bool) {
 	tries, established := 0, 0
-	for _, b := range c.rows {
+	for _, b := range t.rows {
 		if b.At+bucketLength > from && b.At < to {
 			tries += b.Tries
 			established += b.Established
@@ -138,18 +138,18 @@
 }
 
 // settledFaults returns the faults with their times to settle.
-func (c *timeline) settledFaults() []Settled {
-	results := slices.Clone(c.faults)
+func (t *timeline) settledFaults() []Settled {
+	results := slices.Clone(t.faults)
 	for i := range results {
 		f := &results[i]
 		if f.To == 0 {
 			continue
 		}
-		f.Before, _ = c.establishedShare(f.From-baselineLength, f.From)
-		f.During, _ = c.establishedShare(f.From, f.To)
+		f.Before, _ = t.establishedShare(f.From-baselineLength, f.From)
+		f.During, _ = t.establishedShare(f.From, f.To)
 		goal := f.Before * recoveredShare
 		from := f.To
-		for _, spans := range c.notReady {
+		for _, spans := range t.notReady {
 			for _, s := range spans {
 				if s.from >= f.From && s.from <= f.To {
 					if s.to == 0 {
@@ -160,12 +160,12 @@
 				}
 			}
 		}
-		if from < 0 || len(c.rows) == 0 {
+		if from < 0 || len(t.rows) == 0 {
 			continue
 		}
-		end := c.rows[len(c.rows)-1].At + bucketLength
+		end := t.rows[len(t.rows)-1].At + bucketLength
 		for at := from; at+windowBuckets*bucketLength <= end; at += bucketLength {
-			if p, ok := c.establishedShare(at, at+windowBuckets*bucketLength); ok && p >= goal {
+			if p, ok := t.establishedShare(at, at+windowBuckets*bucketLength); ok && p >= goal {
 				f.Took = at - f.To
 				break
 			}
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -69,8 +69,8 @@
 	lastCall       control.Micros                      // time of the callers' last call
 }
 
-// NewVerdicts returns the rule. The names of callers' processes begin with front. suspects holds, by the name of each fault, the
-// servers that may appear faulty because of it, and numbers the number whose lines it makes busy.
+// NewVerdicts returns the rule. The names of callers' processes begin with callerPrefix. affectedServers holds, by the name of
+// each fault, the servers that may appear faulty because of it, and affectedNumbers the number whose lines it makes busy.
 func NewVerdicts(callerPrefix string, affectedServers map[string][]uint32, affectedNumbers map[string]string) *Verdicts {
 	return &Verdicts{callerPrefix: callerPrefix, affectedServers: affectedServers, affectedNumbers: affectedNumbers, busyUntil: map[string]control.Micros{}, busyMembers: map[string]map[string]bool{}, faultEnd: map[uint32]control.Micros{}, activeFaults: map[uint32]int{},
 		running: map[string]control.Micros{}, exclusions: map[string]map[uint32]*exclusion{}, pastExclusions: map[string]map[uint32][]exclusion{},
@@ -220,7 +220,7 @@
 	}
 }
 
-// excludedByOther reports whether any member other than but excludes a server.
+// excludedByOther reports whether any member other than except excludes a server.
 func (v *Verdicts) excludedByOther(id uint32, except string) bool {
 	for name, all := range v.exclusions {
 		if name != except && all[id] != nil {
@@ -230,7 +230,7 @@
 	return false
 }
 
-// checkMembers checks that every running member has, or has had, a verdict within verdictWithin of the first member. Faults between
+// checkMembers checks that every running member has, or has had, a verdict within verdictSpreadTime of the first member. Faults between
 // gatekeepers excuse a violation.
 func (v *Verdicts) checkMembers(e *Event, id uint32, report func(Evidence)) {
 	since := v.firstExcluded[id]
--- a/internal/fleetcheck/views.go
+++ b/internal/fleetcheck/views.go
@@ -101,24 +101,24 @@
 
 // firstLoss returns the first time not before from at which agreement was lost, or end if there is none.
 func (a *viewAgreement) firstLoss(from, end control.Micros) control.Micros {
-	for _, t := range a.changes {
-		if !t.agreed && t.at >= from {
-			return t.at
+	for _, change := range a.changes {
+		if !change.agreed && change.at >= from {
+			return change.at
 		}
 	}
 	return end
 }
 
-// firstLasting returns the first time not before from, and before before, at which lasting agreement exists. Agreement is lasting if it
-// holds for the minimum duration or until end. It returns -1 if there is none.
+// firstLasting returns the first time in [from, before) at which lasting agreement exists, or -1 if there is none. Agreement is
+// lasting if it holds for minAgreement or until end.
 func (a *viewAgreement) firstLasting(from, before, end control.Micros) control.Micros {
-	for i, t := range a.changes {
+	for i, change := range a.changes {
 		until := end
 		if i+1 < len(a.changes) {
 			until = a.changes[i+1].at
 		}
-		at := max(t.at, from)
-		if t.agreed && until > from && at < before && (until-at >= minAgreement || at < end && until >= end) {
+		at := max(change.at, from)
+		if change.agreed && until > from && at < before && (until-at >= minAgreement || at < end && until >= end) {
 			return at
 		}
 	}
--- a/internal/relay/condition.go
+++ b/internal/relay/condition.go
@@ -58,10 +58,10 @@
 // isZero reports whether the condition forwards everything unchanged.
 func (c Condition) isZero() bool { return c == Condition{} }
 
-// Door is how a link treats connections, in addition to the conditions of its two directions.
+// Door is the way a link treats connections, in addition to the conditions of its two directions.
 type Door int
 
-// The ways to treat connections.
+// The modes of a link.
 const (
 	Open      Door = iota // connections are forwarded
 	Refuse                // new connections are refused, open ones are reset
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -43,7 +43,7 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	target      string // address at which To serves; empty while unknown or down
-	door        Door
+	mode        Door
 	listener    net.Listener
 	pairs       map[*pair]struct{}
 	returnPaths map[string]*net.UDPConn
@@ -167,30 +167,30 @@
 	l.updateListener()
 }
 
-func (l *Link) setDoor(d Door) {
+func (l *Link) setMode(d Door) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.door = d
+	l.mode = d
 	l.updateListener()
 }
 
-// targetAndMode returns the address to forward to and how the link treats connections.
-func (l *Link) targetAndMode() (string, Door) {
+// connectTarget returns the address to forward to and the mode of the link, which is Refuse while the target is unknown or down.
+func (l *Link) connectTarget() (string, Door) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target == "" {
 		return "", Refuse
 	}
-	return l.target, l.door
+	return l.target, l.mode
 }
 
-// updateListener opens or closes the listener according to the target and the door, and resets open connections when it closes the
+// updateListener opens or closes the listener according to the target and the mode, and resets open connections when it closes the
 // listener. The caller holds l.mu.
 func (l *Link) updateListener() {
 	if l.closed || l.udp != nil {
 		return
 	}
-	listens := l.target != "" && l.door != Refuse
+	listens := l.target != "" && l.mode != Refuse
 	switch {
 	case listens && l.listener == nil:
 		listener, err := reusePort.Listen(context.Background(), "tcp4", l.Addr())
@@ -337,8 +337,8 @@
 			return false
 		}
 	}
-	target, door := l.targetAndMode()
-	if door == BlackHole {
+	target, mode := l.connectTarget()
+	if mode == BlackHole {
 		<-p.done
 		return false
 	}
@@ -448,8 +448,8 @@
 func (p *pair) waitUntil(d *direction, at time.Time) bool {
 	for {
 		c, changed := d.now()
-		_, door := p.link.targetAndMode()
-		if !c.Cut && door != BlackHole {
+		_, mode := p.link.connectTarget()
+		if !c.Cut && mode != BlackHole {
 			wait := time.Until(at)
 			if wait <= 0 {
 				select {
@@ -470,7 +470,7 @@
 			}
 			continue
 		}
-		again := time.NewTimer(blackHolePollInterval) // a door change sends no signal, so it is polled
+		again := time.NewTimer(blackHolePollInterval) // a mode change sends no signal, so it is polled
 		select {
 		case <-changed:
 		case <-again.C:
@@ -482,7 +482,7 @@
 	}
 }
 
-const blackHolePollInterval = 20 * time.Millisecond // interval between checks whether a black hole is still in force
+const blackHolePollInterval = 20 * time.Millisecond // interval between checks of a link in BlackHole mode
 
 // forwardDatagrams forwards the datagrams that the link's socket receives, each under the current condition.
 func (l *Link) forwardDatagrams() {
@@ -513,7 +513,7 @@
 // It reports whether the datagram is sent.
 func (l *Link) sendDatagram(d *direction, size int, send func()) bool {
 	c, _ := d.now()
-	if _, door := l.targetAndMode(); c.Cut || door != Open || c.Loss > 0 && l.random() < c.Loss {
+	if _, mode := l.connectTarget(); c.Cut || mode != Open || c.Loss > 0 && l.random() < c.Loss {
 		return false
 	}
 	if c.isZero() {
--- a/internal/relay/network.go
+++ b/internal/relay/network.go
@@ -101,7 +101,7 @@
 	for _, links := range n.links {
 		for _, l := range links {
 			l.resetAfterBytes.Store(0)
-			l.setDoor(Open)
+			l.setMode(Open)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links[[2]string{from, to}] {
-		l.setDoor(d)
+		l.setMode(d)
 	}
 }
 
