--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -23,34 +23,34 @@
 
 // The kinds of events, with the fields of Event that each uses besides At and Place.
 const (
-	Ready       Kind = iota + 1 // Process accepts callers
-	Asked                       // Process received SIGTERM
-	Stopped                     // Process was killed on purpose, or ended after SIGTERM
-	Crashed                     // Process ended by itself; What describes how
-	Paused                      // Process received SIGSTOP
-	Woken                       // Process received SIGCONT
-	Troubled                    // the traffic from Process to Peer, or connections opened in that direction, are subject to a fault
-	Healed                      // that fault has ended
-	Logged                      // Process wrote a log line; Level, What, and Peer and Health if it concerns a member
-	Tried                       // Call was sent to Process; Span is the time allowed for its answer
-	Established                 // Call was established by Process, a final answer; What is the session description
-	Refused                     // Call was refused, a final answer
-	Failed                      // Call failed, a final answer
-	Second                      // Call received another final answer; What names it
-	Expired                     // Call received no answer within its time
-	Broken                      // Call's connection ended without an answer
-	Unsent                      // no gatekeeper was found for Call
-	Given                       // server Process established Call; What is the session description
-	FaultFrom                   // a fault begins; What is its name
-	FaultTo                     // a fault ends; What is its name
-	Viewed                      // view of the fleet read from Process: What is its hash, Peer the members that are up (names separated by spaces)
-	Heard                       // call rate of the fleet read from Process: Value calls per second, summed over the reports of members Peer; the oldest report is at least Span old
-	Limited                     // the files of gatekeepers Process (names separated by spaces) allow Value calls per second and a burst of Class
-	Moved                       // callers now place first calls at gatekeepers Process (names separated by +)
-	Judged                      // verdicts of the fleet read from Process: it excludes servers Peer (their numbers), busy numbers Class and client addresses Call
-	Late                        // Call received its first answer from Process after its time
-	Delayed                     // threads of Process (or Laboratory) were runnable but waited for a processor in the last Value seconds: Span in total, and Class microseconds the longest wait of a single thread
-	Changed                     // Process logged that its verdict on server Peer (its number) entered phase What
+	Ready               Kind = iota + 1 // Process accepts callers
+	StopRequested                       // Process received SIGTERM
+	Stopped                             // Process was killed on purpose, or ended after SIGTERM
+	Crashed                             // Process ended by itself; What describes how
+	Paused                              // Process received SIGSTOP
+	Resumed                             // Process received SIGCONT
+	LinkFaulty                          // the traffic from Process to Peer, or connections opened in that direction, are subject to a fault
+	LinkHealed                          // that fault has ended
+	Logged                              // Process wrote a log line; Level, What, and Peer and Health if it concerns a member
+	Tried                               // Call was sent to Process; Span is the time allowed for its answer
+	Established                         // Call was established by Process, a final answer; What is the session description
+	Refused                             // Call was refused, a final answer
+	Failed                              // Call failed, a final answer
+	ExtraAnswer                         // Call received another final answer; What names it
+	Expired                             // Call received no answer within its time
+	Broken                              // Call's connection ended without an answer
+	Unsent                              // no gatekeeper was found for Call
+	ServerEstablished                   // server Process established Call; What is the session description
+	FaultBegan                          // a fault begins; What is its name
+	FaultEnded                          // a fault ends; What is its name
+	ViewRead                            // view of the fleet read from Process: What is its hash, Peer the members that are up (names separated by spaces)
+	RateRead                            // call rate of the fleet read from Process: Value calls per second, summed over the reports of members Peer; the oldest report is at least Span old
+	LimitChanged                        // the files of gatekeepers Process (names separated by spaces) allow Value calls per second and a burst of Class
+	DemandMoved                         // callers now place first calls at gatekeepers Process (names separated by +)
+	VerdictsRead                        // verdicts of the fleet read from Process: it excludes servers Peer (their numbers), busy numbers Class and client addresses Call
+	AnsweredLate                        // Call received its first answer from Process after its time
+	ProcessorDelayed                    // threads of Process (or Laboratory) were runnable but waited for a processor in the last Value seconds: Span in total, and Class microseconds the longest wait of a single thread
+	VerdictPhaseChanged                 // Process logged that its verdict on server Peer (its number) entered phase What
 	kinds
 )
 
@@ -65,8 +65,8 @@
 	return kindNames[k]
 }
 
-// KindNamed returns the kind with the given name; ok is false if there is none.
-func KindNamed(name string) (k Kind, ok bool) {
+// ParseKind returns the kind with the given name; ok is false if there is none.
+func ParseKind(name string) (k Kind, ok bool) {
 	i := slices.Index(kindNames[:], name)
 	return Kind(max(i, 0)), i > 0
 }
@@ -99,12 +99,12 @@
 
 // The rules that this package checks, in addition to the five of package history.
 const (
-	RuleFinal  = "each caller gets one final answer"
-	RuleServed = "served only what a server answered"
-	RuleGated  = "no new set-ups to a gated server"
-	RuleRuns   = "no process ends by itself"
-	RuleLog    = "no panic and no missed decision in a log"
-	RuleGiven  = "no member given up that runs and is reached"
+	RuleFinal   = "each caller gets one final answer"
+	RuleServed  = "served only what a server answered"
+	RuleGated   = "no new set-ups to a gated server"
+	RuleNoCrash = "no process ends by itself"
+	RuleLog     = "no panic and no missed decision in a log"
+	RuleGivenUp = "no member given up that runs and is reached"
 )
 
 // Tolerances of the check.
@@ -234,7 +234,7 @@
 func New(callerPrefix string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
 	c := &Checker{callerPrefix: callerPrefix, processes: map[string]*process{}, tries: map[string]sentCall{}, answers: map[string]sentCall{}, finalKinds: map[string]Kind{}, serverAnswers: map[string]string{},
 		findings: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
-	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleRuns, RuleLog, RuleGiven} {
+	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleNoCrash, RuleLog, RuleGivenUp} {
 		c.rule(rule)
 	}
 	for _, i := range invariants {
@@ -278,14 +278,14 @@
 	c.now = max(c.now, e.At)
 	evidence := func(what string) Evidence { return Evidence{e.At, e.Process, e.Call, e.Place.String(), what} }
 	switch e.Kind {
-	case Ready, Woken:
+	case Ready, Resumed:
 		if p := c.process(e.Process); open(p.down) {
 			p.down[len(p.down)-1].to = e.At + recoveryGrace
 		}
 		if e.Kind == Ready {
 			c.timeline.ready(e)
 		}
-	case Asked:
+	case StopRequested:
 		p := c.process(e.Process)
 		p.stopRequests = append(p.stopRequests, e.At)
 	case Stopped, Paused, Crashed:
@@ -293,10 +293,10 @@
 			p.down = append(p.down, span{from: e.At})
 		}
 		if e.Kind == Crashed {
-			c.addViolation(RuleRuns, evidence(e.What))
+			c.addViolation(RuleNoCrash, evidence(e.What))
 		}
 		c.timeline.down(e)
-	case Troubled, Healed:
+	case LinkFaulty, LinkHealed:
 		c.link(e)
 	case Logged:
 		c.logged = true
@@ -310,20 +310,20 @@
 		c.timeline.tried(e)
 	case Established, Refused, Failed:
 		c.answered(e, evidence)
-	case Second:
+	case ExtraAnswer:
 		c.extraAnswer(e, evidence("a second final answer: "+e.What))
 	case Expired, Broken:
 		c.unanswered(e, evidence)
 	case Unsent:
 		c.stats.Unsent++
 		c.timeline.outcome(e, false)
-	case Late:
+	case AnsweredLate:
 		c.delays.answered(e)
-	case Delayed:
+	case ProcessorDelayed:
 		c.delays.add(e)
-	case Given:
+	case ServerEstablished:
 		c.serverAnswers[e.Call] = e.What
-	case FaultFrom, FaultTo:
+	case FaultBegan, FaultEnded:
 		c.timeline.fault(e)
 	}
 	c.updateAgreement(e)
@@ -345,9 +345,9 @@
 	}
 	p := c.process(gatekeeper)
 	switch {
-	case e.Kind == Troubled && !open(p.link):
+	case e.Kind == LinkFaulty && !open(p.link):
 		p.link = append(p.link, span{from: e.At})
-	case e.Kind == Healed && open(p.link):
+	case e.Kind == LinkHealed && open(p.link):
 		p.link[len(p.link)-1].to = e.At + recoveryGrace
 	}
 }
@@ -532,7 +532,7 @@
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
 			f.Verdict, f.Why = history.NotShown, "no calls were sent"
-		case name == RuleGiven && len(c.viewAgreement.views) == 0:
+		case name == RuleGivenUp && len(c.viewAgreement.views) == 0:
 			f.Verdict, f.Why = history.NotShown, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
 			f.Verdict, f.Why = history.NotShown, "no log was read"
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -25,11 +25,11 @@
 
 // LimitStats describes how a run used its limit.
 type LimitStats struct {
-	Admitted int        `json:"admitted"`
-	Over     [3]float64 `json:"most_over"`     // largest number of calls above per_s x t in any window of 0.1, 1 and 10 s; up to burst is allowed
-	Bound    float64    `json:"most_of_bound"` // largest excess of any window over per_s x t + burst, in tokens; above 0 the rule is violated
-	Used     float64    `json:"used"`          // admitted fraction of the limit while callers offered more; -1: they never did
-	Moved    []float64  `json:"moved_s"`       // for each shift of demand, seconds until it used nine tenths of the limit for half a second; -1: never
+	Admitted    int        `json:"admitted"`
+	MostOver    [3]float64 `json:"most_over"`     // largest number of calls above per_s x t in any window of 0.1, 1 and 10 s; up to burst is allowed
+	MostOfBound float64    `json:"most_of_bound"` // largest excess of any window over per_s x t + burst, in tokens; above 0 the rule is violated
+	Used        float64    `json:"used"`          // admitted fraction of the limit while callers offered more; -1: they never did
+	ServedAfter []float64  `json:"moved_s"`       // for each shift of demand, seconds until it used nine tenths of the limit for half a second; -1: never
 }
 
 // Limit checks the admissions of all gatekeepers together, from their records, against the limit of the fleet: no window of any
@@ -69,8 +69,8 @@
 	return &Limit{perSecond: perSecond, burst: burst, settleTime: settleTime, faultLooseness: faultLooseness, resumeLooseness: resumeLooseness, tokens: burst, activeLooseness: map[string]float64{}}
 }
 
-// Measure sets the limit against which use and overshoot are measured, if it differs from the checked one. It returns l.
-func (l *Limit) Measure(perSecond float64) *Limit {
+// MeasureAgainst sets the limit against which use and overshoot are measured, if it differs from the checked one. It returns l.
+func (l *Limit) MeasureAgainst(perSecond float64) *Limit {
 	l.measuredPerSecond = perSecond
 	return l
 }
@@ -87,25 +87,25 @@
 	switch e.Kind {
 	case Tried:
 		l.tried = append(l.tried, e.At)
-	case Moved:
+	case DemandMoved:
 		l.moved = append(l.moved, e.At)
-	case Limited:
+	case LimitChanged:
 		burst, _ := strconv.ParseFloat(e.Class, 64)
 		at := e.At
 		if e.Value < l.perSecond {
 			at += l.settleTime
 		}
 		l.pendingChanges = append(l.pendingChanges, limitChange{at, e.Value, burst})
-	case FaultFrom:
+	case FaultBegan:
 		if looseness := l.faultLooseness[e.What]; looseness > 0 {
 			l.activeLooseness[e.What] = looseness
 		}
-	case FaultTo:
+	case FaultEnded:
 		if looseness := l.activeLooseness[e.What]; looseness > 0 {
 			delete(l.activeLooseness, e.What)
 			l.recentLooseness, l.recentUntil = looseness, e.At+loosenessExtension
 		}
-	case Woken:
+	case Resumed:
 		if l.resumeLooseness > 0 {
 			l.recentLooseness, l.recentUntil = l.resumeLooseness, e.At+loosenessExtension
 		}
@@ -163,17 +163,17 @@
 	if l.measuredPerSecond > 0 {
 		l.perSecond = l.measuredPerSecond
 	}
-	s := LimitStats{Admitted: len(l.admitted), Bound: l.maxExcess, Used: -1}
+	s := LimitStats{Admitted: len(l.admitted), MostOfBound: l.maxExcess, Used: -1}
 	for i, w := range OverWindows {
-		s.Over[i] = math.Inf(-1)
+		s.MostOver[i] = math.Inf(-1)
 		for from, to := 0, 0; to < len(l.admitted); to++ {
 			for l.admitted[to]-l.admitted[from] > w {
 				from++
 			}
-			s.Over[i] = max(s.Over[i], float64(to-from+1)-l.perSecond*float64(w)/1e6)
+			s.MostOver[i] = max(s.MostOver[i], float64(to-from+1)-l.perSecond*float64(w)/1e6)
 		}
 		if len(l.admitted) == 0 {
-			s.Over[i] = 0
+			s.MostOver[i] = 0
 		}
 	}
 	if len(l.tried) == 0 {
@@ -213,7 +213,7 @@
 				break
 			}
 		}
-		s.Moved = append(s.Moved, reachedAfter)
+		s.ServedAfter = append(s.ServedAfter, reachedAfter)
 	}
 	return s
 }
--- a/internal/fleetcheck/rates.go
+++ b/internal/fleetcheck/rates.go
@@ -50,7 +50,7 @@
 		}
 	case Ready:
 		delete(r.stopped, e.Process)
-	case Heard:
+	case RateRead:
 		for name := range strings.SplitSeq(e.Peer, " ") {
 			if since, ok := r.stopped[name]; ok && e.At-since > r.registerLifetime+readingSlack {
 				report(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("still counts calls of %s, which stopped %d ms ago", name, (e.At-since)/1000)})
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -18,16 +18,16 @@
 
 // Settled describes how the fleet recovered from one fault.
 type Settled struct {
-	Fault   string         `json:"fault"`
-	From    control.Micros `json:"from"`
-	To      control.Micros `json:"to"`
-	Before  float64        `json:"stood_before"`       // share of established calls over the 3 s before the fault
-	During  float64        `json:"stood_during"`       // share of established calls during the fault
-	Took    control.Micros `json:"settled_us"`         // from the end of the fault; -1: not within the run, or too few calls to measure
-	Noticed control.Micros `json:"noticed_us"`         // from the beginning of the fault until the views of all running gatekeepers contain just these; -1: not before its end
-	Agreed  control.Micros `json:"agreed_us"`          // from the end of the fault, or until all are ready, until all views are equal and contain all; -1: not within the run
-	Whole   control.Micros `json:"whole_at,omitempty"` // time of that agreement; 0: not within the run
-	Overlap bool           `json:"overlapped"`         // another fault was active before this one settled
+	Fault       string         `json:"fault"`
+	From        control.Micros `json:"from"`
+	To          control.Micros `json:"to"`
+	ShareBefore float64        `json:"stood_before"`       // share of established calls over the 3 s before the fault
+	ShareDuring float64        `json:"stood_during"`       // share of established calls during the fault
+	SettleTime  control.Micros `json:"settled_us"`         // from the end of the fault; -1: not within the run, or too few calls to measure
+	Noticed     control.Micros `json:"noticed_us"`         // from the beginning of the fault until the views of all running gatekeepers contain just these; -1: not before its end
+	Agreed      control.Micros `json:"agreed_us"`          // from the end of the fault, or until all are ready, until all views are equal and contain all; -1: not within the run
+	AgreedAt    control.Micros `json:"whole_at,omitempty"` // time of that agreement; 0: not within the run
+	Overlapped  bool           `json:"overlapped"`         // another fault was active before this one settled
 }
 
 // Bucket counts the outcomes of the calls that were sent in one tenth of a second.
@@ -109,9 +109,9 @@
 	if t.faultIndex == nil {
 		t.faultIndex = map[string]int{}
 	}
-	if e.Kind == FaultFrom {
+	if e.Kind == FaultBegan {
 		t.faultIndex[e.What] = len(t.faults)
-		t.faults = append(t.faults, Settled{Fault: e.What, From: e.At, Took: -1})
+		t.faults = append(t.faults, Settled{Fault: e.What, From: e.At, SettleTime: -1})
 		return
 	}
 	if i, ok := t.faultIndex[e.What]; ok && t.faults[i].To == 0 {
@@ -145,9 +145,9 @@
 		if f.To == 0 {
 			continue
 		}
-		f.Before, _ = t.establishedShare(f.From-baselineLength, f.From)
-		f.During, _ = t.establishedShare(f.From, f.To)
-		goal := f.Before * recoveredShare
+		f.ShareBefore, _ = t.establishedShare(f.From-baselineLength, f.From)
+		f.ShareDuring, _ = t.establishedShare(f.From, f.To)
+		goal := f.ShareBefore * recoveredShare
 		from := f.To
 		for _, spans := range t.notReady {
 			for _, s := range spans {
@@ -166,14 +166,14 @@
 		end := t.rows[len(t.rows)-1].At + bucketLength
 		for at := from; at+windowBuckets*bucketLength <= end; at += bucketLength {
 			if p, ok := t.establishedShare(at, at+windowBuckets*bucketLength); ok && p >= goal {
-				f.Took = at - f.To
+				f.SettleTime = at - f.To
 				break
 			}
 		}
 		for j, other := range results {
-			settledAt := f.To + max(f.Took, 0)
+			settledAt := f.To + max(f.SettleTime, 0)
 			if j != i && other.From < settledAt && (other.To == 0 || other.To > f.From) {
-				f.Overlap = true
+				f.Overlapped = true
 			}
 		}
 	}
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -21,18 +21,18 @@
 	exclusionSlack    = control.Micros(600000)  // a set-up may be in flight, and a reading may be one interval old
 )
 
-// RudeAddress is the source address of the laboratory's clients that send malformed messages. No other clients use it.
-const RudeAddress = "127.0.0.9"
+// MalformedClientAddress is the source address of the laboratory's clients that send malformed messages. No other clients use it.
+const MalformedClientAddress = "127.0.0.9"
 
 // VerdictStats describes the verdicts of a run.
 type VerdictStats struct {
-	Convicted int     `json:"convicted"`              // verdicts on servers, counted when the first member has them
-	Called    int     `json:"convicted_while_called"` // verdicts not later than the callers' last call
-	Wrongful  int     `json:"wrongful"`               // verdicts on servers without a fault
-	First     float64 `json:"first_out_s"`            // seconds from the first fault of a server until the first member excludes a server; -1: never
-	All       float64 `json:"all_out_s"`              // seconds until all running members exclude it; -1: never
-	Numbers   int     `json:"numbers_held_busy"`      // busy numbers, counted once for each member
-	Sent      int     `json:"setups_while_kept_out"`  // set-ups that a gatekeeper sent to a server that it excluded
+	Convicted            int     `json:"convicted"`              // verdicts on servers, counted when the first member has them
+	ConvictedWhileCalled int     `json:"convicted_while_called"` // verdicts not later than the callers' last call
+	Wrongful             int     `json:"wrongful"`               // verdicts on servers without a fault
+	FirstExclusion       float64 `json:"first_out_s"`            // seconds from the first fault of a server until the first member excludes a server; -1: never
+	AllExcluded          float64 `json:"all_out_s"`              // seconds until all running members exclude it; -1: never
+	BusyNumbers          int     `json:"numbers_held_busy"`      // busy numbers, counted once for each member
+	SentWhileExcluded    int     `json:"setups_while_kept_out"`  // set-ups that a gatekeeper sent to a server that it excluded
 }
 
 // exclusion is the interval in which the readings of a member show a server as excluded.
@@ -74,7 +74,7 @@
 func NewVerdicts(callerPrefix string, affectedServers map[string][]uint32, affectedNumbers map[string]string) *Verdicts {
 	return &Verdicts{callerPrefix: callerPrefix, affectedServers: affectedServers, affectedNumbers: affectedNumbers, busyUntil: map[string]control.Micros{}, busyMembers: map[string]map[string]bool{}, faultEnd: map[uint32]control.Micros{}, activeFaults: map[uint32]int{},
 		running: map[string]control.Micros{}, exclusions: map[string]map[uint32]*exclusion{}, pastExclusions: map[string]map[uint32][]exclusion{},
-		firstExcluded: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{First: -1, All: -1}}
+		firstExcluded: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{FirstExclusion: -1, AllExcluded: -1}}
 }
 
 // phaseChange is the beginning of a phase of a verdict on a server.
@@ -120,7 +120,7 @@
 // Event implements Invariant.
 func (v *Verdicts) Event(e *Event, report func(Evidence)) {
 	switch e.Kind {
-	case FaultFrom:
+	case FaultBegan:
 		if n := v.affectedNumbers[e.What]; n != "" {
 			v.busyUntil[n] = 0
 		}
@@ -130,7 +130,7 @@
 				v.firstFault = e.At
 			}
 		}
-	case FaultTo:
+	case FaultEnded:
 		if n := v.affectedNumbers[e.What]; n != "" {
 			v.busyUntil[n] = e.At + evidenceLifetime
 		}
@@ -138,26 +138,26 @@
 			v.activeFaults[id]--
 			v.faultEnd[id] = e.At
 		}
-	case Ready, Woken:
+	case Ready, Resumed:
 		v.running[e.Process] = e.At
-	case Stopped, Crashed, Paused, Asked:
+	case Stopped, Crashed, Paused, StopRequested:
 		delete(v.running, e.Process)
 		delete(v.exclusions, e.Process)
-	case Troubled, Healed:
+	case LinkFaulty, LinkHealed:
 		if strings.HasPrefix(e.Process, v.callerPrefix) || strings.HasPrefix(e.Peer, v.callerPrefix) {
 			return
 		}
 		v.lastLinkChange = e.At
-		if e.Kind == Troubled {
+		if e.Kind == LinkFaulty {
 			v.faultyLinks++
 		} else {
 			v.faultyLinks--
 		}
 	case Tried:
 		v.lastCall = e.At
-	case Changed:
+	case VerdictPhaseChanged:
 		v.phaseChanged(e)
-	case Judged:
+	case VerdictsRead:
 		v.verdictsRead(e, report)
 	}
 }
@@ -180,7 +180,7 @@
 		v.busyMembers[n][e.Process] = true
 	}
 	for address := range strings.FieldsSeq(e.Call) {
-		if address != RudeAddress {
+		if address != MalformedClientAddress {
 			report(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends no malformed messages"})
 		}
 	}
@@ -281,24 +281,24 @@
 	for _, e := range v.sent {
 		for _, s := range v.pastExclusions[e.Node][e.Server] {
 			if e.At > s.from+exclusionSlack && e.At < s.to-exclusionSlack && !v.onTrial(e.Node, e.Server, e.At) {
-				v.stats.Sent++
+				v.stats.SentWhileExcluded++
 				report(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it excluded", e.Server)})
 			}
 		}
 	}
 	for _, at := range v.convicted {
 		if at <= v.lastCall {
-			v.stats.Called++
+			v.stats.ConvictedWhileCalled++
 		}
 	}
 	for _, by := range v.busyMembers {
-		v.stats.Numbers += len(by)
+		v.stats.BusyNumbers += len(by)
 	}
 	if v.firstFault > 0 && v.firstExclusion > v.firstFault {
-		v.stats.First = float64(v.firstExclusion-v.firstFault) / 1e6
+		v.stats.FirstExclusion = float64(v.firstExclusion-v.firstFault) / 1e6
 	}
 	if v.firstFault > 0 && v.allExcluded > v.firstFault {
-		v.stats.All = float64(v.allExcluded-v.firstFault) / 1e6
+		v.stats.AllExcluded = float64(v.allExcluded-v.firstFault) / 1e6
 	}
 }
 
--- a/internal/fleetcheck/views.go
+++ b/internal/fleetcheck/views.go
@@ -47,24 +47,24 @@
 		a.running, a.views, a.lastDown = map[string]bool{}, map[string]viewReading{}, map[string]control.Micros{}
 	}
 	switch e.Kind {
-	case Ready, Woken:
+	case Ready, Resumed:
 		a.running[e.Process] = true
 		a.lastDown[e.Process] = e.At
-	case Stopped, Crashed, Paused, Asked:
+	case Stopped, Crashed, Paused, StopRequested:
 		delete(a.running, e.Process)
 		a.lastDown[e.Process] = e.At
-	case Troubled, Healed:
+	case LinkFaulty, LinkHealed:
 		if strings.HasPrefix(e.Process, c.callerPrefix) || strings.HasPrefix(e.Peer, c.callerPrefix) {
 			return
 		}
 		a.lastFault = e.At
-		if e.Kind == Troubled {
+		if e.Kind == LinkFaulty {
 			a.activeFaults++
 		} else {
 			a.activeFaults--
 		}
 		return
-	case Viewed:
+	case ViewRead:
 		a.views[e.Process] = viewReading{e.At, e.What, e.Peer}
 	default:
 		return
@@ -151,7 +151,7 @@
 			}
 		}
 		if at := c.viewAgreement.firstLasting(from+1, c.now, next); at >= 0 {
-			f.Agreed, f.Whole = at-from, at
+			f.Agreed, f.AgreedAt = at-from, at
 		}
 	}
 	return faults
@@ -165,8 +165,8 @@
 	ownAt, ownKnown := a.lastDown[e.Process]
 	if !a.running[e.Peer] || !a.running[e.Process] || a.activeFaults > 0 || a.lastFault > 0 && e.At-a.lastFault < faultAftermath ||
 		recent(memberAt, memberKnown && memberAt > c.timeline.begin) || recent(ownAt, ownKnown && ownAt > c.timeline.begin) {
-		c.rule(RuleGiven).Excused++
+		c.rule(RuleGivenUp).Excused++
 		return
 	}
-	c.addViolation(RuleGiven, evidence)
+	c.addViolation(RuleGivenUp, evidence)
 }
--- a/internal/relay/condition.go
+++ b/internal/relay/condition.go
@@ -58,12 +58,12 @@
 // isZero reports whether the condition forwards everything unchanged.
 func (c Condition) isZero() bool { return c == Condition{} }
 
-// Door is the way a link treats connections, in addition to the conditions of its two directions.
-type Door int
+// Mode is the way a link treats connections, in addition to the conditions of its two directions.
+type Mode int
 
 // The modes of a link.
 const (
-	Open      Door = iota // connections are forwarded
+	Open      Mode = iota // connections are forwarded
 	Refuse                // new connections are refused, open ones are reset
 	BlackHole             // connections are accepted and never answered; open ones stop forwarding
 )
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -43,7 +43,7 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	target      string // address at which To serves; empty while unknown or down
-	mode        Door
+	mode        Mode
 	listener    net.Listener
 	pairs       map[*pair]struct{}
 	returnPaths map[string]*net.UDPConn
@@ -103,8 +103,8 @@
 	return l, n.addLink(l)
 }
 
-// Both opens one link for connections and one for datagrams at the same address.
-func (n *Network) Both(from, to, service string) (tcp, udp *Link, err error) {
+// TCPAndUDP opens one link for connections and one for datagrams at the same address.
+func (n *Network) TCPAndUDP(from, to, service string) (tcp, udp *Link, err error) {
 	for range 20 { // the UDP port of the same number may be in use
 		if tcp, err = n.TCP(from, to, service); err != nil {
 			return nil, nil, err
@@ -167,7 +167,7 @@
 	l.updateListener()
 }
 
-func (l *Link) setMode(d Door) {
+func (l *Link) setMode(d Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mode = d
@@ -175,7 +175,7 @@
 }
 
 // connectTarget returns the address to forward to and the mode of the link, which is Refuse while the target is unknown or down.
-func (l *Link) connectTarget() (string, Door) {
+func (l *Link) connectTarget() (string, Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target == "" {
--- a/internal/relay/network.go
+++ b/internal/relay/network.go
@@ -63,8 +63,8 @@
 	return rand.New(rand.NewPCG(n.seed, n.rngCount))
 }
 
-// Set applies a condition to the traffic from one process to another, in that direction only.
-func (n *Network) Set(from, to string, c Condition) error {
+// SetCondition applies a condition to the traffic from one process to another, in that direction only.
+func (n *Network) SetCondition(from, to string, c Condition) error {
 	if err := c.Check(); err != nil {
 		return fmt.Errorf("link %s to %s: %w", from, to, err)
 	}
@@ -106,8 +106,8 @@
 	}
 }
 
-// SetDoor sets how the links from one process to another treat connections.
-func (n *Network) SetDoor(from, to string, d Door) {
+// SetMode sets how the links from one process to another treat connections.
+func (n *Network) SetMode(from, to string, d Mode) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links[[2]string{from, to}] {
