--- a/internal/fleetcheck/delays_test.go
+++ b/internal/fleetcheck/delays_test.go
@@ -65,10 +65,10 @@
 // A late answer in a gatekeeper's own records is excused by the measured waits of that gatekeeper alone.
 func TestLateRecordsAreExcusedByMeasuredWaitsAlone(t *testing.T) {
 	for _, row := range []struct {
-		waits            string
-		span             control.Micros
-		answered         control.Micros
-		broken, excluded int
+		waits           string
+		span            control.Micros
+		answered        control.Micros
+		broken, excused int
 	}{
 		{"g1", 0, 2120, 1, 0}, {"g1", 80, 2120, 0, 1}, {"g1", 60, 2120, 1, 0}, {"g2", 80, 2120, 1, 0},
 		{Laboratory, 80, 2120, 1, 0}, // its records do not depend on the laboratory
@@ -87,7 +87,7 @@
 			}
 			c.Record(&e, Place{})
 		}
-		if f := find(t, c.Result(), "records: "+history.RuleAnswer); f.Count != row.broken || f.Excused != row.excluded {
+		if f := find(t, c.Result(), "records: "+history.RuleAnswer); f.Count != row.broken || f.Excused != row.excused {
 			t.Errorf("%+v: %+v", row, f)
 		}
 	}
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -29,8 +29,8 @@
 	Crashed                             // Process ended by itself; What describes how
 	Paused                              // Process received SIGSTOP
 	Resumed                             // Process received SIGCONT
-	LinkFaulty                          // the traffic from Process to Peer, or connections opened in that direction, are subject to a fault
-	LinkHealed                          // that fault has ended
+	LinkFaulty                          // a fault begins on the traffic from Process to Peer or on connections opened in that direction
+	LinkHealed                          // that fault ends
 	Logged                              // Process wrote a log line; Level, What, and Peer and Health if it concerns a member
 	Tried                               // Call was sent to Process; Span is the time allowed for its answer
 	Established                         // Call was established by Process, a final answer; What is the session description
@@ -43,23 +43,23 @@
 	ServerEstablished                   // server Process established Call; What is the session description
 	FaultBegan                          // a fault begins; What is its name
 	FaultEnded                          // a fault ends; What is its name
-	ViewRead                            // view of the fleet read from Process: What is its hash, Peer the members that are up (names separated by spaces)
-	RateRead                            // call rate of the fleet read from Process: Value calls per second, summed over the reports of members Peer; the oldest report is at least Span old
+	ViewRead                            // Process has a view of the fleet with hash What and members Peer up (names separated by spaces)
+	RateRead                            // Process counts Value calls per second from the reports of members Peer; the oldest is at least Span old
 	LimitChanged                        // the files of gatekeepers Process (names separated by spaces) allow Value calls per second and a burst of Class
 	DemandMoved                         // callers now place first calls at gatekeepers Process (names separated by +)
-	VerdictsRead                        // verdicts of the fleet read from Process: it excludes servers Peer (their numbers), busy numbers Class and client addresses Call
+	VerdictsRead                        // Process excludes servers Peer (their numbers), busy numbers Class and client addresses Call
 	AnsweredLate                        // Call received its first answer from Process after its time
-	ProcessorDelayed                    // threads of Process (or Laboratory) were runnable but waited for a processor in the last Value seconds: Span in total, and Class microseconds the longest wait of a single thread
+	ProcessorDelayed                    // runnable threads of Process (or Laboratory) waited for a processor in the last Value seconds: Span in all, one of them Class microseconds
 	VerdictPhaseChanged                 // Process logged that its verdict on server Peer (its number) entered phase What
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{"", "ready", "asked", "stopped", "crashed", "paused", "woken", "troubled", "healed", "logged", "tried",
+var kindNames = [kindCount]string{"", "ready", "asked", "stopped", "crashed", "paused", "woken", "troubled", "healed", "logged", "tried",
 	"stood", "refused", "failed", "second", "expired", "broken", "unsent", "given", "fault from", "fault to", "viewed", "heard", "limited", "moved", "judged", "late", "delayed", "changed"}
 
 // String returns the name of the kind as written to event files.
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return "unknown"
 	}
 	return kindNames[k]
@@ -200,19 +200,19 @@
 type Checker struct {
 	callerPrefix       string
 	processes          map[string]*process
-	tries              map[string]sentCall
+	pendingCalls       map[string]sentCall // calls without an outcome
 	answers            map[string]sentCall // final answers by call
-	finalKinds         map[string]Kind
-	serverAnswers      map[string]string
+	finalKinds         map[string]Kind     // outcomes by call
+	serverAnswers      map[string]string   // session descriptions by call, from the servers
 	possibleViolations []possibleViolation
 	findings           map[string]*Finding
-	order              []string
+	order              []string // rules in order of findings
 	invariants         []Invariant
 	records            *history.Checker
 	stats              Stats
-	now                control.Micros
+	now                control.Micros // time of the latest event
 	timeline           timeline
-	logged             bool
+	logged             bool // whether any log was read
 	viewAgreement      viewAgreement
 	delays             delays
 }
@@ -232,7 +232,7 @@
 // New returns a checker. The names of the callers' processes, and of no others, begin with callerPrefix. capacities holds the set-ups
 // per second of each warm server, by its number in the records.
 func New(callerPrefix string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
-	c := &Checker{callerPrefix: callerPrefix, processes: map[string]*process{}, tries: map[string]sentCall{}, answers: map[string]sentCall{}, finalKinds: map[string]Kind{}, serverAnswers: map[string]string{},
+	c := &Checker{callerPrefix: callerPrefix, processes: map[string]*process{}, pendingCalls: map[string]sentCall{}, answers: map[string]sentCall{}, finalKinds: map[string]Kind{}, serverAnswers: map[string]string{},
 		findings: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
 	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleNoCrash, RuleLog, RuleGivenUp} {
 		c.rule(rule)
@@ -306,7 +306,7 @@
 		c.log(e, evidence)
 	case Tried:
 		c.stats.Tries++
-		c.tries[e.Call] = sentCall{*e, e.Process}
+		c.pendingCalls[e.Call] = sentCall{*e, e.Process}
 		c.timeline.tried(e)
 	case Established, Refused, Failed:
 		c.answered(e, evidence)
@@ -358,13 +358,13 @@
 	switch {
 	case e.Level == "panic" || e.Level == "fatal":
 		c.addViolation(RuleLog, evidence(e.Level+": "+e.What))
-	case e.Level == "error" && isMissed(e.What):
+	case e.Level == "error" && isModuleFailure(e.What):
 		c.possibleViolations = append(c.possibleViolations, possibleViolation{rule: RuleLog, from: e.At - 5e6, Evidence: evidence(e.What)})
 	}
 }
 
-// isMissed reports whether a log message is about a missed decision or a panic of the module.
-func isMissed(what string) bool {
+// isModuleFailure reports whether a log message is about a missed decision or a panic of the module.
+func isModuleFailure(what string) bool {
 	const missed, panicked = "no decision by the deadline", "module panicked"
 	return len(what) >= len(missed) && what[:len(missed)] == missed || len(what) >= len(panicked) && what[:len(panicked)] == panicked
 }
@@ -376,8 +376,8 @@
 		return
 	}
 	c.finalKinds[e.Call] = e.Kind
-	sent, known := c.tries[e.Call]
-	delete(c.tries, e.Call)
+	sent, known := c.pendingCalls[e.Call]
+	delete(c.pendingCalls, e.Call)
 	if !known {
 		c.addViolation(RuleFinal, evidence("an answer to a set-up that no caller sent"))
 		return
@@ -402,8 +402,8 @@
 
 // unanswered processes the end of a call that received no final answer.
 func (c *Checker) unanswered(e *Event, evidence func(string) Evidence) {
-	sent, known := c.tries[e.Call]
-	delete(c.tries, e.Call)
+	sent, known := c.pendingCalls[e.Call]
+	delete(c.pendingCalls, e.Call)
 	if !known { // no gatekeeper was found for it: counted as Unsent
 		return
 	}
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -112,7 +112,7 @@
 				t.Errorf("broken %d, excused %d: %+v", f.Count, f.Excused, f)
 			}
 			if (row.broken > 0) == r.Held() {
-				t.Errorf("held %v with %d violations", r.Held(), row.broken)
+				t.Errorf("Held is %v with %d violations", r.Held(), row.broken)
 			}
 			if row.broken > 0 && (r.Rule != row.rule || r.First.Process != "g1" || r.First.Place == "") {
 				t.Errorf("first broken: %s, %v", r.Rule, r.First)
@@ -323,8 +323,8 @@
 		kind Kind           // 0: n calls are admitted
 		n    int
 	}
-	run := func(loose float64, rows ...row) Finding {
-		l := NewLimit(10, 5, 2e6, map[string]float64{"1 delay": loose}, 0)
+	run := func(looseness float64, rows ...row) Finding {
+		l := NewLimit(10, 5, 2e6, map[string]float64{"1 delay": looseness}, 0)
 		c := New("front-", nil, l)
 		start := at(0, Tried, "g1")
 		c.Event(&start)
@@ -363,9 +363,9 @@
 // Verdicts on a server without a fault, verdicts that a member misses and set-ups to an excluded server are reported; verdicts on a
 // faulty server are not.
 func TestVerdictsRule(t *testing.T) {
-	verdicts := func(when control.Micros, who, held string) Event {
+	verdicts := func(when control.Micros, who, servers string) Event {
 		e := at(when, VerdictsRead, who)
-		e.Peer = held
+		e.Peer = servers
 		return e
 	}
 	run := func(faulty bool, sent control.Micros, events ...Event) Finding {
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -20,7 +20,7 @@
 	servedWindow = control.Micros(500000)  // window over which that fraction is measured
 )
 
-// OverWindows are the window lengths of LimitStats.Over.
+// OverWindows are the window lengths of LimitStats.MostOver.
 var OverWindows = [3]control.Micros{100000, 1000000, 10000000}
 
 // LimitStats describes how a run used its limit.
@@ -42,16 +42,16 @@
 	faultLooseness    map[string]float64 // by fault: multiple of the limit that may be admitted in addition during the fault
 	resumeLooseness   float64            // the same after a gatekeeper resumes from a pause
 
-	tokens          float64
-	filledAt        control.Micros
-	pendingChanges  []limitChange
-	activeLooseness map[string]float64
-	recentUntil     control.Micros // end of the looseness after a fault ended or a gatekeeper resumed
-	recentLooseness float64
-	maxExcess       float64
-	admitted        []control.Micros
-	tried           []control.Micros
-	moved           []control.Micros
+	tokens          float64            // in the bucket; negative after an excess
+	filledAt        control.Micros     // time of the last fill
+	pendingChanges  []limitChange      // not yet in force, in order of time
+	activeLooseness map[string]float64 // by active fault
+	recentUntil     control.Micros     // end of the looseness after a fault ended or a gatekeeper resumed
+	recentLooseness float64            // looseness until recentUntil
+	maxExcess       float64            // largest number of tokens short
+	admitted        []control.Micros   // times of admissions
+	callTimes       []control.Micros   // times at which callers sent calls
+	demandMoves     []control.Micros   // times at which demand moved
 }
 
 // limitChange is a new limit and the time from which it is in force.
@@ -86,9 +86,9 @@
 	l.advance(e.At)
 	switch e.Kind {
 	case Tried:
-		l.tried = append(l.tried, e.At)
+		l.callTimes = append(l.callTimes, e.At)
 	case DemandMoved:
-		l.moved = append(l.moved, e.At)
+		l.demandMoves = append(l.demandMoves, e.At)
 	case LimitChanged:
 		burst, _ := strconv.ParseFloat(e.Class, 64)
 		at := e.At
@@ -176,7 +176,7 @@
 			s.MostOver[i] = 0
 		}
 	}
-	if len(l.tried) == 0 {
+	if len(l.callTimes) == 0 {
 		return s
 	}
 	countBetween := func(all []control.Micros, from, to control.Micros) float64 {
@@ -185,15 +185,15 @@
 		return float64(b - a)
 	}
 	var used, available float64
-	starts := append([]control.Micros{l.tried[0]}, l.moved...)
-	end := l.tried[len(l.tried)-1]
+	starts := append([]control.Micros{l.callTimes[0]}, l.demandMoves...)
+	end := l.callTimes[len(l.callTimes)-1]
 	for i, from := range starts {
 		to := end
 		if i+1 < len(starts) {
 			to = starts[i+1]
 		}
 		from += limitWarmup
-		if seconds := float64(to-from) / 1e6; seconds > 1 && countBetween(l.tried, from, to) > l.perSecond*seconds {
+		if seconds := float64(to-from) / 1e6; seconds > 1 && countBetween(l.callTimes, from, to) > l.perSecond*seconds {
 			used += countBetween(l.admitted, from, to)
 			available += l.perSecond * seconds
 		}
@@ -201,10 +201,10 @@
 	if available > 0 {
 		s.Used = used / available
 	}
-	for i, from := range l.moved {
+	for i, from := range l.demandMoves {
 		to := end
-		if i+1 < len(l.moved) {
-			to = l.moved[i+1]
+		if i+1 < len(l.demandMoves) {
+			to = l.demandMoves[i+1]
 		}
 		reachedAfter := -1.0
 		for at := from; at+servedWindow <= to; at += 50000 {
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -41,7 +41,7 @@
 // timeline holds the outcomes of calls over time and the faults of a run.
 type timeline struct {
 	begin      control.Micros
-	rows       []Bucket
+	outcomes   []Bucket
 	at         map[string]int // index of the bucket of each call without an outcome
 	faults     []Settled
 	notReady   map[string][]span
@@ -54,8 +54,8 @@
 		t.begin, t.at = at, map[string]int{}
 	}
 	i := int(max(at-t.begin, 0) / bucketLength)
-	for len(t.rows) <= i {
-		t.rows = append(t.rows, Bucket{At: t.begin + control.Micros(len(t.rows))*bucketLength})
+	for len(t.outcomes) <= i {
+		t.outcomes = append(t.outcomes, Bucket{At: t.begin + control.Micros(len(t.outcomes))*bucketLength})
 	}
 	return i
 }
@@ -63,7 +63,7 @@
 // tried counts a call that was sent.
 func (t *timeline) tried(e *Event) {
 	i := t.bucket(e.At)
-	t.rows[i].Tries++
+	t.outcomes[i].Tries++
 	t.at[e.Call] = i
 }
 
@@ -72,10 +72,10 @@
 	i, known := t.at[e.Call]
 	if !known { // never sent
 		i = t.bucket(e.At)
-		t.rows[i].Tries++
+		t.outcomes[i].Tries++
 	}
 	delete(t.at, e.Call)
-	switch row := &t.rows[i]; {
+	switch row := &t.outcomes[i]; {
 	case established:
 		row.Established++
 	case e.Kind == Refused:
@@ -120,12 +120,12 @@
 }
 
 // buckets returns a copy of all buckets.
-func (t *timeline) buckets() []Bucket { return slices.Clone(t.rows) }
+func (t *timeline) buckets() []Bucket { return slices.Clone(t.outcomes) }
 
 // establishedShare returns the share of established calls among those sent between two times; ok is false if there are too few calls.
 func (t *timeline) establishedShare(from, to control.Micros) (share float64, ok bool) {
 	tries, established := 0, 0
-	for _, b := range t.rows {
+	for _, b := range t.outcomes {
 		if b.At+bucketLength > from && b.At < to {
 			tries += b.Tries
 			established += b.Established
@@ -160,10 +160,10 @@
 				}
 			}
 		}
-		if from < 0 || len(t.rows) == 0 {
+		if from < 0 || len(t.outcomes) == 0 {
 			continue
 		}
-		end := t.rows[len(t.rows)-1].At + bucketLength
+		end := t.outcomes[len(t.outcomes)-1].At + bucketLength
 		for at := from; at+windowBuckets*bucketLength <= end; at += bucketLength {
 			if p, ok := t.establishedShare(at, at+windowBuckets*bucketLength); ok && p >= goal {
 				f.SettleTime = at - f.To
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -164,10 +164,10 @@
 
 // verdictsRead processes a reading of the verdicts that are in force at a gatekeeper.
 func (v *Verdicts) verdictsRead(e *Event, report func(Evidence)) {
-	var held []uint32
+	var excluded []uint32
 	for _, word := range strings.Fields(e.Peer) {
 		if n, err := strconv.ParseUint(word, 10, 32); err == nil {
-			held = append(held, uint32(n))
+			excluded = append(excluded, uint32(n))
 		}
 	}
 	for n := range strings.FieldsSeq(e.Class) {
@@ -181,7 +181,7 @@
 	}
 	for address := range strings.FieldsSeq(e.Call) {
 		if address != MalformedClientAddress {
-			report(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends no malformed messages"})
+			report(Evidence{e.At, e.Process, "", e.Place.String(), "rejects clients at " + address + ", which sends no malformed messages"})
 		}
 	}
 	own := v.exclusions[e.Process]
@@ -190,7 +190,7 @@
 		v.exclusions[e.Process] = own
 	}
 	for id, s := range own {
-		if !slices.Contains(held, id) {
+		if !slices.Contains(excluded, id) {
 			s.to = s.last
 			if v.pastExclusions[e.Process] == nil {
 				v.pastExclusions[e.Process] = map[uint32][]exclusion{}
@@ -199,7 +199,7 @@
 			delete(own, id)
 		}
 	}
-	for _, id := range held {
+	for _, id := range excluded {
 		if own[id] == nil {
 			own[id] = &exclusion{from: e.At}
 			if !v.excludedByOther(id, e.Process) {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -29,8 +29,8 @@
 	From, To string
 	service  string
 	network  *Network
-	forth    *direction // from From to To
-	back     *direction // from To to From
+	outbound *direction // from From to To
+	inbound  *direction // from To to From
 
 	port            int
 	portGuard       int // bound socket that reserves the port while the listener is closed; -1 for UDP
@@ -131,7 +131,7 @@
 	if n.closed {
 		return nil, errors.New("relay: the network is closed")
 	}
-	return &Link{From: from, To: to, service: service, network: n, forth: n.direction(from, to), back: n.direction(to, from),
+	return &Link{From: from, To: to, service: service, network: n, outbound: n.direction(from, to), inbound: n.direction(to, from),
 		portGuard: -1, rng: n.rng(), pairs: map[*pair]struct{}{}}, nil
 }
 
@@ -147,7 +147,7 @@
 	return (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: l.port}).String()
 }
 
-func (l *Link) random() float64 {
+func (l *Link) randomFloat() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
@@ -315,8 +315,8 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.forward(p.near, p.far, l.forth, true) })
-	both.Go(func() { p.forward(p.far, p.near, l.back, false) })
+	both.Go(func() { p.forward(p.near, p.far, l.outbound, true) })
+	both.Go(func() { p.forward(p.far, p.near, l.inbound, false) })
 	both.Wait()
 }
 
@@ -325,8 +325,8 @@
 func (p *pair) connect() bool {
 	l := p.link
 	for {
-		f, fChanged := l.forth.now()
-		b, bChanged := l.back.now()
+		f, fChanged := l.outbound.now()
+		b, bChanged := l.inbound.now()
 		if !f.Cut && !b.Cut {
 			break
 		}
@@ -370,7 +370,7 @@
 
 // forward forwards one direction until its end of stream. It reads data and stamps it with its due time; a writer goroutine holds
 // it back until then and while the direction is cut. The end of the stream and a reset stay in order with the data.
-func (p *pair) forward(from, to *net.TCPConn, d *direction, forth bool) {
+func (p *pair) forward(from, to *net.TCPConn, d *direction, outbound bool) {
 	queue := make(chan piece, maxQueuedChunks)
 	var writer sync.WaitGroup
 	writer.Go(func() { p.write(to, d, queue) })
@@ -387,16 +387,16 @@
 			if most := p.link.resetAfterBytes.Load(); most > 0 && total >= most {
 				// The bytes before the limit are forwarded first, so that the far side receives part of a message.
 				part := max(int64(n)-(total-most), 0)
-				last = dueTime(last, now, c, int(part), p.link.random)
+				last = dueTime(last, now, c, int(part), p.link.randomFloat)
 				queue <- piece{data: buf[:part], dueTime: last}
 				queue <- piece{reset: true, dueTime: last}
 				return
 			}
-			if forth {
+			if outbound {
 				p.link.bytes.Add(int64(n))
 				p.link.packets.Add(1)
 			}
-			last = dueTime(last, now, c, n, p.link.random)
+			last = dueTime(last, now, c, n, p.link.randomFloat)
 			select {
 			case queue <- piece{data: buf[:n], dueTime: last}:
 			case <-p.done:
@@ -404,7 +404,7 @@
 			}
 		}
 		if err != nil {
-			last = dueTime(last, now, c, 0, p.link.random)
+			last = dueTime(last, now, c, 0, p.link.randomFloat)
 			select {
 			case queue <- piece{end: true, reset: err != io.EOF, dueTime: last}:
 			case <-p.done:
@@ -503,7 +503,7 @@
 		l.bytes.Add(int64(n))
 		l.packets.Add(1)
 		data := append([]byte(nil), buf[:n]...)
-		if !l.sendDatagram(l.forth, n, func() { path.Write(data) }) {
+		if !l.sendDatagram(l.outbound, n, func() { path.Write(data) }) {
 			l.dropped.Add(1)
 		}
 	}
@@ -513,7 +513,7 @@
 // It reports whether the datagram is sent.
 func (l *Link) sendDatagram(d *direction, size int, send func()) bool {
 	c, _ := d.now()
-	if _, mode := l.connectTarget(); c.Cut || mode != Open || c.Loss > 0 && l.random() < c.Loss {
+	if _, mode := l.connectTarget(); c.Cut || mode != Open || c.Loss > 0 && l.randomFloat() < c.Loss {
 		return false
 	}
 	if c.isZero() {
@@ -521,12 +521,12 @@
 		return true
 	}
 	copies := 1
-	if c.Duplicate > 0 && l.random() < c.Duplicate {
+	if c.Duplicate > 0 && l.randomFloat() < c.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		wait := time.Until(dueTime(time.Time{}, time.Now(), c, size, l.random))
-		if c.Reorder > 0 && l.random() < c.Reorder {
+		wait := time.Until(dueTime(time.Time{}, time.Now(), c, size, l.randomFloat))
+		if c.Reorder > 0 && l.randomFloat() < c.Reorder {
 			wait += max(2*(c.Delay+c.Jitter), minReorderDelay)
 		}
 		if wait <= 0 {
@@ -579,7 +579,7 @@
 				return
 			}
 			data := append([]byte(nil), buf[:n]...)
-			l.sendDatagram(l.back, n, func() { l.udp.WriteToUDP(data, from) })
+			l.sendDatagram(l.inbound, n, func() { l.udp.WriteToUDP(data, from) })
 		}
 	})
 	return c
