--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -36,7 +36,7 @@
 	portGuard       int // bound socket that reserves the port while the listener is closed; -1 for UDP
 	udp             *net.UDPConn
 	wg              sync.WaitGroup
-	resetAfterBytes atomic.Int64
+	resetAfterBytes atomic.Int64 // bytes after which a connection is reset, see Network.Reset; 0: never
 
 	bytes, packets, dropped atomic.Int64 // from From to To
 
@@ -46,10 +46,11 @@
 	mode        Mode
 	listener    net.Listener
 	pairs       map[*pair]struct{}
-	returnPaths map[string]*net.UDPConn
+	returnPaths map[string]*net.UDPConn // by source address of the datagrams
 	closed      bool
 }
 
+// reusePort listens with SO_REUSEPORT, so that the listener can share the port with the link's portGuard socket.
 var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
@@ -208,6 +209,7 @@
 	}
 }
 
+// resetAll resets all open connections.
 func (l *Link) resetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -240,6 +242,7 @@
 	}
 }
 
+// accept accepts connections until the listener is closed and forwards each in its own goroutine.
 func (l *Link) accept(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
@@ -270,7 +273,7 @@
 	near      *net.TCPConn // socket to From
 	mu        sync.Mutex
 	far       *net.TCPConn // socket to To; nil until dialled
-	forwarded atomic.Int64
+	forwarded atomic.Int64 // bytes, both directions together
 	once      sync.Once
 	done      chan struct{}
 }
@@ -303,6 +306,7 @@
 	})
 }
 
+// run forwards the connection in both directions until it ends.
 func (p *pair) run() {
 	l := p.link
 	defer func() {
@@ -414,6 +418,7 @@
 	}
 }
 
+// write writes the queued pieces to a connection, each when it is due.
 func (p *pair) write(to *net.TCPConn, d *direction, queue <-chan piece) {
 	for q := range queue {
 		if !p.waitUntil(d, q.dueTime) {
--- a/internal/relay/network.go
+++ b/internal/relay/network.go
@@ -129,6 +129,7 @@
 	})
 }
 
+// forEachLinkTo calls f for each link to a process.
 func (n *Network) forEachLinkTo(name string, f func(*Link)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
