--- a/internal/fleetlab/script/script.go
+++ b/internal/fleetlab/script/script.go
@@ -185,10 +185,10 @@
 				line, what = n, after
 			}
 		}
-		return nil, jsonfile.Faults{{File: name, Line: line, Col: 1, What: what}}
+		return nil, jsonfile.Faults{{File: name, Line: line, Col: 1, Reason: what}}
 	}
 	if len(doc.Content) == 0 {
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: "is empty"}}
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, Reason: "is empty"}}
 	}
 	s := &Script{}
 	p.script(doc.Content[0], s)
@@ -217,7 +217,7 @@
 }
 
 func (p *parser) fault(n *yaml.Node, key, what string) {
-	p.faults = append(p.faults, jsonfile.Fault{File: p.name, Line: n.Line, Col: n.Column, Path: key, What: what})
+	p.faults = append(p.faults, jsonfile.Fault{File: p.name, Line: n.Line, Col: n.Column, Path: key, Reason: what})
 }
 
 // members hands each key of a mapping to take, which tells whether it knows it.
