--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -467,7 +467,7 @@
 // Record processes one event of a gatekeeper's own records, merged into the events by time; place is its source position.
 func (c *Checker) Record(e *history.Event, place Place) {
 	c.records.Event(e)
-	if e.Kind == history.Taken {
+	if e.Kind == history.Received {
 		c.delays.taken(e)
 	}
 	c.gated(e, place)
@@ -531,11 +531,11 @@
 			f.Verdict = history.Broken
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
-			f.Verdict, f.Why = history.NotShown, "no calls were sent"
+			f.Verdict, f.Why = history.Inconclusive, "no calls were sent"
 		case name == RuleGivenUp && len(c.viewAgreement.views) == 0:
-			f.Verdict, f.Why = history.NotShown, "no view of the fleet was read"
+			f.Verdict, f.Why = history.Inconclusive, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
-			f.Verdict, f.Why = history.NotShown, "no log was read"
+			f.Verdict, f.Why = history.Inconclusive, "no log was read"
 		default:
 			f.Verdict = history.Held
 		}
@@ -561,7 +561,7 @@
 				f.Excused++
 				continue
 			}
-			c.addViolation(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.What})
+			c.addViolation(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.Description})
 		}
 		f.Count += recordFinding.Count - len(recordFinding.Evidence)
 		if f.Count == 0 {
