--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -1,12 +1,12 @@
-// Package fleetcheck judges a run of many gatekeepers by what was seen from outside (callers, servers, processes, links)
-// and by the gatekeepers' own records. It does no I/O and reads no clock: events in, findings out. Package history judges
-// the five rules of one gatekeeper's conduct by its records; this package adds what only the outside can know, and the
-// invariants of a fleet, which later parts add by the Invariant interface.
+// Package fleetcheck checks a run of many gatekeepers against the rules of a fleet. Its input are events observed from outside
+// (at callers, servers, processes, links) and the gatekeepers' own records; its output are findings. It does no I/O and reads
+// no clock. Package history checks the five rules on a single gatekeeper from its records. This package adds the rules that
+// need observations from outside, and invariants of the whole fleet, which implement the Invariant interface.
 //
-// Rules and figures are PROTOCOL's ("The rules on sockets", "Figures") and DESIGN's. A rule binds a process that runs and
-// can be reached: what a killed or paused gatekeeper owed, or one whose callers' link was in trouble, is excused; so is an
-// answer that was late by no more than its process, or the laboratory, was measured to have waited for a processor. Nothing
-// else is. Trouble between a gatekeeper and servers, bus or peers excuses nothing.
+// The rules and figures are those of the protocol ("The rules on sockets", "Figures") and of the design. A rule binds a process
+// that runs and is reachable. Missing answers are excused while a gatekeeper is killed or paused or the link to its callers is
+// faulty, and so is an answer that is late by no more than its process, or the laboratory, was measured to have waited for a
+// processor. Nothing else is excused; in particular not faults between a gatekeeper and servers, the event bus or peers.
 package fleetcheck
 
 import (
@@ -18,67 +18,70 @@
 	"beammux/internal/history"
 )
 
-// Kind tells what an event is.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds, with the fields that each uses beside At and Place.
+// The kinds of events, with the fields of Event that each uses besides At and Place.
 const (
-	Ready               Kind = iota + 1 // Process takes callers
-	StopRequested                       // Process was told to end (SIGTERM)
-	Stopped                             // Process was ended on purpose, or ended after it was asked
-	Crashed                             // Process ended by itself; What says how
-	Paused                              // Process was stopped (SIGSTOP)
-	Resumed                             // and goes on (SIGCONT)
-	LinkFaulty                          // what goes from Process to Peer is in trouble, or a connection opened that way
-	LinkHealed                          // and is no more
-	Logged                              // Process wrote a line of its log; Level, What
-	Tried                               // Call was sent to Process; Span is the caller's time
-	Established                         // Call has its final answer from Process; What is its description
-	Refused                             // Call has its final answer
-	Failed                              // Call has its final answer
-	ExtraAnswer                         // Call has a further final answer; What tells which
-	Expired                             // Call's time was up without an answer
+	Ready               Kind = iota + 1 // Process accepts callers
+	StopRequested                       // Process received SIGTERM
+	Stopped                             // Process was killed on purpose, or ended after SIGTERM
+	Crashed                             // Process ended by itself; What describes how
+	Paused                              // Process received SIGSTOP
+	Resumed                             // Process received SIGCONT
+	LinkFaulty                          // a fault begins on the traffic from Process to Peer or on connections opened in that direction
+	LinkHealed                          // that fault ends
+	Logged                              // Process wrote a log line; Level, What, and Peer and Health if it concerns a member
+	Tried                               // Call was sent to Process; Span is the time allowed for its answer
+	Established                         // Call was established by Process, a final answer; What is the session description
+	Refused                             // Call was refused, a final answer
+	Failed                              // Call failed, a final answer
+	ExtraAnswer                         // Call received another final answer; What names it
+	Expired                             // Call received no answer within its time
 	Broken                              // Call's connection ended without an answer
-	Unsent                              // Call found no gatekeeper
-	ServerEstablished                   // server Process answered Call: it stands; What is the description
-	FaultBegan                          // a fault begins; What names it
-	FaultEnded                          // it is over; What names it
-	ViewRead                            // Process holds the fleet to be What (a hash), with the members Peer up (names with spaces between)
-	RateRead                            // Process counts what members Peer tell of calls; Value arrive a second in all, the oldest is Span old at least
-	LimitChanged                        // the files of gatekeepers Process (names with spaces between) let Value calls a second through, and a burst of Class
-	DemandMoved                         // from now on first calls come to gatekeepers Process (names with + between)
-	VerdictsRead                        // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
-	AnsweredLate                        // Call has the first answer of Process after its time was up
-	ProcessorDelayed                    // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
-	VerdictPhaseChanged                 // Process logged that server Peer (its number) came into phase What of a verdict
-	kinds
+	Unsent                              // no gatekeeper was found for Call
+	ServerEstablished                   // server Process established Call; What is the session description
+	FaultBegan                          // a fault begins; What is its name
+	FaultEnded                          // a fault ends; What is its name
+	ViewRead                            // Process has a view of the fleet with hash What and members Peer up (names separated by spaces)
+	RateRead                            // Process counts Value calls per second from the reports of members Peer; the oldest is at least Span old
+	LimitChanged                        // the files of gatekeepers Process (names separated by spaces) allow Value calls per second and a burst of Class
+	DemandMoved                         // callers now place first calls at gatekeepers Process (names separated by +)
+	VerdictsRead                        // Process excludes servers Peer (their numbers), busy numbers Class and client addresses Call
+	AnsweredLate                        // Call received its first answer from Process after its time
+	ProcessorDelayed                    // runnable threads of Process (or Laboratory) waited for a processor in the last Value seconds: Span in all, one of them Class microseconds
+	VerdictPhaseChanged                 // Process logged that its verdict on server Peer (its number) entered phase What
+	kindCount
 )
 
-var kindNames = [kinds]string{"", "ready", "asked", "stopped", "crashed", "paused", "woken", "troubled", "healed", "logged", "tried",
+var kindNames = [kindCount]string{"", "ready", "asked", "stopped", "crashed", "paused", "woken", "troubled", "healed", "logged", "tried",
 	"stood", "refused", "failed", "second", "expired", "broken", "unsent", "given", "fault from", "fault to", "viewed", "heard", "limited", "moved", "judged", "late", "delayed", "changed"}
 
+// String returns the name of the kind as written to event files.
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return "unknown"
 	}
 	return kindNames[k]
 }
 
-// ParseKind finds a kind by its name; ok is unset where there is none.
+// ParseKind returns the kind with the given name; ok is false if there is none.
 func ParseKind(name string) (k Kind, ok bool) {
 	i := slices.Index(kindNames[:], name)
 	return Kind(max(i, 0)), i > 0
 }
 
-// Place is where an event was read: "FILE:LINE", or what the reader can say in its stead.
+// Place is the source position of an event: the file and line from which it was read.
 type Place struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 }
 
+// String returns the place as FILE:LINE.
 func (p Place) String() string { return fmt.Sprintf("%s:%d", p.File, p.Line) }
 
-// Event is one thing that was seen. Times are Unix microseconds by the one clock of the laboratory's machine.
+// Event is one observation. Times are Unix microseconds of the laboratory machine's single clock. The meaning of most fields
+// depends on Kind.
 type Event struct {
 	At      control.Micros
 	Kind    Kind
@@ -87,14 +90,14 @@
 	Call    string
 	Class   string
 	Level   string
-	Health  string // of a member, in the line of a log
+	Health  string // health of a member in a log line
 	What    string
 	Span    control.Micros
 	Value   float64
 	Place   Place
 }
 
-// The rules that are judged here, beside the five of package history.
+// The rules that this package checks, in addition to the five of package history.
 const (
 	RuleFinal   = "each caller gets one final answer"
 	RuleServed  = "served only what a server answered"
@@ -104,16 +107,16 @@
 	RuleGivenUp = "no member given up that runs and is reached"
 )
 
-// Figures of the check.
+// Tolerances of the check.
 const (
-	AnswerSlack = control.Micros(50000 + 100000) // sockets' 50 ms (PROTOCOL) and what a loaded laboratory machine may be late
-	crossWithin = control.Micros(50000)          // a set-up that crosses a close so soon is sent once more by its caller (PROTOCOL)
-	takeAfter   = control.Micros(700000)         // after SIGTERM nothing that comes later is owed (PROTOCOL, Figures)
-	settleGrace = control.Micros(300000)         // after a wake, a heal or a ready, what was held up still comes late
-	evidenceMax = 20
+	AnswerSlack     = control.Micros(50000 + 100000) // 50 ms that the protocol allows on sockets, and 100 ms for a loaded laboratory machine
+	closeCrossing   = control.Micros(50000)          // the caller resends a set-up whose connection closes this soon after it was sent (protocol)
+	acceptAfterStop = control.Micros(700000)         // calls that arrive later than this after SIGTERM need no answer (protocol)
+	recoveryGrace   = control.Micros(300000)         // after a process resumes or starts, or a link heals, delayed messages may still arrive late
+	maxEvidence     = 20                             // pieces of evidence kept for each rule
 )
 
-// Evidence is one break of a rule.
+// Evidence describes one violation of a rule.
 type Evidence struct {
 	At      control.Micros `json:"at"`
 	Process string         `json:"process"`
@@ -122,6 +125,7 @@
 	What    string         `json:"what"`
 }
 
+// String returns the evidence as one line of text.
 func (e Evidence) String() string {
 	s := fmt.Sprintf("%s %s", e.Process, e.Place)
 	if e.Call != "" {
@@ -130,32 +134,34 @@
 	return s + ": " + e.What
 }
 
-// Finding is what a run shows of one rule.
+// Finding is the result of one rule for a run.
 type Finding struct {
 	Rule     string          `json:"rule"`
 	Verdict  history.Verdict `json:"verdict"`
 	Why      string          `json:"why,omitempty"`
 	Count    int             `json:"count"`
-	Excused  int             `json:"excused,omitempty"` // would have broken it, but for trouble that excuses
+	Excused  int             `json:"excused,omitempty"` // violations that are excused by a fault or a delay
 	Evidence []Evidence      `json:"evidence,omitempty"`
 }
 
-// Invariant is a rule of the fleet that another part adds. Event is called in the order of time, End once at the end.
+// Invariant is an additional rule on the fleet. Event is called for each event in order of time, End once at the end. Both pass
+// violations to the given function.
 type Invariant interface {
 	Rule() string
-	Event(e *Event, broke func(Evidence))
-	End(broke func(Evidence))
+	Event(e *Event, report func(Evidence))
+	End(report func(Evidence))
 }
 
-// RecordInvariant is an Invariant that also reads the gatekeepers' own records, in their place among the events.
+// RecordInvariant is an Invariant that also receives the gatekeepers' own records, merged into the events by time.
 type RecordInvariant interface {
 	Invariant
-	Record(e *history.Event, place Place, broke func(Evidence))
+	Record(e *history.Event, place Place, report func(Evidence))
 }
 
-// span is a time in which something was in trouble; to is 0 while it lasts.
+// span is an interval, for example of a fault; to is 0 while the interval is open.
 type span struct{ from, to control.Micros }
 
+// overlaps reports whether a span overlaps with the interval between two times.
 func overlaps(spans []span, from, to control.Micros) bool {
 	for _, s := range spans {
 		if s.from <= to && (s.to == 0 || s.to >= from) {
@@ -165,50 +171,53 @@
 	return false
 }
 
+// open reports whether the last span is still open.
 func open(spans []span) bool { return len(spans) > 0 && spans[len(spans)-1].to == 0 }
 
+// process holds the events at one process that may excuse a missing answer.
 type process struct {
-	down  []span           // not ready, or paused; with settleGrace
-	asked []control.Micros // SIGTERM
-	link  []span           // to and from its callers
+	down         []span           // while not ready or paused, extended by recoveryGrace
+	stopRequests []control.Micros // times of SIGTERM
+	link         []span           // faults on the link to or from its callers
 }
 
-type try struct {
+// sentCall is the event of a call together with the gatekeeper to which the call was sent.
+type sentCall struct {
 	Event
 	gatekeeper string
 }
 
-// suspect is what may have broken a rule, judged once all trouble is known.
-type suspect struct {
-	rule string
-	from control.Micros
-	due  control.Micros // of an answer that was late; 0: no waiting for a processor excuses it
-	came control.Micros // of that answer; 0: after its caller's time
+// possibleViolation violates a rule unless it is excused, which is decided at the end, when all faults and delays are known.
+type possibleViolation struct {
+	rule     string
+	from     control.Micros // beginning of the interval in which a fault excuses it
+	deadline control.Micros // time at which a late answer was due; 0: waits for a processor do not excuse it
+	answered control.Micros // time of the late answer; 0: not before the end of the caller's time
 	Evidence
 }
 
-// Checker takes the events of a run in the order of time.
+// Checker checks the events of a run, which it receives in order of time.
 type Checker struct {
-	front      string
-	processes  map[string]*process
-	tries      map[string]try
-	answers    map[string]try // those that have their final answer, with its time
-	final      map[string]Kind
-	given      map[string]string
-	suspects   []suspect
-	found      map[string]*Finding
-	order      []string
-	invariants []Invariant
-	records    *history.Checker
-	stats      Stats
-	now        control.Micros
-	course     course
-	logged     bool
-	agree      agree
-	delays     delays
-}
-
-// Stats counts what callers met with.
+	callerPrefix       string
+	processes          map[string]*process
+	pendingCalls       map[string]sentCall // calls without an outcome
+	answers            map[string]sentCall // final answers by call
+	finalKinds         map[string]Kind     // outcomes by call
+	serverAnswers      map[string]string   // session descriptions by call, from the servers
+	possibleViolations []possibleViolation
+	findings           map[string]*Finding
+	order              []string // rules in order of findings
+	invariants         []Invariant
+	records            *history.Checker
+	stats              Stats
+	now                control.Micros // time of the latest event
+	timeline           timeline
+	logged             bool // whether any log was read
+	viewAgreement      viewAgreement
+	delays             delays
+}
+
+// Stats counts the calls of a run by outcome.
 type Stats struct {
 	Tries       int `json:"tries"`
 	Established int `json:"stood"`
@@ -220,11 +229,11 @@
 	Gated       int `json:"setups_to_gated_servers"`
 }
 
-// New makes a checker. The names of the callers' processes begin with front, those of no other do; capacities gives the set-ups a
-// second of each warm server, by its number in the records.
-func New(front string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
-	c := &Checker{front: front, processes: map[string]*process{}, tries: map[string]try{}, answers: map[string]try{}, final: map[string]Kind{}, given: map[string]string{},
-		found: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
+// New returns a checker. The names of the callers' processes, and of no others, begin with callerPrefix. capacities holds the set-ups
+// per second of each warm server, by its number in the records.
+func New(callerPrefix string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
+	c := &Checker{callerPrefix: callerPrefix, processes: map[string]*process{}, pendingCalls: map[string]sentCall{}, answers: map[string]sentCall{}, finalKinds: map[string]Kind{}, serverAnswers: map[string]string{},
+		findings: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
 	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleNoCrash, RuleLog, RuleGivenUp} {
 		c.rule(rule)
 	}
@@ -234,24 +243,27 @@
 	return c
 }
 
+// rule returns the finding of a rule and creates it if needed.
 func (c *Checker) rule(name string) *Finding {
-	f := c.found[name]
+	f := c.findings[name]
 	if f == nil {
 		f = &Finding{Rule: name}
-		c.found[name] = f
+		c.findings[name] = f
 		c.order = append(c.order, name)
 	}
 	return f
 }
 
-func (c *Checker) broke(rule string, e Evidence) {
+// addViolation counts a violation of a rule and keeps the first maxEvidence pieces of evidence.
+func (c *Checker) addViolation(rule string, e Evidence) {
 	f := c.rule(rule)
 	f.Count++
-	if len(f.Evidence) < evidenceMax {
+	if len(f.Evidence) < maxEvidence {
 		f.Evidence = append(f.Evidence, e)
 	}
 }
 
+// process returns the state of a process and creates it if needed.
 func (c *Checker) process(name string) *process {
 	p := c.processes[name]
 	if p == nil {
@@ -261,72 +273,72 @@
 	return p
 }
 
-// Event takes one event.
+// Event processes one event.
 func (c *Checker) Event(e *Event) {
 	c.now = max(c.now, e.At)
 	evidence := func(what string) Evidence { return Evidence{e.At, e.Process, e.Call, e.Place.String(), what} }
 	switch e.Kind {
 	case Ready, Resumed:
 		if p := c.process(e.Process); open(p.down) {
-			p.down[len(p.down)-1].to = e.At + settleGrace
+			p.down[len(p.down)-1].to = e.At + recoveryGrace
 		}
 		if e.Kind == Ready {
-			c.course.ready(e)
+			c.timeline.ready(e)
 		}
 	case StopRequested:
 		p := c.process(e.Process)
-		p.asked = append(p.asked, e.At)
+		p.stopRequests = append(p.stopRequests, e.At)
 	case Stopped, Paused, Crashed:
 		if p := c.process(e.Process); !open(p.down) {
 			p.down = append(p.down, span{from: e.At})
 		}
 		if e.Kind == Crashed {
-			c.broke(RuleNoCrash, evidence(e.What))
+			c.addViolation(RuleNoCrash, evidence(e.What))
 		}
-		c.course.down(e)
+		c.timeline.down(e)
 	case LinkFaulty, LinkHealed:
 		c.link(e)
 	case Logged:
 		c.logged = true
-		if e.What == givenUp {
-			c.givenUp(e, evidence("gave up "+e.Peer+", which ran and could be reached"))
+		if e.What == memberGivenUp {
+			c.memberGivenUp(e, evidence("gave up "+e.Peer+", which was running and reachable"))
 		}
 		c.log(e, evidence)
 	case Tried:
 		c.stats.Tries++
-		c.tries[e.Call] = try{*e, e.Process}
-		c.course.tried(e)
+		c.pendingCalls[e.Call] = sentCall{*e, e.Process}
+		c.timeline.tried(e)
 	case Established, Refused, Failed:
 		c.answered(e, evidence)
 	case ExtraAnswer:
-		c.second(e, evidence("a second final answer: "+e.What))
+		c.extraAnswer(e, evidence("a second final answer: "+e.What))
 	case Expired, Broken:
 		c.unanswered(e, evidence)
 	case Unsent:
 		c.stats.Unsent++
-		c.course.over(e, false)
+		c.timeline.outcome(e, false)
 	case AnsweredLate:
 		c.delays.answered(e)
 	case ProcessorDelayed:
 		c.delays.add(e)
 	case ServerEstablished:
-		c.given[e.Call] = e.What
+		c.serverAnswers[e.Call] = e.What
 	case FaultBegan, FaultEnded:
-		c.course.fault(e)
+		c.timeline.fault(e)
 	}
-	c.agreement(e)
+	c.updateAgreement(e)
 	for _, i := range c.invariants {
-		i.Event(e, func(ev Evidence) { c.broke(i.Rule(), ev) })
+		i.Event(e, func(ev Evidence) { c.addViolation(i.Rule(), ev) })
 	}
 }
 
-// link notes trouble on a way between callers and a gatekeeper; other links excuse nothing.
+// link records faults on links between callers and a gatekeeper. Faults on other links excuse nothing.
 func (c *Checker) link(e *Event) {
 	gatekeeper := ""
 	switch {
-	case strings.HasPrefix(e.Process, c.front):
+	case strings.HasPrefix(e.Process, c.callerPrefix):
 		gatekeeper = e.Peer
-	case strings.HasPrefix(e.Peer, c.front):
+	case strings.HasPrefix(e.Peer, c.callerPrefix):
 		gatekeeper = e.Process
 	default:
 		return
@@ -336,60 +348,63 @@
 	case e.Kind == LinkFaulty && !open(p.link):
 		p.link = append(p.link, span{from: e.At})
 	case e.Kind == LinkHealed && open(p.link):
-		p.link[len(p.link)-1].to = e.At + settleGrace
+		p.link[len(p.link)-1].to = e.At + recoveryGrace
 	}
 }
 
-// log judges a line of a process's log. The core says "no decision by the deadline" where the module failed a call; a
-// process that stood still for a while may say so.
+// log checks a log line of a process. "no decision by the deadline" means that the core failed a call because the module did not
+// decide in time, which is excused for a process that was paused shortly before.
 func (c *Checker) log(e *Event, evidence func(string) Evidence) {
 	switch {
 	case e.Level == "panic" || e.Level == "fatal":
-		c.broke(RuleLog, evidence(e.Level+": "+e.What))
-	case e.Level == "error" && isMissed(e.What):
-		c.suspects = append(c.suspects, suspect{rule: RuleLog, from: e.At - 5e6, Evidence: evidence(e.What)})
+		c.addViolation(RuleLog, evidence(e.Level+": "+e.What))
+	case e.Level == "error" && isModuleFailure(e.What):
+		c.possibleViolations = append(c.possibleViolations, possibleViolation{rule: RuleLog, from: e.At - 5e6, Evidence: evidence(e.What)})
 	}
 }
 
-func isMissed(what string) bool {
+// isModuleFailure reports whether a log message is about a missed decision or a panic of the module.
+func isModuleFailure(what string) bool {
 	const missed, panicked = "no decision by the deadline", "module panicked"
 	return len(what) >= len(missed) && what[:len(missed)] == missed || len(what) >= len(panicked) && what[:len(panicked)] == panicked
 }
 
+// answered processes the first final answer to a call.
 func (c *Checker) answered(e *Event, evidence func(string) Evidence) {
-	if was, again := c.final[e.Call]; again {
-		c.broke(RuleFinal, evidence(fmt.Sprintf("a second final answer (%d after %d)", e.Kind, was)))
+	if previous, answeredBefore := c.finalKinds[e.Call]; answeredBefore {
+		c.addViolation(RuleFinal, evidence(fmt.Sprintf("a second final answer (%d after %d)", e.Kind, previous)))
 		return
 	}
-	c.final[e.Call] = e.Kind
-	k, known := c.tries[e.Call]
-	delete(c.tries, e.Call)
+	c.finalKinds[e.Call] = e.Kind
+	sent, known := c.pendingCalls[e.Call]
+	delete(c.pendingCalls, e.Call)
 	if !known {
-		c.broke(RuleFinal, evidence("an answer to a set-up that no caller sent"))
+		c.addViolation(RuleFinal, evidence("an answer to a set-up that no caller sent"))
 		return
 	}
-	c.answers[e.Call] = try{*e, k.gatekeeper}
+	c.answers[e.Call] = sentCall{*e, sent.gatekeeper}
 	switch e.Kind {
 	case Established:
 		c.stats.Established++
-		if body, ok := c.given[e.Call]; !ok || body != e.What {
-			c.broke(RuleServed, evidence(fmt.Sprintf("served %q, and the servers answered %q", e.What, body)))
+		if body, ok := c.serverAnswers[e.Call]; !ok || body != e.What {
+			c.addViolation(RuleServed, evidence(fmt.Sprintf("served %q, but the servers answered %q", e.What, body)))
 		}
 	case Refused:
 		c.stats.Refused++
 	default:
 		c.stats.Failed++
 	}
-	c.course.over(e, e.Kind == Established)
-	if late := e.At - (k.At + k.Span + AnswerSlack); late > 0 {
-		c.suspects = append(c.suspects, suspect{RuleFinal, k.At, k.At + k.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's time", late/1000))})
+	c.timeline.outcome(e, e.Kind == Established)
+	if late := e.At - (sent.At + sent.Span + AnswerSlack); late > 0 {
+		c.possibleViolations = append(c.possibleViolations, possibleViolation{RuleFinal, sent.At, sent.At + sent.Span, e.At, evidence(fmt.Sprintf("answered %d ms after its caller's deadline", late/1000))})
 	}
 }
 
+// unanswered processes the end of a call that received no final answer.
 func (c *Checker) unanswered(e *Event, evidence func(string) Evidence) {
-	k, known := c.tries[e.Call]
-	delete(c.tries, e.Call)
-	if !known { // it found no gatekeeper: counted there
+	sent, known := c.pendingCalls[e.Call]
+	delete(c.pendingCalls, e.Call)
+	if !known { // no gatekeeper was found for it: counted as Unsent
 		return
 	}
 	if e.Kind == Expired {
@@ -397,59 +412,59 @@
 	} else {
 		c.stats.Broken++
 	}
-	c.course.over(e, false)
-	c.final[e.Call] = e.Kind
-	what, due := "no final answer by its caller's time", k.At+k.Span
+	c.timeline.outcome(e, false)
+	c.finalKinds[e.Call] = e.Kind
+	what, due := "no final answer by its caller's deadline", sent.At+sent.Span
 	if e.Kind == Broken {
 		due = 0
-		if e.At-k.At <= crossWithin {
+		if e.At-sent.At <= closeCrossing {
 			return
 		}
-		what = fmt.Sprintf("its connection ended without an answer, %d ms after it was sent", (e.At-k.At)/1000)
+		what = fmt.Sprintf("its connection ended without an answer %d ms after the call was sent", (e.At-sent.At)/1000)
 	}
-	c.suspects = append(c.suspects, suspect{RuleFinal, k.At, due, 0, evidence(what)})
+	c.possibleViolations = append(c.possibleViolations, possibleViolation{RuleFinal, sent.At, due, 0, evidence(what)})
 }
 
-// second judges a further answer. One that is a release may come from a process that has started since and does not know
-// the call: a server holds it to stand whose answer was lost on its way, and its release is passed on (PROTOCOL, the rules
-// on sockets: what has stood is released to its client).
-func (c *Checker) second(e *Event, evidence Evidence) {
-	was, known := c.answers[e.Call]
+// extraAnswer checks another answer to a call that has its final answer. A release is excused if the process restarted since: the
+// new process does not know the call, while a server whose answer was lost still considers it established, and the process
+// forwards the server's release (protocol, "The rules on sockets": an established call is released to its client).
+func (c *Checker) extraAnswer(e *Event, evidence Evidence) {
+	answer, known := c.answers[e.Call]
 	if known {
-		evidence.Process = was.gatekeeper
+		evidence.Process = answer.gatekeeper
 	}
-	if _, stood := c.given[e.Call]; e.What == "close" && known && stood {
-		c.suspects = append(c.suspects, suspect{rule: RuleFinal, from: was.At, Evidence: evidence})
+	if _, established := c.serverAnswers[e.Call]; e.What == "close" && known && established {
+		c.possibleViolations = append(c.possibleViolations, possibleViolation{rule: RuleFinal, from: answer.At, Evidence: evidence})
 		return
 	}
-	c.broke(RuleFinal, evidence)
+	c.addViolation(RuleFinal, evidence)
 }
 
-// excused tells whether trouble at a process excuses what it owed from a time to another.
+// excused reports whether a fault at a process excuses a missing answer in the interval between two times.
 func (c *Checker) excused(name string, from, to control.Micros) bool {
 	p := c.process(name)
 	if overlaps(p.down, from, to) || overlaps(p.link, from, to) {
 		return true
 	}
-	for _, at := range p.asked {
-		if from > at+takeAfter && !c.readySince(p, at, from) {
+	for _, stopRequested := range p.stopRequests {
+		if from > stopRequested+acceptAfterStop && !c.readySince(p, stopRequested, from) {
 			return true
 		}
 	}
 	return false
 }
 
-// readySince tells whether a process that was asked to end has been up again by a time.
-func (c *Checker) readySince(p *process, asked, by control.Micros) bool {
+// readySince reports whether a process that received SIGTERM at stopRequested is ready again by a time.
+func (c *Checker) readySince(p *process, stopRequested, by control.Micros) bool {
 	for _, d := range p.down {
-		if d.from >= asked && d.to != 0 && d.to <= by {
+		if d.from >= stopRequested && d.to != 0 && d.to <= by {
 			return true
 		}
 	}
 	return false
 }
 
-// Record takes one event of a gatekeeper's own records, in its place among the others; place says where it was read.
+// Record processes one event of a gatekeeper's own records, merged into the events by time; place is its source position.
 func (c *Checker) Record(e *history.Event, place Place) {
 	c.records.Event(e)
 	if e.Kind == history.Received {
@@ -458,66 +473,66 @@
 	c.gated(e, place)
 	for _, i := range c.invariants {
 		if r, ok := i.(RecordInvariant); ok {
-			r.Record(e, place, func(ev Evidence) { c.broke(i.Rule(), ev) })
+			r.Record(e, place, func(ev Evidence) { c.addViolation(i.Rule(), ev) })
 		}
 	}
 }
 
-// Gap takes a gap of the records.
+// Gap processes a gap in the records.
 func (c *Checker) Gap(g history.Gap) { c.records.Gap(g) }
 
-// gated judges set-ups to a server that the gatekeeper itself held at level 2 or more when it decided (DESIGN: no new set-ups
-// there). The views in the records are too coarse for it: a level that falls for a report and rises with the next delay
-// may lie between two of them.
+// gated checks that no set-up is sent to a server that its gatekeeper considers gated (level 2 or more). It uses the level recorded
+// with the decision. The periodic views in the records are too coarse: between two of them a level may fall with a report and
+// rise again with the next delay.
 func (c *Checker) gated(e *history.Event, place Place) {
 	if e.Kind != history.Sent || !(control.View{Level: e.Level}).Gated() {
 		return
 	}
 	c.stats.Gated++
-	c.broke(RuleGated, Evidence{e.At, e.Node, e.Call, place.String(),
+	c.addViolation(RuleGated, Evidence{e.At, e.Node, e.Call, place.String(),
 		fmt.Sprintf("sent to server %d, which it held at level %d", e.Server, e.Level)})
 }
 
-// Result is what a run shows.
+// Result is the outcome of the check of a run.
 type Result struct {
 	Findings []Finding `json:"findings"`
 	Stats    Stats     `json:"stats"`
 	Faults   []Settled `json:"faults"`
 	Course   []Bucket  `json:"-"`
-	First    *Evidence `json:"first_broken,omitempty"` // the first break by time
+	First    *Evidence `json:"first_broken,omitempty"` // the earliest violation
 	Rule     string    `json:"first_broken_rule,omitempty"`
 
 	Disturbance Disturbance `json:"disturbance"`
 }
 
-// Held tells whether no rule was broken.
+// Held reports whether no rule was violated.
 func (r *Result) Held() bool { return r.First == nil }
 
-// Result judges what is left. The checker takes nothing more.
+// Result decides on the remaining possible violations and returns the outcome. The checker must not be used afterwards.
 func (c *Checker) Result() *Result {
 	for _, i := range c.invariants {
-		i.End(func(ev Evidence) { c.broke(i.Rule(), ev) })
+		i.End(func(ev Evidence) { c.addViolation(i.Rule(), ev) })
 	}
-	for _, s := range c.suspects {
-		if c.excused(s.Process, s.from, s.At) || s.due > 0 && c.delays.explain(s.Call, s.Process, s.from, s.due, s.came) {
+	for _, s := range c.possibleViolations {
+		if c.excused(s.Process, s.from, s.At) || s.deadline > 0 && c.delays.explains(s.Call, s.Process, s.from, s.deadline, s.answered) {
 			c.rule(s.rule).Excused++
 			continue
 		}
-		c.broke(s.rule, s.Evidence)
+		c.addViolation(s.rule, s.Evidence)
 	}
-	c.suspects = nil
-	c.ofRecords()
-	r := &Result{Disturbance: c.delays.disturbed, Stats: c.stats, Faults: c.agreed(c.course.settled()), Course: c.course.buckets()}
+	c.possibleViolations = nil
+	c.addRecordFindings()
+	r := &Result{Disturbance: c.delays.disturbed, Stats: c.stats, Faults: c.addViewTimes(c.timeline.settledFaults()), Course: c.timeline.buckets()}
 	for _, name := range c.order {
-		f := c.found[name]
+		f := c.findings[name]
 		slices.SortStableFunc(f.Evidence, func(a, b Evidence) int { return int(min(max(a.At-b.At, -1), 1)) })
 		switch {
 		case f.Count > 0:
 			f.Verdict = history.Broken
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
-			f.Verdict, f.Why = history.Inconclusive, "no caller sent anything"
-		case name == RuleGivenUp && len(c.agree.views) == 0:
+			f.Verdict, f.Why = history.Inconclusive, "no calls were sent"
+		case name == RuleGivenUp && len(c.viewAgreement.views) == 0:
 			f.Verdict, f.Why = history.Inconclusive, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
 			f.Verdict, f.Why = history.Inconclusive, "no log was read"
@@ -532,26 +547,26 @@
 	return r
 }
 
-// ofRecords takes over what package history finds. A process that stood still answers late through no fault of its own.
-func (c *Checker) ofRecords() {
-	for _, h := range c.records.Findings() {
-		f := c.rule("records: " + h.Rule)
-		f.Why = h.Why
-		if h.Verdict != history.Broken {
-			f.Verdict = h.Verdict
+// addRecordFindings adds the findings of package history. Late answers of a process that was paused or delayed are excused.
+func (c *Checker) addRecordFindings() {
+	for _, recordFinding := range c.records.Findings() {
+		f := c.rule("records: " + recordFinding.Rule)
+		f.Why = recordFinding.Why
+		if recordFinding.Verdict != history.Broken {
+			f.Verdict = recordFinding.Verdict
 			continue
 		}
-		for _, e := range h.Evidence {
-			if h.Rule == history.RuleAnswer && (c.excused(e.Node, e.At-10e6, e.At) || c.delays.explainRecord(e.Node, e.Call, e.At)) {
+		for _, e := range recordFinding.Evidence {
+			if recordFinding.Rule == history.RuleAnswer && (c.excused(e.Node, e.At-10e6, e.At) || c.delays.explainsRecord(e.Node, e.Call, e.At)) {
 				f.Excused++
 				continue
 			}
-			c.broke(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.Description})
+			c.addViolation(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.Description})
 		}
-		f.Count += h.Count - len(h.Evidence)
+		f.Count += recordFinding.Count - len(recordFinding.Evidence)
 		if f.Count == 0 {
 			f.Verdict = history.Held
-			f.Why = "what broke it is excused"
+			f.Why = "all violations are excused"
 		}
 	}
 }
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -10,66 +10,68 @@
 	"beammux/internal/history"
 )
 
-// RuleLimit is judged where the fleet has a limit for all calls.
+// RuleLimit is checked if the fleet has a limit for all calls.
 const RuleLimit = "the fleet's limit holds over every time"
 
-// Figures of the rule.
+// Parameters of the rule.
 const (
-	limitWarm  = control.Micros(4000000) // after the first call and after each move of demand, before use is measured
-	limitFrom  = 0.9                     // part of the limit at which moved demand has its part
-	limitSight = control.Micros(500000)  // over which that is looked at
+	limitWarmup  = control.Micros(4000000) // warm-up after the first call and after each shift of demand, excluded from the measured use
+	servedShare  = 0.9                     // fraction of the limit at which shifted demand counts as served
+	servedWindow = control.Micros(500000)  // window over which that fraction is measured
 )
 
-// OverWindows are the windows over which the most that was let in is told.
+// OverWindows are the window lengths of LimitStats.MostOver.
 var OverWindows = [3]control.Micros{100000, 1000000, 10000000}
 
-// LimitStats is what a run shows of its limit.
+// LimitStats describes how a run used its limit.
 type LimitStats struct {
 	Admitted    int        `json:"admitted"`
-	MostOver    [3]float64 `json:"most_over"`     // calls over per_s x t in windows of 0.1, 1 and 10 s, of which burst is allowed
-	MostOfBound float64    `json:"most_of_bound"` // the most that any window used of per_s x t + burst, as tokens short of 0: over 0 breaks it
-	Used        float64    `json:"used"`          // part of the limit, while callers offered more; -1: they did not
-	ServedAfter []float64  `json:"moved_s"`       // until a moved demand had nine tenths of the limit for half a second; -1: never
+	MostOver    [3]float64 `json:"most_over"`     // largest number of calls above per_s x t in any window of 0.1, 1 and 10 s; up to burst is allowed
+	MostOfBound float64    `json:"most_of_bound"` // largest excess of any window over per_s x t + burst, in tokens; above 0 the rule is violated
+	Used        float64    `json:"used"`          // admitted fraction of the limit while callers offered more; -1: they never did
+	ServedAfter []float64  `json:"moved_s"`       // for each shift of demand, seconds until it used nine tenths of the limit for half a second; -1: never
 }
 
-// Limit holds what all gatekeepers together let in against their limit, by their own records of each admission: no window of
-// any length holds more than per_s x t + burst. That is the same as a bucket of burst tokens that fills at per_s never lacking
-// one.
+// Limit checks the admissions of all gatekeepers together, from their records, against the limit of the fleet: no window of any
+// length t contains more than per_s x t + burst. Equivalently, a token bucket of capacity burst that fills at per_s is never
+// short of a token.
 type Limit struct {
-	perS, burst float64
-	measure     float64            // a second; what use is measured against, where that is not what is judged
-	settle      control.Micros     // after a lower limit was told, until it binds all
-	loose       map[string]float64 // by fault: how many times the limit may be let in beside it meanwhile
-	wakes       float64            // the same for woken gatekeepers
-
-	tokens   float64
-	at       control.Micros
-	next     []change
-	on       map[string]float64
-	until    control.Micros // looseness of a fault that is over, or a wake, lasts till then
-	lately   float64
-	most     float64
-	admitted []control.Micros
-	tried    []control.Micros
-	moved    []control.Micros
+	perSecond, burst  float64
+	measuredPerSecond float64            // calls per second against which use is measured, if not the checked limit; 0: the checked limit
+	settleTime        control.Micros     // time from the change to a lower limit until it binds all gatekeepers
+	faultLooseness    map[string]float64 // by fault: multiple of the limit that may be admitted in addition during the fault
+	resumeLooseness   float64            // the same after a gatekeeper resumes from a pause
+
+	tokens          float64            // in the bucket; negative after an excess
+	filledAt        control.Micros     // time of the last fill
+	pendingChanges  []limitChange      // not yet in force, in order of time
+	activeLooseness map[string]float64 // by active fault
+	recentUntil     control.Micros     // end of the looseness after a fault ended or a gatekeeper resumed
+	recentLooseness float64            // looseness until recentUntil
+	maxExcess       float64            // largest number of tokens short
+	admitted        []control.Micros   // times of admissions
+	callTimes       []control.Micros   // times at which callers sent calls
+	demandMoves     []control.Micros   // times at which demand moved
 }
 
-type change struct {
-	at          control.Micros
-	perS, burst float64
+// limitChange is a new limit and the time from which it is in force.
+type limitChange struct {
+	at               control.Micros
+	perSecond, burst float64
 }
 
-const looseAfter = control.Micros(2000000) // past the end of what made it loose: the age at which a register no longer counts
+const loosenessExtension = control.Micros(2000000) // looseness continues for this long after its cause ends: the age at which a register expires
 
-// NewLimit makes the rule. settle is how long after a reload a lower limit binds; loose and wakes are the looseness of the near
-// mode's bound, zero for the others.
-func NewLimit(perS, burst float64, settle control.Micros, loose map[string]float64, wakes float64) *Limit {
-	return &Limit{perS: perS, burst: burst, settle: settle, loose: loose, wakes: wakes, tokens: burst, on: map[string]float64{}}
+// NewLimit returns the rule for a limit of perSecond calls per second with a burst. settleTime is the time after a reload until a
+// lower limit binds. faultLooseness and resumeLooseness are the looseness of the near mode's bound during faults and after
+// pauses; zero for other modes.
+func NewLimit(perSecond, burst float64, settleTime control.Micros, faultLooseness map[string]float64, resumeLooseness float64) *Limit {
+	return &Limit{perSecond: perSecond, burst: burst, settleTime: settleTime, faultLooseness: faultLooseness, resumeLooseness: resumeLooseness, tokens: burst, activeLooseness: map[string]float64{}}
 }
 
-// MeasureAgainst lets use and overshoot be measured against another limit than the one that is judged.
-func (l *Limit) MeasureAgainst(perS float64) *Limit {
-	l.measure = perS
+// MeasureAgainst sets the limit against which use and overshoot are measured, if it differs from the checked one. It returns l.
+func (l *Limit) MeasureAgainst(perSecond float64) *Limit {
+	l.measuredPerSecond = perSecond
 	return l
 }
 
@@ -84,133 +86,134 @@
 	l.advance(e.At)
 	switch e.Kind {
 	case Tried:
-		l.tried = append(l.tried, e.At)
+		l.callTimes = append(l.callTimes, e.At)
 	case DemandMoved:
-		l.moved = append(l.moved, e.At)
+		l.demandMoves = append(l.demandMoves, e.At)
 	case LimitChanged:
 		burst, _ := strconv.ParseFloat(e.Class, 64)
 		at := e.At
-		if e.Value < l.perS {
-			at += l.settle
+		if e.Value < l.perSecond {
+			at += l.settleTime
 		}
-		l.next = append(l.next, change{at, e.Value, burst})
+		l.pendingChanges = append(l.pendingChanges, limitChange{at, e.Value, burst})
 	case FaultBegan:
-		if f := l.loose[e.What]; f > 0 {
-			l.on[e.What] = f
+		if looseness := l.faultLooseness[e.What]; looseness > 0 {
+			l.activeLooseness[e.What] = looseness
 		}
 	case FaultEnded:
-		if f := l.on[e.What]; f > 0 {
-			delete(l.on, e.What)
-			l.lately, l.until = f, e.At+looseAfter
+		if looseness := l.activeLooseness[e.What]; looseness > 0 {
+			delete(l.activeLooseness, e.What)
+			l.recentLooseness, l.recentUntil = looseness, e.At+loosenessExtension
 		}
 	case Resumed:
-		if l.wakes > 0 {
-			l.lately, l.until = l.wakes, e.At+looseAfter
+		if l.resumeLooseness > 0 {
+			l.recentLooseness, l.recentUntil = l.resumeLooseness, e.At+loosenessExtension
 		}
 	}
 }
 
-// advance fills the bucket up to a time.
+// advance applies the changes of the limit up to a time and fills the bucket.
 func (l *Limit) advance(now control.Micros) {
-	for len(l.next) > 0 && l.next[0].at <= now {
-		c := l.next[0]
-		l.next = l.next[1:]
+	for len(l.pendingChanges) > 0 && l.pendingChanges[0].at <= now {
+		c := l.pendingChanges[0]
+		l.pendingChanges = l.pendingChanges[1:]
 		l.fill(c.at)
-		l.perS, l.burst = c.perS, c.burst
-		l.tokens = l.burst // what was let in before is not held against the new limit
+		l.perSecond, l.burst = c.perSecond, c.burst
+		l.tokens = l.burst // earlier admissions do not count against the new limit
 	}
 	l.fill(now)
 }
 
+// fill adds the tokens for the time since the last call, at an increased rate while the limit is loose.
 func (l *Limit) fill(now control.Micros) {
-	if now <= l.at || l.at == 0 {
-		l.at = max(l.at, now)
+	if now <= l.filledAt || l.filledAt == 0 {
+		l.filledAt = max(l.filledAt, now)
 		return
 	}
 	factor := 1.0
-	for _, f := range l.on {
-		factor = max(factor, 1+f)
+	for _, looseness := range l.activeLooseness {
+		factor = max(factor, 1+looseness)
 	}
-	if now <= l.until {
-		factor = max(factor, 1+l.lately)
+	if now <= l.recentUntil {
+		factor = max(factor, 1+l.recentLooseness)
 	}
-	l.tokens = min(l.burst, l.tokens+factor*l.perS*float64(now-l.at)/1e6)
-	l.at = now
+	l.tokens = min(l.burst, l.tokens+factor*l.perSecond*float64(now-l.filledAt)/1e6)
+	l.filledAt = now
 }
 
 // Record implements RecordInvariant.
-func (l *Limit) Record(e *history.Event, place Place, broke func(Evidence)) {
+func (l *Limit) Record(e *history.Event, place Place, report func(Evidence)) {
 	if e.Kind != history.Admitted {
 		return
 	}
 	l.advance(e.At)
 	l.admitted = append(l.admitted, e.At)
 	l.tokens--
-	l.most = max(l.most, -l.tokens)
+	l.maxExcess = max(l.maxExcess, -l.tokens)
 	if l.tokens < -1e-6 {
-		broke(Evidence{e.At, e.Node, e.Call, place.String(),
-			fmt.Sprintf("%.2f calls more than %g a second and a burst of %g allow", -l.tokens, l.perS, l.burst)})
-		l.tokens = 0 // one break is told once
+		report(Evidence{e.At, e.Node, e.Call, place.String(),
+			fmt.Sprintf("%.2f calls more than a rate of %g per second and a burst of %g allow", -l.tokens, l.perSecond, l.burst)})
+		l.tokens = 0 // report each excess once
 	}
 }
 
-// Stats gives what the run showed, once it is over. Limits that changed are measured against the last.
+// Stats returns the statistics of the run after its end. If the limit changed, they are measured against the last one.
 func (l *Limit) Stats() LimitStats {
 	slices.Sort(l.admitted)
-	if l.measure > 0 {
-		l.perS = l.measure
+	if l.measuredPerSecond > 0 {
+		l.perSecond = l.measuredPerSecond
 	}
-	s := LimitStats{Admitted: len(l.admitted), MostOfBound: l.most, Used: -1}
+	s := LimitStats{Admitted: len(l.admitted), MostOfBound: l.maxExcess, Used: -1}
 	for i, w := range OverWindows {
 		s.MostOver[i] = math.Inf(-1)
 		for from, to := 0, 0; to < len(l.admitted); to++ {
 			for l.admitted[to]-l.admitted[from] > w {
 				from++
 			}
-			s.MostOver[i] = max(s.MostOver[i], float64(to-from+1)-l.perS*float64(w)/1e6)
+			s.MostOver[i] = max(s.MostOver[i], float64(to-from+1)-l.perSecond*float64(w)/1e6)
 		}
 		if len(l.admitted) == 0 {
 			s.MostOver[i] = 0
 		}
 	}
-	if len(l.tried) == 0 {
+	if len(l.callTimes) == 0 {
 		return s
 	}
-	within := func(all []control.Micros, from, to control.Micros) float64 {
+	countBetween := func(all []control.Micros, from, to control.Micros) float64 {
 		a, _ := slices.BinarySearch(all, from)
 		b, _ := slices.BinarySearch(all, to)
 		return float64(b - a)
 	}
-	var used, could float64
-	starts := append([]control.Micros{l.tried[0]}, l.moved...)
-	end := l.tried[len(l.tried)-1]
+	var used, available float64
+	starts := append([]control.Micros{l.callTimes[0]}, l.demandMoves...)
+	end := l.callTimes[len(l.callTimes)-1]
 	for i, from := range starts {
 		to := end
 		if i+1 < len(starts) {
 			to = starts[i+1]
 		}
-		from += limitWarm
-		if seconds := float64(to-from) / 1e6; seconds > 1 && within(l.tried, from, to) > l.perS*seconds {
-			used += within(l.admitted, from, to)
-			could += l.perS * seconds
+		from += limitWarmup
+		if seconds := float64(to-from) / 1e6; seconds > 1 && countBetween(l.callTimes, from, to) > l.perSecond*seconds {
+			used += countBetween(l.admitted, from, to)
+			available += l.perSecond * seconds
 		}
 	}
-	if could > 0 {
-		s.Used = used / could
+	if available > 0 {
+		s.Used = used / available
 	}
-	for i, from := range l.moved {
+	for i, from := range l.demandMoves {
 		to := end
-		if i+1 < len(l.moved) {
-			to = l.moved[i+1]
+		if i+1 < len(l.demandMoves) {
+			to = l.demandMoves[i+1]
 		}
-		took := -1.0
-		for at := from; at+limitSight <= to; at += 50000 {
-			if within(l.admitted, at, at+limitSight) >= limitFrom*l.perS*float64(limitSight)/1e6 {
-				took = float64(at-from) / 1e6
+		reachedAfter := -1.0
+		for at := from; at+servedWindow <= to; at += 50000 {
+			if countBetween(l.admitted, at, at+servedWindow) >= servedShare*l.perSecond*float64(servedWindow)/1e6 {
+				reachedAfter = float64(at-from) / 1e6
 				break
 			}
 		}
-		s.ServedAfter = append(s.ServedAfter, took)
+		s.ServedAfter = append(s.ServedAfter, reachedAfter)
 	}
 	return s
 }
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -6,31 +6,31 @@
 	"beammux/control"
 )
 
-// How the time to settle is measured. A fault has settled once every gatekeeper that it took down is ready again and the
-// part of the tries that stand, over a window, is back at most of what it was before the fault.
+// Parameters of the time to settle. A fault has settled once every gatekeeper that it stopped is ready again and the share of
+// established calls, over a window, is back to most of its value before the fault.
 const (
-	bucketOf   = control.Micros(100000)
-	windowOf   = 10 // buckets: 1 s
-	beforeFor  = control.Micros(3000000)
-	back       = 0.9 // of what it was before
-	leastTries = 5   // in a window, to say anything
+	bucketLength   = control.Micros(100000)  // length of a bucket
+	windowBuckets  = 10                      // buckets: 1 s
+	baselineLength = control.Micros(3000000) // interval before a fault over which the previous share is measured
+	recoveredShare = 0.9                     // fraction of the previous share
+	minCalls       = 5                       // minimum number of calls in a window for a valid share
 )
 
-// Settled is how long the fleet took after one fault was over.
+// Settled describes how the fleet recovered from one fault.
 type Settled struct {
 	Fault       string         `json:"fault"`
 	From        control.Micros `json:"from"`
 	To          control.Micros `json:"to"`
-	ShareBefore float64        `json:"stood_before"` // part of the tries, over the 3 s before it
-	ShareDuring float64        `json:"stood_during"`
-	SettleTime  control.Micros `json:"settled_us"`         // from its end; -1: not within the run, or nothing to tell it by
-	Noticed     control.Micros `json:"noticed_us"`         // from its begin until all views of those that ran held them alone; -1: not before its end
-	Agreed      control.Micros `json:"agreed_us"`          // from its end (and all being ready) until all views are the same and hold all; -1: not in the run
-	AgreedAt    control.Micros `json:"whole_at,omitempty"` // when that was; 0: not in the run
-	Overlapped  bool           `json:"overlapped"`         // another fault was on before it settled
+	ShareBefore float64        `json:"stood_before"`       // share of established calls over the 3 s before the fault
+	ShareDuring float64        `json:"stood_during"`       // share of established calls during the fault
+	SettleTime  control.Micros `json:"settled_us"`         // from the end of the fault; -1: not within the run, or too few calls to measure
+	Noticed     control.Micros `json:"noticed_us"`         // from the beginning of the fault until the views of all running gatekeepers contain just these; -1: not before its end
+	Agreed      control.Micros `json:"agreed_us"`          // from the end of the fault, or until all are ready, until all views are equal and contain all; -1: not within the run
+	AgreedAt    control.Micros `json:"whole_at,omitempty"` // time of that agreement; 0: not within the run
+	Overlapped  bool           `json:"overlapped"`         // another fault was active before this one settled
 }
 
-// Bucket is what came of the tries of a tenth of a second, by when they were sent.
+// Bucket counts the outcomes of the calls that were sent in one tenth of a second.
 type Bucket struct {
 	At                    control.Micros
 	Tries                 int
@@ -38,41 +38,45 @@
 	Refused, Failed, Lost int
 }
 
-type course struct {
-	begin    control.Micros
-	rows     []Bucket
-	at       map[string]int // try -> bucket
-	faults   []Settled
-	notReady map[string][]span
-	names    map[string]int
+// timeline holds the outcomes of calls over time and the faults of a run.
+type timeline struct {
+	begin      control.Micros
+	outcomes   []Bucket
+	at         map[string]int // index of the bucket of each call without an outcome
+	faults     []Settled
+	notReady   map[string][]span
+	faultIndex map[string]int
 }
 
-func (c *course) bucket(at control.Micros) int {
-	if c.at == nil {
-		c.begin, c.at = at, map[string]int{}
+// bucket returns the index of the bucket of a time and adds buckets up to it if needed.
+func (t *timeline) bucket(at control.Micros) int {
+	if t.at == nil {
+		t.begin, t.at = at, map[string]int{}
 	}
-	i := int(max(at-c.begin, 0) / bucketOf)
-	for len(c.rows) <= i {
-		c.rows = append(c.rows, Bucket{At: c.begin + control.Micros(len(c.rows))*bucketOf})
+	i := int(max(at-t.begin, 0) / bucketLength)
+	for len(t.outcomes) <= i {
+		t.outcomes = append(t.outcomes, Bucket{At: t.begin + control.Micros(len(t.outcomes))*bucketLength})
 	}
 	return i
 }
 
-func (c *course) tried(e *Event) {
-	i := c.bucket(e.At)
-	c.rows[i].Tries++
-	c.at[e.Call] = i
+// tried counts a call that was sent.
+func (t *timeline) tried(e *Event) {
+	i := t.bucket(e.At)
+	t.outcomes[i].Tries++
+	t.at[e.Call] = i
 }
 
-func (c *course) over(e *Event, stood bool) {
-	i, known := c.at[e.Call]
+// outcome counts the outcome of a call.
+func (t *timeline) outcome(e *Event, established bool) {
+	i, known := t.at[e.Call]
 	if !known { // never sent
-		i = c.bucket(e.At)
-		c.rows[i].Tries++
+		i = t.bucket(e.At)
+		t.outcomes[i].Tries++
 	}
-	delete(c.at, e.Call)
-	switch row := &c.rows[i]; {
-	case stood:
+	delete(t.at, e.Call)
+	switch row := &t.outcomes[i]; {
+	case established:
 		row.Established++
 	case e.Kind == Refused:
 		row.Refused++
@@ -83,64 +87,69 @@
 	}
 }
 
-func (c *course) down(e *Event) {
-	if c.notReady == nil {
-		c.notReady = map[string][]span{}
+// down records that a gatekeeper is not ready; a paused one stays ready.
+func (t *timeline) down(e *Event) {
+	if t.notReady == nil {
+		t.notReady = map[string][]span{}
 	}
-	if s := c.notReady[e.Process]; e.Kind != Paused && !open(s) {
-		c.notReady[e.Process] = append(s, span{from: e.At})
+	if s := t.notReady[e.Process]; e.Kind != Paused && !open(s) {
+		t.notReady[e.Process] = append(s, span{from: e.At})
 	}
 }
 
-func (c *course) ready(e *Event) {
-	if s := c.notReady[e.Process]; open(s) {
+// ready records that a gatekeeper is ready.
+func (t *timeline) ready(e *Event) {
+	if s := t.notReady[e.Process]; open(s) {
 		s[len(s)-1].to = e.At
 	}
 }
 
-func (c *course) fault(e *Event) {
-	if c.names == nil {
-		c.names = map[string]int{}
+// fault records the beginning or end of a fault.
+func (t *timeline) fault(e *Event) {
+	if t.faultIndex == nil {
+		t.faultIndex = map[string]int{}
 	}
 	if e.Kind == FaultBegan {
-		c.names[e.What] = len(c.faults)
-		c.faults = append(c.faults, Settled{Fault: e.What, From: e.At, SettleTime: -1})
+		t.faultIndex[e.What] = len(t.faults)
+		t.faults = append(t.faults, Settled{Fault: e.What, From: e.At, SettleTime: -1})
 		return
 	}
-	if i, ok := c.names[e.What]; ok && c.faults[i].To == 0 {
-		c.faults[i].To = e.At
+	if i, ok := t.faultIndex[e.What]; ok && t.faults[i].To == 0 {
+		t.faults[i].To = e.At
 	}
 }
 
-func (c *course) buckets() []Bucket { return slices.Clone(c.rows) }
+// buckets returns a copy of all buckets.
+func (t *timeline) buckets() []Bucket { return slices.Clone(t.outcomes) }
 
-// part is the part of the tries sent in a time that stood; ok is unset where there were too few.
-func (c *course) part(from, to control.Micros) (p float64, ok bool) {
-	tries, stood := 0, 0
-	for _, b := range c.rows {
-		if b.At+bucketOf > from && b.At < to {
+// establishedShare returns the share of established calls among those sent between two times; ok is false if there are too few calls.
+func (t *timeline) establishedShare(from, to control.Micros) (share float64, ok bool) {
+	tries, established := 0, 0
+	for _, b := range t.outcomes {
+		if b.At+bucketLength > from && b.At < to {
 			tries += b.Tries
-			stood += b.Established
+			established += b.Established
 		}
 	}
-	if tries < leastTries {
+	if tries < minCalls {
 		return 0, false
 	}
-	return float64(stood) / float64(tries), true
+	return float64(established) / float64(tries), true
 }
 
-func (c *course) settled() []Settled {
-	out := slices.Clone(c.faults)
-	for i := range out {
-		f := &out[i]
+// settledFaults returns the faults with their times to settle.
+func (t *timeline) settledFaults() []Settled {
+	results := slices.Clone(t.faults)
+	for i := range results {
+		f := &results[i]
 		if f.To == 0 {
 			continue
 		}
-		f.ShareBefore, _ = c.part(f.From-beforeFor, f.From)
-		f.ShareDuring, _ = c.part(f.From, f.To)
-		goal := f.ShareBefore * back
+		f.ShareBefore, _ = t.establishedShare(f.From-baselineLength, f.From)
+		f.ShareDuring, _ = t.establishedShare(f.From, f.To)
+		goal := f.ShareBefore * recoveredShare
 		from := f.To
-		for _, spans := range c.notReady {
+		for _, spans := range t.notReady {
 			for _, s := range spans {
 				if s.from >= f.From && s.from <= f.To {
 					if s.to == 0 {
@@ -151,22 +160,22 @@
 				}
 			}
 		}
-		if from < 0 || len(c.rows) == 0 {
+		if from < 0 || len(t.outcomes) == 0 {
 			continue
 		}
-		end := c.rows[len(c.rows)-1].At + bucketOf
-		for at := from; at+windowOf*bucketOf <= end; at += bucketOf {
-			if p, ok := c.part(at, at+windowOf*bucketOf); ok && p >= goal {
+		end := t.outcomes[len(t.outcomes)-1].At + bucketLength
+		for at := from; at+windowBuckets*bucketLength <= end; at += bucketLength {
+			if p, ok := t.establishedShare(at, at+windowBuckets*bucketLength); ok && p >= goal {
 				f.SettleTime = at - f.To
 				break
 			}
 		}
-		for j, o := range out {
+		for j, other := range results {
 			settledAt := f.To + max(f.SettleTime, 0)
-			if j != i && o.From < settledAt && (o.To == 0 || o.To > f.From) {
+			if j != i && other.From < settledAt && (other.To == 0 || other.To > f.From) {
 				f.Overlapped = true
 			}
 		}
 	}
-	return out
+	return results
 }
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -16,107 +16,109 @@
 )
 
 const (
-	chunk       = 16 << 10
-	queueMost   = 32 // chunks on their way in one direction of a connection; then its sender waits, as in a full socket
-	dialWithin  = 2 * time.Second
-	packetMost  = 64 << 10
-	natFor      = 30 * time.Second // a datagram's way back is known for so long
-	leastBehind = 5 * time.Millisecond
+	chunkSize       = 16 << 10 // bytes per read
+	maxQueuedChunks = 32       // chunks queued in one direction of a connection; beyond it the sender blocks, as on a full socket buffer
+	dialTimeout     = 2 * time.Second
+	maxPacketSize   = 64 << 10
+	natTimeout      = 30 * time.Second     // idle time after which the return path of a datagram sender is forgotten
+	minReorderDelay = 5 * time.Millisecond // minimum extra delay of a reordered datagram
 )
 
-// Link carries what one process opens to one service of another.
+// Link forwards the connections or datagrams that one process opens to one service of another.
 type Link struct {
 	From, To string
 	service  string
 	network  *Network
-	forth    *direction // From to To
-	back     *direction
-
-	port    int
-	guard   int // socket that keeps the port while the listener is closed; -1 for UDP
-	udp     *net.UDPConn
-	wg      sync.WaitGroup
-	resetAt atomic.Int64
-
-	bytes, packets, dropped atomic.Int64 // towards To
-
-	mu     sync.Mutex
-	rng    *rand.Rand
-	target string // where To serves; "": not known yet
-	door   Mode
-	ln     net.Listener
-	pairs  map[*pair]struct{}
-	nat    map[string]*net.UDPConn
-	closed bool
+	outbound *direction // from From to To
+	inbound  *direction // from To to From
+
+	port            int
+	portGuard       int // bound socket that reserves the port while the listener is closed; -1 for UDP
+	udp             *net.UDPConn
+	wg              sync.WaitGroup
+	resetAfterBytes atomic.Int64 // bytes after which a connection is reset, see Network.Reset; 0: never
+
+	bytes, packets, dropped atomic.Int64 // from From to To
+
+	mu          sync.Mutex
+	rng         *rand.Rand
+	target      string // address at which To serves; empty while unknown or down
+	mode        Mode
+	listener    net.Listener
+	pairs       map[*pair]struct{}
+	returnPaths map[string]*net.UDPConn // by source address of the datagrams
+	closed      bool
 }
 
-var reuse = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+// reusePort listens with SO_REUSEPORT, so that the listener can share the port with the link's portGuard socket.
+var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 		return e
 	}
 	return err
 }}
 
-// TCP opens a link from one process to a service of another. It refuses while Network.Up has not named where that serves.
+// TCP opens a link for connections from one process to a service of another. The link refuses connections until Network.Up
+// sets the address of the service.
 func (n *Network) TCP(from, to, service string) (*Link, error) {
-	l, err := n.link(from, to, service)
+	l, err := n.newLink(from, to, service)
 	if err != nil {
 		return nil, err
 	}
-	// A bound socket that does not listen keeps the port and refuses, so that a link can refuse as a dead process does
-	// and still be opened again at the same address.
-	if l.guard, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err != nil {
+	// A bound socket that does not listen reserves the port while the kernel refuses connections to it. The link can thus
+	// refuse connections like a dead process and listen again later at the same address.
+	if l.portGuard, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err != nil {
 		return nil, err
 	}
-	err = unix.SetsockoptInt(l.guard, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	err = unix.SetsockoptInt(l.portGuard, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	if err == nil {
-		err = unix.Bind(l.guard, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+		err = unix.Bind(l.portGuard, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
-	var at unix.Sockaddr
+	var bound unix.Sockaddr
 	if err == nil {
-		at, err = unix.Getsockname(l.guard)
+		bound, err = unix.Getsockname(l.portGuard)
 	}
 	if err != nil {
-		unix.Close(l.guard)
+		unix.Close(l.portGuard)
 		return nil, err
 	}
-	l.port = at.(*unix.SockaddrInet4).Port
-	return l, n.add(l)
+	l.port = bound.(*unix.SockaddrInet4).Port
+	return l, n.addLink(l)
 }
 
-// UDP opens a link for datagrams. What To answers to the datagram's source finds its way back to the sender.
+// UDP opens a link for datagrams. Datagrams that To sends back to the source address are returned to the original sender.
 func (n *Network) UDP(from, to, service string) (*Link, error) {
 	return n.udpAt(from, to, service, 0)
 }
 
 func (n *Network) udpAt(from, to, service string, port int) (*Link, error) {
-	l, err := n.link(from, to, service)
+	l, err := n.newLink(from, to, service)
 	if err != nil {
 		return nil, err
 	}
 	if l.udp, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port}); err != nil {
 		return nil, err
 	}
-	l.port, l.nat = l.udp.LocalAddr().(*net.UDPAddr).Port, map[string]*net.UDPConn{}
-	l.wg.Go(l.datagrams)
-	return l, n.add(l)
+	l.port, l.returnPaths = l.udp.LocalAddr().(*net.UDPAddr).Port, map[string]*net.UDPConn{}
+	l.wg.Go(l.forwardDatagrams)
+	return l, n.addLink(l)
 }
 
-// TCPAndUDP opens a link for connections and one for datagrams at the same address.
+// TCPAndUDP opens one link for connections and one for datagrams at the same address.
 func (n *Network) TCPAndUDP(from, to, service string) (tcp, udp *Link, err error) {
-	for range 20 { // the port may be taken for datagrams
+	for range 20 { // the UDP port of the same number may be in use
 		if tcp, err = n.TCP(from, to, service); err != nil {
 			return nil, nil, err
 		}
 		if udp, err = n.udpAt(from, to, service, tcp.port); err == nil {
 			return tcp, udp, nil
 		}
-		n.remove(tcp)
+		n.removeLink(tcp)
 	}
 	return nil, nil, err
 }
 
-func (n *Network) remove(l *Link) {
+func (n *Network) removeLink(l *Link) {
 	n.mu.Lock()
 	ends := [2]string{l.From, l.To}
 	n.links[ends] = slices.DeleteFunc(n.links[ends], func(o *Link) bool { return o == l })
@@ -124,88 +126,90 @@
 	l.close()
 }
 
-func (n *Network) link(from, to, service string) (*Link, error) {
+func (n *Network) newLink(from, to, service string) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		return nil, errors.New("relay: the network is closed")
 	}
-	return &Link{From: from, To: to, service: service, network: n, forth: n.direction(from, to), back: n.direction(to, from),
-		guard: -1, rng: n.rng(), pairs: map[*pair]struct{}{}}, nil
+	return &Link{From: from, To: to, service: service, network: n, outbound: n.direction(from, to), inbound: n.direction(to, from),
+		portGuard: -1, rng: n.rng(), pairs: map[*pair]struct{}{}}, nil
 }
 
-func (n *Network) add(l *Link) error {
+func (n *Network) addLink(l *Link) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[[2]string{l.From, l.To}] = append(n.links[[2]string{l.From, l.To}], l)
 	return nil
 }
 
-// Addr is what From must call to reach To.
+// Addr returns the address, host:port, at which From reaches To through the link.
 func (l *Link) Addr() string {
 	return (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: l.port}).String()
 }
 
-func (l *Link) draw() float64 {
+func (l *Link) randomFloat() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-// setTarget names where To serves; "" says that it is down.
+// setTarget sets the address at which To serves; an empty address means that To is down.
 func (l *Link) setTarget(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.target != addr { // datagrams go to where To is now
-		for key, c := range l.nat {
+	if l.target != addr { // drop the sockets that are connected to the previous address
+		for key, c := range l.returnPaths {
 			c.Close()
-			delete(l.nat, key)
+			delete(l.returnPaths, key)
 		}
 	}
 	l.target = addr
-	l.apply()
+	l.updateListener()
 }
 
-func (l *Link) setDoor(d Mode) {
+func (l *Link) setMode(d Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.door = d
-	l.apply()
+	l.mode = d
+	l.updateListener()
 }
 
-// aim gives where connections go on, and how the link treats them.
-func (l *Link) aim() (string, Mode) {
+// connectTarget returns the address to forward to and the mode of the link, which is Refuse while the target is unknown or down.
+func (l *Link) connectTarget() (string, Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target == "" {
 		return "", Refuse
 	}
-	return l.target, l.door
+	return l.target, l.mode
 }
 
-// apply opens or closes the listener, and resets what is open where connections are refused from now on. The lock is held.
-func (l *Link) apply() {
+// updateListener opens or closes the listener according to the target and the mode, and resets open connections when it closes the
+// listener. The caller holds l.mu.
+func (l *Link) updateListener() {
 	if l.closed || l.udp != nil {
 		return
 	}
-	listens := l.target != "" && l.door != Refuse
+	listens := l.target != "" && l.mode != Refuse
 	switch {
-	case listens && l.ln == nil:
-		ln, err := reuse.Listen(context.Background(), "tcp4", l.Addr())
-		if err != nil { // the guard holds the port: only a machine out of descriptors comes here, and then it refuses
+	case listens && l.listener == nil:
+		listener, err := reusePort.Listen(context.Background(), "tcp4", l.Addr())
+		if err != nil { // the guard reserves the port, so only descriptor exhaustion fails here; the link then refuses
 			return
 		}
-		l.ln = ln
-		l.wg.Go(func() { l.accept(ln) })
-	case !listens && l.ln != nil:
-		l.ln.Close()
-		l.ln = nil
+		l.listener = listener
+		l.wg.Go(func() { l.accept(listener) })
+	case !listens && l.listener != nil:
+		l.listener.Close()
+		l.listener = nil
 		for p := range l.pairs {
 			p.reset()
 		}
 	}
 }
 
+// resetAll resets all open connections.
 func (l *Link) resetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,16 +225,16 @@
 		return
 	}
 	l.closed = true
-	if l.ln != nil {
-		l.ln.Close()
+	if l.listener != nil {
+		l.listener.Close()
 	}
-	if l.guard >= 0 {
-		unix.Close(l.guard)
+	if l.portGuard >= 0 {
+		unix.Close(l.portGuard)
 	}
 	if l.udp != nil {
 		l.udp.Close()
 	}
-	for _, c := range l.nat {
+	for _, c := range l.returnPaths {
 		c.Close()
 	}
 	for p := range l.pairs {
@@ -238,18 +242,19 @@
 	}
 }
 
-func (l *Link) accept(ln net.Listener) {
+// accept accepts connections until the listener is closed and forwards each in its own goroutine.
+func (l *Link) accept(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		p := &pair{link: l, near: c.(*net.TCPConn), over: make(chan struct{})}
+		p := &pair{link: l, near: c.(*net.TCPConn), done: make(chan struct{})}
 		l.mu.Lock()
-		refused := l.closed || l.ln != ln
+		refused := l.closed || l.listener != listener
 		if !refused {
 			l.pairs[p] = struct{}{}
 		}
@@ -262,21 +267,21 @@
 	}
 }
 
-// pair is one connection on its way through a link.
+// pair is one forwarded connection: the socket to From and the socket to To.
 type pair struct {
-	link   *Link
-	near   *net.TCPConn // From's
-	mu     sync.Mutex
-	far    *net.TCPConn // To's; nil until dialled
-	passed atomic.Int64
-	once   sync.Once
-	over   chan struct{}
+	link      *Link
+	near      *net.TCPConn // socket to From
+	mu        sync.Mutex
+	far       *net.TCPConn // socket to To; nil until dialled
+	forwarded atomic.Int64 // bytes, both directions together
+	once      sync.Once
+	done      chan struct{}
 }
 
-// reset ends both sides by RST.
+// reset closes both sockets with an RST.
 func (p *pair) reset() {
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, c := range []*net.TCPConn{p.near, p.far} {
@@ -288,10 +293,10 @@
 	})
 }
 
-// finish ends both sides in order, once all is passed on.
+// finish closes both sockets in order, after all data is forwarded.
 func (p *pair) finish() {
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.near.Close()
@@ -301,6 +306,7 @@
 	})
 }
 
+// run forwards the connection in both directions until it ends.
 func (p *pair) run() {
 	l := p.link
 	defer func() {
@@ -313,33 +319,34 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.carry(p.near, p.far, l.forth, true) })
-	both.Go(func() { p.carry(p.far, p.near, l.back, false) })
+	both.Go(func() { p.forward(p.near, p.far, l.outbound, true) })
+	both.Go(func() { p.forward(p.far, p.near, l.inbound, false) })
 	both.Wait()
 }
 
-// connect dials the far side. A cut in either direction keeps a connection from coming about, as it would a handshake.
+// connect dials To and reports whether the pair is connected. While either direction is cut it waits, since a TCP handshake
+// would not complete either.
 func (p *pair) connect() bool {
 	l := p.link
 	for {
-		f, fChanged := l.forth.now()
-		b, bChanged := l.back.now()
+		f, fChanged := l.outbound.now()
+		b, bChanged := l.inbound.now()
 		if !f.Cut && !b.Cut {
 			break
 		}
 		select {
 		case <-fChanged:
 		case <-bChanged:
-		case <-p.over:
+		case <-p.done:
 			return false
 		}
 	}
-	target, door := l.aim()
-	if door == BlackHole {
-		<-p.over
+	target, mode := l.connectTarget()
+	if mode == BlackHole {
+		<-p.done
 		return false
 	}
-	d := net.Dialer{Timeout: dialWithin}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.Dial("tcp4", target)
 	if err != nil {
 		p.reset()
@@ -349,7 +356,7 @@
 	p.far = c.(*net.TCPConn)
 	p.mu.Unlock()
 	select {
-	case <-p.over: // reset meanwhile
+	case <-p.done: // reset during the dial
 		p.far.Close()
 		return false
 	default:
@@ -357,99 +364,101 @@
 	return true
 }
 
-// piece is what is on its way: bytes, or the end that follows them.
+// piece is a queued chunk of data, or the end of the stream that follows it.
 type piece struct {
-	data  []byte
-	due   time.Time
-	end   bool
-	reset bool
+	data    []byte
+	dueTime time.Time
+	end     bool
+	reset   bool
 }
 
-// carry moves one direction until its end: a reader that stamps what it reads, and a writer that holds it back until it
-// is due and the direction is not cut. The end of the stream and a reset travel in order with the bytes.
-func (p *pair) carry(from, to *net.TCPConn, d *direction, forth bool) {
-	queue := make(chan piece, queueMost)
+// forward forwards one direction until its end of stream. It reads data and stamps it with its due time; a writer goroutine holds
+// it back until then and while the direction is cut. The end of the stream and a reset stay in order with the data.
+func (p *pair) forward(from, to *net.TCPConn, d *direction, outbound bool) {
+	queue := make(chan piece, maxQueuedChunks)
 	var writer sync.WaitGroup
 	writer.Go(func() { p.write(to, d, queue) })
 	defer writer.Wait()
 	defer close(queue)
 	var last time.Time
 	for {
-		buf := make([]byte, chunk)
+		buf := make([]byte, chunkSize)
 		n, err := from.Read(buf)
 		now := time.Now()
 		c, _ := d.now()
 		if n > 0 {
-			total := p.passed.Add(int64(n))
-			if most := p.link.resetAt.Load(); most > 0 && total >= most {
-				// What stands before the limit goes out first, so that the far side has part of a message.
+			total := p.forwarded.Add(int64(n))
+			if most := p.link.resetAfterBytes.Load(); most > 0 && total >= most {
+				// The bytes before the limit are forwarded first, so that the far side receives part of a message.
 				part := max(int64(n)-(total-most), 0)
-				last = due(last, now, c, int(part), p.link.draw)
-				queue <- piece{data: buf[:part], due: last}
-				queue <- piece{reset: true, due: last}
+				last = dueTime(last, now, c, int(part), p.link.randomFloat)
+				queue <- piece{data: buf[:part], dueTime: last}
+				queue <- piece{reset: true, dueTime: last}
 				return
 			}
-			if forth {
+			if outbound {
 				p.link.bytes.Add(int64(n))
 				p.link.packets.Add(1)
 			}
-			last = due(last, now, c, n, p.link.draw)
+			last = dueTime(last, now, c, n, p.link.randomFloat)
 			select {
-			case queue <- piece{data: buf[:n], due: last}:
-			case <-p.over:
+			case queue <- piece{data: buf[:n], dueTime: last}:
+			case <-p.done:
 				return
 			}
 		}
 		if err != nil {
-			last = due(last, now, c, 0, p.link.draw)
+			last = dueTime(last, now, c, 0, p.link.randomFloat)
 			select {
-			case queue <- piece{end: true, reset: err != io.EOF, due: last}:
-			case <-p.over:
+			case queue <- piece{end: true, reset: err != io.EOF, dueTime: last}:
+			case <-p.done:
 			}
 			return
 		}
 	}
 }
 
+// write writes the queued pieces to a connection, each when it is due.
 func (p *pair) write(to *net.TCPConn, d *direction, queue <-chan piece) {
 	for q := range queue {
-		if !p.await(d, q.due) {
-			p.drop(queue)
+		if !p.waitUntil(d, q.dueTime) {
+			p.drainQueue(queue)
 			return
 		}
 		switch {
 		case q.reset:
 			p.reset()
-			p.drop(queue)
+			p.drainQueue(queue)
 			return
 		case q.end:
 			to.CloseWrite()
 		default:
 			if _, err := to.Write(q.data); err != nil {
 				p.reset()
-				p.drop(queue)
+				p.drainQueue(queue)
 				return
 			}
 		}
 	}
 }
 
-// drop empties a queue whose reader may wait to put more into it.
-func (p *pair) drop(queue <-chan piece) {
+// drainQueue drains the queue, so that the reading goroutine does not block on a send to it.
+func (p *pair) drainQueue(queue <-chan piece) {
 	for range queue {
 	}
 }
 
-// await returns at a time, and not while the direction is cut or the link is a black hole; false once the pair is over.
-func (p *pair) await(d *direction, at time.Time) bool {
+// waitUntil blocks until a time, and beyond it while the direction is cut or the link is a black hole. It returns false if the
+// pair is closed first.
+func (p *pair) waitUntil(d *direction, at time.Time) bool {
 	for {
 		c, changed := d.now()
-		_, door := p.link.aim()
-		if !c.Cut && door != BlackHole {
+		_, mode := p.link.connectTarget()
+		if !c.Cut && mode != BlackHole {
 			wait := time.Until(at)
 			if wait <= 0 {
 				select {
-				case <-p.over:
+				case <-p.done:
 					return false
 				default:
 					return true
@@ -460,17 +469,17 @@
 			case <-timer.C:
 			case <-changed:
 				timer.Stop()
-			case <-p.over:
+			case <-p.done:
 				timer.Stop()
 				return false
 			}
 			continue
 		}
-		again := time.NewTimer(holeLook) // a door is no channel: it is looked at now and then
+		again := time.NewTimer(blackHolePollInterval) // a mode change sends no signal, so it is polled
 		select {
 		case <-changed:
 		case <-again.C:
-		case <-p.over:
+		case <-p.done:
 			again.Stop()
 			return false
 		}
@@ -478,11 +487,11 @@
 	}
 }
 
-const holeLook = 20 * time.Millisecond
+const blackHolePollInterval = 20 * time.Millisecond // interval between checks of a link in BlackHole mode
 
-// datagrams carries what comes at the link's socket, each by the condition of the moment.
-func (l *Link) datagrams() {
-	buf := make([]byte, packetMost)
+// forwardDatagrams forwards the datagrams that the link's socket receives, each under the current condition.
+func (l *Link) forwardDatagrams() {
+	buf := make([]byte, maxPacketSize)
 	for {
 		n, from, err := l.udp.ReadFromUDP(buf)
 		if err != nil {
@@ -491,38 +500,39 @@
 			}
 			continue
 		}
-		out := l.way(from)
-		if out == nil {
+		path := l.returnPath(from)
+		if path == nil {
 			l.dropped.Add(1)
 			continue
 		}
 		l.bytes.Add(int64(n))
 		l.packets.Add(1)
 		data := append([]byte(nil), buf[:n]...)
-		if !l.pass(l.forth, n, func() { out.Write(data) }) {
+		if !l.sendDatagram(l.outbound, n, func() { path.Write(data) }) {
 			l.dropped.Add(1)
 		}
 	}
 }
 
-// pass sends a datagram by the condition of a direction: never, at once, later, or twice. It tells whether it goes out.
-func (l *Link) pass(d *direction, size int, send func()) bool {
+// sendDatagram applies the condition of a direction to a datagram: it drops it, sends it at once, sends it later, or sends it twice.
+// It reports whether the datagram is sent.
+func (l *Link) sendDatagram(d *direction, size int, send func()) bool {
 	c, _ := d.now()
-	if _, door := l.aim(); c.Cut || door != Open || c.Loss > 0 && l.draw() < c.Loss {
+	if _, mode := l.connectTarget(); c.Cut || mode != Open || c.Loss > 0 && l.randomFloat() < c.Loss {
 		return false
 	}
-	if c.passes() {
+	if c.isZero() {
 		send()
 		return true
 	}
 	copies := 1
-	if c.Duplicate > 0 && l.draw() < c.Duplicate {
+	if c.Duplicate > 0 && l.randomFloat() < c.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		wait := time.Until(due(time.Time{}, time.Now(), c, size, l.draw))
-		if c.Reorder > 0 && l.draw() < c.Reorder {
-			wait += max(2*(c.Delay+c.Jitter), leastBehind)
+		wait := time.Until(dueTime(time.Time{}, time.Now(), c, size, l.randomFloat))
+		if c.Reorder > 0 && l.randomFloat() < c.Reorder {
+			wait += max(2*(c.Delay+c.Jitter), minReorderDelay)
 		}
 		if wait <= 0 {
 			send()
@@ -537,12 +547,12 @@
 	return true
 }
 
-// way gives the socket by which a sender's datagrams go on, and on which the answers to it come back.
-func (l *Link) way(from *net.UDPAddr) *net.UDPConn {
+// returnPath returns the socket that forwards the datagrams of a sender and receives the answers to them; nil if there is no target.
+func (l *Link) returnPath(from *net.UDPAddr) *net.UDPConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := from.String()
-	if c := l.nat[key]; c != nil || l.closed || l.target == "" {
+	if c := l.returnPaths[key]; c != nil || l.closed || l.target == "" {
 		return c
 	}
 	to, err := net.ResolveUDPAddr("udp4", l.target)
@@ -553,28 +563,28 @@
 	if err != nil {
 		return nil
 	}
-	l.nat[key] = c
+	l.returnPaths[key] = c
 	l.wg.Go(func() {
 		defer func() {
 			c.Close()
 			l.mu.Lock()
-			if l.nat[key] == c {
-				delete(l.nat, key)
+			if l.returnPaths[key] == c {
+				delete(l.returnPaths, key)
 			}
 			l.mu.Unlock()
 		}()
-		buf := make([]byte, packetMost)
+		buf := make([]byte, maxPacketSize)
 		for {
-			c.SetReadDeadline(time.Now().Add(natFor))
+			c.SetReadDeadline(time.Now().Add(natTimeout))
 			n, err := c.Read(buf)
 			if err != nil {
-				if errors.Is(err, syscall.ECONNREFUSED) { // told of an earlier datagram: the way stands
+				if errors.Is(err, syscall.ECONNREFUSED) { // ICMP error for an earlier datagram: the socket stays usable
 					continue
 				}
 				return
 			}
 			data := append([]byte(nil), buf[:n]...)
-			l.pass(l.back, n, func() { l.udp.WriteToUDP(data, from) })
+			l.sendDatagram(l.inbound, n, func() { l.udp.WriteToUDP(data, from) })
 		}
 	})
 	return c
--- a/internal/relay/overhead_test.go
+++ b/internal/relay/overhead_test.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// What a link adds to a message there and back (a set-up's size), in turn with the same over a plain connection in the same
-// run. What it adds to a whole call is measured in fleetlab (BenchmarkRelayOnACall).
+// BenchmarkOverhead measures the latency that a link adds to the round trip of a message of a set-up's size. Round trips over a
+// direct connection alternate with those over the link. BenchmarkRelayOnACall in fleetlab measures the overhead on a whole call.
 //
 //	go test -run '^$' -bench Overhead -benchtime 20000x ./internal/relay
 func BenchmarkOverhead(b *testing.B) {
@@ -62,11 +62,11 @@
 			began := time.Now()
 			c.Write(buf)
 			for got := 0; got < len(buf); {
-				k, err := c.Read(buf[got:])
+				read, err := c.Read(buf[got:])
 				if err != nil {
 					b.Fatal(err)
 				}
-				got += k
+				got += read
 			}
 			pair[i] = time.Since(began)
 			took[i].RecordValue(max(1, pair[i].Nanoseconds()/100))
