--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	outcomeFile = "outcome.json"
-	summaryFile = "summary.json"
-	lineMost    = 1 << 20
+	outcomeFile  = "outcome.json"
+	summaryFile  = "summary.json"
+	maxLineBytes = 1 << 20
 )
 
 // Summary is what a run came to.
@@ -40,8 +40,8 @@
 	Zones       int          `json:"zones"`
 	Verdict     string       `json:"verdict"` // held or broken
 	Stopped     bool         `json:"stopped"` // ended before its time
-	Took        float64      `json:"took_s"`
-	Starts      []float64    `json:"ready_after_s"`                 // of each gatekeeper's first start
+	Elapsed     float64      `json:"took_s"`
+	StartTimes  []float64    `json:"ready_after_s"`                 // of each gatekeeper's first start
 	Joined      float64      `json:"views_agree_after_s,omitempty"` // from all ready to all views the same
 	Outcome     *lab.Outcome `json:"outcome,omitempty"`
 
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	return s.report(dir)
+	return s.writeReport(dir)
 }
 
 // Check reads what a run wrote and judges it, with the further rules that are given. It may be called again at any time.
@@ -67,10 +67,10 @@
 	if err != nil {
 		return nil, err
 	}
-	sum := &Summary{Dir: dir, Seed: s.Seed, Gatekeepers: s.Gatekeepers, Servers: s.Servers, Zones: s.Zones, Verdict: "held"}
+	summary := &Summary{Dir: dir, Seed: s.Seed, Gatekeepers: s.Gatekeepers, Servers: s.Servers, Zones: s.Zones, Verdict: "held"}
 	text, err := os.ReadFile(filepath.Join(dir, outcomeFile))
 	if err == nil {
-		err = json.Unmarshal(text, &sum.Outcome)
+		err = json.Unmarshal(text, &summary.Outcome)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) { // a run that was stopped has none
 		return nil, err
@@ -82,41 +82,41 @@
 	if s.Fleet {
 		invariants = append(invariants, fleetcheck.NewRates(control.Micros(gossip.Topics[registers.Rates].MaxAge), control.Micros(counting.DecayTime)))
 	}
-	var judged *fleetcheck.Verdicts
+	var verdicts *fleetcheck.Verdicts
 	if s.Verdicts {
-		judged = fleetcheck.NewVerdicts(script.Front, suspects(s), engaged(s))
-		invariants = append(invariants, judged)
+		verdicts = fleetcheck.NewVerdicts(script.Front, serversOfFaults(s), busyNumbers(s))
+		invariants = append(invariants, verdicts)
 	}
 	limit := limitRule(s)
 	if limit != nil {
 		invariants = append(invariants, limit)
 	}
-	c := fleetcheck.New(script.Front, capacities, invariants...)
+	checker := fleetcheck.New(script.Front, capacities, invariants...)
 	events, err := readEvents(dir, s)
 	if err != nil {
 		return nil, err
 	}
-	if err := merge(c, dir, events); err != nil {
+	if err := merge(checker, dir, events); err != nil {
 		return nil, err
 	}
-	sum.Result = c.Result()
-	if judged != nil {
-		stats := judged.Stats()
-		sum.Verdicts = &stats
+	summary.Result = checker.Result()
+	if verdicts != nil {
+		stats := verdicts.Stats()
+		summary.Verdicts = &stats
 	}
 	if limit != nil {
 		stats := limit.Stats()
-		sum.Limit = &stats
+		summary.Limit = &stats
 	}
-	if !sum.Held() {
-		sum.Verdict = "broken"
+	if !summary.Held() {
+		summary.Verdict = "broken"
 	}
-	return sum, nil
+	return summary, nil
 }
 
-// suspects gives, by fault, the servers that may rightly seem ill because of it: those that it acts on, and those at the ends of
+// serversOfFaults gives, by fault, the servers that may rightly seem ill because of it: those that it acts on, and those at the ends of
 // its links. Killed and paused gatekeepers' own attempts fail through no server's fault.
-func suspects(s *script.Script) map[string][]uint32 {
+func serversOfFaults(s *script.Script) map[string][]uint32 {
 	all := map[string][]uint32{}
 	for i, f := range s.Faults {
 		for _, selector := range []string{f.Target, f.From, f.To} {
@@ -134,8 +134,8 @@
 	return all
 }
 
-// engaged gives, by fault, the number whose lines it makes busy.
-func engaged(s *script.Script) map[string]string {
+// busyNumbers gives, by fault, the number whose lines it makes busy.
+func busyNumbers(s *script.Script) map[string]string {
 	all := map[string]string{}
 	for i, f := range s.Faults {
 		if f.Number != "" {
@@ -145,9 +145,9 @@
 	return all
 }
 
-// reloadSettles is how long after a lower limit was told by SIGHUP it binds the whole fleet: the files are read, and what was
+// reloadSettleTime is how long after a lower limit was told by SIGHUP it binds the whole fleet: the files are read, and what was
 // leased by the old ones ends.
-const reloadSettles = quota.LeaseDuration + quota.RenewInterval + 1000000
+const reloadSettleTime = quota.LeaseDuration + quota.RenewInterval + 1000000
 
 // limitRule gives the rule of a script's limit, nil where the script has none or does not share it: limits of each alone
 // are measured, not judged.
@@ -155,20 +155,20 @@
 	if s.Limits == nil {
 		return nil
 	}
-	loose, wakes := map[string]float64{}, 0.0
+	allowances, wakes := map[string]float64{}, 0.0
 	n := float64(s.Gatekeepers)
 	switch s.Limits.Mode {
 	case "near": // near.go's bound
 		wakes = n - 1
 		for i, f := range s.Faults {
 			if late := control.Micros(time.Duration(f.Delay+f.Jitter).Microseconds()) - quota.TransitAllowance; f.Kind == "delay" && late > 0 {
-				loose[faultName(i, f)] = (n - 1) * min(1, n*float64(late)/float64(quota.GrowTime))
+				allowances[faultName(i, f)] = (n - 1) * min(1, n*float64(late)/float64(quota.GrowTime))
 			}
 		}
 	case "alone":
-		return fleetcheck.NewLimit(n*s.Limits.PerS, n*s.Limits.Burst, reloadSettles, nil, 0).Measure(s.Limits.PerS)
+		return fleetcheck.NewLimit(n*s.Limits.PerS, n*s.Limits.Burst, reloadSettleTime, nil, 0).Measure(s.Limits.PerS)
 	}
-	return fleetcheck.NewLimit(s.Limits.PerS, s.Limits.Burst, reloadSettles, loose, wakes)
+	return fleetcheck.NewLimit(s.Limits.PerS, s.Limits.Burst, reloadSettleTime, allowances, wakes)
 }
 
 // readEvents reads all but the records, sorted by time.
@@ -193,10 +193,10 @@
 	for i := range s.Gatekeepers {
 		name := script.Gatekeeper(i)
 		file := filepath.Join("logs", name+".log")
-		last := control.Micros(0)
+		lastTime := control.Micros(0)
 		err := eachLine(filepath.Join(dir, file), func(n int, text []byte) error {
-			e := logged(text, last)
-			last = e.At
+			e := parseLogLine(text, lastTime)
+			lastTime = e.At
 			e.Process, e.Place = name, fleetcheck.Place{File: file, Line: n}
 			events = append(events, e)
 			return nil
@@ -212,8 +212,8 @@
 // verdictChanged is what a gatekeeper logs with the server and its phase (package ejection).
 const verdictChanged = "verdict: changed"
 
-// logged reads a line of a gatekeeper's log. What is no JSON comes from the runtime: a panic, and the stacks after it.
-func logged(text []byte, last control.Micros) fleetcheck.Event {
+// parseLogLine reads a line of a gatekeeper's log. What is no JSON comes from the runtime: a panic, and the stacks after it.
+func parseLogLine(text []byte, last control.Micros) fleetcheck.Event {
 	var l struct {
 		Time             time.Time
 		Level, Msg, Call string
@@ -234,16 +234,16 @@
 }
 
 // eachLine hands on the lines of a file, counted from 1.
-func eachLine(file string, take func(n int, text []byte) error) error {
+func eachLine(file string, handle func(n int, text []byte) error) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(make([]byte, 64<<10), lineMost)
+	in.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for n := 1; in.Scan(); n++ {
-		if err := take(n, in.Bytes()); err != nil {
+		if err := handle(n, in.Bytes()); err != nil {
 			return fmt.Errorf("%s:%d: %w", file, n, err)
 		}
 	}
@@ -251,11 +251,11 @@
 }
 
 // merge hands a checker the events and the gatekeepers' records in the order of time.
-func merge(c *fleetcheck.Checker, dir string, events []fleetcheck.Event) error {
+func merge(checker *fleetcheck.Checker, dir string, events []fleetcheck.Event) error {
 	next := 0
-	until := func(at control.Micros) {
+	advance := func(at control.Micros) {
 		for ; next < len(events) && events[next].At <= at; next++ {
-			c.Event(&events[next])
+			checker.Event(&events[next])
 		}
 	}
 	records, err := record.OpenAll(filepath.Join(dir, "records"))
@@ -270,17 +270,17 @@
 				return err
 			}
 			if g := item.Gap; g != nil {
-				until(g.From)
-				c.Gap(*g)
+				advance(g.From)
+				checker.Gap(*g)
 				continue
 			}
 			e := item.Event
-			until(e.At)
-			c.Record(e, fleetcheck.Place{File: fmt.Sprintf("records/%s start %d", e.Node, e.Start), Line: int(e.Seq)})
+			advance(e.At)
+			checker.Record(e, fleetcheck.Place{File: fmt.Sprintf("records/%s start %d", e.Node, e.Start), Line: int(e.Seq)})
 		}
 	} else if !strings.Contains(err.Error(), "no records") { // a run that was stopped before any gatekeeper wrote one
 		return err
 	}
-	until(1 << 62)
+	advance(1 << 62)
 	return nil
 }
--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -27,7 +27,7 @@
 	Most   float64 `json:"Most"`
 }
 
-func spread(values []float64) Spread {
+func newSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
@@ -61,31 +61,31 @@
 }
 
 const (
-	calmAfter = control.Micros(15000000) // a fault's marks are over so long after it
-	leastSpan = control.Micros(1000000)
+	calmDelay  = control.Micros(15000000) // a fault's marks are over so long after it
+	sampleSpan = control.Micros(1000000)
 )
 
-var usedIn = regexp.MustCompile(`cpu ([0-9.]+) s, memory at most ([0-9]+) KiB`)
+var usagePattern = regexp.MustCompile(`cpu ([0-9.]+) s, memory at most ([0-9]+) KiB`)
 
 // Compare reads runs and puts them together by the number of gatekeepers.
 func Compare(dirs []string) ([]Size, error) {
-	sizes := map[int]*gathered{}
+	sizes := map[int]*sizeSamples{}
 	for _, dir := range dirs {
 		text, err := os.ReadFile(filepath.Join(dir, summaryFile))
 		if err != nil {
 			return nil, err
 		}
-		var kept struct {
+		var stored struct {
 			Joined float64 `json:"views_agree_after_s"`
 		}
-		if err := json.Unmarshal(text, &kept); err != nil {
+		if err := json.Unmarshal(text, &stored); err != nil {
 			return nil, fmt.Errorf("%s: %w", filepath.Join(dir, summaryFile), err)
 		}
-		sum, err := Check(dir)
+		summary, err := Check(dir)
 		if err != nil {
 			return nil, err
 		}
-		sum.Joined = kept.Joined
+		summary.Joined = stored.Joined
 		s, err := script.Load(filepath.Join(dir, "script.yaml"))
 		if err != nil {
 			return nil, err
@@ -94,29 +94,29 @@
 		if err != nil {
 			return nil, err
 		}
-		g := sizes[sum.Gatekeepers]
+		g := sizes[summary.Gatekeepers]
 		if g == nil {
-			g = &gathered{noticed: map[string][]float64{}, agreed: map[string][]float64{}}
-			g.Gatekeepers, g.Missing = sum.Gatekeepers, map[string]int{}
-			sizes[sum.Gatekeepers] = g
+			g = &sizeSamples{noticed: map[string][]float64{}, agreed: map[string][]float64{}}
+			g.Gatekeepers, g.Missing = summary.Gatekeepers, map[string]int{}
+			sizes[summary.Gatekeepers] = g
 		}
-		g.take(sum, s, events)
+		g.add(summary, s, events)
 	}
-	var out []Size
+	var result []Size
 	for _, g := range sizes {
-		out = append(out, g.size())
+		result = append(result, g.size())
 	}
-	slices.SortFunc(out, func(a, b Size) int { return cmp.Compare(a.Gatekeepers, b.Gatekeepers) })
-	return out, nil
+	slices.SortFunc(result, func(a, b Size) int { return cmp.Compare(a.Gatekeepers, b.Gatekeepers) })
+	return result, nil
 }
 
-type gathered struct {
+type sizeSamples struct {
 	Size
 	joined, packets, bytes, cpu, memory []float64
 	noticed, agreed                     map[string][]float64
 }
 
-func (g *gathered) take(sum *Summary, s *script.Script, events []fleetcheck.Event) {
+func (g *sizeSamples) add(sum *Summary, s *script.Script, events []fleetcheck.Event) {
 	g.Runs++
 	if sum.Verdict == "held" {
 		g.Held++
@@ -124,9 +124,9 @@
 	if sum.Joined > 0 {
 		g.joined = append(g.joined, sum.Joined)
 	}
-	var calm []span
+	var disturbances []interval
 	for _, f := range sum.Faults {
-		calm = append(calm, span{f.From, f.To + calmAfter})
+		disturbances = append(disturbances, interval{f.From, f.To + calmDelay})
 		number, rest, _ := strings.Cut(f.Fault, " ")
 		kind, _, _ := strings.Cut(rest, " ")
 		name := number + " " + kind
@@ -139,48 +139,48 @@
 			g.Missing[name]++
 		}
 	}
-	quiet := func(at control.Micros) bool {
-		return !slices.ContainsFunc(calm, func(s span) bool { return at >= s.from && at <= s.to })
+	isCalm := func(at control.Micros) bool {
+		return !slices.ContainsFunc(disturbances, func(s interval) bool { return at >= s.from && at <= s.to })
 	}
 	type sample struct {
 		at             control.Micros
 		packets, bytes float64
 	}
-	last, started := map[string]sample{}, map[string]control.Micros{}
+	lastSample, started := map[string]sample{}, map[string]control.Micros{}
 	rates := map[string]*[3]float64{} // packets, bytes, microseconds
-	ending := map[string]bool{}
+	stopping := map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
 		case fleetcheck.Ready:
 			started[e.Process] = e.At
-			delete(ending, e.Process)
+			delete(stopping, e.Process)
 		case fleetcheck.Asked:
-			ending[e.Process] = true
+			stopping[e.Process] = true
 		case fleetcheck.Stopped:
-			if m := usedIn.FindStringSubmatch(e.What); m != nil && e.At-started[e.Process] > 5e6 {
+			if m := usagePattern.FindStringSubmatch(e.What); m != nil && e.At-started[e.Process] > 5e6 {
 				cpu, _ := strconv.ParseFloat(m[1], 64)
 				kib, _ := strconv.ParseFloat(m[2], 64)
 				g.cpu = append(g.cpu, cpu/(float64(e.At-started[e.Process])/1e6))
 				g.memory = append(g.memory, kib/1024)
 			}
 		case fleetcheck.Viewed:
-			var now sample
-			now.at = e.At
-			fmt.Sscan(e.Class, &now.packets, &now.bytes)
-			was, ok := last[e.Process]
-			last[e.Process] = now
-			if ok && now.packets >= was.packets && quiet(was.at) && quiet(now.at) && now.at-was.at < leastSpan {
-				r := rates[e.Process]
-				if r == nil {
-					r = &[3]float64{}
-					rates[e.Process] = r
+			var current sample
+			current.at = e.At
+			fmt.Sscan(e.Class, &current.packets, &current.bytes)
+			previous, ok := lastSample[e.Process]
+			lastSample[e.Process] = current
+			if ok && current.packets >= previous.packets && isCalm(previous.at) && isCalm(current.at) && current.at-previous.at < sampleSpan {
+				rate := rates[e.Process]
+				if rate == nil {
+					rate = &[3]float64{}
+					rates[e.Process] = rate
 				}
-				r[0] += now.packets - was.packets
-				r[1] += now.bytes - was.bytes
-				r[2] += float64(now.at - was.at)
+				rate[0] += current.packets - previous.packets
+				rate[1] += current.bytes - previous.bytes
+				rate[2] += float64(current.at - previous.at)
 			}
 		case fleetcheck.Logged:
-			if !quiet(e.At) || ending[e.Process] || started[e.Process] == 0 {
+			if !isCalm(e.At) || stopping[e.Process] || started[e.Process] == 0 {
 				continue
 			}
 			if e.What == "fleet: member given up" {
@@ -190,27 +190,27 @@
 			}
 		}
 	}
-	for _, r := range rates {
-		if r[2] >= float64(leastSpan) {
-			g.packets = append(g.packets, r[0]/r[2]*1e6)
-			g.bytes = append(g.bytes, r[1]/r[2]*1e6)
-			g.CalmHours += r[2] / 3600e6
+	for _, rate := range rates {
+		if rate[2] >= float64(sampleSpan) {
+			g.packets = append(g.packets, rate[0]/rate[2]*1e6)
+			g.bytes = append(g.bytes, rate[1]/rate[2]*1e6)
+			g.CalmHours += rate[2] / 3600e6
 		}
 	}
 }
 
-// span is a time in which something was wrong.
-type span struct{ from, to control.Micros }
+// interval is a time in which something was wrong.
+type interval struct{ from, to control.Micros }
 
-func (g *gathered) size() Size {
+func (g *sizeSamples) size() Size {
 	s := g.Size
-	s.Joined, s.Packets, s.Bytes, s.CPU, s.Memory = spread(g.joined), spread(g.packets), spread(g.bytes), spread(g.cpu), spread(g.memory)
+	s.Joined, s.Packets, s.Bytes, s.CPU, s.Memory = newSpread(g.joined), newSpread(g.packets), newSpread(g.bytes), newSpread(g.cpu), newSpread(g.memory)
 	s.Noticed, s.Agreed = map[string]Spread{}, map[string]Spread{}
 	for name, v := range g.noticed {
-		s.Noticed[name] = spread(v)
+		s.Noticed[name] = newSpread(v)
 	}
 	for name, v := range g.agreed {
-		s.Agreed[name] = spread(v)
+		s.Agreed[name] = newSpread(v)
 	}
 	return s
 }
@@ -238,7 +238,7 @@
 			names[name] = true
 		}
 	}
-	for _, name := range sorted(names) {
+	for _, name := range sortedNames(names) {
 		row(name+": noticed by all, s", func(s Size) string { return s.Noticed[name].String() })
 		row(name+": views agree again, s", func(s Size) string {
 			text := s.Agreed[name].String()
@@ -258,7 +258,7 @@
 	return b.String()
 }
 
-func sorted(names map[string]bool) []string {
+func sortedNames(names map[string]bool) []string {
 	out := make([]string, 0, len(names))
 	for name := range names {
 		out = append(out, name)
--- a/internal/fleetlab/configure.go
+++ b/internal/fleetlab/configure.go
@@ -12,24 +12,24 @@
 	"beammux/internal/lab"
 )
 
-// advertised is what a member of the fleet says that it is reached at. Nobody calls it there: each has ways of its own.
-func advertised(index int) string { return fmt.Sprintf("127.1.0.%d:7946", index+1) }
+// advertiseAddress is what a member of the fleet says that it is reached at. Nobody calls it there: each has ways of its own.
+func advertiseAddress(index int) string { return fmt.Sprintf("127.1.0.%d:7946", index+1) }
 
-const fleetSeeds = 3 // members that every other one knows of at its start
+const seedMembers = 3 // members that every other one knows of at its start
 
-func member(name string) string { return name + ".store:1" }
+func storeAddress(name string) string { return name + ".store:1" }
 
 // configure writes what a gatekeeper is told at a start.
 func (f *fleet) configure(g *gatekeeper, tmp string) error {
-	etc := f.file("etc", g.name)
+	etc := f.path("etc", g.name)
 	if err := errors.Join(os.MkdirAll(etc, 0o755), os.MkdirAll(tmp, 0o700)); err != nil {
 		return err
 	}
-	state, err := filepath.Abs(f.file("state", g.name, "store"))
+	state, err := filepath.Abs(f.path("state", g.name, "store"))
 	if err != nil {
 		return err
 	}
-	records, err := filepath.Abs(f.file("records"))
+	records, err := filepath.Abs(f.path("records"))
 	if err != nil {
 		return err
 	}
@@ -38,9 +38,9 @@
 		var peers, via []map[string]string
 		for k := range f.s.Members {
 			name := script.Gatekeeper(k)
-			peers = append(peers, map[string]string{"node": name, "address": member(name)})
+			peers = append(peers, map[string]string{"node": name, "address": storeAddress(name)})
 			if k != g.index {
-				via = append(via, map[string]string{"address": member(name), "through": f.addr[[3]string{g.name, name, storeService}]})
+				via = append(via, map[string]string{"address": storeAddress(name), "through": f.addr[[3]string{g.name, name, storeService}]})
 			}
 		}
 		store["listen"], store["peers"], store["via"] = "127.0.0.1:0", peers, via
@@ -53,12 +53,12 @@
 			if k == g.index {
 				continue
 			}
-			via = append(via, map[string]string{"address": advertised(k), "through": f.addr[[3]string{g.name, script.Gatekeeper(k), fleetService}]})
-			if k < fleetSeeds {
-				seeds = append(seeds, advertised(k))
+			via = append(via, map[string]string{"address": advertiseAddress(k), "through": f.addr[[3]string{g.name, script.Gatekeeper(k), fleetService}]})
+			if k < seedMembers {
+				seeds = append(seeds, advertiseAddress(k))
 			}
 		}
-		deploy["fleet"] = map[string]any{"zone": f.s.ZoneOf(g.name), "bind": "127.0.0.1:0", "advertise": advertised(g.index),
+		deploy["fleet"] = map[string]any{"zone": f.s.ZoneOf(g.name), "bind": "127.0.0.1:0", "advertise": advertiseAddress(g.index),
 			"seeds": seeds, "via": via}
 		if f.s.Verdicts {
 			deploy["fleet"].(map[string]any)["verdicts"] = map[string]any{}
@@ -76,13 +76,13 @@
 		section["limits"] = f.limits(g, limits)
 	}
 	seed := rand.New(rand.NewPCG(f.s.Seed, uint64(g.index)<<32+uint64(g.start))).Uint64()
-	for name, what := range map[string]any{
+	for name, content := range map[string]any{
 		"config.json": map[string]any{"name": g.name, "listen": "127.0.0.1:0", "seed": fmt.Sprintf("%016x", seed),
 			"limits": map[string]any{"sockets": 1024}, "bus": f.addr[[3]string{g.name, script.Bus, g.name}],
 			"known": f.bus.Known(f.dials(g.name)), "settings": json.RawMessage(lab.Settings(f.s.Gatekeepers))},
 		"deploy.json": deploy,
 	} {
-		text, err := json.MarshalIndent(what, "", " ")
+		text, err := json.MarshalIndent(content, "", " ")
 		if err == nil {
 			err = os.WriteFile(filepath.Join(etc, name), text, 0o644)
 		}
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -18,17 +18,17 @@
 	"beammux/internal/relay"
 )
 
-// timeline does what the script says when it says so. Where the run ends early, all that is on is taken back.
-func (f *fleet) timeline(ctx context.Context) {
-	var on sync.WaitGroup
-	defer on.Wait()
+// runFaults does what the script says when it says so. Where the run ends early, all that is on is taken back.
+func (f *fleet) runFaults(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
 	for _, h := range f.s.Homes {
-		on.Go(func() {
+		running.Go(func() {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Until(f.began.Add(time.Duration(h.At)))):
+			case <-time.After(time.Until(f.startedAt.Add(time.Duration(h.At)))):
 				if h.At > 0 {
-					f.runs.note(fleetcheck.Moved, line{Process: h.To})
+					f.runs.record(fleetcheck.Moved, line{Process: h.To})
 				}
 			}
 		})
@@ -39,38 +39,38 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(f.began.Add(time.Duration(fault.At)))):
+		case <-time.After(time.Until(f.startedAt.Add(time.Duration(fault.At)))):
 		}
-		on.Go(func() { f.one(ctx, i, fault) })
+		running.Go(func() { f.runFault(ctx, i, fault) })
 	}
 }
 
-func faultName(place int, fault script.Fault) string {
-	return fmt.Sprintf("%d %s", place+1, fault.Name())
+func faultName(index int, fault script.Fault) string {
+	return fmt.Sprintf("%d %s", index+1, fault.Name())
 }
 
-// one does a fault, waits, and takes it back.
-func (f *fleet) one(ctx context.Context, id int, fault script.Fault) {
+// runFault does a fault, waits, and takes it back.
+func (f *fleet) runFault(ctx context.Context, id int, fault script.Fault) {
 	name := faultName(id, fault)
-	f.tell(name)
-	f.runs.note(fleetcheck.FaultFrom, line{What: name})
-	undo := f.do(id, fault)
+	f.reportProgress(name)
+	f.runs.record(fleetcheck.FaultFrom, line{What: name})
+	undo := f.inject(id, fault)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(fault.For)):
 	}
-	f.runs.note(fleetcheck.FaultTo, line{What: name})
-	f.tell("over: " + name)
+	f.runs.record(fleetcheck.FaultTo, line{What: name})
+	f.reportProgress("over: " + name)
 	undo(ctx)
 }
 
-// do brings a fault about and gives what takes it back.
-func (f *fleet) do(id int, fault script.Fault) (undo func(context.Context)) {
+// inject brings a fault about and gives what takes it back.
+func (f *fleet) inject(id int, fault script.Fault) (undo func(context.Context)) {
 	switch fault.Kind {
 	case "kill", "term", "pause":
-		return f.processes(fault)
+		return f.signalProcesses(fault)
 	case "lose", "slow", "drain", "hang", "ill", "engaged":
-		return f.onServers(fault)
+		return f.disturbServers(fault)
 	case "lie":
 		return f.lie(fault)
 	case "rude":
@@ -78,7 +78,7 @@
 	case "reload":
 		return f.reload(fault)
 	}
-	return f.links(id, fault)
+	return f.disturbLinks(id, fault)
 }
 
 func (f *fleet) selected(selector string) []string {
@@ -89,42 +89,42 @@
 	return names
 }
 
-func (f *fleet) processes(fault script.Fault) func(context.Context) {
-	var held []*gatekeeper
+func (f *fleet) signalProcesses(fault script.Fault) func(context.Context) {
+	var affected []*gatekeeper
 	for _, name := range f.selected(fault.Target) {
 		for _, g := range f.gatekeepers {
 			f.mu.Lock()
 			p := g.p
 			f.mu.Unlock()
-			if g.name != name || p == nil || p.over() || fault.Kind != "pause" && p.wasAsked() {
+			if g.name != name || p == nil || p.hasExited() || fault.Kind != "pause" && p.wasStopped() {
 				continue // another fault has it down
 			}
-			held = append(held, g)
+			affected = append(affected, g)
 			switch fault.Kind {
 			case "kill":
-				f.runs.note(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
+				f.runs.record(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
 				p.signal(syscall.SIGKILL)
 			case "term":
-				f.runs.note(fleetcheck.Asked, line{Process: name, What: "SIGTERM"})
+				f.runs.record(fleetcheck.Asked, line{Process: name, What: "SIGTERM"})
 				p.signal(syscall.SIGTERM)
 			case "pause":
-				f.runs.note(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
+				f.runs.record(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
 				p.signal(syscall.SIGSTOP)
 			}
 		}
 	}
 	return func(ctx context.Context) {
 		var all sync.WaitGroup
-		for _, g := range held {
+		for _, g := range affected {
 			f.mu.Lock()
 			p := g.p
 			f.mu.Unlock()
 			if fault.Kind == "pause" {
 				p.signal(syscall.SIGCONT)
-				f.runs.note(fleetcheck.Woken, line{Process: g.name})
+				f.runs.record(fleetcheck.Woken, line{Process: g.name})
 				continue
 			}
-			all.Go(func() { f.again(ctx, g, p, fault.State == "empty") })
+			all.Go(func() { f.restart(ctx, g, p, fault.State == "empty") })
 		}
 		all.Wait()
 	}
@@ -133,18 +133,18 @@
 // lie has gatekeepers tell of every server that it fails them, while a file of theirs is there (verdicts.LieFile).
 func (f *fleet) lie(fault script.Fault) func(context.Context) {
 	for _, name := range f.selected(fault.Target) {
-		if err := os.WriteFile(f.file("state", name, lieFile), nil, 0o600); err != nil {
+		if err := os.WriteFile(f.path("state", name, falseEvidenceFile), nil, 0o600); err != nil {
 			f.fail(err)
 		}
 	}
 	return func(context.Context) {
 		for _, name := range f.selected(fault.Target) {
-			os.Remove(f.file("state", name, lieFile))
+			os.Remove(f.path("state", name, falseEvidenceFile))
 		}
 	}
 }
 
-const lieFile = "lie"
+const falseEvidenceFile = "lie"
 
 // rude opens connections to gatekeepers, past the relay, from an address of its own, and sends on each what can't be read.
 func (f *fleet) rude(fault script.Fault) func(context.Context) {
@@ -157,7 +157,7 @@
 		}
 		done.Go(func() {
 			d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fleetcheck.RudeAddress)}}
-			tick := time.NewTicker(rudeEvery)
+			tick := time.NewTicker(rudeInterval)
 			defer tick.Stop()
 			for {
 				f.mu.Lock()
@@ -183,15 +183,15 @@
 	}
 }
 
-const rudeEvery = 50 * time.Millisecond
+const rudeInterval = 50 * time.Millisecond
 
 // reload changes the limits in the files of gatekeepers by a factor and tells them to read these again.
 func (f *fleet) reload(fault script.Fault) func(context.Context) {
 	names := f.selected(fault.Target)
-	set := func(factor float64) {
+	scaleLimits := func(factor float64) {
 		limits := *f.s.Limits
 		limits.PerS, limits.Burst = limits.PerS*factor, limits.Burst*factor
-		f.runs.note(fleetcheck.Limited, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
+		f.runs.record(fleetcheck.Limited, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
 		for _, g := range f.gatekeepers {
 			if !slices.Contains(names, g.name) {
 				continue
@@ -200,41 +200,41 @@
 			g.limits = limits
 			p := g.p
 			f.mu.Unlock()
-			if err := f.configure(g, f.file("state", g.name, "tmp"+strconv.Itoa(g.start))); err != nil {
+			if err := f.configure(g, f.path("state", g.name, "tmp"+strconv.Itoa(g.start))); err != nil {
 				f.fail(err)
-			} else if p != nil && !p.over() {
+			} else if p != nil && !p.hasExited() {
 				p.signal(syscall.SIGHUP)
 			}
 		}
 	}
-	set(fault.Factor)
-	return func(context.Context) { set(1) }
+	scaleLimits(fault.Factor)
+	return func(context.Context) { scaleLimits(1) }
 }
 
-// again starts a gatekeeper that was ended, with the state that it had or without.
-func (f *fleet) again(ctx context.Context, g *gatekeeper, p *process, empty bool) {
+// restart starts a gatekeeper that was ended, with the state that it had or without.
+func (f *fleet) restart(ctx context.Context, g *gatekeeper, p *process, empty bool) {
 	select {
-	case <-p.gone:
-	case <-time.After(endWithin): // it has not ended on SIGTERM
+	case <-p.exited:
+	case <-time.After(stopTimeout): // it has not ended on SIGTERM
 		p.signal(syscall.SIGKILL)
-		<-p.gone
+		<-p.exited
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	if empty {
-		if err := os.RemoveAll(f.file("state", g.name)); err != nil {
+		if err := os.RemoveAll(f.path("state", g.name)); err != nil {
 			f.fail(err)
 			return
 		}
 	}
 	if err := f.start(ctx, g); err != nil && ctx.Err() == nil {
-		f.runs.note(fleetcheck.Crashed, line{Process: g.name, What: "started again: " + err.Error()})
+		f.runs.record(fleetcheck.Crashed, line{Process: g.name, What: "started again: " + err.Error()})
 	}
 }
 
-func (f *fleet) onServers(fault script.Fault) func(context.Context) {
-	var held []*server
+func (f *fleet) disturbServers(fault script.Fault) func(context.Context) {
+	var affected []*server
 	for _, name := range f.selected(fault.Target) {
 		for _, v := range f.servers {
 			if v.name != name {
@@ -244,34 +244,34 @@
 			switch {
 			case fault.Kind == "slow":
 				v.s.Slow(fault.Slow)
-				held = append(held, v)
+				affected = append(affected, v)
 			case fault.Kind == "hang":
 				v.s.Hang(true)
-				held = append(held, v)
+				affected = append(affected, v)
 			case fault.Kind == "engaged":
 				v.s.Engage(fault.Number)
 				f.engaged.Store(&fault)
-				held = append(held, v)
+				affected = append(affected, v)
 			case fault.Kind == "ill":
 				v.s.FailPart(fault.Part)
-				held = append(held, v)
+				affected = append(affected, v)
 			case v.state != "up": // another fault has it
 			case fault.Kind == "lose":
 				v.state = "lost"
-				v.end()
+				v.stopStatus()
 				f.net.Down(v.name)
 				v.s.Kill()
-				held = append(held, v)
+				affected = append(affected, v)
 			case fault.Kind == "drain":
 				v.state = "draining"
 				f.bus.Change(f.host(v))
-				held = append(held, v)
+				affected = append(affected, v)
 			}
 			v.mu.Unlock()
 		}
 	}
 	return func(context.Context) {
-		for _, v := range held {
+		for _, v := range affected {
 			switch fault.Kind {
 			case "slow", "hang", "ill", "engaged":
 				v.mu.Lock()
@@ -288,7 +288,7 @@
 				}
 				v.mu.Unlock()
 			case "lose":
-				if err := f.returnCold(v); err != nil {
+				if err := f.restartCold(v); err != nil {
 					f.fail(err)
 				}
 			case "drain":
@@ -301,36 +301,36 @@
 	}
 }
 
-// returnCold starts a server that was lost: it is cold, and the bus tells since when it runs.
-func (f *fleet) returnCold(v *server) error {
+// restartCold starts a server that was lost: it is cold, and the bus tells since when it runs.
+func (f *fleet) restartCold(v *server) error {
 	if err := f.startServer(v); err != nil {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.s.Cold(startCapacity, warmWithin)
+	v.s.Cold(startCapacity, warmUpTime)
 	v.state, v.since = "up", time.Now()
 	f.bus.Change(f.host(v))
 	return nil
 }
 
-// links brings about a fault of the ways between processes. What is in force on a direction is made up of all faults that
+// disturbLinks brings about a fault of the ways between processes. What is in force on a direction is made up of all faults that
 // concern it: the strongest of each kind.
-func (f *fleet) links(id int, fault script.Fault) func(context.Context) {
+func (f *fleet) disturbLinks(id int, fault script.Fault) func(context.Context) {
 	from, to := f.selected(fault.From), f.selected(fault.To)
-	var dirs [][2]string
+	var directions [][2]string
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				dirs = append(dirs, [2]string{a, b})
+				directions = append(directions, [2]string{a, b})
 				if fault.Kind == "partition" {
-					dirs = append(dirs, [2]string{b, a})
+					directions = append(directions, [2]string{b, a})
 				}
 			}
 		}
 	}
 	c := condition{id: id}
-	doors := relay.Open
+	door := relay.Open
 	switch fault.Kind {
 	case "partition", "cut":
 		c.Cut = true
@@ -345,76 +345,76 @@
 	case "reorder":
 		c.Reorder = fault.Part
 	case "blackhole":
-		doors = relay.BlackHole
+		door = relay.BlackHole
 	case "refuse":
-		doors = relay.Refuse
+		door = relay.Refuse
 	}
-	f.trouble(dirs, 1)
-	for _, d := range dirs {
+	f.adjustFaultCounts(directions, 1)
+	for _, d := range directions {
 		switch {
 		case fault.Kind == "reset":
 			f.net.Reset(d[0], d[1], int64(fault.Bytes))
-		case doors != relay.Open:
-			f.net.SetDoor(d[0], d[1], doors)
+		case door != relay.Open:
+			f.net.SetDoor(d[0], d[1], door)
 		default:
-			f.add(d, c)
+			f.addCondition(d, c)
 		}
 	}
 	return func(context.Context) {
-		for _, d := range dirs {
+		for _, d := range directions {
 			switch {
 			case fault.Kind == "reset":
 				f.net.ClearReset(d[0], d[1])
-			case doors != relay.Open:
+			case door != relay.Open:
 				f.net.SetDoor(d[0], d[1], relay.Open)
 			default:
-				f.remove(d, id)
+				f.removeCondition(d, id)
 			}
 		}
-		f.trouble(dirs, -1)
+		f.adjustFaultCounts(directions, -1)
 	}
 }
 
-// trouble counts the faults of directions and notes where trouble begins and ends.
-func (f *fleet) trouble(dirs [][2]string, change int) {
+// adjustFaultCounts counts the faults of directions and notes where trouble begins and ends.
+func (f *fleet) adjustFaultCounts(directions [][2]string, change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, d := range dirs {
-		f.troubled[d] += change
+	for _, d := range directions {
+		f.faultCounts[d] += change
 		switch {
-		case change > 0 && f.troubled[d] == 1:
-			f.runs.note(fleetcheck.Troubled, line{Process: d[0], Peer: d[1]})
-		case change < 0 && f.troubled[d] == 0:
-			f.runs.note(fleetcheck.Healed, line{Process: d[0], Peer: d[1]})
+		case change > 0 && f.faultCounts[d] == 1:
+			f.runs.record(fleetcheck.Troubled, line{Process: d[0], Peer: d[1]})
+		case change < 0 && f.faultCounts[d] == 0:
+			f.runs.record(fleetcheck.Healed, line{Process: d[0], Peer: d[1]})
 		}
 	}
 }
 
-func (f *fleet) add(d [2]string, c condition) {
+func (f *fleet) addCondition(d [2]string, c condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conditions[d] = append(f.conditions[d], c)
-	f.apply(d)
+	f.applyConditions(d)
 }
 
-func (f *fleet) remove(d [2]string, id int) {
+func (f *fleet) removeCondition(d [2]string, id int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conditions[d] = slices.DeleteFunc(f.conditions[d], func(c condition) bool { return c.id == id })
-	f.apply(d)
+	f.applyConditions(d)
 }
 
-func (f *fleet) apply(d [2]string) {
-	var all relay.Condition
+func (f *fleet) applyConditions(d [2]string) {
+	var combined relay.Condition
 	for _, c := range f.conditions[d] {
-		all.Cut = all.Cut || c.Cut
-		all.Delay, all.Jitter = max(all.Delay, c.Delay), max(all.Jitter, c.Jitter)
-		all.Loss, all.Duplicate, all.Reorder = max(all.Loss, c.Loss), max(all.Duplicate, c.Duplicate), max(all.Reorder, c.Reorder)
-		if c.BytesPerS > 0 && (all.BytesPerS == 0 || c.BytesPerS < all.BytesPerS) {
-			all.BytesPerS = c.BytesPerS
+		combined.Cut = combined.Cut || c.Cut
+		combined.Delay, combined.Jitter = max(combined.Delay, c.Delay), max(combined.Jitter, c.Jitter)
+		combined.Loss, combined.Duplicate, combined.Reorder = max(combined.Loss, c.Loss), max(combined.Duplicate, c.Duplicate), max(combined.Reorder, c.Reorder)
+		if c.BytesPerS > 0 && (combined.BytesPerS == 0 || c.BytesPerS < combined.BytesPerS) {
+			combined.BytesPerS = c.BytesPerS
 		}
 	}
-	if err := f.net.Set(d[0], d[1], all); err != nil && f.fault == nil {
-		f.fault = fmt.Errorf("%s: %w", strings.Join(d[:], " to "), err)
+	if err := f.net.Set(d[0], d[1], combined); err != nil && f.firstErr == nil {
+		f.firstErr = fmt.Errorf("%s: %w", strings.Join(d[:], " to "), err)
 	}
 }
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -34,14 +34,14 @@
 }
 
 const (
-	statusEvery   = 250 * time.Millisecond // servers tell their state so often
-	startCapacity = 0.33                   // of a server that returns cold: the settings' start-capacity
-	warmWithin    = 15 * time.Second       // the settings' warm-within-us
-	endWithin     = 8 * time.Second        // after SIGTERM: the longest deadline and some
-	together      = 8                      // gatekeepers that are started at the same time
-	storeService  = "store"
-	fleetService  = "fleet"
-	viewEvery     = 200 * time.Millisecond // the gatekeepers' views are read so often
+	statusInterval    = 250 * time.Millisecond // servers tell their state so often
+	startCapacity     = 0.33                   // of a server that returns cold: the settings' start-capacity
+	warmUpTime        = 15 * time.Second       // the settings' warm-within-us
+	stopTimeout       = 8 * time.Second        // after SIGTERM: the longest deadline and some
+	maxParallelStarts = 8                      // gatekeepers that are started at the same time
+	storeService      = "store"
+	fleetService      = "fleet"
+	viewInterval      = 200 * time.Millisecond // the gatekeepers' views are read so often
 )
 
 // fleet is one run.
@@ -53,19 +53,19 @@
 	callers *lab.Callers
 	log     logrus.FieldLogger
 
-	runs, calls, serves *journal
+	runs, calls, serves *eventLog
 
 	mu          sync.Mutex
 	gatekeepers []*gatekeeper
 	servers     []*server
 	addr        map[[3]string]string // from, to, service: the relay's address
-	troubled    map[[2]string]int    // faults that concern a direction now
+	faultCounts map[[2]string]int    // faults that concern a direction now
 	conditions  map[[2]string][]condition
-	began       time.Time // of the first call
-	busy        sync.WaitGroup
-	fault       error
+	startedAt   time.Time // of the first call
+	faultTasks  sync.WaitGroup
+	firstErr    error
 	engaged     atomic.Pointer[script.Fault] // that is on
-	joined      time.Duration                // from all ready to all views the same
+	agreedAfter time.Duration                // from all ready to all views the same
 }
 
 type condition struct {
@@ -76,7 +76,7 @@
 // Run plays a script and judges what came of it. What the run wrote is in Dir, also where it fails.
 func Run(ctx context.Context, o Options) (*Summary, error) {
 	f := &fleet{Options: o, s: o.Script, log: o.Log, net: relay.New(o.Script.Seed), addr: map[[3]string]string{},
-		troubled: map[[2]string]int{}, conditions: map[[2]string][]condition{}}
+		faultCounts: map[[2]string]int{}, conditions: map[[2]string][]condition{}}
 	if f.log == nil {
 		l := logrus.New()
 		l.SetLevel(logrus.PanicLevel)
@@ -90,11 +90,11 @@
 			return nil, err
 		}
 	}
-	if err := os.WriteFile(f.file("script.yaml"), f.s.Marshal(), 0o644); err != nil {
+	if err := os.WriteFile(f.path("script.yaml"), f.s.Marshal(), 0o644); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	starts, err := f.play(ctx)
+	starts, err := f.runScript(ctx)
 	stopped := ctx.Err() != nil
 	if err != nil && !stopped {
 		return nil, err
@@ -103,114 +103,114 @@
 	if err != nil {
 		return nil, err
 	}
-	sum.Stopped, sum.Took, sum.Starts, sum.Joined = stopped, time.Since(began).Seconds(), starts, f.joined.Seconds()
+	sum.Stopped, sum.Elapsed, sum.StartTimes, sum.Joined = stopped, time.Since(began).Seconds(), starts, f.agreedAfter.Seconds()
 	if err := sum.write(o.Dir); err != nil {
 		return nil, err
 	}
 	return sum, nil
 }
 
-func (f *fleet) file(name ...string) string {
+func (f *fleet) path(name ...string) string {
 	return filepath.Join(append([]string{f.Dir}, name...)...)
 }
 
-func (f *fleet) tell(what string) {
+func (f *fleet) reportProgress(message string) {
 	at := time.Duration(0)
-	if !f.began.IsZero() {
-		at = time.Since(f.began)
+	if !f.startedAt.IsZero() {
+		at = time.Since(f.startedAt)
 	}
-	f.log.WithField("at_ms", at.Milliseconds()).Info(what)
+	f.log.WithField("at_ms", at.Milliseconds()).Info(message)
 	if f.Progress != nil {
-		f.Progress(at, what)
+		f.Progress(at, message)
 	}
 }
 
 func (f *fleet) fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fault == nil {
-		f.fault = err
+	if f.firstErr == nil {
+		f.firstErr = err
 	}
 }
 
-// play starts everything, plays the script and ends everything.
-func (f *fleet) play(ctx context.Context) (starts []float64, err error) {
-	for file, j := range map[string]**journal{"run.jsonl": &f.runs, "callers.jsonl": &f.calls, "servers.jsonl": &f.serves} {
-		if *j, err = newJournal(f.file(file)); err != nil {
+// runScript starts everything, plays the script and ends everything.
+func (f *fleet) runScript(ctx context.Context) (starts []float64, err error) {
+	for file, j := range map[string]**eventLog{"run.jsonl": &f.runs, "callers.jsonl": &f.calls, "servers.jsonl": &f.serves} {
+		if *j, err = newEventLog(f.path(file)); err != nil {
 			return nil, err
 		}
 	}
 	defer func() {
-		for _, j := range []*journal{f.runs, f.calls, f.serves} {
+		for _, j := range []*eventLog{f.runs, f.calls, f.serves} {
 			err = errors.Join(err, j.close())
 		}
 	}()
 	defer f.net.Close()
-	if err = f.serve(); err != nil {
+	if err = f.startServers(); err != nil {
 		return nil, err
 	}
-	defer f.endServers()
-	if err = f.link(); err != nil {
+	defer f.stopServers()
+	if err = f.openLinks(); err != nil {
 		return nil, err
 	}
 	defer f.bus.Close()
-	defer f.endGatekeepers()
+	defer f.stopGatekeepers()
 	if starts, err = f.startAll(ctx); err != nil {
 		return starts, err
 	}
-	calls, hangUp := context.WithCancel(context.Background())
-	var kept sync.WaitGroup
-	defer kept.Wait()
-	defer hangUp()
+	calls, disconnectCallers := context.WithCancel(context.Background())
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer disconnectCallers()
 	f.callers = lab.NewCallers(f.load())
 	for i, g := range f.gatekeepers {
-		kept.Go(func() { f.callers.Keep(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}]) })
+		background.Go(func() { f.callers.Keep(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}]) })
 	}
-	if err = f.allUp(ctx); err != nil {
+	if err = f.awaitCallers(ctx); err != nil {
 		return starts, err
 	}
 	if f.Ready != nil {
 		f.Ready(f.pids())
 	}
-	f.began = time.Now()
-	f.tell(fmt.Sprintf("%d gatekeepers, %d servers, %d zones: calls begin", f.s.Gatekeepers, f.s.Servers, f.s.Zones))
-	faults, cancel := context.WithCancel(ctx)
-	defer cancel()
+	f.startedAt = time.Now()
+	f.reportProgress(fmt.Sprintf("%d gatekeepers, %d servers, %d zones: calls begin", f.s.Gatekeepers, f.s.Servers, f.s.Zones))
+	faultContext, cancelFaults := context.WithCancel(ctx)
+	defer cancelFaults()
 	if f.s.Fleet {
-		if err = f.allAgree(ctx); err != nil {
+		if err = f.awaitAgreement(ctx); err != nil {
 			return starts, err
 		}
-		watching, enough := context.WithCancel(context.Background())
+		viewContext, stopViews := context.WithCancel(context.Background())
 		for _, g := range f.gatekeepers {
-			kept.Go(func() { f.watchView(watching, g) })
+			background.Go(func() { f.watchView(viewContext, g) })
 		}
-		defer enough()
+		defer stopViews()
 	}
-	looking, looked := context.WithCancel(context.Background())
-	defer looked()
-	kept.Go(func() { f.watchProcessors(looking) })
-	kept.Go(func() { f.watchTimers(looking) })
-	f.busy.Go(func() { f.timeline(faults) })
+	delayContext, stopDelays := context.WithCancel(context.Background())
+	defer stopDelays()
+	background.Go(func() { f.watchProcessors(delayContext) })
+	background.Go(func() { f.watchTimers(delayContext) })
+	f.faultTasks.Go(func() { f.runFaults(faultContext) })
 	f.callers.Play(ctx)
-	cancel()
-	f.busy.Wait()
-	if err := f.outcome(); err != nil {
+	cancelFaults()
+	f.faultTasks.Wait()
+	if err := f.writeOutcome(); err != nil {
 		return starts, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return starts, f.fault
+	return starts, f.firstErr
 }
 
-// outcome writes what the callers say of the run.
-func (f *fleet) outcome() error {
-	var all []*lab.Server
+// writeOutcome writes what the callers say of the run.
+func (f *fleet) writeOutcome() error {
+	var instances []*lab.Server
 	for _, v := range f.servers {
-		all = append(all, v.all...)
+		instances = append(instances, v.instances...)
 	}
-	text, err := json.MarshalIndent(f.callers.Outcome(all), "", " ")
+	text, err := json.MarshalIndent(f.callers.Outcome(instances), "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(f.file(outcomeFile), text, 0o644)
+	return os.WriteFile(f.path(outcomeFile), text, 0o644)
 }
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-// play plays a script once, shows its report and says that every rule held and no process was left.
-func play(t *testing.T, text string) *Summary {
+// runAndCheck plays a script once, shows its report and says that every rule held and no process was left.
+func runAndCheck(t *testing.T, text string) *Summary {
 	t.Helper()
 	sum := run(t, parse(t, text))
 	if !sum.Held() {
@@ -94,7 +94,7 @@
 	const small = "gatekeepers: 3\nservers: 4\nzones: 2\nstore_members: 3\n"
 	t.Run("killed while it holds calls", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, small+"length: 8s\nfaults:\n  - {at: 3s, for: 1500ms, fault: kill, target: g2, state: empty}\n")
+		sum := runAndCheck(t, small+"length: 8s\nfaults:\n  - {at: 3s, for: 1500ms, fault: kill, target: g2, state: empty}\n")
 		if sum.Stats.Broken == 0 {
 			t.Error("no call was open when it was killed")
 		}
@@ -104,7 +104,7 @@
 	})
 	t.Run("a partition heals while a second starts", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, small+"length: 10s\nfaults:\n  - {at: 2s, for: 2s, fault: partition, from: zone:a, to: zone:b}\n"+
+		sum := runAndCheck(t, small+"length: 10s\nfaults:\n  - {at: 2s, for: 2s, fault: partition, from: zone:a, to: zone:b}\n"+
 			"  - {at: 4s, for: 2s, fault: partition, from: g1, to: servers+bus+gatekeepers}\n")
 		if sum.Faults[1].Took < 0 {
 			t.Error("the second did not settle")
@@ -117,7 +117,7 @@
 	t.Run("a paused process wakes after its peers gave it up", func(t *testing.T) {
 		t.Parallel()
 		// One of three leads the store: paused in turn, it is given up by the others, and wakes beside a new leader.
-		sum := play(t, small+"length: 11s\nfaults:\n  - {at: 1s, for: 2s, fault: pause, target: g1}\n"+
+		sum := runAndCheck(t, small+"length: 11s\nfaults:\n  - {at: 1s, for: 2s, fault: pause, target: g1}\n"+
 			"  - {at: 4s, for: 2s, fault: pause, target: g2}\n  - {at: 7s, for: 2s, fault: pause, target: g3}\n")
 		elections := 0
 		for _, name := range []string{"g1", "g2", "g3"} {
@@ -132,7 +132,7 @@
 	})
 	t.Run("connections are reset in the middle of a message", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, small+"length: 9s\nfaults:\n  - {at: 2s, for: 2s, fault: reset, from: gatekeepers, to: servers, bytes: 700}\n"+
+		sum := runAndCheck(t, small+"length: 9s\nfaults:\n  - {at: 2s, for: 2s, fault: reset, from: gatekeepers, to: servers, bytes: 700}\n"+
 			"  - {at: 5s, for: 1s, fault: reset, from: fronts, to: gatekeepers, bytes: 333}\n"+
 			"  - {at: 2s, for: 1s, fault: reset, from: gatekeepers, to: servers}\n  - {at: 5s, for: 1s, fault: reset, from: fronts, to: gatekeepers}\n")
 		if sum.Stats.Broken == 0 {
@@ -141,7 +141,7 @@
 	})
 	t.Run("all killed at once and started again", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, small+"length: 9s\nfaults:\n  - {at: 3s, for: 500ms, fault: kill, target: gatekeepers, state: same}\n")
+		sum := runAndCheck(t, small+"length: 9s\nfaults:\n  - {at: 3s, for: 500ms, fault: kill, target: gatekeepers, state: same}\n")
 		if sum.Stats.Unsent == 0 || sum.Faults[0].Took < 0 {
 			t.Errorf("unsent %d, settled %d", sum.Stats.Unsent, sum.Faults[0].Took)
 		}
@@ -159,7 +159,7 @@
 			t.Fatal(err)
 		}
 		text := string(s.Marshal())
-		sum := play(t, text[strings.Index(text, "gatekeepers:"):strings.Index(text, "load:")]+text[strings.Index(text, "length:"):])
+		sum := runAndCheck(t, text[strings.Index(text, "gatekeepers:"):strings.Index(text, "load:")]+text[strings.Index(text, "length:"):])
 		again, err := Check(sum.Dir)
 		if err != nil || again.Verdict != sum.Verdict || again.Stats != sum.Stats {
 			t.Errorf("judged again: %+v, %v", again, err)
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -17,12 +17,12 @@
 )
 
 type gatekeeper struct {
-	name  string
-	index int
-	start int // counted from 1
-	p     *process
-	ready time.Duration // from its last start
-	ops   string        // operators' address of its last start
+	name      string
+	index     int
+	start     int // counted from 1
+	p         *process
+	ready     time.Duration // from its last start
+	adminAddr string        // operators' address of its last start
 
 	listen string        // callers' address of its last start, past the relay
 	limits script.Limits // in its file
@@ -33,7 +33,7 @@
 	f.mu.Lock()
 	g.start++
 	f.mu.Unlock()
-	tmp, err := filepath.Abs(f.file("state", g.name, "tmp"+strconv.Itoa(g.start)))
+	tmp, err := filepath.Abs(f.path("state", g.name, "tmp"+strconv.Itoa(g.start)))
 	if err == nil {
 		err = f.configure(g, tmp)
 	}
@@ -41,11 +41,11 @@
 		return err
 	}
 	began := time.Now()
-	p, err := spawn(f.Program, g.name, "", f.file("logs", g.name+".log"), []string{"--log-format", "json", "serve",
-		"--config", f.file("etc", g.name, "config.json"), "--deploy", f.file("etc", g.name, "deploy.json")},
+	p, err := spawn(f.Program, g.name, "", f.path("logs", g.name+".log"), []string{"--log-format", "json", "serve",
+		"--config", f.path("etc", g.name, "config.json"), "--deploy", f.path("etc", g.name, "deploy.json")},
 		[]string{"PROXY_ADMIN_ADDR=127.0.0.1:0", "TMPDIR=" + tmp, "GOMAXPROCS=1",
-			ejection.FalseEvidenceVariable + "=" + f.file("state", g.name, lieFile)},
-		func(s said) {
+			ejection.FalseEvidenceVariable + "=" + f.path("state", g.name, falseEvidenceFile)},
+		func(s logLine) {
 			switch s.Msg {
 			case "store listening":
 				f.net.Up(g.name, storeService, s.Listen)
@@ -57,43 +57,43 @@
 				f.mu.Unlock()
 				f.net.Up(g.name, "", s.Listen)
 			}
-		}, func(p *process) { f.ended(g, p) })
+		}, func(p *process) { f.handleExit(g, p) })
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	g.p = p
 	f.mu.Unlock()
-	ops, err := p.ready(ctx)
+	adminAddr, err := p.ready(ctx)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	g.ops = ops
+	g.adminAddr = adminAddr
 	g.ready = time.Since(began)
 	f.mu.Unlock()
-	p.look()
-	f.runs.note(fleetcheck.Ready, line{Process: g.name, What: "pid " + strconv.Itoa(p.pid())})
+	p.samplePeakMemory()
+	f.runs.record(fleetcheck.Ready, line{Process: g.name, What: "pid " + strconv.Itoa(p.pid())})
 	return nil
 }
 
-// ended notes the end of a process, and that it ended by itself where nobody told it to.
-func (f *fleet) ended(g *gatekeeper, p *process) {
+// handleExit notes the end of a process, and that it ended by itself where nobody told it to.
+func (f *fleet) handleExit(g *gatekeeper, p *process) {
 	f.net.Down(g.name)
 	if p.err != nil {
 		f.fail(fmt.Errorf("%s: its log: %w", p.name, p.err))
 	}
 	status := p.state.Sys().(syscall.WaitStatus)
-	used := ""
-	if p.peak.Load() > 0 {
-		used = fmt.Sprintf(", cpu %.2f s, memory at most %d KiB", (p.state.UserTime() + p.state.SystemTime()).Seconds(), p.peak.Load())
+	usage := ""
+	if p.peakKiB.Load() > 0 {
+		usage = fmt.Sprintf(", cpu %.2f s, memory at most %d KiB", (p.state.UserTime() + p.state.SystemTime()).Seconds(), p.peakKiB.Load())
 	}
 	switch {
-	case !p.wasAsked(), !status.Signaled() && p.state.ExitCode() != 0:
-		f.runs.note(fleetcheck.Crashed, line{Process: g.name, What: p.state.String() + used})
-		f.tell(g.name + " ended by itself: " + p.state.String())
+	case !p.wasStopped(), !status.Signaled() && p.state.ExitCode() != 0:
+		f.runs.record(fleetcheck.Crashed, line{Process: g.name, What: p.state.String() + usage})
+		f.reportProgress(g.name + " ended by itself: " + p.state.String())
 	default:
-		f.runs.note(fleetcheck.Stopped, line{Process: g.name, What: p.state.String() + used})
+		f.runs.record(fleetcheck.Stopped, line{Process: g.name, What: p.state.String() + usage})
 	}
 }
 
@@ -101,7 +101,7 @@
 	began := time.Now()
 	var group errgroup.Group
 	// Members of the store wait for each other, so all of them are started at the same time.
-	group.SetLimit(max(together, f.s.Members))
+	group.SetLimit(max(maxParallelStarts, f.s.Members))
 	for _, g := range f.gatekeepers {
 		group.Go(func() error { return f.start(ctx, g) })
 	}
@@ -111,16 +111,16 @@
 		starts = append(starts, g.ready.Seconds())
 	}
 	if err == nil {
-		f.tell(fmt.Sprintf("all ready after %d ms", time.Since(began).Milliseconds()))
+		f.reportProgress(fmt.Sprintf("all ready after %d ms", time.Since(began).Milliseconds()))
 	}
 	return starts, err
 }
 
-// allUp returns once callers may be led to every gatekeeper.
-func (f *fleet) allUp(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+// awaitCallers returns once callers may be led to every gatekeeper.
+func (f *fleet) awaitCallers(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	tick := time.NewTicker(askEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for f.callers.Up() < len(f.gatekeepers) {
 		select {
@@ -143,17 +143,17 @@
 	return pids
 }
 
-// endGatekeepers ends every gatekeeper that runs, in order where nothing failed.
-func (f *fleet) endGatekeepers() {
+// stopGatekeepers ends every gatekeeper that runs, in order where nothing failed.
+func (f *fleet) stopGatekeepers() {
 	f.net.Heal()
 	var all sync.WaitGroup
 	f.mu.Lock()
 	for _, g := range f.gatekeepers {
-		if p := g.p; p != nil && !p.over() {
-			f.runs.note(fleetcheck.Asked, line{Process: g.name})
+		if p := g.p; p != nil && !p.hasExited() {
+			f.runs.record(fleetcheck.Asked, line{Process: g.name})
 			all.Go(func() {
-				if !p.end(endWithin) {
-					f.runs.note(fleetcheck.Crashed, line{Process: p.name, What: "did not end within " + endWithin.String() + " of SIGTERM: killed"})
+				if !p.stop(stopTimeout) {
+					f.runs.record(fleetcheck.Crashed, line{Process: p.name, What: "did not end within " + stopTimeout.String() + " of SIGTERM: killed"})
 				}
 			})
 		}
--- a/internal/fleetlab/journal.go
+++ b/internal/fleetlab/journal.go
@@ -31,24 +31,24 @@
 		What: l.What, Span: control.Micros(l.Span), Value: l.Value, Place: place}, ok
 }
 
-// journal writes what was seen. Any goroutine may write; a line is stamped and written in one step, so lines are in order.
-type journal struct {
+// eventLog writes what was seen. Any goroutine may write; a line is stamped and written in one step, so lines are in order.
+type eventLog struct {
 	mu  sync.Mutex
 	f   *os.File
 	out *bufio.Writer
 	err error
 }
 
-func newJournal(file string) (*journal, error) {
+func newEventLog(file string) (*eventLog, error) {
 	f, err := os.Create(file)
 	if err != nil {
 		return nil, err
 	}
-	return &journal{f: f, out: bufio.NewWriterSize(f, 64<<10)}, nil
+	return &eventLog{f: f, out: bufio.NewWriterSize(f, 64<<10)}, nil
 }
 
-// note writes an event as of now.
-func (j *journal) note(kind fleetcheck.Kind, l line) {
+// record writes an event as of now.
+func (j *eventLog) record(kind fleetcheck.Kind, l line) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	l.At, l.Kind = time.Now().UnixMicro(), kind.String()
@@ -62,7 +62,7 @@
 }
 
 // close gives the first fault of all writes.
-func (j *journal) close() error {
+func (j *eventLog) close() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if err := j.out.Flush(); j.err == nil {
--- a/internal/fleetlab/links.go
+++ b/internal/fleetlab/links.go
@@ -7,8 +7,8 @@
 	"beammux/internal/fleetlab/script"
 )
 
-// link lays a relay on every way between two that talk.
-func (f *fleet) link() error {
+// openLinks lays a relay on every way between two that talk.
+func (f *fleet) openLinks() error {
 	tcp := func(from, to, service string) error {
 		l, err := f.net.TCP(from, to, service)
 		if err == nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	for _, v := range f.servers {
-		if err := f.open(v); err != nil {
+		if err := f.listenForGatekeepers(v); err != nil {
 			return err
 		}
 	}
--- a/internal/fleetlab/load.go
+++ b/internal/fleetlab/load.go
@@ -10,11 +10,11 @@
 	"beammux/internal/lab"
 )
 
-// homes gives the places of the gatekeepers that first calls come to now; nil: everywhere.
-func (f *fleet) homes() (at []int) {
+// homeIndexes gives the places of the gatekeepers that first calls come to now; nil: everywhere.
+func (f *fleet) homeIndexes() (indexes []int) {
 	to := ""
 	for _, h := range f.s.Homes {
-		if time.Since(f.began) >= time.Duration(h.At) {
+		if time.Since(f.startedAt) >= time.Duration(h.At) {
 			to = h.To
 		}
 	}
@@ -24,11 +24,11 @@
 	for _, name := range f.selected(to) {
 		for _, g := range f.gatekeepers {
 			if g.name == name {
-				at = append(at, g.index)
+				indexes = append(indexes, g.index)
 			}
 		}
 	}
-	return at
+	return indexes
 }
 
 // load is what the callers offer: each first call comes to a gatekeeper of a zone, and its first choice is a server there.
@@ -47,8 +47,8 @@
 		PerS: f.s.Load * lab.PlatformWork().Capacity() * float64(f.s.Servers),
 		Pick: func(rng *rand.Rand) (home, dest int) {
 			z := zones[rng.IntN(len(zones))]
-			if at := f.homes(); at != nil {
-				return at[rng.IntN(len(at))], z[1][rng.IntN(len(z[1]))]
+			if indexes := f.homeIndexes(); indexes != nil {
+				return indexes[rng.IntN(len(indexes))], z[1][rng.IntN(len(z[1]))]
 			}
 			return z[0][rng.IntN(len(z[0]))], z[1][rng.IntN(len(z[1]))]
 		},
@@ -59,8 +59,8 @@
 			return ""
 		},
 		Again: func(rng *rand.Rand) int {
-			if at := f.homes(); at != nil {
-				return at[rng.IntN(len(at))]
+			if indexes := f.homeIndexes(); indexes != nil {
+				return indexes[rng.IntN(len(indexes))]
 			}
 			return -1
 		},
@@ -73,6 +73,6 @@
 			if e.Gatekeeper >= 0 {
 				l.Process = script.Gatekeeper(e.Gatekeeper)
 			}
-			f.calls.note(kind, l)
+			f.calls.record(kind, l)
 		}}
 }
--- a/internal/fleetlab/overhead_test.go
+++ b/internal/fleetlab/overhead_test.go
@@ -67,7 +67,7 @@
 	}
 	listen := make(chan string, 1)
 	g, err := spawn(p, "g", dir, filepath.Join(dir, "log"), []string{"--log-format", "json", "serve", "--config", "config.json", "--deploy", "deploy.json"},
-		[]string{"PROXY_ADMIN_ADDR=127.0.0.1:0"}, func(s said) {
+		[]string{"PROXY_ADMIN_ADDR=127.0.0.1:0"}, func(s logLine) {
 			if s.Msg == "serving" {
 				listen <- s.Listen
 			}
--- a/internal/fleetlab/process.go
+++ b/internal/fleetlab/process.go
@@ -48,26 +48,26 @@
 
 // process is one run of the gatekeeper's program.
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	ops   chan string   // the operators' address, once it is known
-	gone  chan struct{} // closed when it has ended and its log is whole
-	state *os.ProcessState
-	err   error // why its log could not be kept
-
-	peak atomic.Int64 // most memory that it was seen to have had, KiB
-
-	mu     sync.Mutex
-	asked  bool // it was told to end, or killed by the laboratory
-	paused bool
+	name      string
+	cmd       *exec.Cmd
+	adminAddr chan string   // the operators' address, once it is known
+	exited    chan struct{} // closed when it has ended and its log is whole
+	state     *os.ProcessState
+	err       error // why its log could not be kept
+
+	peakKiB atomic.Int64 // most memory that it was seen to have had, KiB
+
+	mu            sync.Mutex
+	stopRequested bool // it was told to end, or killed by the laboratory
+	paused        bool
 }
 
-// said is a line of a gatekeeper's log as far as the laboratory reads it while it runs.
-type said struct{ Msg, Listen string }
+// logLine is a line of a gatekeeper's log as far as the laboratory reads it while it runs.
+type logLine struct{ Msg, Listen string }
 
 // spawn starts a gatekeeper. Its log goes to a file, line by line; hear is told of each line that is JSON, and ended when it
 // has ended, before anybody who waits for that.
-func spawn(p Program, name, dir, logFile string, args, env []string, hear func(said), ended func(*process)) (*process, error) {
+func spawn(p Program, name, dir, logFile string, args, env []string, onLine func(logLine), onExit func(*process)) (*process, error) {
 	f, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -85,42 +85,42 @@
 		f.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r := &process{name: name, cmd: cmd, ops: make(chan string, 1), gone: make(chan struct{})}
+	proc := &process{name: name, cmd: cmd, adminAddr: make(chan string, 1), exited: make(chan struct{})}
 	go func() {
-		defer close(r.gone)
+		defer close(proc.exited)
 		out := bufio.NewWriter(f)
 		in := bufio.NewReaderSize(stderr, 64<<10)
 		for {
 			text, err := in.ReadBytes('\n')
 			if len(text) > 0 {
-				if _, e := out.Write(text); e != nil && r.err == nil {
-					r.err = e
+				if _, e := out.Write(text); e != nil && proc.err == nil {
+					proc.err = e
 				}
-				var s said
+				var s logLine
 				if json.Unmarshal(text, &s) == nil {
 					if s.Msg == "operators' address serving" {
 						select {
-						case r.ops <- s.Listen:
+						case proc.adminAddr <- s.Listen:
 						default:
 						}
 					}
-					hear(s)
+					onLine(s)
 				}
 				out.Flush()
 			}
 			if err != nil {
-				if err != io.EOF && r.err == nil {
-					r.err = err
+				if err != io.EOF && proc.err == nil {
+					proc.err = err
 				}
 				break
 			}
 		}
 		cmd.Wait()
-		r.state = cmd.ProcessState
+		proc.state = cmd.ProcessState
 		f.Close()
-		ended(r)
+		onExit(proc)
 	}()
-	return r, nil
+	return proc, nil
 }
 
 // Pid is the number of the process.
@@ -131,7 +131,7 @@
 	defer p.mu.Unlock()
 	switch s {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.asked = true
+		p.stopRequested = true
 	case syscall.SIGSTOP:
 		p.paused = true
 	case syscall.SIGCONT:
@@ -140,15 +140,15 @@
 	p.cmd.Process.Signal(s)
 }
 
-func (p *process) wasAsked() bool {
+func (p *process) wasStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.stopRequested
 }
 
-func (p *process) over() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return true
 	default:
 		return false
@@ -156,25 +156,25 @@
 }
 
 const (
-	readyWithin = 30 * time.Second
-	askEvery    = 5 * time.Millisecond
+	readyTimeout = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-var errEnded = errors.New("it ended before it was ready")
+var errExited = errors.New("it ended before it was ready")
 
 // ready returns once the operators' address says yes.
 func (p *process) ready(ctx context.Context) (addr string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	select {
-	case addr = <-p.ops:
-	case <-p.gone:
-		return "", fmt.Errorf("%s: %w (%v)", p.name, errEnded, p.state)
+	case addr = <-p.adminAddr:
+	case <-p.exited:
+		return "", fmt.Errorf("%s: %w (%v)", p.name, errExited, p.state)
 	case <-ctx.Done():
 		return "", fmt.Errorf("%s: no operators' address in its log: %w", p.name, ctx.Err())
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for tick := time.NewTicker(askEvery); ; {
+	for tick := time.NewTicker(pollInterval); ; {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/ready", nil)
 		if err != nil {
 			return "", err
@@ -188,44 +188,44 @@
 		}
 		select {
 		case <-tick.C:
-		case <-p.gone:
-			return "", fmt.Errorf("%s: %w (%v)", p.name, errEnded, p.state)
+		case <-p.exited:
+			return "", fmt.Errorf("%s: %w (%v)", p.name, errExited, p.state)
 		case <-ctx.Done():
 			return "", fmt.Errorf("%s: not ready: %w", p.name, ctx.Err())
 		}
 	}
 }
 
-// look notes the most memory that the process has had. What the kernel says of it after its end counts what it shared with
+// samplePeakMemory notes the most memory that the process has had. What the kernel says of it after its end counts what it shared with
 // its parent before it became itself.
-func (p *process) look() {
+func (p *process) samplePeakMemory() {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.pid()))
 	if err != nil {
 		return
 	}
 	_, rest, _ := bytes.Cut(text, []byte("VmHWM:"))
 	var kib int64
-	if _, err := fmt.Sscan(string(rest[:min(len(rest), 40)]), &kib); err == nil && kib > p.peak.Load() {
-		p.peak.Store(kib)
+	if _, err := fmt.Sscan(string(rest[:min(len(rest), 40)]), &kib); err == nil && kib > p.peakKiB.Load() {
+		p.peakKiB.Store(kib)
 	}
 }
 
-// end ends the process by its number: SIGTERM and some time, then SIGKILL. It tells whether SIGTERM was enough.
-func (p *process) end(within time.Duration) bool {
-	p.look()
+// stop ends the process by its number: SIGTERM and some time, then SIGKILL. It tells whether SIGTERM was enough.
+func (p *process) stop(timeout time.Duration) bool {
+	p.samplePeakMemory()
 	p.signal(syscall.SIGCONT)
-	if !p.over() && within > 0 {
+	if !p.hasExited() && timeout > 0 {
 		p.signal(syscall.SIGTERM)
 		select {
-		case <-p.gone:
+		case <-p.exited:
 			return true
-		case <-time.After(within):
+		case <-time.After(timeout):
 		}
 	}
-	if p.over() {
+	if p.hasExited() {
 		return true
 	}
 	p.signal(syscall.SIGKILL)
-	<-p.gone
+	<-p.exited
 	return false
 }
--- a/internal/fleetlab/registers_test.go
+++ b/internal/fleetlab/registers_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heard gives, by gatekeeper, the rates that it was read to hold, in order.
-func heard(t *testing.T, sum *Summary) map[string][]line {
+// heardRates gives, by gatekeeper, the rates that it was read to hold, in order.
+func heardRates(t *testing.T, sum *Summary) map[string][]line {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(sum.Dir, "run.jsonl"))
 	require.NoError(t, err)
@@ -38,11 +38,11 @@
 	all := "g1 g2 g3 g4"
 	t.Run("lost, doubled, late and out of order", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, four+"length: 14s\nfaults:\n  - {at: 1s, for: 11s, fault: loss, from: gatekeepers, to: gatekeepers, part: 0.3}\n"+
+		sum := runAndCheck(t, four+"length: 14s\nfaults:\n  - {at: 1s, for: 11s, fault: loss, from: gatekeepers, to: gatekeepers, part: 0.3}\n"+
 			"  - {at: 1s, for: 11s, fault: duplicate, from: gatekeepers, to: gatekeepers, part: 0.3}\n"+
 			"  - {at: 1s, for: 11s, fault: reorder, from: gatekeepers, to: gatekeepers, part: 0.3}\n"+
 			"  - {at: 1s, for: 11s, fault: delay, from: gatekeepers, to: gatekeepers, delay: 40ms, jitter: 40ms}\n")
-		for name, rows := range heard(t, sum) {
+		for name, rows := range heardRates(t, sum) {
 			last := rows[len(rows)-1]
 			require.Equal(t, all, last.Peer, "%s, after %d readings", name, len(rows))
 			require.Greater(t, last.Value, 10.0, name)
@@ -50,9 +50,9 @@
 	})
 	t.Run("a member dies and comes back, across a partition", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, four+"length: 24s\nfaults:\n  - {at: 2s, for: 12s, fault: kill, target: g2}\n"+
+		sum := runAndCheck(t, four+"length: 24s\nfaults:\n  - {at: 2s, for: 12s, fault: kill, target: g2}\n"+
 			"  - {at: 4s, for: 9s, fault: partition, from: g1, to: g3+g4}\n")
-		rows := heard(t, sum)["g3"]
+		rows := heardRates(t, sum)["g3"]
 		alone := false
 		for _, r := range rows {
 			alone = alone || r.Peer == "g3 g4"
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -15,8 +15,8 @@
 	"beammux/internal/fleetcheck"
 )
 
-// report writes the table and the plot of a run into its folder: report.txt, course.svg and course.png.
-func (s *Summary) report(dir string) error {
+// writeReport writes the table and the plot of a run into its folder: report.txt, course.svg and course.png.
+func (s *Summary) writeReport(dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, "report.txt"), []byte(s.Table()), 0o644); err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 	t := s.Stats
 	fmt.Fprintf(&b, "tries %d: stood %d, refused %d, failed %d, unanswered %d, connection ended %d; found no gatekeeper %d; set-ups to gated servers %d\n",
 		t.Tries, t.Established, t.Refused, t.Failed, t.Unanswered, t.Broken, t.Unsent, t.Gated)
-	if len(s.Starts) > 0 {
-		fmt.Fprintf(&b, "ready after: first start %.2f to %.2f s\n", slices.Min(s.Starts), slices.Max(s.Starts))
+	if len(s.StartTimes) > 0 {
+		fmt.Fprintf(&b, "ready after: first start %.2f to %.2f s\n", slices.Min(s.StartTimes), slices.Max(s.StartTimes))
 	}
 	if s.Joined > 0 {
 		fmt.Fprintf(&b, "all views of the fleet agree %.2f s after all were ready\n", s.Joined)
@@ -92,16 +92,16 @@
 	return fmt.Sprintf("%.1f s", float64(t)/1e6)
 }
 
-const perPoint = 5 // buckets of the course in a point of the plot: half a second
+const bucketsPerPoint = 5 // buckets of the course in a point of the plot: half a second
 
 // plot draws the course: what became of the tries sent in each half second, and where faults were on.
 func (s *Summary) plot(kind string) ([]byte, error) {
 	names := []string{"stood", "refused", "failed or unanswered", "faults on"}
 	values := make([][]float64, len(names))
 	var labels []string
-	for i := 0; i < len(s.Course); i += perPoint {
+	for i := 0; i < len(s.Course); i += bucketsPerPoint {
 		var sum fleetcheck.Bucket
-		for _, b := range s.Course[i:min(i+perPoint, len(s.Course))] {
+		for _, b := range s.Course[i:min(i+bucketsPerPoint, len(s.Course))] {
 			sum.Established += b.Established
 			sum.Refused += b.Refused
 			sum.Failed += b.Failed + b.Lost
--- a/internal/fleetlab/script/draw.go
+++ b/internal/fleetlab/script/draw.go
@@ -11,42 +11,42 @@
 	"beammux/internal/jsonfile"
 )
 
-// Shape says which fleet a script is drawn for.
+// Shape describes the fleet that a generated script is for.
 type Shape struct {
 	Gatekeepers, Servers, Zones, Members int
 	Load                                 float64
 	Fleet                                bool
-	Limits                               *Limits // nil: none
+	Limits                               *Limits // nil: no limits
 }
 
-// KindsOf reads a list of kinds as a command has it: all, or names with + between. all leaves out those that concern
-// datagrams alone, which are drawn where they are named.
+// KindsOf parses a list of fault kinds from the command line: "all", or kind names joined by "+". "all" omits the kinds
+// that affect only datagrams and those that are generated only on explicit request.
 func KindsOf(text string) ([]string, error) {
 	if text == "all" {
-		return slices.DeleteFunc(Kinds(), func(k string) bool { return kinds[k].udp || kinds[k].named }), nil
+		return slices.DeleteFunc(Kinds(), func(k string) bool { return kinds[k].datagramsOnly || kinds[k].explicitOnly }), nil
 	}
-	var out []string
+	var selected []string
 	for name := range strings.SplitSeq(text, "+") {
 		if _, ok := kinds[name]; !ok {
 			return nil, fmt.Errorf("%q is none of all, %s%s", name, strings.Join(Kinds(), ", "), jsonfile.Hint(name, Kinds()))
 		}
-		out = append(out, name)
+		selected = append(selected, name)
 	}
-	return out, nil
+	return selected, nil
 }
 
-// How faults are drawn.
+// Bounds of the times of generated faults.
 const (
-	firstAt  = 4 * time.Second // the fleet is warm by then, and what it does without faults is known
-	shortest = 1500 * time.Millisecond
-	longest  = 3500 * time.Millisecond
-	gapLeast = 2 * time.Second // between the end of a fault and the next, where they do not overlap
-	gapMost  = 4 * time.Second
-	overlap  = 0.2 // part of the faults that begin while the one before is on
-	afterAll = 6 * time.Second
+	firstFaultAt       = 4 * time.Second // by then the fleet is warm and its behaviour without faults has been observed
+	minFaultDuration   = 1500 * time.Millisecond
+	maxFaultDuration   = 3500 * time.Millisecond
+	minGap             = 2 * time.Second // between the end of one fault and the start of the next, unless they overlap
+	maxGap             = 4 * time.Second
+	overlapProbability = 0.2 // probability that a fault begins while the previous one is active
+	quietTail          = 6 * time.Second
 )
 
-// Draw draws a script: each kind once, in an order, at times and on targets that come from the seed alone.
+// Draw generates a script with one fault of each kind. Order, times and targets depend only on the seed.
 func Draw(seed uint64, shape Shape, names []string) (*Script, error) {
 	s := &Script{Version: Version, Seed: seed, Gatekeepers: shape.Gatekeepers, Servers: shape.Servers, Zones: shape.Zones,
 		Members: shape.Members, Load: shape.Load, Fleet: shape.Fleet, Limits: shape.Limits, Length: 1}
@@ -54,38 +54,39 @@
 		return nil, err
 	}
 	if s.Limits == nil && slices.Contains(names, "reload") {
-		return nil, errReload
+		return nil, errNoLimits
 	}
-	rng := rand.New(rand.NewPCG(seed, 0x666c656574)) // the fleet's own stream
-	span := func(from, to time.Duration) time.Duration {
+	rng := rand.New(rand.NewPCG(seed, 0x666c656574)) // stream number that sets scripts apart from other uses of the seed
+	randomDuration := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(rng.Int64N(int64(to-from)+1))).Round(10 * time.Millisecond)
 	}
 	names = slices.Clone(names)
 	slices.Sort(names)
 	rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	at, end := firstAt, firstAt
+	start, end := firstFaultAt, firstFaultAt
 	for i, name := range names {
-		f := Fault{At: Duration(at), For: Duration(span(shortest, longest)), Kind: name}
-		s.target(rng, &f)
+		f := Fault{At: Duration(start), For: Duration(randomDuration(minFaultDuration, maxFaultDuration)), Kind: name}
+		s.setTarget(rng, &f)
 		s.Faults = append(s.Faults, f)
-		end = max(end, at+time.Duration(f.For))
-		if i+1 < len(names) && rng.Float64() < overlap {
-			at += span(300*time.Millisecond, time.Duration(f.For))
+		end = max(end, start+time.Duration(f.For))
+		if i+1 < len(names) && rng.Float64() < overlapProbability {
+			start += randomDuration(300*time.Millisecond, time.Duration(f.For))
 		} else {
-			at = end + span(gapLeast, gapMost)
+			start = end + randomDuration(minGap, maxGap)
 		}
 	}
-	s.Length = Duration(end + afterAll)
+	s.Length = Duration(end + quietTail)
 	return s, nil
 }
 
-// target draws what a fault acts on, and its figures.
-func (s *Script) target(rng *rand.Rand, f *Fault) {
+// setTarget chooses the target of a fault and its parameters at random.
+func (s *Script) setTarget(rng *rand.Rand, f *Fault) {
 	gatekeeper := func() string { return Gatekeeper(rng.IntN(s.Gatekeepers)) }
 	zone := func() string { return Zone(rng.IntN(s.Zones)) }
 	one := func(names ...string) string { return names[rng.IntN(len(names))] }
 	whole := func(from, to int) int { return from + rng.IntN(to-from+1) }
-	// links draws what a gatekeeper opens: to the servers of a zone, to all, to the bus, or what callers open to it.
+	// links chooses connections that gatekeepers open to the servers of a zone or to the bus, or that callers open to a
+	// gatekeeper.
 	links := func() {
 		switch rng.IntN(4) {
 		case 0:
--- a/internal/fleetlab/script/fleet.go
+++ b/internal/fleetlab/script/fleet.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// The processes of a fleet, by name: g1.. are gatekeepers, s1.. menu servers, front-a.. the callers of a zone, bus the
-// event bus. Gatekeepers and servers are dealt out over the zones a, b, ... in turn.
+// Names of the processes of a fleet: gatekeepers are g1, g2, ..., menu servers s1, s2, ..., the callers of a zone front-a,
+// front-b, ..., and the event bus is bus. Gatekeepers and servers are assigned to the zones a, b, ... in turn.
 const (
 	Bus   = "bus"
-	Front = "front-" // the names of callers begin so
+	Front = "front-" // prefix of the names of callers
 )
 
-// Zone names a zone by its place.
+// Zone returns the name of the zone with index i, counted from 0.
 func Zone(i int) string { return string(rune('a' + i)) }
 
-// Gatekeeper names one by its place from 0.
+// Gatekeeper returns the name of the gatekeeper with index i, counted from 0.
 func Gatekeeper(i int) string { return "g" + strconv.Itoa(i+1) }
 
-// Server names one by its place from 0.
+// Server returns the name of the menu server with index i, counted from 0.
 func Server(i int) string { return "s" + strconv.Itoa(i+1) }
 
-// ZoneOf gives the zone of a process, "" for the bus.
+// ZoneOf returns the zone of a process, or "" for the bus.
 func (s *Script) ZoneOf(name string) string {
 	if zone, ok := strings.CutPrefix(name, Front); ok {
 		return zone
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// Processes lists all of them: gatekeepers, servers, fronts, the bus.
+// Processes returns the names of all processes in this order: gatekeepers, servers, fronts, the bus.
 func (s *Script) Processes() (names []string) {
 	for i := range s.Gatekeepers {
 		names = append(names, Gatekeeper(i))
@@ -51,12 +51,12 @@
 func isGatekeeper(name string) bool { return strings.HasPrefix(name, "g") }
 func isServer(name string) bool     { return strings.HasPrefix(name, "s") }
 
-// Select gives the processes that a selector names, in their order. A selector is one or more of these, with + between:
-// a process (g1, s3, bus, front-a), zone:a for all of a zone, gatekeepers, servers, fronts, all, each of the last four
-// also with @a for those of a zone.
+// Select returns the processes that a selector matches, in the order of its terms. A selector is one or more terms joined
+// by "+": a process (g1, s3, bus, front-a), zone:a for all processes of a zone, or gatekeepers, servers, fronts or all, each
+// optionally restricted to a zone, as in servers@a.
 func (s *Script) Select(selector string) ([]string, error) {
 	all := s.Processes()
-	var out []string
+	var selected []string
 	for part := range strings.SplitSeq(selector, "+") {
 		group, zone, zoned := strings.Cut(strings.TrimSpace(part), "@")
 		if z, ok := strings.CutPrefix(group, "zone:"); ok && !zoned {
@@ -67,34 +67,35 @@
 		}
 		found := false
 		for _, name := range all {
-			is := group == "all" || group == "gatekeepers" && isGatekeeper(name) || group == "servers" && isServer(name) ||
+			matches := group == "all" || group == "gatekeepers" && isGatekeeper(name) || group == "servers" && isServer(name) ||
 				group == "fronts" && strings.HasPrefix(name, Front) || group == name && !zoned
-			if !is || zoned && s.ZoneOf(name) != zone {
+			if !matches || zoned && s.ZoneOf(name) != zone {
 				continue
 			}
 			found = true
-			if !slices.Contains(out, name) {
-				out = append(out, name)
+			if !slices.Contains(selected, name) {
+				selected = append(selected, name)
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("%q names no process of this fleet", part)
+			return nil, fmt.Errorf("%q matches no process of this fleet", part)
 		}
 	}
-	return out, nil
+	return selected, nil
 }
 
-func (s *Script) fits(selector string, c class) error {
+// checkSelector reports an error unless the selector matches only processes of class c.
+func (s *Script) checkSelector(selector string, c class) error {
 	names, err := s.Select(selector)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
 		if c == onGatekeepers && !isGatekeeper(name) {
-			return fmt.Errorf("%q: %s is no gatekeeper", selector, name)
+			return fmt.Errorf("%q: %s is not a gatekeeper", selector, name)
 		}
 		if c == onServers && !isServer(name) {
-			return fmt.Errorf("%q: %s is no menu server", selector, name)
+			return fmt.Errorf("%q: %s is not a menu server", selector, name)
 		}
 	}
 	return nil
--- a/internal/fleetlab/script/script.go
+++ b/internal/fleetlab/script/script.go
@@ -1,5 +1,6 @@
-// Package script holds the fault scripts of the fleet laboratory: which fleet, for how long, and which faults at which
-// times. A script is a YAML file that people read and write; a seed draws one, and the same seed draws the same bytes.
+// Package script defines the fault scripts of the fleet laboratory: the fleet, the length of the run, and the faults with
+// their times. A script is a YAML file that can be edited by hand or generated from a seed; the same seed generates the
+// same bytes.
 //
 //	version: 1
 //	seed: 7
@@ -29,89 +30,90 @@
 	"beammux/internal/jsonfile"
 )
 
-// Bounds of a script: a run is bounded in time and size.
+// Version is the format version that Parse accepts; the other constants bound the size and the length of a run.
 const (
-	Version        = 1
-	MostGatekeeper = 32
-	MostServers    = 64
-	MostZones      = 8
-	MostMembers    = 7
-	MostLength     = 2 * time.Hour
-	mostFaults     = 500
-	mostLoad       = 3
-	mostPart       = 1
-	mostSlow       = 100
-	mostBytes      = 1 << 30
+	Version         = 1
+	MaxGatekeepers  = 32
+	MaxServers      = 64
+	MaxZones        = 8
+	MaxStoreMembers = 7
+	MaxLength       = 2 * time.Hour
+	maxFaults       = 500
+	maxLoad         = 3
+	maxPart         = 1
+	maxFactor       = 100
+	maxBytes        = 1 << 30
 )
 
-// Duration is a span as YAML has it: 250ms, 3s.
+// Duration is a time span that is written to YAML as text, such as 250ms or 3s.
 type Duration time.Duration
 
 // MarshalYAML implements yaml.Marshaler.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
+// String implements fmt.Stringer.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Script is one run.
+// Script describes one run.
 type Script struct {
 	Version     int      `yaml:"version"`
 	Seed        uint64   `yaml:"seed"`
 	Gatekeepers int      `yaml:"gatekeepers"`
 	Servers     int      `yaml:"servers"`
 	Zones       int      `yaml:"zones"`
-	Members     int      `yaml:"store_members"`      // of the gatekeepers, the first ones share a store; the others have one each
-	Load        float64  `yaml:"load"`               // first calls, in the servers' capacity
-	Length      Duration `yaml:"length"`             // for how long calls come
-	Fleet       bool     `yaml:"fleet,omitempty"`    // the gatekeepers keep a view of the fleet
-	Limits      *Limits  `yaml:"limits,omitempty"`   // of the fleet: one rule for all calls
-	Verdicts    bool     `yaml:"verdicts,omitempty"` // of the fleet on servers
-	Homes       []Home   `yaml:"homes,omitempty"`    // where calls come to, from when on; everywhere, if none
+	Members     int      `yaml:"store_members"`      // number of gatekeepers, the first ones, that share a store; each other one has its own
+	Load        float64  `yaml:"load"`               // rate of first calls, as a multiple of the servers' total capacity
+	Length      Duration `yaml:"length"`             // time during which callers make calls
+	Fleet       bool     `yaml:"fleet,omitempty"`    // gatekeepers take part in fleet gossip
+	Limits      *Limits  `yaml:"limits,omitempty"`   // fleet-wide limit on all calls
+	Verdicts    bool     `yaml:"verdicts,omitempty"` // fleet verdicts on servers are enabled
+	Homes       []Home   `yaml:"homes,omitempty"`    // gatekeepers that receive first calls, by time; empty: all
 	Faults      []Fault  `yaml:"faults"`
 }
 
-// Limits is the rule of the fleet for all calls.
+// Limits is the fleet-wide limit that applies to all calls.
 type Limits struct {
-	Mode  string  `yaml:"mode"` // leased, near, alone; fixed: alone with the limit divided by the gatekeepers
+	Mode  string  `yaml:"mode"` // leased, near, alone, or fixed: alone with the limit divided by the number of gatekeepers
 	PerS  float64 `yaml:"per_s"`
 	Burst float64 `yaml:"burst"`
 }
 
-// Home says where first calls come to from a time on.
+// Home selects the gatekeepers that receive first calls from a time on.
 type Home struct {
-	At Duration `yaml:"at"` // since the first call
-	To string   `yaml:"to"` // gatekeepers
+	At Duration `yaml:"at"` // since the start of calls
+	To string   `yaml:"to"` // selector of gatekeepers
 }
 
-// Fault is one fault. Which fields it has depends on its kind.
+// Fault is one fault of a script. Its kind determines which fields apply.
 type Fault struct {
-	At     Duration `yaml:"at"`               // since the first call
-	For    Duration `yaml:"for"`              // then it is taken back: the process started, woken, the links healed
+	At     Duration `yaml:"at"`               // since the start of calls
+	For    Duration `yaml:"for"`              // after this time it is undone: the process is started or resumed, the links are restored
 	Kind   string   `yaml:"fault"`            // one of Kinds
-	Target string   `yaml:"target,omitempty"` // processes
-	From   string   `yaml:"from,omitempty"`   // links
+	Target string   `yaml:"target,omitempty"` // selector of processes
+	From   string   `yaml:"from,omitempty"`   // selectors of the two ends of links
 	To     string   `yaml:"to,omitempty"`
-	State  string   `yaml:"state,omitempty"` // same or empty: with what a gatekeeper is started again
+	State  string   `yaml:"state,omitempty"` // same or empty: stored state with which a gatekeeper is restarted
 	Delay  Duration `yaml:"delay,omitempty"`
 	Jitter Duration `yaml:"jitter,omitempty"`
-	Part   float64  `yaml:"part,omitempty"`        // of datagrams
-	Slow   float64  `yaml:"slow,omitempty"`        // times longer that all work takes
-	Number string   `yaml:"number,omitempty"`      // whose lines are all busy, and a part of the calls go there
+	Part   float64  `yaml:"part,omitempty"`        // of datagrams, set-ups or calls, by kind; 0 to 1
+	Slow   float64  `yaml:"slow,omitempty"`        // factor by which processing times grow
+	Number string   `yaml:"number,omitempty"`      // number whose lines are all busy; Part of the calls go there
 	Factor float64  `yaml:"factor,omitempty"`      // by which limits are multiplied
-	Rate   int      `yaml:"bytes_per_s,omitempty"` // cap
-	Bytes  int      `yaml:"bytes,omitempty"`       // after which a connection is reset; 0: those that are open, at once
-	Line   int      `yaml:"-"`                     // of the file, from 1
+	Rate   int      `yaml:"bytes_per_s,omitempty"` // bandwidth cap
+	Bytes  int      `yaml:"bytes,omitempty"`       // after which a connection is reset; 0: open connections are reset at once
+	Line   int      `yaml:"-"`                     // in the file, counted from 1
 }
 
-// Name names a fault in logs and reports.
+// Name returns a description of the fault for logs and reports.
 func (f Fault) Name() string {
-	what := f.Target
-	if what == "" {
-		what = f.From + " to " + f.To
+	subject := f.Target
+	if subject == "" {
+		subject = f.From + " to " + f.To
 	}
-	return fmt.Sprintf("%s %s at %s for %s", f.Kind, what, f.At, f.For)
+	return fmt.Sprintf("%s %s at %s for %s", f.Kind, subject, f.At, f.For)
 }
 
-// What a fault's kind acts on.
+// class is the type of object that a kind of fault acts on.
 type class int
 
 const (
@@ -120,40 +122,41 @@
 	onLinks
 )
 
-type kind struct {
-	class class
-	needs []string // keys beside at, for, fault and those of its class
-	also  []string // keys that it may have
-	udp   bool     // concerns datagrams alone
-	named bool     // drawn only where it is named
+// kindSpec describes the keys of a kind of fault.
+type kindSpec struct {
+	class         class
+	required      []string // keys in addition to at, for, fault and those of the class
+	optional      []string // further keys that are allowed
+	datagramsOnly bool     // affects only datagrams
+	explicitOnly  bool     // generated only on explicit request, not for "all"
 }
 
-var kinds = map[string]kind{
-	"kill":      {class: onGatekeepers, also: []string{"state"}},
-	"term":      {class: onGatekeepers, also: []string{"state"}},
+var kinds = map[string]kindSpec{
+	"kill":      {class: onGatekeepers, optional: []string{"state"}},
+	"term":      {class: onGatekeepers, optional: []string{"state"}},
 	"pause":     {class: onGatekeepers},
-	"reload":    {class: onGatekeepers, needs: []string{"factor"}, named: true},
+	"reload":    {class: onGatekeepers, required: []string{"factor"}, explicitOnly: true},
 	"lose":      {class: onServers},
-	"slow":      {class: onServers, needs: []string{"slow"}},
+	"slow":      {class: onServers, required: []string{"slow"}},
 	"drain":     {class: onServers},
-	"hang":      {class: onServers, named: true},
-	"ill":       {class: onServers, needs: []string{"part"}, named: true},
-	"engaged":   {class: onServers, needs: []string{"number", "part"}, named: true},
-	"rude":      {class: onGatekeepers, named: true},
-	"lie":       {class: onGatekeepers, named: true},
+	"hang":      {class: onServers, explicitOnly: true},
+	"ill":       {class: onServers, required: []string{"part"}, explicitOnly: true},
+	"engaged":   {class: onServers, required: []string{"number", "part"}, explicitOnly: true},
+	"rude":      {class: onGatekeepers, explicitOnly: true},
+	"lie":       {class: onGatekeepers, explicitOnly: true},
 	"partition": {class: onLinks},
 	"cut":       {class: onLinks},
-	"delay":     {class: onLinks, needs: []string{"delay"}, also: []string{"jitter"}},
-	"bandwidth": {class: onLinks, needs: []string{"bytes_per_s"}},
-	"reset":     {class: onLinks, also: []string{"bytes"}},
+	"delay":     {class: onLinks, required: []string{"delay"}, optional: []string{"jitter"}},
+	"bandwidth": {class: onLinks, required: []string{"bytes_per_s"}},
+	"reset":     {class: onLinks, optional: []string{"bytes"}},
 	"blackhole": {class: onLinks},
 	"refuse":    {class: onLinks},
-	"loss":      {class: onLinks, needs: []string{"part"}, udp: true},
-	"duplicate": {class: onLinks, needs: []string{"part"}, udp: true},
-	"reorder":   {class: onLinks, needs: []string{"part"}, udp: true},
+	"loss":      {class: onLinks, required: []string{"part"}, datagramsOnly: true},
+	"duplicate": {class: onLinks, required: []string{"part"}, datagramsOnly: true},
+	"reorder":   {class: onLinks, required: []string{"part"}, datagramsOnly: true},
 }
 
-// Kinds lists the kinds of faults, sorted.
+// Kinds returns the names of all kinds of faults, sorted.
 func Kinds() []string {
 	names := make([]string, 0, len(kinds))
 	for name := range kinds {
@@ -163,7 +166,7 @@
 	return names
 }
 
-// Load reads a script. The error holds every fault of the file, one in a line, as FILE:LINE:COL: key: what.
+// Load reads a script file. The error lists every problem of the file, one a line, as FILE:LINE:COL: key: message.
 func Load(file string) (*Script, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -172,20 +175,20 @@
 	return Parse(file, text)
 }
 
-// Parse is Load for a text that has been read.
+// Parse parses the text of a script; name stands for the file name in errors. Errors are as for Load.
 func Parse(name string, text []byte) (*Script, error) {
 	p := &parser{name: name}
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		line := 0
-		what := strings.TrimPrefix(err.Error(), "yaml: ")
-		if rest, ok := strings.CutPrefix(what, "line "); ok {
+		message := strings.TrimPrefix(err.Error(), "yaml: ")
+		if rest, ok := strings.CutPrefix(message, "line "); ok {
 			number, after, _ := strings.Cut(rest, ": ")
 			if n, err := strconv.Atoi(number); err == nil {
-				line, what = n, after
+				line, message = n, after
 			}
 		}
-		return nil, jsonfile.Faults{{File: name, Line: line, Col: 1, What: what}}
+		return nil, jsonfile.Faults{{File: name, Line: line, Col: 1, What: message}}
 	}
 	if len(doc.Content) == 0 {
 		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: "is empty"}}
@@ -199,110 +202,117 @@
 	return s, nil
 }
 
-// Marshal gives the bytes of a script: the same ones for the same script.
+// Marshal returns the script as YAML. Equal scripts yield equal bytes.
 func (s *Script) Marshal() []byte {
 	var b bytes.Buffer
 	e := yaml.NewEncoder(&b)
 	e.SetIndent(2)
-	if err := e.Encode(s); err != nil { // numbers and strings alone
+	if err := e.Encode(s); err != nil { // impossible: a script holds only numbers and strings
 		panic(err)
 	}
 	e.Close()
 	return b.Bytes()
 }
 
+// parser collects the problems that are found in a script.
 type parser struct {
 	name   string
 	faults jsonfile.Faults
 }
 
-func (p *parser) fault(n *yaml.Node, key, what string) {
-	p.faults = append(p.faults, jsonfile.Fault{File: p.name, Line: n.Line, Col: n.Column, Path: key, What: what})
+// addFault records a problem at a node.
+func (p *parser) addFault(n *yaml.Node, key, message string) {
+	p.faults = append(p.faults, jsonfile.Fault{File: p.name, Line: n.Line, Col: n.Column, Path: key, What: message})
 }
 
-// members hands each key of a mapping to take, which tells whether it knows it.
-func (p *parser) members(n *yaml.Node, path string, known []string, take func(key string, v *yaml.Node)) (at map[string]*yaml.Node) {
-	at = map[string]*yaml.Node{}
+// mapping passes each known key of a mapping node, with its full path, to handle and returns the values by key. Unknown
+// and duplicate keys are recorded as problems.
+func (p *parser) mapping(n *yaml.Node, path string, known []string, handle func(key string, v *yaml.Node)) (values map[string]*yaml.Node) {
+	values = map[string]*yaml.Node{}
 	if n.Kind != yaml.MappingNode {
-		p.fault(n, path, "must be a mapping of keys")
-		return at
+		p.addFault(n, path, "must be a mapping of keys")
+		return values
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, v := n.Content[i], n.Content[i+1]
-		full := strings.TrimPrefix(path+"."+key.Value, ".")
+		fullPath := strings.TrimPrefix(path+"."+key.Value, ".")
 		switch {
 		case !slices.Contains(known, key.Value):
-			p.fault(key, full, "is not known"+jsonfile.Hint(key.Value, known))
-		case at[key.Value] != nil:
-			p.fault(key, full, "stands twice")
+			p.addFault(key, fullPath, "is not known"+jsonfile.Hint(key.Value, known))
+		case values[key.Value] != nil:
+			p.addFault(key, fullPath, "appears more than once")
 		default:
-			at[key.Value] = v
-			take(full, v)
+			values[key.Value] = v
+			handle(fullPath, v)
 		}
 	}
-	return at
+	return values
 }
 
-func (p *parser) whole(key string, v *yaml.Node, least, most int) int {
+// integer parses a whole number from lowest to highest.
+func (p *parser) integer(key string, v *yaml.Node, lowest, highest int) int {
 	n, err := strconv.Atoi(v.Value)
-	if v.Kind != yaml.ScalarNode || err != nil || n < least || n > most {
-		p.fault(v, key, fmt.Sprintf("%q is not a whole number from %d to %d", v.Value, least, most))
+	if v.Kind != yaml.ScalarNode || err != nil || n < lowest || n > highest {
+		p.addFault(v, key, fmt.Sprintf("%q is not a whole number from %d to %d", v.Value, lowest, highest))
 	}
 	return n
 }
 
-func (p *parser) number(key string, v *yaml.Node, most float64) float64 {
+// positiveNumber parses a number greater than 0 and at most highest.
+func (p *parser) positiveNumber(key string, v *yaml.Node, highest float64) float64 {
 	n, err := strconv.ParseFloat(v.Value, 64)
-	if v.Kind != yaml.ScalarNode || err != nil || !(n > 0 && n <= most) {
-		p.fault(v, key, fmt.Sprintf("%q is not a number over 0 and up to %g", v.Value, most))
+	if v.Kind != yaml.ScalarNode || err != nil || !(n > 0 && n <= highest) {
+		p.addFault(v, key, fmt.Sprintf("%q is not a number greater than 0 and at most %g", v.Value, highest))
 	}
 	return n
 }
 
-func (p *parser) span(key string, v *yaml.Node, most time.Duration) Duration {
+// duration parses a time span from 0 to highest.
+func (p *parser) duration(key string, v *yaml.Node, highest time.Duration) Duration {
 	d, err := time.ParseDuration(v.Value)
-	if v.Kind != yaml.ScalarNode || err != nil || d < 0 || d > most {
-		p.fault(v, key, fmt.Sprintf("%q is not a span up to %v, as 250ms or 3s", v.Value, most))
+	if v.Kind != yaml.ScalarNode || err != nil || d < 0 || d > highest {
+		p.addFault(v, key, fmt.Sprintf("%q is not a duration of at most %v, such as 250ms or 3s", v.Value, highest))
 	}
 	return Duration(d)
 }
 
+// script parses the root mapping.
 func (p *parser) script(n *yaml.Node, s *Script) {
 	known := []string{"version", "seed", "gatekeepers", "servers", "zones", "store_members", "load", "length", "fleet", "limits", "verdicts", "homes", "faults"}
-	const needed = 8 // of them, the first
+	const requiredCount = 8 // the first requiredCount keys must be present
 	var faults, homes *yaml.Node
-	at := p.members(n, "", known, func(key string, v *yaml.Node) {
+	values := p.mapping(n, "", known, func(key string, v *yaml.Node) {
 		switch key {
 		case "version":
-			if s.Version = p.whole(key, v, 0, 1<<30); s.Version != Version {
-				p.fault(v, key, fmt.Sprintf("is %s, this program reads %d", v.Value, Version))
+			if s.Version = p.integer(key, v, 0, 1<<30); s.Version != Version {
+				p.addFault(v, key, fmt.Sprintf("is %s, but this program supports version %d", v.Value, Version))
 			}
 		case "seed":
 			seed, err := strconv.ParseUint(v.Value, 10, 64)
 			if s.Seed = seed; err != nil {
-				p.fault(v, key, fmt.Sprintf("%q is not a whole number of 64 bits", v.Value))
+				p.addFault(v, key, fmt.Sprintf("%q is not an unsigned 64-bit integer", v.Value))
 			}
 		case "gatekeepers":
-			s.Gatekeepers = p.whole(key, v, 1, MostGatekeeper)
+			s.Gatekeepers = p.integer(key, v, 1, MaxGatekeepers)
 		case "servers":
-			s.Servers = p.whole(key, v, 1, MostServers)
+			s.Servers = p.integer(key, v, 1, MaxServers)
 		case "zones":
-			s.Zones = p.whole(key, v, 1, MostZones)
+			s.Zones = p.integer(key, v, 1, MaxZones)
 		case "store_members":
-			s.Members = p.whole(key, v, 0, MostMembers)
+			s.Members = p.integer(key, v, 0, MaxStoreMembers)
 		case "load":
-			s.Load = p.number(key, v, mostLoad)
+			s.Load = p.positiveNumber(key, v, maxLoad)
 		case "length":
-			s.Length = p.span(key, v, MostLength)
+			s.Length = p.duration(key, v, MaxLength)
 		case "verdicts":
-			on, err := strconv.ParseBool(v.Value)
-			if s.Verdicts = on; err != nil {
-				p.fault(v, key, fmt.Sprintf("%q is neither true nor false", v.Value))
+			enabled, err := strconv.ParseBool(v.Value)
+			if s.Verdicts = enabled; err != nil {
+				p.addFault(v, key, fmt.Sprintf("%q is neither true nor false", v.Value))
 			}
 		case "fleet":
-			on, err := strconv.ParseBool(v.Value)
-			if s.Fleet = on; err != nil {
-				p.fault(v, key, fmt.Sprintf("%q is neither true nor false", v.Value))
+			enabled, err := strconv.ParseBool(v.Value)
+			if s.Fleet = enabled; err != nil {
+				p.addFault(v, key, fmt.Sprintf("%q is neither true nor false", v.Value))
 			}
 		case "limits":
 			s.Limits = p.limits(v, key)
@@ -315,14 +325,14 @@
 	if n.Kind != yaml.MappingNode {
 		return
 	}
-	for _, key := range known[:needed] {
-		if at[key] == nil {
-			p.fault(n, key, "is missing")
+	for _, key := range known[:requiredCount] {
+		if values[key] == nil {
+			p.addFault(n, key, "is missing")
 		}
 	}
 	if len(p.faults) == 0 {
 		if err := s.shape(); err != nil {
-			p.fault(n, "", err.Error())
+			p.addFault(n, "", err.Error())
 		}
 	}
 	if homes != nil {
@@ -332,94 +342,98 @@
 		return
 	}
 	if faults.Kind != yaml.SequenceNode {
-		p.fault(faults, "faults", "must be a list")
+		p.addFault(faults, "faults", "must be a list")
 		return
 	}
-	if len(faults.Content) > mostFaults {
-		p.fault(faults, "faults", fmt.Sprintf("%d faults, over %d", len(faults.Content), mostFaults))
+	if len(faults.Content) > maxFaults {
+		p.addFault(faults, "faults", fmt.Sprintf("has %d faults; the limit is %d", len(faults.Content), maxFaults))
 		return
 	}
-	sound := len(p.faults) == 0
+	valid := len(p.faults) == 0
 	for i, item := range faults.Content {
-		s.Faults = append(s.Faults, p.one(item, fmt.Sprintf("faults[%d]", i), s, sound))
+		s.Faults = append(s.Faults, p.fault(item, fmt.Sprintf("faults[%d]", i), s, valid))
 	}
 }
 
+// limits parses the limits section.
 func (p *parser) limits(n *yaml.Node, path string) *Limits {
 	l := &Limits{}
 	known := []string{"mode", "per_s", "burst"}
-	at := p.members(n, path, known, func(key string, v *yaml.Node) {
+	values := p.mapping(n, path, known, func(key string, v *yaml.Node) {
 		switch key[strings.LastIndexByte(key, '.')+1:] {
 		case "mode":
 			if l.Mode = v.Value; !slices.Contains(limitModes, l.Mode) {
-				p.fault(v, key, fmt.Sprintf("%q is none of %s%s", v.Value, strings.Join(limitModes, ", "), jsonfile.Hint(v.Value, limitModes)))
+				p.addFault(v, key, fmt.Sprintf("%q is none of %s%s", v.Value, strings.Join(limitModes, ", "), jsonfile.Hint(v.Value, limitModes)))
 			}
 		case "per_s":
-			l.PerS = p.number(key, v, mostBytes)
+			l.PerS = p.positiveNumber(key, v, maxBytes)
 		case "burst":
-			l.Burst = p.number(key, v, mostBytes)
+			l.Burst = p.positiveNumber(key, v, maxBytes)
 		}
 	})
 	for _, key := range known {
-		if at[key] == nil && n.Kind == yaml.MappingNode {
-			p.fault(n, path+"."+key, "is missing")
+		if values[key] == nil && n.Kind == yaml.MappingNode {
+			p.addFault(n, path+"."+key, "is missing")
 		}
 	}
 	return l
 }
 
-var errReload = errors.New("reload changes limits, and the script has none")
+var errNoLimits = errors.New("reload changes limits, but the script has none")
 
 var limitModes = []string{"leased", "near", "alone", "fixed"}
 
+// homes parses the homes list.
 func (p *parser) homes(n *yaml.Node, s *Script) {
 	if n.Kind != yaml.SequenceNode {
-		p.fault(n, "homes", "must be a list")
+		p.addFault(n, "homes", "must be a list")
 		return
 	}
 	for i, item := range n.Content {
 		path, h := fmt.Sprintf("homes[%d]", i), Home{}
-		at := p.members(item, path, []string{"at", "to"}, func(key string, v *yaml.Node) {
+		values := p.mapping(item, path, []string{"at", "to"}, func(key string, v *yaml.Node) {
 			if strings.HasSuffix(key, ".at") {
-				h.At = p.span(key, v, MostLength)
+				h.At = p.duration(key, v, MaxLength)
 				return
 			}
 			h.To = v.Value
-			if err := s.fits(v.Value, onGatekeepers); err != nil {
-				p.fault(v, key, err.Error())
+			if err := s.checkSelector(v.Value, onGatekeepers); err != nil {
+				p.addFault(v, key, err.Error())
 			}
 		})
-		if item.Kind == yaml.MappingNode && (at["at"] == nil || at["to"] == nil) {
-			p.fault(item, path, "at or to is missing")
+		if item.Kind == yaml.MappingNode && (values["at"] == nil || values["to"] == nil) {
+			p.addFault(item, path, "at or to is missing")
 		}
 		s.Homes = append(s.Homes, h)
 	}
 }
 
-// shape checks what spans several keys.
+// shape validates constraints between several keys.
 func (s *Script) shape() error {
 	switch {
 	case s.Zones > s.Gatekeepers || s.Zones > s.Servers:
-		return errors.New("zones: each must have a gatekeeper and a server")
+		return errors.New("zones: each zone needs a gatekeeper and a server")
 	case s.Members > s.Gatekeepers:
-		return errors.New("store_members: there are not so many gatekeepers")
+		return errors.New("store_members: exceeds the number of gatekeepers")
 	case s.Verdicts && !s.Fleet:
-		return errors.New("verdicts: they are told by the fleet's gossip, and fleet is not true")
+		return errors.New("verdicts: they are distributed by the fleet's gossip, but fleet is not true")
 	case s.Length <= 0:
-		return errors.New("length: must be over 0")
+		return errors.New("length: must be greater than 0")
 	}
 	return nil
 }
 
-func (p *parser) one(n *yaml.Node, path string, s *Script, sound bool) Fault {
+// fault parses one element of the faults list. valid reports whether the keys that describe the fleet are valid, so that
+// selectors can be checked against it.
+func (p *parser) fault(n *yaml.Node, path string, s *Script, valid bool) Fault {
 	f := Fault{Line: n.Line}
 	known := []string{"at", "for", "fault", "target", "from", "to", "state", "delay", "jitter", "part", "slow", "bytes_per_s", "bytes", "factor", "number"}
-	at := p.members(n, path, known, func(key string, v *yaml.Node) {
+	values := p.mapping(n, path, known, func(key string, v *yaml.Node) {
 		switch key[strings.LastIndexByte(key, '.')+1:] {
 		case "at":
-			f.At = p.span(key, v, MostLength)
+			f.At = p.duration(key, v, MaxLength)
 		case "for":
-			f.For = p.span(key, v, MostLength)
+			f.For = p.duration(key, v, MaxLength)
 		case "fault":
 			f.Kind = v.Value
 		case "target":
@@ -430,66 +444,66 @@
 			f.To = v.Value
 		case "state":
 			if f.State = v.Value; f.State != "same" && f.State != "empty" {
-				p.fault(v, key, fmt.Sprintf("%q is neither same nor empty", v.Value))
+				p.addFault(v, key, fmt.Sprintf("%q is neither same nor empty", v.Value))
 			}
 		case "delay":
-			f.Delay = p.span(key, v, 30*time.Second)
+			f.Delay = p.duration(key, v, 30*time.Second)
 		case "jitter":
-			f.Jitter = p.span(key, v, 30*time.Second)
+			f.Jitter = p.duration(key, v, 30*time.Second)
 		case "part":
-			f.Part = p.number(key, v, mostPart)
+			f.Part = p.positiveNumber(key, v, maxPart)
 		case "number":
 			if f.Number = v.Value; f.Number == "" || len(f.Number) > 32 {
-				p.fault(v, key, "must have 1 to 32 characters")
+				p.addFault(v, key, "must have 1 to 32 characters")
 			}
 		case "factor":
-			f.Factor = p.number(key, v, mostSlow)
+			f.Factor = p.positiveNumber(key, v, maxFactor)
 		case "slow":
-			f.Slow = p.number(key, v, mostSlow)
+			f.Slow = p.positiveNumber(key, v, maxFactor)
 		case "bytes_per_s":
-			f.Rate = p.whole(key, v, 1, mostBytes)
+			f.Rate = p.integer(key, v, 1, maxBytes)
 		case "bytes":
-			f.Bytes = p.whole(key, v, 0, mostBytes)
+			f.Bytes = p.integer(key, v, 0, maxBytes)
 		}
 	})
 	if n.Kind != yaml.MappingNode {
 		return f
 	}
-	k, ok := kinds[f.Kind]
+	spec, ok := kinds[f.Kind]
 	if !ok {
-		where := n
-		if at["fault"] != nil {
-			where = at["fault"]
+		position := n
+		if values["fault"] != nil {
+			position = values["fault"]
 		}
-		p.fault(where, path+".fault", fmt.Sprintf("%q is none of %s%s", f.Kind, strings.Join(Kinds(), ", "), jsonfile.Hint(f.Kind, Kinds())))
+		p.addFault(position, path+".fault", fmt.Sprintf("%q is none of %s%s", f.Kind, strings.Join(Kinds(), ", "), jsonfile.Hint(f.Kind, Kinds())))
 		return f
 	}
-	ends := []string{"target"}
-	if k.class == onLinks {
-		ends = []string{"from", "to"}
+	targetKeys := []string{"target"}
+	if spec.class == onLinks {
+		targetKeys = []string{"from", "to"}
 	}
-	needs := append(append([]string{"at", "for", "fault"}, ends...), k.needs...)
-	for _, key := range needs {
-		if at[key] == nil {
-			p.fault(n, path+"."+key, "is missing for "+f.Kind)
+	required := append(append([]string{"at", "for", "fault"}, targetKeys...), spec.required...)
+	for _, key := range required {
+		if values[key] == nil {
+			p.addFault(n, path+"."+key, "is required for "+f.Kind)
 		}
 	}
-	for key, v := range at {
-		if !slices.Contains(needs, key) && !slices.Contains(k.also, key) {
-			p.fault(v, path+"."+key, "is not for "+f.Kind)
+	for key, v := range values {
+		if !slices.Contains(required, key) && !slices.Contains(spec.optional, key) {
+			p.addFault(v, path+"."+key, "does not apply to "+f.Kind)
 		}
 	}
-	if at["for"] != nil && f.For == 0 {
-		p.fault(at["for"], path+".for", "must be over 0: a fault ends")
+	if values["for"] != nil && f.For == 0 {
+		p.addFault(values["for"], path+".for", "must be greater than 0")
 	}
 	if f.Kind == "reload" && s.Limits == nil {
-		p.fault(n, path, errReload.Error())
+		p.addFault(n, path, errNoLimits.Error())
 	}
-	if sound {
-		for _, key := range ends {
-			if v := at[key]; v != nil {
-				if err := s.fits(v.Value, k.class); err != nil {
-					p.fault(v, path+"."+key, err.Error())
+	if valid {
+		for _, key := range targetKeys {
+			if v := values[key]; v != nil {
+				if err := s.checkSelector(v.Value, spec.class); err != nil {
+					p.addFault(v, path+"."+key, err.Error())
 				}
 			}
 		}
--- a/internal/fleetlab/servers.go
+++ b/internal/fleetlab/servers.go
@@ -11,18 +11,18 @@
 )
 
 type server struct {
-	name  string
-	index int
-	mu    sync.Mutex
-	s     *lab.Server
-	all   []*lab.Server
-	since time.Time
-	state string
-	end   func() // of its status
+	name       string
+	index      int
+	mu         sync.Mutex
+	s          *lab.Server
+	instances  []*lab.Server
+	since      time.Time
+	state      string
+	stopStatus func() // of its status
 }
 
-// serve starts the stand-in servers and the bus.
-func (f *fleet) serve() error {
+// startServers starts the stand-in servers and the bus.
+func (f *fleet) startServers() error {
 	var hosts []lab.Host
 	for i := range f.s.Servers {
 		v := &server{name: script.Server(i), index: i, state: "up"}
@@ -43,24 +43,24 @@
 }
 
 func (f *fleet) startServer(v *server) error {
-	s, err := lab.NewServer(lab.PlatformWork(), f.s.Seed<<8+uint64(v.index)+uint64(len(v.all))<<32)
+	s, err := lab.NewServer(lab.PlatformWork(), f.s.Seed<<8+uint64(v.index)+uint64(len(v.instances))<<32)
 	if err != nil {
 		return err
 	}
 	s.Hear(func(e lab.Seen) {
 		if e.Kind == lab.ServerAnswered {
-			f.serves.note(fleetcheck.Given, line{Process: v.name, Call: e.Call, What: "stands " + e.Call})
+			f.serves.record(fleetcheck.Given, line{Process: v.name, Call: e.Call, What: "stands " + e.Call})
 		}
 	})
 	v.mu.Lock()
-	v.s, v.all, v.end = s, append(v.all, s), s.Status(statusEvery)
+	v.s, v.instances, v.stopStatus = s, append(v.instances, s), s.Status(statusInterval)
 	v.mu.Unlock()
-	return f.open(v)
+	return f.listenForGatekeepers(v)
 }
 
-// open lets each gatekeeper's way to a server end at an address of its own there, so that the server knows whose a
+// listenForGatekeepers lets each gatekeeper's way to a server end at an address of its own there, so that the server knows whose a
 // connection is, as by the machine that it comes from.
-func (f *fleet) open(v *server) error {
+func (f *fleet) listenForGatekeepers(v *server) error {
 	for _, g := range f.gatekeepers {
 		addr, err := v.s.ListenFor(g.name)
 		if err != nil {
@@ -71,10 +71,10 @@
 	return nil
 }
 
-func (f *fleet) endServers() {
+func (f *fleet) stopServers() {
 	for _, v := range f.servers {
 		v.mu.Lock()
-		v.end()
+		v.stopStatus()
 		v.s.Close()
 		v.mu.Unlock()
 	}
--- a/internal/fleetlab/views.go
+++ b/internal/fleetlab/views.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// out gives the servers that verdicts keep set-ups away from altogether.
-func (v *view) out() string {
+// ejectedServers gives the servers that verdicts keep set-ups away from altogether.
+func (v *view) ejectedServers() string {
 	var ids []string
 	for _, s := range v.Verdicts.Servers {
 		if s.Phase == "out" {
@@ -65,8 +65,8 @@
 	return strings.Join(names, " "), arrived, oldest
 }
 
-// up lists the members that the view holds as alive or merely suspected.
-func (v *view) up() string {
+// liveMembers lists the members that the view holds as alive or merely suspected.
+func (v *view) liveMembers() string {
 	var names []string
 	for _, m := range v.Members {
 		if m.Health == "alive" || m.Health == "suspect" {
@@ -79,10 +79,10 @@
 
 var viewClient = http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// viewOf asks a gatekeeper for its view; nil while it does not answer.
-func (f *fleet) viewOf(ctx context.Context, g *gatekeeper) *view {
+// fetchView asks a gatekeeper for its view; nil while it does not answer.
+func (f *fleet) fetchView(ctx context.Context, g *gatekeeper) *view {
 	f.mu.Lock()
-	addr := g.ops
+	addr := g.adminAddr
 	f.mu.Unlock()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/fleet", nil)
 	if err != nil {
@@ -102,15 +102,15 @@
 
 // watchView notes a gatekeeper's view now and then, with what its gossip has sent so far.
 func (f *fleet) watchView(ctx context.Context, g *gatekeeper) {
-	tick := time.NewTicker(viewEvery)
+	tick := time.NewTicker(viewInterval)
 	defer tick.Stop()
 	for {
-		if v := f.viewOf(ctx, g); v != nil {
+		if v := f.fetchView(ctx, g); v != nil {
 			f.mu.Lock()
 			p := g.p
 			f.mu.Unlock()
-			p.look()
-			f.runs.note(fleetcheck.Viewed, line{Process: g.name, What: v.Hash, Peer: v.up(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
+			p.samplePeakMemory()
+			f.runs.record(fleetcheck.Viewed, line{Process: g.name, What: v.Hash, Peer: v.liveMembers(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
 			if v.Verdicts != nil {
 				var numbers []string
 				for _, n := range v.Verdicts.Numbers {
@@ -120,10 +120,10 @@
 				for _, c := range v.Verdicts.Callers {
 					callers = append(callers, c.Address)
 				}
-				f.runs.note(fleetcheck.Judged, line{Process: g.name, Peer: v.out(), Class: strings.Join(numbers, " "), Call: strings.Join(callers, " "), What: strings.Join(v.Verdicts.Apart, " ")})
+				f.runs.record(fleetcheck.Judged, line{Process: g.name, Peer: v.ejectedServers(), Class: strings.Join(numbers, " "), Call: strings.Join(callers, " "), What: strings.Join(v.Verdicts.Apart, " ")})
 			}
 			origins, arrived, oldest := v.rates()
-			f.runs.note(fleetcheck.Heard, line{Process: g.name, Peer: origins, Value: arrived, Span: oldest})
+			f.runs.record(fleetcheck.Heard, line{Process: g.name, Peer: origins, Value: arrived, Span: oldest})
 		}
 		select {
 		case <-ctx.Done():
@@ -133,26 +133,26 @@
 	}
 }
 
-// allAgree returns once all views are the same and hold every gatekeeper.
-func (f *fleet) allAgree(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+// awaitAgreement returns once all views are the same and hold every gatekeeper.
+func (f *fleet) awaitAgreement(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
-	tick := time.NewTicker(viewEvery / 4)
+	tick := time.NewTicker(viewInterval / 4)
 	defer tick.Stop()
 	for {
 		hashes := map[string]bool{}
 		for _, g := range f.gatekeepers {
-			v := f.viewOf(ctx, g)
-			if v == nil || strings.Count(v.up(), " ") != len(f.gatekeepers)-1 {
+			v := f.fetchView(ctx, g)
+			if v == nil || strings.Count(v.liveMembers(), " ") != len(f.gatekeepers)-1 {
 				hashes["not all"], hashes["yet"] = true, true
 				break
 			}
 			hashes[v.Hash] = true
 		}
 		if len(hashes) == 1 {
-			f.joined = time.Since(began)
-			f.tell(fmt.Sprintf("all views agree %d ms after all were ready", f.joined.Milliseconds()))
+			f.agreedAfter = time.Since(began)
+			f.reportProgress(fmt.Sprintf("all views agree %d ms after all were ready", f.agreedAfter.Milliseconds()))
 			return nil
 		}
 		select {
--- a/internal/fleetlab/views_test.go
+++ b/internal/fleetlab/views_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// seen lists the views (members up) that gatekeepers were read to hold, each once, by gatekeeper.
-func seen(t *testing.T, sum *Summary) map[string]map[string]bool {
+// seenViews lists the views (members up) that gatekeepers were read to hold, each once, by gatekeeper.
+func seenViews(t *testing.T, sum *Summary) map[string]map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(sum.Dir, "run.jsonl"))
 	if err != nil {
@@ -32,8 +32,8 @@
 	return views
 }
 
-// agreed says that after each fault all views were the same again and held all that run, within some seconds.
-func agreed(t *testing.T, sum *Summary, within float64) {
+// checkAgreement says that after each fault all views were the same again and held all that run, within some seconds.
+func checkAgreement(t *testing.T, sum *Summary, within float64) {
 	t.Helper()
 	for _, f := range sum.Faults {
 		if f.Agreed < 0 || float64(f.Agreed) > within*1e6 {
@@ -51,7 +51,7 @@
 	four := "gatekeepers: 4\nservers: 2\nzones: 2\nstore_members: 0\nfleet: true\n"
 	t.Run("eight join at once, a quarter is killed", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, "gatekeepers: 8\nservers: 2\nzones: 2\nstore_members: 0\nfleet: true\nlength: 16s\n"+
+		sum := runAndCheck(t, "gatekeepers: 8\nservers: 2\nzones: 2\nstore_members: 0\nfleet: true\nlength: 16s\n"+
 			"faults:\n  - {at: 1s, for: 9s, fault: kill, target: g1+g4}\n")
 		if sum.Joined <= 0 || sum.Joined > 5 {
 			t.Errorf("8 agree after %.1f s", sum.Joined)
@@ -59,7 +59,7 @@
 		if sum.Faults[0].Noticed <= 0 {
 			t.Error("the killed ones were never given up by all")
 		}
-		agreed(t, sum, 5)
+		checkAgreement(t, sum, 5)
 		sizes, err := Compare([]string{sum.Dir, sum.Dir})
 		if err != nil || len(sizes) != 1 || sizes[0].Runs != 2 || sizes[0].Agreed["1 kill"].N != 2 || sizes[0].Memory.N != 16 || sizes[0].Memory.Least < 5 {
 			t.Errorf("compared: %+v, %v", sizes, err)
@@ -67,29 +67,29 @@
 	})
 	t.Run("a partition of two zones and its heal", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, four+"length: 17s\nfaults:\n  - {at: 1s, for: 9s, fault: partition, from: zone:a, to: zone:b}\n")
-		views := seen(t, sum)
+		sum := runAndCheck(t, four+"length: 17s\nfaults:\n  - {at: 1s, for: 9s, fault: partition, from: zone:a, to: zone:b}\n")
+		views := seenViews(t, sum)
 		if !views["g1"]["g1 g3"] || !views["g3"]["g1 g3"] || !views["g2"]["g2 g4"] || !views["g4"]["g2 g4"] {
 			t.Errorf("each side should have held itself alone: %v", views)
 		}
-		agreed(t, sum, 5)
+		checkAgreement(t, sum, 5)
 	})
 	t.Run("paused, given up and woken", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, four+"length: 17s\nfaults:\n  - {at: 1s, for: 9s, fault: pause, target: g2}\n")
-		if !seen(t, sum)["g1"]["g1 g3 g4"] {
+		sum := runAndCheck(t, four+"length: 17s\nfaults:\n  - {at: 1s, for: 9s, fault: pause, target: g2}\n")
+		if !seenViews(t, sum)["g1"]["g1 g3 g4"] {
 			t.Error("the paused one was not given up")
 		}
-		agreed(t, sum, 5)
+		checkAgreement(t, sum, 5)
 	})
 	t.Run("a one-way cut", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, four+"length: 17s\nfaults:\n  - {at: 1s, for: 8s, fault: cut, from: g1, to: gatekeepers}\n")
-		agreed(t, sum, 5)
+		sum := runAndCheck(t, four+"length: 17s\nfaults:\n  - {at: 1s, for: 8s, fault: cut, from: g1, to: gatekeepers}\n")
+		checkAgreement(t, sum, 5)
 	})
 	t.Run("a flapping member", func(t *testing.T) {
 		t.Parallel()
-		sum := play(t, four+"length: 14s\nfaults:\n  - {at: 1s, for: 1s, fault: kill, target: g2}\n  - {at: 4s, for: 1s, fault: kill, target: g2}\n"+
+		sum := runAndCheck(t, four+"length: 14s\nfaults:\n  - {at: 1s, for: 1s, fault: kill, target: g2}\n  - {at: 4s, for: 1s, fault: kill, target: g2}\n"+
 			"  - {at: 7s, for: 1s, fault: kill, target: g2}\n")
 		if last := sum.Faults[2]; last.Agreed < 0 || last.Agreed > 5e6 {
 			t.Errorf("after the last: %d us", last.Agreed)
@@ -100,6 +100,6 @@
 	})
 	t.Run("all restarted at once", func(t *testing.T) {
 		t.Parallel()
-		agreed(t, play(t, four+"length: 9s\nfaults:\n  - {at: 1s, for: 500ms, fault: kill, target: gatekeepers}\n"), 5)
+		checkAgreement(t, runAndCheck(t, four+"length: 9s\nfaults:\n  - {at: 1s, for: 500ms, fault: kill, target: gatekeepers}\n"), 5)
 	})
 }
