--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -31,18 +31,18 @@
 	maxLineBytes = 1 << 20
 )
 
-// Summary is what a run came to.
+// Summary is the result of a run.
 type Summary struct {
 	Dir         string       `json:"dir"`
 	Seed        uint64       `json:"seed"`
 	Gatekeepers int          `json:"gatekeepers"`
 	Servers     int          `json:"servers"`
 	Zones       int          `json:"zones"`
-	Verdict     string       `json:"verdict"` // held or broken
-	Stopped     bool         `json:"stopped"` // ended before its time
+	Verdict     string       `json:"verdict"` // held or broken: whether all rules held
+	Stopped     bool         `json:"stopped"` // the run was interrupted
 	Elapsed     float64      `json:"took_s"`
-	StartTimes  []float64    `json:"ready_after_s"`                 // of each gatekeeper's first start
-	Joined      float64      `json:"views_agree_after_s,omitempty"` // from all ready to all views the same
+	StartTimes  []float64    `json:"ready_after_s"`                 // seconds from the start of each gatekeeper to ready, first start only
+	Joined      float64      `json:"views_agree_after_s,omitempty"` // seconds from all gatekeepers ready to identical fleet views
 	Outcome     *lab.Outcome `json:"outcome,omitempty"`
 
 	Limit    *fleetcheck.LimitStats   `json:"limit,omitempty"`
@@ -50,6 +50,7 @@
 	*fleetcheck.Result
 }
 
+// write writes the summary and the report into the folder of the run.
 func (s *Summary) write(dir string) error {
 	text, err := json.MarshalIndent(s, "", " ")
 	if err == nil {
@@ -61,7 +62,8 @@
 	return s.writeReport(dir)
 }
 
-// Check reads what a run wrote and judges it, with the further rules that are given. It may be called again at any time.
+// Check reads the files of a run from dir and evaluates the rules of package fleetcheck and the given invariants. It
+// modifies nothing and may be repeated.
 func Check(dir string, invariants ...fleetcheck.Invariant) (*Summary, error) {
 	s, err := script.Load(filepath.Join(dir, "script.yaml"))
 	if err != nil {
@@ -72,7 +74,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &summary.Outcome)
 	}
-	if err != nil && !errors.Is(err, fs.ErrNotExist) { // a run that was stopped has none
+	if err != nil && !errors.Is(err, fs.ErrNotExist) { // an interrupted run has no outcome
 		return nil, err
 	}
 	capacities := map[uint32]float64{}
@@ -114,8 +116,8 @@
 	return summary, nil
 }
 
-// serversOfFaults gives, by fault, the servers that may rightly seem ill because of it: those that it acts on, and those at the ends of
-// its links. Killed and paused gatekeepers' own attempts fail through no server's fault.
+// serversOfFaults returns, by fault, the servers that may justly be convicted because of it: those that it acts on, and
+// those at either end of its links. Failed attempts of killed and paused gatekeepers are no fault of a server.
 func serversOfFaults(s *script.Script) map[string][]uint32 {
 	all := map[string][]uint32{}
 	for i, f := range s.Faults {
@@ -134,7 +136,7 @@
 	return all
 }
 
-// busyNumbers gives, by fault, the number whose lines it makes busy.
+// busyNumbers returns, by fault, the number whose lines it makes busy.
 func busyNumbers(s *script.Script) map[string]string {
 	all := map[string]string{}
 	for i, f := range s.Faults {
@@ -145,12 +147,12 @@
 	return all
 }
 
-// reloadSettleTime is how long after a lower limit was told by SIGHUP it binds the whole fleet: the files are read, and what was
-// leased by the old ones ends.
+// reloadSettleTime is the time from a SIGHUP that lowers a limit until the new limit binds the whole fleet: one second to
+// read the files, and the time until leases granted under the old limit expire.
 const reloadSettleTime = quota.LeaseDuration + quota.RenewInterval + 1000000
 
-// limitRule gives the rule of a script's limit, nil where the script has none or does not share it: limits of each alone
-// are measured, not judged.
+// limitRule returns the rule that checks the limit of a script, or nil if the script has none. In mode alone gatekeepers
+// don't share the limit: the rule checks the sum of their own limits and measures use against one of them.
 func limitRule(s *script.Script) *fleetcheck.Limit {
 	if s.Limits == nil {
 		return nil
@@ -158,7 +160,7 @@
 	allowances, wakes := map[string]float64{}, 0.0
 	n := float64(s.Gatekeepers)
 	switch s.Limits.Mode {
-	case "near": // near.go's bound
+	case "near": // the bound on overshoot that control/quota/near.go states
 		wakes = n - 1
 		for i, f := range s.Faults {
 			if late := control.Micros(time.Duration(f.Delay+f.Jitter).Microseconds()) - quota.TransitAllowance; f.Kind == "delay" && late > 0 {
@@ -171,7 +173,7 @@
 	return fleetcheck.NewLimit(s.Limits.PerS, s.Limits.Burst, reloadSettleTime, allowances, wakes)
 }
 
-// readEvents reads all but the records, sorted by time.
+// readEvents reads the events of a run, without the records, sorted by time.
 func readEvents(dir string, s *script.Script) (events []fleetcheck.Event, err error) {
 	for _, name := range []string{"run.jsonl", "callers.jsonl", "servers.jsonl"} {
 		err := eachLine(filepath.Join(dir, name), func(n int, text []byte) error {
@@ -181,7 +183,7 @@
 			}
 			e, ok := l.event(fleetcheck.Place{File: name, Line: n})
 			if !ok {
-				return fmt.Errorf("kind %q is not known", l.Kind)
+				return fmt.Errorf("unknown event kind %q", l.Kind)
 			}
 			events = append(events, e)
 			return nil
@@ -209,10 +211,11 @@
 	return events, nil
 }
 
-// verdictChanged is what a gatekeeper logs with the server and its phase (package ejection).
+// verdictChanged is the message that a gatekeeper logs with a server and its new phase (package ejection).
 const verdictChanged = "verdict: changed"
 
-// parseLogLine reads a line of a gatekeeper's log. What is no JSON comes from the runtime: a panic, and the stacks after it.
+// parseLogLine parses a line of a gatekeeper's log. Lines that are not JSON come from the Go runtime: a panic and the
+// stacks after it. They get the time of the previous line, last.
 func parseLogLine(text []byte, last control.Micros) fleetcheck.Event {
 	var l struct {
 		Time             time.Time
@@ -233,7 +236,7 @@
 	return fleetcheck.Event{At: control.Micros(l.Time.UnixMicro()), Kind: fleetcheck.Logged, Level: l.Level, What: l.Msg, Call: l.Call, Peer: l.Member, Health: l.Health}
 }
 
-// eachLine hands on the lines of a file, counted from 1.
+// eachLine calls handle for each line of a file; n counts from 1.
 func eachLine(file string, handle func(n int, text []byte) error) error {
 	f, err := os.Open(file)
 	if err != nil {
@@ -250,7 +253,7 @@
 	return in.Err()
 }
 
-// merge hands a checker the events and the gatekeepers' records in the order of time.
+// merge passes the events and the gatekeepers' records to a checker in order of time.
 func merge(checker *fleetcheck.Checker, dir string, events []fleetcheck.Event) error {
 	next := 0
 	advance := func(at control.Micros) {
@@ -278,7 +281,7 @@
 			advance(e.At)
 			checker.Record(e, fleetcheck.Place{File: fmt.Sprintf("records/%s start %d", e.Node, e.Start), Line: int(e.Seq)})
 		}
-	} else if !strings.Contains(err.Error(), "no records") { // a run that was stopped before any gatekeeper wrote one
+	} else if !strings.Contains(err.Error(), "no records") { // the run was interrupted before any gatekeeper wrote a record
 		return err
 	}
 	advance(1 << 62)
--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -19,7 +19,7 @@
 	"beammux/internal/fleetlab/script"
 )
 
-// Spread is the least, the median and the most of some measurements; N 0 where there is none.
+// Spread is the minimum, median and maximum of N measurements. With N 0 the others are meaningless.
 type Spread struct {
 	N      int     `json:"N"`
 	Least  float64 `json:"Least"`
@@ -27,6 +27,7 @@
 	Most   float64 `json:"Most"`
 }
 
+// newSpread returns the spread of values.
 func newSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
@@ -35,6 +36,7 @@
 	return Spread{len(v), v[0], v[len(v)/2], v[len(v)-1]}
 }
 
+// String returns the median with the minimum and maximum in parentheses, or "-" if there are no measurements.
 func (s Spread) String() string {
 	if s.N == 0 {
 		return "-"
@@ -42,18 +44,18 @@
 	return fmt.Sprintf("%.2f (%.2f to %.2f)", s.Median, s.Least, s.Most)
 }
 
-// Size is what runs with as many gatekeepers came to.
+// Size is the aggregated result of all runs with one number of gatekeepers.
 type Size struct {
 	Gatekeepers int               `json:"gatekeepers"`
 	Runs        int               `json:"runs"`
 	Held        int               `json:"runs_held"`
 	Joined      Spread            `json:"views_agree_after_start_s"`
-	Noticed     map[string]Spread `json:"noticed_s"` // by the kind of fault and its place in the script
+	Noticed     map[string]Spread `json:"noticed_s"` // by the number of the fault in the script and its kind
 	Agreed      map[string]Spread `json:"agreed_s"`
 	Missing     map[string]int    `json:"never_agreed"`
-	Packets     Spread            `json:"packets_per_s"` // sent by a member's gossip while nothing was wrong
+	Packets     Spread            `json:"packets_per_s"` // sent by one member's gossip while no fault was active
 	Bytes       Spread            `json:"bytes_per_s"`
-	CPU         Spread            `json:"cpu_part"` // of a core, by each process over its life
+	CPU         Spread            `json:"cpu_part"` // share of a core that a process used over its lifetime
 	Memory      Spread            `json:"memory_mib"`
 	CalmHours   float64           `json:"calm_member_hours"`
 	Suspicions  int               `json:"suspicions_while_calm"`
@@ -61,13 +63,14 @@
 }
 
 const (
-	calmDelay  = control.Micros(15000000) // a fault's marks are over so long after it
-	sampleSpan = control.Micros(1000000)
+	calmDelay  = control.Micros(15000000) // after the end of a fault, until its effects are assumed to be over
+	sampleSpan = control.Micros(1000000)  // longest distance of two samples, and shortest total time, that a rate is computed from
 )
 
+// usagePattern matches the usage that fleet.handleExit adds to the event of an exit.
 var usagePattern = regexp.MustCompile(`cpu ([0-9.]+) s, memory at most ([0-9]+) KiB`)
 
-// Compare reads runs and puts them together by the number of gatekeepers.
+// Compare reads the runs in dirs and aggregates them by number of gatekeepers, in ascending order.
 func Compare(dirs []string) ([]Size, error) {
 	sizes := map[int]*sizeSamples{}
 	for _, dir := range dirs {
@@ -110,12 +113,14 @@
 	return result, nil
 }
 
+// sizeSamples collects the measurements of all runs with one number of gatekeepers.
 type sizeSamples struct {
 	Size
 	joined, packets, bytes, cpu, memory []float64
 	noticed, agreed                     map[string][]float64
 }
 
+// add adds the measurements of one run.
 func (g *sizeSamples) add(sum *Summary, s *script.Script, events []fleetcheck.Event) {
 	g.Runs++
 	if sum.Verdict == "held" {
@@ -199,9 +204,10 @@
 	}
 }
 
-// interval is a time in which something was wrong.
+// interval is a time in which a fault or its effects were present.
 type interval struct{ from, to control.Micros }
 
+// size returns the aggregated result.
 func (g *sizeSamples) size() Size {
 	s := g.Size
 	s.Joined, s.Packets, s.Bytes, s.CPU, s.Memory = newSpread(g.joined), newSpread(g.packets), newSpread(g.bytes), newSpread(g.cpu), newSpread(g.memory)
@@ -215,7 +221,7 @@
 	return s
 }
 
-// CompareTable gives sizes as text: medians, and the least and most in parentheses.
+// CompareTable formats sizes as a text table, with medians and, in parentheses, minimum and maximum.
 func CompareTable(sizes []Size) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
@@ -258,6 +264,7 @@
 	return b.String()
 }
 
+// sortedNames returns the keys of a set, sorted.
 func sortedNames(names map[string]bool) []string {
 	out := make([]string, 0, len(names))
 	for name := range names {
@@ -267,7 +274,7 @@
 	return out
 }
 
-// ComparePlot draws what a member's gossip sends against the size of the fleet, as SVG.
+// ComparePlot plots the gossip traffic of a member against the size of the fleet, as SVG.
 func ComparePlot(sizes []Size) ([]byte, error) {
 	values, labels := make([][]float64, 2), []string{}
 	for _, s := range sizes {
--- a/internal/fleetlab/configure.go
+++ b/internal/fleetlab/configure.go
@@ -12,14 +12,16 @@
 	"beammux/internal/lab"
 )
 
-// advertiseAddress is what a member of the fleet says that it is reached at. Nobody calls it there: each has ways of its own.
+// advertiseAddress returns the gossip address that a member advertises. No member dials it: each one maps it to its own relay
+// address.
 func advertiseAddress(index int) string { return fmt.Sprintf("127.1.0.%d:7946", index+1) }
 
-const seedMembers = 3 // members that every other one knows of at its start
+const seedMembers = 3 // number of members that are seeds of all others
 
+// storeAddress returns the address of a store member in the list of peers. It is mapped to relay addresses and never dialled.
 func storeAddress(name string) string { return name + ".store:1" }
 
-// configure writes what a gatekeeper is told at a start.
+// configure writes the configuration and deploy files of a gatekeeper, with tmp as its temporary folder.
 func (f *fleet) configure(g *gatekeeper, tmp string) error {
 	etc := f.path("etc", g.name)
 	if err := errors.Join(os.MkdirAll(etc, 0o755), os.MkdirAll(tmp, 0o700)); err != nil {
@@ -93,10 +95,10 @@
 	return nil
 }
 
-// leased tells whether the gatekeepers lease parts of a limit from the store.
+// leased reports whether the gatekeepers lease shares of the limit from the store.
 func (f *fleet) leased() bool { return f.s.Limits != nil && f.s.Limits.Mode == "leased" }
 
-// limits is the section of a gatekeeper's file.
+// limits returns the limits section of a gatekeeper's deploy file.
 func (f *fleet) limits(g *gatekeeper, l script.Limits) map[string]any {
 	rule := map[string]any{"name": "all", "mode": l.Mode, "per_s": l.PerS, "burst": l.Burst}
 	if l.Mode == "fixed" {
@@ -106,7 +108,7 @@
 	section := map[string]any{"parts": f.s.Gatekeepers, "rules": []any{rule}}
 	if f.leased() && g.index >= f.s.Members {
 		var store []string
-		for k := range f.s.Members { // not all ask the same one first
+		for k := range f.s.Members { // each gatekeeper starts with another store member, which spreads the load
 			store = append(store, f.addr[[3]string{g.name, script.Gatekeeper((k + g.index) % f.s.Members), storeService}])
 		}
 		section["store"] = store
--- a/internal/fleetlab/delays.go
+++ b/internal/fleetlab/delays.go
@@ -12,15 +12,15 @@
 	"beammux/internal/fleetcheck"
 )
 
-// How the waits for a processor are measured. A wait counts in the first look after it has ended.
+// Measurement of the time that threads wait for a processor. A wait is counted by the first sample after it has ended.
 const (
-	processorInterval = 50 * time.Millisecond // the kernel's account of the gatekeepers is read so often
-	timerInterval     = 5 * time.Millisecond  // pace of the laboratory's own timer
-	minDelay          = 2 * time.Millisecond  // less is not told of
+	processorInterval = 50 * time.Millisecond // between samples of the kernel's scheduler statistics
+	timerInterval     = 5 * time.Millisecond  // of the laboratory's own timer
+	minDelay          = 2 * time.Millisecond  // shorter waits are not recorded
 )
 
-// watchProcessors notes how long each gatekeeper, and the laboratory itself, had threads that could run and waited for a
-// processor. The laboratory's threads work beside each other, so of them the one that waited longest counts.
+// watchProcessors records how long runnable threads of each gatekeeper, and of the laboratory itself, waited for a
+// processor. The laboratory's threads work in parallel, so only the longest wait among them counts.
 func (f *fleet) watchProcessors(ctx context.Context) {
 	tick := time.NewTicker(processorInterval)
 	defer tick.Stop()
@@ -53,7 +53,7 @@
 	}
 }
 
-// watchTimers notes by how much the laboratory's own timers come late.
+// watchTimers records how late the laboratory's own timers fire.
 func (f *fleet) watchTimers(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -63,7 +63,8 @@
 	}
 }
 
-// recordDelay notes what a process waited in the time since the last look, in all and at most by one of its threads.
+// recordDelay records how long a process waited for a processor since its last sample: by all of its threads (waited), and by
+// the one that waited longest.
 func (f *fleet) recordDelay(process string, waited, longest, since time.Duration) {
 	waited = boundedWait(waited, longest, since)
 	if waited >= minDelay {
@@ -72,24 +73,24 @@
 	}
 }
 
-// boundedWait bounds what an answer can have lost to the waits of a process that ended since the last look. Waits that follow each
-// other add up; those of threads that waited beside each other do not. All of them ended in that time, and one that began before
-// it did so by no more than the longest.
+// boundedWait returns an upper bound on the delay that the waits of a process can have added to an answer. Waits one after
+// another add up; concurrent waits of several threads do not. All waits ended since the last sample, and none began earlier
+// than the longest wait before it, so the bound is longest+since.
 func boundedWait(waited, longest, since time.Duration) time.Duration {
 	return min(waited, longest+since)
 }
 
-// runQueue is how long each thread of a process had waited for a processor when it was last looked at.
+// runQueue holds, for each thread of a process, its total wait for a processor at the last sample.
 type runQueue map[string]time.Duration
 
-// sample gives what the threads of a process have waited since it was last looked at, in all and at most by one of them; 0 where
-// the kernel keeps no account.
+// sample returns how long the threads of a process have waited since the last sample: the sum, and the longest of one thread.
+// Both are 0 if the kernel keeps no scheduler statistics.
 func (r runQueue) sample(pid int) (waited, longest time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		fields := bytes.Fields(text)
 		if len(fields) < 2 {
--- a/internal/fleetlab/delays_test.go
+++ b/internal/fleetlab/delays_test.go
@@ -11,28 +11,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What is measured as a wait for a processor is one: threads that outnumber the processors wait most of their time, a process
-// that sleeps does not, and neither does one that does not run any more.
+// Only waits for a processor are measured: threads that outnumber the processors wait most of the time, a sleeping process
+// does not, and neither does a process that has exited.
 func TestWaitsForAProcessorAreMeasured(t *testing.T) {
 	if _, err := os.Stat("/proc/self/schedstat"); err != nil {
-		t.Skip("this kernel keeps no account of waits: no play counts as disturbed here")
+		t.Skip("this kernel keeps no scheduler statistics: no run counts as disturbed here")
 	}
 	sleeper := exec.Command("sleep", "60")
 	require.NoError(t, sleeper.Start())
 	account := runQueue{}
-	require.Eventually(t, func() bool { // once it sleeps
+	require.Eventually(t, func() bool { // until it sleeps
 		account.sample(sleeper.Process.Pid)
 		time.Sleep(100 * time.Millisecond)
 		waited, _ := account.sample(sleeper.Process.Pid)
 		return waited == 0
-	}, 10*time.Second, time.Millisecond, "it can't run and is said to wait")
+	}, 10*time.Second, time.Millisecond, "a sleeping process is reported as waiting for a processor")
 	require.NoError(t, sleeper.Process.Kill())
 	sleeper.Wait()
 	waited, longest := account.sample(sleeper.Process.Pid)
 	require.Zero(t, waited)
 	require.Zero(t, longest)
 
-	const each, lasts = 4, 400 * time.Millisecond // busy threads for each processor
+	const each, lasts = 4, 400 * time.Millisecond // busy threads per processor
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(each * runtime.NumCPU()))
 	account = runQueue{}
 	account.sample(os.Getpid())
@@ -44,19 +44,20 @@
 			}
 		})
 	}
-	time.Sleep(lasts / 4) // all threads are there
+	time.Sleep(lasts / 4) // all threads have started
 	account.sample(os.Getpid())
 	busy.Wait()
 	waited, longest = account.sample(os.Getpid())
-	// Of the last three quarters, each of four threads on a processor waits three quarters; half of that is asked for.
+	// During the last three quarters, each of the four threads of a processor waits three quarters of the time; half of that is
+	// required.
 	require.Greater(t, waited, lasts*3/4*(each-1)/2*time.Duration(runtime.NumCPU())/2)
 	require.Greater(t, longest, lasts/8)
 }
 
-// Ten threads that waited beside each other for 40 ms of 50 held the process up for no longer than it can have stood still.
+// Ten threads that wait concurrently for 40 ms each within 50 ms delay the process by no more than 90 ms, not by 400 ms.
 func TestConcurrentWaitsAreBounded(t *testing.T) {
 	const ms = time.Millisecond
 	require.Equal(t, 90*ms, boundedWait(400*ms, 40*ms, 50*ms))
-	require.Equal(t, 30*ms, boundedWait(30*ms, 20*ms, 50*ms), "one after the other")
-	require.Equal(t, 200*ms, boundedWait(200*ms, 200*ms, 50*ms), "one that began long before")
+	require.Equal(t, 30*ms, boundedWait(30*ms, 20*ms, 50*ms), "waits one after the other")
+	require.Equal(t, 200*ms, boundedWait(200*ms, 200*ms, 50*ms), "a wait that began long before the last sample")
 }
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -18,7 +18,8 @@
 	"beammux/internal/relay"
 )
 
-// runFaults does what the script says when it says so. Where the run ends early, all that is on is taken back.
+// runFaults injects the faults of the script at their times and records changes of the home gatekeepers. If the context is
+// cancelled, active faults are undone. It returns when all faults have ended.
 func (f *fleet) runFaults(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -45,11 +46,12 @@
 	}
 }
 
+// faultName returns the name of a fault in events and reports: its number in the script, from 1, and its description.
 func faultName(index int, fault script.Fault) string {
 	return fmt.Sprintf("%d %s", index+1, fault.Name())
 }
 
-// runFault does a fault, waits, and takes it back.
+// runFault injects a fault, waits for its duration, and undoes it.
 func (f *fleet) runFault(ctx context.Context, id int, fault script.Fault) {
 	name := faultName(id, fault)
 	f.reportProgress(name)
@@ -60,11 +62,11 @@
 	case <-time.After(time.Duration(fault.For)):
 	}
 	f.runs.record(fleetcheck.FaultTo, line{What: name})
-	f.reportProgress("over: " + name)
+	f.reportProgress("ended: " + name)
 	undo(ctx)
 }
 
-// inject brings a fault about and gives what takes it back.
+// inject causes a fault and returns the function that undoes it.
 func (f *fleet) inject(id int, fault script.Fault) (undo func(context.Context)) {
 	switch fault.Kind {
 	case "kill", "term", "pause":
@@ -81,14 +83,16 @@
 	return f.disturbLinks(id, fault)
 }
 
+// selected returns the processes that a selector matches; a bad selector fails the run.
 func (f *fleet) selected(selector string) []string {
 	names, err := f.s.Select(selector)
-	if err != nil { // a script that was read is sound; one that was made is not checked before
+	if err != nil { // a parsed script has only valid selectors; one built in code is checked only here
 		f.fail(err)
 	}
 	return names
 }
 
+// signalProcesses kills, terminates or pauses gatekeepers; undo restarts or resumes them.
 func (f *fleet) signalProcesses(fault script.Fault) func(context.Context) {
 	var affected []*gatekeeper
 	for _, name := range f.selected(fault.Target) {
@@ -97,7 +101,7 @@
 			p := g.p
 			f.mu.Unlock()
 			if g.name != name || p == nil || p.hasExited() || fault.Kind != "pause" && p.wasStopped() {
-				continue // another fault has it down
+				continue // another fault has already stopped it
 			}
 			affected = append(affected, g)
 			switch fault.Kind {
@@ -130,7 +134,8 @@
 	}
 }
 
-// lie has gatekeepers tell of every server that it fails them, while a file of theirs is there (verdicts.LieFile).
+// lie makes gatekeepers report failures of every server as long as their file falseEvidenceFile exists
+// (ejection.FalseEvidenceVariable).
 func (f *fleet) lie(fault script.Fault) func(context.Context) {
 	for _, name := range f.selected(fault.Target) {
 		if err := os.WriteFile(f.path("state", name, falseEvidenceFile), nil, 0o600); err != nil {
@@ -144,9 +149,11 @@
 	}
 }
 
+// falseEvidenceFile is the name of the file in a gatekeeper's state folder that makes it report false evidence.
 const falseEvidenceFile = "lie"
 
-// rude opens connections to gatekeepers, past the relay, from an address of its own, and sends on each what can't be read.
+// rude repeatedly connects to gatekeepers from fleetcheck.RudeAddress, bypassing the relay, and sends a malformed message on
+// each connection.
 func (f *fleet) rude(fault script.Fault) func(context.Context) {
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -183,9 +190,9 @@
 	}
 }
 
-const rudeInterval = 50 * time.Millisecond
+const rudeInterval = 50 * time.Millisecond // between malformed messages to one gatekeeper
 
-// reload changes the limits in the files of gatekeepers by a factor and tells them to read these again.
+// reload multiplies the limits in the files of gatekeepers by a factor and makes them reload the files with SIGHUP.
 func (f *fleet) reload(fault script.Fault) func(context.Context) {
 	names := f.selected(fault.Target)
 	scaleLimits := func(factor float64) {
@@ -211,11 +218,11 @@
 	return func(context.Context) { scaleLimits(1) }
 }
 
-// restart starts a gatekeeper that was ended, with the state that it had or without.
+// restart starts a stopped gatekeeper again, with its stored state or, if empty is set, without.
 func (f *fleet) restart(ctx context.Context, g *gatekeeper, p *process, empty bool) {
 	select {
 	case <-p.exited:
-	case <-time.After(stopTimeout): // it has not ended on SIGTERM
+	case <-time.After(stopTimeout): // it did not exit on SIGTERM
 		p.signal(syscall.SIGKILL)
 		<-p.exited
 	}
@@ -233,6 +240,7 @@
 	}
 }
 
+// disturbServers injects a fault of servers.
 func (f *fleet) disturbServers(fault script.Fault) func(context.Context) {
 	var affected []*server
 	for _, name := range f.selected(fault.Target) {
@@ -255,7 +263,7 @@
 			case fault.Kind == "ill":
 				v.s.FailPart(fault.Part)
 				affected = append(affected, v)
-			case v.state != "up": // another fault has it
+			case v.state != "up": // another fault affects it already
 			case fault.Kind == "lose":
 				v.state = "lost"
 				v.stopStatus()
@@ -301,7 +309,7 @@
 	}
 }
 
-// restartCold starts a server that was lost: it is cold, and the bus tells since when it runs.
+// restartCold starts a lost server again: it is cold, and the bus publishes its new start time.
 func (f *fleet) restartCold(v *server) error {
 	if err := f.startServer(v); err != nil {
 		return err
@@ -314,8 +322,8 @@
 	return nil
 }
 
-// disturbLinks brings about a fault of the ways between processes. What is in force on a direction is made up of all faults that
-// concern it: the strongest of each kind.
+// disturbLinks injects a fault of the links between processes. If several faults affect a direction, the strongest of each
+// kind applies.
 func (f *fleet) disturbLinks(id int, fault script.Fault) func(context.Context) {
 	from, to := f.selected(fault.From), f.selected(fault.To)
 	var directions [][2]string
@@ -375,7 +383,8 @@
 	}
 }
 
-// adjustFaultCounts counts the faults of directions and notes where trouble begins and ends.
+// adjustFaultCounts adds change to the number of active faults of each direction and records events when a direction gets its
+// first fault and when its last one ends.
 func (f *fleet) adjustFaultCounts(directions [][2]string, change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -390,6 +399,7 @@
 	}
 }
 
+// addCondition adds the condition of a fault to a direction.
 func (f *fleet) addCondition(d [2]string, c condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -397,6 +407,7 @@
 	f.applyConditions(d)
 }
 
+// removeCondition removes the conditions of the fault with the given id from a direction.
 func (f *fleet) removeCondition(d [2]string, id int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -404,6 +415,7 @@
 	f.applyConditions(d)
 }
 
+// applyConditions sets the relay to the combination of all conditions of a direction. The caller holds f.mu.
 func (f *fleet) applyConditions(d [2]string) {
 	var combined relay.Condition
 	for _, c := range f.conditions[d] {
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -1,6 +1,6 @@
-// Package fleetlab is the fleet laboratory: it starts many gatekeepers as processes of their own on loopback, with stand-ins
-// for menu servers, callers and the event bus, and a relay on every way between two that talk; it plays a script of faults,
-// and judges by package fleetcheck what was seen. Everything it starts it ends, by number, however the run ends.
+// Package fleetlab is the fleet laboratory. It runs many gatekeepers as separate processes on loopback, with simulated menu
+// servers, callers and event bus, and a relay on every link between processes. It injects the faults of a script and checks
+// the observed events with package fleetcheck. All started processes are ended by their process ids, however a run ends.
 package fleetlab
 
 import (
@@ -21,30 +21,30 @@
 	"beammux/internal/relay"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Program Program
-	Dir     string // for configurations, logs, records and the report; it must be new or empty
+	Dir     string // folder for configurations, logs, records and the report; must not exist or be empty
 	Script  *script.Script
 	Log     logrus.FieldLogger
-	// Progress is told of what happens, if not nil.
+	// Progress, if not nil, is called with each progress message and the time since the start of calls.
 	Progress func(at time.Duration, what string)
-	// Ready, if not nil, is called once the fleet is up, before the first call, with the numbers of its processes.
+	// Ready, if not nil, is called with the process ids of the gatekeepers when all are up, before the first call.
 	Ready func(pids []int)
 }
 
 const (
-	statusInterval    = 250 * time.Millisecond // servers tell their state so often
-	startCapacity     = 0.33                   // of a server that returns cold: the settings' start-capacity
-	warmUpTime        = 15 * time.Second       // the settings' warm-within-us
-	stopTimeout       = 8 * time.Second        // after SIGTERM: the longest deadline and some
-	maxParallelStarts = 8                      // gatekeepers that are started at the same time
+	statusInterval    = 250 * time.Millisecond // between status reports of servers
+	startCapacity     = 0.33                   // of a cold server; equals start-capacity in the settings
+	warmUpTime        = 15 * time.Second       // of a cold server; equals warm-within-us in the settings
+	stopTimeout       = 8 * time.Second        // from SIGTERM to SIGKILL: the longest call deadline and a margin
+	maxParallelStarts = 8                      // gatekeepers that start at the same time
 	storeService      = "store"
 	fleetService      = "fleet"
-	viewInterval      = 200 * time.Millisecond // the gatekeepers' views are read so often
+	viewInterval      = 200 * time.Millisecond // between reads of a gatekeeper's fleet view
 )
 
-// fleet is one run.
+// fleet is the state of one run.
 type fleet struct {
 	Options
 	s       *script.Script
@@ -53,27 +53,29 @@
 	callers *lab.Callers
 	log     logrus.FieldLogger
 
-	runs, calls, serves *eventLog
+	runs, calls, serves *eventLog // events of the laboratory, the callers and the servers
 
 	mu          sync.Mutex
 	gatekeepers []*gatekeeper
 	servers     []*server
-	addr        map[[3]string]string // from, to, service: the relay's address
-	faultCounts map[[2]string]int    // faults that concern a direction now
+	addr        map[[3]string]string // relay addresses by from, to and service
+	faultCounts map[[2]string]int    // number of active faults, by direction
 	conditions  map[[2]string][]condition
-	startedAt   time.Time // of the first call
+	startedAt   time.Time // start of calls
 	faultTasks  sync.WaitGroup
 	firstErr    error
-	engaged     atomic.Pointer[script.Fault] // that is on
-	agreedAfter time.Duration                // from all ready to all views the same
+	engaged     atomic.Pointer[script.Fault] // active fault of kind engaged, or nil
+	agreedAfter time.Duration                // from all gatekeepers ready to identical fleet views
 }
 
+// condition is the effect of the fault with the given id on a direction.
 type condition struct {
 	id int
 	relay.Condition
 }
 
-// Run plays a script and judges what came of it. What the run wrote is in Dir, also where it fails.
+// Run executes a script and checks the result. The files of the run stay in Dir, also after an error. If ctx is cancelled,
+// the run ends early and what it observed until then is checked.
 func Run(ctx context.Context, o Options) (*Summary, error) {
 	f := &fleet{Options: o, s: o.Script, log: o.Log, net: relay.New(o.Script.Seed), addr: map[[3]string]string{},
 		faultCounts: map[[2]string]int{}, conditions: map[[2]string][]condition{}}
@@ -83,7 +85,7 @@
 		f.log = l
 	}
 	if entries, err := os.ReadDir(o.Dir); err == nil && len(entries) > 0 {
-		return nil, fmt.Errorf("%s: is not empty; a run needs a folder of its own", o.Dir)
+		return nil, fmt.Errorf("%s: is not empty; a run needs an empty or new folder", o.Dir)
 	}
 	for _, d := range []string{"logs", "records", "etc", "state"} {
 		if err := os.MkdirAll(filepath.Join(o.Dir, d), 0o755); err != nil {
@@ -110,10 +112,12 @@
 	return sum, nil
 }
 
+// path returns the path of a file in the folder of the run.
 func (f *fleet) path(name ...string) string {
 	return filepath.Join(append([]string{f.Dir}, name...)...)
 }
 
+// reportProgress logs a message and passes it to Progress.
 func (f *fleet) reportProgress(message string) {
 	at := time.Duration(0)
 	if !f.startedAt.IsZero() {
@@ -125,6 +129,7 @@
 	}
 }
 
+// fail records an error that fails the run; the first one is kept.
 func (f *fleet) fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,10 +138,11 @@
 	}
 }
 
-// runScript starts everything, plays the script and ends everything.
+// runScript starts all processes, executes the script and stops the processes. It returns the gatekeepers' start times in
+// seconds.
 func (f *fleet) runScript(ctx context.Context) (starts []float64, err error) {
-	for file, j := range map[string]**eventLog{"run.jsonl": &f.runs, "callers.jsonl": &f.calls, "servers.jsonl": &f.serves} {
-		if *j, err = newEventLog(f.path(file)); err != nil {
+	for path, j := range map[string]**eventLog{"run.jsonl": &f.runs, "callers.jsonl": &f.calls, "servers.jsonl": &f.serves} {
+		if *j, err = newEventLog(f.path(path)); err != nil {
 			return nil, err
 		}
 	}
@@ -173,7 +179,7 @@
 		f.Ready(f.pids())
 	}
 	f.startedAt = time.Now()
-	f.reportProgress(fmt.Sprintf("%d gatekeepers, %d servers, %d zones: calls begin", f.s.Gatekeepers, f.s.Servers, f.s.Zones))
+	f.reportProgress(fmt.Sprintf("starting calls: %d gatekeepers, %d servers, %d zones", f.s.Gatekeepers, f.s.Servers, f.s.Zones))
 	faultContext, cancelFaults := context.WithCancel(ctx)
 	defer cancelFaults()
 	if f.s.Fleet {
@@ -202,7 +208,7 @@
 	return starts, f.firstErr
 }
 
-// writeOutcome writes what the callers say of the run.
+// writeOutcome writes the statistics of the callers to a file.
 func (f *fleet) writeOutcome() error {
 	var instances []*lab.Server
 	for _, v := range f.servers {
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -16,19 +16,20 @@
 	"beammux/internal/fleetlab/script"
 )
 
+// gatekeeper is a gatekeeper of the fleet with its current process. The fleet's mutex protects fields that change.
 type gatekeeper struct {
 	name      string
 	index     int
-	start     int // counted from 1
+	start     int // number of the last start, from 1
 	p         *process
-	ready     time.Duration // from its last start
-	adminAddr string        // operators' address of its last start
+	ready     time.Duration // duration of the last start until it was ready
+	adminAddr string        // operators' address since the last start
 
-	listen string        // callers' address of its last start, past the relay
-	limits script.Limits // in its file
+	listen string        // callers' address since the last start, bypassing the relay
+	limits script.Limits // in its deploy file
 }
 
-// start starts a gatekeeper and returns once it is ready.
+// start starts a gatekeeper and returns when it is ready.
 func (f *fleet) start(ctx context.Context, g *gatekeeper) error {
 	f.mu.Lock()
 	g.start++
@@ -77,11 +78,11 @@
 	return nil
 }
 
-// handleExit notes the end of a process, and that it ended by itself where nobody told it to.
+// handleExit records the exit of a process: as a crash if the laboratory did not stop it, or if it exited with an error code.
 func (f *fleet) handleExit(g *gatekeeper, p *process) {
 	f.net.Down(g.name)
 	if p.err != nil {
-		f.fail(fmt.Errorf("%s: its log: %w", p.name, p.err))
+		f.fail(fmt.Errorf("%s: copying its log: %w", p.name, p.err))
 	}
 	status := p.state.Sys().(syscall.WaitStatus)
 	usage := ""
@@ -91,16 +92,17 @@
 	switch {
 	case !p.wasStopped(), !status.Signaled() && p.state.ExitCode() != 0:
 		f.runs.record(fleetcheck.Crashed, line{Process: g.name, What: p.state.String() + usage})
-		f.reportProgress(g.name + " ended by itself: " + p.state.String())
+		f.reportProgress(g.name + " exited unexpectedly: " + p.state.String())
 	default:
 		f.runs.record(fleetcheck.Stopped, line{Process: g.name, What: p.state.String() + usage})
 	}
 }
 
+// startAll starts all gatekeepers and returns the start time of each in seconds.
 func (f *fleet) startAll(ctx context.Context) ([]float64, error) {
 	began := time.Now()
 	var group errgroup.Group
-	// Members of the store wait for each other, so all of them are started at the same time.
+	// Store members wait for each other, so all of them must start at the same time.
 	group.SetLimit(max(maxParallelStarts, f.s.Members))
 	for _, g := range f.gatekeepers {
 		group.Go(func() error { return f.start(ctx, g) })
@@ -111,12 +113,12 @@
 		starts = append(starts, g.ready.Seconds())
 	}
 	if err == nil {
-		f.reportProgress(fmt.Sprintf("all ready after %d ms", time.Since(began).Milliseconds()))
+		f.reportProgress(fmt.Sprintf("all gatekeepers ready after %d ms", time.Since(began).Milliseconds()))
 	}
 	return starts, err
 }
 
-// awaitCallers returns once callers may be led to every gatekeeper.
+// awaitCallers returns when callers are connected to every gatekeeper.
 func (f *fleet) awaitCallers(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -125,13 +127,14 @@
 	for f.callers.Up() < len(f.gatekeepers) {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("callers reach %d of %d gatekeepers: %w", f.callers.Up(), len(f.gatekeepers), ctx.Err())
+			return fmt.Errorf("callers are connected to %d of %d gatekeepers: %w", f.callers.Up(), len(f.gatekeepers), ctx.Err())
 		case <-tick.C:
 		}
 	}
 	return nil
 }
 
+// pids returns the process ids of the gatekeepers.
 func (f *fleet) pids() (pids []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +146,7 @@
 	return pids
 }
 
-// stopGatekeepers ends every gatekeeper that runs, in order where nothing failed.
+// stopGatekeepers restores all links and stops every running gatekeeper, with SIGTERM first.
 func (f *fleet) stopGatekeepers() {
 	f.net.Heal()
 	var all sync.WaitGroup
--- a/internal/fleetlab/journal.go
+++ b/internal/fleetlab/journal.go
@@ -11,7 +11,7 @@
 	"beammux/internal/fleetcheck"
 )
 
-// line is an event as it stands in a file: one JSON object in a line.
+// line is an event in a file: one JSON object per line.
 type line struct {
 	At      int64  `json:"at_us"` // Unix microseconds
 	Kind    string `json:"kind"`
@@ -25,13 +25,15 @@
 	Value float64 `json:"value,omitempty"`
 }
 
+// event converts a line to an event; it reports whether the kind is known.
 func (l *line) event(place fleetcheck.Place) (fleetcheck.Event, bool) {
 	kind, ok := fleetcheck.KindNamed(l.Kind)
 	return fleetcheck.Event{At: control.Micros(l.At), Kind: kind, Process: l.Process, Peer: l.Peer, Call: l.Call, Class: l.Class,
 		What: l.What, Span: control.Micros(l.Span), Value: l.Value, Place: place}, ok
 }
 
-// eventLog writes what was seen. Any goroutine may write; a line is stamped and written in one step, so lines are in order.
+// eventLog writes events to a file. It is safe for concurrent use. A line gets its time and is written under one lock, so
+// lines are in order of time.
 type eventLog struct {
 	mu  sync.Mutex
 	f   *os.File
@@ -39,6 +41,7 @@
 	err error
 }
 
+// newEventLog creates the file of an event log.
 func newEventLog(file string) (*eventLog, error) {
 	f, err := os.Create(file)
 	if err != nil {
@@ -47,7 +50,7 @@
 	return &eventLog{f: f, out: bufio.NewWriterSize(f, 64<<10)}, nil
 }
 
-// record writes an event as of now.
+// record writes an event with the current time.
 func (j *eventLog) record(kind fleetcheck.Kind, l line) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -61,7 +64,7 @@
 	}
 }
 
-// close gives the first fault of all writes.
+// close closes the file and returns the first error of all writes.
 func (j *eventLog) close() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/fleetlab/links.go
+++ b/internal/fleetlab/links.go
@@ -7,7 +7,7 @@
 	"beammux/internal/fleetlab/script"
 )
 
-// openLinks lays a relay on every way between two that talk.
+// openLinks creates the gatekeepers and opens a relay link for each connection between processes.
 func (f *fleet) openLinks() error {
 	tcp := func(from, to, service string) error {
 		l, err := f.net.TCP(from, to, service)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// dials gives the address at which a gatekeeper reaches a server by its name on the list.
+// dials returns a function that maps the host name of a server to the relay address at which the gatekeeper from dials it.
 func (f *fleet) dials(from string) func(string) string {
 	return func(host string) string {
 		n, _ := strconv.ParseUint(strings.TrimPrefix(host, "s-"), 16, 32)
--- a/internal/fleetlab/load.go
+++ b/internal/fleetlab/load.go
@@ -10,7 +10,7 @@
 	"beammux/internal/lab"
 )
 
-// homeIndexes gives the places of the gatekeepers that first calls come to now; nil: everywhere.
+// homeIndexes returns the indexes of the gatekeepers that receive first calls now, or nil for all.
 func (f *fleet) homeIndexes() (indexes []int) {
 	to := ""
 	for _, h := range f.s.Homes {
@@ -31,7 +31,8 @@
 	return indexes
 }
 
-// load is what the callers offer: each first call comes to a gatekeeper of a zone, and its first choice is a server there.
+// load returns the load of the callers: each first call goes to a gatekeeper of a random zone and prefers a server of that
+// zone. Observed events are recorded.
 func (f *fleet) load() lab.Load {
 	zones := make([][2][]int, f.s.Zones) // gatekeepers and servers
 	for i := range f.s.Gatekeepers {
--- a/internal/fleetlab/process.go
+++ b/internal/fleetlab/process.go
@@ -19,14 +19,14 @@
 	"beammux/internal/lab/launch"
 )
 
-// Program is how the gatekeeper is started: its path and, for a test binary that stands in for it, more of its environment.
+// Program is the gatekeeper's executable, with additional environment variables for a test binary that acts as gatekeeper.
 type Program struct {
 	Path string
 	Env  []string
 }
 
-// Build builds the gatekeeper once for all runs of this process, into a folder, and gives its program. root is the module's
-// folder.
+// Build builds the gatekeeper from the module at root into dir. Only the first call in a process builds; later calls return
+// its result.
 func Build(root, dir string) (Program, error) {
 	buildOnce.Do(func() {
 		path := dir + "/beammux"
@@ -46,27 +46,27 @@
 	buildErr  error
 )
 
-// process is one run of the gatekeeper's program.
+// process is a started gatekeeper process.
 type process struct {
 	name      string
 	cmd       *exec.Cmd
-	adminAddr chan string   // the operators' address, once it is known
-	exited    chan struct{} // closed when it has ended and its log is whole
+	adminAddr chan string   // receives the operators' address from the log
+	exited    chan struct{} // closed when the process has exited and its log is complete
 	state     *os.ProcessState
-	err       error // why its log could not be kept
+	err       error // first error of copying its log
 
-	peakKiB atomic.Int64 // most memory that it was seen to have had, KiB
+	peakKiB atomic.Int64 // highest observed peak of resident memory
 
 	mu            sync.Mutex
-	stopRequested bool // it was told to end, or killed by the laboratory
+	stopRequested bool // the laboratory sent SIGTERM or SIGKILL
 	paused        bool
 }
 
-// logLine is a line of a gatekeeper's log as far as the laboratory reads it while it runs.
+// logLine holds the fields of a log line that the laboratory reads during the run.
 type logLine struct{ Msg, Listen string }
 
-// spawn starts a gatekeeper. Its log goes to a file, line by line; hear is told of each line that is JSON, and ended when it
-// has ended, before anybody who waits for that.
+// spawn starts a gatekeeper and copies its log to a file line by line. onLine is called for each JSON line; onExit is called
+// after the process has exited, before the channel exited is closed.
 func spawn(p Program, name, dir, logFile string, args, env []string, onLine func(logLine), onExit func(*process)) (*process, error) {
 	f, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -123,9 +123,10 @@
 	return proc, nil
 }
 
-// Pid is the number of the process.
+// pid returns the process id.
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
+// signal sends a signal and records that the process is stopped or paused on purpose.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,12 +141,14 @@
 	p.cmd.Process.Signal(s)
 }
 
+// wasStopped reports whether the laboratory sent SIGTERM or SIGKILL.
 func (p *process) wasStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopRequested
 }
 
+// hasExited reports whether the process has exited and its log is complete.
 func (p *process) hasExited() bool {
 	select {
 	case <-p.exited:
@@ -160,9 +163,9 @@
 	pollInterval = 5 * time.Millisecond
 )
 
-var errExited = errors.New("it ended before it was ready")
+var errExited = errors.New("exited before it was ready")
 
-// ready returns once the operators' address says yes.
+// ready returns the operators' address when the process reports there that it is ready.
 func (p *process) ready(ctx context.Context) (addr string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -171,7 +174,7 @@
 	case <-p.exited:
 		return "", fmt.Errorf("%s: %w (%v)", p.name, errExited, p.state)
 	case <-ctx.Done():
-		return "", fmt.Errorf("%s: no operators' address in its log: %w", p.name, ctx.Err())
+		return "", fmt.Errorf("%s: its log contains no operators' address: %w", p.name, ctx.Err())
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for tick := time.NewTicker(pollInterval); ; {
@@ -196,8 +199,8 @@
 	}
 }
 
-// samplePeakMemory notes the most memory that the process has had. What the kernel says of it after its end counts what it shared with
-// its parent before it became itself.
+// samplePeakMemory updates peakKiB while the process runs. The peak that the kernel reports after the exit is not usable: it
+// includes memory shared with the parent between fork and exec.
 func (p *process) samplePeakMemory() {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.pid()))
 	if err != nil {
@@ -210,7 +213,7 @@
 	}
 }
 
-// stop ends the process by its number: SIGTERM and some time, then SIGKILL. It tells whether SIGTERM was enough.
+// stop sends SIGTERM, and SIGKILL after the timeout. It reports whether the process exited without SIGKILL.
 func (p *process) stop(timeout time.Duration) bool {
 	p.samplePeakMemory()
 	p.signal(syscall.SIGCONT)
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -15,7 +15,7 @@
 	"beammux/internal/fleetcheck"
 )
 
-// writeReport writes the table and the plot of a run into its folder: report.txt, course.svg and course.png.
+// writeReport writes the table and the plots of a run into its folder: report.txt, course.svg and course.png.
 func (s *Summary) writeReport(dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, "report.txt"), []byte(s.Table()), 0o644); err != nil {
 		return err
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Table gives a run as text: what callers met with, each fault with its time to settle, each rule.
+// Table formats the result of a run as text: the outcomes of calls, each fault with its recovery time, and each rule.
 func (s *Summary) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d gatekeepers, %d servers, %d zones; rules %s", s.Seed, s.Gatekeepers, s.Servers, s.Zones, s.Verdict)
@@ -84,7 +84,7 @@
 	return b.String()
 }
 
-// seconds writes a time of the views, "-" where there is none.
+// seconds formats a duration in seconds, or "-" if it is negative (never).
 func seconds(t control.Micros) string {
 	if t < 0 {
 		return "-"
@@ -92,9 +92,9 @@
 	return fmt.Sprintf("%.1f s", float64(t)/1e6)
 }
 
-const bucketsPerPoint = 5 // buckets of the course in a point of the plot: half a second
+const bucketsPerPoint = 5 // buckets of the time series per point of the plot, that is half a second
 
-// plot draws the course: what became of the tries sent in each half second, and where faults were on.
+// plot plots the outcomes of the tries sent in each half second and the number of active faults.
 func (s *Summary) plot(kind string) ([]byte, error) {
 	names := []string{"stood", "refused", "failed or unanswered", "faults on"}
 	values := make([][]float64, len(names))
--- a/internal/fleetlab/servers.go
+++ b/internal/fleetlab/servers.go
@@ -10,6 +10,7 @@
 	"beammux/internal/lab"
 )
 
+// server is a simulated menu server. The mutex protects all fields but name and index.
 type server struct {
 	name       string
 	index      int
@@ -18,10 +19,10 @@
 	instances  []*lab.Server
 	since      time.Time
 	state      string
-	stopStatus func() // of its status
+	stopStatus func() // ends its status reports
 }
 
-// startServers starts the stand-in servers and the bus.
+// startServers starts the simulated servers and the event bus.
 func (f *fleet) startServers() error {
 	var hosts []lab.Host
 	for i := range f.s.Servers {
@@ -36,12 +37,15 @@
 	return nil
 }
 
+// hostName returns the host name of the server with the given index.
 func hostName(index int) string { return fmt.Sprintf("s-%08x", index+1) }
 
+// host returns the entry of a server on the event bus.
 func (f *fleet) host(v *server) lab.Host {
 	return lab.Host{Name: hostName(v.index), State: v.state, Cell: v.index, Zone: f.s.ZoneOf(v.name), Since: v.since}
 }
 
+// startServer starts a new instance of a server and opens its listeners.
 func (f *fleet) startServer(v *server) error {
 	s, err := lab.NewServer(lab.PlatformWork(), f.s.Seed<<8+uint64(v.index)+uint64(len(v.instances))<<32)
 	if err != nil {
@@ -58,8 +62,8 @@
 	return f.listenForGatekeepers(v)
 }
 
-// listenForGatekeepers lets each gatekeeper's way to a server end at an address of its own there, so that the server knows whose a
-// connection is, as by the machine that it comes from.
+// listenForGatekeepers opens one listener of a server per gatekeeper, so that the server can identify the gatekeeper of a
+// connection, as it would by the source address on separate machines.
 func (f *fleet) listenForGatekeepers(v *server) error {
 	for _, g := range f.gatekeepers {
 		addr, err := v.s.ListenFor(g.name)
@@ -71,6 +75,7 @@
 	return nil
 }
 
+// stopServers closes all servers.
 func (f *fleet) stopServers() {
 	for _, v := range f.servers {
 		v.mu.Lock()
--- a/internal/fleetlab/views.go
+++ b/internal/fleetlab/views.go
@@ -13,7 +13,7 @@
 	"beammux/internal/fleetcheck"
 )
 
-// view is a gatekeeper's view of the fleet as its operators' address tells it.
+// view is a gatekeeper's view of the fleet, as served at its operators' address.
 type view struct {
 	Hash    string
 	View    uint64
@@ -39,7 +39,7 @@
 	}
 }
 
-// ejectedServers gives the servers that verdicts keep set-ups away from altogether.
+// ejectedServers returns the ids of the servers that get no set-ups because of verdicts, separated by spaces.
 func (v *view) ejectedServers() string {
 	var ids []string
 	for _, s := range v.Verdicts.Servers {
@@ -50,7 +50,8 @@
 	return strings.Join(ids, " ")
 }
 
-// rates gives whose rates of calls the view counts, what arrives a second by them, and how old the oldest is.
+// rates returns the members whose call rates the view counts (separated by spaces), the sum of the rates in calls per second,
+// and the age of the oldest in microseconds.
 func (v *view) rates() (origins string, arrived float64, oldest int64) {
 	var names []string
 	for _, r := range v.Registers {
@@ -65,7 +66,7 @@
 	return strings.Join(names, " "), arrived, oldest
 }
 
-// liveMembers lists the members that the view holds as alive or merely suspected.
+// liveMembers returns the names of the alive and suspected members, sorted and separated by spaces.
 func (v *view) liveMembers() string {
 	var names []string
 	for _, m := range v.Members {
@@ -79,7 +80,7 @@
 
 var viewClient = http.Client{Timeout: 500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// fetchView asks a gatekeeper for its view; nil while it does not answer.
+// fetchView fetches the view of a gatekeeper; it returns nil if the gatekeeper does not answer.
 func (f *fleet) fetchView(ctx context.Context, g *gatekeeper) *view {
 	f.mu.Lock()
 	addr := g.adminAddr
@@ -100,7 +101,7 @@
 	return v
 }
 
-// watchView notes a gatekeeper's view now and then, with what its gossip has sent so far.
+// watchView periodically records a gatekeeper's view, its verdicts, its gossip traffic and its call rates.
 func (f *fleet) watchView(ctx context.Context, g *gatekeeper) {
 	tick := time.NewTicker(viewInterval)
 	defer tick.Stop()
@@ -133,7 +134,7 @@
 	}
 }
 
-// awaitAgreement returns once all views are the same and hold every gatekeeper.
+// awaitAgreement returns when all views are identical and contain every gatekeeper.
 func (f *fleet) awaitAgreement(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -152,12 +153,12 @@
 		}
 		if len(hashes) == 1 {
 			f.agreedAfter = time.Since(began)
-			f.reportProgress(fmt.Sprintf("all views agree %d ms after all were ready", f.agreedAfter.Milliseconds()))
+			f.reportProgress(fmt.Sprintf("all fleet views agree %d ms after all gatekeepers were ready", f.agreedAfter.Milliseconds()))
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("views do not agree: %w", ctx.Err())
+			return fmt.Errorf("fleet views do not agree: %w", ctx.Err())
 		case <-tick.C:
 		}
 	}
