--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -28,7 +28,7 @@
 	Script  *script.Script
 	Log     logrus.FieldLogger
 	// Progress, if not nil, is called with each progress message and the time since the start of calls.
-	Progress func(at time.Duration, what string)
+	Progress func(elapsed time.Duration, message string)
 	// Ready, if not nil, is called with the process ids of the gatekeepers when all are up, before the first call.
 	Ready func(pids []int)
 }
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -15,10 +15,11 @@
 	"beammux/internal/fleetlab/script"
 )
 
-// programFolder holds the program of this test process alone: runs of other clones, or of two commands at the same time, must
-// neither replace nor remove it.
+// programFolder holds the executable built by this test process. It is not shared, so that concurrent test runs neither
+// replace nor remove it.
 var programFolder string
 
+// program returns the gatekeeper's executable, built once per test process.
 func program(t *testing.T) Program {
 	t.Helper()
 	p, err := Build("../..", programFolder)
@@ -39,7 +40,7 @@
 	os.Exit(code)
 }
 
-// runAndCheck plays a script once, shows its report and says that every rule held and no process was left.
+// runAndCheck runs a script once, logs its report and fails the test if a rule was broken or a process is left.
 func runAndCheck(t *testing.T, text string) *Summary {
 	t.Helper()
 	sum := run(t, parse(t, text))
@@ -49,7 +50,7 @@
 	return sum
 }
 
-// run plays a script once, shows its report and says that no process was left.
+// run runs a script once, logs its report and fails the test if a process is left or a fault was not undone.
 func run(t *testing.T, s *script.Script) *Summary {
 	t.Helper()
 	var pids []int
@@ -63,7 +64,7 @@
 	}
 	t.Log("\n" + sum.Table())
 	if len(pids) != s.Gatekeepers {
-		t.Errorf("%d processes", len(pids))
+		t.Errorf("Ready got %d process ids", len(pids))
 	}
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
@@ -72,21 +73,22 @@
 	}
 	for _, f := range sum.Faults {
 		if f.To == 0 {
-			t.Errorf("%s never ended", f.Fault)
+			t.Errorf("fault %s never ended", f.Fault)
 		}
 	}
 	return sum
 }
 
+// log returns the log of a gatekeeper.
 func log(t require.TestingT, sum *Summary, name string) string {
 	text, err := os.ReadFile(filepath.Join(sum.Dir, "logs", name+".log"))
 	require.NoError(t, err)
 	return string(text)
 }
 
-// The hard cases, each with its own fleet of real processes, side by side. Each looks for the mark that the fault came about
-// and was met, beside the rules.
-func TestHardCases(t *testing.T) {
+// Combinations of faults, each with its own fleet of real processes, in parallel. Besides the rules, each case checks for
+// evidence that the fault had an effect and that the fleet recovered.
+func TestFleetFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes for some seconds")
 	}
@@ -96,10 +98,10 @@
 		t.Parallel()
 		sum := runAndCheck(t, small+"length: 8s\nfaults:\n  - {at: 3s, for: 1500ms, fault: kill, target: g2, state: empty}\n")
 		if sum.Stats.Broken == 0 {
-			t.Error("no call was open when it was killed")
+			t.Error("no call was open when the gatekeeper was killed")
 		}
 		if sum.Faults[0].Took < 0 {
-			t.Error("it did not settle")
+			t.Error("the fleet did not recover")
 		}
 	})
 	t.Run("a partition heals while a second starts", func(t *testing.T) {
@@ -107,16 +109,17 @@
 		sum := runAndCheck(t, small+"length: 10s\nfaults:\n  - {at: 2s, for: 2s, fault: partition, from: zone:a, to: zone:b}\n"+
 			"  - {at: 4s, for: 2s, fault: partition, from: g1, to: servers+bus+gatekeepers}\n")
 		if sum.Faults[1].Took < 0 {
-			t.Error("the second did not settle")
+			t.Error("the fleet did not recover from the second partition")
 		}
-		// g2 is alone in zone b, so it lost its leader or led nobody; g1 then lost all servers and refused or failed calls.
+		// g2 is alone in zone b, so it lost its leader or its followers; g1 then lost all servers and refused or failed calls.
 		if n := sum.Stats.Refused + sum.Stats.Failed + sum.Stats.Unanswered; n == 0 {
-			t.Error("nobody felt that g1 was cut from every server")
+			t.Error("no call was refused, failed or unanswered while g1 was cut off from every server")
 		}
 	})
-	t.Run("a paused process wakes after its peers gave it up", func(t *testing.T) {
+	t.Run("a paused process resumes after its peers declared it dead", func(t *testing.T) {
 		t.Parallel()
-		// One of three leads the store: paused in turn, it is given up by the others, and wakes beside a new leader.
+		// One of the three leads the store. All are paused in turn, so the leader is too; the others elect a new one before it
+		// resumes.
 		sum := runAndCheck(t, small+"length: 11s\nfaults:\n  - {at: 1s, for: 2s, fault: pause, target: g1}\n"+
 			"  - {at: 4s, for: 2s, fault: pause, target: g2}\n  - {at: 7s, for: 2s, fault: pause, target: g3}\n")
 		elections := 0
@@ -124,10 +127,10 @@
 			elections += strings.Count(log(t, sum, name), "heartbeat timeout reached")
 		}
 		if elections < 2 {
-			t.Errorf("%d elections: no leader was given up", elections)
+			t.Errorf("%d elections: the pause of the leader caused none", elections)
 		}
 		if sum.Faults[2].Took < 0 {
-			t.Error("the last pause did not settle")
+			t.Error("the fleet did not recover from the last pause")
 		}
 	})
 	t.Run("connections are reset in the middle of a message", func(t *testing.T) {
@@ -136,10 +139,10 @@
 			"  - {at: 5s, for: 1s, fault: reset, from: fronts, to: gatekeepers, bytes: 333}\n"+
 			"  - {at: 2s, for: 1s, fault: reset, from: gatekeepers, to: servers}\n  - {at: 5s, for: 1s, fault: reset, from: fronts, to: gatekeepers}\n")
 		if sum.Stats.Broken == 0 {
-			t.Error("no caller's connection was reset under a call")
+			t.Error("no caller's connection was reset during a call")
 		}
 	})
-	t.Run("all killed at once and started again", func(t *testing.T) {
+	t.Run("all killed at once and restarted", func(t *testing.T) {
 		t.Parallel()
 		sum := runAndCheck(t, small+"length: 9s\nfaults:\n  - {at: 3s, for: 500ms, fault: kill, target: gatekeepers, state: same}\n")
 		if sum.Stats.Unsent == 0 || sum.Faults[0].Took < 0 {
@@ -147,12 +150,12 @@
 		}
 		for _, name := range []string{"g1", "g2", "g3"} {
 			if n := strings.Count(log(t, sum, name), `"msg":"store ready"`); n != 2 {
-				t.Errorf("%s: its store was ready %d times", name, n)
+				t.Errorf("%s: its store became ready %d times, want 2", name, n)
 			}
 		}
 	})
-	// The standing test: 4 gatekeepers, 2 zones, 3 faults drawn by a seed; the same seed gives the same verdict.
-	t.Run("a drawn script", func(t *testing.T) {
+	// 4 gatekeepers in 2 zones with 3 faults generated from a seed; checking the same run again gives the same verdict.
+	t.Run("a generated script", func(t *testing.T) {
 		t.Parallel()
 		s, err := script.Draw(4, script.Shape{Gatekeepers: 4, Servers: 6, Zones: 2, Members: 3, Load: 0.5}, []string{"kill", "lose", "partition"})
 		if err != nil {
@@ -162,12 +165,12 @@
 		sum := runAndCheck(t, text[strings.Index(text, "gatekeepers:"):strings.Index(text, "load:")]+text[strings.Index(text, "length:"):])
 		again, err := Check(sum.Dir)
 		if err != nil || again.Verdict != sum.Verdict || again.Stats != sum.Stats {
-			t.Errorf("judged again: %+v, %v", again, err)
+			t.Errorf("second check: %+v, %v", again, err)
 		}
 	})
 }
 
-// A run that is stopped ends its processes and says so; what it had seen is still judged.
+// An interrupted run ends its processes and is marked as stopped; what it observed until then is still checked.
 func TestStoppedRun(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -182,8 +185,8 @@
 	var pids []int
 	began := time.Now()
 	sum, err := Run(ctx, Options{Program: program(t), Dir: t.TempDir(), Script: s, Ready: func(p []int) { pids = p },
-		Progress: func(at time.Duration, what string) {
-			if strings.Contains(what, "pause g1") {
+		Progress: func(elapsed time.Duration, message string) {
+			if strings.Contains(message, "pause g1") {
 				stop()
 			}
 		}})
@@ -191,7 +194,7 @@
 		t.Fatalf("%+v %v", sum, err)
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("the end took %v", took)
+		t.Errorf("stopping the run took %v", took)
 	}
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
@@ -200,7 +203,7 @@
 	}
 }
 
-// The checker finds what a broken gatekeeper does: a program that ends by itself, and a log with a panic.
+// The checker detects a gatekeeper that crashes.
 func TestFindsACrash(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -210,7 +213,7 @@
 		t.Fatal(err)
 	}
 	sum, err := Run(t.Context(), Options{Program: program(t), Dir: t.TempDir(), Script: s, Ready: func(p []int) {
-		syscall.Kill(p[0], syscall.SIGQUIT) // not by the laboratory's own hand: the runtime dumps its stacks and exits
+		syscall.Kill(p[0], syscall.SIGQUIT) // not sent by the laboratory itself: the Go runtime dumps its stacks and exits
 	}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleetlab/limits_test.go
+++ b/internal/fleetlab/limits_test.go
@@ -15,7 +15,7 @@
 	"beammux/internal/record"
 )
 
-// admissions gives when each gatekeeper let calls in, by its records, in order.
+// admissions returns the times at which each gatekeeper admitted calls, from its records, in order.
 func admissions(t require.TestingT, sum *Summary) map[string][]time.Time {
 	r, err := record.OpenAll(sum.Dir + "/records")
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	return all
 }
 
-// countBetween counts what came from one time of the run to another, at some gatekeepers or, if none is named, at all.
+// countBetween counts the admissions in [from, to), in seconds of the run, at the named gatekeepers or, if none is named, at all.
 func countBetween(sum *Summary, all map[string][]time.Time, from, to float64, names ...string) (n int) {
 	began := time.UnixMicro(int64(sum.Faults[0].From)).Add(-firstFaultAt)
 	for name, times := range all {
@@ -49,14 +49,15 @@
 	return n
 }
 
-// maxWindowDelay is by how much a window begins later at most where the machine kept the fleet from being whole in time. Scripts go on for
-// as long.
+// maxWindowDelay is the longest time, in seconds, by which an observation window is delayed if the machine delayed the recovery
+// of the fleet. Scripts run that much longer.
 const maxWindowDelay = 3.0
 
-// windowStart gives when to begin to look at what the fleet does after its first fault: at a time of the script, or, where the machine
-// disturbed the play, once all views hold all members again and what they tell is spent. Until then a member that is missing is
-// taken to want without end (near.go): the others have less by right. How late a process is ready again, and met, is not for
-// the limits to say. It is SettleTime until what is told is spent, and GrowTime until a claim has grown to it.
+// windowStart returns when the observation of the fleet after its first fault begins, in seconds of the run: at from or, if the
+// machine disturbed the run, when all views contain all members again and claims can have grown since. Until then a missing
+// member is assumed to claim without bound (control/quota/near.go), so the others rightly get less. How late a process is
+// ready and joins again is not what these tests check. It takes SettleTime until a published claim may be used, and GrowTime
+// until a claim has grown to the limit.
 func windowStart(sum *Summary, from float64) float64 {
 	first := sum.Faults[0]
 	if sum.Disturbance.Count == 0 || first.Whole == 0 {
@@ -66,15 +67,16 @@
 	return min(max(from, at), from+maxWindowDelay)
 }
 
-// firstFaultAt is when the first fault of each script here begins.
+// firstFaultAt is the time of the first fault in the scripts of these tests.
 const firstFaultAt = 6 * time.Second
 
+// limitedFleet returns the script keys of a fleet with a shared limit in the given mode.
 func limitedFleet(mode string, members int) string {
 	return fmt.Sprintf("gatekeepers: 6\nservers: 6\nzones: 2\nstore_members: %d\nfleet: true\nlimits: {mode: %s, per_s: 20, burst: 12}\n", members, mode)
 }
 
-// The hard cases of shared limits, each with real processes. That the limit held over every window the judge says (RuleLimit, by
-// play); here, that the fault was met, and that what is there was used.
+// Shared limits under faults, each case with real processes. RuleLimit checks that the limit held over every window; the cases
+// check that the fault had an effect and that the available limit was used.
 func TestFleetLimits(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes for some seconds")
@@ -97,24 +99,24 @@
 			requireHeld(t, limitedFleet(mode, 3)+"length: 20s\nhomes:\n  - {at: 0s, to: g5}\n  - {at: 6s, to: g4+g6}\n"+
 				"faults:\n  - {at: 6s, for: 3s, fault: kill, target: g5}\n", func(t *trial, sum *Summary) {
 				all := admissions(t, sum)
-				require.Greater(t, countBetween(sum, all, 3, 6, "g5"), int(0.7*3*perS), "g5 held most of it")
+				require.Greater(t, countBetween(sum, all, 3, 6, "g5"), int(0.7*3*perS), "g5 used most of the limit before it was killed")
 				from := windowStart(sum, 11)
-				require.Greater(t, countBetween(sum, all, from, from+5, "g4", "g6"), int(0.8*5*perS), "the others have it")
+				require.Greater(t, countBetween(sum, all, from, from+5, "g4", "g6"), int(0.8*5*perS), "the others use the limit after the kill")
 			})
 		})
-		t.Run(mode+", paused for longer than its lease and woken", func(t *testing.T) {
+		t.Run(mode+", paused for longer than its lease and resumed", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, limitedFleet(mode, 3)+"length: 19s\nhomes:\n  - {at: 0s, to: g5}\n  - {at: 6s, to: g4+g5}\n"+
 				"faults:\n  - {at: 6s, for: 4s, fault: pause, target: g5}\n", func(t *trial, sum *Summary) {
 				all := admissions(t, sum)
-				require.LessOrEqual(t, countBetween(sum, all, 6.3, 9.9, "g5"), 1, "it stood still")
-				require.Greater(t, countBetween(sum, all, 8, 10, "g4"), int(0.5*2*perS/6), "g4 has its part at least")
+				require.LessOrEqual(t, countBetween(sum, all, 6.3, 9.9, "g5"), 1, "g5 admits nothing while paused")
+				require.Greater(t, countBetween(sum, all, 8, 10, "g4"), int(0.5*2*perS/6), "g4 has at least its own share")
 				from := windowStart(sum, 12)
-				require.Greater(t, countBetween(sum, all, from, from+4), int(0.75*4*perS), "both again")
+				require.Greater(t, countBetween(sum, all, from, from+4), int(0.75*4*perS), "both use the whole limit again")
 			})
 		})
 	}
-	t.Run("gatekeepers that share nothing are found", func(t *testing.T) {
+	t.Run("gatekeepers that do not share a limit are detected", func(t *testing.T) {
 		t.Parallel()
 		requireHeld(t, limitedFleet("alone", 0)+"length: 8s\nfaults: []\n", func(t *trial, sum *Summary) {
 			shared, err := Check(sum.Dir, fleetcheck.NewLimit(perS, 12, 0, nil, 0))
@@ -124,36 +126,36 @@
 	})
 	t.Run("the store's leader is killed while leases are granted", func(t *testing.T) {
 		t.Parallel()
-		// One of three leads; each is killed in turn.
+		// One of the three is the leader; each is killed in turn.
 		requireHeld(t, limitedFleet("leased", 3)+"length: 20s\nhomes:\n  - {at: 0s, to: g4+g5+g6}\nfaults:\n  - {at: 6s, for: 2s, fault: kill, target: g1}\n"+
 			"  - {at: 10s, for: 2s, fault: kill, target: g2}\n  - {at: 14s, for: 2s, fault: kill, target: g3}\n", func(t *trial, sum *Summary) {
-			require.Greater(t, countBetween(sum, admissions(t, sum), 6, 20), int(0.6*14*perS), "leases went on, or were granted anew")
+			require.Greater(t, countBetween(sum, admissions(t, sum), 6, 20), int(0.6*14*perS), "leases stayed valid or were granted again")
 			elections := 0
 			for _, name := range []string{"g1", "g2", "g3"} {
 				elections += strings.Count(log(t, sum, name), "heartbeat timeout reached")
 			}
-			require.Greater(t, elections, 0, "no leader was lost")
+			require.Greater(t, elections, 0, "the leader was never killed")
 		})
 	})
 	t.Run("the store has no majority for 20 s", func(t *testing.T) {
 		t.Parallel()
 		requireHeld(t, limitedFleet("leased", 3)+"length: 35s\nhomes:\n  - {at: 0s, to: g4+g5+g6}\nfaults:\n  - {at: 6s, for: 20s, fault: kill, target: g1+g2}\n", func(t *trial, sum *Summary) {
 			all := admissions(t, sum)
-			require.Less(t.always(), countBetween(sum, all, 9, 26), int(0.1*17*perS), "the floor alone")
+			require.Less(t.always(), countBetween(sum, all, 9, 26), int(0.1*17*perS), "only the floor without leases")
 			require.Greater(t, countBetween(sum, all, 3, 6), int(0.7*3*perS))
 			from := windowStart(sum, 29)
-			require.Greater(t, countBetween(sum, all, from, from+3), int(0.6*3*perS), "leases are there again")
-			require.Contains(t, log(t, sum, "g5"), "see whether the store has a leader", "and it says what to do")
+			require.Greater(t, countBetween(sum, all, from, from+3), int(0.6*3*perS), "leases are granted again")
+			require.Contains(t, log(t, sum, "g5"), "see whether the store has a leader", "the log advises the operator")
 		})
 	})
 	t.Run("gatekeepers are cut off from the store", func(t *testing.T) {
 		t.Parallel()
 		requireHeld(t, limitedFleet("leased", 3)+"length: 21s\nhomes:\n  - {at: 0s, to: g4+g5+g6}\nfaults:\n  - {at: 6s, for: 6s, fault: partition, from: g4+g5, to: g1+g2+g3}\n", func(t *trial, sum *Summary) {
 			all := admissions(t, sum)
-			require.LessOrEqual(t.always(), countBetween(sum, all, 8, 12, "g4", "g5"), int(0.02*4*perS)+2, "the floor alone")
-			require.Greater(t, countBetween(sum, all, 9, 12, "g6"), int(0.7*3*perS), "who is not cut off has the rest")
+			require.LessOrEqual(t.always(), countBetween(sum, all, 8, 12, "g4", "g5"), int(0.02*4*perS)+2, "only the floor without leases")
+			require.Greater(t, countBetween(sum, all, 9, 12, "g6"), int(0.7*3*perS), "the gatekeeper that is not cut off has the rest")
 			from := windowStart(sum, 15)
-			require.Greater(t, countBetween(sum, all, from, from+3, "g4", "g5"), int(0.3*3*perS), "and they are back")
+			require.Greater(t, countBetween(sum, all, from, from+3, "g4", "g5"), int(0.3*3*perS), "they are back after the partition")
 		})
 	})
 	t.Run("near, gatekeepers are cut off from each other", func(t *testing.T) {
@@ -162,8 +164,8 @@
 			"  - {at: 7s, for: 5s, fault: loss, from: gatekeepers, to: gatekeepers, part: 0.3}\n", func(t *trial, sum *Summary) {
 			all := admissions(t, sum)
 			n := countBetween(sum, all, 9, 13, "g4")
-			require.LessOrEqual(t.always(), n, int(4*perS/6)+3, "g4 goes by its part of the limit, not by all of it")
-			require.Greater(t, n, int(0.5*4*perS/6), "and by that much")
+			require.LessOrEqual(t.always(), n, int(4*perS/6)+3, "g4 uses its share of the limit, not all of it")
+			require.Greater(t, n, int(0.5*4*perS/6), "g4 uses its share")
 			from := windowStart(sum, 16)
 			require.Greater(t, countBetween(sum, all, from, from+4), int(0.75*4*perS))
 		})
@@ -175,7 +177,7 @@
 				"  - {at: 18s, for: 11s, fault: reload, target: gatekeepers, factor: 0.5}\n", func(t *trial, sum *Summary) {
 				all := admissions(t, sum)
 				from := windowStart(sum, 11)
-				require.Greater(t, countBetween(sum, all, from, from+4), int(0.7*4*perS), "up again")
+				require.Greater(t, countBetween(sum, all, from, from+4), int(0.7*4*perS), "the limit is used again after the restart")
 				n := countBetween(sum, all, 22, 28)
 				require.LessOrEqual(t, n, int(6*perS/2)+6)
 				require.Greater(t, n, int(0.7*6*perS/2))
--- a/internal/fleetlab/overhead_test.go
+++ b/internal/fleetlab/overhead_test.go
@@ -19,8 +19,9 @@
 	"beammux/internal/relay"
 )
 
-// What the relay adds to a call through a real gatekeeper process: callers' way and server's way by links, in turn with a
-// call by plain connections to another server of the same gatekeeper.
+// BenchmarkRelayOnACall measures the latency that the relay adds to a call through a real gatekeeper process. It alternates
+// between a call whose caller and server connections go through the relay, and a call over direct connections to another
+// server of the same gatekeeper.
 //
 //	go test -run '^$' -bench RelayOnACall -benchtime 2000x ./internal/fleetlab
 func BenchmarkRelayOnACall(b *testing.B) {
@@ -117,7 +118,7 @@
 	for k := range b.N {
 		one, ok := call(0, 2*k+1)
 		two, also := call(1, 2*k+2)
-		if ok && also { // each went to its own server
+		if ok && also { // each call went to its own server
 			pairs++
 			plain.RecordValue(max(1, one.Microseconds()))
 			added.RecordValue(max(1, (two - one).Microseconds()))
--- a/internal/fleetlab/registers_test.go
+++ b/internal/fleetlab/registers_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heardRates gives, by gatekeeper, the rates that it was read to hold, in order.
+// heardRates returns the recorded call rates of each gatekeeper's view, in order.
 func heardRates(t *testing.T, sum *Summary) map[string][]line {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(sum.Dir, "run.jsonl"))
@@ -27,8 +27,8 @@
 	return all
 }
 
-// Registers between processes whose messages are lost, doubled, late and out of order, and whose members die and come back:
-// the judge says that no call counted twice and no dead one counted (RuleRates); here, that it was told at all.
+// Registers between processes whose messages are lost, duplicated, delayed and reordered, and whose members die and return.
+// RuleRates checks that no call is counted twice and no dead member counts; the cases check that registers arrive at all.
 func TestFleetRegisters(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes for some seconds")
@@ -36,7 +36,7 @@
 	program(t)
 	four := "gatekeepers: 4\nservers: 4\nzones: 2\nstore_members: 0\nfleet: true\n"
 	all := "g1 g2 g3 g4"
-	t.Run("lost, doubled, late and out of order", func(t *testing.T) {
+	t.Run("lost, duplicated, delayed and reordered", func(t *testing.T) {
 		t.Parallel()
 		sum := runAndCheck(t, four+"length: 14s\nfaults:\n  - {at: 1s, for: 11s, fault: loss, from: gatekeepers, to: gatekeepers, part: 0.3}\n"+
 			"  - {at: 1s, for: 11s, fault: duplicate, from: gatekeepers, to: gatekeepers, part: 0.3}\n"+
@@ -44,11 +44,11 @@
 			"  - {at: 1s, for: 11s, fault: delay, from: gatekeepers, to: gatekeepers, delay: 40ms, jitter: 40ms}\n")
 		for name, rows := range heardRates(t, sum) {
 			last := rows[len(rows)-1]
-			require.Equal(t, all, last.Peer, "%s, after %d readings", name, len(rows))
+			require.Equal(t, all, last.Peer, "%s, after %d samples", name, len(rows))
 			require.Greater(t, last.Value, 10.0, name)
 		}
 	})
-	t.Run("a member dies and comes back, across a partition", func(t *testing.T) {
+	t.Run("a member dies and returns during a partition", func(t *testing.T) {
 		t.Parallel()
 		sum := runAndCheck(t, four+"length: 24s\nfaults:\n  - {at: 2s, for: 12s, fault: kill, target: g2}\n"+
 			"  - {at: 4s, for: 9s, fault: partition, from: g1, to: g3+g4}\n")
@@ -57,7 +57,7 @@
 		for _, r := range rows {
 			alone = alone || r.Peer == "g3 g4"
 		}
-		require.True(t, alone, "g3 never counted g4 and itself alone")
+		require.True(t, alone, "g3 never counted only g4 and itself")
 		require.Equal(t, all, rows[len(rows)-1].Peer)
 		require.True(t, strings.Contains(log(t, sum, "g3"), "fleet: member given up"))
 	})
--- a/internal/fleetlab/script/script.go
+++ b/internal/fleetlab/script/script.go
@@ -290,7 +290,7 @@
 		case "seed":
 			seed, err := strconv.ParseUint(v.Value, 10, 64)
 			if s.Seed = seed; err != nil {
-				p.addFault(v, key, fmt.Sprintf("%q is not an unsigned 64-bit integer", v.Value))
+				p.addFault(v, key, fmt.Sprintf("%q is not a whole number of 64 bits", v.Value))
 			}
 		case "gatekeepers":
 			s.Gatekeepers = p.integer(key, v, 1, MaxGatekeepers)
--- a/internal/fleetlab/script/script_test.go
+++ b/internal/fleetlab/script/script_test.go
@@ -20,7 +20,7 @@
 		"a: &x [*x]":                         "f:1:1: a: is not known",
 		strings.Replace(head, "1", "2", 1):   "f:1:10: version: is 2, but this program supports version 1",
 		strings.Replace(head, "4", "33", 1):  `f:3:14: gatekeepers: "33" is not a whole number from 1 to 32`,
-		strings.Replace(head, "7", "-1", 1):  `f:2:7: seed: "-1" is not an unsigned 64-bit integer`,
+		strings.Replace(head, "7", "-1", 1):  `f:2:7: seed: "-1" is not a whole number of 64 bits`,
 		strings.Replace(head, "12s", "3", 1): `f:8:9: length: "3" is not a duration of at most 2h0m0s, such as 250ms or 3s`,
 		strings.Replace(head, "zones: 2", "zones: 5", 1):                "f:1:1: zones: each zone needs a gatekeeper and a server",
 		strings.Replace(head, "store_members: 3", "store_member: 3", 1): `f:6:1: store_member: is not known; did you mean "store_members"?`,
--- a/internal/fleetlab/trial_test.go
+++ b/internal/fleetlab/trial_test.go
@@ -19,15 +19,15 @@
 	"beammux/internal/history"
 )
 
-// How often fleets are played. A play in which the machine held threads up for longer than the gatekeepers' figures count on
-// (fleetcheck.Disturbance) does not show that the fleet is wrong, whatever failed; it is played again, alone, and what has failed
-// must hold in a further play. What failed in all of them has failed. A play that was not disturbed, or that broke a rule which
-// holds whatever the machine does, is final.
+// How often a script is run. If the machine delayed threads for longer than the gatekeepers' timeouts allow for
+// (fleetcheck.Disturbance), a failure does not prove that the fleet is wrong. The script is then run again, alone, and each
+// failed check must pass in one of the further runs; a check that fails in all of them has failed. The result is final if a
+// run was not disturbed, or if it broke a rule that holds regardless of the machine.
 const (
-	maxRuns           = 3                // of one script
-	maxRepeats        = 8                // plays beyond the first of each script, over all tests of the process
-	maxParallelFleets = 3                // larger fleets, that is of six processes with their servers and callers
-	repeatReserve     = 40 * time.Second // of the test's time, beside the length of the script
+	maxRuns           = 3                // runs of one script
+	maxRepeats        = 8                // runs beyond the first of each script, over all tests of the process
+	maxParallelFleets = 3                // fleets of six gatekeepers with their servers and callers
+	repeatReserve     = 40 * time.Second // required before the test's deadline, in addition to the length of the script
 	calmDuration      = 2 * time.Second
 	maxTimerDelay     = 50 * time.Millisecond
 	calmTimeout       = 15 * time.Second
@@ -38,20 +38,21 @@
 	repeats    atomic.Int32
 )
 
-// timeBoundRules are the rules that say by when something has happened. All others hold however late a process is.
+// timeBoundRules are the rules with a deadline. All others hold regardless of delays of processes.
 var timeBoundRules = []string{fleetcheck.RuleFinal, fleetcheck.RuleGiven, fleetcheck.RuleRates, fleetcheck.RuleVerdicts, "records: " + history.RuleAnswer}
 
-// verdict is what one play came to.
+// verdict is the result of one run.
 type verdict struct {
-	failures    map[string]string // what, by the rule or by the line of the judge that asks for it; empty: it held
-	final       bool              // something of it must hold whatever the machine does
-	aborted     bool              // the judge could not go on to all that it asks for
+	failures    map[string]string // descriptions, by rule or by source line of the failed assertion; empty: all passed
+	final       bool              // a failed check holds regardless of the machine
+	aborted     bool              // the judge panicked before its last assertion
 	disturbance fleetcheck.Disturbance
 }
 
-// runUntilConclusive plays until a play is final or all that has failed has held in a further play, at most so often, and gives what is left.
+// runUntilConclusive repeats run until a verdict is final, or until each failed check has passed in some run, or limit is
+// reached. It returns the failures that are left.
 func runUntilConclusive(limit int, run func(number int) verdict, mayRepeat func() bool) map[string]string {
-	var left map[string]string // nil: no play was judged in full
+	var left map[string]string // nil: no run was judged completely
 	for number := 1; ; number++ {
 		v := run(number)
 		if len(v.failures) == 0 || v.final || v.disturbance.Count == 0 {
@@ -76,8 +77,8 @@
 	}
 }
 
-// requireHeld plays a script and says that every rule held, and what judge says of it. It is for scripts that a busy machine can keep
-// from showing anything.
+// requireHeld runs a script and fails the test if a rule was broken or an assertion of judge fails. It repeats runs that the
+// machine disturbed, and is for scripts whose result is meaningless on a busy machine.
 func requireHeld(t *testing.T, text string, judge func(t *trial, sum *Summary)) {
 	t.Helper()
 	s := parse(t, text)
@@ -100,17 +101,18 @@
 		sum := run(t, s)
 		v := evaluate(sum, judge)
 		if len(v.failures) > 0 {
-			t.Logf("play %d: disturbed %d times, by up to %d ms (%s): %s", number, v.disturbance.Count, v.disturbance.Longest/1000,
+			t.Logf("run %d: disturbed %d times, by up to %d ms (%s): %s", number, v.disturbance.Count, v.disturbance.Longest/1000,
 				v.disturbance.Process, strings.Join(slices.Sorted(maps.Values(v.failures)), "; "))
 		}
 		return v
 	}, mayRepeat)
-	for what, text := range failures {
-		t.Errorf("%s: %s", what, text)
+	for check, text := range failures {
+		t.Errorf("%s: %s", check, text)
 	}
 }
 
-// awaitCalm returns once no timer has been late by half of what disturbs a play for a while, or after calmWithin.
+// awaitCalm returns when no timer was late by maxTimerDelay, half of what counts as a disturbance, for calmDuration, or after
+// calmTimeout.
 func awaitCalm() {
 	const pace = 5 * time.Millisecond
 	calm := time.Now()
@@ -123,7 +125,7 @@
 	}
 }
 
-// evaluate gives the verdict on a run.
+// evaluate returns the verdict on a run.
 func evaluate(sum *Summary, judge func(t *trial, sum *Summary)) verdict {
 	t := &trial{verdict{failures: map[string]string{}, disturbance: sum.Disturbance}}
 	t.run(func() { judge(t, sum) })
@@ -136,10 +138,10 @@
 	return t.verdict
 }
 
-// trial takes what a judge asks for. A requirement that fails does not end the judge: what comes after it is asked for too.
+// trial collects the failed assertions of a judge. A failed assertion does not stop the judge: later ones are checked too.
 type trial struct{ verdict }
 
-// run runs a judge. One that can't go on after what has failed, as where it needs an element that is missing, is halted.
+// run runs a judge. A judge that panics after a failed assertion, for example on a missing element, is marked as aborted.
 func (t *trial) run(judge func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -150,28 +152,30 @@
 	judge()
 }
 
-// Errorf takes what testify says: where, then what.
+// Errorf parses testify's message: the location, then the failure.
 func (t *trial) Errorf(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	where, what, _ := strings.Cut(text, "Error:")
-	if fields := strings.Fields(where); len(fields) > 2 { // "Error Trace:", and the line that asks
-		where = filepath.Base(fields[2])
+	location, failure, _ := strings.Cut(text, "Error:")
+	if fields := strings.Fields(location); len(fields) > 2 { // "Error Trace:" and the source line of the assertion
+		location = filepath.Base(fields[2])
 	}
-	t.failures[where] = strings.Join(strings.Fields(what), " ")
+	t.failures[location] = strings.Join(strings.Fields(failure), " ")
 }
 
-// FailNow implements require.TestingT.
+// FailNow implements require.TestingT; it does not stop the judge.
 func (t *trial) FailNow() {}
 
-// always is for what must hold whatever the machine does: a play in which it does not is final.
+// always returns a TestingT for assertions that must hold regardless of the machine: a failure makes the verdict final.
 func (t *trial) always() require.TestingT { return always{t} }
 
+// always marks the verdict as final on a failure.
 type always struct{ *trial }
 
+// FailNow implements require.TestingT.
 func (t always) FailNow() { t.final = true }
 
-// A broken program fails however the machine disturbs its plays: only what failed in a disturbed play is looked at again, and
-// what holds in no play has failed.
+// A broken program fails however the machine disturbs its runs: only checks that failed in a disturbed run are repeated, and
+// a check that passes in no run has failed.
 func TestABrokenProgramFailsUnderDisturbance(t *testing.T) {
 	bad := func(what ...string) verdict {
 		v := verdict{failures: map[string]string{}}
@@ -190,21 +194,21 @@
 	aborted.aborted = true
 	for name, row := range map[string]struct {
 		plays []verdict
-		want  int // plays
+		want  int // runs
 		fails []string
 	}{
-		"holds":                        {[]verdict{{}}, 1, nil},
-		"holds though disturbed":       {[]verdict{disturbed(bad())}, 1, nil},
-		"fails, nothing disturbed it":  {[]verdict{bad("a"), {}}, 1, []string{"a"}},
-		"fails once, disturbed":        {[]verdict{disturbed(bad("a")), {}}, 2, nil},
-		"always fails, all disturbed":  {slices.Repeat([]verdict{disturbed(bad("a"))}, maxRuns), maxRuns, []string{"a"}},
-		"one thing always fails":       {slices.Repeat([]verdict{disturbed(bad("a", "b")), disturbed(bad("a", "c"))}, maxRuns), maxRuns, []string{"a"}},
-		"each thing holds once":        {[]verdict{disturbed(bad("a", "b")), disturbed(bad("a", "c")), disturbed(bad("b", "c"))}, 3, nil},
-		"then fails undisturbed":       {[]verdict{disturbed(bad("a")), bad("b"), {}}, 2, []string{"b"}},
-		"breaks what holds regardless": {[]verdict{final, {}}, 1, []string{"a"}},
-		"the judge is halted always":   {slices.Repeat([]verdict{aborted}, maxRuns), maxRuns, []string{"the judge"}},
-		"halted, then it fails always": {append([]verdict{aborted}, slices.Repeat([]verdict{disturbed(bad("a"))}, maxRuns)...), maxRuns, []string{"a"}},
-		"a halted judge shows nothing": {append([]verdict{disturbed(bad("a"))}, slices.Repeat([]verdict{aborted}, maxRuns)...), maxRuns, []string{"a"}},
+		"passes":                          {[]verdict{{}}, 1, nil},
+		"passes though disturbed":         {[]verdict{disturbed(bad())}, 1, nil},
+		"fails undisturbed":               {[]verdict{bad("a"), {}}, 1, []string{"a"}},
+		"fails once while disturbed":      {[]verdict{disturbed(bad("a")), {}}, 2, nil},
+		"always fails, always disturbed":  {slices.Repeat([]verdict{disturbed(bad("a"))}, maxRuns), maxRuns, []string{"a"}},
+		"one check always fails":          {slices.Repeat([]verdict{disturbed(bad("a", "b")), disturbed(bad("a", "c"))}, maxRuns), maxRuns, []string{"a"}},
+		"each check passes once":          {[]verdict{disturbed(bad("a", "b")), disturbed(bad("a", "c")), disturbed(bad("b", "c"))}, 3, nil},
+		"then fails undisturbed":          {[]verdict{disturbed(bad("a")), bad("b"), {}}, 2, []string{"b"}},
+		"breaks an unconditional rule":    {[]verdict{final, {}}, 1, []string{"a"}},
+		"the judge always aborts":         {slices.Repeat([]verdict{aborted}, maxRuns), maxRuns, []string{"the judge"}},
+		"aborts, then always fails":       {append([]verdict{aborted}, slices.Repeat([]verdict{disturbed(bad("a"))}, maxRuns)...), maxRuns, []string{"a"}},
+		"an aborted judge proves nothing": {append([]verdict{disturbed(bad("a"))}, slices.Repeat([]verdict{aborted}, maxRuns)...), maxRuns, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runs := 0
@@ -220,11 +224,12 @@
 	}
 	runs := 0
 	got := runUntilConclusive(maxRuns, func(int) verdict { runs++; return disturbed(bad("a")) }, func() bool { return false })
-	require.Equal(t, 1, runs, "no play is left")
+	require.Equal(t, 1, runs, "no run is left")
 	require.Len(t, got, 1)
 }
 
-// What a judge says, and each rule that was broken, is in the verdict; which rules hold whatever the machine does is told apart.
+// The verdict contains the failed assertions of the judge and each broken rule; it is final for rules that hold regardless of
+// the machine.
 func TestVerdictOnARun(t *testing.T) {
 	evaluateRule := func(rule string, count int, judge func(t *trial, sum *Summary)) verdict {
 		f := fleetcheck.Finding{Rule: rule, Verdict: history.Held}
@@ -238,7 +243,7 @@
 	v := evaluateRule(fleetcheck.RuleVerdicts, 0, func(t *trial, _ *Summary) {
 		require.Greater(t, 58, 60)
 		require.Greater(t, 60, 58)
-		require.Greater(t, 57, 60, "both are found")
+		require.Greater(t, 57, 60, "both failures are collected")
 	})
 	require.Len(t, v.failures, 2)
 	require.False(t, v.final || v.aborted)
@@ -261,7 +266,7 @@
 	}
 }
 
-// parse reads a script of the tests here.
+// parse parses a script from text, with the head that all tests share.
 func parse(t *testing.T, text string) *script.Script {
 	t.Helper()
 	s, err := script.Parse("script", []byte("version: 1\nseed: 11\nload: 0.5\n"+text))
@@ -269,11 +274,11 @@
 	return s
 }
 
-// A window begins later only where the play was disturbed, and by no more than the script goes on for.
+// An observation window is delayed only if the run was disturbed, and by no more than maxWindowDelay.
 func TestWindowStart(t *testing.T) {
 	for _, row := range []struct {
 		disturbed int
-		wholeAt   float64 // in the run; 0: never
+		wholeAt   float64 // in seconds of the run; 0: never
 		want      float64
 	}{{0, 12, 11}, {1, 0, 11}, {1, 9, 11}, {1, 10, 11.7}, {1, 60, 11 + maxWindowDelay}} {
 		first := fleetcheck.Settled{From: 1e6 * (100 + 6)}
--- a/internal/fleetlab/verdicts_test.go
+++ b/internal/fleetlab/verdicts_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The hard cases of verdicts on servers, each with real processes. That only ill servers were kept out, by every member that is
-// reached in time, and that nobody sent there meanwhile, the judge says (RuleVerdicts, by play).
+// Verdicts on servers under faults, each case with real processes. RuleVerdicts checks that only faulty servers were ejected, by
+// every reachable member in time, and that none sent set-ups there meanwhile.
 func TestFleetVerdicts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes for some seconds")
@@ -18,23 +18,23 @@
 	convicted := func(t *trial, sum *Summary) {
 		require.Greater(t, sum.Verdicts.Convicted, 0)
 		require.Greater(t, sum.Verdicts.First, 0.0)
-		require.Greater(t, sum.Verdicts.All, 0.0, "all members that run held it")
+		require.Greater(t, sum.Verdicts.All, 0.0, "all running members held the verdict")
 		require.Less(t, sum.Verdicts.All-sum.Verdicts.First, 3.0)
 	}
 	// In two groups, so that not all processes run at the same time.
 	t.Run("servers", func(t *testing.T) {
-		t.Run("one of eight hangs, and comes back", func(t *testing.T) {
+		t.Run("one of eight hangs and recovers", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, fleet+"length: 24s\nfaults:\n  - {at: 3s, for: 9s, fault: hang, target: s3}\n", func(t *trial, sum *Summary) {
 				convicted(t, sum)
-				require.Contains(t, log(t, sum, "g1"), "tried, and it answers", "and it was taken back")
+				require.Contains(t, log(t, sum, "g1"), "tried, and it answers", "the server was restored")
 			})
 		})
-		t.Run("one of eight fails most of what it gets", func(t *testing.T) {
+		t.Run("one of eight fails most set-ups", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, fleet+"length: 18s\nfaults:\n  - {at: 3s, for: 9s, fault: ill, target: s3, part: 0.9}\n", convicted)
 		})
-		t.Run("one is slow for half of the gatekeepers by their links alone", func(t *testing.T) {
+		t.Run("one is slow for half of the gatekeepers because of their links", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, fleet+"length: 14s\nfaults:\n  - {at: 3s, for: 8s, fault: delay, from: g1+g2+g3, to: s3, delay: 1500ms}\n", func(t *trial, sum *Summary) {
 				require.Zero(t, sum.Verdicts.Convicted)
@@ -43,36 +43,36 @@
 		t.Run("a number whose lines are all busy", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, fleet+"length: 14s\nhomes:\n  - {at: 0s, to: g1+g2+g3}\nfaults:\n  - {at: 3s, for: 5s, fault: engaged, target: servers, number: \"5550199\", part: 0.2}\n", func(t *trial, sum *Summary) {
-				require.Zero(t, sum.Verdicts.Convicted, "that is no server's fault")
-				require.Equal(t, 6, sum.Verdicts.Numbers, "all know it, also those that were never asked for it")
+				require.Zero(t, sum.Verdicts.Convicted, "busy lines are no fault of a server")
+				require.Equal(t, 6, sum.Verdicts.Numbers, "all members know the number, also those without calls to it")
 			})
 		})
-		t.Run("a caller that sends what can't be read goes on to others", func(t *testing.T) {
+		t.Run("a caller sends malformed messages to one gatekeeper after another", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, fleet+"length: 12s\nfaults:\n  - {at: 2s, for: 3s, fault: rude, target: g1+g2}\n  - {at: 5s, for: 3s, fault: rude, target: g3}\n", func(t *trial, sum *Summary) {
 				const bad = "bad message: connection closed"
 				for _, name := range []string{"g1", "g2"} {
 					n := strings.Count(log(t, sum, name), bad)
 					require.Greater(t, n, 1, name)
-					require.Less(t, n, 45, "of 60 that came")
+					require.Less(t, n, 45, "of 60 connections")
 				}
-				require.Zero(t, strings.Count(log(t, sum, "g3"), bad), "it was turned away at the door from the first")
+				require.Zero(t, strings.Count(log(t, sum, "g3"), bad), "the caller was turned away from its first connection on")
 				require.Contains(t, log(t, sum, "g6"), "turned away at the door")
 			})
 		})
-		t.Run("one gatekeeper lies", func(t *testing.T) {
+		t.Run("one gatekeeper reports false evidence", func(t *testing.T) {
 			t.Parallel()
 			requireHeld(t, fleet+"length: 13s\nfaults:\n  - {at: 3s, for: 7s, fault: lie, target: g2}\n", func(t *trial, sum *Summary) {
 				require.Zero(t, sum.Verdicts.Convicted)
-				require.Contains(t, log(t, sum, "g2"), "its evidence does not count", "and it is told so")
+				require.Contains(t, log(t, sum, "g2"), "its evidence does not count", "the gatekeeper learns that its evidence is ignored")
 			})
 		})
 		t.Run("all servers slow at once", func(t *testing.T) {
 			t.Parallel()
-			// To the end of the run. Once the callers call no more the others work off their queues and answer as they do: one that is
-			// still buried then is an outlier indeed, however long the run goes on until the last try has its answer.
+			// The fault lasts beyond the end of the run, which continues until the last try is answered. When calls stop, servers
+			// work off their queues and answer normally again; one that is still overloaded then is rightly an outlier.
 			requireHeld(t, fleet+"length: 14s\nfaults:\n  - {at: 3s, for: 20s, fault: slow, target: servers, slow: 6}\n", func(t *trial, sum *Summary) {
-				require.Zero(t, sum.Verdicts.Called, "overload is no verdict")
+				require.Zero(t, sum.Verdicts.Called, "overload causes no verdict")
 			})
 		})
 	})
@@ -83,7 +83,7 @@
 				"  - {at: 4s, for: 6s, fault: partition, from: g1+g3+g5, to: g2+g4+g6}\n", func(t *trial, sum *Summary) {
 				require.Greater(t, sum.Verdicts.Convicted, 0)
 				for _, name := range []string{"g1", "g2"} {
-					require.Contains(t, log(t, sum, name), `"phase":"out"`, "each side convicts by its own evidence")
+					require.Contains(t, log(t, sum, name), `"phase":"out"`, "each side convicts the server by its own evidence")
 				}
 			})
 		})
