--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -42,7 +42,7 @@
 	Stopped     bool         `json:"stopped"` // the run was interrupted
 	Elapsed     float64      `json:"took_s"`
 	StartTimes  []float64    `json:"ready_after_s"`                 // seconds from the start of each gatekeeper to ready, first start only
-	Joined      float64      `json:"views_agree_after_s,omitempty"` // seconds from all gatekeepers ready to identical fleet views
+	AgreedAfter float64      `json:"views_agree_after_s,omitempty"` // seconds from all gatekeepers ready to identical fleet views
 	Outcome     *lab.Outcome `json:"outcome,omitempty"`
 
 	Limit    *fleetcheck.LimitStats   `json:"limit,omitempty"`
--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -49,10 +49,10 @@
 	Gatekeepers int               `json:"gatekeepers"`
 	Runs        int               `json:"runs"`
 	Held        int               `json:"runs_held"`
-	Joined      Spread            `json:"views_agree_after_start_s"`
+	AgreedAfter Spread            `json:"views_agree_after_start_s"`
 	Noticed     map[string]Spread `json:"noticed_s"` // by the number of the fault in the script and its kind
 	Agreed      map[string]Spread `json:"agreed_s"`
-	Missing     map[string]int    `json:"never_agreed"`
+	NeverAgreed map[string]int    `json:"never_agreed"`
 	Packets     Spread            `json:"packets_per_s"` // sent by one member's gossip while no fault was active
 	Bytes       Spread            `json:"bytes_per_s"`
 	CPU         Spread            `json:"cpu_part"` // share of a core that a process used over its lifetime
@@ -79,7 +79,7 @@
 			return nil, err
 		}
 		var stored struct {
-			Joined float64 `json:"views_agree_after_s"`
+			AgreedAfter float64 `json:"views_agree_after_s"`
 		}
 		if err := json.Unmarshal(text, &stored); err != nil {
 			return nil, fmt.Errorf("%s: %w", filepath.Join(dir, summaryFile), err)
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, err
 		}
-		summary.Joined = stored.Joined
+		summary.AgreedAfter = stored.AgreedAfter
 		s, err := script.Load(filepath.Join(dir, "script.yaml"))
 		if err != nil {
 			return nil, err
@@ -100,7 +100,7 @@
 		g := sizes[summary.Gatekeepers]
 		if g == nil {
 			g = &sizeSamples{noticed: map[string][]float64{}, agreed: map[string][]float64{}}
-			g.Gatekeepers, g.Missing = summary.Gatekeepers, map[string]int{}
+			g.Gatekeepers, g.NeverAgreed = summary.Gatekeepers, map[string]int{}
 			sizes[summary.Gatekeepers] = g
 		}
 		g.add(summary, s, events)
@@ -116,21 +116,21 @@
 // sizeSamples collects the measurements of all runs with one number of gatekeepers.
 type sizeSamples struct {
 	Size
-	joined, packets, bytes, cpu, memory []float64
-	noticed, agreed                     map[string][]float64
+	agreedAfter, packets, bytes, cpu, memory []float64
+	noticed, agreed                          map[string][]float64
 }
 
 // add adds the measurements of one run.
-func (g *sizeSamples) add(sum *Summary, s *script.Script, events []fleetcheck.Event) {
+func (g *sizeSamples) add(summary *Summary, s *script.Script, events []fleetcheck.Event) {
 	g.Runs++
-	if sum.Verdict == "held" {
+	if summary.Verdict == "held" {
 		g.Held++
 	}
-	if sum.Joined > 0 {
-		g.joined = append(g.joined, sum.Joined)
+	if summary.AgreedAfter > 0 {
+		g.agreedAfter = append(g.agreedAfter, summary.AgreedAfter)
 	}
 	var disturbances []interval
-	for _, f := range sum.Faults {
+	for _, f := range summary.Faults {
 		disturbances = append(disturbances, interval{f.From, f.To + calmDelay})
 		number, rest, _ := strings.Cut(f.Fault, " ")
 		kind, _, _ := strings.Cut(rest, " ")
@@ -141,7 +141,7 @@
 		if f.Agreed >= 0 {
 			g.agreed[name] = append(g.agreed[name], float64(f.Agreed)/1e6)
 		} else if s.Fleet {
-			g.Missing[name]++
+			g.NeverAgreed[name]++
 		}
 	}
 	isCalm := func(at control.Micros) bool {
@@ -210,7 +210,7 @@
 // size returns the aggregated result.
 func (g *sizeSamples) size() Size {
 	s := g.Size
-	s.Joined, s.Packets, s.Bytes, s.CPU, s.Memory = newSpread(g.joined), newSpread(g.packets), newSpread(g.bytes), newSpread(g.cpu), newSpread(g.memory)
+	s.AgreedAfter, s.Packets, s.Bytes, s.CPU, s.Memory = newSpread(g.agreedAfter), newSpread(g.packets), newSpread(g.bytes), newSpread(g.cpu), newSpread(g.memory)
 	s.Noticed, s.Agreed = map[string]Spread{}, map[string]Spread{}
 	for name, v := range g.noticed {
 		s.Noticed[name] = newSpread(v)
@@ -234,13 +234,13 @@
 	}
 	row("gatekeepers", func(s Size) string { return strconv.Itoa(s.Gatekeepers) })
 	row("runs, of them held", func(s Size) string { return fmt.Sprintf("%d, %d", s.Runs, s.Held) })
-	row("views agree after the start, s", func(s Size) string { return s.Joined.String() })
+	row("views agree after the start, s", func(s Size) string { return s.AgreedAfter.String() })
 	names := map[string]bool{}
 	for _, s := range sizes {
 		for name := range s.Agreed {
 			names[name] = true
 		}
-		for name := range s.Missing {
+		for name := range s.NeverAgreed {
 			names[name] = true
 		}
 	}
@@ -248,7 +248,7 @@
 		row(name+": noticed by all, s", func(s Size) string { return s.Noticed[name].String() })
 		row(name+": views agree again, s", func(s Size) string {
 			text := s.Agreed[name].String()
-			if n := s.Missing[name]; n > 0 {
+			if n := s.NeverAgreed[name]; n > 0 {
 				text += fmt.Sprintf(", never in %d", n)
 			}
 			return text
--- a/internal/fleetlab/delays.go
+++ b/internal/fleetlab/delays.go
@@ -38,17 +38,17 @@
 		labSampledAt = time.Now()
 		for _, g := range f.gatekeepers {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
-			if p == nil || p.hasExited() {
+			if proc == nil || proc.hasExited() {
 				continue
 			}
-			if queues[p] == nil {
-				queues[p], sampledAt[p] = runQueue{}, time.Now()
+			if queues[proc] == nil {
+				queues[proc], sampledAt[proc] = runQueue{}, time.Now()
 			}
-			waited, longest := queues[p].sample(p.pid())
-			f.recordDelay(g.name, waited, longest, time.Since(sampledAt[p]))
-			sampledAt[p] = time.Now()
+			waited, longest := queues[proc].sample(proc.pid())
+			f.recordDelay(g.name, waited, longest, time.Since(sampledAt[proc]))
+			sampledAt[proc] = time.Now()
 		}
 	}
 }
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -98,22 +98,22 @@
 	for _, name := range f.selected(fault.Target) {
 		for _, g := range f.gatekeepers {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
-			if g.name != name || p == nil || p.hasExited() || fault.Kind != "pause" && p.wasStopped() {
+			if g.name != name || proc == nil || proc.hasExited() || fault.Kind != "pause" && proc.wasStopped() {
 				continue // another fault has already stopped it
 			}
 			affected = append(affected, g)
 			switch fault.Kind {
 			case "kill":
 				f.runs.record(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
-				p.signal(syscall.SIGKILL)
+				proc.signal(syscall.SIGKILL)
 			case "term":
 				f.runs.record(fleetcheck.Asked, line{Process: name, What: "SIGTERM"})
-				p.signal(syscall.SIGTERM)
+				proc.signal(syscall.SIGTERM)
 			case "pause":
 				f.runs.record(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
-				p.signal(syscall.SIGSTOP)
+				proc.signal(syscall.SIGSTOP)
 			}
 		}
 	}
@@ -121,14 +121,14 @@
 		var all sync.WaitGroup
 		for _, g := range affected {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
 			if fault.Kind == "pause" {
-				p.signal(syscall.SIGCONT)
+				proc.signal(syscall.SIGCONT)
 				f.runs.record(fleetcheck.Woken, line{Process: g.name})
 				continue
 			}
-			all.Go(func() { f.restart(ctx, g, p, fault.State == "empty") })
+			all.Go(func() { f.restart(ctx, g, proc, fault.State == "empty") })
 		}
 		all.Wait()
 	}
@@ -205,12 +205,12 @@
 			}
 			f.mu.Lock()
 			g.limits = limits
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
 			if err := f.configure(g, f.path("state", g.name, "tmp"+strconv.Itoa(g.start))); err != nil {
 				f.fail(err)
-			} else if p != nil && !p.hasExited() {
-				p.signal(syscall.SIGHUP)
+			} else if proc != nil && !proc.hasExited() {
+				proc.signal(syscall.SIGHUP)
 			}
 		}
 	}
@@ -219,12 +219,12 @@
 }
 
 // restart starts a stopped gatekeeper again, with its stored state or, if empty is set, without.
-func (f *fleet) restart(ctx context.Context, g *gatekeeper, p *process, empty bool) {
+func (f *fleet) restart(ctx context.Context, g *gatekeeper, proc *process, empty bool) {
 	select {
-	case <-p.exited:
+	case <-proc.exited:
 	case <-time.After(stopTimeout): // it did not exit on SIGTERM
-		p.signal(syscall.SIGKILL)
-		<-p.exited
+		proc.signal(syscall.SIGKILL)
+		<-proc.exited
 	}
 	if ctx.Err() != nil {
 		return
@@ -244,81 +244,81 @@
 func (f *fleet) disturbServers(fault script.Fault) func(context.Context) {
 	var affected []*server
 	for _, name := range f.selected(fault.Target) {
-		for _, v := range f.servers {
-			if v.name != name {
+		for _, srv := range f.servers {
+			if srv.name != name {
 				continue
 			}
-			v.mu.Lock()
+			srv.mu.Lock()
 			switch {
 			case fault.Kind == "slow":
-				v.s.Slow(fault.Slow)
-				affected = append(affected, v)
+				srv.s.Slow(fault.Slow)
+				affected = append(affected, srv)
 			case fault.Kind == "hang":
-				v.s.Hang(true)
-				affected = append(affected, v)
+				srv.s.Hang(true)
+				affected = append(affected, srv)
 			case fault.Kind == "engaged":
-				v.s.Engage(fault.Number)
+				srv.s.Engage(fault.Number)
 				f.engaged.Store(&fault)
-				affected = append(affected, v)
+				affected = append(affected, srv)
 			case fault.Kind == "ill":
-				v.s.FailPart(fault.Part)
-				affected = append(affected, v)
-			case v.state != "up": // another fault affects it already
+				srv.s.FailPart(fault.Part)
+				affected = append(affected, srv)
+			case srv.state != "up": // another fault affects it already
 			case fault.Kind == "lose":
-				v.state = "lost"
-				v.stopStatus()
-				f.net.Down(v.name)
-				v.s.Kill()
-				affected = append(affected, v)
+				srv.state = "lost"
+				srv.stopStatus()
+				f.net.Down(srv.name)
+				srv.s.Kill()
+				affected = append(affected, srv)
 			case fault.Kind == "drain":
-				v.state = "draining"
-				f.bus.Change(f.host(v))
-				affected = append(affected, v)
+				srv.state = "draining"
+				f.bus.Change(f.host(srv))
+				affected = append(affected, srv)
 			}
-			v.mu.Unlock()
+			srv.mu.Unlock()
 		}
 	}
 	return func(context.Context) {
-		for _, v := range affected {
+		for _, srv := range affected {
 			switch fault.Kind {
 			case "slow", "hang", "ill", "engaged":
-				v.mu.Lock()
+				srv.mu.Lock()
 				switch fault.Kind {
 				case "slow":
-					v.s.Slow(1)
+					srv.s.Slow(1)
 				case "engaged":
-					v.s.Engage("")
+					srv.s.Engage("")
 					f.engaged.Store(nil)
 				case "hang":
-					v.s.Hang(false)
+					srv.s.Hang(false)
 				case "ill":
-					v.s.FailPart(0)
+					srv.s.FailPart(0)
 				}
-				v.mu.Unlock()
+				srv.mu.Unlock()
 			case "lose":
-				if err := f.restartCold(v); err != nil {
+				if err := f.restartCold(srv); err != nil {
 					f.fail(err)
 				}
 			case "drain":
-				v.mu.Lock()
-				v.state = "up"
-				f.bus.Change(f.host(v))
-				v.mu.Unlock()
+				srv.mu.Lock()
+				srv.state = "up"
+				f.bus.Change(f.host(srv))
+				srv.mu.Unlock()
 			}
 		}
 	}
 }
 
 // restartCold starts a lost server again: it is cold, and the bus publishes its new start time.
-func (f *fleet) restartCold(v *server) error {
-	if err := f.startServer(v); err != nil {
+func (f *fleet) restartCold(srv *server) error {
+	if err := f.startServer(srv); err != nil {
 		return err
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.s.Cold(startCapacity, warmUpTime)
-	v.state, v.since = "up", time.Now()
-	f.bus.Change(f.host(v))
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.s.Cold(startCapacity, warmUpTime)
+	srv.state, srv.since = "up", time.Now()
+	f.bus.Change(f.host(srv))
 	return nil
 }
 
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -101,15 +101,15 @@
 	if err != nil && !stopped {
 		return nil, err
 	}
-	sum, err := Check(o.Dir)
+	summary, err := Check(o.Dir)
 	if err != nil {
 		return nil, err
 	}
-	sum.Stopped, sum.Elapsed, sum.StartTimes, sum.Joined = stopped, time.Since(began).Seconds(), starts, f.agreedAfter.Seconds()
-	if err := sum.write(o.Dir); err != nil {
+	summary.Stopped, summary.Elapsed, summary.StartTimes, summary.AgreedAfter = stopped, time.Since(began).Seconds(), starts, f.agreedAfter.Seconds()
+	if err := summary.write(o.Dir); err != nil {
 		return nil, err
 	}
-	return sum, nil
+	return summary, nil
 }
 
 // path returns the path of a file in the folder of the run.
@@ -211,8 +211,8 @@
 // writeOutcome writes the statistics of the callers to a file.
 func (f *fleet) writeOutcome() error {
 	var instances []*lab.Server
-	for _, v := range f.servers {
-		instances = append(instances, v.instances...)
+	for _, srv := range f.servers {
+		instances = append(instances, srv.instances...)
 	}
 	text, err := json.MarshalIndent(f.callers.Outcome(instances), "", " ")
 	if err != nil {
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -21,7 +21,7 @@
 	name      string
 	index     int
 	start     int // number of the last start, from 1
-	p         *process
+	proc      *process
 	ready     time.Duration // duration of the last start until it was ready
 	adminAddr string        // operators' address since the last start
 
@@ -42,7 +42,7 @@
 		return err
 	}
 	began := time.Now()
-	p, err := spawn(f.Program, g.name, "", f.path("logs", g.name+".log"), []string{"--log-format", "json", "serve",
+	proc, err := spawn(f.Program, g.name, "", f.path("logs", g.name+".log"), []string{"--log-format", "json", "serve",
 		"--config", f.path("etc", g.name, "config.json"), "--deploy", f.path("etc", g.name, "deploy.json")},
 		[]string{"PROXY_ADMIN_ADDR=127.0.0.1:0", "TMPDIR=" + tmp, "GOMAXPROCS=1",
 			ejection.FalseEvidenceVariable + "=" + f.path("state", g.name, falseEvidenceFile)},
@@ -58,14 +58,14 @@
 				f.mu.Unlock()
 				f.net.Up(g.name, "", s.Listen)
 			}
-		}, func(p *process) { f.handleExit(g, p) })
+		}, func(proc *process) { f.handleExit(g, proc) })
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	g.p = p
+	g.proc = proc
 	f.mu.Unlock()
-	adminAddr, err := p.ready(ctx)
+	adminAddr, err := proc.ready(ctx)
 	if err != nil {
 		return err
 	}
@@ -73,28 +73,28 @@
 	g.adminAddr = adminAddr
 	g.ready = time.Since(began)
 	f.mu.Unlock()
-	p.samplePeakMemory()
-	f.runs.record(fleetcheck.Ready, line{Process: g.name, What: "pid " + strconv.Itoa(p.pid())})
+	proc.samplePeakMemory()
+	f.runs.record(fleetcheck.Ready, line{Process: g.name, What: "pid " + strconv.Itoa(proc.pid())})
 	return nil
 }
 
 // handleExit records the exit of a process: as a crash if the laboratory did not stop it, or if it exited with an error code.
-func (f *fleet) handleExit(g *gatekeeper, p *process) {
+func (f *fleet) handleExit(g *gatekeeper, proc *process) {
 	f.net.Down(g.name)
-	if p.err != nil {
-		f.fail(fmt.Errorf("%s: copying its log: %w", p.name, p.err))
+	if proc.err != nil {
+		f.fail(fmt.Errorf("%s: copying its log: %w", proc.name, proc.err))
 	}
-	status := p.state.Sys().(syscall.WaitStatus)
+	status := proc.state.Sys().(syscall.WaitStatus)
 	usage := ""
-	if p.peakKiB.Load() > 0 {
-		usage = fmt.Sprintf(", cpu %.2f s, memory at most %d KiB", (p.state.UserTime() + p.state.SystemTime()).Seconds(), p.peakKiB.Load())
+	if proc.peakKiB.Load() > 0 {
+		usage = fmt.Sprintf(", cpu %.2f s, memory at most %d KiB", (proc.state.UserTime() + proc.state.SystemTime()).Seconds(), proc.peakKiB.Load())
 	}
 	switch {
-	case !p.wasStopped(), !status.Signaled() && p.state.ExitCode() != 0:
-		f.runs.record(fleetcheck.Crashed, line{Process: g.name, What: p.state.String() + usage})
-		f.reportProgress(g.name + " exited unexpectedly: " + p.state.String())
+	case !proc.wasStopped(), !status.Signaled() && proc.state.ExitCode() != 0:
+		f.runs.record(fleetcheck.Crashed, line{Process: g.name, What: proc.state.String() + usage})
+		f.reportProgress(g.name + " exited unexpectedly: " + proc.state.String())
 	default:
-		f.runs.record(fleetcheck.Stopped, line{Process: g.name, What: p.state.String() + usage})
+		f.runs.record(fleetcheck.Stopped, line{Process: g.name, What: proc.state.String() + usage})
 	}
 }
 
@@ -139,8 +139,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, g := range f.gatekeepers {
-		if g.p != nil {
-			pids = append(pids, g.p.pid())
+		if g.proc != nil {
+			pids = append(pids, g.proc.pid())
 		}
 	}
 	return pids
@@ -152,11 +152,11 @@
 	var all sync.WaitGroup
 	f.mu.Lock()
 	for _, g := range f.gatekeepers {
-		if p := g.p; p != nil && !p.hasExited() {
+		if proc := g.proc; proc != nil && !proc.hasExited() {
 			f.runs.record(fleetcheck.Asked, line{Process: g.name})
 			all.Go(func() {
-				if !p.stop(stopTimeout) {
-					f.runs.record(fleetcheck.Crashed, line{Process: p.name, What: "did not end within " + stopTimeout.String() + " of SIGTERM: killed"})
+				if !proc.stop(stopTimeout) {
+					f.runs.record(fleetcheck.Crashed, line{Process: proc.name, What: "did not end within " + stopTimeout.String() + " of SIGTERM: killed"})
 				}
 			})
 		}
--- a/internal/fleetlab/links.go
+++ b/internal/fleetlab/links.go
@@ -22,8 +22,8 @@
 			g.limits = *f.s.Limits
 		}
 		f.gatekeepers = append(f.gatekeepers, g)
-		for _, v := range f.servers {
-			if err := tcp(g.name, v.name, g.name); err != nil {
+		for _, srv := range f.servers {
+			if err := tcp(g.name, srv.name, g.name); err != nil {
 				return err
 			}
 		}
@@ -55,8 +55,8 @@
 			}
 		}
 	}
-	for _, v := range f.servers {
-		if err := f.listenForGatekeepers(v); err != nil {
+	for _, srv := range f.servers {
+		if err := f.listenForGatekeepers(srv); err != nil {
 			return err
 		}
 	}
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -52,8 +52,8 @@
 	if len(s.StartTimes) > 0 {
 		fmt.Fprintf(&b, "ready after: first start %.2f to %.2f s\n", slices.Min(s.StartTimes), slices.Max(s.StartTimes))
 	}
-	if s.Joined > 0 {
-		fmt.Fprintf(&b, "all views of the fleet agree %.2f s after all were ready\n", s.Joined)
+	if s.AgreedAfter > 0 {
+		fmt.Fprintf(&b, "all views of the fleet agree %.2f s after all were ready\n", s.AgreedAfter)
 	}
 	if d := s.Disturbance; d.Count > 0 {
 		fmt.Fprintf(&b, "disturbance: held up for a processor %d times, the longest %d ms (%s)\n", d.Count, d.Longest/1000, d.Process)
--- a/internal/fleetlab/views.go
+++ b/internal/fleetlab/views.go
@@ -108,9 +108,9 @@
 	for {
 		if v := f.fetchView(ctx, g); v != nil {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
-			p.samplePeakMemory()
+			proc.samplePeakMemory()
 			f.runs.record(fleetcheck.Viewed, line{Process: g.name, What: v.Hash, Peer: v.liveMembers(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
 			if v.Verdicts != nil {
 				var numbers []string
--- a/internal/fleetlab/views_test.go
+++ b/internal/fleetlab/views_test.go
@@ -54,8 +54,8 @@
 		t.Parallel()
 		sum := runAndCheck(t, "gatekeepers: 8\nservers: 2\nzones: 2\nstore_members: 0\nfleet: true\nlength: 16s\n"+
 			"faults:\n  - {at: 1s, for: 9s, fault: kill, target: g1+g4}\n")
-		if sum.Joined <= 0 || sum.Joined > 5 {
-			t.Errorf("the views of 8 members agree after %.1f s, want at most 5", sum.Joined)
+		if sum.AgreedAfter <= 0 || sum.AgreedAfter > 5 {
+			t.Errorf("the views of 8 members agree after %.1f s, want at most 5", sum.AgreedAfter)
 		}
 		if sum.Faults[0].Noticed <= 0 {
 			t.Error("the killed members were never declared dead by all others")
