--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -48,7 +48,7 @@
 }
 
 func (s shapeFlags) draw() (*script.Script, error) {
-	kinds, err := script.KindsOf(s.Faults)
+	kinds, err := script.ParseKinds(s.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("--faults: %w", err)
 	}
--- a/internal/fleetlab/script/draw.go
+++ b/internal/fleetlab/script/draw.go
@@ -19,9 +19,9 @@
 	Limits                               *Limits // nil: no limits
 }
 
-// KindsOf parses a list of fault kinds from the command line: "all", or kind names joined by "+". "all" omits the kinds
+// ParseKinds parses a list of fault kinds from the command line: "all", or kind names joined by "+". "all" omits the kinds
 // that affect only datagrams and those that are generated only on explicit request.
-func KindsOf(text string) ([]string, error) {
+func ParseKinds(text string) ([]string, error) {
 	if text == "all" {
 		return slices.DeleteFunc(Kinds(), func(k string) bool { return kinds[k].datagramsOnly || kinds[k].explicitOnly }), nil
 	}
