--- a/cmd/beammux/apply.go
+++ b/cmd/beammux/apply.go
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	ending := filepath.Ext(file)
-	if k, err := scope.ParseKey(key); err == nil && k.Section == scope.SectionInventory && config.IsInventoryForm(ending) {
+	if k, err := scope.ParseKey(key); err == nil && k.Section == scope.SectionInventory && config.IsInventoryFormat(ending) {
 		value = config.InventoryRecord(ending, value)
 	}
 	return value, nil
--- a/cmd/beammux/calls.go
+++ b/cmd/beammux/calls.go
@@ -126,7 +126,7 @@
 	rule := "no route: the class's limits"
 	if r.Route >= 0 {
 		path := fmt.Sprintf("calls.routes[%d]", r.Route)
-		rule = fmt.Sprintf("route %q (%s, %s)", r.Name, path, deploy.Where(path))
+		rule = fmt.Sprintf("route %q (%s, %s)", r.Name, path, deploy.Position(path))
 	}
 	fmt.Printf("%s to %s: %s\n\n", c.Class, c.Number, rule)
 	printFigures(e.Limits)
@@ -157,7 +157,7 @@
 		case f == retry.RetryWait:
 			from += ", but at least the release guard"
 		}
-		list = append(list, figure{f.String(), value, from, deploy.Where(r.From[f] + "." + f.String())})
+		list = append(list, figure{f.String(), value, from, deploy.Position(r.From[f] + "." + f.String())})
 	}
 	return list
 }
--- a/cmd/beammux/control.go
+++ b/cmd/beammux/control.go
@@ -33,15 +33,15 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := config.LoadMachine(c.File)
+	cfg, err := config.LoadControlMachine(c.File)
 	if err != nil {
 		return err
 	}
 	if c.Admin != "" {
-		if err := config.CheckAdmin(c.Admin); err != nil {
+		if err := config.CheckAdminAddr(c.Admin); err != nil {
 			return fmt.Errorf("--admin-addr: %v", err)
 		}
-		cfg.Admin = c.Admin
+		cfg.AdminAddr = c.Admin
 	}
 	log = log.WithField("node", cfg.Name)
 	m, err := controlmachine.Start(ctx, cfg, log)
@@ -68,11 +68,11 @@
 }
 
 func (c controlCheckCmd) Run() error {
-	m, err := config.LoadMachine(c.File)
+	m, err := config.LoadControlMachine(c.File)
 	if err != nil {
 		return err
 	}
-	proof := "settings are proved against " + m.Gatekeeper
+	proof := "settings are proved against " + m.GatekeeperConfig
 	if m.Site == nil {
 		proof = "only the form of settings is checked: no gatekeeper's configuration is named"
 	}
--- a/cmd/beammux/main.go
+++ b/cmd/beammux/main.go
@@ -74,7 +74,7 @@
 		}
 	}
 	fmt.Printf("%s: good: gatekeeper %s at %s, %d classes, %d events known\n", c.File, cfg.Name, cfg.Listen,
-		len(cfg.Site.Classes), len(cfg.Known))
+		len(cfg.Site.Classes), len(cfg.KnownEvents))
 	return nil
 }
 
--- a/cmd/beammux/serve.go
+++ b/cmd/beammux/serve.go
@@ -41,10 +41,10 @@
 		cfg.Listen = s.Listen
 	}
 	if s.Admin != "" {
-		if err := config.CheckAdmin(s.Admin); err != nil {
+		if err := config.CheckAdminAddr(s.Admin); err != nil {
 			return fmt.Errorf("$PROXY_ADMIN_ADDR (--admin-addr): %v", err)
 		}
-		cfg.Admin = s.Admin
+		cfg.AdminAddr = s.Admin
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
--- a/cmd/beammux/show.go
+++ b/cmd/beammux/show.go
@@ -57,7 +57,7 @@
 	add("settings.extra.release-guard-us", s.ReleaseGuard, settings)
 	add("settings.extra.t1-us", s.ResendGap, settings)
 	own := func(key, value string) {
-		from := deploy.Where(key)
+		from := deploy.Position(key)
 		if from == "" {
 			from = "default: off"
 		}
@@ -78,7 +78,7 @@
 	own("store.join", fmt.Sprint(deploy.StoreJoin))
 	own("inventory", deploy.Inventory)
 	if configuration, c := c.Config, deploy.Control; c != nil { // what the control machines name wins over this file: `fleet view` shows it
-		add("control.name", cmp.Or(c.Name, cfg.Name), cmp.Or(deploy.Where("control.name"), configuration))
+		add("control.name", cmp.Or(c.Name, cfg.Name), cmp.Or(deploy.Position("control.name"), configuration))
 		own("control.region", c.Region)
 		own("control.zone", c.Zone)
 		own("control.service", c.Service)
--- a/cmd/drill/translate.go
+++ b/cmd/drill/translate.go
@@ -38,7 +38,7 @@
 		m, err := r.Next()
 		if err == io.EOF {
 			if h.open {
-				return &wire.Error{Line: m.Line, What: "input ends inside a batch"}
+				return &wire.Error{Line: m.Line, Reason: "input ends inside a batch"}
 			}
 			return nil
 		}
@@ -55,13 +55,13 @@
 	if m.Name == "mark" {
 		clock, err := m.Int("clock-us")
 		if err == nil && h.open {
-			err = m.Fault("mark", "the batch before has no eob")
+			err = m.FieldError("mark", "the batch before has no eob")
 		}
 		h.now, h.open = control.Micros(clock), true
 		return err
 	}
 	if !h.open {
-		return m.Fault(m.Name, "outside a batch")
+		return m.FieldError(m.Name, "outside a batch")
 	}
 	switch m.Name {
 	case "eob":
@@ -88,7 +88,7 @@
 	}
 	at := h.instances[i]
 	if at == nil {
-		return m.Fault("i", fmt.Sprintf("no instance %d", i))
+		return m.FieldError("i", fmt.Sprintf("no instance %d", i))
 	}
 	h.handle(i, at, event)
 	return nil
@@ -98,7 +98,7 @@
 func (h *host) handle(i int64, at *instance, event control.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.out.Write(wire.NewLine("internal_error").Int("i", i).Text("line", fmt.Sprint(p)).End())
+			h.out.Write(wire.NewLine("internal_error").Int("i", i).Text("line", fmt.Sprint(p)).Encode())
 		}
 	}()
 	for _, a := range at.module.Handle(h.now, event) {
@@ -117,7 +117,7 @@
 	}
 	site, err := control.ParseSite(text)
 	if err != nil {
-		return m.Fault("settings", err.Error())
+		return m.FieldError("settings", err.Error())
 	}
 	at := &instance{control.New(site.Settings, seed), site.TellsWait}
 	h.instances[i] = at
@@ -135,25 +135,25 @@
 		return err
 	}
 	if n < 0 {
-		return m.Fault("items", "negative")
+		return m.FieldError("items", "negative")
 	}
 	var list []control.Entry
 	for range n {
 		e, err := r.Next()
 		if err != nil {
 			if err == io.EOF {
-				return e.Fault("server", "input ends inside a census")
+				return e.FieldError("server", "input ends inside a census")
 			}
 			return err
 		}
 		if e.Name != "server" {
-			return e.Fault(e.Name, "a server line was due")
+			return e.FieldError(e.Name, "a server line was due")
 		}
 		var p parts
 		entry := control.Entry{Server: p.server(&e), Cell: int(p.int(&e, "cell")),
 			State: control.State(p.int(&e, "phase")), Since: control.Micros(p.intOr(&e, "since-us"))}
 		if p.err == nil && (entry.State < control.Gone || entry.State > control.Draining) {
-			p.err = e.Fault("phase", "not 0, 1 or 2")
+			p.err = e.FieldError("phase", "not 0, 1 or 2")
 		}
 		if p.err != nil {
 			return p.err
@@ -185,7 +185,7 @@
 }
 
 func (p *parts) server(m *wire.Message) uint32 {
-	v, err := m.Server("server")
+	v, err := m.ServerNumber("server")
 	return keep(p, v, err)
 }
 
@@ -200,7 +200,7 @@
 }
 
 func (p *parts) row(m *wire.Message) []float64 {
-	v, err := m.Row("stats")
+	v, err := m.Floats("stats")
 	return keep(p, v, err)
 }
 
@@ -208,7 +208,7 @@
 	name := p.text(m, "code")
 	code, ok := codes[name]
 	if !ok && p.err == nil {
-		p.err = m.Fault("code", fmt.Sprintf("not known: %q", name))
+		p.err = m.FieldError("code", fmt.Sprintf("not known: %q", name))
 	}
 	return code
 }
@@ -225,12 +225,12 @@
 			id := p.int(m, "roster-id")
 			list, ok := h.rosters[id]
 			if p.err == nil && !ok {
-				p.err = m.Fault("roster-id", fmt.Sprintf("no census %d", id))
+				p.err = m.FieldError("roster-id", fmt.Sprintf("no census %d", id))
 			}
 			l.Entries = list
 		}
 		if p.err == nil && (kind < 0 || kind > 3) {
-			p.err = m.Fault("kind", "not 0 to 3")
+			p.err = m.FieldError("kind", "not 0 to 3")
 		}
 		e = l
 	case "knock":
@@ -271,19 +271,19 @@
 	switch a.Kind {
 	case control.Send:
 		return line("transmit").Text("request-id", a.ID).Int("try-for-us", int64(a.Wait)).
-			Int("server", int64(a.Server)).End()
+			Int("server", int64(a.Server)).Encode()
 	case control.Refuse:
-		return line("shed").Text("request-id", a.ID).Int("come-back-us", int64(a.Wait)).End()
+		return line("shed").Text("request-id", a.ID).Int("come-back-us", int64(a.Wait)).Encode()
 	case control.Fail:
-		return line("report_failure").Text("request-id", a.ID).End()
+		return line("report_failure").Text("request-id", a.ID).Encode()
 	case control.Cancel:
-		return line("retract").Text("request-id", a.ID).Int("try", int64(a.Attempt)).End()
+		return line("retract").Text("request-id", a.ID).Int("try", int64(a.Attempt)).Encode()
 	case control.SetTimer:
-		return line("defer").Int("time-us", int64(a.At)).Text("key-back", a.Key).End()
+		return line("defer").Int("time-us", int64(a.At)).Text("key-back", a.Key).Encode()
 	case control.Watch:
-		return line("watch").Int("on", 1).End()
+		return line("watch").Int("on", 1).Encode()
 	case control.Log:
-		return line("note_down").Text("line", a.Text).End()
+		return line("note_down").Text("line", a.Text).Encode()
 	}
 	panic(fmt.Sprintf("drill: unknown action %d", a.Kind))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,26 +16,26 @@
 // Config is what the platform tells a gatekeeper.
 type Config struct {
 	Name, Listen string
-	Admin        string // the operators' address, HOST:PORT; empty: off
+	AdminAddr    string // the operators' address, HOST:PORT; empty: off
 	Seed         uint64
 	Cores        float64
 	MemoryMB     int
 	Sockets      int
 	Bus          string
-	Last         int64       // number of the last event in Known
-	Known        []bus.Event // events up to the start
+	LastOffset   int64       // number of the last event in Known
+	KnownEvents  []bus.Event // events up to the start
 	Site         *control.Site
 	Text         []byte // the file as it was
 }
 
 // Error is a fault by file and key.
-type Error struct{ File, Key, What string }
+type Error struct{ File, Key, Reason string }
 
 func (e *Error) Error() string {
 	if e.Key == "" {
-		return e.File + ": " + e.What
+		return e.File + ": " + e.Reason
 	}
-	return e.File + ": key " + e.Key + ": " + e.What
+	return e.File + ": key " + e.Key + ": " + e.Reason
 }
 
 // Load reads a configuration file.
@@ -62,8 +62,8 @@
 	c := &Config{Name: string(v.GetStringBytes("name")), Listen: string(v.GetStringBytes("listen")),
 		Bus: string(v.GetStringBytes("bus")), Cores: v.GetFloat64("limits", "cores"),
 		MemoryMB: v.GetInt("limits", "memory_mb"), Sockets: v.GetInt("limits", "sockets")}
-	if c.Admin = string(v.GetStringBytes("admin_addr")); c.Admin != "" {
-		if err := CheckAdmin(c.Admin); err != nil {
+	if c.AdminAddr = string(v.GetStringBytes("admin_addr")); c.AdminAddr != "" {
+		if err := CheckAdminAddr(c.AdminAddr); err != nil {
 			return nil, &Error{"", "admin_addr", err.Error()}
 		}
 	}
@@ -83,21 +83,21 @@
 		return nil, &Error{"", "settings", err.Error()}
 	}
 	if known := v.Get("known"); known != nil {
-		c.Last = known.GetInt64("offset")
+		c.LastOffset = known.GetInt64("offset")
 		for i, b := range known.GetArray("batch") {
 			e, err := bus.Decode(b)
 			if err != nil {
 				return nil, &Error{"", fmt.Sprintf("known.batch[%d]", i), err.Error()}
 			}
-			c.Known = append(c.Known, e)
-			c.Last = max(c.Last, e.Offset)
+			c.KnownEvents = append(c.KnownEvents, e)
+			c.LastOffset = max(c.LastOffset, e.Offset)
 		}
 	}
 	return c, nil
 }
 
-// CheckAdmin says what is wrong with an operators' address, if anything.
-func CheckAdmin(addr string) error {
+// CheckAdminAddr says what is wrong with an operators' address, if anything.
+func CheckAdminAddr(addr string) error {
 	if _, _, err := ops.Split(addr); err != nil {
 		return fmt.Errorf("%q is not HOST:PORT: %v", addr, err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,10 +28,10 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.MemoryMB != 192 || c.Sockets != 1024 || c.Cores != 1 ||
-		c.Last != 3 || c.Site.Gatekeepers != 6 || c.Site.ClassNames[0] != "menu-view" {
+		c.LastOffset != 3 || c.Site.Gatekeepers != 6 || c.Site.ClassNames[0] != "menu-view" {
 		t.Errorf("%+v", c)
 	}
-	if h := c.Known[0].Update.Hosts[0]; h.Name != "s-1" || h.State != control.Ready {
+	if h := c.KnownEvents[0].Update.Hosts[0]; h.Name != "s-1" || h.State != control.Ready {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -46,11 +46,11 @@
 type Fleet struct {
 	Name, Zone, Region, Bind, Advertise string
 	Group                               string  // of the gossip; "": the one without a name
-	RegisterBytes                       float64 // of registers sent a second, at most; 0: no bound
+	RegisterBytesPerS                   float64 // of registers sent a second, at most; 0: no bound
 	Seeds                               []string
 	Keys                                [][]byte // of the gossip's encryption; nil: none
 	Via                                 map[string]string
-	MaxOut                              float64       // part of the servers that verdicts may keep out at once; 0: no verdicts
+	MaxKeptOut                          float64       // part of the servers that verdicts may keep out at once; 0: no verdicts
 	ReapAfter                           time.Duration // 0: the fleet's own
 }
 
@@ -230,14 +230,14 @@
 	f := d.file
 	m := f.Members(v, "name", "zone", "region", "bind", "advertise", "seeds", "key_file", "via", "reap_after", "limits", "verdicts", "group", "register_bytes_per_s")
 	if m[9] != nil {
-		d.limits(m[9], site, Around{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
+		d.limits(m[9], site, Features{Gossip: len(v.Keys()) > 1, Store: len(d.StorePeers) > 0 || d.StoreJoin})
 		if len(v.Keys()) == 1 { // limits alone: no gossip
 			return
 		}
 	}
 	c := &Fleet{Name: f.String(m[0]), Zone: f.String(m[1]), Region: f.String(m[2]), Bind: f.String(m[3]), Advertise: f.String(m[4]),
 		Via: readVia(f, m[7]), Group: f.String(m[11]),
-		RegisterBytes: f.Number(m[12], fleet.MinRegisterBytes, mostRegisterBytes)}
+		RegisterBytesPerS: f.Number(m[12], fleet.MinRegisterBytes, mostRegisterBytes)}
 	if v.Kind != jsonfile.Object {
 		return
 	}
@@ -280,8 +280,8 @@
 	}
 	if m[10] != nil {
 		v := f.Members(m[10], "max_out")
-		if c.MaxOut = f.Number(v[0], 0.01, mostOut); v[0] == nil {
-			c.MaxOut = plainOut
+		if c.MaxKeptOut = f.Number(v[0], 0.01, mostOut); v[0] == nil {
+			c.MaxKeptOut = plainOut
 		}
 	}
 	d.Fleet = c
@@ -453,8 +453,8 @@
 	d.Calls = policy
 }
 
-// Where tells the place of a path as FILE:LINE, or "" where the file does not have it.
-func (d *Deploy) Where(path string) string {
+// Position tells the place of a path as FILE:LINE, or "" where the file does not have it.
+func (d *Deploy) Position(path string) string {
 	if d.file == nil {
 		return ""
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -30,14 +30,14 @@
 // plainFloor is the part of a leased limit that all gatekeepers together may spend without a lease, where the file does not say.
 const plainFloor = 0.02
 
-// Around says what a gatekeeper has that limits of the whole fleet may need.
-type Around struct {
+// Features says what a gatekeeper has that limits of the whole fleet may need.
+type Features struct {
 	Gossip bool // it takes part in the fleet's gossip
 	Store  bool // it is a member of a store that the fleet shares
 }
 
 // limits reads the section. Without a site, names of classes and tenants are not looked up.
-func (d *Deploy) limits(v *jsonfile.Value, site *control.Site, around Around) {
+func (d *Deploy) limits(v *jsonfile.Value, site *control.Site, around Features) {
 	f, l := d.file, &Limits{}
 	m := f.Members(v, "parts", "store", "rules")
 	if v.Kind != jsonfile.Object {
@@ -90,7 +90,7 @@
 }
 
 // limit reads one rule.
-func (d *Deploy) limit(v *jsonfile.Value, l *Limits, site *control.Site, around Around) quota.Rule {
+func (d *Deploy) limit(v *jsonfile.Value, l *Limits, site *control.Site, around Features) quota.Rule {
 	f := d.file
 	m := f.Members(v, "name", "match", "mode", "per_s", "burst", "open", "reserve", "floor")
 	r := quota.Rule{Name: f.String(m[0]), Tenant: -1, Class: -1, Prefix: true, PerS: f.Number(m[3], 0.001, mostPerS),
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -8,19 +8,19 @@
 	"beammux/internal/jsonfile"
 )
 
-// Machine is the file of a control machine: a member of the store that serves no callers.
-type Machine struct {
+// ControlMachine is the file of a control machine: a member of the store that serves no callers.
+type ControlMachine struct {
 	Name, Zone, Region string
-	Admin              string // the operators' address, HOST:PORT; empty: off
+	AdminAddr          string // the operators' address, HOST:PORT; empty: off
 	Store              Store
 	Admission          Admission
 	// Site holds the settings that a change is proved against: those of the gatekeeper's configuration that the file
 	// names. Without one it is nil, and changes are checked for their form alone.
-	Site       *control.Site
-	Gatekeeper string // that configuration's path; "": none
-	// Election is the time without word from the leader after which a voter stands for election; 0: the store's default.
+	Site             *control.Site
+	GatekeeperConfig string // that configuration's path; "": none
+	// ElectionTimeout is the time without word from the leader after which a voter stands for election; 0: the store's default.
 	// It must be a few times the round trip between the regions, and be the same at all control machines.
-	Election time.Duration
+	ElectionTimeout time.Duration
 }
 
 // Admission bounds what a control machine takes on at a time. A figure that is 0 is left to the store's default.
@@ -44,27 +44,27 @@
 	mostElectionMs  = 60000
 )
 
-// LoadMachine reads the file of a control machine. The error holds every fault, one in a line, as FILE:LINE:COL: key: what.
-func LoadMachine(file string) (*Machine, error) {
+// LoadControlMachine reads the file of a control machine. The error holds every fault, one in a line, as FILE:LINE:COL: key: what.
+func LoadControlMachine(file string) (*ControlMachine, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &Error{file, "", "can't be read: " + err.Error()}
 	}
-	return ParseMachine(file, text)
+	return ParseControlMachine(file, text)
 }
 
-// ParseMachine is LoadMachine for a text that has been read.
-func ParseMachine(name string, text []byte) (*Machine, error) {
+// ParseControlMachine is LoadMachine for a text that has been read.
+func ParseControlMachine(name string, text []byte) (*ControlMachine, error) {
 	f, err := jsonfile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{}
+	m := &ControlMachine{}
 	top := f.Members(f.Root, "$schema", "name", "zone", "region", "admin_addr", "store", "admission", "gatekeeper", "election_ms")
 	f.String(top[0])
 	m.Name, m.Zone, m.Region = scopeName(f, top[1]), scopeName(f, top[2]), scopeName(f, top[3])
-	if m.Admin = f.String(top[4]); m.Admin != "" {
-		if err := CheckAdmin(m.Admin); err != nil {
+	if m.AdminAddr = f.String(top[4]); m.AdminAddr != "" {
+		if err := CheckAdminAddr(m.AdminAddr); err != nil {
 			f.Fault(top[4].Path, err.Error())
 		}
 	}
@@ -73,9 +73,9 @@
 	if f.Root.Kind == jsonfile.Object && top[1] == nil {
 		f.Fault("", "name is missing")
 	}
-	m.Election = time.Duration(f.Whole(top[8], leastElectionMs, mostElectionMs)) * time.Millisecond
-	if m.Gatekeeper = f.String(top[7]); m.Gatekeeper != "" {
-		if c, err := Load(m.Gatekeeper); err != nil {
+	m.ElectionTimeout = time.Duration(f.Whole(top[8], leastElectionMs, mostElectionMs)) * time.Millisecond
+	if m.GatekeeperConfig = f.String(top[7]); m.GatekeeperConfig != "" {
+		if c, err := Load(m.GatekeeperConfig); err != nil {
 			f.Fault(top[7].Path, err.Error())
 		} else {
 			m.Site = c.Site
@@ -87,7 +87,7 @@
 	return m, nil
 }
 
-func (m *Machine) readStore(f *jsonfile.File, v *jsonfile.Value) {
+func (m *ControlMachine) readStore(f *jsonfile.File, v *jsonfile.Value) {
 	if v == nil {
 		if f.Root.Kind == jsonfile.Object {
 			f.Fault("", "store is missing")
@@ -109,7 +109,7 @@
 	}
 }
 
-func (m *Machine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
+func (m *ControlMachine) readAdmission(f *jsonfile.File, v *jsonfile.Value) {
 	a := f.Members(v, "sessions_per_s", "sessions_burst", "snapshots_per_s", "snapshots_burst", "sessions")
 	m.Admission = Admission{
 		SessionsPerS: f.Number(a[0], leastAdmission, mostAdmission), SessionsBurst: int(f.Whole(a[1], 1, mostAdmission)),
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -41,7 +41,7 @@
 	s, err := jsonschema.NewCompiler().Compile("../../deploy/control-machine.schema.json")
 	require.NoError(t, err)
 	for _, row := range badMachines {
-		_, err := ParseMachine("m.json", []byte(row.text))
+		_, err := ParseControlMachine("m.json", []byte(row.text))
 		if err == nil {
 			t.Errorf("taken: %s", row.text)
 			continue
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	require.True(t, fits(t, s, string(text)))
 	t.Chdir("../..") // the file names the gatekeeper's configuration from there
-	m, err := LoadMachine("deploy/example/control.json")
+	m, err := LoadControlMachine("deploy/example/control.json")
 	require.NoError(t, err)
 	require.Equal(t, "control-1", m.Name)
 	require.Equal(t, "control-1", m.Store.Node)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -28,7 +28,7 @@
 	case scope.SectionCalls:
 		_, err = ParseCalls(key, value, site)
 	case scope.SectionLimits:
-		_, err = ParseLimits(key, value, site, Around{Gossip: true, Store: true})
+		_, err = ParseLimits(key, value, site, Features{Gossip: true, Store: true})
 	case scope.SectionInventory:
 		_, err = ParseInventory(key, value)
 	}
@@ -48,7 +48,7 @@
 	case scope.UnknownSection:
 		hint = jsonfile.Hint(parts[len(parts)-1], scope.Sections())
 	}
-	return jsonfile.Faults{{File: key, What: "is no key of settings" + hint + ": " + e.Advice()}}
+	return jsonfile.Faults{{File: key, Reason: "is no key of settings" + hint + ": " + e.Advice()}}
 }
 
 func scopeKinds() []string {
@@ -79,7 +79,7 @@
 
 // ParseLimits reads the section limits, kept by itself: JSON as the deploy file's key fleet.limits. Without a site, names of
 // classes and tenants are not looked up.
-func ParseLimits(name string, text []byte, site *control.Site, around Around) (*Limits, error) {
+func ParseLimits(name string, text []byte, site *control.Site, around Features) (*Limits, error) {
 	f, err := jsonfile.ParseUnder(name, text, "fleet.limits")
 	if err != nil {
 		return nil, err
@@ -97,8 +97,8 @@
 // inventoryForms are the endings that the first line of a section inventory may name.
 var inventoryForms = []string{".csv", ".yaml", ".yml"}
 
-// IsInventoryForm tells whether an ending is one that tells the form of an inventory.
-func IsInventoryForm(ending string) bool {
+// IsInventoryFormat tells whether an ending is one that tells the form of an inventory.
+func IsInventoryFormat(ending string) bool {
 	return slices.ContainsFunc(inventoryForms, func(known string) bool { return strings.EqualFold(known, ending) })
 }
 
@@ -107,18 +107,18 @@
 func ParseInventory(name string, value []byte) ([]routing.Host, error) {
 	ending, text, _ := bytes.Cut(value, []byte("\n"))
 	form := strings.TrimSpace(string(ending))
-	if !IsInventoryForm(form) {
+	if !IsInventoryFormat(form) {
 		what := fmt.Sprintf("the first line is %.40q, must be %s: the form of the lines after it", form, strings.Join(inventoryForms, ", "))
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: what}}
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, Reason: what}}
 	}
 	hosts, err := inventory.Parse(name+form, text)
 	var fault *inventory.Error
 	if errors.As(err, &fault) {
-		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, What: fault.What}}
+		return nil, jsonfile.Faults{{File: name, Line: fault.Line + 1, Col: 1, Path: fault.Key, Reason: fault.What}}
 	}
 	if err == nil && len(hosts) == 0 {
 		what := "names no server; to leave the list to the gatekeepers' own files, delete the record"
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: what}}
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, Reason: what}}
 	}
 	return hosts, err
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -77,11 +77,11 @@
 func TestLimitsNeedWhatIsAround(t *testing.T) {
 	near := []byte(`{"parts":4,"rules":[{"name":"a","mode":"near","per_s":9}]}`)
 	leased := []byte(`{"parts":4,"rules":[{"name":"a","mode":"leased","per_s":9}]}`)
-	_, err := ParseLimits("k", near, site(), Around{Store: true})
+	_, err := ParseLimits("k", near, site(), Features{Store: true})
 	require.ErrorContains(t, err, "k:1:33: fleet.limits.rules[0].mode: near needs the fleet's gossip")
-	_, err = ParseLimits("k", leased, site(), Around{Gossip: true})
+	_, err = ParseLimits("k", leased, site(), Features{Gossip: true})
 	require.ErrorContains(t, err, "k:1:33: fleet.limits.rules[0].mode: leased needs a store")
-	l, err := ParseLimits("k", near, site(), Around{Gossip: true})
+	l, err := ParseLimits("k", near, site(), Features{Gossip: true})
 	require.NoError(t, err)
 	require.Len(t, l.Rules, 1)
 }
--- a/internal/controlmachine/machine.go
+++ b/internal/controlmachine/machine.go
@@ -39,7 +39,7 @@
 
 // Machine is a running control machine.
 type Machine struct {
-	cfg      *config.Machine
+	cfg      *config.ControlMachine
 	log      logrus.FieldLogger
 	store    *store.Node
 	server   *ops.Server // nil: no operators' address
@@ -51,7 +51,7 @@
 
 // Start starts a control machine. It returns once the machine has replayed its log and caught up with a leader, without a time
 // limit, or when startCtx is done. The operators' address is opened first and reports not ready until then.
-func Start(startCtx context.Context, cfg *config.Machine, log logrus.FieldLogger) (_ *Machine, err error) {
+func Start(startCtx context.Context, cfg *config.ControlMachine, log logrus.FieldLogger) (_ *Machine, err error) {
 	m := &Machine{cfg: cfg, log: log}
 	m.site.Store(cfg.Site)
 	defer func() {
@@ -63,8 +63,8 @@
 		return nil, err
 	}
 	m.gauges = newGauges(m)
-	if cfg.Admin != "" {
-		if m.server, err = ops.ListenProcess(cfg.Admin, m, log); err != nil {
+	if cfg.AdminAddr != "" {
+		if m.server, err = ops.ListenProcess(cfg.AdminAddr, m, log); err != nil {
 			return nil, err
 		}
 		log.WithField("listen", m.server.Addr()).Info("operators' address serving")
@@ -83,7 +83,7 @@
 func (m *Machine) openStore() error {
 	storeConfig := m.cfg.Store
 	options := store.Options{Node: storeConfig.Node, Dir: storeConfig.Dir, Sync: storeConfig.Sync, Join: storeConfig.Join, Via: storeConfig.Via, Log: m.log,
-		Election: m.cfg.Election,
+		Election: m.cfg.ElectionTimeout,
 		Reducers: map[string]store.Reducer{limits.LeaseKey: quota.Reduce},
 		Check:    func(writes []store.Write) error { return Check(writes, m.site.Load()) },
 		Serve: &store.ServeOptions{Name: m.cfg.Name, Zone: m.cfg.Zone, Region: m.cfg.Region, Prefix: scope.Prefix,
@@ -147,7 +147,7 @@
 		case errors.As(err, &found):
 			faults = append(faults, found...)
 		case err != nil:
-			faults = append(faults, jsonfile.Fault{File: w.Key, What: err.Error()})
+			faults = append(faults, jsonfile.Fault{File: w.Key, Reason: err.Error()})
 		}
 	}
 	if len(faults) == 0 {
@@ -159,7 +159,7 @@
 // Reload reads the machine's file again. Later writes are validated against the gatekeeper configuration that the file names;
 // other changes take effect at the next start. An invalid file is logged and changes nothing.
 func (m *Machine) Reload(file string) {
-	cfg, err := config.LoadMachine(file)
+	cfg, err := config.LoadControlMachine(file)
 	if err != nil {
 		for line := range strings.SplitSeq(err.Error(), "\n") {
 			m.log.WithField("error", line).Error("reload: file is invalid, the last good one stays in force")
@@ -167,7 +167,7 @@
 		return
 	}
 	m.site.Store(cfg.Site)
-	m.log.WithFields(logrus.Fields{"gatekeeper": cfg.Gatekeeper, "proved": cfg.Site != nil}).
+	m.log.WithFields(logrus.Fields{"gatekeeper": cfg.GatekeeperConfig, "proved": cfg.Site != nil}).
 		Info("reloaded the gatekeeper configuration that settings are validated against; other changes take effect at the next start")
 }
 
--- a/internal/controlmachine/machine_test.go
+++ b/internal/controlmachine/machine_test.go
@@ -49,10 +49,10 @@
 }
 
 // singleMachineConfig returns the configuration of a group of one control machine.
-func singleMachineConfig(t *testing.T) *config.Machine {
+func singleMachineConfig(t *testing.T) *config.ControlMachine {
 	t.Helper()
 	address := porttest.Reserve(t)
-	return &config.Machine{Name: "c1", Admin: "127.0.0.1:0", Store: config.Store{Node: "c1", Listen: address,
+	return &config.ControlMachine{Name: "c1", AdminAddr: "127.0.0.1:0", Store: config.Store{Node: "c1", Listen: address,
 		Peers: []config.StorePeer{{Node: "c1", Address: address}}}}
 }
 
--- a/internal/fleetlab/script/script.go
+++ b/internal/fleetlab/script/script.go
@@ -188,10 +188,10 @@
 				line, message = n, after
 			}
 		}
-		return nil, jsonfile.Faults{{File: name, Line: line, Col: 1, What: message}}
+		return nil, jsonfile.Faults{{File: name, Line: line, Col: 1, Reason: message}}
 	}
 	if len(doc.Content) == 0 {
-		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, What: "is empty"}}
+		return nil, jsonfile.Faults{{File: name, Line: 1, Col: 1, Reason: "is empty"}}
 	}
 	s := &Script{}
 	p.script(doc.Content[0], s)
@@ -222,7 +222,7 @@
 
 // addFault records a problem at a node.
 func (p *parser) addFault(n *yaml.Node, key, message string) {
-	p.faults = append(p.faults, jsonfile.Fault{File: p.name, Line: n.Line, Col: n.Column, Path: key, What: message})
+	p.faults = append(p.faults, jsonfile.Fault{File: p.name, Line: n.Line, Col: n.Column, Path: key, Reason: message})
 }
 
 // mapping passes each known key of a mapping node, with its full path, to handle and returns the values by key. Unknown
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -20,11 +20,11 @@
 
 // Fault is one thing that is wrong, as one line: FILE:LINE:COL: path: what.
 type Fault struct {
-	File string `json:"file"`
-	Line int    `json:"line"` // from 1; 0 where the fault has no place
-	Col  int    `json:"col"`  // from 1, in bytes
-	Path string `json:"path"`
-	What string `json:"what"`
+	File   string `json:"file"`
+	Line   int    `json:"line"` // from 1; 0 where the fault has no place
+	Col    int    `json:"col"`  // from 1, in bytes
+	Path   string `json:"path"`
+	Reason string `json:"what"`
 }
 
 func (f Fault) Error() string {
@@ -35,7 +35,7 @@
 	if f.Path != "" {
 		s += ": " + f.Path
 	}
-	return s + ": " + f.What
+	return s + ": " + f.Reason
 }
 
 // Faults are all that is wrong with a file, in the order of the text.
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -11,7 +11,7 @@
 
 // newOutlierMonitor makes the outlier detection of this gatekeeper. It starts once the gossip runs.
 func (n *Node) newOutlierMonitor() (*ejection.Monitor, error) {
-	return ejection.New(ejection.Options{Name: cmp.Or(n.deploy.Fleet.Name, n.cfg.Name, "beammux"), MaxEjected: n.deploy.Fleet.MaxOut,
+	return ejection.New(ejection.Options{Name: cmp.Or(n.deploy.Fleet.Name, n.cfg.Name, "beammux"), MaxEjected: n.deploy.Fleet.MaxKeptOut,
 		Servers: n.listedServers, SetInFlightLimit: n.core.SetInFlightLimit, SetBusyNumber: n.core.SetBusy, Now: n.core.Now, Log: n.log})
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -26,7 +26,7 @@
 	if d == nil {
 		return nil
 	}
-	o := fleet.Options{Name: cmp.Or(d.Name, n.cfg.Name, "beammux"), Zone: d.Zone, Region: d.Region, Group: d.Group, RegisterBytes: d.RegisterBytes, Program: program(), Bind: d.Bind,
+	o := fleet.Options{Name: cmp.Or(d.Name, n.cfg.Name, "beammux"), Zone: d.Zone, Region: d.Region, Group: d.Group, RegisterBytes: d.RegisterBytesPerS, Program: program(), Bind: d.Bind,
 		Advertise: d.Advertise, Seeds: d.Seeds, Keys: d.Keys, Via: d.Via, ReapAfter: d.ReapAfter, State: fleetview.Ready, Summaries: n.summaries, Log: n.log}
 	f, err := fleet.Open(o)
 	if err != nil {
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -29,7 +29,7 @@
 // loadServers gives the list what is known at the start and waits until the module has it.
 func (n *Node) loadServers() error {
 	var updates []routing.Update
-	for _, e := range n.cfg.Known {
+	for _, e := range n.cfg.KnownEvents {
 		if e.Update != nil {
 			u := *e.Update
 			u.Source = fromBus
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -88,10 +88,10 @@
 
 // openOperators binds the operators' address, if one is set.
 func (n *Node) openOperators() error {
-	if n.cfg.Admin == "" {
+	if n.cfg.AdminAddr == "" {
 		return nil
 	}
-	s, err := ops.Listen(n.cfg.Admin, n, n.log)
+	s, err := ops.Listen(n.cfg.AdminAddr, n, n.log)
 	if err != nil {
 		return err
 	}
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Admin = "127.0.0.1:0"
+	cfg.AdminAddr = "127.0.0.1:0"
 	log, _ := logtest.NewNullLogger()
 	return startNode(t, cfg, &config.Deploy{}, log)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -35,7 +35,7 @@
 	if n.deploy.Limits == nil && n.deploy.Control == nil && deploy.Limits != nil {
 		n.log.Warn("reload: fleet.limits is new; it takes effect at the next start")
 	}
-	n.bus.Move(cfg.Bus)
+	n.bus.SetAddr(cfg.Bus)
 	now, delivered := n.reloadSections(sections{calls: deploy.Calls, limits: deploy.Limits, hosts: hosts})
 	n.recordConfiguration(cfg)
 	log := n.log.WithFields(logrus.Fields{"bus": cfg.Bus, "servers": len(now.hosts), "calls": now.calls.Version()})
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -198,7 +198,7 @@
 		case errors.As(err, &found):
 			faults = append(faults, found...)
 		case err != nil:
-			faults = append(faults, jsonfile.Fault{File: r.Key, What: err.Error()})
+			faults = append(faults, jsonfile.Fault{File: r.Key, Reason: err.Error()})
 		}
 	}
 	if len(faults) > 0 {
@@ -208,8 +208,8 @@
 }
 
 // around is what this gatekeeper has that limits of the fleet may need.
-func (n *Node) around() config.Around {
-	return config.Around{Gossip: n.deploy.Fleet != nil, Store: n.storeShared()}
+func (n *Node) around() config.Features {
+	return config.Features{Gossip: n.deploy.Fleet != nil, Store: n.storeShared()}
 }
 
 // storeShared tells whether this gatekeeper is a member of a store that others are members of too.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -115,7 +115,7 @@
 					require.NoError(t, err)
 				}
 				if file.limits != "" {
-					s.limits, err = config.ParseLimits("f", []byte(limitsText(file.limits)), n.cfg.Site, config.Around{})
+					s.limits, err = config.ParseLimits("f", []byte(limitsText(file.limits)), n.cfg.Site, config.Features{})
 					require.NoError(t, err)
 				}
 				if file.inventory != "" {
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -100,7 +100,7 @@
 		files = plainFiles
 	}
 	own := ownFiles
-	if n.cfg.Admin != "" {
+	if n.cfg.AdminAddr != "" {
 		own += ops.ConnsMost + 1 // the operators' connections and listener are descriptors of the same limit
 	}
 	if n.deploy.Control != nil {
@@ -142,7 +142,7 @@
 	}
 	n.counters = counting.New(counting.Options{Classes: len(n.cfg.Site.Classes), Tenants: len(n.cfg.Site.Tenants)})
 	observers := []routing.Observer{n.counters}
-	if n.deploy.Fleet.MaxOut > 0 {
+	if n.deploy.Fleet.MaxKeptOut > 0 {
 		if n.outliers, err = n.newOutlierMonitor(); err != nil {
 			return err
 		}
@@ -215,7 +215,7 @@
 
 // newBusReader makes the reader of the event bus, which changes the list.
 func (n *Node) newBusReader(dialWithin time.Duration) *bus.Reader {
-	return &bus.Reader{Addr: n.cfg.Bus, Last: n.cfg.Last, Log: n.log,
+	return &bus.Reader{Addr: n.cfg.Bus, LastOffset: n.cfg.LastOffset, Log: n.log,
 		Apply: func(u routing.Update) {
 			u.Source = fromBus
 			n.list.Apply(u, nil)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -60,7 +60,7 @@
 
 // onlyInStore tells whether the store alone can name the gatekeeper's servers: then it holds what the gatekeeper needs.
 func (n *Node) onlyInStore() bool {
-	return n.deploy.Inventory == "" && n.cfg.Bus == "" && len(n.cfg.Known) == 0
+	return n.deploy.Inventory == "" && n.cfg.Bus == "" && len(n.cfg.KnownEvents) == 0
 }
 
 // awaitStore holds the start until the member has replayed its log and caught up with a leader, so that `serving` and a
--- a/internal/protocol/bus/bus_test.go
+++ b/internal/protocol/bus/bus_test.go
@@ -32,7 +32,7 @@
 	got := make(chan routing.Update, 99)
 	ids := make(chan string, 99)
 	n := 0
-	r := &Reader{Addr: "bus", Last: last, Log: log, Apply: func(u routing.Update) { got <- u },
+	r := &Reader{Addr: "bus", LastOffset: last, Log: log, Apply: func(u routing.Update) { got <- u },
 		Dial: func(context.Context, string) (net.Conn, error) {
 			if n == len(bodies) {
 				cancel()
@@ -180,7 +180,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		asked := make(chan string)
 		updates := make(chan routing.Update, 9)
-		r := &Reader{Addr: "old", Last: 3, Log: log, Apply: func(u routing.Update) { updates <- u },
+		r := &Reader{Addr: "old", LastOffset: 3, Log: log, Apply: func(u routing.Update) { updates <- u },
 			Dial: func(_ context.Context, addr string) (net.Conn, error) {
 				near, far := net.Pipe()
 				go func() {
@@ -202,8 +202,8 @@
 		first := <-asked
 		<-updates
 		moved := time.Now()
-		r.Move("old") // no change: the connection stays
-		r.Move("new")
+		r.SetAddr("old") // no change: the connection stays
+		r.SetAddr("new")
 		second := <-asked
 		if first != "old 3" || second != "new 4" || time.Since(moved) != 0 {
 			t.Errorf("asked %q, then %q after %v", first, second, time.Since(moved))
--- a/internal/protocol/bus/reader.go
+++ b/internal/protocol/bus/reader.go
@@ -33,12 +33,12 @@
 
 // Reader keeps reading the bus and hands on each change once, in order.
 type Reader struct {
-	Addr   string // where the bus is at the start; empty: none yet. Move changes it
-	Dial   func(ctx context.Context, addr string) (net.Conn, error)
-	Apply  func(routing.Update)
-	Log    logrus.FieldLogger
-	Last   int64 // number of the last event that was taken
-	parser fastjson.Parser
+	Addr       string // where the bus is at the start; empty: none yet. Move changes it
+	Dial       func(ctx context.Context, addr string) (net.Conn, error)
+	Apply      func(routing.Update)
+	Log        logrus.FieldLogger
+	LastOffset int64 // number of the last event that was taken
+	parser     fastjson.Parser
 
 	mu  sync.Mutex         // guards Addr and cut
 	cut context.CancelFunc // ends the connection or the wait that is on
@@ -47,8 +47,8 @@
 // errFault marks an event that can't be taken: the list stays as it was and the bus is asked again.
 var errFault = errors.New("fault in the event stream")
 
-// Move goes on reading at another address at once. The numbers continue, so nothing is missed or taken twice.
-func (r *Reader) Move(addr string) {
+// SetAddr goes on reading at another address at once. The numbers continue, so nothing is missed or taken twice.
+func (r *Reader) SetAddr(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if addr == r.Addr {
@@ -89,18 +89,18 @@
 		<-ctx.Done()
 		return true
 	}
-	before, began := r.Last, time.Now()
+	before, began := r.LastOffset, time.Now()
 	err := r.connect(ctx, addr)
 	if ctx.Err() != nil { // ended from here: the bus has moved, or the program ends
 		return true
 	}
-	r.Log.WithError(err).WithFields(logrus.Fields{"bus": addr, "last": r.Last}).
+	r.Log.WithError(err).WithFields(logrus.Fields{"bus": addr, "last": r.LastOffset}).
 		Warn("event bus: connection ended, last good list kept")
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	return r.Last > before || time.Since(began) > silence && !errors.Is(err, errFault)
+	return r.LastOffset > before || time.Since(began) > silence && !errors.Is(err, errFault)
 }
 
 func (r *Reader) connect(ctx context.Context, addr string) error {
@@ -112,7 +112,7 @@
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	nc.SetDeadline(time.Now().Add(silence))
 	_, err = fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\nLast-Event-ID: %d\r\n\r\n",
-		path, addr, r.Last)
+		path, addr, r.LastOffset)
 	if err != nil {
 		return err
 	}
@@ -183,16 +183,16 @@
 	}
 	switch {
 	case err != nil:
-	case e.Offset <= r.Last:
+	case e.Offset <= r.LastOffset:
 		return nil
-	case e.Offset > r.Last+1 && (e.Update == nil || !e.Update.Complete):
-		err = fmt.Errorf("gap: event %d came after %d", e.Offset, r.Last)
+	case e.Offset > r.LastOffset+1 && (e.Update == nil || !e.Update.Complete):
+		err = fmt.Errorf("gap: event %d came after %d", e.Offset, r.LastOffset)
 	}
 	if err != nil {
-		r.Log.WithError(err).WithField("last", r.Last).Error("event bus: event can't be taken, last good list kept")
+		r.Log.WithError(err).WithField("last", r.LastOffset).Error("event bus: event can't be taken, last good list kept")
 		return errFault
 	}
-	r.Last = e.Offset
+	r.LastOffset = e.Offset
 	if e.Update != nil {
 		r.Apply(*e.Update)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -24,15 +24,15 @@
 
 // Error is a fault of the input, by line and field.
 type Error struct {
-	Line        int
-	Field, What string
+	Line          int
+	Field, Reason string
 }
 
 func (e *Error) Error() string {
 	if e.Field == "" {
-		return fmt.Sprintf("line %d: %s", e.Line, e.What)
+		return fmt.Sprintf("line %d: %s", e.Line, e.Reason)
 	}
-	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.What)
+	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Reason)
 }
 
 // Parse takes one line apart.
@@ -77,17 +77,17 @@
 	return "", false
 }
 
-// Fault makes an Error about one field of the line.
-func (m *Message) Fault(name, what string) error { return &Error{m.Line, name, what} }
+// FieldError makes an Error about one field of the line.
+func (m *Message) FieldError(name, what string) error { return &Error{m.Line, name, what} }
 
 // Text gives a field that must be there and not be empty.
 func (m *Message) Text(name string) (string, error) {
 	v, ok := m.lookup(name)
 	if !ok {
-		return "", m.Fault(name, "missing in "+m.Name)
+		return "", m.FieldError(name, "missing in "+m.Name)
 	}
 	if v == "" {
-		return "", m.Fault(name, "empty")
+		return "", m.FieldError(name, "empty")
 	}
 	return v, nil
 }
@@ -108,7 +108,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		return 0, m.Fault(name, "not a whole number: "+strconv.Quote(v))
+		return 0, m.FieldError(name, "not a whole number: "+strconv.Quote(v))
 	}
 	return n, nil
 }
@@ -134,11 +134,11 @@
 	return uint64(n), err
 }
 
-// Server gives the number of a server.
-func (m *Message) Server(name string) (uint32, error) {
+// ServerNumber gives the number of a server.
+func (m *Message) ServerNumber(name string) (uint32, error) {
 	n, err := m.Int(name)
 	if err == nil && (n < 0 || n >= 1<<32) {
-		return 0, m.Fault(name, "out of range")
+		return 0, m.FieldError(name, "out of range")
 	}
 	return uint32(n), err
 }
@@ -154,11 +154,11 @@
 	case v == "0":
 		return false, nil
 	}
-	return false, m.Fault(name, "neither 1 nor 0: "+strconv.Quote(v))
+	return false, m.FieldError(name, "neither 1 nor 0: "+strconv.Quote(v))
 }
 
-// Row gives numbers set apart by commas; an absent or empty field is no numbers.
-func (m *Message) Row(name string) ([]float64, error) {
+// Floats gives numbers set apart by commas; an absent or empty field is no numbers.
+func (m *Message) Floats(name string) ([]float64, error) {
 	v, ok := m.lookup(name)
 	if !ok || v == "" || v == "-" {
 		return nil, nil
@@ -167,7 +167,7 @@
 	for _, part := range strings.Split(v, ",") {
 		n, err := strconv.ParseFloat(part, 64)
 		if err != nil || n != n {
-			return nil, m.Fault(name, "not a number: "+strconv.Quote(part))
+			return nil, m.FieldError(name, "not a number: "+strconv.Quote(part))
 		}
 		row = append(row, n)
 	}
@@ -182,7 +182,7 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(v)
 	if err != nil {
-		return nil, m.Fault(name, "not base64")
+		return nil, m.FieldError(name, "not base64")
 	}
 	return b, nil
 }
@@ -230,5 +230,5 @@
 	return l.Text(name, strconv.FormatInt(value, 10))
 }
 
-// End gives the line with its line break.
-func (l *Line) End() []byte { return append(l.b, '\n') }
+// Encode gives the line with its line break.
+func (l *Line) Encode() []byte { return append(l.b, '\n') }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,11 +37,11 @@
 		{"not a number", "knock i=x", `line 7: field i: not a whole number: "x"`,
 			func(m *Message) error { _, err := m.Int("i"); return err }},
 		{"missing", "knock i=1", "line 7: field server: missing in knock",
-			func(m *Message) error { _, err := m.Server("server"); return err }},
+			func(m *Message) error { _, err := m.ServerNumber("server"); return err }},
 		{"too large", "knock server=4294967296", "line 7: field server: out of range",
-			func(m *Message) error { _, err := m.Server("server"); return err }},
+			func(m *Message) error { _, err := m.ServerNumber("server"); return err }},
 		{"bad row", "r stats=1,y", `line 7: field stats: not a number: "y"`,
-			func(m *Message) error { _, err := m.Row("stats"); return err }},
+			func(m *Message) error { _, err := m.Floats("stats"); return err }},
 		{"bad base64", "peer raw=!", "line 7: field raw: not base64",
 			func(m *Message) error { _, err := m.Bytes("raw"); return err }},
 		{"bad bool", "knock repeat=yes", `line 7: field repeat: neither 1 nor 0: "yes"`,
@@ -87,10 +87,10 @@
 		for _, p := range m.fields {
 			out.Text(p.name, p.value)
 		}
-		m.Row("stats")
+		m.Floats("stats")
 		m.Bytes("raw")
 		m.Int("i")
-		text := strings.TrimSuffix(string(out.End()), "\n")
+		text := strings.TrimSuffix(string(out.Encode()), "\n")
 		again, err := Parse(text, 1)
 		if strings.ContainsAny(line, "\n\r") {
 			return // cannot come from a Reader
