--- a/cmd/beammux/console.go
+++ b/cmd/beammux/console.go
@@ -57,7 +57,7 @@
 		}()
 	} else {
 		for _, addr := range c.Attach {
-			if _, _, err := admin.Split(addr); err != nil {
+			if _, _, err := admin.ParseAddress(addr); err != nil {
 				return fault(fmt.Errorf("console: --attach %s: %w", addr, err), 2)
 			}
 		}
@@ -142,7 +142,7 @@
 }
 
 func dialConsole(addr string) (net.Conn, error) {
-	network, address, err := admin.Split(addr)
+	network, address, err := admin.ParseAddress(addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -65,8 +65,8 @@
 
 const unixPrefix = "unix:" // of the address of a socket in the file system
 
-// Split tells network and address of an admin address: unix:PATH, or HOST:PORT on loopback.
-func Split(addr string) (network, address string, err error) {
+// ParseAddress tells network and address of an admin address: unix:PATH, or HOST:PORT on loopback.
+func ParseAddress(addr string) (network, address string, err error) {
 	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		if path == "" {
 			return "", "", fmt.Errorf("no path after %s", unixPrefix)
@@ -85,7 +85,7 @@
 
 // Listen opens the socket and serves watchers until Close.
 func (h *Hub) Listen(addr string) error {
-	network, address, err := Split(addr)
+	network, address, err := ParseAddress(addr)
 	if err != nil {
 		return err
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -25,7 +25,7 @@
 
 func attach(t *testing.T, addr string) (*record.StreamReader, net.Conn) {
 	t.Helper()
-	network, address, err := Split(addr)
+	network, address, err := ParseAddress(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 func TestSplit(t *testing.T) {
 	for addr, ok := range map[string]bool{"unix:/x": true, "127.0.0.1:1": true, "[::1]:1": true, "unix:": false, "0.0.0.0:1": false,
 		"10.0.0.1:1": false, "localhost:1": false, "127.0.0.1": false, "": false} {
-		if _, _, err := Split(addr); (err == nil) != ok {
+		if _, _, err := ParseAddress(addr); (err == nil) != ok {
 			t.Errorf("%q: %v", addr, err)
 		}
 	}
@@ -135,7 +135,7 @@
 // A socket that a killed process left is taken over, one that is in use is not.
 func TestLeftSocket(t *testing.T) {
 	addr := "unix:" + filepath.Join(t.TempDir(), "admin.sock")
-	_, path, _ := Split(addr)
+	_, path, _ := ParseAddress(addr)
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -31,7 +31,7 @@
 		"evidence_every":         seconds(fleet.Topics[registers.Evidence].MinInterval),
 		"evidence_stale":         seconds(fleet.Topics[registers.Evidence].MaxAge),
 		"connections_per_server": float64((&sip.PlatformDialer{}).MaxConns("")),
-		"own_descriptors":        24 + ops.ConnsMost + 1,
+		"own_descriptors":        24 + ops.MaxOpenConns + 1,
 	} {
 		got, ok := in.Value(name)
 		require.True(t, ok, name)
--- a/internal/capacity/slopes/figures.go
+++ b/internal/capacity/slopes/figures.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer n.Close()
-	if err := n.Import("servers.csv", serverList(servers, accepted.address())); err != nil {
+	if err := n.ImportInventory("servers.csv", serverList(servers, accepted.address())); err != nil {
 		return err
 	}
 	if err := r.until(connectedWithin, lookEvery, "a connection to every server",
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -98,7 +98,7 @@
 
 // CheckAdminAddr says what is wrong with an operators' address, if anything.
 func CheckAdminAddr(addr string) error {
-	if _, _, err := ops.Split(addr); err != nil {
+	if _, _, err := ops.SplitAddress(addr); err != nil {
 		return fmt.Errorf("%q is not HOST:PORT: %v", addr, err)
 	}
 	return nil
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -111,7 +111,7 @@
 	}
 	listen := f.Members(top[6], "listen")[0]
 	if d.Console = f.String(listen); d.Console != "" {
-		if _, _, err := admin.Split(d.Console); err != nil {
+		if _, _, err := admin.ParseAddress(d.Console); err != nil {
 			f.Fault(listen.Path, err.Error())
 		}
 	}
--- a/internal/controlmachine/figures.go
+++ b/internal/controlmachine/figures.go
@@ -62,8 +62,8 @@
 	return float64(sample[0].Value.Uint64())
 }
 
-// WriteFigures implements ops.Process. It writes the metrics in the Prometheus text format.
-func (m *Machine) WriteFigures(w io.Writer) {
+// WriteMetrics implements ops.Process. It writes the metrics in the Prometheus text format.
+func (m *Machine) WriteMetrics(w io.Writer) {
 	m.gauges.mu.Lock()
 	defer m.gauges.mu.Unlock()
 	m.gauges.status = m.store.Status()
--- a/internal/controlmachine/machine_test.go
+++ b/internal/controlmachine/machine_test.go
@@ -65,7 +65,7 @@
 	require.True(t, m.Ready())
 	require.NotEmpty(t, m.OperatorsAddr())
 	var figures strings.Builder
-	m.WriteFigures(&figures)
+	m.WriteMetrics(&figures)
 	require.Contains(t, figures.String(), "proxy_control_ready 1\n")
 	require.Contains(t, figures.String(), "proxy_control_leads 1\n")
 	drained := make(chan struct{})
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -168,7 +168,7 @@
 	i.mu.Lock()
 	i.nodes[n] = g
 	i.mu.Unlock()
-	if err := g.Import("lab.csv", i.list()); err != nil {
+	if err := g.ImportInventory("lab.csv", i.list()); err != nil {
 		return err
 	}
 	return i.connect(n, g.Addr())
@@ -218,7 +218,7 @@
 		i.mu.Lock()
 		g := i.nodes[n]
 		i.mu.Unlock()
-		if err := g.Import("lab.csv", text); err != nil {
+		if err := g.ImportInventory("lab.csv", text); err != nil {
 			i.fail(err)
 		}
 	}
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -128,7 +128,7 @@
 			return nil, err
 		}
 		defer n.Close()
-		if err := n.Import("lab.csv", []byte("name,address,cell\n"+known)); err != nil {
+		if err := n.ImportInventory("lab.csv", []byte("name,address,cell\n"+known)); err != nil {
 			return nil, err
 		}
 		d.conns = append(d.conns, &callers{})
--- a/internal/node/inventory.go
+++ b/internal/node/inventory.go
@@ -14,8 +14,8 @@
 // InventoryKey is the store's record that holds an imported inventory: the ending of the file, a line feed, its text.
 const InventoryKey = "inventory"
 
-// Import puts an inventory into force as if it had been imported into the store; name tells the form by its ending.
-func (n *Node) Import(name string, text []byte) error {
+// ImportInventory puts an inventory into force as if it had been imported into the store; name tells the form by its ending.
+func (n *Node) ImportInventory(name string, text []byte) error {
 	hosts, err := inventory.Parse(name, text)
 	if err != nil {
 		return err
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -61,8 +61,8 @@
 	n.log.Info("rejoined: clients are taken again")
 }
 
-// WriteFigures implements ops.Gatekeeper.
-func (n *Node) WriteFigures(w io.Writer) { n.figures.write(w) }
+// WriteMetrics implements ops.Gatekeeper.
+func (n *Node) WriteMetrics(w io.Writer) { n.figures.write(w) }
 
 // sweep closes callers' connections as drain says while the gatekeeper is evacuated.
 func (n *Node) sweep(ctx context.Context) {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -191,7 +191,7 @@
 			default:
 				n.reloadSections(sections{})
 				n.Fleet()
-				n.WriteFigures(new(strings.Builder))
+				n.WriteMetrics(new(strings.Builder))
 			}
 		}
 	})
@@ -243,7 +243,7 @@
 	}
 	n.sees()
 	var text strings.Builder
-	n.WriteFigures(&text)
+	n.WriteMetrics(&text)
 	require.Contains(t, text.String(), `proxy_fleet_limit_rate{rule="r49"} 9`)
 	require.NotContains(t, text.String(), `rule="r48"`)
 	require.Equal(t, 50, int(n.settings.changes.Load()))
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -101,7 +101,7 @@
 	}
 	own := ownFiles
 	if n.cfg.AdminAddr != "" {
-		own += ops.ConnsMost + 1 // the operators' connections and listener are descriptors of the same limit
+		own += ops.MaxOpenConns + 1 // the operators' connections and listener are descriptors of the same limit
 	}
 	if n.deploy.Control != nil {
 		own += settingsFiles
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -35,13 +35,13 @@
 	headerWithin = 800 * time.Millisecond // for a whole call; then the connection is closed
 	answerWithin = time.Second
 	headerMost   = 8 << 10
-	ConnsMost    = 32 // open connections, each a descriptor; one more closes the oldest
+	MaxOpenConns = 32 // open connections, each a descriptor; one more closes the oldest
 )
 
 // Process is what the operators' calls reach at any process. Each method returns at once.
 type Process interface {
 	Ready() bool
-	WriteFigures(w io.Writer)
+	WriteMetrics(w io.Writer)
 }
 
 // Gatekeeper is what the operators' calls reach at a gatekeeper. Each method returns at once.
@@ -58,8 +58,8 @@
 	http *http.Server
 }
 
-// Split checks an operators' address: HOST:PORT with a port number.
-func Split(addr string) (host, port string, err error) {
+// SplitAddress checks an operators' address: HOST:PORT with a port number.
+func SplitAddress(addr string) (host, port string, err error) {
 	host, port, err = net.SplitHostPort(addr)
 	if err == nil {
 		if n, e := strconv.Atoi(port); e != nil || n < 0 || n > 65535 {
@@ -80,7 +80,7 @@
 }
 
 func listen(addr string, handler http.Handler, log logrus.FieldLogger) (*Server, error) {
-	if _, _, err := Split(addr); err != nil {
+	if _, _, err := SplitAddress(addr); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp", addr)
@@ -124,7 +124,7 @@
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		p.WriteFigures(w)
+		p.WriteMetrics(w)
 	})
 	return mux
 }
@@ -178,7 +178,7 @@
 	k := &counted{Conn: c, from: b}
 	var oldest *counted
 	b.mu.Lock()
-	if len(b.open) >= ConnsMost {
+	if len(b.open) >= MaxOpenConns {
 		oldest = b.open[0]
 		b.open = b.open[1:]
 	}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -16,7 +16,7 @@
 func (f *fake) Ready() bool              { return f.ready }
 func (f *fake) Evacuate()                { f.ready = false }
 func (f *fake) Rejoin()                  { f.ready = true }
-func (f *fake) WriteFigures(w io.Writer) { io.WriteString(w, "proxy_concurrent 0\n") }
+func (f *fake) WriteMetrics(w io.Writer) { io.WriteString(w, "proxy_concurrent 0\n") }
 func (f *fake) Fleet() (any, bool)       { return nil, false }
 
 // A crowd of silent callers larger than the bound: the oldest are closed, the count of open connections stays within
@@ -29,7 +29,7 @@
 	}
 	defer s.Close()
 	var silent []net.Conn
-	for range 3 * ConnsMost {
+	for range 3 * MaxOpenConns {
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -55,21 +55,21 @@
 	b.mu.Lock()
 	open := len(b.open)
 	b.mu.Unlock()
-	if open > ConnsMost {
-		t.Fatalf("%d connections open, bound %d", open, ConnsMost)
+	if open > MaxOpenConns {
+		t.Fatalf("%d connections open, bound %d", open, MaxOpenConns)
 	}
 }
 
 func TestAddresses(t *testing.T) {
 	for _, bad := range []string{"nowhere", "127.0.0.1:http", "127.0.0.1:70000", ":"} {
-		if _, _, err := Split(bad); err == nil {
+		if _, _, err := SplitAddress(bad); err == nil {
 			t.Errorf("%q taken", bad)
 		}
 	}
-	if _, _, err := Split("127.0.0.1:0"); err != nil {
+	if _, _, err := SplitAddress("127.0.0.1:0"); err != nil {
 		t.Error(err)
 	}
-	if !strings.Contains(func() string { _, _, err := Split("x:y"); return err.Error() }(), `port "y"`) {
+	if !strings.Contains(func() string { _, _, err := SplitAddress("x:y"); return err.Error() }(), `port "y"`) {
 		t.Error("the fault does not name the port")
 	}
 }
