--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -41,7 +41,7 @@
 // NewState makes an empty one.
 func NewState(mode string) *State {
 	s := &State{Fleet: history.NewFleet(), Checker: history.NewChecker(nil), Mode: mode, level: map[pair]level{}}
-	s.Fleet.Tell = s.moment
+	s.Fleet.OnMoment = s.moment
 	return s
 }
 
@@ -55,10 +55,10 @@
 	e := i.Event
 	s.Now = max(s.Now, e.At)
 	class := e.Class
-	if e.Kind != history.Taken {
+	if e.Kind != history.Received {
 		class = s.Fleet.ClassOf(e.Node, e.Call)
 	}
-	if e.Kind == history.Taken || e.Kind.Final() || e.Kind == history.Gone {
+	if e.Kind == history.Received || e.Kind.Final() || e.Kind == history.Gone {
 		s.Rates.Event(e, class)
 	}
 	if e.Kind == history.Viewed {
@@ -70,7 +70,7 @@
 
 // moment notes what happened among the last events.
 func (s *State) moment(m history.Moment) {
-	words := []string{clock(m.At), printable(m.Node), m.What}
+	words := []string{clock(m.At), printable(m.Node), m.Type}
 	if m.Server != 0 {
 		words = append(words, s.server(m.Server))
 	}
@@ -171,8 +171,8 @@
 	}
 	more(add, len(nodes)-room, "gatekeepers")
 	rules, mark := "rules so far:", Good
-	for i, f := range s.Checker.SoFar() {
-		word := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.NotShown: "-"}[f.Verdict]
+	for i, f := range s.Checker.InterimFindings() {
+		word := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.Inconclusive: "-"}[f.Verdict]
 		rules += fmt.Sprintf("  %s %s", [...]string{"answer", "one", "drain", "cold", "release"}[i], word)
 		if f.Verdict == history.Broken {
 			mark = Bad
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -261,7 +261,7 @@
 			checker.Event(&events[next])
 		}
 	}
-	records, err := record.OpenAll(filepath.Join(dir, "records"))
+	records, err := record.NewReader(filepath.Join(dir, "records"))
 	if err == nil {
 		defer records.Close()
 		for {
--- a/internal/fleetlab/trial_test.go
+++ b/internal/fleetlab/trial_test.go
@@ -261,7 +261,7 @@
 	require.Len(t, v.failures, 1)
 	require.False(t, v.final)
 	for _, rule := range []string{fleetcheck.RuleLimit, fleetcheck.RuleServed, fleetcheck.RuleRuns, fleetcheck.RuleLog, fleetcheck.RuleGated,
-		"records: " + history.RuleOne, "records: " + history.RuleRelease} {
+		"records: " + history.RuleSingleAttempt, "records: " + history.RuleReleaseGuard} {
 		require.True(t, evaluateRule(rule, 1, passing).final, rule)
 	}
 }
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -131,8 +131,8 @@
 func (o *observer) taken(key string, left time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.see(o.callers, history.Event{Kind: history.Taken, Call: key, Span: control.Micros(left.Microseconds())})
-	o.see(o.servers, history.Event{Kind: history.Taken, Call: key, Span: 3600e6}) // servers see no final answer
+	o.see(o.callers, history.Event{Kind: history.Received, Call: key, Span: control.Micros(left.Microseconds())})
+	o.see(o.servers, history.Event{Kind: history.Received, Call: key, Span: 3600e6}) // servers see no final answer
 }
 
 func (o *observer) number(server string) uint32 {
@@ -350,7 +350,7 @@
 			t.Errorf("by its own records: %s: %s %s %+v", f.Rule, f.Verdict, f.Why, f.Evidence)
 		}
 	}
-	if got := own.Fleet.Total[0].Offered; got != calls {
+	if got := own.Fleet.Totals[0].Offered; got != calls {
 		t.Errorf("%d calls in the records, want %d", got, calls)
 	}
 }
