--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -159,7 +159,7 @@
 		case fleetcheck.Ready:
 			started[e.Process] = e.At
 			delete(stopping, e.Process)
-		case fleetcheck.Asked:
+		case fleetcheck.StopRequested:
 			stopping[e.Process] = true
 		case fleetcheck.Stopped:
 			if m := usagePattern.FindStringSubmatch(e.What); m != nil && e.At-started[e.Process] > 5e6 {
@@ -168,7 +168,7 @@
 				g.cpu = append(g.cpu, cpu/(float64(e.At-started[e.Process])/1e6))
 				g.memory = append(g.memory, kib/1024)
 			}
-		case fleetcheck.Viewed:
+		case fleetcheck.ViewRead:
 			var current sample
 			current.at = e.At
 			fmt.Sscan(e.Class, &current.packets, &current.bytes)
--- a/internal/fleetlab/delays.go
+++ b/internal/fleetlab/delays.go
@@ -68,7 +68,7 @@
 func (f *fleet) recordDelay(process string, waited, longest, since time.Duration) {
 	waited = boundedWait(waited, longest, since)
 	if waited >= minDelay {
-		f.runs.record(fleetcheck.Delayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
+		f.runs.record(fleetcheck.ProcessorDelayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
 			Class: strconv.FormatInt(longest.Microseconds(), 10)})
 	}
 }
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -29,7 +29,7 @@
 			case <-ctx.Done():
 			case <-time.After(time.Until(f.startedAt.Add(time.Duration(h.At)))):
 				if h.At > 0 {
-					f.runs.record(fleetcheck.Moved, line{Process: h.To})
+					f.runs.record(fleetcheck.DemandMoved, line{Process: h.To})
 				}
 			}
 		})
@@ -55,13 +55,13 @@
 func (f *fleet) runFault(ctx context.Context, id int, fault script.Fault) {
 	name := faultName(id, fault)
 	f.reportProgress(name)
-	f.runs.record(fleetcheck.FaultFrom, line{What: name})
+	f.runs.record(fleetcheck.FaultBegan, line{What: name})
 	undo := f.inject(id, fault)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(fault.For)):
 	}
-	f.runs.record(fleetcheck.FaultTo, line{What: name})
+	f.runs.record(fleetcheck.FaultEnded, line{What: name})
 	f.reportProgress("ended: " + name)
 	undo(ctx)
 }
@@ -109,7 +109,7 @@
 				f.runs.record(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
 				proc.signal(syscall.SIGKILL)
 			case "term":
-				f.runs.record(fleetcheck.Asked, line{Process: name, What: "SIGTERM"})
+				f.runs.record(fleetcheck.StopRequested, line{Process: name, What: "SIGTERM"})
 				proc.signal(syscall.SIGTERM)
 			case "pause":
 				f.runs.record(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
@@ -125,7 +125,7 @@
 			f.mu.Unlock()
 			if fault.Kind == "pause" {
 				proc.signal(syscall.SIGCONT)
-				f.runs.record(fleetcheck.Woken, line{Process: g.name})
+				f.runs.record(fleetcheck.Resumed, line{Process: g.name})
 				continue
 			}
 			all.Go(func() { f.restart(ctx, g, proc, fault.State == "empty") })
@@ -163,7 +163,7 @@
 			continue
 		}
 		done.Go(func() {
-			d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fleetcheck.RudeAddress)}}
+			d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fleetcheck.MalformedClientAddress)}}
 			tick := time.NewTicker(rudeInterval)
 			defer tick.Stop()
 			for {
@@ -198,7 +198,7 @@
 	scaleLimits := func(factor float64) {
 		limits := *f.s.Limits
 		limits.PerS, limits.Burst = limits.PerS*factor, limits.Burst*factor
-		f.runs.record(fleetcheck.Limited, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
+		f.runs.record(fleetcheck.LimitChanged, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
 		for _, g := range f.gatekeepers {
 			if !slices.Contains(names, g.name) {
 				continue
@@ -363,7 +363,7 @@
 		case fault.Kind == "reset":
 			f.net.Reset(d[0], d[1], int64(fault.Bytes))
 		case door != relay.Open:
-			f.net.SetDoor(d[0], d[1], door)
+			f.net.SetMode(d[0], d[1], door)
 		default:
 			f.addCondition(d, c)
 		}
@@ -374,7 +374,7 @@
 			case fault.Kind == "reset":
 				f.net.ClearReset(d[0], d[1])
 			case door != relay.Open:
-				f.net.SetDoor(d[0], d[1], relay.Open)
+				f.net.SetMode(d[0], d[1], relay.Open)
 			default:
 				f.removeCondition(d, id)
 			}
@@ -392,9 +392,9 @@
 		f.faultCounts[d] += change
 		switch {
 		case change > 0 && f.faultCounts[d] == 1:
-			f.runs.record(fleetcheck.Troubled, line{Process: d[0], Peer: d[1]})
+			f.runs.record(fleetcheck.LinkFaulty, line{Process: d[0], Peer: d[1]})
 		case change < 0 && f.faultCounts[d] == 0:
-			f.runs.record(fleetcheck.Healed, line{Process: d[0], Peer: d[1]})
+			f.runs.record(fleetcheck.LinkHealed, line{Process: d[0], Peer: d[1]})
 		}
 	}
 }
@@ -426,7 +426,7 @@
 			combined.BytesPerS = c.BytesPerS
 		}
 	}
-	if err := f.net.Set(d[0], d[1], combined); err != nil && f.firstErr == nil {
+	if err := f.net.SetCondition(d[0], d[1], combined); err != nil && f.firstErr == nil {
 		f.firstErr = fmt.Errorf("%s: %w", strings.Join(d[:], " to "), err)
 	}
 }
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -153,7 +153,7 @@
 	f.mu.Lock()
 	for _, g := range f.gatekeepers {
 		if proc := g.proc; proc != nil && !proc.hasExited() {
-			f.runs.record(fleetcheck.Asked, line{Process: g.name})
+			f.runs.record(fleetcheck.StopRequested, line{Process: g.name})
 			all.Go(func() {
 				if !proc.stop(stopTimeout) {
 					f.runs.record(fleetcheck.Crashed, line{Process: proc.name, What: "did not end within " + stopTimeout.String() + " of SIGTERM: killed"})
--- a/internal/fleetlab/servers.go
+++ b/internal/fleetlab/servers.go
@@ -53,7 +53,7 @@
 	}
 	s.Hear(func(e lab.Seen) {
 		if e.Kind == lab.ServerAnswered {
-			f.serves.record(fleetcheck.Given, line{Process: srv.name, Call: e.Call, What: "stands " + e.Call})
+			f.serves.record(fleetcheck.ServerEstablished, line{Process: srv.name, Call: e.Call, What: "stands " + e.Call})
 		}
 	})
 	srv.mu.Lock()
--- a/internal/fleetlab/trial_test.go
+++ b/internal/fleetlab/trial_test.go
@@ -39,7 +39,7 @@
 )
 
 // timeBoundRules are the rules with a deadline. All others hold regardless of delays of processes.
-var timeBoundRules = []string{fleetcheck.RuleFinal, fleetcheck.RuleGiven, fleetcheck.RuleRates, fleetcheck.RuleVerdicts, "records: " + history.RuleAnswer}
+var timeBoundRules = []string{fleetcheck.RuleFinal, fleetcheck.RuleGivenUp, fleetcheck.RuleRates, fleetcheck.RuleVerdicts, "records: " + history.RuleAnswer}
 
 // verdict is the result of one run.
 type verdict struct {
@@ -260,7 +260,7 @@
 	v = evaluateRule(fleetcheck.RuleVerdicts, 2, passing)
 	require.Len(t, v.failures, 1)
 	require.False(t, v.final)
-	for _, rule := range []string{fleetcheck.RuleLimit, fleetcheck.RuleServed, fleetcheck.RuleRuns, fleetcheck.RuleLog, fleetcheck.RuleGated,
+	for _, rule := range []string{fleetcheck.RuleLimit, fleetcheck.RuleServed, fleetcheck.RuleNoCrash, fleetcheck.RuleLog, fleetcheck.RuleGated,
 		"records: " + history.RuleSingleAttempt, "records: " + history.RuleReleaseGuard} {
 		require.True(t, evaluateRule(rule, 1, passing).final, rule)
 	}
@@ -283,7 +283,7 @@
 	}{{0, 12, 11}, {1, 0, 11}, {1, 9, 11}, {1, 10, 11.7}, {1, 60, 11 + maxWindowDelay}} {
 		first := fleetcheck.Settled{From: 1e6 * (100 + 6)}
 		if row.wholeAt > 0 {
-			first.Whole = control.Micros(1e6 * (100 + row.wholeAt))
+			first.AgreedAt = control.Micros(1e6 * (100 + row.wholeAt))
 		}
 		sum := &Summary{Result: &fleetcheck.Result{Faults: []fleetcheck.Settled{first}, Disturbance: fleetcheck.Disturbance{Count: row.disturbed}}}
 		require.InDelta(t, row.want, windowStart(sum, 11), 1e-6, "%+v", row)
--- a/internal/fleetlab/views.go
+++ b/internal/fleetlab/views.go
@@ -111,7 +111,7 @@
 			proc := g.proc
 			f.mu.Unlock()
 			proc.samplePeakMemory()
-			f.runs.record(fleetcheck.Viewed, line{Process: g.name, What: v.Hash, Peer: v.liveMembers(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
+			f.runs.record(fleetcheck.ViewRead, line{Process: g.name, What: v.Hash, Peer: v.liveMembers(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
 			if v.Verdicts != nil {
 				var numbers []string
 				for _, n := range v.Verdicts.Numbers {
@@ -121,10 +121,10 @@
 				for _, c := range v.Verdicts.Callers {
 					callers = append(callers, c.Address)
 				}
-				f.runs.record(fleetcheck.Judged, line{Process: g.name, Peer: v.ejectedServers(), Class: strings.Join(numbers, " "), Call: strings.Join(callers, " "), What: strings.Join(v.Verdicts.Apart, " ")})
+				f.runs.record(fleetcheck.VerdictsRead, line{Process: g.name, Peer: v.ejectedServers(), Class: strings.Join(numbers, " "), Call: strings.Join(callers, " "), What: strings.Join(v.Verdicts.Apart, " ")})
 			}
 			origins, arrived, oldest := v.rates()
-			f.runs.record(fleetcheck.Heard, line{Process: g.name, Peer: origins, Value: arrived, Span: oldest})
+			f.runs.record(fleetcheck.RateRead, line{Process: g.name, Peer: origins, Value: arrived, Span: oldest})
 		}
 		select {
 		case <-ctx.Done():
