--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -19,7 +19,7 @@
 	"beammux/internal/fleetlab/script"
 )
 
-// Spread is the least, the median and the most of some measurements; N 0 where there is none.
+// Spread is the minimum, median and maximum of N measurements. With N 0 the others are meaningless.
 type Spread struct {
 	N      int     `json:"N"`
 	Least  float64 `json:"Least"`
@@ -27,7 +27,8 @@
 	Most   float64 `json:"Most"`
 }
 
-func spread(values []float64) Spread {
+// newSpread returns the spread of values.
+func newSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
@@ -35,6 +36,7 @@
 	return Spread{len(v), v[0], v[len(v)/2], v[len(v)-1]}
 }
 
+// String returns the median with the minimum and maximum in parentheses, or "-" if there are no measurements.
 func (s Spread) String() string {
 	if s.N == 0 {
 		return "-"
@@ -42,18 +44,18 @@
 	return fmt.Sprintf("%.2f (%.2f to %.2f)", s.Median, s.Least, s.Most)
 }
 
-// Size is what runs with as many gatekeepers came to.
+// Size is the aggregated result of all runs with one number of gatekeepers.
 type Size struct {
 	Gatekeepers int               `json:"gatekeepers"`
 	Runs        int               `json:"runs"`
 	Held        int               `json:"runs_held"`
-	Joined      Spread            `json:"views_agree_after_start_s"`
-	Noticed     map[string]Spread `json:"noticed_s"` // by the kind of fault and its place in the script
+	AgreedAfter Spread            `json:"views_agree_after_start_s"`
+	Noticed     map[string]Spread `json:"noticed_s"` // by the number of the fault in the script and its kind
 	Agreed      map[string]Spread `json:"agreed_s"`
-	Missing     map[string]int    `json:"never_agreed"`
-	Packets     Spread            `json:"packets_per_s"` // sent by a member's gossip while nothing was wrong
+	NeverAgreed map[string]int    `json:"never_agreed"`
+	Packets     Spread            `json:"packets_per_s"` // sent by one member's gossip while no fault was active
 	Bytes       Spread            `json:"bytes_per_s"`
-	CPU         Spread            `json:"cpu_part"` // of a core, by each process over its life
+	CPU         Spread            `json:"cpu_part"` // share of a core that a process used over its lifetime
 	Memory      Spread            `json:"memory_mib"`
 	CalmHours   float64           `json:"calm_member_hours"`
 	Suspicions  int               `json:"suspicions_while_calm"`
@@ -61,31 +63,32 @@
 }
 
 const (
-	calmAfter = control.Micros(15000000) // a fault's marks are over so long after it
-	leastSpan = control.Micros(1000000)
+	calmDelay  = control.Micros(15000000) // after the end of a fault, until its effects are assumed to be over
+	sampleSpan = control.Micros(1000000)  // longest distance of two samples, and shortest total time, that a rate is computed from
 )
 
-var usedIn = regexp.MustCompile(`cpu ([0-9.]+) s, memory at most ([0-9]+) KiB`)
+// usagePattern matches the usage that fleet.handleExit adds to the event of an exit.
+var usagePattern = regexp.MustCompile(`cpu ([0-9.]+) s, memory at most ([0-9]+) KiB`)
 
-// Compare reads runs and puts them together by the number of gatekeepers.
+// Compare reads the runs in dirs and aggregates them by number of gatekeepers, in ascending order.
 func Compare(dirs []string) ([]Size, error) {
-	sizes := map[int]*gathered{}
+	sizes := map[int]*sizeSamples{}
 	for _, dir := range dirs {
 		text, err := os.ReadFile(filepath.Join(dir, summaryFile))
 		if err != nil {
 			return nil, err
 		}
-		var kept struct {
-			Joined float64 `json:"views_agree_after_s"`
+		var stored struct {
+			AgreedAfter float64 `json:"views_agree_after_s"`
 		}
-		if err := json.Unmarshal(text, &kept); err != nil {
+		if err := json.Unmarshal(text, &stored); err != nil {
 			return nil, fmt.Errorf("%s: %w", filepath.Join(dir, summaryFile), err)
 		}
-		sum, err := Check(dir)
+		summary, err := Check(dir)
 		if err != nil {
 			return nil, err
 		}
-		sum.Joined = kept.Joined
+		summary.AgreedAfter = stored.AgreedAfter
 		s, err := script.Load(filepath.Join(dir, "script.yaml"))
 		if err != nil {
 			return nil, err
@@ -94,39 +97,41 @@
 		if err != nil {
 			return nil, err
 		}
-		g := sizes[sum.Gatekeepers]
+		g := sizes[summary.Gatekeepers]
 		if g == nil {
-			g = &gathered{noticed: map[string][]float64{}, agreed: map[string][]float64{}}
-			g.Gatekeepers, g.Missing = sum.Gatekeepers, map[string]int{}
-			sizes[sum.Gatekeepers] = g
+			g = &sizeSamples{noticed: map[string][]float64{}, agreed: map[string][]float64{}}
+			g.Gatekeepers, g.NeverAgreed = summary.Gatekeepers, map[string]int{}
+			sizes[summary.Gatekeepers] = g
 		}
-		g.take(sum, s, events)
+		g.add(summary, s, events)
 	}
-	var out []Size
+	var result []Size
 	for _, g := range sizes {
-		out = append(out, g.size())
+		result = append(result, g.size())
 	}
-	slices.SortFunc(out, func(a, b Size) int { return cmp.Compare(a.Gatekeepers, b.Gatekeepers) })
-	return out, nil
+	slices.SortFunc(result, func(a, b Size) int { return cmp.Compare(a.Gatekeepers, b.Gatekeepers) })
+	return result, nil
 }
 
-type gathered struct {
+// sizeSamples collects the measurements of all runs with one number of gatekeepers.
+type sizeSamples struct {
 	Size
-	joined, packets, bytes, cpu, memory []float64
-	noticed, agreed                     map[string][]float64
+	agreedAfter, packets, bytes, cpu, memory []float64
+	noticed, agreed                          map[string][]float64
 }
 
-func (g *gathered) take(sum *Summary, s *script.Script, events []fleetcheck.Event) {
+// add adds the measurements of one run.
+func (g *sizeSamples) add(summary *Summary, s *script.Script, events []fleetcheck.Event) {
 	g.Runs++
-	if sum.Verdict == "held" {
+	if summary.Verdict == "held" {
 		g.Held++
 	}
-	if sum.Joined > 0 {
-		g.joined = append(g.joined, sum.Joined)
+	if summary.AgreedAfter > 0 {
+		g.agreedAfter = append(g.agreedAfter, summary.AgreedAfter)
 	}
-	var calm []span
-	for _, f := range sum.Faults {
-		calm = append(calm, span{f.From, f.To + calmAfter})
+	var disturbances []interval
+	for _, f := range summary.Faults {
+		disturbances = append(disturbances, interval{f.From, f.To + calmDelay})
 		number, rest, _ := strings.Cut(f.Fault, " ")
 		kind, _, _ := strings.Cut(rest, " ")
 		name := number + " " + kind
@@ -136,51 +141,51 @@
 		if f.Agreed >= 0 {
 			g.agreed[name] = append(g.agreed[name], float64(f.Agreed)/1e6)
 		} else if s.Fleet {
-			g.Missing[name]++
+			g.NeverAgreed[name]++
 		}
 	}
-	quiet := func(at control.Micros) bool {
-		return !slices.ContainsFunc(calm, func(s span) bool { return at >= s.from && at <= s.to })
+	isCalm := func(at control.Micros) bool {
+		return !slices.ContainsFunc(disturbances, func(s interval) bool { return at >= s.from && at <= s.to })
 	}
 	type sample struct {
 		at             control.Micros
 		packets, bytes float64
 	}
-	last, started := map[string]sample{}, map[string]control.Micros{}
+	lastSample, started := map[string]sample{}, map[string]control.Micros{}
 	rates := map[string]*[3]float64{} // packets, bytes, microseconds
-	ending := map[string]bool{}
+	stopping := map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
 		case fleetcheck.Ready:
 			started[e.Process] = e.At
-			delete(ending, e.Process)
+			delete(stopping, e.Process)
 		case fleetcheck.StopRequested:
-			ending[e.Process] = true
+			stopping[e.Process] = true
 		case fleetcheck.Stopped:
-			if m := usedIn.FindStringSubmatch(e.What); m != nil && e.At-started[e.Process] > 5e6 {
+			if m := usagePattern.FindStringSubmatch(e.What); m != nil && e.At-started[e.Process] > 5e6 {
 				cpu, _ := strconv.ParseFloat(m[1], 64)
 				kib, _ := strconv.ParseFloat(m[2], 64)
 				g.cpu = append(g.cpu, cpu/(float64(e.At-started[e.Process])/1e6))
 				g.memory = append(g.memory, kib/1024)
 			}
 		case fleetcheck.ViewRead:
-			var now sample
-			now.at = e.At
-			fmt.Sscan(e.Class, &now.packets, &now.bytes)
-			was, ok := last[e.Process]
-			last[e.Process] = now
-			if ok && now.packets >= was.packets && quiet(was.at) && quiet(now.at) && now.at-was.at < leastSpan {
-				r := rates[e.Process]
-				if r == nil {
-					r = &[3]float64{}
-					rates[e.Process] = r
+			var current sample
+			current.at = e.At
+			fmt.Sscan(e.Class, &current.packets, &current.bytes)
+			previous, ok := lastSample[e.Process]
+			lastSample[e.Process] = current
+			if ok && current.packets >= previous.packets && isCalm(previous.at) && isCalm(current.at) && current.at-previous.at < sampleSpan {
+				rate := rates[e.Process]
+				if rate == nil {
+					rate = &[3]float64{}
+					rates[e.Process] = rate
 				}
-				r[0] += now.packets - was.packets
-				r[1] += now.bytes - was.bytes
-				r[2] += float64(now.at - was.at)
+				rate[0] += current.packets - previous.packets
+				rate[1] += current.bytes - previous.bytes
+				rate[2] += float64(current.at - previous.at)
 			}
 		case fleetcheck.Logged:
-			if !quiet(e.At) || ending[e.Process] || started[e.Process] == 0 {
+			if !isCalm(e.At) || stopping[e.Process] || started[e.Process] == 0 {
 				continue
 			}
 			if e.What == "fleet: member given up" {
@@ -190,32 +195,33 @@
 			}
 		}
 	}
-	for _, r := range rates {
-		if r[2] >= float64(leastSpan) {
-			g.packets = append(g.packets, r[0]/r[2]*1e6)
-			g.bytes = append(g.bytes, r[1]/r[2]*1e6)
-			g.CalmHours += r[2] / 3600e6
+	for _, rate := range rates {
+		if rate[2] >= float64(sampleSpan) {
+			g.packets = append(g.packets, rate[0]/rate[2]*1e6)
+			g.bytes = append(g.bytes, rate[1]/rate[2]*1e6)
+			g.CalmHours += rate[2] / 3600e6
 		}
 	}
 }
 
-// span is a time in which something was wrong.
-type span struct{ from, to control.Micros }
+// interval is a time in which a fault or its effects were present.
+type interval struct{ from, to control.Micros }
 
-func (g *gathered) size() Size {
+// size returns the aggregated result.
+func (g *sizeSamples) size() Size {
 	s := g.Size
-	s.Joined, s.Packets, s.Bytes, s.CPU, s.Memory = spread(g.joined), spread(g.packets), spread(g.bytes), spread(g.cpu), spread(g.memory)
+	s.AgreedAfter, s.Packets, s.Bytes, s.CPU, s.Memory = newSpread(g.agreedAfter), newSpread(g.packets), newSpread(g.bytes), newSpread(g.cpu), newSpread(g.memory)
 	s.Noticed, s.Agreed = map[string]Spread{}, map[string]Spread{}
 	for name, v := range g.noticed {
-		s.Noticed[name] = spread(v)
+		s.Noticed[name] = newSpread(v)
 	}
 	for name, v := range g.agreed {
-		s.Agreed[name] = spread(v)
+		s.Agreed[name] = newSpread(v)
 	}
 	return s
 }
 
-// CompareTable gives sizes as text: medians, and the least and most in parentheses.
+// CompareTable formats sizes as a text table, with medians and, in parentheses, minimum and maximum.
 func CompareTable(sizes []Size) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
@@ -228,21 +234,21 @@
 	}
 	row("gatekeepers", func(s Size) string { return strconv.Itoa(s.Gatekeepers) })
 	row("runs, of them held", func(s Size) string { return fmt.Sprintf("%d, %d", s.Runs, s.Held) })
-	row("views agree after the start, s", func(s Size) string { return s.Joined.String() })
+	row("views agree after the start, s", func(s Size) string { return s.AgreedAfter.String() })
 	names := map[string]bool{}
 	for _, s := range sizes {
 		for name := range s.Agreed {
 			names[name] = true
 		}
-		for name := range s.Missing {
+		for name := range s.NeverAgreed {
 			names[name] = true
 		}
 	}
-	for _, name := range sorted(names) {
+	for _, name := range sortedNames(names) {
 		row(name+": noticed by all, s", func(s Size) string { return s.Noticed[name].String() })
 		row(name+": views agree again, s", func(s Size) string {
 			text := s.Agreed[name].String()
-			if n := s.Missing[name]; n > 0 {
+			if n := s.NeverAgreed[name]; n > 0 {
 				text += fmt.Sprintf(", never in %d", n)
 			}
 			return text
@@ -258,7 +264,8 @@
 	return b.String()
 }
 
-func sorted(names map[string]bool) []string {
+// sortedNames returns the keys of a set, sorted.
+func sortedNames(names map[string]bool) []string {
 	out := make([]string, 0, len(names))
 	for name := range names {
 		out = append(out, name)
@@ -267,7 +274,7 @@
 	return out
 }
 
-// ComparePlot draws what a member's gossip sends against the size of the fleet, as SVG.
+// ComparePlot plots the gossip traffic of a member against the size of the fleet, as SVG.
 func ComparePlot(sizes []Size) ([]byte, error) {
 	values, labels := make([][]float64, 2), []string{}
 	for _, s := range sizes {
--- a/internal/fleetlab/delays.go
+++ b/internal/fleetlab/delays.go
@@ -12,84 +12,85 @@
 	"beammux/internal/fleetcheck"
 )
 
-// How the waits for a processor are measured. A wait counts in the first look after it has ended.
+// Measurement of the time that threads wait for a processor. A wait is counted by the first sample after it has ended.
 const (
-	processorsEvery = 50 * time.Millisecond // the kernel's account of the gatekeepers is read so often
-	timersEvery     = 5 * time.Millisecond  // pace of the laboratory's own timer
-	leastDelay      = 2 * time.Millisecond  // less is not told of
+	processorInterval = 50 * time.Millisecond // between samples of the kernel's scheduler statistics
+	timerInterval     = 5 * time.Millisecond  // of the laboratory's own timer
+	minDelay          = 2 * time.Millisecond  // shorter waits are not recorded
 )
 
-// watchProcessors notes how long each gatekeeper, and the laboratory itself, had threads that could run and waited for a
-// processor. The laboratory's threads work beside each other, so of them the one that waited longest counts.
+// watchProcessors records how long runnable threads of each gatekeeper, and of the laboratory itself, waited for a
+// processor. The laboratory's threads work in parallel, so only the longest wait among them counts.
 func (f *fleet) watchProcessors(ctx context.Context) {
-	tick := time.NewTicker(processorsEvery)
+	tick := time.NewTicker(processorInterval)
 	defer tick.Stop()
-	accounts := map[*process]runQueue{}
-	looked := map[*process]time.Time{}
-	own, ownLooked := runQueue{}, time.Now()
+	queues := map[*process]runQueue{}
+	sampledAt := map[*process]time.Time{}
+	labQueue, labSampledAt := runQueue{}, time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		_, longest := own.look(os.Getpid())
-		f.noteDelay(fleetcheck.Laboratory, longest, longest, time.Since(ownLooked))
-		ownLooked = time.Now()
+		_, longest := labQueue.sample(os.Getpid())
+		f.recordDelay(fleetcheck.Laboratory, longest, longest, time.Since(labSampledAt))
+		labSampledAt = time.Now()
 		for _, g := range f.gatekeepers {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
-			if p == nil || p.over() {
+			if proc == nil || proc.hasExited() {
 				continue
 			}
-			if accounts[p] == nil {
-				accounts[p], looked[p] = runQueue{}, time.Now()
+			if queues[proc] == nil {
+				queues[proc], sampledAt[proc] = runQueue{}, time.Now()
 			}
-			waited, longest := accounts[p].look(p.pid())
-			f.noteDelay(g.name, waited, longest, time.Since(looked[p]))
-			looked[p] = time.Now()
+			waited, longest := queues[proc].sample(proc.pid())
+			f.recordDelay(g.name, waited, longest, time.Since(sampledAt[proc]))
+			sampledAt[proc] = time.Now()
 		}
 	}
 }
 
-// watchTimers notes by how much the laboratory's own timers come late.
+// watchTimers records how late the laboratory's own timers fire.
 func (f *fleet) watchTimers(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		time.Sleep(timersEvery)
-		took := time.Since(began)
-		f.noteDelay(fleetcheck.Laboratory, took-timersEvery, took-timersEvery, took)
+		time.Sleep(timerInterval)
+		elapsed := time.Since(began)
+		f.recordDelay(fleetcheck.Laboratory, elapsed-timerInterval, elapsed-timerInterval, elapsed)
 	}
 }
 
-// noteDelay notes what a process waited in the time since the last look, in all and at most by one of its threads.
-func (f *fleet) noteDelay(process string, waited, longest, since time.Duration) {
-	waited = stalled(waited, longest, since)
-	if waited >= leastDelay {
-		f.runs.note(fleetcheck.ProcessorDelayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
+// recordDelay records how long a process waited for a processor since its last sample: by all of its threads (waited), and by
+// the one that waited longest.
+func (f *fleet) recordDelay(process string, waited, longest, since time.Duration) {
+	waited = boundedWait(waited, longest, since)
+	if waited >= minDelay {
+		f.runs.record(fleetcheck.ProcessorDelayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
 			Class: strconv.FormatInt(longest.Microseconds(), 10)})
 	}
 }
 
-// stalled bounds what an answer can have lost to the waits of a process that ended since the last look. Waits that follow each
-// other add up; those of threads that waited beside each other do not. All of them ended in that time, and one that began before
-// it did so by no more than the longest.
-func stalled(waited, longest, since time.Duration) time.Duration {
+// boundedWait returns an upper bound on the delay that the waits of a process can have added to an answer. Waits one after
+// another add up; concurrent waits of several threads do not. All waits ended since the last sample, and none began earlier
+// than the longest wait before it, so the bound is longest+since.
+func boundedWait(waited, longest, since time.Duration) time.Duration {
 	return min(waited, longest+since)
 }
 
-// runQueue is how long each thread of a process had waited for a processor when it was last looked at.
+// runQueue holds, for each thread of a process, its total wait for a processor at the last sample.
 type runQueue map[string]time.Duration
 
-// look gives what the threads of a process have waited since it was last looked at, in all and at most by one of them; 0 where
-// the kernel keeps no account.
-func (r runQueue) look(pid int) (waited, longest time.Duration) {
+// sample returns how long the threads of a process have waited since the last sample: the sum, and the longest of one thread.
+// Both are 0 if the kernel keeps no scheduler statistics.
+func (r runQueue) sample(pid int) (waited, longest time.Duration) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		fields := bytes.Fields(text)
 		if len(fields) < 2 {
@@ -100,9 +101,9 @@
 			continue
 		}
 		total := time.Duration(ns)
-		if was, known := r[file]; known {
-			waited += total - was
-			longest = max(longest, total-was)
+		if previous, known := r[file]; known {
+			waited += total - previous
+			longest = max(longest, total-previous)
 		}
 		r[file] = total
 	}
--- a/internal/fleetlab/journal.go
+++ b/internal/fleetlab/eventlog.go
@@ -11,7 +11,7 @@
 	"beammux/internal/fleetcheck"
 )
 
-// line is an event as it stands in a file: one JSON object in a line.
+// line is an event in a file: one JSON object per line.
 type line struct {
 	At      int64  `json:"at_us"` // Unix microseconds
 	Kind    string `json:"kind"`
@@ -25,30 +25,33 @@
 	Value float64 `json:"value,omitempty"`
 }
 
+// event converts a line to an event; it reports whether the kind is known.
 func (l *line) event(place fleetcheck.Place) (fleetcheck.Event, bool) {
 	kind, ok := fleetcheck.ParseKind(l.Kind)
 	return fleetcheck.Event{At: control.Micros(l.At), Kind: kind, Process: l.Process, Peer: l.Peer, Call: l.Call, Class: l.Class,
 		What: l.What, Span: control.Micros(l.Span), Value: l.Value, Place: place}, ok
 }
 
-// journal writes what was seen. Any goroutine may write; a line is stamped and written in one step, so lines are in order.
-type journal struct {
+// eventLog writes events to a file. It is safe for concurrent use. A line gets its time and is written under one lock, so
+// lines are in order of time.
+type eventLog struct {
 	mu  sync.Mutex
 	f   *os.File
 	out *bufio.Writer
 	err error
 }
 
-func newJournal(file string) (*journal, error) {
+// newEventLog creates the file of an event log.
+func newEventLog(file string) (*eventLog, error) {
 	f, err := os.Create(file)
 	if err != nil {
 		return nil, err
 	}
-	return &journal{f: f, out: bufio.NewWriterSize(f, 64<<10)}, nil
+	return &eventLog{f: f, out: bufio.NewWriterSize(f, 64<<10)}, nil
 }
 
-// note writes an event as of now.
-func (j *journal) note(kind fleetcheck.Kind, l line) {
+// record writes an event with the current time.
+func (j *eventLog) record(kind fleetcheck.Kind, l line) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	l.At, l.Kind = time.Now().UnixMicro(), kind.String()
@@ -61,8 +64,8 @@
 	}
 }
 
-// close gives the first fault of all writes.
-func (j *journal) close() error {
+// close closes the file and returns the first error of all writes.
+func (j *eventLog) close() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if err := j.out.Flush(); j.err == nil {
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -18,17 +18,18 @@
 	"beammux/internal/relay"
 )
 
-// timeline does what the script says when it says so. Where the run ends early, all that is on is taken back.
-func (f *fleet) timeline(ctx context.Context) {
-	var on sync.WaitGroup
-	defer on.Wait()
+// runFaults injects the faults of the script at their times and records changes of the home gatekeepers. If the context is
+// cancelled, active faults are undone. It returns when all faults have ended.
+func (f *fleet) runFaults(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
 	for _, h := range f.s.Homes {
-		on.Go(func() {
+		running.Go(func() {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Until(f.began.Add(time.Duration(h.At)))):
+			case <-time.After(time.Until(f.startedAt.Add(time.Duration(h.At)))):
 				if h.At > 0 {
-					f.runs.note(fleetcheck.DemandMoved, line{Process: h.To})
+					f.runs.record(fleetcheck.DemandMoved, line{Process: h.To})
 				}
 			}
 		})
@@ -39,38 +40,39 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(f.began.Add(time.Duration(fault.At)))):
+		case <-time.After(time.Until(f.startedAt.Add(time.Duration(fault.At)))):
 		}
-		on.Go(func() { f.one(ctx, i, fault) })
+		running.Go(func() { f.runFault(ctx, i, fault) })
 	}
 }
 
-func faultName(place int, fault script.Fault) string {
-	return fmt.Sprintf("%d %s", place+1, fault.Name())
+// faultName returns the name of a fault in events and reports: its number in the script, from 1, and its description.
+func faultName(index int, fault script.Fault) string {
+	return fmt.Sprintf("%d %s", index+1, fault.Name())
 }
 
-// one does a fault, waits, and takes it back.
-func (f *fleet) one(ctx context.Context, id int, fault script.Fault) {
+// runFault injects a fault, waits for its duration, and undoes it.
+func (f *fleet) runFault(ctx context.Context, id int, fault script.Fault) {
 	name := faultName(id, fault)
-	f.tell(name)
-	f.runs.note(fleetcheck.FaultBegan, line{What: name})
-	undo := f.do(id, fault)
+	f.reportProgress(name)
+	f.runs.record(fleetcheck.FaultBegan, line{What: name})
+	undo := f.inject(id, fault)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(fault.For)):
 	}
-	f.runs.note(fleetcheck.FaultEnded, line{What: name})
-	f.tell("over: " + name)
+	f.runs.record(fleetcheck.FaultEnded, line{What: name})
+	f.reportProgress("ended: " + name)
 	undo(ctx)
 }
 
-// do brings a fault about and gives what takes it back.
-func (f *fleet) do(id int, fault script.Fault) (undo func(context.Context)) {
+// inject causes a fault and returns the function that undoes it.
+func (f *fleet) inject(id int, fault script.Fault) (undo func(context.Context)) {
 	switch fault.Kind {
 	case "kill", "term", "pause":
-		return f.processes(fault)
+		return f.signalProcesses(fault)
 	case "lose", "slow", "drain", "hang", "ill", "engaged":
-		return f.onServers(fault)
+		return f.disturbServers(fault)
 	case "lie":
 		return f.lie(fault)
 	case "rude":
@@ -78,75 +80,80 @@
 	case "reload":
 		return f.reload(fault)
 	}
-	return f.links(id, fault)
+	return f.disturbLinks(id, fault)
 }
 
+// selected returns the processes that a selector matches; a bad selector fails the run.
 func (f *fleet) selected(selector string) []string {
 	names, err := f.s.Select(selector)
-	if err != nil { // a script that was read is sound; one that was made is not checked before
+	if err != nil { // a parsed script has only valid selectors; one built in code is checked only here
 		f.fail(err)
 	}
 	return names
 }
 
-func (f *fleet) processes(fault script.Fault) func(context.Context) {
-	var held []*gatekeeper
+// signalProcesses kills, terminates or pauses gatekeepers; undo restarts or resumes them.
+func (f *fleet) signalProcesses(fault script.Fault) func(context.Context) {
+	var affected []*gatekeeper
 	for _, name := range f.selected(fault.Target) {
 		for _, g := range f.gatekeepers {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
-			if g.name != name || p == nil || p.over() || fault.Kind != "pause" && p.wasAsked() {
-				continue // another fault has it down
+			if g.name != name || proc == nil || proc.hasExited() || fault.Kind != "pause" && proc.wasStopped() {
+				continue // another fault has already stopped it
 			}
-			held = append(held, g)
+			affected = append(affected, g)
 			switch fault.Kind {
 			case "kill":
-				f.runs.note(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
-				p.signal(syscall.SIGKILL)
+				f.runs.record(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
+				proc.signal(syscall.SIGKILL)
 			case "term":
-				f.runs.note(fleetcheck.StopRequested, line{Process: name, What: "SIGTERM"})
-				p.signal(syscall.SIGTERM)
+				f.runs.record(fleetcheck.StopRequested, line{Process: name, What: "SIGTERM"})
+				proc.signal(syscall.SIGTERM)
 			case "pause":
-				f.runs.note(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
-				p.signal(syscall.SIGSTOP)
+				f.runs.record(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
+				proc.signal(syscall.SIGSTOP)
 			}
 		}
 	}
 	return func(ctx context.Context) {
 		var all sync.WaitGroup
-		for _, g := range held {
+		for _, g := range affected {
 			f.mu.Lock()
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
 			if fault.Kind == "pause" {
-				p.signal(syscall.SIGCONT)
-				f.runs.note(fleetcheck.Resumed, line{Process: g.name})
+				proc.signal(syscall.SIGCONT)
+				f.runs.record(fleetcheck.Resumed, line{Process: g.name})
 				continue
 			}
-			all.Go(func() { f.again(ctx, g, p, fault.State == "empty") })
+			all.Go(func() { f.restart(ctx, g, proc, fault.State == "empty") })
 		}
 		all.Wait()
 	}
 }
 
-// lie has gatekeepers tell of every server that it fails them, while a file of theirs is there (verdicts.LieFile).
+// lie makes gatekeepers report failures of every server as long as their file falseEvidenceFile exists
+// (ejection.FalseEvidenceVariable).
 func (f *fleet) lie(fault script.Fault) func(context.Context) {
 	for _, name := range f.selected(fault.Target) {
-		if err := os.WriteFile(f.file("state", name, lieFile), nil, 0o600); err != nil {
+		if err := os.WriteFile(f.path("state", name, falseEvidenceFile), nil, 0o600); err != nil {
 			f.fail(err)
 		}
 	}
 	return func(context.Context) {
 		for _, name := range f.selected(fault.Target) {
-			os.Remove(f.file("state", name, lieFile))
+			os.Remove(f.path("state", name, falseEvidenceFile))
 		}
 	}
 }
 
-const lieFile = "lie"
+// falseEvidenceFile is the name of the file in a gatekeeper's state folder that makes it report false evidence.
+const falseEvidenceFile = "lie"
 
-// rude opens connections to gatekeepers, past the relay, from an address of its own, and sends on each what can't be read.
+// rude repeatedly connects to gatekeepers from fleetcheck.RudeAddress, bypassing the relay, and sends a malformed message on
+// each connection.
 func (f *fleet) rude(fault script.Fault) func(context.Context) {
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -157,7 +164,7 @@
 		}
 		done.Go(func() {
 			d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fleetcheck.MalformedClientAddress)}}
-			tick := time.NewTicker(rudeEvery)
+			tick := time.NewTicker(rudeInterval)
 			defer tick.Stop()
 			for {
 				f.mu.Lock()
@@ -183,154 +190,155 @@
 	}
 }
 
-const rudeEvery = 50 * time.Millisecond
+const rudeInterval = 50 * time.Millisecond // between malformed messages to one gatekeeper
 
-// reload changes the limits in the files of gatekeepers by a factor and tells them to read these again.
+// reload multiplies the limits in the files of gatekeepers by a factor and makes them reload the files with SIGHUP.
 func (f *fleet) reload(fault script.Fault) func(context.Context) {
 	names := f.selected(fault.Target)
-	set := func(factor float64) {
+	scaleLimits := func(factor float64) {
 		limits := *f.s.Limits
 		limits.PerS, limits.Burst = limits.PerS*factor, limits.Burst*factor
-		f.runs.note(fleetcheck.LimitChanged, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
+		f.runs.record(fleetcheck.LimitChanged, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
 		for _, g := range f.gatekeepers {
 			if !slices.Contains(names, g.name) {
 				continue
 			}
 			f.mu.Lock()
 			g.limits = limits
-			p := g.p
+			proc := g.proc
 			f.mu.Unlock()
-			if err := f.configure(g, f.file("state", g.name, "tmp"+strconv.Itoa(g.start))); err != nil {
+			if err := f.configure(g, f.path("state", g.name, "tmp"+strconv.Itoa(g.start))); err != nil {
 				f.fail(err)
-			} else if p != nil && !p.over() {
-				p.signal(syscall.SIGHUP)
+			} else if proc != nil && !proc.hasExited() {
+				proc.signal(syscall.SIGHUP)
 			}
 		}
 	}
-	set(fault.Factor)
-	return func(context.Context) { set(1) }
+	scaleLimits(fault.Factor)
+	return func(context.Context) { scaleLimits(1) }
 }
 
-// again starts a gatekeeper that was ended, with the state that it had or without.
-func (f *fleet) again(ctx context.Context, g *gatekeeper, p *process, empty bool) {
+// restart starts a stopped gatekeeper again, with its stored state or, if empty is set, without.
+func (f *fleet) restart(ctx context.Context, g *gatekeeper, proc *process, empty bool) {
 	select {
-	case <-p.gone:
-	case <-time.After(endWithin): // it has not ended on SIGTERM
-		p.signal(syscall.SIGKILL)
-		<-p.gone
+	case <-proc.exited:
+	case <-time.After(stopTimeout): // it did not exit on SIGTERM
+		proc.signal(syscall.SIGKILL)
+		<-proc.exited
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	if empty {
-		if err := os.RemoveAll(f.file("state", g.name)); err != nil {
+		if err := os.RemoveAll(f.path("state", g.name)); err != nil {
 			f.fail(err)
 			return
 		}
 	}
 	if err := f.start(ctx, g); err != nil && ctx.Err() == nil {
-		f.runs.note(fleetcheck.Crashed, line{Process: g.name, What: "started again: " + err.Error()})
+		f.runs.record(fleetcheck.Crashed, line{Process: g.name, What: "started again: " + err.Error()})
 	}
 }
 
-func (f *fleet) onServers(fault script.Fault) func(context.Context) {
-	var held []*server
+// disturbServers injects a fault of servers.
+func (f *fleet) disturbServers(fault script.Fault) func(context.Context) {
+	var affected []*server
 	for _, name := range f.selected(fault.Target) {
-		for _, v := range f.servers {
-			if v.name != name {
+		for _, srv := range f.servers {
+			if srv.name != name {
 				continue
 			}
-			v.mu.Lock()
+			srv.mu.Lock()
 			switch {
 			case fault.Kind == "slow":
-				v.s.Slow(fault.Slow)
-				held = append(held, v)
+				srv.s.Slow(fault.Slow)
+				affected = append(affected, srv)
 			case fault.Kind == "hang":
-				v.s.Hang(true)
-				held = append(held, v)
+				srv.s.Hang(true)
+				affected = append(affected, srv)
 			case fault.Kind == "engaged":
-				v.s.Engage(fault.Number)
+				srv.s.Engage(fault.Number)
 				f.engaged.Store(&fault)
-				held = append(held, v)
+				affected = append(affected, srv)
 			case fault.Kind == "ill":
-				v.s.FailPart(fault.Part)
-				held = append(held, v)
-			case v.state != "up": // another fault has it
+				srv.s.FailPart(fault.Part)
+				affected = append(affected, srv)
+			case srv.state != "up": // another fault affects it already
 			case fault.Kind == "lose":
-				v.state = "lost"
-				v.end()
-				f.net.Down(v.name)
-				v.s.Kill()
-				held = append(held, v)
+				srv.state = "lost"
+				srv.stopStatus()
+				f.net.Down(srv.name)
+				srv.s.Kill()
+				affected = append(affected, srv)
 			case fault.Kind == "drain":
-				v.state = "draining"
-				f.bus.Change(f.host(v))
-				held = append(held, v)
+				srv.state = "draining"
+				f.bus.Change(f.host(srv))
+				affected = append(affected, srv)
 			}
-			v.mu.Unlock()
+			srv.mu.Unlock()
 		}
 	}
 	return func(context.Context) {
-		for _, v := range held {
+		for _, srv := range affected {
 			switch fault.Kind {
 			case "slow", "hang", "ill", "engaged":
-				v.mu.Lock()
+				srv.mu.Lock()
 				switch fault.Kind {
 				case "slow":
-					v.s.Slow(1)
+					srv.s.Slow(1)
 				case "engaged":
-					v.s.Engage("")
+					srv.s.Engage("")
 					f.engaged.Store(nil)
 				case "hang":
-					v.s.Hang(false)
+					srv.s.Hang(false)
 				case "ill":
-					v.s.FailPart(0)
+					srv.s.FailPart(0)
 				}
-				v.mu.Unlock()
+				srv.mu.Unlock()
 			case "lose":
-				if err := f.returnCold(v); err != nil {
+				if err := f.restartCold(srv); err != nil {
 					f.fail(err)
 				}
 			case "drain":
-				v.mu.Lock()
-				v.state = "up"
-				f.bus.Change(f.host(v))
-				v.mu.Unlock()
+				srv.mu.Lock()
+				srv.state = "up"
+				f.bus.Change(f.host(srv))
+				srv.mu.Unlock()
 			}
 		}
 	}
 }
 
-// returnCold starts a server that was lost: it is cold, and the bus tells since when it runs.
-func (f *fleet) returnCold(v *server) error {
-	if err := f.startServer(v); err != nil {
+// restartCold starts a lost server again: it is cold, and the bus publishes its new start time.
+func (f *fleet) restartCold(srv *server) error {
+	if err := f.startServer(srv); err != nil {
 		return err
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.s.Cold(startCapacity, warmWithin)
-	v.state, v.since = "up", time.Now()
-	f.bus.Change(f.host(v))
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.s.Cold(startCapacity, warmUpTime)
+	srv.state, srv.since = "up", time.Now()
+	f.bus.Change(f.host(srv))
 	return nil
 }
 
-// links brings about a fault of the ways between processes. What is in force on a direction is made up of all faults that
-// concern it: the strongest of each kind.
-func (f *fleet) links(id int, fault script.Fault) func(context.Context) {
+// disturbLinks injects a fault of the links between processes. If several faults affect a direction, the strongest of each
+// kind applies.
+func (f *fleet) disturbLinks(id int, fault script.Fault) func(context.Context) {
 	from, to := f.selected(fault.From), f.selected(fault.To)
-	var dirs [][2]string
+	var directions [][2]string
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				dirs = append(dirs, [2]string{a, b})
+				directions = append(directions, [2]string{a, b})
 				if fault.Kind == "partition" {
-					dirs = append(dirs, [2]string{b, a})
+					directions = append(directions, [2]string{b, a})
 				}
 			}
 		}
 	}
 	c := condition{id: id}
-	doors := relay.Open
+	door := relay.Open
 	switch fault.Kind {
 	case "partition", "cut":
 		c.Cut = true
@@ -345,76 +353,80 @@
 	case "reorder":
 		c.Reorder = fault.Part
 	case "blackhole":
-		doors = relay.BlackHole
+		door = relay.BlackHole
 	case "refuse":
-		doors = relay.Refuse
+		door = relay.Refuse
 	}
-	f.trouble(dirs, 1)
-	for _, d := range dirs {
+	f.adjustFaultCounts(directions, 1)
+	for _, d := range directions {
 		switch {
 		case fault.Kind == "reset":
 			f.net.Reset(d[0], d[1], int64(fault.Bytes))
-		case doors != relay.Open:
-			f.net.SetMode(d[0], d[1], doors)
+		case door != relay.Open:
+			f.net.SetMode(d[0], d[1], door)
 		default:
-			f.add(d, c)
+			f.addCondition(d, c)
 		}
 	}
 	return func(context.Context) {
-		for _, d := range dirs {
+		for _, d := range directions {
 			switch {
 			case fault.Kind == "reset":
 				f.net.ClearReset(d[0], d[1])
-			case doors != relay.Open:
+			case door != relay.Open:
 				f.net.SetMode(d[0], d[1], relay.Open)
 			default:
-				f.remove(d, id)
+				f.removeCondition(d, id)
 			}
 		}
-		f.trouble(dirs, -1)
+		f.adjustFaultCounts(directions, -1)
 	}
 }
 
-// trouble counts the faults of directions and notes where trouble begins and ends.
-func (f *fleet) trouble(dirs [][2]string, change int) {
+// adjustFaultCounts adds change to the number of active faults of each direction and records events when a direction gets its
+// first fault and when its last one ends.
+func (f *fleet) adjustFaultCounts(directions [][2]string, change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, d := range dirs {
-		f.troubled[d] += change
+	for _, d := range directions {
+		f.faultCounts[d] += change
 		switch {
-		case change > 0 && f.troubled[d] == 1:
-			f.runs.note(fleetcheck.LinkFaulty, line{Process: d[0], Peer: d[1]})
-		case change < 0 && f.troubled[d] == 0:
-			f.runs.note(fleetcheck.LinkHealed, line{Process: d[0], Peer: d[1]})
+		case change > 0 && f.faultCounts[d] == 1:
+			f.runs.record(fleetcheck.LinkFaulty, line{Process: d[0], Peer: d[1]})
+		case change < 0 && f.faultCounts[d] == 0:
+			f.runs.record(fleetcheck.LinkHealed, line{Process: d[0], Peer: d[1]})
 		}
 	}
 }
 
-func (f *fleet) add(d [2]string, c condition) {
+// addCondition adds the condition of a fault to a direction.
+func (f *fleet) addCondition(d [2]string, c condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conditions[d] = append(f.conditions[d], c)
-	f.apply(d)
+	f.applyConditions(d)
 }
 
-func (f *fleet) remove(d [2]string, id int) {
+// removeCondition removes the conditions of the fault with the given id from a direction.
+func (f *fleet) removeCondition(d [2]string, id int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conditions[d] = slices.DeleteFunc(f.conditions[d], func(c condition) bool { return c.id == id })
-	f.apply(d)
+	f.applyConditions(d)
 }
 
-func (f *fleet) apply(d [2]string) {
-	var all relay.Condition
+// applyConditions sets the relay to the combination of all conditions of a direction. The caller holds f.mu.
+func (f *fleet) applyConditions(d [2]string) {
+	var combined relay.Condition
 	for _, c := range f.conditions[d] {
-		all.Cut = all.Cut || c.Cut
-		all.Delay, all.Jitter = max(all.Delay, c.Delay), max(all.Jitter, c.Jitter)
-		all.Loss, all.Duplicate, all.Reorder = max(all.Loss, c.Loss), max(all.Duplicate, c.Duplicate), max(all.Reorder, c.Reorder)
-		if c.BytesPerS > 0 && (all.BytesPerS == 0 || c.BytesPerS < all.BytesPerS) {
-			all.BytesPerS = c.BytesPerS
+		combined.Cut = combined.Cut || c.Cut
+		combined.Delay, combined.Jitter = max(combined.Delay, c.Delay), max(combined.Jitter, c.Jitter)
+		combined.Loss, combined.Duplicate, combined.Reorder = max(combined.Loss, c.Loss), max(combined.Duplicate, c.Duplicate), max(combined.Reorder, c.Reorder)
+		if c.BytesPerS > 0 && (combined.BytesPerS == 0 || c.BytesPerS < combined.BytesPerS) {
+			combined.BytesPerS = c.BytesPerS
 		}
 	}
-	if err := f.net.SetCondition(d[0], d[1], all); err != nil && f.fault == nil {
-		f.fault = fmt.Errorf("%s: %w", strings.Join(d[:], " to "), err)
+	if err := f.net.SetCondition(d[0], d[1], combined); err != nil && f.firstErr == nil {
+		f.firstErr = fmt.Errorf("%s: %w", strings.Join(d[:], " to "), err)
 	}
 }
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -1,6 +1,6 @@
-// Package fleetlab is the fleet laboratory: it starts many gatekeepers as processes of their own on loopback, with stand-ins
-// for menu servers, callers and the event bus, and a relay on every way between two that talk; it plays a script of faults,
-// and judges by package fleetcheck what was seen. Everything it starts it ends, by number, however the run ends.
+// Package fleetlab is the fleet laboratory. It runs many gatekeepers as separate processes on loopback, with simulated menu
+// servers, callers and event bus, and a relay on every link between processes. It injects the faults of a script and checks
+// the observed events with package fleetcheck. All started processes are ended by their process ids, however a run ends.
 package fleetlab
 
 import (
@@ -21,30 +21,30 @@
 	"beammux/internal/relay"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Program Program
-	Dir     string // for configurations, logs, records and the report; it must be new or empty
+	Dir     string // folder for configurations, logs, records and the report; must not exist or be empty
 	Script  *script.Script
 	Log     logrus.FieldLogger
-	// Progress is told of what happens, if not nil.
-	Progress func(at time.Duration, what string)
-	// Ready, if not nil, is called once the fleet is up, before the first call, with the numbers of its processes.
+	// Progress, if not nil, is called with each progress message and the time since the start of calls.
+	Progress func(elapsed time.Duration, message string)
+	// Ready, if not nil, is called with the process ids of the gatekeepers when all are up, before the first call.
 	Ready func(pids []int)
 }
 
 const (
-	statusEvery   = 250 * time.Millisecond // servers tell their state so often
-	startCapacity = 0.33                   // of a server that returns cold: the settings' start-capacity
-	warmWithin    = 15 * time.Second       // the settings' warm-within-us
-	endWithin     = 8 * time.Second        // after SIGTERM: the longest deadline and some
-	together      = 8                      // gatekeepers that are started at the same time
-	storeService  = "store"
-	fleetService  = "fleet"
-	viewEvery     = 200 * time.Millisecond // the gatekeepers' views are read so often
+	statusInterval    = 250 * time.Millisecond // between status reports of servers
+	startCapacity     = 0.33                   // of a cold server; equals start-capacity in the settings
+	warmUpTime        = 15 * time.Second       // of a cold server; equals warm-within-us in the settings
+	stopTimeout       = 8 * time.Second        // from SIGTERM to SIGKILL: the longest call deadline and a margin
+	maxParallelStarts = 8                      // gatekeepers that start at the same time
+	storeService      = "store"
+	fleetService      = "fleet"
+	viewInterval      = 200 * time.Millisecond // between reads of a gatekeeper's fleet view
 )
 
-// fleet is one run.
+// fleet is the state of one run.
 type fleet struct {
 	Options
 	s       *script.Script
@@ -53,164 +53,170 @@
 	callers *lab.Callers
 	log     logrus.FieldLogger
 
-	runs, calls, serves *journal
+	runs, calls, serves *eventLog // events of the laboratory, the callers and the servers
 
 	mu          sync.Mutex
 	gatekeepers []*gatekeeper
 	servers     []*server
-	addr        map[[3]string]string // from, to, service: the relay's address
-	troubled    map[[2]string]int    // faults that concern a direction now
+	addr        map[[3]string]string // relay addresses by from, to and service
+	faultCounts map[[2]string]int    // number of active faults, by direction
 	conditions  map[[2]string][]condition
-	began       time.Time // of the first call
-	busy        sync.WaitGroup
-	fault       error
-	engaged     atomic.Pointer[script.Fault] // that is on
-	joined      time.Duration                // from all ready to all views the same
+	startedAt   time.Time // start of calls
+	faultTasks  sync.WaitGroup
+	firstErr    error
+	engaged     atomic.Pointer[script.Fault] // active fault of kind engaged, or nil
+	agreedAfter time.Duration                // from all gatekeepers ready to identical fleet views
 }
 
+// condition is the effect of the fault with the given id on a direction.
 type condition struct {
 	id int
 	relay.Condition
 }
 
-// Run plays a script and judges what came of it. What the run wrote is in Dir, also where it fails.
+// Run executes a script and checks the result. The files of the run stay in Dir, also after an error. If ctx is cancelled,
+// the run ends early and what it observed until then is checked.
 func Run(ctx context.Context, o Options) (*Summary, error) {
 	f := &fleet{Options: o, s: o.Script, log: o.Log, net: relay.New(o.Script.Seed), addr: map[[3]string]string{},
-		troubled: map[[2]string]int{}, conditions: map[[2]string][]condition{}}
+		faultCounts: map[[2]string]int{}, conditions: map[[2]string][]condition{}}
 	if f.log == nil {
 		l := logrus.New()
 		l.SetLevel(logrus.PanicLevel)
 		f.log = l
 	}
 	if entries, err := os.ReadDir(o.Dir); err == nil && len(entries) > 0 {
-		return nil, fmt.Errorf("%s: is not empty; a run needs a folder of its own", o.Dir)
+		return nil, fmt.Errorf("%s: is not empty; a run needs an empty or new folder", o.Dir)
 	}
 	for _, d := range []string{"logs", "records", "etc", "state"} {
 		if err := os.MkdirAll(filepath.Join(o.Dir, d), 0o755); err != nil {
 			return nil, err
 		}
 	}
-	if err := os.WriteFile(f.file("script.yaml"), f.s.Marshal(), 0o644); err != nil {
+	if err := os.WriteFile(f.path("script.yaml"), f.s.Marshal(), 0o644); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	starts, err := f.play(ctx)
+	starts, err := f.runScript(ctx)
 	stopped := ctx.Err() != nil
 	if err != nil && !stopped {
 		return nil, err
 	}
-	sum, err := Check(o.Dir)
+	summary, err := Check(o.Dir)
 	if err != nil {
 		return nil, err
 	}
-	sum.Stopped, sum.Took, sum.Starts, sum.Joined = stopped, time.Since(began).Seconds(), starts, f.joined.Seconds()
-	if err := sum.write(o.Dir); err != nil {
+	summary.Stopped, summary.Elapsed, summary.StartTimes, summary.AgreedAfter = stopped, time.Since(began).Seconds(), starts, f.agreedAfter.Seconds()
+	if err := summary.write(o.Dir); err != nil {
 		return nil, err
 	}
-	return sum, nil
+	return summary, nil
 }
 
-func (f *fleet) file(name ...string) string {
+// path returns the path of a file in the folder of the run.
+func (f *fleet) path(name ...string) string {
 	return filepath.Join(append([]string{f.Dir}, name...)...)
 }
 
-func (f *fleet) tell(what string) {
+// reportProgress logs a message and passes it to Progress.
+func (f *fleet) reportProgress(message string) {
 	at := time.Duration(0)
-	if !f.began.IsZero() {
-		at = time.Since(f.began)
+	if !f.startedAt.IsZero() {
+		at = time.Since(f.startedAt)
 	}
-	f.log.WithField("at_ms", at.Milliseconds()).Info(what)
+	f.log.WithField("at_ms", at.Milliseconds()).Info(message)
 	if f.Progress != nil {
-		f.Progress(at, what)
+		f.Progress(at, message)
 	}
 }
 
+// fail records an error that fails the run; the first one is kept.
 func (f *fleet) fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fault == nil {
-		f.fault = err
+	if f.firstErr == nil {
+		f.firstErr = err
 	}
 }
 
-// play starts everything, plays the script and ends everything.
-func (f *fleet) play(ctx context.Context) (starts []float64, err error) {
-	for file, j := range map[string]**journal{"run.jsonl": &f.runs, "callers.jsonl": &f.calls, "servers.jsonl": &f.serves} {
-		if *j, err = newJournal(f.file(file)); err != nil {
+// runScript starts all processes, executes the script and stops the processes. It returns the gatekeepers' start times in
+// seconds.
+func (f *fleet) runScript(ctx context.Context) (starts []float64, err error) {
+	for path, j := range map[string]**eventLog{"run.jsonl": &f.runs, "callers.jsonl": &f.calls, "servers.jsonl": &f.serves} {
+		if *j, err = newEventLog(f.path(path)); err != nil {
 			return nil, err
 		}
 	}
 	defer func() {
-		for _, j := range []*journal{f.runs, f.calls, f.serves} {
+		for _, j := range []*eventLog{f.runs, f.calls, f.serves} {
 			err = errors.Join(err, j.close())
 		}
 	}()
 	defer f.net.Close()
-	if err = f.serve(); err != nil {
+	if err = f.startServers(); err != nil {
 		return nil, err
 	}
-	defer f.endServers()
-	if err = f.link(); err != nil {
+	defer f.stopServers()
+	if err = f.openLinks(); err != nil {
 		return nil, err
 	}
 	defer f.bus.Close()
-	defer f.endGatekeepers()
+	defer f.stopGatekeepers()
 	if starts, err = f.startAll(ctx); err != nil {
 		return starts, err
 	}
-	calls, hangUp := context.WithCancel(context.Background())
-	var kept sync.WaitGroup
-	defer kept.Wait()
-	defer hangUp()
+	calls, disconnectCallers := context.WithCancel(context.Background())
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer disconnectCallers()
 	f.callers = lab.NewCallers(f.load())
 	for i, g := range f.gatekeepers {
-		kept.Go(func() { f.callers.Keep(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}]) })
+		background.Go(func() { f.callers.Keep(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}]) })
 	}
-	if err = f.allUp(ctx); err != nil {
+	if err = f.awaitCallers(ctx); err != nil {
 		return starts, err
 	}
 	if f.Ready != nil {
 		f.Ready(f.pids())
 	}
-	f.began = time.Now()
-	f.tell(fmt.Sprintf("%d gatekeepers, %d servers, %d zones: calls begin", f.s.Gatekeepers, f.s.Servers, f.s.Zones))
-	faults, cancel := context.WithCancel(ctx)
-	defer cancel()
+	f.startedAt = time.Now()
+	f.reportProgress(fmt.Sprintf("starting calls: %d gatekeepers, %d servers, %d zones", f.s.Gatekeepers, f.s.Servers, f.s.Zones))
+	faultContext, cancelFaults := context.WithCancel(ctx)
+	defer cancelFaults()
 	if f.s.Fleet {
-		if err = f.allAgree(ctx); err != nil {
+		if err = f.awaitAgreement(ctx); err != nil {
 			return starts, err
 		}
-		watching, enough := context.WithCancel(context.Background())
+		viewContext, stopViews := context.WithCancel(context.Background())
 		for _, g := range f.gatekeepers {
-			kept.Go(func() { f.watchView(watching, g) })
+			background.Go(func() { f.watchView(viewContext, g) })
 		}
-		defer enough()
+		defer stopViews()
 	}
-	looking, looked := context.WithCancel(context.Background())
-	defer looked()
-	kept.Go(func() { f.watchProcessors(looking) })
-	kept.Go(func() { f.watchTimers(looking) })
-	f.busy.Go(func() { f.timeline(faults) })
+	delayContext, stopDelays := context.WithCancel(context.Background())
+	defer stopDelays()
+	background.Go(func() { f.watchProcessors(delayContext) })
+	background.Go(func() { f.watchTimers(delayContext) })
+	f.faultTasks.Go(func() { f.runFaults(faultContext) })
 	f.callers.Play(ctx)
-	cancel()
-	f.busy.Wait()
-	if err := f.outcome(); err != nil {
+	cancelFaults()
+	f.faultTasks.Wait()
+	if err := f.writeOutcome(); err != nil {
 		return starts, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return starts, f.fault
+	return starts, f.firstErr
 }
 
-// outcome writes what the callers say of the run.
-func (f *fleet) outcome() error {
-	var all []*lab.Server
-	for _, v := range f.servers {
-		all = append(all, v.all...)
+// writeOutcome writes the statistics of the callers to a file.
+func (f *fleet) writeOutcome() error {
+	var instances []*lab.Server
+	for _, srv := range f.servers {
+		instances = append(instances, srv.instances...)
 	}
-	text, err := json.MarshalIndent(f.callers.Outcome(all), "", " ")
+	text, err := json.MarshalIndent(f.callers.Outcome(instances), "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(f.file(outcomeFile), text, 0o644)
+	return os.WriteFile(f.path(outcomeFile), text, 0o644)
 }
--- a/internal/fleetlab/links.go
+++ b/internal/fleetlab/links.go
@@ -7,8 +7,8 @@
 	"beammux/internal/fleetlab/script"
 )
 
-// link lays a relay on every way between two that talk.
-func (f *fleet) link() error {
+// openLinks creates the gatekeepers and opens a relay link for each connection between processes.
+func (f *fleet) openLinks() error {
 	tcp := func(from, to, service string) error {
 		l, err := f.net.TCP(from, to, service)
 		if err == nil {
@@ -22,8 +22,8 @@
 			g.limits = *f.s.Limits
 		}
 		f.gatekeepers = append(f.gatekeepers, g)
-		for _, v := range f.servers {
-			if err := tcp(g.name, v.name, g.name); err != nil {
+		for _, srv := range f.servers {
+			if err := tcp(g.name, srv.name, g.name); err != nil {
 				return err
 			}
 		}
@@ -55,15 +55,15 @@
 			}
 		}
 	}
-	for _, v := range f.servers {
-		if err := f.open(v); err != nil {
+	for _, srv := range f.servers {
+		if err := f.listenForGatekeepers(srv); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// dials gives the address at which a gatekeeper reaches a server by its name on the list.
+// dials returns a function that maps the host name of a server to the relay address at which the gatekeeper from dials it.
 func (f *fleet) dials(from string) func(string) string {
 	return func(host string) string {
 		n, _ := strconv.ParseUint(strings.TrimPrefix(host, "s-"), 16, 32)
--- a/internal/fleetlab/process.go
+++ b/internal/fleetlab/process.go
@@ -19,14 +19,14 @@
 	"beammux/internal/lab/launch"
 )
 
-// Program is how the gatekeeper is started: its path and, for a test binary that stands in for it, more of its environment.
+// Program is the gatekeeper's executable, with additional environment variables for a test binary that acts as gatekeeper.
 type Program struct {
 	Path string
 	Env  []string
 }
 
-// Build builds the gatekeeper once for all runs of this process, into a folder, and gives its program. root is the module's
-// folder.
+// Build builds the gatekeeper from the module at root into dir. Only the first call in a process builds; later calls return
+// its result.
 func Build(root, dir string) (Program, error) {
 	buildOnce.Do(func() {
 		path := dir + "/beammux"
@@ -46,28 +46,28 @@
 	buildErr  error
 )
 
-// process is one run of the gatekeeper's program.
+// process is a started gatekeeper process.
 type process struct {
-	name  string
-	cmd   *exec.Cmd
-	ops   chan string   // the operators' address, once it is known
-	gone  chan struct{} // closed when it has ended and its log is whole
-	state *os.ProcessState
-	err   error // why its log could not be kept
-
-	peak atomic.Int64 // most memory that it was seen to have had, KiB
-
-	mu     sync.Mutex
-	asked  bool // it was told to end, or killed by the laboratory
-	paused bool
+	name      string
+	cmd       *exec.Cmd
+	adminAddr chan string   // receives the operators' address from the log
+	exited    chan struct{} // closed when the process has exited and its log is complete
+	state     *os.ProcessState
+	err       error // first error of copying its log
+
+	peakKiB atomic.Int64 // highest observed peak of resident memory
+
+	mu            sync.Mutex
+	stopRequested bool // the laboratory sent SIGTERM or SIGKILL
+	paused        bool
 }
 
-// said is a line of a gatekeeper's log as far as the laboratory reads it while it runs.
-type said struct{ Msg, Listen string }
+// logLine holds the fields of a log line that the laboratory reads during the run.
+type logLine struct{ Msg, Listen string }
 
-// spawn starts a gatekeeper. Its log goes to a file, line by line; hear is told of each line that is JSON, and ended when it
-// has ended, before anybody who waits for that.
-func spawn(p Program, name, dir, logFile string, args, env []string, hear func(said), ended func(*process)) (*process, error) {
+// spawn starts a gatekeeper and copies its log to a file line by line. onLine is called for each JSON line; onExit is called
+// after the process has exited, before the channel exited is closed.
+func spawn(p Program, name, dir, logFile string, args, env []string, onLine func(logLine), onExit func(*process)) (*process, error) {
 	f, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -85,53 +85,54 @@
 		f.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r := &process{name: name, cmd: cmd, ops: make(chan string, 1), gone: make(chan struct{})}
+	proc := &process{name: name, cmd: cmd, adminAddr: make(chan string, 1), exited: make(chan struct{})}
 	go func() {
-		defer close(r.gone)
+		defer close(proc.exited)
 		out := bufio.NewWriter(f)
 		in := bufio.NewReaderSize(stderr, 64<<10)
 		for {
 			text, err := in.ReadBytes('\n')
 			if len(text) > 0 {
-				if _, e := out.Write(text); e != nil && r.err == nil {
-					r.err = e
+				if _, e := out.Write(text); e != nil && proc.err == nil {
+					proc.err = e
 				}
-				var s said
+				var s logLine
 				if json.Unmarshal(text, &s) == nil {
 					if s.Msg == "operators' address serving" {
 						select {
-						case r.ops <- s.Listen:
+						case proc.adminAddr <- s.Listen:
 						default:
 						}
 					}
-					hear(s)
+					onLine(s)
 				}
 				out.Flush()
 			}
 			if err != nil {
-				if err != io.EOF && r.err == nil {
-					r.err = err
+				if err != io.EOF && proc.err == nil {
+					proc.err = err
 				}
 				break
 			}
 		}
 		cmd.Wait()
-		r.state = cmd.ProcessState
+		proc.state = cmd.ProcessState
 		f.Close()
-		ended(r)
+		onExit(proc)
 	}()
-	return r, nil
+	return proc, nil
 }
 
-// Pid is the number of the process.
+// pid returns the process id.
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
+// signal sends a signal and records that the process is stopped or paused on purpose.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch s {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.asked = true
+		p.stopRequested = true
 	case syscall.SIGSTOP:
 		p.paused = true
 	case syscall.SIGCONT:
@@ -140,15 +141,17 @@
 	p.cmd.Process.Signal(s)
 }
 
-func (p *process) wasAsked() bool {
+// wasStopped reports whether the laboratory sent SIGTERM or SIGKILL.
+func (p *process) wasStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.stopRequested
 }
 
-func (p *process) over() bool {
+// hasExited reports whether the process has exited and its log is complete.
+func (p *process) hasExited() bool {
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return true
 	default:
 		return false
@@ -156,25 +159,25 @@
 }
 
 const (
-	readyWithin = 30 * time.Second
-	askEvery    = 5 * time.Millisecond
+	readyTimeout = 30 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-var errEnded = errors.New("it ended before it was ready")
+var errExited = errors.New("exited before it was ready")
 
-// ready returns once the operators' address says yes.
+// ready returns the operators' address when the process reports there that it is ready.
 func (p *process) ready(ctx context.Context) (addr string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	select {
-	case addr = <-p.ops:
-	case <-p.gone:
-		return "", fmt.Errorf("%s: %w (%v)", p.name, errEnded, p.state)
+	case addr = <-p.adminAddr:
+	case <-p.exited:
+		return "", fmt.Errorf("%s: %w (%v)", p.name, errExited, p.state)
 	case <-ctx.Done():
-		return "", fmt.Errorf("%s: no operators' address in its log: %w", p.name, ctx.Err())
+		return "", fmt.Errorf("%s: its log contains no operators' address: %w", p.name, ctx.Err())
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for tick := time.NewTicker(askEvery); ; {
+	for tick := time.NewTicker(pollInterval); ; {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/api/ready", nil)
 		if err != nil {
 			return "", err
@@ -188,44 +191,44 @@
 		}
 		select {
 		case <-tick.C:
-		case <-p.gone:
-			return "", fmt.Errorf("%s: %w (%v)", p.name, errEnded, p.state)
+		case <-p.exited:
+			return "", fmt.Errorf("%s: %w (%v)", p.name, errExited, p.state)
 		case <-ctx.Done():
 			return "", fmt.Errorf("%s: not ready: %w", p.name, ctx.Err())
 		}
 	}
 }
 
-// look notes the most memory that the process has had. What the kernel says of it after its end counts what it shared with
-// its parent before it became itself.
-func (p *process) look() {
+// samplePeakMemory updates peakKiB while the process runs. The peak that the kernel reports after the exit is not usable: it
+// includes memory shared with the parent between fork and exec.
+func (p *process) samplePeakMemory() {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.pid()))
 	if err != nil {
 		return
 	}
 	_, rest, _ := bytes.Cut(text, []byte("VmHWM:"))
 	var kib int64
-	if _, err := fmt.Sscan(string(rest[:min(len(rest), 40)]), &kib); err == nil && kib > p.peak.Load() {
-		p.peak.Store(kib)
+	if _, err := fmt.Sscan(string(rest[:min(len(rest), 40)]), &kib); err == nil && kib > p.peakKiB.Load() {
+		p.peakKiB.Store(kib)
 	}
 }
 
-// end ends the process by its number: SIGTERM and some time, then SIGKILL. It tells whether SIGTERM was enough.
-func (p *process) end(within time.Duration) bool {
-	p.look()
+// stop sends SIGTERM, and SIGKILL after the timeout. It reports whether the process exited without SIGKILL.
+func (p *process) stop(timeout time.Duration) bool {
+	p.samplePeakMemory()
 	p.signal(syscall.SIGCONT)
-	if !p.over() && within > 0 {
+	if !p.hasExited() && timeout > 0 {
 		p.signal(syscall.SIGTERM)
 		select {
-		case <-p.gone:
+		case <-p.exited:
 			return true
-		case <-time.After(within):
+		case <-time.After(timeout):
 		}
 	}
-	if p.over() {
+	if p.hasExited() {
 		return true
 	}
 	p.signal(syscall.SIGKILL)
-	<-p.gone
+	<-p.exited
 	return false
 }
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -15,8 +15,8 @@
 	"beammux/internal/fleetcheck"
 )
 
-// report writes the table and the plot of a run into its folder: report.txt, course.svg and course.png.
-func (s *Summary) report(dir string) error {
+// writeReport writes the table and the plots of a run into its folder: report.txt, course.svg and course.png.
+func (s *Summary) writeReport(dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, "report.txt"), []byte(s.Table()), 0o644); err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Table gives a run as text: what callers met with, each fault with its time to settle, each rule.
+// Table formats the result of a run as text: the outcomes of calls, each fault with its recovery time, and each rule.
 func (s *Summary) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d gatekeepers, %d servers, %d zones; rules %s", s.Seed, s.Gatekeepers, s.Servers, s.Zones, s.Verdict)
@@ -49,11 +49,11 @@
 	t := s.Stats
 	fmt.Fprintf(&b, "tries %d: stood %d, refused %d, failed %d, unanswered %d, connection ended %d; found no gatekeeper %d; set-ups to gated servers %d\n",
 		t.Tries, t.Established, t.Refused, t.Failed, t.Unanswered, t.Broken, t.Unsent, t.Gated)
-	if len(s.Starts) > 0 {
-		fmt.Fprintf(&b, "ready after: first start %.2f to %.2f s\n", slices.Min(s.Starts), slices.Max(s.Starts))
+	if len(s.StartTimes) > 0 {
+		fmt.Fprintf(&b, "ready after: first start %.2f to %.2f s\n", slices.Min(s.StartTimes), slices.Max(s.StartTimes))
 	}
-	if s.Joined > 0 {
-		fmt.Fprintf(&b, "all views of the fleet agree %.2f s after all were ready\n", s.Joined)
+	if s.AgreedAfter > 0 {
+		fmt.Fprintf(&b, "all views of the fleet agree %.2f s after all were ready\n", s.AgreedAfter)
 	}
 	if d := s.Disturbance; d.Count > 0 {
 		fmt.Fprintf(&b, "disturbance: held up for a processor %d times, the longest %d ms (%s)\n", d.Count, d.Longest/1000, d.Process)
@@ -84,7 +84,7 @@
 	return b.String()
 }
 
-// seconds writes a time of the views, "-" where there is none.
+// seconds formats a duration in seconds, or "-" if it is negative (never).
 func seconds(t control.Micros) string {
 	if t < 0 {
 		return "-"
@@ -92,16 +92,16 @@
 	return fmt.Sprintf("%.1f s", float64(t)/1e6)
 }
 
-const perPoint = 5 // buckets of the course in a point of the plot: half a second
+const bucketsPerPoint = 5 // buckets of the time series per point of the plot, that is half a second
 
-// plot draws the course: what became of the tries sent in each half second, and where faults were on.
+// plot plots the outcomes of the tries sent in each half second and the number of active faults.
 func (s *Summary) plot(kind string) ([]byte, error) {
 	names := []string{"stood", "refused", "failed or unanswered", "faults on"}
 	values := make([][]float64, len(names))
 	var labels []string
-	for i := 0; i < len(s.Course); i += perPoint {
+	for i := 0; i < len(s.Course); i += bucketsPerPoint {
 		var sum fleetcheck.Bucket
-		for _, b := range s.Course[i:min(i+perPoint, len(s.Course))] {
+		for _, b := range s.Course[i:min(i+bucketsPerPoint, len(s.Course))] {
 			sum.Established += b.Established
 			sum.Refused += b.Refused
 			sum.Failed += b.Failed + b.Lost
