--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -75,8 +75,8 @@
 	for _, c := range fit.Candidates {
 		if c.Plausible {
 			plausible++
-			require.GreaterOrEqual(t, e.High, max(0, c.line.at(2200)))
-			require.LessOrEqual(t, e.Low, max(0, c.line.at(2200)))
+			require.GreaterOrEqual(t, e.High, max(0, c.line.valueAt(2200)))
+			require.LessOrEqual(t, e.Low, max(0, c.line.valueAt(2200)))
 		}
 	}
 	require.Greater(t, plausible, 1)
@@ -97,7 +97,7 @@
 }
 
 // Whatever exact line was measured, the fit foretells it, and its interval holds it.
-func TestFitForetellsExactLaws(t *testing.T) {
+func TestFitPredictsExactLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		law := rapid.SampledFrom(Laws).Draw(t, "law")
 		offset, slope := rapid.Float64Range(1, 1000).Draw(t, "offset"), rapid.Float64Range(0.01, 100).Draw(t, "slope")
@@ -153,7 +153,7 @@
 	require.NoError(t, err)
 	m, err := NewModel(&Inputs{}, f)
 	require.NoError(t, err)
-	require.Equal(t, "`--faults kill-leader`; `--faults refuse`: not run", m.shown([]string{"kill-leader", "refuse"}))
+	require.Equal(t, "`--faults kill-leader`; `--faults refuse`: not run", m.evidence([]string{"kill-leader", "refuse"}))
 	got, err := m.Render("<!-- table:fault-runs -->\n<!-- end -->\n")
 	require.NoError(t, err)
 	require.Contains(t, got, "| cut-region | 400 | 1 | **broken in 1 of 1** | 3 s | 6.5 s | 1 s | 1.3 |\n")
@@ -265,12 +265,12 @@
 		{`at("absent", gatekeepers)`, "budget", 0, Unmeasured},
 		{"gatekeepers", "", 0, NoBudget},
 	} {
-		r, err := m.Compute(Row{What: "w", Unit: "us", Need: c.need, Budget: c.budget})
+		r, err := m.Compute(Row{Name: "w", Unit: "us", Need: c.need, Budget: c.budget})
 		require.NoError(t, err)
 		require.InDelta(t, c.headroom, r.Headroom, 1e-6, c.need)
 		require.Equal(t, c.verdict, r.Verdict, c.need)
 	}
-	_, err := m.Compute(Row{What: "w", Need: "gatekeepers", Budget: `at("absent", 1)`})
+	_, err := m.Compute(Row{Name: "w", Need: "gatekeepers", Budget: `at("absent", 1)`})
 	require.EqualError(t, err, "budget of w: not measured: absent")
 }
 
@@ -281,8 +281,8 @@
 	for _, role := range roles {
 		for _, row := range role.Rows {
 			_, err := m.Compute(row)
-			require.NoError(t, err, "%s: %s", role.Table, row.What)
-			require.NotEmpty(t, row.Carrier, row.What)
+			require.NoError(t, err, "%s: %s", role.Table, row.Name)
+			require.NotEmpty(t, row.Carrier, row.Name)
 		}
 	}
 }
@@ -321,11 +321,11 @@
 // Figures are written with three digits, and in the unit that suits them.
 func TestQuantity(t *testing.T) {
 	for want, got := range map[string]string{
-		"8.75 KB/s": quantity(8750, "B/s"), "264 KB": quantity(264071, "B"), "18.4 ms": quantity(18408, "us"),
-		"2.29 min": quantity(137.5, "s"), "2,200": quantity(2200, "number"), "31.9 times": quantity(31.948, "times"),
-		"0.0324 a second": quantity(0.032407, "1/s"), "0": quantity(0, "number"), "420,000": number(420000), "123,500": number(123456),
-		"-5.2": number(-5.2), "0.00012": number(0.00012), "8 us (7 to 9)": estimated(Estimate{8, 7, 9}, "us"),
-		"8 us": estimated(Estimate{8, 7.99, 8.01}, "us"), "3.2e-06": number(0.0000032),
+		"8.75 KB/s": formatQuantity(8750, "B/s"), "264 KB": formatQuantity(264071, "B"), "18.4 ms": formatQuantity(18408, "us"),
+		"2.29 min": formatQuantity(137.5, "s"), "2,200": formatQuantity(2200, "number"), "31.9 times": formatQuantity(31.948, "times"),
+		"0.0324 a second": formatQuantity(0.032407, "1/s"), "0": formatQuantity(0, "number"), "420,000": formatNumber(420000), "123,500": formatNumber(123456),
+		"-5.2": formatNumber(-5.2), "0.00012": formatNumber(0.00012), "8 us (7 to 9)": formatEstimate(Estimate{8, 7, 9}, "us"),
+		"8 us": formatEstimate(Estimate{8, 7.99, 8.01}, "us"), "3.2e-06": formatNumber(0.0000032),
 	} {
 		require.Equal(t, want, got)
 	}
--- a/internal/capacity/depth/depth.go
+++ b/internal/capacity/depth/depth.go
@@ -29,82 +29,82 @@
 	if levels <= 0 {
 		return a
 	}
-	perLevel, budgeted := Attempts(attempts), WithinBudget(attempts, ratio)
+	perLevel, budgeted := MaxAttempts(attempts), BudgetedAttempts(attempts, ratio)
 	a.Unbounded = math.Pow(perLevel, float64(levels))
 	a.Budgeted = math.Pow(budgeted, float64(levels))
 	a.Nearest, a.NearestRatio = perLevel, budgeted
 	return a
 }
 
-// Attempts is what one level sends for one call that fails each time.
-func Attempts(attempts int) float64 { return float64(max(1, attempts)) }
+// MaxAttempts is what one level sends for one call that fails each time.
+func MaxAttempts(attempts int) float64 { return float64(max(1, attempts)) }
 
-// WithinBudget is what one level sends at most for each call, on average, under a budget: 1 + ratio, and no more than its
+// BudgetedAttempts is what one level sends at most for each call, on average, under a budget: 1 + ratio, and no more than its
 // attempts.
-func WithinBudget(attempts int, ratio float64) float64 {
-	return min(Attempts(attempts), 1+max(0, ratio))
+func BudgetedAttempts(attempts int, ratio float64) float64 {
+	return min(MaxAttempts(attempts), 1+max(0, ratio))
 }
 
 // RatioFor gives the ratio with which so many levels together amplify by most at the last: most^(1/levels) - 1.
-func RatioFor(levels int, most float64) float64 {
-	if levels <= 0 || most <= 1 {
+func RatioFor(levels int, maxAmplification float64) float64 {
+	if levels <= 0 || maxAmplification <= 1 {
 		return 0
 	}
-	return math.Pow(most, 1/float64(levels)) - 1
+	return math.Pow(maxAmplification, 1/float64(levels)) - 1
 }
 
-// Handling says how a level tells the time that it has to the level below.
-type Handling uint8
+// DeadlinePropagation says how a level tells the time that it has to the level below.
+type DeadlinePropagation uint8
 
 // The ways.
 const (
-	PassedOn     Handling = iota // what is left of the own time, in whole milliseconds, rounded down
-	WholeSeconds                 // the same in whole seconds, rounded up, as the header Expires (RFC 3261, 20.19)
-	Renewed                      // the deadline of the class anew
+	RemainingMilliseconds DeadlinePropagation = iota // what is left of the own time, in whole milliseconds, rounded down
+	RemainingSeconds                                 // the same in whole seconds, rounded up, as the header Expires (RFC 3261, 20.19)
+	ClassDeadline                                    // the deadline of the class anew
 )
 
 // Level is what one level has when a call arrives there.
 type Level struct {
-	Level  int           `json:"level"`
-	Told   time.Duration `json:"told_ns"` // time that the level takes itself to have
-	Left   time.Duration `json:"left_ns"` // time that the first caller really waits on; not positive: nobody waits any more
-	InVain bool          `json:"in_vain"` // the level works although nobody waits
+	Level     int           `json:"level"`
+	Assumed   time.Duration `json:"told_ns"` // time that the level takes itself to have
+	Remaining time.Duration `json:"left_ns"` // time that the first caller really waits on; not positive: nobody waits any more
+	Wasted    bool          `json:"in_vain"` // the level works although nobody waits
 }
 
 // Deadlines follows one call down. spent passes at each level before it calls the next. deadline is that of the first caller,
 // and where deadlines are renewed also that of each level.
-func Deadlines(levels int, deadline, spent time.Duration, how Handling) []Level {
+func Deadlines(levels int, deadline, spent time.Duration, propagation DeadlinePropagation) []Level {
 	all := make([]Level, 0, max(0, levels))
-	told, left := deadline, deadline
+	assumed, remaining := deadline, deadline
 	for i := range levels {
-		all = append(all, Level{Level: i + 1, Told: told, Left: left, InVain: told > 0 && left <= 0})
-		left -= spent
-		switch how {
-		case PassedOn:
-			told = max(0, told-spent).Truncate(time.Millisecond)
-		case WholeSeconds:
-			told = (max(0, told-spent) + time.Second - 1).Truncate(time.Second)
+		all = append(all, Level{Level: i + 1, Assumed: assumed, Remaining: remaining, Wasted: assumed > 0 && remaining <= 0})
+		remaining -= spent
+		switch propagation {
+		case RemainingMilliseconds:
+			assumed = max(0, assumed-spent).Truncate(time.Millisecond)
+		case RemainingSeconds:
+			assumed = (max(0, assumed-spent) + time.Second - 1).Truncate(time.Second)
 		}
 	}
 	return all
 }
 
-// FirstInVain gives the first level that works although nobody waits; 0 where there is none.
-func FirstInVain(all []Level) int {
+// FirstWasted gives the first level that works although nobody waits; 0 where there is none.
+func FirstWasted(all []Level) int {
 	for _, l := range all {
-		if l.InVain {
+		if l.Wasted {
 			return l.Level
 		}
 	}
 	return 0
 }
 
-// RoomToRepeat gives the time of one attempt at each level if every level divides its time evenly over its attempts, so that
+// AttemptTimes gives the time of one attempt at each level if every level divides its time evenly over its attempts, so that
 // the last of them still has as much as the first: deadline / attempts^level.
-func RoomToRepeat(levels, attempts int, deadline time.Duration) []time.Duration {
+func AttemptTimes(levels, attempts int, deadline time.Duration) []time.Duration {
 	all := make([]time.Duration, 0, max(0, levels))
 	for level := 1; level <= levels; level++ {
-		all = append(all, time.Duration(float64(deadline)/math.Pow(Attempts(attempts), float64(level))))
+		all = append(all, time.Duration(float64(deadline)/math.Pow(MaxAttempts(attempts), float64(level))))
 	}
 	return all
 }
--- a/internal/capacity/depth/depth_test.go
+++ b/internal/capacity/depth/depth_test.go
@@ -52,22 +52,22 @@
 
 // Today's program, without a file of limits, makes as many attempts as the settings allow for a call that fails each time:
 // nothing tells a level that the failure came from below and has been repeated there.
-func TestEachLevelRepeatsToday(t *testing.T) {
+func TestEachLevelRetries(t *testing.T) {
 	settings := control.Settings{Gatekeepers: 1, Position: -1, OwnCell: -1, AttemptsCap: platformAttempts,
 		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.Idempotent}}}
-	require.Equal(t, platformAttempts, sends(t, settings, 1))
-	require.Equal(t, platformAttempts*platformAttempts, sends(t, settings, 2))
-	require.Equal(t, platformAttempts*platformAttempts*platformAttempts, sends(t, settings, 3))
+	require.Equal(t, platformAttempts, setUpsAtLastLevel(t, settings, 1))
+	require.Equal(t, platformAttempts*platformAttempts, setUpsAtLastLevel(t, settings, 2))
+	require.Equal(t, platformAttempts*platformAttempts*platformAttempts, setUpsAtLastLevel(t, settings, 3))
 	require.True(t, control.Retryable.Has(control.Failed))
 }
 
 // With a budget each level sends up to 1 + ratio for each call, as Amplify counts.
 func TestBudgetBoundsOneLevel(t *testing.T) {
-	const warm, calls = 20000, 60000 // a millisecond apart: the budget's window of 10 s is full after the first part
+	const warmUpCalls, calls = 20000, 60000 // a millisecond apart: the budget's window of 10 s is full after the first part
 	budget := retry.NewBudget(retry.BudgetConfig{Ratio: exampleRatio, MinPerS: 1, Burst: 10}, make([]control.Class, 1))
 	sent := 0
-	for i := range warm + calls {
-		if i == warm {
+	for i := range warmUpCalls + calls {
+		if i == warmUpCalls {
 			sent = 0
 		}
 		now := control.Micros(i * 1000)
@@ -80,74 +80,74 @@
 			sent++
 		}
 	}
-	most := depth.WithinBudget(platformAttempts, exampleRatio)
-	require.LessOrEqual(t, float64(sent)/calls, most)
-	require.InDelta(t, most, float64(sent)/calls, 0.02) // the window's newest second has only begun
+	maxAttempts := depth.BudgetedAttempts(platformAttempts, exampleRatio)
+	require.LessOrEqual(t, float64(sent)/calls, maxAttempts)
+	require.InDelta(t, maxAttempts, float64(sent)/calls, 0.02) // the window's newest second has only begun
 }
 
-// sends plays one call through levels of controllers, each with servers that pass it on to the level below. At the last level
+// setUpsAtLastLevel plays one call through levels of controllers, each with servers that pass it on to the level below. At the last level
 // every attempt fails, and each level answers a call that it refuses with an error. It returns the set-ups at the last level.
-func sends(t *testing.T, settings control.Settings, levels int) (last int) {
+func setUpsAtLastLevel(t *testing.T, settings control.Settings, levels int) (setUps int) {
 	t.Helper()
 	const servers = platformAttempts + 1
-	c := control.New(settings, uint64(levels))
+	controller := control.New(settings, uint64(levels))
 	now := control.Micros(1e6)
-	c.Handle(now, control.Start{})
+	controller.Handle(now, control.Start{})
 	list := control.List{}
 	for i := range servers {
 		list.Entries = append(list.Entries, control.Entry{Server: uint32(i + 1), Cell: i, State: control.Ready})
 	}
-	c.Handle(now, list)
-	queue := append([]control.Action{}, c.Handle(now, control.Call{ID: fmt.Sprint(levels), Deadline: now + 9e6})...)
+	controller.Handle(now, list)
+	queue := append([]control.Action{}, controller.Handle(now, control.Call{ID: fmt.Sprint(levels), Deadline: now + 9e6})...)
 	for attempt := 0; len(queue) > 0; {
-		a := queue[0]
+		action := queue[0]
 		queue = queue[1:]
-		if a.Kind != control.Send {
+		if action.Kind != control.Send {
 			continue
 		}
 		if levels == 1 {
-			last++
+			setUps++
 		} else {
-			last += sends(t, settings, levels-1)
+			setUps += setUpsAtLastLevel(t, settings, levels-1)
 		}
 		now += 1000
-		queue = append(queue, c.Handle(now, control.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: control.Failed, Elapsed: 1000})...)
+		queue = append(queue, controller.Handle(now, control.AttemptEnded{ID: action.ID, Attempt: attempt, Server: action.Server, Code: control.Failed, Elapsed: 1000})...)
 		attempt++
 	}
-	return last
+	return setUps
 }
 
 func TestDeadlines(t *testing.T) {
-	passed := depth.Deadlines(depth.Levels, platformDeadline, 100*time.Millisecond, depth.PassedOn)
-	require.Len(t, passed, depth.Levels)
-	require.Equal(t, platformDeadline, passed[0].Told)
-	require.Equal(t, 7200*time.Millisecond, passed[18].Told)
-	require.Equal(t, passed[18].Left, passed[18].Told)
-	require.Zero(t, depth.FirstInVain(passed))
+	milliseconds := depth.Deadlines(depth.Levels, platformDeadline, 100*time.Millisecond, depth.RemainingMilliseconds)
+	require.Len(t, milliseconds, depth.Levels)
+	require.Equal(t, platformDeadline, milliseconds[0].Assumed)
+	require.Equal(t, 7200*time.Millisecond, milliseconds[18].Assumed)
+	require.Equal(t, milliseconds[18].Remaining, milliseconds[18].Assumed)
+	require.Zero(t, depth.FirstWasted(milliseconds))
 
 	// A part of a millisecond is lost at each level.
-	fine := depth.Deadlines(depth.Levels, platformDeadline, 430*time.Microsecond, depth.PassedOn)
-	require.Equal(t, 18*(time.Millisecond-430*time.Microsecond), fine[18].Left-fine[18].Told)
+	truncated := depth.Deadlines(depth.Levels, platformDeadline, 430*time.Microsecond, depth.RemainingMilliseconds)
+	require.Equal(t, 18*(time.Millisecond-430*time.Microsecond), truncated[18].Remaining-truncated[18].Assumed)
 
 	// Whole seconds rounded up, as Expires is: what is told stays the same until a level spends a second.
-	coarse := depth.Deadlines(depth.Levels, platformDeadline, 600*time.Millisecond, depth.WholeSeconds)
-	require.Equal(t, platformDeadline, coarse[18].Told)
-	require.Equal(t, 16, depth.FirstInVain(coarse))
-	require.Equal(t, 7*time.Second, depth.Deadlines(2, platformDeadline, 2500*time.Millisecond, depth.WholeSeconds)[1].Told)
+	seconds := depth.Deadlines(depth.Levels, platformDeadline, 600*time.Millisecond, depth.RemainingSeconds)
+	require.Equal(t, platformDeadline, seconds[18].Assumed)
+	require.Equal(t, 16, depth.FirstWasted(seconds))
+	require.Equal(t, 7*time.Second, depth.Deadlines(2, platformDeadline, 2500*time.Millisecond, depth.RemainingSeconds)[1].Assumed)
 
-	slow := depth.Deadlines(depth.Levels, platformDeadline, time.Second, depth.PassedOn)
-	require.Zero(t, depth.FirstInVain(slow))
-	require.Zero(t, slow[9].Told)
+	slow := depth.Deadlines(depth.Levels, platformDeadline, time.Second, depth.RemainingMilliseconds)
+	require.Zero(t, depth.FirstWasted(slow))
+	require.Zero(t, slow[9].Assumed)
 
-	renewed := depth.Deadlines(depth.Levels, platformDeadline, time.Second, depth.Renewed)
-	require.Equal(t, 10, depth.FirstInVain(renewed))
-	require.Equal(t, platformDeadline, renewed[18].Told)
-	require.Equal(t, -9*time.Second, renewed[18].Left)
+	renewed := depth.Deadlines(depth.Levels, platformDeadline, time.Second, depth.ClassDeadline)
+	require.Equal(t, 10, depth.FirstWasted(renewed))
+	require.Equal(t, platformDeadline, renewed[18].Assumed)
+	require.Equal(t, -9*time.Second, renewed[18].Remaining)
 }
 
-func TestRoomToRepeat(t *testing.T) {
-	room := depth.RoomToRepeat(depth.Levels, 2, platformDeadline)
-	require.Equal(t, 4500*time.Millisecond, room[0])
-	require.InDelta(t, 17166, room[18].Nanoseconds(), 1) // 9 s / 2^19
-	require.Equal(t, platformDeadline, depth.RoomToRepeat(1, 1, platformDeadline)[0])
+func TestAttemptTimes(t *testing.T) {
+	times := depth.AttemptTimes(depth.Levels, 2, platformDeadline)
+	require.Equal(t, 4500*time.Millisecond, times[0])
+	require.InDelta(t, 17166, times[18].Nanoseconds(), 1) // 9 s / 2^19
+	require.Equal(t, platformDeadline, depth.AttemptTimes(1, 1, platformDeadline)[0])
 }
--- a/internal/capacity/depth/example_test.go
+++ b/internal/capacity/depth/example_test.go
@@ -12,9 +12,9 @@
 func ExampleAmplify() {
 	fmt.Println("levels  unbounded  ratio 0.2  ratio 0.1  ratio 0.05  nearest alone")
 	for _, levels := range []int{1, 2, 3, 5, 10, depth.Levels} {
-		at := func(ratio float64) depth.Amplification { return depth.Amplify(levels, 5, ratio) }
-		fmt.Printf("%6d  %9.3g  %9.2f  %9.2f  %10.2f  %.2f\n", levels, at(0).Unbounded, at(0.2).Budgeted, at(0.1).Budgeted,
-			at(0.05).Budgeted, at(0.1).NearestRatio)
+		amplify := func(ratio float64) depth.Amplification { return depth.Amplify(levels, 5, ratio) }
+		fmt.Printf("%6d  %9.3g  %9.2f  %9.2f  %10.2f  %.2f\n", levels, amplify(0).Unbounded, amplify(0.2).Budgeted, amplify(0.1).Budgeted,
+			amplify(0.05).Budgeted, amplify(0.1).NearestRatio)
 	}
 	fmt.Printf("ratio for at most twice as many at 19 levels: %.4f\n", depth.RatioFor(depth.Levels, 2))
 	// Output:
@@ -35,9 +35,9 @@
 	fmt.Println("spent at a level   milliseconds     whole seconds    class anew")
 	for _, spent := range []time.Duration{50, 430, 600, 1000} {
 		line := fmt.Sprintf("%13d ms", spent)
-		for _, how := range []depth.Handling{depth.PassedOn, depth.WholeSeconds, depth.Renewed} {
-			all := depth.Deadlines(depth.Levels, deadline, spent*time.Millisecond, how)
-			line += fmt.Sprintf("   %2d, %6v   ", depth.FirstInVain(all), all[depth.Levels-1].Told)
+		for _, propagation := range []depth.DeadlinePropagation{depth.RemainingMilliseconds, depth.RemainingSeconds, depth.ClassDeadline} {
+			all := depth.Deadlines(depth.Levels, deadline, spent*time.Millisecond, propagation)
+			line += fmt.Sprintf("   %2d, %6v   ", depth.FirstWasted(all), all[depth.Levels-1].Assumed)
 		}
 		fmt.Println(strings.TrimRight(line, " "))
 	}
--- a/internal/capacity/expression.go
+++ b/internal/capacity/expression.go
@@ -34,9 +34,11 @@
 }
 
 // ExpressionError says that a formula of the page can't be read.
-type ExpressionError struct{ Expression, What string }
+type ExpressionError struct{ Expression, Problem string }
 
-func (e *ExpressionError) Error() string { return fmt.Sprintf("formula %q: %s", e.Expression, e.What) }
+func (e *ExpressionError) Error() string {
+	return fmt.Sprintf("formula %q: %s", e.Expression, e.Problem)
+}
 
 // Advice implements advice.Error.
 func (e *ExpressionError) Advice() string {
@@ -108,7 +110,7 @@
 	missing    []string
 }
 
-func (e *evaluation) fail(format string, args ...any) (float64, error) {
+func (e *evaluation) errorf(format string, args ...any) (float64, error) {
 	return 0, &ExpressionError{e.expression, fmt.Sprintf(format, args...)}
 }
 
@@ -121,16 +123,16 @@
 			return strconv.ParseFloat(t.Value, 64)
 		}
 	case *ast.Ident:
-		return e.named(t.Name)
+		return e.resolveName(t.Name)
 	case *ast.BinaryExpr:
 		return e.binary(t)
 	case *ast.CallExpr:
 		return e.call(t)
 	}
-	return e.fail("holds what is neither number, name, operator nor function")
+	return e.errorf("holds what is neither number, name, operator nor function")
 }
 
-func (e *evaluation) named(name string) (float64, error) {
+func (e *evaluation) resolveName(name string) (float64, error) {
 	if v, ok := e.model.Inputs.Value(name); ok {
 		return v, nil
 	}
@@ -143,7 +145,7 @@
 			return e.pick(f.Estimate), nil
 		}
 	}
-	return e.fail("no input is named %q", name)
+	return e.errorf("no input is named %q", name)
 }
 
 func (e *evaluation) binary(t *ast.BinaryExpr) (float64, error) {
@@ -165,7 +167,7 @@
 	case token.QUO:
 		return x / y, nil
 	}
-	return e.fail("operator %s", t.Op)
+	return e.errorf("operator %s", t.Op)
 }
 
 var functions = map[string]func(a, b float64) float64{"pow": math.Pow, "max": math.Max, "min": math.Min}
@@ -173,10 +175,10 @@
 func (e *evaluation) call(t *ast.CallExpr) (float64, error) {
 	name, ok := t.Fun.(*ast.Ident)
 	if !ok {
-		return e.fail("calls what is no function")
+		return e.errorf("calls what is no function")
 	}
 	if name.Name == "at" {
-		return e.measured(t.Args)
+		return e.seriesValue(t.Args)
 	}
 	var args []float64
 	for _, a := range t.Args {
@@ -192,21 +194,21 @@
 	case f != nil && len(args) == 2:
 		return f(args[0], args[1]), nil
 	}
-	return e.fail("no function %s with %d arguments", name.Name, len(args))
+	return e.errorf("no function %s with %d arguments", name.Name, len(args))
 }
 
-// measured is at("SERIES", SIZE): what the runs gave at that size, or else what the fit gives there.
-func (e *evaluation) measured(args []ast.Expr) (float64, error) {
+// seriesValue is at("SERIES", SIZE): what the runs gave at that size, or else what the fit gives there.
+func (e *evaluation) seriesValue(args []ast.Expr) (float64, error) {
 	if len(args) != 2 {
-		return e.fail("at has a series and a size")
+		return e.errorf("at has a series and a size")
 	}
 	text, ok := args[0].(*ast.BasicLit)
 	if !ok || text.Kind != token.STRING {
-		return e.fail("the first argument of at is no text")
+		return e.errorf("the first argument of at is no text")
 	}
 	name, err := strconv.Unquote(text.Value)
 	if err != nil {
-		return e.fail("%v", err)
+		return e.errorf("%v", err)
 	}
 	size, err := e.value(args[1])
 	if err != nil {
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// LeastSizes is how many sizes a series needs to be fitted.
-	LeastSizes = 5
-	// tolerated is by how much the cross-validated error of a simpler law may lie above the least one.
-	tolerated = 1.25
-	// negligible is a cross-validated error, as a part of the median, below which laws are not told apart.
-	negligible = 0.01
-	// mostResidual is the relative residual above which even the law that fits best does not describe the series.
-	mostResidual = 0.5
-	// leastWeight keeps a size whose median is next to nothing from deciding alone: it counts as this part of the greatest.
-	leastWeight = 0.01
+	// MinSizes is how many sizes a series needs to be fitted.
+	MinSizes = 5
+	// plausibleErrorRatio is by how much the cross-validated error of a simpler law may lie above the least one.
+	plausibleErrorRatio = 1.25
+	// negligibleError is a cross-validated error, as a part of the median, below which laws are not told apart.
+	negligibleError = 0.01
+	// maxResidual is the relative residual above which even the law that fits best does not describe the series.
+	maxResidual = 0.5
+	// minScaleRatio keeps a size whose median is next to nothing from deciding alone: it counts as this part of the greatest.
+	minScaleRatio = 0.01
 )
 
 // TooFewSizes says that a series can't be fitted.
@@ -25,7 +25,7 @@
 }
 
 func (e *TooFewSizes) Error() string {
-	return fmt.Sprintf("series %q has %d sizes, %d are needed for a slope", e.Series, e.Sizes, LeastSizes)
+	return fmt.Sprintf("series %q has %d sizes, %d are needed for a slope", e.Series, e.Sizes, MinSizes)
 }
 
 // Advice implements advice.Error.
@@ -39,7 +39,7 @@
 }
 
 func (e *NoLaw) Error() string {
-	return fmt.Sprintf("series %q follows no law: the best, %s, leaves a residual of %s", e.Series, e.Best, percent(e.Residual))
+	return fmt.Sprintf("series %q follows no law: the best, %s, leaves a residual of %s", e.Series, e.Best, formatPercent(e.Residual))
 }
 
 // Advice implements advice.Error.
@@ -49,13 +49,13 @@
 
 // Candidate is one law as it fits a series.
 type Candidate struct {
-	Law       Law
-	Offset    float64
-	Slope     float64
-	Residual  float64 // relative to the size's median: root of the mean squared one over the degrees of freedom
-	Error     float64 // cross-validated, relative to the size's median
-	Plausible bool    // the criterion leaves it in question
-	line      line
+	Law             Law
+	Offset          float64
+	Slope           float64
+	Residual        float64 // relative to the size's median: root of the mean squared one over the degrees of freedom
+	PredictionError float64 // cross-validated, relative to the size's median
+	Plausible       bool    // the criterion leaves it in question
+	line            line
 }
 
 // Fit is the law of a series, with what else the measured sizes allow.
@@ -69,7 +69,7 @@
 	Chosen     Candidate
 	Candidates []Candidate // by law; without the logarithm where a size is 0
 	Sizes      int
-	Least      float64 // size that was run
+	Smallest   float64 // size that was run
 	Largest    float64 // size that was run
 	Spread     float64 // greatest (max - min) / median among the sizes
 }
@@ -82,33 +82,33 @@
 
 // FitSeries finds the law of a series. The error is a *TooFewSizes or a *NoLaw.
 func FitSeries(s *Series) (*Fit, error) {
-	if len(s.Points) < LeastSizes {
+	if len(s.Points) < MinSizes {
 		return nil, &TooFewSizes{Series: s.Name, Sizes: len(s.Points)}
 	}
 	samples := samplesOf(s)
-	f := &Fit{Series: s, Sizes: len(s.Points), Least: s.Points[0].N, Largest: s.Points[len(s.Points)-1].N}
+	f := &Fit{Series: s, Sizes: len(s.Points), Smallest: s.Points[0].N, Largest: s.Points[len(s.Points)-1].N}
 	for _, p := range s.Points {
 		f.Spread = max(f.Spread, p.Spread())
 	}
-	least := math.Inf(1)
+	leastError := math.Inf(1)
 	for _, law := range Laws {
-		if law == Logarithmic && f.Least <= 0 {
+		if law == Logarithmic && f.Smallest <= 0 {
 			continue
 		}
 		l := fitLine(law, samples)
 		c := Candidate{Law: law, Offset: l.offset, Slope: l.slope, Residual: l.residual(samples),
-			Error: crossValidated(law, samples), line: l}
+			PredictionError: crossValidationError(law, samples), line: l}
 		f.Candidates = append(f.Candidates, c)
-		least = min(least, c.Error)
+		leastError = min(leastError, c.PredictionError)
 	}
-	bound := max(tolerated*least, negligible)
+	bound := max(plausibleErrorRatio*leastError, negligibleError)
 	for i := len(f.Candidates) - 1; i >= 0; i-- {
-		if f.Candidates[i].Error <= bound {
+		if f.Candidates[i].PredictionError <= bound {
 			f.Candidates[i].Plausible = true
 			f.Chosen = f.Candidates[i]
 		}
 	}
-	if f.Chosen.Residual > mostResidual {
+	if f.Chosen.Residual > maxResidual {
 		return nil, &NoLaw{Series: s.Name, Best: f.Chosen.Law, Residual: f.Chosen.Residual}
 	}
 	return f, nil
@@ -125,7 +125,7 @@
 	}
 	var samples []sample
 	for _, p := range s.Points {
-		scale := max(math.Abs(p.Median()), leastWeight*greatest)
+		scale := max(math.Abs(p.Median()), minScaleRatio*greatest)
 		samples = append(samples, sample{n: p.N, value: p.Median(), weight: 1 / (scale * scale)})
 	}
 	return samples
@@ -135,33 +135,33 @@
 // residual relative to the value), widened to the values of every other plausible law. Beyond the largest size that was run
 // the value is never below the median there: a law that small sizes have drawn too low must not make a cost look smaller.
 func (f *Fit) At(n float64) Estimate {
-	value := max(0, f.Chosen.line.at(n))
-	e := Exactly(value)
-	freedom := f.Sizes - f.Chosen.Law.parameters()
-	half := student95(freedom) * f.Chosen.Residual * math.Sqrt(max(0, f.Chosen.line.variance(n))+value*value)
-	e.Low, e.High = max(0, value-half), value+half
+	value := max(0, f.Chosen.line.valueAt(n))
+	estimate := Exactly(value)
+	degreesOfFreedom := f.Sizes - f.Chosen.Law.parameters()
+	halfWidth := student95(degreesOfFreedom) * f.Chosen.Residual * math.Sqrt(max(0, f.Chosen.line.variance(n))+value*value)
+	estimate.Low, estimate.High = max(0, value-halfWidth), value+halfWidth
 	for _, c := range f.Candidates {
 		if c.Plausible {
-			other := max(0, c.line.at(n))
-			e.Low, e.High = min(e.Low, other), max(e.High, other)
+			other := max(0, c.line.valueAt(n))
+			estimate.Low, estimate.High = min(estimate.Low, other), max(estimate.High, other)
 		}
 	}
 	if largest := f.Series.Points[f.Sizes-1]; n > largest.N {
-		e.Value = max(e.Value, largest.Median())
-		e.High = max(e.High, e.Value)
+		estimate.Value = max(estimate.Value, largest.Median())
+		estimate.High = max(estimate.High, estimate.Value)
 	}
-	return e
+	return estimate
 }
 
 // student95 is the two-sided 95% point of Student's t distribution.
-func student95(freedom int) float64 {
+func student95(degreesOfFreedom int) float64 {
 	points := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
 		2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
-	if freedom < 1 {
+	if degreesOfFreedom < 1 {
 		return math.Inf(1)
 	}
-	if freedom > len(points) {
-		return 1.96 + 2.5/float64(freedom)
+	if degreesOfFreedom > len(points) {
+		return 1.96 + 2.5/float64(degreesOfFreedom)
 	}
-	return points[freedom-1]
+	return points[degreesOfFreedom-1]
 }
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -25,22 +25,22 @@
 	unit   string
 }
 
-// scaleOf finds how a value of a unit is shown.
-func scaleOf(v float64, unit string) scale {
-	known := scales[unit]
-	for _, s := range known {
+// scaleFor finds how a value of a unit is shown.
+func scaleFor(v float64, unit string) scale {
+	candidates := scales[unit]
+	for _, s := range candidates {
 		if math.Abs(v) >= s.factor {
 			return s
 		}
 	}
-	if len(known) > 0 {
-		return known[len(known)-1]
+	if len(candidates) > 0 {
+		return candidates[len(candidates)-1]
 	}
 	return scale{1, unit}
 }
 
-// number writes a value with three significant digits, whole thousands with commas.
-func number(v float64) string {
+// formatNumber writes a value with three significant digits, whole thousands with commas.
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -50,7 +50,7 @@
 			step := math.Pow(10, digits)
 			v = math.Round(v/step) * step
 		}
-		return thousands(strconv.FormatFloat(v, 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(v, 'f', 0, 64))
 	}
 	text := strconv.FormatFloat(v, 'g', 3, 64)
 	if plain, err := strconv.ParseFloat(text, 64); err == nil && !(math.Abs(plain) < 1e-4) {
@@ -59,31 +59,31 @@
 	return text
 }
 
-func thousands(digits string) string {
+func groupThousands(digits string) string {
 	sign := ""
 	if strings.HasPrefix(digits, "-") {
 		sign, digits = "-", digits[1:]
 	}
-	for at := len(digits) - 3; at > 0; at -= 3 {
-		digits = digits[:at] + "," + digits[at:]
+	for position := len(digits) - 3; position > 0; position -= 3 {
+		digits = digits[:position] + "," + digits[position:]
 	}
 	return sign + digits
 }
 
-// quantity writes a value with its unit.
-func quantity(v float64, unit string) string {
-	s := scaleOf(v, unit)
-	return strings.TrimSpace(number(v/s.factor) + " " + s.unit)
+// formatQuantity writes a value with its unit.
+func formatQuantity(v float64, unit string) string {
+	s := scaleFor(v, unit)
+	return strings.TrimSpace(formatNumber(v/s.factor) + " " + s.unit)
 }
 
-// shown is the part of a value by which its interval must differ to be written.
-const shown = 0.02
+// minShownInterval is the part of a value by which its interval must differ to be written.
+const minShownInterval = 0.02
 
-// estimated writes a value, and its interval in the value's unit.
-func estimated(e Estimate, unit string) string {
-	if e.High-e.Low <= shown*math.Abs(e.Value) {
-		return quantity(e.Value, unit)
+// formatEstimate writes a value, and its interval in the value's unit.
+func formatEstimate(e Estimate, unit string) string {
+	if e.High-e.Low <= minShownInterval*math.Abs(e.Value) {
+		return formatQuantity(e.Value, unit)
 	}
-	s := scaleOf(e.Value, unit)
-	return quantity(e.Value, unit) + " (" + number(e.Low/s.factor) + " to " + number(e.High/s.factor) + ")"
+	s := scaleFor(e.Value, unit)
+	return formatQuantity(e.Value, unit) + " (" + formatNumber(e.Low/s.factor) + " to " + formatNumber(e.High/s.factor) + ")"
 }
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -27,25 +27,25 @@
 		return nil, err
 	}
 	seen := map[string]bool{}
-	for _, one := range in.Inputs {
+	for _, input := range in.Inputs {
 		switch {
-		case one.Name == "" || one.Unit == "" || one.Changeable == "" || one.About == "":
-			return nil, &FileError{File: name, Err: fmt.Errorf("input %q: name, unit, changeable and about must be there", one.Name)}
-		case seen[one.Name]:
-			return nil, &FileError{File: name, Err: fmt.Errorf("input %q is there twice", one.Name)}
-		case math.IsNaN(one.Value) || math.IsInf(one.Value, 0) || one.Value < 0:
-			return nil, &FileError{File: name, Err: fmt.Errorf("input %q: %v is no number of at least 0", one.Name, one.Value)}
+		case input.Name == "" || input.Unit == "" || input.Changeable == "" || input.About == "":
+			return nil, &FileError{File: name, Err: fmt.Errorf("input %q: name, unit, changeable and about must be there", input.Name)}
+		case seen[input.Name]:
+			return nil, &FileError{File: name, Err: fmt.Errorf("input %q is there twice", input.Name)}
+		case math.IsNaN(input.Value) || math.IsInf(input.Value, 0) || input.Value < 0:
+			return nil, &FileError{File: name, Err: fmt.Errorf("input %q: %v is no number of at least 0", input.Name, input.Value)}
 		}
-		seen[one.Name] = true
+		seen[input.Name] = true
 	}
 	return &in, nil
 }
 
 // Value gives an input by its name.
 func (in *Inputs) Value(name string) (float64, bool) {
-	for _, one := range in.Inputs {
-		if one.Name == name {
-			return one.Value, true
+	for _, input := range in.Inputs {
+		if input.Name == name {
+			return input.Value, true
 		}
 	}
 	return 0, false
--- a/internal/capacity/law.go
+++ b/internal/capacity/law.go
@@ -73,8 +73,8 @@
 		varOffset: xx / determinant, varSlope: w / determinant, covariance: -x / determinant}
 }
 
-// at gives the line's value at a size.
-func (l line) at(n float64) float64 { return l.offset + l.slope*l.law.regressor(n) }
+// valueAt gives the line's value at a size.
+func (l line) valueAt(n float64) float64 { return l.offset + l.slope*l.law.regressor(n) }
 
 // variance is that of the line's value at a size, in units of the weighted residual's.
 func (l line) variance(n float64) float64 {
@@ -86,21 +86,21 @@
 func (l line) residual(samples []sample) float64 {
 	sum := 0.0
 	for _, s := range samples {
-		d := s.value - l.at(s.n)
+		d := s.value - l.valueAt(s.n)
 		sum += s.weight * d * d
 	}
 	return math.Sqrt(sum / float64(len(samples)-l.law.parameters()))
 }
 
-// crossValidated is the root of the mean weighted squared error with which a law fitted to all sizes but one foretells
+// crossValidationError is the root of the mean weighted squared error with which a law fitted to all sizes but one foretells
 // that one.
-func crossValidated(law Law, samples []sample) float64 {
+func crossValidationError(law Law, samples []sample) float64 {
 	sum := 0.0
 	others := make([]sample, 0, len(samples)-1)
-	for i, left := range samples {
+	for i, heldOut := range samples {
 		others = append(append(others[:0], samples[:i]...), samples[i+1:]...)
-		d := left.value - fitLine(law, others).at(left.n)
-		sum += left.weight * d * d
+		d := heldOut.value - fitLine(law, others).valueAt(heldOut.n)
+		sum += heldOut.weight * d * d
 	}
 	return math.Sqrt(sum / float64(len(samples)))
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -123,7 +123,7 @@
 	require.NoError(t, err)
 	m, err := modelOf(files)
 	require.NoError(t, err)
-	used := m.seriesNames()
+	used := m.usedSeries()
 	require.Greater(t, len(used), 10)
 	for _, key := range used {
 		changed := &File{}
@@ -155,11 +155,11 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, m.runs)
 	for i := range m.runs {
-		m.runs[i].Held = !m.runs[i].Held
+		m.runs[i].RulesHeld = !m.runs[i].RulesHeld
 		got, err := m.Render(text)
 		require.NoError(t, err)
 		require.NotEqual(t, text, got, "run %d", i)
-		m.runs[i].Held = !m.runs[i].Held
+		m.runs[i].RulesHeld = !m.runs[i].RulesHeld
 	}
 }
 
@@ -172,11 +172,11 @@
 		lines := strings.Split(got, "\n")[3:] // below the marker, the head and the rule
 		for i, row := range role.Rows {
 			cells := strings.Split(lines[i], " | ")
-			require.Equal(t, row.What, cells[1])
+			require.Equal(t, row.Name, cells[1])
 			if strings.Contains(row.Need, "at(") {
-				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.What)
+				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.Name)
 			} else {
-				require.Equal(t, "inputs alone", cells[5], row.What)
+				require.Equal(t, "inputs alone", cells[5], row.Name)
 			}
 		}
 	}
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -43,20 +43,20 @@
 
 // Tests that the page names are there.
 func TestNamedTestsAreThere(t *testing.T) {
-	named := regexp.MustCompile(`Test\w+`)
+	testName := regexp.MustCompile(`Test\w+`)
 	found := 0
 	for _, f := range failureRows {
-		for _, name := range named.FindAllString(f.Tests, -1) {
+		for _, name := range testName.FindAllString(f.Tests, -1) {
 			found++
-			require.True(t, testIsThere(t, name), name)
+			require.True(t, testExists(t, name), name)
 		}
 	}
 	require.Greater(t, found, 8)
-	require.False(t, testIsThere(t, "TestNoneOfThisName"))
+	require.False(t, testExists(t, "TestNoneOfThisName"))
 }
 
-// testIsThere looks for a test function in the packages that the page names tests of.
-func testIsThere(t *testing.T, name string) bool {
+// testExists looks for a test function in the packages that the page names tests of.
+func testExists(t *testing.T, name string) bool {
 	t.Helper()
 	for _, pattern := range []string{"*_test.go", "../../control/session/*_test.go", "../../cmd/beammux/*_test.go", "../scalelab/*_test.go"} {
 		files, err := filepath.Glob(pattern)
@@ -73,9 +73,9 @@
 }
 
 // Packages that the page names are there.
-func TestCarriersAreThere(t *testing.T) {
+func TestCarriersExist(t *testing.T) {
 	named := 0
-	there := func(text string) {
+	requirePackages := func(text string) {
 		for _, path := range packagePath.FindAllString(text, -1) {
 			named++
 			info, err := os.Stat("../../" + path)
@@ -85,19 +85,19 @@
 	}
 	for _, role := range roles {
 		for _, row := range role.Rows {
-			there(row.Carrier)
+			requirePackages(row.Carrier)
 		}
 	}
 	for _, f := range failureRows {
-		there(f.Right + f.Tests)
+		requirePackages(f.Recovery + f.Tests)
 	}
-	for _, one := range sources(t) {
-		in, err := ParseInputs(inputsFile, []byte(one))
+	for _, source := range sources(t) {
+		in, err := ParseInputs(inputsFile, []byte(source))
 		if err != nil {
 			continue
 		}
 		for _, i := range in.Inputs {
-			there(i.About)
+			requirePackages(i.About)
 		}
 	}
 	require.Greater(t, named, 30)
--- a/internal/capacity/quorum_test.go
+++ b/internal/capacity/quorum_test.go
@@ -11,12 +11,12 @@
 	machines := Placement()
 	require.Len(t, machines, 13)
 	require.Equal(t, 5, Voters(machines))
-	require.Len(t, zonesOf(machines), 6)
-	require.Len(t, namesOf(machines), 13)
+	require.Len(t, zoneNames(machines), 6)
+	require.Len(t, machineNames(machines), 13)
 	byRegion, byZone, votersByZone := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, m := range machines {
 		byZone[m.Zone]++
-		if m.Votes {
+		if m.Voter {
 			byRegion[m.Region]++
 			votersByZone[m.Zone]++
 		}
@@ -36,7 +36,7 @@
 	for _, f := range Failures(machines) {
 		c := counts[f.Kind]
 		c.all++
-		if HasQuorum(machines, f.Left(machines)) {
+		if HasQuorum(machines, f.Remaining(machines)) {
 			c.survived++
 		}
 		counts[f.Kind] = c
@@ -55,11 +55,11 @@
 // Two regions that reach each other have a majority, one alone has none.
 func TestQuorumOfPartedRegions(t *testing.T) {
 	machines := Placement()
-	for _, region := range regionsOf(machines) {
-		parted := Failure{Lost: in(Machine.region, region)}
-		others := parted.Left(machines)
+	for _, region := range regionNames(machines) {
+		parted := Failure{Lost: fieldIn(Machine.region, region)}
+		others := parted.Remaining(machines)
 		require.True(t, HasQuorum(machines, others), "without %s", region)
-		alone := Failure{Lost: func(m Machine) bool { return m.Region != region }}.Left(machines)
+		alone := Failure{Lost: func(m Machine) bool { return m.Region != region }}.Remaining(machines)
 		require.False(t, HasQuorum(machines, alone), "%s alone", region)
 	}
 	require.False(t, HasQuorum(machines, nil))
@@ -68,10 +68,10 @@
 // The network's part of a write, by hand: the second answer of the other voters, with 20, 35 and 45 ms between regions and 1 ms within.
 func TestCommitRoundTrip(t *testing.T) {
 	machines := Placement()
-	trips := RoundTrips{Zone: 1, Regions: map[[2]string]float64{{"a", "b"}: 20, {"a", "c"}: 35, {"b", "c"}: 45}}
+	trips := RoundTrips{WithinRegion: 1, BetweenRegions: map[[2]string]float64{{"a", "b"}: 20, {"a", "c"}: 35, {"b", "c"}: 45}}
 	leaders := map[string]Machine{}
 	for _, m := range machines {
-		if m.Votes {
+		if m.Voter {
 			leaders[m.Region] = m
 		}
 	}
@@ -82,12 +82,12 @@
 		{"a", "", 20}, {"b", "", 20}, {"c", "", 35}, // c: both of a answer after 35
 		{"a", "b", 35}, {"a", "c", 20}, {"b", "a", 45}, {"b", "c", 20}, {"c", "a", 45}, {"c", "b", 35},
 	} {
-		left := Failure{Lost: in(Machine.region, c.lost)}.Left(machines)
+		left := Failure{Lost: fieldIn(Machine.region, c.lost)}.Remaining(machines)
 		got, ok := CommitRoundTrip(machines, left, leaders[c.leader], trips)
 		require.True(t, ok, "%+v", c)
 		require.Equal(t, c.want, got, "%+v", c)
 	}
-	alone := Failure{Lost: in(Machine.region, "a", "c")}.Left(machines)
+	alone := Failure{Lost: fieldIn(Machine.region, "a", "c")}.Remaining(machines)
 	_, ok := CommitRoundTrip(machines, alone, leaders["b"], trips)
 	require.False(t, ok)
 	ms, ok := CommitRoundTrip(machines[:1], machines[:1], machines[0], trips)
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -14,68 +14,68 @@
 
 // PageError says what is wrong with the page's markers.
 type PageError struct {
-	Line int
-	What string
+	Line    int
+	Problem string
 }
 
-func (e *PageError) Error() string { return fmt.Sprintf("docs/CAPACITY.md:%d: %s", e.Line, e.What) }
+func (e *PageError) Error() string { return fmt.Sprintf("docs/CAPACITY.md:%d: %s", e.Line, e.Problem) }
 
 // Advice implements advice.Error.
 func (e *PageError) Advice() string {
 	return tableBegin + "NAME" + tableTitle + " begins a table and " + tableEnd + " ends it, each on a line of its own"
 }
 
-// inline is a figure within a line of text: <!-- = UNIT FORMULA -->figure<!-- / -->.
-var inline = regexp.MustCompile(`(<!-- = (\S+) (.+?) -->)[^<]*(<!-- / -->)`)
+// inlineFigures is a figure within a line of text: <!-- = UNIT FORMULA -->figure<!-- / -->.
+var inlineFigures = regexp.MustCompile(`(<!-- = (\S+) (.+?) -->)[^<]*(<!-- / -->)`)
 
 // Render gives the page with every table, and every figure within the text, computed anew. What is outside the markers stays
 // as it is.
 func (m *Model) Render(page string) (string, error) {
 	var out strings.Builder
 	tables := m.tables()
-	within, begun := "", 0
+	currentTable, beginLine := "", 0
 	for i, row := range strings.SplitAfter(page, "\n") {
 		text := strings.TrimSpace(row)
 		switch {
 		case strings.HasPrefix(text, tableBegin):
-			if within != "" {
-				return "", &PageError{i + 1, "a table begins within table " + within}
+			if currentTable != "" {
+				return "", &PageError{i + 1, "a table begins within table " + currentTable}
 			}
-			within, begun = strings.TrimSuffix(strings.TrimPrefix(text, tableBegin), tableTitle), i+1
-			table := tables[within]
+			currentTable, beginLine = strings.TrimSuffix(strings.TrimPrefix(text, tableBegin), tableTitle), i+1
+			table := tables[currentTable]
 			if table == nil {
-				return "", &PageError{i + 1, fmt.Sprintf("there is no table %q", within)}
+				return "", &PageError{i + 1, fmt.Sprintf("there is no table %q", currentTable)}
 			}
 			rendered, err := table()
 			if err != nil {
-				return "", fmt.Errorf("table %s: %w", within, err)
+				return "", fmt.Errorf("table %s: %w", currentTable, err)
 			}
 			out.WriteString(row + rendered)
 		case text == tableEnd:
-			if within == "" {
+			if currentTable == "" {
 				return "", &PageError{i + 1, "the end of no table"}
 			}
-			within = ""
+			currentTable = ""
 			out.WriteString(row)
-		case within == "":
-			filled, err := m.inline(row)
+		case currentTable == "":
+			filled, err := m.inlineFigures(row)
 			if err != nil {
 				return "", fmt.Errorf("docs/CAPACITY.md:%d: %w", i+1, err)
 			}
 			out.WriteString(filled)
 		}
 	}
-	if within != "" {
-		return "", &PageError{begun, "table " + within + " has no end"}
+	if currentTable != "" {
+		return "", &PageError{beginLine, "table " + currentTable + " has no end"}
 	}
 	return out.String(), nil
 }
 
-// inline computes the figures within a line of text.
-func (m *Model) inline(text string) (filled string, err error) {
-	filled = inline.ReplaceAllStringFunc(text, func(found string) string {
-		parts := inline.FindStringSubmatch(found)
-		value, e := m.fill("{{" + parts[2] + " " + parts[3] + "}}")
+// inlineFigures computes the figures within a line of text.
+func (m *Model) inlineFigures(text string) (filled string, err error) {
+	filled = inlineFigures.ReplaceAllStringFunc(text, func(found string) string {
+		parts := inlineFigures.FindStringSubmatch(found)
+		value, e := m.fillPlaceholders("{{" + parts[2] + " " + parts[3] + "}}")
 		if e != nil {
 			err = e
 		}
@@ -84,8 +84,8 @@
 	return filled, err
 }
 
-// markdown writes a table.
-func markdown(head []string, rows [][]string) string {
+// markdownTable writes a table.
+func markdownTable(head []string, rows [][]string) string {
 	var out strings.Builder
 	line := func(cells []string) {
 		escaped := make([]string, len(cells))
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -12,12 +12,12 @@
 
 // Row is one line of a role's table: what a mechanism needs at the planned size, and what it may use.
 type Row struct {
-	What    string
-	Unit    string
-	Need    string // formula
-	Budget  string // formula; "": none is stated
-	Carrier string // package and name, or Missing
-	Before  string // carrier before configuration was delivered by watch, where it was another one
+	Name            string
+	Unit            string
+	Need            string // formula
+	Budget          string // formula; "": none is stated
+	Carrier         string // package and name, or Missing
+	PreviousCarrier string // carrier before configuration was delivered by watch, where it was another one
 }
 
 // Verdict tells whether a need is within its budget.
@@ -40,18 +40,18 @@
 // Result is a row computed.
 type Result struct {
 	Row
-	Figure   *Figure // nil where something is not measured
-	Missing  *NotMeasured
-	Allowed  float64 // the budget
-	Headroom float64 // budget / need: over 1 is within
-	Verdict  Verdict
+	Figure        *Figure // nil where something is not measured
+	MissingSeries *NotMeasured
+	BudgetValue   float64 // the budget
+	Headroom      float64 // budget / need: over 1 is within
+	Verdict       Verdict
 }
 
 // Compute gives the derived columns of a row.
 func (m *Model) Compute(r Row) (*Result, error) {
 	result := &Result{Row: r}
 	figure, err := m.Evaluate(r.Need)
-	if errors.As(err, &result.Missing) {
+	if errors.As(err, &result.MissingSeries) {
 		result.Verdict = Unmeasured
 		if r.Budget != "" {
 			_, err = m.budget(r, result)
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	result.Headroom = budget / figure.Value
-	result.Verdict = verdict(figure.Estimate, budget)
+	result.Verdict = verdictOf(figure.Estimate, budget)
 	return result, nil
 }
 
@@ -79,13 +79,13 @@
 func (m *Model) budget(r Row, result *Result) (float64, error) {
 	f, err := m.Evaluate(r.Budget)
 	if err != nil {
-		return 0, fmt.Errorf("budget of %s: %w", r.What, err)
+		return 0, fmt.Errorf("budget of %s: %w", r.Name, err)
 	}
-	result.Allowed = f.Value
+	result.BudgetValue = f.Value
 	return f.Value, nil
 }
 
-func verdict(need Estimate, budget float64) Verdict {
+func verdictOf(need Estimate, budget float64) Verdict {
 	switch {
 	case need.Value > budget:
 		return Fail
@@ -118,36 +118,36 @@
 		law = s.Fit.Chosen.Law.String()
 	}
 	if len(points) == 1 {
-		return law + ", run at " + number(last) + " alone"
+		return law + ", run at " + formatNumber(last) + " alone"
 	}
-	text := fmt.Sprintf("%s, %s to %s (%d sizes)", law, number(points[0].N), number(last), len(points))
+	text := fmt.Sprintf("%s, %s to %s (%d sizes)", law, formatNumber(points[0].N), formatNumber(last), len(points))
 	if s.Size > last {
-		text += fmt.Sprintf(", %s times beyond", number(s.Size/last))
+		text += fmt.Sprintf(", %s times beyond", formatNumber(s.Size/last))
 	}
 	return text
 }
 
-// carrier is what carries the row now, and what did before.
-func (r *Result) carrier() string {
-	if r.Before == "" {
+// carrierCell is what carries the row now, and what did before.
+func (r *Result) carrierCell() string {
+	if r.PreviousCarrier == "" {
 		return r.Carrier
 	}
-	return r.Carrier + "; before: " + r.Before
+	return r.Carrier + "; before: " + r.PreviousCarrier
 }
 
 // cells are the row as the page has it.
 func (r *Result) cells(number int) []string {
-	cells := []string{fmt.Sprint(number), r.What, "", "none stated", "", "", r.carrier()}
+	cells := []string{fmt.Sprint(number), r.Name, "", "none stated", "", "", r.carrierCell()}
 	if r.Row.Budget != "" {
-		cells[3] = quantity(r.Allowed, r.Unit)
+		cells[3] = formatQuantity(r.BudgetValue, r.Unit)
 	}
 	if r.Figure == nil {
 		cells[2], cells[4] = Unmeasured.String(), Unmeasured.String()
 		return cells
 	}
-	cells[2] = estimated(r.Figure.Estimate, r.Unit)
+	cells[2] = formatEstimate(r.Figure.Estimate, r.Unit)
 	if r.Row.Budget != "" {
-		cells[4] = headroom(r.Headroom) + " " + r.Verdict.String()
+		cells[4] = formatHeadroom(r.Headroom) + " " + r.Verdict.String()
 	}
 	cells[5] = r.Figure.law()
 	return cells
--- a/internal/capacity/slopes/commits.go
+++ b/internal/capacity/slopes/commits.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	commitWithin  = 10 * time.Second
-	commitsWarm   = 30
-	commitsTimed  = 150
-	commitBytes   = 1000 // of a record that is written
-	votersPlanned = 5
+	commitTimeout = 10 * time.Second
+	warmUpCommits = 30
+	timedCommits  = 150
+	recordBytes   = 1000 // of a record that is written
+	plannedVoters = 5
 )
 
 // measureCommits times writes at the leader, one after another, of groups of several sizes, and counts what they send.
@@ -26,59 +26,59 @@
 		onDisk bool
 	}{{"memory", false}, {"disk", true}} {
 		for _, voters := range []int{1, 2, 3, 4, 5, 7} {
-			if err := r.commitsOf("voters", place.name, voters, 0, place.onDisk); err != nil {
+			if err := r.measureCommitGroup("voters", place.name, voters, 0, place.onDisk); err != nil {
 				return err
 			}
 		}
 		for _, nonVoters := range []int{0, 1, 2, 4, 6, 8} {
-			if err := r.commitsOf("members", place.name, votersPlanned, nonVoters, place.onDisk); err != nil {
+			if err := r.measureCommitGroup("members", place.name, plannedVoters, nonVoters, place.onDisk); err != nil {
 				return err
 			}
 		}
 	}
-	return r.logBytes()
+	return r.measureLogBytes()
 }
 
-// commitsOf measures one group, all repetitions.
-func (r *run) commitsOf(of, place string, voters, nonVoters int, onDisk bool) error {
+// measureCommitGroup measures one group, all repetitions.
+func (r *run) measureCommitGroup(variant, place string, voters, nonVoters int, onDisk bool) error {
 	size := float64(voters + nonVoters)
-	g, err := r.startReplicas(fmt.Sprintf("commits-%s-%s-%d-%d", of, place, voters, nonVoters), voters, nonVoters, onDisk, store.SyncAlways)
+	group, err := r.startReplicas(fmt.Sprintf("commits-%s-%s-%d-%d", variant, place, voters, nonVoters), voters, nonVoters, onDisk, store.SyncAlways)
 	if err != nil {
 		return err
 	}
-	defer g.close()
-	leader, err := g.leader()
+	defer group.close()
+	leader, err := group.leader()
 	if err != nil {
 		return err
 	}
-	if _, err := r.commit(leader, commitsWarm, commitBytes); err != nil {
+	if _, err := r.commit(leader, warmUpCommits, recordBytes); err != nil {
 		return err
 	}
-	label := of
-	if of == "members" {
+	label := variant
+	if variant == "members" {
 		label = "members (5 vote)"
 	}
 	for range r.Repetitions {
-		idle, idleReads := g.traffic.bytes.Load(), g.traffic.reads.Load()
-		if err := r.pause(r.times.idle); err != nil {
+		idle, idleReadsBefore := group.traffic.bytes.Load(), group.traffic.reads.Load()
+		if err := r.sleep(r.times.idle); err != nil {
 			return err
 		}
-		idlePerS := float64(g.traffic.bytes.Load()-idle) / r.times.idle.Seconds()
-		readsPerS := float64(g.traffic.reads.Load()-idleReads) / r.times.idle.Seconds()
-		bytes, processor, began := g.traffic.bytes.Load(), processorTime(), time.Now()
-		took, err := r.commit(leader, commitsTimed, commitBytes)
+		idleBytesPerS := float64(group.traffic.bytes.Load()-idle) / r.times.idle.Seconds()
+		readsPerS := float64(group.traffic.reads.Load()-idleReadsBefore) / r.times.idle.Seconds()
+		bytes, cpuBefore, started := group.traffic.bytes.Load(), cpuTime(), time.Now()
+		durations, err := r.commit(leader, timedCommits, recordBytes)
 		if err != nil {
 			return err
 		}
-		length := time.Since(began).Seconds()
-		prefix := "store." + place + "." + of
-		r.add(prefix+".commit_p50", "us", label, size, quantile(took, 0.50))
-		r.add(prefix+".commit_p99", "us", label, size, quantile(took, 0.99))
-		if of == "members" {
-			sent := float64(g.traffic.bytes.Load()-bytes) - idlePerS*length
-			r.add(prefix+".commit_bytes", "B", label, size, max(0, sent/commitsTimed))
-			r.add(prefix+".commit_processor", "us", label, size, float64((processorTime()-processor).Microseconds())/commitsTimed)
-			r.add(prefix+".idle_bytes", "B/s", label, size, idlePerS)
+		seconds := time.Since(started).Seconds()
+		prefix := "store." + place + "." + variant
+		r.add(prefix+".commit_p50", "us", label, size, quantile(durations, 0.50))
+		r.add(prefix+".commit_p99", "us", label, size, quantile(durations, 0.99))
+		if variant == "members" {
+			sent := float64(group.traffic.bytes.Load()-bytes) - idleBytesPerS*seconds
+			r.add(prefix+".commit_bytes", "B", label, size, max(0, sent/timedCommits))
+			r.add(prefix+".commit_processor", "us", label, size, float64((cpuTime()-cpuBefore).Microseconds())/timedCommits)
+			r.add(prefix+".idle_bytes", "B/s", label, size, idleBytesPerS)
 			r.add(prefix+".idle_messages", "1/s", label, size, readsPerS)
 		}
 	}
@@ -87,26 +87,26 @@
 }
 
 // commit writes one record after another and gives the time of each write.
-func (r *run) commit(n *store.Node, count, size int) (took []time.Duration, err error) {
+func (r *run) commit(n *store.Node, count, size int) (durations []time.Duration, err error) {
 	value := make([]byte, size)
 	for i := range value {
 		value[i] = byte(i * 7)
 	}
 	for i := range count {
-		ctx, cancel := context.WithTimeout(r.ctx, commitWithin)
-		began := time.Now()
+		ctx, cancel := context.WithTimeout(r.ctx, commitTimeout)
+		started := time.Now()
 		_, err := n.Put(ctx, fmt.Sprintf("measured/%03d", i%100), value)
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(started))
 		cancel()
 		if err != nil {
 			return nil, err
 		}
 	}
-	return took, nil
+	return durations, nil
 }
 
-// logBytes measures what a write adds to one member's log, by the size of the record.
-func (r *run) logBytes() error {
+// measureLogBytes measures what a write adds to one member's log, by the size of the record.
+func (r *run) measureLogBytes() error {
 	const writes = 100
 	g, err := r.startReplicas("log-bytes", 1, 0, true, store.SyncInterval)
 	if err != nil {
@@ -116,14 +116,14 @@
 	log := filepath.Join(r.dir, "log-bytes", replicaName(0), "log")
 	for _, size := range []int{100, 300, 1000, 3000, 10000} {
 		for range r.Repetitions {
-			before, err := sizeOf(log)
+			before, err := dirSize(log)
 			if err != nil {
 				return err
 			}
 			if _, err := r.commit(g.nodes[0], writes, size); err != nil {
 				return err
 			}
-			after, err := sizeOf(log)
+			after, err := dirSize(log)
 			if err != nil {
 				return err
 			}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// sizeOf adds up the files below a folder.
-func sizeOf(dir string) (bytes int64, err error) {
+// dirSize adds up the files below a folder.
+func dirSize(dir string) (bytes int64, err error) {
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
--- a/internal/capacity/slopes/figures.go
+++ b/internal/capacity/slopes/figures.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	figuresWithin   = 5 * time.Second
-	connectedWithin = 20 * time.Second
-	stillAfter      = 300 * time.Millisecond // for connections beyond one to each server
+	startTimeout          = 5 * time.Second
+	connectTimeout        = 20 * time.Second
+	extraConnectionsDelay = 300 * time.Millisecond // for connections beyond one to each server
 )
 
 // gatekeeperConfiguration is a gatekeeper with one class, without callers and without an event bus. It may hold more
@@ -41,7 +41,7 @@
 func measureFigures(r *run) error {
 	for _, servers := range []int{34, 100, 400, 1100, 2200} {
 		for range r.Repetitions {
-			if err := r.figuresOf(servers); err != nil {
+			if err := r.measureGatekeeper(servers); err != nil {
 				return fmt.Errorf("%d servers: %w", servers, err)
 			}
 		}
@@ -50,46 +50,46 @@
 	return nil
 }
 
-func (r *run) figuresOf(servers int) error {
-	accepted, err := newSilentServer()
+func (r *run) measureGatekeeper(servers int) error {
+	server, err := newSilentServer()
 	if err != nil {
 		return err
 	}
-	defer accepted.close()
-	before := heap()
-	logged := &countingWriter{}
-	n, err := r.gatekeeper(logged)
+	defer server.close()
+	heapBefore := heapInUse()
+	logs := &countingWriter{}
+	n, err := r.startGatekeeper(logs)
 	if err != nil {
 		return err
 	}
 	defer n.Close()
-	if err := n.ImportInventory("servers.csv", serverList(servers, accepted.address())); err != nil {
+	if err := n.ImportInventory("servers.csv", serverList(servers, server.address())); err != nil {
 		return err
 	}
-	if err := r.until(connectedWithin, lookEvery, "a connection to every server",
-		func() bool { return accepted.count() >= servers }); err != nil {
+	if err := r.waitUntil(connectTimeout, pollInterval, "a connection to every server",
+		func() bool { return server.count() >= servers }); err != nil {
 		return err
 	}
-	if err := r.pause(stillAfter); err != nil {
+	if err := r.sleep(extraConnectionsDelay); err != nil {
 		return err
 	}
-	text, took, err := scrape(r.ctx, n.OperatorsAddr())
+	text, elapsed, err := scrape(r.ctx, n.OperatorsAddr())
 	if err != nil {
 		return err
 	}
 	if want := fmt.Sprintf("proxy_targets %d\n", servers); !strings.Contains(text, want) {
 		return fmt.Errorf("the figures have no line %q", strings.TrimSpace(want))
 	}
-	const of = "servers known"
-	r.add("telemetry.bytes", "B", of, float64(servers), float64(len(text)))
-	r.add("telemetry.time", "us", of, float64(servers), float64(took.Microseconds()))
-	r.add("log.start_bytes", "B", of, float64(servers), float64(logged.count.Load()))
-	r.add("servers.connections", "connections", of, float64(servers), float64(accepted.count()))
-	r.add("servers.heap", "B", of, float64(servers), float64(max(0, heap()-before)))
+	const sizeLabel = "servers known"
+	r.add("telemetry.bytes", "B", sizeLabel, float64(servers), float64(len(text)))
+	r.add("telemetry.time", "us", sizeLabel, float64(servers), float64(elapsed.Microseconds()))
+	r.add("log.start_bytes", "B", sizeLabel, float64(servers), float64(logs.count.Load()))
+	r.add("servers.connections", "connections", sizeLabel, float64(servers), float64(server.count()))
+	r.add("servers.heap", "B", sizeLabel, float64(servers), float64(max(0, heapInUse()-heapBefore)))
 	return nil
 }
 
-func (r *run) gatekeeper(logs io.Writer) (*node.Node, error) {
+func (r *run) startGatekeeper(logs io.Writer) (*node.Node, error) {
 	file := filepath.Join(r.dir, "gatekeeper.json")
 	if err := os.WriteFile(file, []byte(gatekeeperConfiguration), 0o600); err != nil {
 		return nil, err
@@ -100,13 +100,13 @@
 	}
 	log := logrus.New()
 	log.SetOutput(logs)
-	ctx, cancel := context.WithTimeout(r.ctx, figuresWithin)
+	ctx, cancel := context.WithTimeout(r.ctx, startTimeout)
 	defer cancel()
 	return node.Start(ctx, cfg, &config.Deploy{}, log)
 }
 
-// heap is what is in use after a collection.
-func heap() int64 {
+// heapInUse is what is in use after a collection.
+func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -170,8 +170,8 @@
 }
 
 // scrape reads the figures as a collector does.
-func scrape(ctx context.Context, address string) (text string, took time.Duration, err error) {
-	began := time.Now()
+func scrape(ctx context.Context, address string) (text string, elapsed time.Duration, err error) {
+	started := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/telemetry", nil)
 	if err != nil {
 		return "", 0, err
@@ -182,7 +182,7 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return string(body), time.Since(began), err
+	return string(body), time.Since(started), err
 }
 
 // countingWriter counts what is written and keeps nothing.
--- a/internal/capacity/slopes/replicas.go
+++ b/internal/capacity/slopes/replicas.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	replicaReadyWithin = 20 * time.Second
-	lookEvery          = 5 * time.Millisecond
+	replicaReadyTimeout = 20 * time.Second
+	pollInterval        = 5 * time.Millisecond
 )
 
 // replicas is a store's group on loopback, whose received bytes are counted.
@@ -57,7 +57,7 @@
 			return err
 		}
 	}
-	if err := g.ready(); err != nil {
+	if err := g.waitReady(); err != nil {
 		return err
 	}
 	for i := range nonVoters {
@@ -65,7 +65,7 @@
 			return err
 		}
 	}
-	return g.ready()
+	return g.waitReady()
 }
 
 func replicaName(i int) string { return fmt.Sprintf("r%d", i) }
@@ -93,12 +93,12 @@
 	if err := g.open(i, l, store.Options{Join: true}); err != nil {
 		return err
 	}
-	return g.change(store.MemberChange{Do: store.MemberAdd, Node: replicaName(i), Address: l.Addr().String()})
+	return g.changeMember(store.MemberChange{Do: store.MemberAdd, Node: replicaName(i), Address: l.Addr().String()})
 }
 
-// change has the group's members changed. A change that comes too soon after another is refused by raft, and tried again.
-func (g *replicas) change(c store.MemberChange) error {
-	ctx, cancel := context.WithTimeout(g.run.ctx, replicaReadyWithin)
+// changeMember has the group's members changed. A change that comes too soon after another is refused by raft, and tried again.
+func (g *replicas) changeMember(c store.MemberChange) error {
+	ctx, cancel := context.WithTimeout(g.run.ctx, replicaReadyTimeout)
 	defer cancel()
 	for {
 		_, err := g.nodes[0].ChangeMember(ctx, c, false)
@@ -108,13 +108,13 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s %s: %w", c.Do, c.Node, err)
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (g *replicas) ready() error {
-	ctx, cancel := context.WithTimeout(g.run.ctx, replicaReadyWithin)
+func (g *replicas) waitReady() error {
+	ctx, cancel := context.WithTimeout(g.run.ctx, replicaReadyTimeout)
 	defer cancel()
 	for _, n := range g.nodes {
 		if err := n.WaitReady(ctx); err != nil {
@@ -127,7 +127,7 @@
 // leader is the replica that leads.
 func (g *replicas) leader() (*store.Node, error) {
 	var found *store.Node
-	err := g.run.until(replicaReadyWithin, lookEvery, "a leader", func() bool {
+	err := g.run.waitUntil(replicaReadyTimeout, pollInterval, "a leader", func() bool {
 		for _, n := range g.nodes {
 			if n.Leader() {
 				found = n
--- a/internal/capacity/slopes/slopes.go
+++ b/internal/capacity/slopes/slopes.go
@@ -27,8 +27,8 @@
 	Log         logrus.FieldLogger
 }
 
-// leastRepetitions is how many values a size needs so that its median is not one of two.
-const leastRepetitions = 3
+// minRepetitions is how many values a size needs so that its median is not one of two.
+const minRepetitions = 3
 
 // group is what is measured together.
 type group struct {
@@ -55,8 +55,8 @@
 // Run measures and gives the series. It ends early, with the context's error, when the context does. With an error the file
 // holds what was measured before it.
 func Run(ctx context.Context, o Options) (*capacity.File, error) {
-	if o.Repetitions < leastRepetitions {
-		return nil, fmt.Errorf("%d repetitions: at least %d", o.Repetitions, leastRepetitions)
+	if o.Repetitions < minRepetitions {
+		return nil, fmt.Errorf("%d repetitions: at least %d", o.Repetitions, minRepetitions)
 	}
 	chosen := o.Groups
 	if len(chosen) == 0 {
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{Options: o, ctx: ctx, dir: dir, began: time.Now(), loads: []string{loadAverage()}, times: fullTimes}
+	r := &run{Options: o, ctx: ctx, dir: dir, started: time.Now(), loadSamples: []string{loadAverages()}, times: defaultTimes}
 	for _, g := range groups {
 		if !slices.Contains(chosen, g.name) {
 			continue
@@ -84,61 +84,61 @@
 		case err != nil:
 			return r.file(), fmt.Errorf("%s: %w", g.name, err)
 		}
-		r.loads = append(r.loads, loadAverage())
+		r.loadSamples = append(r.loadSamples, loadAverages())
 	}
 	return r.file(), nil
 }
 
 // times are how long a run watches; tests have shorter ones.
 type times struct {
-	idle   time.Duration // of a store's group, before each repetition
-	meet   time.Duration // in which all members of the gossip hold all to be up
-	settle time.Duration // of the gossip, after its members have met
-	window time.Duration // of each repetition of the gossip
+	idle     time.Duration // of a store's group, before each repetition
+	converge time.Duration // in which all members of the gossip hold all to be up
+	settle   time.Duration // of the gossip, after its members have met
+	window   time.Duration // of each repetition of the gossip
 }
 
 // Whole states of the gossip go around each second for 5 s after a change of the view, and after that each 10 s.
-var fullTimes = times{idle: 2 * time.Second, meet: 90 * time.Second, settle: 12 * time.Second, window: 15 * time.Second}
+var defaultTimes = times{idle: 2 * time.Second, converge: 90 * time.Second, settle: 12 * time.Second, window: 15 * time.Second}
 
 // run is one measuring run.
 type run struct {
 	Options
-	ctx    context.Context
-	dir    string
-	began  time.Time
-	loads  []string // load averages, at the start and after each group
-	times  times
-	series []*capacity.Series
+	ctx         context.Context
+	dir         string
+	started     time.Time
+	loadSamples []string // load averages, at the start and after each group
+	times       times
+	series      []*capacity.Series
 }
 
 // add notes a value of a series at a size. A series begins with its first value.
-func (r *run) add(name, unit, of string, size, value float64) {
-	s := r.begin(name, unit, of)
-	at := slices.IndexFunc(s.Points, func(p capacity.Point) bool { return p.N == size })
-	if at < 0 {
-		at = len(s.Points)
+func (r *run) add(name, unit, sizeLabel string, size, value float64) {
+	s := r.findOrAddSeries(name, unit, sizeLabel)
+	index := slices.IndexFunc(s.Points, func(p capacity.Point) bool { return p.N == size })
+	if index < 0 {
+		index = len(s.Points)
 		s.Points = append(s.Points, capacity.Point{N: size})
 	}
-	s.Points[at].Values = append(s.Points[at].Values, value)
+	s.Points[index].Values = append(s.Points[index].Values, value)
 }
 
-// begin finds a series, or begins it.
-func (r *run) begin(name, unit, of string) *capacity.Series {
-	s := r.find(name)
+// findOrAddSeries finds a series, or begins it.
+func (r *run) findOrAddSeries(name, unit, sizeLabel string) *capacity.Series {
+	s := r.findSeries(name)
 	if s == nil {
-		s = &capacity.Series{Name: name, Unit: unit, Of: of, Command: r.Command, Date: r.began.Format(time.DateOnly)}
+		s = &capacity.Series{Name: name, Unit: unit, Of: sizeLabel, Command: r.Command, Date: r.started.Format(time.DateOnly)}
 		r.series = append(r.series, s)
 	}
 	return s
 }
 
-// note says of a series why a size has no values.
-func (r *run) note(name, unit, of string, size float64, why string) {
-	s := r.begin(name, unit, of)
-	s.Points = append(s.Points, capacity.Point{N: size, Values: []float64{}, Note: why})
+// addNote says of a series why a size has no values.
+func (r *run) addNote(name, unit, sizeLabel string, size float64, reason string) {
+	s := r.findOrAddSeries(name, unit, sizeLabel)
+	s.Points = append(s.Points, capacity.Point{N: size, Values: []float64{}, Note: reason})
 }
 
-func (r *run) find(name string) *capacity.Series {
+func (r *run) findSeries(name string) *capacity.Series {
 	for _, s := range r.series {
 		if s.Name == name {
 			return s
@@ -149,7 +149,7 @@
 
 func (r *run) file() *capacity.File {
 	beside := fmt.Sprintf("%s; load averages (1, 5, 15 minutes) at the start and after each group: %s",
-		r.Beside, strings.Join(r.loads, "; "))
+		r.Beside, strings.Join(r.loadSamples, "; "))
 	f := &capacity.File{}
 	for _, s := range r.series {
 		s.Beside = beside
@@ -164,8 +164,8 @@
 	}
 }
 
-// pause waits, or returns the context's error.
-func (r *run) pause(d time.Duration) error {
+// sleep waits, or returns the context's error.
+func (r *run) sleep(d time.Duration) error {
 	select {
 	case <-r.ctx.Done():
 		return r.ctx.Err()
@@ -174,21 +174,21 @@
 	}
 }
 
-// until waits for a condition, looking every pace.
-func (r *run) until(within, pace time.Duration, what string, is func() bool) error {
-	for end := time.Now().Add(within); !is(); {
-		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", within, what)
+// waitUntil waits for a condition, looking every pace.
+func (r *run) waitUntil(timeout, interval time.Duration, description string, condition func() bool) error {
+	for deadline := time.Now().Add(timeout); !condition(); {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("not within %v: %s", timeout, description)
 		}
-		if err := r.pause(pace); err != nil {
+		if err := r.sleep(interval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// loadAverage is the first three fields of /proc/loadavg, "unknown" where there is none.
-func loadAverage() string {
+// loadAverages is the first three fields of /proc/loadavg, "unknown" where there is none.
+func loadAverages() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
 	if err != nil || len(fields) < 3 {
@@ -197,8 +197,8 @@
 	return strings.Join(fields[:3], " ")
 }
 
-// processorTime is what this process has used, in user and system mode.
-func processorTime() time.Duration {
+// cpuTime is what this process has used, in user and system mode.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -207,8 +207,8 @@
 }
 
 // quantile gives the value below which a part of the durations lies, in microseconds. It sorts them.
-func quantile(all []time.Duration, part float64) float64 {
-	slices.Sort(all)
-	at := int(part * float64(len(all)))
-	return float64(all[min(at, len(all)-1)]) / float64(time.Microsecond)
+func quantile(durations []time.Duration, fraction float64) float64 {
+	slices.Sort(durations)
+	index := int(fraction * float64(len(durations)))
+	return float64(durations[min(index, len(durations)-1)]) / float64(time.Microsecond)
 }
--- a/internal/capacity/slopes/slopes_test.go
+++ b/internal/capacity/slopes/slopes_test.go
@@ -13,21 +13,21 @@
 	"beammux/internal/capacity"
 )
 
-// small is a run with short times and two repetitions.
-func small(t *testing.T) *run {
+// newTestRun is a run with short times and two repetitions.
+func newTestRun(t *testing.T) *run {
 	t.Helper()
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	t.Cleanup(cancel)
 	return &run{Options: Options{Repetitions: 2, Command: "test", Beside: "a test", Log: quiet}, ctx: ctx, dir: t.TempDir(),
-		began: time.Now(), times: times{idle: 50 * time.Millisecond, meet: 20 * time.Second, settle: 200 * time.Millisecond, window: 300 * time.Millisecond}}
+		started: time.Now(), times: times{idle: 50 * time.Millisecond, converge: 20 * time.Second, settle: 200 * time.Millisecond, window: 300 * time.Millisecond}}
 }
 
 // values are a series' at a size.
 func (r *run) values(t *testing.T, name string, size float64) []float64 {
 	t.Helper()
-	s := r.find(name)
+	s := r.findSeries(name)
 	require.NotNil(t, s, name)
 	for _, p := range s.Points {
 		if p.N == size {
@@ -40,8 +40,8 @@
 
 // A group of three voters and a non-voter commits: times and bytes are counted, and each of the three others gets each record.
 func TestCommits(t *testing.T) {
-	r := small(t)
-	require.NoError(t, r.commitsOf("members", "disk", 3, 1, true))
+	r := newTestRun(t)
+	require.NoError(t, r.measureCommitGroup("members", "disk", 3, 1, true))
 	for _, name := range []string{"commit_p50", "commit_p99", "commit_processor", "idle_bytes"} {
 		values := r.values(t, "store.disk.members."+name, 4)
 		require.Len(t, values, 2)
@@ -50,40 +50,40 @@
 		}
 	}
 	for _, sent := range r.values(t, "store.disk.members.commit_bytes", 4) {
-		require.Greater(t, sent, 3.0*commitBytes)
-		require.Less(t, sent, 30.0*commitBytes)
+		require.Greater(t, sent, 3.0*recordBytes)
+		require.Less(t, sent, 30.0*recordBytes)
 	}
 }
 
 // A record of ten times the size takes more of the log, and at least its own size.
 func TestLogBytes(t *testing.T) {
-	r := small(t)
-	require.NoError(t, r.logBytes())
+	r := newTestRun(t)
+	require.NoError(t, r.measureLogBytes())
 	require.Greater(t, r.values(t, "store.log_bytes", 1000)[0], 1000.0)
 	require.Greater(t, r.values(t, "store.log_bytes", 10000)[0], 10000.0)
 }
 
 // Snapshots hold every record, and a member that joins with an empty folder gets them all.
 func TestSnapshotAndCatchUp(t *testing.T) {
-	r := small(t)
+	r := newTestRun(t)
 	g, err := r.startReplicas("snapshots", 1, 0, true, "interval")
 	require.NoError(t, err)
 	defer g.close()
-	require.NoError(t, r.fill(g.nodes[0], 0, 5))
-	require.NoError(t, r.snapshot(g, 5)) // at an index of one digit: its name sorts after that of the next
-	require.NoError(t, r.fill(g.nodes[0], 5, 200))
-	require.NoError(t, r.snapshot(g, 200))
-	require.NoError(t, r.catchUp(g, 200, 0))
-	require.NoError(t, r.catchUp(g, 200, 1)) // the first one is removed: there is room for the next
-	require.Greater(t, r.values(t, "store.snapshot_bytes", 200)[0], 200.0*snapshotValue)
+	require.NoError(t, r.writeRecords(g.nodes[0], 0, 5))
+	require.NoError(t, r.measureSnapshot(g, 5)) // at an index of one digit: its name sorts after that of the next
+	require.NoError(t, r.writeRecords(g.nodes[0], 5, 200))
+	require.NoError(t, r.measureSnapshot(g, 200))
+	require.NoError(t, r.measureCatchUp(g, 200, 0))
+	require.NoError(t, r.measureCatchUp(g, 200, 1)) // the first one is removed: there is room for the next
+	require.Greater(t, r.values(t, "store.snapshot_bytes", 200)[0], 200.0*snapshotRecordBytes)
 	require.Len(t, r.values(t, "store.catch_up_time", 200), 2)
 	require.Len(t, g.nodes, 1)
 }
 
 // Hollow members meet, publish and are counted.
 func TestGossip(t *testing.T) {
-	r := small(t)
-	require.NoError(t, r.gossipOf(4))
+	r := newTestRun(t)
+	require.NoError(t, r.measureMembers(4))
 	require.Len(t, r.values(t, "gossip.bytes_sent", 4), 2)
 	for _, name := range []string{"gossip.bytes_sent", "gossip.packets_sent", "gossip.processor"} {
 		require.Positive(t, r.values(t, name, 4)[0], name)
@@ -91,11 +91,11 @@
 }
 
 // Members that do not meet in time leave a note at the size and no value, and the run goes on.
-func TestGossipThatDoesNotMeet(t *testing.T) {
-	r := small(t)
-	r.times.meet = -time.Second
-	require.NoError(t, r.gossipOf(3))
-	s := r.find("gossip.bytes_sent")
+func TestGossipThatDoesNotConverge(t *testing.T) {
+	r := newTestRun(t)
+	r.times.converge = -time.Second
+	require.NoError(t, r.measureMembers(3))
+	s := r.findSeries("gossip.bytes_sent")
 	require.NotNil(t, s)
 	require.Empty(t, s.Points[0].Values)
 	require.Contains(t, s.Points[0].Note, "not met within")
@@ -103,9 +103,9 @@
 
 // The table holds every holder while its requests are timed.
 func TestLeases(t *testing.T) {
-	r := small(t)
-	require.NoError(t, r.leasesOf(10))
-	require.NoError(t, r.leasesOf(20))
+	r := newTestRun(t)
+	require.NoError(t, r.measureHolders(10))
+	require.NoError(t, r.measureHolders(20))
 	ten, twenty := r.values(t, "leases.table_bytes", 10)[0], r.values(t, "leases.table_bytes", 20)[0]
 	require.InDelta(t, 2*ten, twenty, 0.1*twenty)
 	require.Positive(t, r.values(t, "leases.request", 10)[0])
@@ -113,8 +113,8 @@
 
 // A gatekeeper opens one connection to each server that it knows; its figures are counted.
 func TestFigures(t *testing.T) {
-	r := small(t)
-	require.NoError(t, r.figuresOf(7))
+	r := newTestRun(t)
+	require.NoError(t, r.measureGatekeeper(7))
 	require.Equal(t, []float64{7}, r.values(t, "servers.connections", 7))
 	require.Greater(t, r.values(t, "telemetry.bytes", 7)[0], 100.0)
 }
@@ -135,13 +135,13 @@
 
 // What a run writes, package capacity reads.
 func TestFileIsRead(t *testing.T) {
-	r := small(t)
+	r := newTestRun(t)
 	for n := range 5 {
 		for range 3 {
 			r.add("s", "us", "records", float64(n+1), float64(10*n))
 		}
 	}
-	r.loads = []string{"1 2 3", "4 5 6"}
+	r.loadSamples = []string{"1 2 3", "4 5 6"}
 	text, err := json.Marshal(r.file())
 	require.NoError(t, err)
 	f, err := capacity.ParseFile("f", text)
--- a/internal/capacity/slopes/snapshots.go
+++ b/internal/capacity/slopes/snapshots.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	snapshotValue   = 256 // bytes of each record
-	writersAtOnce   = 16
-	catchUpWithin   = 60 * time.Second
-	catchUpLooks    = time.Millisecond
-	snapshotsFolder = "snapshots" // below the folder of a member, by raft's file store
+	snapshotRecordBytes = 256 // bytes of each record
+	concurrentWriters   = 16
+	catchUpTimeout      = 60 * time.Second
+	catchUpPollInterval = time.Millisecond
+	snapshotsDir        = "snapshots" // below the folder of a member, by raft's file store
 )
 
 // measureSnapshots fills one member with records and measures its snapshots, and new members that catch up by them.
@@ -29,15 +29,15 @@
 	defer g.close()
 	held := 0
 	for _, size := range []int{100, 300, 1000, 3000, 10000, 30000, 100000} {
-		if err := r.fill(g.nodes[0], held, size); err != nil {
+		if err := r.writeRecords(g.nodes[0], held, size); err != nil {
 			return err
 		}
 		held = size
 		for repetition := range r.Repetitions {
-			if err := r.snapshot(g, size); err != nil {
+			if err := r.measureSnapshot(g, size); err != nil {
 				return err
 			}
-			if err := r.catchUp(g, size, repetition); err != nil {
+			if err := r.measureCatchUp(g, size, repetition); err != nil {
 				return err
 			}
 		}
@@ -46,16 +46,16 @@
 	return nil
 }
 
-// fill writes the records of numbers from up to to.
-func (r *run) fill(n *store.Node, from, to int) error {
+// writeRecords writes the records of numbers from up to to.
+func (r *run) writeRecords(n *store.Node, from, to int) error {
 	all, ctx := errgroup.WithContext(r.ctx)
-	all.SetLimit(writersAtOnce)
-	value := make([]byte, snapshotValue)
+	all.SetLimit(concurrentWriters)
+	value := make([]byte, snapshotRecordBytes)
 	for i := from; i < to; i++ {
 		all.Go(func() error {
-			within, cancel := context.WithTimeout(ctx, commitWithin)
+			putCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 			defer cancel()
-			_, err := n.Put(within, recordKey(i), value)
+			_, err := n.Put(putCtx, recordKey(i), value)
 			return err
 		})
 	}
@@ -64,32 +64,32 @@
 
 func recordKey(i int) string { return fmt.Sprintf("settings/gatekeeper/g%06d/calls", i) }
 
-// snapshot writes one record over, takes a snapshot and measures both.
-func (r *run) snapshot(g *replicas, size int) error {
-	if err := r.fill(g.nodes[0], 0, 1); err != nil { // without anything new there is no snapshot
+// measureSnapshot writes one record over, takes a snapshot and measures both.
+func (r *run) measureSnapshot(g *replicas, size int) error {
+	if err := r.writeRecords(g.nodes[0], 0, 1); err != nil { // without anything new there is no snapshot
 		return err
 	}
-	began := time.Now()
+	started := time.Now()
 	if err := g.nodes[0].Compact(); err != nil {
 		return err
 	}
-	took := time.Since(began)
-	newest, err := newestFolder(filepath.Join(r.dir, g.name, replicaName(0), snapshotsFolder))
+	elapsed := time.Since(started)
+	newest, err := newestDir(filepath.Join(r.dir, g.name, replicaName(0), snapshotsDir))
 	if err != nil {
 		return err
 	}
-	bytes, err := sizeOf(newest)
+	bytes, err := dirSize(newest)
 	if err != nil {
 		return err
 	}
 	r.add("store.snapshot_bytes", "B", "records of 256 bytes", float64(size), float64(bytes))
-	r.add("store.snapshot_time", "us", "records of 256 bytes", float64(size), float64(took.Microseconds()))
+	r.add("store.snapshot_time", "us", "records of 256 bytes", float64(size), float64(elapsed.Microseconds()))
 	return nil
 }
 
-// newestFolder is the folder below another one that was changed last. Names of snapshots don't sort: their index has no
+// newestDir is the folder below another one that was changed last. Names of snapshots don't sort: their index has no
 // leading zeros.
-func newestFolder(dir string) (newest string, err error) {
+func newestDir(dir string) (newest string, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return "", err
@@ -110,25 +110,25 @@
 	return newest, nil
 }
 
-// catchUp adds a member without a vote and an empty folder, and times it until it holds every record.
-func (r *run) catchUp(g *replicas, size, repetition int) error {
+// measureCatchUp adds a member without a vote and an empty folder, and times it until it holds every record.
+func (r *run) measureCatchUp(g *replicas, size, repetition int) error {
 	number := 1 + repetition + 100*size
-	before := g.traffic.bytes.Load()
-	began := time.Now()
+	bytesBefore := g.traffic.bytes.Load()
+	started := time.Now()
 	if err := g.join(number); err != nil {
 		return err
 	}
 	joined := g.nodes[len(g.nodes)-1]
-	err := r.until(catchUpWithin, catchUpLooks, "the new member holds every record", func() bool {
+	err := r.waitUntil(catchUpTimeout, catchUpPollInterval, "the new member holds every record", func() bool {
 		_, last := joined.Get(recordKey(size - 1))
 		return last && joined.Ready()
 	})
 	if err != nil {
 		return err
 	}
-	r.add("store.catch_up_time", "us", "records of 256 bytes", float64(size), float64(time.Since(began).Microseconds()))
-	r.add("store.catch_up_bytes", "B", "records of 256 bytes", float64(size), float64(g.traffic.bytes.Load()-before))
-	if err := g.change(store.MemberChange{Do: store.MemberRemove, Node: replicaName(number)}); err != nil {
+	r.add("store.catch_up_time", "us", "records of 256 bytes", float64(size), float64(time.Since(started).Microseconds()))
+	r.add("store.catch_up_bytes", "B", "records of 256 bytes", float64(size), float64(g.traffic.bytes.Load()-bytesBefore))
+	if err := g.changeMember(store.MemberChange{Do: store.MemberRemove, Node: replicaName(number)}); err != nil {
 		return err
 	}
 	g.nodes = g.nodes[:len(g.nodes)-1]
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -14,7 +14,7 @@
 func (m *Model) tables() map[string]func() (string, error) {
 	all := map[string]func() (string, error){
 		"inputs": m.inputTable, "derived": m.derivedTable, "measured": m.measuredTable, "series": m.seriesTable,
-		"formulas": m.formulaTable, "first": m.firstTable, "failures": m.failureTable, "fault-runs": m.faultTable, "placement": m.placementTable,
+		"formulas": m.formulaTable, "first": m.shortfallTable, "failures": m.failureTable, "fault-runs": m.faultTable, "placement": m.placementTable,
 		"quorum": quorumTable, "write-latency": m.writeLatencyTable, "commands": m.commandTable,
 	}
 	for _, role := range roles {
@@ -25,10 +25,10 @@
 
 func (m *Model) inputTable() (string, error) {
 	var rows [][]string
-	for _, one := range m.Inputs.Inputs {
-		rows = append(rows, []string{one.Name, number(one.Value), one.Unit, one.Changeable, one.About})
+	for _, input := range m.Inputs.Inputs {
+		rows = append(rows, []string{input.Name, formatNumber(input.Value), input.Unit, input.Changeable, input.About})
 	}
-	return markdown([]string{"input", "value", "unit", "from", "what it is"}, rows), nil
+	return markdownTable([]string{"input", "value", "unit", "from", "what it is"}, rows), nil
 }
 
 func (m *Model) derivedTable() (string, error) {
@@ -38,15 +38,15 @@
 		if err != nil {
 			return "", err
 		}
-		rows = append(rows, []string{d.Name, "`" + d.Expression + "`", quantity(f.Value, d.Unit), d.About})
+		rows = append(rows, []string{d.Name, "`" + d.Expression + "`", formatQuantity(f.Value, d.Unit), d.About})
 	}
-	return markdown([]string{"name", "formula", "value", "what it is"}, rows), nil
+	return markdownTable([]string{"name", "formula", "value", "what it is"}, rows), nil
 }
 
 var seriesInFormula = regexp.MustCompile(`at\("([^"]+)"`)
 
-// seriesNames are those of the series that a formula of the page uses and that were measured, in order.
-func (m *Model) seriesNames() (names []string) {
+// usedSeries are those of the series that a formula of the page uses and that were measured, in order.
+func (m *Model) usedSeries() (names []string) {
 	for _, role := range roles {
 		for _, row := range role.Rows {
 			for _, found := range seriesInFormula.FindAllStringSubmatch(row.Need, -1) {
@@ -63,11 +63,11 @@
 // seriesTable gives each series' law, and how well it fits.
 func (m *Model) seriesTable() (string, error) {
 	var rows [][]string
-	for _, name := range m.seriesNames() {
+	for _, name := range m.usedSeries() {
 		s, fit := m.series[name], m.fits[name]
 		if fit == nil {
 			_, err := FitSeries(s)
-			rows = append(rows, []string{name, s.Unit, withoutLaw(err), "", "", ""})
+			rows = append(rows, []string{name, s.Unit, noLawReason(err), "", "", ""})
 			continue
 		}
 		var others []string
@@ -77,20 +77,20 @@
 			}
 		}
 		rows = append(rows, []string{name, s.Unit, fit.Chosen.Law.String() + ": " + fit.Chosen.formula(),
-			percent(fit.Chosen.Residual) + " / " + percent(fit.Chosen.Error), percent(fit.Spread), strings.Join(others, ", ")})
+			formatPercent(fit.Chosen.Residual) + " / " + formatPercent(fit.Chosen.PredictionError), formatPercent(fit.Spread), strings.Join(others, ", ")})
 	}
-	return markdown([]string{"series", "unit", "law, n is the size", "residual / foretold", "spread", "others not ruled out"}, rows), nil
+	return markdownTable([]string{"series", "unit", "law, n is the size", "residual / foretold", "spread", "others not ruled out"}, rows), nil
 }
 
-// withoutLaw says why a series has none.
-func withoutLaw(err error) string {
+// noLawReason says why a series has none.
+func noLawReason(err error) string {
 	var few *TooFewSizes
 	var none *NoLaw
 	switch {
 	case errors.As(err, &few):
-		return fmt.Sprintf("none: %d of %d sizes", few.Sizes, LeastSizes)
+		return fmt.Sprintf("none: %d of %d sizes", few.Sizes, MinSizes)
 	case errors.As(err, &none):
-		return fmt.Sprintf("none fits: the best, %s, leaves %s", none.Best, percent(none.Residual))
+		return fmt.Sprintf("none fits: the best, %s, leaves %s", none.Best, formatPercent(none.Residual))
 	}
 	return ""
 }
@@ -98,39 +98,39 @@
 // formula writes a law with its numbers.
 func (c Candidate) formula() string {
 	if c.Law == Constant {
-		return number(c.Offset)
+		return formatNumber(c.Offset)
 	}
 	term := [...]string{Logarithmic: "ln n", Linear: "n", Square: "n^2"}[c.Law]
 	sign := " + "
 	if c.Slope < 0 {
 		sign = " - "
 	}
-	return number(c.Offset) + sign + number(math.Abs(c.Slope)) + " " + term
+	return formatNumber(c.Offset) + sign + formatNumber(math.Abs(c.Slope)) + " " + term
 }
 
-func percent(part float64) string { return number(100*part) + "%" }
+func formatPercent(part float64) string { return formatNumber(100*part) + "%" }
 
 // measuredTable gives the median of each size of each series.
 func (m *Model) measuredTable() (string, error) {
 	var rows [][]string
-	for _, name := range m.seriesNames() {
+	for _, name := range m.usedSeries() {
 		s := m.series[name]
 		var points []string
 		repetitions := 0
 		for _, p := range s.Points {
-			points = append(points, number(p.N)+": "+number(p.Median()))
+			points = append(points, formatNumber(p.N)+": "+formatNumber(p.Median()))
 			repetitions = max(repetitions, len(p.Values))
 		}
 		rows = append(rows, []string{name, s.Unit, s.Of, strings.Join(points, "; "), fmt.Sprint(repetitions), s.Date})
 	}
-	return markdown([]string{"series", "unit", "size counts", "size: median", "values", "date"}, rows), nil
+	return markdownTable([]string{"series", "unit", "size counts", "size: median", "values", "date"}, rows), nil
 }
 
 // commandTable gives the commands that measure the series again, and what ran beside them. The files name it for each series.
 func (m *Model) commandTable() (string, error) {
 	byCommand := map[string][]string{}
 	var commands []string
-	for _, name := range m.seriesNames() {
+	for _, name := range m.usedSeries() {
 		command := m.series[name].Command
 		if byCommand[command] == nil {
 			commands = append(commands, command)
@@ -146,7 +146,7 @@
 		}
 		rows = append(rows, []string{series, "`" + command + "`", m.series[names[0]].Beside})
 	}
-	return markdown([]string{"series", "command", "what ran beside it"}, rows), nil
+	return markdownTable([]string{"series", "command", "what ran beside it"}, rows), nil
 }
 
 // results computes all rows of a role.
@@ -154,7 +154,7 @@
 	for _, row := range role.Rows {
 		result, err := m.Compute(row)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", row.What, err)
+			return nil, fmt.Errorf("%s: %w", row.Name, err)
 		}
 		all = append(all, result)
 	}
@@ -170,7 +170,7 @@
 	for i, r := range results {
 		rows = append(rows, r.cells(i+1))
 	}
-	return markdown([]string{"", "what", "need", "budget", "headroom", "law, sizes", "carried by"}, rows), nil
+	return markdownTable([]string{"", "what", "need", "budget", "headroom", "law, sizes", "carried by"}, rows), nil
 }
 
 // formulaTable gives the formulas of all rows, by role and number.
@@ -181,30 +181,30 @@
 			rows = append(rows, []string{fmt.Sprintf("%s %d", role.Table, i+1), "`" + r.Need + "`", r.Budget})
 		}
 	}
-	return markdown([]string{"row", "need", "budget"}, rows), nil
+	return markdownTable([]string{"row", "need", "budget"}, rows), nil
 }
 
-// firstTable lists the rows that do not hold or had no carrier: those without a carrier first, then by headroom.
-func (m *Model) firstTable() (string, error) {
-	type open struct {
+// shortfallTable lists the rows that do not hold or had no carrier: those without a carrier first, then by headroom.
+func (m *Model) shortfallTable() (string, error) {
+	type shortfall struct {
 		*Result
 		role string
 	}
-	var all []open
+	var all []shortfall
 	for _, role := range roles {
 		results, err := m.results(role)
 		if err != nil {
 			return "", err
 		}
 		for _, r := range results {
-			if r.wasMissing() || r.Verdict == Fail || r.Verdict == Uncertain {
-				all = append(all, open{r, role.Title})
+			if r.lackedCarrier() || r.Verdict == Fail || r.Verdict == Uncertain {
+				all = append(all, shortfall{r, role.Title})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b open) int {
-		if a.wasMissing() != b.wasMissing() {
-			if a.wasMissing() {
+	slices.SortStableFunc(all, func(a, b shortfall) int {
+		if a.lackedCarrier() != b.lackedCarrier() {
+			if a.lackedCarrier() {
 				return -1
 			}
 			return 1
@@ -215,50 +215,50 @@
 	for _, o := range all {
 		ratio := ""
 		if o.Figure != nil {
-			ratio = headroom(o.Headroom) + " "
+			ratio = formatHeadroom(o.Headroom) + " "
 		}
-		rows = append(rows, []string{o.role, o.What, ratio + o.Verdict.String(), o.carrier()})
+		rows = append(rows, []string{o.role, o.Name, ratio + o.Verdict.String(), o.carrierCell()})
 	}
-	return markdown([]string{"role", "row", "headroom", "carried by"}, rows), nil
+	return markdownTable([]string{"role", "row", "headroom", "carried by"}, rows), nil
 }
 
-// wasMissing tells whether nothing carries the row, or did before configuration was delivered.
-func (r *Result) wasMissing() bool { return r.Carrier == Missing || r.Before == Missing }
+// lackedCarrier tells whether nothing carries the row, or did before configuration was delivered.
+func (r *Result) lackedCarrier() bool { return r.Carrier == Missing || r.PreviousCarrier == Missing }
 
-// headroom writes a ratio.
-func headroom(ratio float64) string {
+// formatHeadroom writes a ratio.
+func formatHeadroom(ratio float64) string {
 	if math.IsInf(ratio, 0) || math.IsNaN(ratio) {
 		return "no need"
 	}
-	return number(ratio) + "x"
+	return formatNumber(ratio) + "x"
 }
 
 func (m *Model) failureTable() (string, error) {
 	var rows [][]string
 	for _, f := range failureRows {
-		shown := []string{f.Tests}
-		if len(f.Kinds) > 0 {
-			shown = append(shown, m.shown(f.Kinds))
+		evidence := []string{f.Tests}
+		if len(f.FaultKinds) > 0 {
+			evidence = append(evidence, m.evidence(f.FaultKinds))
 		}
 		if f.NotRun != "" {
-			shown = append(shown, f.NotRun+": "+notRun)
+			evidence = append(evidence, f.NotRun+": "+notRun)
 		}
-		cells := []string{f.What, f.Lost, f.GoesOn, f.Right, f.Load, strings.Join(slices.DeleteFunc(shown, func(s string) bool { return s == "" }), "; ")}
+		cells := []string{f.Failure, f.Lost, f.Unaffected, f.Recovery, f.RecoveryLoad, strings.Join(slices.DeleteFunc(evidence, func(s string) bool { return s == "" }), "; ")}
 		for i := range cells {
 			var err error
-			if cells[i], err = m.fill(cells[i]); err != nil {
+			if cells[i], err = m.fillPlaceholders(cells[i]); err != nil {
 				return "", err
 			}
 		}
 		rows = append(rows, cells)
 	}
-	return markdown([]string{"failure", "lost", "goes on", "right again", "load of the recovery", "shown by"}, rows), nil
+	return markdownTable([]string{"failure", "lost", "goes on", "right again", "load of the recovery", "shown by"}, rows), nil
 }
 
 var placeholder = regexp.MustCompile(`\{\{(\S+) ([^}]+)\}\}`)
 
-// fill computes {{UNIT FORMULA}} in a text.
-func (m *Model) fill(text string) (filled string, err error) {
+// fillPlaceholders computes {{UNIT FORMULA}} in a text.
+func (m *Model) fillPlaceholders(text string) (filled string, err error) {
 	filled = placeholder.ReplaceAllStringFunc(text, func(found string) string {
 		parts := placeholder.FindStringSubmatch(found)
 		f, e := m.Evaluate(parts[2])
@@ -270,7 +270,7 @@
 			err = e
 			return found
 		}
-		return estimated(f.Estimate, parts[1])
+		return formatEstimate(f.Estimate, parts[1])
 	})
 	return filled, err
 }
@@ -279,20 +279,20 @@
 func (m *Model) placementTable() (string, error) {
 	machines := Placement()
 	for name, count := range map[string]int{"control_machines": len(machines), "voters": Voters(machines),
-		"zones": len(zonesOf(machines)), "regions": len(regionsOf(machines))} {
+		"zones": len(zoneNames(machines)), "regions": len(regionNames(machines))} {
 		if v, _ := m.Inputs.Value(name); v != float64(count) {
 			return "", fmt.Errorf("input %s is %v, and %d are placed", name, v, count)
 		}
 	}
 	var rows [][]string
-	for _, zone := range zonesOf(machines) {
+	for _, zone := range zoneNames(machines) {
 		var voters, others int
 		region := ""
 		for _, m := range machines {
 			switch {
 			case m.Zone != zone:
 				continue
-			case m.Votes:
+			case m.Voter:
 				voters++
 			default:
 				others++
@@ -301,7 +301,7 @@
 		}
 		rows = append(rows, []string{region, zone, fmt.Sprint(voters), fmt.Sprint(others)})
 	}
-	return markdown([]string{"region", "zone", "vote", "do not vote"}, rows), nil
+	return markdownTable([]string{"region", "zone", "vote", "do not vote"}, rows), nil
 }
 
 // quorumTable counts the failures of each kind that leave a quorum, and names those that do not.
@@ -321,10 +321,10 @@
 			kinds = append(kinds, f.Kind)
 		}
 		c.all++
-		if HasQuorum(machines, f.Left(machines)) {
+		if HasQuorum(machines, f.Remaining(machines)) {
 			c.survived++
 		} else {
-			c.lost = append(c.lost, f.What)
+			c.lost = append(c.lost, f.Name)
 		}
 	}
 	var rows [][]string
@@ -332,7 +332,7 @@
 		c := counts[kind]
 		rows = append(rows, []string{kind, fmt.Sprint(c.all), fmt.Sprint(c.survived), strings.Join(c.lost, "; ")})
 	}
-	return markdown([]string{"lost at once", "cases", "writes go on", "writes stop at the loss of"}, rows), nil
+	return markdownTable([]string{"lost at once", "cases", "writes go on", "writes stop at the loss of"}, rows), nil
 }
 
 // writeLatencyTable gives the network's part of a write's time by where the leader is and what is lost.
@@ -342,49 +342,49 @@
 		return "", err
 	}
 	machines := Placement()
-	regions := regionsOf(machines)
+	regions := regionNames(machines)
 	head := []string{"leader in", "nothing lost"}
 	for _, region := range regions {
 		head = append(head, "region "+region+" lost")
 	}
 	var rows [][]string
 	for _, region := range regions {
-		leader := machines[slices.IndexFunc(machines, func(x Machine) bool { return x.Region == region && x.Votes })]
+		leader := machines[slices.IndexFunc(machines, func(x Machine) bool { return x.Region == region && x.Voter })]
 		row := []string{region, commitCell(machines, machines, leader, trips)}
 		for _, lost := range regions {
-			failure := Failure{Lost: in(Machine.region, lost)}
+			failure := Failure{Lost: fieldIn(Machine.region, lost)}
 			if lost == region {
 				row = append(row, "")
 				continue
 			}
-			row = append(row, commitCell(machines, failure.Left(machines), leader, trips))
+			row = append(row, commitCell(machines, failure.Remaining(machines), leader, trips))
 		}
 		rows = append(rows, row)
 	}
-	return markdown(head, rows), nil
+	return markdownTable(head, rows), nil
 }
 
-func commitCell(all, left []Machine, leader Machine, t RoundTrips) string {
-	ms, ok := CommitRoundTrip(all, left, leader, t)
+func commitCell(all, remaining []Machine, leader Machine, t RoundTrips) string {
+	ms, ok := CommitRoundTrip(all, remaining, leader, t)
 	if !ok {
 		return "no quorum"
 	}
-	return quantity(ms, "ms")
+	return formatQuantity(ms, "ms")
 }
 
 func (m *Model) roundTrips() (t RoundTrips, err error) {
-	t.Regions = map[[2]string]float64{}
-	for name, set := range map[string]func(float64){
-		"round_trip_a_b":  func(v float64) { t.Regions[[2]string{"a", "b"}] = v },
-		"round_trip_a_c":  func(v float64) { t.Regions[[2]string{"a", "c"}] = v },
-		"round_trip_b_c":  func(v float64) { t.Regions[[2]string{"b", "c"}] = v },
-		"round_trip_zone": func(v float64) { t.Zone = v },
+	t.BetweenRegions = map[[2]string]float64{}
+	for name, assign := range map[string]func(float64){
+		"round_trip_a_b":  func(v float64) { t.BetweenRegions[[2]string{"a", "b"}] = v },
+		"round_trip_a_c":  func(v float64) { t.BetweenRegions[[2]string{"a", "c"}] = v },
+		"round_trip_b_c":  func(v float64) { t.BetweenRegions[[2]string{"b", "c"}] = v },
+		"round_trip_zone": func(v float64) { t.WithinRegion = v },
 	} {
 		v, ok := m.Inputs.Value(name)
 		if !ok {
 			return t, fmt.Errorf("no input is named %q", name)
 		}
-		set(v)
+		assign(v)
 	}
 	return t, nil
 }
