--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -122,7 +122,7 @@
 // Four sizes give no slope; the error says so and what to do.
 func TestFitRefusesFewSizes(t *testing.T) {
 	_, err := FitSeries(seriesOf("decision", testSizes[:4], 0, func(n float64) float64 { return n }))
-	require.EqualError(t, err, `series "decision" has 4 sizes, 5 are needed for a slope`)
+	require.EqualError(t, err, `series "decision" has 4 sizes; a fit requires at least 5`)
 	require.NotEmpty(t, advice.Of(err))
 }
 
@@ -141,7 +141,7 @@
 		require.Equal(t, want, got.Value)
 	}
 	_, err = NewModel(&Inputs{}, f, f)
-	require.EqualError(t, err, `series "heap_max of gatekeepers" is there twice`)
+	require.EqualError(t, err, `duplicate series "heap_max of gatekeepers"`)
 }
 
 // What runs with a fault have shown: the worst of all seeds, a broken rule, and kinds that were not run.
@@ -217,15 +217,15 @@
 		require.GreaterOrEqual(t, f.High, f.Value)
 	}
 	for expression, want := range map[string]string{
-		"nothing":       `no input is named "nothing"`,
+		"nothing":       `unknown input "nothing"`,
 		"1 +":           "expected operand",
-		"1 % 2":         "operator %",
-		"sin(1)":        "no function sin with 1 arguments",
-		"at(linear, 1)": "the first argument of at is no text",
-		`at("linear")`:  "at has a series and a size",
-		`"text"`:        "holds what is neither number, name, operator nor function",
-		"m.f(1)":        "calls what is no function",
-		"pow(1)":        "no function pow with 1 arguments",
+		"1 % 2":         "unsupported operator %",
+		"sin(1)":        "unknown function sin with 1 arguments",
+		"at(linear, 1)": "the first argument of at is not a string",
+		`at("linear")`:  "at requires a series and a size",
+		`"text"`:        "an element is not a number, name, operator or function call",
+		"m.f(1)":        "the called expression is not a function name",
+		"pow(1)":        "unknown function pow with 1 arguments",
 	} {
 		_, err := m.Evaluate(expression)
 		require.ErrorContains(t, err, want, expression)
@@ -265,12 +265,12 @@
 		{`at("absent", gatekeepers)`, "budget", 0, Unmeasured},
 		{"gatekeepers", "", 0, NoBudget},
 	} {
-		r, err := m.Compute(Row{Name: "w", Unit: "us", Need: c.need, Budget: c.budget})
+		r, err := m.Compute(Row{Label: "w", Unit: "us", Need: c.need, Budget: c.budget})
 		require.NoError(t, err)
 		require.InDelta(t, c.headroom, r.Headroom, 1e-6, c.need)
 		require.Equal(t, c.verdict, r.Verdict, c.need)
 	}
-	_, err := m.Compute(Row{Name: "w", Need: "gatekeepers", Budget: `at("absent", 1)`})
+	_, err := m.Compute(Row{Label: "w", Need: "gatekeepers", Budget: `at("absent", 1)`})
 	require.EqualError(t, err, "budget of w: not measured: absent")
 }
 
@@ -281,8 +281,8 @@
 	for _, role := range roles {
 		for _, row := range role.Rows {
 			_, err := m.Compute(row)
-			require.NoError(t, err, "%s: %s", role.Table, row.Name)
-			require.NotEmpty(t, row.Carrier, row.Name)
+			require.NoError(t, err, "%s: %s", role.Table, row.Label)
+			require.NotEmpty(t, row.Carrier, row.Label)
 		}
 	}
 }
@@ -294,10 +294,10 @@
 	}
 	for text, want := range map[string]string{
 		"{":                          "f.json: unexpected end of JSON input",
-		`{"series":[{"name":"s"}]}`:  `f.json: series "s": key unit is absent or empty`,
+		`{"series":[{"name":"s"}]}`:  `f.json: series "s": key unit is missing or empty`,
 		series(`"points":[]`):        `f.json: series "s": no points`,
-		series(`"points":[{"n":5}]`): `f.json: series "s": neither values nor a note at size 5`,
-		series(`"points":[{"n":5,"values":[1]},{"n":5,"values":[1]}]`): `f.json: series "s": size 5 after 5: sizes are at least 0 and grow`,
+		series(`"points":[{"n":5}]`): `f.json: series "s": size 5 has neither values nor a note`,
+		series(`"points":[{"n":5,"values":[1]},{"n":5,"values":[1]}]`): `f.json: series "s": size 5 after 5: sizes must be at least 0 and increasing`,
 	} {
 		_, err := ParseFile("f.json", []byte(text))
 		require.EqualError(t, err, want)
@@ -307,15 +307,15 @@
 	require.NoError(t, err)
 	require.Len(t, f.Series[0].Points, 1)
 	for text, want := range map[string]string{
-		`{"inputs":[{"name":"a","unit":"u","value":1,"changeable":"c","about":"a"},{"name":"a","unit":"u","value":1,"changeable":"c","about":"a"}]}`: `i.json: input "a" is there twice`,
-		`{"inputs":[{"name":"a","unit":"u","value":-1,"changeable":"c","about":"a"}]}`:                                                               `i.json: input "a": -1 is no number of at least 0`,
-		`{"inputs":[{"name":"a"}]}`: `i.json: input "a": name, unit, changeable and about must be there`,
+		`{"inputs":[{"name":"a","unit":"u","value":1,"changeable":"c","about":"a"},{"name":"a","unit":"u","value":1,"changeable":"c","about":"a"}]}`: `i.json: duplicate input "a"`,
+		`{"inputs":[{"name":"a","unit":"u","value":-1,"changeable":"c","about":"a"}]}`:                                                               `i.json: input "a": value -1 is not a finite number of at least 0`,
+		`{"inputs":[{"name":"a"}]}`: `i.json: input "a": name, unit, changeable and about are required`,
 	} {
 		_, err := ParseInputs("i.json", []byte(text))
 		require.EqualError(t, err, want)
 	}
 	_, err = NewModel(&Inputs{}, f, f)
-	require.EqualError(t, err, `series "s" is there twice`)
+	require.EqualError(t, err, `duplicate series "s"`)
 }
 
 // Figures are written with three digits, and in the unit that suits them.
--- a/internal/capacity/derived.go
+++ b/internal/capacity/derived.go
@@ -1,6 +1,6 @@
 package capacity
 
-// derivations are the numbers that follow from the inputs, in the order of the page.
+// derivations are the numbers that are computed from the inputs, in the order of the page.
 var derivations = []Derivation{
 	{"calls_per_gatekeeper", "calls/s", "calls_per_s / gatekeepers", "calls through one gatekeeper"},
 	{"servers_of_service", "servers", "ceil(gatekeepers / services)", "servers of one service"},
--- a/internal/capacity/expression.go
+++ b/internal/capacity/expression.go
@@ -11,29 +11,30 @@
 	"strings"
 )
 
-// Model is what the page is computed from.
+// Model holds the inputs, series, fits and fault runs from which the page is computed.
 type Model struct {
 	Inputs  *Inputs
 	Derived []Derivation
-	fits    map[string]*Fit // by key; of those that have a law
-	series  map[string]*Series
-	runs    []FaultRun // with faults
+	fits    map[string]*Fit    // by key of the series; only for series that follow a law
+	series  map[string]*Series // by key
+	runs    []FaultRun         // runs of the scale laboratory with faults
 }
 
-// Derivation is a number that follows from inputs, and from derivations before it.
+// Derivation is a number that is computed from inputs and from other derivations.
 type Derivation struct{ Name, Unit, Expression, About string }
 
-// NotMeasured says that a figure depends on series that are not there, or that have no law and were not run at the size.
+// NotMeasured is the error for a figure that depends on series that are absent, or that follow no law and were not measured
+// at the requested size.
 type NotMeasured struct{ Series []string }
 
 func (e *NotMeasured) Error() string { return "not measured: " + strings.Join(e.Series, ", ") }
 
 // Advice implements advice.Error.
 func (e *NotMeasured) Advice() string {
-	return "measure the series at five sizes or more, or at the planned size, and put its file into docs/measured"
+	return "measure the series at five or more sizes, or at the planned size, and add its file to docs/measured"
 }
 
-// ExpressionError says that a formula of the page can't be read.
+// ExpressionError is the error for a formula that cannot be evaluated.
 type ExpressionError struct{ Expression, Problem string }
 
 func (e *ExpressionError) Error() string {
@@ -42,10 +43,11 @@
 
 // Advice implements advice.Error.
 func (e *ExpressionError) Advice() string {
-	return `a formula has numbers, names of inputs, + - * /, and the functions at("SERIES", SIZE), pow, ceil, max, min`
+	return `a formula consists of numbers, names of inputs, + - * /, and the functions at("SERIES", SIZE), pow, ceil, max, min`
 }
 
-// NewModel fits all series. Each key may be there once.
+// NewModel returns a model of the inputs and of the files' series and fault runs. It fits all series, and returns an error if
+// two series have the same key.
 func NewModel(in *Inputs, files ...*File) (*Model, error) {
 	m := &Model{Inputs: in, Derived: derivations, fits: map[string]*Fit{}, series: map[string]*Series{}}
 	for _, file := range files {
@@ -53,10 +55,10 @@
 		for i := range file.Series {
 			s := &file.Series[i]
 			if m.series[s.Key()] != nil {
-				return nil, fmt.Errorf("series %q is there twice", s.Key())
+				return nil, fmt.Errorf("duplicate series %q", s.Key())
 			}
 			m.series[s.Key()] = s
-			if fit, err := FitSeries(s); err == nil { // without a law the sizes that were run count alone
+			if fit, err := FitSeries(s); err == nil { // a series without a law has values only at its measured sizes
 				m.fits[s.Key()] = fit
 			}
 		}
@@ -64,20 +66,21 @@
 	return m, nil
 }
 
-// Figure is what a formula gives: an estimate, and the series behind it.
+// Figure is the result of a formula: an estimate and the series that it is based on.
 type Figure struct {
 	Estimate
 	Sources []Source
 }
 
-// Source is one series that a figure was taken from, at a size.
+// Source is a series, at a size, that a figure is based on.
 type Source struct {
 	Series *Series
-	Fit    *Fit // nil: no law, taken from the run at that size
+	Fit    *Fit // nil for a series without a law, whose measured value at Size is used
 	Size   float64
 }
 
-// Evaluate computes a formula. The interval is taken by putting the least, and then the greatest, values of all series into it.
+// Evaluate computes a formula. The interval comes from evaluating the formula with the lower bounds, and then with the upper
+// bounds, of all series. The error is an *ExpressionError or a *NotMeasured.
 func (m *Model) Evaluate(expression string) (*Figure, error) {
 	tree, err := parser.ParseExpr(expression)
 	if err != nil {
@@ -101,13 +104,13 @@
 	return &Figure{Estimate{values[0], slices.Min(values[:]), slices.Max(values[:])}, e.sources}, nil
 }
 
-// evaluation is one pass over a formula.
+// evaluation is one pass over the syntax tree of a formula.
 type evaluation struct {
 	model      *Model
 	expression string
-	pick       func(Estimate) float64
+	pick       func(Estimate) float64 // selects the value, or a bound of its interval
 	sources    []Source
-	missing    []string
+	missing    []string // keys of series without a value
 }
 
 func (e *evaluation) errorf(format string, args ...any) (float64, error) {
@@ -129,7 +132,7 @@
 	case *ast.CallExpr:
 		return e.call(t)
 	}
-	return e.errorf("holds what is neither number, name, operator nor function")
+	return e.errorf("an element is not a number, name, operator or function call")
 }
 
 func (e *evaluation) resolveName(name string) (float64, error) {
@@ -145,7 +148,7 @@
 			return e.pick(f.Estimate), nil
 		}
 	}
-	return e.errorf("no input is named %q", name)
+	return e.errorf("unknown input %q", name)
 }
 
 func (e *evaluation) binary(t *ast.BinaryExpr) (float64, error) {
@@ -167,15 +170,16 @@
 	case token.QUO:
 		return x / y, nil
 	}
-	return e.errorf("operator %s", t.Op)
+	return e.errorf("unsupported operator %s", t.Op)
 }
 
+// functions are the functions of two arguments that a formula may call.
 var functions = map[string]func(a, b float64) float64{"pow": math.Pow, "max": math.Max, "min": math.Min}
 
 func (e *evaluation) call(t *ast.CallExpr) (float64, error) {
 	name, ok := t.Fun.(*ast.Ident)
 	if !ok {
-		return e.errorf("calls what is no function")
+		return e.errorf("the called expression is not a function name")
 	}
 	if name.Name == "at" {
 		return e.seriesValue(t.Args)
@@ -194,17 +198,18 @@
 	case f != nil && len(args) == 2:
 		return f(args[0], args[1]), nil
 	}
-	return e.errorf("no function %s with %d arguments", name.Name, len(args))
+	return e.errorf("unknown function %s with %d arguments", name.Name, len(args))
 }
 
-// seriesValue is at("SERIES", SIZE): what the runs gave at that size, or else what the fit gives there.
+// seriesValue evaluates at("SERIES", SIZE): the measured value at that size, or else the value of the fit there. It records a
+// series without a value in e.missing and returns 0 for it.
 func (e *evaluation) seriesValue(args []ast.Expr) (float64, error) {
 	if len(args) != 2 {
-		return e.errorf("at has a series and a size")
+		return e.errorf("at requires a series and a size")
 	}
 	text, ok := args[0].(*ast.BasicLit)
 	if !ok || text.Kind != token.STRING {
-		return e.errorf("the first argument of at is no text")
+		return e.errorf("the first argument of at is not a string")
 	}
 	name, err := strconv.Unquote(text.Value)
 	if err != nil {
@@ -223,8 +228,8 @@
 	return e.pick(estimate), nil
 }
 
-// At gives a series' value at a size: the median and the range of the runs of just that size, or else the fit's
-// extrapolation.
+// At returns the value of the series with key name at a size: the median and range of the values measured at exactly that
+// size, or else the estimate of the fit. The error is a *NotMeasured.
 func (m *Model) At(name string, size float64) (Source, Estimate, error) {
 	s, fit := m.series[name], m.fits[name]
 	if s == nil {
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -1,16 +1,18 @@
 package capacity
 
-// failureRow is one line of the table of failures. {{UNIT FORMULA}} in its texts is computed.
+// failureRow is one line of the table of failures. Each {{UNIT FORMULA}} in its texts is replaced by the computed value.
 type failureRow struct {
 	Failure, Lost, Unaffected, Recovery, RecoveryLoad string
-	Tests                                             string   // that show it
-	FaultKinds                                        []string // faults of the scale laboratory that show it
-	NotRun                                            string   // what of it nothing shows
+	Tests                                             string   // tests that cover the failure
+	FaultKinds                                        []string // kinds of faults of the scale laboratory that cover it
+	NotRun                                            string   // part of the failure that no test or run covers
 }
 
+// notRun marks a failure, or a part of it, that no test or run covers.
 const notRun = "not run"
 
-// Tests that show rows, with their size: the session machine of all 2,200 in virtual time, or real processes.
+// Tests that cover failures, with the size that they run: the session state machines of all 2,200 gatekeepers in virtual time,
+// or real processes.
 const (
 	fleetFailuresTest       = "TestFleetFailures (control/session: 2,200 in virtual time, 3 seeds)"
 	fleetStartsTest         = "TestFleetStartsAtOnce (control/session: 2,200 in virtual time, 3 seeds)"
--- a/internal/capacity/faults.go
+++ b/internal/capacity/faults.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// FaultRun is one run of the scale laboratory with a fault, as docs/measured/scale.json holds it beside the series.
+// FaultRun is one run of the scale laboratory with faults, as stored in docs/measured/scale.json beside the series.
 type FaultRun struct {
 	N         int             `json:"n"` // gatekeepers
 	Seed      uint64          `json:"seed"`
-	RulesHeld bool            `json:"held"` // every rule of the judge
+	RulesHeld bool            `json:"held"` // the run met every rule of the judge
 	Faults    []InjectedFault `json:"faults"`
 
-	CommitToInForce    float64 `json:"in_force_from_commit_max_s"`        // s, the slowest of all changes at all gatekeepers
-	OutageEndToInForce float64 `json:"in_force_from_end_of_outage_max_s"` // s, where an outage of the gatekeeper lay between; 0: none did
-	StartToInForce     float64 `json:"start_to_in_force_max_s"`           // s, first settings after a gatekeeper's start
-	ControlCPU         float64 `json:"control_cpu_share_max"`             // of a core, the busiest control machine
+	CommitToInForce    float64 `json:"in_force_from_commit_max_s"`        // s, maximum over all changes and gatekeepers
+	OutageEndToInForce float64 `json:"in_force_from_end_of_outage_max_s"` // s, maximum over changes that were delayed by an outage of the gatekeeper; 0 without such a change
+	StartToInForce     float64 `json:"start_to_in_force_max_s"`           // s, maximum time from a gatekeeper's start until its first settings are in force
+	ControlCPU         float64 `json:"control_cpu_share_max"`             // fraction of a core used by the busiest control machine
 	Command            string  `json:"command"`
 }
 
-// InjectedFault is a fault that was played in a run.
+// InjectedFault is a fault that was injected in a run.
 type InjectedFault struct {
 	Kind             string  `json:"kind"`
-	MaxSessionShares float64 `json:"sessions_max_over_share"` // most sessions at a control machine, in shares
+	MaxSessionShares float64 `json:"sessions_max_over_share"` // maximum number of sessions at a control machine, divided by its share
 }
 
-// faultRunsOfKind are those of a kind of fault, by seed.
+// faultRunsOfKind returns the runs with a fault of the given kind, in the order of the files.
 func (m *Model) faultRunsOfKind(kind string) (runs []FaultRun) {
 	for _, r := range m.runs {
 		if slices.ContainsFunc(r.Faults, func(f InjectedFault) bool { return f.Kind == kind }) {
@@ -36,7 +36,7 @@
 	return runs
 }
 
-// evidence names the runs that have shown kinds of faults, or says that none has.
+// evidence lists the laboratory options that inject the given kinds of faults, and marks the kinds of which there is no run.
 func (m *Model) evidence(kinds []string) string {
 	var all []string
 	for _, kind := range kinds {
@@ -49,7 +49,7 @@
 	return strings.Join(all, "; ")
 }
 
-// faultTable gives what the runs of each kind of fault have shown: the worst of all seeds.
+// faultTable renders the results of the runs by kind of fault: the worst over all seeds.
 func (m *Model) faultTable() (string, error) {
 	var kinds []string
 	for _, r := range m.runs {
@@ -65,6 +65,7 @@
 	return markdownTable([]string{"fault", "gatekeepers", "seeds", "rules of the judge", "in force", "from the end of an outage", "after a start", "shares"}, rows), nil
 }
 
+// faultCells returns the columns of one kind of fault in the table of fault runs.
 func faultCells(kind string, runs []FaultRun) []string {
 	var sizes, seeds []string
 	var commitToInForce, outageEndToInForce, startToInForce, maxSessionShares float64
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// MinSizes is how many sizes a series needs to be fitted.
+	// MinSizes is the minimum number of sizes of a series that can be fitted.
 	MinSizes = 5
-	// plausibleErrorRatio is by how much the cross-validated error of a simpler law may lie above the least one.
+	// plausibleErrorRatio is the ratio to the least cross-validated error up to which the error of another law is acceptable.
 	plausibleErrorRatio = 1.25
-	// negligibleError is a cross-validated error, as a part of the median, below which laws are not told apart.
+	// negligibleError is the cross-validated error, as a fraction of the median, up to which every law is acceptable.
 	negligibleError = 0.01
 	// maxResidual is the relative residual above which even the law that fits best does not describe the series.
 	maxResidual = 0.5
-	// minScaleRatio keeps a size whose median is next to nothing from deciding alone: it counts as this part of the greatest.
+	// minScaleRatio is the minimum scale of a size's residual, as a fraction of the greatest median. It prevents a size with a
+	// median near 0 from dominating the fit.
 	minScaleRatio = 0.01
 )
 
-// TooFewSizes says that a series can't be fitted.
+// TooFewSizes is the error for a series with too few sizes to be fitted.
 type TooFewSizes struct {
 	Series string
 	Sizes  int
 }
 
 func (e *TooFewSizes) Error() string {
-	return fmt.Sprintf("series %q has %d sizes, %d are needed for a slope", e.Series, e.Sizes, MinSizes)
+	return fmt.Sprintf("series %q has %d sizes; a fit requires at least %d", e.Series, e.Sizes, MinSizes)
 }
 
 // Advice implements advice.Error.
 func (e *TooFewSizes) Advice() string { return "measure the series at more sizes" }
 
-// NoLaw says that a series follows none of the laws: a step, or noise.
+// NoLaw is the error for a series that follows none of the laws, such as a step or noise.
 type NoLaw struct {
 	Series   string
 	Best     Law
@@ -39,45 +40,46 @@
 }
 
 func (e *NoLaw) Error() string {
-	return fmt.Sprintf("series %q follows no law: the best, %s, leaves a residual of %s", e.Series, e.Best, formatPercent(e.Residual))
+	return fmt.Sprintf("series %q follows no law: the best fit, %s, has a residual of %s", e.Series, e.Best, formatPercent(e.Residual))
 }
 
 // Advice implements advice.Error.
 func (e *NoLaw) Advice() string {
-	return "measure it at the planned size itself, or look for the step in it"
+	return "measure the series at the planned size itself, or look for a step in it"
 }
 
-// Candidate is one law as it fits a series.
+// Candidate is a law fitted to a series.
 type Candidate struct {
 	Law             Law
 	Offset          float64
 	Slope           float64
-	Residual        float64 // relative to the size's median: root of the mean squared one over the degrees of freedom
-	PredictionError float64 // cross-validated, relative to the size's median
-	Plausible       bool    // the criterion leaves it in question
+	Residual        float64 // root of the mean squared residual over the degrees of freedom, relative to each size's median
+	PredictionError float64 // root of the mean squared cross-validated error, relative to each size's median
+	Plausible       bool    // the measured sizes do not rule the law out
 	line            line
 }
 
-// Fit is the law of a series, with what else the measured sizes allow.
+// Fit is the law of a series, with the other laws that the measured sizes do not rule out.
 //
 // Each law is fitted to the medians of the sizes by least squares of the residuals relative to the median, so that a
-// size of 100 counts as much as one of 100,000. The law chosen is the simplest whose cross-validated error (each size
-// foretold from all others) is at most 1.25 times the least one, or at most 1%. Laws that pass that too are plausible:
-// the interval of an extrapolation covers all of them. A series whose chosen law leaves a residual of over a half has no law.
+// size of 100 counts as much as one of 100,000. The chosen law is the simplest whose cross-validated error (each size
+// predicted from all others) is at most 1.25 times the least one, or at most 1%. All laws that meet this criterion are
+// plausible, and the interval of an extrapolation covers all of them. A series has no law if the residual of its chosen law
+// is over one half.
 type Fit struct {
 	Series     *Series
 	Chosen     Candidate
-	Candidates []Candidate // by law; without the logarithm where a size is 0
+	Candidates []Candidate // in the order of Laws; without Logarithmic if a size is 0
 	Sizes      int
-	Smallest   float64 // size that was run
-	Largest    float64 // size that was run
-	Spread     float64 // greatest (max - min) / median among the sizes
+	Smallest   float64 // measured size
+	Largest    float64 // measured size
+	Spread     float64 // maximum over the sizes of (max - min) / median
 }
 
-// Estimate is a value with the interval that it lies in, for the fit's 95%.
+// Estimate is a value with the bounds of its interval: the 95% prediction interval of a fit, or the range of measured values.
 type Estimate struct{ Value, Low, High float64 }
 
-// Exactly is an estimate without an interval.
+// Exactly returns an estimate whose interval is the value alone.
 func Exactly(v float64) Estimate { return Estimate{v, v, v} }
 
 // FitSeries finds the law of a series. The error is a *TooFewSizes or a *NoLaw.
@@ -114,7 +116,7 @@
 	return f, nil
 }
 
-// samplesOf weighs each size by its median, so that residuals are relative.
+// samplesOf returns a sample for each size, weighted by the median so that residuals are relative.
 func samplesOf(s *Series) []sample {
 	greatest := 0.0
 	for _, p := range s.Points {
@@ -131,9 +133,9 @@
 	return samples
 }
 
-// At extrapolates the series to a size. The interval is the 95% prediction interval of the chosen law (Student's t, the
-// residual relative to the value), widened to the values of every other plausible law. Beyond the largest size that was run
-// the value is never below the median there: a law that small sizes have drawn too low must not make a cost look smaller.
+// At estimates the series at a size. The interval is the 95% prediction interval of the chosen law (Student's t, with the
+// residual relative to the value), widened to the values of every other plausible law. Beyond the largest measured size the
+// value is never below the median there, since a law that small sizes pull down would understate the cost.
 func (f *Fit) At(n float64) Estimate {
 	value := max(0, f.Chosen.line.valueAt(n))
 	estimate := Exactly(value)
@@ -153,7 +155,7 @@
 	return estimate
 }
 
-// student95 is the two-sided 95% point of Student's t distribution.
+// student95 returns the two-sided 95% point of Student's t distribution.
 func student95(degreesOfFreedom int) float64 {
 	points := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
 		2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// scales are the units that a figure is shown in, from the greatest, by the unit that it is computed in.
+// scales maps the unit in which a figure is computed to the units in which it is displayed, from the largest.
 var scales = map[string][]scale{
 	"B":      {{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}},
 	"B/s":    {{1e6, "MB/s"}, {1e3, "KB/s"}, {1, "B/s"}},
@@ -20,12 +20,13 @@
 	"%":      {{1, "% of a core"}},
 }
 
+// scale is a display unit and its size in the unit of computation.
 type scale struct {
 	factor float64
 	unit   string
 }
 
-// scaleFor finds how a value of a unit is shown.
+// scaleFor returns the largest display unit of which the value is at least one, or else the smallest one.
 func scaleFor(v float64, unit string) scale {
 	candidates := scales[unit]
 	for _, s := range candidates {
@@ -39,13 +40,14 @@
 	return scale{1, unit}
 }
 
-// formatNumber writes a value with three significant digits, whole thousands with commas.
+// formatNumber formats a value with three significant digits below 100. From 100 on it rounds to whole numbers of at most four
+// significant digits, with commas between thousands.
 func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
 	if math.Abs(v) >= 100 {
-		digits := math.Floor(math.Log10(math.Abs(v))) - 3 // four digits of a large number
+		digits := math.Floor(math.Log10(math.Abs(v))) - 3 // digits beyond the first four
 		if digits > 0 {
 			step := math.Pow(10, digits)
 			v = math.Round(v/step) * step
@@ -59,6 +61,7 @@
 	return text
 }
 
+// groupThousands inserts commas between groups of three digits.
 func groupThousands(digits string) string {
 	sign := ""
 	if strings.HasPrefix(digits, "-") {
@@ -70,16 +73,16 @@
 	return sign + digits
 }
 
-// formatQuantity writes a value with its unit.
+// formatQuantity formats a value with its display unit.
 func formatQuantity(v float64, unit string) string {
 	s := scaleFor(v, unit)
 	return strings.TrimSpace(formatNumber(v/s.factor) + " " + s.unit)
 }
 
-// minShownInterval is the part of a value by which its interval must differ to be written.
+// minShownInterval is the width of an interval, as a fraction of the value, above which the interval is displayed.
 const minShownInterval = 0.02
 
-// formatEstimate writes a value, and its interval in the value's unit.
+// formatEstimate formats a value with its display unit, followed by its interval in the same unit unless that is narrow.
 func formatEstimate(e Estimate, unit string) string {
 	if e.High-e.Low <= minShownInterval*math.Abs(e.Value) {
 		return formatQuantity(e.Value, unit)
--- a/internal/capacity/law.go
+++ b/internal/capacity/law.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Law is how a cost grows with the size.
+// Law is a way in which a cost grows with the size.
 type Law int
 
-// The laws, from the one that grows least to the one that grows most. All but Constant have an offset beside the slope.
+// The laws, in order of growth. a is the offset and b the slope.
 const (
 	Constant    Law = iota // a
 	Logarithmic            // a + b x ln(n)
@@ -13,15 +13,15 @@
 	Square                 // a + b x n^2
 )
 
-// Laws are all of them, in that order.
+// Laws is the list of all laws, in order of growth.
 var Laws = []Law{Constant, Logarithmic, Linear, Square}
 
-// String is the law's name as the page has it.
+// String returns the law's name on the page.
 func (l Law) String() string {
 	return [...]string{"constant", "log", "linear", "square"}[l]
 }
 
-// regressor is what the slope is multiplied with at a size.
+// regressor returns the factor of the slope at a size.
 func (l Law) regressor(n float64) float64 {
 	switch l {
 	case Logarithmic:
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// parameters counts those that a fit of the law has.
+// parameters returns the number of parameters of a fit.
 func (l Law) parameters() int {
 	if l == Constant {
 		return 1
@@ -46,14 +46,15 @@
 type line struct {
 	law           Law
 	offset, slope float64
-	// Of the inverse of the normal matrix: how uncertain offset and slope are, in units of the weighted residual.
+	// Elements of the inverse of the normal matrix: variances and covariance of offset and slope, in units of the variance of
+	// the weighted residual.
 	varOffset, varSlope, covariance float64
 }
 
-// sample is one size: the median there, and the weight of its squared residual.
+// sample is one size n with its median and the weight of its squared residual.
 type sample struct{ n, value, weight float64 }
 
-// fitLine finds offset and slope with the least weighted sum of squared residuals.
+// fitLine computes the offset and slope that minimize the weighted sum of squared residuals.
 func fitLine(law Law, samples []sample) line {
 	var w, x, y, xx, xy float64
 	for _, s := range samples {
@@ -73,16 +74,16 @@
 		varOffset: xx / determinant, varSlope: w / determinant, covariance: -x / determinant}
 }
 
-// valueAt gives the line's value at a size.
+// valueAt returns the line's value at a size.
 func (l line) valueAt(n float64) float64 { return l.offset + l.slope*l.law.regressor(n) }
 
-// variance is that of the line's value at a size, in units of the weighted residual's.
+// variance returns the variance of the line's value at a size, in units of the variance of the weighted residual.
 func (l line) variance(n float64) float64 {
 	r := l.law.regressor(n)
 	return l.varOffset + 2*r*l.covariance + r*r*l.varSlope
 }
 
-// residual is the root of the mean weighted squared residual over the degrees of freedom.
+// residual returns the root of the mean weighted squared residual over the degrees of freedom.
 func (l line) residual(samples []sample) float64 {
 	sum := 0.0
 	for _, s := range samples {
@@ -92,8 +93,7 @@
 	return math.Sqrt(sum / float64(len(samples)-l.law.parameters()))
 }
 
-// crossValidationError is the root of the mean weighted squared error with which a law fitted to all sizes but one foretells
-// that one.
+// crossValidationError returns the root of the mean weighted squared error in predicting each size from a fit to all others.
 func crossValidationError(law Law, samples []sample) float64 {
 	sum := 0.0
 	others := make([]sample, 0, len(samples)-1)
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -172,11 +172,11 @@
 		lines := strings.Split(got, "\n")[3:] // below the marker, the head and the rule
 		for i, row := range role.Rows {
 			cells := strings.Split(lines[i], " | ")
-			require.Equal(t, row.Name, cells[1])
+			require.Equal(t, row.Label, cells[1])
 			if strings.Contains(row.Need, "at(") {
-				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.Name)
+				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.Label)
 			} else {
-				require.Equal(t, "inputs alone", cells[5], row.Name)
+				require.Equal(t, "inputs alone", cells[5], row.Label)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	files := map[string]string{inputsFile: strings.Replace(sources(t)[inputsFile], `"name": "voters", "unit": "number", "value": 5`,
 		`"name": "voters", "unit": "number", "value": 7`, 1)}
 	_, err := rendered(files, "<!-- table:placement -->\n<!-- end -->\n")
-	require.EqualError(t, err, "table placement: input voters is 7, and 5 are placed")
+	require.EqualError(t, err, "table placement: input voters is 7, but the placement has 5")
 }
 
 // Markers that do not fit together are named with their line.
@@ -195,10 +195,10 @@
 	m, err := modelOf(sources(t))
 	require.NoError(t, err)
 	for text, want := range map[string]string{
-		"<!-- table:inputs -->\n":                         "docs/CAPACITY.md:1: table inputs has no end",
-		"a\n<!-- end -->\n":                               "docs/CAPACITY.md:2: the end of no table",
-		"<!-- table:none -->\n<!-- end -->\n":             `docs/CAPACITY.md:1: there is no table "none"`,
-		"<!-- table:inputs -->\n<!-- table:derived -->\n": "docs/CAPACITY.md:2: a table begins within table inputs",
+		"<!-- table:inputs -->\n":                         "docs/CAPACITY.md:1: table inputs has no end marker",
+		"a\n<!-- end -->\n":                               "docs/CAPACITY.md:2: end marker outside a table",
+		"<!-- table:none -->\n<!-- end -->\n":             `docs/CAPACITY.md:1: unknown table "none"`,
+		"<!-- table:inputs -->\n<!-- table:derived -->\n": "docs/CAPACITY.md:2: a table begins inside table inputs",
 	} {
 		_, err := m.Render(text)
 		require.EqualError(t, err, want)
@@ -207,7 +207,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a <!-- = s register_pace -->2.29 min<!-- / --> b <!-- = number gatekeepers -->2,200<!-- / -->\n", text)
 	_, err = m.Render("a\n<!-- = s none -->1 s<!-- / -->\n")
-	require.EqualError(t, err, `docs/CAPACITY.md:2: formula "none": no input is named "none"`)
+	require.EqualError(t, err, `docs/CAPACITY.md:2: formula "none": unknown input "none"`)
 	again, err := m.Render("before\n<!-- table:placement -->\nold\n<!-- end -->\nafter\n")
 	require.NoError(t, err)
 	require.True(t, strings.HasPrefix(again, "before\n<!-- table:placement -->\n| region |") && strings.HasSuffix(again, "|\n<!-- end -->\nafter\n"), again)
--- a/internal/capacity/quorum.go
+++ b/internal/capacity/quorum.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Machine is one control machine and where it stands.
+// Machine is one control machine and its location.
 type Machine struct {
 	Name, Region, Zone string
 	Voter              bool
 }
 
-// Placement is where all control machines stand: five voters over three regions so that no region holds three of them,
-// and eight that do not vote, so that each zone has at least two machines.
+// Placement returns all control machines with their locations: five voters in three regions, so that no region holds three of
+// them, and eight non-voters, so that each zone has at least two machines.
 func Placement() []Machine {
 	var all []Machine
 	for _, zone := range []struct {
@@ -31,7 +31,7 @@
 	return all
 }
 
-// Voters counts the machines that vote.
+// Voters returns the number of machines that vote.
 func Voters(machines []Machine) (count int) {
 	for _, m := range machines {
 		if m.Voter {
@@ -41,18 +41,18 @@
 	return count
 }
 
-// HasQuorum tells whether the machines that are left, and reach each other, are a majority of all voters.
+// HasQuorum reports whether the remaining machines, which reach each other, include a majority of all voters.
 func HasQuorum(all, remaining []Machine) bool { return 2*Voters(remaining) > Voters(all) }
 
-// Failure is what is lost at once.
+// Failure is a simultaneous loss of machines.
 type Failure struct {
-	Kind string // what is enumerated
-	Name string
-	Lost func(Machine) bool
+	Kind string             // kind of loss that Failures enumerates, such as "one zone"
+	Name string             // lost machines, zones and regions
+	Lost func(Machine) bool // reports whether a machine is lost
 }
 
-// Failures enumerates what the page tells of: every machine, pair of machines, zone, pair of zones, region, region with
-// one more machine, and three zones.
+// Failures enumerates the failures in the quorum table of the page: every loss of a machine, two machines, a zone, two zones,
+// three zones, a region, and a region and one more machine.
 func Failures(machines []Machine) (all []Failure) {
 	names, zones, regions := machineNames(machines), zoneNames(machines), regionNames(machines)
 	for i, one := range names {
@@ -87,7 +87,7 @@
 func (m Machine) zone() string   { return m.Zone }
 func (m Machine) region() string { return m.Region }
 
-// fieldIn tells of a machine whether a field of it is among some values.
+// fieldIn returns a function that reports whether a field of a machine is one of the values.
 func fieldIn(field func(Machine) string, values ...string) func(Machine) bool {
 	return func(m Machine) bool { return slices.Contains(values, field(m)) }
 }
@@ -96,6 +96,7 @@
 func zoneNames(machines []Machine) []string    { return distinctValues(machines, Machine.zone) }
 func regionNames(machines []Machine) []string  { return distinctValues(machines, Machine.region) }
 
+// distinctValues returns the different values of a field, in the order of the machines.
 func distinctValues(machines []Machine, field func(Machine) string) (all []string) {
 	for _, m := range machines {
 		if !slices.Contains(all, field(m)) {
@@ -105,7 +106,7 @@
 	return all
 }
 
-// Remaining is what a failure leaves.
+// Remaining returns the machines that are not lost.
 func (f Failure) Remaining(machines []Machine) (remaining []Machine) {
 	for _, m := range machines {
 		if !f.Lost(m) {
@@ -115,12 +116,13 @@
 	return remaining
 }
 
-// RoundTrips are the times there and back between two machines, in milliseconds.
+// RoundTrips holds the network round-trip times between two machines, in milliseconds.
 type RoundTrips struct {
 	WithinRegion   float64               // between two machines of one region
-	BetweenRegions map[[2]string]float64 // between two regions, in the order of their names
+	BetweenRegions map[[2]string]float64 // between two regions; the names in a key are in lexical order
 }
 
+// between returns the round-trip time between two machines.
 func (t RoundTrips) between(a, b Machine) float64 {
 	if a.Region == b.Region {
 		return t.WithinRegion
@@ -128,10 +130,10 @@
 	return t.BetweenRegions[[2]string{min(a.Region, b.Region), max(a.Region, b.Region)}]
 }
 
-// CommitRoundTrip is how long a leader waits on the network for one write: until as many other voters have answered as
-// make a majority with it. ok is unset where that many are not left.
+// CommitRoundTrip returns how long a leader waits on the network for one write: until enough of the other voters have answered
+// to form a majority with it. ok is false if too few voters remain.
 func CommitRoundTrip(all, remaining []Machine, leader Machine, t RoundTrips) (ms float64, ok bool) {
-	neededAnswers := Voters(all) / 2 // beside the leader
+	neededAnswers := Voters(all) / 2 // of voters other than the leader
 	var answers []float64
 	for _, m := range remaining {
 		if m.Voter && m.Name != leader.Name {
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -12,9 +12,9 @@
 	tableEnd   = "<!-- end -->"
 )
 
-// PageError says what is wrong with the page's markers.
+// PageError is the error for an invalid marker on the page.
 type PageError struct {
-	Line    int
+	Line    int // from 1
 	Problem string
 }
 
@@ -25,11 +25,11 @@
 	return tableBegin + "NAME" + tableTitle + " begins a table and " + tableEnd + " ends it, each on a line of its own"
 }
 
-// inlineFigures is a figure within a line of text: <!-- = UNIT FORMULA -->figure<!-- / -->.
+// inlineFigures matches a figure within a line of text: <!-- = UNIT FORMULA -->figure<!-- / -->.
 var inlineFigures = regexp.MustCompile(`(<!-- = (\S+) (.+?) -->)[^<]*(<!-- / -->)`)
 
-// Render gives the page with every table, and every figure within the text, computed anew. What is outside the markers stays
-// as it is.
+// Render returns the page with all tables, and all figures within the text, recomputed. It does not change the text outside
+// the markers.
 func (m *Model) Render(page string) (string, error) {
 	var out strings.Builder
 	tables := m.tables()
@@ -39,12 +39,12 @@
 		switch {
 		case strings.HasPrefix(text, tableBegin):
 			if currentTable != "" {
-				return "", &PageError{i + 1, "a table begins within table " + currentTable}
+				return "", &PageError{i + 1, "a table begins inside table " + currentTable}
 			}
 			currentTable, beginLine = strings.TrimSuffix(strings.TrimPrefix(text, tableBegin), tableTitle), i+1
 			table := tables[currentTable]
 			if table == nil {
-				return "", &PageError{i + 1, fmt.Sprintf("there is no table %q", currentTable)}
+				return "", &PageError{i + 1, fmt.Sprintf("unknown table %q", currentTable)}
 			}
 			rendered, err := table()
 			if err != nil {
@@ -53,7 +53,7 @@
 			out.WriteString(row + rendered)
 		case text == tableEnd:
 			if currentTable == "" {
-				return "", &PageError{i + 1, "the end of no table"}
+				return "", &PageError{i + 1, "end marker outside a table"}
 			}
 			currentTable = ""
 			out.WriteString(row)
@@ -66,12 +66,12 @@
 		}
 	}
 	if currentTable != "" {
-		return "", &PageError{beginLine, "table " + currentTable + " has no end"}
+		return "", &PageError{beginLine, "table " + currentTable + " has no end marker"}
 	}
 	return out.String(), nil
 }
 
-// inlineFigures computes the figures within a line of text.
+// inlineFigures recomputes the figures within a line of text.
 func (m *Model) inlineFigures(text string) (filled string, err error) {
 	filled = inlineFigures.ReplaceAllStringFunc(text, func(found string) string {
 		parts := inlineFigures.FindStringSubmatch(found)
@@ -84,7 +84,7 @@
 	return filled, err
 }
 
-// markdownTable writes a table.
+// markdownTable renders a table in Markdown, with the head and a rule above the rows.
 func markdownTable(head []string, rows [][]string) string {
 	var out strings.Builder
 	line := func(cells []string) {
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -7,23 +7,24 @@
 	"strings"
 )
 
-// Missing is the carrier of a row that nothing carries.
+// Missing is the carrier of a row whose mechanism no package implements.
 const Missing = "**missing**"
 
-// Row is one line of a role's table: what a mechanism needs at the planned size, and what it may use.
+// Row is one line of a role's table: what a mechanism needs at the planned size, and what it may use. Its carrier is the
+// package that implements the mechanism.
 type Row struct {
-	Name            string
+	Label           string // mechanism and resource
 	Unit            string
 	Need            string // formula
-	Budget          string // formula; "": none is stated
-	Carrier         string // package and name, or Missing
-	PreviousCarrier string // carrier before configuration was delivered by watch, where it was another one
+	Budget          string // formula; empty without a budget
+	Carrier         string // package, and name where needed, or Missing
+	PreviousCarrier string // carrier before configuration was delivered by watch, if it differs from Carrier
 }
 
-// Verdict tells whether a need is within its budget.
+// Verdict is the result of comparing a need with its budget.
 type Verdict int
 
-// Verdicts. A need whose interval crosses the budget is Uncertain.
+// Verdicts. A need is Uncertain if it is within the budget and the upper bound of its interval is not.
 const (
 	NoBudget Verdict = iota
 	Pass
@@ -32,22 +33,22 @@
 	Unmeasured
 )
 
-// String is the verdict as the page has it.
+// String returns the verdict in the wording of the page.
 func (v Verdict) String() string {
 	return [...]string{"", "pass", "uncertain", "**fail**", "not measured"}[v]
 }
 
-// Result is a row computed.
+// Result is a row with its computed columns.
 type Result struct {
 	Row
-	Figure        *Figure // nil where something is not measured
-	MissingSeries *NotMeasured
-	BudgetValue   float64 // the budget
-	Headroom      float64 // budget / need: over 1 is within
+	Figure        *Figure      // nil if a series of the need is not measured
+	MissingSeries *NotMeasured // nil if all series of the need are measured
+	BudgetValue   float64
+	Headroom      float64 // budget / need; at least 1 is within the budget
 	Verdict       Verdict
 }
 
-// Compute gives the derived columns of a row.
+// Compute evaluates the need and the budget of a row. A need that is not measured is no error; it has the verdict Unmeasured.
 func (m *Model) Compute(r Row) (*Result, error) {
 	result := &Result{Row: r}
 	figure, err := m.Evaluate(r.Need)
@@ -75,16 +76,17 @@
 	return result, nil
 }
 
-// budget evaluates a row's budget, which must not depend on what was measured.
+// budget evaluates a row's budget, which must be a formula over inputs alone, and stores it in the result.
 func (m *Model) budget(r Row, result *Result) (float64, error) {
 	f, err := m.Evaluate(r.Budget)
 	if err != nil {
-		return 0, fmt.Errorf("budget of %s: %w", r.Name, err)
+		return 0, fmt.Errorf("budget of %s: %w", r.Label, err)
 	}
 	result.BudgetValue = f.Value
 	return f.Value, nil
 }
 
+// verdictOf compares a need with its budget.
 func verdictOf(need Estimate, budget float64) Verdict {
 	switch {
 	case need.Value > budget:
@@ -95,7 +97,7 @@
 	return Pass
 }
 
-// law tells where a figure comes from: the law and the sizes that were run.
+// law describes what a figure is based on: the law and the measured sizes of each of its series.
 func (f *Figure) law() string {
 	var all []string
 	for _, s := range f.Sources {
@@ -110,6 +112,7 @@
 	return strings.Join(all, "; ")
 }
 
+// law describes the law of the series, its measured sizes, and how far the size lies beyond the largest of them.
 func (s Source) law() string {
 	points := s.Series.Points
 	last := points[len(points)-1].N
@@ -127,7 +130,7 @@
 	return text
 }
 
-// carrierCell is what carries the row now, and what did before.
+// carrierCell returns the present and the previous carrier of the row.
 func (r *Result) carrierCell() string {
 	if r.PreviousCarrier == "" {
 		return r.Carrier
@@ -135,9 +138,9 @@
 	return r.Carrier + "; before: " + r.PreviousCarrier
 }
 
-// cells are the row as the page has it.
+// cells returns the row's columns in the table of its role.
 func (r *Result) cells(number int) []string {
-	cells := []string{fmt.Sprint(number), r.Name, "", "none stated", "", "", r.carrierCell()}
+	cells := []string{fmt.Sprint(number), r.Label, "", "none stated", "", "", r.carrierCell()}
 	if r.Row.Budget != "" {
 		cells[3] = formatQuantity(r.BudgetValue, r.Unit)
 	}
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -7,28 +7,28 @@
 	"slices"
 )
 
-// File is one file of measured series, as it lies in docs/measured.
+// File is one file of measured series in docs/measured.
 type File struct {
 	Series    []Series   `json:"series"`
 	FaultRuns []FaultRun `json:"fault_runs,omitempty"`
 }
 
-// Series is what was measured of one cost at several sizes.
+// Series holds the measured values of one cost at several sizes.
 type Series struct {
 	Name    string  `json:"name"`
 	Unit    string  `json:"unit"`    // of the values
-	Of      string  `json:"of"`      // what the size counts: members, records, servers known
-	Command string  `json:"command"` // that measures it again
+	Of      string  `json:"of"`      // items that the size counts: members, records, servers known
+	Command string  `json:"command"` // command that repeats the measurement
 	Date    string  `json:"date"`    // YYYY-MM-DD
-	Beside  string  `json:"beside"`  // what else ran on the machine
-	Points  []Point `json:"points"`  // by growing size
+	Beside  string  `json:"beside"`  // other load on the machine during the measurement
+	Points  []Point `json:"points"`  // in increasing order of size
 
-	// With is what the measured processes had beside the mechanism. A file that has this key uses a name for several
-	// series, which are told apart by Of and With.
+	// With names the parts that ran in the measured processes beside the mechanism. A file with this key uses one name for
+	// several series, which Of and With distinguish.
 	With *string `json:"with,omitempty"`
 }
 
-// Key is the name by which formulas know the series.
+// Key returns the name of the series in formulas.
 func (s *Series) Key() string {
 	if s.With == nil {
 		return s.Name
@@ -40,15 +40,16 @@
 	return key
 }
 
-// Point is one size, with a value of each repetition. Without values it says by its note why there are none, and counts as
-// a size that was not run.
+// Point is one size, with one value per repetition. A point without values has a note with the reason, and counts as a size
+// that was not measured.
 type Point struct {
 	N      float64   `json:"n"`
 	Values []float64 `json:"values"`
 	Note   string    `json:"note,omitempty"`
 }
 
-// Median of the repetitions. It is what a law is fitted to: one slow repetition on a busy machine does not move it.
+// Median returns the median of the repetitions. Laws are fitted to it because one slow repetition on a busy machine hardly
+// changes it.
 func (p Point) Median() float64 {
 	values := slices.Clone(p.Values)
 	slices.Sort(values)
@@ -59,7 +60,7 @@
 	return (values[middle-1] + values[middle]) / 2
 }
 
-// Spread is the distance between the greatest and the least value, as a part of the median; 0 where the median is 0.
+// Spread returns the difference of the greatest and the least value as a fraction of the median, or 0 if the median is 0.
 func (p Point) Spread() float64 {
 	median := math.Abs(p.Median())
 	if median == 0 {
@@ -68,8 +69,8 @@
 	return (slices.Max(p.Values) - slices.Min(p.Values)) / median
 }
 
-// ParseFile reads a file of series, checks each of them and drops the sizes without values. Other keys of the file (single
-// runs, fits of the measuring command) are passed over.
+// ParseFile decodes a file of series, checks each series, and drops the sizes without values. It ignores other keys of the
+// file, such as single runs and fits of the measuring command. name is the file name for errors, which are of type *FileError.
 func ParseFile(name string, text []byte) (*File, error) {
 	var f File
 	if err := decode(name, text, &f); err != nil {
@@ -84,6 +85,7 @@
 	return &f, nil
 }
 
+// decode unmarshals the JSON text of the named file.
 func decode(name string, text []byte, into any) error {
 	if err := json.Unmarshal(text, into); err != nil {
 		return &FileError{File: name, Err: err}
@@ -91,11 +93,12 @@
 	return nil
 }
 
+// check returns an error if a required key is empty, sizes are not increasing, or a value is missing or not finite.
 func (s *Series) check() error {
 	for _, field := range []struct{ name, value string }{{"name", s.Name}, {"unit", s.Unit}, {"of", s.Of},
 		{"command", s.Command}, {"date", s.Date}, {"beside", s.Beside}} {
 		if field.value == "" {
-			return fmt.Errorf("series %q: key %s is absent or empty", s.Name, field.name)
+			return fmt.Errorf("series %q: key %s is missing or empty", s.Name, field.name)
 		}
 	}
 	if len(s.Points) == 0 {
@@ -104,22 +107,22 @@
 	last := -1.0
 	for _, p := range s.Points {
 		if p.N < 0 || !(p.N > last) || math.IsInf(p.N, 0) {
-			return fmt.Errorf("series %q: size %v after %v: sizes are at least 0 and grow", s.Name, p.N, last)
+			return fmt.Errorf("series %q: size %v after %v: sizes must be at least 0 and increasing", s.Name, p.N, last)
 		}
 		last = p.N
 		if len(p.Values) == 0 && p.Note == "" {
-			return fmt.Errorf("series %q: neither values nor a note at size %v", s.Name, p.N)
+			return fmt.Errorf("series %q: size %v has neither values nor a note", s.Name, p.N)
 		}
 		for _, v := range p.Values {
 			if math.IsNaN(v) || math.IsInf(v, 0) {
-				return fmt.Errorf("series %q: value %v at size %v is no number", s.Name, v, p.N)
+				return fmt.Errorf("series %q: value %v at size %v is not finite", s.Name, v, p.N)
 			}
 		}
 	}
 	return nil
 }
 
-// FileError says which of the page's files is at fault.
+// FileError is the error for an invalid file of inputs or series.
 type FileError struct {
 	File string
 	Err  error
@@ -131,5 +134,5 @@
 
 // Advice implements advice.Error.
 func (e *FileError) Advice() string {
-	return "correct the file, or measure the series again with the command that it names"
+	return "correct the file, or repeat the measurement with the command given in the series"
 }
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// tables are the computed parts of the page, by the name in their markers.
+// tables returns the functions that render the tables of the page, by the name in their markers.
 func (m *Model) tables() map[string]func() (string, error) {
 	all := map[string]func() (string, error){
 		"inputs": m.inputTable, "derived": m.derivedTable, "measured": m.measuredTable, "series": m.seriesTable,
@@ -43,9 +43,10 @@
 	return markdownTable([]string{"name", "formula", "value", "what it is"}, rows), nil
 }
 
+// seriesInFormula matches a series in a formula; the submatch is its key.
 var seriesInFormula = regexp.MustCompile(`at\("([^"]+)"`)
 
-// usedSeries are those of the series that a formula of the page uses and that were measured, in order.
+// usedSeries returns the sorted keys of the measured series that the rows' formulas use.
 func (m *Model) usedSeries() (names []string) {
 	for _, role := range roles {
 		for _, row := range role.Rows {
@@ -60,7 +61,7 @@
 	return slices.Compact(names)
 }
 
-// seriesTable gives each series' law, and how well it fits.
+// seriesTable renders the law of each series and how well it fits.
 func (m *Model) seriesTable() (string, error) {
 	var rows [][]string
 	for _, name := range m.usedSeries() {
@@ -82,7 +83,7 @@
 	return markdownTable([]string{"series", "unit", "law, n is the size", "residual / foretold", "spread", "others not ruled out"}, rows), nil
 }
 
-// noLawReason says why a series has none.
+// noLawReason describes the error of a series that has no law.
 func noLawReason(err error) string {
 	var few *TooFewSizes
 	var none *NoLaw
@@ -95,7 +96,7 @@
 	return ""
 }
 
-// formula writes a law with its numbers.
+// formula formats a law with its fitted parameters.
 func (c Candidate) formula() string {
 	if c.Law == Constant {
 		return formatNumber(c.Offset)
@@ -110,7 +111,7 @@
 
 func formatPercent(part float64) string { return formatNumber(100*part) + "%" }
 
-// measuredTable gives the median of each size of each series.
+// measuredTable renders the median of each size of each series.
 func (m *Model) measuredTable() (string, error) {
 	var rows [][]string
 	for _, name := range m.usedSeries() {
@@ -126,7 +127,7 @@
 	return markdownTable([]string{"series", "unit", "size counts", "size: median", "values", "date"}, rows), nil
 }
 
-// commandTable gives the commands that measure the series again, and what ran beside them. The files name it for each series.
+// commandTable renders the commands that repeat the measurements, and the other load on the machine, as given in the files.
 func (m *Model) commandTable() (string, error) {
 	byCommand := map[string][]string{}
 	var commands []string
@@ -154,7 +155,7 @@
 	for _, row := range role.Rows {
 		result, err := m.Compute(row)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", row.Name, err)
+			return nil, fmt.Errorf("%s: %w", row.Label, err)
 		}
 		all = append(all, result)
 	}
@@ -173,7 +174,7 @@
 	return markdownTable([]string{"", "what", "need", "budget", "headroom", "law, sizes", "carried by"}, rows), nil
 }
 
-// formulaTable gives the formulas of all rows, by role and number.
+// formulaTable renders the formulas of all rows, by role and number.
 func (m *Model) formulaTable() (string, error) {
 	var rows [][]string
 	for _, role := range roles {
@@ -184,7 +185,8 @@
 	return markdownTable([]string{"row", "need", "budget"}, rows), nil
 }
 
-// shortfallTable lists the rows that do not hold or had no carrier: those without a carrier first, then by headroom.
+// shortfallTable lists the rows that fail or are uncertain, and those that lack or lacked a carrier. The latter come first, then
+// rows are sorted by headroom.
 func (m *Model) shortfallTable() (string, error) {
 	type shortfall struct {
 		*Result
@@ -217,15 +219,15 @@
 		if o.Figure != nil {
 			ratio = formatHeadroom(o.Headroom) + " "
 		}
-		rows = append(rows, []string{o.role, o.Name, ratio + o.Verdict.String(), o.carrierCell()})
+		rows = append(rows, []string{o.role, o.Label, ratio + o.Verdict.String(), o.carrierCell()})
 	}
 	return markdownTable([]string{"role", "row", "headroom", "carried by"}, rows), nil
 }
 
-// lackedCarrier tells whether nothing carries the row, or did before configuration was delivered.
+// lackedCarrier reports whether no package implements the mechanism, or none did before configuration was delivered by watch.
 func (r *Result) lackedCarrier() bool { return r.Carrier == Missing || r.PreviousCarrier == Missing }
 
-// formatHeadroom writes a ratio.
+// formatHeadroom formats the ratio of budget to need.
 func formatHeadroom(ratio float64) string {
 	if math.IsInf(ratio, 0) || math.IsNaN(ratio) {
 		return "no need"
@@ -255,9 +257,10 @@
 	return markdownTable([]string{"failure", "lost", "goes on", "right again", "load of the recovery", "shown by"}, rows), nil
 }
 
+// placeholder matches {{UNIT FORMULA}}.
 var placeholder = regexp.MustCompile(`\{\{(\S+) ([^}]+)\}\}`)
 
-// fillPlaceholders computes {{UNIT FORMULA}} in a text.
+// fillPlaceholders replaces each {{UNIT FORMULA}} in a text by the computed figure.
 func (m *Model) fillPlaceholders(text string) (filled string, err error) {
 	filled = placeholder.ReplaceAllStringFunc(text, func(found string) string {
 		parts := placeholder.FindStringSubmatch(found)
@@ -275,13 +278,13 @@
 	return filled, err
 }
 
-// placementTable says where the control machines stand. The inputs must count as many.
+// placementTable renders the voters and non-voters of each zone. It returns an error if the inputs have other counts.
 func (m *Model) placementTable() (string, error) {
 	machines := Placement()
 	for name, count := range map[string]int{"control_machines": len(machines), "voters": Voters(machines),
 		"zones": len(zoneNames(machines)), "regions": len(regionNames(machines))} {
 		if v, _ := m.Inputs.Value(name); v != float64(count) {
-			return "", fmt.Errorf("input %s is %v, and %d are placed", name, v, count)
+			return "", fmt.Errorf("input %s is %v, but the placement has %d", name, v, count)
 		}
 	}
 	var rows [][]string
@@ -304,7 +307,7 @@
 	return markdownTable([]string{"region", "zone", "vote", "do not vote"}, rows), nil
 }
 
-// quorumTable counts the failures of each kind that leave a quorum, and names those that do not.
+// quorumTable renders the number of failures of each kind that leave a quorum, and the names of those that do not.
 func quorumTable() (string, error) {
 	machines := Placement()
 	type count struct {
@@ -335,7 +338,7 @@
 	return markdownTable([]string{"lost at once", "cases", "writes go on", "writes stop at the loss of"}, rows), nil
 }
 
-// writeLatencyTable gives the network's part of a write's time by where the leader is and what is lost.
+// writeLatencyTable renders the network's part of the latency of a write, by the region of the leader and the lost region.
 func (m *Model) writeLatencyTable() (string, error) {
 	trips, err := m.roundTrips()
 	if err != nil {
@@ -364,6 +367,7 @@
 	return markdownTable(head, rows), nil
 }
 
+// commitCell formats the network's part of the latency of a write.
 func commitCell(all, remaining []Machine, leader Machine, t RoundTrips) string {
 	ms, ok := CommitRoundTrip(all, remaining, leader, t)
 	if !ok {
@@ -372,6 +376,7 @@
 	return formatQuantity(ms, "ms")
 }
 
+// roundTrips reads the round-trip times from the inputs.
 func (m *Model) roundTrips() (t RoundTrips, err error) {
 	t.BetweenRegions = map[[2]string]float64{}
 	for name, assign := range map[string]func(float64){
@@ -382,7 +387,7 @@
 	} {
 		v, ok := m.Inputs.Value(name)
 		if !ok {
-			return t, fmt.Errorf("no input is named %q", name)
+			return t, fmt.Errorf("unknown input %q", name)
 		}
 		assign(v)
 	}
