--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -84,7 +84,7 @@
 	{Failure: "the leader is lost",
 		Lost:         "writes, for an election; its sessions",
 		Unaffected:   "calls; reads and sessions at the other 12",
-		Recovery:     "0.4 to 0.8 s until somebody stands for election (electAfter, internal/store), longer if votes split",
+		Recovery:     "0.4 to 0.8 s until somebody stands for election (defaultElectionTimeout, internal/store), longer if votes split",
 		RecoveryLoad: "as for a control machine",
 		FaultKinds:   []string{"kill-leader"}},
 	{Failure: "a control machine is paused for 10 s",
