--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -19,7 +19,7 @@
 
 var testSizes = []float64{24, 100, 400, 1100, 2200}
 
-// seriesOf measures a function at sizes, with noise that is relative to the value.
+// seriesOf returns a series of a function's values at sizes, with noise relative to the value.
 func seriesOf(name string, sizes []float64, noise float64, f func(n float64) float64) *Series {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := &Series{Name: name, Unit: "us", Of: "servers", Command: "c", Date: "2026-12-02", Beside: "nothing"}
@@ -33,7 +33,7 @@
 	return s
 }
 
-// Each law is found from exact values and from values that differ by 3%.
+// Each law is found from exact values and from values with 3% noise.
 func TestFitFindsTheLaw(t *testing.T) {
 	for law, f := range map[Law]func(n float64) float64{
 		Constant:    func(float64) float64 { return 40 },
@@ -53,19 +53,19 @@
 	}
 }
 
-// A linear law by hand: 2 + 3 n at five sizes, so 6,602 at 2,200.
+// A linear law calculated by hand: 2 + 3 n at five sizes, which is 6,602 at 2,200.
 func TestFitByHand(t *testing.T) {
 	fit, err := FitSeries(seriesOf("s", []float64{1, 2, 3, 4, 5}, 0, func(n float64) float64 { return 2 + 3*n }))
 	require.NoError(t, err)
 	require.InDelta(t, 2, fit.Chosen.Offset, 1e-9)
 	require.InDelta(t, 3, fit.Chosen.Slope, 1e-9)
 	require.InDelta(t, 6602, fit.At(2200).Value, 1e-6)
-	// Weighted by hand: values 10, 20 at sizes 1, 2 with weights 1/100 and 1/400 have the weighted mean 12.
+	// Weighted mean calculated by hand: values 10, 20 at sizes 1, 2 with weights 1/100 and 1/400 have the weighted mean 12.
 	l := fitLine(Constant, []sample{{1, 10, 0.01}, {2, 20, 0.0025}})
 	require.InDelta(t, 12, l.offset, 1e-12)
 }
 
-// With sizes that do not tell linear from logarithmic, the interval covers both.
+// With sizes that do not distinguish a linear from a logarithmic law, the interval covers both.
 func TestIntervalCoversLawsNotRuledOut(t *testing.T) {
 	s := seriesOf("s", []float64{10, 11, 12, 13, 14}, 0.2, func(n float64) float64 { return 10 + n })
 	fit, err := FitSeries(s)
@@ -82,7 +82,7 @@
 	require.Greater(t, plausible, 1)
 }
 
-// Beyond the largest size the value is not below the median there, though the law of all sizes is; within the sizes it is the law's.
+// Beyond the largest measured size the value is not below the median there, even if the law is; at smaller sizes it follows the law.
 func TestExtrapolationIsNotBelowTheLargestRun(t *testing.T) {
 	s := &Series{Name: "s", Unit: "MB"}
 	for i, v := range []float64{36, 35, 33, 34, 34, 39} {
@@ -96,7 +96,7 @@
 	require.Less(t, fit.At(2000).Value, 36.0)
 }
 
-// Whatever exact line was measured, the fit foretells it, and its interval holds it.
+// A fit of any exact law predicts its values, and the interval contains them.
 func TestFitPredictsExactLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		law := rapid.SampledFrom(Laws).Draw(t, "law")
@@ -107,26 +107,26 @@
 			t.Fatal(err)
 		}
 		if fit.Chosen.Law > law {
-			t.Fatalf("%v was measured, %v was found", law, fit.Chosen.Law)
+			t.Fatalf("values of law %v were fitted to %v", law, fit.Chosen.Law)
 		}
 		e := fit.At(5000)
 		if fit.Chosen.Law == law && math.Abs(e.Value-f(5000)) > 1e-6*f(5000) {
-			t.Fatalf("%v foretold, %v is true", e.Value, f(5000))
+			t.Fatalf("predicted %v, want %v", e.Value, f(5000))
 		}
 		if e.Low > f(5000)*(1+1e-6) || e.High < f(5000)*(1-1e-6) {
-			t.Fatalf("%+v does not hold %v", e, f(5000))
+			t.Fatalf("interval of %+v does not contain %v", e, f(5000))
 		}
 	})
 }
 
-// Four sizes give no slope; the error says so and what to do.
+// A series with four sizes is not fitted; the error has an advice.
 func TestFitRefusesFewSizes(t *testing.T) {
 	_, err := FitSeries(seriesOf("decision", testSizes[:4], 0, func(n float64) float64 { return n }))
 	require.EqualError(t, err, `series "decision" has 4 sizes; a fit requires at least 5`)
 	require.NotEmpty(t, advice.Of(err))
 }
 
-// Series of one name are told apart by what they are of and what the processes had beside it, where a file says so.
+// Series of one name are distinguished by Of and With in a file that has the key "with".
 func TestSeriesKey(t *testing.T) {
 	f, err := ParseFile("scale.json", []byte(`{"series":[
 		{"name":"heap_max","unit":"B","of":"gatekeepers","with":"","command":"c","date":"d","beside":"b","points":[{"n":100,"values":[1],"seeds":[7]}]},
@@ -144,7 +144,7 @@
 	require.EqualError(t, err, `duplicate series "heap_max of gatekeepers"`)
 }
 
-// What runs with a fault have shown: the worst of all seeds, a broken rule, and kinds that were not run.
+// The table of fault runs has the worst value over all seeds and marks broken rules; kinds of faults without a run are marked.
 func TestFaultRuns(t *testing.T) {
 	f, err := ParseFile("scale.json", []byte(`{"series":[],"fault_runs":[
 		{"n":2200,"seed":1,"held":true,"faults":[{"kind":"kill-leader","sessions_max_over_share":1.2}],"in_force_from_commit_max_s":2.1,"start_to_in_force_max_s":1},
@@ -160,7 +160,7 @@
 	require.Contains(t, got, "| kill-leader | 2,200 | 1, 2 | all held | 2.1 s | no outage | 1.1 s | 1.4 |\n")
 }
 
-// A step follows no law: its sizes that were run count, and nothing is extrapolated.
+// A step follows no law: its measured sizes have values, and no other size is extrapolated.
 func TestFitRefusesAStep(t *testing.T) {
 	step := &Series{Name: "step", Unit: "origins"}
 	for i, v := range []float64{0, 0, 0, 0, 76, 1176} {
@@ -179,7 +179,7 @@
 	require.EqualError(t, err, "not measured: step")
 }
 
-// Size 0 is measured too; a logarithm is then no candidate.
+// With a size of 0 the logarithmic law is no candidate.
 func TestFitWithSizeZero(t *testing.T) {
 	fit, err := FitSeries(seriesOf("s", []float64{0, 50, 100, 191, 382}, 0, func(n float64) float64 { return 3 + n }))
 	require.NoError(t, err)
@@ -203,7 +203,7 @@
 	return m
 }
 
-// Formulas by hand.
+// Values of formulas calculated by hand, and errors of invalid formulas.
 func TestEvaluate(t *testing.T) {
 	m := testModel(t, seriesOf("linear", testSizes, 0, func(n float64) float64 { return 2 + 3*n }))
 	for expression, want := range map[string]float64{
@@ -236,7 +236,7 @@
 	require.NotEmpty(t, advice.Of(err))
 }
 
-// A size that was run gives its own median and range, also where there are too few sizes for a law.
+// A measured size has its own median and range, also with too few sizes for a law.
 func TestEvaluateAtASizeThatWasRun(t *testing.T) {
 	few := &Series{Name: "few", Unit: "ms", Points: []Point{{N: 34, Values: []float64{1, 5, 3}}, {N: 2200, Values: []float64{9, 7, 8}}}}
 	m := testModel(t, few)
@@ -250,7 +250,7 @@
 	require.EqualError(t, err, "not measured: few")
 }
 
-// Headroom is budget over need; a need over the budget fails, an interval over it leaves it open.
+// Headroom is budget divided by need. A need over the budget fails; a need whose interval exceeds the budget is uncertain.
 func TestCompute(t *testing.T) {
 	m := testModel(t, seriesOf("linear", testSizes, 0, func(n float64) float64 { return 0.1 * n }),
 		&Series{Name: "wide", Unit: "us", Points: []Point{{N: 2200, Values: []float64{100, 400, 500}}}})
@@ -274,7 +274,7 @@
 	require.EqualError(t, err, "budget of w: not measured: absent")
 }
 
-// Every formula of the page can be read, and every budget follows from the inputs.
+// Every formula of the page can be evaluated, and every budget depends on inputs alone.
 func TestRowsOfThePage(t *testing.T) {
 	m, err := modelOf(sources(t))
 	require.NoError(t, err)
@@ -287,7 +287,7 @@
 	}
 }
 
-// Bad files are named, with the series at fault.
+// The error for an invalid file names the file and the series.
 func TestBadFiles(t *testing.T) {
 	series := func(rest string) string {
 		return `{"series":[{"name":"s","unit":"us","of":"n","command":"c","date":"d","beside":"b",` + rest + `}]}`
@@ -318,7 +318,7 @@
 	require.EqualError(t, err, `duplicate series "s"`)
 }
 
-// Figures are written with three digits, and in the unit that suits them.
+// Figures are formatted with three significant digits in a suitable unit.
 func TestQuantity(t *testing.T) {
 	for want, got := range map[string]string{
 		"8.75 KB/s": formatQuantity(8750, "B/s"), "264 KB": formatQuantity(264071, "B"), "18.4 ms": formatQuantity(18408, "us"),
@@ -331,7 +331,7 @@
 	}
 }
 
-// The package does no I/O and reads no clock.
+// The package does no I/O and reads no clock: it imports none of the packages for it.
 func TestPure(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	require.NoError(t, err)
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write docs/CAPACITY.md with its tables computed anew")
+var update = flag.Bool("update", false, "write docs/CAPACITY.md with recomputed tables")
 
 const (
 	pageFile    = "../../docs/CAPACITY.md"
@@ -20,7 +20,7 @@
 	inputsFile  = "inputs.json"
 )
 
-// sources are the files that the page is computed from, by name.
+// sources returns the contents of the files in docs/measured, by name.
 func sources(t *testing.T) map[string]string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(measuredDir, "*.json"))
@@ -34,7 +34,7 @@
 	return files
 }
 
-// modelOf reads files as they lie in docs/measured.
+// modelOf returns the model of the given files of docs/measured.
 func modelOf(files map[string]string) (*Model, error) {
 	in, err := ParseInputs(inputsFile, []byte(files[inputsFile]))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return NewModel(in, measured...)
 }
 
-// rendered computes the page's tables from files.
+// rendered returns the page with the tables that the files result in.
 func rendered(files map[string]string, page string) (string, error) {
 	m, err := modelOf(files)
 	if err != nil {
@@ -63,6 +63,7 @@
 	return m.Render(page)
 }
 
+// page returns the text of docs/CAPACITY.md.
 func page(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(pageFile)
@@ -70,7 +71,7 @@
 	return string(text)
 }
 
-// The page's tables are what the inputs and the measured series give.
+// The tables of the page are those computed from the inputs and the measured series.
 func TestPage(t *testing.T) {
 	text := page(t)
 	want, err := rendered(sources(t), text)
@@ -80,18 +81,18 @@
 		return
 	}
 	if diff := cmp.Diff(want, text); diff != "" {
-		t.Errorf("docs/CAPACITY.md is not what docs/measured gives (+ is the page; go test ./internal/capacity -run TestPage -update):\n%s", diff)
+		t.Errorf("docs/CAPACITY.md differs from the page rendered from docs/measured (+ is the page; update it with go test ./internal/capacity -run TestPage -update):\n%s", diff)
 	}
 }
 
-// A number changed in the page, in the inputs or in a measured file is found: the page is no longer what they give.
+// A changed number in the page or in the inputs makes the page differ from the rendered one.
 func TestPageAgainstAChangedNumber(t *testing.T) {
 	text, files := page(t), sources(t)
 	agrees := func(files map[string]string, text string) bool {
 		want, err := rendered(files, text)
 		return err == nil && want == text
 	}
-	require.True(t, agrees(files, text), "the page agrees before anything is changed")
+	require.True(t, agrees(files, text), "the unchanged page differs from the rendered one")
 	for _, change := range []struct{ what, old, new string }{
 		{"page: an input", "| gatekeepers | 2,200 |", "| gatekeepers | 2,300 |"},
 		{"page: a derived number", "| 191 calls/s |", "| 192 calls/s |"},
@@ -116,7 +117,7 @@
 	}
 }
 
-// The values of the largest size of each series that the page uses, half as great again: the page is no longer what they give.
+// Values at the largest size that are 1.5 times as great make the page differ from the rendered one, for each series of the page.
 func TestPageAgainstAChangedSeries(t *testing.T) {
 	text, files := page(t), sources(t)
 	in, err := ParseInputs(inputsFile, []byte(files[inputsFile]))
@@ -148,7 +149,7 @@
 	}
 }
 
-// A run with a fault that broke a rule where it had held: the page is no longer what it gives.
+// An inverted verdict of a fault run makes the page differ from the rendered one.
 func TestPageAgainstAChangedFaultRun(t *testing.T) {
 	text := page(t)
 	m, err := modelOf(sources(t))
@@ -163,13 +164,13 @@
 	}
 }
 
-// Without a measured file its rows say so; nothing stands in its place, and what depends on inputs alone stays.
+// Without measured files, rows that depend on series are marked as not measured; rows that depend on inputs alone are computed.
 func TestPageWithoutMeasuredFiles(t *testing.T) {
 	files := map[string]string{inputsFile: sources(t)[inputsFile]}
 	for _, role := range roles {
 		got, err := rendered(files, "<!-- table:"+role.Table+" -->\n<!-- end -->\n")
 		require.NoError(t, err)
-		lines := strings.Split(got, "\n")[3:] // below the marker, the head and the rule
+		lines := strings.Split(got, "\n")[3:] // after the marker, the head and the rule
 		for i, row := range role.Rows {
 			cells := strings.Split(lines[i], " | ")
 			require.Equal(t, row.Label, cells[1])
@@ -182,7 +183,7 @@
 	}
 }
 
-// The inputs' counts of machines, voters, zones and regions are those that are placed.
+// Rendering fails if a count of machines in the inputs differs from the placement.
 func TestPlacementAgainstInputs(t *testing.T) {
 	files := map[string]string{inputsFile: strings.Replace(sources(t)[inputsFile], `"name": "voters", "unit": "number", "value": 5`,
 		`"name": "voters", "unit": "number", "value": 7`, 1)}
@@ -190,7 +191,7 @@
 	require.EqualError(t, err, "table placement: input voters is 7, but the placement has 5")
 }
 
-// Markers that do not fit together are named with their line.
+// Errors for invalid markers have the line number; valid markers have their tables and figures replaced.
 func TestPageMarkers(t *testing.T) {
 	m, err := modelOf(sources(t))
 	require.NoError(t, err)
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -18,7 +18,7 @@
 	"beammux/internal/protocol/sip"
 )
 
-// Inputs that are constants of the program are those of the code, as far as the code exports them.
+// Inputs that are constants of the program equal the constants in the code, as far as the code exports them.
 func TestInputsOfTheProgram(t *testing.T) {
 	in, err := ParseInputs(inputsFile, []byte(sources(t)[inputsFile]))
 	require.NoError(t, err)
@@ -39,9 +39,10 @@
 	}
 }
 
+// packagePath matches the path of a package in a text of the page.
 var packagePath = regexp.MustCompile(`\b(internal|control)(/[a-z]+)+`)
 
-// Tests that the page names are there.
+// Every test that the page names exists.
 func TestNamedTestsAreThere(t *testing.T) {
 	testName := regexp.MustCompile(`Test\w+`)
 	found := 0
@@ -55,7 +56,7 @@
 	require.False(t, testExists(t, "TestNoneOfThisName"))
 }
 
-// testExists looks for a test function in the packages that the page names tests of.
+// testExists reports whether one of the packages whose tests the page names has the test function.
 func testExists(t *testing.T, name string) bool {
 	t.Helper()
 	for _, pattern := range []string{"*_test.go", "../../control/session/*_test.go", "../../cmd/beammux/*_test.go", "../scalelab/*_test.go"} {
@@ -72,7 +73,7 @@
 	return false
 }
 
-// Packages that the page names are there.
+// Every package that the page names exists.
 func TestCarriersExist(t *testing.T) {
 	named := 0
 	requirePackages := func(text string) {
--- a/internal/capacity/quorum_test.go
+++ b/internal/capacity/quorum_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Thirteen machines, five voters 2 + 2 + 1, no two voters in a zone, at least two machines in each.
+// The placement has 13 machines, five voters (2 + 2 + 1 by region), at most one voter and at least two machines in a zone.
 func TestPlacement(t *testing.T) {
 	machines := Placement()
 	require.Len(t, machines, 13)
@@ -28,7 +28,7 @@
 	}
 }
 
-// Which failures a quorum survives, every case enumerated: counted apart from the code that enumerates them.
+// The number of failures that leave a quorum, for every kind. The expected numbers are calculated by hand.
 func TestQuorumOfEveryFailure(t *testing.T) {
 	machines := Placement()
 	type count struct{ all, survived int }
@@ -52,7 +52,7 @@
 	}, counts)
 }
 
-// Two regions that reach each other have a majority, one alone has none.
+// Two regions that reach each other have a majority; one region alone has none.
 func TestQuorumOfPartedRegions(t *testing.T) {
 	machines := Placement()
 	for _, region := range regionNames(machines) {
@@ -65,7 +65,8 @@
 	require.False(t, HasQuorum(machines, nil))
 }
 
-// The network's part of a write, by hand: the second answer of the other voters, with 20, 35 and 45 ms between regions and 1 ms within.
+// The network's part of a write's latency, calculated by hand: the second answer of the other voters, with 20, 35 and 45 ms between
+// regions and 1 ms within a region.
 func TestCommitRoundTrip(t *testing.T) {
 	machines := Placement()
 	trips := RoundTrips{WithinRegion: 1, BetweenRegions: map[[2]string]float64{{"a", "b"}: 20, {"a", "c"}: 35, {"b", "c"}: 45}}
