--- a/internal/capacity/depth/depth.go
+++ b/internal/capacity/depth/depth.go
@@ -1,8 +1,8 @@
-// Package depth calculates what happens to a call that passes many levels of services one below the other: how far repeats
-// multiply, and what time each level has. It is pure: no I/O, no clock.
+// Package depth calculates how a call behaves that passes through a chain of services: how far retries multiply from level to
+// level, and how much time each level has. It does no I/O and reads no clock.
 //
-// A level is one service with its gatekeepers. Level 1 is next to the first caller; at the last level the call ends. The
-// formulas hold for levels that decide alike and independently of each other, which is the worst case.
+// A level is one service with its gatekeepers. Level 1 is next to the first caller; the call ends at the last level. The
+// formulas hold for levels with the same settings that decide independently of each other, which is the worst case.
 package depth
 
 import (
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// Levels is how deep a call of the planned size goes.
+// Levels is the number of levels of a call at the planned size.
 const Levels = 19
 
-// Amplification tells how many set-ups reach the last of so many levels for one call, when all of them fail there.
+// Amplification is the number of set-ups that reach the last level for one call if all of them fail there, for several retry
+// policies.
 type Amplification struct {
 	Levels       int     `json:"levels"`
-	Unbounded    float64 `json:"unbounded"`     // each level makes all of its attempts
-	Budgeted     float64 `json:"budgeted"`      // each level repeats at most a part of its first attempts
-	Nearest      float64 `json:"nearest"`       // only the level next to the failure repeats, without a budget
-	NearestRatio float64 `json:"nearest_ratio"` // only that level repeats, within its budget
+	Unbounded    float64 `json:"unbounded"`     // each level makes all its attempts
+	Budgeted     float64 `json:"budgeted"`      // each level retries within a budget, a fraction of its first attempts
+	Nearest      float64 `json:"nearest"`       // only the level next to the failure retries, without a budget
+	NearestRatio float64 `json:"nearest_ratio"` // only that level retries, within its budget
 }
 
-// Amplify calculates the amplification for a number of attempts, the first included, and a retry budget that lets repeats be a
-// part ratio of the first attempts.
+// Amplify calculates the amplification for a number of attempts, including the first, and a retry budget. ratio is the maximum
+// number of retries as a fraction of the first attempts.
 func Amplify(levels, attempts int, ratio float64) Amplification {
 	a := Amplification{Levels: levels, Unbounded: 1, Budgeted: 1, Nearest: 1, NearestRatio: 1}
 	if levels <= 0 {
@@ -36,16 +37,17 @@
 	return a
 }
 
-// MaxAttempts is what one level sends for one call that fails each time.
+// MaxAttempts returns the number of set-ups that one level sends for a call that fails each time, which is at least 1.
 func MaxAttempts(attempts int) float64 { return float64(max(1, attempts)) }
 
-// BudgetedAttempts is what one level sends at most for each call, on average, under a budget: 1 + ratio, and no more than its
-// attempts.
+// BudgetedAttempts returns the maximum number of set-ups that one level sends for each call on average under a retry budget:
+// 1 + ratio, limited to its attempts.
 func BudgetedAttempts(attempts int, ratio float64) float64 {
 	return min(MaxAttempts(attempts), 1+max(0, ratio))
 }
 
-// RatioFor gives the ratio with which so many levels together amplify by most at the last: most^(1/levels) - 1.
+// RatioFor returns the ratio of the retry budgets with which the amplification at the last level is maxAmplification:
+// maxAmplification^(1/levels) - 1.
 func RatioFor(levels int, maxAmplification float64) float64 {
 	if levels <= 0 || maxAmplification <= 1 {
 		return 0
@@ -53,26 +55,26 @@
 	return math.Pow(maxAmplification, 1/float64(levels)) - 1
 }
 
-// DeadlinePropagation says how a level tells the time that it has to the level below.
+// DeadlinePropagation is the way in which a level passes a deadline to the level below.
 type DeadlinePropagation uint8
 
-// The ways.
+// Ways of deadline propagation.
 const (
-	RemainingMilliseconds DeadlinePropagation = iota // what is left of the own time, in whole milliseconds, rounded down
-	RemainingSeconds                                 // the same in whole seconds, rounded up, as the header Expires (RFC 3261, 20.19)
-	ClassDeadline                                    // the deadline of the class anew
+	RemainingMilliseconds DeadlinePropagation = iota // the remaining time in milliseconds, rounded down
+	RemainingSeconds                                 // the remaining time in seconds, rounded up, as in the header Expires (RFC 3261, 20.19)
+	ClassDeadline                                    // the full deadline of the class at each level
 )
 
-// Level is what one level has when a call arrives there.
+// Level is the time that one level has when a call arrives there.
 type Level struct {
 	Level     int           `json:"level"`
-	Assumed   time.Duration `json:"told_ns"` // time that the level takes itself to have
-	Remaining time.Duration `json:"left_ns"` // time that the first caller really waits on; not positive: nobody waits any more
-	Wasted    bool          `json:"in_vain"` // the level works although nobody waits
+	Assumed   time.Duration `json:"told_ns"` // remaining time according to the deadline that the level received
+	Remaining time.Duration `json:"left_ns"` // time until the deadline of the first caller; 0 or less if that has passed
+	Wasted    bool          `json:"in_vain"` // the level works on the call after the deadline of the first caller
 }
 
-// Deadlines follows one call down. spent passes at each level before it calls the next. deadline is that of the first caller,
-// and where deadlines are renewed also that of each level.
+// Deadlines returns the times that the levels have for one call. Each level spends the time spent before it calls the next one.
+// deadline is the deadline of the first caller, and for ClassDeadline also that of each level.
 func Deadlines(levels int, deadline, spent time.Duration, propagation DeadlinePropagation) []Level {
 	all := make([]Level, 0, max(0, levels))
 	assumed, remaining := deadline, deadline
@@ -89,7 +91,7 @@
 	return all
 }
 
-// FirstWasted gives the first level that works although nobody waits; 0 where there is none.
+// FirstWasted returns the first level that works on the call after the deadline of the first caller, or 0 if there is none.
 func FirstWasted(all []Level) int {
 	for _, l := range all {
 		if l.Wasted {
@@ -99,8 +101,8 @@
 	return 0
 }
 
-// AttemptTimes gives the time of one attempt at each level if every level divides its time evenly over its attempts, so that
-// the last of them still has as much as the first: deadline / attempts^level.
+// AttemptTimes returns the time of one attempt at each level if every level divides its time evenly among its attempts, so that
+// the last attempt has as much time as the first: deadline / attempts^level.
 func AttemptTimes(levels, attempts int, deadline time.Duration) []time.Duration {
 	all := make([]time.Duration, 0, max(0, levels))
 	for level := 1; level <= levels; level++ {
--- a/internal/capacity/depth/depth_test.go
+++ b/internal/capacity/depth/depth_test.go
@@ -13,7 +13,7 @@
 	"beammux/internal/capacity/depth"
 )
 
-// Figures of the platform's settings.
+// Values of the platform's settings, and the ratio of the example's retry budget.
 const (
 	platformAttempts = 5
 	platformDeadline = 9 * time.Second
@@ -30,7 +30,7 @@
 		{"no level", 0, 5, 0.2, depth.Amplification{Levels: 0, Unbounded: 1, Budgeted: 1, Nearest: 1, NearestRatio: 1}},
 		{"one level", 1, 5, 0.2, depth.Amplification{Levels: 1, Unbounded: 5, Budgeted: 1.2, Nearest: 5, NearestRatio: 1.2}},
 		{"three levels", 3, 4, 0.5, depth.Amplification{Levels: 3, Unbounded: 64, Budgeted: 3.375, Nearest: 4, NearestRatio: 1.5}},
-		{"one attempt leaves a budget nothing", 19, 1, 0.2, depth.Amplification{Levels: 19, Unbounded: 1, Budgeted: 1, Nearest: 1, NearestRatio: 1}},
+		{"one attempt, so no retries within the budget", 19, 1, 0.2, depth.Amplification{Levels: 19, Unbounded: 1, Budgeted: 1, Nearest: 1, NearestRatio: 1}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			require.InDeltaMapValues(t, fields(row.want), fields(depth.Amplify(row.levels, row.attempts, row.ratio)), 1e-9)
@@ -50,8 +50,8 @@
 		"nearest ratio": a.NearestRatio}
 }
 
-// Today's program, without a file of limits, makes as many attempts as the settings allow for a call that fails each time:
-// nothing tells a level that the failure came from below and has been repeated there.
+// Without a file of limits, each level makes as many attempts as the settings allow for a call that fails each time, since a level
+// cannot know that the failure came from a level below that has retried it.
 func TestEachLevelRetries(t *testing.T) {
 	settings := control.Settings{Gatekeepers: 1, Position: -1, OwnCell: -1, AttemptsCap: platformAttempts,
 		Classes: []control.Class{{LatencyTarget: 1500000, Deadline: 9000000, Worth: 1, Repeat: control.Idempotent}}}
@@ -61,9 +61,9 @@
 	require.True(t, control.Retryable.Has(control.Failed))
 }
 
-// With a budget each level sends up to 1 + ratio for each call, as Amplify counts.
+// With a retry budget each level sends up to 1 + ratio set-ups for each call, as Amplify assumes.
 func TestBudgetBoundsOneLevel(t *testing.T) {
-	const warmUpCalls, calls = 20000, 60000 // a millisecond apart: the budget's window of 10 s is full after the first part
+	const warmUpCalls, calls = 20000, 60000 // 1 ms apart: the budget's window of 10 s is full after the warm-up
 	budget := retry.NewBudget(retry.BudgetConfig{Ratio: exampleRatio, MinPerS: 1, Burst: 10}, make([]control.Class, 1))
 	sent := 0
 	for i := range warmUpCalls + calls {
@@ -82,11 +82,11 @@
 	}
 	maxAttempts := depth.BudgetedAttempts(platformAttempts, exampleRatio)
 	require.LessOrEqual(t, float64(sent)/calls, maxAttempts)
-	require.InDelta(t, maxAttempts, float64(sent)/calls, 0.02) // the window's newest second has only begun
+	require.InDelta(t, maxAttempts, float64(sent)/calls, 0.02) // the newest second of the window is not full
 }
 
-// setUpsAtLastLevel plays one call through levels of controllers, each with servers that pass it on to the level below. At the last level
-// every attempt fails, and each level answers a call that it refuses with an error. It returns the set-ups at the last level.
+// setUpsAtLastLevel runs one call through levels of controllers, each with servers that call the level below. At the last level every
+// attempt fails, and each level answers a failed call with an error. It returns the number of set-ups at the last level.
 func setUpsAtLastLevel(t *testing.T, settings control.Settings, levels int) (setUps int) {
 	t.Helper()
 	const servers = platformAttempts + 1
@@ -125,11 +125,11 @@
 	require.Equal(t, milliseconds[18].Remaining, milliseconds[18].Assumed)
 	require.Zero(t, depth.FirstWasted(milliseconds))
 
-	// A part of a millisecond is lost at each level.
+	// Each level loses a fraction of a millisecond to rounding.
 	truncated := depth.Deadlines(depth.Levels, platformDeadline, 430*time.Microsecond, depth.RemainingMilliseconds)
 	require.Equal(t, 18*(time.Millisecond-430*time.Microsecond), truncated[18].Remaining-truncated[18].Assumed)
 
-	// Whole seconds rounded up, as Expires is: what is told stays the same until a level spends a second.
+	// Whole seconds rounded up, as in Expires: the assumed time does not decrease unless a level spends a second.
 	seconds := depth.Deadlines(depth.Levels, platformDeadline, 600*time.Millisecond, depth.RemainingSeconds)
 	require.Equal(t, platformDeadline, seconds[18].Assumed)
 	require.Equal(t, 16, depth.FirstWasted(seconds))
--- a/internal/capacity/depth/example_test.go
+++ b/internal/capacity/depth/example_test.go
@@ -8,7 +8,7 @@
 	"beammux/internal/capacity/depth"
 )
 
-// Five attempts, as the platform's settings allow, and retry budgets of different ratios.
+// Five attempts, as in the platform's settings, and retry budgets of different ratios.
 func ExampleAmplify() {
 	fmt.Println("levels  unbounded  ratio 0.2  ratio 0.1  ratio 0.05  nearest alone")
 	for _, levels := range []int{1, 2, 3, 5, 10, depth.Levels} {
@@ -28,11 +28,11 @@
 	// ratio for at most twice as many at 19 levels: 0.0372
 }
 
-// A class with 9 s: the first level that works although nobody waits any more (0: none), and what the last level takes itself
-// to have.
+// A class with a deadline of 9 s: the first level that works after the first caller's deadline (0: none), and the remaining time
+// that the last level assumes.
 func ExampleDeadlines() {
 	const deadline = 9 * time.Second
-	fmt.Println("spent at a level   milliseconds     whole seconds    class anew")
+	fmt.Println("spent at a level   milliseconds     whole seconds    class deadline")
 	for _, spent := range []time.Duration{50, 430, 600, 1000} {
 		line := fmt.Sprintf("%13d ms", spent)
 		for _, propagation := range []depth.DeadlinePropagation{depth.RemainingMilliseconds, depth.RemainingSeconds, depth.ClassDeadline} {
@@ -42,7 +42,7 @@
 		fmt.Println(strings.TrimRight(line, " "))
 	}
 	// Output:
-	// spent at a level   milliseconds     whole seconds    class anew
+	// spent at a level   milliseconds     whole seconds    class deadline
 	//            50 ms    0,   8.1s       0,     9s       0,     9s
 	//           430 ms    0,  1.26s       0,     9s       0,     9s
 	//           600 ms    0,     0s      16,     9s      16,     9s
--- a/internal/capacity/slopes/commits.go
+++ b/internal/capacity/slopes/commits.go
@@ -15,11 +15,12 @@
 	commitTimeout = 10 * time.Second
 	warmUpCommits = 30
 	timedCommits  = 150
-	recordBytes   = 1000 // of a record that is written
+	recordBytes   = 1000 // size of each written record
 	plannedVoters = 5
 )
 
-// measureCommits times writes at the leader, one after another, of groups of several sizes, and counts what they send.
+// measureCommits measures the time of sequential writes at the leader and the bytes sent for them, for store groups of several
+// sizes.
 func measureCommits(r *run) error {
 	for _, place := range []struct {
 		name   string
@@ -39,7 +40,7 @@
 	return r.measureLogBytes()
 }
 
-// measureCommitGroup measures one group, all repetitions.
+// measureCommitGroup measures all repetitions of one store group. variant is "voters" or "members".
 func (r *run) measureCommitGroup(variant, place string, voters, nonVoters int, onDisk bool) error {
 	size := float64(voters + nonVoters)
 	group, err := r.startReplicas(fmt.Sprintf("commits-%s-%s-%d-%d", variant, place, voters, nonVoters), voters, nonVoters, onDisk, store.SyncAlways)
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// commit writes one record after another and gives the time of each write.
+// commit writes records one after another and returns the duration of each write.
 func (r *run) commit(n *store.Node, count, size int) (durations []time.Duration, err error) {
 	value := make([]byte, size)
 	for i := range value {
@@ -105,7 +106,7 @@
 	return durations, nil
 }
 
-// measureLogBytes measures what a write adds to one member's log, by the size of the record.
+// measureLogBytes measures by how many bytes a write extends the log of a member, for several sizes of the record.
 func (r *run) measureLogBytes() error {
 	const writes = 100
 	g, err := r.startReplicas("log-bytes", 1, 0, true, store.SyncInterval)
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// dirSize adds up the files below a folder.
+// dirSize returns the total size of the files below a directory.
 func dirSize(dir string) (bytes int64, err error) {
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/internal/capacity/slopes/figures.go
+++ b/internal/capacity/slopes/figures.go
@@ -24,11 +24,11 @@
 const (
 	startTimeout          = 5 * time.Second
 	connectTimeout        = 20 * time.Second
-	extraConnectionsDelay = 300 * time.Millisecond // for connections beyond one to each server
+	extraConnectionsDelay = 300 * time.Millisecond // time for connections beyond one to each server
 )
 
-// gatekeeperConfiguration is a gatekeeper with one class, without callers and without an event bus. It may hold more
-// descriptors than a deployed one, so that what it would want at each size is seen.
+// gatekeeperConfiguration configures a gatekeeper with one class, without callers and without an event bus. Its limit of sockets
+// is above that of a deployed gatekeeper, so that it does not restrict the measured number of connections.
 const gatekeeperConfiguration = `{"name":"slopes","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:0",
 "limits":{"cores":1.0,"memory_mb":512,"sockets":12000},"settings":{"balancers":1,
 "bounds":{"attempts-cap":5,"cancel":true,"dial-timeout-us":500000,"max-retry-after-us":2000000,"retry-after":true},
@@ -36,8 +36,8 @@
 "extra":{"here":-1,"release-guard-us":300000,"t1-us":500000},"guarantees":{"fall-multiple":2,"fall-us":1000000,
 "start-capacity":0.33,"warm-within-us":15000000},"report":{"fields":["busy","q"]}}}`
 
-// measureFigures starts a gatekeeper that knows some servers and no caller: what it holds open and in memory for them, what
-// /api/telemetry answers, and what it logs of its start.
+// measureFigures starts gatekeepers that know some servers and have no callers. It measures their connections and heap, the
+// response of /api/telemetry, and the size of the log of a start.
 func measureFigures(r *run) error {
 	for _, servers := range []int{34, 100, 400, 1100, 2200} {
 		for range r.Repetitions {
@@ -50,6 +50,7 @@
 	return nil
 }
 
+// measureGatekeeper measures one gatekeeper with a number of servers.
 func (r *run) measureGatekeeper(servers int) error {
 	server, err := newSilentServer()
 	if err != nil {
@@ -66,7 +67,7 @@
 	if err := n.ImportInventory("servers.csv", serverList(servers, server.address())); err != nil {
 		return err
 	}
-	if err := r.waitUntil(connectTimeout, pollInterval, "a connection to every server",
+	if err := r.waitUntil(connectTimeout, pollInterval, "every server has a connection",
 		func() bool { return server.count() >= servers }); err != nil {
 		return err
 	}
@@ -78,7 +79,7 @@
 		return err
 	}
 	if want := fmt.Sprintf("proxy_targets %d\n", servers); !strings.Contains(text, want) {
-		return fmt.Errorf("the figures have no line %q", strings.TrimSpace(want))
+		return fmt.Errorf("telemetry has no line %q", strings.TrimSpace(want))
 	}
 	const sizeLabel = "servers known"
 	r.add("telemetry.bytes", "B", sizeLabel, float64(servers), float64(len(text)))
@@ -89,6 +90,7 @@
 	return nil
 }
 
+// startGatekeeper starts a gatekeeper that writes its log to logs.
 func (r *run) startGatekeeper(logs io.Writer) (*node.Node, error) {
 	file := filepath.Join(r.dir, "gatekeeper.json")
 	if err := os.WriteFile(file, []byte(gatekeeperConfiguration), 0o600); err != nil {
@@ -105,7 +107,7 @@
 	return node.Start(ctx, cfg, &config.Deploy{}, log)
 }
 
-// heapInUse is what is in use after a collection.
+// heapInUse returns the bytes of allocated heap objects after a garbage collection.
 func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -113,7 +115,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// serverList is an inventory whose servers are all at one address.
+// serverList returns an inventory in CSV whose servers all have the same address.
 func serverList(servers int, address string) []byte {
 	var list bytes.Buffer
 	list.WriteString("name,address,cell\n")
@@ -123,7 +125,7 @@
 	return list.Bytes()
 }
 
-// silentServer takes connections and says nothing on them.
+// silentServer accepts connections and neither reads nor writes on them.
 type silentServer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -169,7 +171,7 @@
 	}
 }
 
-// scrape reads the figures as a collector does.
+// scrape reads the telemetry as a metrics collector does.
 func scrape(ctx context.Context, address string) (text string, elapsed time.Duration, err error) {
 	started := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/telemetry", nil)
@@ -185,7 +187,7 @@
 	return string(body), time.Since(started), err
 }
 
-// countingWriter counts what is written and keeps nothing.
+// countingWriter counts the bytes written to it and discards them.
 type countingWriter struct{ count atomic.Int64 }
 
 // Write implements io.Writer.
--- a/internal/capacity/slopes/gossip.go
+++ b/internal/capacity/slopes/gossip.go
@@ -20,13 +20,14 @@
 	seedsPerMember          = 3
 )
 
+// gossipSizeLabel describes the size of the gossip series.
 const gossipSizeLabel = "members, one topic of 100 bytes a second"
 
-// gossipUnits are the series of the gossip.
+// gossipUnits maps the names of the gossip series to their units.
 var gossipUnits = map[string]string{"gossip.met": "s", "gossip.bytes_sent": "B/s", "gossip.packets_sent": "1/s",
 	"gossip.processor": "% of a core", "gossip.heap": "B", "gossip.view_changes": "1/s", "gossip.register_age": "s"}
 
-// measureGossip runs hollow members of the fleet in this process: they gossip and publish one topic, and do nothing else.
+// measureGossip runs members of the fleet in this process that only gossip and publish one topic.
 func measureGossip(r *run) error {
 	for _, size := range []int{16, 32, 48, 64, 128, 200} {
 		if err := r.measureMembers(size); err != nil {
@@ -36,6 +37,7 @@
 	return nil
 }
 
+// measureMembers measures one fleet with a number of members.
 func (r *run) measureMembers(size int) error {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -46,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	err = r.waitUntil(r.times.converge, convergencePollInterval, "every member holds every other to be up", func() bool { return minUpCount(members) == size })
+	err = r.waitUntil(r.times.converge, convergencePollInterval, "every member regards all members as up", func() bool { return minUpCount(members) == size })
 	if r.ctx.Err() != nil {
 		return r.ctx.Err()
 	}
@@ -77,13 +79,13 @@
 		r.add("gossip.heap", "B", gossipSizeLabel, float64(size), float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/float64(size))
 		r.add("gossip.register_age", "s", gossipSizeLabel, float64(size), oldestRegisterAge(members).Seconds())
 		if repetition == 0 {
-			r.progress("gossip: %d members met in %v", size, convergence.Round(time.Millisecond))
+			r.progress("gossip: %d members converged in %v", size, convergence.Round(time.Millisecond))
 		}
 	}
 	return nil
 }
 
-// openMembers starts members that know the first ones as seeds.
+// openMembers starts members that use the first ones as seeds. With an error it returns the members started before it.
 func (r *run) openMembers(size int) (members []*fleet.Fleet, err error) {
 	var seeds []string
 	for i := range size {
@@ -109,7 +111,7 @@
 	closers.Wait()
 }
 
-// minUpCount is the least number of members that one of them holds to be up.
+// minUpCount returns the minimum over the members of the number of members that each regards as up.
 func minUpCount(members []*fleet.Fleet) int {
 	fewest := len(members)
 	for _, m := range members {
@@ -118,7 +120,7 @@
 	return fewest
 }
 
-// noteNotConverged notes at every series that the members of a size did not meet.
+// noteNotConverged adds a note to every gossip series that the members of a size did not converge in time.
 func (r *run) noteNotConverged(size, fewest int) {
 	reason := fmt.Sprintf("not met within %v: one member still held %d of %d to be up, with load averages %s on this machine",
 		r.times.converge, fewest, size, loadAverages())
@@ -128,7 +130,7 @@
 	r.progress("gossip: %d members: %s", size, reason)
 }
 
-// publish changes each member's register once a second, until the returned function is called.
+// publish changes each member's register every publishInterval, until the returned function is called.
 func publish(members []*fleet.Fleet) (stop func()) {
 	done := make(chan struct{})
 	var publishers sync.WaitGroup
@@ -152,10 +154,11 @@
 	return func() { close(done); publishers.Wait() }
 }
 
-// gossipTotals is what members have sent, and how often their views have changed: with no fault, each change is a member that is
-// suspected or given up wrongly, or taken back.
+// gossipTotals counts what all members have sent and how often their views have changed. Without faults, each change is a member
+// that is wrongly suspected or declared dead, or restored.
 type gossipTotals struct{ bytes, packets, changes int64 }
 
+// totalsOf returns the totals over the members.
 func totalsOf(members []*fleet.Fleet) (totals gossipTotals) {
 	for _, m := range members {
 		status := m.Status()
@@ -167,7 +170,7 @@
 	return totals
 }
 
-// oldestRegisterAge is the age of the oldest register that the first member holds of the others.
+// oldestRegisterAge returns the age of the oldest register of another member at the first member.
 func oldestRegisterAge(members []*fleet.Fleet) (age time.Duration) {
 	for _, r := range members[0].Read(gossipTopic) {
 		age = max(age, time.Duration(r.Age)*time.Microsecond)
--- a/internal/capacity/slopes/leases.go
+++ b/internal/capacity/slopes/leases.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	leaseDuration     = control.Micros(3600e6) // long enough that the table stays full while it is measured
+	leaseDuration     = control.Micros(3600e6) // longer than a measurement, so that no lease expires during it
 	timedLeases       = 100
 	leaseCapacityName = "ward-7"
 	leaseCapacityPerS = 1000
@@ -22,7 +22,7 @@
 	leaseTimeout      = 20 * time.Second
 )
 
-// measureLeases times one request for a lease at the leader of a single member in memory, by how many hold a lease.
+// measureLeases measures one lease request at a store with a single member in memory, for several numbers of lease holders.
 func measureLeases(r *run) error {
 	for _, holders := range []int{50, 100, 200, 400, 800, 1600, 2200} {
 		if err := r.measureHolders(holders); err != nil {
@@ -33,6 +33,7 @@
 	return nil
 }
 
+// measureHolders measures lease requests with a number of holders.
 func (r *run) measureHolders(holders int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// renewLease renews one holder's lease on one rule.
+// renewLease requests or renews one holder's lease on one capacity.
 func (r *run) renewLease(n *store.Node, holder int, sequence uint64) error {
 	request, err := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", holder), Incarnation: 1, Seq: sequence, Duration: leaseDuration,
 		Capacities: []quota.CapacityRequest{{Name: leaseCapacityName, Capacity: leaseCapacityPerS, Keep: leaseWant, Want: leaseWant}}})
--- a/internal/capacity/slopes/replicas.go
+++ b/internal/capacity/slopes/replicas.go
@@ -16,10 +16,10 @@
 	pollInterval        = 5 * time.Millisecond
 )
 
-// replicas is a store's group on loopback, whose received bytes are counted.
+// replicas is a store group on loopback whose received bytes are counted.
 type replicas struct {
 	run       *run
-	name      string // of its folders
+	name      string // parent directory of the members
 	onDisk    bool
 	sync      string
 	nodes     []*store.Node
@@ -27,11 +27,11 @@
 	traffic   traffic
 }
 
-// traffic is what all replicas of a group have received from each other and from clients. A message of raft is one read
-// while the receiver keeps up, so reads are at most the messages.
+// traffic counts what all replicas of a group have received from each other and from clients. A raft message takes one read
+// while the receiver keeps up, and several messages may take one read otherwise, so reads is at most the number of messages.
 type traffic struct{ bytes, reads atomic.Int64 }
 
-// startReplicas starts voters, and then non-voters that join them. It returns once all are ready.
+// startReplicas starts voters, and then non-voters that join them. It returns when all are ready.
 func (r *run) startReplicas(name string, voters, nonVoters int, onDisk bool, sync string) (*replicas, error) {
 	g := &replicas{run: r, name: name, onDisk: onDisk, sync: sync}
 	if err := g.start(voters, nonVoters); err != nil {
@@ -70,6 +70,7 @@
 
 func replicaName(i int) string { return fmt.Sprintf("r%d", i) }
 
+// open opens the replica with number i and adds it to the group's nodes.
 func (g *replicas) open(i int, l net.Listener, o store.Options) error {
 	o.Node, o.Listener, o.Log, o.Sync = replicaName(i), l, g.run.Log, g.sync
 	if g.onDisk {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// join starts a replica without a vote and has the group add it.
+// join starts a non-voter and adds it to the group.
 func (g *replicas) join(i int) error {
 	l, err := g.listen()
 	if err != nil {
@@ -96,7 +97,8 @@
 	return g.changeMember(store.MemberChange{Do: store.MemberAdd, Node: replicaName(i), Address: l.Addr().String()})
 }
 
-// changeMember has the group's members changed. A change that comes too soon after another is refused by raft, and tried again.
+// changeMember changes the group's membership. It retries until a timeout because raft refuses a change that follows another one
+// too soon.
 func (g *replicas) changeMember(c store.MemberChange) error {
 	ctx, cancel := context.WithTimeout(g.run.ctx, replicaReadyTimeout)
 	defer cancel()
@@ -113,6 +115,7 @@
 	}
 }
 
+// waitReady waits until all replicas are ready.
 func (g *replicas) waitReady() error {
 	ctx, cancel := context.WithTimeout(g.run.ctx, replicaReadyTimeout)
 	defer cancel()
@@ -124,10 +127,10 @@
 	return nil
 }
 
-// leader is the replica that leads.
+// leader waits until there is a leader and returns it.
 func (g *replicas) leader() (*store.Node, error) {
 	var found *store.Node
-	err := g.run.waitUntil(replicaReadyTimeout, pollInterval, "a leader", func() bool {
+	err := g.run.waitUntil(replicaReadyTimeout, pollInterval, "a leader is elected", func() bool {
 		for _, n := range g.nodes {
 			if n.Leader() {
 				found = n
@@ -145,6 +148,7 @@
 	}
 }
 
+// listen listens on a free port of loopback, with counted traffic.
 func (g *replicas) listen() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -153,7 +157,7 @@
 	return &countedListener{Listener: l, traffic: &g.traffic}, nil
 }
 
-// countedListener counts what its connections bring.
+// countedListener counts the bytes and reads of its connections.
 type countedListener struct {
 	net.Listener
 	traffic *traffic
@@ -168,6 +172,7 @@
 	return &countedConn{Conn: c, traffic: l.traffic}, nil
 }
 
+// countedConn counts the bytes and reads of a connection.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
--- a/internal/capacity/slopes/slopes.go
+++ b/internal/capacity/slopes/slopes.go
@@ -1,5 +1,5 @@
-// Package slopes measures the costs of the store, of the gossip, of leases and of the figures at several sizes, as
-// series that package capacity reads. It runs the real code with real sockets on loopback, in this process.
+// Package slopes measures the costs of the store, the gossip, leases and telemetry at several sizes, and returns them as series
+// for package capacity. It runs the production code in this process, with sockets on loopback.
 package slopes
 
 import (
@@ -16,21 +16,21 @@
 	"beammux/internal/capacity"
 )
 
-// Options say what is measured.
+// Options configures a measurement.
 type Options struct {
-	Groups      []string // of Groups; none: all
-	Repetitions int      // of each size, at least 3
-	Dir         string   // for the files of stores, on the disk that is to be measured; "": the default for temporary files
-	Command     string   // that measures it again, as the series name it
-	Beside      string   // what else runs on the machine, in words; the load averages are added
-	Progress    func(text string)
+	Groups      []string          // names from Groups; empty for all
+	Repetitions int               // values at each size, at least 3
+	Dir         string            // parent directory for the stores' files, on the disk to measure; empty for the default directory for temporary files
+	Command     string            // command that repeats the measurement, noted in the series
+	Beside      string            // description of other load on the machine, noted in the series with the load averages
+	Progress    func(text string) // called with each step of the progress; may be nil
 	Log         logrus.FieldLogger
 }
 
-// minRepetitions is how many values a size needs so that its median is not one of two.
+// minRepetitions is the minimum number of values at a size. With fewer values the median does not exclude an outlier.
 const minRepetitions = 3
 
-// group is what is measured together.
+// group is a named set of measurements.
 type group struct {
 	name    string
 	measure func(*run) error
@@ -44,7 +44,7 @@
 	{"figures", measureFigures},
 }
 
-// Groups are the names of what can be measured apart.
+// Groups returns the names of the groups that can be measured separately.
 func Groups() (names []string) {
 	for _, g := range groups {
 		names = append(names, g.name)
@@ -52,8 +52,8 @@
 	return names
 }
 
-// Run measures and gives the series. It ends early, with the context's error, when the context does. With an error the file
-// holds what was measured before it.
+// Run measures the chosen groups and returns their series. It stops with the context's error when the context ends. With invalid
+// options the file is nil; with any later error it has the values measured before it.
 func Run(ctx context.Context, o Options) (*capacity.File, error) {
 	if o.Repetitions < minRepetitions {
 		return nil, fmt.Errorf("%d repetitions: at least %d", o.Repetitions, minRepetitions)
@@ -89,29 +89,30 @@
 	return r.file(), nil
 }
 
-// times are how long a run watches; tests have shorter ones.
+// times holds the durations of a run's phases; tests use shorter ones.
 type times struct {
-	idle     time.Duration // of a store's group, before each repetition
-	converge time.Duration // in which all members of the gossip hold all to be up
-	settle   time.Duration // of the gossip, after its members have met
-	window   time.Duration // of each repetition of the gossip
+	idle     time.Duration // of a store without writes, before each repetition
+	converge time.Duration // maximum time until each gossip member regards all members as up
+	settle   time.Duration // of the gossip, after convergence
+	window   time.Duration // length of each repetition of the gossip
 }
 
-// Whole states of the gossip go around each second for 5 s after a change of the view, and after that each 10 s.
+// defaultTimes are the times of a full run. settle exceeds the 5 s after a change of the view in which gossip members exchange
+// full states every second; afterwards they do so every 10 s, and window exceeds one such interval.
 var defaultTimes = times{idle: 2 * time.Second, converge: 90 * time.Second, settle: 12 * time.Second, window: 15 * time.Second}
 
-// run is one measuring run.
+// run is one measurement in progress.
 type run struct {
 	Options
 	ctx         context.Context
 	dir         string
 	started     time.Time
-	loadSamples []string // load averages, at the start and after each group
+	loadSamples []string // load averages at the start and after each group
 	times       times
 	series      []*capacity.Series
 }
 
-// add notes a value of a series at a size. A series begins with its first value.
+// add appends a value at a size to a series, and creates the series if it is absent.
 func (r *run) add(name, unit, sizeLabel string, size, value float64) {
 	s := r.findOrAddSeries(name, unit, sizeLabel)
 	index := slices.IndexFunc(s.Points, func(p capacity.Point) bool { return p.N == size })
@@ -122,7 +123,7 @@
 	s.Points[index].Values = append(s.Points[index].Values, value)
 }
 
-// findOrAddSeries finds a series, or begins it.
+// findOrAddSeries returns the named series, and creates it if it is absent.
 func (r *run) findOrAddSeries(name, unit, sizeLabel string) *capacity.Series {
 	s := r.findSeries(name)
 	if s == nil {
@@ -132,12 +133,13 @@
 	return s
 }
 
-// addNote says of a series why a size has no values.
+// addNote adds a size without values to a series, with the reason.
 func (r *run) addNote(name, unit, sizeLabel string, size float64, reason string) {
 	s := r.findOrAddSeries(name, unit, sizeLabel)
 	s.Points = append(s.Points, capacity.Point{N: size, Values: []float64{}, Note: reason})
 }
 
+// findSeries returns the named series, or nil if it is absent.
 func (r *run) findSeries(name string) *capacity.Series {
 	for _, s := range r.series {
 		if s.Name == name {
@@ -147,6 +149,7 @@
 	return nil
 }
 
+// file returns all series measured so far.
 func (r *run) file() *capacity.File {
 	beside := fmt.Sprintf("%s; load averages (1, 5, 15 minutes) at the start and after each group: %s",
 		r.Beside, strings.Join(r.loadSamples, "; "))
@@ -158,13 +161,14 @@
 	return f
 }
 
+// progress formats a message and passes it to Options.Progress.
 func (r *run) progress(format string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// sleep waits, or returns the context's error.
+// sleep waits for a duration. It returns early with the context's error if the context ends.
 func (r *run) sleep(d time.Duration) error {
 	select {
 	case <-r.ctx.Done():
@@ -174,11 +178,11 @@
 	}
 }
 
-// waitUntil waits for a condition, looking every pace.
+// waitUntil polls a condition at the interval until it is true, and returns an error with the description after the timeout.
 func (r *run) waitUntil(timeout, interval time.Duration, description string, condition func() bool) error {
 	for deadline := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("not within %v: %s", timeout, description)
+			return fmt.Errorf("condition not met within %v: %s", timeout, description)
 		}
 		if err := r.sleep(interval); err != nil {
 			return err
@@ -187,7 +191,7 @@
 	return nil
 }
 
-// loadAverages is the first three fields of /proc/loadavg, "unknown" where there is none.
+// loadAverages returns the first three fields of /proc/loadavg, or "unknown" if it cannot be read.
 func loadAverages() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
@@ -197,7 +201,7 @@
 	return strings.Join(fields[:3], " ")
 }
 
-// cpuTime is what this process has used, in user and system mode.
+// cpuTime returns the processor time of this process in user and system mode, or 0 if it is unknown.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -206,7 +210,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// quantile gives the value below which a part of the durations lies, in microseconds. It sorts them.
+// quantile returns, in microseconds, the duration below which a fraction of the durations lies. It sorts the slice.
 func quantile(durations []time.Duration, fraction float64) float64 {
 	slices.Sort(durations)
 	index := int(fraction * float64(len(durations)))
--- a/internal/capacity/slopes/slopes_test.go
+++ b/internal/capacity/slopes/slopes_test.go
@@ -13,7 +13,7 @@
 	"beammux/internal/capacity"
 )
 
-// newTestRun is a run with short times and two repetitions.
+// newTestRun returns a run with short times and two repetitions.
 func newTestRun(t *testing.T) *run {
 	t.Helper()
 	quiet := logrus.New()
@@ -24,7 +24,7 @@
 		started: time.Now(), times: times{idle: 50 * time.Millisecond, converge: 20 * time.Second, settle: 200 * time.Millisecond, window: 300 * time.Millisecond}}
 }
 
-// values are a series' at a size.
+// values returns the values of a series at a size.
 func (r *run) values(t *testing.T, name string, size float64) []float64 {
 	t.Helper()
 	s := r.findSeries(name)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// A group of three voters and a non-voter commits: times and bytes are counted, and each of the three others gets each record.
+// With three voters and a non-voter, times and bytes of commits are positive, and the leader sends each record to the three others.
 func TestCommits(t *testing.T) {
 	r := newTestRun(t)
 	require.NoError(t, r.measureCommitGroup("members", "disk", 3, 1, true))
@@ -55,7 +55,7 @@
 	}
 }
 
-// A record of ten times the size takes more of the log, and at least its own size.
+// Each record extends the log by at least its own size.
 func TestLogBytes(t *testing.T) {
 	r := newTestRun(t)
 	require.NoError(t, r.measureLogBytes())
@@ -63,24 +63,24 @@
 	require.Greater(t, r.values(t, "store.log_bytes", 10000)[0], 10000.0)
 }
 
-// Snapshots hold every record, and a member that joins with an empty folder gets them all.
+// A snapshot contains every record, and a member that joins with an empty directory receives all of them.
 func TestSnapshotAndCatchUp(t *testing.T) {
 	r := newTestRun(t)
 	g, err := r.startReplicas("snapshots", 1, 0, true, "interval")
 	require.NoError(t, err)
 	defer g.close()
 	require.NoError(t, r.writeRecords(g.nodes[0], 0, 5))
-	require.NoError(t, r.measureSnapshot(g, 5)) // at an index of one digit: its name sorts after that of the next
+	require.NoError(t, r.measureSnapshot(g, 5)) // at an index of one digit, so that its name sorts after that of the next snapshot
 	require.NoError(t, r.writeRecords(g.nodes[0], 5, 200))
 	require.NoError(t, r.measureSnapshot(g, 200))
 	require.NoError(t, r.measureCatchUp(g, 200, 0))
-	require.NoError(t, r.measureCatchUp(g, 200, 1)) // the first one is removed: there is room for the next
+	require.NoError(t, r.measureCatchUp(g, 200, 1)) // the first new member is removed, so that another one can join
 	require.Greater(t, r.values(t, "store.snapshot_bytes", 200)[0], 200.0*snapshotRecordBytes)
 	require.Len(t, r.values(t, "store.catch_up_time", 200), 2)
 	require.Len(t, g.nodes, 1)
 }
 
-// Hollow members meet, publish and are counted.
+// Members converge and publish, and their traffic and processor time are counted.
 func TestGossip(t *testing.T) {
 	r := newTestRun(t)
 	require.NoError(t, r.measureMembers(4))
@@ -90,7 +90,7 @@
 	}
 }
 
-// Members that do not meet in time leave a note at the size and no value, and the run goes on.
+// For members that do not converge in time, the size has a note and no values, and the run continues.
 func TestGossipThatDoesNotConverge(t *testing.T) {
 	r := newTestRun(t)
 	r.times.converge = -time.Second
@@ -101,7 +101,7 @@
 	require.Contains(t, s.Points[0].Note, "not met within")
 }
 
-// The table holds every holder while its requests are timed.
+// The lease table has an entry for every holder.
 func TestLeases(t *testing.T) {
 	r := newTestRun(t)
 	require.NoError(t, r.measureHolders(10))
@@ -111,7 +111,7 @@
 	require.Positive(t, r.values(t, "leases.request", 10)[0])
 }
 
-// A gatekeeper opens one connection to each server that it knows; its figures are counted.
+// A gatekeeper opens one connection to each known server, and its telemetry is measured.
 func TestFigures(t *testing.T) {
 	r := newTestRun(t)
 	require.NoError(t, r.measureGatekeeper(7))
@@ -119,7 +119,7 @@
 	require.Greater(t, r.values(t, "telemetry.bytes", 7)[0], 100.0)
 }
 
-// Wrong options are refused before anything is started; an ended context ends the run.
+// Invalid options are rejected before anything is started; a cancelled context ends the run.
 func TestRunOptions(t *testing.T) {
 	_, err := Run(t.Context(), Options{Repetitions: 2})
 	require.EqualError(t, err, "2 repetitions: at least 3")
@@ -133,7 +133,7 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// What a run writes, package capacity reads.
+// Package capacity can parse the file of a run.
 func TestFileIsRead(t *testing.T) {
 	r := newTestRun(t)
 	for n := range 5 {
@@ -151,7 +151,7 @@
 	require.Len(t, f.Series[0].Points[0].Values, 3)
 }
 
-// Quantiles by hand.
+// Quantiles calculated by hand.
 func TestQuantile(t *testing.T) {
 	var all []time.Duration
 	for i := 100; i > 0; i-- {
--- a/internal/capacity/slopes/snapshots.go
+++ b/internal/capacity/slopes/snapshots.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	snapshotRecordBytes = 256 // bytes of each record
+	snapshotRecordBytes = 256 // size of each record's value
 	concurrentWriters   = 16
 	catchUpTimeout      = 60 * time.Second
 	catchUpPollInterval = time.Millisecond
-	snapshotsDir        = "snapshots" // below the folder of a member, by raft's file store
+	snapshotsDir        = "snapshots" // subdirectory of a member's directory, created by raft's file store
 )
 
-// measureSnapshots fills one member with records and measures its snapshots, and new members that catch up by them.
+// measureSnapshots writes records to a group of one member and measures its snapshots, and the catch-up of new members by
+// snapshot.
 func measureSnapshots(r *run) error {
 	g, err := r.startReplicas("snapshots", 1, 0, true, store.SyncInterval)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// writeRecords writes the records of numbers from up to to.
+// writeRecords writes the records with the numbers from (inclusive) to to (exclusive).
 func (r *run) writeRecords(n *store.Node, from, to int) error {
 	all, ctx := errgroup.WithContext(r.ctx)
 	all.SetLimit(concurrentWriters)
@@ -64,9 +65,9 @@
 
 func recordKey(i int) string { return fmt.Sprintf("settings/gatekeeper/g%06d/calls", i) }
 
-// measureSnapshot writes one record over, takes a snapshot and measures both.
+// measureSnapshot overwrites one record, takes a snapshot, and measures the snapshot's size and duration.
 func (r *run) measureSnapshot(g *replicas, size int) error {
-	if err := r.writeRecords(g.nodes[0], 0, 1); err != nil { // without anything new there is no snapshot
+	if err := r.writeRecords(g.nodes[0], 0, 1); err != nil { // without a new entry no snapshot is taken
 		return err
 	}
 	started := time.Now()
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// newestDir is the folder below another one that was changed last. Names of snapshots don't sort: their index has no
-// leading zeros.
+// newestDir returns the most recently modified subdirectory. Snapshots cannot be sorted by name because the index in the name has
+// no leading zeros.
 func newestDir(dir string) (newest string, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return newest, nil
 }
 
-// measureCatchUp adds a member without a vote and an empty folder, and times it until it holds every record.
+// measureCatchUp adds a non-voter with an empty directory, measures the time until it has every record, and removes it.
 func (r *run) measureCatchUp(g *replicas, size, repetition int) error {
 	number := 1 + repetition + 100*size
 	bytesBefore := g.traffic.bytes.Load()
@@ -119,7 +120,7 @@
 		return err
 	}
 	joined := g.nodes[len(g.nodes)-1]
-	err := r.waitUntil(catchUpTimeout, catchUpPollInterval, "the new member holds every record", func() bool {
+	err := r.waitUntil(catchUpTimeout, catchUpPollInterval, "the new member has every record", func() bool {
 		_, last := joined.Get(recordKey(size - 1))
 		return last && joined.Ready()
 	})
