--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -83,7 +83,7 @@
 }
 
 // Beyond the largest measured size the value is not below the median there, even if the law is; at smaller sizes it follows the law.
-func TestExtrapolationIsNotBelowTheLargestRun(t *testing.T) {
+func TestExtrapolationIsNotBelowTheLargestSize(t *testing.T) {
 	s := &Series{Name: "s", Unit: "MB"}
 	for i, v := range []float64{36, 35, 33, 34, 34, 39} {
 		s.Points = append(s.Points, Point{N: []float64{50, 100, 200, 400, 1000, 2200}[i], Values: []float64{v}})
@@ -237,7 +237,7 @@
 }
 
 // A measured size has its own median and range, also with too few sizes for a law.
-func TestEvaluateAtASizeThatWasRun(t *testing.T) {
+func TestEvaluateAtMeasuredSize(t *testing.T) {
 	few := &Series{Name: "few", Unit: "ms", Points: []Point{{N: 34, Values: []float64{1, 5, 3}}, {N: 2200, Values: []float64{9, 7, 8}}}}
 	m := testModel(t, few)
 	f, err := m.Evaluate(`at("few", gatekeepers)`)
@@ -288,7 +288,7 @@
 }
 
 // The error for an invalid file names the file and the series.
-func TestBadFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	series := func(rest string) string {
 		return `{"series":[{"name":"s","unit":"us","of":"n","command":"c","date":"d","beside":"b",` + rest + `}]}`
 	}
--- a/internal/capacity/faults.go
+++ b/internal/capacity/faults.go
@@ -14,8 +14,8 @@
 	Faults    []InjectedFault `json:"faults"`
 
 	CommitToInForce    float64 `json:"in_force_from_commit_max_s"`        // s, maximum over all changes and gatekeepers
-	OutageEndToInForce float64 `json:"in_force_from_end_of_outage_max_s"` // s, maximum over changes that were delayed by an outage of the gatekeeper; 0 without such a change
-	StartToInForce     float64 `json:"start_to_in_force_max_s"`           // s, maximum time from a gatekeeper's start until its first settings are in force
+	OutageEndToInForce float64 `json:"in_force_from_end_of_outage_max_s"` // s, maximum from the end of a gatekeeper's outage that delayed a change; 0 without one
+	StartToInForce     float64 `json:"start_to_in_force_max_s"`           // s, maximum for the first settings after a gatekeeper's start
 	ControlCPU         float64 `json:"control_cpu_share_max"`             // fraction of a core used by the busiest control machine
 	Command            string  `json:"command"`
 }
@@ -68,11 +68,11 @@
 // faultCells returns the columns of one kind of fault in the table of fault runs.
 func faultCells(kind string, runs []FaultRun) []string {
 	var sizes, seeds []string
-	var commitToInForce, outageEndToInForce, startToInForce, maxSessionShares float64
+	var inForce, afterOutage, afterStart, maxSessionShares float64
 	broken := 0
 	for _, r := range runs {
 		sizes, seeds = append(sizes, formatNumber(float64(r.N))), append(seeds, fmt.Sprint(r.Seed))
-		commitToInForce, outageEndToInForce, startToInForce = max(commitToInForce, r.CommitToInForce), max(outageEndToInForce, r.OutageEndToInForce), max(startToInForce, r.StartToInForce)
+		inForce, afterOutage, afterStart = max(inForce, r.CommitToInForce), max(afterOutage, r.OutageEndToInForce), max(afterStart, r.StartToInForce)
 		for _, f := range r.Faults {
 			maxSessionShares = max(maxSessionShares, f.MaxSessionShares)
 		}
@@ -84,10 +84,10 @@
 	if broken > 0 {
 		rules = fmt.Sprintf("**broken in %d of %d**", broken, len(runs))
 	}
-	if outageEndToInForce > 0 {
-		fromOutage = formatQuantity(outageEndToInForce, "s")
+	if afterOutage > 0 {
+		fromOutage = formatQuantity(afterOutage, "s")
 	}
 	slices.Sort(sizes)
-	return []string{kind, strings.Join(slices.Compact(sizes), " and "), strings.Join(seeds, ", "), rules, formatQuantity(commitToInForce, "s"),
-		fromOutage, formatQuantity(startToInForce, "s"), formatNumber(maxSessionShares)}
+	return []string{kind, strings.Join(slices.Compact(sizes), " and "), strings.Join(seeds, ", "), rules, formatQuantity(inForce, "s"),
+		fromOutage, formatQuantity(afterStart, "s"), formatNumber(maxSessionShares)}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -8,9 +8,9 @@
 const (
 	// MinSizes is the minimum number of sizes of a series that can be fitted.
 	MinSizes = 5
-	// plausibleErrorRatio is the ratio to the least cross-validated error up to which the error of another law is acceptable.
+	// plausibleErrorRatio is the maximum ratio of a plausible law's cross-validated error to the least one.
 	plausibleErrorRatio = 1.25
-	// negligibleError is the cross-validated error, as a fraction of the median, up to which every law is acceptable.
+	// negligibleError is the cross-validated error, as a fraction of the median, up to which every law is plausible.
 	negligibleError = 0.01
 	// maxResidual is the relative residual above which even the law that fits best does not describe the series.
 	maxResidual = 0.5
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -19,7 +19,7 @@
 )
 
 // Inputs that are constants of the program equal the constants in the code, as far as the code exports them.
-func TestInputsOfTheProgram(t *testing.T) {
+func TestInputsMatchProgram(t *testing.T) {
 	in, err := ParseInputs(inputsFile, []byte(sources(t)[inputsFile]))
 	require.NoError(t, err)
 	seconds := func(m control.Micros) float64 { return float64(m) / 1e6 }
--- a/internal/capacity/slopes/slopes.go
+++ b/internal/capacity/slopes/slopes.go
@@ -20,14 +20,14 @@
 type Options struct {
 	Groups      []string          // names from Groups; empty for all
 	Repetitions int               // values at each size, at least 3
-	Dir         string            // parent directory for the stores' files, on the disk to measure; empty for the default directory for temporary files
+	Dir         string            // parent of a temporary directory for the stores, on the disk to measure; empty for os.TempDir
 	Command     string            // command that repeats the measurement, noted in the series
 	Beside      string            // description of other load on the machine, noted in the series with the load averages
 	Progress    func(text string) // called with each step of the progress; may be nil
 	Log         logrus.FieldLogger
 }
 
-// minRepetitions is the minimum number of values at a size. With fewer values the median does not exclude an outlier.
+// minRepetitions is the minimum number of values at a size. The median of fewer values does not exclude an outlier.
 const minRepetitions = 3
 
 // group is a named set of measurements.
@@ -52,8 +52,8 @@
 	return names
 }
 
-// Run measures the chosen groups and returns their series. It stops with the context's error when the context ends. With invalid
-// options the file is nil; with any later error it has the values measured before it.
+// Run measures the chosen groups and returns their series. It stops with the context's error when the context ends. If a
+// measurement fails, the file has the values measured before; it is nil if no measurement was started.
 func Run(ctx context.Context, o Options) (*capacity.File, error) {
 	if o.Repetitions < minRepetitions {
 		return nil, fmt.Errorf("%d repetitions: at least %d", o.Repetitions, minRepetitions)
--- a/internal/capacity/slopes/slopes_test.go
+++ b/internal/capacity/slopes/slopes_test.go
@@ -134,7 +134,7 @@
 }
 
 // Package capacity can parse the file of a run.
-func TestFileIsRead(t *testing.T) {
+func TestParseFileOfRun(t *testing.T) {
 	r := newTestRun(t)
 	for n := range 5 {
 		for range 3 {
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -109,7 +109,7 @@
 	return formatNumber(c.Offset) + sign + formatNumber(math.Abs(c.Slope)) + " " + term
 }
 
-func formatPercent(part float64) string { return formatNumber(100*part) + "%" }
+func formatPercent(fraction float64) string { return formatNumber(100*fraction) + "%" }
 
 // measuredTable renders the median of each size of each series.
 func (m *Model) measuredTable() (string, error) {
@@ -214,12 +214,12 @@
 		return cmp.Compare(a.Headroom, b.Headroom)
 	})
 	var rows [][]string
-	for _, o := range all {
+	for _, row := range all {
 		ratio := ""
-		if o.Figure != nil {
-			ratio = formatHeadroom(o.Headroom) + " "
+		if row.Figure != nil {
+			ratio = formatHeadroom(row.Headroom) + " "
 		}
-		rows = append(rows, []string{o.role, o.Label, ratio + o.Verdict.String(), o.carrierCell()})
+		rows = append(rows, []string{row.role, row.Label, ratio + row.Verdict.String(), row.carrierCell()})
 	}
 	return markdownTable([]string{"role", "row", "headroom", "carried by"}, rows), nil
 }
