--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write docs/CAPACITY.md with its tables computed anew")
+var update = flag.Bool("update", false, "write docs/CAPACITY.md with recomputed tables")
 
 const (
 	pageFile    = "../../docs/CAPACITY.md"
@@ -20,7 +20,7 @@
 	inputsFile  = "inputs.json"
 )
 
-// sources are the files that the page is computed from, by name.
+// sources returns the contents of the files in docs/measured, by name.
 func sources(t *testing.T) map[string]string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(measuredDir, "*.json"))
@@ -34,7 +34,7 @@
 	return files
 }
 
-// modelOf reads files as they lie in docs/measured.
+// modelOf returns the model of the given files of docs/measured.
 func modelOf(files map[string]string) (*Model, error) {
 	in, err := ParseInputs(inputsFile, []byte(files[inputsFile]))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return NewModel(in, measured...)
 }
 
-// rendered computes the page's tables from files.
+// rendered returns the page with the tables that the files result in.
 func rendered(files map[string]string, page string) (string, error) {
 	m, err := modelOf(files)
 	if err != nil {
@@ -63,6 +63,7 @@
 	return m.Render(page)
 }
 
+// page returns the text of docs/CAPACITY.md.
 func page(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(pageFile)
@@ -70,7 +71,7 @@
 	return string(text)
 }
 
-// The page's tables are what the inputs and the measured series give.
+// The tables of the page are those computed from the inputs and the measured series.
 func TestPage(t *testing.T) {
 	text := page(t)
 	want, err := rendered(sources(t), text)
@@ -80,18 +81,18 @@
 		return
 	}
 	if diff := cmp.Diff(want, text); diff != "" {
-		t.Errorf("docs/CAPACITY.md is not what docs/measured gives (+ is the page; go test ./internal/capacity -run TestPage -update):\n%s", diff)
+		t.Errorf("docs/CAPACITY.md differs from the page rendered from docs/measured (+ is the page; update it with go test ./internal/capacity -run TestPage -update):\n%s", diff)
 	}
 }
 
-// A number changed in the page, in the inputs or in a measured file is found: the page is no longer what they give.
+// A changed number in the page or in the inputs makes the page differ from the rendered one.
 func TestPageAgainstAChangedNumber(t *testing.T) {
 	text, files := page(t), sources(t)
 	agrees := func(files map[string]string, text string) bool {
 		want, err := rendered(files, text)
 		return err == nil && want == text
 	}
-	require.True(t, agrees(files, text), "the page agrees before anything is changed")
+	require.True(t, agrees(files, text), "the unchanged page differs from the rendered one")
 	for _, change := range []struct{ what, old, new string }{
 		{"page: an input", "| gatekeepers | 2,200 |", "| gatekeepers | 2,300 |"},
 		{"page: a derived number", "| 191 calls/s |", "| 192 calls/s |"},
@@ -116,14 +117,14 @@
 	}
 }
 
-// The values of the largest size of each series that the page uses, half as great again: the page is no longer what they give.
+// Values at the largest size that are 1.5 times as great make the page differ from the rendered one, for each series of the page.
 func TestPageAgainstAChangedSeries(t *testing.T) {
 	text, files := page(t), sources(t)
 	in, err := ParseInputs(inputsFile, []byte(files[inputsFile]))
 	require.NoError(t, err)
 	m, err := modelOf(files)
 	require.NoError(t, err)
-	used := m.seriesNames()
+	used := m.usedSeries()
 	require.Greater(t, len(used), 10)
 	for _, key := range used {
 		changed := &File{}
@@ -148,57 +149,57 @@
 	}
 }
 
-// A run with a fault that broke a rule where it had held: the page is no longer what it gives.
+// An inverted verdict of a fault run makes the page differ from the rendered one.
 func TestPageAgainstAChangedFaultRun(t *testing.T) {
 	text := page(t)
 	m, err := modelOf(sources(t))
 	require.NoError(t, err)
 	require.NotEmpty(t, m.runs)
 	for i := range m.runs {
-		m.runs[i].Held = !m.runs[i].Held
+		m.runs[i].RulesHeld = !m.runs[i].RulesHeld
 		got, err := m.Render(text)
 		require.NoError(t, err)
 		require.NotEqual(t, text, got, "run %d", i)
-		m.runs[i].Held = !m.runs[i].Held
+		m.runs[i].RulesHeld = !m.runs[i].RulesHeld
 	}
 }
 
-// Without a measured file its rows say so; nothing stands in its place, and what depends on inputs alone stays.
+// Without measured files, rows that depend on series are marked as not measured; rows that depend on inputs alone are computed.
 func TestPageWithoutMeasuredFiles(t *testing.T) {
 	files := map[string]string{inputsFile: sources(t)[inputsFile]}
 	for _, role := range roles {
 		got, err := rendered(files, "<!-- table:"+role.Table+" -->\n<!-- end -->\n")
 		require.NoError(t, err)
-		lines := strings.Split(got, "\n")[3:] // below the marker, the head and the rule
+		lines := strings.Split(got, "\n")[3:] // after the marker, the head and the rule
 		for i, row := range role.Rows {
 			cells := strings.Split(lines[i], " | ")
-			require.Equal(t, row.What, cells[1])
+			require.Equal(t, row.Label, cells[1])
 			if strings.Contains(row.Need, "at(") {
-				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.What)
+				require.Equal(t, []string{"not measured", "not measured", ""}, []string{cells[2], cells[4], cells[5]}, row.Label)
 			} else {
-				require.Equal(t, "inputs alone", cells[5], row.What)
+				require.Equal(t, "inputs alone", cells[5], row.Label)
 			}
 		}
 	}
 }
 
-// The inputs' counts of machines, voters, zones and regions are those that are placed.
+// Rendering fails if a count of machines in the inputs differs from the placement.
 func TestPlacementAgainstInputs(t *testing.T) {
 	files := map[string]string{inputsFile: strings.Replace(sources(t)[inputsFile], `"name": "voters", "unit": "number", "value": 5`,
 		`"name": "voters", "unit": "number", "value": 7`, 1)}
 	_, err := rendered(files, "<!-- table:placement -->\n<!-- end -->\n")
-	require.EqualError(t, err, "table placement: input voters is 7, and 5 are placed")
+	require.EqualError(t, err, "table placement: input voters is 7, but the placement has 5")
 }
 
-// Markers that do not fit together are named with their line.
+// Errors for invalid markers have the line number; valid markers have their tables and figures replaced.
 func TestPageMarkers(t *testing.T) {
 	m, err := modelOf(sources(t))
 	require.NoError(t, err)
 	for text, want := range map[string]string{
-		"<!-- table:inputs -->\n":                         "docs/CAPACITY.md:1: table inputs has no end",
-		"a\n<!-- end -->\n":                               "docs/CAPACITY.md:2: the end of no table",
-		"<!-- table:none -->\n<!-- end -->\n":             `docs/CAPACITY.md:1: there is no table "none"`,
-		"<!-- table:inputs -->\n<!-- table:derived -->\n": "docs/CAPACITY.md:2: a table begins within table inputs",
+		"<!-- table:inputs -->\n":                         "docs/CAPACITY.md:1: table inputs has no end marker",
+		"a\n<!-- end -->\n":                               "docs/CAPACITY.md:2: end marker outside a table",
+		"<!-- table:none -->\n<!-- end -->\n":             `docs/CAPACITY.md:1: unknown table "none"`,
+		"<!-- table:inputs -->\n<!-- table:derived -->\n": "docs/CAPACITY.md:2: a table begins inside table inputs",
 	} {
 		_, err := m.Render(text)
 		require.EqualError(t, err, want)
@@ -207,7 +208,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "a <!-- = s register_pace -->2.29 min<!-- / --> b <!-- = number gatekeepers -->2,200<!-- / -->\n", text)
 	_, err = m.Render("a\n<!-- = s none -->1 s<!-- / -->\n")
-	require.EqualError(t, err, `docs/CAPACITY.md:2: formula "none": no input is named "none"`)
+	require.EqualError(t, err, `docs/CAPACITY.md:2: formula "none": unknown input "none"`)
 	again, err := m.Render("before\n<!-- table:placement -->\nold\n<!-- end -->\nafter\n")
 	require.NoError(t, err)
 	require.True(t, strings.HasPrefix(again, "before\n<!-- table:placement -->\n| region |") && strings.HasSuffix(again, "|\n<!-- end -->\nafter\n"), again)
--- a/internal/capacity/program_test.go
+++ b/internal/capacity/program_test.go
@@ -18,8 +18,8 @@
 	"beammux/internal/protocol/sip"
 )
 
-// Inputs that are constants of the program are those of the code, as far as the code exports them.
-func TestInputsOfTheProgram(t *testing.T) {
+// Inputs that are constants of the program equal the constants in the code, as far as the code exports them.
+func TestInputsMatchProgram(t *testing.T) {
 	in, err := ParseInputs(inputsFile, []byte(sources(t)[inputsFile]))
 	require.NoError(t, err)
 	seconds := func(m control.Micros) float64 { return float64(m) / 1e6 }
@@ -39,24 +39,25 @@
 	}
 }
 
+// packagePath matches the path of a package in a text of the page.
 var packagePath = regexp.MustCompile(`\b(internal|control)(/[a-z]+)+`)
 
-// Tests that the page names are there.
+// Every test that the page names exists.
 func TestNamedTestsAreThere(t *testing.T) {
-	named := regexp.MustCompile(`Test\w+`)
+	testName := regexp.MustCompile(`Test\w+`)
 	found := 0
 	for _, f := range failureRows {
-		for _, name := range named.FindAllString(f.Tests, -1) {
+		for _, name := range testName.FindAllString(f.Tests, -1) {
 			found++
-			require.True(t, testIsThere(t, name), name)
+			require.True(t, testExists(t, name), name)
 		}
 	}
 	require.Greater(t, found, 8)
-	require.False(t, testIsThere(t, "TestNoneOfThisName"))
+	require.False(t, testExists(t, "TestNoneOfThisName"))
 }
 
-// testIsThere looks for a test function in the packages that the page names tests of.
-func testIsThere(t *testing.T, name string) bool {
+// testExists reports whether one of the packages whose tests the page names has the test function.
+func testExists(t *testing.T, name string) bool {
 	t.Helper()
 	for _, pattern := range []string{"*_test.go", "../../control/session/*_test.go", "../../cmd/beammux/*_test.go", "../scalelab/*_test.go"} {
 		files, err := filepath.Glob(pattern)
@@ -72,10 +73,10 @@
 	return false
 }
 
-// Packages that the page names are there.
-func TestCarriersAreThere(t *testing.T) {
+// Every package that the page names exists.
+func TestCarriersExist(t *testing.T) {
 	named := 0
-	there := func(text string) {
+	requirePackages := func(text string) {
 		for _, path := range packagePath.FindAllString(text, -1) {
 			named++
 			info, err := os.Stat("../../" + path)
@@ -85,19 +86,19 @@
 	}
 	for _, role := range roles {
 		for _, row := range role.Rows {
-			there(row.Carrier)
+			requirePackages(row.Carrier)
 		}
 	}
 	for _, f := range failureRows {
-		there(f.Right + f.Tests)
+		requirePackages(f.Recovery + f.Tests)
 	}
-	for _, one := range sources(t) {
-		in, err := ParseInputs(inputsFile, []byte(one))
+	for _, source := range sources(t) {
+		in, err := ParseInputs(inputsFile, []byte(source))
 		if err != nil {
 			continue
 		}
 		for _, i := range in.Inputs {
-			there(i.About)
+			requirePackages(i.About)
 		}
 	}
 	require.Greater(t, named, 30)
--- a/internal/capacity/slopes/figures.go
+++ b/internal/capacity/slopes/figures.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	figuresWithin   = 5 * time.Second
-	connectedWithin = 20 * time.Second
-	stillAfter      = 300 * time.Millisecond // for connections beyond one to each server
+	startTimeout          = 5 * time.Second
+	connectTimeout        = 20 * time.Second
+	extraConnectionsDelay = 300 * time.Millisecond // time for connections beyond one to each server
 )
 
-// gatekeeperConfiguration is a gatekeeper with one class, without callers and without an event bus. It may hold more
-// descriptors than a deployed one, so that what it would want at each size is seen.
+// gatekeeperConfiguration configures a gatekeeper with one class, without callers and without an event bus. Its limit of sockets
+// is above that of a deployed gatekeeper, so that it does not restrict the measured number of connections.
 const gatekeeperConfiguration = `{"name":"slopes","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:0",
 "limits":{"cores":1.0,"memory_mb":512,"sockets":12000},"settings":{"balancers":1,
 "bounds":{"attempts-cap":5,"cancel":true,"dial-timeout-us":500000,"max-retry-after-us":2000000,"retry-after":true},
@@ -36,12 +36,12 @@
 "extra":{"here":-1,"release-guard-us":300000,"t1-us":500000},"guarantees":{"fall-multiple":2,"fall-us":1000000,
 "start-capacity":0.33,"warm-within-us":15000000},"report":{"fields":["busy","q"]}}}`
 
-// measureFigures starts a gatekeeper that knows some servers and no caller: what it holds open and in memory for them, what
-// /api/telemetry answers, and what it logs of its start.
+// measureFigures starts gatekeepers that know some servers and have no callers. It measures their connections and heap, the
+// response of /api/telemetry, and the size of the log of a start.
 func measureFigures(r *run) error {
 	for _, servers := range []int{34, 100, 400, 1100, 2200} {
 		for range r.Repetitions {
-			if err := r.figuresOf(servers); err != nil {
+			if err := r.measureGatekeeper(servers); err != nil {
 				return fmt.Errorf("%d servers: %w", servers, err)
 			}
 		}
@@ -50,46 +50,48 @@
 	return nil
 }
 
-func (r *run) figuresOf(servers int) error {
-	accepted, err := newSilentServer()
+// measureGatekeeper measures one gatekeeper with a number of servers.
+func (r *run) measureGatekeeper(servers int) error {
+	server, err := newSilentServer()
 	if err != nil {
 		return err
 	}
-	defer accepted.close()
-	before := heap()
-	logged := &countingWriter{}
-	n, err := r.gatekeeper(logged)
+	defer server.close()
+	heapBefore := heapInUse()
+	logs := &countingWriter{}
+	n, err := r.startGatekeeper(logs)
 	if err != nil {
 		return err
 	}
 	defer n.Close()
-	if err := n.ImportInventory("servers.csv", serverList(servers, accepted.address())); err != nil {
+	if err := n.ImportInventory("servers.csv", serverList(servers, server.address())); err != nil {
 		return err
 	}
-	if err := r.until(connectedWithin, lookEvery, "a connection to every server",
-		func() bool { return accepted.count() >= servers }); err != nil {
+	if err := r.waitUntil(connectTimeout, pollInterval, "every server has a connection",
+		func() bool { return server.count() >= servers }); err != nil {
 		return err
 	}
-	if err := r.pause(stillAfter); err != nil {
+	if err := r.sleep(extraConnectionsDelay); err != nil {
 		return err
 	}
-	text, took, err := scrape(r.ctx, n.OperatorsAddr())
+	text, elapsed, err := scrape(r.ctx, n.OperatorsAddr())
 	if err != nil {
 		return err
 	}
 	if want := fmt.Sprintf("proxy_targets %d\n", servers); !strings.Contains(text, want) {
-		return fmt.Errorf("the figures have no line %q", strings.TrimSpace(want))
-	}
-	const of = "servers known"
-	r.add("telemetry.bytes", "B", of, float64(servers), float64(len(text)))
-	r.add("telemetry.time", "us", of, float64(servers), float64(took.Microseconds()))
-	r.add("log.start_bytes", "B", of, float64(servers), float64(logged.count.Load()))
-	r.add("servers.connections", "connections", of, float64(servers), float64(accepted.count()))
-	r.add("servers.heap", "B", of, float64(servers), float64(max(0, heap()-before)))
+		return fmt.Errorf("telemetry has no line %q", strings.TrimSpace(want))
+	}
+	const sizeLabel = "servers known"
+	r.add("telemetry.bytes", "B", sizeLabel, float64(servers), float64(len(text)))
+	r.add("telemetry.time", "us", sizeLabel, float64(servers), float64(elapsed.Microseconds()))
+	r.add("log.start_bytes", "B", sizeLabel, float64(servers), float64(logs.count.Load()))
+	r.add("servers.connections", "connections", sizeLabel, float64(servers), float64(server.count()))
+	r.add("servers.heap", "B", sizeLabel, float64(servers), float64(max(0, heapInUse()-heapBefore)))
 	return nil
 }
 
-func (r *run) gatekeeper(logs io.Writer) (*node.Node, error) {
+// startGatekeeper starts a gatekeeper that writes its log to logs.
+func (r *run) startGatekeeper(logs io.Writer) (*node.Node, error) {
 	file := filepath.Join(r.dir, "gatekeeper.json")
 	if err := os.WriteFile(file, []byte(gatekeeperConfiguration), 0o600); err != nil {
 		return nil, err
@@ -100,20 +102,20 @@
 	}
 	log := logrus.New()
 	log.SetOutput(logs)
-	ctx, cancel := context.WithTimeout(r.ctx, figuresWithin)
+	ctx, cancel := context.WithTimeout(r.ctx, startTimeout)
 	defer cancel()
 	return node.Start(ctx, cfg, &config.Deploy{}, log)
 }
 
-// heap is what is in use after a collection.
-func heap() int64 {
+// heapInUse returns the bytes of allocated heap objects after a garbage collection.
+func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// serverList is an inventory whose servers are all at one address.
+// serverList returns an inventory in CSV whose servers all have the same address.
 func serverList(servers int, address string) []byte {
 	var list bytes.Buffer
 	list.WriteString("name,address,cell\n")
@@ -123,7 +125,7 @@
 	return list.Bytes()
 }
 
-// silentServer takes connections and says nothing on them.
+// silentServer accepts connections and neither reads nor writes on them.
 type silentServer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -169,9 +171,9 @@
 	}
 }
 
-// scrape reads the figures as a collector does.
-func scrape(ctx context.Context, address string) (text string, took time.Duration, err error) {
-	began := time.Now()
+// scrape reads the telemetry as a metrics collector does.
+func scrape(ctx context.Context, address string) (text string, elapsed time.Duration, err error) {
+	started := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/telemetry", nil)
 	if err != nil {
 		return "", 0, err
@@ -182,10 +184,10 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return string(body), time.Since(began), err
+	return string(body), time.Since(started), err
 }
 
-// countingWriter counts what is written and keeps nothing.
+// countingWriter counts the bytes written to it and discards them.
 type countingWriter struct{ count atomic.Int64 }
 
 // Write implements io.Writer.
--- a/internal/capacity/slopes/slopes.go
+++ b/internal/capacity/slopes/slopes.go
@@ -1,5 +1,5 @@
-// Package slopes measures the costs of the store, of the gossip, of leases and of the figures at several sizes, as
-// series that package capacity reads. It runs the real code with real sockets on loopback, in this process.
+// Package slopes measures the costs of the store, the gossip, leases and telemetry at several sizes, and returns them as series
+// for package capacity. It runs the production code in this process, with sockets on loopback.
 package slopes
 
 import (
@@ -16,21 +16,21 @@
 	"beammux/internal/capacity"
 )
 
-// Options say what is measured.
+// Options configures a measurement.
 type Options struct {
-	Groups      []string // of Groups; none: all
-	Repetitions int      // of each size, at least 3
-	Dir         string   // for the files of stores, on the disk that is to be measured; "": the default for temporary files
-	Command     string   // that measures it again, as the series name it
-	Beside      string   // what else runs on the machine, in words; the load averages are added
-	Progress    func(text string)
+	Groups      []string          // names from Groups; empty for all
+	Repetitions int               // values at each size, at least 3
+	Dir         string            // parent of a temporary directory for the stores, on the disk to measure; empty for os.TempDir
+	Command     string            // command that repeats the measurement, noted in the series
+	Beside      string            // description of other load on the machine, noted in the series with the load averages
+	Progress    func(text string) // called with each step of the progress; may be nil
 	Log         logrus.FieldLogger
 }
 
-// leastRepetitions is how many values a size needs so that its median is not one of two.
-const leastRepetitions = 3
+// minRepetitions is the minimum number of values at a size. The median of fewer values does not exclude an outlier.
+const minRepetitions = 3
 
-// group is what is measured together.
+// group is a named set of measurements.
 type group struct {
 	name    string
 	measure func(*run) error
@@ -44,7 +44,7 @@
 	{"figures", measureFigures},
 }
 
-// Groups are the names of what can be measured apart.
+// Groups returns the names of the groups that can be measured separately.
 func Groups() (names []string) {
 	for _, g := range groups {
 		names = append(names, g.name)
@@ -52,11 +52,11 @@
 	return names
 }
 
-// Run measures and gives the series. It ends early, with the context's error, when the context does. With an error the file
-// holds what was measured before it.
+// Run measures the chosen groups and returns their series. It stops with the context's error when the context ends. If a
+// measurement fails, the file has the values measured before; it is nil if no measurement was started.
 func Run(ctx context.Context, o Options) (*capacity.File, error) {
-	if o.Repetitions < leastRepetitions {
-		return nil, fmt.Errorf("%d repetitions: at least %d", o.Repetitions, leastRepetitions)
+	if o.Repetitions < minRepetitions {
+		return nil, fmt.Errorf("%d repetitions: at least %d", o.Repetitions, minRepetitions)
 	}
 	chosen := o.Groups
 	if len(chosen) == 0 {
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{Options: o, ctx: ctx, dir: dir, began: time.Now(), loads: []string{loadAverage()}, times: fullTimes}
+	r := &run{Options: o, ctx: ctx, dir: dir, started: time.Now(), loadSamples: []string{loadAverages()}, times: defaultTimes}
 	for _, g := range groups {
 		if !slices.Contains(chosen, g.name) {
 			continue
@@ -84,61 +84,63 @@
 		case err != nil:
 			return r.file(), fmt.Errorf("%s: %w", g.name, err)
 		}
-		r.loads = append(r.loads, loadAverage())
+		r.loadSamples = append(r.loadSamples, loadAverages())
 	}
 	return r.file(), nil
 }
 
-// times are how long a run watches; tests have shorter ones.
+// times holds the durations of a run's phases; tests use shorter ones.
 type times struct {
-	idle   time.Duration // of a store's group, before each repetition
-	meet   time.Duration // in which all members of the gossip hold all to be up
-	settle time.Duration // of the gossip, after its members have met
-	window time.Duration // of each repetition of the gossip
+	idle     time.Duration // of a store without writes, before each repetition
+	converge time.Duration // maximum time until each gossip member regards all members as up
+	settle   time.Duration // of the gossip, after convergence
+	window   time.Duration // length of each repetition of the gossip
 }
 
-// Whole states of the gossip go around each second for 5 s after a change of the view, and after that each 10 s.
-var fullTimes = times{idle: 2 * time.Second, meet: 90 * time.Second, settle: 12 * time.Second, window: 15 * time.Second}
+// defaultTimes are the times of a full run. settle exceeds the 5 s after a change of the view in which gossip members exchange
+// full states every second; afterwards they do so every 10 s, and window exceeds one such interval.
+var defaultTimes = times{idle: 2 * time.Second, converge: 90 * time.Second, settle: 12 * time.Second, window: 15 * time.Second}
 
-// run is one measuring run.
+// run is one measurement in progress.
 type run struct {
 	Options
-	ctx    context.Context
-	dir    string
-	began  time.Time
-	loads  []string // load averages, at the start and after each group
-	times  times
-	series []*capacity.Series
-}
-
-// add notes a value of a series at a size. A series begins with its first value.
-func (r *run) add(name, unit, of string, size, value float64) {
-	s := r.begin(name, unit, of)
-	at := slices.IndexFunc(s.Points, func(p capacity.Point) bool { return p.N == size })
-	if at < 0 {
-		at = len(s.Points)
+	ctx         context.Context
+	dir         string
+	started     time.Time
+	loadSamples []string // load averages at the start and after each group
+	times       times
+	series      []*capacity.Series
+}
+
+// add appends a value at a size to a series, and creates the series if it is absent.
+func (r *run) add(name, unit, sizeLabel string, size, value float64) {
+	s := r.findOrAddSeries(name, unit, sizeLabel)
+	index := slices.IndexFunc(s.Points, func(p capacity.Point) bool { return p.N == size })
+	if index < 0 {
+		index = len(s.Points)
 		s.Points = append(s.Points, capacity.Point{N: size})
 	}
-	s.Points[at].Values = append(s.Points[at].Values, value)
+	s.Points[index].Values = append(s.Points[index].Values, value)
 }
 
-// begin finds a series, or begins it.
-func (r *run) begin(name, unit, of string) *capacity.Series {
-	s := r.find(name)
+// findOrAddSeries returns the named series, and creates it if it is absent.
+func (r *run) findOrAddSeries(name, unit, sizeLabel string) *capacity.Series {
+	s := r.findSeries(name)
 	if s == nil {
-		s = &capacity.Series{Name: name, Unit: unit, Of: of, Command: r.Command, Date: r.began.Format(time.DateOnly)}
+		s = &capacity.Series{Name: name, Unit: unit, Of: sizeLabel, Command: r.Command, Date: r.started.Format(time.DateOnly)}
 		r.series = append(r.series, s)
 	}
 	return s
 }
 
-// note says of a series why a size has no values.
-func (r *run) note(name, unit, of string, size float64, why string) {
-	s := r.begin(name, unit, of)
-	s.Points = append(s.Points, capacity.Point{N: size, Values: []float64{}, Note: why})
+// addNote adds a size without values to a series, with the reason.
+func (r *run) addNote(name, unit, sizeLabel string, size float64, reason string) {
+	s := r.findOrAddSeries(name, unit, sizeLabel)
+	s.Points = append(s.Points, capacity.Point{N: size, Values: []float64{}, Note: reason})
 }
 
-func (r *run) find(name string) *capacity.Series {
+// findSeries returns the named series, or nil if it is absent.
+func (r *run) findSeries(name string) *capacity.Series {
 	for _, s := range r.series {
 		if s.Name == name {
 			return s
@@ -147,9 +149,10 @@
 	return nil
 }
 
+// file returns all series measured so far.
 func (r *run) file() *capacity.File {
 	beside := fmt.Sprintf("%s; load averages (1, 5, 15 minutes) at the start and after each group: %s",
-		r.Beside, strings.Join(r.loads, "; "))
+		r.Beside, strings.Join(r.loadSamples, "; "))
 	f := &capacity.File{}
 	for _, s := range r.series {
 		s.Beside = beside
@@ -158,14 +161,15 @@
 	return f
 }
 
+// progress formats a message and passes it to Options.Progress.
 func (r *run) progress(format string, args ...any) {
 	if r.Progress != nil {
 		r.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// pause waits, or returns the context's error.
-func (r *run) pause(d time.Duration) error {
+// sleep waits for a duration. It returns early with the context's error if the context ends.
+func (r *run) sleep(d time.Duration) error {
 	select {
 	case <-r.ctx.Done():
 		return r.ctx.Err()
@@ -174,21 +178,21 @@
 	}
 }
 
-// until waits for a condition, looking every pace.
-func (r *run) until(within, pace time.Duration, what string, is func() bool) error {
-	for end := time.Now().Add(within); !is(); {
-		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", within, what)
+// waitUntil polls a condition at the interval until it is true, and returns an error with the description after the timeout.
+func (r *run) waitUntil(timeout, interval time.Duration, description string, condition func() bool) error {
+	for deadline := time.Now().Add(timeout); !condition(); {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("condition not met within %v: %s", timeout, description)
 		}
-		if err := r.pause(pace); err != nil {
+		if err := r.sleep(interval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// loadAverage is the first three fields of /proc/loadavg, "unknown" where there is none.
-func loadAverage() string {
+// loadAverages returns the first three fields of /proc/loadavg, or "unknown" if it cannot be read.
+func loadAverages() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
 	if err != nil || len(fields) < 3 {
@@ -197,8 +201,8 @@
 	return strings.Join(fields[:3], " ")
 }
 
-// processorTime is what this process has used, in user and system mode.
-func processorTime() time.Duration {
+// cpuTime returns the processor time of this process in user and system mode, or 0 if it is unknown.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -206,9 +210,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// quantile gives the value below which a part of the durations lies, in microseconds. It sorts them.
-func quantile(all []time.Duration, part float64) float64 {
-	slices.Sort(all)
-	at := int(part * float64(len(all)))
-	return float64(all[min(at, len(all)-1)]) / float64(time.Microsecond)
+// quantile returns, in microseconds, the duration below which a fraction of the durations lies. It sorts the slice.
+func quantile(durations []time.Duration, fraction float64) float64 {
+	slices.Sort(durations)
+	index := int(fraction * float64(len(durations)))
+	return float64(durations[min(index, len(durations)-1)]) / float64(time.Microsecond)
 }
