--- a/internal/lab/bus.go
+++ b/internal/lab/bus.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Host is a menu server as the event bus tells of it. State is up, draining or removed.
+// Host describes a menu server in the events of the bus. State is up, draining or removed.
 type Host struct {
 	Name, State string
 	Cell        int
 	Zone        string
-	Since       time.Time // of a late start; zero: long ago
+	Since       time.Time // start time of a server that was added late; zero if it started long ago
 }
 
-// Bus is a stand-in for the event bus (PROTOCOL, the event bus): numbered events, read as server-sent events. Each
-// gatekeeper has a listener of its own, since each reaches a server at another address.
+// Bus is a stand-in for the event bus (PROTOCOL, the event bus). It serves numbered events as server-sent events. Each
+// gatekeeper has its own listener, because each reaches the servers at different addresses.
 type Bus struct {
 	mu      sync.Mutex
-	hosts   []Host // the list as it is now
+	hosts   []Host // current list
 	last    int64
-	changed chan struct{} // closed at a change
+	changed chan struct{} // closed and replaced on each change
 	changes []busChange
 	servers []*http.Server
 	done    chan struct{}
@@ -35,14 +35,14 @@
 	hosts  []Host
 }
 
-// NewBus makes a bus whose first event holds some hosts.
+// NewBus returns a bus whose first event contains hosts.
 func NewBus(hosts []Host) *Bus {
 	b := &Bus{changed: make(chan struct{}), done: make(chan struct{})}
 	b.Change(hosts...)
 	return b
 }
 
-// Change tells an event with the hosts that have changed.
+// Change publishes an event with the changed hosts and updates the list.
 func (b *Bus) Change(hosts ...Host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,18 +92,19 @@
 	return e
 }
 
-// Known is the value of `known` in the configuration of a gatekeeper that starts now.
+// Known returns the value of `known` for the configuration of a gatekeeper that starts now.
 func (b *Bus) Known(dial func(host string) string) json.RawMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	text, err := json.Marshal(map[string]any{"offset": b.last, "batch": []busEvent{event(b.last, true, b.hosts, dial)}})
-	if err != nil { // strings and numbers alone
+	if err != nil { // cannot happen: the value contains only strings and numbers
 		panic(err)
 	}
 	return text
 }
 
-// Listen opens the bus for one gatekeeper; dial gives the address at which it reaches a host.
+// Listen starts an HTTP listener of the bus for one gatekeeper and returns its address. dial returns the address at which
+// that gatekeeper reaches a host.
 func (b *Bus) Listen(dial func(host string) string) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,7 +160,7 @@
 	}
 }
 
-// Close ends the bus.
+// Close shuts down all listeners of the bus and ends the open event streams.
 func (b *Bus) Close() {
 	close(b.done)
 	b.mu.Lock()
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -9,68 +9,71 @@
 	"beammux/internal/protocol/jsonl"
 )
 
-// SeenKind is what a stand-in saw.
+// SeenKind is the kind of an observation made by a stand-in.
 type SeenKind int
 
-// What callers see of a try, and servers of a set-up.
+// Kinds of observations: callers observe attempts, servers observe set-ups.
 const (
-	Tried        SeenKind = iota // a set-up was written to a gatekeeper; Span is what the caller gives it
-	Unsent                       // no gatekeeper was up
-	Established                  // final answer: the call stands; Body is its description
-	Refused                      // final answer
-	Failed                       // final answer
-	SecondAnswer                 // a further final answer; Body tells which
-	Unanswered                   // its time was up
-	Broken                       // its connection ended without an answer
-	Ended                        // a call that stood was released
-	ServerSetup                  // a set-up came whole
-	ServerAnswered
-	ServerFull
-	ServerGivenUp // by CANCEL or the end of its connection
-	ServerCut     // the server died with it
-	LateAnswer    // the first answer to a try that was told as Unanswered; Body tells which
+	Tried          SeenKind = iota // a set-up was written to a gatekeeper; Span is the time that the caller allows
+	Unsent                         // no gatekeeper was available
+	Established                    // final answer: the call is established; Body is its session description
+	Refused                        // final answer: the gatekeeper refused the call
+	Failed                         // final answer: the call failed
+	SecondAnswer                   // a further final answer; Body names its kind
+	Unanswered                     // the caller's time limit passed without an answer
+	Broken                         // the connection ended before an answer
+	Ended                          // an established call was released
+	ServerSetup                    // a complete set-up arrived at a server
+	ServerAnswered                 // the server accepted the set-up
+	ServerFull                     // the server rejected the set-up because its queue was too long
+	ServerGivenUp                  // the set-up was abandoned by CANCEL or the end of its connection
+	ServerCut                      // the server was killed while the set-up or call was open
+	LateAnswer                     // the first answer to an attempt already reported as Unanswered; Body names its type
 	seenKinds
 )
 
 var seenNames = [seenKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
 	"setup", "answered", "full", "given up", "cut", "late answer"}
 
+// String returns the name of the kind in the record of a run.
 func (k SeenKind) String() string { return seenNames[k] }
 
-// Seen is one thing that a stand-in saw.
+// Seen is one observation of a stand-in.
 type Seen struct {
 	At         time.Time
 	Kind       SeenKind
 	Call       string
-	Gatekeeper int // place among the callers' gatekeepers, -1 where none is concerned
+	Gatekeeper int // index among the callers' gatekeepers, -1 if the observation concerns none
 	Class      string
 	Span       time.Duration
 	Body       string
 }
 
-// PlatformWork is what a call costs the stand-in servers of a fleet: that of the platform's figures.
+// PlatformWork returns the processor cost of a call on a stand-in server, by the platform's figures.
 func PlatformWork() Work { return work }
 
-// Settings is the settings object of a configuration for so many gatekeepers, as the stand-ins work by.
+// Settings returns the settings object of a configuration for a fleet of the given size. It matches the behavior of the
+// stand-ins.
 func Settings(gatekeepers int) string { return fmtSettings(gatekeepers) }
 
-// Load says what the callers of a fleet offer.
+// Load describes the load that the callers of a fleet offer.
 type Load struct {
 	Seed        uint64
 	Gatekeepers int
 	Servers     int
-	PerS        float64 // first calls a second
+	PerS        float64 // first calls per second
 	Length      time.Duration
-	Pick        func(*rand.Rand) (home, dest int) // of a first call: its gatekeeper and the cell of its first choice
-	Again       func(*rand.Rand) int              // of a further try: its gatekeeper, -1 for the next one
-	Key         func(*rand.Rand) string           // number of a first call, "" for any; nil: any
-	Hear        func(Seen)                        // told with a lock held: must not call the callers
+	Pick        func(*rand.Rand) (home, dest int) // chooses the gatekeeper and the first-choice cell of a first call
+	Again       func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one
+	Key         func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
+	Hear        func(Seen)                        // receives each observation; runs with a lock held and must not call Callers
 }
 
-// Callers are stand-ins for the callers of a fleet, one connection to each gatekeeper, which comes back when it breaks.
+// Callers are stand-ins for the callers of a fleet. They share one connection to each gatekeeper and reopen it after a
+// failure.
 type Callers struct{ day *day }
 
-// NewCallers makes callers; none calls before Play.
+// NewCallers returns callers for a load. They place no call before Play.
 func NewCallers(o Load) *Callers {
 	d := newDay(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
 		Load: o.PerS / work.Capacity() / float64(o.Servers)})
@@ -85,13 +88,14 @@
 
 const (
 	reconnectAfter = 50 * time.Millisecond
-	testEvery      = 250 * time.Millisecond // the front tests each gatekeeper so often
-	testWithin     = time.Second            // and leads nobody to one that has not passed a test for so long
+	testEvery      = 250 * time.Millisecond // interval of the front's health checks of each gatekeeper
+	testWithin     = time.Second            // the front routes no call to a gatekeeper without a passed check in this time
 )
 
-// Keep holds a connection to a gatekeeper at an address until the context ends: it is opened again when it breaks.
-// What was open on it is told as Broken and dialled again. As the platform's front does, it tests the gatekeeper, and
-// leads new set-ups elsewhere while the last test failed or none passed for a second. It is called once for each.
+// Keep maintains a connection to gatekeeper i at addr until the context ends and reopens it after a failure. Attempts that
+// are open on a failed connection are reported as Broken and retried. Like the platform's front, it checks the health of the
+// gatekeeper, and routes new set-ups elsewhere while the last check failed or none passed for a second. Keep must be called
+// once for each gatekeeper.
 func (c *Callers) Keep(ctx context.Context, i int, addr string) {
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
@@ -141,7 +145,7 @@
 
 const testID = "ffffffffffffffff"
 
-// Up tells how many gatekeepers the callers may be led to.
+// Up returns the number of gatekeepers that are available for new set-ups.
 func (c *Callers) Up() (n int) {
 	for _, to := range c.day.conns {
 		to.mu.Lock()
@@ -153,12 +157,13 @@
 	return n
 }
 
-// usable is asked with the lock held.
+// usable reports whether new set-ups may use the connection. The caller must hold the lock.
 func (c *callers) usable() bool {
 	return c.conn != nil && c.fit && time.Since(c.passed) < testWithin
 }
 
-// write writes within a second: a connection that takes nothing more must not hold its callers.
+// write sends data with a deadline of one second, so that a blocked connection does not stall its callers. It closes the
+// connection on an error.
 func (c *callers) write(conn net.Conn, data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,17 +173,17 @@
 	}
 }
 
-// Play calls until the time is over or the context ends, and lets what is open end.
+// Play places calls until the length of the load has passed or the context ends, and then waits for open attempts.
 func (c *Callers) Play(ctx context.Context) {
 	c.day.began = time.Now()
 	c.day.play(ctx, c.day.Servers, nil)
 }
 
-// Outcome is what came of it so far.
+// Outcome returns the results so far. servers are the stand-ins whose counts it includes.
 func (c *Callers) Outcome(servers []*Server) *Outcome { return c.day.result(servers) }
 
-// broke takes a connection that ended from the callers. Set-ups without an answer on it are dialled again, unless the
-// callers themselves hung up.
+// broke removes a closed connection. Unanswered set-ups on it are retried if again is set, which it is not if the callers
+// closed the connection themselves.
 func (d *day) broke(i int, c net.Conn, again bool) {
 	d.conns[i].mu.Lock()
 	if d.conns[i].conn == c {
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Cost measures the processor time of a gatekeeper in a process of its own, with and without records.
+// Cost measures the processor time of a gatekeeper that runs in a separate process, with and without records.
 type Cost struct {
-	Program string // beammux
+	Program string // path of the beammux binary
 	PerS    float64
 	Length  time.Duration
 	Seed    uint64
 }
 
-// Spent is what one run used.
+// Spent is the processor time that one run used.
 type Spent struct {
 	Records bool          `json:"records"`
 	Calls   int           `json:"calls"`
@@ -30,7 +30,7 @@
 	Part    float64       `json:"part_of_a_core"`
 }
 
-// Run plays one run.
+// Run performs one measurement, with records or without them.
 func (c Cost) Run(ctx context.Context, records bool) (*Spent, error) {
 	dir, err := os.MkdirTemp("", "lab-cost-")
 	if err != nil {
@@ -83,7 +83,7 @@
 		}
 	}
 	if addr == "" {
-		return nil, fmt.Errorf("%s did not start", c.Program)
+		return nil, fmt.Errorf("%s did not start serving", c.Program)
 	}
 	go func() {
 		for lines.Scan() {
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -11,17 +11,18 @@
 	"beammux/internal/record"
 )
 
-// Records writes records as a fleet would in so many hours, without playing them: calls at a daily wave, attempts that fail
-// now and then, servers gated in bursts, a planned restart of each gatekeeper every hour. Every rule holds in them.
+// Records generates the records that a fleet would write in a number of hours, without running it: calls at a rate that
+// follows a daily wave, occasional failed attempts, servers gated in bursts, and a planned restart of each gatekeeper every
+// hour. The generated records violate no rule of package history.
 type Records struct {
 	Dir         string
 	Seed        uint64
 	Hours       float64
 	Gatekeepers int
-	PerS        float64 // calls a second over all gatekeepers
+	PerS        float64 // calls per second over all gatekeepers
 }
 
-// Write writes them and tells how many there are.
+// Write writes the records and returns the number of events. progress, if not nil, is called after each gatekeeper.
 func (o Records) Write(progress func(node string, events int)) (total int, err error) {
 	from := control.Micros(time.Date(2026, 12, 1, 16, 0, 0, 0, time.UTC).UnixMicro())
 	for n := range o.Gatekeepers {
@@ -46,7 +47,7 @@
 		e.At = at
 		r.Record(e)
 		if events++; events%4096 == 0 {
-			r.Flush() // a gatekeeper's records come slower than these
+			r.Flush() // records are generated faster than a gatekeeper writes them
 		}
 	}
 	start := func(at control.Micros) error {
@@ -83,7 +84,7 @@
 				return events, err
 			}
 		}
-		pressed := math.Mod(float64(at-from)/60e6, 20) < 1 // a minute in twenty
+		pressed := math.Mod(float64(at-from)/60e6, 20) < 1 // overloaded in one minute of twenty
 		if at-looked > 500000 {
 			looked = at
 			for s := range uint32(3) {
@@ -101,7 +102,7 @@
 	return events, nil
 }
 
-// call writes the records of one call, all at the time it is over but in their order.
+// call writes the records of one call in order, all with the time of its end.
 func (o Records) call(rng *rand.Rand, note func(control.Micros, history.Event), at control.Micros, id string, pressed bool) {
 	class := min(int(rng.ExpFloat64()), len(classes)-1)
 	server := uint32(rng.IntN(3) + 1)
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -17,19 +17,20 @@
 	"beammux/internal/node"
 )
 
-// Incident is a bad half minute on loopback, drawn from a seed: more calls than usual, servers that run slower, one that
-// is drained and replaced by a cold one, and gatekeepers that restart as planned. Each gatekeeper keeps records in Dir.
+// Incident is a randomized overload scenario on loopback, 30 seconds long by default and determined by its seed: a burst of
+// calls, a slow server, a server that is drained and replaced by a cold one, and planned restarts of gatekeepers. Each
+// gatekeeper writes records to Dir.
 type Incident struct {
 	Seed        uint64
 	Gatekeepers int
 	Length      time.Duration // 30 s if 0
 	Dir         string
-	Progress    func(what string) // told what happens, if not nil
+	Progress    func(what string) // receives a line for each step of the scenario, if not nil
 }
 
 const incidentServers = 3
 
-// incident is one that is being played.
+// incident is the state of a running Incident.
 type incident struct {
 	Incident
 	*day
@@ -49,7 +50,7 @@
 	since             time.Time
 }
 
-// Play plays it in real time.
+// Play runs the scenario in real time and returns the results.
 func (o Incident) Play(ctx context.Context) (*Outcome, error) {
 	if o.Length == 0 {
 		o.Length = 30 * time.Second
@@ -78,8 +79,8 @@
 	}
 	slowed := i.rng.IntN(incidentServers)
 	happenings := []happening{
-		{i.SlowFrom, func() { i.tell("burst begins, a server runs slower"); i.servers[slowed].Slow(i.Slow) }},
-		{i.SlowFrom + i.SlowFor, func() { i.tell("burst is over"); i.servers[slowed].Slow(1) }},
+		{i.SlowFrom, func() { i.tell("burst begins, one server slows down"); i.servers[slowed].Slow(i.Slow) }},
+		{i.SlowFrom + i.SlowFor, func() { i.tell("burst ends"); i.servers[slowed].Slow(1) }},
 		{part(0.55, 0.65), func() { i.replace((slowed + 1) % incidentServers) }},
 	}
 	for _, n := range i.rng.Perm(o.Gatekeepers)[:max(1, o.Gatekeepers/3)] {
@@ -88,7 +89,7 @@
 	}
 	i.play(ctx, incidentServers, happenings)
 	i.busy.Wait()
-	for n := range i.nodes { // a planned end, so that the records end whole
+	for n := range i.nodes { // a planned shutdown, so that the records are complete
 		i.busy.Add(1)
 		go func() {
 			defer i.busy.Done()
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// list is the inventory as it is now.
+// list returns the current inventory as CSV.
 func (i *incident) list() []byte {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -174,7 +175,7 @@
 	return i.connect(n, g.Addr())
 }
 
-// restart ends a gatekeeper as planned and starts it again a little later.
+// restart drains a gatekeeper and starts it again 300 ms later.
 func (i *incident) restart(n int) {
 	i.busy.Add(1)
 	defer i.busy.Done()
@@ -190,7 +191,7 @@
 	}
 }
 
-// replace drains a server and puts a cold one in its place. Gatekeepers hear of it late, one after another.
+// replace drains a server and replaces it by a cold one. The gatekeepers learn of it with a delay, one after another.
 func (i *incident) replace(at int) {
 	i.busy.Add(1)
 	defer i.busy.Done()
@@ -207,7 +208,7 @@
 	i.change(func() { i.hosts[at].state = "removed" })
 }
 
-// change changes the list and tells every gatekeeper that is up.
+// change applies f to the list and imports the new list into every gatekeeper.
 func (i *incident) change(f func()) {
 	i.mu.Lock()
 	f()
--- a/internal/lab/launch/launch.go
+++ b/internal/lab/launch/launch.go
@@ -1,4 +1,4 @@
-// Package launch starts the processes of the laboratories such that none outlives the laboratory, even if that is killed.
+// Package launch starts the processes of the laboratories so that none outlives the laboratory, even if it is killed.
 package launch
 
 import (
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// thread starts processes from one thread that lives as long as this program does: the kernel kills a process with
-// PDEATHSIG when the thread that started it ends, not when the whole parent does.
+// thread returns a channel of functions that run on one thread, which lives as long as this program. Processes are started
+// there because the kernel sends PDEATHSIG when the thread that started a process ends, not when its whole parent does.
 var thread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -21,8 +21,9 @@
 	return work
 })
 
-// Start is cmd.Start for a process that the kernel kills when this program ends. The process is in a group of its own: an
-// interrupt at a terminal is for the laboratory, which ends its processes itself. It replaces cmd.SysProcAttr.
+// Start starts cmd as a process that the kernel kills when this program ends. The process has its own process group, so
+// that an interrupt at a terminal reaches only the laboratory, which ends its processes itself. Start overwrites
+// cmd.SysProcAttr.
 func Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
--- a/internal/lab/launch/launch_test.go
+++ b/internal/lab/launch/launch_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that Start has started outlives the goroutine and the thread that asked for it, is in a group of its own, and is
-// killed once the program that started it has been killed.
+// A process started by Start outlives the goroutine and the thread that called Start, has its own process group, and is
+// killed when the program that started it is killed.
 func TestStart(t *testing.T) {
 	if os.Getenv("LAUNCH_PARENT") != "" {
 		child := exec.Command("sleep", "60")
@@ -35,12 +35,12 @@
 	require.Equal(t, "started", string(buf))
 	ended := make(chan error, 1)
 	go func() {
-		_, err := out.Read(buf) // the end of the pipe comes once both have ended
+		_, err := out.Read(buf) // the pipe is closed once both processes have ended
 		ended <- err
 	}()
 	select {
 	case <-ended:
-		t.Fatal("it ended by itself")
+		t.Fatal("a process ended before the parent was killed")
 	case <-time.After(200 * time.Millisecond):
 	}
 	require.NoError(t, parent.Process.Kill())
@@ -48,7 +48,7 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Error("the child outlives the program that was killed")
+		t.Error("the child is still running after its parent was killed")
 	}
 	parent.Wait()
 }
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -21,36 +21,36 @@
 	"beammux/internal/protocol/jsonl"
 )
 
-// Overload is a day on which all servers slow down while callers offer more than they can do.
+// Overload is a scenario in which all servers slow down while the callers offer more calls than the servers can handle.
 type Overload struct {
 	Seed                 uint64
 	Gatekeepers, Servers int
 	Length               time.Duration
 	SlowFrom, SlowFor    time.Duration
-	Slow                 float64 // times longer that all work takes then
-	Load                 float64 // offered, in the servers' capacity
-	Burst                float64 // times more calls in the slow span, 0: as many
+	Slow                 float64 // factor by which all work takes longer during the slow span
+	Load                 float64 // offered load as a fraction of the servers' capacity
+	Burst                float64 // factor of the call rate during the slow span; 0: unchanged
 	Calls                string  // section "calls" of the deploy file; "": none
 }
 
-// Outcome is what came of a day. Worth counts in full for a call that stands within its aim of the first try, a quarter
-// up to the callers' give-up; a caller's further tries count with its first.
+// Outcome is the result of a scenario. A call that is established within its aim, counted from the first attempt, earns its
+// full worth, and later, until the caller gives up, a quarter of it. Retries count with the caller's first attempt.
 type Outcome struct {
 	First      int                `json:"first_calls"`
-	Tries      int                `json:"tries"`  // with the callers' own redials
-	Setups     int                `json:"setups"` // that reached servers
+	Tries      int                `json:"tries"`  // including the callers' own retries
+	Setups     int                `json:"setups"` // set-ups that reached servers
 	PerCall    float64            `json:"setups_per_first_call"`
-	PerSent    float64            `json:"setups_per_try_sent"` // of tries that were not refused before any
-	Wasted     int                `json:"wasted"`              // worked on after they had been given up
-	Full       int                `json:"turned_away"`         // by servers
+	PerSent    float64            `json:"setups_per_try_sent"` // over the attempts for which at least one set-up reached a server
+	Wasted     int                `json:"wasted"`              // set-ups processed after they had been given up
+	Full       int                `json:"turned_away"`         // set-ups that full servers rejected
 	Hung       int                `json:"setups_on_hanging_servers"`
 	FailedPart int                `json:"setups_failed_by_ill_servers"`
 	Offered    float64            `json:"worth_offered"`
-	Served     float64            `json:"worth_served"` // part of it
+	Served     float64            `json:"worth_served"` // fraction of the offered worth
 	ByClass    map[string]float64 `json:"served_by_class"`
 	SlowServed float64            `json:"served_of_calls_in_the_slow_span"`
-	P50        float64            `json:"P50"` // set-up delay of calls that stood, from their first try, seconds
-	P99        float64            `json:"P99"` // set-up delay of calls that stood, from their first try, seconds
+	P50        float64            `json:"P50"` // set-up delay of established calls from the first attempt, in seconds
+	P99        float64            `json:"P99"` // set-up delay of established calls from the first attempt, in seconds
 	Refused    int                `json:"tries_refused"`
 	Failed     int                `json:"tries_failed"`
 	Unanswered int                `json:"tries_unanswered"`
@@ -82,11 +82,11 @@
 
 func fmtSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
 
-// work is that of the platform's figures, at 20 calls a second for each server.
+// work follows the platform's figures: 20 calls per second for each server.
 var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, Full: 3 * time.Second,
 	Resend: 500 * time.Millisecond}
 
-// Run plays the day in real time.
+// Run runs the scenario in real time and returns the results.
 func (o Overload) Run(ctx context.Context) (*Outcome, error) {
 	site, err := control.ParseSite(fmt.Sprintf(settings, o.Gatekeepers))
 	if err != nil {
@@ -113,7 +113,7 @@
 	log.SetOutput(io.Discard)
 	d := newDay(o)
 	for i := range o.Gatekeepers {
-		// Each has a policy of its own: a budget is a gatekeeper's.
+		// Each gatekeeper needs its own policy, because the retry budget is kept per gatekeeper.
 		own := *deploy
 		if o.Calls != "" {
 			again, err := config.ParseDeploy("lab", []byte(`{"calls":`+o.Calls+`}`), site)
@@ -148,7 +148,7 @@
 	return d.result(servers), ctx.Err()
 }
 
-// day holds the callers' side of a run.
+// day is the callers' side of a run.
 type day struct {
 	Overload
 	began time.Time
@@ -156,24 +156,24 @@
 
 	mu      sync.Mutex
 	next    int
-	waits   int // redials that wait
+	waits   int // retries that wait for their delay
 	calls   map[string]*try
 	delays  *hdrhistogram.Histogram
 	out     *Outcome
 	offered map[string]float64
 	served  map[string]float64
-	slow    [2]float64 // offered and served of calls that began while servers were slow
-
-	pick    func(*rand.Rand) (home, dest int) // a first call's gatekeeper and first choice; nil: any
-	again   func(*rand.Rand) int              // a further try's gatekeeper, -1 for the next; nil: the next
-	key     func(*rand.Rand) string           // number of a first call, "" for any; nil: any
-	dice    *rand.Rand                        // of again
-	seen    func(Seen)                        // nil: nobody
-	past    map[string]SeenKind               // final answers of tries that are over, kept while somebody hears of them
-	expired map[string]int                    // tries that had no answer in time, with their gatekeepers, until one comes
+	slow    [2]float64 // worth offered and served of calls that began during the slow span
+
+	pick    func(*rand.Rand) (home, dest int) // chooses gatekeeper and first choice of a first call; nil: random
+	again   func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one; nil: always the next
+	key     func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
+	dice    *rand.Rand                        // random source of again
+	seen    func(Seen)                        // receives observations; may be nil
+	past    map[string]SeenKind               // final answers of finished attempts; used only if seen is set
+	expired map[string]int                    // gatekeeper of each attempt that timed out, until its late answer arrives
 }
 
-// tell is called with the lock held.
+// tell reports an observation. The caller must hold the lock.
 func (d *day) tell(s Seen) {
 	if d.seen != nil {
 		s.At = time.Now()
@@ -181,7 +181,7 @@
 	}
 }
 
-// final notes the final answer of a try, and tells whether it is the first. The lock is held.
+// final records the final answer of an attempt and reports whether it is the first. The caller must hold the lock.
 func (d *day) final(k *try, id string, kind SeenKind, body string) bool {
 	if d.seen == nil {
 		return true
@@ -195,15 +195,15 @@
 	return true
 }
 
-// callers are those of one gatekeeper. They share a connection, nil while the gatekeeper is down.
+// callers is the connection that all callers of one gatekeeper share. conn is nil while the gatekeeper is down.
 type callers struct {
 	mu     sync.Mutex
 	conn   net.Conn
-	fit    bool      // the last test passed
-	passed time.Time // when one last did
+	fit    bool      // the last health check passed
+	passed time.Time // time of the last check that passed
 }
 
-// happening is something that is done at a time of the day.
+// happening is an action that runs at a time after the start of a run.
 type happening struct {
 	at time.Duration
 	do func()
@@ -214,20 +214,20 @@
 		out: &Outcome{ByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
 }
 
-// connect lets the callers of a gatekeeper use a new connection.
+// connect opens a connection to a gatekeeper, without health checks, and lets its callers use it.
 func (d *day) connect(i int, addr string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
 	d.conns[i].mu.Lock()
-	d.conns[i].conn, d.conns[i].fit, d.conns[i].passed = c, true, time.Now().Add(time.Hour) // not tested
+	d.conns[i].conn, d.conns[i].fit, d.conns[i].passed = c, true, time.Now().Add(time.Hour) // no health checks
 	d.conns[i].mu.Unlock()
 	go d.read(c, nil)
 	return nil
 }
 
-// leave makes callers use other gatekeepers for new set-ups; what is open goes on. It gives the connection.
+// leave directs new set-ups to other gatekeepers and returns the connection, on which open calls continue.
 func (d *day) leave(i int) net.Conn {
 	d.conns[i].mu.Lock()
 	defer d.conns[i].mu.Unlock()
@@ -242,23 +242,23 @@
 	}
 }
 
-// caller is one first call with its redials.
+// caller is one first call with its retries.
 type caller struct {
 	class int
 	began time.Time
 	tries int
 	key   string
 	dest  int
-	home  int // gatekeeper of its first try
+	home  int // gatekeeper of the first attempt
 }
 
-// try is one set-up of a caller.
+// try is one set-up attempt of a caller.
 type try struct {
 	*caller
 	over  *time.Timer
 	stood bool
-	at    int      // gatekeeper, -1 while none was up
-	conn  net.Conn // that it went on
+	at    int      // gatekeeper, -1 while none was available
+	conn  net.Conn // connection on which it was sent
 }
 
 func (d *day) play(ctx context.Context, servers int, happenings []happening) {
@@ -304,7 +304,7 @@
 	}
 }
 
-// settle lets what is open end: the last redials are over by twice a try's time.
+// settle waits for open attempts to end, at most twice the time of one attempt: the last retries have ended by then.
 func (d *day) settle(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -333,7 +333,7 @@
 	return since >= d.SlowFrom && since < d.SlowFrom+d.SlowFor
 }
 
-// dial makes one try at a gatekeeper.
+// dial makes one attempt at a gatekeeper, or at the next one that is available.
 func (d *day) dial(c *caller, at int) {
 	d.mu.Lock()
 	d.next++
@@ -356,7 +356,7 @@
 	d.mu.Unlock()
 	m := jsonl.Message{Type: "open", ID: id, Text: "offer\r\n", Attrs: map[string]string{"class": classes[c.class].name,
 		"left": strconv.FormatInt(tryFor.Milliseconds(), 10), "key": c.key, "extras": fmt.Sprintf("dest:%d;width:1", c.dest)}}
-	for i := range d.conns { // the first that is up
+	for i := range d.conns { // the first gatekeeper that is available
 		g := (at + i) % len(d.conns)
 		to := d.conns[g]
 		to.mu.Lock()
@@ -376,7 +376,7 @@
 	d.mu.Unlock()
 }
 
-// redial tries again after a wait, if the caller still does. The lock is held.
+// redial retries after a delay, unless the caller has used up its retries or its time. The caller must hold the lock.
 func (d *day) redial(c *caller, wait time.Duration) {
 	if wait <= 0 {
 		wait = 500 * time.Millisecond
@@ -402,7 +402,8 @@
 	})
 }
 
-// read hears what comes on a connection until it ends; other, if not nil, is shown each message first and may take it.
+// read processes the messages on a connection until it ends. other, if not nil, receives each message first and reports
+// whether it handled it.
 func (d *day) read(conn net.Conn, other func(jsonl.Message) bool) {
 	for r := jsonl.NewReader(bufio.NewReaderSize(conn, jsonl.MaxMessage)); ; {
 		m, err := r.Next()
@@ -464,7 +465,7 @@
 	}
 }
 
-// heardLate tells of the first answer to a try whose caller had given up by then. The lock is held.
+// heardLate reports the first answer to an attempt that the caller had already given up. The caller must hold the lock.
 func (d *day) heardLate(m jsonl.Message) {
 	at, expired := d.expired[m.ID]
 	if !expired || m.Type != "ready" && m.Type != "close" {
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -16,32 +16,32 @@
 	"beammux/internal/node"
 )
 
-// Restart is a day on which every gatekeeper ends at once without a word while a server is slow, and starts again; with
-// what it had learned, or without.
+// Restart is a scenario in which all gatekeepers stop at once, without draining, while a server is slow, and start again
+// with the estimates they had stored (Warm) or without them.
 type Restart struct {
 	Seed uint64
 	Warm bool
 }
 
-// After is the service of the calls that came in the first 5 s after the restart.
+// After is the result for the calls that arrived in the first 5 seconds after the restart.
 type After struct {
 	Seed   uint64  `json:"seed"`
 	Warm   bool    `json:"warm"`
-	Served float64 `json:"worth_served"` // part of that offered
-	Setups int     `json:"setups"`       // that reached servers
-	Full   int     `json:"turned_away"`  // of them, by a server that was full
-	Wasted int     `json:"wasted"`       // worked on after they had been given up
+	Served float64 `json:"worth_served"` // fraction of the offered worth
+	Setups int     `json:"setups"`       // set-ups that reached servers
+	Full   int     `json:"turned_away"`  // set-ups that a full server rejected
+	Wasted int     `json:"wasted"`       // set-ups processed after they had been given up
 	First  int     `json:"first_calls"`
-	Up     float64 `json:"seconds_to_serving"` // the slowest gatekeeper
+	Up     float64 `json:"seconds_to_serving"` // of the slowest gatekeeper
 }
 
 const (
-	restartSlow = 4 * time.Second // when the server slows down
+	restartSlow = 4 * time.Second // time at which the server slows down
 	restartAt   = 12 * time.Second
 	restartLook = 5 * time.Second
 )
 
-// Run plays the day in real time.
+// Run runs the scenario in real time and returns the results.
 func (o Restart) Run(ctx context.Context) (*After, error) {
 	const gatekeepers, servers = 4, 3
 	site, err := control.ParseSite(fmt.Sprintf(settings, gatekeepers))
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -1,5 +1,6 @@
-// Package lab is the project's laboratory: stand-ins for menu servers and callers on loopback, run against gatekeepers in
-// process, to measure what a change does. They are written from PROTOCOL's figures and are models, not measurements.
+// Package lab provides stand-ins for menu servers and callers on loopback and runs them against gatekeepers, mostly in the
+// same process, to measure the effect of a change. The stand-ins are models built from the figures in PROTOCOL, not from
+// measurements.
 package lab
 
 import (
@@ -15,66 +16,67 @@
 	"beammux/internal/protocol/sip"
 )
 
-// Work is what a call costs a server's processor.
+// Work is the cost of a call on a server's processor.
 type Work struct {
 	Setup                           time.Duration
-	Answer, Release, Refuse, Repeat float64       // in set-ups
-	Full                            time.Duration // wait from which set-ups are turned away
-	Resend                          time.Duration // a set-up that waits is repeated after this and at doubling gaps
+	Answer, Release, Refuse, Repeat float64       // as multiples of Setup
+	Full                            time.Duration // queueing delay above which set-ups are rejected
+	Resend                          time.Duration // first retransmission interval of a queued set-up; it doubles each time
 }
 
-// Capacity is how many calls a second the work allows.
+// Capacity returns the number of calls per second that one server can process.
 func (w Work) Capacity() float64 {
 	return 1 / (w.Setup.Seconds() * (1 + w.Answer + w.Release))
 }
 
-// Server is a stand-in for a menu server of the platform: one processor with one line, first in, first out. Set-ups,
-// answers and releases are work, and so are refusals and the repeats of a set-up that waits. What was given up is worked
-// on all the same.
+// Server is a stand-in for a menu server of the platform: one processor with one FIFO queue. Set-ups, answers and releases
+// take processor time, and so do rejections and the retransmissions of a queued set-up. A set-up that has been given up is
+// processed nevertheless.
 type Server struct {
 	ln   net.Listener
 	work Work
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	slow    float64   // factor of all work
-	free    time.Time // when the processor has done all that is queued
+	slow    float64   // factor of the cost of all work
+	free    time.Time // time at which the processor has finished all queued work
 	queued  int
 	calls   map[string]*served
-	shown   string // report, measured every half second
-	shot    time.Time
-	worked  time.Duration             // since the report was measured
-	lns     []net.Listener            // further ones, each of one peer
-	lines   []*serverLine             // the open connections, oldest first
-	unasked bool                      // the state is told unasked
-	late    map[string][]*sip.Message // releases that wait for a peer's next connection
-
-	hear  func(Seen) // nil: nobody
-	cold  time.Time  // started cold then; zero: warm
-	start float64    // part of its capacity that it has then
-	warm  time.Duration
-
-	setups, wasted int             // that arrived; that were worked on after they had been given up
-	full           int             // that were turned away
-	ids            map[string]bool // of the set-ups
-
-	engaged      string
-	hang         bool    // set-ups are taken and never answered
-	ill          float64 // part of them that fails
-	hung, failed int     // so far
-}
-
-// serverLine is one connection. Its writer has a goroutine of its own, so that the server never waits for a peer.
+	shown   string                    // last load report, renewed every half second
+	shot    time.Time                 // time of the last load report
+	worked  time.Duration             // processor time since the last load report
+	lns     []net.Listener            // further listeners, one for each peer
+	lines   []*serverLine             // open connections, oldest first
+	unasked bool                      // the state is sent periodically and on each new connection
+	late    map[string][]*sip.Message // releases that wait for the peer's next connection
+
+	hear  func(Seen)    // receives observations; may be nil
+	cold  time.Time     // time of a cold start; zero if the server is warm
+	start float64       // fraction of the capacity at the cold start
+	warm  time.Duration // time from the cold start until full capacity
+
+	setups, wasted int             // set-ups that arrived, and set-ups processed after they had been given up
+	full           int             // set-ups rejected because the queue was too long
+	ids            map[string]bool // call IDs of all set-ups
+
+	engaged      string  // number whose lines are all busy, "" for none
+	hang         bool    // set-ups are accepted and never answered
+	ill          float64 // fraction of set-ups that fail
+	hung, failed int     // set-ups that were left unanswered, and that failed by injected faults
+}
+
+// serverLine is one connection. A separate goroutine writes to it, so that the server never waits for a peer.
 type serverLine struct {
 	conn net.Conn
-	peer string // whose it is, as its listener says
+	peer string // name of the peer, known from the listener
 	out  chan []byte
 	over bool
 }
 
-const backMost = 1024 // messages that wait to be written to one connection
+const backMost = 1024 // most messages queued for writing on one connection
 
-// write queues a message. It never blocks: a connection that takes nothing more is closed. The server's lock is held.
+// write queues a message. It never blocks: it closes the connection if its queue is full. The caller must hold the server's
+// lock.
 func (l *serverLine) write(m *sip.Message) {
 	if l.over {
 		return
@@ -86,11 +88,12 @@
 	}
 }
 
+// served is a call on the server, from its set-up until its end.
 type served struct {
 	line   *serverLine
 	invite *sip.Message
-	stands bool
-	gone   bool
+	stands bool // the call is established
+	gone   bool // the call was given up or has ended
 }
 
 // NewServer starts a server on loopback.
@@ -115,8 +118,8 @@
 	}
 }
 
-// ListenFor opens one more address, for one peer alone: by it the server knows whose a connection is. What concerns a call
-// is told on its connection or any other of the same peer (PROTOCOL, gatekeepers to menu servers).
+// ListenFor opens another listener, for one peer only, and returns its address. The listener identifies the peer of a
+// connection: messages about a call may be sent on any connection of the same peer (PROTOCOL, gatekeepers to menu servers).
 func (s *Server) ListenFor(peer string) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,32 +132,32 @@
 	return ln.Addr().String(), nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address of the server's first listener.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Hear lets f know of what comes and of what is answered, in order and with the server's lock held: f must not call the
-// server. It is called before any caller is.
+// Hear sets the function that receives the server's observations, in order. f runs with the server's lock held and must not
+// call the server. Hear must be called before the first call arrives.
 func (s *Server) Hear(f func(Seen)) {
 	s.mu.Lock()
 	s.hear = f
 	s.mu.Unlock()
 }
 
-// tell is called with the lock held.
+// tell reports an observation. The caller must hold the lock.
 func (s *Server) tell(kind SeenKind, call string) {
 	if s.hear != nil {
 		s.hear(Seen{At: time.Now(), Kind: kind, Call: call})
 	}
 }
 
-// Cold lets the server begin now with a part of its capacity, and get the rest evenly within a time.
+// Cold makes the server start cold now: its capacity rises linearly from the fraction start to its full value within a time.
 func (s *Server) Cold(start float64, within time.Duration) {
 	s.mu.Lock()
 	s.cold, s.start, s.warm = time.Now(), start, within
 	s.mu.Unlock()
 }
 
-// factor is how many times longer than on a warm and untroubled server work takes now. The lock is held.
+// factor returns the current cost of work relative to a warm server at full speed. The caller must hold the lock.
 func (s *Server) factor() float64 {
 	f := s.slow
 	if age := time.Since(s.cold); !s.cold.IsZero() && age < s.warm {
@@ -163,7 +166,8 @@
 	return f
 }
 
-// Status tells the server's state every so often on its connections, four at most to a peer, and at once on each new one, until ended.
+// Status sends the server's state periodically on its connections, at most four for each peer, and immediately on each new
+// connection, until end is called.
 func (s *Server) Status(every time.Duration) (end func()) {
 	s.mu.Lock()
 	s.unasked = true
@@ -195,7 +199,7 @@
 		Set("CSeq", "1 NOTIFY").Set("X-Occupancy", s.report())
 }
 
-// Kill ends the server as the death of its process does: connections are reset and every call is cut.
+// Kill ends the server as the crash of its process would: it resets all connections and drops all calls.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,22 +217,22 @@
 	}
 }
 
-// Engage lets all lines of a number be busy: "" for none.
+// Engage makes the server answer calls to a number as busy; "" ends this.
 func (s *Server) Engage(number string) {
 	s.mu.Lock()
 	s.engaged = number
 	s.mu.Unlock()
 }
 
-// Hang lets the server take set-ups on open connections and never answer one that comes from now on, until it is told otherwise.
-// It goes on telling its state, in which it has nothing to do.
+// Hang sets whether the server hangs: it then accepts set-ups and never answers them. It continues to report its state,
+// which shows an idle server.
 func (s *Server) Hang(on bool) {
 	s.mu.Lock()
 	s.hang = on
 	s.mu.Unlock()
 }
 
-// FailPart lets the server fail a part of the set-ups (500).
+// FailPart sets the fraction of set-ups that the server answers with status 500.
 func (s *Server) FailPart(part float64) {
 	s.mu.Lock()
 	s.ill = part
@@ -242,14 +246,14 @@
 	}
 }
 
-// Slow makes all work that comes now take so many times longer.
+// Slow sets the factor by which all work that arrives from now on takes longer.
 func (s *Server) Slow(factor float64) {
 	s.mu.Lock()
 	s.slow = factor
 	s.mu.Unlock()
 }
 
-// count adds what came so far: set-ups, those that were worked on after they had been given up, and the ids that came.
+// count adds the server's counts so far to o and the call IDs of its set-ups to ids.
 func (s *Server) count(o *Outcome, ids map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,7 +267,7 @@
 	}
 }
 
-// Close ends the server and its connections.
+// Close closes the server's listeners and connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -294,7 +298,7 @@
 	}
 }
 
-// enter tells a new connection the state, and the releases that waited for one.
+// enter registers a new connection and sends it the state, if that is sent unsolicited, and the peer's waiting releases.
 func (s *Server) enter(l *serverLine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -308,7 +312,7 @@
 	delete(s.late, l.peer)
 }
 
-// leave ends what a connection that is closed leaves: the set-ups open on it are given up, and calls that stand stay.
+// leave removes a closed connection. Set-ups open on it count as given up; established calls continue.
 func (s *Server) leave(l *serverLine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,7 +327,8 @@
 	}
 }
 
-// release tells the end of a call that stood on the connection of its set-up, else on another of that peer, else on its next.
+// release sends the end of an established call on the connection of its set-up, or else on another connection of that peer,
+// or else on the peer's next one.
 func (s *Server) release(own *serverLine, m *sip.Message) {
 	if !own.over {
 		own.write(m)
@@ -396,15 +401,15 @@
 	}
 }
 
-// drop forgets a call, but not one that came later under its id.
+// drop removes a call, unless a later call has taken over its ID.
 func (s *Server) drop(id string, k *served) {
 	if s.calls[id] == k {
 		delete(s.calls, id)
 	}
 }
 
-// do queues work, measured in set-ups, and runs then (with the lock held) when it is done. Where work costs nothing that is at
-// once: a timer would add its own delay.
+// do queues work, measured in set-ups, and runs then, with the lock held, when the work is done. Work without cost is done
+// immediately, because a timer would add its own delay.
 func (s *Server) do(setups float64, then func()) {
 	if s.work.Setup == 0 {
 		if then != nil {
@@ -459,7 +464,7 @@
 	return sip.Respond(m, status, "Final").Set("X-Occupancy", s.report())
 }
 
-// report tells use and queue as they were at the last measurement.
+// report returns the processor use and queue length of the last measurement, which is at most half a second old.
 func (s *Server) report() string {
 	if span := time.Since(s.shot); span > 500*time.Millisecond || s.shown == "" {
 		s.shown = strings.Join([]string{fmt.Sprintf("busy:%.3f", min(1, s.worked.Seconds()/max(span.Seconds(), 0.5))),
--- a/internal/latencylab/callers.go
+++ b/internal/latencylab/callers.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	callFor      = 3200 * time.Millisecond // that a caller gives a try, as in package lab
+	callFor      = 3200 * time.Millisecond // time that a caller allows for an attempt, as in package lab
 	writeWithin  = time.Second
 	redialGap    = 200 * time.Millisecond
 	className    = "menu-view"
@@ -30,26 +30,26 @@
 	stood
 	refused
 	failed
-	unsent // no connection was up
+	unsent // no connection was open
 )
 
 // attempt is one measured call of one arm of a pair.
 type attempt struct {
 	due   time.Time
-	took  time.Duration // from due to the answer
+	took  time.Duration // time from due to the answer
 	ended outcome
 }
 
-// arm holds the calls of one way to the servers: through the gatekeeper or direct. Calls are numbered from 0.
+// arm holds the calls of one arm of the comparison: through the gatekeeper or direct. Calls are numbered from 0.
 type arm struct {
 	mu    sync.Mutex
 	calls []attempt
-	mark  string // first half of its ids
+	mark  string // prefix of the call IDs of this arm
 }
 
 func newArm(mark string, calls int) *arm { return &arm{mark: mark, calls: make([]attempt, 0, calls)} }
 
-// begin notes a call that is due and returns its id.
+// begin records a call that is due and returns its ID and number.
 func (a *arm) begin(due time.Time) (id string, number int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("%s%08x", a.mark, number), number
 }
 
-// end notes the first end of a call; what belongs to no open call of the arm is passed over.
+// end records the outcome of a call. It ignores IDs of other arms and calls that have already ended.
 func (a *arm) end(id string, how outcome) {
 	now := time.Now()
 	number, err := strconv.ParseUint(id[min(len(id), len(a.mark)):], 16, 32)
@@ -73,7 +73,7 @@
 	a.calls[number].ended, a.calls[number].took = how, now.Sub(a.calls[number].due)
 }
 
-// waiting counts the calls without an answer.
+// waiting returns the number of calls without an answer.
 func (a *arm) waiting() (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,13 +85,13 @@
 	return n
 }
 
-// through sends calls through a gatekeeper, over some connections in turn.
+// through sends calls through a gatekeeper, over its connections in round-robin order.
 type through struct {
 	*arm
 	addr   string
 	conns  []atomic.Pointer[net.TCPConn]
 	next   int
-	closed atomic.Int64 // connections that the gatekeeper ended
+	closed atomic.Int64 // connections that the gatekeeper closed
 	done   chan struct{}
 	wg     sync.WaitGroup
 }
@@ -107,7 +107,7 @@
 	return t
 }
 
-// keep holds a connection open until the end: it is dialled again when it breaks. first is closed after the first try.
+// keep maintains a connection until t is closed and redials it after a failure. It closes first after the first dial.
 func (t *through) keep(i int, first chan<- struct{}) {
 	defer t.wg.Done()
 	for tried := false; ; tried = true {
@@ -149,7 +149,7 @@
 	}
 }
 
-// send makes one call at a server, by its place in the list.
+// send places one call to a server, given by its index in the list.
 func (t *through) send(due time.Time, server int) {
 	id, _ := t.begin(due)
 	m := jsonl.Message{Type: "open", ID: id, Text: offer, Attrs: map[string]string{"class": className,
@@ -207,7 +207,7 @@
 		}
 		_, method, _ := m.CSeq()
 		if m.IsRequest() || method != "INVITE" || m.Status < statusStands {
-			continue // a release or a state: neither wants anything of a caller that only measures
+			continue // a release or a state report, which the measurement does not need
 		}
 		how := failed
 		if m.Status == statusStands {
--- a/internal/latencylab/chain.go
+++ b/internal/latencylab/chain.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Chain gives quantiles of the sum of depth independent draws from measured values: what a call pays that passes so many
-// gatekeepers one after the other. The same seed gives the same result. Without values it gives NaN.
+// Chain returns quantiles of the sum of depth independent draws from values: an estimate of the latency of a call that
+// passes through depth gatekeepers in sequence. The result is determined by the seed; it is NaN if there are no values.
 //
-// Independence is an assumption: levels that share a busy machine are slow together, and then the tail is heavier.
+// Independence is an assumption: gatekeepers on the same busy machine are slow at the same time, which makes the tail
+// heavier.
 func Chain(values []float64, depth, samples int, seed uint64, quantiles ...float64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, 19))
 	sums := make([]float64, samples)
@@ -25,7 +26,8 @@
 	return Quantiles(sums, quantiles...)
 }
 
-// Quantiles gives quantiles (0 to 1) of values that may be negative, by nearest rank; NaN without any.
+// Quantiles returns quantiles (0 to 1) of values by the nearest-rank method. Values may be negative. The result is NaN if
+// there are no values.
 func Quantiles(values []float64, quantiles ...float64) []float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	out := make([]float64, len(quantiles))
--- a/internal/latencylab/decision.go
+++ b/internal/latencylab/decision.go
@@ -8,30 +8,30 @@
 	"beammux/internal/lab"
 )
 
-// Figures of the traffic under which a decision is measured.
+// Parameters of the traffic under which a decision is measured.
 const (
-	decisionGap  = control.Micros(5236)  // between calls: 191 a second
-	decisionTook = control.Micros(30000) // set-up delay that servers answer with
-	warmCalls    = 2500                  // some 13 s: the rates are believed and the first lots are drawn
-	tickSpan     = control.Micros(50000) // of the module
+	decisionGap  = control.Micros(5236)  // time between calls: 191 per second
+	decisionTook = control.Micros(30000) // set-up delay of the servers
+	warmCalls    = 2500                  // about 13 s: enough for trusted rate estimates and the first server samples
+	tickSpan     = control.Micros(50000) // tick interval of the module
 )
 
-// DecisionSite is a settings object for a fleet of so many gatekeepers, with which decisions are measured.
+// DecisionSite returns the settings object for a fleet of the given size with which decisions are measured.
 func DecisionSite(gatekeepers int) (*control.Site, error) {
 	return control.ParseSite(lab.Settings(gatekeepers))
 }
 
-// Decider is a controller in a steady state with a number of servers known, driven by answered calls.
+// Decider drives a controller in a steady state, in which it knows a number of servers and its calls are answered.
 type Decider struct {
 	control *control.Controller
 	servers int
 	now     control.Micros
 	next    int
 	tickAt  control.Micros
-	Refused int
+	Refused int // calls refused since the warm-up
 }
 
-// NewDecider warms a controller up with a number of servers.
+// NewDecider returns a Decider whose controller knows the given number of servers and has been warmed up.
 func NewDecider(servers, gatekeepers int) (*Decider, error) {
 	site, err := DecisionSite(gatekeepers)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return all
 }
 
-// take notes when the next tick is due and returns the server of a Send, 0 without one.
+// take records when the next tick is due and counts refusals. It returns the server of a Send action, or 0 if there is none.
 func (d *Decider) take(actions []control.Action) (server uint32) {
 	for _, a := range actions {
 		switch {
@@ -70,8 +70,8 @@
 	return server
 }
 
-// Call lets one call arrive, be answered and end, and returns the time of the decision where it goes. Ticks that are due
-// meanwhile run outside of that time.
+// Call processes one call from its arrival to its end and returns the duration of the routing decision alone. Ticks that
+// are due are run but not included in it.
 func (d *Decider) Call() time.Duration {
 	d.now += decisionGap
 	d.tick()
@@ -82,7 +82,7 @@
 	actions := d.control.Handle(d.now, call)
 	took := time.Since(start)
 	if server := d.take(actions); server != 0 {
-		d.now += decisionTook / 100 // the clock goes on less than the delay, so that calls keep their pace
+		d.now += decisionTook / 100 // the clock advances by less than the delay, so that the call rate is kept
 		d.take(d.control.Handle(d.now, control.CallEstablished{ID: id, Server: server, Elapsed: decisionTook}))
 		d.take(d.control.Handle(d.now, control.AttemptEnded{ID: id, Server: server, Code: control.OK, Settled: true,
 			Report: []float64{0.3, 1}}))
@@ -90,7 +90,7 @@
 	return took
 }
 
-// tick runs the module's tick if it is due and returns the time of it.
+// tick runs the module's tick if it is due and returns its duration, or 0 if it is not due.
 func (d *Decider) tick() time.Duration {
 	if d.tickAt == 0 || d.now < d.tickAt {
 		return 0
@@ -103,7 +103,7 @@
 	return took
 }
 
-// Tick lets a call arrive that stays open and the next tick pass, and returns the time of the tick.
+// Tick runs the next tick while a call is open and returns the duration of the tick.
 func (d *Decider) Tick() time.Duration {
 	d.next++
 	id := fmt.Sprintf("%016x", d.next)
@@ -114,7 +114,7 @@
 	return took
 }
 
-// Change lets the list tell of one server that drains and is up again, and returns the time of one such change.
+// Change applies two list changes, in which a server drains and becomes ready again, and returns the mean duration of one.
 func (d *Decider) Change() time.Duration {
 	d.next++
 	e := control.Entry{Server: uint32(d.next%d.servers + 1), Cell: d.next % d.servers, State: control.Draining}
--- a/internal/latencylab/fit.go
+++ b/internal/latencylab/fit.go
@@ -1,17 +1,18 @@
 package latencylab
 
-// Fit is a straight line through measured points: a fixed part and a slope.
+// Fit is a straight line through measured points, given by a fixed part and a slope.
 type Fit struct {
 	Name  string  `json:"name"`
-	Unit  string  `json:"unit"` // of the fixed part
-	Of    string  `json:"of"`
+	Unit  string  `json:"unit"` // unit of the fixed part
+	Of    string  `json:"of"`   // quantity on the x axis
 	Fixed float64 `json:"fixed"`
-	Slope float64 `json:"slope"` // Unit for one of Of
+	Slope float64 `json:"slope"` // in Unit per unit of Of
 	Worst float64 `json:"worst"` // greatest distance of a point from the line, in Unit
 	N     int     `json:"points"`
 }
 
-// FitLine fits a line by least squares. It needs two different places at least; otherwise the slope is 0.
+// FitLine fits a line by least squares and returns it with the greatest distance of a point from it. The slope is 0 unless
+// x has at least two distinct values.
 func FitLine(x, y []float64) (fixed, slope, worst float64) {
 	n := float64(len(x))
 	if n == 0 {
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -14,7 +14,7 @@
 	"beammux/internal/lab"
 )
 
-// Program is the gatekeeper to measure, with more of its environment where a test's binary stands in for it.
+// Program is the gatekeeper binary to measure, and additional environment variables for it.
 type Program struct {
 	Path string
 	Env  []string
@@ -24,49 +24,49 @@
 type Latency struct {
 	Program     Program
 	Seed        uint64
-	Servers     int           // that the gatekeeper knows; all answer at once and tell their state
-	Active      int           // of them take calls: the others are only listed, connected and tell their state
-	PerSecond   float64       // calls a second through the gatekeeper; as many go direct
-	Descriptors int           // that the gatekeeper may hold
-	Gatekeepers int           // of the fleet, as its settings say
+	Servers     int           // servers known to the gatekeeper; all of them report their state
+	Active      int           // servers that receive calls; the others are only listed, connected and report their state
+	PerSecond   float64       // calls per second through the gatekeeper; the same number is sent directly
+	Descriptors int           // limit of the gatekeeper's file descriptors
+	Gatekeepers int           // size of the fleet according to the settings
 	Callers     int           // connections of callers to the gatekeeper
-	Setup       time.Duration // that a set-up takes at a server; 0: it answers at once
-	StateEvery  time.Duration // servers tell their state so often
-	Warm        time.Duration
-	Length      time.Duration
+	Setup       time.Duration // processing time of a set-up at a server; 0: it answers immediately
+	StateEvery  time.Duration // interval of the servers' state reports
+	Warm        time.Duration // warm-up time before the measurement
+	Length      time.Duration // length of the measurement
 }
 
-// The quantiles that are reported.
+// quantiles lists the reported quantiles.
 var quantiles = []float64{0.5, 0.99, 0.999}
 
-// Figures of a run.
+// Parameters of a run.
 const (
-	memoryMB     = 192 // of the gatekeeper, as on the platform
+	memoryMB     = 192 // memory of the gatekeeper, as on the platform
 	serverFull   = 3 * time.Second
-	settleWithin = 4 * time.Second // calls without an answer are waited for so long
+	settleWithin = 4 * time.Second // longest wait for the last answers
 	chainDepth   = 19
 	chainSamples = 100000
 	longestMicro = 60e6
-	calmLeast    = 100 // calm pairs of a run: of fewer no 99th percentile is taken
+	calmLeast    = 100 // fewest calm pairs of a run for which a 99th percentile is computed
 	fineDigits   = 3
 )
 
-// Arm holds the latencies of one way, in milliseconds from the scheduled time of each call.
+// Arm holds the results of one arm of the comparison. Latencies are in milliseconds from the scheduled time of each call.
 type Arm struct {
 	Calls       int     `json:"calls"`
 	Established int     `json:"stood"`
 	Refused     int     `json:"refused"`
 	Failed      int     `json:"failed"`
 	Unsent      int     `json:"unsent"` // no connection to the gatekeeper was open
-	Silent      int     `json:"silent"` // no answer
+	Silent      int     `json:"silent"` // no answer arrived
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 	P999        float64 `json:"p999_ms"`
 }
 
-// Added is what the gatekeeper adds, in milliseconds. Paired quantiles are those of the differences within pairs, through
-// minus direct: they hold the noise of both calls, so their tail is no smaller than what is added. Quantiles of the two ways
-// taken from each other are given beside them.
+// Added is the latency that the gatekeeper adds, in milliseconds. P50, P99 and P999 are quantiles of the differences within
+// pairs (through minus direct): they contain the noise of both calls, so their tail is an upper estimate of the added
+// latency. The Diff fields are the differences between the quantiles of the two arms.
 type Added struct {
 	Pairs        int       `json:"pairs"`
 	Mean         float64   `json:"mean_ms"`
@@ -76,14 +76,14 @@
 	DiffP50      float64   `json:"difference_of_p50_ms"`
 	DiffP99      float64   `json:"difference_of_p99_ms"`
 	DiffP999     float64   `json:"difference_of_p999_ms"`
-	Calm         *Calm     `json:"calm,omitempty"`               // nil: there are fewer than 100 such pairs
+	Calm         *Calm     `json:"calm,omitempty"`               // nil if there are fewer than 100 calm pairs
 	Chain        []float64 `json:"chain_of_19_p50_p99_ms"`       // sums of 19 paired differences, drawn with the run's seed
-	ThroughChain []float64 `json:"chain_of_19_whole_p50_p99_ms"` // sums of 19 whole latencies through a gatekeeper
+	ThroughChain []float64 `json:"chain_of_19_whole_p50_p99_ms"` // sums of 19 latencies through a gatekeeper
 }
 
-// Calm holds the differences of the pairs during which the machine was calm (see machine.calm): other work kept neither the
-// gatekeeper nor the laboratory from a core. How long the calls took is no criterion, but a pair that takes long is more likely
-// to meet such a wait.
+// Calm holds quantiles of the differences of the pairs during which the machine was calm (see machine.calm): neither the
+// gatekeeper nor the laboratory had to wait for a core. The latency of the calls is not a criterion, but a pair with a high
+// latency is more likely to coincide with such a wait.
 type Calm struct {
 	Pairs int       `json:"pairs"`
 	P50   float64   `json:"p50_ms"`
@@ -92,7 +92,7 @@
 	Chain []float64 `json:"chain_of_19_p50_p99_ms"`
 }
 
-// Run is what one run gave.
+// Run is the result of one measurement.
 type Run struct {
 	Servers      int     `json:"servers_known"`
 	Active       int     `json:"servers_called"`
@@ -105,26 +105,26 @@
 	Load         string  `json:"load_average_before"`
 	Through      Arm     `json:"through"`
 	Direct       Arm     `json:"direct"`
-	Added        *Added  `json:"added,omitempty"` // nil: no pair stood
-	Late         float64 `json:"schedule_late_p99_ms"`
-	CorePart     float64 `json:"core_part"`      // processor time of the gatekeeper a second
-	WaitPart     float64 `json:"core_wait_part"` // time that threads of the gatekeeper waited for a core, a second
-	Stolen       float64 `json:"stolen_cores"`   // processor time that the host of a virtual machine took from it, a second; -1: not known
-	PerCall      float64 `json:"us_per_call"`    // all of it divided by the calls
+	Added        *Added  `json:"added,omitempty"`      // nil if both calls were established in no pair
+	Late         float64 `json:"schedule_late_p99_ms"` // delay of the sender behind the schedule
+	CorePart     float64 `json:"core_part"`            // processor time of the gatekeeper per second
+	WaitPart     float64 `json:"core_wait_part"`       // time that threads of the gatekeeper waited for a core, per second
+	Stolen       float64 `json:"stolen_cores"`         // steal time of the virtual machine per second; -1 if unknown
+	PerCall      float64 `json:"us_per_call"`          // processor time of the gatekeeper divided by the number of calls
 	ResidentMB   float64 `json:"resident_mb"`
 	PeakMB       float64 `json:"resident_peak_mb"`
 	Held         int     `json:"descriptors_held"`
 	UpSeconds    float64 `json:"seconds_to_serving"`
-	CallersEnded int64   `json:"caller_connections_ended"` // closed by the gatekeeper and dialled again
+	CallersEnded int64   `json:"caller_connections_ended"` // closed by the gatekeeper and redialled
 	NoConnection int64   `json:"servers_without_connection_logged"`
 
 	differences []float64
 }
 
-// ErrNoServers says that no server is to be called.
-var ErrNoServers = errors.New("a run needs a server that takes calls, and no more of them than are known")
+// ErrNoServers is returned if Active is not between 1 and Servers.
+var ErrNoServers = errors.New("the number of servers that receive calls must be between 1 and the number of known servers")
 
-// Run measures once.
+// Run performs one measurement.
 func (l Latency) Run(ctx context.Context) (*Run, error) {
 	if l.Active <= 0 || l.Active > l.Servers {
 		return nil, ErrNoServers
@@ -152,8 +152,8 @@
 	return r, l.play(ctx, r, gatekeeper, addresses)
 }
 
-// startServers starts the stand-ins, each with a listener of its own in this process. Where a set-up costs them no time, what
-// is measured is the way to them.
+// startServers starts the stand-in servers in this process, each with its own listener. If a set-up costs them no time, the
+// measured latency is that of the path to them alone.
 func (l Latency) startServers() (addresses []string, closeAll func(), err error) {
 	var ends []func()
 	closeAll = func() {
@@ -163,7 +163,7 @@
 	}
 	began := time.Now()
 	for i := range l.Servers {
-		// Servers tell their state at times of their own: started at once they would all tell it at the same moment.
+		// Staggers the starts, so that the servers do not all report their state at the same moment.
 		time.Sleep(time.Until(began.Add(l.StateEvery * time.Duration(i) / time.Duration(l.Servers))))
 		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: serverFull}, l.Seed+uint64(i))
 		if err != nil {
@@ -175,12 +175,12 @@
 	return addresses, closeAll, nil
 }
 
-// play offers the calls and takes the measurements.
+// play sends the scheduled calls and fills in the measurements of r.
 func (l Latency) play(ctx context.Context, r *Run, gatekeeper *process, addresses []string) error {
 	pairs := schedule(l.Seed, l.PerSecond, l.Warm+l.Length, l.Active)
 	callers := l.Callers
 	if l.PerSecond <= 0 {
-		callers = 0 // the gatekeeper would close connections without a call on them
+		callers = 0 // the gatekeeper would close connections without calls
 	}
 	to := dialThrough(gatekeeper.addr, callers, len(pairs))
 	defer to.close()
@@ -196,7 +196,7 @@
 	sleepOrDone(ctx, began.Add(l.Warm))
 	before, err := gatekeeper.processor()
 	if err != nil {
-		return fmt.Errorf("the gatekeeper ended: %w", err)
+		return fmt.Errorf("reading the gatekeeper's processor time: %w", err)
 	}
 	waited, measured := gatekeeper.waited(), time.Now()
 	stolen, stolenErr := stolenTime()
@@ -207,7 +207,7 @@
 	after, err := gatekeeper.processor()
 	if err != nil {
 		close(done)
-		return fmt.Errorf("the gatekeeper ended: %w", err)
+		return fmt.Errorf("reading the gatekeeper's processor time: %w", err)
 	}
 	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
 	r.WaitPart = (gatekeeper.waited() - waited).Seconds() / time.Since(measured).Seconds()
@@ -224,8 +224,8 @@
 	return ctx.Err()
 }
 
-// send offers the pairs from one on that are due before a time, and returns the place of the first that is not. It keeps its
-// thread, which runs without a pause at some hundred calls a second (see waitUntil).
+// send sends the pairs that are due before until, starting at index from, and returns the index of the first pair that is
+// not due. It locks its thread, which runs continuously at some hundred calls per second (see waitUntil).
 func (l Latency) send(ctx context.Context, began time.Time, pairs []pair, from int, until time.Duration, to *through, direct *direct, late *hdrhistogram.Histogram) int {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -258,7 +258,7 @@
 	}
 }
 
-// settle waits for the last answers.
+// settle waits up to settleWithin for the last answers.
 func settle(ctx context.Context, arms ...*arm) {
 	for end := time.Now().Add(settleWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		waiting := 0
@@ -271,7 +271,7 @@
 	}
 }
 
-// evaluate works out the figures from the pairs from one on. Both arms number their calls by pair.
+// evaluate computes the figures of r from the pairs numbered first and above. Both arms number their calls by pair.
 func (r *Run) evaluate(to, from *arm, first int, samples machine) {
 	to.mu.Lock()
 	defer to.mu.Unlock()
@@ -341,7 +341,7 @@
 	return a
 }
 
-// micros gives a quantile of a histogram of microseconds, in milliseconds.
+// micros returns a percentile of a histogram of microseconds, in milliseconds.
 func micros(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -45,7 +45,7 @@
 	require.Empty(t, schedule(1, 0, time.Second, 1))
 }
 
-// Latency counts from the time at which a call is due, not from when it was sent: a sender that comes late hides nothing.
+// Latency counts from the time at which a call is due, not from its sending, so that a late sender hides no delay.
 func TestLatencyCountsFromTheSchedule(t *testing.T) {
 	a := newArm("0a0a0a0a", 2)
 	due := time.Now().Add(-50 * time.Millisecond)
@@ -53,7 +53,7 @@
 	other, _ := a.begin(time.Now())
 	require.Equal(t, "0a0a0a0a00000001", other)
 	a.end(id, stood)
-	a.end(id, failed) // a second end changes nothing
+	a.end(id, failed) // a second outcome is ignored
 	a.end("0d0d0d0dffffffff", failed)
 	a.end("short", failed)
 	require.Equal(t, stood, a.calls[0].ended)
@@ -65,7 +65,7 @@
 	through, direct := newArm("0a0a0a0a", 100), newArm("0d0d0d0d", 100)
 	began := time.Now()
 	samples := &waits{}
-	for i := range 1000 { // both processes wait for a core in the second half of the time
+	for i := range 1000 { // both processes wait for a core during the second half
 		samples.at = append(samples.at, began.Add(time.Duration(i)*waitSampleEvery))
 		samples.sum = append(samples.sum, max(0, time.Duration(i-500))*waitSampleEvery/2)
 	}
@@ -76,7 +76,7 @@
 		direct.calls = append(direct.calls, attempt{due: due, took: took, ended: stood})
 	}
 	through.calls[100].ended = refused
-	through.calls[0].took = time.Hour // before the measured part
+	through.calls[0].took = time.Hour // the first call precedes the measurement
 	r := &Run{Seconds: 1, CorePart: 0.01, Seed: 1}
 	r.evaluate(through, direct, 1, machine{samples, samples})
 	require.Equal(t, 100, r.Through.Calls)
@@ -113,16 +113,16 @@
 	}
 	m := machine{gatekeeper, none}
 	require.True(t, m.calm(call(1, 1), call(2, 1)))
-	require.True(t, m.calm(call(6, 1), call(7, 1)), "waited as long as is allowed")
+	require.True(t, m.calm(call(6, 1), call(7, 1)), "the gatekeeper waited exactly the allowed time")
 	require.False(t, m.calm(call(11, 1), call(12, 1)), "the gatekeeper waited for a core")
-	require.False(t, m.calm(call(6, 1), call(11, 1)), "it waited around the direct call")
-	require.False(t, m.calm(call(6, 6), call(7, 1)), "it waited before the answer")
+	require.False(t, m.calm(call(6, 1), call(11, 1)), "the gatekeeper waited around the direct call")
+	require.False(t, m.calm(call(6, 6), call(7, 1)), "the gatekeeper waited before the answer")
 	require.False(t, m.calm(call(17, 1), call(18, 1)), "samples too far apart")
-	require.False(t, m.calm(call(401, 1), call(402, 1)), "no sample after it")
-	require.False(t, m.calm(call(-2, 1), call(-2, 1)), "no sample before it")
+	require.False(t, m.calm(call(401, 1), call(402, 1)), "no sample after the pair")
+	require.False(t, m.calm(call(-2, 1), call(-2, 1)), "no sample before the pair")
 	require.False(t, machine{gatekeeper, much}.calm(call(1, 1), call(2, 1)), "the laboratory waited")
 	require.True(t, machine{gatekeeper, much}.calm(call(6, 1), call(7, 1)))
-	require.False(t, machine{gatekeeper, never}.calm(call(1, 1), call(2, 1)), "no sample at all")
+	require.False(t, machine{gatekeeper, never}.calm(call(1, 1), call(2, 1)), "no samples of the laboratory")
 }
 
 func TestChain(t *testing.T) {
@@ -176,7 +176,7 @@
 	require.InDelta(t, -1, stolenCores(0, errors.New("no such file"), time.Second), 0, "not known")
 }
 
-// The sender is never early, and what is overdue does not wait.
+// waitUntil never returns early, and returns immediately if the time has passed.
 func TestWaitUntil(t *testing.T) {
 	for _, span := range []time.Duration{0, 100 * time.Microsecond, 2 * spinFor} {
 		at := time.Now().Add(span)
@@ -194,7 +194,7 @@
 		calls++
 		if calls%5 == 0 {
 			time.Sleep(time.Millisecond)
-			return time.Second * time.Duration(n) // a batch that was held up
+			return time.Second * time.Duration(n) // a delayed batch
 		}
 		time.Sleep(time.Millisecond)
 		return 10 * time.Microsecond * time.Duration(n)
@@ -202,7 +202,7 @@
 	require.Equal(t, []float64{10, 10}, measure(op, 2, 20*time.Millisecond))
 }
 
-// The time of a function is what its thread worked: a wait is not in it.
+// The time of an operation is the processor time of its thread, without waits.
 func TestEachCountsProcessorTime(t *testing.T) {
 	wait := measure(each(func() { time.Sleep(5 * time.Millisecond) }), 1, 50*time.Millisecond)
 	require.Less(t, wait[0], 2000.0)
@@ -213,7 +213,7 @@
 	require.InDelta(t, 3000, work[0], 600)
 }
 
-// Every step can be prepared at its smallest size and gives a positive time, or the value that it counts.
+// Every step can be prepared at its smallest size and yields a value, a positive one if it is a duration.
 func TestStepsRun(t *testing.T) {
 	names := map[string]bool{}
 	for _, s := range allSteps() {
@@ -230,7 +230,7 @@
 	require.GreaterOrEqual(t, len(ServerSizes), 5)
 }
 
-// What is measured is a decision that sends: no call of a decider in its steady state is refused.
+// Every measured decision sends the call to a server: a Decider in its steady state refuses none.
 func TestDeciderSendsEveryCall(t *testing.T) {
 	for _, n := range ServerSizes {
 		d, err := NewDecider(n, stepGatekeepers)
@@ -267,7 +267,7 @@
 		}
 	}
 	report.Collect()
-	report.Collect() // in place of the earlier ones
+	report.Collect() // replaces the earlier series
 	byName := map[string]Series{}
 	for _, s := range report.Series {
 		require.NotContains(t, byName, s.Name)
@@ -276,7 +276,7 @@
 	require.Equal(t, []Point{{N: 34, Values: []float64{200}}}, byName["added_p99_ms_at_200_per_s"].Points)
 	require.Equal(t, []Point{{N: 34, Values: []float64{200}}}, byName["added_p99_ms_at_200_per_s_with_4096_descriptors"].Points)
 	require.Len(t, byName["core_part_at_34_servers"].Points, 3)
-	require.NotContains(t, byName, "calm_added_p99_ms_at_200_per_s") // no calm pair, no series
+	require.NotContains(t, byName, "calm_added_p99_ms_at_200_per_s") // there is no series without calm pairs
 	require.Len(t, report.Fits, 2)
 	require.InDelta(t, 0.1, report.Fits[0].Fixed, 1e-9)
 	require.InDelta(t, 0.001, report.Fits[0].Slope, 1e-9)
@@ -302,7 +302,7 @@
 	require.ErrorIs(t, err, ErrNoServers)
 }
 
-// With a real gatekeeper in a process of its own.
+// Runs measurements against a real gatekeeper process.
 func TestWithGatekeeper(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes: not in -short")
@@ -324,20 +324,20 @@
 		require.Positive(t, r.ResidentMB)
 		require.GreaterOrEqual(t, r.Held, 4+2)
 	})
-	t.Run("with fewer descriptors than servers callers are served", func(t *testing.T) {
+	t.Run("callers are served with fewer descriptors than servers", func(t *testing.T) {
 		l := l
 		l.Servers, l.Descriptors = 60, 64
 		r, err := l.Run(t.Context())
 		require.NoError(t, err)
 		require.Positive(t, r.Through.Calls)
-		require.Zero(t, r.Through.Silent, "each call has its answer")
-		require.Zero(t, r.Through.Unsent, "callers have their connections")
+		require.Zero(t, r.Through.Silent, "calls without an answer")
+		require.Zero(t, r.Through.Unsent, "calls without an open connection")
 		require.Zero(t, r.CallersEnded)
 		require.Positive(t, r.Through.Established)
 		require.LessOrEqual(t, r.Held, 64)
 		require.Equal(t, r.Direct.Calls, r.Direct.Established)
 	})
-	t.Run("the process is gone after its end", func(t *testing.T) {
+	t.Run("end terminates the process", func(t *testing.T) {
 		p, err := startGatekeeper(t.Context(), program, t.TempDir(), gatekeeperLimits{64, 64}, 1,
 			InventoryCSV(1, func(int) string { return "127.0.0.1:1" }))
 		require.NoError(t, err)
@@ -345,7 +345,7 @@
 		p.end()
 		require.ErrorIs(t, syscall.Kill(p.cmd.Process.Pid, 0), syscall.ESRCH)
 	})
-	t.Run("a stopped run leaves no process", func(t *testing.T) {
+	t.Run("a canceled run ends early", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		l := l
--- a/internal/latencylab/measure.go
+++ b/internal/latencylab/measure.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	batchLeast  = time.Millisecond // a batch takes at least so long, so that reading the clock does not count
-	batchesMost = 201              // of one value
-	batchesFew  = 5                // of one value, where an operation takes long
+	batchLeast  = time.Millisecond // minimum duration of a batch, so that the cost of reading the clock is negligible
+	batchesMost = 201              // maximum number of batches for one value
+	batchesFew  = 5                // minimum number of batches for one value, unless one batch exceeds its whole time
 )
 
-// operation does n operations and returns the time that counts.
+// operation performs n operations and returns their total time.
 type operation func(n int) time.Duration
 
-// each makes an operation of a function, timed as a whole by the processor time of its thread: what waits for a core on a busy
-// machine does not count. Work that the runtime's collector does on other threads is not in it.
+// each returns an operation that calls f and is timed by the processor time of its thread, which excludes waits for a core
+// on a busy machine. Garbage collection on other threads is not included.
 func each(f func()) operation {
 	return func(n int) time.Duration {
 		start := threadTime()
@@ -29,7 +29,7 @@
 	}
 }
 
-// threadTime is the processor time of the calling thread, to which its goroutine is locked.
+// threadTime returns the processor time of the calling thread. The goroutine must be locked to its thread.
 func threadTime() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at); err != nil {
@@ -38,8 +38,8 @@
 	return time.Duration(at.Nano())
 }
 
-// timed makes an operation of a function that returns the part of its time that counts, by the wall clock: it is too short for
-// the thread's clock.
+// timed returns an operation that calls f, which returns the part of its own time to be counted. f uses the wall clock,
+// because the part is too short for the thread's clock.
 func timed(f func() time.Duration) operation {
 	return func(n int) (sum time.Duration) {
 		for range n {
@@ -49,8 +49,8 @@
 	}
 }
 
-// measure gives the microseconds of one operation, a value for each repetition. A value is the median over batches, so that
-// a batch during which other processes held the core does not count. An operation over slowOperation is done once.
+// measure returns the duration of one operation in microseconds, one value for each repetition. A value is the median over
+// batches, which excludes batches that other processes delayed. An operation longer than slowOperation is measured once.
 func measure(op operation, repeats int, span time.Duration) (values []float64) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -64,7 +64,7 @@
 	return values
 }
 
-// slowOperation is too long to be repeated, or to be tried at larger sizes.
+// slowOperation is the duration above which an operation is not repeated, nor measured at larger sizes.
 const slowOperation = time.Second
 
 func calibrate(op operation) (size int, took time.Duration) {
@@ -83,7 +83,7 @@
 	for len(batches) < batchesFew || time.Since(start) < span && len(batches) < batchesMost {
 		took := op(size)
 		batches = append(batches, float64(took.Nanoseconds())/1000/float64(size))
-		if took > span { // one batch is more than the whole time: no more of them
+		if took > span { // a single batch exceeds the time for this value
 			break
 		}
 	}
--- a/internal/latencylab/plan.go
+++ b/internal/latencylab/plan.go
@@ -8,16 +8,17 @@
 
 // Plan is a set of latency runs: each repetition of each rate at each number of servers.
 type Plan struct {
-	Latency             // what is common to all runs
-	Sizes     []int     // servers that the gatekeeper knows
-	Rates     []float64 // calls a second; 0: nothing but the servers' states
+	Latency             // parameters common to all runs
+	Sizes     []int     // numbers of servers known to the gatekeeper
+	Rates     []float64 // calls per second; 0: only state reports of the servers
 	Repeats   int
-	Tell      func(*Run) // each run as it ends; may be nil
-	MostCalls int        // servers that take calls, at most
+	Tell      func(*Run) // receives each run when it ends; may be nil
+	MostCalls int        // maximum number of servers that receive calls
 }
 
-// Run plays the plan. Repetitions go round: each size and rate once, then again, so that a busy spell of the machine does not
-// fall on one of them alone. On the end of the context it returns what it has, with the context's error.
+// Run performs all runs of the plan. Each repetition covers all sizes and rates before the next begins, so that a busy period
+// of the machine does not affect only one of them. If a run fails or the context ends, Run returns the report of the
+// completed runs with the error.
 func (p Plan) Run(ctx context.Context) (*Report, error) {
 	report := &Report{}
 	var err error
@@ -48,7 +49,7 @@
 	return report, err
 }
 
-// figure is one value of a run that becomes a series.
+// figure is a value of a run that is collected into a series.
 type figure struct {
 	name, unit string
 	of         func(*Run) (value float64, known bool)
@@ -72,7 +73,7 @@
 	}
 }
 
-// latencyFigures are series of the servers known, at each rate.
+// latencyFigures are collected over the number of known servers, for each rate.
 var latencyFigures = []figure{
 	{"direct_p50", "ms", added0(func(r *Run) float64 { return r.Direct.P50 })},
 	{"direct_p99", "ms", added0(func(r *Run) float64 { return r.Direct.P99 })},
@@ -94,22 +95,23 @@
 	}},
 }
 
-// added0 gives a figure of runs in which some pair was answered.
+// added0 returns a figure that is known only for runs in which both calls of some pair were established.
 func added0(f func(*Run) float64) func(*Run) (float64, bool) {
 	return func(r *Run) (float64, bool) { return f(r), r.Added != nil }
 }
 
-// sizeFigures are series of the servers known, over the runs at the highest rate.
+// sizeFigures are collected over the number of known servers, from the runs at the highest rate.
 var sizeFigures = []figure{
 	{"resident_mb", "MB", func(r *Run) (float64, bool) { return r.ResidentMB, true }},
 	{"descriptors_held", "descriptors", func(r *Run) (float64, bool) { return float64(r.Held), true }},
 	{"seconds_to_serving", "s", func(r *Run) (float64, bool) { return r.UpSeconds, true }},
 }
 
-// PlannedDescriptors is the limit of a gatekeeper on the platform. Series of runs with another limit say so in their names.
+// PlannedDescriptors is the descriptor limit of a gatekeeper on the platform. The names of series from runs with another
+// limit contain that limit.
 const PlannedDescriptors = 1024
 
-// Collect makes the series and fits of all runs, in place of those that were there.
+// Collect computes the series and fits of all runs and replaces the previous ones.
 func (report *Report) Collect() {
 	report.Series, report.Fits = nil, nil
 	limits := distinct(report.Runs, func(r *Run) int { return r.Descriptors })
@@ -123,7 +125,7 @@
 	}
 }
 
-// collect makes the series of runs with one limit of descriptors.
+// collect appends the series and fits of runs that have the same descriptor limit.
 func (report *Report) collect(runs []*Run, suffix string) {
 	sizes := distinct(runs, func(r *Run) int { return r.Servers })
 	rates := distinct(runs, func(r *Run) int { return int(r.PerSecond) })
@@ -151,7 +153,7 @@
 	}
 }
 
-// distinct gives the different values of runs in ascending order.
+// distinct returns the distinct values of runs in ascending order.
 func distinct(runs []*Run, of func(*Run) int) (all []int) {
 	for _, r := range runs {
 		all = append(all, of(r))
@@ -160,6 +162,7 @@
 	return slices.Compact(all)
 }
 
+// series appends a series with one point for each size. in selects the runs of a point.
 func (report *Report) series(name string, f figure, of string, sizes []int, runs []*Run, in func(r *Run, n int) bool) {
 	s := Series{Name: name, Unit: f.unit, Of: of}
 	for _, n := range sizes {
@@ -178,8 +181,8 @@
 	}
 }
 
-// fit puts a line through the processor time of the runs at one size, by calls a second that were answered: a call that was
-// never taken costs the gatekeeper little. With fewer than three rates there is no fit.
+// fit fits a line to the processor time of the runs at one size over the rate of established calls: a call that the
+// gatekeeper does not accept costs it little. It adds no fit for fewer than ratesForFit rates.
 func (report *Report) fit(name string, size int, runs []*Run) {
 	var x, y []float64
 	rates := map[float64]bool{}
@@ -197,5 +200,5 @@
 		Fixed: fixed, Slope: slope, Worst: worst, N: len(x)})
 }
 
-// ratesForFit is how many different rates a line is put through at least.
+// ratesForFit is the minimum number of distinct rates for a fit.
 const ratesForFit = 3
--- a/internal/latencylab/process.go
+++ b/internal/latencylab/process.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	startWithin   = 20 * time.Second // a gatekeeper serves by then
-	endWithin     = 15 * time.Second // and has ended so long after SIGTERM; then it is killed
+	startWithin   = 20 * time.Second // longest wait for a gatekeeper to serve
+	endWithin     = 15 * time.Second // longest wait after SIGTERM before a gatekeeper is killed
 	connectWithin = 8 * time.Second
 	checkEvery    = 100 * time.Millisecond
 	stillChecks   = 5
-	clockTicks    = 100 // of /proc/PID/stat, a second
+	clockTicks    = 100 // ticks per second in /proc/PID/stat
 )
 
-// ErrNotServing says that the gatekeeper's process did not come up.
-var ErrNotServing = errors.New("the gatekeeper did not serve")
+// ErrNotServing is returned if the gatekeeper's process ends early or does not serve in time.
+var ErrNotServing = errors.New("the gatekeeper did not start serving")
 
-// gatekeeperLimits are what the gatekeeper is told of its machine.
+// gatekeeperLimits are the machine's limits in the gatekeeper's configuration.
 type gatekeeperLimits struct {
 	Descriptors int
 	MemoryMB    int
 }
 
-// process is one gatekeeper in a process of its own.
+// process is a gatekeeper that runs in a separate process.
 type process struct {
 	cmd    *exec.Cmd
 	addr   string
-	upIn   time.Duration // from its start until it served
-	failed atomic.Int64  // lines of its log that say that no connection to a server came up
+	upIn   time.Duration // time from its start until it served
+	failed atomic.Int64  // log lines that report a failed connection to a server
 	ended  chan struct{}
 }
 
-// startGatekeeper writes the files of a gatekeeper into dir and starts it; it returns once it serves.
+// startGatekeeper writes the files of a gatekeeper into dir, starts it and returns when it serves.
 func startGatekeeper(ctx context.Context, program Program, dir string, limits gatekeeperLimits, gatekeepers int, inventory []byte) (*process, error) {
 	config := fmt.Sprintf(`{"name":"g1","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":%s}`,
 		limits.MemoryMB, limits.Descriptors, lab.Settings(gatekeepers))
@@ -107,7 +107,7 @@
 	p.cmd.Wait()
 }
 
-// end asks the gatekeeper to end, and kills it if it does not in time.
+// end sends SIGTERM to the gatekeeper and kills it if it does not end in time.
 func (p *process) end() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -122,8 +122,8 @@
 	<-p.ended
 }
 
-// connected waits until the number of open descriptors stands still: the gatekeeper dials its servers after it serves, and
-// callers that come first would find room that is gone later.
+// connected waits until the number of open descriptors is stable. The gatekeeper dials its servers after it starts to serve,
+// and callers that connect earlier would use descriptors that are not available later.
 func (p *process) connected(ctx context.Context) {
 	last, still := -1, 0
 	for end := time.Now().Add(connectWithin); still < stillChecks && time.Now().Before(end) && ctx.Err() == nil; {
@@ -136,7 +136,7 @@
 	}
 }
 
-// processor is the processor time that the process has used so far.
+// processor returns the processor time that the process has used so far.
 func (p *process) processor() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -145,11 +145,11 @@
 	return parseStat(string(text))
 }
 
-// waited is how long the threads of the process have been ready to run and had no core so far: the part of a latency that other
-// work on the machine causes.
+// waited returns the total time for which threads of the process were ready to run but had no core: the part of a latency
+// that other work on the machine causes.
 func (p *process) waited() time.Duration { return waitedForCore(strconv.Itoa(p.cmd.Process.Pid)) }
 
-// waitedForCore adds up the second field of /proc/PID/task/*/schedstat; pid may be "self".
+// waitedForCore returns the sum of the second fields of /proc/PID/task/*/schedstat; pid may be "self".
 func waitedForCore(pid string) (sum time.Duration) {
 	files, _ := filepath.Glob("/proc/" + pid + "/task/*/schedstat")
 	for _, file := range files {
@@ -162,15 +162,15 @@
 	return sum
 }
 
-// parseStat reads user and system time from a line of /proc/PID/stat (proc(5)): fields 14 and 15.
+// parseStat returns the sum of user and system time in a line of /proc/PID/stat (proc(5), fields 14 and 15).
 func parseStat(line string) (time.Duration, error) {
-	end := strings.LastIndexByte(line, ')') // the name, field 2, may hold spaces
+	end := strings.LastIndexByte(line, ')') // the name in field 2 may contain spaces
 	if end < 0 {
-		return 0, fmt.Errorf("no name in %q", line)
+		return 0, fmt.Errorf("no process name in stat line %q", line)
 	}
 	fields := strings.Fields(line[end+1:])
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("%d fields in %q", len(fields), line)
+		return 0, fmt.Errorf("only %d fields after the process name in stat line %q", len(fields), line)
 	}
 	user, err := strconv.ParseInt(fields[11], 10, 64)
 	if err != nil {
@@ -180,7 +180,8 @@
 	return time.Duration(user+system) * (time.Second / clockTicks), err
 }
 
-// stolenTime is the time so far in which a core of this machine had work and its host ran something else (proc(5), /proc/stat).
+// stolenTime returns the steal time of this machine so far, summed over its cores: the time in which a core had work but the
+// host ran something else (proc(5), /proc/stat).
 func stolenTime() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -189,19 +190,20 @@
 	return parseStolen(string(text))
 }
 
-// parseStolen reads the eighth figure of the first line of /proc/stat: "cpu user nice system idle iowait irq softirq steal ...".
+// parseStolen returns the steal time, the eighth figure in the first line of /proc/stat:
+// "cpu user nice system idle iowait irq softirq steal ...".
 func parseStolen(text string) (time.Duration, error) {
 	const place = 8
 	line, _, _ := strings.Cut(text, "\n")
 	fields := strings.Fields(line)
 	if len(fields) <= place || fields[0] != "cpu" {
-		return 0, fmt.Errorf("no stolen time in %q", line)
+		return 0, fmt.Errorf("no steal time in cpu line %q", line)
 	}
 	ticks, err := strconv.ParseInt(fields[place], 10, 64)
 	return time.Duration(ticks) * (time.Second / clockTicks), err
 }
 
-// stolenCores is the time stolen since a reading, a second; -1 where the system does not tell it.
+// stolenCores returns the steal time per second since the earlier reading before, or -1 if a reading failed.
 func stolenCores(before time.Duration, beforeErr error, span time.Duration) float64 {
 	after, err := stolenTime()
 	if beforeErr != nil || err != nil {
@@ -210,7 +212,7 @@
 	return (after - before).Seconds() / span.Seconds()
 }
 
-// resident gives the resident memory now and at its peak, in KiB.
+// resident returns the current and the peak resident memory, in KiB.
 func (p *process) resident() (now, peak int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
@@ -228,7 +230,7 @@
 	return now, peak
 }
 
-// descriptors counts the open descriptors of the process.
+// descriptors returns the number of open descriptors of the process.
 func (p *process) descriptors() int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(entries)
--- a/internal/latencylab/schedule.go
+++ b/internal/latencylab/schedule.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// pairGapMost is the longest time between the two calls of a pair: they see the same state of the machine.
+// pairGapMost is the longest time between the two calls of a pair. It is short so that both see the same machine state.
 const pairGapMost = time.Millisecond
 
-// pair is two calls to one server at nearly the same time, one through the gatekeeper and one direct.
+// pair is two calls to the same server at nearly the same time, one through the gatekeeper and one direct.
 type pair struct {
-	at           time.Duration // of the first, from the beginning
-	gap          time.Duration // to the second
+	at           time.Duration // time of the first call after the start
+	gap          time.Duration // time from the first call to the second
 	throughFirst bool
 	server       int
 }
 
-// schedule draws pairs at a Poisson process of so many a second for a time: open loop, so what is slow holds nothing up. Which
-// call of a pair goes first is drawn too.
+// schedule draws pairs from a Poisson process with a rate of perSecond. The load is open loop: a slow answer delays no other
+// call. The order of the two calls of a pair is random too.
 func schedule(seed uint64, perSecond float64, length time.Duration, servers int) (all []pair) {
 	if perSecond <= 0 {
 		return nil
@@ -34,12 +34,12 @@
 	}
 }
 
-// spinFor is the end of each wait that the sender spends running, not asleep. A sender that sleeps until a call is due wakes
-// late by the time that the machine takes to run an idle core again, which on a virtual machine is milliseconds at the 99th
-// percentile: latencies count from the scheduled time, so that would be measured instead of the calls.
+// spinFor is the time before a deadline for which waitUntil spins instead of sleeping. A sender that sleeps until a call is
+// due wakes late by the time that the machine needs to reactivate an idle core, on a virtual machine milliseconds at the 99th
+// percentile. Latencies count from the scheduled time, so this delay would dominate the measurement.
 const spinFor = 5 * time.Millisecond
 
-// waitUntil returns at a time, and how late it does. It sleeps by the kernel's timer, and runs for the last spinFor.
+// waitUntil waits until at and returns how late it is. It sleeps by the kernel's timer and spins for the last spinFor.
 func waitUntil(at time.Time) (late time.Duration) {
 	for {
 		left := time.Until(at)
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -1,5 +1,6 @@
-// Package latencylab measures what one call costs: the added latency and processor time of a gatekeeper process, and the time
-// of the pure steps that a call or a renewal runs, at growing sizes. All of it runs on loopback and ends by itself.
+// Package latencylab measures the cost of a call: the added latency and processor time of a gatekeeper process, and the
+// duration of the computations behind a call or a lease renewal at growing sizes. All measurements run on loopback and end by
+// themselves.
 package latencylab
 
 import (
@@ -13,21 +14,21 @@
 	"time"
 )
 
-// Point holds the measured values of one series at one size, one value for each repetition.
+// Point holds the measured values of a series at one size, one value for each repetition.
 type Point struct {
 	N      int       `json:"n"`
 	Values []float64 `json:"values"`
 	Note   string    `json:"note,omitempty"` // why values are missing or not comparable
 }
 
-// Series is one figure measured against a size. Other programs fit a cost model to it.
+// Series is a quantity measured as a function of a size. Other programs fit a cost model to it.
 type Series struct {
 	Name    string  `json:"name"`
 	Unit    string  `json:"unit"`
 	Of      string  `json:"of"`      // what Point.N counts
-	Command string  `json:"command"` // that gave it
+	Command string  `json:"command"` // command that measured it
 	Date    string  `json:"date"`    // UTC, YYYY-MM-DD
-	Beside  string  `json:"beside"`  // what else ran on the machine
+	Beside  string  `json:"beside"`  // other load on the machine
 	Points  []Point `json:"points"`
 }
 
@@ -38,8 +39,8 @@
 	Runs   []*Run   `json:"runs,omitempty"`
 }
 
-// Stamp sets the commands, the date and what ran beside the measurement on all series. Where the report holds runs, what ran
-// beside them is taken from the load averages that they noted.
+// Stamp sets the command, the date and the description of other load on all series. If the report has runs, the description
+// is derived from the load averages that they recorded.
 func (r *Report) Stamp(command, beside string, now time.Time) {
 	if len(r.Runs) > 0 {
 		beside = besideRuns(r.Runs)
@@ -50,7 +51,7 @@
 	}
 }
 
-// Command gives the command that the series of a report came by; "" where it has none.
+// Command returns the command that measured the report's series, or "" if there are none.
 func (r *Report) Command() string {
 	if len(r.Series) == 0 {
 		return ""
@@ -58,7 +59,7 @@
 	return r.Series[0].Command
 }
 
-// besideRuns tells what ran on the machine beside runs: the load averages before them, and what its host took from it.
+// besideRuns describes the other load on the machine: the range of load averages before the runs, and the highest steal time.
 func besideRuns(runs []*Run) string {
 	least, most := math.Inf(1), 0.0
 	mostStolen := 0.0
@@ -70,7 +71,7 @@
 		mostStolen = max(mostStolen, r.Stolen)
 	}
 	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), least, most)
-	if mostStolen > 0 { // runs of earlier versions do not tell it
+	if mostStolen > 0 { // runs of earlier versions do not record it
 		text += fmt.Sprintf("; the host took up to %.1f cores", mostStolen)
 	}
 	return text
@@ -98,7 +99,7 @@
 	return report, nil
 }
 
-// LoadAverage reads the machine's load average over 1 and 5 minutes.
+// LoadAverage returns the machine's load average over 1 and 5 minutes, or "unknown".
 func LoadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
@@ -108,7 +109,7 @@
 	return fields[0] + " and " + fields[1]
 }
 
-// Beside describes what else ran, from the load averages before and after a measurement.
+// Beside describes the other load on the machine by the load averages before and after a measurement.
 func Beside(before, after string, cores int) string {
 	return fmt.Sprintf("load average (1 min, 5 min) of %d cores: %s before, %s after", cores, before, after)
 }
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -22,35 +22,35 @@
 var (
 	ServerSizes = []int{24, 34, 100, 400, 1100, 2200}
 	MemberSizes = []int{16, 34, 100, 400, 1100, 2200}
-	squareSizes = []int{16, 34, 100, 400, 1100} // members that each tell of as many servers: grows with the square
+	squareSizes = []int{16, 34, 100, 400, 1100} // members that each report on as many servers: quadratic growth
 )
 
-// Figures of the fleet that the steps are measured for.
+// Parameters of the fleet for which the steps are measured.
 const (
 	stepGatekeepers = 2200
 	serviceServers  = 34 // 2,200 servers over 65 services
-	toldServers     = 24 // that one member tells of at most (package ejection)
+	toldServers     = 24 // most servers that one member reports on (package ejection)
 	registerBytes   = 1000
-	mostOrigins     = 1024 // that a book of registers takes, for the note beside larger sizes
+	mostOrigins     = 1024 // most origins in a register replica, for the note on larger sizes
 )
 
-// Steps measures the pure steps of the program at growing sizes.
+// Steps measures computations of the program, without I/O, at growing sizes.
 type Steps struct {
 	Repeats int           // values of each point
-	Span    time.Duration // of each value
-	Only    string        // part of the names to measure; "": all
-	Tell    func(string)  // progress; may be nil
+	Span    time.Duration // time spent on each value
+	Only    string        // substring of the names to measure; "": all
+	Tell    func(string)  // receives progress lines; may be nil
 }
 
-// step is one series to measure. prepare builds the state for a size; its note goes to the point.
+// step is one series to measure. prepare builds the state for a size; its note is stored with the point.
 type step struct {
 	name, unit, of string
 	sizes          []int
 	prepare        func(n int) (op operation, note string, err error)
-	count          func(n int) (value float64, note string, err error) // in place of prepare: a figure that is no time
+	count          func(n int) (value float64, note string, err error) // replaces prepare for a quantity that is not a duration
 }
 
-// Run measures all steps. It ends early, with what it has, when the context does.
+// Run measures all steps. If the context ends, it returns the completed series with the context's error.
 func (s Steps) Run(ctx context.Context) (*Report, error) {
 	report := &Report{}
 	for _, step := range allSteps() {
@@ -119,7 +119,7 @@
 	}
 }
 
-// wholeList measures the first whole list that an empty controller takes.
+// wholeList measures the processing of the first complete list by an empty controller.
 func wholeList(n int) (operation, string, error) {
 	site, err := DecisionSite(stepGatekeepers)
 	if err != nil {
@@ -142,13 +142,13 @@
 		}
 		hosts, err := inventory.Parse("servers."+form, text)
 		if err != nil || len(hosts) != n {
-			return nil, "", fmt.Errorf("%d of %d hosts read: %w", len(hosts), n, err)
+			return nil, "", fmt.Errorf("parsed %d of %d hosts: %w", len(hosts), n, err)
 		}
 		return each(func() { inventory.Parse("servers."+form, text) }), fmt.Sprintf("%d bytes", len(text)), nil
 	}
 }
 
-// InventoryCSV writes a list of servers, the cell of each its place.
+// InventoryCSV returns an inventory of servers as CSV. The cell of each server is its index.
 func InventoryCSV(servers int, address func(i int) string) []byte {
 	text := []byte("name,address,cell\n")
 	for i := range servers {
@@ -176,8 +176,8 @@
 	}
 }
 
-// quotaMember makes a member with n rules for single numbers, all alone: what a call pays for matching does not hang on how a
-// limit is shared. The bounds are never reached.
+// quotaMember returns a member with n rules for single numbers that are not shared with other members: the cost of matching a
+// call does not depend on how a limit is shared. The limits are never reached.
 func quotaMember(n int) *quota.Member {
 	rules := make([]quota.Rule, n)
 	for i := range rules {
@@ -205,14 +205,14 @@
 	}), "one rule matches each call", nil
 }
 
-// leaseTable makes the table of one pool with n holders, and a request of one of them.
+// leaseTable returns the encoded table of one pool with n holders, and a function that encodes a request of one of them.
 func leaseTable(n int) (table []byte, request func(seq uint64) []byte, err error) {
 	ask := func(member int, seq uint64) []byte {
 		text, _ := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", member), Incarnation: 1, Seq: seq, Duration: quota.LeaseDuration,
 			Capacities: []quota.CapacityRequest{{Name: "all-calls", Capacity: 420000, Keep: 420000 / float64(n), Want: 191}}})
 		return text
 	}
-	// Built in one process, as the table would be at rest; each request is carried out once.
+	// Applies the first request of each holder directly, which gives the table of a steady state.
 	t := &quota.Table{}
 	for i := range n {
 		var r quota.Request
@@ -227,7 +227,7 @@
 	return table, func(seq uint64) []byte { return ask(n/2, seq) }, err
 }
 
-// leaseReduce measures one renewal as the store's machine carries it out: the whole table is read, changed and written.
+// leaseReduce measures one renewal as the store's state machine applies it: the whole table is decoded, changed and encoded.
 func leaseReduce(n int) (operation, string, error) {
 	table, request, err := leaseTable(n)
 	if err != nil {
@@ -244,7 +244,7 @@
 	return op, "one pool", fault
 }
 
-// seqMicros lets time pass within the term of the leases, so that none ends.
+// seqMicros returns a time offset within the duration of the leases, so that none expires.
 func seqMicros(seq uint64) control.Micros { return control.Micros(seq % 1000) }
 
 func leaseBytes(n int) (float64, string, error) {
@@ -252,7 +252,7 @@
 	return float64(len(table)), "one pool; read and written whole at each renewal", err
 }
 
-// counters makes counters that have seen n servers.
+// counters returns counters that have seen n servers, and a function that observes one more event.
 func counters(n int) (*counting.Counters, func()) {
 	c, now, i := counting.New(counting.Options{Classes: 3}), control.Micros(1e6), 0
 	see := func() {
@@ -291,7 +291,7 @@
 	}
 }
 
-// book makes a book that has heard a limits register of each of n origins, and counts the origins that it refused.
+// book returns a replica into which a limits register of each of n origins was merged, and the number of origins it refused.
 func book(n int) (b *registers.Replica, refused int) {
 	b = registers.New("g-self", 1, fleet.Topics)
 	b.Put(1e6, registers.Limits, make([]byte, registerBytes))
@@ -377,14 +377,15 @@
 	}
 }
 
-// applyOne lets a member be suspected and answer again: two events.
+// applyOne applies two events: a member is suspected and then answers a probe.
 func applyOne(v *fleetview.View, i int) {
 	name := fmt.Sprintf("gatekeeper-%04d", i)
 	v.Apply(2e6, fleetview.Event{Kind: fleetview.EventSuspected, Name: name})
 	v.Apply(2e6, fleetview.Event{Kind: fleetview.EventProbeAnswered, Name: name})
 }
 
-// judge makes a round of a bench: members that each tell of some servers on a list of servers, all well.
+// judge returns an operation that runs one round of outlier detection, with members that each report on told of the servers,
+// all of them healthy.
 func judge(members, servers, told int) operation {
 	var all []outlier.Evidence
 	var list []outlier.Server
--- a/internal/latencylab/waits.go
+++ b/internal/latencylab/waits.go
@@ -7,19 +7,19 @@
 
 const (
 	waitSampleEvery = 5 * time.Millisecond
-	gatekeeperWaits = 200 * time.Microsecond // of a calm pair, over the samples around it
-	laboratoryWaits = 500 * time.Microsecond // it has several times as many threads and wakes
-	waitSpanMost    = 50 * time.Millisecond  // samples further apart say nothing of a pair
+	gatekeeperWaits = 200 * time.Microsecond // longest wait of the gatekeeper in the samples around a calm pair
+	laboratoryWaits = 500 * time.Microsecond // likewise of the laboratory, which has several times as many threads and wake-ups
+	waitSpanMost    = 50 * time.Millisecond  // samples further apart are not usable for a pair
 )
 
-// waits are samples of how long the threads of a process have waited for a core so far. What it waits for on a busy machine is
-// no cost of its own.
+// waits are samples of the total time that the threads of a process have waited for a core. On a busy machine, these waits are
+// not a cost of the process itself.
 type waits struct {
 	at  []time.Time
 	sum []time.Duration
 }
 
-// sampleWaits samples until done is closed. The result may be read once finished is.
+// sampleWaits samples until done is closed. The result may be read when finished is closed.
 func sampleWaits(waited func() time.Duration, done <-chan struct{}) (w *waits, finished <-chan struct{}) {
 	w = &waits{}
 	ended := make(chan struct{})
@@ -40,8 +40,8 @@
 	return w, ended
 }
 
-// around gives how long the process waited between the last sample before a span and the first one after it. It is not known
-// where there is none, or where they lie far apart.
+// around returns how long the process waited between the last sample before a span and the first one after it. The wait is
+// unknown if one of the samples is missing or if they are more than waitSpanMost apart.
 func (w *waits) around(from, to time.Time) (waited time.Duration, known bool) {
 	first := sort.Search(len(w.at), func(i int) bool { return w.at[i].After(from) }) - 1
 	last := sort.Search(len(w.at), func(i int) bool { return !w.at[i].Before(to) })
@@ -51,10 +51,10 @@
 	return w.sum[last] - w.sum[first], true
 }
 
-// machine has the samples of the two processes that a call passes.
+// machine holds the samples of the two processes that a call passes through.
 type machine struct{ gatekeeper, laboratory *waits }
 
-// sampleMachine samples both until done is closed. The result may be read once finished has returned.
+// sampleMachine samples both processes until done is closed. The result may be read after finished has returned.
 func sampleMachine(gatekeeper *process, done <-chan struct{}) (m machine, finished func()) {
 	var one, two <-chan struct{}
 	m.gatekeeper, one = sampleWaits(gatekeeper.waited, done)
@@ -65,8 +65,8 @@
 	}
 }
 
-// calm tells whether a pair of calls ran while the machine was calm: around both calls the threads of the gatekeeper and of the
-// laboratory waited little for a core. How long the calls took is no criterion, of neither way.
+// calm reports whether the machine was calm during a pair of calls: around both calls, the threads of the gatekeeper and of
+// the laboratory waited little for a core. The latency of the calls is not a criterion.
 func (m machine) calm(through, direct attempt) bool {
 	from, to := through.due, through.due.Add(through.took)
 	if direct.due.Before(from) {
