--- a/internal/lab/bus.go
+++ b/internal/lab/bus.go
@@ -21,13 +21,13 @@
 // Bus is a stand-in for the event bus (PROTOCOL, the event bus). It serves numbered events as server-sent events. Each
 // gatekeeper has its own listener, because each reaches the servers at different addresses.
 type Bus struct {
-	mu      sync.Mutex
-	hosts   []Host // current list
-	last    int64
-	changed chan struct{} // closed and replaced on each change
-	changes []busChange
-	servers []*http.Server
-	done    chan struct{}
+	mu         sync.Mutex
+	hosts      []Host // current list
+	lastOffset int64
+	changed    chan struct{} // closed and replaced on each change
+	changes    []busChange
+	servers    []*http.Server
+	done       chan struct{}
 }
 
 type busChange struct {
@@ -46,8 +46,8 @@
 func (b *Bus) Change(hosts ...Host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.last++
-	b.changes = append(b.changes, busChange{b.last, hosts})
+	b.lastOffset++
+	b.changes = append(b.changes, busChange{b.lastOffset, hosts})
 	for _, h := range hosts {
 		known := false
 		for i := range b.hosts {
@@ -96,7 +96,7 @@
 func (b *Bus) Known(dial func(host string) string) json.RawMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	text, err := json.Marshal(map[string]any{"offset": b.last, "batch": []busEvent{event(b.last, true, b.hosts, dial)}})
+	text, err := json.Marshal(map[string]any{"offset": b.lastOffset, "batch": []busEvent{event(b.lastOffset, true, b.hosts, dial)}})
 	if err != nil { // cannot happen: the value contains only strings and numbers
 		panic(err)
 	}
@@ -121,8 +121,8 @@
 }
 
 func (b *Bus) serve(w http.ResponseWriter, r *http.Request, dial func(string) string) {
-	last, _ := strconv.ParseInt(r.Header.Get("Last-Event-ID"), 10, 64)
-	out := http.NewResponseController(w)
+	lastOffset, _ := strconv.ParseInt(r.Header.Get("Last-Event-ID"), 10, 64)
+	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -130,11 +130,11 @@
 		b.mu.Lock()
 		changed := b.changed
 		var events []busEvent
-		if last == 0 {
-			events = append(events, event(b.last, true, b.hosts, dial))
+		if lastOffset == 0 {
+			events = append(events, event(b.lastOffset, true, b.hosts, dial))
 		} else {
 			for _, c := range b.changes {
-				if c.offset > last {
+				if c.offset > lastOffset {
 					events = append(events, event(c.offset, false, c.hosts, dial))
 				}
 			}
@@ -143,9 +143,9 @@
 		for _, e := range events {
 			text, _ := json.Marshal(e)
 			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", e.Offset, text)
-			last = e.Offset
+			lastOffset = e.Offset
 		}
-		if out.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
 		select {
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -29,14 +29,14 @@
 	ServerGivenUp                  // the set-up was abandoned by CANCEL or the end of its connection
 	ServerCut                      // the server was killed while the set-up or call was open
 	LateAnswer                     // the first answer to an attempt already reported as Unanswered; Body names its type
-	seenKinds
+	observationKinds
 )
 
-var seenNames = [seenKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
+var observationNames = [observationKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
 	"setup", "answered", "full", "given up", "cut", "late answer"}
 
 // String returns the name of the kind in the record of a run.
-func (k SeenKind) String() string { return seenNames[k] }
+func (k SeenKind) String() string { return observationNames[k] }
 
 // Seen is one observation of a stand-in.
 type Seen struct {
@@ -54,9 +54,9 @@
 
 // Settings returns the settings object of a configuration for a fleet of the given size. It matches the behavior of the
 // stand-ins.
-func Settings(gatekeepers int) string { return fmtSettings(gatekeepers) }
+func Settings(gatekeepers int) string { return formatSettings(gatekeepers) }
 
-// Load describes the load that the callers of a fleet offer.
+// Load describes the calls that the callers of a fleet offer.
 type Load struct {
 	Seed        uint64
 	Gatekeepers int
@@ -71,25 +71,25 @@
 
 // Callers are stand-ins for the callers of a fleet. They share one connection to each gatekeeper and reopen it after a
 // failure.
-type Callers struct{ day *day }
+type Callers struct{ workload *workload }
 
 // NewCallers returns callers for a load. They place no call before Play.
 func NewCallers(o Load) *Callers {
-	d := newDay(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
+	load := newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
 		Load: o.PerS / work.Capacity() / float64(o.Servers)})
-	d.again, d.dice = o.Again, rand.New(rand.NewPCG(o.Seed, 3))
-	d.key = o.Key
-	d.pick, d.seen, d.past = o.Pick, o.Hear, map[string]SeenKind{}
+	load.retryTarget, load.retryRand = o.Again, rand.New(rand.NewPCG(o.Seed, 3))
+	load.key = o.Key
+	load.firstTarget, load.observer, load.finalAnswers = o.Pick, o.Hear, map[string]SeenKind{}
 	for range o.Gatekeepers {
-		d.conns = append(d.conns, &callers{})
+		load.conns = append(load.conns, &gatekeeperConn{})
 	}
-	return &Callers{d}
+	return &Callers{load}
 }
 
 const (
-	reconnectAfter = 50 * time.Millisecond
-	testEvery      = 250 * time.Millisecond // interval of the front's health checks of each gatekeeper
-	testWithin     = time.Second            // the front routes no call to a gatekeeper without a passed check in this time
+	reconnectDelay      = 50 * time.Millisecond
+	healthCheckInterval = 250 * time.Millisecond // interval of the front's health checks of each gatekeeper
+	healthCheckTimeout  = time.Second            // the front routes no call to a gatekeeper without a passed check in this time
 )
 
 // Keep maintains a connection to gatekeeper i at addr until the context ends and reopens it after a failure. Attempts that
@@ -100,27 +100,27 @@
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 		if err == nil {
-			c.hold(ctx, i, conn)
+			c.useConnection(ctx, i, conn)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(reconnectAfter):
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-func (c *Callers) hold(ctx context.Context, i int, conn net.Conn) {
+func (c *Callers) useConnection(ctx context.Context, i int, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	to := c.day.conns[i]
-	to.mu.Lock()
-	to.conn, to.fit, to.passed = conn, false, time.Now()
-	to.mu.Unlock()
+	target := c.workload.conns[i]
+	target.mu.Lock()
+	target.conn, target.healthy, target.lastPassed = conn, false, time.Now()
+	target.mu.Unlock()
 	go func() {
-		for tick := time.NewTicker(testEvery); ; {
-			m := jsonl.Message{Type: "probe", ID: testID, Attrs: map[string]string{}}
-			to.write(conn, m.Append(nil))
+		for tick := time.NewTicker(healthCheckInterval); ; {
+			m := jsonl.Message{Type: "probe", ID: healthCheckID, Attrs: map[string]string{}}
+			target.write(conn, m.Append(nil))
 			select {
 			case <-ctx.Done():
 				tick.Stop()
@@ -129,42 +129,42 @@
 			}
 		}
 	}()
-	c.day.read(conn, func(m jsonl.Message) bool {
+	c.workload.read(conn, func(m jsonl.Message) bool {
 		if m.Type != "probed" {
 			return false
 		}
-		to.mu.Lock()
-		defer to.mu.Unlock()
-		if to.fit = m.Code == 1; to.fit {
-			to.passed = time.Now()
+		target.mu.Lock()
+		defer target.mu.Unlock()
+		if target.healthy = m.Code == 1; target.healthy {
+			target.lastPassed = time.Now()
 		}
 		return true
 	})
-	c.day.broke(i, conn, ctx.Err() == nil)
+	c.workload.connectionLost(i, conn, ctx.Err() == nil)
 }
 
-const testID = "ffffffffffffffff"
+const healthCheckID = "ffffffffffffffff"
 
 // Up returns the number of gatekeepers that are available for new set-ups.
 func (c *Callers) Up() (n int) {
-	for _, to := range c.day.conns {
-		to.mu.Lock()
-		if to.usable() {
+	for _, target := range c.workload.conns {
+		target.mu.Lock()
+		if target.available() {
 			n++
 		}
-		to.mu.Unlock()
+		target.mu.Unlock()
 	}
 	return n
 }
 
-// usable reports whether new set-ups may use the connection. The caller must hold the lock.
-func (c *callers) usable() bool {
-	return c.conn != nil && c.fit && time.Since(c.passed) < testWithin
+// available reports whether new set-ups may use the connection. The caller must hold the lock.
+func (c *gatekeeperConn) available() bool {
+	return c.conn != nil && c.healthy && time.Since(c.lastPassed) < healthCheckTimeout
 }
 
 // write sends data with a deadline of one second, so that a blocked connection does not stall its callers. It closes the
 // connection on an error.
-func (c *callers) write(conn net.Conn, data []byte) {
+func (c *gatekeeperConn) write(conn net.Conn, data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
@@ -175,33 +175,33 @@
 
 // Play places calls until the length of the load has passed or the context ends, and then waits for open attempts.
 func (c *Callers) Play(ctx context.Context) {
-	c.day.began = time.Now()
-	c.day.play(ctx, c.day.Servers, nil)
+	c.workload.began = time.Now()
+	c.workload.placeCalls(ctx, c.workload.Servers, nil)
 }
 
 // Outcome returns the results so far. servers are the stand-ins whose counts it includes.
-func (c *Callers) Outcome(servers []*Server) *Outcome { return c.day.result(servers) }
-
-// broke removes a closed connection. Unanswered set-ups on it are retried if again is set, which it is not if the callers
-// closed the connection themselves.
-func (d *day) broke(i int, c net.Conn, again bool) {
-	d.conns[i].mu.Lock()
-	if d.conns[i].conn == c {
-		d.conns[i].conn = nil
+func (c *Callers) Outcome(servers []*Server) *Outcome { return c.workload.result(servers) }
+
+// connectionLost removes a closed connection. Unanswered set-ups on it are retried if retry is set, which it is not if the
+// callers closed the connection themselves.
+func (w *workload) connectionLost(i int, c net.Conn, retry bool) {
+	w.conns[i].mu.Lock()
+	if w.conns[i].conn == c {
+		w.conns[i].conn = nil
 	}
-	d.conns[i].mu.Unlock()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for id, k := range d.calls {
-		if k.conn == c && !k.stood {
-			k.over.Stop()
-			delete(d.calls, id)
-			if !again {
+	w.conns[i].mu.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for id, attempt := range w.calls {
+		if attempt.conn == c && !attempt.established {
+			attempt.over.Stop()
+			delete(w.calls, id)
+			if !retry {
 				continue
 			}
-			d.out.Unanswered++
-			d.tell(Seen{Kind: Broken, Call: id, Gatekeeper: i})
-			d.redial(k.caller, 0)
+			w.outcome.Unanswered++
+			w.observe(Seen{Kind: Broken, Call: id, Gatekeeper: i})
+			w.scheduleRetry(attempt.caller, 0)
 		}
 	}
 }
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -89,18 +89,18 @@
 		for lines.Scan() {
 		}
 	}()
-	d := newDay(o)
-	d.conns = []*callers{{}}
-	if err := d.connect(0, addr); err != nil {
+	load := newWorkload(o)
+	load.conns = []*gatekeeperConn{{}}
+	if err := load.connect(0, addr); err != nil {
 		return nil, err
 	}
-	defer d.hangUp(0)
-	d.play(ctx, o.Servers, nil)
+	defer load.disconnect(0)
+	load.placeCalls(ctx, o.Servers, nil)
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil && !strings.Contains(err.Error(), "killed") {
 		return nil, err
 	}
-	s := &Spent{Records: records, Calls: d.out.First, CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
+	s := &Spent{Records: records, Calls: load.outcome.First, CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
 	s.PerCall = s.CPU / time.Duration(max(s.Calls, 1))
 	s.Part = s.CPU.Seconds() / c.Length.Seconds()
 	return s, ctx.Err()
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -43,7 +43,7 @@
 func (o Records) node(n int, from control.Micros) (events int, err error) {
 	rng := rand.New(rand.NewPCG(o.Seed, uint64(n)))
 	var r *record.Recorder
-	note := func(at control.Micros, e history.Event) {
+	recordEvent := func(at control.Micros, e history.Event) {
 		e.At = at
 		r.Record(e)
 		if events++; events%4096 == 0 {
@@ -59,9 +59,9 @@
 		for _, c := range classes {
 			rules.Classes = append(rules.Classes, history.Class{Name: c.name, Aim: control.Micros(c.aim.Microseconds()), Worth: c.worth, LateWorth: lateWorth})
 		}
-		note(at, history.Event{Kind: history.Started, Rules: rules, Name: "none"})
+		recordEvent(at, history.Event{Kind: history.Started, Rules: rules, Name: "none"})
 		for s := range uint32(3) {
-			note(at, history.Event{Kind: history.Listed, Server: s + 1, Name: fmt.Sprintf("s-%08x", s+1), State: control.Ready, N: int64(s)})
+			recordEvent(at, history.Event{Kind: history.Listed, Server: s + 1, Name: fmt.Sprintf("s-%08x", s+1), State: control.Ready, N: int64(s)})
 		}
 		return nil
 	}
@@ -70,13 +70,13 @@
 	if err := start(from); err != nil {
 		return 0, err
 	}
-	at, looked := from, from
+	at, lastViewed := from, from
 	for i := 0; at < end; i++ {
 		wave := 1 + 0.3*math.Sin(float64(at-from)/3600e6)
 		at += control.Micros(rng.ExpFloat64() / (o.PerS / float64(o.Gatekeepers) * wave) * 1e6)
 		if at >= restart {
-			note(at, history.Event{Kind: history.Draining})
-			note(at, history.Event{Kind: history.Finished})
+			recordEvent(at, history.Event{Kind: history.Draining})
+			recordEvent(at, history.Event{Kind: history.Finished})
 			r.Close()
 			at += 2e6
 			restart += 3600e6
@@ -84,40 +84,40 @@
 				return events, err
 			}
 		}
-		pressed := math.Mod(float64(at-from)/60e6, 20) < 1 // overloaded in one minute of twenty
-		if at-looked > 500000 {
-			looked = at
+		overloaded := math.Mod(float64(at-from)/60e6, 20) < 1 // overloaded in one minute of twenty
+		if at-lastViewed > 500000 {
+			lastViewed = at
 			for s := range uint32(3) {
 				e := history.Event{Kind: history.Viewed, Server: s + 1, Span: control.Micros(rng.ExpFloat64() * 40000)}
-				if pressed {
+				if overloaded {
 					e.Level, e.Span = rng.IntN(4), control.Micros(400000*rng.Float64())
 				}
-				note(at, e)
+				recordEvent(at, e)
 			}
 		}
-		o.call(rng, note, at, fmt.Sprintf("%08x%08x", n, i), pressed)
+		o.call(rng, recordEvent, at, fmt.Sprintf("%08x%08x", n, i), overloaded)
 	}
-	note(end+5e6, history.Event{Kind: history.Finished})
+	recordEvent(end+5e6, history.Event{Kind: history.Finished})
 	r.Close()
 	return events, nil
 }
 
 // call writes the records of one call in order, all with the time of its end.
-func (o Records) call(rng *rand.Rand, note func(control.Micros, history.Event), at control.Micros, id string, pressed bool) {
+func (o Records) call(rng *rand.Rand, recordEvent func(control.Micros, history.Event), at control.Micros, id string, overloaded bool) {
 	class := min(int(rng.ExpFloat64()), len(classes)-1)
 	server := uint32(rng.IntN(3) + 1)
-	note(at, history.Event{Kind: history.Taken, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
+	recordEvent(at, history.Event{Kind: history.Taken, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
 	switch {
-	case pressed && rng.IntN(3) == 0:
-		note(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
+	case overloaded && rng.IntN(3) == 0:
+		recordEvent(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
 	case rng.IntN(200) == 0:
-		note(at, history.Event{Kind: history.Sent, Call: id, Server: server})
-		note(at, history.Event{Kind: history.Ended, Call: id, Server: server, Code: control.Full})
-		note(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
+		recordEvent(at, history.Event{Kind: history.Sent, Call: id, Server: server})
+		recordEvent(at, history.Event{Kind: history.Ended, Call: id, Server: server, Code: control.Full})
+		recordEvent(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
 	default:
-		note(at, history.Event{Kind: history.Sent, Call: id, Server: server})
-		note(at, history.Event{Kind: history.Established, Call: id, Server: server, Span: control.Micros(60000 + rng.ExpFloat64()*50000)})
-		note(at, history.Event{Kind: history.Reported, Server: server, Values: []float64{rng.Float64(), 3}})
-		note(at, history.Event{Kind: history.Released, Call: id, Server: server, N: 16})
+		recordEvent(at, history.Event{Kind: history.Sent, Call: id, Server: server})
+		recordEvent(at, history.Event{Kind: history.Established, Call: id, Server: server, Span: control.Micros(60000 + rng.ExpFloat64()*50000)})
+		recordEvent(at, history.Event{Kind: history.Reported, Server: server, Values: []float64{rng.Float64(), 3}})
+		recordEvent(at, history.Event{Kind: history.Released, Call: id, Server: server, N: 16})
 	}
 }
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -33,18 +33,18 @@
 // incident is the state of a running Incident.
 type incident struct {
 	Incident
-	*day
-	site    *control.Site
-	rng     *rand.Rand
-	mu      sync.Mutex
-	hosts   []labHost
-	nodes   []*node.Node
-	servers []*Server
-	err     error
-	busy    sync.WaitGroup
+	*workload
+	site       *control.Site
+	rng        *rand.Rand
+	mu         sync.Mutex
+	hosts      []inventoryHost
+	nodes      []*node.Node
+	servers    []*Server
+	err        error
+	background sync.WaitGroup
 }
 
-type labHost struct {
+type inventoryHost struct {
 	name, addr, state string
 	cell              int
 	since             time.Time
@@ -63,41 +63,41 @@
 	part := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*i.rng.Float64()) * float64(o.Length))
 	}
-	i.day = newDay(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: incidentServers, Length: o.Length,
+	i.workload = newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: incidentServers, Length: o.Length,
 		SlowFrom: part(0.2, 0.3), SlowFor: part(0.15, 0.25), Slow: 2 + 2*i.rng.Float64(), Load: 0.8, Burst: 1.3 + 0.3*i.rng.Float64()})
 	defer i.close()
 	for n := range incidentServers {
-		if err := i.server(fmt.Sprintf("s-%08x", n+1), n, time.Time{}); err != nil {
+		if err := i.startServer(fmt.Sprintf("s-%08x", n+1), n, time.Time{}); err != nil {
 			return nil, err
 		}
 	}
 	for n := range o.Gatekeepers {
-		i.conns = append(i.conns, &callers{})
-		if err := i.start(n); err != nil {
+		i.conns = append(i.conns, &gatekeeperConn{})
+		if err := i.startGatekeeper(n); err != nil {
 			return nil, err
 		}
 	}
 	slowed := i.rng.IntN(incidentServers)
-	happenings := []happening{
-		{i.SlowFrom, func() { i.tell("burst begins, one server slows down"); i.servers[slowed].Slow(i.Slow) }},
-		{i.SlowFrom + i.SlowFor, func() { i.tell("burst ends"); i.servers[slowed].Slow(1) }},
+	actions := []scheduledAction{
+		{i.SlowFrom, func() { i.reportProgress("burst begins, one server slows down"); i.servers[slowed].Slow(i.Slow) }},
+		{i.SlowFrom + i.SlowFor, func() { i.reportProgress("burst ends"); i.servers[slowed].Slow(1) }},
 		{part(0.55, 0.65), func() { i.replace((slowed + 1) % incidentServers) }},
 	}
 	for _, n := range i.rng.Perm(o.Gatekeepers)[:max(1, o.Gatekeepers/3)] {
 		at := part(0.35, 0.8)
-		happenings = append(happenings, happening{at, func() { i.restart(n) }})
+		actions = append(actions, scheduledAction{at, func() { i.restart(n) }})
 	}
-	i.play(ctx, incidentServers, happenings)
-	i.busy.Wait()
+	i.placeCalls(ctx, incidentServers, actions)
+	i.background.Wait()
 	for n := range i.nodes { // a planned shutdown, so that the records are complete
-		i.busy.Add(1)
+		i.background.Add(1)
 		go func() {
-			defer i.busy.Done()
-			i.leave(n)
+			defer i.background.Done()
+			i.detach(n)
 			i.nodes[n].Drain()
 		}()
 	}
-	i.busy.Wait()
+	i.background.Wait()
 	out := i.result(i.servers)
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -107,7 +107,7 @@
 	return out, ctx.Err()
 }
 
-func (i *incident) tell(what string) {
+func (i *incident) reportProgress(what string) {
 	if i.Progress != nil {
 		i.Progress(what)
 	}
@@ -123,14 +123,14 @@
 
 func (i *incident) close() {
 	for n := range i.conns {
-		i.hangUp(n)
+		i.disconnect(n)
 	}
 	for _, s := range i.servers {
 		s.Close()
 	}
 }
 
-func (i *incident) server(name string, cell int, since time.Time) error {
+func (i *incident) startServer(name string, cell int, since time.Time) error {
 	s, err := NewServer(work, i.Seed+uint64(len(i.servers)))
 	if err != nil {
 		return err
@@ -138,12 +138,12 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.servers = append(i.servers, s)
-	i.hosts = append(i.hosts, labHost{name, s.Addr(), "up", cell, since})
+	i.hosts = append(i.hosts, inventoryHost{name, s.Addr(), "up", cell, since})
 	return nil
 }
 
-// list returns the current inventory as CSV.
-func (i *incident) list() []byte {
+// inventory returns the current inventory as CSV.
+func (i *incident) inventory() []byte {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	var b strings.Builder
@@ -158,7 +158,7 @@
 	return []byte(b.String())
 }
 
-func (i *incident) start(n int) error {
+func (i *incident) startGatekeeper(n int) error {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	cfg := &config.Config{Name: "g" + strconv.Itoa(n+1), Listen: "127.0.0.1:0", Seed: i.Seed*100 + uint64(n), Sockets: 512, Site: i.site}
@@ -169,7 +169,7 @@
 	i.mu.Lock()
 	i.nodes[n] = g
 	i.mu.Unlock()
-	if err := g.ImportInventory("lab.csv", i.list()); err != nil {
+	if err := g.ImportInventory("lab.csv", i.inventory()); err != nil {
 		return err
 	}
 	return i.connect(n, g.Addr())
@@ -177,43 +177,43 @@
 
 // restart drains a gatekeeper and starts it again 300 ms later.
 func (i *incident) restart(n int) {
-	i.busy.Add(1)
-	defer i.busy.Done()
-	i.tell(fmt.Sprintf("gatekeeper g%d restarts", n+1))
-	conn := i.leave(n)
+	i.background.Add(1)
+	defer i.background.Done()
+	i.reportProgress(fmt.Sprintf("gatekeeper g%d restarts", n+1))
+	conn := i.detach(n)
 	i.nodes[n].Drain()
 	if conn != nil {
 		conn.Close()
 	}
 	time.Sleep(300 * time.Millisecond)
-	if err := i.start(n); err != nil {
+	if err := i.startGatekeeper(n); err != nil {
 		i.fail(err)
 	}
 }
 
 // replace drains a server and replaces it by a cold one. The gatekeepers learn of it with a delay, one after another.
-func (i *incident) replace(at int) {
-	i.busy.Add(1)
-	defer i.busy.Done()
-	i.tell("a server is drained and replaced")
-	i.change(func() { i.hosts[at].state = "draining" })
+func (i *incident) replace(index int) {
+	i.background.Add(1)
+	defer i.background.Done()
+	i.reportProgress("a server is drained and replaced")
+	i.changeInventory(func() { i.hosts[index].state = "draining" })
 	time.Sleep(2 * time.Second)
 	now := time.Now()
-	if err := i.server(fmt.Sprintf("s-%08x", at+0x11), at, now); err != nil {
+	if err := i.startServer(fmt.Sprintf("s-%08x", index+0x11), index, now); err != nil {
 		i.fail(err)
 		return
 	}
 	fresh := i.servers[len(i.servers)-1]
 	fresh.Cold(0.33, 5*time.Second)
-	i.change(func() { i.hosts[at].state = "removed" })
+	i.changeInventory(func() { i.hosts[index].state = "removed" })
 }
 
-// change applies f to the list and imports the new list into every gatekeeper.
-func (i *incident) change(f func()) {
+// changeInventory applies f to the list and imports the new list into every gatekeeper.
+func (i *incident) changeInventory(update func()) {
 	i.mu.Lock()
-	f()
+	update()
 	i.mu.Unlock()
-	text := i.list()
+	text := i.inventory()
 	for n := range i.nodes {
 		time.Sleep(20 * time.Millisecond)
 		i.mu.Lock()
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -67,10 +67,10 @@
 	{"tray-count", 0.22, 2500 * time.Millisecond, 1}}
 
 const (
-	giveUp    = 9 * time.Second
-	tryFor    = 3200 * time.Millisecond
-	redials   = 3
-	lateWorth = 0.25
+	callerTimeout  = 9 * time.Second
+	attemptTimeout = 3200 * time.Millisecond
+	maxRetries     = 3
+	lateWorth      = 0.25
 )
 
 const settings = `{"balancers":%d,"bounds":{"attempts-cap":5,"cancel":true,"dial-timeout-us":500000,"max-retry-after-us":2000000,
@@ -80,7 +80,7 @@
 "extra":{"here":-1,"release-guard-us":300000,"t1-us":500000},"guarantees":{"fall-multiple":2,"fall-us":1000000,
 "start-capacity":0.33,"warm-within-us":15000000},"report":{"fields":["busy","q"]}}`
 
-func fmtSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
+func formatSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
 
 // work follows the platform's figures: 20 calls per second for each server.
 var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, Full: 3 * time.Second,
@@ -111,16 +111,16 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := newDay(o)
+	load := newWorkload(o)
 	for i := range o.Gatekeepers {
 		// Each gatekeeper needs its own policy, because the retry budget is kept per gatekeeper.
 		own := *deploy
 		if o.Calls != "" {
-			again, err := config.ParseDeploy("lab", []byte(`{"calls":`+o.Calls+`}`), site)
+			copied, err := config.ParseDeploy("lab", []byte(`{"calls":`+o.Calls+`}`), site)
 			if err != nil {
 				return nil, err
 			}
-			own = *again
+			own = *copied
 		}
 		cfg := &config.Config{Name: "g" + strconv.Itoa(i), Listen: "127.0.0.1:0", Seed: o.Seed*100 + uint64(i), Sockets: 512, Site: site}
 		n, err := node.Start(ctx, cfg, &own, log)
@@ -131,11 +131,11 @@
 		if err := n.ImportInventory("lab.csv", []byte("name,address,cell\n"+known)); err != nil {
 			return nil, err
 		}
-		d.conns = append(d.conns, &callers{})
-		if err := d.connect(i, n.Addr()); err != nil {
+		load.conns = append(load.conns, &gatekeeperConn{})
+		if err := load.connect(i, n.Addr()); err != nil {
 			return nil, err
 		}
-		defer d.hangUp(i)
+		defer load.disconnect(i)
 	}
 	all := func(factor float64) func() {
 		return func() {
@@ -144,354 +144,354 @@
 			}
 		}
 	}
-	d.play(ctx, len(servers), []happening{{o.SlowFrom, all(o.Slow)}, {o.SlowFrom + o.SlowFor, all(1)}})
-	return d.result(servers), ctx.Err()
+	load.placeCalls(ctx, len(servers), []scheduledAction{{o.SlowFrom, all(o.Slow)}, {o.SlowFrom + o.SlowFor, all(1)}})
+	return load.result(servers), ctx.Err()
 }
 
-// day is the callers' side of a run.
-type day struct {
+// workload is the callers' side of a run.
+type workload struct {
 	Overload
 	began time.Time
-	conns []*callers
-
-	mu      sync.Mutex
-	next    int
-	waits   int // retries that wait for their delay
-	calls   map[string]*try
-	delays  *hdrhistogram.Histogram
-	out     *Outcome
-	offered map[string]float64
-	served  map[string]float64
-	slow    [2]float64 // worth offered and served of calls that began during the slow span
-
-	pick    func(*rand.Rand) (home, dest int) // chooses gatekeeper and first choice of a first call; nil: random
-	again   func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one; nil: always the next
-	key     func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
-	dice    *rand.Rand                        // random source of again
-	seen    func(Seen)                        // receives observations; may be nil
-	past    map[string]SeenKind               // final answers of finished attempts; used only if seen is set
-	expired map[string]int                    // gatekeeper of each attempt that timed out, until its late answer arrives
+	conns []*gatekeeperConn
+
+	mu             sync.Mutex
+	lastID         int
+	pendingRetries int // retries that wait for their delay
+	calls          map[string]*setupAttempt
+	delays         *hdrhistogram.Histogram
+	outcome        *Outcome
+	offered        map[string]float64
+	served         map[string]float64
+	slowSpanWorth  [2]float64 // worth offered and served of calls that began during the slow span
+
+	firstTarget  func(*rand.Rand) (home, dest int) // chooses gatekeeper and first choice of a first call; nil: random
+	retryTarget  func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one; nil: always the next
+	key          func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
+	retryRand    *rand.Rand                        // random source of retryTarget
+	observer     func(Seen)                        // receives observations; may be nil
+	finalAnswers map[string]SeenKind               // final answers of finished attempts; used only if observer is set
+	expired      map[string]int                    // gatekeeper of each attempt that timed out, until its late answer arrives
 }
 
-// tell reports an observation. The caller must hold the lock.
-func (d *day) tell(s Seen) {
-	if d.seen != nil {
+// observe reports an observation. The caller must hold the lock.
+func (w *workload) observe(s Seen) {
+	if w.observer != nil {
 		s.At = time.Now()
-		d.seen(s)
+		w.observer(s)
 	}
 }
 
-// final records the final answer of an attempt and reports whether it is the first. The caller must hold the lock.
-func (d *day) final(k *try, id string, kind SeenKind, body string) bool {
-	if d.seen == nil {
+// recordFinal records the final answer of an attempt and reports whether it is the first. The caller must hold the lock.
+func (w *workload) recordFinal(attempt *setupAttempt, id string, kind SeenKind, body string) bool {
+	if w.observer == nil {
 		return true
 	}
-	if was, again := d.past[id]; again && (was != Established || kind == Established) {
-		d.tell(Seen{Kind: SecondAnswer, Call: id, Gatekeeper: k.at, Body: kind.String()})
+	if previous, repeated := w.finalAnswers[id]; repeated && (previous != Established || kind == Established) {
+		w.observe(Seen{Kind: SecondAnswer, Call: id, Gatekeeper: attempt.gatekeeper, Body: kind.String()})
 		return false
 	}
-	d.past[id] = kind
-	d.tell(Seen{Kind: kind, Call: id, Gatekeeper: k.at, Body: body})
+	w.finalAnswers[id] = kind
+	w.observe(Seen{Kind: kind, Call: id, Gatekeeper: attempt.gatekeeper, Body: body})
 	return true
 }
 
-// callers is the connection that all callers of one gatekeeper share. conn is nil while the gatekeeper is down.
-type callers struct {
-	mu     sync.Mutex
-	conn   net.Conn
-	fit    bool      // the last health check passed
-	passed time.Time // time of the last check that passed
+// gatekeeperConn is the connection that all callers of one gatekeeper share. conn is nil while the gatekeeper is down.
+type gatekeeperConn struct {
+	mu         sync.Mutex
+	conn       net.Conn
+	healthy    bool      // the last health check passed
+	lastPassed time.Time // time of the last check that passed
 }
 
-// happening is an action that runs at a time after the start of a run.
-type happening struct {
-	at time.Duration
-	do func()
+// scheduledAction is an action that runs at a time after the start of a run.
+type scheduledAction struct {
+	at  time.Duration
+	run func()
 }
 
-func newDay(o Overload) *day {
-	return &day{Overload: o, began: time.Now(), calls: map[string]*try{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
-		out: &Outcome{ByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
+func newWorkload(o Overload) *workload {
+	return &workload{Overload: o, began: time.Now(), calls: map[string]*setupAttempt{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
+		outcome: &Outcome{ByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
 }
 
 // connect opens a connection to a gatekeeper, without health checks, and lets its callers use it.
-func (d *day) connect(i int, addr string) error {
+func (w *workload) connect(i int, addr string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
-	d.conns[i].mu.Lock()
-	d.conns[i].conn, d.conns[i].fit, d.conns[i].passed = c, true, time.Now().Add(time.Hour) // no health checks
-	d.conns[i].mu.Unlock()
-	go d.read(c, nil)
+	w.conns[i].mu.Lock()
+	w.conns[i].conn, w.conns[i].healthy, w.conns[i].lastPassed = c, true, time.Now().Add(time.Hour) // no health checks
+	w.conns[i].mu.Unlock()
+	go w.read(c, nil)
 	return nil
 }
 
-// leave directs new set-ups to other gatekeepers and returns the connection, on which open calls continue.
-func (d *day) leave(i int) net.Conn {
-	d.conns[i].mu.Lock()
-	defer d.conns[i].mu.Unlock()
-	c := d.conns[i].conn
-	d.conns[i].conn = nil
+// detach directs new set-ups to other gatekeepers and returns the connection, on which open calls continue.
+func (w *workload) detach(i int) net.Conn {
+	w.conns[i].mu.Lock()
+	defer w.conns[i].mu.Unlock()
+	c := w.conns[i].conn
+	w.conns[i].conn = nil
 	return c
 }
 
-func (d *day) hangUp(i int) {
-	if c := d.leave(i); c != nil {
+func (w *workload) disconnect(i int) {
+	if c := w.detach(i); c != nil {
 		c.Close()
 	}
 }
 
 // caller is one first call with its retries.
 type caller struct {
-	class int
-	began time.Time
-	tries int
-	key   string
-	dest  int
-	home  int // gatekeeper of the first attempt
+	class    int
+	began    time.Time
+	attempts int
+	key      string
+	dest     int
+	home     int // gatekeeper of the first attempt
 }
 
-// try is one set-up attempt of a caller.
-type try struct {
+// setupAttempt is one set-up attempt of a caller.
+type setupAttempt struct {
 	*caller
-	over  *time.Timer
-	stood bool
-	at    int      // gatekeeper, -1 while none was available
-	conn  net.Conn // connection on which it was sent
+	over        *time.Timer // fires when the caller gives up the attempt
+	established bool
+	gatekeeper  int      // index of the gatekeeper, -1 while none was available
+	conn        net.Conn // connection on which it was sent
 }
 
-func (d *day) play(ctx context.Context, servers int, happenings []happening) {
-	rng := rand.New(rand.NewPCG(d.Seed, 2))
-	for _, h := range happenings {
-		defer time.AfterFunc(h.at, h.do).Stop()
+func (w *workload) placeCalls(ctx context.Context, servers int, actions []scheduledAction) {
+	rng := rand.New(rand.NewPCG(w.Seed, 2))
+	for _, h := range actions {
+		defer time.AfterFunc(h.at, h.run).Stop()
 	}
-	end := time.After(d.Length)
-	for at := d.began; ; {
-		rate := d.Load * work.Capacity() * float64(servers)
-		if d.Burst > 0 && d.inSlow(at) {
-			rate *= d.Burst
+	end := time.After(w.Length)
+	for at := w.began; ; {
+		rate := w.Load * work.Capacity() * float64(servers)
+		if w.Burst > 0 && w.inSlowSpan(at) {
+			rate *= w.Burst
 		}
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-end:
-			d.settle(ctx)
+			w.settle(ctx)
 			return
 		case <-time.After(time.Until(at)):
 		}
-		x, k := rng.Float64(), 0
-		for k < len(classes)-1 && x >= classes[k].part {
-			x -= classes[k].part
-			k++
+		draw, classIndex := rng.Float64(), 0
+		for classIndex < len(classes)-1 && draw >= classes[classIndex].part {
+			draw -= classes[classIndex].part
+			classIndex++
 		}
-		c := &caller{class: k, began: time.Now(), key: strconv.FormatUint(rng.Uint64(), 16), dest: rng.IntN(servers), home: rng.IntN(len(d.conns))}
-		if d.pick != nil {
-			c.home, c.dest = d.pick(rng)
+		c := &caller{class: classIndex, began: time.Now(), key: strconv.FormatUint(rng.Uint64(), 16), dest: rng.IntN(servers), home: rng.IntN(len(w.conns))}
+		if w.firstTarget != nil {
+			c.home, c.dest = w.firstTarget(rng)
 		}
-		if d.key != nil {
-			c.key = cmp.Or(d.key(rng), c.key)
+		if w.key != nil {
+			c.key = cmp.Or(w.key(rng), c.key)
 		}
-		d.mu.Lock()
-		d.out.First++
-		d.offered[classes[k].name] += classes[k].worth
-		if d.inSlow(c.began) {
-			d.slow[0] += classes[k].worth
+		w.mu.Lock()
+		w.outcome.First++
+		w.offered[classes[classIndex].name] += classes[classIndex].worth
+		if w.inSlowSpan(c.began) {
+			w.slowSpanWorth[0] += classes[classIndex].worth
 		}
-		d.mu.Unlock()
-		d.dial(c, c.home)
+		w.mu.Unlock()
+		w.dial(c, c.home)
 	}
 }
 
 // settle waits for open attempts to end, at most twice the time of one attempt: the last retries have ended by then.
-func (d *day) settle(ctx context.Context) {
+func (w *workload) settle(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for end := time.Now().Add(2 * tryFor); time.Now().Before(end); {
+	for end := time.Now().Add(2 * attemptTimeout); time.Now().Before(end); {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		d.mu.Lock()
-		open := d.waits
-		for _, k := range d.calls {
-			if !k.stood {
+		w.mu.Lock()
+		open := w.pendingRetries
+		for _, attempt := range w.calls {
+			if !attempt.established {
 				open++
 			}
 		}
-		d.mu.Unlock()
+		w.mu.Unlock()
 		if open == 0 {
 			return
 		}
 	}
 }
 
-func (d *day) inSlow(at time.Time) bool {
-	since := at.Sub(d.began)
-	return since >= d.SlowFrom && since < d.SlowFrom+d.SlowFor
+func (w *workload) inSlowSpan(at time.Time) bool {
+	since := at.Sub(w.began)
+	return since >= w.SlowFrom && since < w.SlowFrom+w.SlowFor
 }
 
 // dial makes one attempt at a gatekeeper, or at the next one that is available.
-func (d *day) dial(c *caller, at int) {
-	d.mu.Lock()
-	d.next++
-	id := fmt.Sprintf("%016x", d.next)
-	k := &try{caller: c, at: -1}
-	d.calls[id] = k
-	d.out.Tries++
-	c.tries++
-	k.over = time.AfterFunc(tryFor+50*time.Millisecond, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.calls[id] == k && !k.stood {
-			d.out.Unanswered++
-			delete(d.calls, id)
-			d.tell(Seen{Kind: Unanswered, Call: id, Gatekeeper: k.at})
-			d.expired[id] = k.at
-			d.redial(c, 0)
+func (w *workload) dial(c *caller, gatekeeper int) {
+	w.mu.Lock()
+	w.lastID++
+	id := fmt.Sprintf("%016x", w.lastID)
+	attempt := &setupAttempt{caller: c, gatekeeper: -1}
+	w.calls[id] = attempt
+	w.outcome.Tries++
+	c.attempts++
+	attempt.over = time.AfterFunc(attemptTimeout+50*time.Millisecond, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if w.calls[id] == attempt && !attempt.established {
+			w.outcome.Unanswered++
+			delete(w.calls, id)
+			w.observe(Seen{Kind: Unanswered, Call: id, Gatekeeper: attempt.gatekeeper})
+			w.expired[id] = attempt.gatekeeper
+			w.scheduleRetry(c, 0)
 		}
 	})
-	d.mu.Unlock()
+	w.mu.Unlock()
 	m := jsonl.Message{Type: "open", ID: id, Text: "offer\r\n", Attrs: map[string]string{"class": classes[c.class].name,
-		"left": strconv.FormatInt(tryFor.Milliseconds(), 10), "key": c.key, "extras": fmt.Sprintf("dest:%d;width:1", c.dest)}}
-	for i := range d.conns { // the first gatekeeper that is available
-		g := (at + i) % len(d.conns)
-		to := d.conns[g]
-		to.mu.Lock()
-		if conn := to.conn; to.usable() {
-			d.mu.Lock()
-			k.at, k.conn = g, conn
-			d.tell(Seen{Kind: Tried, Call: id, Gatekeeper: g, Class: classes[c.class].name, Span: tryFor})
-			d.mu.Unlock()
-			to.mu.Unlock()
-			to.write(conn, m.Append(nil))
+		"left": strconv.FormatInt(attemptTimeout.Milliseconds(), 10), "key": c.key, "extras": fmt.Sprintf("dest:%d;width:1", c.dest)}}
+	for i := range w.conns { // the first gatekeeper that is available
+		candidate := (gatekeeper + i) % len(w.conns)
+		target := w.conns[candidate]
+		target.mu.Lock()
+		if conn := target.conn; target.available() {
+			w.mu.Lock()
+			attempt.gatekeeper, attempt.conn = candidate, conn
+			w.observe(Seen{Kind: Tried, Call: id, Gatekeeper: candidate, Class: classes[c.class].name, Span: attemptTimeout})
+			w.mu.Unlock()
+			target.mu.Unlock()
+			target.write(conn, m.Append(nil))
 			return
 		}
-		to.mu.Unlock()
+		target.mu.Unlock()
 	}
-	d.mu.Lock()
-	d.tell(Seen{Kind: Unsent, Call: id, Gatekeeper: -1})
-	d.mu.Unlock()
+	w.mu.Lock()
+	w.observe(Seen{Kind: Unsent, Call: id, Gatekeeper: -1})
+	w.mu.Unlock()
 }
 
-// redial retries after a delay, unless the caller has used up its retries or its time. The caller must hold the lock.
-func (d *day) redial(c *caller, wait time.Duration) {
+// scheduleRetry retries after a delay, unless the caller has used up its retries or its time. The caller must hold the lock.
+func (w *workload) scheduleRetry(c *caller, wait time.Duration) {
 	if wait <= 0 {
 		wait = 500 * time.Millisecond
 	}
-	if c.tries > redials || time.Since(c.began)+wait > giveUp-tryFor || time.Since(d.began)+wait > d.Length {
+	if c.attempts > maxRetries || time.Since(c.began)+wait > callerTimeout-attemptTimeout || time.Since(w.began)+wait > w.Length {
 		return
 	}
-	d.waits++
+	w.pendingRetries++
 	time.AfterFunc(wait, func() {
-		at := -1
-		if d.again != nil {
-			d.mu.Lock()
-			at = d.again(d.dice)
-			d.mu.Unlock()
+		gatekeeper := -1
+		if w.retryTarget != nil {
+			w.mu.Lock()
+			gatekeeper = w.retryTarget(w.retryRand)
+			w.mu.Unlock()
 		}
-		if at < 0 {
-			at = (c.home + c.tries) % len(d.conns)
+		if gatekeeper < 0 {
+			gatekeeper = (c.home + c.attempts) % len(w.conns)
 		}
-		d.dial(c, at)
-		d.mu.Lock()
-		d.waits--
-		d.mu.Unlock()
+		w.dial(c, gatekeeper)
+		w.mu.Lock()
+		w.pendingRetries--
+		w.mu.Unlock()
 	})
 }
 
-// read processes the messages on a connection until it ends. other, if not nil, receives each message first and reports
+// read processes the messages on a connection until it ends. intercept, if not nil, receives each message first and reports
 // whether it handled it.
-func (d *day) read(conn net.Conn, other func(jsonl.Message) bool) {
+func (w *workload) read(conn net.Conn, intercept func(jsonl.Message) bool) {
 	for r := jsonl.NewReader(bufio.NewReaderSize(conn, jsonl.MaxMessage)); ; {
 		m, err := r.Next()
 		if err != nil {
 			return
 		}
-		if other != nil && other(m) {
+		if intercept != nil && intercept(m) {
 			continue
 		}
-		d.heard(m)
+		w.handle(m)
 	}
 }
 
-func (d *day) heard(m jsonl.Message) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	k := d.calls[m.ID]
-	if k == nil {
-		d.heardLate(m)
-		if _, over := d.past[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && d.past[m.ID] != Established {
-			d.tell(Seen{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
+func (w *workload) handle(m jsonl.Message) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	attempt := w.calls[m.ID]
+	if attempt == nil {
+		w.handleLateAnswer(m)
+		if _, over := w.finalAnswers[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && w.finalAnswers[m.ID] != Established {
+			w.observe(Seen{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
 		}
 		return
 	}
 	switch {
-	case m.Type == "ready" && k.stood:
-		d.final(k, m.ID, Established, m.Text)
+	case m.Type == "ready" && attempt.established:
+		w.recordFinal(attempt, m.ID, Established, m.Text)
 	case m.Type == "ready":
-		k.over.Stop()
-		d.final(k, m.ID, Established, m.Text)
-		k.stood = true
-		took := time.Since(k.began)
-		d.delays.RecordValue(took.Milliseconds())
-		class := classes[k.class]
+		attempt.over.Stop()
+		w.recordFinal(attempt, m.ID, Established, m.Text)
+		attempt.established = true
+		took := time.Since(attempt.began)
+		w.delays.RecordValue(took.Milliseconds())
+		class := classes[attempt.class]
 		worth := class.worth
 		if took > class.aim {
 			worth *= lateWorth
 		}
-		d.served[class.name] += worth
-		if d.inSlow(k.began) {
-			d.slow[1] += worth
+		w.served[class.name] += worth
+		if w.inSlowSpan(attempt.began) {
+			w.slowSpanWorth[1] += worth
 		}
 	case m.Type == "close":
-		delete(d.calls, m.ID)
-		k.over.Stop()
-		if k.stood {
-			d.tell(Seen{Kind: Ended, Call: m.ID, Gatekeeper: k.at})
+		delete(w.calls, m.ID)
+		attempt.over.Stop()
+		if attempt.established {
+			w.observe(Seen{Kind: Ended, Call: m.ID, Gatekeeper: attempt.gatekeeper})
 			return
 		}
 		if m.Code == 34 {
-			d.out.Refused++
-			d.final(k, m.ID, Refused, "")
+			w.outcome.Refused++
+			w.recordFinal(attempt, m.ID, Refused, "")
 		} else {
-			d.out.Failed++
-			d.final(k, m.ID, Failed, "")
+			w.outcome.Failed++
+			w.recordFinal(attempt, m.ID, Failed, "")
 		}
 		wait, _ := strconv.Atoi(m.Attrs["wait"])
-		d.redial(k.caller, time.Duration(wait)*time.Millisecond)
+		w.scheduleRetry(attempt.caller, time.Duration(wait)*time.Millisecond)
 	}
 }
 
-// heardLate reports the first answer to an attempt that the caller had already given up. The caller must hold the lock.
-func (d *day) heardLate(m jsonl.Message) {
-	at, expired := d.expired[m.ID]
+// handleLateAnswer reports the first answer to an attempt that the caller had already given up. The caller must hold the lock.
+func (w *workload) handleLateAnswer(m jsonl.Message) {
+	gatekeeper, expired := w.expired[m.ID]
 	if !expired || m.Type != "ready" && m.Type != "close" {
 		return
 	}
-	delete(d.expired, m.ID)
-	d.tell(Seen{Kind: LateAnswer, Call: m.ID, Gatekeeper: at, Body: m.Type})
+	delete(w.expired, m.ID)
+	w.observe(Seen{Kind: LateAnswer, Call: m.ID, Gatekeeper: gatekeeper, Body: m.Type})
 }
 
-func (d *day) result(servers []*Server) *Outcome {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	o, got := d.out, 0.0
+func (w *workload) result(servers []*Server) *Outcome {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	o, servedWorth := w.outcome, 0.0
 	for _, c := range classes {
-		o.Offered += d.offered[c.name]
-		got += d.served[c.name]
-		o.ByClass[c.name] = d.served[c.name] / max(d.offered[c.name], 1)
+		o.Offered += w.offered[c.name]
+		servedWorth += w.served[c.name]
+		o.ByClass[c.name] = w.served[c.name] / max(w.offered[c.name], 1)
 	}
 	ids := map[string]bool{}
 	for _, s := range servers {
 		s.count(o, ids)
 	}
 	o.PerSent = float64(o.Setups) / max(float64(len(ids)), 1)
-	o.Served = got / max(o.Offered, 1)
+	o.Served = servedWorth / max(o.Offered, 1)
 	o.PerCall = float64(o.Setups) / max(float64(o.First), 1)
-	o.SlowServed = d.slow[1] / max(d.slow[0], 1)
-	o.P50, o.P99 = float64(d.delays.ValueAtQuantile(50))/1000, float64(d.delays.ValueAtQuantile(99))/1000
+	o.SlowServed = w.slowSpanWorth[1] / max(w.slowSpanWorth[0], 1)
+	o.P50, o.P99 = float64(w.delays.ValueAtQuantile(50))/1000, float64(w.delays.ValueAtQuantile(99))/1000
 	return o
 }
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	restartSlow = 4 * time.Second // time at which the server slows down
-	restartAt   = 12 * time.Second
-	restartLook = 5 * time.Second
+	slowdownAt         = 4 * time.Second // time at which the server slows down
+	restartAt          = 12 * time.Second
+	restartObservation = 5 * time.Second
 )
 
 // Run runs the scenario in real time and returns the results.
@@ -53,8 +53,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	d := newDay(Overload{Seed: o.Seed, Gatekeepers: gatekeepers, Servers: servers, Length: restartAt + restartLook, SlowFrom: restartAt,
-		SlowFor: restartLook, Load: 0.8})
+	load := newWorkload(Overload{Seed: o.Seed, Gatekeepers: gatekeepers, Servers: servers, Length: restartAt + restartObservation, SlowFrom: restartAt,
+		SlowFor: restartObservation, Load: 0.8})
 	list := "name,address,cell\n"
 	var all []*Server
 	for i := range servers {
@@ -83,31 +83,31 @@
 			return err
 		}
 		nodes[i] = n
-		return d.connect(i, n.Addr())
+		return load.connect(i, n.Addr())
 	}
 	for i := range gatekeepers {
-		d.conns = append(d.conns, &callers{})
+		load.conns = append(load.conns, &gatekeeperConn{})
 		if err := start(i); err != nil {
 			return nil, err
 		}
 	}
 	defer func() {
 		for i, n := range nodes {
-			d.hangUp(i)
+			load.disconnect(i)
 			n.Close()
 		}
 	}()
 	a := &After{Seed: o.Seed, Warm: o.Warm}
 	var before Outcome
 	fault := make(chan error, 1)
-	d.play(ctx, servers, []happening{
-		{restartSlow, func() { all[0].Slow(4) }},
+	load.placeCalls(ctx, servers, []scheduledAction{
+		{slowdownAt, func() { all[0].Slow(4) }},
 		{restartAt, func() {
 			for _, s := range all {
 				s.count(&before, map[string]bool{})
 			}
 			for i := range nodes {
-				d.hangUp(i)
+				load.disconnect(i)
 				nodes[i].Close()
 				began := time.Now()
 				if err := start(i); err != nil {
@@ -126,7 +126,7 @@
 		return nil, err
 	default:
 	}
-	out := d.result(all)
+	out := load.result(all)
 	a.First, a.Served = out.First, out.SlowServed
 	a.Setups, a.Wasted, a.Full = out.Setups-before.Setups, out.Wasted-before.Wasted, out.Full-before.Full
 	return a, ctx.Err()
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -33,78 +33,78 @@
 // take processor time, and so do rejections and the retransmissions of a queued set-up. A set-up that has been given up is
 // processed nevertheless.
 type Server struct {
-	ln   net.Listener
-	work Work
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	slow    float64   // factor of the cost of all work
-	free    time.Time // time at which the processor has finished all queued work
-	queued  int
-	calls   map[string]*served
-	shown   string                    // last load report, renewed every half second
-	shot    time.Time                 // time of the last load report
-	worked  time.Duration             // processor time since the last load report
-	lns     []net.Listener            // further listeners, one for each peer
-	lines   []*serverLine             // open connections, oldest first
-	unasked bool                      // the state is sent periodically and on each new connection
-	late    map[string][]*sip.Message // releases that wait for the peer's next connection
-
-	hear  func(Seen)    // receives observations; may be nil
-	cold  time.Time     // time of a cold start; zero if the server is warm
-	start float64       // fraction of the capacity at the cold start
-	warm  time.Duration // time from the cold start until full capacity
+	listener net.Listener
+	work     Work
+
+	mu                sync.Mutex
+	rng               *rand.Rand
+	slow              float64   // factor of the cost of all work
+	idleAt            time.Time // time at which the processor has finished all queued work
+	queued            int       // items of queued work
+	calls             map[string]*serverCall
+	lastReport        string                    // last load report, renewed every half second
+	lastReportAt      time.Time                 // time of the last load report
+	workedSinceReport time.Duration             // processor time since the last load report
+	peerListeners     []net.Listener            // further listeners, one for each peer
+	connections       []*serverConn             // open connections, oldest first
+	pushState         bool                      // the state is sent periodically and on each new connection
+	pendingReleases   map[string][]*sip.Message // releases that wait for the peer's next connection
+
+	observer      func(Seen)    // receives observations; may be nil
+	coldSince     time.Time     // time of a cold start; zero if the server is warm
+	startCapacity float64       // fraction of the capacity at the cold start
+	warmUpTime    time.Duration // time from the cold start until full capacity
 
 	setups, wasted int             // set-ups that arrived, and set-ups processed after they had been given up
-	full           int             // set-ups rejected because the queue was too long
-	ids            map[string]bool // call IDs of all set-ups
+	turnedAway     int             // set-ups rejected because the queue was too long
+	callIDs        map[string]bool // call IDs of all set-ups
 
-	engaged      string  // number whose lines are all busy, "" for none
-	hang         bool    // set-ups are accepted and never answered
-	ill          float64 // fraction of set-ups that fail
+	busyNumber   string  // number whose lines are all busy, "" for none
+	hanging      bool    // set-ups are accepted and never answered
+	failureRate  float64 // fraction of set-ups that fail
 	hung, failed int     // set-ups that were left unanswered, and that failed by injected faults
 }
 
-// serverLine is one connection. A separate goroutine writes to it, so that the server never waits for a peer.
-type serverLine struct {
-	conn net.Conn
-	peer string // name of the peer, known from the listener
-	out  chan []byte
-	over bool
+// serverConn is one connection. A separate goroutine writes to it, so that the server never waits for a peer.
+type serverConn struct {
+	conn     net.Conn
+	peer     string // name of the peer, known from the listener
+	outgoing chan []byte
+	closed   bool
 }
 
-const backMost = 1024 // most messages queued for writing on one connection
+const maxQueuedMessages = 1024 // most messages queued for writing on one connection
 
 // write queues a message. It never blocks: it closes the connection if its queue is full. The caller must hold the server's
 // lock.
-func (l *serverLine) write(m *sip.Message) {
-	if l.over {
+func (l *serverConn) write(m *sip.Message) {
+	if l.closed {
 		return
 	}
 	select {
-	case l.out <- m.Append(nil):
+	case l.outgoing <- m.Append(nil):
 	default:
 		l.conn.Close()
 	}
 }
 
-// served is a call on the server, from its set-up until its end.
-type served struct {
-	line   *serverLine
-	invite *sip.Message
-	stands bool // the call is established
-	gone   bool // the call was given up or has ended
+// serverCall is a call on the server, from its set-up until its end.
+type serverCall struct {
+	setupConn   *serverConn
+	invite      *sip.Message
+	established bool // the call is established
+	ended       bool // the call was given up or has ended
 }
 
 // NewServer starts a server on loopback.
 func NewServer(work Work, seed uint64) (*Server, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: ln, work: work, rng: rand.New(rand.NewPCG(seed, 1)), slow: 1, calls: map[string]*served{}, ids: map[string]bool{}, shot: time.Now(),
-		late: map[string][]*sip.Message{}}
-	go s.accept(ln, "")
+	s := &Server{listener: listener, work: work, rng: rand.New(rand.NewPCG(seed, 1)), slow: 1, calls: map[string]*serverCall{}, callIDs: map[string]bool{}, lastReportAt: time.Now(),
+		pendingReleases: map[string][]*sip.Message{}}
+	go s.accept(listener, "")
 	return s, nil
 }
 
@@ -126,42 +126,43 @@
 		return "", err
 	}
 	s.mu.Lock()
-	s.lns = append(s.lns, ln)
+	s.peerListeners = append(s.peerListeners, ln)
 	s.mu.Unlock()
 	go s.accept(ln, peer)
 	return ln.Addr().String(), nil
 }
 
 // Addr returns the address of the server's first listener.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Hear sets the function that receives the server's observations, in order. f runs with the server's lock held and must not
 // call the server. Hear must be called before the first call arrives.
 func (s *Server) Hear(f func(Seen)) {
 	s.mu.Lock()
-	s.hear = f
+	s.observer = f
 	s.mu.Unlock()
 }
 
-// tell reports an observation. The caller must hold the lock.
-func (s *Server) tell(kind SeenKind, call string) {
-	if s.hear != nil {
-		s.hear(Seen{At: time.Now(), Kind: kind, Call: call})
+// observe reports an observation. The caller must hold the lock.
+func (s *Server) observe(kind SeenKind, call string) {
+	if s.observer != nil {
+		s.observer(Seen{At: time.Now(), Kind: kind, Call: call})
 	}
 }
 
-// Cold makes the server start cold now: its capacity rises linearly from the fraction start to its full value within a time.
-func (s *Server) Cold(start float64, within time.Duration) {
+// Cold makes the server start cold now: its capacity rises linearly from the fraction startCapacity to its full value within
+// the given time.
+func (s *Server) Cold(startCapacity float64, within time.Duration) {
 	s.mu.Lock()
-	s.cold, s.start, s.warm = time.Now(), start, within
+	s.coldSince, s.startCapacity, s.warmUpTime = time.Now(), startCapacity, within
 	s.mu.Unlock()
 }
 
 // factor returns the current cost of work relative to a warm server at full speed. The caller must hold the lock.
 func (s *Server) factor() float64 {
 	f := s.slow
-	if age := time.Since(s.cold); !s.cold.IsZero() && age < s.warm {
-		f /= s.start + (1-s.start)*age.Seconds()/s.warm.Seconds()
+	if age := time.Since(s.coldSince); !s.coldSince.IsZero() && age < s.warmUpTime {
+		f /= s.startCapacity + (1-s.startCapacity)*age.Seconds()/s.warmUpTime.Seconds()
 	}
 	return f
 }
@@ -170,7 +171,7 @@
 // connection, until end is called.
 func (s *Server) Status(every time.Duration) (end func()) {
 	s.mu.Lock()
-	s.unasked = true
+	s.pushState = true
 	s.mu.Unlock()
 	tick, done := time.NewTicker(every), make(chan struct{})
 	go func() {
@@ -182,10 +183,10 @@
 			case <-tick.C:
 			}
 			s.mu.Lock()
-			told, m := map[string]int{}, s.state()
-			for _, l := range s.lines {
-				if told[l.peer]++; told[l.peer] <= 4 {
-					l.write(m)
+			reported, m := map[string]int{}, s.state()
+			for _, connection := range s.connections {
+				if reported[connection.peer]++; reported[connection.peer] <= 4 {
+					connection.write(m)
 				}
 			}
 			s.mu.Unlock()
@@ -204,23 +205,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeListeners()
-	for id, k := range s.calls {
-		k.gone = true
-		s.tell(ServerCut, id)
+	for id, call := range s.calls {
+		call.ended = true
+		s.observe(ServerCut, id)
 	}
-	s.calls = map[string]*served{}
-	for _, l := range s.lines {
-		if t, ok := l.conn.(*net.TCPConn); ok {
+	s.calls = map[string]*serverCall{}
+	for _, connection := range s.connections {
+		if t, ok := connection.conn.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-		l.conn.Close()
+		connection.conn.Close()
 	}
 }
 
 // Engage makes the server answer calls to a number as busy; "" ends this.
 func (s *Server) Engage(number string) {
 	s.mu.Lock()
-	s.engaged = number
+	s.busyNumber = number
 	s.mu.Unlock()
 }
 
@@ -228,21 +229,21 @@
 // which shows an idle server.
 func (s *Server) Hang(on bool) {
 	s.mu.Lock()
-	s.hang = on
+	s.hanging = on
 	s.mu.Unlock()
 }
 
 // FailPart sets the fraction of set-ups that the server answers with status 500.
-func (s *Server) FailPart(part float64) {
+func (s *Server) FailPart(rate float64) {
 	s.mu.Lock()
-	s.ill = part
+	s.failureRate = rate
 	s.mu.Unlock()
 }
 
 func (s *Server) closeListeners() {
-	s.ln.Close()
-	for _, ln := range s.lns {
-		ln.Close()
+	s.listener.Close()
+	for _, listener := range s.peerListeners {
+		listener.Close()
 	}
 }
 
@@ -253,17 +254,17 @@
 	s.mu.Unlock()
 }
 
-// count adds the server's counts so far to o and the call IDs of its set-ups to ids.
-func (s *Server) count(o *Outcome, ids map[string]bool) {
+// count adds the server's counts so far to o and the call IDs of its set-ups to callIDs.
+func (s *Server) count(o *Outcome, callIDs map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o.Setups += s.setups
 	o.Wasted += s.wasted
-	o.Full += s.full
+	o.Full += s.turnedAway
 	o.Hung += s.hung
 	o.FailedPart += s.failed
-	for id := range s.ids {
-		ids[id] = true
+	for id := range s.callIDs {
+		callIDs[id] = true
 	}
 }
 
@@ -272,189 +273,189 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeListeners()
-	for _, l := range s.lines {
-		l.conn.Close()
+	for _, connection := range s.connections {
+		connection.conn.Close()
 	}
 }
 
 func (s *Server) serve(c net.Conn, peer string) {
 	defer c.Close()
-	l := &serverLine{conn: c, peer: peer, out: make(chan []byte, backMost)}
+	connection := &serverConn{conn: c, peer: peer, outgoing: make(chan []byte, maxQueuedMessages)}
 	go func() {
-		for b := range l.out {
+		for b := range connection.outgoing {
 			if _, err := c.Write(b); err != nil {
 				c.Close()
 			}
 		}
 	}()
-	s.enter(l)
-	defer s.leave(l)
+	s.addConnection(connection)
+	defer s.removeConnection(connection)
 	for r := sip.NewReader(bufio.NewReaderSize(c, sip.MaxMessage)); ; {
 		m, err := r.Next()
 		if err != nil {
 			return
 		}
-		s.take(m, l)
+		s.handle(m, connection)
 	}
 }
 
-// enter registers a new connection and sends it the state, if that is sent unsolicited, and the peer's waiting releases.
-func (s *Server) enter(l *serverLine) {
+// addConnection registers a new connection and sends the state, if pushState is set, and the peer's pending releases on it.
+func (s *Server) addConnection(connection *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines = append(s.lines, l)
-	if s.unasked {
-		l.write(s.state())
+	s.connections = append(s.connections, connection)
+	if s.pushState {
+		connection.write(s.state())
 	}
-	for _, m := range s.late[l.peer] {
-		l.write(m)
+	for _, m := range s.pendingReleases[connection.peer] {
+		connection.write(m)
 	}
-	delete(s.late, l.peer)
+	delete(s.pendingReleases, connection.peer)
 }
 
-// leave removes a closed connection. Set-ups open on it count as given up; established calls continue.
-func (s *Server) leave(l *serverLine) {
+// removeConnection removes a closed connection. Set-ups open on it count as given up; established calls continue.
+func (s *Server) removeConnection(connection *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines = slices.DeleteFunc(s.lines, func(o *serverLine) bool { return o == l })
-	l.over = true
-	close(l.out)
-	for id, k := range s.calls {
-		if k.line == l && !k.stands && !k.gone {
-			k.gone = true
-			s.tell(ServerGivenUp, id)
+	s.connections = slices.DeleteFunc(s.connections, func(other *serverConn) bool { return other == connection })
+	connection.closed = true
+	close(connection.outgoing)
+	for id, call := range s.calls {
+		if call.setupConn == connection && !call.established && !call.ended {
+			call.ended = true
+			s.observe(ServerGivenUp, id)
 		}
 	}
 }
 
 // release sends the end of an established call on the connection of its set-up, or else on another connection of that peer,
 // or else on the peer's next one.
-func (s *Server) release(own *serverLine, m *sip.Message) {
-	if !own.over {
-		own.write(m)
+func (s *Server) release(preferred *serverConn, m *sip.Message) {
+	if !preferred.closed {
+		preferred.write(m)
 		return
 	}
-	for _, l := range s.lines {
-		if l.peer == own.peer {
-			l.write(m)
+	for _, connection := range s.connections {
+		if connection.peer == preferred.peer {
+			connection.write(m)
 			return
 		}
 	}
-	s.late[own.peer] = append(s.late[own.peer], m)
+	s.pendingReleases[preferred.peer] = append(s.pendingReleases[preferred.peer], m)
 }
 
-func (s *Server) take(m *sip.Message, l *serverLine) {
+func (s *Server) handle(m *sip.Message, connection *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := m.Get("Call-ID")
-	k := s.calls[id]
+	call := s.calls[id]
 	switch m.Method {
 	case "INVITE":
 		s.setups++
-		s.ids[id] = true
-		k = &served{line: l, invite: m}
-		s.calls[id] = k
-		s.tell(ServerSetup, id)
-		if s.hang {
+		s.callIDs[id] = true
+		call = &serverCall{setupConn: connection, invite: m}
+		s.calls[id] = call
+		s.observe(ServerSetup, id)
+		if s.hanging {
 			s.hung++
 			return
 		}
-		if s.engaged != "" && strings.HasPrefix(m.URI, "sip:"+s.engaged+"@") {
-			s.do(s.work.Refuse, func() {
-				s.drop(id, k)
-				l.write(s.reply(m, 486).Set("X-Diagnosis", "sub"))
+		if s.busyNumber != "" && strings.HasPrefix(m.URI, "sip:"+s.busyNumber+"@") {
+			s.schedule(s.work.Refuse, func() {
+				s.forget(id, call)
+				connection.write(s.reply(m, 486).Set("X-Diagnosis", "sub"))
 			})
 			return
 		}
-		if s.ill > 0 && s.rng.Float64() < s.ill {
+		if s.failureRate > 0 && s.rng.Float64() < s.failureRate {
 			s.failed++
-			s.do(s.work.Refuse, func() {
-				s.drop(id, k)
-				l.write(s.reply(m, 500))
+			s.schedule(s.work.Refuse, func() {
+				s.forget(id, call)
+				connection.write(s.reply(m, 500))
 			})
 			return
 		}
-		if time.Until(s.free) > s.work.Full {
-			s.full++
-			s.do(s.work.Refuse, func() {
-				s.drop(id, k)
-				s.tell(ServerFull, id)
-				l.write(s.reply(m, 503).Set("X-Diagnosis", "acc"))
+		if time.Until(s.idleAt) > s.work.Full {
+			s.turnedAway++
+			s.schedule(s.work.Refuse, func() {
+				s.forget(id, call)
+				s.observe(ServerFull, id)
+				connection.write(s.reply(m, 503).Set("X-Diagnosis", "acc"))
 			})
 			return
 		}
-		s.do(1, func() { s.do(s.work.Answer, func() { s.answer(id, k) }) })
-		for gap, at := s.work.Resend, s.work.Resend; gap > 0 && at < time.Until(s.free); at += gap {
-			s.do(s.work.Repeat, nil)
+		s.schedule(1, func() { s.schedule(s.work.Answer, func() { s.answer(id, call) }) })
+		for gap, at := s.work.Resend, s.work.Resend; gap > 0 && at < time.Until(s.idleAt); at += gap {
+			s.schedule(s.work.Repeat, nil)
 			gap *= 2
 		}
 	case "CANCEL", "BYE":
-		if k != nil {
-			if !k.gone && !k.stands {
-				s.tell(ServerGivenUp, id)
+		if call != nil {
+			if !call.ended && !call.established {
+				s.observe(ServerGivenUp, id)
 			}
-			k.gone = true
-			if k.stands {
-				s.drop(id, k)
+			call.ended = true
+			if call.established {
+				s.forget(id, call)
 			}
 		}
 	}
 }
 
-// drop removes a call, unless a later call has taken over its ID.
-func (s *Server) drop(id string, k *served) {
-	if s.calls[id] == k {
+// forget removes a call, unless a later call has taken over its ID.
+func (s *Server) forget(id string, call *serverCall) {
+	if s.calls[id] == call {
 		delete(s.calls, id)
 	}
 }
 
-// do queues work, measured in set-ups, and runs then, with the lock held, when the work is done. Work without cost is done
-// immediately, because a timer would add its own delay.
-func (s *Server) do(setups float64, then func()) {
+// schedule queues work, measured in set-ups, and calls done, with the lock held, when the work is done. If work costs nothing,
+// it calls done immediately, because a timer would add its own delay.
+func (s *Server) schedule(setups float64, done func()) {
 	if s.work.Setup == 0 {
-		if then != nil {
-			then()
+		if done != nil {
+			done()
 		}
 		return
 	}
 	cost := time.Duration(setups * s.factor() * float64(s.work.Setup))
-	if now := time.Now(); s.free.Before(now) {
-		s.free = now
+	if now := time.Now(); s.idleAt.Before(now) {
+		s.idleAt = now
 	}
-	s.free = s.free.Add(cost)
+	s.idleAt = s.idleAt.Add(cost)
 	s.queued++
-	time.AfterFunc(time.Until(s.free), func() {
+	time.AfterFunc(time.Until(s.idleAt), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.queued--
-		s.worked += cost
-		if then != nil {
-			then()
+		s.workedSinceReport += cost
+		if done != nil {
+			done()
 		}
 	})
 }
 
-func (s *Server) answer(id string, k *served) {
-	if k.gone {
+func (s *Server) answer(id string, call *serverCall) {
+	if call.ended {
 		s.wasted++
-		s.drop(id, k)
+		s.forget(id, call)
 		return
 	}
-	k.stands = true
-	r := s.reply(k.invite, 200)
-	r.Body = fmt.Appendf(nil, "stands %s\r\n", id)
-	s.tell(ServerAnswered, id)
-	k.line.write(r)
+	call.established = true
+	response := s.reply(call.invite, 200)
+	response.Body = fmt.Appendf(nil, "stands %s\r\n", id)
+	s.observe(ServerAnswered, id)
+	call.setupConn.write(response)
 	hold := time.Duration(s.rng.ExpFloat64() * float64(8*time.Second))
 	time.AfterFunc(hold, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.do(s.work.Release, func() {
-			if k.gone {
+		s.schedule(s.work.Release, func() {
+			if call.ended {
 				return
 			}
-			s.drop(id, k)
-			s.release(k.line, sip.Request("BYE", "sip:peer").Set("Via", k.invite.Get("Via")).Set("Call-ID", id).Set("CSeq", "2 BYE").
+			s.forget(id, call)
+			s.release(call.setupConn, sip.Request("BYE", "sip:peer").Set("Via", call.invite.Get("Via")).Set("Call-ID", id).Set("CSeq", "2 BYE").
 				Set("Reason", "Q.850;cause=16").Set("X-Occupancy", s.report()))
 		})
 	})
@@ -466,10 +467,10 @@
 
 // report returns the processor use and queue length of the last measurement, which is at most half a second old.
 func (s *Server) report() string {
-	if span := time.Since(s.shot); span > 500*time.Millisecond || s.shown == "" {
-		s.shown = strings.Join([]string{fmt.Sprintf("busy:%.3f", min(1, s.worked.Seconds()/max(span.Seconds(), 0.5))),
+	if span := time.Since(s.lastReportAt); span > 500*time.Millisecond || s.lastReport == "" {
+		s.lastReport = strings.Join([]string{fmt.Sprintf("busy:%.3f", min(1, s.workedSinceReport.Seconds()/max(span.Seconds(), 0.5))),
 			fmt.Sprintf("q:%d", s.queued)}, ";")
-		s.shot, s.worked = time.Now(), 0
+		s.lastReportAt, s.workedSinceReport = time.Now(), 0
 	}
-	return s.shown
+	return s.lastReport
 }
