--- a/internal/latencylab/chain.go
+++ b/internal/latencylab/chain.go
@@ -30,14 +30,14 @@
 // there are no values.
 func Quantiles(values []float64, quantiles ...float64) []float64 {
 	sorted := slices.Sorted(slices.Values(values))
-	out := make([]float64, len(quantiles))
+	results := make([]float64, len(quantiles))
 	for i, q := range quantiles {
 		if len(sorted) == 0 {
-			out[i] = math.NaN()
+			results[i] = math.NaN()
 			continue
 		}
 		rank := int(math.Ceil(q*float64(len(sorted)))) - 1
-		out[i] = sorted[min(max(rank, 0), len(sorted)-1)]
+		results[i] = sorted[min(max(rank, 0), len(sorted)-1)]
 	}
-	return out
+	return results
 }
--- a/internal/latencylab/decision.go
+++ b/internal/latencylab/decision.go
@@ -10,10 +10,10 @@
 
 // Parameters of the traffic under which a decision is measured.
 const (
-	decisionGap  = control.Micros(5236)  // time between calls: 191 per second
-	decisionTook = control.Micros(30000) // set-up delay of the servers
-	warmCalls    = 2500                  // about 13 s: enough for trusted rate estimates and the first server samples
-	tickSpan     = control.Micros(50000) // tick interval of the module
+	callInterval = control.Micros(5236)  // time between calls: 191 per second
+	setupDelay   = control.Micros(30000) // set-up delay of the servers
+	warmUpCalls  = 2500                  // about 13 s: enough for trusted rate estimates and the first server samples
+	tickInterval = control.Micros(50000) // tick interval of the module
 )
 
 // DecisionSite returns the settings object for a fleet of the given size with which decisions are measured.
@@ -23,12 +23,12 @@
 
 // Decider drives a controller in a steady state, in which it knows a number of servers and its calls are answered.
 type Decider struct {
-	control *control.Controller
-	servers int
-	now     control.Micros
-	next    int
-	tickAt  control.Micros
-	Refused int // calls refused since the warm-up
+	control  *control.Controller
+	servers  int
+	now      control.Micros
+	next     int
+	nextTick control.Micros
+	Refused  int // calls refused since the warm-up
 }
 
 // NewDecider returns a Decider whose controller knows the given number of servers and has been warmed up.
@@ -38,9 +38,9 @@
 		return nil, err
 	}
 	d := &Decider{control: control.New(site.Settings, 1), servers: servers, now: 1e6}
-	d.take(d.control.Handle(d.now, control.Start{}))
-	d.take(d.control.Handle(d.now, control.List{Entries: entries(servers)}))
-	for range warmCalls {
+	d.apply(d.control.Handle(d.now, control.Start{}))
+	d.apply(d.control.Handle(d.now, control.List{Entries: entries(servers)}))
+	for range warmUpCalls {
 		d.Call()
 	}
 	d.Refused = 0
@@ -55,12 +55,12 @@
 	return all
 }
 
-// take records when the next tick is due and counts refusals. It returns the server of a Send action, or 0 if there is none.
-func (d *Decider) take(actions []control.Action) (server uint32) {
+// apply records when the next tick is due and counts refusals. It returns the server of a Send action, or 0 if there is none.
+func (d *Decider) apply(actions []control.Action) (server uint32) {
 	for _, a := range actions {
 		switch {
 		case a.Kind == control.SetTimer && a.Key == "tick":
-			d.tickAt = a.At
+			d.nextTick = a.At
 		case a.Kind == control.Send:
 			server = a.Server
 		case a.Kind == control.Refuse:
@@ -73,45 +73,45 @@
 // Call processes one call from its arrival to its end and returns the duration of the routing decision alone. Ticks that
 // are due are run but not included in it.
 func (d *Decider) Call() time.Duration {
-	d.now += decisionGap
+	d.now += callInterval
 	d.tick()
 	d.next++
 	id := fmt.Sprintf("%016x", d.next)
-	call := control.Call{ID: id, Deadline: d.now + 3200000, Key: id, FirstChoice: d.next * 7 % d.servers}
+	event := control.Call{ID: id, Deadline: d.now + 3200000, Key: id, FirstChoice: d.next * 7 % d.servers}
 	start := time.Now()
-	actions := d.control.Handle(d.now, call)
-	took := time.Since(start)
-	if server := d.take(actions); server != 0 {
-		d.now += decisionTook / 100 // the clock advances by less than the delay, so that the call rate is kept
-		d.take(d.control.Handle(d.now, control.CallEstablished{ID: id, Server: server, Elapsed: decisionTook}))
-		d.take(d.control.Handle(d.now, control.AttemptEnded{ID: id, Server: server, Code: control.OK, Settled: true,
+	actions := d.control.Handle(d.now, event)
+	elapsed := time.Since(start)
+	if server := d.apply(actions); server != 0 {
+		d.now += setupDelay / 100 // the clock advances by less than the delay, so that the call rate is kept
+		d.apply(d.control.Handle(d.now, control.CallEstablished{ID: id, Server: server, Elapsed: setupDelay}))
+		d.apply(d.control.Handle(d.now, control.AttemptEnded{ID: id, Server: server, Code: control.OK, Settled: true,
 			Report: []float64{0.3, 1}}))
 	}
-	return took
+	return elapsed
 }
 
 // tick runs the module's tick if it is due and returns its duration, or 0 if it is not due.
 func (d *Decider) tick() time.Duration {
-	if d.tickAt == 0 || d.now < d.tickAt {
+	if d.nextTick == 0 || d.now < d.nextTick {
 		return 0
 	}
-	d.tickAt = 0
+	d.nextTick = 0
 	start := time.Now()
 	actions := d.control.Handle(d.now, control.Timer{Key: "tick"})
-	took := time.Since(start)
-	d.take(actions)
-	return took
+	elapsed := time.Since(start)
+	d.apply(actions)
+	return elapsed
 }
 
 // Tick runs the next tick while a call is open and returns the duration of the tick.
 func (d *Decider) Tick() time.Duration {
 	d.next++
 	id := fmt.Sprintf("%016x", d.next)
-	d.take(d.control.Handle(d.now, control.Call{ID: id, Deadline: d.now + 3200000, Key: id, FirstChoice: d.next % d.servers}))
-	d.now += tickSpan
-	took := d.tick()
-	d.take(d.control.Handle(d.now, control.Withdrawn{ID: id}))
-	return took
+	d.apply(d.control.Handle(d.now, control.Call{ID: id, Deadline: d.now + 3200000, Key: id, FirstChoice: d.next % d.servers}))
+	d.now += tickInterval
+	elapsed := d.tick()
+	d.apply(d.control.Handle(d.now, control.Withdrawn{ID: id}))
+	return elapsed
 }
 
 // Change applies two list changes, in which a server drains and becomes ready again, and returns the mean duration of one.
@@ -119,8 +119,8 @@
 	d.next++
 	e := control.Entry{Server: uint32(d.next%d.servers + 1), Cell: d.next % d.servers, State: control.Draining}
 	start := time.Now()
-	d.take(d.control.Handle(d.now, control.List{Delta: true, Entries: []control.Entry{e}}))
+	d.apply(d.control.Handle(d.now, control.List{Delta: true, Entries: []control.Entry{e}}))
 	e.State = control.Ready
-	d.take(d.control.Handle(d.now, control.List{Delta: true, Entries: []control.Entry{e}}))
+	d.apply(d.control.Handle(d.now, control.List{Delta: true, Entries: []control.Entry{e}}))
 	return time.Since(start) / 2
 }
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -41,14 +41,14 @@
 
 // Parameters of a run.
 const (
-	memoryMB     = 192 // memory of the gatekeeper, as on the platform
-	serverFull   = 3 * time.Second
-	settleWithin = 4 * time.Second // longest wait for the last answers
-	chainDepth   = 19
-	chainSamples = 100000
-	longestMicro = 60e6
-	calmLeast    = 100 // fewest calm pairs of a run for which a 99th percentile is computed
-	fineDigits   = 3
+	memoryMB          = 192 // memory of the gatekeeper, as on the platform
+	maxQueueDelay     = 3 * time.Second
+	settleTimeout     = 4 * time.Second // longest wait for the last answers
+	chainDepth        = 19
+	chainSamples      = 100000
+	maxLatencyMicros  = 60e6
+	minCalmPairs      = 100 // fewest calm pairs of a run for which a 99th percentile is computed
+	significantDigits = 3
 )
 
 // Arm holds the results of one arm of the comparison. Latencies are in milliseconds from the scheduled time of each call.
@@ -81,7 +81,7 @@
 	ThroughChain []float64 `json:"chain_of_19_whole_p50_p99_ms"` // sums of 19 latencies through a gatekeeper
 }
 
-// Calm holds quantiles of the differences of the pairs during which the machine was calm (see machine.calm): neither the
+// Calm holds quantiles of the differences of the pairs during which the machine was calm (see machineSamples.calm): neither the
 // gatekeeper nor the laboratory had to wait for a core. The latency of the calls is not a criterion, but a pair with a high
 // latency is more likely to coincide with such a wait.
 type Calm struct {
@@ -141,15 +141,15 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	gatekeeper, err := startGatekeeper(ctx, l.Program, dir, gatekeeperLimits{l.Descriptors, memoryMB}, l.Gatekeepers,
+	gatekeeper, err := startGatekeeper(ctx, l.Program, dir, machineLimits{l.Descriptors, memoryMB}, l.Gatekeepers,
 		InventoryCSV(l.Servers, func(i int) string { return addresses[i] }))
 	if err != nil {
 		return nil, err
 	}
-	defer gatekeeper.end()
-	r.UpSeconds = gatekeeper.upIn.Seconds()
-	gatekeeper.connected(ctx)
-	return r, l.play(ctx, r, gatekeeper, addresses)
+	defer gatekeeper.stop()
+	r.UpSeconds = gatekeeper.startupTime.Seconds()
+	gatekeeper.waitConnected(ctx)
+	return r, l.runCalls(ctx, r, gatekeeper, addresses)
 }
 
 // startServers starts the stand-in servers in this process, each with its own listener. If a set-up costs them no time, the
@@ -165,7 +165,7 @@
 	for i := range l.Servers {
 		// Staggers the starts, so that the servers do not all report their state at the same moment.
 		time.Sleep(time.Until(began.Add(l.StateEvery * time.Duration(i) / time.Duration(l.Servers))))
-		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: serverFull}, l.Seed+uint64(i))
+		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: maxQueueDelay}, l.Seed+uint64(i))
 		if err != nil {
 			return nil, closeAll, err
 		}
@@ -175,58 +175,58 @@
 	return addresses, closeAll, nil
 }
 
-// play sends the scheduled calls and fills in the measurements of r.
-func (l Latency) play(ctx context.Context, r *Run, gatekeeper *process, addresses []string) error {
+// runCalls sends the scheduled calls and fills in the measurements of r.
+func (l Latency) runCalls(ctx context.Context, r *Run, gatekeeper *process, addresses []string) error {
 	pairs := schedule(l.Seed, l.PerSecond, l.Warm+l.Length, l.Active)
 	callers := l.Callers
 	if l.PerSecond <= 0 {
 		callers = 0 // the gatekeeper would close connections without calls
 	}
-	to := dialThrough(gatekeeper.addr, callers, len(pairs))
-	defer to.close()
-	from, err := dialDirect(addresses[:l.Active], len(pairs))
+	viaGatekeeper := dialGatekeeper(gatekeeper.addr, callers, len(pairs))
+	defer viaGatekeeper.close()
+	direct, err := dialDirect(addresses[:l.Active], len(pairs))
 	if err != nil {
 		return err
 	}
-	defer from.close()
+	defer direct.close()
 
-	late := hdrhistogram.New(1, longestMicro, fineDigits)
+	late := hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	began := time.Now()
-	first := l.send(ctx, began, pairs, 0, l.Warm, to, from, nil)
+	first := l.send(ctx, began, pairs, 0, l.Warm, viaGatekeeper, direct, nil)
 	sleepOrDone(ctx, began.Add(l.Warm))
-	before, err := gatekeeper.processor()
+	before, err := gatekeeper.processorTime()
 	if err != nil {
 		return fmt.Errorf("reading the gatekeeper's processor time: %w", err)
 	}
-	waited, measured := gatekeeper.waited(), time.Now()
-	stolen, stolenErr := stolenTime()
+	coreWait, measured := gatekeeper.coreWait(), time.Now()
+	steal, stealErr := stealTime()
 	done := make(chan struct{})
 	samples, finished := sampleMachine(gatekeeper, done)
-	l.send(ctx, began, pairs, first, l.Warm+l.Length, to, from, late)
+	l.send(ctx, began, pairs, first, l.Warm+l.Length, viaGatekeeper, direct, late)
 	sleepOrDone(ctx, began.Add(l.Warm+l.Length))
-	after, err := gatekeeper.processor()
+	after, err := gatekeeper.processorTime()
 	if err != nil {
 		close(done)
 		return fmt.Errorf("reading the gatekeeper's processor time: %w", err)
 	}
 	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
-	r.WaitPart = (gatekeeper.waited() - waited).Seconds() / time.Since(measured).Seconds()
-	r.Stolen = stolenCores(stolen, stolenErr, time.Since(measured))
+	r.WaitPart = (gatekeeper.coreWait() - coreWait).Seconds() / time.Since(measured).Seconds()
+	r.Stolen = stealCores(steal, stealErr, time.Since(measured))
 	now, peak := gatekeeper.resident()
 	r.ResidentMB, r.PeakMB = float64(now)/1024, float64(peak)/1024
 	r.Held = gatekeeper.descriptors()
-	settle(ctx, to.arm, from.arm)
+	settle(ctx, viaGatekeeper.arm, direct.arm)
 	close(done)
 	finished()
-	r.CallersEnded, r.NoConnection = to.closed.Load(), gatekeeper.failed.Load()
+	r.CallersEnded, r.NoConnection = viaGatekeeper.closedByPeer.Load(), gatekeeper.failedConnections.Load()
 	r.Late = float64(late.ValueAtQuantile(99)) / 1000
-	r.evaluate(to.arm, from.arm, first, samples)
+	r.evaluate(viaGatekeeper.arm, direct.arm, first, samples)
 	return ctx.Err()
 }
 
 // send sends the pairs that are due before until, starting at index from, and returns the index of the first pair that is
 // not due. It locks its thread, which runs continuously at some hundred calls per second (see waitUntil).
-func (l Latency) send(ctx context.Context, began time.Time, pairs []pair, from int, until time.Duration, to *through, direct *direct, late *hdrhistogram.Histogram) int {
+func (l Latency) send(ctx context.Context, began time.Time, pairs []pair, from int, until time.Duration, viaGatekeeper *gatekeeperCaller, directCaller *directCaller, late *hdrhistogram.Histogram) int {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := from; i < len(pairs); i++ {
@@ -234,16 +234,16 @@
 		if p.at >= until || ctx.Err() != nil {
 			return i
 		}
-		one, two := to.send, direct.send
+		first, second := viaGatekeeper.send, directCaller.send
 		if !p.throughFirst {
-			one, two = two, one
+			first, second = second, first
 		}
 		at := began.Add(p.at)
 		behind := waitUntil(at)
-		one(at, p.server)
+		first(at, p.server)
 		at = at.Add(p.gap)
 		behind = max(behind, waitUntil(at))
-		two(at, p.server)
+		second(at, p.server)
 		if late != nil {
 			late.RecordValue(behind.Microseconds())
 		}
@@ -258,38 +258,38 @@
 	}
 }
 
-// settle waits up to settleWithin for the last answers.
+// settle waits up to settleTimeout for the last answers.
 func settle(ctx context.Context, arms ...*arm) {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		waiting := 0
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
+		pendingCalls := 0
 		for _, a := range arms {
-			waiting += a.waiting()
+			pendingCalls += a.pendingCalls()
 		}
-		if waiting == 0 {
+		if pendingCalls == 0 {
 			return
 		}
 	}
 }
 
 // evaluate computes the figures of r from the pairs numbered first and above. Both arms number their calls by pair.
-func (r *Run) evaluate(to, from *arm, first int, samples machine) {
-	to.mu.Lock()
-	defer to.mu.Unlock()
-	from.mu.Lock()
-	defer from.mu.Unlock()
-	first = min(first, len(to.calls), len(from.calls))
-	through, direct := to.calls[first:], from.calls[first:]
+func (r *Run) evaluate(throughArm, directArm *arm, first int, samples machineSamples) {
+	throughArm.mu.Lock()
+	defer throughArm.mu.Unlock()
+	directArm.mu.Lock()
+	defer directArm.mu.Unlock()
+	first = min(first, len(throughArm.calls), len(directArm.calls))
+	through, direct := throughArm.calls[first:], directArm.calls[first:]
 	r.Through, r.Direct = armOf(through), armOf(direct)
 	if r.Through.Calls > 0 {
 		r.PerCall = r.CorePart * r.Seconds * 1e6 / float64(r.Through.Calls)
 	}
-	var whole, calm []float64
+	var throughLatencies, calm []float64
 	for i := range min(len(through), len(direct)) {
-		if through[i].ended == stood && direct[i].ended == stood {
-			r.differences = append(r.differences, milliseconds(through[i].took-direct[i].took))
-			whole = append(whole, milliseconds(through[i].took))
+		if through[i].result == established && direct[i].result == established {
+			r.differences = append(r.differences, milliseconds(through[i].latency-direct[i].latency))
+			throughLatencies = append(throughLatencies, milliseconds(through[i].latency))
 			if samples.calm(through[i], direct[i]) {
-				calm = append(calm, milliseconds(through[i].took-direct[i].took))
+				calm = append(calm, milliseconds(through[i].latency-direct[i].latency))
 			}
 		}
 	}
@@ -303,13 +303,13 @@
 		a.Mean += d / float64(len(r.differences))
 	}
 	a.Chain = Chain(r.differences, chainDepth, chainSamples, r.Seed, 0.5, 0.99)
-	a.ThroughChain = Chain(whole, chainDepth, chainSamples, r.Seed, 0.5, 0.99)
+	a.ThroughChain = Chain(throughLatencies, chainDepth, chainSamples, r.Seed, 0.5, 0.99)
 	a.Calm = calmOf(calm, r.Seed)
 	r.Added = a
 }
 
 func calmOf(differences []float64, seed uint64) *Calm {
-	if len(differences) < calmLeast {
+	if len(differences) < minCalmPairs {
 		return nil
 	}
 	q := Quantiles(differences, quantiles...)
@@ -318,13 +318,13 @@
 }
 
 func armOf(calls []attempt) (a Arm) {
-	h := hdrhistogram.New(1, longestMicro, fineDigits)
+	h := hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	for _, c := range calls {
 		a.Calls++
-		switch c.ended {
-		case stood:
+		switch c.result {
+		case established:
 			a.Established++
-			h.RecordValue(c.took.Microseconds())
+			h.RecordValue(c.latency.Microseconds())
 		case refused:
 			a.Refused++
 		case failed:
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -27,7 +27,7 @@
 	for i, p := range all {
 		require.Less(t, p.at, 100*time.Second)
 		require.Less(t, p.server, servers)
-		require.LessOrEqual(t, p.gap, pairGapMost)
+		require.LessOrEqual(t, p.gap, maxPairGap)
 		if p.throughFirst {
 			first++
 		}
@@ -46,39 +46,39 @@
 }
 
 // Latency counts from the time at which a call is due, not from its sending, so that a late sender hides no delay.
-func TestLatencyCountsFromTheSchedule(t *testing.T) {
+func TestLatencyCountsFromScheduledTime(t *testing.T) {
 	a := newArm("0a0a0a0a", 2)
 	due := time.Now().Add(-50 * time.Millisecond)
 	id, _ := a.begin(due)
 	other, _ := a.begin(time.Now())
 	require.Equal(t, "0a0a0a0a00000001", other)
-	a.end(id, stood)
+	a.end(id, established)
 	a.end(id, failed) // a second outcome is ignored
 	a.end("0d0d0d0dffffffff", failed)
 	a.end("short", failed)
-	require.Equal(t, stood, a.calls[0].ended)
-	require.GreaterOrEqual(t, a.calls[0].took, 50*time.Millisecond)
-	require.Equal(t, 1, a.waiting())
+	require.Equal(t, established, a.calls[0].result)
+	require.GreaterOrEqual(t, a.calls[0].latency, 50*time.Millisecond)
+	require.Equal(t, 1, a.pendingCalls())
 }
 
 func TestEvaluatePairs(t *testing.T) {
 	through, direct := newArm("0a0a0a0a", 100), newArm("0d0d0d0d", 100)
 	began := time.Now()
-	samples := &waits{}
+	samples := &waitSamples{}
 	for i := range 1000 { // both processes wait for a core during the second half
-		samples.at = append(samples.at, began.Add(time.Duration(i)*waitSampleEvery))
-		samples.sum = append(samples.sum, max(0, time.Duration(i-500))*waitSampleEvery/2)
+		samples.at = append(samples.at, began.Add(time.Duration(i)*waitSampleInterval))
+		samples.total = append(samples.total, max(0, time.Duration(i-500))*waitSampleInterval/2)
 	}
 	for i := range 101 {
-		due := began.Add(time.Duration(i) * 9 * waitSampleEvery)
-		took := time.Duration(i) * time.Millisecond
-		through.calls = append(through.calls, attempt{due: due, took: 2*took + time.Millisecond, ended: stood})
-		direct.calls = append(direct.calls, attempt{due: due, took: took, ended: stood})
+		due := began.Add(time.Duration(i) * 9 * waitSampleInterval)
+		latency := time.Duration(i) * time.Millisecond
+		through.calls = append(through.calls, attempt{due: due, latency: 2*latency + time.Millisecond, result: established})
+		direct.calls = append(direct.calls, attempt{due: due, latency: latency, result: established})
 	}
-	through.calls[100].ended = refused
-	through.calls[0].took = time.Hour // the first call precedes the measurement
+	through.calls[100].result = refused
+	through.calls[0].latency = time.Hour // the first call precedes the measurement
 	r := &Run{Seconds: 1, CorePart: 0.01, Seed: 1}
-	r.evaluate(through, direct, 1, machine{samples, samples})
+	r.evaluate(through, direct, 1, machineSamples{samples, samples})
 	require.Equal(t, 100, r.Through.Calls)
 	require.Equal(t, 1, r.Through.Refused)
 	require.Equal(t, 99, r.Added.Pairs)
@@ -91,12 +91,12 @@
 }
 
 func TestCalmOf(t *testing.T) {
-	differences := make([]float64, calmLeast)
+	differences := make([]float64, minCalmPairs)
 	for i := range differences {
 		differences[i] = float64(i + 1)
 	}
 	c := calmOf(differences, 1)
-	require.Equal(t, calmLeast, c.Pairs)
+	require.Equal(t, minCalmPairs, c.Pairs)
 	require.Equal(t, []float64{50, 99, 100}, []float64{c.P50, c.P99, c.P999})
 	require.Nil(t, calmOf(differences[1:], 1))
 }
@@ -105,13 +105,13 @@
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 	times := []time.Time{at(0), at(5), at(10), at(15), at(400)}
-	gatekeeper := &waits{at: times, sum: []time.Duration{0, 0, gatekeeperWaits, 3 * gatekeeperWaits, 3 * gatekeeperWaits}}
-	none, never := &waits{at: times, sum: make([]time.Duration, 5)}, &waits{}
-	much := &waits{at: times, sum: []time.Duration{0, 2 * laboratoryWaits, 2 * laboratoryWaits, 2 * laboratoryWaits, 2 * laboratoryWaits}}
-	call := func(due, took int) attempt {
-		return attempt{due: at(due), took: time.Duration(took) * time.Millisecond}
+	gatekeeper := &waitSamples{at: times, total: []time.Duration{0, 0, maxGatekeeperWait, 3 * maxGatekeeperWait, 3 * maxGatekeeperWait}}
+	noWaits, noSamples := &waitSamples{at: times, total: make([]time.Duration, 5)}, &waitSamples{}
+	longWaits := &waitSamples{at: times, total: []time.Duration{0, 2 * maxLaboratoryWait, 2 * maxLaboratoryWait, 2 * maxLaboratoryWait, 2 * maxLaboratoryWait}}
+	call := func(due, latency int) attempt {
+		return attempt{due: at(due), latency: time.Duration(latency) * time.Millisecond}
 	}
-	m := machine{gatekeeper, none}
+	m := machineSamples{gatekeeper, noWaits}
 	require.True(t, m.calm(call(1, 1), call(2, 1)))
 	require.True(t, m.calm(call(6, 1), call(7, 1)), "the gatekeeper waited exactly the allowed time")
 	require.False(t, m.calm(call(11, 1), call(12, 1)), "the gatekeeper waited for a core")
@@ -120,9 +120,9 @@
 	require.False(t, m.calm(call(17, 1), call(18, 1)), "samples too far apart")
 	require.False(t, m.calm(call(401, 1), call(402, 1)), "no sample after the pair")
 	require.False(t, m.calm(call(-2, 1), call(-2, 1)), "no sample before the pair")
-	require.False(t, machine{gatekeeper, much}.calm(call(1, 1), call(2, 1)), "the laboratory waited")
-	require.True(t, machine{gatekeeper, much}.calm(call(6, 1), call(7, 1)))
-	require.False(t, machine{gatekeeper, never}.calm(call(1, 1), call(2, 1)), "no samples of the laboratory")
+	require.False(t, machineSamples{gatekeeper, longWaits}.calm(call(1, 1), call(2, 1)), "the laboratory waited")
+	require.True(t, machineSamples{gatekeeper, longWaits}.calm(call(6, 1), call(7, 1)))
+	require.False(t, machineSamples{gatekeeper, noSamples}.calm(call(1, 1), call(2, 1)), "no samples of the laboratory")
 }
 
 func TestChain(t *testing.T) {
@@ -156,29 +156,29 @@
 }
 
 func TestParseStat(t *testing.T) {
-	took, err := parseStat("7 (a name) with) S 1 7 7 0 -1 4194304 10 0 0 0 123 45 0 0 20 0 9 0 100 1 2")
+	processorTime, err := parseStat("7 (a name) with) S 1 7 7 0 -1 4194304 10 0 0 0 123 45 0 0 20 0 9 0 100 1 2")
 	require.NoError(t, err)
-	require.Equal(t, 1680*time.Millisecond, took)
+	require.Equal(t, 1680*time.Millisecond, processorTime)
 	for _, bad := range []string{"", "7 (x) S 1", "7 (x) S 1 7 7 0 -1 4194304 10 0 0 0 a 45 0 0"} {
 		_, err := parseStat(bad)
 		require.Error(t, err, bad)
 	}
 }
 
-func TestParseStolen(t *testing.T) {
-	stolen, err := parseStolen("cpu  13612 0 3469 118657 1038 0 511 772 0 0\ncpu0 1 2 3 4 5 6 7 8 9 10\n")
+func TestParseSteal(t *testing.T) {
+	steal, err := parseSteal("cpu  13612 0 3469 118657 1038 0 511 772 0 0\ncpu0 1 2 3 4 5 6 7 8 9 10\n")
 	require.NoError(t, err)
-	require.Equal(t, 7720*time.Millisecond, stolen)
+	require.Equal(t, 7720*time.Millisecond, steal)
 	for _, bad := range []string{"", "cpu 1 2 3", "intr 1 2 3 4 5 6 7 8 9", "cpu 1 2 3 4 5 6 7 x 9"} {
-		_, err := parseStolen(bad)
+		_, err := parseSteal(bad)
 		require.Error(t, err, bad)
 	}
-	require.InDelta(t, -1, stolenCores(0, errors.New("no such file"), time.Second), 0, "not known")
+	require.InDelta(t, -1, stealCores(0, errors.New("no such file"), time.Second), 0, "not known")
 }
 
 // waitUntil never returns early, and returns immediately if the time has passed.
 func TestWaitUntil(t *testing.T) {
-	for _, span := range []time.Duration{0, 100 * time.Microsecond, 2 * spinFor} {
+	for _, span := range []time.Duration{0, 100 * time.Microsecond, 2 * spinTime} {
 		at := time.Now().Add(span)
 		late := waitUntil(at)
 		require.False(t, time.Now().Before(at))
@@ -188,7 +188,7 @@
 	require.GreaterOrEqual(t, waitUntil(time.Now().Add(-time.Second)), time.Second)
 }
 
-func TestMeasureTakesTheMedian(t *testing.T) {
+func TestMeasureReturnsMedian(t *testing.T) {
 	calls := 0
 	op := operation(func(n int) time.Duration {
 		calls++
@@ -203,10 +203,10 @@
 }
 
 // The time of an operation is the processor time of its thread, without waits.
-func TestEachCountsProcessorTime(t *testing.T) {
-	wait := measure(each(func() { time.Sleep(5 * time.Millisecond) }), 1, 50*time.Millisecond)
+func TestThreadTimedExcludesWaits(t *testing.T) {
+	wait := measure(threadTimed(func() { time.Sleep(5 * time.Millisecond) }), 1, 50*time.Millisecond)
 	require.Less(t, wait[0], 2000.0)
-	work := measure(each(func() {
+	work := measure(threadTimed(func() {
 		for end := threadTime() + 3*time.Millisecond; threadTime() < end; {
 		}
 	}), 1, 50*time.Millisecond)
@@ -244,10 +244,10 @@
 	}
 }
 
-func TestRegistersRefuseBeyondTheirBound(t *testing.T) {
+func TestRegistersRefuseOriginsBeyondLimit(t *testing.T) {
 	refused, _, err := registersRefused(1100)
 	require.NoError(t, err)
-	require.Equal(t, float64(1100-mostOrigins), refused)
+	require.Equal(t, float64(1100-maxOrigins), refused)
 	refused, note, err := registersRefused(16)
 	require.NoError(t, err)
 	require.Zero(t, refused)
@@ -303,7 +303,7 @@
 }
 
 // Runs measurements against a real gatekeeper process.
-func TestWithGatekeeper(t *testing.T) {
+func TestLatencyRun(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes: not in -short")
 	}
@@ -338,11 +338,11 @@
 		require.Equal(t, r.Direct.Calls, r.Direct.Established)
 	})
 	t.Run("end terminates the process", func(t *testing.T) {
-		p, err := startGatekeeper(t.Context(), program, t.TempDir(), gatekeeperLimits{64, 64}, 1,
+		p, err := startGatekeeper(t.Context(), program, t.TempDir(), machineLimits{64, 64}, 1,
 			InventoryCSV(1, func(int) string { return "127.0.0.1:1" }))
 		require.NoError(t, err)
 		require.NoError(t, syscall.Kill(p.cmd.Process.Pid, 0))
-		p.end()
+		p.stop()
 		require.ErrorIs(t, syscall.Kill(p.cmd.Process.Pid, 0), syscall.ESRCH)
 	})
 	t.Run("a canceled run ends early", func(t *testing.T) {
@@ -357,8 +357,8 @@
 	})
 }
 
-func TestGatekeeperThatDoesNotServe(t *testing.T) {
-	_, err := startGatekeeper(t.Context(), Program{Path: "/bin/true"}, t.TempDir(), gatekeeperLimits{64, 64}, 1, nil)
+func TestGatekeeperDoesNotServe(t *testing.T) {
+	_, err := startGatekeeper(t.Context(), Program{Path: "/bin/true"}, t.TempDir(), machineLimits{64, 64}, 1, nil)
 	require.ErrorIs(t, err, ErrNotServing)
 }
 
--- a/internal/latencylab/plan.go
+++ b/internal/latencylab/plan.go
@@ -25,11 +25,11 @@
 	for repeat := range p.Repeats {
 		for _, size := range p.Sizes {
 			for _, rate := range p.Rates {
-				one := p.Latency
-				one.Servers, one.PerSecond, one.Active = size, rate, min(p.MostCalls, size)
-				one.Seed = p.Seed + uint64(repeat)
+				single := p.Latency
+				single.Servers, single.PerSecond, single.Active = size, rate, min(p.MostCalls, size)
+				single.Seed = p.Seed + uint64(repeat)
 				var run *Run
-				if run, err = one.Run(ctx); err != nil {
+				if run, err = single.Run(ctx); err != nil {
 					break
 				}
 				report.Runs = append(report.Runs, run)
@@ -55,7 +55,7 @@
 	of         func(*Run) (value float64, known bool)
 }
 
-func added(f func(*Added) float64) func(*Run) (float64, bool) {
+func ifAdded(f func(*Added) float64) func(*Run) (float64, bool) {
 	return func(r *Run) (float64, bool) {
 		if r.Added == nil {
 			return 0, false
@@ -64,7 +64,7 @@
 	}
 }
 
-func calm(f func(*Calm) float64) func(*Run) (float64, bool) {
+func ifCalm(f func(*Calm) float64) func(*Run) (float64, bool) {
 	return func(r *Run) (float64, bool) {
 		if r.Added == nil || r.Added.Calm == nil {
 			return 0, false
@@ -75,28 +75,28 @@
 
 // latencyFigures are collected over the number of known servers, for each rate.
 var latencyFigures = []figure{
-	{"direct_p50", "ms", added0(func(r *Run) float64 { return r.Direct.P50 })},
-	{"direct_p99", "ms", added0(func(r *Run) float64 { return r.Direct.P99 })},
-	{"through_p50", "ms", added0(func(r *Run) float64 { return r.Through.P50 })},
-	{"through_p99", "ms", added0(func(r *Run) float64 { return r.Through.P99 })},
-	{"added_p50", "ms", added(func(a *Added) float64 { return a.P50 })},
-	{"added_p99", "ms", added(func(a *Added) float64 { return a.P99 })},
-	{"added_p999", "ms", added(func(a *Added) float64 { return a.P999 })},
-	{"added_difference_of_p99", "ms", added(func(a *Added) float64 { return a.DiffP99 })},
-	{"chain19_p50", "ms", added(func(a *Added) float64 { return a.Chain[0] })},
-	{"chain19_p99", "ms", added(func(a *Added) float64 { return a.Chain[1] })},
-	{"calm_added_p50", "ms", calm(func(c *Calm) float64 { return c.P50 })},
-	{"calm_added_p99", "ms", calm(func(c *Calm) float64 { return c.P99 })},
-	{"calm_added_p999", "ms", calm(func(c *Calm) float64 { return c.P999 })},
-	{"calm_chain19_p50", "ms", calm(func(c *Calm) float64 { return c.Chain[0] })},
-	{"calm_chain19_p99", "ms", calm(func(c *Calm) float64 { return c.Chain[1] })},
+	{"direct_p50", "ms", ifPaired(func(r *Run) float64 { return r.Direct.P50 })},
+	{"direct_p99", "ms", ifPaired(func(r *Run) float64 { return r.Direct.P99 })},
+	{"through_p50", "ms", ifPaired(func(r *Run) float64 { return r.Through.P50 })},
+	{"through_p99", "ms", ifPaired(func(r *Run) float64 { return r.Through.P99 })},
+	{"added_p50", "ms", ifAdded(func(a *Added) float64 { return a.P50 })},
+	{"added_p99", "ms", ifAdded(func(a *Added) float64 { return a.P99 })},
+	{"added_p999", "ms", ifAdded(func(a *Added) float64 { return a.P999 })},
+	{"added_difference_of_p99", "ms", ifAdded(func(a *Added) float64 { return a.DiffP99 })},
+	{"chain19_p50", "ms", ifAdded(func(a *Added) float64 { return a.Chain[0] })},
+	{"chain19_p99", "ms", ifAdded(func(a *Added) float64 { return a.Chain[1] })},
+	{"calm_added_p50", "ms", ifCalm(func(c *Calm) float64 { return c.P50 })},
+	{"calm_added_p99", "ms", ifCalm(func(c *Calm) float64 { return c.P99 })},
+	{"calm_added_p999", "ms", ifCalm(func(c *Calm) float64 { return c.P999 })},
+	{"calm_chain19_p50", "ms", ifCalm(func(c *Calm) float64 { return c.Chain[0] })},
+	{"calm_chain19_p99", "ms", ifCalm(func(c *Calm) float64 { return c.Chain[1] })},
 	{"not_answered", "part", func(r *Run) (float64, bool) {
 		return 1 - float64(r.Through.Established)/float64(max(1, r.Through.Calls)), r.Through.Calls > 0
 	}},
 }
 
-// added0 returns a figure that is known only for runs in which both calls of some pair were established.
-func added0(f func(*Run) float64) func(*Run) (float64, bool) {
+// ifPaired returns a figure that is known only for runs in which both calls of some pair were established.
+func ifPaired(f func(*Run) float64) func(*Run) (float64, bool) {
 	return func(r *Run) (float64, bool) { return f(r), r.Added != nil }
 }
 
@@ -182,7 +182,7 @@
 }
 
 // fit fits a line to the processor time of the runs at one size over the rate of established calls: a call that the
-// gatekeeper does not accept costs it little. It adds no fit for fewer than ratesForFit rates.
+// gatekeeper does not accept costs it little. It adds no fit for fewer than minRatesForFit rates.
 func (report *Report) fit(name string, size int, runs []*Run) {
 	var x, y []float64
 	rates := map[float64]bool{}
@@ -192,7 +192,7 @@
 			x, y = append(x, float64(r.Through.Established)/r.Seconds), append(y, r.CorePart)
 		}
 	}
-	if len(rates) < ratesForFit {
+	if len(rates) < minRatesForFit {
 		return
 	}
 	fixed, slope, worst := FitLine(x, y)
@@ -200,5 +200,5 @@
 		Fixed: fixed, Slope: slope, Worst: worst, N: len(x)})
 }
 
-// ratesForFit is the minimum number of distinct rates for a fit.
-const ratesForFit = 3
+// minRatesForFit is the minimum number of distinct rates for a fit.
+const minRatesForFit = 3
--- a/internal/latencylab/process.go
+++ b/internal/latencylab/process.go
@@ -20,34 +20,34 @@
 )
 
 const (
-	startWithin   = 20 * time.Second // longest wait for a gatekeeper to serve
-	endWithin     = 15 * time.Second // longest wait after SIGTERM before a gatekeeper is killed
-	connectWithin = 8 * time.Second
-	checkEvery    = 100 * time.Millisecond
-	stillChecks   = 5
-	clockTicks    = 100 // ticks per second in /proc/PID/stat
+	startTimeout   = 20 * time.Second // longest wait for a gatekeeper to serve
+	stopTimeout    = 15 * time.Second // longest wait after SIGTERM before a gatekeeper is killed
+	connectTimeout = 8 * time.Second
+	checkInterval  = 100 * time.Millisecond
+	stableChecks   = 5
+	clockTicks     = 100 // ticks per second in /proc/PID/stat
 )
 
 // ErrNotServing is returned if the gatekeeper's process ends early or does not serve in time.
 var ErrNotServing = errors.New("the gatekeeper did not start serving")
 
-// gatekeeperLimits are the machine's limits in the gatekeeper's configuration.
-type gatekeeperLimits struct {
+// machineLimits are the machine's limits in the gatekeeper's configuration.
+type machineLimits struct {
 	Descriptors int
 	MemoryMB    int
 }
 
 // process is a gatekeeper that runs in a separate process.
 type process struct {
-	cmd    *exec.Cmd
-	addr   string
-	upIn   time.Duration // time from its start until it served
-	failed atomic.Int64  // log lines that report a failed connection to a server
-	ended  chan struct{}
+	cmd               *exec.Cmd
+	addr              string
+	startupTime       time.Duration // time from its start until it served
+	failedConnections atomic.Int64  // log lines that report a failed connection to a server
+	ended             chan struct{}
 }
 
 // startGatekeeper writes the files of a gatekeeper into dir, starts it and returns when it serves.
-func startGatekeeper(ctx context.Context, program Program, dir string, limits gatekeeperLimits, gatekeepers int, inventory []byte) (*process, error) {
+func startGatekeeper(ctx context.Context, program Program, dir string, limits machineLimits, gatekeepers int, inventory []byte) (*process, error) {
 	config := fmt.Sprintf(`{"name":"g1","listen":"127.0.0.1:0","limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":%s}`,
 		limits.MemoryMB, limits.Descriptors, lab.Settings(gatekeepers))
 	list := filepath.Join(dir, "servers.csv")
@@ -73,14 +73,14 @@
 	}
 	p := &process{cmd: cmd, ended: make(chan struct{})}
 	serving := make(chan string, 1)
-	go p.follow(bufio.NewScanner(stderr), serving)
+	go p.readLog(bufio.NewScanner(stderr), serving)
 	select {
 	case p.addr = <-serving:
-		p.upIn = time.Since(began)
+		p.startupTime = time.Since(began)
 		return p, nil
 	case <-p.ended:
 		err = ErrNotServing
-	case <-time.After(startWithin):
+	case <-time.After(startTimeout):
 		err = ErrNotServing
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -89,8 +89,8 @@
 	return nil, err
 }
 
-// follow reads the log to its end and then waits for the process.
-func (p *process) follow(lines *bufio.Scanner, serving chan<- string) {
+// readLog reads the log to its end and then waits for the process.
+func (p *process) readLog(lines *bufio.Scanner, serving chan<- string) {
 	defer close(p.ended)
 	for lines.Scan() {
 		var line struct{ Msg, Listen string }
@@ -101,18 +101,18 @@
 		case "serving":
 			serving <- line.Listen
 		case "no connection to server":
-			p.failed.Add(1)
+			p.failedConnections.Add(1)
 		}
 	}
 	p.cmd.Wait()
 }
 
-// end sends SIGTERM to the gatekeeper and kills it if it does not end in time.
-func (p *process) end() {
+// stop sends SIGTERM to the gatekeeper and kills it if it does not end in time.
+func (p *process) stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(endWithin):
+	case <-time.After(stopTimeout):
 		p.kill()
 	}
 }
@@ -122,22 +122,22 @@
 	<-p.ended
 }
 
-// connected waits until the number of open descriptors is stable. The gatekeeper dials its servers after it starts to serve,
+// waitConnected waits until the number of open descriptors is stable. The gatekeeper dials its servers after it starts to serve,
 // and callers that connect earlier would use descriptors that are not available later.
-func (p *process) connected(ctx context.Context) {
-	last, still := -1, 0
-	for end := time.Now().Add(connectWithin); still < stillChecks && time.Now().Before(end) && ctx.Err() == nil; {
-		time.Sleep(checkEvery)
+func (p *process) waitConnected(ctx context.Context) {
+	last, stable := -1, 0
+	for end := time.Now().Add(connectTimeout); stable < stableChecks && time.Now().Before(end) && ctx.Err() == nil; {
+		time.Sleep(checkInterval)
 		if now := p.descriptors(); now == last {
-			still++
+			stable++
 		} else {
-			last, still = now, 0
+			last, stable = now, 0
 		}
 	}
 }
 
-// processor returns the processor time that the process has used so far.
-func (p *process) processor() (time.Duration, error) {
+// processorTime returns the processor time that the process has used so far.
+func (p *process) processorTime() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
@@ -145,12 +145,12 @@
 	return parseStat(string(text))
 }
 
-// waited returns the total time for which threads of the process were ready to run but had no core: the part of a latency
+// coreWait returns the total time for which threads of the process were ready to run but had no core: the part of a latency
 // that other work on the machine causes.
-func (p *process) waited() time.Duration { return waitedForCore(strconv.Itoa(p.cmd.Process.Pid)) }
+func (p *process) coreWait() time.Duration { return readCoreWait(strconv.Itoa(p.cmd.Process.Pid)) }
 
-// waitedForCore returns the sum of the second fields of /proc/PID/task/*/schedstat; pid may be "self".
-func waitedForCore(pid string) (sum time.Duration) {
+// readCoreWait returns the sum of the second fields of /proc/PID/task/*/schedstat; pid may be "self".
+func readCoreWait(pid string) (sum time.Duration) {
 	files, _ := filepath.Glob("/proc/" + pid + "/task/*/schedstat")
 	for _, file := range files {
 		text, _ := os.ReadFile(file)
@@ -180,19 +180,19 @@
 	return time.Duration(user+system) * (time.Second / clockTicks), err
 }
 
-// stolenTime returns the steal time of this machine so far, summed over its cores: the time in which a core had work but the
+// stealTime returns the steal time of this machine so far, summed over its cores: the time in which a core had work but the
 // host ran something else (proc(5), /proc/stat).
-func stolenTime() (time.Duration, error) {
+func stealTime() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, err
 	}
-	return parseStolen(string(text))
+	return parseSteal(string(text))
 }
 
-// parseStolen returns the steal time, the eighth figure in the first line of /proc/stat:
+// parseSteal returns the steal time, the eighth figure in the first line of /proc/stat:
 // "cpu user nice system idle iowait irq softirq steal ...".
-func parseStolen(text string) (time.Duration, error) {
+func parseSteal(text string) (time.Duration, error) {
 	const place = 8
 	line, _, _ := strings.Cut(text, "\n")
 	fields := strings.Fields(line)
@@ -203,9 +203,9 @@
 	return time.Duration(ticks) * (time.Second / clockTicks), err
 }
 
-// stolenCores returns the steal time per second since the earlier reading before, or -1 if a reading failed.
-func stolenCores(before time.Duration, beforeErr error, span time.Duration) float64 {
-	after, err := stolenTime()
+// stealCores returns the steal time per second since the earlier reading before, or -1 if a reading failed.
+func stealCores(before time.Duration, beforeErr error, span time.Duration) float64 {
+	after, err := stealTime()
 	if beforeErr != nil || err != nil {
 		return -1
 	}
--- a/internal/latencylab/schedule.go
+++ b/internal/latencylab/schedule.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// pairGapMost is the longest time between the two calls of a pair. It is short so that both see the same machine state.
-const pairGapMost = time.Millisecond
+// maxPairGap is the longest time between the two calls of a pair. It is short so that both see the same machine state.
+const maxPairGap = time.Millisecond
 
 // pair is two calls to the same server at nearly the same time, one through the gatekeeper and one direct.
 type pair struct {
@@ -24,7 +24,7 @@
 		return nil
 	}
 	rng := rand.New(rand.NewPCG(seed, 7))
-	gap := min(pairGapMost, time.Duration(float64(time.Second)/perSecond/2))
+	gap := min(maxPairGap, time.Duration(float64(time.Second)/perSecond/2))
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= length {
@@ -34,20 +34,20 @@
 	}
 }
 
-// spinFor is the time before a deadline for which waitUntil spins instead of sleeping. A sender that sleeps until a call is
+// spinTime is the time before a deadline for which waitUntil spins instead of sleeping. A sender that sleeps until a call is
 // due wakes late by the time that the machine needs to reactivate an idle core, on a virtual machine milliseconds at the 99th
 // percentile. Latencies count from the scheduled time, so this delay would dominate the measurement.
-const spinFor = 5 * time.Millisecond
+const spinTime = 5 * time.Millisecond
 
-// waitUntil waits until at and returns how late it is. It sleeps by the kernel's timer and spins for the last spinFor.
+// waitUntil waits until at and returns how late it is. It sleeps by the kernel's timer and spins for the last spinTime.
 func waitUntil(at time.Time) (late time.Duration) {
 	for {
 		left := time.Until(at)
 		if left <= 0 {
 			return -left
 		}
-		if left > spinFor {
-			pause := syscall.NsecToTimespec((left - spinFor).Nanoseconds())
+		if left > spinTime {
+			pause := syscall.NsecToTimespec((left - spinTime).Nanoseconds())
 			syscall.Nanosleep(&pause, nil)
 		}
 	}
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -41,12 +41,12 @@
 
 // Stamp sets the command, the date and the description of other load on all series. If the report has runs, the description
 // is derived from the load averages that they recorded.
-func (r *Report) Stamp(command, beside string, now time.Time) {
+func (r *Report) Stamp(command, otherLoad string, now time.Time) {
 	if len(r.Runs) > 0 {
-		beside = besideRuns(r.Runs)
+		otherLoad = describeRunLoad(r.Runs)
 	}
 	for i := range r.Series {
-		r.Series[i].Command, r.Series[i].Beside = command, beside
+		r.Series[i].Command, r.Series[i].Beside = command, otherLoad
 		r.Series[i].Date = now.UTC().Format(time.DateOnly)
 	}
 }
@@ -59,20 +59,21 @@
 	return r.Series[0].Command
 }
 
-// besideRuns describes the other load on the machine: the range of load averages before the runs, and the highest steal time.
-func besideRuns(runs []*Run) string {
-	least, most := math.Inf(1), 0.0
-	mostStolen := 0.0
+// describeRunLoad describes the other load on the machine: the range of load averages before the runs, and the highest steal
+// time.
+func describeRunLoad(runs []*Run) string {
+	minLoad, maxLoad := math.Inf(1), 0.0
+	maxStolen := 0.0
 	for _, r := range runs {
 		first, _, _ := strings.Cut(r.Load, " ")
 		if load, err := strconv.ParseFloat(first, 64); err == nil {
-			least, most = min(least, load), max(most, load)
+			minLoad, maxLoad = min(minLoad, load), max(maxLoad, load)
 		}
-		mostStolen = max(mostStolen, r.Stolen)
+		maxStolen = max(maxStolen, r.Stolen)
 	}
-	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), least, most)
-	if mostStolen > 0 { // runs of earlier versions do not record it
-		text += fmt.Sprintf("; the host took up to %.1f cores", mostStolen)
+	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), minLoad, maxLoad)
+	if maxStolen > 0 { // runs of earlier versions do not record it
+		text += fmt.Sprintf("; the host took up to %.1f cores", maxStolen)
 	}
 	return text
 }
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -29,9 +29,9 @@
 const (
 	stepGatekeepers = 2200
 	serviceServers  = 34 // 2,200 servers over 65 services
-	toldServers     = 24 // most servers that one member reports on (package ejection)
+	reportedServers = 24 // most servers that one member reports on (package ejection)
 	registerBytes   = 1000
-	mostOrigins     = 1024 // most origins in a register replica, for the note on larger sizes
+	maxOrigins      = 1024 // most origins in a register replica, for the note on larger sizes
 )
 
 // Steps measures computations of the program, without I/O, at growing sizes.
@@ -106,7 +106,7 @@
 			if err != nil {
 				return nil, "", err
 			}
-			return timed(func() time.Duration { return f(d) }), "", nil
+			return wallTimed(func() time.Duration { return f(d) }), "", nil
 		}
 	}
 	return []step{
@@ -126,7 +126,7 @@
 		return nil, "", err
 	}
 	all := entries(n)
-	return timed(func() time.Duration {
+	return wallTimed(func() time.Duration {
 		c := control.New(site.Settings, 1)
 		start := time.Now()
 		c.Handle(1e6, control.List{Entries: all})
@@ -144,7 +144,7 @@
 		if err != nil || len(hosts) != n {
 			return nil, "", fmt.Errorf("parsed %d of %d hosts: %w", len(hosts), n, err)
 		}
-		return each(func() { inventory.Parse("servers."+form, text) }), fmt.Sprintf("%d bytes", len(text)), nil
+		return threadTimed(func() { inventory.Parse("servers."+form, text) }), fmt.Sprintf("%d bytes", len(text)), nil
 	}
 }
 
@@ -190,8 +190,8 @@
 
 func quotaTake(n int) (operation, string, error) {
 	m, now, i := quotaMember(n), control.Micros(2e6), 0
-	return each(func() {
-		now, i = now+decisionGap, i+1
+	return threadTimed(func() {
+		now, i = now+callInterval, i+1
 		claim, _, _ := m.Take(now, -1, 0, fmt.Sprintf("%08d", i*7%n))
 		m.Done(claim)
 	}), "one rule matches each call", nil
@@ -199,15 +199,15 @@
 
 func quotaArrived(n int) (operation, string, error) {
 	m, now, i := quotaMember(n), control.Micros(2e6), 0
-	return each(func() {
-		now, i = now+decisionGap, i+1
+	return threadTimed(func() {
+		now, i = now+callInterval, i+1
 		m.CountArrival(now, -1, 0, fmt.Sprintf("%08d", i*7%n))
 	}), "one rule matches each call", nil
 }
 
 // leaseTable returns the encoded table of one pool with n holders, and a function that encodes a request of one of them.
 func leaseTable(n int) (table []byte, request func(seq uint64) []byte, err error) {
-	ask := func(member int, seq uint64) []byte {
+	encode := func(member int, seq uint64) []byte {
 		text, _ := json.Marshal(quota.Request{Member: fmt.Sprintf("gatekeeper-%04d", member), Incarnation: 1, Seq: seq, Duration: quota.LeaseDuration,
 			Capacities: []quota.CapacityRequest{{Name: "all-calls", Capacity: 420000, Keep: 420000 / float64(n), Want: 191}}})
 		return text
@@ -216,7 +216,7 @@
 	t := &quota.Table{}
 	for i := range n {
 		var r quota.Request
-		if err := json.Unmarshal(ask(i, 1), &r); err != nil {
+		if err := json.Unmarshal(encode(i, 1), &r); err != nil {
 			return nil, nil, err
 		}
 		if _, err := t.Apply(r, 1, 1e6); err != nil {
@@ -224,7 +224,7 @@
 		}
 	}
 	table, err = json.Marshal(t)
-	return table, func(seq uint64) []byte { return ask(n/2, seq) }, err
+	return table, func(seq uint64) []byte { return encode(n/2, seq) }, err
 }
 
 // leaseReduce measures one renewal as the store's state machine applies it: the whole table is decoded, changed and encoded.
@@ -233,46 +233,46 @@
 	if err != nil {
 		return nil, "", err
 	}
-	seq, fault := uint64(1), error(nil)
-	op := each(func() {
+	seq, reduceErr := uint64(1), error(nil)
+	op := threadTimed(func() {
 		seq++
-		if _, _, err := quota.Reduce(table, request(seq), 1, 1e6+seqMicros(seq)); err != nil {
-			fault = err
+		if _, _, err := quota.Reduce(table, request(seq), 1, 1e6+withinLease(seq)); err != nil {
+			reduceErr = err
 		}
 	})
 	op(1)
-	return op, "one pool", fault
+	return op, "one pool", reduceErr
 }
 
-// seqMicros returns a time offset within the duration of the leases, so that none expires.
-func seqMicros(seq uint64) control.Micros { return control.Micros(seq % 1000) }
+// withinLease returns a time offset within the duration of the leases, so that none expires.
+func withinLease(seq uint64) control.Micros { return control.Micros(seq % 1000) }
 
 func leaseBytes(n int) (float64, string, error) {
 	table, _, err := leaseTable(n)
 	return float64(len(table)), "one pool; read and written whole at each renewal", err
 }
 
-// counters returns counters that have seen n servers, and a function that observes one more event.
-func counters(n int) (*counting.Counters, func()) {
+// newCounters returns counters that have seen n servers, and a function that observes one more event.
+func newCounters(n int) (*counting.Counters, func()) {
 	c, now, i := counting.New(counting.Options{Classes: 3}), control.Micros(1e6), 0
-	see := func() {
-		now, i = now+decisionGap, i+1
+	observe := func() {
+		now, i = now+callInterval, i+1
 		c.Observe(now, counting.Event{Kind: counting.Answered, Class: i % 3, Tenant: -1, Server: uint32(i*7%n + 1)})
 	}
 	for range 4 * n {
-		see()
+		observe()
 	}
-	return c, see
+	return c, observe
 }
 
 func countingObserve(n int) (operation, string, error) {
-	_, see := counters(n)
-	return each(see), "", nil
+	_, observe := newCounters(n)
+	return threadTimed(observe), "", nil
 }
 
 func countingRates(n int) (operation, string, error) {
-	c, _ := counters(n)
-	return each(func() { c.Rates(2e6) }), "", nil
+	c, _ := newCounters(n)
+	return threadTimed(func() { c.Rates(2e6) }), "", nil
 }
 
 func fleetSteps() []step {
@@ -281,26 +281,27 @@
 		{name: "registers_read_us", unit: "us", of: "origins", sizes: MemberSizes, prepare: registersRead},
 		{name: "registers_state_us", unit: "us", of: "origins", sizes: MemberSizes, prepare: registersState},
 		{name: "registers_refused", unit: "origins", of: "origins", sizes: MemberSizes, count: registersRefused},
-		{name: "view_apply_us", unit: "us", of: "members", sizes: MemberSizes, prepare: viewStep(applyOne)},
+		{name: "view_apply_us", unit: "us", of: "members", sizes: MemberSizes, prepare: viewStep(suspectAndAnswer)},
 		{name: "view_hash_us", unit: "us", of: "members", sizes: MemberSizes, prepare: viewStep(func(v *fleetview.View, _ int) { v.Hash() })},
 		{name: "view_members_us", unit: "us", of: "members", sizes: MemberSizes,
 			prepare: viewStep(func(v *fleetview.View, _ int) { v.Members() })},
-		{name: "judge_round_service_us", unit: "us", of: "members", sizes: MemberSizes, prepare: judgeService},
-		{name: "judge_round_told_us", unit: "us", of: "members", sizes: MemberSizes, prepare: judgeTold},
-		{name: "judge_round_square_us", unit: "us", of: "members and servers, all told", sizes: squareSizes, prepare: judgeSquare},
+		{name: "judge_round_service_us", unit: "us", of: "members", sizes: MemberSizes, prepare: outlierRoundService},
+		{name: "judge_round_told_us", unit: "us", of: "members", sizes: MemberSizes, prepare: outlierRoundReported},
+		{name: "judge_round_square_us", unit: "us", of: "members and servers, all told", sizes: squareSizes, prepare: outlierRoundSquare},
 	}
 }
 
-// book returns a replica into which a limits register of each of n origins was merged, and the number of origins it refused.
-func book(n int) (b *registers.Replica, refused int) {
-	b = registers.New("g-self", 1, fleet.Topics)
-	b.Put(1e6, registers.Limits, make([]byte, registerBytes))
+// newReplica returns a replica into which a limits register of each of n origins was merged, and the number of origins that it
+// refused.
+func newReplica(n int) (replica *registers.Replica, refused int) {
+	replica = registers.New("g-self", 1, fleet.Topics)
+	replica.Put(1e6, registers.Limits, make([]byte, registerBytes))
 	for i := range n {
-		if _, err := b.Merge(1e6, register(i, 1)); err != nil {
+		if _, err := replica.Merge(1e6, register(i, 1)); err != nil {
 			refused++
 		}
 	}
-	return b, refused
+	return replica, refused
 }
 
 func register(origin int, seq uint64) registers.Register {
@@ -312,48 +313,48 @@
 	if refused == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%d origins refused: the bound is %d; the figure is that of the origins held", refused, mostOrigins)
+	return fmt.Sprintf("%d origins refused: the bound is %d; the figure is that of the origins held", refused, maxOrigins)
 }
 
 func registersMerge(n int) (operation, string, error) {
-	b, refused := book(n)
+	replica, refused := newReplica(n)
 	seq, i, now := uint64(1), 0, control.Micros(1e6)
 	all := make([]registers.Register, n)
 	for i := range all {
 		all[i] = register(i, 0)
 	}
-	return each(func() {
+	return threadTimed(func() {
 		if i%n == 0 {
 			seq++
 		}
 		now++
 		r := all[i*7%n]
 		r.Seq = seq + uint64(i)
-		b.Merge(now, r)
+		replica.Merge(now, r)
 		i++
 	}), refusedNote(refused), nil
 }
 
 func registersRead(n int) (operation, string, error) {
-	b, refused := book(n)
+	replica, refused := newReplica(n)
 	up := func(string, uint64) bool { return true }
-	return each(func() { b.Read(1e6+1, registers.Limits, up) }), refusedNote(refused), nil
+	return threadTimed(func() { replica.Read(1e6+1, registers.Limits, up) }), refusedNote(refused), nil
 }
 
 func registersState(n int) (operation, string, error) {
-	b, refused := book(n)
-	return each(func() { b.State(1e6 + 1) }), refusedNote(refused), nil
+	replica, refused := newReplica(n)
+	return threadTimed(func() { replica.State(1e6 + 1) }), refusedNote(refused), nil
 }
 
 func registersRefused(n int) (float64, string, error) {
-	_, refused := book(n)
+	_, refused := newReplica(n)
 	return float64(refused), refusedNote(refused), nil
 }
 
 func viewMember(i int, seq uint64) fleetview.Member {
 	m := fleetview.Member{Name: fmt.Sprintf("gatekeeper-%04d", i), Zone: fmt.Sprintf("zone-%d", i%6), Region: fmt.Sprintf("region-%d", i%3),
 		Program: "1.0", Start: 1, Seq: seq, State: fleetview.Ready, Address: fmt.Sprintf("10.0.%d.%d:7000", i>>8, i&255)}
-	for s := range toldServers {
+	for s := range reportedServers {
 		m.Servers = append(m.Servers, fleetview.Summary{Server: uint32(s + 1)})
 	}
 	return m
@@ -370,23 +371,23 @@
 			return nil, "", fmt.Errorf("the view has %d members", got)
 		}
 		i := 0
-		return each(func() {
+		return threadTimed(func() {
 			i++
 			f(v, 1+i%(n-1))
 		}), "", nil
 	}
 }
 
-// applyOne applies two events: a member is suspected and then answers a probe.
-func applyOne(v *fleetview.View, i int) {
+// suspectAndAnswer applies two events: a member is suspected and then answers a probe.
+func suspectAndAnswer(v *fleetview.View, i int) {
 	name := fmt.Sprintf("gatekeeper-%04d", i)
 	v.Apply(2e6, fleetview.Event{Kind: fleetview.EventSuspected, Name: name})
 	v.Apply(2e6, fleetview.Event{Kind: fleetview.EventProbeAnswered, Name: name})
 }
 
-// judge returns an operation that runs one round of outlier detection, with members that each report on told of the servers,
-// all of them healthy.
-func judge(members, servers, told int) operation {
+// outlierRound returns an operation that runs one round of outlier detection. Each member reports on the given number of
+// servers, all of them healthy.
+func outlierRound(members, servers, reported int) operation {
 	var all []outlier.Evidence
 	var list []outlier.Server
 	var up []string
@@ -395,27 +396,27 @@
 	}
 	for m := range members {
 		e := outlier.Evidence{Member: fmt.Sprintf("gatekeeper-%04d", m), Age: 10000}
-		for s := range told {
-			e.Servers = append(e.Servers, outlier.Observation{Server: uint32((m*told+s)%servers + 1), Successes: 30, SuccessAge: 10000, FailureAge: -1})
+		for s := range reported {
+			e.Servers = append(e.Servers, outlier.Observation{Server: uint32((m*reported+s)%servers + 1), Successes: 30, SuccessAge: 10000, FailureAge: -1})
 		}
 		all, up = append(all, e), append(up, e.Member)
 	}
-	b, now := outlier.New("gatekeeper-0000", 0.3), control.Micros(1e9)
-	return each(func() {
+	detector, now := outlier.New("gatekeeper-0000", 0.3), control.Micros(1e9)
+	return threadTimed(func() {
 		now += 100000
-		b.Update(now, all, list, up)
+		detector.Update(now, all, list, up)
 	})
 }
 
-func judgeService(n int) (operation, string, error) {
-	return judge(n, serviceServers, toldServers), fmt.Sprintf("%d servers on the list, %d told by each member", serviceServers, toldServers), nil
+func outlierRoundService(n int) (operation, string, error) {
+	return outlierRound(n, serviceServers, reportedServers), fmt.Sprintf("%d servers on the list, %d told by each member", serviceServers, reportedServers), nil
 }
 
-func judgeTold(n int) (operation, string, error) {
-	told := min(n, toldServers)
-	return judge(n, n, told), fmt.Sprintf("as many servers on the list as members, %d told by each member, as the program bounds it", told), nil
+func outlierRoundReported(n int) (operation, string, error) {
+	reported := min(n, reportedServers)
+	return outlierRound(n, n, reported), fmt.Sprintf("as many servers on the list as members, %d told by each member, as the program bounds it", reported), nil
 }
 
-func judgeSquare(n int) (operation, string, error) {
-	return judge(n, n, n), "every member tells of every server, which the program does not do (24 at most)", nil
+func outlierRoundSquare(n int) (operation, string, error) {
+	return outlierRound(n, n, n), "every member tells of every server, which the program does not do (24 at most)", nil
 }
