--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -169,7 +169,7 @@
 	key          func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
 	retryRand    *rand.Rand                        // random source of retryTarget
 	observer     func(Seen)                        // receives observations; may be nil
-	finalAnswers map[string]SeenKind               // final answers of finished attempts; used only if observer is set
+	finalAnswers map[string]SeenKind               // final answers of finished attempts, used only if observer is set
 	expired      map[string]int                    // gatekeeper of each attempt that timed out, until its late answer arrives
 }
 
