--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -9,26 +9,26 @@
 	"beammux/internal/protocol/jsonl"
 )
 
-// SeenKind is the kind of an observation made by a stand-in.
-type SeenKind int
+// ObservationKind is the kind of an observation made by a stand-in.
+type ObservationKind int
 
 // Kinds of observations: callers observe attempts, servers observe set-ups.
 const (
-	Tried          SeenKind = iota // a set-up was written to a gatekeeper; Span is the time that the caller allows
-	Unsent                         // no gatekeeper was available
-	Established                    // final answer: the call is established; Body is its session description
-	Refused                        // final answer: the gatekeeper refused the call
-	Failed                         // final answer: the call failed
-	SecondAnswer                   // a further final answer; Body names its kind
-	Unanswered                     // the caller's time limit passed without an answer
-	Broken                         // the connection ended before an answer
-	Ended                          // an established call was released
-	ServerSetup                    // a complete set-up arrived at a server
-	ServerAnswered                 // the server accepted the set-up
-	ServerFull                     // the server rejected the set-up because its queue was too long
-	ServerGivenUp                  // the set-up was abandoned by CANCEL or the end of its connection
-	ServerCut                      // the server was killed while the set-up or call was open
-	LateAnswer                     // the first answer to an attempt already reported as Unanswered; Body names its type
+	Tried          ObservationKind = iota // a set-up was written to a gatekeeper; Span is the time that the caller allows
+	Unsent                                // no gatekeeper was available
+	Established                           // final answer: the call is established; Body is its session description
+	Refused                               // final answer: the gatekeeper refused the call
+	Failed                                // final answer: the call failed
+	SecondAnswer                          // a further final answer; Body names its kind
+	Unanswered                            // the caller's time limit passed without an answer
+	Broken                                // the connection ended before an answer
+	Ended                                 // an established call was released
+	ServerSetup                           // a complete set-up arrived at a server
+	ServerAnswered                        // the server accepted the set-up
+	ServerFull                            // the server rejected the set-up because its queue was too long
+	ServerGivenUp                         // the set-up was abandoned by CANCEL or the end of its connection
+	ServerCut                             // the server was killed while the set-up or call was open
+	LateAnswer                            // the first answer to an attempt already reported as Unanswered; Body names its type
 	observationKinds
 )
 
@@ -36,12 +36,12 @@
 	"setup", "answered", "full", "given up", "cut", "late answer"}
 
 // String returns the name of the kind in the record of a run.
-func (k SeenKind) String() string { return observationNames[k] }
+func (k ObservationKind) String() string { return observationNames[k] }
 
-// Seen is one observation of a stand-in.
-type Seen struct {
+// Observation is one observation of a stand-in.
+type Observation struct {
 	At         time.Time
-	Kind       SeenKind
+	Kind       ObservationKind
 	Call       string
 	Gatekeeper int // index among the callers' gatekeepers, -1 if the observation concerns none
 	Class      string
@@ -63,10 +63,10 @@
 	Servers     int
 	PerS        float64 // first calls per second
 	Length      time.Duration
-	Pick        func(*rand.Rand) (home, dest int) // chooses the gatekeeper and the first-choice cell of a first call
-	Again       func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one
+	FirstTarget func(*rand.Rand) (home, dest int) // chooses the gatekeeper and the first-choice cell of a first call
+	RetryTarget func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one
 	Key         func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
-	Hear        func(Seen)                        // receives each observation; runs with a lock held and must not call Callers
+	Observer    func(Observation)                 // receives each observation; runs with a lock held and must not call Callers
 }
 
 // Callers are stand-ins for the callers of a fleet. They share one connection to each gatekeeper and reopen it after a
@@ -77,9 +77,9 @@
 func NewCallers(o Load) *Callers {
 	load := newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
 		Load: o.PerS / work.Capacity() / float64(o.Servers)})
-	load.retryTarget, load.retryRand = o.Again, rand.New(rand.NewPCG(o.Seed, 3))
+	load.retryTarget, load.retryRand = o.RetryTarget, rand.New(rand.NewPCG(o.Seed, 3))
 	load.key = o.Key
-	load.firstTarget, load.observer, load.finalAnswers = o.Pick, o.Hear, map[string]SeenKind{}
+	load.firstTarget, load.observer, load.finalAnswers = o.FirstTarget, o.Observer, map[string]ObservationKind{}
 	for range o.Gatekeepers {
 		load.conns = append(load.conns, &gatekeeperConn{})
 	}
@@ -92,11 +92,11 @@
 	healthCheckTimeout  = time.Second            // the front routes no call to a gatekeeper without a passed check in this time
 )
 
-// Keep maintains a connection to gatekeeper i at addr until the context ends and reopens it after a failure. Attempts that
+// MaintainConnection maintains a connection to gatekeeper i at addr until the context ends and reopens it after a failure. Attempts that
 // are open on a failed connection are reported as Broken and retried. Like the platform's front, it checks the health of the
 // gatekeeper, and routes new set-ups elsewhere while the last check failed or none passed for a second. Keep must be called
 // once for each gatekeeper.
-func (c *Callers) Keep(ctx context.Context, i int, addr string) {
+func (c *Callers) MaintainConnection(ctx context.Context, i int, addr string) {
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 		if err == nil {
@@ -145,8 +145,8 @@
 
 const healthCheckID = "ffffffffffffffff"
 
-// Up returns the number of gatekeepers that are available for new set-ups.
-func (c *Callers) Up() (n int) {
+// Available returns the number of gatekeepers that are available for new set-ups.
+func (c *Callers) Available() (n int) {
 	for _, target := range c.workload.conns {
 		target.mu.Lock()
 		if target.available() {
@@ -173,8 +173,8 @@
 	}
 }
 
-// Play places calls until the length of the load has passed or the context ends, and then waits for open attempts.
-func (c *Callers) Play(ctx context.Context) {
+// PlaceCalls places calls until the length of the load has passed or the context ends, and then waits for open attempts.
+func (c *Callers) PlaceCalls(ctx context.Context) {
 	c.workload.began = time.Now()
 	c.workload.placeCalls(ctx, c.workload.Servers, nil)
 }
@@ -200,7 +200,7 @@
 				continue
 			}
 			w.outcome.Unanswered++
-			w.observe(Seen{Kind: Broken, Call: id, Gatekeeper: i})
+			w.observe(Observation{Kind: Broken, Call: id, Gatekeeper: i})
 			w.scheduleRetry(attempt.caller, 0)
 		}
 	}
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -50,8 +50,8 @@
 	since             time.Time
 }
 
-// Play runs the scenario in real time and returns the results.
-func (o Incident) Play(ctx context.Context) (*Outcome, error) {
+// Simulate runs the scenario in real time and returns the results.
+func (o Incident) Simulate(ctx context.Context) (*Outcome, error) {
 	if o.Length == 0 {
 		o.Length = 30 * time.Second
 	}
@@ -204,7 +204,7 @@
 		return
 	}
 	fresh := i.servers[len(i.servers)-1]
-	fresh.Cold(0.33, 5*time.Second)
+	fresh.StartCold(0.33, 5*time.Second)
 	i.changeInventory(func() { i.hosts[index].state = "removed" })
 }
 
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -36,24 +36,24 @@
 // Outcome is the result of a scenario. A call that is established within its aim, counted from the first attempt, earns its
 // full worth, and later, until the caller gives up, a quarter of it. Retries count with the caller's first attempt.
 type Outcome struct {
-	First      int                `json:"first_calls"`
-	Tries      int                `json:"tries"`  // including the callers' own retries
-	Setups     int                `json:"setups"` // set-ups that reached servers
-	PerCall    float64            `json:"setups_per_first_call"`
-	PerSent    float64            `json:"setups_per_try_sent"` // over the attempts for which at least one set-up reached a server
-	Wasted     int                `json:"wasted"`              // set-ups processed after they had been given up
-	Full       int                `json:"turned_away"`         // set-ups that full servers rejected
-	Hung       int                `json:"setups_on_hanging_servers"`
-	FailedPart int                `json:"setups_failed_by_ill_servers"`
-	Offered    float64            `json:"worth_offered"`
-	Served     float64            `json:"worth_served"` // fraction of the offered worth
-	ByClass    map[string]float64 `json:"served_by_class"`
-	SlowServed float64            `json:"served_of_calls_in_the_slow_span"`
-	P50        float64            `json:"P50"` // set-up delay of established calls from the first attempt, in seconds
-	P99        float64            `json:"P99"` // set-up delay of established calls from the first attempt, in seconds
-	Refused    int                `json:"tries_refused"`
-	Failed     int                `json:"tries_failed"`
-	Unanswered int                `json:"tries_unanswered"`
+	First            int                `json:"first_calls"`
+	Attempts         int                `json:"tries"`  // including the callers' own retries
+	Setups           int                `json:"setups"` // set-ups that reached servers
+	SetupsPerCall    float64            `json:"setups_per_first_call"`
+	SetupsPerAttempt float64            `json:"setups_per_try_sent"` // over the attempts for which at least one set-up reached a server
+	Wasted           int                `json:"wasted"`              // set-ups processed after they had been given up
+	TurnedAway       int                `json:"turned_away"`         // set-ups that full servers rejected
+	Hung             int                `json:"setups_on_hanging_servers"`
+	FailedByFault    int                `json:"setups_failed_by_ill_servers"`
+	Offered          float64            `json:"worth_offered"`
+	ServedShare      float64            `json:"worth_served"` // fraction of the offered worth
+	ServedByClass    map[string]float64 `json:"served_by_class"`
+	ServedInSlowSpan float64            `json:"served_of_calls_in_the_slow_span"`
+	P50              float64            `json:"P50"` // set-up delay of established calls from the first attempt, in seconds
+	P99              float64            `json:"P99"` // set-up delay of established calls from the first attempt, in seconds
+	Refused          int                `json:"tries_refused"`
+	Failed           int                `json:"tries_failed"`
+	Unanswered       int                `json:"tries_unanswered"`
 }
 
 type class struct {
@@ -83,8 +83,8 @@
 func formatSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
 
 // work follows the platform's figures: 20 calls per second for each server.
-var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, Full: 3 * time.Second,
-	Resend: 500 * time.Millisecond}
+var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, MaxQueueDelay: 3 * time.Second,
+	RetransmitInterval: 500 * time.Millisecond}
 
 // Run runs the scenario in real time and returns the results.
 func (o Overload) Run(ctx context.Context) (*Outcome, error) {
@@ -168,13 +168,13 @@
 	retryTarget  func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one; nil: always the next
 	key          func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
 	retryRand    *rand.Rand                        // random source of retryTarget
-	observer     func(Seen)                        // receives observations; may be nil
-	finalAnswers map[string]SeenKind               // final answers of finished attempts, used only if observer is set
+	observer     func(Observation)                 // receives observations; may be nil
+	finalAnswers map[string]ObservationKind        // final answers of finished attempts, used only if observer is set
 	expired      map[string]int                    // gatekeeper of each attempt that timed out, until its late answer arrives
 }
 
 // observe reports an observation. The caller must hold the lock.
-func (w *workload) observe(s Seen) {
+func (w *workload) observe(s Observation) {
 	if w.observer != nil {
 		s.At = time.Now()
 		w.observer(s)
@@ -182,16 +182,16 @@
 }
 
 // recordFinal records the final answer of an attempt and reports whether it is the first. The caller must hold the lock.
-func (w *workload) recordFinal(attempt *setupAttempt, id string, kind SeenKind, body string) bool {
+func (w *workload) recordFinal(attempt *setupAttempt, id string, kind ObservationKind, body string) bool {
 	if w.observer == nil {
 		return true
 	}
 	if previous, repeated := w.finalAnswers[id]; repeated && (previous != Established || kind == Established) {
-		w.observe(Seen{Kind: SecondAnswer, Call: id, Gatekeeper: attempt.gatekeeper, Body: kind.String()})
+		w.observe(Observation{Kind: SecondAnswer, Call: id, Gatekeeper: attempt.gatekeeper, Body: kind.String()})
 		return false
 	}
 	w.finalAnswers[id] = kind
-	w.observe(Seen{Kind: kind, Call: id, Gatekeeper: attempt.gatekeeper, Body: body})
+	w.observe(Observation{Kind: kind, Call: id, Gatekeeper: attempt.gatekeeper, Body: body})
 	return true
 }
 
@@ -211,7 +211,7 @@
 
 func newWorkload(o Overload) *workload {
 	return &workload{Overload: o, began: time.Now(), calls: map[string]*setupAttempt{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
-		outcome: &Outcome{ByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
+		outcome: &Outcome{ServedByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
 }
 
 // connect opens a connection to a gatekeeper, without health checks, and lets its callers use it.
@@ -340,7 +340,7 @@
 	id := fmt.Sprintf("%016x", w.lastID)
 	attempt := &setupAttempt{caller: c, gatekeeper: -1}
 	w.calls[id] = attempt
-	w.outcome.Tries++
+	w.outcome.Attempts++
 	c.attempts++
 	attempt.over = time.AfterFunc(attemptTimeout+50*time.Millisecond, func() {
 		w.mu.Lock()
@@ -348,7 +348,7 @@
 		if w.calls[id] == attempt && !attempt.established {
 			w.outcome.Unanswered++
 			delete(w.calls, id)
-			w.observe(Seen{Kind: Unanswered, Call: id, Gatekeeper: attempt.gatekeeper})
+			w.observe(Observation{Kind: Unanswered, Call: id, Gatekeeper: attempt.gatekeeper})
 			w.expired[id] = attempt.gatekeeper
 			w.scheduleRetry(c, 0)
 		}
@@ -363,7 +363,7 @@
 		if conn := target.conn; target.available() {
 			w.mu.Lock()
 			attempt.gatekeeper, attempt.conn = candidate, conn
-			w.observe(Seen{Kind: Tried, Call: id, Gatekeeper: candidate, Class: classes[c.class].name, Span: attemptTimeout})
+			w.observe(Observation{Kind: Tried, Call: id, Gatekeeper: candidate, Class: classes[c.class].name, Span: attemptTimeout})
 			w.mu.Unlock()
 			target.mu.Unlock()
 			target.write(conn, m.Append(nil))
@@ -372,7 +372,7 @@
 		target.mu.Unlock()
 	}
 	w.mu.Lock()
-	w.observe(Seen{Kind: Unsent, Call: id, Gatekeeper: -1})
+	w.observe(Observation{Kind: Unsent, Call: id, Gatekeeper: -1})
 	w.mu.Unlock()
 }
 
@@ -424,7 +424,7 @@
 	if attempt == nil {
 		w.handleLateAnswer(m)
 		if _, over := w.finalAnswers[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && w.finalAnswers[m.ID] != Established {
-			w.observe(Seen{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
+			w.observe(Observation{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
 		}
 		return
 	}
@@ -450,7 +450,7 @@
 		delete(w.calls, m.ID)
 		attempt.over.Stop()
 		if attempt.established {
-			w.observe(Seen{Kind: Ended, Call: m.ID, Gatekeeper: attempt.gatekeeper})
+			w.observe(Observation{Kind: Ended, Call: m.ID, Gatekeeper: attempt.gatekeeper})
 			return
 		}
 		if m.Code == 34 {
@@ -472,7 +472,7 @@
 		return
 	}
 	delete(w.expired, m.ID)
-	w.observe(Seen{Kind: LateAnswer, Call: m.ID, Gatekeeper: gatekeeper, Body: m.Type})
+	w.observe(Observation{Kind: LateAnswer, Call: m.ID, Gatekeeper: gatekeeper, Body: m.Type})
 }
 
 func (w *workload) result(servers []*Server) *Outcome {
@@ -482,16 +482,16 @@
 	for _, c := range classes {
 		o.Offered += w.offered[c.name]
 		servedWorth += w.served[c.name]
-		o.ByClass[c.name] = w.served[c.name] / max(w.offered[c.name], 1)
+		o.ServedByClass[c.name] = w.served[c.name] / max(w.offered[c.name], 1)
 	}
 	ids := map[string]bool{}
 	for _, s := range servers {
 		s.count(o, ids)
 	}
-	o.PerSent = float64(o.Setups) / max(float64(len(ids)), 1)
-	o.Served = servedWorth / max(o.Offered, 1)
-	o.PerCall = float64(o.Setups) / max(float64(o.First), 1)
-	o.SlowServed = w.slowSpanWorth[1] / max(w.slowSpanWorth[0], 1)
+	o.SetupsPerAttempt = float64(o.Setups) / max(float64(len(ids)), 1)
+	o.ServedShare = servedWorth / max(o.Offered, 1)
+	o.SetupsPerCall = float64(o.Setups) / max(float64(o.First), 1)
+	o.ServedInSlowSpan = w.slowSpanWorth[1] / max(w.slowSpanWorth[0], 1)
 	o.P50, o.P99 = float64(w.delays.ValueAtQuantile(50))/1000, float64(w.delays.ValueAtQuantile(99))/1000
 	return o
 }
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -20,8 +20,8 @@
 type Work struct {
 	Setup                           time.Duration
 	Answer, Release, Refuse, Repeat float64       // as multiples of Setup
-	Full                            time.Duration // queueing delay above which set-ups are rejected
-	Resend                          time.Duration // first retransmission interval of a queued set-up; it doubles each time
+	MaxQueueDelay                   time.Duration // queueing delay above which set-ups are rejected
+	RetransmitInterval              time.Duration // first retransmission interval of a queued set-up; it doubles each time
 }
 
 // Capacity returns the number of calls per second that one server can process.
@@ -50,10 +50,10 @@
 	pushState         bool                      // the state is sent periodically and on each new connection
 	pendingReleases   map[string][]*sip.Message // releases that wait for the peer's next connection
 
-	observer      func(Seen)    // receives observations; may be nil
-	coldSince     time.Time     // time of a cold start; zero if the server is warm
-	startCapacity float64       // fraction of the capacity at the cold start
-	warmUpTime    time.Duration // time from the cold start until full capacity
+	observer      func(Observation) // receives observations; may be nil
+	coldSince     time.Time         // time of a cold start; zero if the server is warm
+	startCapacity float64           // fraction of the capacity at the cold start
+	warmUpTime    time.Duration     // time from the cold start until full capacity
 
 	setups, wasted int             // set-ups that arrived, and set-ups processed after they had been given up
 	turnedAway     int             // set-ups rejected because the queue was too long
@@ -135,24 +135,24 @@
 // Addr returns the address of the server's first listener.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Hear sets the function that receives the server's observations, in order. f runs with the server's lock held and must not
+// SetObserver sets the function that receives the server's observations, in order. f runs with the server's lock held and must not
 // call the server. Hear must be called before the first call arrives.
-func (s *Server) Hear(f func(Seen)) {
+func (s *Server) SetObserver(f func(Observation)) {
 	s.mu.Lock()
 	s.observer = f
 	s.mu.Unlock()
 }
 
 // observe reports an observation. The caller must hold the lock.
-func (s *Server) observe(kind SeenKind, call string) {
+func (s *Server) observe(kind ObservationKind, call string) {
 	if s.observer != nil {
-		s.observer(Seen{At: time.Now(), Kind: kind, Call: call})
+		s.observer(Observation{At: time.Now(), Kind: kind, Call: call})
 	}
 }
 
-// Cold makes the server start cold now: its capacity rises linearly from the fraction startCapacity to its full value within
+// StartCold makes the server start cold now: its capacity rises linearly from the fraction startCapacity to its full value within
 // the given time.
-func (s *Server) Cold(startCapacity float64, within time.Duration) {
+func (s *Server) StartCold(startCapacity float64, within time.Duration) {
 	s.mu.Lock()
 	s.coldSince, s.startCapacity, s.warmUpTime = time.Now(), startCapacity, within
 	s.mu.Unlock()
@@ -167,9 +167,9 @@
 	return f
 }
 
-// Status sends the server's state periodically on its connections, at most four for each peer, and immediately on each new
+// StartStatusReports sends the server's state periodically on its connections, at most four for each peer, and immediately on each new
 // connection, until end is called.
-func (s *Server) Status(every time.Duration) (end func()) {
+func (s *Server) StartStatusReports(every time.Duration) (end func()) {
 	s.mu.Lock()
 	s.pushState = true
 	s.mu.Unlock()
@@ -218,23 +218,23 @@
 	}
 }
 
-// Engage makes the server answer calls to a number as busy; "" ends this.
-func (s *Server) Engage(number string) {
+// SetBusyNumber makes the server answer calls to a number as busy; "" ends this.
+func (s *Server) SetBusyNumber(number string) {
 	s.mu.Lock()
 	s.busyNumber = number
 	s.mu.Unlock()
 }
 
-// Hang sets whether the server hangs: it then accepts set-ups and never answers them. It continues to report its state,
+// SetHanging sets whether the server hangs: it then accepts set-ups and never answers them. It continues to report its state,
 // which shows an idle server.
-func (s *Server) Hang(on bool) {
+func (s *Server) SetHanging(on bool) {
 	s.mu.Lock()
 	s.hanging = on
 	s.mu.Unlock()
 }
 
-// FailPart sets the fraction of set-ups that the server answers with status 500.
-func (s *Server) FailPart(rate float64) {
+// SetFailureRate sets the fraction of set-ups that the server answers with status 500.
+func (s *Server) SetFailureRate(rate float64) {
 	s.mu.Lock()
 	s.failureRate = rate
 	s.mu.Unlock()
@@ -260,9 +260,9 @@
 	defer s.mu.Unlock()
 	o.Setups += s.setups
 	o.Wasted += s.wasted
-	o.Full += s.turnedAway
+	o.TurnedAway += s.turnedAway
 	o.Hung += s.hung
-	o.FailedPart += s.failed
+	o.FailedByFault += s.failed
 	for id := range s.callIDs {
 		callIDs[id] = true
 	}
@@ -375,7 +375,7 @@
 			})
 			return
 		}
-		if time.Until(s.idleAt) > s.work.Full {
+		if time.Until(s.idleAt) > s.work.MaxQueueDelay {
 			s.turnedAway++
 			s.schedule(s.work.Refuse, func() {
 				s.forget(id, call)
@@ -385,7 +385,7 @@
 			return
 		}
 		s.schedule(1, func() { s.schedule(s.work.Answer, func() { s.answer(id, call) }) })
-		for gap, at := s.work.Resend, s.work.Resend; gap > 0 && at < time.Until(s.idleAt); at += gap {
+		for gap, at := s.work.RetransmitInterval, s.work.RetransmitInterval; gap > 0 && at < time.Until(s.idleAt); at += gap {
 			s.schedule(s.work.Repeat, nil)
 			gap *= 2
 		}
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -58,7 +58,7 @@
 	Refused     int     `json:"refused"`
 	Failed      int     `json:"failed"`
 	Unsent      int     `json:"unsent"` // no connection to the gatekeeper was open
-	Silent      int     `json:"silent"` // no answer arrived
+	Unanswered  int     `json:"silent"` // no answer arrived
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 	P999        float64 `json:"p999_ms"`
@@ -94,29 +94,29 @@
 
 // Run is the result of one measurement.
 type Run struct {
-	Servers      int     `json:"servers_known"`
-	Active       int     `json:"servers_called"`
-	PerSecond    float64 `json:"calls_per_s"`
-	Descriptors  int     `json:"descriptor_limit"`
-	StateEvery   float64 `json:"state_every_s"`
-	Setup        float64 `json:"setup_ms"`
-	Seed         uint64  `json:"seed"`
-	Seconds      float64 `json:"seconds"`
-	Load         string  `json:"load_average_before"`
-	Through      Arm     `json:"through"`
-	Direct       Arm     `json:"direct"`
-	Added        *Added  `json:"added,omitempty"`      // nil if both calls were established in no pair
-	Late         float64 `json:"schedule_late_p99_ms"` // delay of the sender behind the schedule
-	CorePart     float64 `json:"core_part"`            // processor time of the gatekeeper per second
-	WaitPart     float64 `json:"core_wait_part"`       // time that threads of the gatekeeper waited for a core, per second
-	Stolen       float64 `json:"stolen_cores"`         // steal time of the virtual machine per second; -1 if unknown
-	PerCall      float64 `json:"us_per_call"`          // processor time of the gatekeeper divided by the number of calls
-	ResidentMB   float64 `json:"resident_mb"`
-	PeakMB       float64 `json:"resident_peak_mb"`
-	Held         int     `json:"descriptors_held"`
-	UpSeconds    float64 `json:"seconds_to_serving"`
-	CallersEnded int64   `json:"caller_connections_ended"` // closed by the gatekeeper and redialled
-	NoConnection int64   `json:"servers_without_connection_logged"`
+	Servers                 int     `json:"servers_known"`
+	Active                  int     `json:"servers_called"`
+	PerSecond               float64 `json:"calls_per_s"`
+	Descriptors             int     `json:"descriptor_limit"`
+	StateEvery              float64 `json:"state_every_s"`
+	Setup                   float64 `json:"setup_ms"`
+	Seed                    uint64  `json:"seed"`
+	Seconds                 float64 `json:"seconds"`
+	Load                    string  `json:"load_average_before"`
+	Through                 Arm     `json:"through"`
+	Direct                  Arm     `json:"direct"`
+	Added                   *Added  `json:"added,omitempty"`      // nil if both calls were established in no pair
+	ScheduleDelayP99        float64 `json:"schedule_late_p99_ms"` // delay of the sender behind the schedule
+	CoreShare               float64 `json:"core_part"`            // processor time of the gatekeeper per second
+	CoreWaitShare           float64 `json:"core_wait_part"`       // time that threads of the gatekeeper waited for a core, per second
+	StealCores              float64 `json:"stolen_cores"`         // steal time of the virtual machine per second; -1 if unknown
+	PerCall                 float64 `json:"us_per_call"`          // processor time of the gatekeeper divided by the number of calls
+	ResidentMB              float64 `json:"resident_mb"`
+	PeakMB                  float64 `json:"resident_peak_mb"`
+	DescriptorsHeld         int     `json:"descriptors_held"`
+	SecondsToServing        float64 `json:"seconds_to_serving"`
+	CallerConnectionsClosed int64   `json:"caller_connections_ended"` // closed by the gatekeeper and redialled
+	FailedConnections       int64   `json:"servers_without_connection_logged"`
 
 	differences []float64
 }
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	defer gatekeeper.stop()
-	r.UpSeconds = gatekeeper.startupTime.Seconds()
+	r.SecondsToServing = gatekeeper.startupTime.Seconds()
 	gatekeeper.waitConnected(ctx)
 	return r, l.runCalls(ctx, r, gatekeeper, addresses)
 }
@@ -165,11 +165,11 @@
 	for i := range l.Servers {
 		// Staggers the starts, so that the servers do not all report their state at the same moment.
 		time.Sleep(time.Until(began.Add(l.StateEvery * time.Duration(i) / time.Duration(l.Servers))))
-		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: maxQueueDelay}, l.Seed+uint64(i))
+		s, err := lab.NewServer(lab.Work{Setup: l.Setup, MaxQueueDelay: maxQueueDelay}, l.Seed+uint64(i))
 		if err != nil {
 			return nil, closeAll, err
 		}
-		ends = append(ends, s.Close, s.Status(l.StateEvery))
+		ends = append(ends, s.Close, s.StartStatusReports(l.StateEvery))
 		addresses = append(addresses, s.Addr())
 	}
 	return addresses, closeAll, nil
@@ -209,17 +209,17 @@
 		close(done)
 		return fmt.Errorf("reading the gatekeeper's processor time: %w", err)
 	}
-	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
-	r.WaitPart = (gatekeeper.coreWait() - coreWait).Seconds() / time.Since(measured).Seconds()
-	r.Stolen = stealCores(steal, stealErr, time.Since(measured))
+	r.CoreShare = (after - before).Seconds() / time.Since(measured).Seconds()
+	r.CoreWaitShare = (gatekeeper.coreWait() - coreWait).Seconds() / time.Since(measured).Seconds()
+	r.StealCores = stealCores(steal, stealErr, time.Since(measured))
 	now, peak := gatekeeper.resident()
 	r.ResidentMB, r.PeakMB = float64(now)/1024, float64(peak)/1024
-	r.Held = gatekeeper.descriptors()
+	r.DescriptorsHeld = gatekeeper.descriptors()
 	settle(ctx, viaGatekeeper.arm, direct.arm)
 	close(done)
 	finished()
-	r.CallersEnded, r.NoConnection = viaGatekeeper.closedByPeer.Load(), gatekeeper.failedConnections.Load()
-	r.Late = float64(late.ValueAtQuantile(99)) / 1000
+	r.CallerConnectionsClosed, r.FailedConnections = viaGatekeeper.closedByPeer.Load(), gatekeeper.failedConnections.Load()
+	r.ScheduleDelayP99 = float64(late.ValueAtQuantile(99)) / 1000
 	r.evaluate(viaGatekeeper.arm, direct.arm, first, samples)
 	return ctx.Err()
 }
@@ -281,7 +281,7 @@
 	through, direct := throughArm.calls[first:], directArm.calls[first:]
 	r.Through, r.Direct = armOf(through), armOf(direct)
 	if r.Through.Calls > 0 {
-		r.PerCall = r.CorePart * r.Seconds * 1e6 / float64(r.Through.Calls)
+		r.PerCall = r.CoreShare * r.Seconds * 1e6 / float64(r.Through.Calls)
 	}
 	var throughLatencies, calm []float64
 	for i := range min(len(through), len(direct)) {
@@ -332,7 +332,7 @@
 		case unsent:
 			a.Unsent++
 		default:
-			a.Silent++
+			a.Unanswered++
 		}
 	}
 	if a.Established > 0 {
--- a/internal/latencylab/plan.go
+++ b/internal/latencylab/plan.go
@@ -12,8 +12,8 @@
 	Sizes     []int     // numbers of servers known to the gatekeeper
 	Rates     []float64 // calls per second; 0: only state reports of the servers
 	Repeats   int
-	Tell      func(*Run) // receives each run when it ends; may be nil
-	MostCalls int        // maximum number of servers that receive calls
+	Progress  func(*Run) // receives each run when it ends; may be nil
+	MaxActive int        // maximum number of servers that receive calls
 }
 
 // Run performs all runs of the plan. Each repetition covers all sizes and rates before the next begins, so that a busy period
@@ -26,15 +26,15 @@
 		for _, size := range p.Sizes {
 			for _, rate := range p.Rates {
 				single := p.Latency
-				single.Servers, single.PerSecond, single.Active = size, rate, min(p.MostCalls, size)
+				single.Servers, single.PerSecond, single.Active = size, rate, min(p.MaxActive, size)
 				single.Seed = p.Seed + uint64(repeat)
 				var run *Run
 				if run, err = single.Run(ctx); err != nil {
 					break
 				}
 				report.Runs = append(report.Runs, run)
-				if p.Tell != nil {
-					p.Tell(run)
+				if p.Progress != nil {
+					p.Progress(run)
 				}
 			}
 			if err != nil {
@@ -103,8 +103,8 @@
 // sizeFigures are collected over the number of known servers, from the runs at the highest rate.
 var sizeFigures = []figure{
 	{"resident_mb", "MB", func(r *Run) (float64, bool) { return r.ResidentMB, true }},
-	{"descriptors_held", "descriptors", func(r *Run) (float64, bool) { return float64(r.Held), true }},
-	{"seconds_to_serving", "s", func(r *Run) (float64, bool) { return r.UpSeconds, true }},
+	{"descriptors_held", "descriptors", func(r *Run) (float64, bool) { return float64(r.DescriptorsHeld), true }},
+	{"seconds_to_serving", "s", func(r *Run) (float64, bool) { return r.SecondsToServing, true }},
 }
 
 // PlannedDescriptors is the descriptor limit of a gatekeeper on the platform. The names of series from runs with another
@@ -144,7 +144,7 @@
 		report.series(f.name+suffix, f, "servers known", sizes, runs,
 			func(r *Run, n int) bool { return int(r.PerSecond) == highest && r.Servers == n })
 	}
-	core := figure{"core_part", "of a core", func(r *Run) (float64, bool) { return r.CorePart, true }}
+	core := figure{"core_part", "of a core", func(r *Run) (float64, bool) { return r.CoreShare, true }}
 	for _, size := range sizes {
 		name := fmt.Sprintf("core_part_at_%d_servers%s", size, suffix)
 		report.series(name, core, "calls a second", rates, runs,
@@ -189,7 +189,7 @@
 	for _, r := range runs {
 		if r.Servers == size {
 			rates[r.PerSecond] = true
-			x, y = append(x, float64(r.Through.Established)/r.Seconds), append(y, r.CorePart)
+			x, y = append(x, float64(r.Through.Established)/r.Seconds), append(y, r.CoreShare)
 		}
 	}
 	if len(rates) < minRatesForFit {
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -69,7 +69,7 @@
 		if load, err := strconv.ParseFloat(first, 64); err == nil {
 			minLoad, maxLoad = min(minLoad, load), max(maxLoad, load)
 		}
-		maxStolen = max(maxStolen, r.Stolen)
+		maxStolen = max(maxStolen, r.StealCores)
 	}
 	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), minLoad, maxLoad)
 	if maxStolen > 0 { // runs of earlier versions do not record it
@@ -110,7 +110,7 @@
 	return fields[0] + " and " + fields[1]
 }
 
-// Beside describes the other load on the machine by the load averages before and after a measurement.
-func Beside(before, after string, cores int) string {
+// DescribeLoad describes the other load on the machine by the load averages before and after a measurement.
+func DescribeLoad(before, after string, cores int) string {
 	return fmt.Sprintf("load average (1 min, 5 min) of %d cores: %s before, %s after", cores, before, after)
 }
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -36,10 +36,10 @@
 
 // Steps measures computations of the program, without I/O, at growing sizes.
 type Steps struct {
-	Repeats int           // values of each point
-	Span    time.Duration // time spent on each value
-	Only    string        // substring of the names to measure; "": all
-	Tell    func(string)  // receives progress lines; may be nil
+	Repeats  int           // values of each point
+	Span     time.Duration // time spent on each value
+	Only     string        // substring of the names to measure; "": all
+	Progress func(string)  // receives progress lines; may be nil
 }
 
 // step is one series to measure. prepare builds the state for a size; its note is stored with the point.
@@ -68,8 +68,8 @@
 			}
 			series.Points = append(series.Points, point)
 			slow := step.count == nil && len(point.Values) == 1 && s.Repeats > 1
-			if s.Tell != nil {
-				s.Tell(fmt.Sprintf("%s at %d: %.4g %s %s", step.name, n, median(point.Values), step.unit, point.Note))
+			if s.Progress != nil {
+				s.Progress(fmt.Sprintf("%s at %d: %.4g %s %s", step.name, n, median(point.Values), step.unit, point.Note))
 			}
 			if slow {
 				last := &series.Points[len(series.Points)-1]
