--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -73,7 +73,7 @@
 // failure.
 type Callers struct{ workload *workload }
 
-// NewCallers returns callers for a load. They place no call before Play.
+// NewCallers returns callers for a load. They place no call before PlaceCalls.
 func NewCallers(o Load) *Callers {
 	load := newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
 		Load: o.PerS / work.Capacity() / float64(o.Servers)})
@@ -92,10 +92,10 @@
 	healthCheckTimeout  = time.Second            // the front routes no call to a gatekeeper without a passed check in this time
 )
 
-// MaintainConnection maintains a connection to gatekeeper i at addr until the context ends and reopens it after a failure. Attempts that
-// are open on a failed connection are reported as Broken and retried. Like the platform's front, it checks the health of the
-// gatekeeper, and routes new set-ups elsewhere while the last check failed or none passed for a second. Keep must be called
-// once for each gatekeeper.
+// MaintainConnection keeps a connection to gatekeeper i at addr open until the context ends and reopens it after a failure.
+// Attempts that are open on a failed connection are reported as Broken and retried. Like the platform's front, it checks the
+// health of the gatekeeper, and routes new set-ups elsewhere while the last check failed or none passed for a second. It must
+// be called once for each gatekeeper.
 func (c *Callers) MaintainConnection(ctx context.Context, i int, addr string) {
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -135,8 +135,8 @@
 // Addr returns the address of the server's first listener.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetObserver sets the function that receives the server's observations, in order. f runs with the server's lock held and must not
-// call the server. Hear must be called before the first call arrives.
+// SetObserver sets the function that receives the server's observations, in order. f runs with the server's lock held and must
+// not call the server. SetObserver must be called before the first call arrives.
 func (s *Server) SetObserver(f func(Observation)) {
 	s.mu.Lock()
 	s.observer = f
@@ -150,8 +150,8 @@
 	}
 }
 
-// StartCold makes the server start cold now: its capacity rises linearly from the fraction startCapacity to its full value within
-// the given time.
+// StartCold makes the server start cold now: its capacity rises linearly from the fraction startCapacity to its full value
+// within the given time.
 func (s *Server) StartCold(startCapacity float64, within time.Duration) {
 	s.mu.Lock()
 	s.coldSince, s.startCapacity, s.warmUpTime = time.Now(), startCapacity, within
@@ -167,8 +167,8 @@
 	return f
 }
 
-// StartStatusReports sends the server's state periodically on its connections, at most four for each peer, and immediately on each new
-// connection, until end is called.
+// StartStatusReports sends the server's state periodically on its connections, at most four for each peer, and immediately on
+// each new connection, until end is called.
 func (s *Server) StartStatusReports(every time.Duration) (end func()) {
 	s.mu.Lock()
 	s.pushState = true
