--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -41,22 +41,22 @@
 
 // Stamp sets the command, the date and the description of other load on all series. If the report has runs, the description
 // is derived from the load averages that they recorded.
-func (r *Report) Stamp(command, otherLoad string, now time.Time) {
-	if len(r.Runs) > 0 {
-		otherLoad = describeRunLoad(r.Runs)
+func (report *Report) Stamp(command, otherLoad string, now time.Time) {
+	if len(report.Runs) > 0 {
+		otherLoad = describeRunLoad(report.Runs)
 	}
-	for i := range r.Series {
-		r.Series[i].Command, r.Series[i].Beside = command, otherLoad
-		r.Series[i].Date = now.UTC().Format(time.DateOnly)
+	for i := range report.Series {
+		report.Series[i].Command, report.Series[i].Beside = command, otherLoad
+		report.Series[i].Date = now.UTC().Format(time.DateOnly)
 	}
 }
 
 // Command returns the command that measured the report's series, or "" if there are none.
-func (r *Report) Command() string {
-	if len(r.Series) == 0 {
+func (report *Report) Command() string {
+	if len(report.Series) == 0 {
 		return ""
 	}
-	return r.Series[0].Command
+	return report.Series[0].Command
 }
 
 // describeRunLoad describes the other load on the machine: the range of load averages before the runs, and the highest steal
@@ -79,8 +79,8 @@
 }
 
 // WriteFile writes the report as indented JSON.
-func (r *Report) WriteFile(path string) error {
-	text, err := json.MarshalIndent(r, "", " ")
+func (report *Report) WriteFile(path string) error {
+	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
 		return err
 	}
