--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// useConnection runs health checks and processes messages on a connection until it ends.
 func (c *Callers) useConnection(ctx context.Context, i int, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -40,6 +40,7 @@
 
 func nodeName(n int) string { return fmt.Sprintf("g%d", n+1) }
 
+// node writes the records of gatekeeper n, starting at a time, and returns the number of events.
 func (o Records) node(n int, from control.Micros) (events int, err error) {
 	rng := rand.New(rand.NewPCG(o.Seed, uint64(n)))
 	var r *record.Recorder
@@ -95,15 +96,15 @@
 				recordEvent(at, e)
 			}
 		}
-		o.call(rng, recordEvent, at, fmt.Sprintf("%08x%08x", n, i), overloaded)
+		o.writeCall(rng, recordEvent, at, fmt.Sprintf("%08x%08x", n, i), overloaded)
 	}
 	recordEvent(end+5e6, history.Event{Kind: history.Finished})
 	r.Close()
 	return events, nil
 }
 
-// call writes the records of one call in order, all with the time of its end.
-func (o Records) call(rng *rand.Rand, recordEvent func(control.Micros, history.Event), at control.Micros, id string, overloaded bool) {
+// writeCall writes the records of one call in order, all with the time of its end.
+func (o Records) writeCall(rng *rand.Rand, recordEvent func(control.Micros, history.Event), at control.Micros, id string, overloaded bool) {
 	class := min(int(rng.ExpFloat64()), len(classes)-1)
 	server := uint32(rng.IntN(3) + 1)
 	recordEvent(at, history.Event{Kind: history.Taken, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -60,11 +60,11 @@
 		return nil, err
 	}
 	i := &incident{Incident: o, site: site, rng: rand.New(rand.NewPCG(o.Seed, 3)), nodes: make([]*node.Node, o.Gatekeepers)}
-	part := func(from, to float64) time.Duration {
+	fraction := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*i.rng.Float64()) * float64(o.Length))
 	}
 	i.workload = newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: incidentServers, Length: o.Length,
-		SlowFrom: part(0.2, 0.3), SlowFor: part(0.15, 0.25), Slow: 2 + 2*i.rng.Float64(), Load: 0.8, Burst: 1.3 + 0.3*i.rng.Float64()})
+		SlowFrom: fraction(0.2, 0.3), SlowFor: fraction(0.15, 0.25), Slow: 2 + 2*i.rng.Float64(), Load: 0.8, Burst: 1.3 + 0.3*i.rng.Float64()})
 	defer i.close()
 	for n := range incidentServers {
 		if err := i.startServer(fmt.Sprintf("s-%08x", n+1), n, time.Time{}); err != nil {
@@ -81,10 +81,10 @@
 	actions := []scheduledAction{
 		{i.SlowFrom, func() { i.reportProgress("burst begins, one server slows down"); i.servers[slowed].Slow(i.Slow) }},
 		{i.SlowFrom + i.SlowFor, func() { i.reportProgress("burst ends"); i.servers[slowed].Slow(1) }},
-		{part(0.55, 0.65), func() { i.replace((slowed + 1) % incidentServers) }},
+		{fraction(0.55, 0.65), func() { i.replace((slowed + 1) % incidentServers) }},
 	}
 	for _, n := range i.rng.Perm(o.Gatekeepers)[:max(1, o.Gatekeepers/3)] {
-		at := part(0.35, 0.8)
+		at := fraction(0.35, 0.8)
 		actions = append(actions, scheduledAction{at, func() { i.restart(n) }})
 	}
 	i.placeCalls(ctx, incidentServers, actions)
@@ -98,13 +98,13 @@
 		}()
 	}
 	i.background.Wait()
-	out := i.result(i.servers)
+	outcome := i.result(i.servers)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.err != nil {
 		return nil, i.err
 	}
-	return out, ctx.Err()
+	return outcome, ctx.Err()
 }
 
 func (i *incident) reportProgress(what string) {
@@ -203,12 +203,12 @@
 		i.fail(err)
 		return
 	}
-	fresh := i.servers[len(i.servers)-1]
-	fresh.StartCold(0.33, 5*time.Second)
+	replacement := i.servers[len(i.servers)-1]
+	replacement.StartCold(0.33, 5*time.Second)
 	i.changeInventory(func() { i.hosts[index].state = "removed" })
 }
 
-// changeInventory applies f to the list and imports the new list into every gatekeeper.
+// changeInventory calls update, which changes the hosts, and imports the new inventory into every gatekeeper.
 func (i *incident) changeInventory(update func()) {
 	i.mu.Lock()
 	update()
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -236,6 +236,7 @@
 	return c
 }
 
+// disconnect closes the connection to a gatekeeper.
 func (w *workload) disconnect(i int) {
 	if c := w.detach(i); c != nil {
 		c.Close()
@@ -261,6 +262,8 @@
 	conn        net.Conn // connection on which it was sent
 }
 
+// placeCalls places first calls at the offered rate for the length of the run, starts the actions at their times, and then
+// waits for open attempts.
 func (w *workload) placeCalls(ctx context.Context, servers int, actions []scheduledAction) {
 	rng := rand.New(rand.NewPCG(w.Seed, 2))
 	for _, h := range actions {
@@ -328,6 +331,7 @@
 	}
 }
 
+// inSlowSpan reports whether a time is in the span during which the servers are slow.
 func (w *workload) inSlowSpan(at time.Time) bool {
 	since := at.Sub(w.began)
 	return since >= w.SlowFrom && since < w.SlowFrom+w.SlowFor
@@ -417,6 +421,7 @@
 	}
 }
 
+// handle processes one message of a gatekeeper.
 func (w *workload) handle(m jsonl.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -475,6 +480,7 @@
 	w.observe(Observation{Kind: LateAnswer, Call: m.ID, Gatekeeper: gatekeeper, Body: m.Type})
 }
 
+// result completes the outcome with the counts of the servers and returns it.
 func (w *workload) result(servers []*Server) *Outcome {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -195,6 +195,7 @@
 	return sync.OnceFunc(func() { close(done) })
 }
 
+// state returns a state report as a message.
 func (s *Server) state() *sip.Message {
 	return sip.Request("NOTIFY", "sip:peer").Set("Via", "SIP/2.0/TCP server").Set("Call-ID", "0000000000000000").
 		Set("CSeq", "1 NOTIFY").Set("X-Occupancy", s.report())
@@ -344,6 +345,7 @@
 	s.pendingReleases[preferred.peer] = append(s.pendingReleases[preferred.peer], m)
 }
 
+// handle processes one message of a peer: a set-up, its cancellation or the release of a call.
 func (s *Server) handle(m *sip.Message, connection *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -435,6 +437,7 @@
 	})
 }
 
+// answer accepts a set-up, unless it was given up meanwhile, and releases the call after a random holding time.
 func (s *Server) answer(id string, call *serverCall) {
 	if call.ended {
 		s.wasted++
--- a/internal/latencylab/callers.go
+++ b/internal/latencylab/callers.go
@@ -98,6 +98,7 @@
 	wg           sync.WaitGroup
 }
 
+// dialGatekeeper starts a caller with the given number of connections and returns after the first dial of each.
 func dialGatekeeper(addr string, conns int, calls int) *gatekeeperCaller {
 	g := &gatekeeperCaller{arm: newArm("0a0a0a0a", calls), addr: addr, conns: make([]atomic.Pointer[net.TCPConn], conns), done: make(chan struct{})}
 	for i := range g.conns {
@@ -185,6 +186,7 @@
 	wg    sync.WaitGroup
 }
 
+// dialDirect opens a connection to each server.
 func dialDirect(addresses []string, calls int) (*directCaller, error) {
 	d := &directCaller{arm: newArm("0d0d0d0d", calls)}
 	for _, addr := range addresses {
--- a/internal/latencylab/measure.go
+++ b/internal/latencylab/measure.go
@@ -67,6 +67,7 @@
 // slowOperation is the duration above which an operation is not repeated, nor measured at larger sizes.
 const slowOperation = time.Second
 
+// calibrate doubles the size of a batch until it takes at least minBatchTime, and returns the size and the batch's time.
 func calibrate(op operation) (size int, elapsed time.Duration) {
 	for size = 1; ; size *= 2 {
 		start := time.Now()
