--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -52,7 +52,7 @@
 		}
 	}
 	start := func(at control.Micros) error {
-		if r, err = record.Open(record.Options{Dir: o.Dir, Node: nodeName(n)}); err != nil {
+		if r, err = record.NewRecorder(record.Options{Dir: o.Dir, Node: nodeName(n)}); err != nil {
 			return err
 		}
 		rules := &history.Rules{Fronts: o.Gatekeepers, DrainGrace: 250000, ReleaseGuard: 300000, FallMultiple: 2, FallTime: 1e6,
@@ -107,7 +107,7 @@
 func (o Records) writeCall(rng *rand.Rand, recordEvent func(control.Micros, history.Event), at control.Micros, id string, overloaded bool) {
 	class := min(int(rng.ExpFloat64()), len(classes)-1)
 	server := uint32(rng.IntN(3) + 1)
-	recordEvent(at, history.Event{Kind: history.Taken, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
+	recordEvent(at, history.Event{Kind: history.Received, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
 	switch {
 	case overloaded && rng.IntN(3) == 0:
 		recordEvent(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
