--- a/internal/lab/bus.go
+++ b/internal/lab/bus.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Host is a menu server as the event bus tells of it. State is up, draining or removed.
+// Host describes a menu server in the events of the bus. State is up, draining or removed.
 type Host struct {
 	Name, State string
 	Cell        int
 	Zone        string
-	Since       time.Time // of a late start; zero: long ago
+	Since       time.Time // start time of a server that was added late; zero if it started long ago
 }
 
-// Bus is a stand-in for the event bus (PROTOCOL, the event bus): numbered events, read as server-sent events. Each
-// gatekeeper has a listener of its own, since each reaches a server at another address.
+// Bus is a stand-in for the event bus (PROTOCOL, the event bus). It serves numbered events as server-sent events. Each
+// gatekeeper has its own listener, because each reaches the servers at different addresses.
 type Bus struct {
-	mu      sync.Mutex
-	hosts   []Host // the list as it is now
-	last    int64
-	changed chan struct{} // closed at a change
-	changes []busChange
-	servers []*http.Server
-	done    chan struct{}
+	mu         sync.Mutex
+	hosts      []Host // current list
+	lastOffset int64
+	changed    chan struct{} // closed and replaced on each change
+	changes    []busChange
+	servers    []*http.Server
+	done       chan struct{}
 }
 
 type busChange struct {
@@ -35,19 +35,19 @@
 	hosts  []Host
 }
 
-// NewBus makes a bus whose first event holds some hosts.
+// NewBus returns a bus whose first event contains hosts.
 func NewBus(hosts []Host) *Bus {
 	b := &Bus{changed: make(chan struct{}), done: make(chan struct{})}
 	b.Change(hosts...)
 	return b
 }
 
-// Change tells an event with the hosts that have changed.
+// Change publishes an event with the changed hosts and updates the list.
 func (b *Bus) Change(hosts ...Host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.last++
-	b.changes = append(b.changes, busChange{b.last, hosts})
+	b.lastOffset++
+	b.changes = append(b.changes, busChange{b.lastOffset, hosts})
 	for _, h := range hosts {
 		known := false
 		for i := range b.hosts {
@@ -92,18 +92,19 @@
 	return e
 }
 
-// Known is the value of `known` in the configuration of a gatekeeper that starts now.
+// Known returns the value of `known` for the configuration of a gatekeeper that starts now.
 func (b *Bus) Known(dial func(host string) string) json.RawMessage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	text, err := json.Marshal(map[string]any{"offset": b.last, "batch": []busEvent{event(b.last, true, b.hosts, dial)}})
-	if err != nil { // strings and numbers alone
+	text, err := json.Marshal(map[string]any{"offset": b.lastOffset, "batch": []busEvent{event(b.lastOffset, true, b.hosts, dial)}})
+	if err != nil { // cannot happen: the value contains only strings and numbers
 		panic(err)
 	}
 	return text
 }
 
-// Listen opens the bus for one gatekeeper; dial gives the address at which it reaches a host.
+// Listen starts an HTTP listener of the bus for one gatekeeper and returns its address. dial returns the address at which
+// that gatekeeper reaches a host.
 func (b *Bus) Listen(dial func(host string) string) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,8 +121,8 @@
 }
 
 func (b *Bus) serve(w http.ResponseWriter, r *http.Request, dial func(string) string) {
-	last, _ := strconv.ParseInt(r.Header.Get("Last-Event-ID"), 10, 64)
-	out := http.NewResponseController(w)
+	lastOffset, _ := strconv.ParseInt(r.Header.Get("Last-Event-ID"), 10, 64)
+	controller := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -129,11 +130,11 @@
 		b.mu.Lock()
 		changed := b.changed
 		var events []busEvent
-		if last == 0 {
-			events = append(events, event(b.last, true, b.hosts, dial))
+		if lastOffset == 0 {
+			events = append(events, event(b.lastOffset, true, b.hosts, dial))
 		} else {
 			for _, c := range b.changes {
-				if c.offset > last {
+				if c.offset > lastOffset {
 					events = append(events, event(c.offset, false, c.hosts, dial))
 				}
 			}
@@ -142,9 +143,9 @@
 		for _, e := range events {
 			text, _ := json.Marshal(e)
 			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", e.Offset, text)
-			last = e.Offset
+			lastOffset = e.Offset
 		}
-		if out.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
 		select {
@@ -159,7 +160,7 @@
 	}
 }
 
-// Close ends the bus.
+// Close shuts down all listeners of the bus and ends the open event streams.
 func (b *Bus) Close() {
 	close(b.done)
 	b.mu.Lock()
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -9,114 +9,119 @@
 	"beammux/internal/protocol/jsonl"
 )
 
-// ObservationKind is what a stand-in saw.
+// ObservationKind is the kind of an observation made by a stand-in.
 type ObservationKind int
 
-// What callers see of a try, and servers of a set-up.
+// Kinds of observations: callers observe attempts, servers observe set-ups.
 const (
-	Tried        ObservationKind = iota // a set-up was written to a gatekeeper; Span is what the caller gives it
-	Unsent                              // no gatekeeper was up
-	Established                         // final answer: the call stands; Body is its description
-	Refused                             // final answer
-	Failed                              // final answer
-	SecondAnswer                        // a further final answer; Body tells which
-	Unanswered                          // its time was up
-	Broken                              // its connection ended without an answer
-	Ended                               // a call that stood was released
-	ServerSetup                         // a set-up came whole
-	ServerAnswered
-	ServerFull
-	ServerGivenUp // by CANCEL or the end of its connection
-	ServerCut     // the server died with it
-	LateAnswer    // the first answer to a try that was told as Unanswered; Body tells which
-	seenKinds
+	Tried          ObservationKind = iota // a set-up was written to a gatekeeper; Span is the time that the caller allows
+	Unsent                                // no gatekeeper was available
+	Established                           // final answer: the call is established; Body is its session description
+	Refused                               // final answer: the gatekeeper refused the call
+	Failed                                // final answer: the call failed
+	SecondAnswer                          // a further final answer; Body names its kind
+	Unanswered                            // the caller's time limit passed without an answer
+	Broken                                // the connection ended before an answer
+	Ended                                 // an established call was released
+	ServerSetup                           // a complete set-up arrived at a server
+	ServerAnswered                        // the server accepted the set-up
+	ServerFull                            // the server rejected the set-up because its queue was too long
+	ServerGivenUp                         // the set-up was abandoned by CANCEL or the end of its connection
+	ServerCut                             // the server was killed while the set-up or call was open
+	LateAnswer                            // the first answer to an attempt already reported as Unanswered; Body names its type
+	observationKinds
 )
 
-var seenNames = [seenKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
+var observationNames = [observationKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
 	"setup", "answered", "full", "given up", "cut", "late answer"}
 
-func (k ObservationKind) String() string { return seenNames[k] }
+// String returns the name of the kind in the record of a run.
+func (k ObservationKind) String() string { return observationNames[k] }
 
-// Observation is one thing that a stand-in saw.
+// Observation is one observation of a stand-in.
 type Observation struct {
 	At         time.Time
 	Kind       ObservationKind
 	Call       string
-	Gatekeeper int // place among the callers' gatekeepers, -1 where none is concerned
+	Gatekeeper int // index among the callers' gatekeepers, -1 if the observation concerns none
 	Class      string
 	Span       time.Duration
 	Body       string
 }
 
-// PlatformWork is what a call costs the stand-in servers of a fleet: that of the platform's figures.
+// PlatformWork returns the processor cost of a call on a stand-in server, by the platform's figures.
 func PlatformWork() Work { return work }
 
-// Settings is the settings object of a configuration for so many gatekeepers, as the stand-ins work by.
-func Settings(gatekeepers int) string { return fmtSettings(gatekeepers) }
+// Settings returns the settings object of a configuration for a fleet of the given size. It matches the behavior of the
+// stand-ins.
+func Settings(gatekeepers int) string { return formatSettings(gatekeepers) }
 
-// Load says what the callers of a fleet offer.
+// Load describes the calls that the callers of a fleet offer.
 type Load struct {
 	Seed        uint64
 	Gatekeepers int
 	Servers     int
-	PerS        float64 // first calls a second
+	PerS        float64 // first calls per second
 	Length      time.Duration
-	FirstTarget func(*rand.Rand) (home, dest int) // of a first call: its gatekeeper and the cell of its first choice
-	RetryTarget func(*rand.Rand) int              // of a further try: its gatekeeper, -1 for the next one
-	Key         func(*rand.Rand) string           // number of a first call, "" for any; nil: any
-	Observer    func(Observation)                 // told with a lock held: must not call the callers
+	FirstTarget func(*rand.Rand) (home, dest int) // chooses the gatekeeper and the first-choice cell of a first call
+	RetryTarget func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one
+	Key         func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
+	Observer    func(Observation)                 // receives each observation; runs with a lock held and must not call Callers
 }
 
-// Callers are stand-ins for the callers of a fleet, one connection to each gatekeeper, which comes back when it breaks.
-type Callers struct{ day *day }
+// Callers are stand-ins for the callers of a fleet. They share one connection to each gatekeeper and reopen it after a
+// failure.
+type Callers struct{ workload *workload }
 
-// NewCallers makes callers; none calls before Play.
+// NewCallers returns callers for a load. They place no call before PlaceCalls.
 func NewCallers(o Load) *Callers {
-	d := newDay(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
+	load := newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
 		Load: o.PerS / work.Capacity() / float64(o.Servers)})
-	d.again, d.dice = o.RetryTarget, rand.New(rand.NewPCG(o.Seed, 3))
-	d.key = o.Key
-	d.pick, d.seen, d.past = o.FirstTarget, o.Observer, map[string]ObservationKind{}
+	load.retryTarget, load.retryRand = o.RetryTarget, rand.New(rand.NewPCG(o.Seed, 3))
+	load.key = o.Key
+	load.firstTarget, load.observer, load.finalAnswers = o.FirstTarget, o.Observer, map[string]ObservationKind{}
 	for range o.Gatekeepers {
-		d.conns = append(d.conns, &callers{})
+		load.conns = append(load.conns, &gatekeeperConn{})
 	}
-	return &Callers{d}
+	return &Callers{load}
 }
 
 const (
-	reconnectAfter = 50 * time.Millisecond
-	testEvery      = 250 * time.Millisecond // the front tests each gatekeeper so often
-	testWithin     = time.Second            // and leads nobody to one that has not passed a test for so long
+	reconnectDelay      = 50 * time.Millisecond
+	healthCheckInterval = 250 * time.Millisecond // interval of the front's health checks of each gatekeeper
+	healthCheckTimeout  = time.Second            // the front routes no call to a gatekeeper without a passed check in this time
 )
 
-// MaintainConnection holds a connection to a gatekeeper at an address until the context ends: it is opened again when it breaks.
-// What was open on it is told as Broken and dialled again. As the platform's front does, it tests the gatekeeper, and
-// leads new set-ups elsewhere while the last test failed or none passed for a second. It is called once for each.
+// MaintainConnection keeps a connection to gatekeeper i at addr open until the context ends and reopens it after a failure.
+// Attempts that are open on a failed connection are reported as Broken and retried. Like the platform's front, it checks the
+// health of the gatekeeper, and routes new set-ups elsewhere while the last check failed or none passed for a second. It must
+// be called once for each gatekeeper.
 func (c *Callers) MaintainConnection(ctx context.Context, i int, addr string) {
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 		if err == nil {
-			c.hold(ctx, i, conn)
+			c.useConnection(ctx, i, conn)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(reconnectAfter):
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-func (c *Callers) hold(ctx context.Context, i int, conn net.Conn) {
+// useConnection runs health checks and processes messages on a connection until it ends.
+func (c *Callers) useConnection(ctx context.Context, i int, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	to := c.day.conns[i]
-	to.mu.Lock()
-	to.conn, to.fit, to.passed = conn, false, time.Now()
-	to.mu.Unlock()
+	target := c.workload.conns[i]
+	target.mu.Lock()
+	target.conn, target.healthy, target.lastPassed = conn, false, time.Now()
+	target.mu.Unlock()
 	go func() {
-		for tick := time.NewTicker(testEvery); ; {
-			m := jsonl.Message{Type: "probe", ID: testID, Attrs: map[string]string{}}
-			to.write(conn, m.Append(nil))
+		for tick := time.NewTicker(healthCheckInterval); ; {
+			m := jsonl.Message{Type: "probe", ID: healthCheckID, Attrs: map[string]string{}}
+			target.write(conn, m.Append(nil))
 			select {
 			case <-ctx.Done():
 				tick.Stop()
@@ -125,41 +130,42 @@
 			}
 		}
 	}()
-	c.day.read(conn, func(m jsonl.Message) bool {
+	c.workload.read(conn, func(m jsonl.Message) bool {
 		if m.Type != "probed" {
 			return false
 		}
-		to.mu.Lock()
-		defer to.mu.Unlock()
-		if to.fit = m.Code == 1; to.fit {
-			to.passed = time.Now()
+		target.mu.Lock()
+		defer target.mu.Unlock()
+		if target.healthy = m.Code == 1; target.healthy {
+			target.lastPassed = time.Now()
 		}
 		return true
 	})
-	c.day.broke(i, conn, ctx.Err() == nil)
+	c.workload.connectionLost(i, conn, ctx.Err() == nil)
 }
 
-const testID = "ffffffffffffffff"
+const healthCheckID = "ffffffffffffffff"
 
-// Available tells how many gatekeepers the callers may be led to.
+// Available returns the number of gatekeepers that are available for new set-ups.
 func (c *Callers) Available() (n int) {
-	for _, to := range c.day.conns {
-		to.mu.Lock()
-		if to.usable() {
+	for _, target := range c.workload.conns {
+		target.mu.Lock()
+		if target.available() {
 			n++
 		}
-		to.mu.Unlock()
+		target.mu.Unlock()
 	}
 	return n
 }
 
-// usable is asked with the lock held.
-func (c *callers) usable() bool {
-	return c.conn != nil && c.fit && time.Since(c.passed) < testWithin
+// available reports whether new set-ups may use the connection. The caller must hold the lock.
+func (c *gatekeeperConn) available() bool {
+	return c.conn != nil && c.healthy && time.Since(c.lastPassed) < healthCheckTimeout
 }
 
-// write writes within a second: a connection that takes nothing more must not hold its callers.
-func (c *callers) write(conn net.Conn, data []byte) {
+// write sends data with a deadline of one second, so that a blocked connection does not stall its callers. It closes the
+// connection on an error.
+func (c *gatekeeperConn) write(conn net.Conn, data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.SetWriteDeadline(time.Now().Add(time.Second))
@@ -168,35 +174,35 @@
 	}
 }
 
-// PlaceCalls calls until the time is over or the context ends, and lets what is open end.
+// PlaceCalls places calls until the length of the load has passed or the context ends, and then waits for open attempts.
 func (c *Callers) PlaceCalls(ctx context.Context) {
-	c.day.began = time.Now()
-	c.day.play(ctx, c.day.Servers, nil)
+	c.workload.began = time.Now()
+	c.workload.placeCalls(ctx, c.workload.Servers, nil)
 }
 
-// Outcome is what came of it so far.
-func (c *Callers) Outcome(servers []*Server) *Outcome { return c.day.result(servers) }
+// Outcome returns the results so far. servers are the stand-ins whose counts it includes.
+func (c *Callers) Outcome(servers []*Server) *Outcome { return c.workload.result(servers) }
 
-// broke takes a connection that ended from the callers. Set-ups without an answer on it are dialled again, unless the
-// callers themselves hung up.
-func (d *day) broke(i int, c net.Conn, again bool) {
-	d.conns[i].mu.Lock()
-	if d.conns[i].conn == c {
-		d.conns[i].conn = nil
+// connectionLost removes a closed connection. Unanswered set-ups on it are retried if retry is set, which it is not if the
+// callers closed the connection themselves.
+func (w *workload) connectionLost(i int, c net.Conn, retry bool) {
+	w.conns[i].mu.Lock()
+	if w.conns[i].conn == c {
+		w.conns[i].conn = nil
 	}
-	d.conns[i].mu.Unlock()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for id, k := range d.calls {
-		if k.conn == c && !k.stood {
-			k.over.Stop()
-			delete(d.calls, id)
-			if !again {
+	w.conns[i].mu.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for id, attempt := range w.calls {
+		if attempt.conn == c && !attempt.established {
+			attempt.over.Stop()
+			delete(w.calls, id)
+			if !retry {
 				continue
 			}
-			d.out.Unanswered++
-			d.tell(Observation{Kind: Broken, Call: id, Gatekeeper: i})
-			d.redial(k.caller, 0)
+			w.outcome.Unanswered++
+			w.observe(Observation{Kind: Broken, Call: id, Gatekeeper: i})
+			w.scheduleRetry(attempt.caller, 0)
 		}
 	}
 }
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Cost measures the processor time of a gatekeeper in a process of its own, with and without records.
+// Cost measures the processor time of a gatekeeper that runs in a separate process, with and without records.
 type Cost struct {
-	Program string // beammux
+	Program string // path of the beammux binary
 	PerS    float64
 	Length  time.Duration
 	Seed    uint64
 }
 
-// CostResult is what one run used.
+// CostResult is the processor time that one run used.
 type CostResult struct {
 	Records   bool          `json:"records"`
 	Calls     int           `json:"calls"`
@@ -30,7 +30,7 @@
 	CoreShare float64       `json:"part_of_a_core"`
 }
 
-// Run plays one run.
+// Run performs one measurement, with records or without them.
 func (c Cost) Run(ctx context.Context, records bool) (*CostResult, error) {
 	dir, err := os.MkdirTemp("", "lab-cost-")
 	if err != nil {
@@ -83,24 +83,24 @@
 		}
 	}
 	if addr == "" {
-		return nil, fmt.Errorf("%s did not start", c.Program)
+		return nil, fmt.Errorf("%s did not start serving", c.Program)
 	}
 	go func() {
 		for lines.Scan() {
 		}
 	}()
-	d := newDay(o)
-	d.conns = []*callers{{}}
-	if err := d.connect(0, addr); err != nil {
+	load := newWorkload(o)
+	load.conns = []*gatekeeperConn{{}}
+	if err := load.connect(0, addr); err != nil {
 		return nil, err
 	}
-	defer d.hangUp(0)
-	d.play(ctx, o.Servers, nil)
+	defer load.disconnect(0)
+	load.placeCalls(ctx, o.Servers, nil)
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil && !strings.Contains(err.Error(), "killed") {
 		return nil, err
 	}
-	s := &CostResult{Records: records, Calls: d.out.First, CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
+	s := &CostResult{Records: records, Calls: load.outcome.First, CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
 	s.PerCall = s.CPU / time.Duration(max(s.Calls, 1))
 	s.CoreShare = s.CPU.Seconds() / c.Length.Seconds()
 	return s, ctx.Err()
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -17,39 +17,40 @@
 	"beammux/internal/node"
 )
 
-// Incident is a bad half minute on loopback, drawn from a seed: more calls than usual, servers that run slower, one that
-// is drained and replaced by a cold one, and gatekeepers that restart as planned. Each gatekeeper keeps records in Dir.
+// Incident is a randomized overload scenario on loopback, 30 seconds long by default and determined by its seed: a burst of
+// calls, a slow server, a server that is drained and replaced by a cold one, and planned restarts of gatekeepers. Each
+// gatekeeper writes records to Dir.
 type Incident struct {
 	Seed        uint64
 	Gatekeepers int
 	Length      time.Duration // 30 s if 0
 	Dir         string
-	Progress    func(what string) // told what happens, if not nil
+	Progress    func(what string) // receives a line for each step of the scenario, if not nil
 }
 
 const incidentServers = 3
 
-// incident is one that is being played.
+// incident is the state of a running Incident.
 type incident struct {
 	Incident
-	*day
-	site    *control.Site
-	rng     *rand.Rand
-	mu      sync.Mutex
-	hosts   []labHost
-	nodes   []*node.Node
-	servers []*Server
-	err     error
-	busy    sync.WaitGroup
+	*workload
+	site       *control.Site
+	rng        *rand.Rand
+	mu         sync.Mutex
+	hosts      []inventoryHost
+	nodes      []*node.Node
+	servers    []*Server
+	err        error
+	background sync.WaitGroup
 }
 
-type labHost struct {
+type inventoryHost struct {
 	name, addr, state string
 	cell              int
 	since             time.Time
 }
 
-// Simulate plays it in real time.
+// Simulate runs the scenario in real time and returns the results.
 func (o Incident) Simulate(ctx context.Context) (*Outcome, error) {
 	if o.Length == 0 {
 		o.Length = 30 * time.Second
@@ -59,54 +60,54 @@
 		return nil, err
 	}
 	i := &incident{Incident: o, site: site, rng: rand.New(rand.NewPCG(o.Seed, 3)), nodes: make([]*node.Node, o.Gatekeepers)}
-	part := func(from, to float64) time.Duration {
+	fraction := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*i.rng.Float64()) * float64(o.Length))
 	}
-	i.day = newDay(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: incidentServers, Length: o.Length,
-		SlowFrom: part(0.2, 0.3), SlowFor: part(0.15, 0.25), Slow: 2 + 2*i.rng.Float64(), Load: 0.8, Burst: 1.3 + 0.3*i.rng.Float64()})
+	i.workload = newWorkload(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: incidentServers, Length: o.Length,
+		SlowFrom: fraction(0.2, 0.3), SlowFor: fraction(0.15, 0.25), Slow: 2 + 2*i.rng.Float64(), Load: 0.8, Burst: 1.3 + 0.3*i.rng.Float64()})
 	defer i.close()
 	for n := range incidentServers {
-		if err := i.server(fmt.Sprintf("s-%08x", n+1), n, time.Time{}); err != nil {
+		if err := i.startServer(fmt.Sprintf("s-%08x", n+1), n, time.Time{}); err != nil {
 			return nil, err
 		}
 	}
 	for n := range o.Gatekeepers {
-		i.conns = append(i.conns, &callers{})
-		if err := i.start(n); err != nil {
+		i.conns = append(i.conns, &gatekeeperConn{})
+		if err := i.startGatekeeper(n); err != nil {
 			return nil, err
 		}
 	}
 	slowed := i.rng.IntN(incidentServers)
-	happenings := []happening{
-		{i.SlowFrom, func() { i.tell("burst begins, a server runs slower"); i.servers[slowed].Slow(i.Slow) }},
-		{i.SlowFrom + i.SlowFor, func() { i.tell("burst is over"); i.servers[slowed].Slow(1) }},
-		{part(0.55, 0.65), func() { i.replace((slowed + 1) % incidentServers) }},
+	actions := []scheduledAction{
+		{i.SlowFrom, func() { i.reportProgress("burst begins, one server slows down"); i.servers[slowed].Slow(i.Slow) }},
+		{i.SlowFrom + i.SlowFor, func() { i.reportProgress("burst ends"); i.servers[slowed].Slow(1) }},
+		{fraction(0.55, 0.65), func() { i.replace((slowed + 1) % incidentServers) }},
 	}
 	for _, n := range i.rng.Perm(o.Gatekeepers)[:max(1, o.Gatekeepers/3)] {
-		at := part(0.35, 0.8)
-		happenings = append(happenings, happening{at, func() { i.restart(n) }})
+		at := fraction(0.35, 0.8)
+		actions = append(actions, scheduledAction{at, func() { i.restart(n) }})
 	}
-	i.play(ctx, incidentServers, happenings)
-	i.busy.Wait()
-	for n := range i.nodes { // a planned end, so that the records end whole
-		i.busy.Add(1)
+	i.placeCalls(ctx, incidentServers, actions)
+	i.background.Wait()
+	for n := range i.nodes { // a planned shutdown, so that the records are complete
+		i.background.Add(1)
 		go func() {
-			defer i.busy.Done()
-			i.leave(n)
+			defer i.background.Done()
+			i.detach(n)
 			i.nodes[n].Drain()
 		}()
 	}
-	i.busy.Wait()
-	out := i.result(i.servers)
+	i.background.Wait()
+	outcome := i.result(i.servers)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.err != nil {
 		return nil, i.err
 	}
-	return out, ctx.Err()
+	return outcome, ctx.Err()
 }
 
-func (i *incident) tell(what string) {
+func (i *incident) reportProgress(what string) {
 	if i.Progress != nil {
 		i.Progress(what)
 	}
@@ -122,14 +123,14 @@
 
 func (i *incident) close() {
 	for n := range i.conns {
-		i.hangUp(n)
+		i.disconnect(n)
 	}
 	for _, s := range i.servers {
 		s.Close()
 	}
 }
 
-func (i *incident) server(name string, cell int, since time.Time) error {
+func (i *incident) startServer(name string, cell int, since time.Time) error {
 	s, err := NewServer(work, i.Seed+uint64(len(i.servers)))
 	if err != nil {
 		return err
@@ -137,12 +138,12 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.servers = append(i.servers, s)
-	i.hosts = append(i.hosts, labHost{name, s.Addr(), "up", cell, since})
+	i.hosts = append(i.hosts, inventoryHost{name, s.Addr(), "up", cell, since})
 	return nil
 }
 
-// list is the inventory as it is now.
-func (i *incident) list() []byte {
+// inventory returns the current inventory as CSV.
+func (i *incident) inventory() []byte {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	var b strings.Builder
@@ -157,7 +158,7 @@
 	return []byte(b.String())
 }
 
-func (i *incident) start(n int) error {
+func (i *incident) startGatekeeper(n int) error {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	cfg := &config.Config{Name: "g" + strconv.Itoa(n+1), Listen: "127.0.0.1:0", Seed: i.Seed*100 + uint64(n), Sockets: 512, Site: i.site}
@@ -168,51 +169,51 @@
 	i.mu.Lock()
 	i.nodes[n] = g
 	i.mu.Unlock()
-	if err := g.ImportInventory("lab.csv", i.list()); err != nil {
+	if err := g.ImportInventory("lab.csv", i.inventory()); err != nil {
 		return err
 	}
 	return i.connect(n, g.Addr())
 }
 
-// restart ends a gatekeeper as planned and starts it again a little later.
+// restart drains a gatekeeper and starts it again 300 ms later.
 func (i *incident) restart(n int) {
-	i.busy.Add(1)
-	defer i.busy.Done()
-	i.tell(fmt.Sprintf("gatekeeper g%d restarts", n+1))
-	conn := i.leave(n)
+	i.background.Add(1)
+	defer i.background.Done()
+	i.reportProgress(fmt.Sprintf("gatekeeper g%d restarts", n+1))
+	conn := i.detach(n)
 	i.nodes[n].Drain()
 	if conn != nil {
 		conn.Close()
 	}
 	time.Sleep(300 * time.Millisecond)
-	if err := i.start(n); err != nil {
+	if err := i.startGatekeeper(n); err != nil {
 		i.fail(err)
 	}
 }
 
-// replace drains a server and puts a cold one in its place. Gatekeepers hear of it late, one after another.
-func (i *incident) replace(at int) {
-	i.busy.Add(1)
-	defer i.busy.Done()
-	i.tell("a server is drained and replaced")
-	i.change(func() { i.hosts[at].state = "draining" })
+// replace drains a server and replaces it by a cold one. The gatekeepers learn of it with a delay, one after another.
+func (i *incident) replace(index int) {
+	i.background.Add(1)
+	defer i.background.Done()
+	i.reportProgress("a server is drained and replaced")
+	i.changeInventory(func() { i.hosts[index].state = "draining" })
 	time.Sleep(2 * time.Second)
 	now := time.Now()
-	if err := i.server(fmt.Sprintf("s-%08x", at+0x11), at, now); err != nil {
+	if err := i.startServer(fmt.Sprintf("s-%08x", index+0x11), index, now); err != nil {
 		i.fail(err)
 		return
 	}
-	fresh := i.servers[len(i.servers)-1]
-	fresh.StartCold(0.33, 5*time.Second)
-	i.change(func() { i.hosts[at].state = "removed" })
+	replacement := i.servers[len(i.servers)-1]
+	replacement.StartCold(0.33, 5*time.Second)
+	i.changeInventory(func() { i.hosts[index].state = "removed" })
 }
 
-// change changes the list and tells every gatekeeper that is up.
-func (i *incident) change(f func()) {
+// changeInventory calls update, which changes the hosts, and imports the new inventory into every gatekeeper.
+func (i *incident) changeInventory(update func()) {
 	i.mu.Lock()
-	f()
+	update()
 	i.mu.Unlock()
-	text := i.list()
+	text := i.inventory()
 	for n := range i.nodes {
 		time.Sleep(20 * time.Millisecond)
 		i.mu.Lock()
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -21,36 +21,36 @@
 	"beammux/internal/protocol/jsonl"
 )
 
-// Overload is a day on which all servers slow down while callers offer more than they can do.
+// Overload is a scenario in which all servers slow down while the callers offer more calls than the servers can handle.
 type Overload struct {
 	Seed                 uint64
 	Gatekeepers, Servers int
 	Length               time.Duration
 	SlowFrom, SlowFor    time.Duration
-	Slow                 float64 // times longer that all work takes then
-	Load                 float64 // offered, in the servers' capacity
-	Burst                float64 // times more calls in the slow span, 0: as many
+	Slow                 float64 // factor by which all work takes longer during the slow span
+	Load                 float64 // offered load as a fraction of the servers' capacity
+	Burst                float64 // factor of the call rate during the slow span; 0: unchanged
 	Calls                string  // section "calls" of the deploy file; "": none
 }
 
-// Outcome is what came of a day. Worth counts in full for a call that stands within its aim of the first try, a quarter
-// up to the callers' give-up; a caller's further tries count with its first.
+// Outcome is the result of a scenario. A call that is established within its aim, counted from the first attempt, earns its
+// full worth, and later, until the caller gives up, a quarter of it. Retries count with the caller's first attempt.
 type Outcome struct {
 	First            int                `json:"first_calls"`
-	Attempts         int                `json:"tries"`  // with the callers' own redials
-	Setups           int                `json:"setups"` // that reached servers
+	Attempts         int                `json:"tries"`  // including the callers' own retries
+	Setups           int                `json:"setups"` // set-ups that reached servers
 	SetupsPerCall    float64            `json:"setups_per_first_call"`
-	SetupsPerAttempt float64            `json:"setups_per_try_sent"` // of tries that were not refused before any
-	Wasted           int                `json:"wasted"`              // worked on after they had been given up
-	TurnedAway       int                `json:"turned_away"`         // by servers
+	SetupsPerAttempt float64            `json:"setups_per_try_sent"` // over the attempts for which at least one set-up reached a server
+	Wasted           int                `json:"wasted"`              // set-ups processed after they had been given up
+	TurnedAway       int                `json:"turned_away"`         // set-ups that full servers rejected
 	Hung             int                `json:"setups_on_hanging_servers"`
 	FailedByFault    int                `json:"setups_failed_by_ill_servers"`
 	Offered          float64            `json:"worth_offered"`
-	ServedShare      float64            `json:"worth_served"` // part of it
+	ServedShare      float64            `json:"worth_served"` // fraction of the offered worth
 	ServedByClass    map[string]float64 `json:"served_by_class"`
 	ServedInSlowSpan float64            `json:"served_of_calls_in_the_slow_span"`
-	P50              float64            `json:"P50"` // set-up delay of calls that stood, from their first try, seconds
-	P99              float64            `json:"P99"` // set-up delay of calls that stood, from their first try, seconds
+	P50              float64            `json:"P50"` // set-up delay of established calls from the first attempt, in seconds
+	P99              float64            `json:"P99"` // set-up delay of established calls from the first attempt, in seconds
 	Refused          int                `json:"tries_refused"`
 	Failed           int                `json:"tries_failed"`
 	Unanswered       int                `json:"tries_unanswered"`
@@ -67,10 +67,10 @@
 	{"tray-count", 0.22, 2500 * time.Millisecond, 1}}
 
 const (
-	giveUp    = 9 * time.Second
-	tryFor    = 3200 * time.Millisecond
-	redials   = 3
-	lateWorth = 0.25
+	callerTimeout  = 9 * time.Second
+	attemptTimeout = 3200 * time.Millisecond
+	maxRetries     = 3
+	lateWorth      = 0.25
 )
 
 const settings = `{"balancers":%d,"bounds":{"attempts-cap":5,"cancel":true,"dial-timeout-us":500000,"max-retry-after-us":2000000,
@@ -80,13 +80,13 @@
 "extra":{"here":-1,"release-guard-us":300000,"t1-us":500000},"guarantees":{"fall-multiple":2,"fall-us":1000000,
 "start-capacity":0.33,"warm-within-us":15000000},"report":{"fields":["busy","q"]}}`
 
-func fmtSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
+func formatSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
 
-// work is that of the platform's figures, at 20 calls a second for each server.
+// work follows the platform's figures: 20 calls per second for each server.
 var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, MaxQueueDelay: 3 * time.Second,
 	RetransmitInterval: 500 * time.Millisecond}
 
-// Run plays the day in real time.
+// Run runs the scenario in real time and returns the results.
 func (o Overload) Run(ctx context.Context) (*Outcome, error) {
 	site, err := control.ParseSite(fmt.Sprintf(settings, o.Gatekeepers))
 	if err != nil {
@@ -111,16 +111,16 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := newDay(o)
+	load := newWorkload(o)
 	for i := range o.Gatekeepers {
-		// Each has a policy of its own: a budget is a gatekeeper's.
+		// Each gatekeeper needs its own policy, because the retry budget is kept per gatekeeper.
 		own := *deploy
 		if o.Calls != "" {
-			again, err := config.ParseDeploy("lab", []byte(`{"calls":`+o.Calls+`}`), site)
+			copied, err := config.ParseDeploy("lab", []byte(`{"calls":`+o.Calls+`}`), site)
 			if err != nil {
 				return nil, err
 			}
-			own = *again
+			own = *copied
 		}
 		cfg := &config.Config{Name: "g" + strconv.Itoa(i), Listen: "127.0.0.1:0", Seed: o.Seed*100 + uint64(i), Sockets: 512, Site: site}
 		n, err := node.Start(ctx, cfg, &own, log)
@@ -131,11 +131,11 @@
 		if err := n.ImportInventory("lab.csv", []byte("name,address,cell\n"+known)); err != nil {
 			return nil, err
 		}
-		d.conns = append(d.conns, &callers{})
-		if err := d.connect(i, n.Addr()); err != nil {
+		load.conns = append(load.conns, &gatekeeperConn{})
+		if err := load.connect(i, n.Addr()); err != nil {
 			return nil, err
 		}
-		defer d.hangUp(i)
+		defer load.disconnect(i)
 	}
 	all := func(factor float64) func() {
 		return func() {
@@ -144,353 +144,360 @@
 			}
 		}
 	}
-	d.play(ctx, len(servers), []happening{{o.SlowFrom, all(o.Slow)}, {o.SlowFrom + o.SlowFor, all(1)}})
-	return d.result(servers), ctx.Err()
+	load.placeCalls(ctx, len(servers), []scheduledAction{{o.SlowFrom, all(o.Slow)}, {o.SlowFrom + o.SlowFor, all(1)}})
+	return load.result(servers), ctx.Err()
 }
 
-// day holds the callers' side of a run.
-type day struct {
+// workload is the callers' side of a run.
+type workload struct {
 	Overload
 	began time.Time
-	conns []*callers
-
-	mu      sync.Mutex
-	next    int
-	waits   int // redials that wait
-	calls   map[string]*try
-	delays  *hdrhistogram.Histogram
-	out     *Outcome
-	offered map[string]float64
-	served  map[string]float64
-	slow    [2]float64 // offered and served of calls that began while servers were slow
-
-	pick    func(*rand.Rand) (home, dest int) // a first call's gatekeeper and first choice; nil: any
-	again   func(*rand.Rand) int              // a further try's gatekeeper, -1 for the next; nil: the next
-	key     func(*rand.Rand) string           // number of a first call, "" for any; nil: any
-	dice    *rand.Rand                        // of again
-	seen    func(Observation)                 // nil: nobody
-	past    map[string]ObservationKind        // final answers of tries that are over, kept while somebody hears of them
-	expired map[string]int                    // tries that had no answer in time, with their gatekeepers, until one comes
+	conns []*gatekeeperConn
+
+	mu             sync.Mutex
+	lastID         int
+	pendingRetries int // retries that wait for their delay
+	calls          map[string]*setupAttempt
+	delays         *hdrhistogram.Histogram
+	outcome        *Outcome
+	offered        map[string]float64
+	served         map[string]float64
+	slowSpanWorth  [2]float64 // worth offered and served of calls that began during the slow span
+
+	firstTarget  func(*rand.Rand) (home, dest int) // chooses gatekeeper and first choice of a first call; nil: random
+	retryTarget  func(*rand.Rand) int              // chooses the gatekeeper of a retry, -1 for the next one; nil: always the next
+	key          func(*rand.Rand) string           // chooses the number of a first call, "" for a random one; nil: always random
+	retryRand    *rand.Rand                        // random source of retryTarget
+	observer     func(Observation)                 // receives observations; may be nil
+	finalAnswers map[string]ObservationKind        // final answers of finished attempts, used only if observer is set
+	expired      map[string]int                    // gatekeeper of each attempt that timed out, until its late answer arrives
 }
 
-// tell is called with the lock held.
-func (d *day) tell(s Observation) {
-	if d.seen != nil {
+// observe reports an observation. The caller must hold the lock.
+func (w *workload) observe(s Observation) {
+	if w.observer != nil {
 		s.At = time.Now()
-		d.seen(s)
+		w.observer(s)
 	}
 }
 
-// final notes the final answer of a try, and tells whether it is the first. The lock is held.
-func (d *day) final(k *try, id string, kind ObservationKind, body string) bool {
-	if d.seen == nil {
+// recordFinal records the final answer of an attempt and reports whether it is the first. The caller must hold the lock.
+func (w *workload) recordFinal(attempt *setupAttempt, id string, kind ObservationKind, body string) bool {
+	if w.observer == nil {
 		return true
 	}
-	if was, again := d.past[id]; again && (was != Established || kind == Established) {
-		d.tell(Observation{Kind: SecondAnswer, Call: id, Gatekeeper: k.at, Body: kind.String()})
+	if previous, repeated := w.finalAnswers[id]; repeated && (previous != Established || kind == Established) {
+		w.observe(Observation{Kind: SecondAnswer, Call: id, Gatekeeper: attempt.gatekeeper, Body: kind.String()})
 		return false
 	}
-	d.past[id] = kind
-	d.tell(Observation{Kind: kind, Call: id, Gatekeeper: k.at, Body: body})
+	w.finalAnswers[id] = kind
+	w.observe(Observation{Kind: kind, Call: id, Gatekeeper: attempt.gatekeeper, Body: body})
 	return true
 }
 
-// callers are those of one gatekeeper. They share a connection, nil while the gatekeeper is down.
-type callers struct {
-	mu     sync.Mutex
-	conn   net.Conn
-	fit    bool      // the last test passed
-	passed time.Time // when one last did
+// gatekeeperConn is the connection that all callers of one gatekeeper share. conn is nil while the gatekeeper is down.
+type gatekeeperConn struct {
+	mu         sync.Mutex
+	conn       net.Conn
+	healthy    bool      // the last health check passed
+	lastPassed time.Time // time of the last check that passed
 }
 
-// happening is something that is done at a time of the day.
-type happening struct {
-	at time.Duration
-	do func()
+// scheduledAction is an action that runs at a time after the start of a run.
+type scheduledAction struct {
+	at  time.Duration
+	run func()
 }
 
-func newDay(o Overload) *day {
-	return &day{Overload: o, began: time.Now(), calls: map[string]*try{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
-		out: &Outcome{ServedByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
+func newWorkload(o Overload) *workload {
+	return &workload{Overload: o, began: time.Now(), calls: map[string]*setupAttempt{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
+		outcome: &Outcome{ServedByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
 }
 
-// connect lets the callers of a gatekeeper use a new connection.
-func (d *day) connect(i int, addr string) error {
+// connect opens a connection to a gatekeeper, without health checks, and lets its callers use it.
+func (w *workload) connect(i int, addr string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
 	}
-	d.conns[i].mu.Lock()
-	d.conns[i].conn, d.conns[i].fit, d.conns[i].passed = c, true, time.Now().Add(time.Hour) // not tested
-	d.conns[i].mu.Unlock()
-	go d.read(c, nil)
+	w.conns[i].mu.Lock()
+	w.conns[i].conn, w.conns[i].healthy, w.conns[i].lastPassed = c, true, time.Now().Add(time.Hour) // no health checks
+	w.conns[i].mu.Unlock()
+	go w.read(c, nil)
 	return nil
 }
 
-// leave makes callers use other gatekeepers for new set-ups; what is open goes on. It gives the connection.
-func (d *day) leave(i int) net.Conn {
-	d.conns[i].mu.Lock()
-	defer d.conns[i].mu.Unlock()
-	c := d.conns[i].conn
-	d.conns[i].conn = nil
+// detach directs new set-ups to other gatekeepers and returns the connection, on which open calls continue.
+func (w *workload) detach(i int) net.Conn {
+	w.conns[i].mu.Lock()
+	defer w.conns[i].mu.Unlock()
+	c := w.conns[i].conn
+	w.conns[i].conn = nil
 	return c
 }
 
-func (d *day) hangUp(i int) {
-	if c := d.leave(i); c != nil {
+// disconnect closes the connection to a gatekeeper.
+func (w *workload) disconnect(i int) {
+	if c := w.detach(i); c != nil {
 		c.Close()
 	}
 }
 
-// caller is one first call with its redials.
+// caller is one first call with its retries.
 type caller struct {
-	class int
-	began time.Time
-	tries int
-	key   string
-	dest  int
-	home  int // gatekeeper of its first try
+	class    int
+	began    time.Time
+	attempts int
+	key      string
+	dest     int
+	home     int // gatekeeper of the first attempt
 }
 
-// try is one set-up of a caller.
-type try struct {
+// setupAttempt is one set-up attempt of a caller.
+type setupAttempt struct {
 	*caller
-	over  *time.Timer
-	stood bool
-	at    int      // gatekeeper, -1 while none was up
-	conn  net.Conn // that it went on
+	over        *time.Timer // fires when the caller gives up the attempt
+	established bool
+	gatekeeper  int      // index of the gatekeeper, -1 while none was available
+	conn        net.Conn // connection on which it was sent
 }
 
-func (d *day) play(ctx context.Context, servers int, happenings []happening) {
-	rng := rand.New(rand.NewPCG(d.Seed, 2))
-	for _, h := range happenings {
-		defer time.AfterFunc(h.at, h.do).Stop()
+// placeCalls places first calls at the offered rate for the length of the run, starts the actions at their times, and then
+// waits for open attempts.
+func (w *workload) placeCalls(ctx context.Context, servers int, actions []scheduledAction) {
+	rng := rand.New(rand.NewPCG(w.Seed, 2))
+	for _, h := range actions {
+		defer time.AfterFunc(h.at, h.run).Stop()
 	}
-	end := time.After(d.Length)
-	for at := d.began; ; {
-		rate := d.Load * work.Capacity() * float64(servers)
-		if d.Burst > 0 && d.inSlow(at) {
-			rate *= d.Burst
+	end := time.After(w.Length)
+	for at := w.began; ; {
+		rate := w.Load * work.Capacity() * float64(servers)
+		if w.Burst > 0 && w.inSlowSpan(at) {
+			rate *= w.Burst
 		}
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-end:
-			d.settle(ctx)
+			w.settle(ctx)
 			return
 		case <-time.After(time.Until(at)):
 		}
-		x, k := rng.Float64(), 0
-		for k < len(classes)-1 && x >= classes[k].part {
-			x -= classes[k].part
-			k++
+		draw, classIndex := rng.Float64(), 0
+		for classIndex < len(classes)-1 && draw >= classes[classIndex].part {
+			draw -= classes[classIndex].part
+			classIndex++
 		}
-		c := &caller{class: k, began: time.Now(), key: strconv.FormatUint(rng.Uint64(), 16), dest: rng.IntN(servers), home: rng.IntN(len(d.conns))}
-		if d.pick != nil {
-			c.home, c.dest = d.pick(rng)
+		c := &caller{class: classIndex, began: time.Now(), key: strconv.FormatUint(rng.Uint64(), 16), dest: rng.IntN(servers), home: rng.IntN(len(w.conns))}
+		if w.firstTarget != nil {
+			c.home, c.dest = w.firstTarget(rng)
 		}
-		if d.key != nil {
-			c.key = cmp.Or(d.key(rng), c.key)
+		if w.key != nil {
+			c.key = cmp.Or(w.key(rng), c.key)
 		}
-		d.mu.Lock()
-		d.out.First++
-		d.offered[classes[k].name] += classes[k].worth
-		if d.inSlow(c.began) {
-			d.slow[0] += classes[k].worth
+		w.mu.Lock()
+		w.outcome.First++
+		w.offered[classes[classIndex].name] += classes[classIndex].worth
+		if w.inSlowSpan(c.began) {
+			w.slowSpanWorth[0] += classes[classIndex].worth
 		}
-		d.mu.Unlock()
-		d.dial(c, c.home)
+		w.mu.Unlock()
+		w.dial(c, c.home)
 	}
 }
 
-// settle lets what is open end: the last redials are over by twice a try's time.
-func (d *day) settle(ctx context.Context) {
+// settle waits for open attempts to end, at most twice the time of one attempt: the last retries have ended by then.
+func (w *workload) settle(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for end := time.Now().Add(2 * tryFor); time.Now().Before(end); {
+	for end := time.Now().Add(2 * attemptTimeout); time.Now().Before(end); {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		d.mu.Lock()
-		open := d.waits
-		for _, k := range d.calls {
-			if !k.stood {
+		w.mu.Lock()
+		open := w.pendingRetries
+		for _, attempt := range w.calls {
+			if !attempt.established {
 				open++
 			}
 		}
-		d.mu.Unlock()
+		w.mu.Unlock()
 		if open == 0 {
 			return
 		}
 	}
 }
 
-func (d *day) inSlow(at time.Time) bool {
-	since := at.Sub(d.began)
-	return since >= d.SlowFrom && since < d.SlowFrom+d.SlowFor
+// inSlowSpan reports whether a time is in the span during which the servers are slow.
+func (w *workload) inSlowSpan(at time.Time) bool {
+	since := at.Sub(w.began)
+	return since >= w.SlowFrom && since < w.SlowFrom+w.SlowFor
 }
 
-// dial makes one try at a gatekeeper.
-func (d *day) dial(c *caller, at int) {
-	d.mu.Lock()
-	d.next++
-	id := fmt.Sprintf("%016x", d.next)
-	k := &try{caller: c, at: -1}
-	d.calls[id] = k
-	d.out.Attempts++
-	c.tries++
-	k.over = time.AfterFunc(tryFor+50*time.Millisecond, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.calls[id] == k && !k.stood {
-			d.out.Unanswered++
-			delete(d.calls, id)
-			d.tell(Observation{Kind: Unanswered, Call: id, Gatekeeper: k.at})
-			d.expired[id] = k.at
-			d.redial(c, 0)
+// dial makes one attempt at a gatekeeper, or at the next one that is available.
+func (w *workload) dial(c *caller, gatekeeper int) {
+	w.mu.Lock()
+	w.lastID++
+	id := fmt.Sprintf("%016x", w.lastID)
+	attempt := &setupAttempt{caller: c, gatekeeper: -1}
+	w.calls[id] = attempt
+	w.outcome.Attempts++
+	c.attempts++
+	attempt.over = time.AfterFunc(attemptTimeout+50*time.Millisecond, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if w.calls[id] == attempt && !attempt.established {
+			w.outcome.Unanswered++
+			delete(w.calls, id)
+			w.observe(Observation{Kind: Unanswered, Call: id, Gatekeeper: attempt.gatekeeper})
+			w.expired[id] = attempt.gatekeeper
+			w.scheduleRetry(c, 0)
 		}
 	})
-	d.mu.Unlock()
+	w.mu.Unlock()
 	m := jsonl.Message{Type: "open", ID: id, Text: "offer\r\n", Attrs: map[string]string{"class": classes[c.class].name,
-		"left": strconv.FormatInt(tryFor.Milliseconds(), 10), "key": c.key, "extras": fmt.Sprintf("dest:%d;width:1", c.dest)}}
-	for i := range d.conns { // the first that is up
-		g := (at + i) % len(d.conns)
-		to := d.conns[g]
-		to.mu.Lock()
-		if conn := to.conn; to.usable() {
-			d.mu.Lock()
-			k.at, k.conn = g, conn
-			d.tell(Observation{Kind: Tried, Call: id, Gatekeeper: g, Class: classes[c.class].name, Span: tryFor})
-			d.mu.Unlock()
-			to.mu.Unlock()
-			to.write(conn, m.Append(nil))
+		"left": strconv.FormatInt(attemptTimeout.Milliseconds(), 10), "key": c.key, "extras": fmt.Sprintf("dest:%d;width:1", c.dest)}}
+	for i := range w.conns { // the first gatekeeper that is available
+		candidate := (gatekeeper + i) % len(w.conns)
+		target := w.conns[candidate]
+		target.mu.Lock()
+		if conn := target.conn; target.available() {
+			w.mu.Lock()
+			attempt.gatekeeper, attempt.conn = candidate, conn
+			w.observe(Observation{Kind: Tried, Call: id, Gatekeeper: candidate, Class: classes[c.class].name, Span: attemptTimeout})
+			w.mu.Unlock()
+			target.mu.Unlock()
+			target.write(conn, m.Append(nil))
 			return
 		}
-		to.mu.Unlock()
+		target.mu.Unlock()
 	}
-	d.mu.Lock()
-	d.tell(Observation{Kind: Unsent, Call: id, Gatekeeper: -1})
-	d.mu.Unlock()
+	w.mu.Lock()
+	w.observe(Observation{Kind: Unsent, Call: id, Gatekeeper: -1})
+	w.mu.Unlock()
 }
 
-// redial tries again after a wait, if the caller still does. The lock is held.
-func (d *day) redial(c *caller, wait time.Duration) {
+// scheduleRetry retries after a delay, unless the caller has used up its retries or its time. The caller must hold the lock.
+func (w *workload) scheduleRetry(c *caller, wait time.Duration) {
 	if wait <= 0 {
 		wait = 500 * time.Millisecond
 	}
-	if c.tries > redials || time.Since(c.began)+wait > giveUp-tryFor || time.Since(d.began)+wait > d.Length {
+	if c.attempts > maxRetries || time.Since(c.began)+wait > callerTimeout-attemptTimeout || time.Since(w.began)+wait > w.Length {
 		return
 	}
-	d.waits++
+	w.pendingRetries++
 	time.AfterFunc(wait, func() {
-		at := -1
-		if d.again != nil {
-			d.mu.Lock()
-			at = d.again(d.dice)
-			d.mu.Unlock()
+		gatekeeper := -1
+		if w.retryTarget != nil {
+			w.mu.Lock()
+			gatekeeper = w.retryTarget(w.retryRand)
+			w.mu.Unlock()
 		}
-		if at < 0 {
-			at = (c.home + c.tries) % len(d.conns)
+		if gatekeeper < 0 {
+			gatekeeper = (c.home + c.attempts) % len(w.conns)
 		}
-		d.dial(c, at)
-		d.mu.Lock()
-		d.waits--
-		d.mu.Unlock()
+		w.dial(c, gatekeeper)
+		w.mu.Lock()
+		w.pendingRetries--
+		w.mu.Unlock()
 	})
 }
 
-// read hears what comes on a connection until it ends; other, if not nil, is shown each message first and may take it.
-func (d *day) read(conn net.Conn, other func(jsonl.Message) bool) {
+// read processes the messages on a connection until it ends. intercept, if not nil, receives each message first and reports
+// whether it handled it.
+func (w *workload) read(conn net.Conn, intercept func(jsonl.Message) bool) {
 	for r := jsonl.NewReader(bufio.NewReaderSize(conn, jsonl.MaxMessage)); ; {
 		m, err := r.Next()
 		if err != nil {
 			return
 		}
-		if other != nil && other(m) {
+		if intercept != nil && intercept(m) {
 			continue
 		}
-		d.heard(m)
+		w.handle(m)
 	}
 }
 
-func (d *day) heard(m jsonl.Message) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	k := d.calls[m.ID]
-	if k == nil {
-		d.heardLate(m)
-		if _, over := d.past[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && d.past[m.ID] != Established {
-			d.tell(Observation{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
+// handle processes one message of a gatekeeper.
+func (w *workload) handle(m jsonl.Message) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	attempt := w.calls[m.ID]
+	if attempt == nil {
+		w.handleLateAnswer(m)
+		if _, over := w.finalAnswers[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && w.finalAnswers[m.ID] != Established {
+			w.observe(Observation{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
 		}
 		return
 	}
 	switch {
-	case m.Type == "ready" && k.stood:
-		d.final(k, m.ID, Established, m.Text)
+	case m.Type == "ready" && attempt.established:
+		w.recordFinal(attempt, m.ID, Established, m.Text)
 	case m.Type == "ready":
-		k.over.Stop()
-		d.final(k, m.ID, Established, m.Text)
-		k.stood = true
-		took := time.Since(k.began)
-		d.delays.RecordValue(took.Milliseconds())
-		class := classes[k.class]
+		attempt.over.Stop()
+		w.recordFinal(attempt, m.ID, Established, m.Text)
+		attempt.established = true
+		took := time.Since(attempt.began)
+		w.delays.RecordValue(took.Milliseconds())
+		class := classes[attempt.class]
 		worth := class.worth
 		if took > class.aim {
 			worth *= lateWorth
 		}
-		d.served[class.name] += worth
-		if d.inSlow(k.began) {
-			d.slow[1] += worth
+		w.served[class.name] += worth
+		if w.inSlowSpan(attempt.began) {
+			w.slowSpanWorth[1] += worth
 		}
 	case m.Type == "close":
-		delete(d.calls, m.ID)
-		k.over.Stop()
-		if k.stood {
-			d.tell(Observation{Kind: Ended, Call: m.ID, Gatekeeper: k.at})
+		delete(w.calls, m.ID)
+		attempt.over.Stop()
+		if attempt.established {
+			w.observe(Observation{Kind: Ended, Call: m.ID, Gatekeeper: attempt.gatekeeper})
 			return
 		}
 		if m.Code == 34 {
-			d.out.Refused++
-			d.final(k, m.ID, Refused, "")
+			w.outcome.Refused++
+			w.recordFinal(attempt, m.ID, Refused, "")
 		} else {
-			d.out.Failed++
-			d.final(k, m.ID, Failed, "")
+			w.outcome.Failed++
+			w.recordFinal(attempt, m.ID, Failed, "")
 		}
 		wait, _ := strconv.Atoi(m.Attrs["wait"])
-		d.redial(k.caller, time.Duration(wait)*time.Millisecond)
+		w.scheduleRetry(attempt.caller, time.Duration(wait)*time.Millisecond)
 	}
 }
 
-// heardLate tells of the first answer to a try whose caller had given up by then. The lock is held.
-func (d *day) heardLate(m jsonl.Message) {
-	at, expired := d.expired[m.ID]
+// handleLateAnswer reports the first answer to an attempt that the caller had already given up. The caller must hold the lock.
+func (w *workload) handleLateAnswer(m jsonl.Message) {
+	gatekeeper, expired := w.expired[m.ID]
 	if !expired || m.Type != "ready" && m.Type != "close" {
 		return
 	}
-	delete(d.expired, m.ID)
-	d.tell(Observation{Kind: LateAnswer, Call: m.ID, Gatekeeper: at, Body: m.Type})
+	delete(w.expired, m.ID)
+	w.observe(Observation{Kind: LateAnswer, Call: m.ID, Gatekeeper: gatekeeper, Body: m.Type})
 }
 
-func (d *day) result(servers []*Server) *Outcome {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	o, got := d.out, 0.0
+// result completes the outcome with the counts of the servers and returns it.
+func (w *workload) result(servers []*Server) *Outcome {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	o, servedWorth := w.outcome, 0.0
 	for _, c := range classes {
-		o.Offered += d.offered[c.name]
-		got += d.served[c.name]
-		o.ServedByClass[c.name] = d.served[c.name] / max(d.offered[c.name], 1)
+		o.Offered += w.offered[c.name]
+		servedWorth += w.served[c.name]
+		o.ServedByClass[c.name] = w.served[c.name] / max(w.offered[c.name], 1)
 	}
 	ids := map[string]bool{}
 	for _, s := range servers {
 		s.count(o, ids)
 	}
 	o.SetupsPerAttempt = float64(o.Setups) / max(float64(len(ids)), 1)
-	o.ServedShare = got / max(o.Offered, 1)
+	o.ServedShare = servedWorth / max(o.Offered, 1)
 	o.SetupsPerCall = float64(o.Setups) / max(float64(o.First), 1)
-	o.ServedInSlowSpan = d.slow[1] / max(d.slow[0], 1)
-	o.P50, o.P99 = float64(d.delays.ValueAtQuantile(50))/1000, float64(d.delays.ValueAtQuantile(99))/1000
+	o.ServedInSlowSpan = w.slowSpanWorth[1] / max(w.slowSpanWorth[0], 1)
+	o.P50, o.P99 = float64(w.delays.ValueAtQuantile(50))/1000, float64(w.delays.ValueAtQuantile(99))/1000
 	return o
 }
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -16,32 +16,32 @@
 	"beammux/internal/node"
 )
 
-// Restart is a day on which every gatekeeper ends at once without a word while a server is slow, and starts again; with
-// what it had learned, or without.
+// Restart is a scenario in which all gatekeepers stop at once, without draining, while a server is slow, and start again
+// with the estimates they had stored (Warm) or without them.
 type Restart struct {
 	Seed uint64
 	Warm bool
 }
 
-// RestartResult is the service of the calls that came in the first 5 s after the restart.
+// RestartResult is the result for the calls that arrived in the first 5 seconds after the restart.
 type RestartResult struct {
 	Seed             uint64  `json:"seed"`
 	Warm             bool    `json:"warm"`
-	ServedShare      float64 `json:"worth_served"` // part of that offered
-	Setups           int     `json:"setups"`       // that reached servers
-	TurnedAway       int     `json:"turned_away"`  // of them, by a server that was full
-	Wasted           int     `json:"wasted"`       // worked on after they had been given up
+	ServedShare      float64 `json:"worth_served"` // fraction of the offered worth
+	Setups           int     `json:"setups"`       // set-ups that reached servers
+	TurnedAway       int     `json:"turned_away"`  // set-ups that a full server rejected
+	Wasted           int     `json:"wasted"`       // set-ups processed after they had been given up
 	First            int     `json:"first_calls"`
-	SecondsToServing float64 `json:"seconds_to_serving"` // the slowest gatekeeper
+	SecondsToServing float64 `json:"seconds_to_serving"` // of the slowest gatekeeper
 }
 
 const (
-	restartSlow = 4 * time.Second // when the server slows down
-	restartAt   = 12 * time.Second
-	restartLook = 5 * time.Second
+	slowdownAt         = 4 * time.Second // time at which the server slows down
+	restartAt          = 12 * time.Second
+	restartObservation = 5 * time.Second
 )
 
-// Run plays the day in real time.
+// Run runs the scenario in real time and returns the results.
 func (o Restart) Run(ctx context.Context) (*RestartResult, error) {
 	const gatekeepers, servers = 4, 3
 	site, err := control.ParseSite(fmt.Sprintf(settings, gatekeepers))
@@ -53,8 +53,8 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	d := newDay(Overload{Seed: o.Seed, Gatekeepers: gatekeepers, Servers: servers, Length: restartAt + restartLook, SlowFrom: restartAt,
-		SlowFor: restartLook, Load: 0.8})
+	load := newWorkload(Overload{Seed: o.Seed, Gatekeepers: gatekeepers, Servers: servers, Length: restartAt + restartObservation, SlowFrom: restartAt,
+		SlowFor: restartObservation, Load: 0.8})
 	list := "name,address,cell\n"
 	var all []*Server
 	for i := range servers {
@@ -83,31 +83,31 @@
 			return err
 		}
 		nodes[i] = n
-		return d.connect(i, n.Addr())
+		return load.connect(i, n.Addr())
 	}
 	for i := range gatekeepers {
-		d.conns = append(d.conns, &callers{})
+		load.conns = append(load.conns, &gatekeeperConn{})
 		if err := start(i); err != nil {
 			return nil, err
 		}
 	}
 	defer func() {
 		for i, n := range nodes {
-			d.hangUp(i)
+			load.disconnect(i)
 			n.Close()
 		}
 	}()
 	a := &RestartResult{Seed: o.Seed, Warm: o.Warm}
 	var before Outcome
 	fault := make(chan error, 1)
-	d.play(ctx, servers, []happening{
-		{restartSlow, func() { all[0].Slow(4) }},
+	load.placeCalls(ctx, servers, []scheduledAction{
+		{slowdownAt, func() { all[0].Slow(4) }},
 		{restartAt, func() {
 			for _, s := range all {
 				s.count(&before, map[string]bool{})
 			}
 			for i := range nodes {
-				d.hangUp(i)
+				load.disconnect(i)
 				nodes[i].Close()
 				began := time.Now()
 				if err := start(i); err != nil {
@@ -126,7 +126,7 @@
 		return nil, err
 	default:
 	}
-	out := d.result(all)
+	out := load.result(all)
 	a.First, a.ServedShare = out.First, out.ServedInSlowSpan
 	a.Setups, a.Wasted, a.TurnedAway = out.Setups-before.Setups, out.Wasted-before.Wasted, out.TurnedAway-before.TurnedAway
 	return a, ctx.Err()
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -1,5 +1,6 @@
-// Package latencylab measures what one call costs: the added latency and processor time of a gatekeeper process, and the time
-// of the pure steps that a call or a renewal runs, at growing sizes. All of it runs on loopback and ends by itself.
+// Package latencylab measures the cost of a call: the added latency and processor time of a gatekeeper process, and the
+// duration of the computations behind a call or a lease renewal at growing sizes. All measurements run on loopback and end by
+// themselves.
 package latencylab
 
 import (
@@ -13,21 +14,21 @@
 	"time"
 )
 
-// Point holds the measured values of one series at one size, one value for each repetition.
+// Point holds the measured values of a series at one size, one value for each repetition.
 type Point struct {
 	N      int       `json:"n"`
 	Values []float64 `json:"values"`
 	Note   string    `json:"note,omitempty"` // why values are missing or not comparable
 }
 
-// Series is one figure measured against a size. Other programs fit a cost model to it.
+// Series is a quantity measured as a function of a size. Other programs fit a cost model to it.
 type Series struct {
 	Name    string  `json:"name"`
 	Unit    string  `json:"unit"`
 	Of      string  `json:"of"`      // what Point.N counts
-	Command string  `json:"command"` // that gave it
+	Command string  `json:"command"` // command that measured it
 	Date    string  `json:"date"`    // UTC, YYYY-MM-DD
-	Beside  string  `json:"beside"`  // what else ran on the machine
+	Beside  string  `json:"beside"`  // other load on the machine
 	Points  []Point `json:"points"`
 }
 
@@ -38,47 +39,48 @@
 	Runs   []*Run   `json:"runs,omitempty"`
 }
 
-// Stamp sets the commands, the date and what ran beside the measurement on all series. Where the report holds runs, what ran
-// beside them is taken from the load averages that they noted.
-func (r *Report) Stamp(command, beside string, now time.Time) {
-	if len(r.Runs) > 0 {
-		beside = besideRuns(r.Runs)
+// Stamp sets the command, the date and the description of other load on all series. If the report has runs, the description
+// is derived from the load averages that they recorded.
+func (report *Report) Stamp(command, otherLoad string, now time.Time) {
+	if len(report.Runs) > 0 {
+		otherLoad = describeRunLoad(report.Runs)
 	}
-	for i := range r.Series {
-		r.Series[i].Command, r.Series[i].Beside = command, beside
-		r.Series[i].Date = now.UTC().Format(time.DateOnly)
+	for i := range report.Series {
+		report.Series[i].Command, report.Series[i].Beside = command, otherLoad
+		report.Series[i].Date = now.UTC().Format(time.DateOnly)
 	}
 }
 
-// Command gives the command that the series of a report came by; "" where it has none.
-func (r *Report) Command() string {
-	if len(r.Series) == 0 {
+// Command returns the command that measured the report's series, or "" if there are none.
+func (report *Report) Command() string {
+	if len(report.Series) == 0 {
 		return ""
 	}
-	return r.Series[0].Command
+	return report.Series[0].Command
 }
 
-// besideRuns tells what ran on the machine beside runs: the load averages before them, and what its host took from it.
-func besideRuns(runs []*Run) string {
-	least, most := math.Inf(1), 0.0
-	mostStolen := 0.0
+// describeRunLoad describes the other load on the machine: the range of load averages before the runs, and the highest steal
+// time.
+func describeRunLoad(runs []*Run) string {
+	minLoad, maxLoad := math.Inf(1), 0.0
+	maxStolen := 0.0
 	for _, r := range runs {
 		first, _, _ := strings.Cut(r.Load, " ")
 		if load, err := strconv.ParseFloat(first, 64); err == nil {
-			least, most = min(least, load), max(most, load)
+			minLoad, maxLoad = min(minLoad, load), max(maxLoad, load)
 		}
-		mostStolen = max(mostStolen, r.StealCores)
+		maxStolen = max(maxStolen, r.StealCores)
 	}
-	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), least, most)
-	if mostStolen > 0 { // runs of earlier versions do not tell it
-		text += fmt.Sprintf("; the host took up to %.1f cores", mostStolen)
+	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), minLoad, maxLoad)
+	if maxStolen > 0 { // runs of earlier versions do not record it
+		text += fmt.Sprintf("; the host took up to %.1f cores", maxStolen)
 	}
 	return text
 }
 
 // WriteFile writes the report as indented JSON.
-func (r *Report) WriteFile(path string) error {
-	text, err := json.MarshalIndent(r, "", " ")
+func (report *Report) WriteFile(path string) error {
+	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
 		return err
 	}
@@ -98,7 +100,7 @@
 	return report, nil
 }
 
-// LoadAverage reads the machine's load average over 1 and 5 minutes.
+// LoadAverage returns the machine's load average over 1 and 5 minutes, or "unknown".
 func LoadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
@@ -108,7 +110,7 @@
 	return fields[0] + " and " + fields[1]
 }
 
-// DescribeLoad describes what else ran, from the load averages before and after a measurement.
+// DescribeLoad describes the other load on the machine by the load averages before and after a measurement.
 func DescribeLoad(before, after string, cores int) string {
 	return fmt.Sprintf("load average (1 min, 5 min) of %d cores: %s before, %s after", cores, before, after)
 }
