--- a/internal/scalelab/child/child.go
+++ b/internal/scalelab/child/child.go
@@ -1,5 +1,5 @@
-// Package child starts the processes of the scale laboratory, ends them by their number, and reads what the kernel says of
-// them. None outlives the laboratory, also where that is killed.
+// Package child starts and stops the processes of the scale laboratory and reads their resource usage from /proc. No process
+// outlives the laboratory, even if the laboratory is killed.
 package child
 
 import (
@@ -25,20 +25,20 @@
 	log  *os.File
 }
 
-// Options say how a process is started.
+// Options are the parameters of Start.
 type Options struct {
 	Name    string
 	Path    string
 	Args    []string
-	Env     []string // added to this program's own
+	Env     []string // added to the environment of this process
 	Dir     string
-	LogFile string    // its standard error, appended
+	LogFile string    // standard error is appended to it
 	Stdin   io.Reader // nil: none
 	Stdout  io.Writer // nil: none
 }
 
-// Start starts a process in a group of its own: an interrupt at a terminal is for the laboratory, which ends its processes
-// itself.
+// Start starts a process in its own process group, so that an interrupt from the terminal only reaches the laboratory, which
+// stops its processes itself.
 func Start(o Options) (*Process, error) {
 	log, err := os.OpenFile(o.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -60,13 +60,13 @@
 	return p, nil
 }
 
-// PID is the number of the process.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Gone is closed when the process has ended.
+// Gone returns a channel that is closed when the process has exited.
 func (p *Process) Gone() <-chan struct{} { return p.gone }
 
-// Over tells whether the process has ended.
+// Over reports whether the process has exited.
 func (p *Process) Over() bool {
 	select {
 	case <-p.gone:
@@ -76,10 +76,10 @@
 	}
 }
 
-// State is how it ended; call it once it is Over.
+// State returns the exit state of a process that has exited.
 func (p *Process) State() *os.ProcessState { return p.cmd.ProcessState }
 
-// Signal sends a signal to a process that still runs.
+// Signal sends a signal to the process. It returns os.ErrProcessDone if the process has exited.
 func (p *Process) Signal(s syscall.Signal) error {
 	if p.Over() {
 		return os.ErrProcessDone
@@ -87,13 +87,14 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits for it.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.gone
 }
 
-// End ends the process: SIGTERM, and SIGKILL where that was not enough in time. It tells whether SIGTERM was enough.
+// End sends SIGTERM, and SIGKILL if the process does not exit within the given time. It reports whether SIGTERM was enough.
+// A suspended process is resumed first.
 func (p *Process) End(within time.Duration) bool {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGTERM)
@@ -106,20 +107,20 @@
 	return false
 }
 
-// Usage is what the kernel says of a process.
+// Usage is the resource usage of a process as the kernel reports it.
 type Usage struct {
 	CPU         time.Duration // user and system time so far
 	Resident    int64         // bytes
 	Descriptors int
 	Threads     int
-	Read        int64 // bytes that its read calls returned: sockets and files
-	Written     int64 // and its write calls took
+	Read        int64 // bytes returned by read calls on sockets and files
+	Written     int64 // bytes passed to write calls on sockets and files
 }
 
 // clockTick is the unit of times in /proc/PID/stat: USER_HZ, 100 on every Linux that Go runs on.
 const clockTick = time.Second / 100
 
-// UsageOf reads /proc for a process.
+// UsageOf reads the usage of a process from /proc. Descriptors, Read and Written stay 0 where they cannot be read.
 func UsageOf(pid int) (u Usage, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
@@ -149,7 +150,7 @@
 	return u, err
 }
 
-// MachineBusy is the processor time that all processes of the machine have used so far, and the memory that it has.
+// MachineBusy returns the processor time that all processes of the machine have used since it started.
 func MachineBusy() (busy time.Duration, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -162,14 +163,14 @@
 		if err != nil {
 			return 0, err
 		}
-		if i != idle && i != wait && i < 8 { // guest time is in user time already
+		if i != idle && i != wait && i < 8 { // later fields are guest time, which user time includes
 			busy += time.Duration(n) * clockTick
 		}
 	}
 	return busy, nil
 }
 
-// MachineMemory is the memory of the machine in bytes.
+// MachineMemory returns the memory of the machine in bytes.
 func MachineMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -180,7 +181,7 @@
 	return kib << 10, err
 }
 
-// Descriptors is how many this process, and each that it starts, may have open.
+// Descriptors returns the limit of open file descriptors of this process and of each process that it starts.
 func Descriptors() (int, error) {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
--- a/internal/scalelab/hollow/connection.go
+++ b/internal/scalelab/hollow/connection.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// traffic counts the bytes of one gatekeeper's connections.
+// traffic counts the bytes and connections of one gatekeeper.
 type traffic struct {
 	sent, received atomic.Int64
 	opened         atomic.Int64 // connections
 }
 
-// network is what the gatekeepers of this process dial through: it counts their bytes and injects faults between regions.
+// network creates the connections of the gatekeepers of this process, counts their bytes and injects faults between regions.
 type network struct {
-	shaped   bool // connections can be delayed
+	shaped   bool // connections between regions are delayed
 	delay    atomic.Int64
-	regionOf map[string]string // of a control machine, by address
+	regionOf map[string]string // region of each control machine, by address
 
 	mu   sync.Mutex
 	cut  map[string]bool
@@ -31,7 +31,7 @@
 	return &network{shaped: shaped, regionOf: regionOf, cut: map[string]bool{}, wake: make(chan struct{})}
 }
 
-// setCut cuts a region off from the others, or heals it.
+// setCut partitions a region from the others, or ends the partition.
 func (n *network) setCut(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,18 +40,18 @@
 	n.wake = make(chan struct{})
 }
 
-// passes tells whether bytes pass between two regions now; wake is closed when that may have changed.
+// passes reports whether two regions are connected. wake is closed when that may have changed.
 func (n *network) passes(a, b string) (ok bool, wake <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return a == b || !n.cut[a] && !n.cut[b], n.wake
 }
 
-// dialer gives the dial function of one gatekeeper.
+// dialer returns the dial function of a gatekeeper in region, whose traffic is counted in t.
 func (n *network) dialer(region string, t *traffic) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		path := &path{network: n, from: region, to: n.regionOf[address]}
-		if err := path.wait(ctx); err != nil { // as a first packet that nobody answers
+		if err := path.wait(ctx); err != nil { // a dial during a partition blocks, as if its first packet were lost
 			return nil, err
 		}
 		if d := path.latency(); d > 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-// path is the way between two regions.
+// path is the network path between two regions.
 type path struct {
 	network  *network
 	from, to string
@@ -87,7 +87,7 @@
 	return time.Duration(p.network.delay.Load())
 }
 
-// wait returns once the path is open.
+// wait blocks while the path is cut, until ctx ends.
 func (p *path) wait(ctx context.Context) error {
 	for {
 		ok, wake := p.network.passes(p.from, p.to)
@@ -102,15 +102,15 @@
 	}
 }
 
-// countedConn counts what passes, and holds it back while its path is cut: the bytes stay in the kernel, as those of a
-// connection whose packets are lost, and go on after the heal.
+// countedConn is a connection that counts its bytes and blocks reads and writes while its path is cut. The bytes stay in
+// the kernel, as for a connection whose packets are lost, and are delivered after the partition.
 type countedConn struct {
 	net.Conn
 	traffic *traffic
 	path    *path
 	closed  chan struct{}
 	once    sync.Once
-	pending []byte // read from the kernel while the path was cut, and not yet handed on
+	pending []byte // read from the kernel but not yet returned, because the path was cut
 
 	mu          sync.Mutex
 	read, write time.Time     // deadlines
@@ -144,7 +144,7 @@
 	return n, err
 }
 
-// hold waits while the path is cut, at most until the deadline.
+// hold blocks while the path is cut, at most until the deadline or until the connection is closed.
 func (c *countedConn) hold(deadline func() time.Time) error {
 	for {
 		ok, wake := c.path.network.passes(c.path.from, c.path.to)
@@ -206,16 +206,17 @@
 
 const (
 	delayChunk = 16 << 10
-	delayQueue = 256 // chunks on their way; then the sender waits
+	delayQueue = 256 // chunks in flight; the sender blocks beyond that
 )
 
+// chunk is data in flight on a delayed connection.
 type chunk struct {
 	due  time.Time
 	data []byte
 }
 
-// newDelayedConn carries a connection with the path's latency: bytes are handed on no sooner than that after they came. The
-// program holds one end of a pipe within this process.
+// newDelayedConn adds the latency of the path to both directions of a connection. It returns one end of an in-process pipe,
+// whose other end is connected to far with the delay.
 func newDelayedConn(far net.Conn, p *path) net.Conn {
 	near, inner := net.Pipe()
 	go carry(inner, far, p)
@@ -223,7 +224,8 @@
 	return near
 }
 
-// carry copies from one end to the other, each chunk after the path's latency, and closes both when either ends.
+// carry copies data from one connection to the other, each chunk after the latency of the path, and closes both when either
+// ends.
 func carry(from, to net.Conn, p *path) {
 	queue := make(chan chunk, delayQueue)
 	go func() {
@@ -232,7 +234,7 @@
 			time.Sleep(time.Until(c.due))
 			if _, err := to.Write(c.data); err != nil {
 				from.Close()
-				for range queue { // until the reader has seen that it is closed
+				for range queue { // drains the queue until the reader stops and closes it
 				}
 				return
 			}
--- a/internal/scalelab/hollow/connection_test.go
+++ b/internal/scalelab/hollow/connection_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo serves a machine that answers each byte, and gives its address.
+// echo starts a server that echoes all bytes, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -31,7 +31,7 @@
 	return l.Addr().String()
 }
 
-func TestCutHoldsBytesAndCountsThem(t *testing.T) {
+func TestCutDelaysBytesAndCountsTraffic(t *testing.T) {
 	address := echo(t)
 	n, tr := newNetwork(false, map[string]string{address: "east"}), &traffic{}
 	c, err := n.dialer("west", tr)(t.Context(), "tcp", address)
@@ -54,20 +54,20 @@
 	_, err = n.dialer("west", tr)(dialing, "tcp", address)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	near, err := n.dialer("east", tr)(t.Context(), "tcp", address)
-	require.NoError(t, err, "a region that is not cut off")
+	require.NoError(t, err, "dial within a region that is not cut off")
 	near.Close()
 
 	require.NoError(t, c.SetReadDeadline(time.Time{}))
 	time.AfterFunc(30*time.Millisecond, func() { n.setCut("west", false) })
 	_, err = io.ReadFull(c, got)
 	require.NoError(t, err)
-	require.Equal(t, "def", string(got), "nothing is lost by a cut")
+	require.Equal(t, "def", string(got), "bytes sent before a partition arrive after it")
 	require.EqualValues(t, 6, tr.sent.Load())
 	require.EqualValues(t, 6, tr.received.Load())
 	require.EqualValues(t, 2, tr.opened.Load())
 }
 
-func TestCloseEndsAReadThatIsCut(t *testing.T) {
+func TestCloseUnblocksReadDuringCut(t *testing.T) {
 	address := echo(t)
 	n := newNetwork(false, map[string]string{address: "east"})
 	c, err := n.dialer("west", &traffic{})(t.Context(), "tcp", address)
@@ -80,7 +80,7 @@
 	require.Error(t, err)
 }
 
-func TestLatencyIsAddedBothWays(t *testing.T) {
+func TestLatencyIsAddedInBothDirections(t *testing.T) {
 	address := echo(t)
 	n := newNetwork(true, map[string]string{address: "east"})
 	n.delay.Store(int64(40 * time.Millisecond))
--- a/internal/scalelab/hollow/content.go
+++ b/internal/scalelab/hollow/content.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Each change of a run writes the sections "calls" and "limits" for all gatekeepers, both with the same marker: the name of
-// the first route, and of the first rule.
+// Each change of a run writes the sections "calls" and "limits" for all gatekeepers. The marker of the change is part of the
+// name of the only route of "calls" and of the only rule of "limits".
 const (
 	markerPrefix    = "change-"
 	refusableSuffix = "-refusable"
-	shortest        = 128 // bytes of a record, at least
+	shortest        = 128 // minimum size of a record in bytes
 )
 
-// Content makes the two sections of a change, each of a number of bytes.
+// Content returns the two sections of a change, each padded to size bytes.
 func Content(marker uint64, refusable bool, size int) (calls, limits []byte) {
 	name := markerPrefix + strconv.FormatUint(marker, 10)
 	if refusable {
@@ -27,7 +27,7 @@
 	return pad(calls, size), pad(limits, size)
 }
 
-// pad brings a JSON text to a size with white space, which a record carries as any other bytes.
+// pad appends white space to a JSON text up to a size of at least shortest bytes.
 func pad(text []byte, size int) []byte {
 	if missing := max(size, shortest) - len(text); missing > 0 {
 		text = append(text, bytes.Repeat([]byte{' '}, missing)...)
@@ -35,7 +35,7 @@
 	return text
 }
 
-// MarkerOf reads the marker of a section that Content made.
+// MarkerOf returns the marker of a section that Content created, and whether its change is refusable.
 func MarkerOf(value []byte) (marker uint64, refusable bool, err error) {
 	var section struct {
 		Routes, Rules []struct{ Name string }
@@ -45,7 +45,7 @@
 	}
 	names := append(section.Routes, section.Rules...)
 	if len(names) != 1 {
-		return 0, false, fmt.Errorf("%d routes and rules, must be one", len(names))
+		return 0, false, fmt.Errorf("section has %d routes and rules, must have one", len(names))
 	}
 	name, refusable := strings.CutSuffix(names[0].Name, refusableSuffix)
 	marker, err = strconv.ParseUint(strings.TrimPrefix(name, markerPrefix), 10, 64)
--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -11,10 +11,10 @@
 	"beammux/internal/follow"
 )
 
-// staleAfter is the age from which what a gatekeeper holds counts as behind: a few heartbeats of a second each.
+// staleAfter is the age of the last contact after which a gatekeeper counts as behind: a few heartbeats, one per second.
 const staleAfter = 5 * time.Second
 
-// followed is the follower of one gatekeeper.
+// followed is the settings follower of one gatekeeper.
 type followed struct{ *follow.Follower }
 
 func (f followed) state() followState {
@@ -22,7 +22,7 @@
 	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica, behind: s.Age < 0 || s.Age > staleAfter || s.InForce < s.Seen}
 }
 
-// openFollower follows the settings of a gatekeeper. apply is called with what each candidate holds.
+// openFollower starts to follow the settings of a gatekeeper. apply is called for each valid candidate; an error refuses it.
 func openFollower(g *gatekeeper, dir string, apply func(candidate) error) (*followed, error) {
 	p := g.process
 	var replicas []session.Replica
@@ -46,7 +46,7 @@
 	return &followed{f}, nil
 }
 
-// readCandidate checks a candidate as a gatekeeper does, and reads its markers.
+// readCandidate validates a candidate as a gatekeeper does, and returns the markers of its sections.
 func readCandidate(c follow.Candidate, site *control.Site) (read candidate, err error) {
 	read.revision = c.Revision
 	for _, name := range scope.Sections() {
@@ -67,7 +67,7 @@
 	return read, nil
 }
 
-// loadSite reads the gatekeeper's configuration by which settings are checked; nil where none is named.
+// loadSite loads the gatekeeper's configuration that settings are checked against. It returns nil if file is empty.
 func loadSite(file string) (*control.Site, error) {
 	if file == "" {
 		return nil, nil
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	registerBytes = 100 // of the register that each gatekeeper publishes once a second
+	registerBytes = 100 // size of the register that each gatekeeper publishes
 	registerEvery = time.Second
-	leaseWithin   = 600 * time.Millisecond // at one machine, as a gatekeeper has it
+	leaseWithin   = 600 * time.Millisecond // of a request to one control machine, as in a real gatekeeper
 )
 
-// followState is how a follower stands.
+// followState is the state of a follower. inForce and highest are revisions.
 type followState struct {
 	inForce, highest uint64
-	replica          string // connected to; "": none
-	behind           bool   // it says so of itself
+	replica          string // control machine that the follower is connected to; "": none
+	behind           bool   // the settings in force may be out of date
 }
 
-// candidate is what a follower puts in force, in the order of the sections of Content.
+// candidate is a set of settings to be put in force, with its sections in the order of Content.
 type candidate struct {
 	revision  uint64
 	sections  []Section
 	refusable bool
 }
 
-// gatekeeper is one hollow gatekeeper.
+// gatekeeper is one hollow gatekeeper of this process.
 type gatekeeper struct {
 	Gatekeeper
 	process *process
 	traffic traffic
-	leases  traffic // of lease requests: store.ReduceAt dials by itself, so its own texts are counted
+	leases  traffic // of lease requests: store.ReduceAt dials by itself, so the bytes of requests and responses are counted
 	gossip  atomic.Int64
 
 	mu       sync.Mutex
@@ -56,7 +56,7 @@
 	done     sync.WaitGroup
 }
 
-// start opens the gatekeeper's control side.
+// start opens the parts of the gatekeeper's control side that the configuration asks for.
 func (g *gatekeeper) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// apply puts a candidate in force, or refuses it.
+// apply reports that a candidate is in force or, with an error, that the gatekeeper refuses it.
 func (g *gatekeeper) apply(life int, c candidate) error {
 	marker := uint64(0)
 	if len(c.sections) > 0 {
@@ -102,13 +102,13 @@
 	}
 	if c.refusable && g.Refuses {
 		g.process.emit(Event{Kind: Refused, Name: g.Name, Life: life, Revision: c.revision, Marker: marker})
-		return fmt.Errorf("change %d is not for this site", marker)
+		return fmt.Errorf("change %d is refused by this gatekeeper", marker)
 	}
 	g.process.emit(Event{Kind: InForce, Name: g.Name, Life: life, Revision: c.revision, Sections: c.sections})
 	return nil
 }
 
-// join opens the gossip, and publishes a register where the run has it so.
+// join joins the gossip group, and starts to publish a register if the configuration asks for it.
 func (g *gatekeeper) join(ctx context.Context) error {
 	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Group: g.Group, Program: "hollow", Bind: g.Bind, RegisterBytes: g.process.config.RegisterBytes,
 		Seeds: g.process.config.Groups[g.Group].Seeds, Log: quiet()})
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// limit opens the limits with one leased rule.
+// limit opens the limiter with one leased rule.
 func (g *gatekeeper) limit() error {
 	o := limits.Options{Name: g.Name, Start: uint64(time.Now().UnixMilli()), Now: func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, Log: quiet(),
 		Limits: quota.Limits{Parts: g.process.config.Parts, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: quota.Leased,
@@ -157,7 +157,7 @@
 	return err
 }
 
-// end closes the gatekeeper's control side.
+// end stops the gatekeeper's control side.
 func (g *gatekeeper) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,7 +178,7 @@
 	g.follower, g.limiter, g.fleet = nil, nil, nil
 }
 
-// restart ends the gatekeeper and starts it again.
+// restart stops the gatekeeper and starts it again after down.
 func (g *gatekeeper) restart(down time.Duration) error {
 	g.process.emit(Event{Kind: Down, Name: g.Name})
 	g.end()
@@ -186,6 +186,7 @@
 	return g.start()
 }
 
+// state returns the state of the follower and the number of members that the gatekeeper considers up.
 func (g *gatekeeper) state() (s followState, met int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -198,6 +199,7 @@
 	return s, met
 }
 
+// counts returns the counters of the gatekeeper.
 func (g *gatekeeper) counts() GatekeeperCounts {
 	s, met := g.state()
 	gossip := g.gossip.Load()
@@ -215,7 +217,7 @@
 		Gossip: gossip, Leases: g.leases.sent.Load() + g.leases.received.Load(), InForce: s.inForce, Highest: s.highest, Met: met}
 }
 
-// quiet is a log for what each of many gatekeepers says all the time: faults alone.
+// quiet returns a logger for errors only: lower levels from many gatekeepers would flood the log.
 func quiet() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(os.Stderr)
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -18,16 +18,16 @@
 const (
 	flushEvery  = 100 * time.Millisecond
 	pulseEvery  = time.Second
-	mostOpening = 64 // gatekeepers that open at once, where all start in the same moment
+	mostOpening = 64 // limit of gatekeepers that start or stop concurrently
 	longestLine = 64 << 20
 )
 
-// process is this process's part of a run.
+// process is the state of the hollow process.
 type process struct {
 	config      Config
 	began       time.Time
 	network     *network
-	site        *control.Site // by which settings are checked; nil: by their form alone
+	site        *control.Site // that settings are checked against; nil: only their form is checked
 	gatekeepers []*gatekeeper
 	byName      map[string]*gatekeeper
 	watchers    []*stuckWatchers
@@ -39,19 +39,19 @@
 	encoder *json.Encoder
 }
 
-// Run serves one run: it returns when it is told to stop, or when the input ends.
+// Run serves one run of the laboratory. It returns on the Stop command, or at the end of the input.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, longestLine)
 	if !lines.Scan() {
-		return fmt.Errorf("no configuration on the standard input: %w", io.ErrUnexpectedEOF)
+		return fmt.Errorf("reading the configuration from standard input: %w", io.ErrUnexpectedEOF)
 	}
 	p := &process{byName: map[string]*gatekeeper{}, fail: fail, out: bufio.NewWriterSize(out, 256<<10)}
 	p.encoder = json.NewEncoder(p.out)
 	if err := json.Unmarshal(lines.Bytes(), &p.config); err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("parsing the configuration: %w", err)
 	}
 	if err := p.prepare(); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return err
 }
 
-// prepare makes what the gatekeepers need.
+// prepare creates the network, the site and the gatekeepers from the configuration.
 func (p *process) prepare() error {
 	p.began = time.Unix(0, p.config.Began)
 	regions := map[string]string{}
@@ -90,7 +90,7 @@
 	return err
 }
 
-// serve starts the gatekeepers and carries out commands until the end.
+// serve starts the gatekeepers and executes commands until the run ends.
 func (p *process) serve(ctx context.Context, commands <-chan Command) error {
 	p.work.Go(func() { p.startAll(ctx) })
 	flush, pulse := time.NewTicker(flushEvery), time.NewTicker(pulseEvery)
@@ -114,7 +114,7 @@
 	}
 }
 
-// startAll starts the gatekeepers, spread evenly over the time that the run gives, or all in the same moment.
+// startAll starts the gatekeepers, evenly spread over Config.StartOver, or all at the same time if it is 0.
 func (p *process) startAll(ctx context.Context) {
 	free := make(chan struct{}, mostOpening)
 	every := p.config.StartOver / time.Duration(max(1, len(p.gatekeepers)))
@@ -138,6 +138,7 @@
 	}
 }
 
+// carryOut executes one command.
 func (p *process) carryOut(ctx context.Context, c Command) {
 	switch c.Do {
 	case Cut, Heal:
@@ -158,6 +159,7 @@
 	}
 }
 
+// counters returns the counters of all gatekeepers.
 func (p *process) counters(mark int) *Counters {
 	c := &Counters{Mark: mark, At: time.Since(p.began)}
 	if u, err := child.UsageOf(os.Getpid()); err == nil {
@@ -169,6 +171,7 @@
 	return c
 }
 
+// figures returns the current figures of the process.
 func (p *process) figures() Figures {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -196,7 +199,7 @@
 	return f
 }
 
-// end closes everything and says how the watchers that read nothing fared.
+// end reports the result for the stuck watchers and stops all gatekeepers.
 func (p *process) end() {
 	if len(p.watchers) > 0 {
 		e := Event{Kind: Watchers}
@@ -221,14 +224,14 @@
 	p.flush()
 }
 
-// emit writes an event as of now, unless it has its time.
+// emit writes an event. It sets At to the current time if it is 0.
 func (p *process) emit(e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e.At == 0 {
 		e.At = time.Since(p.began)
 	}
-	p.encoder.Encode(e) // a laboratory that is gone is seen at the input
+	p.encoder.Encode(e) // if the laboratory has exited, the input ends too
 }
 
 func (p *process) flush() {
--- a/internal/scalelab/hollow/stuck.go
+++ b/internal/scalelab/hollow/stuck.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	stuckBuffer   = 4 << 10 // of the socket, so that little lies in the kernel
+	stuckBuffer   = 4 << 10 // read buffer of the socket in bytes; small, so that the sender soon blocks
 	admitWithin   = 2 * time.Second
 	listWithin    = 5 * time.Second
 	stuckNameForm = "watcher-that-reads-nothing-%d"
 )
 
-// stuckWatchers are sessions at one control machine that are opened as any other and then never read.
+// stuckWatchers are sessions at one control machine whose connections are never read after they are opened.
 type stuckWatchers struct {
 	address  string
 	names    []string
 	stop     context.CancelFunc
 	work     sync.WaitGroup
-	admitted []string // those that the machine listed soon after they were opened
+	admitted []string // names of those that the machine listed admitWithin after they were opened
 }
 
-// stuckConn writes as any other connection, and its reads wait until the watcher ends.
+// stuckConn is a connection whose reads block until the context of the watcher ends.
 type stuckConn struct {
 	net.Conn
 	ctx context.Context
@@ -39,6 +39,7 @@
 	return 0, c.ctx.Err()
 }
 
+// openStuckWatchers opens count sessions at a control machine, and lists the admitted ones after admitWithin.
 func openStuckWatchers(ctx context.Context, address string, count int) *stuckWatchers {
 	ctx, stop := context.WithCancel(ctx)
 	w := &stuckWatchers{address: address, stop: stop}
@@ -59,7 +60,8 @@
 	return w
 }
 
-// stuckDialer makes connections that are never read while the watcher's context lasts; that of a dial ends with the dial.
+// stuckDialer returns a dial function for connections that are never read. Their reads block on the watcher's context, since
+// the context of a dial ends with the dial.
 func stuckDialer(watcher context.Context) store.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -74,7 +76,7 @@
 	}
 }
 
-// listed gives the names of the watchers that the machine still has a session of.
+// listed returns the names of the watchers that the control machine lists as sessions, nil if it does not respond.
 func (w *stuckWatchers) listed(ctx context.Context) (names []string) {
 	ctx, cancel := context.WithTimeout(ctx, listWithin)
 	defer cancel()
@@ -90,7 +92,7 @@
 	return names
 }
 
-// end ends the watchers and tells how many the machine had admitted and then cut off, and how many others there are.
+// end closes the watchers. It returns how many the control machine admitted and later cut off, and how many others there are.
 func (w *stuckWatchers) end(ctx context.Context) (cutOff, others int) {
 	standing := w.listed(ctx)
 	w.stop()
--- a/internal/scalelab/hollow/stuck_test.go
+++ b/internal/scalelab/hollow/stuck_test.go
@@ -13,10 +13,10 @@
 	"beammux/internal/store"
 )
 
-// Watchers that a real control machine has cut off are told from those that it has not yet.
+// Watchers that the control machine has cut off are counted separately from those that are still open.
 func TestStuckWatchersCutOff(t *testing.T) {
 	if testing.Short() {
-		t.Skip("waits some seconds")
+		t.Skip("takes several seconds")
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/scalelab/hollow/wire.go
+++ b/internal/scalelab/hollow/wire.go
@@ -1,31 +1,31 @@
-// Package hollow is a process of the scale laboratory that holds many gatekeepers without callers and servers: of each, the
-// control side alone, with the real code and real sockets. The laboratory writes commands to its standard input and reads
-// what happened from its standard output, a JSON object a line.
+// Package hollow implements a process of the scale laboratory that runs many hollow gatekeepers: gatekeepers without callers
+// and servers, of which only the control side runs, with the production code and real sockets. The laboratory writes a
+// configuration and commands to the standard input and reads events from the standard output, one JSON object per line.
 package hollow
 
 import "time"
 
-// Config is the first line of the standard input.
+// Config is the configuration of the process, the first line of the standard input.
 type Config struct {
-	Began         int64         `json:"began"` // of the run, Unix ns: times of events count from it
+	Began         int64         `json:"began"` // start of the run in Unix nanoseconds; times of events are relative to it
 	Gatekeepers   []Gatekeeper  `json:"gatekeepers"`
-	Replicas      []Replica     `json:"replicas"` // control machines; none: no configuration is followed
-	Dir           string        `json:"dir"`      // each gatekeeper keeps its last good settings in a folder of its own in it; "": none does
+	Replicas      []Replica     `json:"replicas"` // control machines; without any, no settings are followed
+	Dir           string        `json:"dir"`      // parent directory of the gatekeepers' settings caches; "": no caches
 	Seed          uint64        `json:"seed"`
-	Shaped        bool          `json:"shaped"` // connections between regions can be delayed
+	Shaped        bool          `json:"shaped"` // connections between regions are delayed by Latency
 	Latency       time.Duration `json:"latency"`
-	StartOver     time.Duration `json:"start_over"`     // the gatekeepers start spread over this
-	Site          string        `json:"site"`           // a gatekeeper's configuration, by which settings are checked; "": not checked
-	Membership    bool          `json:"membership"`     // internal/fleet
-	RegisterBytes float64       `json:"register_bytes"` // that each sends a second at most; 0: no bound
-	Registers     bool          `json:"registers"`      // one register of registerBytes a second for each
-	Limits        bool          `json:"limits"`         // internal/limits, with leases through the control machines
-	Parts         int           `json:"parts"`          // gatekeepers that share the limits
-	// Groups are the gossips that the gatekeepers take part in, by name; one without a name where it is not split by service.
+	StartOver     time.Duration `json:"start_over"`     // time over which the starts of the gatekeepers are spread
+	Site          string        `json:"site"`           // file of a gatekeeper's configuration that settings are checked against; "": the form alone is checked
+	Membership    bool          `json:"membership"`     // gatekeepers join a gossip (internal/fleet)
+	RegisterBytes float64       `json:"register_bytes"` // most bytes of registers that a gatekeeper sends per second; 0: no limit
+	Registers     bool          `json:"registers"`      // each gatekeeper publishes a register of registerBytes every second
+	Limits        bool          `json:"limits"`         // gatekeepers lease limits from the control machines (internal/limits)
+	Parts         int           `json:"parts"`          // number of gatekeepers that share the limits
+	// Groups are the gossip groups by name: one per service, or a single one with an empty name.
 	Groups map[string]Group `json:"groups"`
 }
 
-// Group is one gossip.
+// Group is one gossip group. Seeds are the addresses that new members join.
 type Group struct {
 	Seeds   []string `json:"seeds"`
 	Members int      `json:"members"`
@@ -37,9 +37,9 @@
 	Region  string `json:"region"`
 	Zone    string `json:"zone"`
 	Service string `json:"service"`
-	Refuses bool   `json:"refuses,omitempty"` // changes that are marked as refusable, as a differing site would
-	Bind    string `json:"bind,omitempty"`    // of the gossip
-	Group   string `json:"group,omitempty"`   // that it takes part in
+	Refuses bool   `json:"refuses,omitempty"` // refuses changes that are marked as refusable
+	Bind    string `json:"bind,omitempty"`    // gossip address
+	Group   string `json:"group,omitempty"`   // gossip group
 }
 
 // Replica is a control machine.
@@ -50,17 +50,17 @@
 	Region  string `json:"region"`
 }
 
-// Action names a command.
+// Action is the kind of a command.
 type Action string
 
-// The commands.
+// The kinds of commands.
 const (
-	Cut     Action = "cut"     // Region is cut off
-	Heal    Action = "heal"    // and no more
-	Restart Action = "restart" // the gatekeeper Name is ended, and started again after Down
-	Watch   Action = "watch"   // Count watchers that read nothing at Address
-	Count   Action = "count"   // ask for Counters
-	Stop    Action = "stop"    // end
+	Cut     Action = "cut"     // partition Region from the others
+	Heal    Action = "heal"    // end the partition of Region
+	Restart Action = "restart" // stop the gatekeeper Name and start it again after Down
+	Watch   Action = "watch"   // open Count stuck watchers at the control machine at Address
+	Count   Action = "count"   // report Counters
+	Stop    Action = "stop"    // exit
 )
 
 // Command is a line of the standard input.
@@ -71,24 +71,24 @@
 	Down    time.Duration `json:"down,omitempty"`
 	Address string        `json:"address,omitempty"`
 	Count   int           `json:"count,omitempty"`
-	Mark    int           `json:"mark,omitempty"` // of Count: the answer carries it
+	Mark    int           `json:"mark,omitempty"` // of Count: repeated in Counters
 }
 
-// EventKind names what happened.
+// EventKind is the kind of an event.
 type EventKind string
 
-// The events.
+// The kinds of events.
 const (
-	InForce  EventKind = "in-force" // a candidate came into force
-	Refused  EventKind = "refused"
-	Up       EventKind = "up" // a gatekeeper has started
-	Down     EventKind = "down"
-	Pulse    EventKind = "pulse"    // once a second
-	Counted  EventKind = "counted"  // the answer to Count
-	Watchers EventKind = "watchers" // those that read nothing, at the end
+	InForce  EventKind = "in-force" // a gatekeeper put a candidate in force
+	Refused  EventKind = "refused"  // a gatekeeper refused a candidate
+	Up       EventKind = "up"       // a gatekeeper is starting
+	Down     EventKind = "down"     // a gatekeeper is stopping for a restart
+	Pulse    EventKind = "pulse"    // periodic figures of the process, once per second
+	Counted  EventKind = "counted"  // the response to Count
+	Watchers EventKind = "watchers" // result for the stuck watchers, at the end of the run
 )
 
-// Event is a line of the standard output.
+// Event is a line of the standard output. At is relative to the start of the run.
 type Event struct {
 	Kind     EventKind     `json:"kind"`
 	At       time.Duration `json:"at,omitempty"`
@@ -99,32 +99,32 @@
 	Marker   uint64        `json:"marker,omitempty"`
 	Pulse    *Figures      `json:"pulse,omitempty"`
 	Counters *Counters     `json:"counters,omitempty"`
-	CutOff   int           `json:"cut_off,omitempty"` // of Watchers: how many the machine cut off
-	Open     int           `json:"open,omitempty"`    // and how many not
+	CutOff   int           `json:"cut_off,omitempty"` // of Watchers: how many sessions the control machine ended
+	Open     int           `json:"open,omitempty"`    // of Watchers: how many sessions it did not end
 }
 
-// Section is what one section of a candidate held.
+// Section is the content of one section of a candidate.
 type Section struct {
 	Marker   uint64 `json:"marker"`
 	Revision uint64 `json:"revision"`
 }
 
-// Figures are the process's own, of all its gatekeepers together.
+// Figures are the resource usage of the process and sums over its gatekeepers.
 type Figures struct {
 	CPU         time.Duration  `json:"cpu"`
-	Heap        int64          `json:"heap"` // bytes of live and not yet collected objects
+	Heap        int64          `json:"heap"` // bytes of live objects and of objects not yet collected
 	Resident    int64          `json:"resident"`
 	Goroutines  int            `json:"goroutines"`
 	Descriptors int            `json:"descriptors"`
-	Sessions    map[string]int `json:"sessions,omitempty"` // by the name of the control machine
-	InForce     int            `json:"in_force"`           // gatekeepers that have any settings in force
-	Behind      int            `json:"behind"`             // gatekeepers that say of themselves that they may be behind
-	Met         int            `json:"met"`                // fewest members that a gatekeeper holds to be up
-	Missing     int            `json:"missing"`            // most members of its gossip that a gatekeeper does not hold to be up
-	Strangers   int            `json:"strangers"`          // most members beyond those of its gossip that a gatekeeper holds to be up
+	Sessions    map[string]int `json:"sessions,omitempty"` // number of sessions by name of the control machine
+	InForce     int            `json:"in_force"`           // gatekeepers with settings in force
+	Behind      int            `json:"behind"`             // gatekeepers whose own status is that they may be behind
+	Met         int            `json:"met"`                // fewest members that a gatekeeper considers up
+	Missing     int            `json:"missing"`            // most members of its group that a gatekeeper does not consider up
+	Strangers   int            `json:"strangers"`          // most members in excess of its group's size that a gatekeeper considers up
 }
 
-// Counters are those of each gatekeeper.
+// Counters are the response to Count.
 type Counters struct {
 	Mark        int                `json:"mark"`
 	At          time.Duration      `json:"at"`
@@ -132,17 +132,17 @@
 	Gatekeepers []GatekeeperCounts `json:"gatekeepers"`
 }
 
-// GatekeeperCounts are a gatekeeper's counters since its process began.
+// GatekeeperCounts are the counters of a gatekeeper since the start of the process.
 type GatekeeperCounts struct {
 	Name     string `json:"name"`
-	Sent     int64  `json:"sent"`
-	Received int64  `json:"received"`
-	Opened   int64  `json:"opened"` // connections
-	Gossip   int64  `json:"gossip"` // bytes that its gossip sent
-	Leases   int64  `json:"leases"` // bytes both ways of lease requests
-	InForce  uint64 `json:"in_force"`
-	Highest  uint64 `json:"highest"`
-	Met      int    `json:"met"`             // members that it holds to be up
-	Fresh    int    `json:"fresh"`           // members whose register of rates counts here, its own among them
-	Oldest   int64  `json:"oldest_register"` // us, the oldest of these
+	Sent     int64  `json:"sent"`            // bytes, settings connections
+	Received int64  `json:"received"`        // bytes, settings connections
+	Opened   int64  `json:"opened"`          // settings connections
+	Gossip   int64  `json:"gossip"`          // bytes sent by gossip
+	Leases   int64  `json:"leases"`          // bytes of lease requests and responses
+	InForce  uint64 `json:"in_force"`        // revision in force
+	Highest  uint64 `json:"highest"`         // highest revision seen
+	Met      int    `json:"met"`             // members that the gatekeeper considers up
+	Fresh    int    `json:"fresh"`           // members whose rates register is fresh enough to count, itself included
+	Oldest   int64  `json:"oldest_register"` // age of the oldest of these registers in microseconds
 }
--- a/internal/scalelab/judge/judge.go
+++ b/internal/scalelab/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge decides from the log of a run whether every gatekeeper followed the settings as it must: never back, never a
-// mix of two changes, never a change that it refused, and everything in force in time. It does no I/O and reads no clock.
+// Package judge checks the log of a run for gatekeepers that did not follow the settings correctly: a gatekeeper must never go
+// back to an older revision, never apply a mix of two changes or a change that it must refuse, and have every change in force
+// in time. The package does no I/O and reads no clock.
 package judge
 
 import (
@@ -10,27 +11,27 @@
 	"time"
 )
 
-// Change is one transaction. It writes every section of the run, all with the same marker.
+// Change is one transaction. It writes all sections of the run with the same marker. Times are relative to the start of the run.
 type Change struct {
 	Marker    uint64
-	Revision  uint64        // as acknowledged
-	Began     time.Duration // when the write was first tried, since the run began
-	Committed time.Duration // when it was acknowledged
-	Refusable bool          // the gatekeepers in Log.Refusing must refuse it
-	// Restamped are further revisions at which its records stand: those of a store that was made anew with them.
+	Revision  uint64        // of the acknowledged write
+	Began     time.Duration // first write attempt
+	Committed time.Duration // acknowledgement of the write
+	Refusable bool          // the gatekeepers in Log.Refusing must refuse the change
+	// Restamped are further revisions of the same records, assigned when they were restored to a new store.
 	Restamped []uint64
 }
 
-// Section is what one section of a candidate held.
+// Section is the content of one section of a candidate.
 type Section struct {
 	Marker   uint64
 	Revision uint64 // of the record
 }
 
-// Applied is a candidate that a gatekeeper put in force.
+// Applied is a candidate that a gatekeeper has put in force.
 type Applied struct {
 	Gatekeeper string
-	Life       int // counts the starts of the gatekeeper
+	Life       int // number of starts of the gatekeeper so far
 	At         time.Duration
 	Revision   uint64 // of the candidate
 	Sections   []Section
@@ -43,48 +44,49 @@
 	Marker     uint64
 }
 
-// Outage is a time in which a gatekeeper was down, or cut off from the leader's region by the fault script.
+// Outage is a period in which a gatekeeper was down, or partitioned from the other regions by the fault script. To is 0 for an
+// outage that did not end during the run.
 type Outage struct {
 	Gatekeeper string
 	From, To   time.Duration
 }
 
-// Log is all that was seen in a run.
+// Log is the record of a run.
 type Log struct {
 	Gatekeepers []string
 	Refusing    map[string]bool
-	Sections    int // that each change writes
+	Sections    int // number of sections that each change writes
 	Changes     []Change
 	Applied     []Applied
 	Refusals    []Refusal
 	Outages     []Outage
-	End         time.Duration // nothing was seen after it
-	Within      time.Duration // a change must be in force so long after its commit, or after the end of an outage
+	End         time.Duration // end of the recording
+	Within      time.Duration // time limit for a change to be in force, from its commit or from the end of an outage
 }
 
-// Rule names what was broken.
+// Rule is the name of a rule, as it appears in reports.
 type Rule string
 
-// The rules.
+// The rules that a run can break.
 const (
-	Back        Rule = "old revision after new"  // a section fell back to an earlier record
-	OutOfOrder  Rule = "applied out of order"    // a candidate of an earlier revision came after a later one
-	Twice       Rule = "applied twice"           // the same records again within one life
-	Mix         Rule = "mix of two revisions"    // two sections of a candidate are of different changes
-	Unknown     Rule = "never written"           // a marker or revision that nobody wrote
-	HeldRefused Rule = "refused one held"        // a change in force where it must be refused
-	NotRefused  Rule = "refusal missing"         // a change that reached nobody who must refuse it
-	Late        Rule = "in force too late"       // in force, but after Log.Within
-	Lost        Rule = "lost"                    // neither it nor a later one came into force
-	Sent        Rule = "refused without a cause" // a change refused where it must be taken
+	Back        Rule = "old revision after new"  // a section went back to an earlier record
+	OutOfOrder  Rule = "applied out of order"    // a candidate was applied after one of a higher revision
+	Twice       Rule = "applied twice"           // the same records were applied again without a restart
+	Mix         Rule = "mix of two revisions"    // the sections of a candidate belong to different changes
+	Unknown     Rule = "never written"           // a marker or revision that was not written in the run
+	HeldRefused Rule = "refused one held"        // a gatekeeper applied a change that it must refuse
+	NotRefused  Rule = "refusal missing"         // no gatekeeper refused a change that some must refuse
+	Late        Rule = "in force too late"       // a change came into force later than Log.Within allows
+	Lost        Rule = "lost"                    // neither the change nor a later one came into force
+	Sent        Rule = "refused without a cause" // a gatekeeper refused a change that it must apply
 )
 
-// Rules lists them.
+// Rules returns all rules.
 func Rules() []Rule {
 	return []Rule{Back, OutOfOrder, Twice, Mix, Unknown, HeldRefused, NotRefused, Late, Lost, Sent}
 }
 
-// Violation is one rule broken by one gatekeeper.
+// Violation is one breach of a rule by one gatekeeper. At is relative to the start of the run.
 type Violation struct {
 	Rule       Rule          `json:"rule"`
 	Gatekeeper string        `json:"gatekeeper,omitempty"`
@@ -97,28 +99,29 @@
 	return fmt.Sprintf("%v: %s: %s, change %d: %s", v.At, v.Rule, v.Gatekeeper, v.Marker, v.Detail)
 }
 
-// Delay is how long one change took at one gatekeeper.
+// Delay is the time that one change took to come into force at one gatekeeper.
 type Delay struct {
 	Marker     uint64
 	Gatekeeper string
-	Commit     time.Duration // from the acknowledged commit; 0 where it was in force before the acknowledgement
-	Put        time.Duration // from the start of the write
-	Outage     bool          // an outage of the gatekeeper lay between: Commit and Put hold it; see Healed
-	Healed     time.Duration // from the end of the outage, 0 without one
+	Commit     time.Duration // from the acknowledged commit; 0 if the change was in force before the acknowledgement
+	Put        time.Duration // from the first write attempt
+	Outage     bool          // the gatekeeper had an outage in that time, which Commit and Put include
+	Healed     time.Duration // from the end of the outage; 0 without an outage
 }
 
-// Verdict is what the judge found.
+// Verdict is the result of Check.
 type Verdict struct {
-	Counts  map[Rule]int // by rule, each rule present
-	First   []Violation  // the first mostNamed
+	Counts  map[Rule]int // number of violations; every rule has an entry
+	First   []Violation  // the first violations, at most mostNamed
 	Delays  []Delay
-	Skipped int // pairs of change and gatekeeper where a later change came into force in its place
-	Open    int // pairs that the run ended too early to judge
+	Skipped int // pairs of change and gatekeeper where a later change came into force instead
+	Open    int // pairs of change and gatekeeper that were not due by the end of the run
 }
 
+// mostNamed is the limit of Verdict.First.
 const mostNamed = 20
 
-// Held tells whether no rule was broken.
+// Held reports whether no rule was broken.
 func (v *Verdict) Held() bool {
 	for _, n := range v.Counts {
 		if n > 0 {
@@ -128,6 +131,7 @@
 	return true
 }
 
+// broken counts a violation and lists it if there is room.
 func (v *Verdict) broken(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
 	v.Counts[rule]++
 	if len(v.First) < mostNamed {
@@ -135,7 +139,7 @@
 	}
 }
 
-// Check judges a run.
+// Check checks the log of a run against all rules.
 func Check(l Log) *Verdict {
 	v := &Verdict{Counts: map[Rule]int{}}
 	for _, rule := range Rules() {
@@ -151,6 +155,7 @@
 	return v
 }
 
+// checker checks one run. The maps by gatekeeper are sorted by time.
 type checker struct {
 	Log
 	verdict  *Verdict
@@ -159,19 +164,20 @@
 	outages  map[string][]Outage
 }
 
-// span holds the revisions that a change can have: a write whose answer was lost is written again under the same marker, so
-// each revision above the change before it and up to the acknowledged one may carry it.
+// span is the set of revisions that the records of a change can have. A write whose response was lost is repeated with the
+// same marker, so each revision above that of the preceding change, up to the acknowledged one, can belong to the change.
 type span struct {
 	above, upTo uint64
 	restamped   []uint64
 	refusable   bool
 }
 
-// holds tells whether records of the change can have a revision.
+// holds reports whether records of the change can have the revision.
 func (s span) holds(revision uint64) bool {
 	return revision > s.above && revision <= s.upTo || slices.Contains(s.restamped, revision)
 }
 
+// newChecker indexes the log by marker and by gatekeeper, and sorts it.
 func newChecker(l Log, v *Verdict) *checker {
 	c := &checker{Log: l, verdict: v, byMarker: map[uint64]span{}, applied: map[string][]Applied{}, outages: map[string][]Outage{}}
 	c.Changes = slices.Clone(l.Changes)
@@ -196,15 +202,15 @@
 	return c
 }
 
-// order checks each candidate against those before it.
+// order checks each candidate of a gatekeeper against the preceding ones.
 func (c *checker) order(gatekeeper string) {
 	var highest uint64
-	var newest, last []uint64 // record revisions: the newest of each section, and those of the candidate before
+	var newest, last []uint64 // revisions by section: the highest so far, and those of the preceding candidate
 	life := -1
 	for _, a := range c.applied[gatekeeper] {
 		c.content(a)
 		if a.Revision < highest {
-			c.broken(OutOfOrder, a, fmt.Sprintf("candidate %d after %d", a.Revision, highest))
+			c.broken(OutOfOrder, a, fmt.Sprintf("candidate of revision %d after revision %d", a.Revision, highest))
 		}
 		highest = max(highest, a.Revision)
 		now := make([]uint64, len(a.Sections))
@@ -215,7 +221,7 @@
 			}
 		}
 		if a.Life == life && slices.Equal(now, last) {
-			c.broken(Twice, a, fmt.Sprintf("records %v again", now))
+			c.broken(Twice, a, fmt.Sprintf("records of revisions %v again", now))
 		}
 		for i := range now {
 			if i == len(newest) {
@@ -227,25 +233,25 @@
 	}
 }
 
-// content checks one candidate by itself.
+// content checks one candidate without regard to others.
 func (c *checker) content(a Applied) {
 	if len(a.Sections) != c.Sections {
-		c.broken(Mix, a, fmt.Sprintf("%d sections of %d", len(a.Sections), c.Sections))
+		c.broken(Mix, a, fmt.Sprintf("%d sections instead of %d", len(a.Sections), c.Sections))
 	}
 	for _, s := range a.Sections {
 		if s != a.Sections[0] {
-			c.broken(Mix, a, fmt.Sprintf("sections of changes %d at revision %d and %d at %d", a.Sections[0].Marker, a.Sections[0].Revision, s.Marker, s.Revision))
+			c.broken(Mix, a, fmt.Sprintf("sections of change %d at revision %d and of change %d at revision %d", a.Sections[0].Marker, a.Sections[0].Revision, s.Marker, s.Revision))
 			break
 		}
 	}
 	for _, s := range a.Sections {
 		known, ok := c.byMarker[s.Marker]
 		if !ok || !known.holds(s.Revision) || s.Revision > a.Revision {
-			c.broken(Unknown, a, fmt.Sprintf("change %d at revision %d in candidate %d", s.Marker, s.Revision, a.Revision))
+			c.broken(Unknown, a, fmt.Sprintf("change %d at revision %d in a candidate of revision %d", s.Marker, s.Revision, a.Revision))
 			break
 		}
 		if known.refusable && c.Refusing[a.Gatekeeper] {
-			c.broken(HeldRefused, a, "in force where it must be refused")
+			c.broken(HeldRefused, a, "in force at a gatekeeper that must refuse it")
 			break
 		}
 	}
@@ -259,7 +265,7 @@
 	c.verdict.broken(rule, a.Gatekeeper, marker, a.At, detail)
 }
 
-// times checks when each change was in force at a gatekeeper: it, or a later one in its place.
+// times checks that each change, or a later one instead, came into force at a gatekeeper in time.
 func (c *checker) times(gatekeeper string) {
 	applied := c.applied[gatekeeper]
 	next := 0
@@ -281,7 +287,7 @@
 		}
 		at := applied[next].At
 		if at > due {
-			c.verdict.broken(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after it was due", at-due))
+			c.verdict.broken(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after the time limit", at-due))
 		}
 		if len(applied[next].Sections) > 0 && applied[next].Sections[0].Marker != change.Marker {
 			c.verdict.Skipped++
@@ -294,7 +300,7 @@
 	}
 }
 
-// missing is a change that never came into force, and neither did a later one.
+// missing handles a change that did not come into force, with no later one in force either.
 func (c *checker) missing(gatekeeper string, change Change, due time.Duration) {
 	if due > c.End {
 		c.verdict.Open++
@@ -303,8 +309,8 @@
 	c.verdict.broken(Lost, gatekeeper, change.Marker, c.End, fmt.Sprintf("committed at %v, due at %v", change.Committed, due))
 }
 
-// dueBehindRefused is due, but that a change which reached a gatekeeper together with a later one that it must refuse can only
-// come into force with the next one that it takes.
+// dueBehindRefused is like due, but takes refusals into account: a change that reaches a gatekeeper together with a later one
+// that the gatekeeper must refuse only comes into force with the next change that it applies.
 func (c *checker) dueBehindRefused(gatekeeper string, i int, seen time.Duration) (due, healed time.Duration) {
 	due, healed = c.due(gatekeeper, c.Changes[i].Committed, seen)
 	if !c.Refusing[gatekeeper] {
@@ -319,13 +325,13 @@
 	return due, healed
 }
 
-// due tells when a change that was seen in force at a time must have been so at a gatekeeper, and when the last outage in
-// between ended, 0 if there was none.
+// due returns the time by which a change must be in force at a gatekeeper, and the end of the last outage between its commit
+// and seen, the time at which it came into force; healed is 0 without an outage.
 func (c *checker) due(gatekeeper string, committed, seen time.Duration) (due, healed time.Duration) {
 	due = committed + c.Within
 	for _, o := range c.outages[gatekeeper] {
 		to := o.To
-		if to == 0 { // it never ended
+		if to == 0 { // not over at the end of the run
 			to = math.MaxInt64 / 2
 		}
 		if o.From <= due && o.From < seen && to > committed {
@@ -336,13 +342,13 @@
 	return due, healed
 }
 
-// refusals checks that each refusal has its cause, and that each change to be refused was refused where it could be.
+// refusals checks that each refusal was expected, and that each refusable change was refused by some gatekeeper.
 func (c *checker) refusals() {
 	refused := map[uint64]bool{}
 	for _, r := range c.Refusals {
 		known, ok := c.byMarker[r.Marker]
 		if !ok || !known.refusable || !c.Refusing[r.Gatekeeper] {
-			c.verdict.broken(Sent, r.Gatekeeper, r.Marker, r.At, "this gatekeeper must take it")
+			c.verdict.broken(Sent, r.Gatekeeper, r.Marker, r.At, "the gatekeeper must apply the change")
 			continue
 		}
 		refused[r.Marker] = true
--- a/internal/scalelab/judge/judge_test.go
+++ b/internal/scalelab/judge/judge_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// good is a run of two gatekeepers and three changes, the second of which "b" refuses, and in which no rule is broken.
+// good returns a run of two gatekeepers and three changes that breaks no rule. Gatekeeper "b" refuses the second change.
 func good() Log {
 	section := func(marker, revision uint64) []Section {
 		return []Section{{marker, revision}, {marker, revision}}
@@ -36,7 +36,7 @@
 	require.Zero(t, v.Open)
 }
 
-// The records of a change may come again at a revision at which they were restored, and at no other.
+// The records of a change may be applied again at the revision at which they were restored, but at no other.
 func TestRestoredRecords(t *testing.T) {
 	l := good()
 	l.Applied = append(l.Applied, Applied{"a", 1, 14 * second, 5000, []Section{{3, 5000}, {3, 5000}}})
@@ -48,21 +48,21 @@
 	require.Positive(t, Check(l).Counts[Unknown])
 }
 
-// Each rule is broken on purpose, and found; no other rule is reported with it.
+// Each case breaks one rule on purpose: the checker must report that rule and no unrelated one.
 func TestEachRuleIsFound(t *testing.T) {
 	for _, row := range []struct {
 		rule  Rule
-		also  []Rule // that the same break cannot but break too
+		also  []Rule // rules that the same change of the log inevitably breaks too
 		spoil func(l *Log)
 	}{
 		{Back, []Rule{OutOfOrder}, func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 1, 13 * second, 10, l.Applied[0].Sections}) }},
-		{Back, nil, func(l *Log) { // the revision moves on, and the records are old: a replica that lags
+		{Back, nil, func(l *Log) { // a higher candidate revision with old records, as from a lagging replica
 			l.Applied = append(l.Applied, Applied{"a", 1, 13 * second, 35, l.Applied[1].Sections})
 		}},
-		{Back, nil, func(l *Log) { // over a restart too
+		{Back, nil, func(l *Log) { // across a restart
 			l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 35, l.Applied[1].Sections})
 		}},
-		{OutOfOrder, nil, func(l *Log) { // an earlier candidate, though with the same records
+		{OutOfOrder, nil, func(l *Log) { // a lower candidate revision with the same records
 			l.Applied[4].Revision = 40
 			l.Applied = append(l.Applied, Applied{"b", 2, 13 * second, 39, l.Applied[4].Sections})
 		}},
@@ -81,7 +81,7 @@
 		{Late, nil, func(l *Log) { l.Applied[2].At = 27*second + 1 }},
 		{Lost, nil, func(l *Log) { l.Applied = l.Applied[:4] }},
 		{Lost, nil, func(l *Log) { l.Applied = l.Applied[:4]; l.Outages = []Outage{{"b", 11 * second, 43 * second}} }},
-		{Late, nil, func(l *Log) { // it had 17 s from the end of the outage
+		{Late, nil, func(l *Log) { // the limit is 17 s from the end of the outage
 			l.Outages = []Outage{{"b", 11 * second, 20 * second}}
 			l.Applied[4].At = 37*second + 1
 		}},
@@ -89,32 +89,32 @@
 		l := good()
 		row.spoil(&l)
 		v := Check(l)
-		require.Positive(t, v.Counts[row.rule], "%s not found: %v", row.rule, v.First)
+		require.Positive(t, v.Counts[row.rule], "%s not reported: %v", row.rule, v.First)
 		for _, rule := range Rules() {
 			if rule != row.rule && !slices.Contains(row.also, rule) {
-				require.Zero(t, v.Counts[rule], "%s found beside %s: %v", rule, row.rule, v.First)
+				require.Zero(t, v.Counts[rule], "%s reported along with %s: %v", rule, row.rule, v.First)
 			}
 		}
 		require.False(t, v.Held())
 	}
 }
 
-// What the rules allow is not reported.
+// Logs that deviate from the plain run but break no rule are not reported.
 func TestAllowed(t *testing.T) {
 	for name, change := range map[string]func(l *Log){
-		"late by an outage":                 func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 40 * second}}; l.Applied[4].At = 56 * second },
-		"down to the end":                   func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 0}}; l.Applied = l.Applied[:4] },
-		"ended before it was due":           func(l *Log) { l.Applied = l.Applied[:4]; l.End = 26 * second },
-		"the same records in another life":  func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 31, l.Applied[2].Sections}) },
-		"a later one in its place":          func(l *Log) { l.Applied = append(l.Applied[:1], l.Applied[2:]...) },
-		"written again after a lost answer": func(l *Log) { l.Applied[2].Sections = []Section{{3, 25}, {3, 25}} },
-		"came together with one that is refused": func(l *Log) {
+		"late because of an outage":            func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 40 * second}}; l.Applied[4].At = 56 * second },
+		"down until the end of the run":        func(l *Log) { l.Outages = []Outage{{"b", 11 * second, 0}}; l.Applied = l.Applied[:4] },
+		"run ended before the time limit":      func(l *Log) { l.Applied = l.Applied[:4]; l.End = 26 * second },
+		"same records after a restart":         func(l *Log) { l.Applied = append(l.Applied, Applied{"a", 2, 13 * second, 31, l.Applied[2].Sections}) },
+		"superseded by a later change":         func(l *Log) { l.Applied = append(l.Applied[:1], l.Applied[2:]...) },
+		"write repeated after a lost response": func(l *Log) { l.Applied[2].Sections = []Section{{3, 25}, {3, 25}} },
+		"received together with a refused change": func(l *Log) {
 			l.Changes[1].Committed, l.Changes[1].Began = 2*second, 2*second
 			l.Changes[2].Committed, l.Applied[4].At = 25*second, 26*second
 			l.Applied[2].At = 26 * second
 			l.Applied = slices.Delete(l.Applied, 3, 4)
 		},
-		"in force before the acknowledgment": func(l *Log) { l.Applied[2].At = 9500 * time.Millisecond },
+		"in force before the acknowledgement": func(l *Log) { l.Applied[2].At = 9500 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := good()
@@ -130,7 +130,7 @@
 	l.Outages = []Outage{{"a", 12 * second, 14 * second}, {"b", 11 * second, 40 * second}}
 	l.Applied[4].At = 45 * second
 	v := Check(l)
-	require.False(t, v.Delays[2].Outage, "it was in force before the outage")
+	require.False(t, v.Delays[2].Outage, "the change was in force before the outage")
 	last := v.Delays[len(v.Delays)-1]
 	require.True(t, last.Outage)
 	require.Equal(t, 5*second, last.Healed)
--- a/internal/scalelab/script/script.go
+++ b/internal/scalelab/script/script.go
@@ -1,5 +1,5 @@
-// Package script holds the fault scripts of the scale laboratory: which faults, at which times. A script is a YAML file, or
-// names of kinds joined with "+", each at its usual time.
+// Package script parses the fault scripts of the scale laboratory: which faults are injected, and when. A script is a YAML file, or
+// names of kinds joined with "+", each at its default time.
 //
 //	faults:
 //	  - {at: 10s, for: 10s, fault: kill-leader}
@@ -21,28 +21,28 @@
 	"beammux/internal/jsonfile"
 )
 
-// Kind names a fault.
+// Kind is the name of a kind of fault.
 type Kind string
 
-// The kinds.
+// The kinds of faults. At, For, Count and Delay are fields of Fault.
 const (
-	KillLeader   Kind = "kill-leader"   // the leader is killed, and started again after For
-	KillZone     Kind = "kill-zone"     // two machines of a zone are killed, and started again after For
-	CutRegion    Kind = "cut-region"    // a region is cut off from the others for For
-	Latency      Kind = "latency"       // between regions, each way, from the start to the end: Delay
+	KillLeader   Kind = "kill-leader"   // the leader is killed and started again after For
+	KillZone     Kind = "kill-zone"     // two control machines of a zone are killed and started again after For
+	CutRegion    Kind = "cut-region"    // a region is partitioned from the others for For
+	Latency      Kind = "latency"       // a one-way delay of Delay between regions, for the whole run
 	Restart      Kind = "restart"       // Count gatekeepers are restarted, spread over For
-	StartAtOnce  Kind = "start-at-once" // all gatekeepers start in the same moment
+	StartAtOnce  Kind = "start-at-once" // all gatekeepers start at the same time
 	Refuse       Kind = "refuse"        // a tenth of the gatekeepers refuse every third change within For
-	StuckWatcher Kind = "stuck-watcher" // Count watchers that read nothing, from At on
-	PauseControl Kind = "pause-control" // a control machine that does not lead is stopped for For, and goes on
-	PauseLeader  Kind = "pause-leader"  // the same with the leader
-	LoseRack     Kind = "lose-rack"     // Count gatekeepers of a zone and a control machine there are lost at once, for For
-	LoseZone     Kind = "lose-zone"     // all gatekeepers and control machines of a zone, the same
-	// RemakeControl loses all control machines with their disks; after For a new group has the records of a backup.
+	StuckWatcher Kind = "stuck-watcher" // Count watchers never read from their connection, from At on
+	PauseControl Kind = "pause-control" // a control machine that is not the leader is suspended for For
+	PauseLeader  Kind = "pause-leader"  // the leader is suspended for For
+	LoseRack     Kind = "lose-rack"     // Count gatekeepers and one control machine of a zone fail at the same time, for For
+	LoseZone     Kind = "lose-zone"     // all gatekeepers and control machines of a zone fail at the same time, for For
+	// RemakeControl kills all control machines and removes their data; after For a new group restores the records of a backup.
 	RemakeControl Kind = "remake-control"
 )
 
-// Bounds of a script.
+// Limits of a script.
 const (
 	mostFaults = 100
 	mostAt     = time.Hour
@@ -50,17 +50,17 @@
 	mostCount  = 100000
 )
 
-// Fault is one fault. At counts from the begin of the measured time.
+// Fault is one fault of a script. At is relative to the start of the measured time.
 type Fault struct {
 	At     time.Duration
 	For    time.Duration
 	Kind   Kind
-	Region string        // of cut-region; "": drawn by the seed
+	Region string        // of cut-region; "": chosen at random
 	Count  int           // of restart, stuck-watcher and lose-rack
 	Delay  time.Duration // of latency
 }
 
-// usual are the faults as their bare names mean them.
+// usual are the parameters of a fault that is given by its name alone.
 var usual = map[Kind]Fault{
 	KillLeader:   {At: 10 * time.Second, For: 10 * time.Second},
 	KillZone:     {At: 10 * time.Second, For: 20 * time.Second},
@@ -78,7 +78,7 @@
 	RemakeControl: {At: 10 * time.Second, For: 5 * time.Second},
 }
 
-// Kinds lists the kinds by name.
+// Kinds returns the names of all kinds, sorted.
 func Kinds() []string {
 	names := make([]string, 0, len(usual))
 	for kind := range usual {
@@ -88,10 +88,10 @@
 	return names
 }
 
-// Error is a fault of a script.
+// Error is an error in a script.
 type Error struct {
-	File string // "" for names on the command line
-	Line int    // 0: of the whole
+	File string // "" for names given on the command line
+	Line int    // 0: the error concerns the whole file
 	What string
 }
 
@@ -107,10 +107,11 @@
 
 // Advice implements advice.Error.
 func (e *Error) Advice() string {
-	return "name kinds joined with +, or a YAML file; the kinds are " + strings.Join(Kinds(), ", ")
+	return "give kinds joined with +, or a YAML file; the kinds are " + strings.Join(Kinds(), ", ")
 }
 
-// Load reads what --faults says: nothing, kinds joined with "+", or the name of a file (which holds a "." or a "/").
+// Load parses the value of --faults: "" for no faults, kinds joined with "+", or the name of a file (which contains a "." or a
+// "/").
 func Load(what string) ([]Fault, error) {
 	if what == "" {
 		return nil, nil
@@ -118,7 +119,7 @@
 	if strings.ContainsAny(what, "./") {
 		text, err := os.ReadFile(what)
 		if err != nil {
-			return nil, &Error{File: what, What: "can't be read: " + err.Error()}
+			return nil, &Error{File: what, What: "cannot be read: " + err.Error()}
 		}
 		return Parse(what, text)
 	}
@@ -134,7 +135,7 @@
 	return faults, nil
 }
 
-// item is a fault as the file has it.
+// item is a fault as it is written in the file.
 type item struct {
 	At     string `yaml:"at"`
 	For    string `yaml:"for"`
@@ -144,7 +145,7 @@
 	Delay  string `yaml:"delay"`
 }
 
-// Parse reads a script file.
+// Parse parses the text of a script file. file is its name, for errors.
 func Parse(file string, text []byte) ([]Fault, error) {
 	var document struct {
 		Faults []yaml.Node `yaml:"faults"`
@@ -155,7 +156,7 @@
 		return nil, &Error{File: file, What: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
 	if len(document.Faults) > mostFaults {
-		return nil, &Error{File: file, What: fmt.Sprintf("%d faults, over %d", len(document.Faults), mostFaults)}
+		return nil, &Error{File: file, What: fmt.Sprintf("%d faults, the limit is %d", len(document.Faults), mostFaults)}
 	}
 	var faults []Fault
 	for i := range document.Faults {
@@ -185,7 +186,7 @@
 	}
 	fault.Kind, fault.Region = Kind(in.Fault), in.Region
 	if in.Count < 0 || in.Count > mostCount {
-		return Fault{}, fmt.Errorf("count is %d, not 0 to %d", in.Count, mostCount)
+		return Fault{}, fmt.Errorf("count is %d, must be 0 to %d", in.Count, mostCount)
 	}
 	if in.Count > 0 {
 		fault.Count = in.Count
@@ -200,14 +201,14 @@
 		}
 		d, err := time.ParseDuration(span.text)
 		if err != nil || d < 0 || d > span.most {
-			return Fault{}, fmt.Errorf("%s is %q, no span up to %v, as 10s", span.name, span.text, span.most)
+			return Fault{}, fmt.Errorf("%s is %q, must be a duration from 0 to %v, such as 10s", span.name, span.text, span.most)
 		}
 		*span.to = d
 	}
 	return fault, nil
 }
 
-// End is when the last fault of a script is over.
+// End returns the time at which the last fault of a script ends.
 func End(faults []Fault) (end time.Duration) {
 	for _, fault := range faults {
 		end = max(end, fault.At+fault.For)
@@ -215,7 +216,7 @@
 	return end
 }
 
-// Has tells whether a script holds a kind.
+// Has reports whether a script contains a fault of the kind.
 func Has(faults []Fault, kind Kind) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool { return f.Kind == kind })
 }
