--- a/internal/scalelab/changes.go
+++ b/internal/scalelab/changes.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	putWithin      = 5 * time.Second // one try at one machine
-	putAgainAfter  = 50 * time.Millisecond
-	putGiveUp      = 60 * time.Second
-	refusableEvery = 3 // one change of so many is marked, while the script has it so
+	putWithin      = 5 * time.Second       // for one attempt at one machine
+	putAgainAfter  = 50 * time.Millisecond // delay before a retry
+	putGiveUp      = 60 * time.Second      // for all attempts of a change
+	refusableEvery = 3                     // changes per refusable change while the refuse fault lasts
 )
 
 // The keys that every change writes.
@@ -24,30 +24,31 @@
 	limitsKey = "settings/all/limits"
 )
 
-// writer writes changes, one at a time, and keeps what became of each.
+// writer writes changes, one at a time, and records when each was committed.
 type writer struct {
 	options *Options
 	plane   *controlPlane
 	began   time.Time
-	cutOff  func(region string) bool // regions that the script has cut off
+	cutOff  func(region string) bool // reports whether the fault script has cut off a region
 
-	turn sync.Mutex // held while a change is written, and while the script has the store without its records
+	turn sync.Mutex // held while a change is written, and while the fault script rebuilds the store
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	refusable bool // the script has marked changes now
+	refusable bool // changes can be marked as refusable
 	changes   []judge.Change
 	retries   int
 }
 
+// setRefusable turns the marking of changes as refusable on or off.
 func (w *writer) setRefusable(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refusable = on
 }
 
-// put writes one change and returns when it is acknowledged. After an error it writes the same change again, at another
-// machine: the answer may have been lost, and then the change stands at two revisions with the same content.
+// put writes one change and returns when it is acknowledged. After an error it retries the same change at a random machine.
+// If only the response was lost, the change is written at two revisions with the same content.
 func (w *writer) put(ctx context.Context, mayRefuse bool) (judge.Change, error) {
 	w.turn.Lock()
 	defer w.turn.Unlock()
@@ -70,7 +71,7 @@
 			return c, ctx.Err()
 		}
 		if time.Since(w.began)-c.Began > putGiveUp {
-			return c, fmt.Errorf("change %d could not be written: %w", marker, err)
+			return c, fmt.Errorf("writing change %d: %w", marker, err)
 		}
 		w.mu.Lock()
 		w.retries++
@@ -79,7 +80,7 @@
 	}
 }
 
-// restamped notes that the records of the last change stand at a further revision.
+// restamped records a further revision of the records of the last change.
 func (w *writer) restamped(revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,7 +88,7 @@
 	last.Restamped = append(last.Restamped, revision)
 }
 
-// try writes a change at a machine that runs and is not cut off.
+// try attempts to write a change at a random machine that runs and is not cut off.
 func (w *writer) try(ctx context.Context, calls, limits []byte) (uint64, error) {
 	var able []*machine
 	for _, m := range w.plane.machines {
@@ -96,7 +97,7 @@
 		}
 	}
 	if len(able) == 0 {
-		return 0, fmt.Errorf("no control machine is up")
+		return 0, fmt.Errorf("no control machine is reachable")
 	}
 	w.mu.Lock()
 	at := able[w.rng.IntN(len(able))]
@@ -106,7 +107,7 @@
 	return transact(ctx, at.Address, calls, limits)
 }
 
-// run writes changes at the run's pace until a time. A change that took long is followed by those that were due meanwhile.
+// run writes changes at the configured rate until a time. Changes that become due during a slow write follow it immediately.
 func (w *writer) run(ctx context.Context, until time.Time) error {
 	every := w.options.changeEvery()
 	if every <= 0 {
@@ -125,6 +126,7 @@
 	return nil
 }
 
+// all returns the committed changes and the number of retries.
 func (w *writer) all() (changes []judge.Change, retries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -25,28 +25,28 @@
 	endWithin       = 5 * time.Second
 )
 
-// controlPlane is the control machines, each a process of its own.
+// controlPlane is the control machines of a run, each a process of its own.
 type controlPlane struct {
 	options  *Options
 	machines []*machine
-	network  *relay.Network // between the machines, where the script cuts or delays them; nil: direct
+	network  *relay.Network // relays connections between regions for partitions and delays; nil: direct connections
 }
 
 // machine is one control machine.
 type machine struct {
 	machineSpec
 	file  string
-	admin string // the operators' address
+	admin string // admin address
 
 	mu      sync.Mutex
 	process *child.Process // nil: not started
 	paused  bool
-	down    bool          // killed by the script
-	ended   []child.Usage // of earlier processes of the same machine
-	former  time.Duration // processor time of those
+	down    bool          // killed by the fault script
+	ended   []child.Usage // usage of the earlier processes of the machine
+	former  time.Duration // processor time of the earlier processes
 }
 
-// controlFile is a control machine's file.
+// controlFile is the configuration file of a control machine.
 type controlFile struct {
 	Name       string      `json:"name"`
 	Zone       string      `json:"zone"`
@@ -57,6 +57,7 @@
 	Gatekeeper string      `json:"gatekeeper,omitempty"`
 }
 
+// controlSite is the store section of controlFile.
 type controlSite struct {
 	Node   string        `json:"node"`
 	Listen string        `json:"listen"`
@@ -66,18 +67,20 @@
 	Via    []via         `json:"via,omitempty"`
 }
 
+// controlPeer is a member of the store in controlFile.
 type controlPeer struct {
 	Node    string `json:"node"`
 	Address string `json:"address"`
 	Voter   bool   `json:"voter"`
 }
 
+// via maps the address of a peer to the relay through which it is reached.
 type via struct {
 	Address string `json:"address"`
 	Through string `json:"through"`
 }
 
-// newControlPlane writes the machines' files.
+// newControlPlane assigns addresses and writes the configuration files of the machines. It starts no process.
 func newControlPlane(o *Options, specs []machineSpec) (*controlPlane, error) {
 	c := &controlPlane{options: o}
 	ports, err := freePorts(2*len(specs), o.Seed+uint64(os.Getpid()))
@@ -100,7 +103,7 @@
 	return c, c.delay()
 }
 
-// write makes a machine's file, and its links to the others.
+// write writes the configuration file of a machine and creates its relay links to machines in other regions.
 func (c *controlPlane) write(m *machine) error {
 	o := c.options
 	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admin: m.admin, Admission: &o.Admission, Gatekeeper: o.Site,
@@ -124,7 +127,7 @@
 	return os.WriteFile(m.file, text, 0o644)
 }
 
-// delay puts the latency between regions in force, where the script has one.
+// delay applies the latency between regions, if the fault script has one.
 func (c *controlPlane) delay() error {
 	for _, f := range c.options.Faults {
 		if f.Kind != script.Latency {
@@ -143,7 +146,7 @@
 	return nil
 }
 
-// cut cuts the machines of a region off from the others, or heals it.
+// cut partitions the machines of a region from the others, or ends the partition.
 func (c *controlPlane) cut(region string, cut bool) {
 	var inside, outside []string
 	for _, m := range c.machines {
@@ -157,7 +160,7 @@
 	c.network.Cut(outside, inside, cut)
 }
 
-// start starts a machine's process.
+// start starts the process of a machine.
 func (c *controlPlane) start(m *machine) error {
 	p, err := child.Start(child.Options{Name: m.Name, Path: c.options.Program, Args: []string{"control", "serve", "--file", m.file},
 		Env: c.options.Env, Dir: c.options.Dir, LogFile: filepath.Join(c.options.Dir, m.Name+".log")})
@@ -170,7 +173,7 @@
 	return nil
 }
 
-// startAll starts every machine and waits until all are ready and know a leader.
+// startAll starts all machines and waits until each is ready and knows a leader.
 func (c *controlPlane) startAll(ctx context.Context) error {
 	for _, m := range c.machines {
 		if err := c.start(m); err != nil {
@@ -186,7 +189,7 @@
 				break
 			}
 			if m.process.Over() {
-				return fmt.Errorf("%s ended before it was ready (%v): see %s.log", m.Name, m.process.State(), m.Name)
+				return fmt.Errorf("%s exited before it was ready (%v): see %s.log", m.Name, m.process.State(), m.Name)
 			}
 			select {
 			case <-ctx.Done():
@@ -198,27 +201,28 @@
 	return nil
 }
 
+// status requests the status of the store from the machine.
 func (m *machine) status(ctx context.Context) (store.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusWithin)
 	defer cancel()
 	return store.StatusFrom(ctx, m.Address)
 }
 
-// up tells whether the machine runs and is not stopped.
+// up reports whether the machine runs and is not suspended.
 func (m *machine) up() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process != nil && !m.down && !m.paused && !m.process.Over()
 }
 
-// crashed tells whether the machine's process ended and nobody asked it to.
+// crashed reports whether the process of the machine exited without being killed by the fault script.
 func (m *machine) crashed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process != nil && !m.down && m.process.Over()
 }
 
-// kill ends the machine's process at once, as a machine that fails.
+// kill sends SIGKILL to the process of the machine, to simulate a machine failure.
 func (m *machine) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -230,7 +234,7 @@
 	m.process.Kill()
 }
 
-// lose kills every machine and removes what it kept.
+// lose kills all machines and removes their data.
 func (c *controlPlane) lose() error {
 	for _, m := range c.machines {
 		m.kill()
@@ -243,7 +247,7 @@
 	return nil
 }
 
-// pause stops the machine's process, or lets it go on.
+// pause suspends the process of the machine, or resumes it.
 func (m *machine) pause(paused bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -254,7 +258,8 @@
 	return m.process.Signal(syscall.SIGCONT)
 }
 
-// usage is what the machine's processes have used so far, and what its present one holds.
+// usage returns the usage of the machine's current process, with CPU, Read and Written summed over all its processes. It
+// reports false if no process runs.
 func (m *machine) usage() (child.Usage, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -270,7 +275,7 @@
 	return u, err == nil
 }
 
-// leader finds the machine that leads.
+// leader returns the leader of the store.
 func (c *controlPlane) leader(ctx context.Context) (*machine, error) {
 	for _, m := range c.machines {
 		if !m.up() {
@@ -289,7 +294,7 @@
 	return nil, fmt.Errorf("no control machine knows a leader")
 }
 
-// zonePair gives two machines of a zone that the seed draws; nil where no zone has two that run.
+// zonePair returns two running machines of a random zone, nil if no zone has two.
 func (c *controlPlane) zonePair(rng *rand.Rand) []*machine {
 	if machines := c.drawZone(rng, 2); machines != nil {
 		return machines[:2]
@@ -297,10 +302,10 @@
 	return nil
 }
 
-// zoneMachines gives the machines of a zone that the seed draws; nil where none runs.
+// zoneMachines returns the running machines of a random zone, nil if none runs.
 func (c *controlPlane) zoneMachines(rng *rand.Rand) []*machine { return c.drawZone(rng, 1) }
 
-// drawZone gives the machines that run in a zone that the seed draws among those with so many at the least; nil: there is none.
+// drawZone returns the running machines of a random zone among those with at least least of them, nil if there is none.
 func (c *controlPlane) drawZone(rng *rand.Rand, least int) []*machine {
 	zones := map[string][]*machine{}
 	for _, m := range c.machines {
@@ -316,7 +321,7 @@
 	return zones[names[rng.IntN(len(names))]]
 }
 
-// end ends every process that runs.
+// end stops all processes and closes the relays.
 func (c *controlPlane) end() {
 	var all sync.WaitGroup
 	for _, m := range c.machines {
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -14,10 +14,10 @@
 	"beammux/internal/store"
 )
 
-// restartDown is how long a gatekeeper that is restarted is down.
+// restartDown is the time between the stop and the start of a restarted gatekeeper.
 const restartDown = time.Second
 
-// faultState is what the script has done so far.
+// faultState is the state of fault injection.
 type faultState struct {
 	mu          sync.Mutex
 	cut         map[string]bool
@@ -28,42 +28,45 @@
 	problems    []string
 }
 
-// cutRegion is one time in which a region was cut off; to 0: not over.
+// cutRegion is a period in which a region was cut off. to is 0 while it lasts.
 type cutRegion struct {
 	region   string
 	from, to time.Duration
 }
 
-// playedFault is a fault as it was played, in times since the run began.
+// playedFault is an injected fault. Times are relative to the start of the run.
 type playedFault struct {
 	kind        script.Kind
 	from, until time.Duration
 	what        string
 }
 
+// isCut reports whether a region is cut off now.
 func (f *faultState) isCut(region string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cut[region]
 }
 
+// note records an injected fault.
 func (f *faultState) note(p playedFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.played = append(f.played, p)
 }
 
+// problem records a problem for the report.
 func (f *faultState) problem(what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.problems = append(f.problems, what)
 }
 
-// playFaults plays the script from now on. The function that it gives waits until all faults are over, and must be called.
+// playFaults starts the fault script. The returned function waits until all faults are over and must be called.
 func (l *laboratory) playFaults(ctx context.Context) (wait func()) {
 	var all sync.WaitGroup
 	for _, fault := range l.options.Faults {
-		rng := rand.New(rand.NewPCG(l.rng.Uint64(), 0)) // in the script's order, whatever the faults' times
+		rng := rand.New(rand.NewPCG(l.rng.Uint64(), 0)) // seeded in the order of the script, independent of the times of the faults
 		all.Go(func() {
 			select {
 			case <-ctx.Done():
@@ -77,14 +80,14 @@
 				l.faults.problem(fmt.Sprintf("fault %s: %v", fault.Kind, err))
 			}
 			p.what, p.until = what, time.Since(l.began)
-			l.options.progress(p.until, fmt.Sprintf("fault %s over: %s", fault.Kind, what))
+			l.options.progress(p.until, fmt.Sprintf("fault %s ended: %s", fault.Kind, what))
 			l.faults.note(p)
 		})
 	}
 	return all.Wait
 }
 
-// playOne plays a fault to its end and says whom it met.
+// playOne injects one fault, waits until it is over, and returns a description of what was affected.
 func (l *laboratory) playOne(ctx context.Context, f script.Fault, rng *rand.Rand) (what string, err error) {
 	switch f.Kind {
 	case script.KillLeader:
@@ -96,7 +99,7 @@
 	case script.KillZone:
 		pair := l.plane.zonePair(rng)
 		if pair == nil {
-			return "", fmt.Errorf("no zone has two machines")
+			return "", fmt.Errorf("no zone has two running control machines")
 		}
 		return pair[0].Name + " and " + pair[1].Name, l.killed(ctx, f.For, pair...)
 	case script.CutRegion:
@@ -120,10 +123,10 @@
 	case script.StartAtOnce:
 		return fmt.Sprintf("%d gatekeepers", l.options.Gatekeepers), nil
 	}
-	return "", fmt.Errorf("not known here")
+	return "", fmt.Errorf("unknown kind of fault")
 }
 
-// killed kills machines and starts them again.
+// killed kills machines and starts them again after down.
 func (l *laboratory) killed(ctx context.Context, down time.Duration, machines ...*machine) error {
 	for _, m := range machines {
 		m.kill()
@@ -139,12 +142,12 @@
 	return nil
 }
 
-// losePlace loses a rack, or all of a zone that the seed draws: control machines and gatekeepers at once. They come back
-// together, the machines with their disks.
+// losePlace fails the control machines and gatekeepers of a rack or of a whole zone, chosen at random, at the same time. All
+// are started again together after the fault; the control machines keep their data.
 func (l *laboratory) losePlace(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	machines := l.plane.zoneMachines(rng)
 	if len(machines) == 0 {
-		return "", fmt.Errorf("no zone has a control machine that runs")
+		return "", fmt.Errorf("no zone has a running control machine")
 	}
 	zone, most := machines[0].Zone, len(l.plan.gatekeepers)
 	if f.Kind == script.LoseRack {
@@ -165,8 +168,8 @@
 	return what, l.killed(ctx, f.For, machines...)
 }
 
-// remake loses every control machine with its disk. A group that is made anew gets the records of a backup that was taken
-// before, as an operator would restore it; no change is written meanwhile.
+// remake kills all control machines and removes their data. It then starts a new group and restores a backup taken before the
+// fault, as an operator would. No change is written meanwhile.
 func (l *laboratory) remake(ctx context.Context, f script.Fault) (string, error) {
 	l.writer.turn.Lock()
 	defer l.writer.turn.Unlock()
@@ -195,7 +198,7 @@
 	return fmt.Sprintf("%d records of a backup at revision %d, restored at %d", done.Written, backup.Revision, done.Revision), nil
 }
 
-// cutRegion cuts a region off, the gatekeepers' way and the control machines', and heals it.
+// cutRegion partitions a region, gatekeepers and control machines, from the others for the time of the fault.
 func (l *laboratory) cutRegion(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	region := f.Region
 	if region == "" {
@@ -216,6 +219,7 @@
 	return region, err
 }
 
+// setCut starts or ends the partition of a region, and records the period.
 func (l *laboratory) setCut(region string, cut bool) error {
 	l.faults.mu.Lock()
 	l.faults.cut[region] = cut
@@ -246,7 +250,7 @@
 	return nil
 }
 
-// restart restarts gatekeepers, each another one, spread evenly over the fault's time.
+// restart restarts distinct gatekeepers, evenly spread over the time of the fault.
 func (l *laboratory) restart(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	n := min(f.Count, len(l.plan.gatekeepers))
 	order := rng.Perm(len(l.plan.gatekeepers))[:n]
@@ -262,13 +266,13 @@
 	return fmt.Sprintf("%d gatekeepers, each down for %v", n, restartDown), nil
 }
 
-// stuck opens watchers that read nothing, all at one machine.
+// stuck opens stuck watchers, all at one control machine.
 func (l *laboratory) stuck(f script.Fault, rng *rand.Rand) (string, error) {
 	m := l.plane.machines[rng.IntN(len(l.plane.machines))]
 	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].tell(hollow.Command{Do: hollow.Watch, Address: m.Address, Count: f.Count})
 }
 
-// pause stops a control machine's process for a while.
+// pause suspends the process of a control machine for the time of the fault.
 func (l *laboratory) pause(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	leader, err := l.plane.leader(ctx)
 	if err != nil {
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -16,37 +16,38 @@
 	"beammux/internal/scalelab/script"
 )
 
+// longestEvent is the limit of a line from a hollow process in bytes.
 const longestEvent = 64 << 20
 
-// hollowProcess is one process that holds gatekeepers, as the laboratory sees it.
+// hollowProcess is a hollow process as seen by the laboratory.
 type hollowProcess struct {
 	process *child.Process
 	stdin   io.WriteCloser
-	count   int           // its gatekeepers
-	read    chan struct{} // closed when its output is read to the end
+	count   int           // number of its gatekeepers
+	read    chan struct{} // closed when its output has been read to the end
 
 	sending sync.Mutex
 	encoder *json.Encoder
 }
 
-// record is what the hollow processes have said, put together.
+// record collects the events of all hollow processes.
 type record struct {
 	mu       sync.Mutex
 	applied  []judge.Applied
 	refusals []judge.Refusal
-	outages  map[string][]judge.Outage // by gatekeeper; To 0: not over
-	inForce  map[string]uint64         // newest revision by gatekeeper
-	pulses   map[int]hollow.Figures    // the last of each process
+	outages  map[string][]judge.Outage // by gatekeeper; To is 0 while the outage lasts
+	inForce  map[string]uint64         // highest revision in force, by gatekeeper
+	pulses   map[int]hollow.Figures    // latest figures, by process
 	samples  []sample
 	counters map[int]map[int]*hollow.Counters // by mark and process
-	cutOff   int                              // watchers that read nothing
-	open     int
+	cutOff   int                              // stuck watchers that were cut off
+	open     int                              // stuck watchers that were not cut off
 	ups      int
-	fault    string
-	changed  chan struct{}
+	fault    string        // last invalid line of a process
+	changed  chan struct{} // signals new events
 }
 
-// sample is one second of one process.
+// sample is the figures of one process at one time.
 type sample struct {
 	process int
 	at      time.Duration
@@ -87,14 +88,14 @@
 	return h, h.encoder.Encode(c)
 }
 
-// tell hands a command to the process.
+// tell sends a command to the process.
 func (h *hollowProcess) tell(c hollow.Command) error {
 	h.sending.Lock()
 	defer h.sending.Unlock()
 	return h.encoder.Encode(c)
 }
 
-// end asks the process to end, and sees to it.
+// end requests the process to exit, kills it if it does not exit in time, and waits for the end of its output.
 func (h *hollowProcess) end(within time.Duration) {
 	h.tell(hollow.Command{Do: hollow.Stop})
 	h.stdin.Close()
@@ -106,7 +107,7 @@
 	<-h.read
 }
 
-// follow takes the events of a process until its output ends.
+// follow reads the events of a process until its output ends.
 func (r *record) follow(process int, out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, longestEvent)
@@ -114,7 +115,7 @@
 		var e hollow.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			r.mu.Lock()
-			r.fault = fmt.Sprintf("hollow%d: a line that is no event: %v", process+1, err)
+			r.fault = fmt.Sprintf("hollow%d: invalid event: %v", process+1, err)
 			r.mu.Unlock()
 			continue
 		}
@@ -122,6 +123,7 @@
 	}
 }
 
+// take adds an event of a process.
 func (r *record) take(process int, e hollow.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,7 +163,7 @@
 	}
 }
 
-// note wakes who waits for the record to change.
+// note signals that the record has changed.
 func (r *record) note() {
 	select {
 	case r.changed <- struct{}{}:
@@ -169,7 +171,7 @@
 	}
 }
 
-// behind counts gatekeepers whose newest revision in force is below one, as far as they are up.
+// behind counts the gatekeepers whose highest revision in force is below revision, except those that but selects.
 func (r *record) behind(gatekeepers []hollow.Gatekeeper, revision uint64, but func(hollow.Gatekeeper) bool) (behind int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,7 +183,7 @@
 	return behind
 }
 
-// hollowConfig is what a hollow process is told at its start.
+// hollowConfig returns the configuration of hollow process n.
 func hollowConfig(o *Options, p plan, machines []*machine, began time.Time, n int) hollow.Config {
 	c := hollow.Config{Began: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartOver: o.startOver(), Parts: len(p.gatekeepers),
 		Membership: o.With.Membership, Registers: o.With.Registers, RegisterBytes: o.RegisterBytes, Limits: o.With.Limits}
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -1,5 +1,5 @@
-// Package scalelab is the scale laboratory: a control plane of real processes and many hollow gatekeepers on loopback, with
-// faults between them. It measures what control costs at a number of gatekeepers, and judges how settings came into force.
+// Package scalelab implements the scale laboratory: it runs a control plane of real processes and many hollow gatekeepers on
+// loopback, injects faults, measures the cost of control at a number of gatekeepers, and checks how settings come into force.
 package scalelab
 
 import (
@@ -13,7 +13,7 @@
 	"beammux/internal/scalelab/script"
 )
 
-// Bounds of a run: processes, of which control machines and hollow processes make up all but the laboratory itself.
+// Limits of a run. MostProcesses includes the control machines, the hollow processes and the laboratory itself.
 const (
 	MostProcesses   = 100
 	MostGatekeepers = 20000
@@ -22,50 +22,50 @@
 	MostHollow      = 16
 )
 
-// Options say what is run.
+// Options are the parameters of a run.
 type Options struct {
-	Program     string // path of this program
+	Program     string // path of the beammux executable
 	Env         []string
-	Dir         string // for files and logs; it must exist
+	Dir         string // directory for files and logs; must exist
 	Gatekeepers int
-	Control     int // machines; 0: no control plane
-	Voters      int
+	Control     int // number of control machines; 0: no control plane
+	Voters      int // number of control machines with a vote
 	Regions     int
 	Zones       int
 	Services    int
-	Hollow      int // processes that hold the gatekeepers
+	Hollow      int // number of processes that run the gatekeepers
 	Seed        uint64
-	Length      time.Duration // of the measured time
+	Length      time.Duration // measured time
 	ChangesADay float64
-	Factor      float64 // changes come so many times as often
-	RecordBytes int     // of each of the two records of a change
-	// RegisterBytes bounds what a gatekeeper sends of registers, bytes a second; 0: no bound.
+	Factor      float64 // multiplies ChangesADay; 0 counts as 1
+	RecordBytes int     // size of each of the two records of a change
+	// RegisterBytes is the most bytes of registers that a gatekeeper sends per second; 0: no limit.
 	RegisterBytes float64
 	Faults        []script.Fault
 	With          With
 	Admission     Admission
-	Site          string // a gatekeeper's configuration by which changes are checked; "": by their form alone
-	Beside        string // what else ran on the machine, as the caller knows it
-	Command       string // as it was called, for the report
+	Site          string // file of a gatekeeper's configuration that changes are checked against; "": only their form is checked
+	Beside        string // other load on the machine, as described by the user
+	Command       string // command line, for the report
 	Progress      func(at time.Duration, what string)
 }
 
-// With says what a gatekeeper's control side has beside configuration.
+// With selects the parts of a gatekeeper's control side that run besides configuration.
 type With struct {
 	Membership, Registers, Limits bool
-	Groups                        bool // the gossip is split by service
+	Groups                        bool // each service has its own gossip group
 }
 
-// Admission is a control machine's rate of new sessions and snapshots.
+// Admission is the admission control of a control machine for sessions and snapshots.
 type Admission struct {
-	Sessions       int     `json:"sessions,omitempty"` // at a time; 0: no bound
+	Sessions       int     `json:"sessions,omitempty"` // limit of concurrent sessions; 0: no limit
 	SessionsPerS   float64 `json:"sessions_per_s"`
 	SessionsBurst  int     `json:"sessions_burst"`
 	SnapshotsPerS  float64 `json:"snapshots_per_s"`
 	SnapshotsBurst int     `json:"snapshots_burst"`
 }
 
-// Check says what is wrong with the options, by the flag's name.
+// Check returns an error that names the flag of the first invalid option.
 func (o *Options) Check() error {
 	for _, bound := range []struct {
 		flag           string
@@ -87,12 +87,12 @@
 	case o.Control == 0 && (o.With.Limits || !o.With.Membership):
 		return errors.New("--control: 0 needs --with membership, and no limits")
 	case o.With.Registers && !o.With.Membership:
-		return errors.New("--with: registers ride on membership")
+		return errors.New("--with: registers requires membership")
 	case o.With.Groups && !o.With.Membership:
-		return errors.New("--with: groups are those of membership")
+		return errors.New("--with: groups requires membership")
 	}
 	if end := script.End(o.Faults); end > o.Length {
-		return fmt.Errorf("--length: %v, and the faults end at %v", o.Length, end)
+		return fmt.Errorf("--length: %v is too short, the faults end at %v", o.Length, end)
 	}
 	return nil
 }
@@ -107,17 +107,17 @@
 	gatekeepers []hollow.Gatekeeper
 }
 
-// machineSpec is one control machine.
+// machineSpec is the placement of one control machine.
 type machineSpec struct {
 	hollow.Replica
 	voter bool
 }
 
-// refusesEvery: one gatekeeper of so many refuses the changes that are marked for it.
+// refusesEvery is the number of gatekeepers per gatekeeper that refuses refusable changes.
 const refusesEvery = 10
 
-// lay places control machines and gatekeepers: the zones are dealt out over the regions and both over the zones, so that the
-// first voters stand in regions as evenly as can be.
+// lay assigns names, zones and regions round robin: zones to regions, control machines and gatekeepers to zones. The voters
+// are the first control machines, so they are spread over the regions as evenly as possible.
 func lay(o *Options) plan {
 	var p plan
 	for i := range o.Control {
@@ -141,13 +141,13 @@
 	return p
 }
 
-// Where ports are taken from: below those that the kernel hands out to connections, of which a run has thousands.
+// The range of listening ports, below the ephemeral ports of the kernel: a run opens thousands of connections.
 const (
 	firstPort = 15000
 	lastPort  = 31000
 )
 
-// freePorts finds ports that nobody listens at, beginning at one that the seed gives.
+// freePorts returns n unused ports, searched from a port that depends on the seed.
 func freePorts(n int, seed uint64) ([]int, error) {
 	var found []int
 	for i := 0; i < lastPort-firstPort && len(found) < n; i++ {
@@ -160,13 +160,13 @@
 		found = append(found, port)
 	}
 	if len(found) < n {
-		return nil, fmt.Errorf("%d free ports of %d", len(found), n)
+		return nil, fmt.Errorf("found only %d of %d free ports", len(found), n)
 	}
 	return found, nil
 }
 
-// needDescriptors is how many a hollow process needs at most: for each gatekeeper a session and one that takes its place, for
-// gossip two sockets that listen and streams, for leases a connection; and some of its own.
+// needDescriptors returns the most file descriptors that a hollow process needs: for each gatekeeper one session and its
+// replacement, two listening sockets and streams for gossip, and one connection for leases; and some for the process itself.
 func needDescriptors(o *Options) int {
 	each := 2
 	if o.With.Membership {
@@ -179,7 +179,7 @@
 	return share*each + 64
 }
 
-// startOver is the time over which the gatekeepers start, where they don't at once.
+// startOver returns the time over which the starts of the gatekeepers are spread; 0: all start at the same time.
 func (o *Options) startOver() time.Duration {
 	if script.Has(o.Faults, script.StartAtOnce) {
 		return 0
@@ -188,13 +188,14 @@
 	return max(time.Second, time.Duration(float64(o.Gatekeepers)/startsPerSecond*float64(time.Second)))
 }
 
+// progress reports a step of the run, if the caller wants progress.
 func (o *Options) progress(at time.Duration, what string) {
 	if o.Progress != nil {
 		o.Progress(at, what)
 	}
 }
 
-// changeEvery is the time between two changes; 0: none come.
+// changeEvery returns the time between two changes; 0: no changes are written.
 func (o *Options) changeEvery() time.Duration {
 	rate := o.ChangesADay * cmp.Or(o.Factor, 1)
 	if rate <= 0 {
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -10,16 +10,16 @@
 	"beammux/internal/scalelab/judge"
 )
 
-// Spread is how a figure lies over its holders.
+// Spread is the distribution of a figure.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
 	Max  float64 `json:"max"`
-	Of   int     `json:"of"` // holders
+	Of   int     `json:"of"` // number of values
 }
 
-// spreadOf sorts the values. A percentile is the least value that so many of all are not above.
+// spreadOf returns the distribution of the values, which it sorts. Percentiles are by the nearest-rank method.
 func spreadOf(values []float64) (s Spread) {
 	s.Of = len(values)
 	if s.Of == 0 {
@@ -34,13 +34,13 @@
 	return s
 }
 
-// Report is what a run gives.
+// Report is the result of a run.
 type Report struct {
 	Command     string            `json:"command"`
 	Date        string            `json:"date"`
-	Program     string            `json:"program"` // revision that was built; "" where the build does not know it
+	Program     string            `json:"program"` // version control revision of the build; "" if unknown
 	Beside      string            `json:"beside"`
-	Stopped     bool              `json:"stopped"` // by a signal, before its time: nothing is shown
+	Stopped     bool              `json:"stopped"` // stopped early by a signal: the run shows nothing
 	Shape       Shape             `json:"shape"`
 	Machine     MachineFigures    `json:"machine"`
 	Gatekeepers GatekeeperFigures `json:"gatekeepers"`
@@ -49,10 +49,10 @@
 	Membership  MembershipFigures `json:"membership"`
 	Judge       JudgeFigures      `json:"judge"`
 	Faults      []FaultReport     `json:"faults"`
-	Processes   []string          `json:"crashed"` // processes that ended though nobody asked them to
+	Processes   []string          `json:"crashed"` // processes that exited unexpectedly, and other problems of the run
 }
 
-// Shape is what was run.
+// Shape is the size and load of the run.
 type Shape struct {
 	Gatekeepers int       `json:"gatekeepers"`
 	Control     int       `json:"control"`
@@ -73,17 +73,18 @@
 	} `json:"descriptors"`
 }
 
-// MachineFigures tell how busy the machine was in the measured time.
+// MachineFigures are the load of the machine during the measured time.
 type MachineFigures struct {
 	Cores       int     `json:"cores"`
 	MemoryBytes int64   `json:"memory_bytes"`
-	LabCores    float64 `json:"lab_cores"`    // used by the run's processes
-	OtherCores  float64 `json:"other_cores"`  // and by everything else
-	LabResident int64   `json:"lab_resident"` // most at once
+	LabCores    float64 `json:"lab_cores"`    // used by the processes of the run
+	OtherCores  float64 `json:"other_cores"`  // used by all other processes
+	LabResident int64   `json:"lab_resident"` // peak resident memory of the run's processes in bytes
 }
 
-// GatekeeperFigures are of one gatekeeper. Bytes are counted at each gatekeeper's connections, without TCP and IP headers;
-// the others are a hollow process's divided by its gatekeepers, so their spread is over the processes.
+// GatekeeperFigures are the costs per gatekeeper. Bytes are counted at the connections of each gatekeeper, without TCP and IP
+// headers. Resource usage is that of a hollow process divided by the number of its gatekeepers, so its distribution is over
+// the processes.
 type GatekeeperFigures struct {
 	SentPerS       Spread `json:"bytes_per_s_sent"`
 	ReceivedPerS   Spread `json:"bytes_per_s_received"`
@@ -95,70 +96,70 @@
 	ResidentBytes  Spread `json:"resident_bytes"`
 	Goroutines     Spread `json:"goroutines"`
 	Descriptors    Spread `json:"descriptors"`
-	StartToInForce Spread `json:"start_to_in_force_s"` // first settings, from the start of each gatekeeper's process
+	StartToInForce Spread `json:"start_to_in_force_s"` // from the first start of each gatekeeper to its first settings
 }
 
-// ControlFigures are of one control machine, each a process of its own.
+// ControlFigures are the costs per control machine. Each is a process of its own.
 type ControlFigures struct {
 	CPUShare      Spread  `json:"cpu_share_of_a_core"`
 	ResidentBytes Spread  `json:"resident_bytes"`
 	HeapBytes     Spread  `json:"heap_bytes"`
 	Goroutines    Spread  `json:"goroutines"`
 	Descriptors   Spread  `json:"descriptors"`
-	ReadPerS      Spread  `json:"bytes_per_s_read"`    // by /proc/PID/io: sockets and files
-	WrittenPerS   Spread  `json:"bytes_per_s_written"` // the store's log among them
-	SessionsPerS  float64 `json:"session_bytes_per_s"` // sent to gatekeepers, in the mean over the machines
+	ReadPerS      Spread  `json:"bytes_per_s_read"`    // from /proc/PID/io: sockets and files
+	WrittenPerS   Spread  `json:"bytes_per_s_written"` // from /proc/PID/io, including the log of the store
+	SessionsPerS  float64 `json:"session_bytes_per_s"` // sent to gatekeepers, mean over the machines
 	Sessions      Spread  `json:"sessions"`            // at the end of the measured time
-	SessionsMax   int     `json:"sessions_max"`        // at one machine at any second of it
-	Share         float64 `json:"share"`               // gatekeepers divided by machines
-	MaxOverShare  float64 `json:"max_over_share"`
+	SessionsMax   int     `json:"sessions_max"`        // most at one machine at any second of the measured time
+	Share         float64 `json:"share"`               // gatekeepers per machine
+	MaxOverShare  float64 `json:"max_over_share"`      // SessionsMax divided by Share
 }
 
-// SettingsFigures tell how changes came into force, over all pairs of a change and a gatekeeper.
+// SettingsFigures are the times until changes came into force, over all pairs of a change and a gatekeeper.
 type SettingsFigures struct {
 	Changes      int     `json:"changes"`
 	Retries      int     `json:"writes_repeated"`
 	Pairs        int     `json:"pairs"`
-	FromCommit   Spread  `json:"s_from_commit"`           // acknowledged
-	FromPut      Spread  `json:"s_from_put"`              // from the begin of the write, its repetitions among it
-	Healed       Spread  `json:"s_from_end_of_outage"`    // of pairs with an outage of the gatekeeper in between, which the other two leave out
-	AllHaveIt    Spread  `json:"s_from_commit_until_all"` // a value for each change: the slowest gatekeeper
-	Superseded   int     `json:"superseded"`              // a later change came in its place
-	Unjudged     int     `json:"unjudged"`                // the run ended too early
+	FromCommit   Spread  `json:"s_from_commit"`           // from the acknowledged commit
+	FromPut      Spread  `json:"s_from_put"`              // from the first write attempt, including retries
+	Healed       Spread  `json:"s_from_end_of_outage"`    // pairs with an outage of the gatekeeper, which the two above exclude
+	AllHaveIt    Spread  `json:"s_from_commit_until_all"` // one value per change: the slowest gatekeeper
+	Superseded   int     `json:"superseded"`              // pairs for which a later change came into force instead
+	Unjudged     int     `json:"unjudged"`                // pairs that were not due by the end of the run
 	AllStartedS  float64 `json:"all_in_force_after_start_s"`
-	PutCommit    Spread  `json:"put_s"` // the write alone
+	PutCommit    Spread  `json:"put_s"` // duration of the write, including retries
 	RefusedHeld  int     `json:"refused_held"`
 	Refusals     int     `json:"refusals"`
 	CutOff       int     `json:"stuck_watchers_cut_off"`
 	StuckNotCut  int     `json:"stuck_watchers_left"`
-	Slowest      []Slow  `json:"slowest"` // the slowest pairs, to trace them
+	Slowest      []Slow  `json:"slowest"` // the slowest pairs
 	AppliedTotal int     `json:"applied"`
 }
 
-// Slow is a pair of a change and a gatekeeper.
+// Slow is a slow pair of a change and a gatekeeper.
 type Slow struct {
 	Marker     uint64  `json:"change"`
-	CommittedS float64 `json:"committed_s"` // since the measured time began
+	CommittedS float64 `json:"committed_s"` // relative to the start of the measured time
 	Gatekeeper string  `json:"gatekeeper"`
 	Zone       string  `json:"zone"`
 	Region     string  `json:"region"`
-	TookS      float64 `json:"took_s"` // from the commit, or from the end of the gatekeeper's outage
+	TookS      float64 `json:"took_s"` // from the commit, or from the end of the gatekeeper's outage if Outage is set
 	Outage     bool    `json:"outage"`
 }
 
-// MembershipFigures tell how the gossip formed.
+// MembershipFigures describe the gossip groups.
 type MembershipFigures struct {
-	AllMetS  float64 `json:"all_met_s"`  // until each held all to be up; -1: not within the time given
-	FewestUp int     `json:"fewest_met"` // that a gatekeeper held to be up, at the end
-	// MostMissing are the members of its gossip that a gatekeeper did not hold to be up, at the end.
+	AllMetS  float64 `json:"all_met_s"`  // until every gatekeeper considered all members up; -1: not within the time limit
+	FewestUp int     `json:"fewest_met"` // fewest members that a gatekeeper considered up at the end
+	// MostMissing is the most members of its group that a gatekeeper did not consider up at the end.
 	MostMissing int `json:"most_missing"`
-	// Fresh is how many members' registers count at a gatekeeper, over those of its gossip, and Oldest the age of the oldest
-	// of them in seconds; over the gatekeepers, at the end of the measured time. With registers alone.
+	// Fresh is the part of its group's registers that are fresh enough to count at a gatekeeper, and Oldest the age in seconds
+	// of the oldest of them, over the gatekeepers at the end of the measured time. Both are empty without registers.
 	Fresh  Spread `json:"registers_that_count_part"`
 	Oldest Spread `json:"oldest_register_s"`
 }
 
-// JudgeFigures are the judge's.
+// JudgeFigures are the result of the judge, and other problems of the run.
 type JudgeFigures struct {
 	Held     bool              `json:"held"`
 	WithinS  float64           `json:"within_s"`
@@ -168,27 +169,28 @@
 	Problems []string          `json:"problems"`
 }
 
-// FaultReport is one fault as it was played.
+// FaultReport is one injected fault and its effects.
 type FaultReport struct {
 	Kind   string  `json:"kind"`
-	AtS    float64 `json:"at_s"` // since the measured time began
+	AtS    float64 `json:"at_s"` // relative to the start of the measured time
 	UntilS float64 `json:"until_s"`
 	What   string  `json:"what"`
-	// The slowest pair among changes committed while the fault lasted and Within after it, from the commit or the end of the
-	// gatekeeper's outage.
+	// SlowestS is the time of the slowest pair, from the commit or the end of the gatekeeper's outage, among the changes
+	// committed during the fault or within the judge's time limit after it.
 	SlowestS float64 `json:"slowest_s"`
-	// Gatekeepers that said of themselves that they may be behind, the most in any second of the fault, and at the end of the
-	// measured time.
+	// SaidBehind is the most gatekeepers that reported in any second of the fault that they may be behind, SaidBehindEnd their
+	// number at the end of the measured time.
 	SaidBehind    int `json:"said_behind_max"`
 	SaidBehindEnd int `json:"said_behind_end"`
-	// Most sessions at one machine while the fault lasted and Within after it, over an even share.
+	// SessionsOverShare is the most sessions at one machine during the fault or within the judge's time limit after it, divided
+	// by the number of gatekeepers per machine.
 	SessionsOverShare float64 `json:"sessions_max_over_share"`
 }
 
-// Held tells whether the run was whole and every rule held.
+// Held reports whether the run was complete and broke no rule.
 func (r *Report) Held() bool { return !r.Stopped && r.Judge.Held }
 
-// Table is the report for people.
+// Table formats the report as text.
 func (r *Report) Table() string {
 	var b strings.Builder
 	line := func(name, unit string, s Spread, scale float64) {
@@ -196,7 +198,7 @@
 			fmt.Fprintf(&b, "  %-34s %10.4g %10.4g %10.4g  %s (of %d)\n", name, s.P50*scale, s.P99*scale, s.Max*scale, unit, s.Of)
 		}
 	}
-	fmt.Fprintf(&b, "%d gatekeepers, %d control machines (%d vote), seed %d, %.0f s, %.2f changes/s; lab used %.1f cores, others %.1f\n",
+	fmt.Fprintf(&b, "%d gatekeepers, %d control machines (%d vote), seed %d, %.0f s, %.2f changes/s; the run used %.1f cores, other processes %.1f\n",
 		r.Shape.Gatekeepers, r.Shape.Control, r.Shape.Voters, r.Shape.Seed, r.Shape.LengthS, r.Shape.ChangesPerS, r.Machine.LabCores, r.Machine.OtherCores)
 	fmt.Fprintf(&b, "%-36s %10s %10s %10s\n", "a gatekeeper", "p50", "p99", "max")
 	g, c := &r.Gatekeepers, &r.Control
@@ -222,27 +224,27 @@
 	line("sessions", "", c.Sessions, 1)
 	fmt.Fprintf(&b, "settings: %d changes, %d pairs, %d superseded, %d refusals\n", r.Settings.Changes, r.Settings.Pairs, r.Settings.Superseded, r.Settings.Refusals)
 	line("in force after the commit", "ms", r.Settings.FromCommit, 1e3)
-	line("in force after the put began", "ms", r.Settings.FromPut, 1e3)
+	line("in force after the first write", "ms", r.Settings.FromPut, 1e3)
 	line("in force after an outage", "ms", r.Settings.Healed, 1e3)
-	line("in force everywhere", "ms", r.Settings.AllHaveIt, 1e3)
+	line("in force at all gatekeepers", "ms", r.Settings.AllHaveIt, 1e3)
 	if n := r.Settings.CutOff + r.Settings.StuckNotCut; n > 0 {
-		fmt.Fprintf(&b, "watchers that read nothing: %d of %d cut off\n", r.Settings.CutOff, n)
+		fmt.Fprintf(&b, "stuck watchers: %d of %d cut off\n", r.Settings.CutOff, n)
 	}
 	for _, f := range r.Faults {
-		fmt.Fprintf(&b, "fault %s at %.1f to %.1f s (%s): slowest %.2f s, at most %d said they were behind, %d at the end, sessions %.2f of a share at most\n", f.Kind, f.AtS,
+		fmt.Fprintf(&b, "fault %s at %.1f to %.1f s (%s): slowest %.2f s, at most %d reported being behind, %d at the end, at most %.2f of a share of sessions\n", f.Kind, f.AtS,
 			f.UntilS, f.What, f.SlowestS, f.SaidBehind, f.SaidBehindEnd, f.SessionsOverShare)
 	}
 	if r.Shape.Control == 0 {
-		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d, %d of its gossip missing at most\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Membership.MostMissing)
+		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d, at most %d of a group missing\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Membership.MostMissing)
 		if r.Membership.Fresh.Of > 0 {
-			fmt.Fprintf(&b, "registers: part of the gossip's that counts p50 %.3f, mean %.3f; the oldest p50 %.2f s, p99 %.2f s\n", r.Membership.Fresh.P50, r.Membership.Fresh.Mean, r.Membership.Oldest.P50, r.Membership.Oldest.P99)
+			fmt.Fprintf(&b, "registers: fresh part of the group's p50 %.3f, mean %.3f; age of the oldest p50 %.2f s, p99 %.2f s\n", r.Membership.Fresh.P50, r.Membership.Fresh.Mean, r.Membership.Oldest.P50, r.Membership.Oldest.P99)
 		}
 	}
 	for _, p := range r.Judge.Problems {
 		fmt.Fprintf(&b, "problem: %s\n", p)
 	}
 	if r.Judge.Held {
-		fmt.Fprintf(&b, "every rule held\n")
+		fmt.Fprintf(&b, "no rule was broken\n")
 	} else {
 		for _, rule := range judge.Rules() {
 			if n := r.Judge.Counts[string(rule)]; n > 0 {
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	within        = 17 * time.Second // a change must be in force so long after its commit
-	startWithin   = 3 * time.Minute  // all gatekeepers must have settings
-	meetWithin    = time.Minute      // all members must have met
-	settle        = 2 * time.Second  // between that and the measured time
-	countWithin   = 90 * time.Second // counters must be there
+	within        = 17 * time.Second // time limit for a change to be in force after its commit
+	startWithin   = 3 * time.Minute  // time limit for all gatekeepers to have settings
+	meetWithin    = time.Minute      // time limit for all members to be known to each other
+	settle        = 2 * time.Second  // time between the start and the measured time
+	countWithin   = 90 * time.Second // time limit for the counters of all hollow processes
 	sampleEvery   = time.Second
 	hollowEndsIn  = 20 * time.Second
-	mostOfMemory  = 0.5 // of the machine's
-	atBegin       = 1   // marks of the counters
-	atEnd         = 2
+	mostOfMemory  = 0.5 // most of the machine's memory that a run may use
+	atBegin       = 1   // mark of the counters at the start of the measured time
+	atEnd         = 2   // and at its end
 	progressEvery = 5 * time.Second
 )
 
-// errMemory ends a run that would take more than its part of the machine's memory.
-var errMemory = errors.New("the run's processes hold over half of the machine's memory")
+// errMemory stops a run that uses more than mostOfMemory of the machine's memory.
+var errMemory = errors.New("the processes of the run use over half of the machine's memory")
 
-// laboratory is one run.
+// laboratory is the state of one run. Times are relative to its start.
 type laboratory struct {
 	options *Options
 	plan    plan
@@ -40,26 +40,27 @@
 	hollows []*hollowProcess
 	record  *record
 	writer  *writer
-	rng     *rand.Rand // of the script
+	rng     *rand.Rand // of the fault script
 	fail    context.CancelCauseFunc
 
 	measured struct{ from, to time.Duration }
-	ended    time.Duration // nothing was seen after it
-	started  time.Duration // all gatekeepers had settings, or had met
+	ended    time.Duration // end of the recording
+	started  time.Duration // time until all gatekeepers had settings or knew all members; negative: not reached
 	memory   int64
 	samples  []controlSample
 	runtimes []runtimeSample
 	faults   faultState
 }
 
-// controlSample is one second of one control machine.
+// controlSample is the usage of one control machine at one time.
 type controlSample struct {
 	machine int
 	at      time.Duration
 	usage   child.Usage
 }
 
-// Run plays one run. It ends all its processes, whatever happens. The report of a run that was stopped says so.
+// Run executes one run and returns its report. It stops all its processes before it returns. If ctx ends early, the report is
+// marked as stopped.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -91,18 +92,19 @@
 	return l.report(outer.Err() != nil, problems), nil
 }
 
+// checkDescriptors returns an error if the limit of file descriptors is too low for a hollow process.
 func checkDescriptors(o *Options) error {
 	allowed, err := child.Descriptors()
 	if err != nil {
 		return err
 	}
 	if needed := needDescriptors(o); needed > allowed {
-		return fmt.Errorf("each hollow process needs up to %d descriptors, and %d are allowed: more --processes, or a higher limit (ulimit -n)", needed, allowed)
+		return fmt.Errorf("each hollow process needs up to %d descriptors, but the limit is %d: use more --processes or a higher limit (ulimit -n)", needed, allowed)
 	}
 	return nil
 }
 
-// play runs all phases.
+// play executes the phases of the run: start, measured time and final change.
 func (l *laboratory) play(ctx context.Context) error {
 	o := l.options
 	if o.Control > 0 {
@@ -148,10 +150,10 @@
 	return l.tail(ctx)
 }
 
-// openControl starts the control plane and writes the first settings.
+// openControl starts the control plane and writes the first change.
 func (l *laboratory) openControl(ctx context.Context) (err error) {
 	o := l.options
-	o.progress(0, fmt.Sprintf("%d control machines start", o.Control))
+	o.progress(0, fmt.Sprintf("starting %d control machines", o.Control))
 	if l.plane, err = newControlPlane(o, l.plan.machines); err != nil {
 		return err
 	}
@@ -163,10 +165,10 @@
 	return err
 }
 
-// openHollows starts the hollow processes, which start their gatekeepers.
+// openHollows starts the hollow processes, which in turn start their gatekeepers.
 func (l *laboratory) openHollows() error {
 	o := l.options
-	o.progress(time.Since(l.began), fmt.Sprintf("%d gatekeepers start in %d processes, over %v", o.Gatekeepers, o.Hollow, o.startOver()))
+	o.progress(time.Since(l.began), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.Hollow, o.startOver()))
 	var machines []*machine
 	if l.plane != nil {
 		machines = l.plane.machines
@@ -187,10 +189,10 @@
 	return nil
 }
 
-// gossipSeeds is how many gatekeepers of a gossip have a fixed address that the others join.
+// gossipSeeds is the number of gatekeepers of a gossip group with a fixed address that the others join.
 const gossipSeeds = 3
 
-// groups lays out the gossips, and gives the first gatekeepers of each fixed addresses.
+// groups returns the gossip groups, and assigns fixed addresses to the first gatekeepers of each.
 func (l *laboratory) groups() (map[string]hollow.Group, error) {
 	groups := map[string]hollow.Group{}
 	if !l.options.With.Membership {
@@ -218,8 +220,8 @@
 	return groups, nil
 }
 
-// awaitStart returns once every gatekeeper has the first settings; without a control plane, once all have met, or have not
-// within meetWithin.
+// awaitStart waits until every gatekeeper has settings in force. Without a control plane it waits until every gatekeeper knows
+// all members of its group, at most meetWithin after the last start.
 func (l *laboratory) awaitStart(ctx context.Context) error {
 	from := time.Since(l.began)
 	limit := startWithin
@@ -232,7 +234,7 @@
 		have, met, missing := l.have()
 		if now-said >= progressEvery {
 			said = now
-			l.options.progress(now, fmt.Sprintf("%d of %d have settings, fewest members met %d", have, l.options.Gatekeepers, met))
+			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, fewest members known %d", have, l.options.Gatekeepers, met))
 		}
 		switch {
 		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && missing == 0:
@@ -256,8 +258,8 @@
 	}
 }
 
-// have counts gatekeepers with settings in force, the fewest members that one has met, and the most of its gossip that one has
-// not; -1 for both where not every process has told yet.
+// have returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up, and the
+// most of its group that one does not. The last two are -1 until every process has reported.
 func (l *laboratory) have() (have, met, missing int) {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
@@ -274,11 +276,11 @@
 	return len(l.record.inForce), met, missing
 }
 
-// alive tells whether a process ended by itself, or the record holds a fault.
+// alive returns an error if a hollow process has exited or has sent an invalid event.
 func (l *laboratory) alive() error {
 	for i, h := range l.hollows {
 		if h.process.Over() {
-			return fmt.Errorf("hollow%d ended (%v): see its log", i+1, h.process.State())
+			return fmt.Errorf("hollow%d exited unexpectedly (%v): see its log", i+1, h.process.State())
 		}
 	}
 	l.record.mu.Lock()
@@ -289,7 +291,7 @@
 	return nil
 }
 
-// count asks every hollow process for its counters and waits for them.
+// count requests the counters of every hollow process and waits for them.
 func (l *laboratory) count(ctx context.Context, mark int) error {
 	for _, h := range l.hollows {
 		if err := h.tell(hollow.Command{Do: hollow.Count, Mark: mark}); err != nil {
@@ -304,7 +306,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("counters of %d of %d hollow processes after %v", n, len(l.hollows), countWithin)
+			return fmt.Errorf("received counters from only %d of %d hollow processes within %v", n, len(l.hollows), countWithin)
 		}
 		select {
 		case <-ctx.Done():
@@ -318,7 +320,7 @@
 	}
 }
 
-// measure is the measured time: changes come, and faults.
+// measure executes the measured time: it writes changes and injects the faults.
 func (l *laboratory) measure(ctx context.Context) error {
 	o := l.options
 	until := time.Now().Add(o.Length)
@@ -359,11 +361,12 @@
 	}
 }
 
+// tellProgress reports the progress of the measured time.
 func (l *laboratory) tellProgress() {
 	at := time.Since(l.began)
 	if l.writer == nil {
 		_, met, _ := l.have()
-		l.options.progress(at, fmt.Sprintf("fewest members met %d of %d", met, l.options.Gatekeepers))
+		l.options.progress(at, fmt.Sprintf("fewest members known %d of %d", met, l.options.Gatekeepers))
 		return
 	}
 	changes, _ := l.writer.all()
@@ -372,7 +375,7 @@
 	l.options.progress(at, fmt.Sprintf("%d changes, %d gatekeepers behind the last", len(changes), behind))
 }
 
-// tail writes one more change that nobody refuses, and waits until all have it or must have had it.
+// tail writes a last change that is not refusable, and waits until all gatekeepers have it or the time limit has passed.
 func (l *laboratory) tail(ctx context.Context) error {
 	if l.writer == nil {
 		return nil
@@ -396,8 +399,7 @@
 	return nil
 }
 
-// sample reads what the kernel says of the control machines each second, and sees that the run keeps to its part of the
-// memory.
+// sample records the usage of the control machines every sampleEvery, and stops the run if it uses too much memory.
 func (l *laboratory) sample(ctx context.Context) {
 	tick := time.NewTicker(sampleEvery)
 	defer tick.Stop()
@@ -431,31 +433,31 @@
 	}
 }
 
-// crashes lists processes that ended by themselves.
+// crashes lists processes that exited unexpectedly, and gatekeepers that know members outside their group.
 func (l *laboratory) crashes() (problems []string) {
 	if l.plane != nil {
 		for _, m := range l.plane.machines {
 			if m.crashed() {
-				problems = append(problems, fmt.Sprintf("%s ended by itself: %v", m.Name, m.process.State()))
+				problems = append(problems, fmt.Sprintf("%s exited unexpectedly: %v", m.Name, m.process.State()))
 			}
 		}
 	}
 	l.record.mu.Lock()
 	for _, p := range l.record.pulses {
 		if p.Strangers > 0 {
-			problems = append(problems, fmt.Sprintf("a gatekeeper met %d members that are not of its gossip", p.Strangers))
+			problems = append(problems, fmt.Sprintf("a gatekeeper knows %d members that are not of its group", p.Strangers))
 		}
 	}
 	l.record.mu.Unlock()
 	for i, h := range l.hollows {
 		if h.process.Over() {
-			problems = append(problems, fmt.Sprintf("hollow%d ended by itself: %v", i+1, h.process.State()))
+			problems = append(problems, fmt.Sprintf("hollow%d exited unexpectedly: %v", i+1, h.process.State()))
 		}
 	}
 	return problems
 }
 
-// end ends every process of the run. It may be called again.
+// end stops all processes of the run. It may be called more than once.
 func (l *laboratory) end() {
 	hollows := l.hollows
 	l.hollows = nil
@@ -474,6 +476,7 @@
 	}
 }
 
+// wait waits for d or until ctx ends.
 func wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -483,10 +486,10 @@
 	}
 }
 
-// cores is how many this machine has.
+// cores returns the number of processor cores of the machine.
 func cores() int { return runtime.NumCPU() }
 
-// logOf turns what was seen into what the judge reads.
+// logOf converts the recorded events into the log of the judge.
 func (l *laboratory) logOf(changes []judge.Change) judge.Log {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -13,7 +13,7 @@
 	"beammux/internal/scalelab/script"
 )
 
-// program builds this program once.
+// program builds the beammux executable and returns its path.
 func program(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "beammux")
@@ -24,32 +24,33 @@
 	return path
 }
 
-// What a gatekeeper may spend on control, from the numbers to plan with: 1.8% of a core, 32 MB, 6 KB a second.
+// The budget of a gatekeeper for control: 1.8% of a core, 32 MB of memory, 6 KB per second.
 const (
 	budgetCPU      = 0.018
 	budgetResident = 32e6
 	budgetBytes    = 6000
 )
 
-// The bytes that a gatekeeper receives, by hand: each change brings two records, each of recordBytes in base64 (4 bytes for 3)
-// with at most recordAround bytes of JSON around it; once a second a heartbeat with the fleet's counts comes, of at most
-// heartbeatBytes. One snapshot at most is received in the measured time, by those whose machine was killed.
+// Upper bounds for the bytes that a gatekeeper receives: each change has two records of recordBytes in base64 (4 bytes for 3)
+// with at most recordAround bytes of JSON around each. A heartbeat with the counts of the fleet arrives every second, of at most
+// heartbeatBytes. Gatekeepers whose control machine was killed receive at most one snapshot in the measured time.
 const (
 	recordBytes    = 1024
 	recordAround   = 100
 	heartbeatBytes = 400
 )
 
+// bytesReceived returns the bound in bytes per second.
 func bytesReceived(changesPerS, lengthS float64) float64 {
 	change := 2 * (recordBytes*4/3. + recordAround)
 	return change*changesPerS + heartbeatBytes + change/lengthS
 }
 
-// The standing test: 50 hollow gatekeepers follow five control machines, of which the leader is killed, while changes come
-// twenty times as often as planned; every rule holds, and the cost keeps to the budget and to what it should be by hand.
+// 50 hollow gatekeepers follow five control machines, whose leader is killed, with twenty times the planned rate of changes. No
+// rule may be broken, and the cost must stay within the budget and the calculated bounds.
 func TestFiftyGatekeepers(t *testing.T) {
 	if testing.Short() {
-		t.Skip("starts processes for half a minute")
+		t.Skip("runs processes for half a minute")
 	}
 	const length = 20 * time.Second
 	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 50, Control: 5, Voters: 5, Regions: 3, Zones: 6, Services: 65, Hollow: 4,
@@ -62,7 +63,7 @@
 	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
 
 	rate := 2800 * 20 / 86400.
-	require.InDelta(t, rate*length.Seconds(), r.Settings.Changes, 4, "changes came at another pace")
+	require.InDelta(t, rate*length.Seconds(), r.Settings.Changes, 4, "rate of changes")
 	require.GreaterOrEqual(t, r.Settings.Pairs, 50*(r.Settings.Changes-1))
 	require.Zero(t, r.Settings.Unjudged)
 	require.Less(t, r.Settings.FromCommit.Max, within.Seconds())
@@ -70,22 +71,22 @@
 	require.Equal(t, 50, r.Gatekeepers.ReceivedPerS.Of)
 
 	byHand := bytesReceived(rate, length.Seconds())
-	require.Less(t, byHand, float64(budgetBytes), "the derivation leaves the budget")
+	require.Less(t, byHand, float64(budgetBytes), "the calculated bound exceeds the budget")
 	require.Less(t, r.Gatekeepers.ReceivedPerS.Max, byHand)
-	require.Greater(t, r.Gatekeepers.ReceivedPerS.P50, 2*recordBytes*rate/2, "too little came to be true")
+	require.Greater(t, r.Gatekeepers.ReceivedPerS.P50, 2*recordBytes*rate/2, "fewer bytes than the changes contain")
 	require.Less(t, r.Gatekeepers.SentPerS.Max+r.Gatekeepers.ReceivedPerS.Max, float64(budgetBytes))
-	// Processor and memory are a hollow process's, the laboratory's own work in it among them: an upper bound.
+	// Processor time and memory are upper bounds: they are those of a hollow process, which also does work for the laboratory.
 	require.Less(t, r.Gatekeepers.CPUShare.Max, budgetCPU)
 	require.Less(t, r.Gatekeepers.ResidentBytes.Max, budgetResident)
 	requireNoProcess(t, o.Dir)
 }
 
-// All control machines are lost with their disks. A group that is made anew from a backup begins with lower revisions than the
-// gatekeepers hold; raised above them by the restore, it is followed by all again, nobody goes back, and changes after it come
-// into force in time.
+// All control machines are lost with their data. A new group starts with lower revisions than the gatekeepers have; the restore
+// of a backup must raise them above, so that all gatekeepers follow the new group without going back to older settings, and
+// later changes come into force in time.
 func TestRemadeControlPlane(t *testing.T) {
 	if testing.Short() {
-		t.Skip("starts processes for half a minute")
+		t.Skip("runs processes for half a minute")
 	}
 	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 30, Control: 3, Voters: 3, Regions: 3, Zones: 3, Services: 5, Hollow: 2,
 		Seed: 5, Length: 14 * time.Second, ChangesADay: 2800, Factor: 40, RecordBytes: recordBytes,
@@ -102,19 +103,19 @@
 	requireNoProcess(t, o.Dir)
 }
 
-// requireNoProcess says that no process works in a folder any more.
+// requireNoProcess checks that no process has dir as its working directory.
 func requireNoProcess(t *testing.T, dir string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/cwd")
 	require.NoError(t, err)
 	for _, link := range links {
 		if at, err := os.Readlink(link); err == nil {
-			require.NotEqual(t, dir, at, "a process was left: %s", link)
+			require.NotEqual(t, dir, at, "process still running: %s", link)
 		}
 	}
 }
 
-func TestLay(t *testing.T) {
+func TestPlacement(t *testing.T) {
 	o := Options{Gatekeepers: 2200, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, Faults: []script.Fault{{Kind: script.Refuse}}}
 	p := lay(&o)
 	voters, zones := map[string]int{}, map[string]int{}
@@ -124,7 +125,7 @@
 		}
 		zones[m.Zone]++
 	}
-	require.Equal(t, map[string]int{"r1": 2, "r2": 2, "r3": 1}, voters, "no region may hold three of five voters")
+	require.Equal(t, map[string]int{"r1": 2, "r2": 2, "r3": 1}, voters, "no region may have three of five voters")
 	require.Len(t, zones, 6)
 	services, refusing := map[string]int{}, 0
 	for _, g := range p.gatekeepers {
@@ -137,7 +138,7 @@
 	require.Equal(t, 220, refusing)
 }
 
-// With groups each service is a gossip of its own, with seeds of its own.
+// With groups, each service has its own gossip group with its own seeds.
 func TestGroupsByService(t *testing.T) {
 	o := Options{Gatekeepers: 2200, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, With: With{Membership: true, Groups: true}}
 	l := &laboratory{options: &o, plan: lay(&o)}
@@ -160,22 +161,22 @@
 	}
 }
 
-func TestOptionsAreBounded(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	good := Options{Gatekeepers: 50, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, Hollow: 6, Length: time.Minute, ChangesADay: 2800, Factor: 20}
 	require.NoError(t, good.Check())
 	for want, spoil := range map[string]func(o *Options){
-		"--gatekeepers: 0 is not 1 to":       func(o *Options) { o.Gatekeepers = 0 },
-		"--control: 81 is not 0 to 80":       func(o *Options) { o.Control = 81 },
-		"--voters: 14 is not 1 to 13":        func(o *Options) { o.Voters = 14 },
-		"--zones: 2 is not 3 to":             func(o *Options) { o.Zones = 2 },
-		"--length: 0s":                       func(o *Options) { o.Length = 0 },
-		"--changes-per-day":                  func(o *Options) { o.Factor = 1e9 },
-		"--control: 0 needs":                 func(o *Options) { o.Control, o.Voters = 0, 0 },
-		"registers ride on membership":       func(o *Options) { o.With.Registers = true },
-		"groups are those of membership":     func(o *Options) { o.With.Groups = true },
-		"and the faults end at 2m0s":         func(o *Options) { o.Faults = []script.Fault{{At: time.Minute, For: time.Minute}} },
-		"--processes: 17 is not 1 to 16":     func(o *Options) { o.Hollow = 17 },
-		"--record-bytes: -1 is not 0 to 104": func(o *Options) { o.RecordBytes = -1 },
+		"--gatekeepers: 0 is not 1 to":         func(o *Options) { o.Gatekeepers = 0 },
+		"--control: 81 is not 0 to 80":         func(o *Options) { o.Control = 81 },
+		"--voters: 14 is not 1 to 13":          func(o *Options) { o.Voters = 14 },
+		"--zones: 2 is not 3 to":               func(o *Options) { o.Zones = 2 },
+		"--length: 0s":                         func(o *Options) { o.Length = 0 },
+		"--changes-per-day":                    func(o *Options) { o.Factor = 1e9 },
+		"--control: 0 needs":                   func(o *Options) { o.Control, o.Voters = 0, 0 },
+		"registers requires membership":        func(o *Options) { o.With.Registers = true },
+		"groups requires membership":           func(o *Options) { o.With.Groups = true },
+		"is too short, the faults end at 2m0s": func(o *Options) { o.Faults = []script.Fault{{At: time.Minute, For: time.Minute}} },
+		"--processes: 17 is not 1 to 16":       func(o *Options) { o.Hollow = 17 },
+		"--record-bytes: -1 is not 0 to 104":   func(o *Options) { o.RecordBytes = -1 },
 	} {
 		o := good
 		spoil(&o)
@@ -186,7 +187,7 @@
 	require.LessOrEqual(t, MostControl+MostHollow+1, MostProcesses)
 }
 
-func TestSpread(t *testing.T) {
+func TestSpreadOf(t *testing.T) {
 	var values []float64
 	for i := 200; i > 0; i-- {
 		values = append(values, float64(i))
@@ -196,12 +197,13 @@
 	require.Zero(t, spreadOf(nil))
 }
 
+// rounded returns the spread with its mean rounded to three decimals.
 func rounded(s Spread) Spread {
 	s.Mean = float64(int(s.Mean*1000+0.5)) / 1000
 	return s
 }
 
-func TestSeries(t *testing.T) {
+func TestSeriesOf(t *testing.T) {
 	report := func(n int, seed uint64, received float64) *Report {
 		r := &Report{Command: "beammux lab scale --gatekeepers 50 --seed 1 --length 45s --beside some other work --json x.json", Date: "2026-12-02",
 			Shape: Shape{Gatekeepers: n, Seed: seed, Control: 13}}
@@ -233,7 +235,7 @@
 	file, err = SeriesOf(append(reports, broken))
 	require.NoError(t, err)
 	require.Len(t, file.FaultRuns, 1)
-	require.Equal(t, map[string]int{"lost": 3}, file.FaultRuns[0].Broken, "a broken rule under faults is shown")
+	require.Equal(t, map[string]int{"lost": 3}, file.FaultRuns[0].Broken, "rules broken in a run with faults are reported")
 	require.Len(t, file.Series[0].Points, 2)
 	text, err = file.Marshal()
 	require.NoError(t, err)
@@ -241,5 +243,5 @@
 
 	reports[0].Judge.Held = false
 	_, err = SeriesOf(reports)
-	require.ErrorContains(t, err, "not for a series")
+	require.ErrorContains(t, err, "cannot be used for a series")
 }
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -10,22 +10,22 @@
 	"strings"
 )
 
-// Series is one figure against the number of gatekeepers, as docs/measured/scale.json holds it.
+// Series is one figure by number of gatekeepers, as stored in docs/measured/scale.json.
 type Series struct {
 	Name    string  `json:"name"`
 	Unit    string  `json:"unit"`
 	Of      string  `json:"of"`   // gatekeepers, control machines, or settings
-	With    string  `json:"with"` // what the gatekeepers have beside configuration
+	With    string  `json:"with"` // what the gatekeepers run besides configuration
 	Command string  `json:"command"`
 	Date    string  `json:"date"`
 	Beside  string  `json:"beside"`
 	Points  []Point `json:"points"`
 
-	words  []string   // what the runs said ran beside them, each once
-	others [2]float64 // cores that other processes used: least and most over the runs
+	words  []string   // distinct Report.Beside texts of the runs
+	others [2]float64 // cores used by other processes: minimum and maximum over the runs
 }
 
-// seriesCommand is the command without what differs from run to run.
+// seriesCommand returns the command line without the parts that differ between the runs of a series.
 func seriesCommand(command string) string {
 	var kept []string
 	words := strings.Fields(command)
@@ -46,7 +46,7 @@
 	return strings.Join(kept, " ")
 }
 
-// beside says what else ran, in the run's words and as the machine's counters had it.
+// beside updates Beside with the other load during a run: its own description and the measured use of cores.
 func (s *Series) beside(r *Report) {
 	if len(s.Points) == 0 {
 		s.others = [2]float64{r.Machine.OtherCores, r.Machine.OtherCores}
@@ -59,26 +59,26 @@
 	s.Beside = strings.Join(append(slices.Clone(s.words), s.Beside), "; ")
 }
 
-// Point is one size: a value for each seed, in the seeds' order.
+// Point is one number of gatekeepers, with a value for each seed in the order of Seeds.
 type Point struct {
 	N      int       `json:"n"`
 	Values []float64 `json:"values"`
 	Seeds  []uint64  `json:"seeds"`
 }
 
-// SeriesFile is the file.
+// SeriesFile is the content of a series file.
 type SeriesFile struct {
 	Series    []Series   `json:"series"`
 	FaultRuns []FaultRun `json:"fault_runs"`
 }
 
-// FaultRun is a run with faults.
+// FaultRun is the summary of a run with faults.
 type FaultRun struct {
 	Faults      []FaultReport  `json:"faults"`
 	N           int            `json:"n"`
 	Seed        uint64         `json:"seed"`
 	Held        bool           `json:"held"`
-	Broken      map[string]int `json:"broken"` // rules, with how often
+	Broken      map[string]int `json:"broken"` // number of violations by rule
 	Changes     int            `json:"changes"`
 	CommitP99S  float64        `json:"in_force_from_commit_p99_s"`
 	CommitMaxS  float64        `json:"in_force_from_commit_max_s"`
@@ -90,13 +90,13 @@
 	StuckLeft   int            `json:"stuck_watchers_left"`
 	ControlCPU  float64        `json:"control_cpu_share_max"`
 	ControlRSS  float64        `json:"control_resident_max"`
-	OtherCores  float64        `json:"other_cores"` // used by everything else on the machine
+	OtherCores  float64        `json:"other_cores"` // used by all other processes of the machine
 	Command     string         `json:"command"`
 	Date        string         `json:"date"`
 	Program     string         `json:"program"`
 }
 
-// faultRunOf takes from a report what a table of failures needs.
+// faultRunOf summarizes the report of a run with faults.
 func faultRunOf(r *Report) FaultRun {
 	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Held: r.Held(), Broken: map[string]int{}, Changes: r.Settings.Changes,
 		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.Healed.P99, HealedMaxS: r.Settings.Healed.Max,
@@ -111,13 +111,13 @@
 	return f
 }
 
-// figure reads one figure of a report.
+// figure is one figure of a report. read reports false if the run did not measure it.
 type figure struct {
 	name, unit, of string
 	read           func(r *Report) (float64, bool)
 }
 
-// spread gives three figures of a spread: the name with _p50, _p99 and _max.
+// spreadFigures returns three figures of a distribution: the name with _p50, _p99 and _max.
 func spreadFigures(name, unit, of string, read func(r *Report) Spread) []figure {
 	part := func(suffix string, value func(s Spread) float64) figure {
 		return figure{name + suffix, unit, of, func(r *Report) (float64, bool) {
@@ -129,12 +129,14 @@
 		part("_max", func(s Spread) float64 { return s.Max })}
 }
 
+// Values of Series.Of.
 const (
 	ofGatekeepers = "gatekeepers"
 	ofControl     = "control machines"
 	ofSettings    = "settings"
 )
 
+// figures returns the figures that make up the series.
 func figures() []figure {
 	spreads := []struct {
 		name, unit, of string
@@ -175,8 +177,8 @@
 	)
 }
 
-// SeriesOf puts the reports of runs without faults together, by what the gatekeepers had, and lists those with faults. A run
-// that was stopped is refused, and one without faults that broke a rule: its figures are not to be used.
+// SeriesOf combines the reports of runs without faults into series, grouped by With, and lists the runs with faults. It returns
+// an error for a run that was stopped, and for a run without faults that broke a rule: their figures are not valid.
 func SeriesOf(reports []*Report) (*SeriesFile, error) {
 	file := &SeriesFile{Series: []Series{}, FaultRuns: []FaultRun{}}
 	reports = slices.Clone(reports)
@@ -187,7 +189,7 @@
 	for _, r := range reports {
 		switch {
 		case r.Stopped || len(r.Faults) == 0 && !r.Held():
-			return nil, fmt.Errorf("%s: stopped, or a rule broken: not for a series", r.Command)
+			return nil, fmt.Errorf("%s: the run was stopped or broke a rule and cannot be used for a series", r.Command)
 		case len(r.Faults) > 0:
 			file.FaultRuns = append(file.FaultRuns, faultRunOf(r))
 			continue
@@ -201,6 +203,7 @@
 	return file, nil
 }
 
+// add adds the value of one figure of a report to its series.
 func (file *SeriesFile) add(r *Report, f figure, value float64) {
 	with := strings.Join(r.Shape.With, "+")
 	at := slices.IndexFunc(file.Series, func(s Series) bool { return s.Name == f.name && s.Of == f.of && s.With == with })
@@ -218,7 +221,7 @@
 	p.Values, p.Seeds = append(p.Values, value), append(p.Seeds, r.Shape.Seed)
 }
 
-// Marshal writes the file with a line for each point, so that a change of one is seen in a comparison.
+// Marshal encodes the file as JSON with one line per point, so that a diff shows each changed point.
 func (file *SeriesFile) Marshal() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteString("{\"series\": [\n")
@@ -253,7 +256,7 @@
 	return b.Bytes(), nil
 }
 
-// separator is what stands between the parts of a list, "" for none.
+// separator returns the separator between list elements, "" if left is 0.
 func separator(left int) string {
 	if left == 0 {
 		return ""
@@ -261,7 +264,7 @@
 	return ","
 }
 
-// LoadReports reads reports that runs have written.
+// LoadReports loads the report files of runs.
 func LoadReports(files []string) (reports []*Report, err error) {
 	for _, file := range files {
 		text, err := os.ReadFile(file)
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -11,7 +11,7 @@
 	"beammux/internal/scalelab/judge"
 )
 
-// report puts together what the run has seen, and judges it.
+// report creates the report of the run, including the result of the judge.
 func (l *laboratory) report(stopped bool, problems []string) *Report {
 	o := l.options
 	r := &Report{Command: o.Command, Date: time.Now().UTC().Format(time.DateOnly), Program: revision(), Beside: o.Beside, Stopped: stopped, Shape: l.shape(),
@@ -29,7 +29,7 @@
 	return r
 }
 
-// revision is that of the version control which this program was built at, marked where files had changed since.
+// revision returns the version control revision of the build, with a mark if the working tree had changes.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -67,10 +67,10 @@
 	return s
 }
 
-// span is the measured time.
+// span returns the duration of the measured time.
 func (l *laboratory) span() time.Duration { return l.measured.to - l.measured.from }
 
-// inSpan tells whether something was in the measured time.
+// inSpan reports whether a time is within the measured time.
 func (l *laboratory) inSpan(at time.Duration) bool {
 	return at >= l.measured.from && at <= l.measured.to
 }
@@ -93,7 +93,7 @@
 	return m
 }
 
-// hollowCPU is the processor time of a hollow process in the measured time.
+// hollowCPU returns the processor time that a hollow process used in the measured time.
 func (l *laboratory) hollowCPU(process int) time.Duration {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
@@ -104,7 +104,7 @@
 	return b.CPU - a.CPU
 }
 
-// controlCPU is that of each control machine, from its first to its last sample in the measured time.
+// controlCPU returns the processor time of each control machine between its first and last sample in the measured time.
 func (l *laboratory) controlCPU() map[int]time.Duration {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
@@ -125,7 +125,7 @@
 	return used
 }
 
-// gatekeeperFigures differ the counters over the measured time.
+// gatekeeperFigures returns the figures from the differences of the counters over the measured time.
 func (l *laboratory) gatekeeperFigures() (g GatekeeperFigures) {
 	span := l.span().Seconds()
 	if span <= 0 {
@@ -159,7 +159,7 @@
 	return g
 }
 
-// most gives the spread over the hollow processes of the most that each had in the measured time, for each gatekeeper.
+// most returns the distribution over the hollow processes of the maximum of a figure in the measured time, per gatekeeper.
 func (l *laboratory) most(of func(hollow.Figures) int64) Spread {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
@@ -176,6 +176,7 @@
 	return spreadOf(valuesOf(most))
 }
 
+// valuesOf returns the values of a map.
 func valuesOf(m map[int]float64) (values []float64) {
 	for _, v := range m {
 		values = append(values, v)
@@ -183,7 +184,7 @@
 	return values
 }
 
-// startToInForce is the time from each gatekeeper's first start to its first settings.
+// startToInForce returns the times from the first start of each gatekeeper to its first settings.
 func (l *laboratory) startToInForce() Spread {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
@@ -243,11 +244,11 @@
 	return c
 }
 
-// sessions counts the sessions at each control machine, as the gatekeepers see them.
+// sessions sets the figures of sessions per control machine, as counted by the gatekeepers.
 func (l *laboratory) sessions(c *ControlFigures) {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
-	now := map[int]map[string]int{} // of each process, the last pulse
+	now := map[int]map[string]int{} // latest by process
 	for _, s := range l.record.samples {
 		if !l.inSpan(s.at) {
 			continue
@@ -265,6 +266,7 @@
 	c.MaxOverShare = float64(c.SessionsMax) / c.Share
 }
 
+// sumSessions returns the sessions at each control machine, summed over the processes.
 func (l *laboratory) sumSessions(now map[int]map[string]int) (sums []float64) {
 	for _, m := range l.plane.machines {
 		sum := 0
@@ -290,7 +292,8 @@
 	return m
 }
 
-// registerFigures tell what each gatekeeper knew of its gossip's registers at the end of the measured time.
+// registerFigures returns, over the gatekeepers at the end of the measured time, the part of their group's registers that are
+// fresh, and the age of the oldest of these in seconds.
 func (l *laboratory) registerFigures() (fresh, oldest Spread) {
 	members, groupOf := map[string]int{}, map[string]string{}
 	for _, g := range l.plan.gatekeepers {
@@ -309,10 +312,10 @@
 	return spreadOf(parts), spreadOf(ages)
 }
 
-// firstMarker is of the change that is written before the gatekeepers start.
+// firstMarker is the marker of the change that is written before the gatekeepers start.
 const firstMarker = 1
 
-// judge has the judge decide, and sums up the times.
+// judge checks the run and sets the figures of settings, faults and the judge.
 func (l *laboratory) judge(r *Report) {
 	changes, retries := l.writer.all()
 	v := judge.Check(l.logOf(changes))
@@ -325,7 +328,7 @@
 	var commit, put, healed []float64
 	slowest := map[uint64]float64{}
 	for _, d := range v.Delays {
-		if d.Marker == firstMarker { // StartToInForce has it
+		if d.Marker == firstMarker { // counted by StartToInForce
 			continue
 		}
 		if d.Outage {
@@ -353,10 +356,10 @@
 	r.Judge.Held = v.Held() && len(r.Judge.Problems) == 0
 }
 
-// mostSlow is how many of the slowest pairs a report names.
+// mostSlow is the number of slowest pairs in a report.
 const mostSlow = 20
 
-// slowest names the slowest pairs.
+// slowest returns the slowest pairs of a change and a gatekeeper.
 func (l *laboratory) slowest(changes []judge.Change, delays []judge.Delay) (slow []Slow) {
 	took := func(d judge.Delay) time.Duration {
 		if d.Outage {
@@ -376,6 +379,7 @@
 	return slow
 }
 
+// commitTimes returns the commit times of the changes by marker.
 func commitTimes(changes []judge.Change) map[uint64]time.Duration {
 	committed := map[uint64]time.Duration{}
 	for _, c := range changes {
@@ -384,7 +388,7 @@
 	return committed
 }
 
-// faultReports tell for each fault the slowest pair among the changes that it can have slowed.
+// faultReports returns a report for each fault, with the slowest pair among the changes that the fault can have delayed.
 func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
 	reports := []FaultReport{}
 	committed := commitTimes(changes)
@@ -407,12 +411,12 @@
 	return reports
 }
 
-// duringFault adds what the gatekeepers said each second while a fault lasted.
+// duringFault adds the figures that the hollow processes reported during a fault.
 func (l *laboratory) duringFault(p playedFault, f *FaultReport) {
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
 	share := float64(l.options.Gatekeepers) / float64(l.options.Control)
-	now := map[int]hollow.Figures{} // of each process, the last pulse
+	now := map[int]hollow.Figures{} // latest by process
 	for _, s := range l.record.samples {
 		if !l.inSpan(s.at) {
 			continue
--- a/internal/scalelab/telemetry.go
+++ b/internal/scalelab/telemetry.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// A control machine's own figures are asked for seldom: it takes processor time to give them.
+// Telemetry is requested rarely, because serving it takes processor time that would count as cost of control.
 const (
 	telemetryEvery  = 5 * time.Second
 	telemetryWithin = time.Second
 )
 
-// runtimeSample is what a control machine said of its own runtime.
+// runtimeSample is one sample of the Go runtime of a control machine. heap is in bytes.
 type runtimeSample struct {
 	machine          int
 	at               time.Duration
 	heap, goroutines float64
 }
 
-// sampleRuntime asks a control machine for its figures until the end of the run.
+// sampleRuntime requests the telemetry of a control machine periodically until ctx ends.
 func (l *laboratory) sampleRuntime(ctx context.Context, machine int, m *machine) {
 	tick := time.NewTicker(telemetryEvery)
 	defer tick.Stop()
@@ -38,7 +38,7 @@
 		}
 		values, err := telemetry(ctx, m.admin)
 		if err != nil {
-			continue // a machine that is paused or just killed
+			continue // the machine is suspended or was just killed
 		}
 		l.record.mu.Lock()
 		l.runtimes = append(l.runtimes, runtimeSample{machine, time.Since(l.began), values["proxy_control_heap_bytes"], values["proxy_control_goroutines"]})
@@ -46,7 +46,7 @@
 	}
 }
 
-// telemetry reads a process's figures that have no labels, by name.
+// telemetry returns the metrics of a process that have no labels, by name.
 func telemetry(ctx context.Context, address string) (map[string]float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, telemetryWithin)
 	defer cancel()
