--- a/internal/scalelab/changes.go
+++ b/internal/scalelab/changes.go
@@ -57,7 +57,7 @@
 	c := judge.Change{Marker: marker, Refusable: mayRefuse && w.refusable && marker%refusableEvery == 0}
 	w.mu.Unlock()
 	calls, limits := hollow.Content(c.Marker, c.Refusable, w.options.RecordBytes)
-	c.Began = time.Since(w.began)
+	c.WriteStarted = time.Since(w.began)
 	for {
 		revision, err := w.try(ctx, calls, limits)
 		if err == nil {
@@ -70,7 +70,7 @@
 		if ctx.Err() != nil {
 			return c, ctx.Err()
 		}
-		if time.Since(w.began)-c.Began > putGiveUp {
+		if time.Since(w.began)-c.WriteStarted > putGiveUp {
 			return c, fmt.Errorf("writing change %d: %w", marker, err)
 		}
 		w.mu.Lock()
--- a/internal/scalelab/child/child.go
+++ b/internal/scalelab/child/child.go
@@ -19,10 +19,10 @@
 
 // Process is one process that this package started.
 type Process struct {
-	Name string
-	cmd  *exec.Cmd
-	gone chan struct{}
-	log  *os.File
+	Name    string
+	cmd     *exec.Cmd
+	done    chan struct{}
+	logFile *os.File
 }
 
 // Options are the parameters of Start.
@@ -39,23 +39,23 @@
 
 // Start starts a process in its own process group, so that an interrupt from the terminal only reaches the laboratory, which
 // stops its processes itself.
-func Start(o Options) (*Process, error) {
-	log, err := os.OpenFile(o.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func Start(options Options) (*Process, error) {
+	logFile, err := os.OpenFile(options.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(o.Path, o.Args...)
-	cmd.Dir, cmd.Env, cmd.Stderr = o.Dir, append(os.Environ(), o.Env...), log
-	cmd.Stdin, cmd.Stdout = o.Stdin, o.Stdout
+	cmd := exec.Command(options.Path, options.Args...)
+	cmd.Dir, cmd.Env, cmd.Stderr = options.Dir, append(os.Environ(), options.Env...), logFile
+	cmd.Stdin, cmd.Stdout = options.Stdin, options.Stdout
 	if err := launch.Start(cmd); err != nil {
-		log.Close()
-		return nil, fmt.Errorf("%s: %w", o.Name, err)
+		logFile.Close()
+		return nil, fmt.Errorf("%s: %w", options.Name, err)
 	}
-	p := &Process{Name: o.Name, cmd: cmd, gone: make(chan struct{}), log: log}
+	p := &Process{Name: options.Name, cmd: cmd, done: make(chan struct{}), logFile: logFile}
 	go func() {
 		cmd.Wait()
-		log.Close()
-		close(p.gone)
+		logFile.Close()
+		close(p.done)
 	}()
 	return p, nil
 }
@@ -63,25 +63,25 @@
 // PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Gone returns a channel that is closed when the process has exited.
-func (p *Process) Gone() <-chan struct{} { return p.gone }
+// Done returns a channel that is closed when the process has exited.
+func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Over reports whether the process has exited.
-func (p *Process) Over() bool {
+// Exited reports whether the process has exited.
+func (p *Process) Exited() bool {
 	select {
-	case <-p.gone:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// State returns the exit state of a process that has exited.
-func (p *Process) State() *os.ProcessState { return p.cmd.ProcessState }
+// ExitState returns the exit state of a process that has exited.
+func (p *Process) ExitState() *os.ProcessState { return p.cmd.ProcessState }
 
 // Signal sends a signal to the process. It returns os.ErrProcessDone if the process has exited.
 func (p *Process) Signal(s syscall.Signal) error {
-	if p.Over() {
+	if p.Exited() {
 		return os.ErrProcessDone
 	}
 	return p.cmd.Process.Signal(s)
@@ -90,18 +90,18 @@
 // Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.gone
+	<-p.done
 }
 
-// End sends SIGTERM, and SIGKILL if the process does not exit within the given time. It reports whether SIGTERM was enough.
+// Stop sends SIGTERM, and SIGKILL if the process does not exit within the given time. It reports whether SIGTERM was enough.
 // A suspended process is resumed first.
-func (p *Process) End(within time.Duration) bool {
+func (p *Process) Stop(timeout time.Duration) bool {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.gone:
+	case <-p.done:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 	p.Kill()
 	return false
@@ -120,38 +120,38 @@
 // clockTick is the unit of times in /proc/PID/stat: USER_HZ, 100 on every Linux that Go runs on.
 const clockTick = time.Second / 100
 
-// UsageOf reads the usage of a process from /proc. Descriptors, Read and Written stay 0 where they cannot be read.
-func UsageOf(pid int) (u Usage, err error) {
+// ReadUsage reads the usage of a process from /proc. Descriptors, Read and Written stay 0 where they cannot be read.
+func ReadUsage(pid int) (usage Usage, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return u, err
+		return usage, err
 	}
 	// The second field is the command in parentheses and may hold spaces; the third follows the last of them.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	const user, system, threads, resident = 11, 12, 17, 21
 	if len(fields) <= resident {
-		return u, errors.New(dir + "/stat: too short")
+		return usage, errors.New(dir + "/stat: too short")
 	}
 	number := func(i int) int64 {
 		n, e := strconv.ParseInt(fields[i], 10, 64)
 		err = errors.Join(err, e)
 		return n
 	}
-	u.CPU = time.Duration(number(user)+number(system)) * clockTick
-	u.Threads = int(number(threads))
-	u.Resident = number(resident) * int64(os.Getpagesize())
+	usage.CPU = time.Duration(number(user)+number(system)) * clockTick
+	usage.Threads = int(number(threads))
+	usage.Resident = number(resident) * int64(os.Getpagesize())
 	if entries, e := os.ReadDir(dir + "/fd"); e == nil {
-		u.Descriptors = len(entries)
+		usage.Descriptors = len(entries)
 	}
 	if text, e := os.ReadFile(dir + "/io"); e == nil {
-		fmt.Sscanf(string(text), "rchar: %d\nwchar: %d", &u.Read, &u.Written)
+		fmt.Sscanf(string(text), "rchar: %d\nwchar: %d", &usage.Read, &usage.Written)
 	}
-	return u, err
+	return usage, err
 }
 
-// MachineBusy returns the processor time that all processes of the machine have used since it started.
-func MachineBusy() (busy time.Duration, err error) {
+// MachineCPUTime returns the processor time that all processes of the machine have used since it started.
+func MachineCPUTime() (busy time.Duration, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, err
@@ -181,8 +181,8 @@
 	return kib << 10, err
 }
 
-// Descriptors returns the limit of open file descriptors of this process and of each process that it starts.
-func Descriptors() (int, error) {
+// DescriptorLimit returns the limit of open file descriptors of this process and of each process that it starts.
+func DescriptorLimit() (int, error) {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
 	return int(limit.Cur), err
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -92,7 +92,7 @@
 		c.machines = append(c.machines, &machine{machineSpec: spec, file: filepath.Join(o.Dir, spec.Name+".json"),
 			admin: fmt.Sprintf("127.0.0.1:%d", ports[len(specs)+i])})
 	}
-	if script.Has(o.Faults, script.CutRegion) || script.Has(o.Faults, script.Latency) {
+	if script.Contains(o.Faults, script.CutRegion) || script.Contains(o.Faults, script.Latency) {
 		c.network = relay.New(o.Seed)
 	}
 	for _, m := range c.machines {
@@ -188,8 +188,8 @@
 			if err == nil && s.Ready && s.Leader != "" {
 				break
 			}
-			if m.process.Over() {
-				return fmt.Errorf("%s exited before it was ready (%v): see %s.log", m.Name, m.process.State(), m.Name)
+			if m.process.Exited() {
+				return fmt.Errorf("%s exited before it was ready (%v): see %s.log", m.Name, m.process.ExitState(), m.Name)
 			}
 			select {
 			case <-ctx.Done():
@@ -212,21 +212,21 @@
 func (m *machine) up() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.process != nil && !m.down && !m.paused && !m.process.Over()
+	return m.process != nil && !m.down && !m.paused && !m.process.Exited()
 }
 
 // crashed reports whether the process of the machine exited without being killed by the fault script.
 func (m *machine) crashed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.process != nil && !m.down && m.process.Over()
+	return m.process != nil && !m.down && m.process.Exited()
 }
 
 // kill sends SIGKILL to the process of the machine, to simulate a machine failure.
 func (m *machine) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if u, err := child.UsageOf(m.process.PID()); err == nil {
+	if u, err := child.ReadUsage(m.process.PID()); err == nil {
 		m.former += u.CPU
 		m.ended = append(m.ended, u)
 	}
@@ -263,10 +263,10 @@
 func (m *machine) usage() (child.Usage, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.process == nil || m.process.Over() {
+	if m.process == nil || m.process.Exited() {
 		return child.Usage{}, false
 	}
-	u, err := child.UsageOf(m.process.PID())
+	u, err := child.ReadUsage(m.process.PID())
 	u.CPU += m.former
 	for _, e := range m.ended {
 		u.Read += e.Read
@@ -326,7 +326,7 @@
 	var all sync.WaitGroup
 	for _, m := range c.machines {
 		if m.process != nil {
-			all.Go(func() { m.process.End(endWithin) })
+			all.Go(func() { m.process.Stop(endWithin) })
 		}
 	}
 	all.Wait()
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -159,7 +159,7 @@
 			continue
 		}
 		lost++
-		command := hollow.Command{Do: hollow.Restart, Name: g.Name, Down: f.For}
+		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: g.Name, DownTime: f.For}
 		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
 			return "", err
 		}
@@ -227,13 +227,13 @@
 		l.faults.cuts = append(l.faults.cuts, cutRegion{region: region, from: now})
 	}
 	l.faults.mu.Unlock()
-	do := hollow.Heal
+	do := hollow.HealRegion
 	if cut {
-		do = hollow.Cut
+		do = hollow.CutRegion
 	}
 	l.plane.cut(region, cut)
 	for _, h := range l.hollows {
-		if err := h.tell(hollow.Command{Do: do, Region: region}); err != nil {
+		if err := h.tell(hollow.Command{Action: do, Region: region}); err != nil {
 			return err
 		}
 	}
@@ -258,7 +258,7 @@
 		if err := wait(ctx, f.For/time.Duration(max(1, n))); err != nil {
 			return "", err
 		}
-		command := hollow.Command{Do: hollow.Restart, Name: l.plan.gatekeepers[i].Name, Down: restartDown}
+		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: l.plan.gatekeepers[i].Name, DownTime: restartDown}
 		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
 			return "", err
 		}
@@ -269,7 +269,7 @@
 // stuck opens stuck watchers, all at one control machine.
 func (l *laboratory) stuck(f script.Fault, rng *rand.Rand) (string, error) {
 	m := l.plane.machines[rng.IntN(len(l.plane.machines))]
-	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].tell(hollow.Command{Do: hollow.Watch, Address: m.Address, Count: f.Count})
+	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].tell(hollow.Command{Action: hollow.OpenStuckWatchers, Address: m.Address, Count: f.Count})
 }
 
 // pause suspends the process of a control machine for the time of the fault.
--- a/internal/scalelab/hollow/connection.go
+++ b/internal/scalelab/hollow/connection.go
@@ -18,17 +18,17 @@
 
 // network creates the connections of the gatekeepers of this process, counts their bytes and injects faults between regions.
 type network struct {
-	shaped   bool // connections between regions are delayed
-	delay    atomic.Int64
-	regionOf map[string]string // region of each control machine, by address
+	delayRegions bool // connections between regions are delayed
+	delay        atomic.Int64
+	regionOf     map[string]string // region of each control machine, by address
 
-	mu   sync.Mutex
-	cut  map[string]bool
-	wake chan struct{} // closed when cut changes
+	mu         sync.Mutex
+	cut        map[string]bool
+	cutChanged chan struct{} // closed when cut changes
 }
 
-func newNetwork(shaped bool, regionOf map[string]string) *network {
-	return &network{shaped: shaped, regionOf: regionOf, cut: map[string]bool{}, wake: make(chan struct{})}
+func newNetwork(delayRegions bool, regionOf map[string]string) *network {
+	return &network{delayRegions: delayRegions, regionOf: regionOf, cut: map[string]bool{}, cutChanged: make(chan struct{})}
 }
 
 // setCut partitions a region from the others, or ends the partition.
@@ -36,22 +36,22 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[region] = cut
-	close(n.wake)
-	n.wake = make(chan struct{})
+	close(n.cutChanged)
+	n.cutChanged = make(chan struct{})
 }
 
-// passes reports whether two regions are connected. wake is closed when that may have changed.
-func (n *network) passes(a, b string) (ok bool, wake <-chan struct{}) {
+// connected reports whether two regions are connected. wake is closed when that may have changed.
+func (n *network) connected(a, b string) (ok bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a == b || !n.cut[a] && !n.cut[b], n.wake
+	return a == b || !n.cut[a] && !n.cut[b], n.cutChanged
 }
 
 // dialer returns the dial function of a gatekeeper in region, whose traffic is counted in t.
 func (n *network) dialer(region string, t *traffic) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		path := &path{network: n, from: region, to: n.regionOf[address]}
-		if err := path.wait(ctx); err != nil { // a dial during a partition blocks, as if its first packet were lost
+		if err := path.waitConnected(ctx); err != nil { // a dial during a partition blocks, as if its first packet were lost
 			return nil, err
 		}
 		if d := path.latency(); d > 0 {
@@ -66,8 +66,8 @@
 			return nil, err
 		}
 		t.opened.Add(1)
-		counted := &countedConn{Conn: c, traffic: t, path: path, closed: make(chan struct{}), moved: make(chan struct{})}
-		if n.shaped && path.from != path.to {
+		counted := &countedConn{Conn: c, traffic: t, path: path, closed: make(chan struct{}), deadlineChanged: make(chan struct{})}
+		if n.delayRegions && path.from != path.to {
 			return newDelayedConn(counted, path), nil
 		}
 		return counted, nil
@@ -87,10 +87,10 @@
 	return time.Duration(p.network.delay.Load())
 }
 
-// wait blocks while the path is cut, until ctx ends.
-func (p *path) wait(ctx context.Context) error {
+// waitConnected blocks while the path is cut, until ctx ends.
+func (p *path) waitConnected(ctx context.Context) error {
 	for {
-		ok, wake := p.network.passes(p.from, p.to)
+		ok, wake := p.network.connected(p.from, p.to)
 		if ok {
 			return nil
 		}
@@ -106,15 +106,15 @@
 // the kernel, as for a connection whose packets are lost, and are delivered after the partition.
 type countedConn struct {
 	net.Conn
-	traffic *traffic
-	path    *path
-	closed  chan struct{}
-	once    sync.Once
-	pending []byte // read from the kernel but not yet returned, because the path was cut
+	traffic   *traffic
+	path      *path
+	closed    chan struct{}
+	closeOnce sync.Once
+	pending   []byte // read from the kernel but not yet returned, because the path was cut
 
-	mu          sync.Mutex
-	read, write time.Time     // deadlines
-	moved       chan struct{} // closed when a deadline changes
+	mu                          sync.Mutex
+	readDeadline, writeDeadline time.Time     // deadlines
+	deadlineChanged             chan struct{} // closed when a deadline changes
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
@@ -125,7 +125,7 @@
 		}
 		c.pending = b[:n]
 	}
-	if err := c.hold(func() time.Time { return c.read }); err != nil {
+	if err := c.waitConnected(func() time.Time { return c.readDeadline }); err != nil {
 		c.pending = slices.Clone(c.pending)
 		return 0, err
 	}
@@ -136,7 +136,7 @@
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
-	if err := c.hold(func() time.Time { return c.write }); err != nil {
+	if err := c.waitConnected(func() time.Time { return c.writeDeadline }); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -144,15 +144,15 @@
 	return n, err
 }
 
-// hold blocks while the path is cut, at most until the deadline or until the connection is closed.
-func (c *countedConn) hold(deadline func() time.Time) error {
+// waitConnected blocks while the path is cut, at most until the deadline or until the connection is closed.
+func (c *countedConn) waitConnected(deadline func() time.Time) error {
 	for {
-		ok, wake := c.path.network.passes(c.path.from, c.path.to)
+		ok, wake := c.path.network.connected(c.path.from, c.path.to)
 		if ok {
 			return nil
 		}
 		c.mu.Lock()
-		at, moved := deadline(), c.moved
+		at, moved := deadline(), c.deadlineChanged
 		c.mu.Unlock()
 		var over <-chan time.Time
 		if !at.IsZero() {
@@ -172,7 +172,7 @@
 }
 
 func (c *countedConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
@@ -180,13 +180,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if read {
-		c.read = at
+		c.readDeadline = at
 	}
 	if write {
-		c.write = at
+		c.writeDeadline = at
 	}
-	close(c.moved)
-	c.moved = make(chan struct{})
+	close(c.deadlineChanged)
+	c.deadlineChanged = make(chan struct{})
 }
 
 func (c *countedConn) SetDeadline(at time.Time) error {
@@ -205,8 +205,8 @@
 }
 
 const (
-	delayChunk = 16 << 10
-	delayQueue = 256 // chunks in flight; the sender blocks beyond that
+	delayChunkBytes  = 16 << 10
+	delayQueueLength = 256 // chunks in flight; the sender blocks beyond that
 )
 
 // chunk is data in flight on a delayed connection.
@@ -219,15 +219,15 @@
 // whose other end is connected to far with the delay.
 func newDelayedConn(far net.Conn, p *path) net.Conn {
 	near, inner := net.Pipe()
-	go carry(inner, far, p)
-	go carry(far, inner, p)
+	go copyDelayed(inner, far, p)
+	go copyDelayed(far, inner, p)
 	return near
 }
 
-// carry copies data from one connection to the other, each chunk after the latency of the path, and closes both when either
+// copyDelayed copies data from one connection to the other, each chunk after the latency of the path, and closes both when either
 // ends.
-func carry(from, to net.Conn, p *path) {
-	queue := make(chan chunk, delayQueue)
+func copyDelayed(from, to net.Conn, p *path) {
+	queue := make(chan chunk, delayQueueLength)
 	go func() {
 		defer to.Close()
 		for c := range queue {
@@ -242,7 +242,7 @@
 	}()
 	defer close(queue)
 	for {
-		data := make([]byte, delayChunk)
+		data := make([]byte, delayChunkBytes)
 		n, err := from.Read(data)
 		if n > 0 {
 			queue <- chunk{time.Now().Add(p.latency()), data[:n]}
--- a/internal/scalelab/hollow/connection_test.go
+++ b/internal/scalelab/hollow/connection_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo starts a server that echoes all bytes, and returns its address.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that echoes all bytes, and returns its address.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -32,7 +32,7 @@
 }
 
 func TestCutDelaysBytesAndCountsTraffic(t *testing.T) {
-	address := echo(t)
+	address := startEchoServer(t)
 	n, tr := newNetwork(false, map[string]string{address: "east"}), &traffic{}
 	c, err := n.dialer("west", tr)(t.Context(), "tcp", address)
 	require.NoError(t, err)
@@ -68,7 +68,7 @@
 }
 
 func TestCloseUnblocksReadDuringCut(t *testing.T) {
-	address := echo(t)
+	address := startEchoServer(t)
 	n := newNetwork(false, map[string]string{address: "east"})
 	c, err := n.dialer("west", &traffic{})(t.Context(), "tcp", address)
 	require.NoError(t, err)
@@ -81,7 +81,7 @@
 }
 
 func TestLatencyIsAddedInBothDirections(t *testing.T) {
-	address := echo(t)
+	address := startEchoServer(t)
 	n := newNetwork(true, map[string]string{address: "east"})
 	n.delay.Store(int64(40 * time.Millisecond))
 	c, err := n.dialer("west", &traffic{})(t.Context(), "tcp", address)
--- a/internal/scalelab/hollow/content.go
+++ b/internal/scalelab/hollow/content.go
@@ -13,7 +13,7 @@
 const (
 	markerPrefix    = "change-"
 	refusableSuffix = "-refusable"
-	shortest        = 128 // minimum size of a record in bytes
+	minRecordBytes  = 128 // minimum size of a record in bytes
 )
 
 // Content returns the two sections of a change, each padded to size bytes.
@@ -29,8 +29,8 @@
 
 // pad appends white space to a JSON text up to a size of at least shortest bytes.
 func pad(text []byte, size int) []byte {
-	if missing := max(size, shortest) - len(text); missing > 0 {
-		text = append(text, bytes.Repeat([]byte{' '}, missing)...)
+	if padding := max(size, minRecordBytes) - len(text); padding > 0 {
+		text = append(text, bytes.Repeat([]byte{' '}, padding)...)
 	}
 	return text
 }
--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -14,16 +14,16 @@
 // staleAfter is the age of the last contact after which a gatekeeper counts as behind: a few heartbeats, one per second.
 const staleAfter = 5 * time.Second
 
-// followed is the settings follower of one gatekeeper.
-type followed struct{ *follow.Follower }
+// settingsFollower is the settings follower of one gatekeeper.
+type settingsFollower struct{ *follow.Follower }
 
-func (f followed) state() followState {
+func (f settingsFollower) state() followState {
 	s := f.Status()
 	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica, behind: s.Age < 0 || s.Age > staleAfter || s.InForce < s.Seen}
 }
 
 // openFollower starts to follow the settings of a gatekeeper. apply is called for each valid candidate; an error refuses it.
-func openFollower(g *gatekeeper, dir string, apply func(candidate) error) (*followed, error) {
+func openFollower(g *gatekeeper, dir string, apply func(candidate) error) (*settingsFollower, error) {
 	p := g.process
 	var replicas []session.Replica
 	for _, r := range p.config.Replicas {
@@ -31,7 +31,7 @@
 	}
 	f, err := follow.Open(follow.Options{
 		Self:     scope.Target{Name: g.Name, Region: g.Region, Zone: g.Zone, Service: g.Service},
-		Replicas: replicas, Dir: dir, Dial: p.network.dialer(g.Region, &g.traffic), Log: quiet(), Seed: p.config.Seed,
+		Replicas: replicas, Dir: dir, Dial: p.network.dialer(g.Region, &g.traffic), Log: errorLogger(), Seed: p.config.Seed,
 		Apply: func(c follow.Candidate) error {
 			read, err := readCandidate(c, p.site)
 			if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &followed{f}, nil
+	return &settingsFollower{f}, nil
 }
 
 // readCandidate validates a candidate as a gatekeeper does, and returns the markers of its sections.
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	registerBytes = 100 // size of the register that each gatekeeper publishes
-	registerEvery = time.Second
-	leaseWithin   = 600 * time.Millisecond // of a request to one control machine, as in a real gatekeeper
+	registerBytes    = 100 // size of the register that each gatekeeper publishes
+	registerInterval = time.Second
+	leaseTimeout     = 600 * time.Millisecond // of a request to one control machine, as in a real gatekeeper
 )
 
 // followState is the state of a follower. inForce and highest are revisions.
@@ -42,18 +42,18 @@
 // gatekeeper is one hollow gatekeeper of this process.
 type gatekeeper struct {
 	Gatekeeper
-	process *process
-	traffic traffic
-	leases  traffic // of lease requests: store.ReduceAt dials by itself, so the bytes of requests and responses are counted
-	gossip  atomic.Int64
-
-	mu       sync.Mutex
-	life     int
-	follower *followed
-	fleet    *fleet.Fleet
-	limiter  *limits.Limiter
-	stop     context.CancelFunc
-	done     sync.WaitGroup
+	process          *process
+	traffic          traffic
+	leaseTraffic     traffic // of lease requests: store.ReduceAt dials by itself, so the bytes of requests and responses are counted
+	endedGossipBytes atomic.Int64
+
+	mu         sync.Mutex
+	startCount int
+	follower   *settingsFollower
+	fleet      *fleet.Fleet
+	limiter    *limits.Limiter
+	cancel     context.CancelFunc
+	tasks      sync.WaitGroup
 }
 
 // start opens the parts of the gatekeeper's control side that the configuration asks for.
@@ -61,18 +61,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.process.config
-	g.life++
-	life := g.life
-	g.process.emit(Event{Kind: Up, Name: g.Name, Life: life})
+	g.startCount++
+	startCount := g.startCount
+	g.process.emit(Event{Kind: GatekeeperUp, Name: g.Name, StartCount: startCount})
 	ctx, stop := context.WithCancel(context.Background())
-	g.stop = stop
+	g.cancel = stop
 	if c.Membership {
-		if err := g.join(ctx); err != nil {
+		if err := g.joinFleet(ctx); err != nil {
 			return err
 		}
 	}
 	if c.Limits {
-		if err := g.limit(); err != nil {
+		if err := g.openLimiter(); err != nil {
 			return err
 		}
 	}
@@ -80,13 +80,13 @@
 		return nil
 	}
 	dir := ""
-	if c.Dir != "" {
-		dir = filepath.Join(c.Dir, g.Name)
+	if c.CacheDir != "" {
+		dir = filepath.Join(c.CacheDir, g.Name)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
 	}
-	f, err := openFollower(g, dir, func(c candidate) error { return g.apply(life, c) })
+	f, err := openFollower(g, dir, func(c candidate) error { return g.apply(startCount, c) })
 	if err != nil {
 		return fmt.Errorf("%s: %w", g.Name, err)
 	}
@@ -95,23 +95,23 @@
 }
 
 // apply reports that a candidate is in force or, with an error, that the gatekeeper refuses it.
-func (g *gatekeeper) apply(life int, c candidate) error {
+func (g *gatekeeper) apply(startCount int, c candidate) error {
 	marker := uint64(0)
 	if len(c.sections) > 0 {
 		marker = c.sections[0].Marker
 	}
 	if c.refusable && g.Refuses {
-		g.process.emit(Event{Kind: Refused, Name: g.Name, Life: life, Revision: c.revision, Marker: marker})
+		g.process.emit(Event{Kind: CandidateRefused, Name: g.Name, StartCount: startCount, Revision: c.revision, Marker: marker})
 		return fmt.Errorf("change %d is refused by this gatekeeper", marker)
 	}
-	g.process.emit(Event{Kind: InForce, Name: g.Name, Life: life, Revision: c.revision, Sections: c.sections})
+	g.process.emit(Event{Kind: CandidateApplied, Name: g.Name, StartCount: startCount, Revision: c.revision, Sections: c.sections})
 	return nil
 }
 
-// join joins the gossip group, and starts to publish a register if the configuration asks for it.
-func (g *gatekeeper) join(ctx context.Context) error {
+// joinFleet joins the gossip group, and starts to publish a register if the configuration asks for it.
+func (g *gatekeeper) joinFleet(ctx context.Context) error {
 	f, err := fleet.Open(fleet.Options{Name: g.Name, Zone: g.Zone, Region: g.Region, Group: g.Group, Program: "hollow", Bind: g.Bind, RegisterBytes: g.process.config.RegisterBytes,
-		Seeds: g.process.config.Groups[g.Group].Seeds, Log: quiet()})
+		Seeds: g.process.config.Groups[g.Group].Seeds, Log: errorLogger()})
 	if err != nil {
 		return err
 	}
@@ -119,8 +119,8 @@
 	if !g.process.config.Registers {
 		return nil
 	}
-	g.done.Go(func() {
-		tick := time.NewTicker(registerEvery)
+	g.tasks.Go(func() {
+		tick := time.NewTicker(registerInterval)
 		defer tick.Stop()
 		for n := 0; ; n++ {
 			f.Publish(registers.Rates, fmt.Appendf(nil, "%0*d", registerBytes, n))
@@ -134,22 +134,22 @@
 	return nil
 }
 
-// limit opens the limiter with one leased rule.
-func (g *gatekeeper) limit() error {
-	o := limits.Options{Name: g.Name, Start: uint64(time.Now().UnixMilli()), Now: func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, Log: quiet(),
-		Limits: quota.Limits{Parts: g.process.config.Parts, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: quota.Leased,
-			PerS: 100 * float64(g.process.config.Parts), Burst: 100 * float64(g.process.config.Parts), Floor: 0.02}}}}
+// openLimiter opens the limiter with one leased rule.
+func (g *gatekeeper) openLimiter() error {
+	o := limits.Options{Name: g.Name, Start: uint64(time.Now().UnixMilli()), Now: func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, Log: errorLogger(),
+		Limits: quota.Limits{Parts: g.process.config.LimitSharers, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: quota.Leased,
+			PerS: 100 * float64(g.process.config.LimitSharers), Burst: 100 * float64(g.process.config.LimitSharers), Floor: 0.02}}}}
 	if g.fleet != nil {
 		o.Gossip = g.fleet
 	}
 	machines := g.process.config.Replicas
 	o.Lease = func(ctx context.Context, request []byte) ([]byte, error) {
-		within, cancel := context.WithTimeout(ctx, leaseWithin)
+		within, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
-		at := machines[int(g.leases.opened.Add(1))%len(machines)]
+		at := machines[int(g.leaseTraffic.opened.Add(1))%len(machines)]
 		answer, err := store.ReduceAt(within, at.Address, limits.LeaseKey, request)
-		g.leases.sent.Add(int64(len(request)))
-		g.leases.received.Add(int64(len(answer)))
+		g.leaseTraffic.sent.Add(int64(len(request)))
+		g.leaseTraffic.received.Add(int64(len(answer)))
 		return answer, err
 	}
 	l, err := limits.Open(o)
@@ -157,12 +157,12 @@
 	return err
 }
 
-// end stops the gatekeeper's control side.
-func (g *gatekeeper) end() {
+// shutDown stops the gatekeeper's control side.
+func (g *gatekeeper) shutDown() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.stop != nil {
-		g.stop()
+	if g.cancel != nil {
+		g.cancel()
 	}
 	if g.follower != nil {
 		g.follower.Close()
@@ -171,17 +171,17 @@
 		g.limiter.Close()
 	}
 	if g.fleet != nil {
-		g.gossip.Add(g.fleet.Status().Bytes)
+		g.endedGossipBytes.Add(g.fleet.Status().Bytes)
 		g.fleet.Close()
 	}
-	g.done.Wait()
+	g.tasks.Wait()
 	g.follower, g.limiter, g.fleet = nil, nil, nil
 }
 
 // restart stops the gatekeeper and starts it again after down.
 func (g *gatekeeper) restart(down time.Duration) error {
-	g.process.emit(Event{Kind: Down, Name: g.Name})
-	g.end()
+	g.process.emit(Event{Kind: GatekeeperDown, Name: g.Name})
+	g.shutDown()
 	time.Sleep(down)
 	return g.start()
 }
@@ -202,7 +202,7 @@
 // counts returns the counters of the gatekeeper.
 func (g *gatekeeper) counts() GatekeeperCounts {
 	s, met := g.state()
-	gossip := g.gossip.Load()
+	gossip := g.endedGossipBytes.Load()
 	g.mu.Lock()
 	fresh, oldest := 0, control.Micros(0)
 	if g.fleet != nil {
@@ -213,12 +213,12 @@
 		}
 	}
 	g.mu.Unlock()
-	return GatekeeperCounts{Fresh: fresh, Oldest: int64(oldest), Name: g.Name, Sent: g.traffic.sent.Load(), Received: g.traffic.received.Load(), Opened: g.traffic.opened.Load(),
-		Gossip: gossip, Leases: g.leases.sent.Load() + g.leases.received.Load(), InForce: s.inForce, Highest: s.highest, Met: met}
+	return GatekeeperCounts{FreshRegisters: fresh, OldestRegisterMicros: int64(oldest), Name: g.Name, Sent: g.traffic.sent.Load(), Received: g.traffic.received.Load(), ConnectionsOpened: g.traffic.opened.Load(),
+		GossipBytes: gossip, LeaseBytes: g.leaseTraffic.sent.Load() + g.leaseTraffic.received.Load(), InForce: s.inForce, HighestSeen: s.highest, MembersUp: met}
 }
 
-// quiet returns a logger for errors only: lower levels from many gatekeepers would flood the log.
-func quiet() logrus.FieldLogger {
+// errorLogger returns a logger for errors only: lower levels from many gatekeepers would flood the log.
+func errorLogger() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(os.Stderr)
 	l.SetLevel(logrus.ErrorLevel)
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	flushEvery  = 100 * time.Millisecond
-	pulseEvery  = time.Second
-	mostOpening = 64 // limit of gatekeepers that start or stop concurrently
-	longestLine = 64 << 20
+	flushInterval       = 100 * time.Millisecond
+	figuresInterval     = time.Second
+	maxConcurrentStarts = 64 // limit of gatekeepers that start or stop concurrently
+	maxLineBytes        = 64 << 20
 )
 
 // process is the state of the hollow process.
 type process struct {
 	config      Config
-	began       time.Time
+	runStart    time.Time
 	network     *network
 	site        *control.Site // that settings are checked against; nil: only their form is checked
 	gatekeepers []*gatekeeper
 	byName      map[string]*gatekeeper
 	watchers    []*stuckWatchers
-	work        sync.WaitGroup
+	tasks       sync.WaitGroup
 	fail        context.CancelCauseFunc
 
 	mu      sync.Mutex
@@ -44,7 +44,7 @@
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	if !lines.Scan() {
 		return fmt.Errorf("reading the configuration from standard input: %w", io.ErrUnexpectedEOF)
 	}
@@ -67,18 +67,18 @@
 		}
 	}()
 	err := p.serve(ctx, commands)
-	p.end()
+	p.shutDown()
 	return err
 }
 
 // prepare creates the network, the site and the gatekeepers from the configuration.
 func (p *process) prepare() error {
-	p.began = time.Unix(0, p.config.Began)
+	p.runStart = time.Unix(0, p.config.RunStart)
 	regions := map[string]string{}
 	for _, r := range p.config.Replicas {
 		regions[r.Address] = r.Region
 	}
-	p.network = newNetwork(p.config.Shaped, regions)
+	p.network = newNetwork(p.config.DelayRegions, regions)
 	p.network.delay.Store(int64(p.config.Latency))
 	for _, spec := range p.config.Gatekeepers {
 		g := &gatekeeper{Gatekeeper: spec, process: p}
@@ -92,8 +92,8 @@
 
 // serve starts the gatekeepers and executes commands until the run ends.
 func (p *process) serve(ctx context.Context, commands <-chan Command) error {
-	p.work.Go(func() { p.startAll(ctx) })
-	flush, pulse := time.NewTicker(flushEvery), time.NewTicker(pulseEvery)
+	p.tasks.Go(func() { p.startAll(ctx) })
+	flush, pulse := time.NewTicker(flushInterval), time.NewTicker(figuresInterval)
 	defer flush.Stop()
 	defer pulse.Stop()
 	for {
@@ -104,20 +104,20 @@
 			p.flush()
 		case <-pulse.C:
 			f := p.figures()
-			p.emit(Event{Kind: Pulse, Pulse: &f})
+			p.emit(Event{Kind: PeriodicFigures, Figures: &f})
 		case c, ok := <-commands:
-			if !ok || c.Do == Stop {
+			if !ok || c.Action == Stop {
 				return nil
 			}
-			p.carryOut(ctx, c)
+			p.execute(ctx, c)
 		}
 	}
 }
 
 // startAll starts the gatekeepers, evenly spread over Config.StartOver, or all at the same time if it is 0.
 func (p *process) startAll(ctx context.Context) {
-	free := make(chan struct{}, mostOpening)
-	every := p.config.StartOver / time.Duration(max(1, len(p.gatekeepers)))
+	free := make(chan struct{}, maxConcurrentStarts)
+	every := p.config.StartSpread / time.Duration(max(1, len(p.gatekeepers)))
 	var opening sync.WaitGroup
 	defer opening.Wait()
 	for _, g := range p.gatekeepers {
@@ -138,31 +138,31 @@
 	}
 }
 
-// carryOut executes one command.
-func (p *process) carryOut(ctx context.Context, c Command) {
-	switch c.Do {
-	case Cut, Heal:
-		p.network.setCut(c.Region, c.Do == Cut)
-	case Restart:
+// execute executes one command.
+func (p *process) execute(ctx context.Context, c Command) {
+	switch c.Action {
+	case CutRegion, HealRegion:
+		p.network.setCut(c.Region, c.Action == CutRegion)
+	case RestartGatekeeper:
 		if g := p.byName[c.Name]; g != nil {
-			p.work.Go(func() {
-				if err := g.restart(c.Down); err != nil {
+			p.tasks.Go(func() {
+				if err := g.restart(c.DownTime); err != nil {
 					p.fail(err)
 				}
 			})
 		}
-	case Watch:
+	case OpenStuckWatchers:
 		p.watchers = append(p.watchers, openStuckWatchers(ctx, c.Address, c.Count))
-	case Count:
-		p.emit(Event{Kind: Counted, Counters: p.counters(c.Mark)})
+	case ReportCounters:
+		p.emit(Event{Kind: CountersReported, Counters: p.counters(c.Mark)})
 		p.flush()
 	}
 }
 
 // counters returns the counters of all gatekeepers.
 func (p *process) counters(mark int) *Counters {
-	c := &Counters{Mark: mark, At: time.Since(p.began)}
-	if u, err := child.UsageOf(os.Getpid()); err == nil {
+	c := &Counters{Mark: mark, At: time.Since(p.runStart)}
+	if u, err := child.ReadUsage(os.Getpid()); err == nil {
 		c.CPU = u.CPU
 	}
 	for _, g := range p.gatekeepers {
@@ -175,8 +175,8 @@
 func (p *process) figures() Figures {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	f := Figures{Heap: int64(m.HeapAlloc), Goroutines: runtime.NumGoroutine(), Sessions: map[string]int{}, Met: -1}
-	if u, err := child.UsageOf(os.Getpid()); err == nil {
+	f := Figures{Heap: int64(m.HeapAlloc), Goroutines: runtime.NumGoroutine(), Sessions: map[string]int{}, FewestUp: -1}
+	if u, err := child.ReadUsage(os.Getpid()); err == nil {
 		f.CPU, f.Resident, f.Descriptors = u.CPU, u.Resident, u.Descriptors
 	}
 	for _, g := range p.gatekeepers {
@@ -190,34 +190,34 @@
 		if s.replica != "" {
 			f.Sessions[s.replica]++
 		}
-		if f.Met < 0 || met < f.Met {
-			f.Met = met
+		if f.FewestUp < 0 || met < f.FewestUp {
+			f.FewestUp = met
 		}
 		members := p.config.Groups[g.Group].Members
-		f.Missing, f.Strangers = max(f.Missing, members-met), max(f.Strangers, met-members)
+		f.MostMissing, f.MostUnexpected = max(f.MostMissing, members-met), max(f.MostUnexpected, met-members)
 	}
 	return f
 }
 
-// end reports the result for the stuck watchers and stops all gatekeepers.
-func (p *process) end() {
+// shutDown reports the result for the stuck watchers and stops all gatekeepers.
+func (p *process) shutDown() {
 	if len(p.watchers) > 0 {
-		e := Event{Kind: Watchers}
+		e := Event{Kind: StuckWatchersResult}
 		for _, w := range p.watchers {
-			cutOff, others := w.end(context.Background())
+			cutOff, others := w.close(context.Background())
 			e.CutOff += cutOff
-			e.Open += others
+			e.NotCutOff += others
 		}
 		p.emit(e)
 	}
-	p.work.Wait()
-	free := make(chan struct{}, mostOpening)
+	p.tasks.Wait()
+	free := make(chan struct{}, maxConcurrentStarts)
 	var closing sync.WaitGroup
 	for _, g := range p.gatekeepers {
 		free <- struct{}{}
 		closing.Go(func() {
 			defer func() { <-free }()
-			g.end()
+			g.shutDown()
 		})
 	}
 	closing.Wait()
@@ -229,7 +229,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e.At == 0 {
-		e.At = time.Since(p.began)
+		e.At = time.Since(p.runStart)
 	}
 	p.encoder.Encode(e) // if the laboratory has exited, the input ends too
 }
--- a/internal/scalelab/hollow/stuck.go
+++ b/internal/scalelab/hollow/stuck.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	stuckBuffer   = 4 << 10 // read buffer of the socket in bytes; small, so that the sender soon blocks
-	admitWithin   = 2 * time.Second
-	listWithin    = 5 * time.Second
-	stuckNameForm = "watcher-that-reads-nothing-%d"
+	stuckReadBuffer = 4 << 10 // read buffer of the socket in bytes; small, so that the sender soon blocks
+	admissionDelay  = 2 * time.Second
+	listTimeout     = 5 * time.Second
+	stuckNameFormat = "watcher-that-reads-nothing-%d"
 )
 
 // stuckWatchers are sessions at one control machine whose connections are never read after they are opened.
 type stuckWatchers struct {
 	address  string
 	names    []string
-	stop     context.CancelFunc
-	work     sync.WaitGroup
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
 	admitted []string // names of those that the machine listed admitWithin after they were opened
 }
 
@@ -41,20 +41,20 @@
 
 // openStuckWatchers opens count sessions at a control machine, and lists the admitted ones after admitWithin.
 func openStuckWatchers(ctx context.Context, address string, count int) *stuckWatchers {
-	ctx, stop := context.WithCancel(ctx)
-	w := &stuckWatchers{address: address, stop: stop}
+	ctx, cancel := context.WithCancel(ctx)
+	w := &stuckWatchers{address: address, cancel: cancel}
 	for i := range count {
-		r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: fmt.Sprintf(stuckNameForm, i+1)}}
+		r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: fmt.Sprintf(stuckNameFormat, i+1)}}
 		w.names = append(w.names, r.Session.Name)
-		w.work.Go(func() {
+		w.tasks.Go(func() {
 			store.WatchSession(ctx, stuckDialer(ctx), address, r, nil, func(store.WatchEvent) error { return nil })
 		})
 	}
-	w.work.Go(func() {
+	w.tasks.Go(func() {
 		select {
 		case <-ctx.Done():
-		case <-time.After(admitWithin):
-			w.admitted = w.listed(ctx)
+		case <-time.After(admissionDelay):
+			w.admitted = w.list(ctx)
 		}
 	})
 	return w
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := c.(*net.TCPConn).SetReadBuffer(stuckBuffer); err != nil {
+		if err := c.(*net.TCPConn).SetReadBuffer(stuckReadBuffer); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -76,9 +76,9 @@
 	}
 }
 
-// listed returns the names of the watchers that the control machine lists as sessions, nil if it does not respond.
-func (w *stuckWatchers) listed(ctx context.Context) (names []string) {
-	ctx, cancel := context.WithTimeout(ctx, listWithin)
+// list returns the names of the watchers that the control machine lists as sessions, nil if it does not respond.
+func (w *stuckWatchers) list(ctx context.Context) (names []string) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	sessions, err := store.SessionsFrom(ctx, nil, w.address)
 	if err != nil {
@@ -92,13 +92,13 @@
 	return names
 }
 
-// end closes the watchers. It returns how many the control machine admitted and later cut off, and how many others there are.
-func (w *stuckWatchers) end(ctx context.Context) (cutOff, others int) {
-	standing := w.listed(ctx)
-	w.stop()
-	w.work.Wait()
+// close closes the watchers. It returns how many the control machine admitted and later cut off, and how many others there are.
+func (w *stuckWatchers) close(ctx context.Context) (cutOff, others int) {
+	stillOpen := w.list(ctx)
+	w.cancel()
+	w.tasks.Wait()
 	for _, name := range w.admitted {
-		if !slices.Contains(standing, name) {
+		if !slices.Contains(stillOpen, name) {
 			cutOff++
 		}
 	}
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -97,10 +97,10 @@
 
 // end requests the process to exit, kills it if it does not exit in time, and waits for the end of its output.
 func (h *hollowProcess) end(within time.Duration) {
-	h.tell(hollow.Command{Do: hollow.Stop})
+	h.tell(hollow.Command{Action: hollow.Stop})
 	h.stdin.Close()
 	select {
-	case <-h.process.Gone():
+	case <-h.process.Done():
 	case <-time.After(within):
 		h.process.Kill()
 	}
@@ -128,38 +128,38 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch e.Kind {
-	case hollow.InForce:
-		a := judge.Applied{Gatekeeper: e.Name, Life: e.Life, At: e.At, Revision: e.Revision}
+	case hollow.CandidateApplied:
+		a := judge.Applied{Gatekeeper: e.Name, StartCount: e.StartCount, At: e.At, Revision: e.Revision}
 		for _, s := range e.Sections {
 			a.Sections = append(a.Sections, judge.Section(s))
 		}
 		r.applied = append(r.applied, a)
 		r.inForce[e.Name] = max(r.inForce[e.Name], e.Revision)
 		r.note()
-	case hollow.Refused:
+	case hollow.CandidateRefused:
 		r.refusals = append(r.refusals, judge.Refusal{Gatekeeper: e.Name, At: e.At, Marker: e.Marker})
-	case hollow.Up:
+	case hollow.GatekeeperUp:
 		r.ups++
 		if all := r.outages[e.Name]; len(all) > 0 && all[len(all)-1].To == 0 {
 			all[len(all)-1].To = e.At
-		} else if e.Life == 1 {
+		} else if e.StartCount == 1 {
 			r.outages[e.Name] = append(all, judge.Outage{Gatekeeper: e.Name, To: e.At})
 		}
-	case hollow.Down:
+	case hollow.GatekeeperDown:
 		r.outages[e.Name] = append(r.outages[e.Name], judge.Outage{Gatekeeper: e.Name, From: e.At})
-	case hollow.Pulse:
-		r.pulses[process] = *e.Pulse
-		r.samples = append(r.samples, sample{process, e.At, *e.Pulse})
+	case hollow.PeriodicFigures:
+		r.pulses[process] = *e.Figures
+		r.samples = append(r.samples, sample{process, e.At, *e.Figures})
 		r.note()
-	case hollow.Counted:
+	case hollow.CountersReported:
 		if r.counters[e.Counters.Mark] == nil {
 			r.counters[e.Counters.Mark] = map[int]*hollow.Counters{}
 		}
 		r.counters[e.Counters.Mark][process] = e.Counters
 		r.note()
-	case hollow.Watchers:
+	case hollow.StuckWatchersResult:
 		r.cutOff += e.CutOff
-		r.open += e.Open
+		r.open += e.NotCutOff
 	}
 }
 
@@ -185,15 +185,15 @@
 
 // hollowConfig returns the configuration of hollow process n.
 func hollowConfig(o *Options, p plan, machines []*machine, began time.Time, n int) hollow.Config {
-	c := hollow.Config{Began: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartOver: o.startOver(), Parts: len(p.gatekeepers),
+	c := hollow.Config{RunStart: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartSpread: o.startOver(), LimitSharers: len(p.gatekeepers),
 		Membership: o.With.Membership, Registers: o.With.Registers, RegisterBytes: o.RegisterBytes, Limits: o.With.Limits}
 	for _, f := range o.Faults {
 		if f.Kind == script.Latency {
-			c.Shaped, c.Latency = true, f.Delay
+			c.DelayRegions, c.Latency = true, f.Delay
 		}
 	}
 	if o.Control > 0 {
-		c.Dir = filepath.Join(o.Dir, "gatekeepers")
+		c.CacheDir = filepath.Join(o.Dir, "gatekeepers")
 	}
 	for _, m := range machines {
 		c.Replicas = append(c.Replicas, m.Replica)
--- a/internal/scalelab/judge/judge.go
+++ b/internal/scalelab/judge/judge.go
@@ -13,11 +13,11 @@
 
 // Change is one transaction. It writes all sections of the run with the same marker. Times are relative to the start of the run.
 type Change struct {
-	Marker    uint64
-	Revision  uint64        // of the acknowledged write
-	Began     time.Duration // first write attempt
-	Committed time.Duration // acknowledgement of the write
-	Refusable bool          // the gatekeepers in Log.Refusing must refuse the change
+	Marker       uint64
+	Revision     uint64        // of the acknowledged write
+	WriteStarted time.Duration // first write attempt
+	Committed    time.Duration // acknowledgement of the write
+	Refusable    bool          // the gatekeepers in Log.Refusing must refuse the change
 	// Restamped are further revisions of the same records, assigned when they were restored to a new store.
 	Restamped []uint64
 }
@@ -31,7 +31,7 @@
 // Applied is a candidate that a gatekeeper has put in force.
 type Applied struct {
 	Gatekeeper string
-	Life       int // number of starts of the gatekeeper so far
+	StartCount int // number of starts of the gatekeeper so far
 	At         time.Duration
 	Revision   uint64 // of the candidate
 	Sections   []Section
@@ -61,7 +61,7 @@
 	Refusals    []Refusal
 	Outages     []Outage
 	End         time.Duration // end of the recording
-	Within      time.Duration // time limit for a change to be in force, from its commit or from the end of an outage
+	TimeLimit   time.Duration // time limit for a change to be in force, from its commit or from the end of an outage
 }
 
 // Rule is the name of a rule, as it appears in reports.
@@ -69,21 +69,21 @@
 
 // The rules that a run can break.
 const (
-	Back        Rule = "old revision after new"  // a section went back to an earlier record
-	OutOfOrder  Rule = "applied out of order"    // a candidate was applied after one of a higher revision
-	Twice       Rule = "applied twice"           // the same records were applied again without a restart
-	Mix         Rule = "mix of two revisions"    // the sections of a candidate belong to different changes
-	Unknown     Rule = "never written"           // a marker or revision that was not written in the run
-	HeldRefused Rule = "refused one held"        // a gatekeeper applied a change that it must refuse
-	NotRefused  Rule = "refusal missing"         // no gatekeeper refused a change that some must refuse
-	Late        Rule = "in force too late"       // a change came into force later than Log.Within allows
-	Lost        Rule = "lost"                    // neither the change nor a later one came into force
-	Sent        Rule = "refused without a cause" // a gatekeeper refused a change that it must apply
+	WentBack          Rule = "old revision after new"  // a section went back to an earlier record
+	OutOfOrder        Rule = "applied out of order"    // a candidate was applied after one of a higher revision
+	AppliedTwice      Rule = "applied twice"           // the same records were applied again without a restart
+	MixedChanges      Rule = "mix of two revisions"    // the sections of a candidate belong to different changes
+	NeverWritten      Rule = "never written"           // a marker or revision that was not written in the run
+	AppliedRefused    Rule = "refused one held"        // a gatekeeper applied a change that it must refuse
+	RefusalMissing    Rule = "refusal missing"         // no gatekeeper refused a change that some must refuse
+	Late              Rule = "in force too late"       // a change came into force later than Log.Within allows
+	Lost              Rule = "lost"                    // neither the change nor a later one came into force
+	UnexpectedRefusal Rule = "refused without a cause" // a gatekeeper refused a change that it must apply
 )
 
 // Rules returns all rules.
 func Rules() []Rule {
-	return []Rule{Back, OutOfOrder, Twice, Mix, Unknown, HeldRefused, NotRefused, Late, Lost, Sent}
+	return []Rule{WentBack, OutOfOrder, AppliedTwice, MixedChanges, NeverWritten, AppliedRefused, RefusalMissing, Late, Lost, UnexpectedRefusal}
 }
 
 // Violation is one breach of a rule by one gatekeeper. At is relative to the start of the run.
@@ -101,41 +101,41 @@
 
 // Delay is the time that one change took to come into force at one gatekeeper.
 type Delay struct {
-	Marker     uint64
-	Gatekeeper string
-	Commit     time.Duration // from the acknowledged commit; 0 if the change was in force before the acknowledgement
-	Put        time.Duration // from the first write attempt
-	Outage     bool          // the gatekeeper had an outage in that time, which Commit and Put include
-	Healed     time.Duration // from the end of the outage; 0 without an outage
+	Marker      uint64
+	Gatekeeper  string
+	SinceCommit time.Duration // from the acknowledged commit; 0 if the change was in force before the acknowledgement
+	SinceWrite  time.Duration // from the first write attempt
+	Outage      bool          // the gatekeeper had an outage in that time, which Commit and Put include
+	SinceOutage time.Duration // from the end of the outage; 0 without an outage
 }
 
 // Verdict is the result of Check.
 type Verdict struct {
-	Counts  map[Rule]int // number of violations; every rule has an entry
-	First   []Violation  // the first violations, at most mostNamed
-	Delays  []Delay
-	Skipped int // pairs of change and gatekeeper where a later change came into force instead
-	Open    int // pairs of change and gatekeeper that were not due by the end of the run
+	Counts     map[Rule]int // number of violations; every rule has an entry
+	Listed     []Violation  // the first violations, at most mostNamed
+	Delays     []Delay
+	Superseded int // pairs of change and gatekeeper where a later change came into force instead
+	Unjudged   int // pairs of change and gatekeeper that were not due by the end of the run
 }
 
-// mostNamed is the limit of Verdict.First.
-const mostNamed = 20
+// maxListed is the limit of Verdict.First.
+const maxListed = 20
 
-// Held reports whether no rule was broken.
-func (v *Verdict) Held() bool {
-	for _, n := range v.Counts {
-		if n > 0 {
+// Passed reports whether no rule was broken.
+func (v *Verdict) Passed() bool {
+	for _, count := range v.Counts {
+		if count > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// broken counts a violation and lists it if there is room.
-func (v *Verdict) broken(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
-	v.Counts[rule]++
-	if len(v.First) < mostNamed {
-		v.First = append(v.First, Violation{rule, gatekeeper, marker, at, detail})
+// addViolation counts a violation and lists it if there is room.
+func (verdict *Verdict) addViolation(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
+	verdict.Counts[rule]++
+	if len(verdict.Listed) < maxListed {
+		verdict.Listed = append(verdict.Listed, Violation{rule, gatekeeper, marker, at, detail})
 	}
 }
 
@@ -147,11 +147,11 @@
 	}
 	c := newChecker(l, v)
 	for _, gatekeeper := range l.Gatekeepers {
-		c.order(gatekeeper)
-		c.times(gatekeeper)
+		c.checkOrder(gatekeeper)
+		c.checkTimes(gatekeeper)
 	}
-	c.refusals()
-	slices.SortStableFunc(v.First, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	c.checkRefusals()
+	slices.SortStableFunc(v.Listed, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return v
 }
 
@@ -159,33 +159,33 @@
 type checker struct {
 	Log
 	verdict  *Verdict
-	byMarker map[uint64]span
+	byMarker map[uint64]revisionSet
 	applied  map[string][]Applied
 	outages  map[string][]Outage
 }
 
-// span is the set of revisions that the records of a change can have. A write whose response was lost is repeated with the
+// revisionSet is the set of revisions that the records of a change can have. A write whose response was lost is repeated with the
 // same marker, so each revision above that of the preceding change, up to the acknowledged one, can belong to the change.
-type span struct {
-	above, upTo uint64
+type revisionSet struct {
+	after, upTo uint64
 	restamped   []uint64
 	refusable   bool
 }
 
-// holds reports whether records of the change can have the revision.
-func (s span) holds(revision uint64) bool {
-	return revision > s.above && revision <= s.upTo || slices.Contains(s.restamped, revision)
+// contains reports whether records of the change can have the revision.
+func (s revisionSet) contains(revision uint64) bool {
+	return revision > s.after && revision <= s.upTo || slices.Contains(s.restamped, revision)
 }
 
 // newChecker indexes the log by marker and by gatekeeper, and sorts it.
 func newChecker(l Log, v *Verdict) *checker {
-	c := &checker{Log: l, verdict: v, byMarker: map[uint64]span{}, applied: map[string][]Applied{}, outages: map[string][]Outage{}}
+	c := &checker{Log: l, verdict: v, byMarker: map[uint64]revisionSet{}, applied: map[string][]Applied{}, outages: map[string][]Outage{}}
 	c.Changes = slices.Clone(l.Changes)
 	slices.SortFunc(c.Changes, func(a, b Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	before := uint64(0)
+	previous := uint64(0)
 	for _, change := range c.Changes {
-		c.byMarker[change.Marker] = span{before, change.Revision, change.Restamped, change.Refusable}
-		before = change.Revision
+		c.byMarker[change.Marker] = revisionSet{previous, change.Revision, change.Restamped, change.Refusable}
+		previous = change.Revision
 	}
 	for _, a := range l.Applied {
 		c.applied[a.Gatekeeper] = append(c.applied[a.Gatekeeper], a)
@@ -202,71 +202,71 @@
 	return c
 }
 
-// order checks each candidate of a gatekeeper against the preceding ones.
-func (c *checker) order(gatekeeper string) {
+// checkOrder checks each candidate of a gatekeeper against the preceding ones.
+func (c *checker) checkOrder(gatekeeper string) {
 	var highest uint64
-	var newest, last []uint64 // revisions by section: the highest so far, and those of the preceding candidate
-	life := -1
+	var highestBySection, previous []uint64 // revisions by section: the highest so far, and those of the preceding candidate
+	startCount := -1
 	for _, a := range c.applied[gatekeeper] {
-		c.content(a)
+		c.checkContent(a)
 		if a.Revision < highest {
-			c.broken(OutOfOrder, a, fmt.Sprintf("candidate of revision %d after revision %d", a.Revision, highest))
+			c.addViolation(OutOfOrder, a, fmt.Sprintf("candidate of revision %d after revision %d", a.Revision, highest))
 		}
 		highest = max(highest, a.Revision)
-		now := make([]uint64, len(a.Sections))
+		revisions := make([]uint64, len(a.Sections))
 		for i, s := range a.Sections {
-			now[i] = s.Revision
-			if i < len(newest) && s.Revision < newest[i] {
-				c.broken(Back, a, fmt.Sprintf("section %d at revision %d after %d", i, s.Revision, newest[i]))
+			revisions[i] = s.Revision
+			if i < len(highestBySection) && s.Revision < highestBySection[i] {
+				c.addViolation(WentBack, a, fmt.Sprintf("section %d at revision %d after %d", i, s.Revision, highestBySection[i]))
 			}
 		}
-		if a.Life == life && slices.Equal(now, last) {
-			c.broken(Twice, a, fmt.Sprintf("records of revisions %v again", now))
+		if a.StartCount == startCount && slices.Equal(revisions, previous) {
+			c.addViolation(AppliedTwice, a, fmt.Sprintf("records of revisions %v again", revisions))
 		}
-		for i := range now {
-			if i == len(newest) {
-				newest = append(newest, 0)
+		for i := range revisions {
+			if i == len(highestBySection) {
+				highestBySection = append(highestBySection, 0)
 			}
-			newest[i] = max(newest[i], now[i])
+			highestBySection[i] = max(highestBySection[i], revisions[i])
 		}
-		last, life = now, a.Life
+		previous, startCount = revisions, a.StartCount
 	}
 }
 
-// content checks one candidate without regard to others.
-func (c *checker) content(a Applied) {
+// checkContent checks one candidate without regard to others.
+func (c *checker) checkContent(a Applied) {
 	if len(a.Sections) != c.Sections {
-		c.broken(Mix, a, fmt.Sprintf("%d sections instead of %d", len(a.Sections), c.Sections))
+		c.addViolation(MixedChanges, a, fmt.Sprintf("%d sections instead of %d", len(a.Sections), c.Sections))
 	}
 	for _, s := range a.Sections {
 		if s != a.Sections[0] {
-			c.broken(Mix, a, fmt.Sprintf("sections of change %d at revision %d and of change %d at revision %d", a.Sections[0].Marker, a.Sections[0].Revision, s.Marker, s.Revision))
+			c.addViolation(MixedChanges, a, fmt.Sprintf("sections of change %d at revision %d and of change %d at revision %d", a.Sections[0].Marker, a.Sections[0].Revision, s.Marker, s.Revision))
 			break
 		}
 	}
 	for _, s := range a.Sections {
-		known, ok := c.byMarker[s.Marker]
-		if !ok || !known.holds(s.Revision) || s.Revision > a.Revision {
-			c.broken(Unknown, a, fmt.Sprintf("change %d at revision %d in a candidate of revision %d", s.Marker, s.Revision, a.Revision))
+		allowed, ok := c.byMarker[s.Marker]
+		if !ok || !allowed.contains(s.Revision) || s.Revision > a.Revision {
+			c.addViolation(NeverWritten, a, fmt.Sprintf("change %d at revision %d in a candidate of revision %d", s.Marker, s.Revision, a.Revision))
 			break
 		}
-		if known.refusable && c.Refusing[a.Gatekeeper] {
-			c.broken(HeldRefused, a, "in force at a gatekeeper that must refuse it")
+		if allowed.refusable && c.Refusing[a.Gatekeeper] {
+			c.addViolation(AppliedRefused, a, "in force at a gatekeeper that must refuse it")
 			break
 		}
 	}
 }
 
-func (c *checker) broken(rule Rule, a Applied, detail string) {
+func (c *checker) addViolation(rule Rule, applied Applied, detail string) {
 	marker := uint64(0)
-	if len(a.Sections) > 0 {
-		marker = a.Sections[0].Marker
+	if len(applied.Sections) > 0 {
+		marker = applied.Sections[0].Marker
 	}
-	c.verdict.broken(rule, a.Gatekeeper, marker, a.At, detail)
+	c.verdict.addViolation(rule, applied.Gatekeeper, marker, applied.At, detail)
 }
 
-// times checks that each change, or a later one instead, came into force at a gatekeeper in time.
-func (c *checker) times(gatekeeper string) {
+// checkTimes checks that each change, or a later one instead, came into force at a gatekeeper in time.
+func (c *checker) checkTimes(gatekeeper string) {
 	applied := c.applied[gatekeeper]
 	next := 0
 	for i, change := range c.Changes {
@@ -276,89 +276,89 @@
 		for next < len(applied) && applied[next].Revision < change.Revision {
 			next++
 		}
-		seen := time.Duration(math.MaxInt64)
+		inForceAt := time.Duration(math.MaxInt64)
 		if next < len(applied) {
-			seen = applied[next].At
+			inForceAt = applied[next].At
 		}
-		due, healed := c.dueBehindRefused(gatekeeper, i, seen)
+		due, outageEnd := c.dueAfterRefusals(gatekeeper, i, inForceAt)
 		if next == len(applied) {
-			c.missing(gatekeeper, change, due)
+			c.reportMissing(gatekeeper, change, due)
 			continue
 		}
 		at := applied[next].At
 		if at > due {
-			c.verdict.broken(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after the time limit", at-due))
+			c.verdict.addViolation(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after the time limit", at-due))
 		}
 		if len(applied[next].Sections) > 0 && applied[next].Sections[0].Marker != change.Marker {
-			c.verdict.Skipped++
+			c.verdict.Superseded++
 		}
-		d := Delay{Marker: change.Marker, Gatekeeper: gatekeeper, Commit: max(0, at-change.Committed), Put: max(0, at-change.Began)}
-		if healed > 0 {
-			d.Outage, d.Healed = true, max(0, at-healed)
+		delay := Delay{Marker: change.Marker, Gatekeeper: gatekeeper, SinceCommit: max(0, at-change.Committed), SinceWrite: max(0, at-change.WriteStarted)}
+		if outageEnd > 0 {
+			delay.Outage, delay.SinceOutage = true, max(0, at-outageEnd)
 		}
-		c.verdict.Delays = append(c.verdict.Delays, d)
+		c.verdict.Delays = append(c.verdict.Delays, delay)
 	}
 }
 
-// missing handles a change that did not come into force, with no later one in force either.
-func (c *checker) missing(gatekeeper string, change Change, due time.Duration) {
+// reportMissing handles a change that did not come into force, with no later one in force either.
+func (c *checker) reportMissing(gatekeeper string, change Change, due time.Duration) {
 	if due > c.End {
-		c.verdict.Open++
+		c.verdict.Unjudged++
 		return
 	}
-	c.verdict.broken(Lost, gatekeeper, change.Marker, c.End, fmt.Sprintf("committed at %v, due at %v", change.Committed, due))
+	c.verdict.addViolation(Lost, gatekeeper, change.Marker, c.End, fmt.Sprintf("committed at %v, due at %v", change.Committed, due))
 }
 
-// dueBehindRefused is like due, but takes refusals into account: a change that reaches a gatekeeper together with a later one
+// dueAfterRefusals is like due, but takes refusals into account: a change that reaches a gatekeeper together with a later one
 // that the gatekeeper must refuse only comes into force with the next change that it applies.
-func (c *checker) dueBehindRefused(gatekeeper string, i int, seen time.Duration) (due, healed time.Duration) {
-	due, healed = c.due(gatekeeper, c.Changes[i].Committed, seen)
+func (c *checker) dueAfterRefusals(gatekeeper string, i int, inForceAt time.Duration) (due, outageEnd time.Duration) {
+	due, outageEnd = c.due(gatekeeper, c.Changes[i].Committed, inForceAt)
 	if !c.Refusing[gatekeeper] {
-		return due, healed
+		return due, outageEnd
 	}
 	for i++; i < len(c.Changes) && c.Changes[i].Refusable && c.Changes[i].Committed < due; i++ {
 		if i+1 == len(c.Changes) {
-			return math.MaxInt64, healed
+			return math.MaxInt64, outageEnd
 		}
-		due, healed = c.due(gatekeeper, c.Changes[i+1].Committed, seen)
+		due, outageEnd = c.due(gatekeeper, c.Changes[i+1].Committed, inForceAt)
 	}
-	return due, healed
+	return due, outageEnd
 }
 
 // due returns the time by which a change must be in force at a gatekeeper, and the end of the last outage between its commit
 // and seen, the time at which it came into force; healed is 0 without an outage.
-func (c *checker) due(gatekeeper string, committed, seen time.Duration) (due, healed time.Duration) {
-	due = committed + c.Within
-	for _, o := range c.outages[gatekeeper] {
-		to := o.To
+func (c *checker) due(gatekeeper string, committed, inForceAt time.Duration) (due, outageEnd time.Duration) {
+	due = committed + c.TimeLimit
+	for _, outage := range c.outages[gatekeeper] {
+		to := outage.To
 		if to == 0 { // not over at the end of the run
 			to = math.MaxInt64 / 2
 		}
-		if o.From <= due && o.From < seen && to > committed {
-			healed = to
-			due = max(due, to+c.Within)
+		if outage.From <= due && outage.From < inForceAt && to > committed {
+			outageEnd = to
+			due = max(due, to+c.TimeLimit)
 		}
 	}
-	return due, healed
+	return due, outageEnd
 }
 
-// refusals checks that each refusal was expected, and that each refusable change was refused by some gatekeeper.
-func (c *checker) refusals() {
+// checkRefusals checks that each refusal was expected, and that each refusable change was refused by some gatekeeper.
+func (c *checker) checkRefusals() {
 	refused := map[uint64]bool{}
-	for _, r := range c.Refusals {
-		known, ok := c.byMarker[r.Marker]
-		if !ok || !known.refusable || !c.Refusing[r.Gatekeeper] {
-			c.verdict.broken(Sent, r.Gatekeeper, r.Marker, r.At, "the gatekeeper must apply the change")
+	for _, refusal := range c.Refusals {
+		change, ok := c.byMarker[refusal.Marker]
+		if !ok || !change.refusable || !c.Refusing[refusal.Gatekeeper] {
+			c.verdict.addViolation(UnexpectedRefusal, refusal.Gatekeeper, refusal.Marker, refusal.At, "the gatekeeper must apply the change")
 			continue
 		}
-		refused[r.Marker] = true
+		refused[refusal.Marker] = true
 	}
 	if len(c.Refusing) == 0 {
 		return
 	}
 	for _, change := range c.Changes {
-		if change.Refusable && !refused[change.Marker] && change.Committed+c.Within <= c.End {
-			c.verdict.broken(NotRefused, "", change.Marker, change.Committed, "no gatekeeper refused it")
+		if change.Refusable && !refused[change.Marker] && change.Committed+c.TimeLimit <= c.End {
+			c.verdict.addViolation(RefusalMissing, "", change.Marker, change.Committed, "no gatekeeper refused it")
 		}
 	}
 }
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -125,7 +125,7 @@
 		p.machines = append(p.machines, machineSpec{hollow.Replica{Name: fmt.Sprintf("c%02d", i+1), Zone: zoneName(zone),
 			Region: regionName(zone, o.Regions)}, i < o.Voters})
 	}
-	refusals := script.Has(o.Faults, script.Refuse)
+	refusals := script.Contains(o.Faults, script.Refuse)
 	for i := range o.Gatekeepers {
 		zone := i % o.Zones
 		g := hollow.Gatekeeper{Name: fmt.Sprintf("g%05d", i+1), Zone: zoneName(zone), Region: regionName(zone, o.Regions),
@@ -181,7 +181,7 @@
 
 // startOver returns the time over which the starts of the gatekeepers are spread; 0: all start at the same time.
 func (o *Options) startOver() time.Duration {
-	if script.Has(o.Faults, script.StartAtOnce) {
+	if script.Contains(o.Faults, script.StartAtOnce) {
 		return 0
 	}
 	const startsPerSecond = 150
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -94,7 +94,7 @@
 
 // checkDescriptors returns an error if the limit of file descriptors is too low for a hollow process.
 func checkDescriptors(o *Options) error {
-	allowed, err := child.Descriptors()
+	allowed, err := child.DescriptorLimit()
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 		return err
 	}
 	l.measured.from = time.Since(l.began)
-	busy, err := child.MachineBusy()
+	busy, err := child.MachineCPUTime()
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 		return err
 	}
 	l.measured.to = time.Since(l.began)
-	after, err := child.MachineBusy()
+	after, err := child.MachineCPUTime()
 	if err != nil {
 		return err
 	}
@@ -265,10 +265,10 @@
 	defer l.record.mu.Unlock()
 	met = -1
 	for _, p := range l.record.pulses {
-		if met < 0 || p.Met < met {
-			met = p.Met
+		if met < 0 || p.FewestUp < met {
+			met = p.FewestUp
 		}
-		missing = max(missing, p.Missing)
+		missing = max(missing, p.MostMissing)
 	}
 	if len(l.record.pulses) < l.options.Hollow {
 		met, missing = -1, -1
@@ -279,8 +279,8 @@
 // alive returns an error if a hollow process has exited or has sent an invalid event.
 func (l *laboratory) alive() error {
 	for i, h := range l.hollows {
-		if h.process.Over() {
-			return fmt.Errorf("hollow%d exited unexpectedly (%v): see its log", i+1, h.process.State())
+		if h.process.Exited() {
+			return fmt.Errorf("hollow%d exited unexpectedly (%v): see its log", i+1, h.process.ExitState())
 		}
 	}
 	l.record.mu.Lock()
@@ -294,7 +294,7 @@
 // count requests the counters of every hollow process and waits for them.
 func (l *laboratory) count(ctx context.Context, mark int) error {
 	for _, h := range l.hollows {
-		if err := h.tell(hollow.Command{Do: hollow.Count, Mark: mark}); err != nil {
+		if err := h.tell(hollow.Command{Action: hollow.ReportCounters, Mark: mark}); err != nil {
 			return err
 		}
 	}
@@ -438,20 +438,20 @@
 	if l.plane != nil {
 		for _, m := range l.plane.machines {
 			if m.crashed() {
-				problems = append(problems, fmt.Sprintf("%s exited unexpectedly: %v", m.Name, m.process.State()))
+				problems = append(problems, fmt.Sprintf("%s exited unexpectedly: %v", m.Name, m.process.ExitState()))
 			}
 		}
 	}
 	l.record.mu.Lock()
 	for _, p := range l.record.pulses {
-		if p.Strangers > 0 {
-			problems = append(problems, fmt.Sprintf("a gatekeeper knows %d members that are not of its group", p.Strangers))
+		if p.MostUnexpected > 0 {
+			problems = append(problems, fmt.Sprintf("a gatekeeper knows %d members that are not of its group", p.MostUnexpected))
 		}
 	}
 	l.record.mu.Unlock()
 	for i, h := range l.hollows {
-		if h.process.Over() {
-			problems = append(problems, fmt.Sprintf("hollow%d exited unexpectedly: %v", i+1, h.process.State()))
+		if h.process.Exited() {
+			problems = append(problems, fmt.Sprintf("hollow%d exited unexpectedly: %v", i+1, h.process.ExitState()))
 		}
 	}
 	return problems
@@ -494,7 +494,7 @@
 	l.record.mu.Lock()
 	defer l.record.mu.Unlock()
 	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.record.applied, Refusals: l.record.refusals,
-		End: l.ended, Within: within}
+		End: l.ended, TimeLimit: within}
 	for _, g := range l.plan.gatekeepers {
 		log.Gatekeepers = append(log.Gatekeepers, g.Name)
 		if g.Refuses {
--- a/internal/scalelab/script/script.go
+++ b/internal/scalelab/script/script.go
@@ -44,10 +44,10 @@
 
 // Limits of a script.
 const (
-	mostFaults = 100
-	mostAt     = time.Hour
-	mostDelay  = time.Second
-	mostCount  = 100000
+	maxFaults = 100
+	maxTime   = time.Hour
+	maxDelay  = time.Second
+	maxCount  = 100000
 )
 
 // Fault is one fault of a script. At is relative to the start of the measured time.
@@ -60,8 +60,8 @@
 	Delay  time.Duration // of latency
 }
 
-// usual are the parameters of a fault that is given by its name alone.
-var usual = map[Kind]Fault{
+// defaultFaults are the parameters of a fault that is given by its name alone.
+var defaultFaults = map[Kind]Fault{
 	KillLeader:   {At: 10 * time.Second, For: 10 * time.Second},
 	KillZone:     {At: 10 * time.Second, For: 20 * time.Second},
 	CutRegion:    {At: 10 * time.Second, For: 60 * time.Second},
@@ -80,8 +80,8 @@
 
 // Kinds returns the names of all kinds, sorted.
 func Kinds() []string {
-	names := make([]string, 0, len(usual))
-	for kind := range usual {
+	names := make([]string, 0, len(defaultFaults))
+	for kind := range defaultFaults {
 		names = append(names, string(kind))
 	}
 	slices.Sort(names)
@@ -90,19 +90,19 @@
 
 // Error is an error in a script.
 type Error struct {
-	File string // "" for names given on the command line
-	Line int    // 0: the error concerns the whole file
-	What string
+	File    string // "" for names given on the command line
+	Line    int    // 0: the error concerns the whole file
+	Message string
 }
 
 func (e *Error) Error() string {
 	switch {
 	case e.File == "":
-		return "--faults: " + e.What
+		return "--faults: " + e.Message
 	case e.Line == 0:
-		return e.File + ": " + e.What
+		return e.File + ": " + e.Message
 	}
-	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What)
+	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Message)
 }
 
 // Advice implements advice.Error.
@@ -112,22 +112,22 @@
 
 // Load parses the value of --faults: "" for no faults, kinds joined with "+", or the name of a file (which contains a "." or a
 // "/").
-func Load(what string) ([]Fault, error) {
-	if what == "" {
+func Load(spec string) ([]Fault, error) {
+	if spec == "" {
 		return nil, nil
 	}
-	if strings.ContainsAny(what, "./") {
-		text, err := os.ReadFile(what)
+	if strings.ContainsAny(spec, "./") {
+		text, err := os.ReadFile(spec)
 		if err != nil {
-			return nil, &Error{File: what, What: "cannot be read: " + err.Error()}
+			return nil, &Error{File: spec, Message: "cannot be read: " + err.Error()}
 		}
-		return Parse(what, text)
+		return Parse(spec, text)
 	}
 	var faults []Fault
-	for _, name := range strings.Split(what, "+") {
-		fault, ok := usual[Kind(name)]
+	for _, name := range strings.Split(spec, "+") {
+		fault, ok := defaultFaults[Kind(name)]
 		if !ok {
-			return nil, &Error{What: fmt.Sprintf("%q is no kind of fault%s", name, jsonfile.Hint(name, Kinds()))}
+			return nil, &Error{Message: fmt.Sprintf("%q is no kind of fault%s", name, jsonfile.Hint(name, Kinds()))}
 		}
 		fault.Kind = Kind(name)
 		faults = append(faults, fault)
@@ -135,8 +135,8 @@
 	return faults, nil
 }
 
-// item is a fault as it is written in the file.
-type item struct {
+// faultItem is a fault as it is written in the file.
+type faultItem struct {
 	At     string `yaml:"at"`
 	For    string `yaml:"for"`
 	Fault  string `yaml:"fault"`
@@ -153,57 +153,57 @@
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
 	if err := decoder.Decode(&document); err != nil && !errors.Is(err, io.EOF) {
-		return nil, &Error{File: file, What: strings.TrimPrefix(err.Error(), "yaml: ")}
+		return nil, &Error{File: file, Message: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
-	if len(document.Faults) > mostFaults {
-		return nil, &Error{File: file, What: fmt.Sprintf("%d faults, the limit is %d", len(document.Faults), mostFaults)}
+	if len(document.Faults) > maxFaults {
+		return nil, &Error{File: file, Message: fmt.Sprintf("%d faults, the limit is %d", len(document.Faults), maxFaults)}
 	}
 	var faults []Fault
 	for i := range document.Faults {
-		fault, err := parseOne(&document.Faults[i])
+		fault, err := parseFault(&document.Faults[i])
 		if err != nil {
-			return nil, &Error{File: file, Line: document.Faults[i].Line, What: err.Error()}
+			return nil, &Error{File: file, Line: document.Faults[i].Line, Message: err.Error()}
 		}
 		faults = append(faults, fault)
 	}
 	return faults, nil
 }
 
-func parseOne(node *yaml.Node) (Fault, error) {
-	var in item
+func parseFault(node *yaml.Node) (Fault, error) {
+	var item faultItem
 	text, err := yaml.Marshal(node)
 	if err == nil {
 		decoder := yaml.NewDecoder(bytes.NewReader(text))
 		decoder.KnownFields(true)
-		err = decoder.Decode(&in)
+		err = decoder.Decode(&item)
 	}
 	if err != nil {
 		return Fault{}, errors.New(strings.TrimPrefix(err.Error(), "yaml: "))
 	}
-	fault, ok := usual[Kind(in.Fault)]
+	fault, ok := defaultFaults[Kind(item.Fault)]
 	if !ok {
-		return Fault{}, fmt.Errorf("fault %q is no kind%s", in.Fault, jsonfile.Hint(in.Fault, Kinds()))
+		return Fault{}, fmt.Errorf("fault %q is no kind%s", item.Fault, jsonfile.Hint(item.Fault, Kinds()))
 	}
-	fault.Kind, fault.Region = Kind(in.Fault), in.Region
-	if in.Count < 0 || in.Count > mostCount {
-		return Fault{}, fmt.Errorf("count is %d, must be 0 to %d", in.Count, mostCount)
+	fault.Kind, fault.Region = Kind(item.Fault), item.Region
+	if item.Count < 0 || item.Count > maxCount {
+		return Fault{}, fmt.Errorf("count is %d, must be 0 to %d", item.Count, maxCount)
 	}
-	if in.Count > 0 {
-		fault.Count = in.Count
+	if item.Count > 0 {
+		fault.Count = item.Count
 	}
-	for _, span := range []struct {
+	for _, field := range []struct {
 		name, text string
-		to         *time.Duration
-		most       time.Duration
-	}{{"at", in.At, &fault.At, mostAt}, {"for", in.For, &fault.For, mostAt}, {"delay", in.Delay, &fault.Delay, mostDelay}} {
-		if span.text == "" {
+		value      *time.Duration
+		limit      time.Duration
+	}{{"at", item.At, &fault.At, maxTime}, {"for", item.For, &fault.For, maxTime}, {"delay", item.Delay, &fault.Delay, maxDelay}} {
+		if field.text == "" {
 			continue
 		}
-		d, err := time.ParseDuration(span.text)
-		if err != nil || d < 0 || d > span.most {
-			return Fault{}, fmt.Errorf("%s is %q, must be a duration from 0 to %v, such as 10s", span.name, span.text, span.most)
+		duration, err := time.ParseDuration(field.text)
+		if err != nil || duration < 0 || duration > field.limit {
+			return Fault{}, fmt.Errorf("%s is %q, must be a duration from 0 to %v, such as 10s", field.name, field.text, field.limit)
 		}
-		*span.to = d
+		*field.value = duration
 	}
 	return fault, nil
 }
@@ -216,7 +216,7 @@
 	return end
 }
 
-// Has reports whether a script contains a fault of the kind.
-func Has(faults []Fault, kind Kind) bool {
+// Contains reports whether a script contains a fault of the kind.
+func Contains(faults []Fault, kind Kind) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool { return f.Kind == kind })
 }
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -63,7 +63,7 @@
 		}
 	}
 	s.Descriptors.Needed = needDescriptors(o)
-	s.Descriptors.Allowed, _ = child.Descriptors()
+	s.Descriptors.Allowed, _ = child.DescriptorLimit()
 	return s
 }
 
@@ -142,9 +142,9 @@
 			a := after.Gatekeepers[i]
 			sent = append(sent, float64(a.Sent-b.Sent)/span)
 			received = append(received, float64(a.Received-b.Received)/span)
-			gossip = append(gossip, float64(a.Gossip-b.Gossip)/span)
-			leases = append(leases, float64(a.Leases-b.Leases)/span)
-			opened = append(opened, float64(a.Opened-b.Opened))
+			gossip = append(gossip, float64(a.GossipBytes-b.GossipBytes)/span)
+			leases = append(leases, float64(a.LeaseBytes-b.LeaseBytes)/span)
+			opened = append(opened, float64(a.ConnectionsOpened-b.ConnectionsOpened))
 		}
 		cpu = append(cpu, (after.CPU-before.CPU).Seconds()/(after.At-before.At).Seconds()/float64(len(before.Gatekeepers)))
 	}
@@ -192,7 +192,7 @@
 	var took []float64
 	for _, a := range l.record.applied {
 		all := l.record.outages[a.Gatekeeper]
-		if a.Life != 1 || seen[a.Gatekeeper] || len(all) == 0 {
+		if a.StartCount != 1 || seen[a.Gatekeeper] || len(all) == 0 {
 			continue
 		}
 		seen[a.Gatekeeper] = true
@@ -305,8 +305,8 @@
 	defer l.record.mu.Unlock()
 	for _, c := range l.record.counters[atEnd] {
 		for _, g := range c.Gatekeepers {
-			parts = append(parts, float64(g.Fresh)/float64(members[groupOf[g.Name]]))
-			ages = append(ages, float64(g.Oldest)/1e6)
+			parts = append(parts, float64(g.FreshRegisters)/float64(members[groupOf[g.Name]]))
+			ages = append(ages, float64(g.OldestRegisterMicros)/1e6)
 		}
 	}
 	return spreadOf(parts), spreadOf(ages)
@@ -320,8 +320,8 @@
 	changes, retries := l.writer.all()
 	v := judge.Check(l.logOf(changes))
 	s := &r.Settings
-	s.Changes, s.Retries, s.Pairs, s.Superseded, s.Unjudged = len(changes), retries, len(v.Delays), v.Skipped, v.Open
-	s.RefusedHeld, s.AllStartedS = v.Counts[judge.HeldRefused], seconds(l.started)
+	s.Changes, s.Retries, s.Pairs, s.Superseded, s.Unjudged = len(changes), retries, len(v.Delays), v.Superseded, v.Unjudged
+	s.RefusedHeld, s.AllStartedS = v.Counts[judge.AppliedRefused], seconds(l.started)
 	l.record.mu.Lock()
 	s.Refusals, s.AppliedTotal, s.CutOff, s.StuckNotCut = len(l.record.refusals), len(l.record.applied), l.record.cutOff, l.record.open
 	l.record.mu.Unlock()
@@ -332,15 +332,15 @@
 			continue
 		}
 		if d.Outage {
-			healed = append(healed, seconds(d.Healed))
+			healed = append(healed, seconds(d.SinceOutage))
 			continue
 		}
-		commit, put = append(commit, seconds(d.Commit)), append(put, seconds(d.Put))
-		slowest[d.Marker] = max(slowest[d.Marker], seconds(d.Commit))
+		commit, put = append(commit, seconds(d.SinceCommit)), append(put, seconds(d.SinceWrite))
+		slowest[d.Marker] = max(slowest[d.Marker], seconds(d.SinceCommit))
 	}
 	var all, writes []float64
 	for _, c := range changes {
-		writes = append(writes, seconds(c.Committed-c.Began))
+		writes = append(writes, seconds(c.Committed-c.WriteStarted))
 	}
 	for _, v := range slowest {
 		all = append(all, v)
@@ -348,12 +348,12 @@
 	s.FromCommit, s.FromPut, s.Healed, s.AllHaveIt, s.PutCommit = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
 	s.Slowest = l.slowest(changes, v.Delays)
 	r.Faults = l.faultReports(changes, v.Delays)
-	r.Judge.WithinS, r.Judge.First, r.Judge.Crashed = within.Seconds(), v.First, len(r.Processes)
+	r.Judge.WithinS, r.Judge.First, r.Judge.Crashed = within.Seconds(), v.Listed, len(r.Processes)
 	r.Judge.Counts = map[string]int{}
 	for rule, n := range v.Counts {
 		r.Judge.Counts[string(rule)] = n
 	}
-	r.Judge.Held = v.Held() && len(r.Judge.Problems) == 0
+	r.Judge.Held = v.Passed() && len(r.Judge.Problems) == 0
 }
 
 // mostSlow is the number of slowest pairs in a report.
@@ -363,9 +363,9 @@
 func (l *laboratory) slowest(changes []judge.Change, delays []judge.Delay) (slow []Slow) {
 	took := func(d judge.Delay) time.Duration {
 		if d.Outage {
-			return d.Healed
+			return d.SinceOutage
 		}
-		return d.Commit
+		return d.SinceCommit
 	}
 	delays = slices.Clone(delays)
 	slices.SortFunc(delays, func(a, b judge.Delay) int { return cmp.Compare(took(b), took(a)) })
@@ -399,9 +399,9 @@
 			if at < p.from || at > p.until+within {
 				continue
 			}
-			took := d.Commit
+			took := d.SinceCommit
 			if d.Outage {
-				took = d.Healed
+				took = d.SinceOutage
 			}
 			f.SlowestS = max(f.SlowestS, seconds(took))
 		}
