--- a/internal/scalelab/changes.go
+++ b/internal/scalelab/changes.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	putWithin      = 5 * time.Second       // for one attempt at one machine
-	putAgainAfter  = 50 * time.Millisecond // delay before a retry
-	putGiveUp      = 60 * time.Second      // for all attempts of a change
-	refusableEvery = 3                     // changes per refusable change while the refuse fault lasts
+	writeTimeout    = 5 * time.Second       // for one attempt at one machine
+	writeRetryDelay = 50 * time.Millisecond // delay before a retry
+	writeGiveUp     = 60 * time.Second      // for all attempts of a change
+	refusableEvery  = 3                     // changes per refusable change while the refuse fault lasts
 )
 
 // The keys that every change writes.
@@ -24,14 +24,14 @@
 	limitsKey = "settings/all/limits"
 )
 
-// writer writes changes, one at a time, and records when each was committed.
-type writer struct {
-	options *Options
-	plane   *controlPlane
-	began   time.Time
-	cutOff  func(region string) bool // reports whether the fault script has cut off a region
+// changeWriter writes changes, one at a time, and records when each was committed.
+type changeWriter struct {
+	options  *Options
+	plane    *controlPlane
+	runStart time.Time
+	isCut    func(region string) bool // reports whether the fault script has cut off a region
 
-	turn sync.Mutex // held while a change is written, and while the fault script rebuilds the store
+	writeMu sync.Mutex // held while a change is written, and while the fault script rebuilds the store
 
 	mu        sync.Mutex
 	rng       *rand.Rand
@@ -41,27 +41,27 @@
 }
 
 // setRefusable turns the marking of changes as refusable on or off.
-func (w *writer) setRefusable(on bool) {
+func (w *changeWriter) setRefusable(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.refusable = on
 }
 
-// put writes one change and returns when it is acknowledged. After an error it retries the same change at a random machine.
+// write writes one change and returns when it is acknowledged. After an error it retries the same change at a random machine.
 // If only the response was lost, the change is written at two revisions with the same content.
-func (w *writer) put(ctx context.Context, mayRefuse bool) (judge.Change, error) {
-	w.turn.Lock()
-	defer w.turn.Unlock()
+func (w *changeWriter) write(ctx context.Context, mayRefuse bool) (judge.Change, error) {
+	w.writeMu.Lock()
+	defer w.writeMu.Unlock()
 	w.mu.Lock()
 	marker := uint64(len(w.changes) + 1)
 	c := judge.Change{Marker: marker, Refusable: mayRefuse && w.refusable && marker%refusableEvery == 0}
 	w.mu.Unlock()
 	calls, limits := hollow.Content(c.Marker, c.Refusable, w.options.RecordBytes)
-	c.WriteStarted = time.Since(w.began)
+	c.WriteStarted = time.Since(w.runStart)
 	for {
-		revision, err := w.try(ctx, calls, limits)
+		revision, err := w.tryWrite(ctx, calls, limits)
 		if err == nil {
-			c.Revision, c.Committed = revision, time.Since(w.began)
+			c.Revision, c.Committed = revision, time.Since(w.runStart)
 			w.mu.Lock()
 			w.changes = append(w.changes, c)
 			w.mu.Unlock()
@@ -70,45 +70,45 @@
 		if ctx.Err() != nil {
 			return c, ctx.Err()
 		}
-		if time.Since(w.began)-c.WriteStarted > putGiveUp {
+		if time.Since(w.runStart)-c.WriteStarted > writeGiveUp {
 			return c, fmt.Errorf("writing change %d: %w", marker, err)
 		}
 		w.mu.Lock()
 		w.retries++
 		w.mu.Unlock()
-		time.Sleep(putAgainAfter)
+		time.Sleep(writeRetryDelay)
 	}
 }
 
-// restamped records a further revision of the records of the last change.
-func (w *writer) restamped(revision uint64) {
+// addRestamp records a further revision of the records of the last change.
+func (w *changeWriter) addRestamp(revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	last := &w.changes[len(w.changes)-1]
 	last.Restamped = append(last.Restamped, revision)
 }
 
-// try attempts to write a change at a random machine that runs and is not cut off.
-func (w *writer) try(ctx context.Context, calls, limits []byte) (uint64, error) {
-	var able []*machine
+// tryWrite attempts to write a change at a random machine that runs and is not cut off.
+func (w *changeWriter) tryWrite(ctx context.Context, calls, limits []byte) (uint64, error) {
+	var candidates []*machine
 	for _, m := range w.plane.machines {
-		if m.up() && !w.cutOff(m.Region) {
-			able = append(able, m)
+		if m.up() && !w.isCut(m.Region) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return 0, fmt.Errorf("no control machine is reachable")
 	}
 	w.mu.Lock()
-	at := able[w.rng.IntN(len(able))]
+	target := candidates[w.rng.IntN(len(candidates))]
 	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, putWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return transact(ctx, at.Address, calls, limits)
+	return transact(ctx, target.Address, calls, limits)
 }
 
 // run writes changes at the configured rate until a time. Changes that become due during a slow write follow it immediately.
-func (w *writer) run(ctx context.Context, until time.Time) error {
+func (w *changeWriter) run(ctx context.Context, until time.Time) error {
 	every := w.options.changeEvery()
 	if every <= 0 {
 		return nil
@@ -119,15 +119,15 @@
 			return ctx.Err()
 		case <-time.After(time.Until(due)):
 		}
-		if _, err := w.put(ctx, true); err != nil {
+		if _, err := w.write(ctx, true); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// all returns the committed changes and the number of retries.
-func (w *writer) all() (changes []judge.Change, retries int) {
+// committed returns the committed changes and the number of retries.
+func (w *changeWriter) committed() (changes []judge.Change, retries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append(changes, w.changes...), w.retries
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	controlUpWithin = 30 * time.Second
-	statusWithin    = time.Second
-	endWithin       = 5 * time.Second
+	controlStartTimeout = 30 * time.Second
+	statusTimeout       = time.Second
+	stopTimeout         = 5 * time.Second
 )
 
 // controlPlane is the control machines of a run, each a process of its own.
@@ -35,36 +35,36 @@
 // machine is one control machine.
 type machine struct {
 	machineSpec
-	file  string
-	admin string // admin address
+	configFile   string
+	adminAddress string // admin address
 
-	mu      sync.Mutex
-	process *child.Process // nil: not started
-	paused  bool
-	down    bool          // killed by the fault script
-	ended   []child.Usage // usage of the earlier processes of the machine
-	former  time.Duration // processor time of the earlier processes
+	mu           sync.Mutex
+	process      *child.Process // nil: not started
+	paused       bool
+	killed       bool          // killed by the fault script
+	earlierUsage []child.Usage // usage of the earlier processes of the machine
+	earlierCPU   time.Duration // processor time of the earlier processes
 }
 
 // controlFile is the configuration file of a control machine.
 type controlFile struct {
-	Name       string      `json:"name"`
-	Zone       string      `json:"zone"`
-	Region     string      `json:"region"`
-	Admin      string      `json:"admin_addr"`
-	Store      controlSite `json:"store"`
-	Admission  *Admission  `json:"admission,omitempty"`
-	Gatekeeper string      `json:"gatekeeper,omitempty"`
+	Name       string       `json:"name"`
+	Zone       string       `json:"zone"`
+	Region     string       `json:"region"`
+	Admin      string       `json:"admin_addr"`
+	Store      controlStore `json:"store"`
+	Admission  *Admission   `json:"admission,omitempty"`
+	Gatekeeper string       `json:"gatekeeper,omitempty"`
 }
 
-// controlSite is the store section of controlFile.
-type controlSite struct {
+// controlStore is the store section of controlFile.
+type controlStore struct {
 	Node   string        `json:"node"`
 	Listen string        `json:"listen"`
 	Peers  []controlPeer `json:"peers"`
 	Dir    string        `json:"dir"`
 	Sync   string        `json:"sync,omitempty"`
-	Via    []via         `json:"via,omitempty"`
+	Via    []controlVia  `json:"via,omitempty"`
 }
 
 // controlPeer is a member of the store in controlFile.
@@ -74,8 +74,8 @@
 	Voter   bool   `json:"voter"`
 }
 
-// via maps the address of a peer to the relay through which it is reached.
-type via struct {
+// controlVia maps the address of a peer to the relay through which it is reached.
+type controlVia struct {
 	Address string `json:"address"`
 	Through string `json:"through"`
 }
@@ -89,25 +89,25 @@
 	}
 	for i, spec := range specs {
 		spec.Address = fmt.Sprintf("127.0.0.1:%d", ports[i])
-		c.machines = append(c.machines, &machine{machineSpec: spec, file: filepath.Join(o.Dir, spec.Name+".json"),
-			admin: fmt.Sprintf("127.0.0.1:%d", ports[len(specs)+i])})
+		c.machines = append(c.machines, &machine{machineSpec: spec, configFile: filepath.Join(o.Dir, spec.Name+".json"),
+			adminAddress: fmt.Sprintf("127.0.0.1:%d", ports[len(specs)+i])})
 	}
 	if script.Contains(o.Faults, script.CutRegion) || script.Contains(o.Faults, script.Latency) {
 		c.network = relay.New(o.Seed)
 	}
 	for _, m := range c.machines {
-		if err := c.write(m); err != nil {
+		if err := c.writeFile(m); err != nil {
 			return c, err
 		}
 	}
-	return c, c.delay()
+	return c, c.applyLatency()
 }
 
-// write writes the configuration file of a machine and creates its relay links to machines in other regions.
-func (c *controlPlane) write(m *machine) error {
+// writeFile writes the configuration file of a machine and creates its relay links to machines in other regions.
+func (c *controlPlane) writeFile(m *machine) error {
 	o := c.options
-	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admin: m.admin, Admission: &o.Admission, Gatekeeper: o.Site,
-		Store: controlSite{Node: m.Name, Listen: m.Address, Dir: filepath.Join(o.Dir, m.Name)}}
+	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admin: m.adminAddress, Admission: &o.Admission, Gatekeeper: o.Site,
+		Store: controlStore{Node: m.Name, Listen: m.Address, Dir: filepath.Join(o.Dir, m.Name)}}
 	for _, other := range c.machines {
 		f.Store.Peers = append(f.Store.Peers, controlPeer{other.Name, other.Address, other.voter})
 		if c.network == nil || other.Region == m.Region {
@@ -118,17 +118,17 @@
 			return err
 		}
 		c.network.Up(other.Name, "store", other.Address)
-		f.Store.Via = append(f.Store.Via, via{other.Address, link.Addr()})
+		f.Store.Via = append(f.Store.Via, controlVia{other.Address, link.Addr()})
 	}
 	text, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(m.file, text, 0o644)
+	return os.WriteFile(m.configFile, text, 0o644)
 }
 
-// delay applies the latency between regions, if the fault script has one.
-func (c *controlPlane) delay() error {
+// applyLatency applies the latency between regions, if the fault script has one.
+func (c *controlPlane) applyLatency() error {
 	for _, f := range c.options.Faults {
 		if f.Kind != script.Latency {
 			continue
@@ -162,14 +162,14 @@
 
 // start starts the process of a machine.
 func (c *controlPlane) start(m *machine) error {
-	p, err := child.Start(child.Options{Name: m.Name, Path: c.options.Program, Args: []string{"control", "serve", "--file", m.file},
+	p, err := child.Start(child.Options{Name: m.Name, Path: c.options.Program, Args: []string{"control", "serve", "--file", m.configFile},
 		Env: c.options.Env, Dir: c.options.Dir, LogFile: filepath.Join(c.options.Dir, m.Name+".log")})
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.process, m.down = p, false
+	m.process, m.killed = p, false
 	return nil
 }
 
@@ -180,7 +180,7 @@
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, controlUpWithin)
+	ctx, cancel := context.WithTimeout(ctx, controlStartTimeout)
 	defer cancel()
 	for _, m := range c.machines {
 		for {
@@ -203,7 +203,7 @@
 
 // status requests the status of the store from the machine.
 func (m *machine) status(ctx context.Context) (store.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return store.StatusFrom(ctx, m.Address)
 }
@@ -212,14 +212,14 @@
 func (m *machine) up() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.process != nil && !m.down && !m.paused && !m.process.Exited()
+	return m.process != nil && !m.killed && !m.paused && !m.process.Exited()
 }
 
 // crashed reports whether the process of the machine exited without being killed by the fault script.
 func (m *machine) crashed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.process != nil && !m.down && m.process.Exited()
+	return m.process != nil && !m.killed && m.process.Exited()
 }
 
 // kill sends SIGKILL to the process of the machine, to simulate a machine failure.
@@ -227,15 +227,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if u, err := child.ReadUsage(m.process.PID()); err == nil {
-		m.former += u.CPU
-		m.ended = append(m.ended, u)
+		m.earlierCPU += u.CPU
+		m.earlierUsage = append(m.earlierUsage, u)
 	}
-	m.down = true
+	m.killed = true
 	m.process.Kill()
 }
 
-// lose kills all machines and removes their data.
-func (c *controlPlane) lose() error {
+// killAndWipe kills all machines and removes their data.
+func (c *controlPlane) killAndWipe() error {
 	for _, m := range c.machines {
 		m.kill()
 	}
@@ -267,8 +267,8 @@
 		return child.Usage{}, false
 	}
 	u, err := child.ReadUsage(m.process.PID())
-	u.CPU += m.former
-	for _, e := range m.ended {
+	u.CPU += m.earlierCPU
+	for _, e := range m.earlierUsage {
 		u.Read += e.Read
 		u.Written += e.Written
 	}
@@ -294,19 +294,19 @@
 	return nil, fmt.Errorf("no control machine knows a leader")
 }
 
-// zonePair returns two running machines of a random zone, nil if no zone has two.
-func (c *controlPlane) zonePair(rng *rand.Rand) []*machine {
-	if machines := c.drawZone(rng, 2); machines != nil {
+// randomZonePair returns two running machines of a random zone, nil if no zone has two.
+func (c *controlPlane) randomZonePair(rng *rand.Rand) []*machine {
+	if machines := c.randomZone(rng, 2); machines != nil {
 		return machines[:2]
 	}
 	return nil
 }
 
-// zoneMachines returns the running machines of a random zone, nil if none runs.
-func (c *controlPlane) zoneMachines(rng *rand.Rand) []*machine { return c.drawZone(rng, 1) }
+// randomZoneMachines returns the running machines of a random zone, nil if none runs.
+func (c *controlPlane) randomZoneMachines(rng *rand.Rand) []*machine { return c.randomZone(rng, 1) }
 
-// drawZone returns the running machines of a random zone among those with at least least of them, nil if there is none.
-func (c *controlPlane) drawZone(rng *rand.Rand, least int) []*machine {
+// randomZone returns the running machines of a random zone among those with at least least of them, nil if there is none.
+func (c *controlPlane) randomZone(rng *rand.Rand, minMachines int) []*machine {
 	zones := map[string][]*machine{}
 	for _, m := range c.machines {
 		if m.up() {
@@ -314,19 +314,19 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(zones))
-	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < least })
+	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < minMachines })
 	if len(names) == 0 {
 		return nil
 	}
 	return zones[names[rng.IntN(len(names))]]
 }
 
-// end stops all processes and closes the relays.
-func (c *controlPlane) end() {
+// stop stops all processes and closes the relays.
+func (c *controlPlane) stop() {
 	var all sync.WaitGroup
 	for _, m := range c.machines {
 		if m.process != nil {
-			all.Go(func() { m.process.Stop(endWithin) })
+			all.Go(func() { m.process.Stop(stopTimeout) })
 		}
 	}
 	all.Wait()
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -14,31 +14,31 @@
 	"beammux/internal/store"
 )
 
-// restartDown is the time between the stop and the start of a restarted gatekeeper.
-const restartDown = time.Second
+// restartDownTime is the time between the stop and the start of a restarted gatekeeper.
+const restartDownTime = time.Second
 
 // faultState is the state of fault injection.
 type faultState struct {
 	mu          sync.Mutex
 	cut         map[string]bool
-	cuts        []cutRegion
-	played      []playedFault
+	cuts        []cutPeriod
+	injected    []injectedFault
 	machineBusy time.Duration
-	resident    int64
+	maxResident int64
 	problems    []string
 }
 
-// cutRegion is a period in which a region was cut off. to is 0 while it lasts.
-type cutRegion struct {
+// cutPeriod is a period in which a region was cut off. to is 0 while it lasts.
+type cutPeriod struct {
 	region   string
 	from, to time.Duration
 }
 
-// playedFault is an injected fault. Times are relative to the start of the run.
-type playedFault struct {
+// injectedFault is an injected fault. Times are relative to the start of the run.
+type injectedFault struct {
 	kind        script.Kind
 	from, until time.Duration
-	what        string
+	description string
 }
 
 // isCut reports whether a region is cut off now.
@@ -48,90 +48,90 @@
 	return f.cut[region]
 }
 
-// note records an injected fault.
-func (f *faultState) note(p playedFault) {
+// addInjected records an injected fault.
+func (f *faultState) addInjected(p injectedFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.played = append(f.played, p)
+	f.injected = append(f.injected, p)
 }
 
-// problem records a problem for the report.
-func (f *faultState) problem(what string) {
+// addProblem records a problem for the report.
+func (f *faultState) addProblem(problem string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.problems = append(f.problems, what)
+	f.problems = append(f.problems, problem)
 }
 
-// playFaults starts the fault script. The returned function waits until all faults are over and must be called.
-func (l *laboratory) playFaults(ctx context.Context) (wait func()) {
+// startFaults starts the fault script. The returned function waits until all faults are over and must be called.
+func (l *laboratory) startFaults(ctx context.Context) (wait func()) {
 	var all sync.WaitGroup
 	for _, fault := range l.options.Faults {
-		rng := rand.New(rand.NewPCG(l.rng.Uint64(), 0)) // seeded in the order of the script, independent of the times of the faults
+		rng := rand.New(rand.NewPCG(l.faultRand.Uint64(), 0)) // seeded in the order of the script, independent of the times of the faults
 		all.Go(func() {
 			select {
 			case <-ctx.Done():
 				return
 			case <-time.After(fault.At):
 			}
-			p := playedFault{kind: fault.Kind, from: time.Since(l.began)}
+			p := injectedFault{kind: fault.Kind, from: time.Since(l.runStart)}
 			l.options.progress(p.from, "fault "+string(fault.Kind))
-			what, err := l.playOne(ctx, fault, rng)
+			description, err := l.injectFault(ctx, fault, rng)
 			if err != nil && ctx.Err() == nil {
-				l.faults.problem(fmt.Sprintf("fault %s: %v", fault.Kind, err))
+				l.faults.addProblem(fmt.Sprintf("fault %s: %v", fault.Kind, err))
 			}
-			p.what, p.until = what, time.Since(l.began)
-			l.options.progress(p.until, fmt.Sprintf("fault %s ended: %s", fault.Kind, what))
-			l.faults.note(p)
+			p.description, p.until = description, time.Since(l.runStart)
+			l.options.progress(p.until, fmt.Sprintf("fault %s ended: %s", fault.Kind, description))
+			l.faults.addInjected(p)
 		})
 	}
 	return all.Wait
 }
 
-// playOne injects one fault, waits until it is over, and returns a description of what was affected.
-func (l *laboratory) playOne(ctx context.Context, f script.Fault, rng *rand.Rand) (what string, err error) {
+// injectFault injects one fault, waits until it is over, and returns a description of what was affected.
+func (l *laboratory) injectFault(ctx context.Context, f script.Fault, rng *rand.Rand) (description string, err error) {
 	switch f.Kind {
 	case script.KillLeader:
 		m, err := l.plane.leader(ctx)
 		if err != nil {
 			return "", err
 		}
-		return m.Name, l.killed(ctx, f.For, m)
+		return m.Name, l.killAndRestart(ctx, f.For, m)
 	case script.KillZone:
-		pair := l.plane.zonePair(rng)
+		pair := l.plane.randomZonePair(rng)
 		if pair == nil {
 			return "", fmt.Errorf("no zone has two running control machines")
 		}
-		return pair[0].Name + " and " + pair[1].Name, l.killed(ctx, f.For, pair...)
+		return pair[0].Name + " and " + pair[1].Name, l.killAndRestart(ctx, f.For, pair...)
 	case script.CutRegion:
 		return l.cutRegion(ctx, f, rng)
 	case script.Restart:
-		return l.restart(ctx, f, rng)
+		return l.restartGatekeepers(ctx, f, rng)
 	case script.Refuse:
 		l.writer.setRefusable(true)
 		defer l.writer.setRefusable(false)
-		return fmt.Sprintf("one gatekeeper of %d refuses one change of %d", refusesEvery, refusableEvery), wait(ctx, f.For)
+		return fmt.Sprintf("one gatekeeper of %d refuses one change of %d", refusesEvery, refusableEvery), sleep(ctx, f.For)
 	case script.StuckWatcher:
-		return l.stuck(f, rng)
+		return l.openStuckWatchers(f, rng)
 	case script.PauseControl, script.PauseLeader:
-		return l.pause(ctx, f, rng)
+		return l.pauseMachine(ctx, f, rng)
 	case script.LoseRack, script.LoseZone:
-		return l.losePlace(ctx, f, rng)
+		return l.failPlace(ctx, f, rng)
 	case script.RemakeControl:
-		return l.remake(ctx, f)
+		return l.rebuildControl(ctx, f)
 	case script.Latency:
-		return fmt.Sprintf("%v each way between regions", f.Delay), wait(ctx, l.options.Length)
+		return fmt.Sprintf("%v each way between regions", f.Delay), sleep(ctx, l.options.Length)
 	case script.StartAtOnce:
 		return fmt.Sprintf("%d gatekeepers", l.options.Gatekeepers), nil
 	}
 	return "", fmt.Errorf("unknown kind of fault")
 }
 
-// killed kills machines and starts them again after down.
-func (l *laboratory) killed(ctx context.Context, down time.Duration, machines ...*machine) error {
+// killAndRestart kills machines and starts them again after down.
+func (l *laboratory) killAndRestart(ctx context.Context, down time.Duration, machines ...*machine) error {
 	for _, m := range machines {
 		m.kill()
 	}
-	if err := wait(ctx, down); err != nil {
+	if err := sleep(ctx, down); err != nil {
 		return err
 	}
 	for _, m := range machines {
@@ -142,37 +142,37 @@
 	return nil
 }
 
-// losePlace fails the control machines and gatekeepers of a rack or of a whole zone, chosen at random, at the same time. All
+// failPlace fails the control machines and gatekeepers of a rack or of a whole zone, chosen at random, at the same time. All
 // are started again together after the fault; the control machines keep their data.
-func (l *laboratory) losePlace(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
-	machines := l.plane.zoneMachines(rng)
+func (l *laboratory) failPlace(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
+	machines := l.plane.randomZoneMachines(rng)
 	if len(machines) == 0 {
 		return "", fmt.Errorf("no zone has a running control machine")
 	}
-	zone, most := machines[0].Zone, len(l.plan.gatekeepers)
+	zone, limit := machines[0].Zone, len(l.plan.gatekeepers)
 	if f.Kind == script.LoseRack {
-		machines, most = machines[:1], f.Count
+		machines, limit = machines[:1], f.Count
 	}
-	lost := 0
+	failed := 0
 	for i, g := range l.plan.gatekeepers {
-		if g.Zone != zone || lost == most {
+		if g.Zone != zone || failed == limit {
 			continue
 		}
-		lost++
+		failed++
 		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: g.Name, DownTime: f.For}
-		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
+		if err := l.hollows[i%l.options.Hollow].send(command); err != nil {
 			return "", err
 		}
 	}
-	what := fmt.Sprintf("%d gatekeepers and %d control machines of %s", lost, len(machines), zone)
-	return what, l.killed(ctx, f.For, machines...)
+	description := fmt.Sprintf("%d gatekeepers and %d control machines of %s", failed, len(machines), zone)
+	return description, l.killAndRestart(ctx, f.For, machines...)
 }
 
-// remake kills all control machines and removes their data. It then starts a new group and restores a backup taken before the
+// rebuildControl kills all control machines and removes their data. It then starts a new group and restores a backup taken before the
 // fault, as an operator would. No change is written meanwhile.
-func (l *laboratory) remake(ctx context.Context, f script.Fault) (string, error) {
-	l.writer.turn.Lock()
-	defer l.writer.turn.Unlock()
+func (l *laboratory) rebuildControl(ctx context.Context, f script.Fault) (string, error) {
+	l.writer.writeMu.Lock()
+	defer l.writer.writeMu.Unlock()
 	leader, err := l.plane.leader(ctx)
 	if err != nil {
 		return "", err
@@ -181,10 +181,10 @@
 	if err != nil {
 		return "", err
 	}
-	if err := l.plane.lose(); err != nil {
+	if err := l.plane.killAndWipe(); err != nil {
 		return "", err
 	}
-	if err := wait(ctx, f.For); err != nil {
+	if err := sleep(ctx, f.For); err != nil {
 		return "", err
 	}
 	if err := l.plane.startAll(ctx); err != nil {
@@ -194,7 +194,7 @@
 	if err != nil {
 		return "", err
 	}
-	l.writer.restamped(done.Revision)
+	l.writer.addRestamp(done.Revision)
 	return fmt.Sprintf("%d records of a backup at revision %d, restored at %d", done.Written, backup.Revision, done.Revision), nil
 }
 
@@ -212,7 +212,7 @@
 	if err := l.setCut(region, true); err != nil {
 		return region, err
 	}
-	err := wait(ctx, f.For)
+	err := sleep(ctx, f.For)
 	if e := l.setCut(region, false); err == nil {
 		err = e
 	}
@@ -223,17 +223,17 @@
 func (l *laboratory) setCut(region string, cut bool) error {
 	l.faults.mu.Lock()
 	l.faults.cut[region] = cut
-	if now := time.Since(l.began); cut {
-		l.faults.cuts = append(l.faults.cuts, cutRegion{region: region, from: now})
+	if now := time.Since(l.runStart); cut {
+		l.faults.cuts = append(l.faults.cuts, cutPeriod{region: region, from: now})
 	}
 	l.faults.mu.Unlock()
-	do := hollow.HealRegion
+	action := hollow.HealRegion
 	if cut {
-		do = hollow.CutRegion
+		action = hollow.CutRegion
 	}
 	l.plane.cut(region, cut)
 	for _, h := range l.hollows {
-		if err := h.tell(hollow.Command{Action: do, Region: region}); err != nil {
+		if err := h.send(hollow.Command{Action: action, Region: region}); err != nil {
 			return err
 		}
 	}
@@ -244,36 +244,36 @@
 	defer l.faults.mu.Unlock()
 	for i := range l.faults.cuts {
 		if c := &l.faults.cuts[i]; c.region == region && c.to == 0 {
-			c.to = time.Since(l.began)
+			c.to = time.Since(l.runStart)
 		}
 	}
 	return nil
 }
 
-// restart restarts distinct gatekeepers, evenly spread over the time of the fault.
-func (l *laboratory) restart(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
+// restartGatekeepers restarts distinct gatekeepers, evenly spread over the time of the fault.
+func (l *laboratory) restartGatekeepers(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	n := min(f.Count, len(l.plan.gatekeepers))
 	order := rng.Perm(len(l.plan.gatekeepers))[:n]
 	for _, i := range order {
-		if err := wait(ctx, f.For/time.Duration(max(1, n))); err != nil {
+		if err := sleep(ctx, f.For/time.Duration(max(1, n))); err != nil {
 			return "", err
 		}
-		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: l.plan.gatekeepers[i].Name, DownTime: restartDown}
-		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
+		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: l.plan.gatekeepers[i].Name, DownTime: restartDownTime}
+		if err := l.hollows[i%l.options.Hollow].send(command); err != nil {
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d gatekeepers, each down for %v", n, restartDown), nil
+	return fmt.Sprintf("%d gatekeepers, each down for %v", n, restartDownTime), nil
 }
 
-// stuck opens stuck watchers, all at one control machine.
-func (l *laboratory) stuck(f script.Fault, rng *rand.Rand) (string, error) {
+// openStuckWatchers opens stuck watchers, all at one control machine.
+func (l *laboratory) openStuckWatchers(f script.Fault, rng *rand.Rand) (string, error) {
 	m := l.plane.machines[rng.IntN(len(l.plane.machines))]
-	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].tell(hollow.Command{Action: hollow.OpenStuckWatchers, Address: m.Address, Count: f.Count})
+	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].send(hollow.Command{Action: hollow.OpenStuckWatchers, Address: m.Address, Count: f.Count})
 }
 
-// pause suspends the process of a control machine for the time of the fault.
-func (l *laboratory) pause(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
+// pauseMachine suspends the process of a control machine for the time of the fault.
+func (l *laboratory) pauseMachine(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	leader, err := l.plane.leader(ctx)
 	if err != nil {
 		return "", err
@@ -289,7 +289,7 @@
 	if err := m.pause(true); err != nil {
 		return m.Name, err
 	}
-	err = wait(ctx, f.For)
+	err = sleep(ctx, f.For)
 	if e := m.pause(false); err == nil {
 		err = e
 	}
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -16,51 +16,51 @@
 	"beammux/internal/scalelab/script"
 )
 
-// longestEvent is the limit of a line from a hollow process in bytes.
-const longestEvent = 64 << 20
+// maxEventBytes is the limit of a line from a hollow process in bytes.
+const maxEventBytes = 64 << 20
 
 // hollowProcess is a hollow process as seen by the laboratory.
 type hollowProcess struct {
-	process *child.Process
-	stdin   io.WriteCloser
-	count   int           // number of its gatekeepers
-	read    chan struct{} // closed when its output has been read to the end
+	process     *child.Process
+	stdin       io.WriteCloser
+	gatekeepers int           // number of its gatekeepers
+	outputRead  chan struct{} // closed when its output has been read to the end
 
-	sending sync.Mutex
+	sendMu  sync.Mutex
 	encoder *json.Encoder
 }
 
-// record collects the events of all hollow processes.
-type record struct {
-	mu       sync.Mutex
-	applied  []judge.Applied
-	refusals []judge.Refusal
-	outages  map[string][]judge.Outage // by gatekeeper; To is 0 while the outage lasts
-	inForce  map[string]uint64         // highest revision in force, by gatekeeper
-	pulses   map[int]hollow.Figures    // latest figures, by process
-	samples  []sample
-	counters map[int]map[int]*hollow.Counters // by mark and process
-	cutOff   int                              // stuck watchers that were cut off
-	open     int                              // stuck watchers that were not cut off
-	ups      int
-	fault    string        // last invalid line of a process
-	changed  chan struct{} // signals new events
+// eventRecord collects the events of all hollow processes.
+type eventRecord struct {
+	mu            sync.Mutex
+	applied       []judge.Applied
+	refusals      []judge.Refusal
+	outages       map[string][]judge.Outage // by gatekeeper; To is 0 while the outage lasts
+	inForce       map[string]uint64         // highest revision in force, by gatekeeper
+	latestFigures map[int]hollow.Figures    // latest figures, by process
+	samples       []figuresSample
+	counters      map[int]map[int]*hollow.Counters // by mark and process
+	stuckCutOff   int                              // stuck watchers that were cut off
+	stuckLeft     int                              // stuck watchers that were not cut off
+	starts        int
+	parseError    string        // last invalid line of a process
+	changed       chan struct{} // signals new events
 }
 
-// sample is the figures of one process at one time.
-type sample struct {
+// figuresSample is the figures of one process at one time.
+type figuresSample struct {
 	process int
 	at      time.Duration
 	hollow.Figures
 }
 
-func newRecord() *record {
-	return &record{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, pulses: map[int]hollow.Figures{},
+func newEventRecord() *eventRecord {
+	return &eventRecord{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, latestFigures: map[int]hollow.Figures{},
 		counters: map[int]map[int]*hollow.Counters{}, changed: make(chan struct{}, 1)}
 }
 
 // startHollow starts a hollow process with its share of the gatekeepers.
-func startHollow(o *Options, n int, c hollow.Config, r *record) (*hollowProcess, error) {
+func startHollow(o *Options, n int, c hollow.Config, r *eventRecord) (*hollowProcess, error) {
 	inRead, inWrite, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -77,54 +77,54 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hollowProcess{process: p, stdin: inWrite, count: len(c.Gatekeepers), read: make(chan struct{}), encoder: json.NewEncoder(inWrite)}
+	h := &hollowProcess{process: p, stdin: inWrite, gatekeepers: len(c.Gatekeepers), outputRead: make(chan struct{}), encoder: json.NewEncoder(inWrite)}
 	go func() {
-		defer close(h.read)
+		defer close(h.outputRead)
 		defer outRead.Close()
-		r.follow(n, outRead)
+		r.readEvents(n, outRead)
 	}()
-	h.sending.Lock()
-	defer h.sending.Unlock()
+	h.sendMu.Lock()
+	defer h.sendMu.Unlock()
 	return h, h.encoder.Encode(c)
 }
 
-// tell sends a command to the process.
-func (h *hollowProcess) tell(c hollow.Command) error {
-	h.sending.Lock()
-	defer h.sending.Unlock()
+// send sends a command to the process.
+func (h *hollowProcess) send(c hollow.Command) error {
+	h.sendMu.Lock()
+	defer h.sendMu.Unlock()
 	return h.encoder.Encode(c)
 }
 
-// end requests the process to exit, kills it if it does not exit in time, and waits for the end of its output.
-func (h *hollowProcess) end(within time.Duration) {
-	h.tell(hollow.Command{Action: hollow.Stop})
+// stop requests the process to exit, kills it if it does not exit in time, and waits for the end of its output.
+func (h *hollowProcess) stop(timeout time.Duration) {
+	h.send(hollow.Command{Action: hollow.Stop})
 	h.stdin.Close()
 	select {
 	case <-h.process.Done():
-	case <-time.After(within):
+	case <-time.After(timeout):
 		h.process.Kill()
 	}
-	<-h.read
+	<-h.outputRead
 }
 
-// follow reads the events of a process until its output ends.
-func (r *record) follow(process int, out io.Reader) {
+// readEvents reads the events of a process until its output ends.
+func (r *eventRecord) readEvents(process int, out io.Reader) {
 	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, longestEvent)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
 		var e hollow.Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			r.mu.Lock()
-			r.fault = fmt.Sprintf("hollow%d: invalid event: %v", process+1, err)
+			r.parseError = fmt.Sprintf("hollow%d: invalid event: %v", process+1, err)
 			r.mu.Unlock()
 			continue
 		}
-		r.take(process, e)
+		r.handle(process, e)
 	}
 }
 
-// take adds an event of a process.
-func (r *record) take(process int, e hollow.Event) {
+// handle adds an event of a process.
+func (r *eventRecord) handle(process int, e hollow.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch e.Kind {
@@ -135,11 +135,11 @@
 		}
 		r.applied = append(r.applied, a)
 		r.inForce[e.Name] = max(r.inForce[e.Name], e.Revision)
-		r.note()
+		r.signalChange()
 	case hollow.CandidateRefused:
 		r.refusals = append(r.refusals, judge.Refusal{Gatekeeper: e.Name, At: e.At, Marker: e.Marker})
 	case hollow.GatekeeperUp:
-		r.ups++
+		r.starts++
 		if all := r.outages[e.Name]; len(all) > 0 && all[len(all)-1].To == 0 {
 			all[len(all)-1].To = e.At
 		} else if e.StartCount == 1 {
@@ -148,23 +148,23 @@
 	case hollow.GatekeeperDown:
 		r.outages[e.Name] = append(r.outages[e.Name], judge.Outage{Gatekeeper: e.Name, From: e.At})
 	case hollow.PeriodicFigures:
-		r.pulses[process] = *e.Figures
-		r.samples = append(r.samples, sample{process, e.At, *e.Figures})
-		r.note()
+		r.latestFigures[process] = *e.Figures
+		r.samples = append(r.samples, figuresSample{process, e.At, *e.Figures})
+		r.signalChange()
 	case hollow.CountersReported:
 		if r.counters[e.Counters.Mark] == nil {
 			r.counters[e.Counters.Mark] = map[int]*hollow.Counters{}
 		}
 		r.counters[e.Counters.Mark][process] = e.Counters
-		r.note()
+		r.signalChange()
 	case hollow.StuckWatchersResult:
-		r.cutOff += e.CutOff
-		r.open += e.NotCutOff
+		r.stuckCutOff += e.CutOff
+		r.stuckLeft += e.NotCutOff
 	}
 }
 
-// note signals that the record has changed.
-func (r *record) note() {
+// signalChange signals that the record has changed.
+func (r *eventRecord) signalChange() {
 	select {
 	case r.changed <- struct{}{}:
 	default:
@@ -172,11 +172,11 @@
 }
 
 // behind counts the gatekeepers whose highest revision in force is below revision, except those that but selects.
-func (r *record) behind(gatekeepers []hollow.Gatekeeper, revision uint64, but func(hollow.Gatekeeper) bool) (behind int) {
+func (r *eventRecord) behind(gatekeepers []hollow.Gatekeeper, revision uint64, except func(hollow.Gatekeeper) bool) (behind int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, g := range gatekeepers {
-		if r.inForce[g.Name] < revision && !but(g) {
+		if r.inForce[g.Name] < revision && !except(g) {
 			behind++
 		}
 	}
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -15,11 +15,11 @@
 
 // Limits of a run. MostProcesses includes the control machines, the hollow processes and the laboratory itself.
 const (
-	MostProcesses   = 100
-	MostGatekeepers = 20000
-	MostLength      = time.Hour
-	MostControl     = 80
-	MostHollow      = 16
+	MaxProcesses   = 100
+	MaxGatekeepers = 20000
+	MaxLength      = time.Hour
+	MaxControl     = 80
+	MaxHollow      = 16
 )
 
 // Options are the parameters of a run.
@@ -71,8 +71,8 @@
 		flag           string
 		v, least, most int
 	}{
-		{"gatekeepers", o.Gatekeepers, 1, MostGatekeepers}, {"control", o.Control, 0, MostControl}, {"voters", o.Voters, min(1, o.Control), o.Control},
-		{"regions", o.Regions, 1, 64}, {"zones", o.Zones, o.Regions, 256}, {"services", o.Services, 1, 4096}, {"processes", o.Hollow, 1, MostHollow},
+		{"gatekeepers", o.Gatekeepers, 1, MaxGatekeepers}, {"control", o.Control, 0, MaxControl}, {"voters", o.Voters, min(1, o.Control), o.Control},
+		{"regions", o.Regions, 1, 64}, {"zones", o.Zones, o.Regions, 256}, {"services", o.Services, 1, 4096}, {"processes", o.Hollow, 1, MaxHollow},
 		{"record-bytes", o.RecordBytes, 0, 1 << 20},
 	} {
 		if bound.v < bound.least || bound.v > bound.most {
@@ -80,8 +80,8 @@
 		}
 	}
 	switch {
-	case o.Length < time.Second || o.Length > MostLength:
-		return fmt.Errorf("--length: %v is not 1s to %v", o.Length, MostLength)
+	case o.Length < time.Second || o.Length > MaxLength:
+		return fmt.Errorf("--length: %v is not 1s to %v", o.Length, MaxLength)
 	case !(o.ChangesADay >= 0 && o.ChangesADay*o.Factor <= 86400*100):
 		return errors.New("--changes-per-day: must be 0 to 100 changes a second")
 	case o.Control == 0 && (o.With.Limits || !o.With.Membership):
@@ -116,9 +116,9 @@
 // refusesEvery is the number of gatekeepers per gatekeeper that refuses refusable changes.
 const refusesEvery = 10
 
-// lay assigns names, zones and regions round robin: zones to regions, control machines and gatekeepers to zones. The voters
+// newPlan assigns names, zones and regions round robin: zones to regions, control machines and gatekeepers to zones. The voters
 // are the first control machines, so they are spread over the regions as evenly as possible.
-func lay(o *Options) plan {
+func newPlan(o *Options) plan {
 	var p plan
 	for i := range o.Control {
 		zone := i % o.Zones
@@ -165,18 +165,18 @@
 	return found, nil
 }
 
-// needDescriptors returns the most file descriptors that a hollow process needs: for each gatekeeper one session and its
+// neededDescriptors returns the most file descriptors that a hollow process needs: for each gatekeeper one session and its
 // replacement, two listening sockets and streams for gossip, and one connection for leases; and some for the process itself.
-func needDescriptors(o *Options) int {
-	each := 2
+func neededDescriptors(o *Options) int {
+	perGatekeeper := 2
 	if o.With.Membership {
-		each += 6
+		perGatekeeper += 6
 	}
 	if o.With.Limits {
-		each++
+		perGatekeeper++
 	}
 	share := (o.Gatekeepers + o.Hollow - 1) / o.Hollow
-	return share*each + 64
+	return share*perGatekeeper + 64
 }
 
 // startOver returns the time over which the starts of the gatekeepers are spread; 0: all start at the same time.
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -12,25 +12,25 @@
 
 // Spread is the distribution of a figure.
 type Spread struct {
-	Mean float64 `json:"mean"`
-	P50  float64 `json:"p50"`
-	P99  float64 `json:"p99"`
-	Max  float64 `json:"max"`
-	Of   int     `json:"of"` // number of values
+	Mean  float64 `json:"mean"`
+	P50   float64 `json:"p50"`
+	P99   float64 `json:"p99"`
+	Max   float64 `json:"max"`
+	Count int     `json:"of"` // number of values
 }
 
 // spreadOf returns the distribution of the values, which it sorts. Percentiles are by the nearest-rank method.
 func spreadOf(values []float64) (s Spread) {
-	s.Of = len(values)
-	if s.Of == 0 {
+	s.Count = len(values)
+	if s.Count == 0 {
 		return s
 	}
 	slices.Sort(values)
 	for _, v := range values {
-		s.Mean += v / float64(s.Of)
+		s.Mean += v / float64(s.Count)
 	}
-	at := func(part float64) float64 { return values[max(0, int(math.Ceil(part*float64(s.Of)))-1)] }
-	s.P50, s.P99, s.Max = at(0.5), at(0.99), values[s.Of-1]
+	percentile := func(part float64) float64 { return values[max(0, int(math.Ceil(part*float64(s.Count)))-1)] }
+	s.P50, s.P99, s.Max = percentile(0.5), percentile(0.99), values[s.Count-1]
 	return s
 }
 
@@ -49,7 +49,7 @@
 	Membership  MembershipFigures `json:"membership"`
 	Judge       JudgeFigures      `json:"judge"`
 	Faults      []FaultReport     `json:"faults"`
-	Processes   []string          `json:"crashed"` // processes that exited unexpectedly, and other problems of the run
+	Crashed     []string          `json:"crashed"` // processes that exited unexpectedly, and other problems of the run
 }
 
 // Shape is the size and load of the run.
@@ -77,9 +77,9 @@
 type MachineFigures struct {
 	Cores       int     `json:"cores"`
 	MemoryBytes int64   `json:"memory_bytes"`
-	LabCores    float64 `json:"lab_cores"`    // used by the processes of the run
+	RunCores    float64 `json:"lab_cores"`    // used by the processes of the run
 	OtherCores  float64 `json:"other_cores"`  // used by all other processes
-	LabResident int64   `json:"lab_resident"` // peak resident memory of the run's processes in bytes
+	RunResident int64   `json:"lab_resident"` // peak resident memory of the run's processes in bytes
 }
 
 // GatekeeperFigures are the costs per gatekeeper. Bytes are counted at the connections of each gatekeeper, without TCP and IP
@@ -101,105 +101,105 @@
 
 // ControlFigures are the costs per control machine. Each is a process of its own.
 type ControlFigures struct {
-	CPUShare      Spread  `json:"cpu_share_of_a_core"`
-	ResidentBytes Spread  `json:"resident_bytes"`
-	HeapBytes     Spread  `json:"heap_bytes"`
-	Goroutines    Spread  `json:"goroutines"`
-	Descriptors   Spread  `json:"descriptors"`
-	ReadPerS      Spread  `json:"bytes_per_s_read"`    // from /proc/PID/io: sockets and files
-	WrittenPerS   Spread  `json:"bytes_per_s_written"` // from /proc/PID/io, including the log of the store
-	SessionsPerS  float64 `json:"session_bytes_per_s"` // sent to gatekeepers, mean over the machines
-	Sessions      Spread  `json:"sessions"`            // at the end of the measured time
-	SessionsMax   int     `json:"sessions_max"`        // most at one machine at any second of the measured time
-	Share         float64 `json:"share"`               // gatekeepers per machine
-	MaxOverShare  float64 `json:"max_over_share"`      // SessionsMax divided by Share
+	CPUShare             Spread  `json:"cpu_share_of_a_core"`
+	ResidentBytes        Spread  `json:"resident_bytes"`
+	HeapBytes            Spread  `json:"heap_bytes"`
+	Goroutines           Spread  `json:"goroutines"`
+	Descriptors          Spread  `json:"descriptors"`
+	ReadPerS             Spread  `json:"bytes_per_s_read"`    // from /proc/PID/io: sockets and files
+	WrittenPerS          Spread  `json:"bytes_per_s_written"` // from /proc/PID/io, including the log of the store
+	SessionBytesPerS     float64 `json:"session_bytes_per_s"` // sent to gatekeepers, mean over the machines
+	Sessions             Spread  `json:"sessions"`            // at the end of the measured time
+	MaxSessions          int     `json:"sessions_max"`        // most at one machine at any second of the measured time
+	Share                float64 `json:"share"`               // gatekeepers per machine
+	MaxSessionsOverShare float64 `json:"max_over_share"`      // SessionsMax divided by Share
 }
 
 // SettingsFigures are the times until changes came into force, over all pairs of a change and a gatekeeper.
 type SettingsFigures struct {
-	Changes      int     `json:"changes"`
-	Retries      int     `json:"writes_repeated"`
-	Pairs        int     `json:"pairs"`
-	FromCommit   Spread  `json:"s_from_commit"`           // from the acknowledged commit
-	FromPut      Spread  `json:"s_from_put"`              // from the first write attempt, including retries
-	Healed       Spread  `json:"s_from_end_of_outage"`    // pairs with an outage of the gatekeeper, which the two above exclude
-	AllHaveIt    Spread  `json:"s_from_commit_until_all"` // one value per change: the slowest gatekeeper
-	Superseded   int     `json:"superseded"`              // pairs for which a later change came into force instead
-	Unjudged     int     `json:"unjudged"`                // pairs that were not due by the end of the run
-	AllStartedS  float64 `json:"all_in_force_after_start_s"`
-	PutCommit    Spread  `json:"put_s"` // duration of the write, including retries
-	RefusedHeld  int     `json:"refused_held"`
-	Refusals     int     `json:"refusals"`
-	CutOff       int     `json:"stuck_watchers_cut_off"`
-	StuckNotCut  int     `json:"stuck_watchers_left"`
-	Slowest      []Slow  `json:"slowest"` // the slowest pairs
-	AppliedTotal int     `json:"applied"`
+	Changes        int        `json:"changes"`
+	Retries        int        `json:"writes_repeated"`
+	Pairs          int        `json:"pairs"`
+	SinceCommit    Spread     `json:"s_from_commit"`           // from the acknowledged commit
+	SinceWrite     Spread     `json:"s_from_put"`              // from the first write attempt, including retries
+	SinceOutage    Spread     `json:"s_from_end_of_outage"`    // pairs with an outage of the gatekeeper, which the two above exclude
+	UntilAll       Spread     `json:"s_from_commit_until_all"` // one value per change: the slowest gatekeeper
+	Superseded     int        `json:"superseded"`              // pairs for which a later change came into force instead
+	Unjudged       int        `json:"unjudged"`                // pairs that were not due by the end of the run
+	AllStartedS    float64    `json:"all_in_force_after_start_s"`
+	WriteTime      Spread     `json:"put_s"` // duration of the write, including retries
+	RefusedApplied int        `json:"refused_held"`
+	Refusals       int        `json:"refusals"`
+	StuckCutOff    int        `json:"stuck_watchers_cut_off"`
+	StuckLeft      int        `json:"stuck_watchers_left"`
+	Slowest        []SlowPair `json:"slowest"` // the slowest pairs
+	AppliedTotal   int        `json:"applied"`
 }
 
-// Slow is a slow pair of a change and a gatekeeper.
-type Slow struct {
+// SlowPair is a slow pair of a change and a gatekeeper.
+type SlowPair struct {
 	Marker     uint64  `json:"change"`
 	CommittedS float64 `json:"committed_s"` // relative to the start of the measured time
 	Gatekeeper string  `json:"gatekeeper"`
 	Zone       string  `json:"zone"`
 	Region     string  `json:"region"`
-	TookS      float64 `json:"took_s"` // from the commit, or from the end of the gatekeeper's outage if Outage is set
+	DelayS     float64 `json:"took_s"` // from the commit, or from the end of the gatekeeper's outage if Outage is set
 	Outage     bool    `json:"outage"`
 }
 
 // MembershipFigures describe the gossip groups.
 type MembershipFigures struct {
-	AllMetS  float64 `json:"all_met_s"`  // until every gatekeeper considered all members up; -1: not within the time limit
+	AllUpS   float64 `json:"all_met_s"`  // until every gatekeeper considered all members up; -1: not within the time limit
 	FewestUp int     `json:"fewest_met"` // fewest members that a gatekeeper considered up at the end
 	// MostMissing is the most members of its group that a gatekeeper did not consider up at the end.
 	MostMissing int `json:"most_missing"`
-	// Fresh is the part of its group's registers that are fresh enough to count at a gatekeeper, and Oldest the age in seconds
+	// FreshRegisters is the part of its group's registers that are fresh enough to count at a gatekeeper, and Oldest the age in seconds
 	// of the oldest of them, over the gatekeepers at the end of the measured time. Both are empty without registers.
-	Fresh  Spread `json:"registers_that_count_part"`
-	Oldest Spread `json:"oldest_register_s"`
+	FreshRegisters Spread `json:"registers_that_count_part"`
+	OldestRegister Spread `json:"oldest_register_s"`
 }
 
 // JudgeFigures are the result of the judge, and other problems of the run.
 type JudgeFigures struct {
-	Held     bool              `json:"held"`
+	Passed   bool              `json:"held"`
 	WithinS  float64           `json:"within_s"`
 	Counts   map[string]int    `json:"counts"`
-	First    []judge.Violation `json:"first"`
+	Listed   []judge.Violation `json:"first"`
 	Crashed  int               `json:"crashed"`
 	Problems []string          `json:"problems"`
 }
 
 // FaultReport is one injected fault and its effects.
 type FaultReport struct {
-	Kind   string  `json:"kind"`
-	AtS    float64 `json:"at_s"` // relative to the start of the measured time
-	UntilS float64 `json:"until_s"`
-	What   string  `json:"what"`
+	Kind        string  `json:"kind"`
+	AtS         float64 `json:"at_s"` // relative to the start of the measured time
+	UntilS      float64 `json:"until_s"`
+	Description string  `json:"what"`
 	// SlowestS is the time of the slowest pair, from the commit or the end of the gatekeeper's outage, among the changes
 	// committed during the fault or within the judge's time limit after it.
 	SlowestS float64 `json:"slowest_s"`
-	// SaidBehind is the most gatekeepers that reported in any second of the fault that they may be behind, SaidBehindEnd their
+	// MaxBehind is the most gatekeepers that reported in any second of the fault that they may be behind, SaidBehindEnd their
 	// number at the end of the measured time.
-	SaidBehind    int `json:"said_behind_max"`
-	SaidBehindEnd int `json:"said_behind_end"`
-	// SessionsOverShare is the most sessions at one machine during the fault or within the judge's time limit after it, divided
+	MaxBehind   int `json:"said_behind_max"`
+	BehindAtEnd int `json:"said_behind_end"`
+	// MaxSessionsOverShare is the most sessions at one machine during the fault or within the judge's time limit after it, divided
 	// by the number of gatekeepers per machine.
-	SessionsOverShare float64 `json:"sessions_max_over_share"`
+	MaxSessionsOverShare float64 `json:"sessions_max_over_share"`
 }
 
 // Held reports whether the run was complete and broke no rule.
-func (r *Report) Held() bool { return !r.Stopped && r.Judge.Held }
+func (r *Report) Held() bool { return !r.Stopped && r.Judge.Passed }
 
 // Table formats the report as text.
 func (r *Report) Table() string {
 	var b strings.Builder
 	line := func(name, unit string, s Spread, scale float64) {
-		if s.Of > 0 {
-			fmt.Fprintf(&b, "  %-34s %10.4g %10.4g %10.4g  %s (of %d)\n", name, s.P50*scale, s.P99*scale, s.Max*scale, unit, s.Of)
+		if s.Count > 0 {
+			fmt.Fprintf(&b, "  %-34s %10.4g %10.4g %10.4g  %s (of %d)\n", name, s.P50*scale, s.P99*scale, s.Max*scale, unit, s.Count)
 		}
 	}
 	fmt.Fprintf(&b, "%d gatekeepers, %d control machines (%d vote), seed %d, %.0f s, %.2f changes/s; the run used %.1f cores, other processes %.1f\n",
-		r.Shape.Gatekeepers, r.Shape.Control, r.Shape.Voters, r.Shape.Seed, r.Shape.LengthS, r.Shape.ChangesPerS, r.Machine.LabCores, r.Machine.OtherCores)
+		r.Shape.Gatekeepers, r.Shape.Control, r.Shape.Voters, r.Shape.Seed, r.Shape.LengthS, r.Shape.ChangesPerS, r.Machine.RunCores, r.Machine.OtherCores)
 	fmt.Fprintf(&b, "%-36s %10s %10s %10s\n", "a gatekeeper", "p50", "p99", "max")
 	g, c := &r.Gatekeepers, &r.Control
 	line("settings received", "B/s", g.ReceivedPerS, 1)
@@ -223,27 +223,27 @@
 	line("written", "KB/s", c.WrittenPerS, 1e-3)
 	line("sessions", "", c.Sessions, 1)
 	fmt.Fprintf(&b, "settings: %d changes, %d pairs, %d superseded, %d refusals\n", r.Settings.Changes, r.Settings.Pairs, r.Settings.Superseded, r.Settings.Refusals)
-	line("in force after the commit", "ms", r.Settings.FromCommit, 1e3)
-	line("in force after the first write", "ms", r.Settings.FromPut, 1e3)
-	line("in force after an outage", "ms", r.Settings.Healed, 1e3)
-	line("in force at all gatekeepers", "ms", r.Settings.AllHaveIt, 1e3)
-	if n := r.Settings.CutOff + r.Settings.StuckNotCut; n > 0 {
-		fmt.Fprintf(&b, "stuck watchers: %d of %d cut off\n", r.Settings.CutOff, n)
+	line("in force after the commit", "ms", r.Settings.SinceCommit, 1e3)
+	line("in force after the first write", "ms", r.Settings.SinceWrite, 1e3)
+	line("in force after an outage", "ms", r.Settings.SinceOutage, 1e3)
+	line("in force at all gatekeepers", "ms", r.Settings.UntilAll, 1e3)
+	if n := r.Settings.StuckCutOff + r.Settings.StuckLeft; n > 0 {
+		fmt.Fprintf(&b, "stuck watchers: %d of %d cut off\n", r.Settings.StuckCutOff, n)
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintf(&b, "fault %s at %.1f to %.1f s (%s): slowest %.2f s, at most %d reported being behind, %d at the end, at most %.2f of a share of sessions\n", f.Kind, f.AtS,
-			f.UntilS, f.What, f.SlowestS, f.SaidBehind, f.SaidBehindEnd, f.SessionsOverShare)
+			f.UntilS, f.Description, f.SlowestS, f.MaxBehind, f.BehindAtEnd, f.MaxSessionsOverShare)
 	}
 	if r.Shape.Control == 0 {
-		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d, at most %d of a group missing\n", r.Membership.AllMetS, r.Membership.FewestUp, r.Membership.MostMissing)
-		if r.Membership.Fresh.Of > 0 {
-			fmt.Fprintf(&b, "registers: fresh part of the group's p50 %.3f, mean %.3f; age of the oldest p50 %.2f s, p99 %.2f s\n", r.Membership.Fresh.P50, r.Membership.Fresh.Mean, r.Membership.Oldest.P50, r.Membership.Oldest.P99)
+		fmt.Fprintf(&b, "membership: all met after %.1f s, fewest met %d, at most %d of a group missing\n", r.Membership.AllUpS, r.Membership.FewestUp, r.Membership.MostMissing)
+		if r.Membership.FreshRegisters.Count > 0 {
+			fmt.Fprintf(&b, "registers: fresh part of the group's p50 %.3f, mean %.3f; age of the oldest p50 %.2f s, p99 %.2f s\n", r.Membership.FreshRegisters.P50, r.Membership.FreshRegisters.Mean, r.Membership.OldestRegister.P50, r.Membership.OldestRegister.P99)
 		}
 	}
 	for _, p := range r.Judge.Problems {
 		fmt.Fprintf(&b, "problem: %s\n", p)
 	}
-	if r.Judge.Held {
+	if r.Judge.Passed {
 		fmt.Fprintf(&b, "no rule was broken\n")
 	} else {
 		for _, rule := range judge.Rules() {
@@ -251,7 +251,7 @@
 				fmt.Fprintf(&b, "BROKEN: %s: %d\n", rule, n)
 			}
 		}
-		for _, v := range r.Judge.First {
+		for _, v := range r.Judge.Listed {
 			fmt.Fprintf(&b, "  %v\n", v)
 		}
 	}
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	within        = 17 * time.Second // time limit for a change to be in force after its commit
-	startWithin   = 3 * time.Minute  // time limit for all gatekeepers to have settings
-	meetWithin    = time.Minute      // time limit for all members to be known to each other
-	settle        = 2 * time.Second  // time between the start and the measured time
-	countWithin   = 90 * time.Second // time limit for the counters of all hollow processes
-	sampleEvery   = time.Second
-	hollowEndsIn  = 20 * time.Second
-	mostOfMemory  = 0.5 // most of the machine's memory that a run may use
-	atBegin       = 1   // mark of the counters at the start of the measured time
-	atEnd         = 2   // and at its end
-	progressEvery = 5 * time.Second
+	inForceLimit      = 17 * time.Second // time limit for a change to be in force after its commit
+	startTimeout      = 3 * time.Minute  // time limit for all gatekeepers to have settings
+	meetTimeout       = time.Minute      // time limit for all members to be known to each other
+	settleTime        = 2 * time.Second  // time between the start and the measured time
+	countersTimeout   = 90 * time.Second // time limit for the counters of all hollow processes
+	sampleInterval    = time.Second
+	hollowStopTimeout = 20 * time.Second
+	maxMemoryPart     = 0.5 // most of the machine's memory that a run may use
+	markStart         = 1   // mark of the counters at the start of the measured time
+	markEnd           = 2   // and at its end
+	progressInterval  = 5 * time.Second
 )
 
-// errMemory stops a run that uses more than mostOfMemory of the machine's memory.
-var errMemory = errors.New("the processes of the run use over half of the machine's memory")
+// errMemoryLimit stops a run that uses more than mostOfMemory of the machine's memory.
+var errMemoryLimit = errors.New("the processes of the run use over half of the machine's memory")
 
 // laboratory is the state of one run. Times are relative to its start.
 type laboratory struct {
-	options *Options
-	plan    plan
-	began   time.Time
-	plane   *controlPlane
-	hollows []*hollowProcess
-	record  *record
-	writer  *writer
-	rng     *rand.Rand // of the fault script
-	fail    context.CancelCauseFunc
+	options   *Options
+	plan      plan
+	runStart  time.Time
+	plane     *controlPlane
+	hollows   []*hollowProcess
+	events    *eventRecord
+	writer    *changeWriter
+	faultRand *rand.Rand // of the fault script
+	fail      context.CancelCauseFunc
 
-	measured struct{ from, to time.Duration }
-	ended    time.Duration // end of the recording
-	started  time.Duration // time until all gatekeepers had settings or knew all members; negative: not reached
-	memory   int64
-	samples  []controlSample
-	runtimes []runtimeSample
-	faults   faultState
+	measured       struct{ from, to time.Duration }
+	recordingEnd   time.Duration // end of the recording
+	startDuration  time.Duration // time until all gatekeepers had settings or knew all members; negative: not reached
+	machineMemory  int64
+	controlSamples []controlSample
+	runtimeSamples []runtimeSample
+	faults         faultState
 }
 
 // controlSample is the usage of one control machine at one time.
@@ -75,20 +75,20 @@
 	outer := ctx
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	l := &laboratory{options: &o, plan: lay(&o), began: time.Now(), record: newRecord(), fail: fail, memory: memory,
-		rng: rand.New(rand.NewPCG(o.Seed, 1))}
+	l := &laboratory{options: &o, plan: newPlan(&o), runStart: time.Now(), events: newEventRecord(), fail: fail, machineMemory: memory,
+		faultRand: rand.New(rand.NewPCG(o.Seed, 1))}
 	l.faults.cut = map[string]bool{}
-	defer l.end()
-	err = l.play(ctx)
+	defer l.stop()
+	err = l.runPhases(ctx)
 	if cause := context.Cause(ctx); cause != nil && outer.Err() == nil {
 		err = cause
 	}
 	if err != nil && outer.Err() == nil {
 		return nil, err
 	}
-	l.ended = time.Since(l.began)
-	problems := l.crashes()
-	l.end()
+	l.recordingEnd = time.Since(l.runStart)
+	problems := l.findProblems()
+	l.stop()
 	return l.report(outer.Err() != nil, problems), nil
 }
 
@@ -98,14 +98,14 @@
 	if err != nil {
 		return err
 	}
-	if needed := needDescriptors(o); needed > allowed {
+	if needed := neededDescriptors(o); needed > allowed {
 		return fmt.Errorf("each hollow process needs up to %d descriptors, but the limit is %d: use more --processes or a higher limit (ulimit -n)", needed, allowed)
 	}
 	return nil
 }
 
-// play executes the phases of the run: start, measured time and final change.
-func (l *laboratory) play(ctx context.Context) error {
+// runPhases executes the phases of the run: start, measured time and final change.
+func (l *laboratory) runPhases(ctx context.Context) error {
 	o := l.options
 	if o.Control > 0 {
 		if err := l.openControl(ctx); err != nil {
@@ -124,13 +124,13 @@
 	if err := l.awaitStart(ctx); err != nil {
 		return err
 	}
-	if err := wait(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	if err := l.count(ctx, atBegin); err != nil {
+	if err := l.collectCounters(ctx, markStart); err != nil {
 		return err
 	}
-	l.measured.from = time.Since(l.began)
+	l.measured.from = time.Since(l.runStart)
 	busy, err := child.MachineCPUTime()
 	if err != nil {
 		return err
@@ -138,16 +138,16 @@
 	if err := l.measure(ctx); err != nil {
 		return err
 	}
-	if err := l.count(ctx, atEnd); err != nil {
+	if err := l.collectCounters(ctx, markEnd); err != nil {
 		return err
 	}
-	l.measured.to = time.Since(l.began)
+	l.measured.to = time.Since(l.runStart)
 	after, err := child.MachineCPUTime()
 	if err != nil {
 		return err
 	}
 	l.faults.machineBusy = after - busy
-	return l.tail(ctx)
+	return l.writeFinalChange(ctx)
 }
 
 // openControl starts the control plane and writes the first change.
@@ -160,15 +160,15 @@
 	if err := l.plane.startAll(ctx); err != nil {
 		return err
 	}
-	l.writer = &writer{options: o, plane: l.plane, began: l.began, cutOff: l.faults.isCut, rng: rand.New(rand.NewPCG(o.Seed, 2))}
-	_, err = l.writer.put(ctx, false)
+	l.writer = &changeWriter{options: o, plane: l.plane, runStart: l.runStart, isCut: l.faults.isCut, rng: rand.New(rand.NewPCG(o.Seed, 2))}
+	_, err = l.writer.write(ctx, false)
 	return err
 }
 
 // openHollows starts the hollow processes, which in turn start their gatekeepers.
 func (l *laboratory) openHollows() error {
 	o := l.options
-	o.progress(time.Since(l.began), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.Hollow, o.startOver()))
+	o.progress(time.Since(l.runStart), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.Hollow, o.startOver()))
 	var machines []*machine
 	if l.plane != nil {
 		machines = l.plane.machines
@@ -178,9 +178,9 @@
 		return err
 	}
 	for i := range o.Hollow {
-		c := hollowConfig(o, l.plan, machines, l.began, i)
+		c := hollowConfig(o, l.plan, machines, l.runStart, i)
 		c.Groups = groups
-		h, err := startHollow(o, i, c, l.record)
+		h, err := startHollow(o, i, c, l.events)
 		if err != nil {
 			return err
 		}
@@ -223,98 +223,98 @@
 // awaitStart waits until every gatekeeper has settings in force. Without a control plane it waits until every gatekeeper knows
 // all members of its group, at most meetWithin after the last start.
 func (l *laboratory) awaitStart(ctx context.Context) error {
-	from := time.Since(l.began)
-	limit := startWithin
+	start := time.Since(l.runStart)
+	limit := startTimeout
 	if l.plane == nil {
-		limit = l.options.startOver() + meetWithin
+		limit = l.options.startOver() + meetTimeout
 	}
-	var said time.Duration
+	var lastProgress time.Duration
 	for {
-		now := time.Since(l.began)
-		have, met, missing := l.have()
-		if now-said >= progressEvery {
-			said = now
-			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, fewest members known %d", have, l.options.Gatekeepers, met))
+		now := time.Since(l.runStart)
+		have, fewestUp, mostMissing := l.startProgress()
+		if now-lastProgress >= progressInterval {
+			lastProgress = now
+			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, fewest members known %d", have, l.options.Gatekeepers, fewestUp))
 		}
 		switch {
-		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && missing == 0:
-			l.started = now - from
+		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && mostMissing == 0:
+			l.startDuration = now - start
 			return nil
-		case now-from > limit && l.plane == nil:
-			l.started = -time.Second
+		case now-start > limit && l.plane == nil:
+			l.startDuration = -time.Second
 			return nil
-		case now-from > limit:
+		case now-start > limit:
 			return fmt.Errorf("%d of %d gatekeepers have settings after %v", have, l.options.Gatekeepers, limit)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.record.changed:
+		case <-l.events.changed:
 		case <-time.After(time.Second):
 		}
-		if err := l.alive(); err != nil {
+		if err := l.checkProcesses(); err != nil {
 			return err
 		}
 	}
 }
 
-// have returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up, and the
+// startProgress returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up, and the
 // most of its group that one does not. The last two are -1 until every process has reported.
-func (l *laboratory) have() (have, met, missing int) {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	met = -1
-	for _, p := range l.record.pulses {
-		if met < 0 || p.FewestUp < met {
-			met = p.FewestUp
+func (l *laboratory) startProgress() (have, fewestUp, mostMissing int) {
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
+	fewestUp = -1
+	for _, p := range l.events.latestFigures {
+		if fewestUp < 0 || p.FewestUp < fewestUp {
+			fewestUp = p.FewestUp
 		}
-		missing = max(missing, p.MostMissing)
+		mostMissing = max(mostMissing, p.MostMissing)
 	}
-	if len(l.record.pulses) < l.options.Hollow {
-		met, missing = -1, -1
+	if len(l.events.latestFigures) < l.options.Hollow {
+		fewestUp, mostMissing = -1, -1
 	}
-	return len(l.record.inForce), met, missing
+	return len(l.events.inForce), fewestUp, mostMissing
 }
 
-// alive returns an error if a hollow process has exited or has sent an invalid event.
-func (l *laboratory) alive() error {
+// checkProcesses returns an error if a hollow process has exited or has sent an invalid event.
+func (l *laboratory) checkProcesses() error {
 	for i, h := range l.hollows {
 		if h.process.Exited() {
 			return fmt.Errorf("hollow%d exited unexpectedly (%v): see its log", i+1, h.process.ExitState())
 		}
 	}
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	if l.record.fault != "" {
-		return errors.New(l.record.fault)
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
+	if l.events.parseError != "" {
+		return errors.New(l.events.parseError)
 	}
 	return nil
 }
 
-// count requests the counters of every hollow process and waits for them.
-func (l *laboratory) count(ctx context.Context, mark int) error {
+// collectCounters requests the counters of every hollow process and waits for them.
+func (l *laboratory) collectCounters(ctx context.Context, mark int) error {
 	for _, h := range l.hollows {
-		if err := h.tell(hollow.Command{Action: hollow.ReportCounters, Mark: mark}); err != nil {
+		if err := h.send(hollow.Command{Action: hollow.ReportCounters, Mark: mark}); err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(countWithin); ; {
-		l.record.mu.Lock()
-		n := len(l.record.counters[mark])
-		l.record.mu.Unlock()
+	for end := time.Now().Add(countersTimeout); ; {
+		l.events.mu.Lock()
+		n := len(l.events.counters[mark])
+		l.events.mu.Unlock()
 		if n == len(l.hollows) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("received counters from only %d of %d hollow processes within %v", n, len(l.hollows), countWithin)
+			return fmt.Errorf("received counters from only %d of %d hollow processes within %v", n, len(l.hollows), countersTimeout)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.record.changed:
+		case <-l.events.changed:
 		case <-time.After(50 * time.Millisecond):
 		}
-		if err := l.alive(); err != nil {
+		if err := l.checkProcesses(); err != nil {
 			return err
 		}
 	}
@@ -324,9 +324,9 @@
 func (l *laboratory) measure(ctx context.Context) error {
 	o := l.options
 	until := time.Now().Add(o.Length)
-	stop := l.playFaults(ctx)
+	stop := l.startFaults(ctx)
 	defer stop()
-	progress := time.NewTicker(progressEvery)
+	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	written := make(chan error, 1)
 	go func() {
@@ -348,8 +348,8 @@
 			done = true
 			written = nil
 		case <-progress.C:
-			l.tellProgress()
-			if err := l.alive(); err != nil {
+			l.reportProgress()
+			if err := l.checkProcesses(); err != nil {
 				return err
 			}
 		case <-over:
@@ -361,38 +361,38 @@
 	}
 }
 
-// tellProgress reports the progress of the measured time.
-func (l *laboratory) tellProgress() {
-	at := time.Since(l.began)
+// reportProgress reports the progress of the measured time.
+func (l *laboratory) reportProgress() {
+	at := time.Since(l.runStart)
 	if l.writer == nil {
-		_, met, _ := l.have()
-		l.options.progress(at, fmt.Sprintf("fewest members known %d of %d", met, l.options.Gatekeepers))
+		_, fewestUp, _ := l.startProgress()
+		l.options.progress(at, fmt.Sprintf("fewest members known %d of %d", fewestUp, l.options.Gatekeepers))
 		return
 	}
-	changes, _ := l.writer.all()
+	changes, _ := l.writer.committed()
 	last := changes[len(changes)-1]
-	behind := l.record.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false })
+	behind := l.events.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false })
 	l.options.progress(at, fmt.Sprintf("%d changes, %d gatekeepers behind the last", len(changes), behind))
 }
 
-// tail writes a last change that is not refusable, and waits until all gatekeepers have it or the time limit has passed.
-func (l *laboratory) tail(ctx context.Context) error {
+// writeFinalChange writes a last change that is not refusable, and waits until all gatekeepers have it or the time limit has passed.
+func (l *laboratory) writeFinalChange(ctx context.Context) error {
 	if l.writer == nil {
 		return nil
 	}
 	l.writer.setRefusable(false)
-	last, err := l.writer.put(ctx, false)
+	last, err := l.writer.write(ctx, false)
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(within + time.Second); time.Now().Before(end); {
-		if l.record.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false }) == 0 {
+	for end := time.Now().Add(inForceLimit + time.Second); time.Now().Before(end); {
+		if l.events.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false }) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.record.changed:
+		case <-l.events.changed:
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
@@ -401,7 +401,7 @@
 
 // sample records the usage of the control machines every sampleEvery, and stops the run if it uses too much memory.
 func (l *laboratory) sample(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -409,32 +409,32 @@
 			return
 		case <-tick.C:
 		}
-		at, resident := time.Since(l.began), int64(0)
+		at, resident := time.Since(l.runStart), int64(0)
 		if l.plane != nil {
 			for i, m := range l.plane.machines {
 				if u, ok := m.usage(); ok {
-					l.record.mu.Lock()
-					l.samples = append(l.samples, controlSample{i, at, u})
-					l.record.mu.Unlock()
+					l.events.mu.Lock()
+					l.controlSamples = append(l.controlSamples, controlSample{i, at, u})
+					l.events.mu.Unlock()
 					resident += u.Resident
 				}
 			}
 		}
-		l.record.mu.Lock()
-		for _, p := range l.record.pulses {
+		l.events.mu.Lock()
+		for _, p := range l.events.latestFigures {
 			resident += p.Resident
 		}
-		l.faults.resident = max(l.faults.resident, resident)
-		l.record.mu.Unlock()
-		if float64(resident) > mostOfMemory*float64(l.memory) {
-			l.fail(errMemory)
+		l.faults.maxResident = max(l.faults.maxResident, resident)
+		l.events.mu.Unlock()
+		if float64(resident) > maxMemoryPart*float64(l.machineMemory) {
+			l.fail(errMemoryLimit)
 			return
 		}
 	}
 }
 
-// crashes lists processes that exited unexpectedly, and gatekeepers that know members outside their group.
-func (l *laboratory) crashes() (problems []string) {
+// findProblems lists processes that exited unexpectedly, and gatekeepers that know members outside their group.
+func (l *laboratory) findProblems() (problems []string) {
 	if l.plane != nil {
 		for _, m := range l.plane.machines {
 			if m.crashed() {
@@ -442,13 +442,13 @@
 			}
 		}
 	}
-	l.record.mu.Lock()
-	for _, p := range l.record.pulses {
+	l.events.mu.Lock()
+	for _, p := range l.events.latestFigures {
 		if p.MostUnexpected > 0 {
 			problems = append(problems, fmt.Sprintf("a gatekeeper knows %d members that are not of its group", p.MostUnexpected))
 		}
 	}
-	l.record.mu.Unlock()
+	l.events.mu.Unlock()
 	for i, h := range l.hollows {
 		if h.process.Exited() {
 			problems = append(problems, fmt.Sprintf("hollow%d exited unexpectedly: %v", i+1, h.process.ExitState()))
@@ -457,14 +457,14 @@
 	return problems
 }
 
-// end stops all processes of the run. It may be called more than once.
-func (l *laboratory) end() {
+// stop stops all processes of the run. It may be called more than once.
+func (l *laboratory) stop() {
 	hollows := l.hollows
 	l.hollows = nil
 	done := make(chan struct{})
 	for _, h := range hollows {
 		go func() {
-			h.end(hollowEndsIn)
+			h.stop(hollowStopTimeout)
 			done <- struct{}{}
 		}()
 	}
@@ -472,12 +472,12 @@
 		<-done
 	}
 	if l.plane != nil {
-		l.plane.end()
+		l.plane.stop()
 	}
 }
 
-// wait waits for d or until ctx ends.
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -486,21 +486,21 @@
 	}
 }
 
-// cores returns the number of processor cores of the machine.
-func cores() int { return runtime.NumCPU() }
+// coreCount returns the number of processor cores of the machine.
+func coreCount() int { return runtime.NumCPU() }
 
-// logOf converts the recorded events into the log of the judge.
-func (l *laboratory) logOf(changes []judge.Change) judge.Log {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.record.applied, Refusals: l.record.refusals,
-		End: l.ended, TimeLimit: within}
+// judgeLog converts the recorded events into the log of the judge.
+func (l *laboratory) judgeLog(changes []judge.Change) judge.Log {
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
+	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.events.applied, Refusals: l.events.refusals,
+		End: l.recordingEnd, TimeLimit: inForceLimit}
 	for _, g := range l.plan.gatekeepers {
 		log.Gatekeepers = append(log.Gatekeepers, g.Name)
 		if g.Refuses {
 			log.Refusing[g.Name] = true
 		}
-		log.Outages = append(log.Outages, l.record.outages[g.Name]...)
+		log.Outages = append(log.Outages, l.events.outages[g.Name]...)
 		for _, cut := range l.faults.cuts {
 			if cut.region == g.Region {
 				log.Outages = append(log.Outages, judge.Outage{Gatekeeper: g.Name, From: cut.from, To: cut.to})
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -60,15 +60,15 @@
 	r, err := Run(t.Context(), o)
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
-	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
+	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.Listed, r.Judge.Problems)
 
 	rate := 2800 * 20 / 86400.
 	require.InDelta(t, rate*length.Seconds(), r.Settings.Changes, 4, "rate of changes")
 	require.GreaterOrEqual(t, r.Settings.Pairs, 50*(r.Settings.Changes-1))
 	require.Zero(t, r.Settings.Unjudged)
-	require.Less(t, r.Settings.FromCommit.Max, within.Seconds())
+	require.Less(t, r.Settings.SinceCommit.Max, inForceLimit.Seconds())
 	require.Len(t, r.Faults, 1)
-	require.Equal(t, 50, r.Gatekeepers.ReceivedPerS.Of)
+	require.Equal(t, 50, r.Gatekeepers.ReceivedPerS.Count)
 
 	byHand := bytesReceived(rate, length.Seconds())
 	require.Less(t, byHand, float64(budgetBytes), "the calculated bound exceeds the budget")
@@ -95,9 +95,9 @@
 	r, err := Run(t.Context(), o)
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
-	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
+	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.Listed, r.Judge.Problems)
 	require.Len(t, r.Faults, 1)
-	require.Contains(t, r.Faults[0].What, "2 records of a backup")
+	require.Contains(t, r.Faults[0].Description, "2 records of a backup")
 	require.GreaterOrEqual(t, r.Settings.Changes, 10)
 	require.Zero(t, r.Settings.Unjudged)
 	requireNoProcess(t, o.Dir)
@@ -117,7 +117,7 @@
 
 func TestPlacement(t *testing.T) {
 	o := Options{Gatekeepers: 2200, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, Faults: []script.Fault{{Kind: script.Refuse}}}
-	p := lay(&o)
+	p := newPlan(&o)
 	voters, zones := map[string]int{}, map[string]int{}
 	for _, m := range p.machines {
 		if m.voter {
@@ -141,7 +141,7 @@
 // With groups, each service has its own gossip group with its own seeds.
 func TestGroupsByService(t *testing.T) {
 	o := Options{Gatekeepers: 2200, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, With: With{Membership: true, Groups: true}}
-	l := &laboratory{options: &o, plan: lay(&o)}
+	l := &laboratory{options: &o, plan: newPlan(&o)}
 	groups, err := l.groups()
 	require.NoError(t, err)
 	require.Len(t, groups, 65)
@@ -164,7 +164,7 @@
 func TestInvalidOptions(t *testing.T) {
 	good := Options{Gatekeepers: 50, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, Hollow: 6, Length: time.Minute, ChangesADay: 2800, Factor: 20}
 	require.NoError(t, good.Check())
-	for want, spoil := range map[string]func(o *Options){
+	for want, modify := range map[string]func(o *Options){
 		"--gatekeepers: 0 is not 1 to":         func(o *Options) { o.Gatekeepers = 0 },
 		"--control: 81 is not 0 to 80":         func(o *Options) { o.Control = 81 },
 		"--voters: 14 is not 1 to 13":          func(o *Options) { o.Voters = 14 },
@@ -179,12 +179,12 @@
 		"--record-bytes: -1 is not 0 to 104":   func(o *Options) { o.RecordBytes = -1 },
 	} {
 		o := good
-		spoil(&o)
+		modify(&o)
 		require.ErrorContains(t, o.Check(), want)
 	}
 	require.ErrorContains(t, checkDescriptors(&Options{Gatekeepers: 1 << 40, Hollow: 1}), "descriptors")
 	require.NoError(t, checkDescriptors(&good))
-	require.LessOrEqual(t, MostControl+MostHollow+1, MostProcesses)
+	require.LessOrEqual(t, MaxControl+MaxHollow+1, MaxProcesses)
 }
 
 func TestSpreadOf(t *testing.T) {
@@ -192,8 +192,8 @@
 	for i := 200; i > 0; i-- {
 		values = append(values, float64(i))
 	}
-	require.Equal(t, Spread{Mean: 100.5, P50: 100, P99: 198, Max: 200, Of: 200}, rounded(spreadOf(values)))
-	require.Equal(t, Spread{Mean: 7, P50: 7, P99: 7, Max: 7, Of: 1}, spreadOf([]float64{7}))
+	require.Equal(t, Spread{Mean: 100.5, P50: 100, P99: 198, Max: 200, Count: 200}, rounded(spreadOf(values)))
+	require.Equal(t, Spread{Mean: 7, P50: 7, P99: 7, Max: 7, Count: 1}, spreadOf([]float64{7}))
 	require.Zero(t, spreadOf(nil))
 }
 
@@ -207,8 +207,8 @@
 	report := func(n int, seed uint64, received float64) *Report {
 		r := &Report{Command: "beammux lab scale --gatekeepers 50 --seed 1 --length 45s --beside some other work --json x.json", Date: "2026-12-02",
 			Shape: Shape{Gatekeepers: n, Seed: seed, Control: 13}}
-		r.Gatekeepers.ReceivedPerS = Spread{P50: received, P99: received, Max: received, Of: n}
-		r.Judge.Held, r.Machine.Cores, r.Machine.OtherCores = true, 8, float64(seed)
+		r.Gatekeepers.ReceivedPerS = Spread{P50: received, P99: received, Max: received, Count: n}
+		r.Judge.Passed, r.Machine.Cores, r.Machine.OtherCores = true, 8, float64(seed)
 		return r
 	}
 	reports := []*Report{report(100, 1, 11), report(50, 2, 12), report(50, 1, 10)}
@@ -231,17 +231,17 @@
 	require.Len(t, again.Series, len(file.Series))
 
 	broken := report(2200, 1, 1)
-	broken.Faults, broken.Judge.Held, broken.Judge.Counts = []FaultReport{{Kind: "restart"}}, false, map[string]int{"lost": 3, "late": 0}
+	broken.Faults, broken.Judge.Passed, broken.Judge.Counts = []FaultReport{{Kind: "restart"}}, false, map[string]int{"lost": 3, "late": 0}
 	file, err = SeriesOf(append(reports, broken))
 	require.NoError(t, err)
 	require.Len(t, file.FaultRuns, 1)
-	require.Equal(t, map[string]int{"lost": 3}, file.FaultRuns[0].Broken, "rules broken in a run with faults are reported")
+	require.Equal(t, map[string]int{"lost": 3}, file.FaultRuns[0].Violations, "rules broken in a run with faults are reported")
 	require.Len(t, file.Series[0].Points, 2)
 	text, err = file.Marshal()
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &again), "%s", text)
 
-	reports[0].Judge.Held = false
+	reports[0].Judge.Passed = false
 	_, err = SeriesOf(reports)
 	require.ErrorContains(t, err, "cannot be used for a series")
 }
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -21,8 +21,8 @@
 	Beside  string  `json:"beside"`
 	Points  []Point `json:"points"`
 
-	words  []string   // distinct Report.Beside texts of the runs
-	others [2]float64 // cores used by other processes: minimum and maximum over the runs
+	loadNotes  []string   // distinct Report.Beside texts of the runs
+	otherCores [2]float64 // cores used by other processes: minimum and maximum over the runs
 }
 
 // seriesCommand returns the command line without the parts that differ between the runs of a series.
@@ -46,17 +46,17 @@
 	return strings.Join(kept, " ")
 }
 
-// beside updates Beside with the other load during a run: its own description and the measured use of cores.
-func (s *Series) beside(r *Report) {
+// addLoad updates Beside with the other load during a run: its own description and the measured use of cores.
+func (s *Series) addLoad(r *Report) {
 	if len(s.Points) == 0 {
-		s.others = [2]float64{r.Machine.OtherCores, r.Machine.OtherCores}
+		s.otherCores = [2]float64{r.Machine.OtherCores, r.Machine.OtherCores}
 	}
-	s.others[0], s.others[1] = min(s.others[0], r.Machine.OtherCores), max(s.others[1], r.Machine.OtherCores)
-	s.Beside = fmt.Sprintf("other processes used %.1f to %.1f of %d cores", s.others[0], s.others[1], r.Machine.Cores)
-	if r.Beside != "" && !slices.Contains(s.words, r.Beside) {
-		s.words = append(s.words, r.Beside)
+	s.otherCores[0], s.otherCores[1] = min(s.otherCores[0], r.Machine.OtherCores), max(s.otherCores[1], r.Machine.OtherCores)
+	s.Beside = fmt.Sprintf("other processes used %.1f to %.1f of %d cores", s.otherCores[0], s.otherCores[1], r.Machine.Cores)
+	if r.Beside != "" && !slices.Contains(s.loadNotes, r.Beside) {
+		s.loadNotes = append(s.loadNotes, r.Beside)
 	}
-	s.Beside = strings.Join(append(slices.Clone(s.words), s.Beside), "; ")
+	s.Beside = strings.Join(append(slices.Clone(s.loadNotes), s.Beside), "; ")
 }
 
 // Point is one number of gatekeepers, with a value for each seed in the order of Seeds.
@@ -77,8 +77,8 @@
 	Faults      []FaultReport  `json:"faults"`
 	N           int            `json:"n"`
 	Seed        uint64         `json:"seed"`
-	Held        bool           `json:"held"`
-	Broken      map[string]int `json:"broken"` // number of violations by rule
+	Passed      bool           `json:"held"`
+	Violations  map[string]int `json:"broken"` // number of violations by rule
 	Changes     int            `json:"changes"`
 	CommitP99S  float64        `json:"in_force_from_commit_p99_s"`
 	CommitMaxS  float64        `json:"in_force_from_commit_max_s"`
@@ -98,14 +98,14 @@
 
 // faultRunOf summarizes the report of a run with faults.
 func faultRunOf(r *Report) FaultRun {
-	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Held: r.Held(), Broken: map[string]int{}, Changes: r.Settings.Changes,
-		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.Healed.P99, HealedMaxS: r.Settings.Healed.Max,
-		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.CutOff, StuckLeft: r.Settings.StuckNotCut,
+	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Passed: r.Held(), Violations: map[string]int{}, Changes: r.Settings.Changes,
+		CommitP99S: r.Settings.SinceCommit.P99, CommitMaxS: r.Settings.SinceCommit.Max, HealedP99S: r.Settings.SinceOutage.P99, HealedMaxS: r.Settings.SinceOutage.Max,
+		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.StuckCutOff, StuckLeft: r.Settings.StuckLeft,
 		ControlCPU: r.Control.CPUShare.Max, ControlRSS: r.Control.ResidentBytes.Max, OtherCores: r.Machine.OtherCores,
 		Command: seriesCommand(r.Command), Date: r.Date, Program: r.Program}
 	for rule, n := range r.Judge.Counts {
 		if n > 0 {
-			f.Broken[rule] = n
+			f.Violations[rule] = n
 		}
 	}
 	return f
@@ -113,27 +113,27 @@
 
 // figure is one figure of a report. read reports false if the run did not measure it.
 type figure struct {
-	name, unit, of string
-	read           func(r *Report) (float64, bool)
+	name, unit, subject string
+	read                func(r *Report) (float64, bool)
 }
 
 // spreadFigures returns three figures of a distribution: the name with _p50, _p99 and _max.
-func spreadFigures(name, unit, of string, read func(r *Report) Spread) []figure {
-	part := func(suffix string, value func(s Spread) float64) figure {
-		return figure{name + suffix, unit, of, func(r *Report) (float64, bool) {
+func spreadFigures(name, unit, subject string, read func(r *Report) Spread) []figure {
+	percentile := func(suffix string, value func(s Spread) float64) figure {
+		return figure{name + suffix, unit, subject, func(r *Report) (float64, bool) {
 			s := read(r)
-			return value(s), s.Of > 0 && s.Max > 0
+			return value(s), s.Count > 0 && s.Max > 0
 		}}
 	}
-	return []figure{part("_p50", func(s Spread) float64 { return s.P50 }), part("_p99", func(s Spread) float64 { return s.P99 }),
-		part("_max", func(s Spread) float64 { return s.Max })}
+	return []figure{percentile("_p50", func(s Spread) float64 { return s.P50 }), percentile("_p99", func(s Spread) float64 { return s.P99 }),
+		percentile("_max", func(s Spread) float64 { return s.Max })}
 }
 
 // Values of Series.Of.
 const (
-	ofGatekeepers = "gatekeepers"
-	ofControl     = "control machines"
-	ofSettings    = "settings"
+	subjectGatekeepers = "gatekeepers"
+	subjectControl     = "control machines"
+	subjectSettings    = "settings"
 )
 
 // figures returns the figures that make up the series.
@@ -142,38 +142,40 @@
 		name, unit, of string
 		read           func(r *Report) Spread
 	}{
-		{"settings_bytes_per_s_received", "B/s", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.ReceivedPerS }},
-		{"settings_bytes_per_s_sent", "B/s", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.SentPerS }},
-		{"gossip_bytes_per_s_sent", "B/s", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.GossipPerS }},
-		{"lease_bytes_per_s", "B/s", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.LeasesPerS }},
-		{"cpu_share", "cores", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.CPUShare }},
-		{"heap", "B", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.HeapBytes }},
-		{"resident", "B", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.ResidentBytes }},
-		{"goroutines", "1", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.Goroutines }},
-		{"descriptors", "1", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.Descriptors }},
-		{"start_to_in_force", "s", ofGatekeepers, func(r *Report) Spread { return r.Gatekeepers.StartToInForce }},
-		{"cpu_share", "cores", ofControl, func(r *Report) Spread { return r.Control.CPUShare }},
-		{"resident", "B", ofControl, func(r *Report) Spread { return r.Control.ResidentBytes }},
-		{"heap", "B", ofControl, func(r *Report) Spread { return r.Control.HeapBytes }},
-		{"goroutines", "1", ofControl, func(r *Report) Spread { return r.Control.Goroutines }},
-		{"descriptors", "1", ofControl, func(r *Report) Spread { return r.Control.Descriptors }},
-		{"bytes_per_s_read", "B/s", ofControl, func(r *Report) Spread { return r.Control.ReadPerS }},
-		{"bytes_per_s_written", "B/s", ofControl, func(r *Report) Spread { return r.Control.WrittenPerS }},
-		{"sessions", "1", ofControl, func(r *Report) Spread { return r.Control.Sessions }},
-		{"in_force_from_commit", "s", ofSettings, func(r *Report) Spread { return r.Settings.FromCommit }},
-		{"in_force_from_put", "s", ofSettings, func(r *Report) Spread { return r.Settings.FromPut }},
-		{"put", "s", ofSettings, func(r *Report) Spread { return r.Settings.PutCommit }},
+		{"settings_bytes_per_s_received", "B/s", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.ReceivedPerS }},
+		{"settings_bytes_per_s_sent", "B/s", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.SentPerS }},
+		{"gossip_bytes_per_s_sent", "B/s", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.GossipPerS }},
+		{"lease_bytes_per_s", "B/s", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.LeasesPerS }},
+		{"cpu_share", "cores", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.CPUShare }},
+		{"heap", "B", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.HeapBytes }},
+		{"resident", "B", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.ResidentBytes }},
+		{"goroutines", "1", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.Goroutines }},
+		{"descriptors", "1", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.Descriptors }},
+		{"start_to_in_force", "s", subjectGatekeepers, func(r *Report) Spread { return r.Gatekeepers.StartToInForce }},
+		{"cpu_share", "cores", subjectControl, func(r *Report) Spread { return r.Control.CPUShare }},
+		{"resident", "B", subjectControl, func(r *Report) Spread { return r.Control.ResidentBytes }},
+		{"heap", "B", subjectControl, func(r *Report) Spread { return r.Control.HeapBytes }},
+		{"goroutines", "1", subjectControl, func(r *Report) Spread { return r.Control.Goroutines }},
+		{"descriptors", "1", subjectControl, func(r *Report) Spread { return r.Control.Descriptors }},
+		{"bytes_per_s_read", "B/s", subjectControl, func(r *Report) Spread { return r.Control.ReadPerS }},
+		{"bytes_per_s_written", "B/s", subjectControl, func(r *Report) Spread { return r.Control.WrittenPerS }},
+		{"sessions", "1", subjectControl, func(r *Report) Spread { return r.Control.Sessions }},
+		{"in_force_from_commit", "s", subjectSettings, func(r *Report) Spread { return r.Settings.SinceCommit }},
+		{"in_force_from_put", "s", subjectSettings, func(r *Report) Spread { return r.Settings.SinceWrite }},
+		{"put", "s", subjectSettings, func(r *Report) Spread { return r.Settings.WriteTime }},
 	}
 	var all []figure
 	for _, s := range spreads {
 		all = append(all, spreadFigures(s.name, s.unit, s.of, s.read)...)
 	}
 	return append(all,
-		figure{"sessions_max_over_share", "1", ofControl, func(r *Report) (float64, bool) { return r.Control.MaxOverShare, r.Shape.Control > 0 }},
-		figure{"session_bytes_per_s_sent", "B/s", ofControl, func(r *Report) (float64, bool) { return r.Control.SessionsPerS, r.Shape.Control > 0 }},
-		figure{"registers_that_count_part_mean", "part", ofGatekeepers, func(r *Report) (float64, bool) { return r.Membership.Fresh.Mean, r.Membership.Fresh.Of > 0 }},
-		figure{"all_met", "s", ofGatekeepers, func(r *Report) (float64, bool) { return r.Membership.AllMetS, r.Membership.AllMetS > 0 }},
-		figure{"fewest_met", "1", ofGatekeepers, func(r *Report) (float64, bool) { return float64(r.Membership.FewestUp), r.Shape.Control == 0 }},
+		figure{"sessions_max_over_share", "1", subjectControl, func(r *Report) (float64, bool) { return r.Control.MaxSessionsOverShare, r.Shape.Control > 0 }},
+		figure{"session_bytes_per_s_sent", "B/s", subjectControl, func(r *Report) (float64, bool) { return r.Control.SessionBytesPerS, r.Shape.Control > 0 }},
+		figure{"registers_that_count_part_mean", "part", subjectGatekeepers, func(r *Report) (float64, bool) {
+			return r.Membership.FreshRegisters.Mean, r.Membership.FreshRegisters.Count > 0
+		}},
+		figure{"all_met", "s", subjectGatekeepers, func(r *Report) (float64, bool) { return r.Membership.AllUpS, r.Membership.AllUpS > 0 }},
+		figure{"fewest_met", "1", subjectGatekeepers, func(r *Report) (float64, bool) { return float64(r.Membership.FewestUp), r.Shape.Control == 0 }},
 	)
 }
 
@@ -196,24 +198,24 @@
 		}
 		for _, f := range figures() {
 			if value, ok := f.read(r); ok {
-				file.add(r, f, value)
+				file.addPoint(r, f, value)
 			}
 		}
 	}
 	return file, nil
 }
 
-// add adds the value of one figure of a report to its series.
-func (file *SeriesFile) add(r *Report, f figure, value float64) {
+// addPoint adds the value of one figure of a report to its series.
+func (file *SeriesFile) addPoint(r *Report, f figure, value float64) {
 	with := strings.Join(r.Shape.With, "+")
-	at := slices.IndexFunc(file.Series, func(s Series) bool { return s.Name == f.name && s.Of == f.of && s.With == with })
-	if at < 0 {
-		at = len(file.Series)
-		file.Series = append(file.Series, Series{Name: f.name, Unit: f.unit, Of: f.of, With: with})
+	index := slices.IndexFunc(file.Series, func(s Series) bool { return s.Name == f.name && s.Of == f.subject && s.With == with })
+	if index < 0 {
+		index = len(file.Series)
+		file.Series = append(file.Series, Series{Name: f.name, Unit: f.unit, Of: f.subject, With: with})
 	}
-	s := &file.Series[at]
+	s := &file.Series[index]
 	s.Command, s.Date = seriesCommand(r.Command), r.Date
-	s.beside(r)
+	s.addLoad(r)
 	if n := len(s.Points); n == 0 || s.Points[n-1].N != r.Shape.Gatekeepers {
 		s.Points = append(s.Points, Point{N: r.Shape.Gatekeepers})
 	}
@@ -257,8 +259,8 @@
 }
 
 // separator returns the separator between list elements, "" if left is 0.
-func separator(left int) string {
-	if left == 0 {
+func separator(remaining int) string {
+	if remaining == 0 {
 		return ""
 	}
 	return ","
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -15,16 +15,16 @@
 func (l *laboratory) report(stopped bool, problems []string) *Report {
 	o := l.options
 	r := &Report{Command: o.Command, Date: time.Now().UTC().Format(time.DateOnly), Program: revision(), Beside: o.Beside, Stopped: stopped, Shape: l.shape(),
-		Processes: problems, Faults: []FaultReport{}}
+		Crashed: problems, Faults: []FaultReport{}}
 	r.Machine = l.machineFigures()
 	r.Gatekeepers = l.gatekeeperFigures()
 	r.Control = l.controlFigures(r)
 	r.Membership = l.membership()
 	r.Judge.Problems = append(append([]string{}, problems...), l.faults.problems...)
 	if l.writer != nil {
-		l.judge(r)
+		l.judgeRun(r)
 	} else {
-		r.Judge.Held = len(r.Judge.Problems) == 0
+		r.Judge.Passed = len(r.Judge.Problems) == 0
 	}
 	return r
 }
@@ -62,22 +62,22 @@
 			s.With = append(s.With, w.name)
 		}
 	}
-	s.Descriptors.Needed = needDescriptors(o)
+	s.Descriptors.Needed = neededDescriptors(o)
 	s.Descriptors.Allowed, _ = child.DescriptorLimit()
 	return s
 }
 
-// span returns the duration of the measured time.
-func (l *laboratory) span() time.Duration { return l.measured.to - l.measured.from }
+// measuredTime returns the duration of the measured time.
+func (l *laboratory) measuredTime() time.Duration { return l.measured.to - l.measured.from }
 
-// inSpan reports whether a time is within the measured time.
-func (l *laboratory) inSpan(at time.Duration) bool {
+// isMeasured reports whether a time is within the measured time.
+func (l *laboratory) isMeasured(at time.Duration) bool {
 	return at >= l.measured.from && at <= l.measured.to
 }
 
 func (l *laboratory) machineFigures() MachineFigures {
-	m := MachineFigures{Cores: cores(), MemoryBytes: l.memory, LabResident: l.faults.resident}
-	span := l.span().Seconds()
+	m := MachineFigures{Cores: coreCount(), MemoryBytes: l.machineMemory, RunResident: l.faults.maxResident}
+	span := l.measuredTime().Seconds()
 	if span <= 0 {
 		return m
 	}
@@ -88,16 +88,16 @@
 	for _, d := range l.controlCPU() {
 		lab += d
 	}
-	m.LabCores = lab.Seconds() / span
-	m.OtherCores = max(0, l.faults.machineBusy.Seconds()/span-m.LabCores)
+	m.RunCores = lab.Seconds() / span
+	m.OtherCores = max(0, l.faults.machineBusy.Seconds()/span-m.RunCores)
 	return m
 }
 
 // hollowCPU returns the processor time that a hollow process used in the measured time.
 func (l *laboratory) hollowCPU(process int) time.Duration {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	a, b := l.record.counters[atBegin][process], l.record.counters[atEnd][process]
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
+	a, b := l.events.counters[markStart][process], l.events.counters[markEnd][process]
 	if a == nil || b == nil {
 		return 0
 	}
@@ -106,11 +106,11 @@
 
 // controlCPU returns the processor time of each control machine between its first and last sample in the measured time.
 func (l *laboratory) controlCPU() map[int]time.Duration {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
 	first, last := map[int]controlSample{}, map[int]controlSample{}
-	for _, s := range l.samples {
-		if !l.inSpan(s.at) {
+	for _, s := range l.controlSamples {
+		if !l.isMeasured(s.at) {
 			continue
 		}
 		if _, ok := first[s.machine]; !ok {
@@ -127,14 +127,14 @@
 
 // gatekeeperFigures returns the figures from the differences of the counters over the measured time.
 func (l *laboratory) gatekeeperFigures() (g GatekeeperFigures) {
-	span := l.span().Seconds()
+	span := l.measuredTime().Seconds()
 	if span <= 0 {
 		return g
 	}
 	var sent, received, gossip, leases, opened, cpu []float64
-	l.record.mu.Lock()
-	for process, before := range l.record.counters[atBegin] {
-		after := l.record.counters[atEnd][process]
+	l.events.mu.Lock()
+	for process, before := range l.events.counters[markStart] {
+		after := l.events.counters[markEnd][process]
 		if after == nil {
 			continue
 		}
@@ -148,29 +148,29 @@
 		}
 		cpu = append(cpu, (after.CPU-before.CPU).Seconds()/(after.At-before.At).Seconds()/float64(len(before.Gatekeepers)))
 	}
-	l.record.mu.Unlock()
+	l.events.mu.Unlock()
 	g.SentPerS, g.ReceivedPerS, g.GossipPerS, g.LeasesPerS = spreadOf(sent), spreadOf(received), spreadOf(gossip), spreadOf(leases)
 	g.Connections, g.CPUShare = spreadOf(opened), spreadOf(cpu)
-	g.HeapBytes = l.most(func(f hollow.Figures) int64 { return f.Heap })
-	g.ResidentBytes = l.most(func(f hollow.Figures) int64 { return f.Resident })
-	g.Goroutines = l.most(func(f hollow.Figures) int64 { return int64(f.Goroutines) })
-	g.Descriptors = l.most(func(f hollow.Figures) int64 { return int64(f.Descriptors) })
+	g.HeapBytes = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return f.Heap })
+	g.ResidentBytes = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return f.Resident })
+	g.Goroutines = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return int64(f.Goroutines) })
+	g.Descriptors = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return int64(f.Descriptors) })
 	g.StartToInForce = l.startToInForce()
 	return g
 }
 
-// most returns the distribution over the hollow processes of the maximum of a figure in the measured time, per gatekeeper.
-func (l *laboratory) most(of func(hollow.Figures) int64) Spread {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
+// maxPerGatekeeper returns the distribution over the hollow processes of the maximum of a figure in the measured time, per gatekeeper.
+func (l *laboratory) maxPerGatekeeper(value func(hollow.Figures) int64) Spread {
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
 	share := map[int]float64{}
-	for process, c := range l.record.counters[atBegin] {
+	for process, c := range l.events.counters[markStart] {
 		share[process] = float64(len(c.Gatekeepers))
 	}
 	most := map[int]float64{}
-	for _, s := range l.record.samples {
-		if l.inSpan(s.at) && share[s.process] > 0 {
-			most[s.process] = max(most[s.process], float64(of(s.Figures))/share[s.process])
+	for _, s := range l.events.samples {
+		if l.isMeasured(s.at) && share[s.process] > 0 {
+			most[s.process] = max(most[s.process], float64(value(s.Figures))/share[s.process])
 		}
 	}
 	return spreadOf(valuesOf(most))
@@ -186,12 +186,12 @@
 
 // startToInForce returns the times from the first start of each gatekeeper to its first settings.
 func (l *laboratory) startToInForce() Spread {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
 	seen := map[string]bool{}
 	var took []float64
-	for _, a := range l.record.applied {
-		all := l.record.outages[a.Gatekeeper]
+	for _, a := range l.events.applied {
+		all := l.events.outages[a.Gatekeeper]
 		if a.StartCount != 1 || seen[a.Gatekeeper] || len(all) == 0 {
 			continue
 		}
@@ -202,19 +202,19 @@
 }
 
 func (l *laboratory) controlFigures(r *Report) (c ControlFigures) {
-	if l.plane == nil || l.span() <= 0 {
+	if l.plane == nil || l.measuredTime() <= 0 {
 		return c
 	}
-	span := l.span().Seconds()
+	span := l.measuredTime().Seconds()
 	var cpu []float64
 	for _, d := range l.controlCPU() {
 		cpu = append(cpu, d.Seconds()/span)
 	}
 	resident, heap, goroutines, descriptors := map[int]float64{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
 	first, last := map[int]child.Usage{}, map[int]child.Usage{}
-	l.record.mu.Lock()
-	for _, s := range l.samples {
-		if !l.inSpan(s.at) {
+	l.events.mu.Lock()
+	for _, s := range l.controlSamples {
+		if !l.isMeasured(s.at) {
 			continue
 		}
 		if _, ok := first[s.machine]; !ok {
@@ -224,13 +224,13 @@
 		resident[s.machine] = max(resident[s.machine], float64(s.usage.Resident))
 		descriptors[s.machine] = max(descriptors[s.machine], float64(s.usage.Descriptors))
 	}
-	for _, s := range l.runtimes {
-		if l.inSpan(s.at) {
+	for _, s := range l.runtimeSamples {
+		if l.isMeasured(s.at) {
 			heap[s.machine] = max(heap[s.machine], s.heap)
 			goroutines[s.machine] = max(goroutines[s.machine], s.goroutines)
 		}
 	}
-	l.record.mu.Unlock()
+	l.events.mu.Unlock()
 	var read, written []float64
 	for i := range last {
 		read = append(read, float64(last[i].Read-first[i].Read)/span)
@@ -239,18 +239,18 @@
 	c.CPUShare, c.ResidentBytes, c.HeapBytes = spreadOf(cpu), spreadOf(valuesOf(resident)), spreadOf(valuesOf(heap))
 	c.Goroutines, c.Descriptors = spreadOf(valuesOf(goroutines)), spreadOf(valuesOf(descriptors))
 	c.ReadPerS, c.WrittenPerS = spreadOf(read), spreadOf(written)
-	c.SessionsPerS = r.Gatekeepers.ReceivedPerS.Mean * float64(l.options.Gatekeepers) / float64(l.options.Control)
-	l.sessions(&c)
+	c.SessionBytesPerS = r.Gatekeepers.ReceivedPerS.Mean * float64(l.options.Gatekeepers) / float64(l.options.Control)
+	l.setSessions(&c)
 	return c
 }
 
-// sessions sets the figures of sessions per control machine, as counted by the gatekeepers.
-func (l *laboratory) sessions(c *ControlFigures) {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
+// setSessions sets the figures of sessions per control machine, as counted by the gatekeepers.
+func (l *laboratory) setSessions(c *ControlFigures) {
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
 	now := map[int]map[string]int{} // latest by process
-	for _, s := range l.record.samples {
-		if !l.inSpan(s.at) {
+	for _, s := range l.events.samples {
+		if !l.isMeasured(s.at) {
 			continue
 		}
 		now[s.process] = s.Sessions
@@ -258,12 +258,12 @@
 			continue
 		}
 		for _, n := range l.sumSessions(now) {
-			c.SessionsMax = max(c.SessionsMax, int(n))
+			c.MaxSessions = max(c.MaxSessions, int(n))
 		}
 	}
 	c.Sessions = spreadOf(l.sumSessions(now))
 	c.Share = float64(l.options.Gatekeepers) / float64(l.options.Control)
-	c.MaxOverShare = float64(c.SessionsMax) / c.Share
+	c.MaxSessionsOverShare = float64(c.MaxSessions) / c.Share
 }
 
 // sumSessions returns the sessions at each control machine, summed over the processes.
@@ -283,11 +283,11 @@
 		return m
 	}
 	if l.plane == nil {
-		m.AllMetS = seconds(l.started)
+		m.AllUpS = seconds(l.startDuration)
 	}
-	_, m.FewestUp, m.MostMissing = l.have()
+	_, m.FewestUp, m.MostMissing = l.startProgress()
 	if l.options.With.Registers {
-		m.Fresh, m.Oldest = l.registerFigures()
+		m.FreshRegisters, m.OldestRegister = l.registerFigures()
 	}
 	return m
 }
@@ -301,9 +301,9 @@
 		groupOf[g.Name] = g.Group
 	}
 	var parts, ages []float64
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	for _, c := range l.record.counters[atEnd] {
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
+	for _, c := range l.events.counters[markEnd] {
 		for _, g := range c.Gatekeepers {
 			parts = append(parts, float64(g.FreshRegisters)/float64(members[groupOf[g.Name]]))
 			ages = append(ages, float64(g.OldestRegisterMicros)/1e6)
@@ -315,16 +315,16 @@
 // firstMarker is the marker of the change that is written before the gatekeepers start.
 const firstMarker = 1
 
-// judge checks the run and sets the figures of settings, faults and the judge.
-func (l *laboratory) judge(r *Report) {
-	changes, retries := l.writer.all()
-	v := judge.Check(l.logOf(changes))
+// judgeRun checks the run and sets the figures of settings, faults and the judge.
+func (l *laboratory) judgeRun(r *Report) {
+	changes, retries := l.writer.committed()
+	v := judge.Check(l.judgeLog(changes))
 	s := &r.Settings
 	s.Changes, s.Retries, s.Pairs, s.Superseded, s.Unjudged = len(changes), retries, len(v.Delays), v.Superseded, v.Unjudged
-	s.RefusedHeld, s.AllStartedS = v.Counts[judge.AppliedRefused], seconds(l.started)
-	l.record.mu.Lock()
-	s.Refusals, s.AppliedTotal, s.CutOff, s.StuckNotCut = len(l.record.refusals), len(l.record.applied), l.record.cutOff, l.record.open
-	l.record.mu.Unlock()
+	s.RefusedApplied, s.AllStartedS = v.Counts[judge.AppliedRefused], seconds(l.startDuration)
+	l.events.mu.Lock()
+	s.Refusals, s.AppliedTotal, s.StuckCutOff, s.StuckLeft = len(l.events.refusals), len(l.events.applied), l.events.stuckCutOff, l.events.stuckLeft
+	l.events.mu.Unlock()
 	var commit, put, healed []float64
 	slowest := map[uint64]float64{}
 	for _, d := range v.Delays {
@@ -345,36 +345,36 @@
 	for _, v := range slowest {
 		all = append(all, v)
 	}
-	s.FromCommit, s.FromPut, s.Healed, s.AllHaveIt, s.PutCommit = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
-	s.Slowest = l.slowest(changes, v.Delays)
+	s.SinceCommit, s.SinceWrite, s.SinceOutage, s.UntilAll, s.WriteTime = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
+	s.Slowest = l.slowestPairs(changes, v.Delays)
 	r.Faults = l.faultReports(changes, v.Delays)
-	r.Judge.WithinS, r.Judge.First, r.Judge.Crashed = within.Seconds(), v.Listed, len(r.Processes)
+	r.Judge.WithinS, r.Judge.Listed, r.Judge.Crashed = inForceLimit.Seconds(), v.Listed, len(r.Crashed)
 	r.Judge.Counts = map[string]int{}
 	for rule, n := range v.Counts {
 		r.Judge.Counts[string(rule)] = n
 	}
-	r.Judge.Held = v.Passed() && len(r.Judge.Problems) == 0
+	r.Judge.Passed = v.Passed() && len(r.Judge.Problems) == 0
 }
 
-// mostSlow is the number of slowest pairs in a report.
-const mostSlow = 20
+// maxSlowPairs is the number of slowest pairs in a report.
+const maxSlowPairs = 20
 
-// slowest returns the slowest pairs of a change and a gatekeeper.
-func (l *laboratory) slowest(changes []judge.Change, delays []judge.Delay) (slow []Slow) {
-	took := func(d judge.Delay) time.Duration {
+// slowestPairs returns the slowest pairs of a change and a gatekeeper.
+func (l *laboratory) slowestPairs(changes []judge.Change, delays []judge.Delay) (slow []SlowPair) {
+	delayOf := func(d judge.Delay) time.Duration {
 		if d.Outage {
 			return d.SinceOutage
 		}
 		return d.SinceCommit
 	}
 	delays = slices.Clone(delays)
-	slices.SortFunc(delays, func(a, b judge.Delay) int { return cmp.Compare(took(b), took(a)) })
+	slices.SortFunc(delays, func(a, b judge.Delay) int { return cmp.Compare(delayOf(b), delayOf(a)) })
 	committed := commitTimes(changes)
-	for _, d := range delays[:min(mostSlow, len(delays))] {
+	for _, d := range delays[:min(maxSlowPairs, len(delays))] {
 		at := slices.IndexFunc(l.plan.gatekeepers, func(g hollow.Gatekeeper) bool { return g.Name == d.Gatekeeper })
 		g := l.plan.gatekeepers[at]
-		slow = append(slow, Slow{Marker: d.Marker, CommittedS: seconds(committed[d.Marker] - l.measured.from), Gatekeeper: g.Name,
-			Zone: g.Zone, Region: g.Region, TookS: seconds(took(d)), Outage: d.Outage})
+		slow = append(slow, SlowPair{Marker: d.Marker, CommittedS: seconds(committed[d.Marker] - l.measured.from), Gatekeeper: g.Name,
+			Zone: g.Zone, Region: g.Region, DelayS: seconds(delayOf(d)), Outage: d.Outage})
 	}
 	return slow
 }
@@ -392,11 +392,11 @@
 func (l *laboratory) faultReports(changes []judge.Change, delays []judge.Delay) []FaultReport {
 	reports := []FaultReport{}
 	committed := commitTimes(changes)
-	for _, p := range l.faults.played {
-		f := FaultReport{Kind: string(p.kind), AtS: seconds(p.from - l.measured.from), UntilS: seconds(p.until - l.measured.from), What: p.what}
+	for _, p := range l.faults.injected {
+		f := FaultReport{Kind: string(p.kind), AtS: seconds(p.from - l.measured.from), UntilS: seconds(p.until - l.measured.from), Description: p.description}
 		for _, d := range delays {
 			at := committed[d.Marker]
-			if at < p.from || at > p.until+within {
+			if at < p.from || at > p.until+inForceLimit {
 				continue
 			}
 			took := d.SinceCommit
@@ -405,20 +405,20 @@
 			}
 			f.SlowestS = max(f.SlowestS, seconds(took))
 		}
-		l.duringFault(p, &f)
+		l.addFaultFigures(p, &f)
 		reports = append(reports, f)
 	}
 	return reports
 }
 
-// duringFault adds the figures that the hollow processes reported during a fault.
-func (l *laboratory) duringFault(p playedFault, f *FaultReport) {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
+// addFaultFigures adds the figures that the hollow processes reported during a fault.
+func (l *laboratory) addFaultFigures(p injectedFault, f *FaultReport) {
+	l.events.mu.Lock()
+	defer l.events.mu.Unlock()
 	share := float64(l.options.Gatekeepers) / float64(l.options.Control)
 	now := map[int]hollow.Figures{} // latest by process
-	for _, s := range l.record.samples {
-		if !l.inSpan(s.at) {
+	for _, s := range l.events.samples {
+		if !l.isMeasured(s.at) {
 			continue
 		}
 		now[s.process] = s.Figures
@@ -427,13 +427,13 @@
 			behind += figures.Behind
 			sessions[process] = figures.Sessions
 		}
-		f.SaidBehindEnd = behind
-		if s.at >= p.from && s.at <= p.until+sampleEvery {
-			f.SaidBehind = max(f.SaidBehind, behind)
+		f.BehindAtEnd = behind
+		if s.at >= p.from && s.at <= p.until+sampleInterval {
+			f.MaxBehind = max(f.MaxBehind, behind)
 		}
-		if s.at >= p.from && s.at <= p.until+within && len(now) == l.options.Hollow {
+		if s.at >= p.from && s.at <= p.until+inForceLimit && len(now) == l.options.Hollow {
 			for _, n := range l.sumSessions(sessions) {
-				f.SessionsOverShare = max(f.SessionsOverShare, n/share)
+				f.MaxSessionsOverShare = max(f.MaxSessionsOverShare, n/share)
 			}
 		}
 	}
