--- a/internal/scalelab/changes.go
+++ b/internal/scalelab/changes.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	writeTimeout    = 5 * time.Second       // for one attempt at one machine
-	writeRetryDelay = 50 * time.Millisecond // delay before a retry
-	writeGiveUp     = 60 * time.Second      // for all attempts of a change
-	refusableEvery  = 3                     // changes per refusable change while the refuse fault lasts
+	writeTimeout        = 5 * time.Second       // for one attempt at one machine
+	writeRetryDelay     = 50 * time.Millisecond // delay before a retry
+	writeGiveUp         = 60 * time.Second      // for all attempts of a change
+	changesPerRefusable = 3                     // changes per refusable change while the refuse fault lasts
 )
 
 // The keys that every change writes.
@@ -29,7 +29,7 @@
 	options  *Options
 	plane    *controlPlane
 	runStart time.Time
-	isCut    func(region string) bool // reports whether the fault script has cut off a region
+	cutOff   func(region string) bool // reports whether the fault script has cut off a region
 
 	writeMu sync.Mutex // held while a change is written, and while the fault script rebuilds the store
 
@@ -37,7 +37,7 @@
 	rng       *rand.Rand
 	refusable bool // changes can be marked as refusable
 	changes   []judge.Change
-	retries   int
+	retries   int // failed attempts of all changes
 }
 
 // setRefusable turns the marking of changes as refusable on or off.
@@ -54,24 +54,24 @@
 	defer w.writeMu.Unlock()
 	w.mu.Lock()
 	marker := uint64(len(w.changes) + 1)
-	c := judge.Change{Marker: marker, Refusable: mayRefuse && w.refusable && marker%refusableEvery == 0}
+	change := judge.Change{Marker: marker, Refusable: mayRefuse && w.refusable && marker%changesPerRefusable == 0}
 	w.mu.Unlock()
-	calls, limits := hollow.Content(c.Marker, c.Refusable, w.options.RecordBytes)
-	c.WriteStarted = time.Since(w.runStart)
+	calls, limits := hollow.Content(change.Marker, change.Refusable, w.options.RecordBytes)
+	change.WriteStarted = time.Since(w.runStart)
 	for {
 		revision, err := w.tryWrite(ctx, calls, limits)
 		if err == nil {
-			c.Revision, c.Committed = revision, time.Since(w.runStart)
+			change.Revision, change.Committed = revision, time.Since(w.runStart)
 			w.mu.Lock()
-			w.changes = append(w.changes, c)
+			w.changes = append(w.changes, change)
 			w.mu.Unlock()
-			return c, nil
+			return change, nil
 		}
 		if ctx.Err() != nil {
-			return c, ctx.Err()
+			return change, ctx.Err()
 		}
-		if time.Since(w.runStart)-c.WriteStarted > writeGiveUp {
-			return c, fmt.Errorf("writing change %d: %w", marker, err)
+		if time.Since(w.runStart)-change.WriteStarted > writeGiveUp {
+			return change, fmt.Errorf("writing change %d: %w", marker, err)
 		}
 		w.mu.Lock()
 		w.retries++
@@ -92,7 +92,7 @@
 func (w *changeWriter) tryWrite(ctx context.Context, calls, limits []byte) (uint64, error) {
 	var candidates []*machine
 	for _, m := range w.plane.machines {
-		if m.up() && !w.isCut(m.Region) {
+		if m.up() && !w.cutOff(m.Region) {
 			candidates = append(candidates, m)
 		}
 	}
@@ -109,11 +109,11 @@
 
 // run writes changes at the configured rate until a time. Changes that become due during a slow write follow it immediately.
 func (w *changeWriter) run(ctx context.Context, until time.Time) error {
-	every := w.options.changeEvery()
-	if every <= 0 {
+	interval := w.options.changeInterval()
+	if interval <= 0 {
 		return nil
 	}
-	for due := time.Now().Add(every); due.Before(until); due = due.Add(every) {
+	for due := time.Now().Add(interval); due.Before(until); due = due.Add(interval) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// committed returns the committed changes and the number of retries.
-func (w *changeWriter) committed() (changes []judge.Change, retries int) {
+// all returns the committed changes and the number of retries.
+func (w *changeWriter) all() (changes []judge.Change, retries int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append(changes, w.changes...), w.retries
--- a/internal/scalelab/child/child.go
+++ b/internal/scalelab/child/child.go
@@ -181,8 +181,8 @@
 	return kib << 10, err
 }
 
-// DescriptorLimit returns the limit of open file descriptors of this process and of each process that it starts.
-func DescriptorLimit() (int, error) {
+// Descriptors returns the limit of open file descriptors of this process and of each process that it starts.
+func Descriptors() (int, error) {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
 	return int(limit.Cur), err
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -305,7 +305,7 @@
 // randomZoneMachines returns the running machines of a random zone, nil if none runs.
 func (c *controlPlane) randomZoneMachines(rng *rand.Rand) []*machine { return c.randomZone(rng, 1) }
 
-// randomZone returns the running machines of a random zone among those with at least least of them, nil if there is none.
+// randomZone returns the running machines of a random zone among those with at least minMachines of them, nil if there is none.
 func (c *controlPlane) randomZone(rng *rand.Rand, minMachines int) []*machine {
 	zones := map[string][]*machine{}
 	for _, m := range c.machines {
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -24,7 +24,7 @@
 	cuts        []cutPeriod
 	injected    []injectedFault
 	machineBusy time.Duration
-	maxResident int64
+	resident    int64
 	problems    []string
 }
 
@@ -66,7 +66,7 @@
 func (l *laboratory) startFaults(ctx context.Context) (wait func()) {
 	var all sync.WaitGroup
 	for _, fault := range l.options.Faults {
-		rng := rand.New(rand.NewPCG(l.faultRand.Uint64(), 0)) // seeded in the order of the script, independent of the times of the faults
+		rng := rand.New(rand.NewPCG(l.rng.Uint64(), 0)) // seeded in the order of the script, independent of the times of the faults
 		all.Go(func() {
 			select {
 			case <-ctx.Done():
@@ -107,13 +107,13 @@
 	case script.Restart:
 		return l.restartGatekeepers(ctx, f, rng)
 	case script.Refuse:
-		l.writer.setRefusable(true)
-		defer l.writer.setRefusable(false)
-		return fmt.Sprintf("one gatekeeper of %d refuses one change of %d", refusesEvery, refusableEvery), sleep(ctx, f.For)
+		l.changeWriter.setRefusable(true)
+		defer l.changeWriter.setRefusable(false)
+		return fmt.Sprintf("one gatekeeper of %d refuses one change of %d", gatekeepersPerRefuser, changesPerRefusable), sleep(ctx, f.For)
 	case script.StuckWatcher:
 		return l.openStuckWatchers(f, rng)
 	case script.PauseControl, script.PauseLeader:
-		return l.pauseMachine(ctx, f, rng)
+		return l.pause(ctx, f, rng)
 	case script.LoseRack, script.LoseZone:
 		return l.failPlace(ctx, f, rng)
 	case script.RemakeControl:
@@ -159,7 +159,7 @@
 			continue
 		}
 		failed++
-		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: g.Name, DownTime: f.For}
+		command := hollow.Command{Operation: hollow.RestartGatekeeper, Name: g.Name, DownTime: f.For}
 		if err := l.hollows[i%l.options.Hollow].send(command); err != nil {
 			return "", err
 		}
@@ -168,11 +168,11 @@
 	return description, l.killAndRestart(ctx, f.For, machines...)
 }
 
-// rebuildControl kills all control machines and removes their data. It then starts a new group and restores a backup taken before the
-// fault, as an operator would. No change is written meanwhile.
+// rebuildControl kills all control machines and removes their data. It then starts a new group and restores a backup taken
+// before the fault, as an operator would. No change is written during that time.
 func (l *laboratory) rebuildControl(ctx context.Context, f script.Fault) (string, error) {
-	l.writer.writeMu.Lock()
-	defer l.writer.writeMu.Unlock()
+	l.changeWriter.writeMu.Lock()
+	defer l.changeWriter.writeMu.Unlock()
 	leader, err := l.plane.leader(ctx)
 	if err != nil {
 		return "", err
@@ -194,7 +194,7 @@
 	if err != nil {
 		return "", err
 	}
-	l.writer.addRestamp(done.Revision)
+	l.changeWriter.addRestamp(done.Revision)
 	return fmt.Sprintf("%d records of a backup at revision %d, restored at %d", done.Written, backup.Revision, done.Revision), nil
 }
 
@@ -233,7 +233,7 @@
 	}
 	l.plane.cut(region, cut)
 	for _, h := range l.hollows {
-		if err := h.send(hollow.Command{Action: action, Region: region}); err != nil {
+		if err := h.send(hollow.Command{Operation: action, Region: region}); err != nil {
 			return err
 		}
 	}
@@ -258,7 +258,7 @@
 		if err := sleep(ctx, f.For/time.Duration(max(1, n))); err != nil {
 			return "", err
 		}
-		command := hollow.Command{Action: hollow.RestartGatekeeper, Name: l.plan.gatekeepers[i].Name, DownTime: restartDownTime}
+		command := hollow.Command{Operation: hollow.RestartGatekeeper, Name: l.plan.gatekeepers[i].Name, DownTime: restartDownTime}
 		if err := l.hollows[i%l.options.Hollow].send(command); err != nil {
 			return "", err
 		}
@@ -269,11 +269,11 @@
 // openStuckWatchers opens stuck watchers, all at one control machine.
 func (l *laboratory) openStuckWatchers(f script.Fault, rng *rand.Rand) (string, error) {
 	m := l.plane.machines[rng.IntN(len(l.plane.machines))]
-	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].send(hollow.Command{Action: hollow.OpenStuckWatchers, Address: m.Address, Count: f.Count})
+	return fmt.Sprintf("%d at %s", f.Count, m.Name), l.hollows[0].send(hollow.Command{Operation: hollow.OpenStuckWatchers, Address: m.Address, Count: f.Count})
 }
 
-// pauseMachine suspends the process of a control machine for the time of the fault.
-func (l *laboratory) pauseMachine(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
+// pause suspends the process of a control machine for the time of the fault.
+func (l *laboratory) pause(ctx context.Context, f script.Fault, rng *rand.Rand) (string, error) {
 	leader, err := l.plane.leader(ctx)
 	if err != nil {
 		return "", err
--- a/internal/scalelab/hollow/connection.go
+++ b/internal/scalelab/hollow/connection.go
@@ -27,6 +27,7 @@
 	cutChanged chan struct{} // closed when cut changes
 }
 
+// newNetwork returns a network without partitions or delay.
 func newNetwork(delayRegions bool, regionOf map[string]string) *network {
 	return &network{delayRegions: delayRegions, regionOf: regionOf, cut: map[string]bool{}, cutChanged: make(chan struct{})}
 }
@@ -40,8 +41,8 @@
 	n.cutChanged = make(chan struct{})
 }
 
-// connected reports whether two regions are connected. wake is closed when that may have changed.
-func (n *network) connected(a, b string) (ok bool, changed <-chan struct{}) {
+// connected reports whether two regions are connected. cutChanged is closed when that may have changed.
+func (n *network) connected(a, b string) (ok bool, cutChanged <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return a == b || !n.cut[a] && !n.cut[b], n.cutChanged
@@ -80,6 +81,7 @@
 	from, to string
 }
 
+// latency returns the one-way delay of the path.
 func (p *path) latency() time.Duration {
 	if p.from == p.to {
 		return 0
@@ -113,7 +115,7 @@
 	pending   []byte // read from the kernel but not yet returned, because the path was cut
 
 	mu                          sync.Mutex
-	readDeadline, writeDeadline time.Time     // deadlines
+	readDeadline, writeDeadline time.Time     // zero: no deadline
 	deadlineChanged             chan struct{} // closed when a deadline changes
 }
 
@@ -152,7 +154,7 @@
 			return nil
 		}
 		c.mu.Lock()
-		at, moved := deadline(), c.deadlineChanged
+		at, deadlineChanged := deadline(), c.deadlineChanged
 		c.mu.Unlock()
 		var over <-chan time.Time
 		if !at.IsZero() {
@@ -162,7 +164,7 @@
 		}
 		select {
 		case <-wake:
-		case <-moved:
+		case <-deadlineChanged:
 		case <-c.closed:
 			return net.ErrClosed
 		case <-over:
@@ -176,13 +178,14 @@
 	return c.Conn.Close()
 }
 
-func (c *countedConn) setDeadline(read, write bool, at time.Time) {
+// setDeadline stores the selected deadlines and wakes blocked reads and writes.
+func (c *countedConn) setDeadline(readDeadline, writeDeadline bool, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if read {
+	if readDeadline {
 		c.readDeadline = at
 	}
-	if write {
+	if writeDeadline {
 		c.writeDeadline = at
 	}
 	close(c.deadlineChanged)
@@ -224,8 +227,8 @@
 	return near
 }
 
-// copyDelayed copies data from one connection to the other, each chunk after the latency of the path, and closes both when either
-// ends.
+// copyDelayed copies data from one connection to the other, each chunk after the latency of the path, and closes both when
+// either ends.
 func copyDelayed(from, to net.Conn, p *path) {
 	queue := make(chan chunk, delayQueueLength)
 	go func() {
--- a/internal/scalelab/hollow/content.go
+++ b/internal/scalelab/hollow/content.go
@@ -27,7 +27,7 @@
 	return pad(calls, size), pad(limits, size)
 }
 
-// pad appends white space to a JSON text up to a size of at least shortest bytes.
+// pad appends white space to a JSON text up to a size of at least minRecordBytes.
 func pad(text []byte, size int) []byte {
 	if padding := max(size, minRecordBytes) - len(text); padding > 0 {
 		text = append(text, bytes.Repeat([]byte{' '}, padding)...)
--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -33,11 +33,11 @@
 		Self:     scope.Target{Name: g.Name, Region: g.Region, Zone: g.Zone, Service: g.Service},
 		Replicas: replicas, Dir: dir, Dial: p.network.dialer(g.Region, &g.traffic), Log: errorLogger(), Seed: p.config.Seed,
 		Apply: func(c follow.Candidate) error {
-			read, err := readCandidate(c, p.site)
+			parsed, err := readCandidate(c, p.site)
 			if err != nil {
 				return err
 			}
-			return apply(read)
+			return apply(parsed)
 		},
 	})
 	if err != nil {
@@ -47,24 +47,24 @@
 }
 
 // readCandidate validates a candidate as a gatekeeper does, and returns the markers of its sections.
-func readCandidate(c follow.Candidate, site *control.Site) (read candidate, err error) {
-	read.revision = c.Revision
+func readCandidate(c follow.Candidate, site *control.Site) (parsed candidate, err error) {
+	parsed.revision = c.Revision
 	for _, name := range scope.Sections() {
-		r, ok := c.Sections[name]
+		record, ok := c.Sections[name]
 		if !ok {
 			continue
 		}
-		if err := config.CheckSettings(r.Key, r.Value, site); err != nil {
-			return read, err
+		if err := config.CheckSettings(record.Key, record.Value, site); err != nil {
+			return parsed, err
 		}
-		marker, refusable, err := MarkerOf(r.Value)
+		marker, refusable, err := MarkerOf(record.Value)
 		if err != nil {
-			return read, fmt.Errorf("%s: %w", r.Key, err)
+			return parsed, fmt.Errorf("%s: %w", record.Key, err)
 		}
-		read.sections = append(read.sections, Section{marker, r.Revision})
-		read.refusable = read.refusable || refusable
+		parsed.sections = append(parsed.sections, Section{marker, record.Revision})
+		parsed.refusable = parsed.refusable || refusable
 	}
-	return read, nil
+	return parsed, nil
 }
 
 // loadSite loads the gatekeeper's configuration that settings are checked against. It returns nil if file is empty.
--- a/internal/scalelab/hollow/gatekeeper.go
+++ b/internal/scalelab/hollow/gatekeeper.go
@@ -42,10 +42,10 @@
 // gatekeeper is one hollow gatekeeper of this process.
 type gatekeeper struct {
 	Gatekeeper
-	process          *process
-	traffic          traffic
-	leaseTraffic     traffic // of lease requests: store.ReduceAt dials by itself, so the bytes of requests and responses are counted
-	endedGossipBytes atomic.Int64
+	process      *process
+	traffic      traffic
+	leaseTraffic traffic      // of lease requests: store.ReduceAt dials by itself, so the bytes of requests and responses are counted instead
+	gossipBytes  atomic.Int64 // sent before the last restart
 
 	mu         sync.Mutex
 	startCount int
@@ -64,8 +64,8 @@
 	g.startCount++
 	startCount := g.startCount
 	g.process.emit(Event{Kind: GatekeeperUp, Name: g.Name, StartCount: startCount})
-	ctx, stop := context.WithCancel(context.Background())
-	g.cancel = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	g.cancel = cancel
 	if c.Membership {
 		if err := g.joinFleet(ctx); err != nil {
 			return err
@@ -80,8 +80,8 @@
 		return nil
 	}
 	dir := ""
-	if c.CacheDir != "" {
-		dir = filepath.Join(c.CacheDir, g.Name)
+	if c.Dir != "" {
+		dir = filepath.Join(c.Dir, g.Name)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
@@ -136,23 +136,23 @@
 
 // openLimiter opens the limiter with one leased rule.
 func (g *gatekeeper) openLimiter() error {
-	o := limits.Options{Name: g.Name, Start: uint64(time.Now().UnixMilli()), Now: func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, Log: errorLogger(),
-		Limits: quota.Limits{Parts: g.process.config.LimitSharers, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: quota.Leased,
-			PerS: 100 * float64(g.process.config.LimitSharers), Burst: 100 * float64(g.process.config.LimitSharers), Floor: 0.02}}}}
+	options := limits.Options{Name: g.Name, Start: uint64(time.Now().UnixMilli()), Now: func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, Log: errorLogger(),
+		Limits: quota.Limits{Parts: g.process.config.Parts, Rules: []quota.Rule{{Name: "all", Tenant: -1, Class: -1, Prefix: true, Mode: quota.Leased,
+			PerS: 100 * float64(g.process.config.Parts), Burst: 100 * float64(g.process.config.Parts), Floor: 0.02}}}}
 	if g.fleet != nil {
-		o.Gossip = g.fleet
+		options.Gossip = g.fleet
 	}
 	machines := g.process.config.Replicas
-	o.Lease = func(ctx context.Context, request []byte) ([]byte, error) {
+	options.Lease = func(ctx context.Context, request []byte) ([]byte, error) {
 		within, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
-		at := machines[int(g.leaseTraffic.opened.Add(1))%len(machines)]
-		answer, err := store.ReduceAt(within, at.Address, limits.LeaseKey, request)
+		machine := machines[int(g.leaseTraffic.opened.Add(1))%len(machines)]
+		answer, err := store.ReduceAt(within, machine.Address, limits.LeaseKey, request)
 		g.leaseTraffic.sent.Add(int64(len(request)))
 		g.leaseTraffic.received.Add(int64(len(answer)))
 		return answer, err
 	}
-	l, err := limits.Open(o)
+	l, err := limits.Open(options)
 	g.limiter = l
 	return err
 }
@@ -171,14 +171,14 @@
 		g.limiter.Close()
 	}
 	if g.fleet != nil {
-		g.endedGossipBytes.Add(g.fleet.Status().Bytes)
+		g.gossipBytes.Add(g.fleet.Status().Bytes)
 		g.fleet.Close()
 	}
 	g.tasks.Wait()
 	g.follower, g.limiter, g.fleet = nil, nil, nil
 }
 
-// restart stops the gatekeeper and starts it again after down.
+// restart stops the gatekeeper and starts it again after a delay of down.
 func (g *gatekeeper) restart(down time.Duration) error {
 	g.process.emit(Event{Kind: GatekeeperDown, Name: g.Name})
 	g.shutDown()
@@ -187,26 +187,26 @@
 }
 
 // state returns the state of the follower and the number of members that the gatekeeper considers up.
-func (g *gatekeeper) state() (s followState, met int) {
+func (g *gatekeeper) state() (s followState, membersUp int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.follower != nil {
 		s = g.follower.state()
 	}
 	if g.fleet != nil {
-		met = g.fleet.UpCount()
+		membersUp = g.fleet.UpCount()
 	}
-	return s, met
+	return s, membersUp
 }
 
 // counts returns the counters of the gatekeeper.
 func (g *gatekeeper) counts() GatekeeperCounts {
-	s, met := g.state()
-	gossip := g.endedGossipBytes.Load()
+	s, membersUp := g.state()
+	gossipBytes := g.gossipBytes.Load()
 	g.mu.Lock()
 	fresh, oldest := 0, control.Micros(0)
 	if g.fleet != nil {
-		gossip += g.fleet.Status().Bytes
+		gossipBytes += g.fleet.Status().Bytes
 		for _, r := range g.fleet.Read(registers.Rates) {
 			fresh++
 			oldest = max(oldest, r.Age)
@@ -214,7 +214,7 @@
 	}
 	g.mu.Unlock()
 	return GatekeeperCounts{FreshRegisters: fresh, OldestRegisterMicros: int64(oldest), Name: g.Name, Sent: g.traffic.sent.Load(), Received: g.traffic.received.Load(), ConnectionsOpened: g.traffic.opened.Load(),
-		GossipBytes: gossip, LeaseBytes: g.leaseTraffic.sent.Load() + g.leaseTraffic.received.Load(), InForce: s.inForce, HighestSeen: s.highest, MembersUp: met}
+		GossipBytes: gossipBytes, LeaseBytes: g.leaseTraffic.sent.Load() + g.leaseTraffic.received.Load(), InForce: s.inForce, HighestSeen: s.highest, MembersUp: membersUp}
 }
 
 // errorLogger returns a logger for errors only: lower levels from many gatekeepers would flood the log.
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -104,9 +104,9 @@
 			p.flush()
 		case <-pulse.C:
 			f := p.figures()
-			p.emit(Event{Kind: PeriodicFigures, Figures: &f})
+			p.emit(Event{Kind: PeriodicFigures, PeriodicFigures: &f})
 		case c, ok := <-commands:
-			if !ok || c.Action == Stop {
+			if !ok || c.Operation == Stop {
 				return nil
 			}
 			p.execute(ctx, c)
@@ -116,21 +116,21 @@
 
 // startAll starts the gatekeepers, evenly spread over Config.StartOver, or all at the same time if it is 0.
 func (p *process) startAll(ctx context.Context) {
-	free := make(chan struct{}, maxConcurrentStarts)
-	every := p.config.StartSpread / time.Duration(max(1, len(p.gatekeepers)))
+	slots := make(chan struct{}, maxConcurrentStarts)
+	interval := p.config.StartSpread / time.Duration(max(1, len(p.gatekeepers)))
 	var opening sync.WaitGroup
 	defer opening.Wait()
 	for _, g := range p.gatekeepers {
-		if every > 0 {
+		if interval > 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(every):
+			case <-time.After(interval):
 			}
 		}
-		free <- struct{}{}
+		slots <- struct{}{}
 		opening.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			if err := g.start(); err != nil {
 				p.fail(err)
 			}
@@ -140,9 +140,9 @@
 
 // execute executes one command.
 func (p *process) execute(ctx context.Context, c Command) {
-	switch c.Action {
+	switch c.Operation {
 	case CutRegion, HealRegion:
-		p.network.setCut(c.Region, c.Action == CutRegion)
+		p.network.setCut(c.Region, c.Operation == CutRegion)
 	case RestartGatekeeper:
 		if g := p.byName[c.Name]; g != nil {
 			p.tasks.Go(func() {
@@ -153,7 +153,7 @@
 		}
 	case OpenStuckWatchers:
 		p.watchers = append(p.watchers, openStuckWatchers(ctx, c.Address, c.Count))
-	case ReportCounters:
+	case Count:
 		p.emit(Event{Kind: CountersReported, Counters: p.counters(c.Mark)})
 		p.flush()
 	}
@@ -180,7 +180,7 @@
 		f.CPU, f.Resident, f.Descriptors = u.CPU, u.Resident, u.Descriptors
 	}
 	for _, g := range p.gatekeepers {
-		s, met := g.state()
+		s, membersUp := g.state()
 		if s.inForce > 0 {
 			f.InForce++
 		}
@@ -190,11 +190,11 @@
 		if s.replica != "" {
 			f.Sessions[s.replica]++
 		}
-		if f.FewestUp < 0 || met < f.FewestUp {
-			f.FewestUp = met
+		if f.FewestUp < 0 || membersUp < f.FewestUp {
+			f.FewestUp = membersUp
 		}
 		members := p.config.Groups[g.Group].Members
-		f.MostMissing, f.MostUnexpected = max(f.MostMissing, members-met), max(f.MostUnexpected, met-members)
+		f.MostMissing, f.MostUnexpected = max(f.MostMissing, members-membersUp), max(f.MostUnexpected, membersUp-members)
 	}
 	return f
 }
@@ -204,19 +204,19 @@
 	if len(p.watchers) > 0 {
 		e := Event{Kind: StuckWatchersResult}
 		for _, w := range p.watchers {
-			cutOff, others := w.close(context.Background())
+			cutOff, others := w.shutDown(context.Background())
 			e.CutOff += cutOff
 			e.NotCutOff += others
 		}
 		p.emit(e)
 	}
 	p.tasks.Wait()
-	free := make(chan struct{}, maxConcurrentStarts)
+	slots := make(chan struct{}, maxConcurrentStarts)
 	var closing sync.WaitGroup
 	for _, g := range p.gatekeepers {
-		free <- struct{}{}
+		slots <- struct{}{}
 		closing.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			g.shutDown()
 		})
 	}
@@ -234,6 +234,7 @@
 	p.encoder.Encode(e) // if the laboratory has exited, the input ends too
 }
 
+// flush writes the buffered events to the output.
 func (p *process) flush() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scalelab/hollow/stuck.go
+++ b/internal/scalelab/hollow/stuck.go
@@ -25,7 +25,7 @@
 	names    []string
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
-	admitted []string // names of those that the machine listed admitWithin after they were opened
+	admitted []string // names of those that the machine listed admissionDelay after they were opened
 }
 
 // stuckConn is a connection whose reads block until the context of the watcher ends.
@@ -39,7 +39,7 @@
 	return 0, c.ctx.Err()
 }
 
-// openStuckWatchers opens count sessions at a control machine, and lists the admitted ones after admitWithin.
+// openStuckWatchers opens count sessions at a control machine, and lists the admitted ones after admissionDelay.
 func openStuckWatchers(ctx context.Context, address string, count int) *stuckWatchers {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &stuckWatchers{address: address, cancel: cancel}
@@ -92,8 +92,8 @@
 	return names
 }
 
-// close closes the watchers. It returns how many the control machine admitted and later cut off, and how many others there are.
-func (w *stuckWatchers) close(ctx context.Context) (cutOff, others int) {
+// shutDown closes the watchers. It returns how many the control machine admitted and later cut off, and how many others there are.
+func (w *stuckWatchers) shutDown(ctx context.Context) (cutOff, others int) {
 	stillOpen := w.list(ctx)
 	w.cancel()
 	w.tasks.Wait()
--- a/internal/scalelab/hollow/stuck_test.go
+++ b/internal/scalelab/hollow/stuck_test.go
@@ -30,14 +30,14 @@
 
 	fresh := openStuckWatchers(t.Context(), l.Addr().String(), 3)
 	require.Eventually(t, func() bool { return len(fresh.list(context.Background())) == 3 }, 5*time.Second, 20*time.Millisecond)
-	cutOff, others := fresh.close(t.Context())
+	cutOff, others := fresh.shutDown(t.Context())
 	require.Zero(t, cutOff)
 	require.Equal(t, 3, others)
 
 	old := openStuckWatchers(t.Context(), l.Addr().String(), 3)
 	time.Sleep(admissionDelay + 100*time.Millisecond)
 	require.Eventually(t, func() bool { return len(old.list(context.Background())) == 0 }, 20*time.Second, 100*time.Millisecond)
-	cutOff, others = old.close(t.Context())
+	cutOff, others = old.shutDown(t.Context())
 	require.Equal(t, 3, cutOff)
 	require.Zero(t, others)
 }
--- a/internal/scalelab/hollow/wire.go
+++ b/internal/scalelab/hollow/wire.go
@@ -10,7 +10,7 @@
 	RunStart      int64         `json:"began"` // start of the run in Unix nanoseconds; times of events are relative to it
 	Gatekeepers   []Gatekeeper  `json:"gatekeepers"`
 	Replicas      []Replica     `json:"replicas"` // control machines; without any, no settings are followed
-	CacheDir      string        `json:"dir"`      // parent directory of the gatekeepers' settings caches; "": no caches
+	Dir           string        `json:"dir"`      // parent directory of the gatekeepers' settings caches; "": no caches
 	Seed          uint64        `json:"seed"`
 	DelayRegions  bool          `json:"shaped"` // connections between regions are delayed by Latency
 	Latency       time.Duration `json:"latency"`
@@ -20,7 +20,7 @@
 	RegisterBytes float64       `json:"register_bytes"` // most bytes of registers that a gatekeeper sends per second; 0: no limit
 	Registers     bool          `json:"registers"`      // each gatekeeper publishes a register of registerBytes every second
 	Limits        bool          `json:"limits"`         // gatekeepers lease limits from the control machines (internal/limits)
-	LimitSharers  int           `json:"parts"`          // number of gatekeepers that share the limits
+	Parts         int           `json:"parts"`          // number of gatekeepers that share the limits
 	// Groups are the gossip groups by name: one per service, or a single one with an empty name.
 	Groups map[string]Group `json:"groups"`
 }
@@ -57,21 +57,21 @@
 const (
 	CutRegion         Action = "cut"     // partition Region from the others
 	HealRegion        Action = "heal"    // end the partition of Region
-	RestartGatekeeper Action = "restart" // stop the gatekeeper Name and start it again after Down
+	RestartGatekeeper Action = "restart" // stop the gatekeeper Name and start it again after DownTime
 	OpenStuckWatchers Action = "watch"   // open Count stuck watchers at the control machine at Address
-	ReportCounters    Action = "count"   // report Counters
+	Count             Action = "count"   // report Counters
 	Stop              Action = "stop"    // exit
 )
 
 // Command is a line of the standard input.
 type Command struct {
-	Action   Action        `json:"do"`
-	Region   string        `json:"region,omitempty"`
-	Name     string        `json:"name,omitempty"`
-	DownTime time.Duration `json:"down,omitempty"`
-	Address  string        `json:"address,omitempty"`
-	Count    int           `json:"count,omitempty"`
-	Mark     int           `json:"mark,omitempty"` // of Count: repeated in Counters
+	Operation Action        `json:"do"`
+	Region    string        `json:"region,omitempty"`
+	Name      string        `json:"name,omitempty"`
+	DownTime  time.Duration `json:"down,omitempty"`
+	Address   string        `json:"address,omitempty"`
+	Count     int           `json:"count,omitempty"`
+	Mark      int           `json:"mark,omitempty"` // of Count: repeated in Counters
 }
 
 // EventKind is the kind of an event.
@@ -90,17 +90,17 @@
 
 // Event is a line of the standard output. At is relative to the start of the run.
 type Event struct {
-	Kind       EventKind     `json:"kind"`
-	At         time.Duration `json:"at,omitempty"`
-	Name       string        `json:"name,omitempty"`
-	StartCount int           `json:"life,omitempty"`
-	Revision   uint64        `json:"revision,omitempty"`
-	Sections   []Section     `json:"sections,omitempty"`
-	Marker     uint64        `json:"marker,omitempty"`
-	Figures    *Figures      `json:"pulse,omitempty"`
-	Counters   *Counters     `json:"counters,omitempty"`
-	CutOff     int           `json:"cut_off,omitempty"` // of Watchers: how many sessions the control machine ended
-	NotCutOff  int           `json:"open,omitempty"`    // of Watchers: how many sessions it did not end
+	Kind            EventKind     `json:"kind"`
+	At              time.Duration `json:"at,omitempty"`
+	Name            string        `json:"name,omitempty"`
+	StartCount      int           `json:"life,omitempty"`
+	Revision        uint64        `json:"revision,omitempty"`
+	Sections        []Section     `json:"sections,omitempty"`
+	Marker          uint64        `json:"marker,omitempty"`
+	PeriodicFigures *Figures      `json:"pulse,omitempty"`
+	Counters        *Counters     `json:"counters,omitempty"`
+	CutOff          int           `json:"cut_off,omitempty"` // of StuckWatchersResult: how many sessions the control machine ended
+	NotCutOff       int           `json:"open,omitempty"`    // of StuckWatchersResult: how many sessions it did not end
 }
 
 // Section is the content of one section of a candidate.
@@ -109,7 +109,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Figures are the resource usage of the process and sums over its gatekeepers.
+// Figures are the resource usage of the process and the state of its gatekeepers.
 type Figures struct {
 	CPU            time.Duration  `json:"cpu"`
 	Heap           int64          `json:"heap"` // bytes of live objects and of objects not yet collected
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -30,8 +30,8 @@
 	encoder *json.Encoder
 }
 
-// eventRecord collects the events of all hollow processes.
-type eventRecord struct {
+// eventLog collects the events of all hollow processes.
+type eventLog struct {
 	mu            sync.Mutex
 	applied       []judge.Applied
 	refusals      []judge.Refusal
@@ -54,13 +54,13 @@
 	hollow.Figures
 }
 
-func newEventRecord() *eventRecord {
-	return &eventRecord{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, latestFigures: map[int]hollow.Figures{},
+func newEventLog() *eventLog {
+	return &eventLog{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, latestFigures: map[int]hollow.Figures{},
 		counters: map[int]map[int]*hollow.Counters{}, changed: make(chan struct{}, 1)}
 }
 
 // startHollow starts a hollow process with its share of the gatekeepers.
-func startHollow(o *Options, n int, c hollow.Config, r *eventRecord) (*hollowProcess, error) {
+func startHollow(o *Options, n int, c hollow.Config, r *eventLog) (*hollowProcess, error) {
 	inRead, inWrite, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 
 // stop requests the process to exit, kills it if it does not exit in time, and waits for the end of its output.
 func (h *hollowProcess) stop(timeout time.Duration) {
-	h.send(hollow.Command{Action: hollow.Stop})
+	h.send(hollow.Command{Operation: hollow.Stop})
 	h.stdin.Close()
 	select {
 	case <-h.process.Done():
@@ -108,7 +108,7 @@
 }
 
 // readEvents reads the events of a process until its output ends.
-func (r *eventRecord) readEvents(process int, out io.Reader) {
+func (r *eventLog) readEvents(process int, out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
@@ -124,7 +124,7 @@
 }
 
 // handle adds an event of a process.
-func (r *eventRecord) handle(process int, e hollow.Event) {
+func (r *eventLog) handle(process int, e hollow.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch e.Kind {
@@ -148,8 +148,8 @@
 	case hollow.GatekeeperDown:
 		r.outages[e.Name] = append(r.outages[e.Name], judge.Outage{Gatekeeper: e.Name, From: e.At})
 	case hollow.PeriodicFigures:
-		r.latestFigures[process] = *e.Figures
-		r.samples = append(r.samples, figuresSample{process, e.At, *e.Figures})
+		r.latestFigures[process] = *e.PeriodicFigures
+		r.samples = append(r.samples, figuresSample{process, e.At, *e.PeriodicFigures})
 		r.signalChange()
 	case hollow.CountersReported:
 		if r.counters[e.Counters.Mark] == nil {
@@ -164,15 +164,15 @@
 }
 
 // signalChange signals that the record has changed.
-func (r *eventRecord) signalChange() {
+func (r *eventLog) signalChange() {
 	select {
 	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-// behind counts the gatekeepers whose highest revision in force is below revision, except those that but selects.
-func (r *eventRecord) behind(gatekeepers []hollow.Gatekeeper, revision uint64, except func(hollow.Gatekeeper) bool) (behind int) {
+// behind counts the gatekeepers whose highest revision in force is below revision, other than those that except selects.
+func (r *eventLog) behind(gatekeepers []hollow.Gatekeeper, revision uint64, except func(hollow.Gatekeeper) bool) (behind int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, g := range gatekeepers {
@@ -185,7 +185,7 @@
 
 // hollowConfig returns the configuration of hollow process n.
 func hollowConfig(o *Options, p plan, machines []*machine, began time.Time, n int) hollow.Config {
-	c := hollow.Config{RunStart: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartSpread: o.startOver(), LimitSharers: len(p.gatekeepers),
+	c := hollow.Config{RunStart: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartSpread: o.startSpread(), Parts: len(p.gatekeepers),
 		Membership: o.With.Membership, Registers: o.With.Registers, RegisterBytes: o.RegisterBytes, Limits: o.With.Limits}
 	for _, f := range o.Faults {
 		if f.Kind == script.Latency {
@@ -193,7 +193,7 @@
 		}
 	}
 	if o.Control > 0 {
-		c.CacheDir = filepath.Join(o.Dir, "gatekeepers")
+		c.Dir = filepath.Join(o.Dir, "gatekeepers")
 	}
 	for _, m := range machines {
 		c.Replicas = append(c.Replicas, m.Replica)
--- a/internal/scalelab/judge/judge.go
+++ b/internal/scalelab/judge/judge.go
@@ -76,7 +76,7 @@
 	NeverWritten      Rule = "never written"           // a marker or revision that was not written in the run
 	AppliedRefused    Rule = "refused one held"        // a gatekeeper applied a change that it must refuse
 	RefusalMissing    Rule = "refusal missing"         // no gatekeeper refused a change that some must refuse
-	Late              Rule = "in force too late"       // a change came into force later than Log.Within allows
+	Late              Rule = "in force too late"       // a change came into force later than Log.TimeLimit allows
 	Lost              Rule = "lost"                    // neither the change nor a later one came into force
 	UnexpectedRefusal Rule = "refused without a cause" // a gatekeeper refused a change that it must apply
 )
@@ -95,6 +95,7 @@
 	Detail     string        `json:"detail"`
 }
 
+// String formats the violation for the text report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%v: %s: %s, change %d: %s", v.At, v.Rule, v.Gatekeeper, v.Marker, v.Detail)
 }
@@ -103,22 +104,22 @@
 type Delay struct {
 	Marker      uint64
 	Gatekeeper  string
-	SinceCommit time.Duration // from the acknowledged commit; 0 if the change was in force before the acknowledgement
-	SinceWrite  time.Duration // from the first write attempt
-	Outage      bool          // the gatekeeper had an outage in that time, which Commit and Put include
-	SinceOutage time.Duration // from the end of the outage; 0 without an outage
+	AfterCommit time.Duration // from the acknowledged commit; 0 if the change was in force before the acknowledgement
+	AfterWrite  time.Duration // from the first write attempt
+	Outage      bool          // the gatekeeper had an outage in that time, which AfterCommit and AfterWrite include
+	AfterOutage time.Duration // from the end of the outage; 0 without an outage
 }
 
 // Verdict is the result of Check.
 type Verdict struct {
-	Counts     map[Rule]int // number of violations; every rule has an entry
-	Listed     []Violation  // the first violations, at most mostNamed
-	Delays     []Delay
-	Superseded int // pairs of change and gatekeeper where a later change came into force instead
-	Unjudged   int // pairs of change and gatekeeper that were not due by the end of the run
+	Counts  map[Rule]int // number of violations; every rule has an entry
+	Listed  []Violation  // the first violations, at most maxListed
+	Delays  []Delay
+	Skipped int // pairs of change and gatekeeper where a later change came into force instead
+	NotDue  int // pairs of change and gatekeeper that were not due by the end of the run
 }
 
-// maxListed is the limit of Verdict.First.
+// maxListed is the limit of Verdict.Listed.
 const maxListed = 20
 
 // Passed reports whether no rule was broken.
@@ -132,10 +133,10 @@
 }
 
 // addViolation counts a violation and lists it if there is room.
-func (verdict *Verdict) addViolation(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
-	verdict.Counts[rule]++
-	if len(verdict.Listed) < maxListed {
-		verdict.Listed = append(verdict.Listed, Violation{rule, gatekeeper, marker, at, detail})
+func (v *Verdict) addViolation(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
+	v.Counts[rule]++
+	if len(v.Listed) < maxListed {
+		v.Listed = append(v.Listed, Violation{rule, gatekeeper, marker, at, detail})
 	}
 }
 
@@ -164,8 +165,8 @@
 	outages  map[string][]Outage
 }
 
-// revisionSet is the set of revisions that the records of a change can have. A write whose response was lost is repeated with the
-// same marker, so each revision above that of the preceding change, up to the acknowledged one, can belong to the change.
+// revisionSet is the set of revisions that the records of a change can have. A write whose response was lost is repeated with
+// the same marker, so each revision above that of the preceding change, up to the acknowledged one, can belong to the change.
 type revisionSet struct {
 	after, upTo uint64
 	restamped   []uint64
@@ -257,6 +258,7 @@
 	}
 }
 
+// addViolation adds a violation by an applied candidate, with the marker of its first section.
 func (c *checker) addViolation(rule Rule, applied Applied, detail string) {
 	marker := uint64(0)
 	if len(applied.Sections) > 0 {
@@ -290,11 +292,11 @@
 			c.verdict.addViolation(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after the time limit", at-due))
 		}
 		if len(applied[next].Sections) > 0 && applied[next].Sections[0].Marker != change.Marker {
-			c.verdict.Superseded++
+			c.verdict.Skipped++
 		}
-		delay := Delay{Marker: change.Marker, Gatekeeper: gatekeeper, SinceCommit: max(0, at-change.Committed), SinceWrite: max(0, at-change.WriteStarted)}
+		delay := Delay{Marker: change.Marker, Gatekeeper: gatekeeper, AfterCommit: max(0, at-change.Committed), AfterWrite: max(0, at-change.WriteStarted)}
 		if outageEnd > 0 {
-			delay.Outage, delay.SinceOutage = true, max(0, at-outageEnd)
+			delay.Outage, delay.AfterOutage = true, max(0, at-outageEnd)
 		}
 		c.verdict.Delays = append(c.verdict.Delays, delay)
 	}
@@ -303,7 +305,7 @@
 // reportMissing handles a change that did not come into force, with no later one in force either.
 func (c *checker) reportMissing(gatekeeper string, change Change, due time.Duration) {
 	if due > c.End {
-		c.verdict.Unjudged++
+		c.verdict.NotDue++
 		return
 	}
 	c.verdict.addViolation(Lost, gatekeeper, change.Marker, c.End, fmt.Sprintf("committed at %v, due at %v", change.Committed, due))
@@ -326,7 +328,7 @@
 }
 
 // due returns the time by which a change must be in force at a gatekeeper, and the end of the last outage between its commit
-// and seen, the time at which it came into force; healed is 0 without an outage.
+// and inForceAt, the time at which it came into force; outageEnd is 0 without an outage.
 func (c *checker) due(gatekeeper string, committed, inForceAt time.Duration) (due, outageEnd time.Duration) {
 	due = committed + c.TimeLimit
 	for _, outage := range c.outages[gatekeeper] {
@@ -346,8 +348,8 @@
 func (c *checker) checkRefusals() {
 	refused := map[uint64]bool{}
 	for _, refusal := range c.Refusals {
-		change, ok := c.byMarker[refusal.Marker]
-		if !ok || !change.refusable || !c.Refusing[refusal.Gatekeeper] {
+		allowed, ok := c.byMarker[refusal.Marker]
+		if !ok || !allowed.refusable || !c.Refusing[refusal.Gatekeeper] {
 			c.verdict.addViolation(UnexpectedRefusal, refusal.Gatekeeper, refusal.Marker, refusal.At, "the gatekeeper must apply the change")
 			continue
 		}
--- a/internal/scalelab/judge/judge_test.go
+++ b/internal/scalelab/judge/judge_test.go
@@ -32,8 +32,8 @@
 	v := Check(validLog())
 	require.True(t, v.Passed(), "%v", v.Listed)
 	require.Len(t, v.Delays, 5)
-	require.Equal(t, Delay{Marker: 3, Gatekeeper: "b", SinceCommit: 2 * second, SinceWrite: 3 * second}, v.Delays[4])
-	require.Zero(t, v.Unjudged)
+	require.Equal(t, Delay{Marker: 3, Gatekeeper: "b", AfterCommit: 2 * second, AfterWrite: 3 * second}, v.Delays[4])
+	require.Zero(t, v.NotDue)
 }
 
 // The records of a change may be applied again at the revision at which they were restored, but at no other.
@@ -133,5 +133,5 @@
 	require.False(t, v.Delays[2].Outage, "the change was in force before the outage")
 	last := v.Delays[len(v.Delays)-1]
 	require.True(t, last.Outage)
-	require.Equal(t, 5*second, last.SinceOutage)
+	require.Equal(t, 5*second, last.AfterOutage)
 }
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -13,7 +13,7 @@
 	"beammux/internal/scalelab/script"
 )
 
-// Limits of a run. MostProcesses includes the control machines, the hollow processes and the laboratory itself.
+// Limits of a run. MaxProcesses includes the control machines, the hollow processes and the laboratory itself.
 const (
 	MaxProcesses   = 100
 	MaxGatekeepers = 20000
@@ -97,11 +97,11 @@
 	return nil
 }
 
-// Zones and regions are named by their numbers; the zones are dealt out over the regions.
+// Zones and regions are named by their numbers. Zones are assigned to regions round robin.
 func regionName(zone, regions int) string { return fmt.Sprintf("r%d", zone%regions+1) }
 func zoneName(zone int) string            { return fmt.Sprintf("z%d", zone+1) }
 
-// plan lays out the run.
+// plan is the placement of the control machines and gatekeepers of a run.
 type plan struct {
 	machines    []machineSpec
 	gatekeepers []hollow.Gatekeeper
@@ -113,8 +113,8 @@
 	voter bool
 }
 
-// refusesEvery is the number of gatekeepers per gatekeeper that refuses refusable changes.
-const refusesEvery = 10
+// gatekeepersPerRefuser is the number of gatekeepers per gatekeeper that refuses refusable changes.
+const gatekeepersPerRefuser = 10
 
 // newPlan assigns names, zones and regions round robin: zones to regions, control machines and gatekeepers to zones. The voters
 // are the first control machines, so they are spread over the regions as evenly as possible.
@@ -129,7 +129,7 @@
 	for i := range o.Gatekeepers {
 		zone := i % o.Zones
 		g := hollow.Gatekeeper{Name: fmt.Sprintf("g%05d", i+1), Zone: zoneName(zone), Region: regionName(zone, o.Regions),
-			Service: fmt.Sprintf("s%02d", i/o.Zones%o.Services+1), Refuses: refusals && i%refusesEvery == refusesEvery-1}
+			Service: fmt.Sprintf("s%02d", i/o.Zones%o.Services+1), Refuses: refusals && i%gatekeepersPerRefuser == gatekeepersPerRefuser-1}
 		if o.With.Membership {
 			g.Bind = "127.0.0.1:0"
 		}
@@ -179,8 +179,8 @@
 	return share*perGatekeeper + 64
 }
 
-// startOver returns the time over which the starts of the gatekeepers are spread; 0: all start at the same time.
-func (o *Options) startOver() time.Duration {
+// startSpread returns the time over which the starts of the gatekeepers are spread; 0: all start at the same time.
+func (o *Options) startSpread() time.Duration {
 	if script.Contains(o.Faults, script.StartAtOnce) {
 		return 0
 	}
@@ -189,14 +189,14 @@
 }
 
 // progress reports a step of the run, if the caller wants progress.
-func (o *Options) progress(at time.Duration, what string) {
+func (o *Options) progress(at time.Duration, step string) {
 	if o.Progress != nil {
-		o.Progress(at, what)
+		o.Progress(at, step)
 	}
 }
 
-// changeEvery returns the time between two changes; 0: no changes are written.
-func (o *Options) changeEvery() time.Duration {
+// changeInterval returns the time between two changes; 0: no changes are written.
+func (o *Options) changeInterval() time.Duration {
 	rate := o.ChangesADay * cmp.Or(o.Factor, 1)
 	if rate <= 0 {
 		return 0
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -36,20 +36,20 @@
 
 // Report is the result of a run.
 type Report struct {
-	Command     string            `json:"command"`
-	Date        string            `json:"date"`
-	Program     string            `json:"program"` // version control revision of the build; "" if unknown
-	Beside      string            `json:"beside"`
-	Stopped     bool              `json:"stopped"` // stopped early by a signal: the run shows nothing
-	Shape       Shape             `json:"shape"`
-	Machine     MachineFigures    `json:"machine"`
-	Gatekeepers GatekeeperFigures `json:"gatekeepers"`
-	Control     ControlFigures    `json:"control"`
-	Settings    SettingsFigures   `json:"settings"`
-	Membership  MembershipFigures `json:"membership"`
-	Judge       JudgeFigures      `json:"judge"`
-	Faults      []FaultReport     `json:"faults"`
-	Crashed     []string          `json:"crashed"` // processes that exited unexpectedly, and other problems of the run
+	Command          string            `json:"command"`
+	Date             string            `json:"date"`
+	Program          string            `json:"program"` // version control revision of the build; "" if unknown
+	Beside           string            `json:"beside"`
+	Stopped          bool              `json:"stopped"` // stopped early by a signal: the run shows nothing
+	Shape            Shape             `json:"shape"`
+	Machine          MachineFigures    `json:"machine"`
+	Gatekeepers      GatekeeperFigures `json:"gatekeepers"`
+	Control          ControlFigures    `json:"control"`
+	Settings         SettingsFigures   `json:"settings"`
+	Membership       MembershipFigures `json:"membership"`
+	Judge            JudgeFigures      `json:"judge"`
+	Faults           []FaultReport     `json:"faults"`
+	CrashedProcesses []string          `json:"crashed"` // processes that exited unexpectedly, and other problems of the run
 }
 
 // Shape is the size and load of the run.
@@ -112,28 +112,28 @@
 	Sessions             Spread  `json:"sessions"`            // at the end of the measured time
 	MaxSessions          int     `json:"sessions_max"`        // most at one machine at any second of the measured time
 	Share                float64 `json:"share"`               // gatekeepers per machine
-	MaxSessionsOverShare float64 `json:"max_over_share"`      // SessionsMax divided by Share
+	MaxSessionsOverShare float64 `json:"max_over_share"`      // MaxSessions divided by Share
 }
 
 // SettingsFigures are the times until changes came into force, over all pairs of a change and a gatekeeper.
 type SettingsFigures struct {
-	Changes        int        `json:"changes"`
-	Retries        int        `json:"writes_repeated"`
-	Pairs          int        `json:"pairs"`
-	SinceCommit    Spread     `json:"s_from_commit"`           // from the acknowledged commit
-	SinceWrite     Spread     `json:"s_from_put"`              // from the first write attempt, including retries
-	SinceOutage    Spread     `json:"s_from_end_of_outage"`    // pairs with an outage of the gatekeeper, which the two above exclude
-	UntilAll       Spread     `json:"s_from_commit_until_all"` // one value per change: the slowest gatekeeper
-	Superseded     int        `json:"superseded"`              // pairs for which a later change came into force instead
-	Unjudged       int        `json:"unjudged"`                // pairs that were not due by the end of the run
-	AllStartedS    float64    `json:"all_in_force_after_start_s"`
-	WriteTime      Spread     `json:"put_s"` // duration of the write, including retries
-	RefusedApplied int        `json:"refused_held"`
-	Refusals       int        `json:"refusals"`
-	StuckCutOff    int        `json:"stuck_watchers_cut_off"`
-	StuckLeft      int        `json:"stuck_watchers_left"`
-	Slowest        []SlowPair `json:"slowest"` // the slowest pairs
-	AppliedTotal   int        `json:"applied"`
+	Changes             int        `json:"changes"`
+	Retries             int        `json:"writes_repeated"`
+	Pairs               int        `json:"pairs"`
+	FromCommit          Spread     `json:"s_from_commit"`           // from the acknowledged commit
+	FromWrite           Spread     `json:"s_from_put"`              // from the first write attempt, including retries
+	AfterOutage         Spread     `json:"s_from_end_of_outage"`    // pairs with an outage of the gatekeeper, which the two above exclude
+	UntilAll            Spread     `json:"s_from_commit_until_all"` // one value per change: the slowest gatekeeper
+	Superseded          int        `json:"superseded"`              // pairs for which a later change came into force instead
+	Unjudged            int        `json:"unjudged"`                // pairs that were not due by the end of the run
+	AllStartedS         float64    `json:"all_in_force_after_start_s"`
+	WriteTime           Spread     `json:"put_s"` // duration of the write, including retries
+	RefusedApplied      int        `json:"refused_held"`
+	Refusals            int        `json:"refusals"`
+	StuckWatchersCutOff int        `json:"stuck_watchers_cut_off"`
+	StuckWatchersLeft   int        `json:"stuck_watchers_left"`
+	Slowest             []SlowPair `json:"slowest"` // the slowest pairs
+	AppliedTotal        int        `json:"applied"`
 }
 
 // SlowPair is a slow pair of a change and a gatekeeper.
@@ -153,8 +153,9 @@
 	FewestUp int     `json:"fewest_met"` // fewest members that a gatekeeper considered up at the end
 	// MostMissing is the most members of its group that a gatekeeper did not consider up at the end.
 	MostMissing int `json:"most_missing"`
-	// FreshRegisters is the part of its group's registers that are fresh enough to count at a gatekeeper, and Oldest the age in seconds
-	// of the oldest of them, over the gatekeepers at the end of the measured time. Both are empty without registers.
+	// FreshRegisters is the part of its group's registers that are fresh enough to count at a gatekeeper, and OldestRegister the
+	// age of the oldest of them in seconds, over the gatekeepers at the end of the measured time. Both are empty without
+	// registers.
 	FreshRegisters Spread `json:"registers_that_count_part"`
 	OldestRegister Spread `json:"oldest_register_s"`
 }
@@ -178,7 +179,7 @@
 	// SlowestS is the time of the slowest pair, from the commit or the end of the gatekeeper's outage, among the changes
 	// committed during the fault or within the judge's time limit after it.
 	SlowestS float64 `json:"slowest_s"`
-	// MaxBehind is the most gatekeepers that reported in any second of the fault that they may be behind, SaidBehindEnd their
+	// MaxBehind is the most gatekeepers that reported in any second of the fault that they may be behind, BehindAtEnd their
 	// number at the end of the measured time.
 	MaxBehind   int `json:"said_behind_max"`
 	BehindAtEnd int `json:"said_behind_end"`
@@ -223,12 +224,12 @@
 	line("written", "KB/s", c.WrittenPerS, 1e-3)
 	line("sessions", "", c.Sessions, 1)
 	fmt.Fprintf(&b, "settings: %d changes, %d pairs, %d superseded, %d refusals\n", r.Settings.Changes, r.Settings.Pairs, r.Settings.Superseded, r.Settings.Refusals)
-	line("in force after the commit", "ms", r.Settings.SinceCommit, 1e3)
-	line("in force after the first write", "ms", r.Settings.SinceWrite, 1e3)
-	line("in force after an outage", "ms", r.Settings.SinceOutage, 1e3)
+	line("in force after the commit", "ms", r.Settings.FromCommit, 1e3)
+	line("in force after the first write", "ms", r.Settings.FromWrite, 1e3)
+	line("in force after an outage", "ms", r.Settings.AfterOutage, 1e3)
 	line("in force at all gatekeepers", "ms", r.Settings.UntilAll, 1e3)
-	if n := r.Settings.StuckCutOff + r.Settings.StuckLeft; n > 0 {
-		fmt.Fprintf(&b, "stuck watchers: %d of %d cut off\n", r.Settings.StuckCutOff, n)
+	if n := r.Settings.StuckWatchersCutOff + r.Settings.StuckWatchersLeft; n > 0 {
+		fmt.Fprintf(&b, "stuck watchers: %d of %d cut off\n", r.Settings.StuckWatchersCutOff, n)
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintf(&b, "fault %s at %.1f to %.1f s (%s): slowest %.2f s, at most %d reported being behind, %d at the end, at most %.2f of a share of sessions\n", f.Kind, f.AtS,
@@ -258,4 +259,5 @@
 	return b.String()
 }
 
+// seconds returns a duration in seconds.
 func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -17,7 +17,7 @@
 const (
 	inForceLimit      = 17 * time.Second // time limit for a change to be in force after its commit
 	startTimeout      = 3 * time.Minute  // time limit for all gatekeepers to have settings
-	meetTimeout       = time.Minute      // time limit for all members to be known to each other
+	meetTimeout       = time.Minute      // time limit for all gatekeepers to consider all members up
 	settleTime        = 2 * time.Second  // time between the start and the measured time
 	countersTimeout   = 90 * time.Second // time limit for the counters of all hollow processes
 	sampleInterval    = time.Second
@@ -28,20 +28,20 @@
 	progressInterval  = 5 * time.Second
 )
 
-// errMemoryLimit stops a run that uses more than mostOfMemory of the machine's memory.
+// errMemoryLimit stops a run that uses more than maxMemoryPart of the machine's memory.
 var errMemoryLimit = errors.New("the processes of the run use over half of the machine's memory")
 
 // laboratory is the state of one run. Times are relative to its start.
 type laboratory struct {
-	options   *Options
-	plan      plan
-	runStart  time.Time
-	plane     *controlPlane
-	hollows   []*hollowProcess
-	events    *eventRecord
-	writer    *changeWriter
-	faultRand *rand.Rand // of the fault script
-	fail      context.CancelCauseFunc
+	options      *Options
+	plan         plan
+	runStart     time.Time
+	plane        *controlPlane
+	hollows      []*hollowProcess
+	eventLog     *eventLog
+	changeWriter *changeWriter
+	rng          *rand.Rand // of the fault script
+	fail         context.CancelCauseFunc
 
 	measured       struct{ from, to time.Duration }
 	recordingEnd   time.Duration // end of the recording
@@ -68,15 +68,15 @@
 	if err := checkDescriptors(&o); err != nil {
 		return nil, err
 	}
-	memory, err := child.MachineMemory()
+	machineMemory, err := child.MachineMemory()
 	if err != nil {
 		return nil, err
 	}
 	outer := ctx
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	l := &laboratory{options: &o, plan: newPlan(&o), runStart: time.Now(), events: newEventRecord(), fail: fail, machineMemory: memory,
-		faultRand: rand.New(rand.NewPCG(o.Seed, 1))}
+	l := &laboratory{options: &o, plan: newPlan(&o), runStart: time.Now(), eventLog: newEventLog(), fail: fail, machineMemory: machineMemory,
+		rng: rand.New(rand.NewPCG(o.Seed, 1))}
 	l.faults.cut = map[string]bool{}
 	defer l.stop()
 	err = l.runPhases(ctx)
@@ -94,7 +94,7 @@
 
 // checkDescriptors returns an error if the limit of file descriptors is too low for a hollow process.
 func checkDescriptors(o *Options) error {
-	allowed, err := child.DescriptorLimit()
+	allowed, err := child.Descriptors()
 	if err != nil {
 		return err
 	}
@@ -160,15 +160,15 @@
 	if err := l.plane.startAll(ctx); err != nil {
 		return err
 	}
-	l.writer = &changeWriter{options: o, plane: l.plane, runStart: l.runStart, isCut: l.faults.isCut, rng: rand.New(rand.NewPCG(o.Seed, 2))}
-	_, err = l.writer.write(ctx, false)
+	l.changeWriter = &changeWriter{options: o, plane: l.plane, runStart: l.runStart, cutOff: l.faults.isCut, rng: rand.New(rand.NewPCG(o.Seed, 2))}
+	_, err = l.changeWriter.write(ctx, false)
 	return err
 }
 
 // openHollows starts the hollow processes, which in turn start their gatekeepers.
 func (l *laboratory) openHollows() error {
 	o := l.options
-	o.progress(time.Since(l.runStart), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.Hollow, o.startOver()))
+	o.progress(time.Since(l.runStart), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.Hollow, o.startSpread()))
 	var machines []*machine
 	if l.plane != nil {
 		machines = l.plane.machines
@@ -180,7 +180,7 @@
 	for i := range o.Hollow {
 		c := hollowConfig(o, l.plan, machines, l.runStart, i)
 		c.Groups = groups
-		h, err := startHollow(o, i, c, l.events)
+		h, err := startHollow(o, i, c, l.eventLog)
 		if err != nil {
 			return err
 		}
@@ -221,35 +221,35 @@
 }
 
 // awaitStart waits until every gatekeeper has settings in force. Without a control plane it waits until every gatekeeper knows
-// all members of its group, at most meetWithin after the last start.
+// all members of its group, at most meetTimeout after the last start.
 func (l *laboratory) awaitStart(ctx context.Context) error {
 	start := time.Since(l.runStart)
 	limit := startTimeout
 	if l.plane == nil {
-		limit = l.options.startOver() + meetTimeout
+		limit = l.options.startSpread() + meetTimeout
 	}
 	var lastProgress time.Duration
 	for {
 		now := time.Since(l.runStart)
-		have, fewestUp, mostMissing := l.startProgress()
+		haveSettings, fewestUp, mostMissing := l.haveSettings()
 		if now-lastProgress >= progressInterval {
 			lastProgress = now
-			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, fewest members known %d", have, l.options.Gatekeepers, fewestUp))
+			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, fewest members known %d", haveSettings, l.options.Gatekeepers, fewestUp))
 		}
 		switch {
-		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && mostMissing == 0:
+		case l.plane != nil && haveSettings == l.options.Gatekeepers, l.plane == nil && mostMissing == 0:
 			l.startDuration = now - start
 			return nil
 		case now-start > limit && l.plane == nil:
 			l.startDuration = -time.Second
 			return nil
 		case now-start > limit:
-			return fmt.Errorf("%d of %d gatekeepers have settings after %v", have, l.options.Gatekeepers, limit)
+			return fmt.Errorf("%d of %d gatekeepers have settings after %v", haveSettings, l.options.Gatekeepers, limit)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.events.changed:
+		case <-l.eventLog.changed:
 		case <-time.After(time.Second):
 		}
 		if err := l.checkProcesses(); err != nil {
@@ -258,22 +258,22 @@
 	}
 }
 
-// startProgress returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up, and the
-// most of its group that one does not. The last two are -1 until every process has reported.
-func (l *laboratory) startProgress() (have, fewestUp, mostMissing int) {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
+// haveSettings returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up,
+// and the most members of its group that a gatekeeper does not consider up. The last two are -1 until every process has reported.
+func (l *laboratory) haveSettings() (haveSettings, fewestUp, mostMissing int) {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
 	fewestUp = -1
-	for _, p := range l.events.latestFigures {
+	for _, p := range l.eventLog.latestFigures {
 		if fewestUp < 0 || p.FewestUp < fewestUp {
 			fewestUp = p.FewestUp
 		}
 		mostMissing = max(mostMissing, p.MostMissing)
 	}
-	if len(l.events.latestFigures) < l.options.Hollow {
+	if len(l.eventLog.latestFigures) < l.options.Hollow {
 		fewestUp, mostMissing = -1, -1
 	}
-	return len(l.events.inForce), fewestUp, mostMissing
+	return len(l.eventLog.inForce), fewestUp, mostMissing
 }
 
 // checkProcesses returns an error if a hollow process has exited or has sent an invalid event.
@@ -283,10 +283,10 @@
 			return fmt.Errorf("hollow%d exited unexpectedly (%v): see its log", i+1, h.process.ExitState())
 		}
 	}
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
-	if l.events.parseError != "" {
-		return errors.New(l.events.parseError)
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	if l.eventLog.parseError != "" {
+		return errors.New(l.eventLog.parseError)
 	}
 	return nil
 }
@@ -294,14 +294,14 @@
 // collectCounters requests the counters of every hollow process and waits for them.
 func (l *laboratory) collectCounters(ctx context.Context, mark int) error {
 	for _, h := range l.hollows {
-		if err := h.send(hollow.Command{Action: hollow.ReportCounters, Mark: mark}); err != nil {
+		if err := h.send(hollow.Command{Operation: hollow.Count, Mark: mark}); err != nil {
 			return err
 		}
 	}
 	for end := time.Now().Add(countersTimeout); ; {
-		l.events.mu.Lock()
-		n := len(l.events.counters[mark])
-		l.events.mu.Unlock()
+		l.eventLog.mu.Lock()
+		n := len(l.eventLog.counters[mark])
+		l.eventLog.mu.Unlock()
 		if n == len(l.hollows) {
 			return nil
 		}
@@ -311,7 +311,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.events.changed:
+		case <-l.eventLog.changed:
 		case <-time.After(50 * time.Millisecond):
 		}
 		if err := l.checkProcesses(); err != nil {
@@ -330,11 +330,11 @@
 	defer progress.Stop()
 	written := make(chan error, 1)
 	go func() {
-		if l.writer == nil {
+		if l.changeWriter == nil {
 			written <- nil
 			return
 		}
-		written <- l.writer.run(ctx, until)
+		written <- l.changeWriter.run(ctx, until)
 	}()
 	over := time.After(o.Length)
 	for done := false; ; {
@@ -364,42 +364,43 @@
 // reportProgress reports the progress of the measured time.
 func (l *laboratory) reportProgress() {
 	at := time.Since(l.runStart)
-	if l.writer == nil {
-		_, fewestUp, _ := l.startProgress()
+	if l.changeWriter == nil {
+		_, fewestUp, _ := l.haveSettings()
 		l.options.progress(at, fmt.Sprintf("fewest members known %d of %d", fewestUp, l.options.Gatekeepers))
 		return
 	}
-	changes, _ := l.writer.committed()
+	changes, _ := l.changeWriter.all()
 	last := changes[len(changes)-1]
-	behind := l.events.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false })
+	behind := l.eventLog.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false })
 	l.options.progress(at, fmt.Sprintf("%d changes, %d gatekeepers behind the last", len(changes), behind))
 }
 
-// writeFinalChange writes a last change that is not refusable, and waits until all gatekeepers have it or the time limit has passed.
+// writeFinalChange writes a last change that is not refusable, and waits until all gatekeepers have it or the time limit has
+// passed.
 func (l *laboratory) writeFinalChange(ctx context.Context) error {
-	if l.writer == nil {
+	if l.changeWriter == nil {
 		return nil
 	}
-	l.writer.setRefusable(false)
-	last, err := l.writer.write(ctx, false)
+	l.changeWriter.setRefusable(false)
+	last, err := l.changeWriter.write(ctx, false)
 	if err != nil {
 		return err
 	}
 	for end := time.Now().Add(inForceLimit + time.Second); time.Now().Before(end); {
-		if l.events.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false }) == 0 {
+		if l.eventLog.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false }) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.events.changed:
+		case <-l.eventLog.changed:
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// sample records the usage of the control machines every sampleEvery, and stops the run if it uses too much memory.
+// sample records the usage of the control machines every sampleInterval, and stops the run if it uses too much memory.
 func (l *laboratory) sample(ctx context.Context) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -413,19 +414,19 @@
 		if l.plane != nil {
 			for i, m := range l.plane.machines {
 				if u, ok := m.usage(); ok {
-					l.events.mu.Lock()
+					l.eventLog.mu.Lock()
 					l.controlSamples = append(l.controlSamples, controlSample{i, at, u})
-					l.events.mu.Unlock()
+					l.eventLog.mu.Unlock()
 					resident += u.Resident
 				}
 			}
 		}
-		l.events.mu.Lock()
-		for _, p := range l.events.latestFigures {
+		l.eventLog.mu.Lock()
+		for _, p := range l.eventLog.latestFigures {
 			resident += p.Resident
 		}
-		l.faults.maxResident = max(l.faults.maxResident, resident)
-		l.events.mu.Unlock()
+		l.faults.resident = max(l.faults.resident, resident)
+		l.eventLog.mu.Unlock()
 		if float64(resident) > maxMemoryPart*float64(l.machineMemory) {
 			l.fail(errMemoryLimit)
 			return
@@ -442,13 +443,13 @@
 			}
 		}
 	}
-	l.events.mu.Lock()
-	for _, p := range l.events.latestFigures {
+	l.eventLog.mu.Lock()
+	for _, p := range l.eventLog.latestFigures {
 		if p.MostUnexpected > 0 {
 			problems = append(problems, fmt.Sprintf("a gatekeeper knows %d members that are not of its group", p.MostUnexpected))
 		}
 	}
-	l.events.mu.Unlock()
+	l.eventLog.mu.Unlock()
 	for i, h := range l.hollows {
 		if h.process.Exited() {
 			problems = append(problems, fmt.Sprintf("hollow%d exited unexpectedly: %v", i+1, h.process.ExitState()))
@@ -491,16 +492,16 @@
 
 // judgeLog converts the recorded events into the log of the judge.
 func (l *laboratory) judgeLog(changes []judge.Change) judge.Log {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
-	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.events.applied, Refusals: l.events.refusals,
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.eventLog.applied, Refusals: l.eventLog.refusals,
 		End: l.recordingEnd, TimeLimit: inForceLimit}
 	for _, g := range l.plan.gatekeepers {
 		log.Gatekeepers = append(log.Gatekeepers, g.Name)
 		if g.Refuses {
 			log.Refusing[g.Name] = true
 		}
-		log.Outages = append(log.Outages, l.events.outages[g.Name]...)
+		log.Outages = append(log.Outages, l.eventLog.outages[g.Name]...)
 		for _, cut := range l.faults.cuts {
 			if cut.region == g.Region {
 				log.Outages = append(log.Outages, judge.Outage{Gatekeeper: g.Name, From: cut.from, To: cut.to})
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -66,7 +66,7 @@
 	require.InDelta(t, rate*length.Seconds(), r.Settings.Changes, 4, "rate of changes")
 	require.GreaterOrEqual(t, r.Settings.Pairs, 50*(r.Settings.Changes-1))
 	require.Zero(t, r.Settings.Unjudged)
-	require.Less(t, r.Settings.SinceCommit.Max, inForceLimit.Seconds())
+	require.Less(t, r.Settings.FromCommit.Max, inForceLimit.Seconds())
 	require.Len(t, r.Faults, 1)
 	require.Equal(t, 50, r.Gatekeepers.ReceivedPerS.Count)
 
@@ -145,17 +145,17 @@
 	groups, err := l.groups()
 	require.NoError(t, err)
 	require.Len(t, groups, 65)
-	members, seeds := 0, map[string]bool{}
+	total, seeds := 0, map[string]bool{}
 	for name, g := range groups {
 		require.Contains(t, []int{30, 31, 32, 33, 34, 35, 36}, g.Members, name)
-		members += g.Members
+		total += g.Members
 		require.Len(t, g.Seeds, gossipSeeds)
 		for _, seed := range g.Seeds {
 			require.False(t, seeds[seed])
 			seeds[seed] = true
 		}
 	}
-	require.Equal(t, 2200, members)
+	require.Equal(t, 2200, total)
 	for _, g := range l.plan.gatekeepers {
 		require.Equal(t, g.Service, g.Group)
 	}
--- a/internal/scalelab/script/script.go
+++ b/internal/scalelab/script/script.go
@@ -1,5 +1,5 @@
-// Package script parses the fault scripts of the scale laboratory: which faults are injected, and when. A script is a YAML file, or
-// names of kinds joined with "+", each at its default time.
+// Package script parses the fault scripts of the scale laboratory: which faults are injected, and when. A script is a YAML file,
+// or names of kinds joined with "+", each at its default time.
 //
 //	faults:
 //	  - {at: 10s, for: 10s, fault: kill-leader}
@@ -169,6 +169,7 @@
 	return faults, nil
 }
 
+// parseFault parses one fault of a script file.
 func parseFault(node *yaml.Node) (Fault, error) {
 	var item faultItem
 	text, err := yaml.Marshal(node)
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -99,8 +99,8 @@
 // faultRunOf summarizes the report of a run with faults.
 func faultRunOf(r *Report) FaultRun {
 	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Passed: r.Held(), Violations: map[string]int{}, Changes: r.Settings.Changes,
-		CommitP99S: r.Settings.SinceCommit.P99, CommitMaxS: r.Settings.SinceCommit.Max, HealedP99S: r.Settings.SinceOutage.P99, HealedMaxS: r.Settings.SinceOutage.Max,
-		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.StuckCutOff, StuckLeft: r.Settings.StuckLeft,
+		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.AfterOutage.P99, HealedMaxS: r.Settings.AfterOutage.Max,
+		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.StuckWatchersCutOff, StuckLeft: r.Settings.StuckWatchersLeft,
 		ControlCPU: r.Control.CPUShare.Max, ControlRSS: r.Control.ResidentBytes.Max, OtherCores: r.Machine.OtherCores,
 		Command: seriesCommand(r.Command), Date: r.Date, Program: r.Program}
 	for rule, n := range r.Judge.Counts {
@@ -160,8 +160,8 @@
 		{"bytes_per_s_read", "B/s", subjectControl, func(r *Report) Spread { return r.Control.ReadPerS }},
 		{"bytes_per_s_written", "B/s", subjectControl, func(r *Report) Spread { return r.Control.WrittenPerS }},
 		{"sessions", "1", subjectControl, func(r *Report) Spread { return r.Control.Sessions }},
-		{"in_force_from_commit", "s", subjectSettings, func(r *Report) Spread { return r.Settings.SinceCommit }},
-		{"in_force_from_put", "s", subjectSettings, func(r *Report) Spread { return r.Settings.SinceWrite }},
+		{"in_force_from_commit", "s", subjectSettings, func(r *Report) Spread { return r.Settings.FromCommit }},
+		{"in_force_from_put", "s", subjectSettings, func(r *Report) Spread { return r.Settings.FromWrite }},
 		{"put", "s", subjectSettings, func(r *Report) Spread { return r.Settings.WriteTime }},
 	}
 	var all []figure
@@ -258,7 +258,7 @@
 	return b.Bytes(), nil
 }
 
-// separator returns the separator between list elements, "" if left is 0.
+// separator returns the separator between list elements, "" if none remain.
 func separator(remaining int) string {
 	if remaining == 0 {
 		return ""
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -15,14 +15,14 @@
 func (l *laboratory) report(stopped bool, problems []string) *Report {
 	o := l.options
 	r := &Report{Command: o.Command, Date: time.Now().UTC().Format(time.DateOnly), Program: revision(), Beside: o.Beside, Stopped: stopped, Shape: l.shape(),
-		Crashed: problems, Faults: []FaultReport{}}
+		CrashedProcesses: problems, Faults: []FaultReport{}}
 	r.Machine = l.machineFigures()
 	r.Gatekeepers = l.gatekeeperFigures()
 	r.Control = l.controlFigures(r)
 	r.Membership = l.membership()
 	r.Judge.Problems = append(append([]string{}, problems...), l.faults.problems...)
-	if l.writer != nil {
-		l.judgeRun(r)
+	if l.changeWriter != nil {
+		l.judge(r)
 	} else {
 		r.Judge.Passed = len(r.Judge.Problems) == 0
 	}
@@ -35,24 +35,25 @@
 	if !ok {
 		return ""
 	}
-	at, changed := "", ""
+	commit, changed := "", ""
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
-			at = s.Value
+			commit = s.Value
 		case s.Key == "vcs.modified" && s.Value == "true":
 			changed = " with changes"
 		}
 	}
-	return at + changed
+	return commit + changed
 }
 
+// shape returns the size and load of the run.
 func (l *laboratory) shape() Shape {
 	o := l.options
 	s := Shape{Gatekeepers: o.Gatekeepers, Control: o.Control, Voters: o.Voters, Regions: o.Regions, Zones: o.Zones, Services: o.Services,
 		Processes: o.Hollow, Seed: o.Seed, LengthS: o.Length.Seconds(), RecordBytes: o.RecordBytes, With: []string{}, Admission: o.Admission}
-	if every := o.changeEvery(); every > 0 {
-		s.ChangesPerS = 1 / every.Seconds()
+	if interval := o.changeInterval(); interval > 0 {
+		s.ChangesPerS = 1 / interval.Seconds()
 	}
 	for _, w := range []struct {
 		on   bool
@@ -63,21 +64,22 @@
 		}
 	}
 	s.Descriptors.Needed = neededDescriptors(o)
-	s.Descriptors.Allowed, _ = child.DescriptorLimit()
+	s.Descriptors.Allowed, _ = child.Descriptors()
 	return s
 }
 
-// measuredTime returns the duration of the measured time.
-func (l *laboratory) measuredTime() time.Duration { return l.measured.to - l.measured.from }
+// span returns the duration of the measured time.
+func (l *laboratory) span() time.Duration { return l.measured.to - l.measured.from }
 
 // isMeasured reports whether a time is within the measured time.
 func (l *laboratory) isMeasured(at time.Duration) bool {
 	return at >= l.measured.from && at <= l.measured.to
 }
 
+// machineFigures returns the load of the machine during the measured time.
 func (l *laboratory) machineFigures() MachineFigures {
-	m := MachineFigures{Cores: coreCount(), MemoryBytes: l.machineMemory, RunResident: l.faults.maxResident}
-	span := l.measuredTime().Seconds()
+	m := MachineFigures{Cores: coreCount(), MemoryBytes: l.machineMemory, RunResident: l.faults.resident}
+	span := l.span().Seconds()
 	if span <= 0 {
 		return m
 	}
@@ -95,9 +97,9 @@
 
 // hollowCPU returns the processor time that a hollow process used in the measured time.
 func (l *laboratory) hollowCPU(process int) time.Duration {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
-	a, b := l.events.counters[markStart][process], l.events.counters[markEnd][process]
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	a, b := l.eventLog.counters[markStart][process], l.eventLog.counters[markEnd][process]
 	if a == nil || b == nil {
 		return 0
 	}
@@ -106,8 +108,8 @@
 
 // controlCPU returns the processor time of each control machine between its first and last sample in the measured time.
 func (l *laboratory) controlCPU() map[int]time.Duration {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
 	first, last := map[int]controlSample{}, map[int]controlSample{}
 	for _, s := range l.controlSamples {
 		if !l.isMeasured(s.at) {
@@ -127,14 +129,14 @@
 
 // gatekeeperFigures returns the figures from the differences of the counters over the measured time.
 func (l *laboratory) gatekeeperFigures() (g GatekeeperFigures) {
-	span := l.measuredTime().Seconds()
+	span := l.span().Seconds()
 	if span <= 0 {
 		return g
 	}
 	var sent, received, gossip, leases, opened, cpu []float64
-	l.events.mu.Lock()
-	for process, before := range l.events.counters[markStart] {
-		after := l.events.counters[markEnd][process]
+	l.eventLog.mu.Lock()
+	for process, before := range l.eventLog.counters[markStart] {
+		after := l.eventLog.counters[markEnd][process]
 		if after == nil {
 			continue
 		}
@@ -148,32 +150,33 @@
 		}
 		cpu = append(cpu, (after.CPU-before.CPU).Seconds()/(after.At-before.At).Seconds()/float64(len(before.Gatekeepers)))
 	}
-	l.events.mu.Unlock()
+	l.eventLog.mu.Unlock()
 	g.SentPerS, g.ReceivedPerS, g.GossipPerS, g.LeasesPerS = spreadOf(sent), spreadOf(received), spreadOf(gossip), spreadOf(leases)
 	g.Connections, g.CPUShare = spreadOf(opened), spreadOf(cpu)
-	g.HeapBytes = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return f.Heap })
-	g.ResidentBytes = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return f.Resident })
-	g.Goroutines = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return int64(f.Goroutines) })
-	g.Descriptors = l.maxPerGatekeeper(func(f hollow.Figures) int64 { return int64(f.Descriptors) })
+	g.HeapBytes = l.peaks(func(f hollow.Figures) int64 { return f.Heap })
+	g.ResidentBytes = l.peaks(func(f hollow.Figures) int64 { return f.Resident })
+	g.Goroutines = l.peaks(func(f hollow.Figures) int64 { return int64(f.Goroutines) })
+	g.Descriptors = l.peaks(func(f hollow.Figures) int64 { return int64(f.Descriptors) })
 	g.StartToInForce = l.startToInForce()
 	return g
 }
 
-// maxPerGatekeeper returns the distribution over the hollow processes of the maximum of a figure in the measured time, per gatekeeper.
-func (l *laboratory) maxPerGatekeeper(value func(hollow.Figures) int64) Spread {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
+// peaks returns the distribution, over the hollow processes, of the maximum of a figure in the measured time divided by the
+// number of gatekeepers of the process.
+func (l *laboratory) peaks(value func(hollow.Figures) int64) Spread {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
 	share := map[int]float64{}
-	for process, c := range l.events.counters[markStart] {
+	for process, c := range l.eventLog.counters[markStart] {
 		share[process] = float64(len(c.Gatekeepers))
 	}
-	most := map[int]float64{}
-	for _, s := range l.events.samples {
+	peaks := map[int]float64{}
+	for _, s := range l.eventLog.samples {
 		if l.isMeasured(s.at) && share[s.process] > 0 {
-			most[s.process] = max(most[s.process], float64(value(s.Figures))/share[s.process])
+			peaks[s.process] = max(peaks[s.process], float64(value(s.Figures))/share[s.process])
 		}
 	}
-	return spreadOf(valuesOf(most))
+	return spreadOf(valuesOf(peaks))
 }
 
 // valuesOf returns the values of a map.
@@ -186,33 +189,34 @@
 
 // startToInForce returns the times from the first start of each gatekeeper to its first settings.
 func (l *laboratory) startToInForce() Spread {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
-	seen := map[string]bool{}
-	var took []float64
-	for _, a := range l.events.applied {
-		all := l.events.outages[a.Gatekeeper]
-		if a.StartCount != 1 || seen[a.Gatekeeper] || len(all) == 0 {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	counted := map[string]bool{}
+	var durations []float64
+	for _, a := range l.eventLog.applied {
+		all := l.eventLog.outages[a.Gatekeeper]
+		if a.StartCount != 1 || counted[a.Gatekeeper] || len(all) == 0 {
 			continue
 		}
-		seen[a.Gatekeeper] = true
-		took = append(took, (a.At - all[0].To).Seconds())
+		counted[a.Gatekeeper] = true
+		durations = append(durations, (a.At - all[0].To).Seconds())
 	}
-	return spreadOf(took)
+	return spreadOf(durations)
 }
 
+// controlFigures returns the costs per control machine during the measured time.
 func (l *laboratory) controlFigures(r *Report) (c ControlFigures) {
-	if l.plane == nil || l.measuredTime() <= 0 {
+	if l.plane == nil || l.span() <= 0 {
 		return c
 	}
-	span := l.measuredTime().Seconds()
+	span := l.span().Seconds()
 	var cpu []float64
 	for _, d := range l.controlCPU() {
 		cpu = append(cpu, d.Seconds()/span)
 	}
 	resident, heap, goroutines, descriptors := map[int]float64{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
 	first, last := map[int]child.Usage{}, map[int]child.Usage{}
-	l.events.mu.Lock()
+	l.eventLog.mu.Lock()
 	for _, s := range l.controlSamples {
 		if !l.isMeasured(s.at) {
 			continue
@@ -230,7 +234,7 @@
 			goroutines[s.machine] = max(goroutines[s.machine], s.goroutines)
 		}
 	}
-	l.events.mu.Unlock()
+	l.eventLog.mu.Unlock()
 	var read, written []float64
 	for i := range last {
 		read = append(read, float64(last[i].Read-first[i].Read)/span)
@@ -246,31 +250,31 @@
 
 // setSessions sets the figures of sessions per control machine, as counted by the gatekeepers.
 func (l *laboratory) setSessions(c *ControlFigures) {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
-	now := map[int]map[string]int{} // latest by process
-	for _, s := range l.events.samples {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	latest := map[int]map[string]int{} // latest by process
+	for _, s := range l.eventLog.samples {
 		if !l.isMeasured(s.at) {
 			continue
 		}
-		now[s.process] = s.Sessions
-		if len(now) < l.options.Hollow {
+		latest[s.process] = s.Sessions
+		if len(latest) < l.options.Hollow {
 			continue
 		}
-		for _, n := range l.sumSessions(now) {
+		for _, n := range l.sumSessions(latest) {
 			c.MaxSessions = max(c.MaxSessions, int(n))
 		}
 	}
-	c.Sessions = spreadOf(l.sumSessions(now))
+	c.Sessions = spreadOf(l.sumSessions(latest))
 	c.Share = float64(l.options.Gatekeepers) / float64(l.options.Control)
 	c.MaxSessionsOverShare = float64(c.MaxSessions) / c.Share
 }
 
 // sumSessions returns the sessions at each control machine, summed over the processes.
-func (l *laboratory) sumSessions(now map[int]map[string]int) (sums []float64) {
+func (l *laboratory) sumSessions(latest map[int]map[string]int) (sums []float64) {
 	for _, m := range l.plane.machines {
 		sum := 0
-		for _, sessions := range now {
+		for _, sessions := range latest {
 			sum += sessions[m.Name]
 		}
 		sums = append(sums, float64(sum))
@@ -278,6 +282,7 @@
 	return sums
 }
 
+// membership returns the figures of the gossip groups.
 func (l *laboratory) membership() (m MembershipFigures) {
 	if !l.options.With.Membership {
 		return m
@@ -285,7 +290,7 @@
 	if l.plane == nil {
 		m.AllUpS = seconds(l.startDuration)
 	}
-	_, m.FewestUp, m.MostMissing = l.startProgress()
+	_, m.FewestUp, m.MostMissing = l.haveSettings()
 	if l.options.With.Registers {
 		m.FreshRegisters, m.OldestRegister = l.registerFigures()
 	}
@@ -301,9 +306,9 @@
 		groupOf[g.Name] = g.Group
 	}
 	var parts, ages []float64
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
-	for _, c := range l.events.counters[markEnd] {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	for _, c := range l.eventLog.counters[markEnd] {
 		for _, g := range c.Gatekeepers {
 			parts = append(parts, float64(g.FreshRegisters)/float64(members[groupOf[g.Name]]))
 			ages = append(ages, float64(g.OldestRegisterMicros)/1e6)
@@ -315,16 +320,16 @@
 // firstMarker is the marker of the change that is written before the gatekeepers start.
 const firstMarker = 1
 
-// judgeRun checks the run and sets the figures of settings, faults and the judge.
-func (l *laboratory) judgeRun(r *Report) {
-	changes, retries := l.writer.committed()
+// judge checks the run and sets the figures of settings, faults and the judge.
+func (l *laboratory) judge(r *Report) {
+	changes, retries := l.changeWriter.all()
 	v := judge.Check(l.judgeLog(changes))
 	s := &r.Settings
-	s.Changes, s.Retries, s.Pairs, s.Superseded, s.Unjudged = len(changes), retries, len(v.Delays), v.Superseded, v.Unjudged
+	s.Changes, s.Retries, s.Pairs, s.Superseded, s.Unjudged = len(changes), retries, len(v.Delays), v.Skipped, v.NotDue
 	s.RefusedApplied, s.AllStartedS = v.Counts[judge.AppliedRefused], seconds(l.startDuration)
-	l.events.mu.Lock()
-	s.Refusals, s.AppliedTotal, s.StuckCutOff, s.StuckLeft = len(l.events.refusals), len(l.events.applied), l.events.stuckCutOff, l.events.stuckLeft
-	l.events.mu.Unlock()
+	l.eventLog.mu.Lock()
+	s.Refusals, s.AppliedTotal, s.StuckWatchersCutOff, s.StuckWatchersLeft = len(l.eventLog.refusals), len(l.eventLog.applied), l.eventLog.stuckCutOff, l.eventLog.stuckLeft
+	l.eventLog.mu.Unlock()
 	var commit, put, healed []float64
 	slowest := map[uint64]float64{}
 	for _, d := range v.Delays {
@@ -332,11 +337,11 @@
 			continue
 		}
 		if d.Outage {
-			healed = append(healed, seconds(d.SinceOutage))
+			healed = append(healed, seconds(d.AfterOutage))
 			continue
 		}
-		commit, put = append(commit, seconds(d.SinceCommit)), append(put, seconds(d.SinceWrite))
-		slowest[d.Marker] = max(slowest[d.Marker], seconds(d.SinceCommit))
+		commit, put = append(commit, seconds(d.AfterCommit)), append(put, seconds(d.AfterWrite))
+		slowest[d.Marker] = max(slowest[d.Marker], seconds(d.AfterCommit))
 	}
 	var all, writes []float64
 	for _, c := range changes {
@@ -345,10 +350,10 @@
 	for _, v := range slowest {
 		all = append(all, v)
 	}
-	s.SinceCommit, s.SinceWrite, s.SinceOutage, s.UntilAll, s.WriteTime = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
-	s.Slowest = l.slowestPairs(changes, v.Delays)
+	s.FromCommit, s.FromWrite, s.AfterOutage, s.UntilAll, s.WriteTime = spreadOf(commit), spreadOf(put), spreadOf(healed), spreadOf(all), spreadOf(writes)
+	s.Slowest = l.slowest(changes, v.Delays)
 	r.Faults = l.faultReports(changes, v.Delays)
-	r.Judge.WithinS, r.Judge.Listed, r.Judge.Crashed = inForceLimit.Seconds(), v.Listed, len(r.Crashed)
+	r.Judge.WithinS, r.Judge.Listed, r.Judge.Crashed = inForceLimit.Seconds(), v.Listed, len(r.CrashedProcesses)
 	r.Judge.Counts = map[string]int{}
 	for rule, n := range v.Counts {
 		r.Judge.Counts[string(rule)] = n
@@ -359,20 +364,20 @@
 // maxSlowPairs is the number of slowest pairs in a report.
 const maxSlowPairs = 20
 
-// slowestPairs returns the slowest pairs of a change and a gatekeeper.
-func (l *laboratory) slowestPairs(changes []judge.Change, delays []judge.Delay) (slow []SlowPair) {
+// slowest returns the slowest pairs of a change and a gatekeeper.
+func (l *laboratory) slowest(changes []judge.Change, delays []judge.Delay) (slow []SlowPair) {
 	delayOf := func(d judge.Delay) time.Duration {
 		if d.Outage {
-			return d.SinceOutage
+			return d.AfterOutage
 		}
-		return d.SinceCommit
+		return d.AfterCommit
 	}
 	delays = slices.Clone(delays)
 	slices.SortFunc(delays, func(a, b judge.Delay) int { return cmp.Compare(delayOf(b), delayOf(a)) })
 	committed := commitTimes(changes)
 	for _, d := range delays[:min(maxSlowPairs, len(delays))] {
-		at := slices.IndexFunc(l.plan.gatekeepers, func(g hollow.Gatekeeper) bool { return g.Name == d.Gatekeeper })
-		g := l.plan.gatekeepers[at]
+		index := slices.IndexFunc(l.plan.gatekeepers, func(g hollow.Gatekeeper) bool { return g.Name == d.Gatekeeper })
+		g := l.plan.gatekeepers[index]
 		slow = append(slow, SlowPair{Marker: d.Marker, CommittedS: seconds(committed[d.Marker] - l.measured.from), Gatekeeper: g.Name,
 			Zone: g.Zone, Region: g.Region, DelayS: seconds(delayOf(d)), Outage: d.Outage})
 	}
@@ -395,15 +400,15 @@
 	for _, p := range l.faults.injected {
 		f := FaultReport{Kind: string(p.kind), AtS: seconds(p.from - l.measured.from), UntilS: seconds(p.until - l.measured.from), Description: p.description}
 		for _, d := range delays {
-			at := committed[d.Marker]
-			if at < p.from || at > p.until+inForceLimit {
+			commit := committed[d.Marker]
+			if commit < p.from || commit > p.until+inForceLimit {
 				continue
 			}
-			took := d.SinceCommit
+			delay := d.AfterCommit
 			if d.Outage {
-				took = d.SinceOutage
+				delay = d.AfterOutage
 			}
-			f.SlowestS = max(f.SlowestS, seconds(took))
+			f.SlowestS = max(f.SlowestS, seconds(delay))
 		}
 		l.addFaultFigures(p, &f)
 		reports = append(reports, f)
@@ -412,26 +417,26 @@
 }
 
 // addFaultFigures adds the figures that the hollow processes reported during a fault.
-func (l *laboratory) addFaultFigures(p injectedFault, f *FaultReport) {
-	l.events.mu.Lock()
-	defer l.events.mu.Unlock()
+func (l *laboratory) addFaultFigures(fault injectedFault, f *FaultReport) {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
 	share := float64(l.options.Gatekeepers) / float64(l.options.Control)
-	now := map[int]hollow.Figures{} // latest by process
-	for _, s := range l.events.samples {
+	latest := map[int]hollow.Figures{} // latest by process
+	for _, s := range l.eventLog.samples {
 		if !l.isMeasured(s.at) {
 			continue
 		}
-		now[s.process] = s.Figures
+		latest[s.process] = s.Figures
 		behind, sessions := 0, map[int]map[string]int{}
-		for process, figures := range now {
+		for process, figures := range latest {
 			behind += figures.Behind
 			sessions[process] = figures.Sessions
 		}
 		f.BehindAtEnd = behind
-		if s.at >= p.from && s.at <= p.until+sampleInterval {
+		if s.at >= fault.from && s.at <= fault.until+sampleInterval {
 			f.MaxBehind = max(f.MaxBehind, behind)
 		}
-		if s.at >= p.from && s.at <= p.until+inForceLimit && len(now) == l.options.Hollow {
+		if s.at >= fault.from && s.at <= fault.until+inForceLimit && len(latest) == l.options.Hollow {
 			for _, n := range l.sumSessions(sessions) {
 				f.MaxSessionsOverShare = max(f.MaxSessionsOverShare, n/share)
 			}
--- a/internal/scalelab/telemetry.go
+++ b/internal/scalelab/telemetry.go
@@ -40,9 +40,9 @@
 		if err != nil {
 			continue // the machine is suspended or was just killed
 		}
-		l.events.mu.Lock()
+		l.eventLog.mu.Lock()
 		l.runtimeSamples = append(l.runtimeSamples, runtimeSample{machine, time.Since(l.runStart), values["proxy_control_heap_bytes"], values["proxy_control_goroutines"]})
-		l.events.mu.Unlock()
+		l.eventLog.mu.Unlock()
 	}
 }
 
