--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -160,7 +160,7 @@
 		}
 		failed++
 		command := hollow.Command{Operation: hollow.RestartGatekeeper, Name: g.Name, DownTime: f.For}
-		if err := l.hollows[i%l.options.Hollow].send(command); err != nil {
+		if err := l.hollows[i%l.options.HollowProcesses].send(command); err != nil {
 			return "", err
 		}
 	}
@@ -259,7 +259,7 @@
 			return "", err
 		}
 		command := hollow.Command{Operation: hollow.RestartGatekeeper, Name: l.plan.gatekeepers[i].Name, DownTime: restartDownTime}
-		if err := l.hollows[i%l.options.Hollow].send(command); err != nil {
+		if err := l.hollows[i%l.options.HollowProcesses].send(command); err != nil {
 			return "", err
 		}
 	}
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -24,21 +24,21 @@
 
 // Options are the parameters of a run.
 type Options struct {
-	Program     string // path of the beammux executable
-	Env         []string
-	Dir         string // directory for files and logs; must exist
-	Gatekeepers int
-	Control     int // number of control machines; 0: no control plane
-	Voters      int // number of control machines with a vote
-	Regions     int
-	Zones       int
-	Services    int
-	Hollow      int // number of processes that run the gatekeepers
-	Seed        uint64
-	Length      time.Duration // measured time
-	ChangesADay float64
-	Factor      float64 // multiplies ChangesADay; 0 counts as 1
-	RecordBytes int     // size of each of the two records of a change
+	Program         string // path of the beammux executable
+	Env             []string
+	Dir             string // directory for files and logs; must exist
+	Gatekeepers     int
+	Control         int // number of control machines; 0: no control plane
+	Voters          int // number of control machines with a vote
+	Regions         int
+	Zones           int
+	Services        int
+	HollowProcesses int // number of processes that run the gatekeepers
+	Seed            uint64
+	Length          time.Duration // measured time
+	ChangesADay     float64
+	Factor          float64 // multiplies ChangesADay; 0 counts as 1
+	RecordBytes     int     // size of each of the two records of a change
 	// RegisterBytes is the most bytes of registers that a gatekeeper sends per second; 0: no limit.
 	RegisterBytes float64
 	Faults        []script.Fault
@@ -72,7 +72,7 @@
 		v, least, most int
 	}{
 		{"gatekeepers", o.Gatekeepers, 1, MaxGatekeepers}, {"control", o.Control, 0, MaxControl}, {"voters", o.Voters, min(1, o.Control), o.Control},
-		{"regions", o.Regions, 1, 64}, {"zones", o.Zones, o.Regions, 256}, {"services", o.Services, 1, 4096}, {"processes", o.Hollow, 1, MaxHollow},
+		{"regions", o.Regions, 1, 64}, {"zones", o.Zones, o.Regions, 256}, {"services", o.Services, 1, 4096}, {"processes", o.HollowProcesses, 1, MaxHollow},
 		{"record-bytes", o.RecordBytes, 0, 1 << 20},
 	} {
 		if bound.v < bound.least || bound.v > bound.most {
@@ -175,7 +175,7 @@
 	if o.With.Limits {
 		perGatekeeper++
 	}
-	share := (o.Gatekeepers + o.Hollow - 1) / o.Hollow
+	share := (o.Gatekeepers + o.HollowProcesses - 1) / o.HollowProcesses
 	return share*perGatekeeper + 64
 }
 
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -188,8 +188,8 @@
 	MaxSessionsOverShare float64 `json:"sessions_max_over_share"`
 }
 
-// Held reports whether the run was complete and broke no rule.
-func (r *Report) Held() bool { return !r.Stopped && r.Judge.Passed }
+// Passed reports whether the run was complete and broke no rule.
+func (r *Report) Passed() bool { return !r.Stopped && r.Judge.Passed }
 
 // Table formats the report as text.
 func (r *Report) Table() string {
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -168,7 +168,7 @@
 // openHollows starts the hollow processes, which in turn start their gatekeepers.
 func (l *laboratory) openHollows() error {
 	o := l.options
-	o.progress(time.Since(l.runStart), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.Hollow, o.startSpread()))
+	o.progress(time.Since(l.runStart), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.HollowProcesses, o.startSpread()))
 	var machines []*machine
 	if l.plane != nil {
 		machines = l.plane.machines
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	for i := range o.Hollow {
+	for i := range o.HollowProcesses {
 		c := hollowConfig(o, l.plan, machines, l.runStart, i)
 		c.Groups = groups
 		h, err := startHollow(o, i, c, l.eventLog)
@@ -270,7 +270,7 @@
 		}
 		mostMissing = max(mostMissing, p.MostMissing)
 	}
-	if len(l.eventLog.latestFigures) < l.options.Hollow {
+	if len(l.eventLog.latestFigures) < l.options.HollowProcesses {
 		fewestUp, mostMissing = -1, -1
 	}
 	return len(l.eventLog.inForce), fewestUp, mostMissing
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -98,7 +98,7 @@
 
 // faultRunOf summarizes the report of a run with faults.
 func faultRunOf(r *Report) FaultRun {
-	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Passed: r.Held(), Violations: map[string]int{}, Changes: r.Settings.Changes,
+	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Passed: r.Passed(), Violations: map[string]int{}, Changes: r.Settings.Changes,
 		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.AfterOutage.P99, HealedMaxS: r.Settings.AfterOutage.Max,
 		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.StuckWatchersCutOff, StuckLeft: r.Settings.StuckWatchersLeft,
 		ControlCPU: r.Control.CPUShare.Max, ControlRSS: r.Control.ResidentBytes.Max, OtherCores: r.Machine.OtherCores,
@@ -190,7 +190,7 @@
 	})
 	for _, r := range reports {
 		switch {
-		case r.Stopped || len(r.Faults) == 0 && !r.Held():
+		case r.Stopped || len(r.Faults) == 0 && !r.Passed():
 			return nil, fmt.Errorf("%s: the run was stopped or broke a rule and cannot be used for a series", r.Command)
 		case len(r.Faults) > 0:
 			file.FaultRuns = append(file.FaultRuns, faultRunOf(r))
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -51,7 +51,7 @@
 func (l *laboratory) shape() Shape {
 	o := l.options
 	s := Shape{Gatekeepers: o.Gatekeepers, Control: o.Control, Voters: o.Voters, Regions: o.Regions, Zones: o.Zones, Services: o.Services,
-		Processes: o.Hollow, Seed: o.Seed, LengthS: o.Length.Seconds(), RecordBytes: o.RecordBytes, With: []string{}, Admission: o.Admission}
+		Processes: o.HollowProcesses, Seed: o.Seed, LengthS: o.Length.Seconds(), RecordBytes: o.RecordBytes, With: []string{}, Admission: o.Admission}
 	if interval := o.changeInterval(); interval > 0 {
 		s.ChangesPerS = 1 / interval.Seconds()
 	}
@@ -84,7 +84,7 @@
 		return m
 	}
 	var lab time.Duration
-	for i := range l.options.Hollow {
+	for i := range l.options.HollowProcesses {
 		lab += l.hollowCPU(i)
 	}
 	for _, d := range l.controlCPU() {
@@ -258,7 +258,7 @@
 			continue
 		}
 		latest[s.process] = s.Sessions
-		if len(latest) < l.options.Hollow {
+		if len(latest) < l.options.HollowProcesses {
 			continue
 		}
 		for _, n := range l.sumSessions(latest) {
@@ -436,7 +436,7 @@
 		if s.at >= fault.from && s.at <= fault.until+sampleInterval {
 			f.MaxBehind = max(f.MaxBehind, behind)
 		}
-		if s.at >= fault.from && s.at <= fault.until+inForceLimit && len(latest) == l.options.Hollow {
+		if s.at >= fault.from && s.at <= fault.until+inForceLimit && len(latest) == l.options.HollowProcesses {
 			for _, n := range l.sumSessions(sessions) {
 				f.MaxSessionsOverShare = max(f.MaxSessionsOverShare, n/share)
 			}
