--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// startAll starts the gatekeepers, evenly spread over Config.StartOver, or all at the same time if it is 0.
+// startAll starts the gatekeepers, evenly spread over Config.StartSpread, or all at the same time if it is 0.
 func (p *process) startAll(ctx context.Context) {
 	slots := make(chan struct{}, maxConcurrentStarts)
 	interval := p.config.StartSpread / time.Duration(max(1, len(p.gatekeepers)))
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -30,7 +30,7 @@
 	encoder *json.Encoder
 }
 
-// eventLog collects the events of all hollow processes.
+// eventLog collects the events of all hollow processes. Maps by process are keyed by its index.
 type eventLog struct {
 	mu            sync.Mutex
 	applied       []judge.Applied
@@ -42,9 +42,9 @@
 	counters      map[int]map[int]*hollow.Counters // by mark and process
 	stuckCutOff   int                              // stuck watchers that were cut off
 	stuckLeft     int                              // stuck watchers that were not cut off
-	starts        int
-	parseError    string        // last invalid line of a process
-	changed       chan struct{} // signals new events
+	starts        int                              // starts of gatekeepers
+	parseError    string                           // last invalid line of a process
+	changed       chan struct{}                    // signals new events
 }
 
 // figuresSample is the figures of one process at one time.
@@ -54,13 +54,14 @@
 	hollow.Figures
 }
 
+// newEventLog returns an empty event log.
 func newEventLog() *eventLog {
 	return &eventLog{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, latestFigures: map[int]hollow.Figures{},
 		counters: map[int]map[int]*hollow.Counters{}, changed: make(chan struct{}, 1)}
 }
 
 // startHollow starts a hollow process with its share of the gatekeepers.
-func startHollow(o *Options, n int, c hollow.Config, r *eventLog) (*hollowProcess, error) {
+func startHollow(o *Options, index int, config hollow.Config, log *eventLog) (*hollowProcess, error) {
 	inRead, inWrite, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	name := fmt.Sprintf("hollow%d", n+1)
+	name := fmt.Sprintf("hollow%d", index+1)
 	p, err := child.Start(child.Options{Name: name, Path: o.Program, Args: []string{"lab", "hollow"}, Env: o.Env, Dir: o.Dir,
 		LogFile: filepath.Join(o.Dir, name+".log"), Stdin: inRead, Stdout: outWrite})
 	inRead.Close()
@@ -77,15 +78,15 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hollowProcess{process: p, stdin: inWrite, gatekeepers: len(c.Gatekeepers), outputRead: make(chan struct{}), encoder: json.NewEncoder(inWrite)}
+	h := &hollowProcess{process: p, stdin: inWrite, gatekeepers: len(config.Gatekeepers), outputRead: make(chan struct{}), encoder: json.NewEncoder(inWrite)}
 	go func() {
 		defer close(h.outputRead)
 		defer outRead.Close()
-		r.readEvents(n, outRead)
+		log.readEvents(index, outRead)
 	}()
 	h.sendMu.Lock()
 	defer h.sendMu.Unlock()
-	return h, h.encoder.Encode(c)
+	return h, h.encoder.Encode(config)
 }
 
 // send sends a command to the process.
@@ -108,75 +109,75 @@
 }
 
 // readEvents reads the events of a process until its output ends.
-func (r *eventLog) readEvents(process int, out io.Reader) {
-	lines := bufio.NewScanner(out)
+func (log *eventLog) readEvents(process int, output io.Reader) {
+	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		var e hollow.Event
-		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			r.mu.Lock()
-			r.parseError = fmt.Sprintf("hollow%d: invalid event: %v", process+1, err)
-			r.mu.Unlock()
+		var event hollow.Event
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
+			log.mu.Lock()
+			log.parseError = fmt.Sprintf("hollow%d: invalid event: %v", process+1, err)
+			log.mu.Unlock()
 			continue
 		}
-		r.handle(process, e)
+		log.handle(process, event)
 	}
 }
 
 // handle adds an event of a process.
-func (r *eventLog) handle(process int, e hollow.Event) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	switch e.Kind {
+func (log *eventLog) handle(process int, event hollow.Event) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	switch event.Kind {
 	case hollow.CandidateApplied:
-		a := judge.Applied{Gatekeeper: e.Name, StartCount: e.StartCount, At: e.At, Revision: e.Revision}
-		for _, s := range e.Sections {
-			a.Sections = append(a.Sections, judge.Section(s))
+		candidate := judge.Applied{Gatekeeper: event.Name, StartCount: event.StartCount, At: event.At, Revision: event.Revision}
+		for _, s := range event.Sections {
+			candidate.Sections = append(candidate.Sections, judge.Section(s))
 		}
-		r.applied = append(r.applied, a)
-		r.inForce[e.Name] = max(r.inForce[e.Name], e.Revision)
-		r.signalChange()
+		log.applied = append(log.applied, candidate)
+		log.inForce[event.Name] = max(log.inForce[event.Name], event.Revision)
+		log.signalChange()
 	case hollow.CandidateRefused:
-		r.refusals = append(r.refusals, judge.Refusal{Gatekeeper: e.Name, At: e.At, Marker: e.Marker})
+		log.refusals = append(log.refusals, judge.Refusal{Gatekeeper: event.Name, At: event.At, Marker: event.Marker})
 	case hollow.GatekeeperUp:
-		r.starts++
-		if all := r.outages[e.Name]; len(all) > 0 && all[len(all)-1].To == 0 {
-			all[len(all)-1].To = e.At
-		} else if e.StartCount == 1 {
-			r.outages[e.Name] = append(all, judge.Outage{Gatekeeper: e.Name, To: e.At})
+		log.starts++
+		if all := log.outages[event.Name]; len(all) > 0 && all[len(all)-1].To == 0 {
+			all[len(all)-1].To = event.At
+		} else if event.StartCount == 1 {
+			log.outages[event.Name] = append(all, judge.Outage{Gatekeeper: event.Name, To: event.At})
 		}
 	case hollow.GatekeeperDown:
-		r.outages[e.Name] = append(r.outages[e.Name], judge.Outage{Gatekeeper: e.Name, From: e.At})
+		log.outages[event.Name] = append(log.outages[event.Name], judge.Outage{Gatekeeper: event.Name, From: event.At})
 	case hollow.PeriodicFigures:
-		r.latestFigures[process] = *e.PeriodicFigures
-		r.samples = append(r.samples, figuresSample{process, e.At, *e.PeriodicFigures})
-		r.signalChange()
+		log.latestFigures[process] = *event.PeriodicFigures
+		log.samples = append(log.samples, figuresSample{process, event.At, *event.PeriodicFigures})
+		log.signalChange()
 	case hollow.CountersReported:
-		if r.counters[e.Counters.Mark] == nil {
-			r.counters[e.Counters.Mark] = map[int]*hollow.Counters{}
+		if log.counters[event.Counters.Mark] == nil {
+			log.counters[event.Counters.Mark] = map[int]*hollow.Counters{}
 		}
-		r.counters[e.Counters.Mark][process] = e.Counters
-		r.signalChange()
+		log.counters[event.Counters.Mark][process] = event.Counters
+		log.signalChange()
 	case hollow.StuckWatchersResult:
-		r.stuckCutOff += e.CutOff
-		r.stuckLeft += e.NotCutOff
+		log.stuckCutOff += event.CutOff
+		log.stuckLeft += event.NotCutOff
 	}
 }
 
-// signalChange signals that the record has changed.
-func (r *eventLog) signalChange() {
+// signalChange signals that the event log has changed.
+func (log *eventLog) signalChange() {
 	select {
-	case r.changed <- struct{}{}:
+	case log.changed <- struct{}{}:
 	default:
 	}
 }
 
 // behind counts the gatekeepers whose highest revision in force is below revision, other than those that except selects.
-func (r *eventLog) behind(gatekeepers []hollow.Gatekeeper, revision uint64, except func(hollow.Gatekeeper) bool) (behind int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (log *eventLog) behind(gatekeepers []hollow.Gatekeeper, revision uint64, except func(hollow.Gatekeeper) bool) (behind int) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
 	for _, g := range gatekeepers {
-		if r.inForce[g.Name] < revision && !except(g) {
+		if log.inForce[g.Name] < revision && !except(g) {
 			behind++
 		}
 	}
@@ -184,8 +185,8 @@
 }
 
 // hollowConfig returns the configuration of hollow process n.
-func hollowConfig(o *Options, p plan, machines []*machine, began time.Time, n int) hollow.Config {
-	c := hollow.Config{RunStart: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartSpread: o.startSpread(), Parts: len(p.gatekeepers),
+func hollowConfig(o *Options, p plan, machines []*machine, runStart time.Time, index int) hollow.Config {
+	c := hollow.Config{RunStart: runStart.UnixNano(), Seed: o.Seed, Site: o.Site, StartSpread: o.startSpread(), Parts: len(p.gatekeepers),
 		Membership: o.With.Membership, Registers: o.With.Registers, RegisterBytes: o.RegisterBytes, Limits: o.With.Limits}
 	for _, f := range o.Faults {
 		if f.Kind == script.Latency {
@@ -198,7 +199,7 @@
 	for _, m := range machines {
 		c.Replicas = append(c.Replicas, m.Replica)
 	}
-	for i := n; i < len(p.gatekeepers); i += o.HollowProcesses {
+	for i := index; i < len(p.gatekeepers); i += o.HollowProcesses {
 		c.Gatekeepers = append(c.Gatekeepers, p.gatekeepers[i])
 	}
 	return c
--- a/internal/scalelab/judge/judge.go
+++ b/internal/scalelab/judge/judge.go
@@ -302,7 +302,8 @@
 	}
 }
 
-// reportMissing handles a change that did not come into force, with no later one in force either.
+// reportMissing reports a change that did not come into force, and no later one either, as lost, or as not due if the run ended
+// before its time limit.
 func (c *checker) reportMissing(gatekeeper string, change Change, due time.Duration) {
 	if due > c.End {
 		c.verdict.NotDue++
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -24,7 +24,7 @@
 	hollowStopTimeout = 20 * time.Second
 	maxMemoryPart     = 0.5 // most of the machine's memory that a run may use
 	markStart         = 1   // mark of the counters at the start of the measured time
-	markEnd           = 2   // and at its end
+	markEnd           = 2   // mark of the counters at the end of the measured time
 	progressInterval  = 5 * time.Second
 )
 
@@ -45,7 +45,7 @@
 
 	measured       struct{ from, to time.Duration }
 	recordingEnd   time.Duration // end of the recording
-	startDuration  time.Duration // time until all gatekeepers had settings or knew all members; negative: not reached
+	startDuration  time.Duration // time until all gatekeepers had settings or considered all members up; negative: not reached
 	machineMemory  int64
 	controlSamples []controlSample
 	runtimeSamples []runtimeSample
@@ -220,8 +220,8 @@
 	return groups, nil
 }
 
-// awaitStart waits until every gatekeeper has settings in force. Without a control plane it waits until every gatekeeper knows
-// all members of its group, at most meetTimeout after the last start.
+// awaitStart waits until every gatekeeper has settings in force. Without a control plane it waits until every gatekeeper
+// considers all members of its group up, at most meetTimeout after the last start.
 func (l *laboratory) awaitStart(ctx context.Context) error {
 	start := time.Since(l.runStart)
 	limit := startTimeout
@@ -234,7 +234,7 @@
 		haveSettings, fewestUp, mostMissing := l.haveSettings()
 		if now-lastProgress >= progressInterval {
 			lastProgress = now
-			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, fewest members known %d", haveSettings, l.options.Gatekeepers, fewestUp))
+			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, at least %d members up at each", haveSettings, l.options.Gatekeepers, fewestUp))
 		}
 		switch {
 		case l.plane != nil && haveSettings == l.options.Gatekeepers, l.plane == nil && mostMissing == 0:
@@ -259,7 +259,8 @@
 }
 
 // haveSettings returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up,
-// and the most members of its group that a gatekeeper does not consider up. The last two are -1 until every process has reported.
+// and the most members of its group that a gatekeeper does not consider up. The last two are -1 until every process has
+// reported.
 func (l *laboratory) haveSettings() (haveSettings, fewestUp, mostMissing int) {
 	l.eventLog.mu.Lock()
 	defer l.eventLog.mu.Unlock()
@@ -300,13 +301,13 @@
 	}
 	for end := time.Now().Add(countersTimeout); ; {
 		l.eventLog.mu.Lock()
-		n := len(l.eventLog.counters[mark])
+		received := len(l.eventLog.counters[mark])
 		l.eventLog.mu.Unlock()
-		if n == len(l.hollows) {
+		if received == len(l.hollows) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("received counters from only %d of %d hollow processes within %v", n, len(l.hollows), countersTimeout)
+			return fmt.Errorf("received counters from only %d of %d hollow processes within %v", received, len(l.hollows), countersTimeout)
 		}
 		select {
 		case <-ctx.Done():
@@ -366,7 +367,7 @@
 	at := time.Since(l.runStart)
 	if l.changeWriter == nil {
 		_, fewestUp, _ := l.haveSettings()
-		l.options.progress(at, fmt.Sprintf("fewest members known %d of %d", fewestUp, l.options.Gatekeepers))
+		l.options.progress(at, fmt.Sprintf("at least %d of %d members up at each gatekeeper", fewestUp, l.options.Gatekeepers))
 		return
 	}
 	changes, _ := l.changeWriter.all()
@@ -434,7 +435,7 @@
 	}
 }
 
-// findProblems lists processes that exited unexpectedly, and gatekeepers that know members outside their group.
+// findProblems lists processes that exited unexpectedly, and gatekeepers that consider more members up than their group has.
 func (l *laboratory) findProblems() (problems []string) {
 	if l.plane != nil {
 		for _, m := range l.plane.machines {
@@ -446,7 +447,7 @@
 	l.eventLog.mu.Lock()
 	for _, p := range l.eventLog.latestFigures {
 		if p.MostUnexpected > 0 {
-			problems = append(problems, fmt.Sprintf("a gatekeeper knows %d members that are not of its group", p.MostUnexpected))
+			problems = append(problems, fmt.Sprintf("a gatekeeper considers %d members up that are not in its group", p.MostUnexpected))
 		}
 	}
 	l.eventLog.mu.Unlock()
