--- a/cmd/beammux/console.go
+++ b/cmd/beammux/console.go
@@ -40,7 +40,7 @@
 	failed := make(chan error, 1)
 	if len(c.Records) > 0 {
 		mode = fmt.Sprintf("replay x%g", c.Speed)
-		r, err := record.OpenAll(c.Records...)
+		r, err := record.NewReader(c.Records...)
 		if err != nil {
 			return err
 		}
--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -32,7 +32,7 @@
 }
 
 func (c recordsVerifyCmd) Run() error {
-	r, err := record.OpenAll(c.Dir...)
+	r, err := record.NewReader(c.Dir...)
 	if err != nil {
 		return err
 	}
@@ -58,12 +58,12 @@
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "gatekeeper\tsegments\tstarts\trecords\tgaps\ttorn bytes\tdamage")
 		for _, s := range all {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", printable(s.Node), s.Segments, s.Starts, s.Records, s.Gaps, s.Torn, len(s.Damage))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", printable(s.Node), s.Segments, s.Starts, s.Records, s.Gaps, s.TornBytes, len(s.Damage))
 		}
 		w.Flush()
 		for _, s := range all {
 			for _, d := range s.Damage {
-				fmt.Printf("%s: byte %d: %s\n", d.File, d.Offset, d.What)
+				fmt.Printf("%s: byte %d: %s\n", d.File, d.Offset, d.Description)
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 func (c recordsCatCmd) Run() error {
-	r, err := record.OpenAll(c.Dir...)
+	r, err := record.NewReader(c.Dir...)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 		add("call %s", printable(e.Call))
 	}
 	switch e.Kind {
-	case history.Taken:
+	case history.Received:
 		add("class %d, for %d ms", e.Class, e.Span/1000)
 	case history.Sent:
 		add("attempt %d to server %d", e.Attempt, e.Server)
@@ -177,7 +177,7 @@
 		add("server %d (%s) %s", e.Server, printable(e.Name), e.State)
 	case history.Started, history.Reloaded, history.Continued:
 		add("limits %s", printable(e.Name))
-	case history.Used:
+	case history.ResourceUsage:
 		add("%v", e.Values)
 	case history.Dropped:
 		add("%d records over %d ms", e.N, e.Span/1000)
@@ -198,7 +198,7 @@
 		return withExitCode(fmt.Errorf("report: --out or --json is required"), 2)
 	}
 	for _, dir := range c.Dir {
-		fmt.Fprintf(os.Stderr, "report: records from %s\n", record.Folder(dir))
+		fmt.Fprintf(os.Stderr, "report: records from %s\n", record.ResolveFolder(dir))
 	}
 	r, err := report.Build(report.Options{Dirs: c.Dir, From: c.From, To: c.To, Progress: func(n int) {
 		fmt.Fprintf(os.Stderr, "\rreport: %d records", n)
--- a/cmd/beammux/records_test.go
+++ b/cmd/beammux/records_test.go
@@ -19,15 +19,15 @@
 func writeRecords(t *testing.T, broken bool) string {
 	t.Helper()
 	dir := t.TempDir()
-	r, err := record.Open(record.Options{Dir: dir, Node: "n1"})
+	r, err := record.NewRecorder(record.Options{Dir: dir, Node: "n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	events := []history.Event{
 		{Kind: history.Started, Rules: &history.Rules{ReleaseGuard: 300000, Classes: []history.Class{{Name: "menu-view", Worth: 1}}}},
-		{Kind: history.Listed, Server: 7, Name: "s-7", State: control.Ready}, {Kind: history.Taken, Call: "a\x1b[31m", Span: 1e6},
+		{Kind: history.Listed, Server: 7, Name: "s-7", State: control.Ready}, {Kind: history.Received, Call: "a\x1b[31m", Span: 1e6},
 		{Kind: history.Sent, Call: "a\x1b[31m", Server: 7}, {Kind: history.Ended, Call: "a\x1b[31m", Server: 7, Code: control.Full},
-		{Kind: history.Refused, Call: "a\x1b[31m", Span: 1500000}, {Kind: history.Taken, Call: "b", Span: 1e6}, {Kind: history.Failed, Call: "b"},
+		{Kind: history.Refused, Call: "a\x1b[31m", Span: 1500000}, {Kind: history.Received, Call: "b", Span: 1e6}, {Kind: history.Failed, Call: "b"},
 	}
 	if broken {
 		events = append(events, history.Event{Kind: history.Refused, Call: "b"})
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -56,7 +56,7 @@
 		}
 		s, _ := attach(t, addr)
 		for i := range 100 {
-			h.Record(history.Event{At: 2, Kind: history.Taken, Call: fmt.Sprint(i)})
+			h.Record(history.Event{At: 2, Kind: history.Received, Call: fmt.Sprint(i)})
 		}
 		for i := range 100 {
 			if e, err := s.Next(); err != nil || e.Call != fmt.Sprint(i) {
@@ -72,7 +72,7 @@
 	s, _ := attach(t, h.Addr())
 	const events = 200000 // far more than its queue and the socket buffers hold
 	for range events {
-		h.Record(history.Event{At: 2, Kind: history.Taken, Call: strings.Repeat("x", 100)})
+		h.Record(history.Event{At: 2, Kind: history.Received, Call: strings.Repeat("x", 100)})
 	}
 	got, missed := 0, int64(0)
 	for got+int(missed) < events {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -44,7 +44,7 @@
 // NewState returns an empty State.
 func NewState(mode string) *State {
 	s := &State{Fleet: history.NewFleet(), Checker: history.NewChecker(nil), Mode: mode, level: map[nodeServer]level{}}
-	s.Fleet.Tell = s.addMoment
+	s.Fleet.OnMoment = s.addMoment
 	return s
 }
 
@@ -58,10 +58,10 @@
 	e := i.Event
 	s.Now = max(s.Now, e.At)
 	class := e.Class
-	if e.Kind != history.Taken {
+	if e.Kind != history.Received {
 		class = s.Fleet.ClassOf(e.Node, e.Call)
 	}
-	if e.Kind == history.Taken || e.Kind.Final() || e.Kind == history.Gone {
+	if e.Kind == history.Received || e.Kind.Final() || e.Kind == history.Gone {
 		s.Rates.Event(e, class)
 	}
 	if e.Kind == history.Viewed {
@@ -73,7 +73,7 @@
 
 // addMoment adds a line for a notable moment to the recent events.
 func (s *State) addMoment(m history.Moment) {
-	parts := []string{clock(m.At), printable(m.Node), m.What}
+	parts := []string{clock(m.At), printable(m.Node), m.Type}
 	if m.Server != 0 {
 		parts = append(parts, s.serverName(m.Server))
 	}
@@ -178,8 +178,8 @@
 	}
 	addRemainder(add, len(nodes)-maxRows, "gatekeepers")
 	rules, emphasis := "rules so far:", Good
-	for i, f := range s.Checker.SoFar() {
-		verdict := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.NotShown: "-"}[f.Verdict]
+	for i, f := range s.Checker.InterimFindings() {
+		verdict := map[history.Verdict]string{history.Held: "held", history.Broken: "BROKEN", history.Inconclusive: "-"}[f.Verdict]
 		rules += fmt.Sprintf("  %s %s", [...]string{"answer", "one", "drain", "cold", "release"}[i], verdict)
 		if f.Verdict == history.Broken {
 			emphasis = Bad
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -34,7 +34,7 @@
 		event(history.Event{Kind: history.Viewed, Server: 1, Level: 2, Span: 2e6, Node: node})
 		for class := range 3 {
 			id := fmt.Sprint(n, class)
-			event(history.Event{Kind: history.Taken, Call: id, Class: class, Span: 9e6, Node: node})
+			event(history.Event{Kind: history.Received, Call: id, Class: class, Span: 9e6, Node: node})
 			event(history.Event{Kind: []history.Kind{history.Established, history.Refused, history.Failed}[class], Call: id, Server: 2, Node: node})
 		}
 	}
--- a/internal/fleetcheck/delays_test.go
+++ b/internal/fleetcheck/delays_test.go
@@ -76,7 +76,7 @@
 		c := New("front-", nil)
 		for i, e := range []history.Event{
 			{Kind: history.Started, Rules: &history.Rules{AnswerSlack: 50 * ms}},
-			{Kind: history.Taken, Call: "c", At: 1000 * ms, Span: 1000 * ms},
+			{Kind: history.Received, Call: "c", At: 1000 * ms, Span: 1000 * ms},
 			{Kind: history.Refused, Call: "c", At: row.answered * ms},
 		} {
 			e.Node, e.Seq = "g1", uint64(i+1)
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -452,7 +452,7 @@
 // Record takes one event of a gatekeeper's own records, in its place among the others; place says where it was read.
 func (c *Checker) Record(e *history.Event, place Place) {
 	c.records.Event(e)
-	if e.Kind == history.Taken {
+	if e.Kind == history.Received {
 		c.delays.taken(e)
 	}
 	c.gated(e, place)
@@ -516,11 +516,11 @@
 			f.Verdict = history.Broken
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
-			f.Verdict, f.Why = history.NotShown, "no caller sent anything"
+			f.Verdict, f.Why = history.Inconclusive, "no caller sent anything"
 		case name == RuleGiven && len(c.agree.views) == 0:
-			f.Verdict, f.Why = history.NotShown, "no view of the fleet was read"
+			f.Verdict, f.Why = history.Inconclusive, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
-			f.Verdict, f.Why = history.NotShown, "no log was read"
+			f.Verdict, f.Why = history.Inconclusive, "no log was read"
 		default:
 			f.Verdict = history.Held
 		}
@@ -546,7 +546,7 @@
 				f.Excused++
 				continue
 			}
-			c.broke(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.What})
+			c.broke(f.Rule, Evidence{e.At, e.Node, e.Call, "records/" + e.Node, e.Description})
 		}
 		f.Count += h.Count - len(h.Evidence)
 		if f.Count == 0 {
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -144,7 +144,7 @@
 		for i, e := range []history.Event{
 			{At: 0, Kind: history.Started, Rules: rules},
 			{At: 1, Kind: history.Listed, Server: 7, State: control.Draining},
-			{At: 1000 * ms, Kind: history.Taken, Call: "c", Span: 1000 * ms},
+			{At: 1000 * ms, Kind: history.Received, Call: "c", Span: 1000 * ms},
 			{At: 1100 * ms, Kind: history.Sent, Call: "c", Server: 7},
 			{At: 2600 * ms, Kind: history.Established, Call: "c", Server: 7},
 		} {
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -258,7 +258,7 @@
 			c.Event(&events[next])
 		}
 	}
-	records, err := record.OpenAll(filepath.Join(dir, "records"))
+	records, err := record.NewReader(filepath.Join(dir, "records"))
 	if err == nil {
 		defer records.Close()
 		for {
--- a/internal/fleetlab/limits_test.go
+++ b/internal/fleetlab/limits_test.go
@@ -17,7 +17,7 @@
 
 // admissions gives when each gatekeeper let calls in, by its records, in order.
 func admissions(t require.TestingT, sum *Summary) map[string][]time.Time {
-	r, err := record.OpenAll(sum.Dir + "/records")
+	r, err := record.NewReader(sum.Dir + "/records")
 	require.NoError(t, err)
 	defer r.Close()
 	all := map[string][]time.Time{}
--- a/internal/fleetlab/trial_test.go
+++ b/internal/fleetlab/trial_test.go
@@ -256,7 +256,7 @@
 	require.Len(t, v.failed, 1)
 	require.False(t, v.final)
 	for _, rule := range []string{fleetcheck.RuleLimit, fleetcheck.RuleServed, fleetcheck.RuleRuns, fleetcheck.RuleLog, fleetcheck.RuleGated,
-		"records: " + history.RuleOne, "records: " + history.RuleRelease} {
+		"records: " + history.RuleSingleAttempt, "records: " + history.RuleReleaseGuard} {
 		require.True(t, play(rule, 1, well).final, rule)
 	}
 }
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -12,29 +12,29 @@
 
 // The verdicts.
 const (
-	Held     Verdict = "held"
-	Broken   Verdict = "broken"
-	NotShown Verdict = "not shown" // a gap hides what would decide it, or nothing decides it
+	Held         Verdict = "held"
+	Broken       Verdict = "broken"
+	Inconclusive Verdict = "not shown" // a gap hides what would decide it, or nothing decides it
 )
 
 // The names of the rules, in order.
 const (
-	RuleAnswer  = "one final answer in time"
-	RuleOne     = "never two attempts at once"
-	RuleDrain   = "nothing new to a draining server"
-	RuleCold    = "no cold server pushed over"
-	RuleRelease = "release awaited"
+	RuleAnswer        = "one final answer in time"
+	RuleSingleAttempt = "never two attempts at once"
+	RuleDrain         = "nothing new to a draining server"
+	RuleColdServer    = "no cold server pushed over"
+	RuleReleaseGuard  = "release awaited"
 )
 
-var ruleNames = []string{RuleAnswer, RuleOne, RuleDrain, RuleCold, RuleRelease}
+var ruleNames = []string{RuleAnswer, RuleSingleAttempt, RuleDrain, RuleColdServer, RuleReleaseGuard}
 
 // Evidence is one break of a rule.
 type Evidence struct {
-	Node   string         `json:"gatekeeper,omitempty"`
-	Call   string         `json:"call,omitempty"`
-	Server uint32         `json:"server,omitempty"`
-	At     control.Micros `json:"at"`
-	What   string         `json:"what"`
+	Node        string         `json:"gatekeeper,omitempty"`
+	Call        string         `json:"call,omitempty"`
+	Server      uint32         `json:"server,omitempty"`
+	At          control.Micros `json:"at"`
+	Description string         `json:"what"`
 }
 
 // Finding is what the records show of one rule.
@@ -169,7 +169,7 @@
 		if e.Rules != nil {
 			c.rules = *e.Rules
 		}
-	case Taken:
+	case Received:
 		if k := n.calls[e.Call]; k != nil && !k.answered {
 			c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, "taken again before its final answer"})
 		}
@@ -215,7 +215,7 @@
 	}
 	if k != nil {
 		if k.attempt >= 0 && k.attempt != e.Attempt {
-			c.breaks(RuleOne, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("attempt %d sent to server %d while attempt %d is out at server %d",
+			c.breaks(RuleSingleAttempt, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("attempt %d sent to server %d while attempt %d is out at server %d",
 				e.Attempt, e.Server, k.attempt, k.server)})
 		}
 		if k.answered {
@@ -228,7 +228,7 @@
 			return // its caller has gone since: the same attempt, given up while it was on its way out
 		}
 		if gap := e.At - end.at; gap < c.rules.ReleaseGuard {
-			c.breaks(RuleRelease, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after an attempt that may have run ended", gap/1000)})
+			c.breaks(RuleReleaseGuard, Evidence{e.Node, e.Call, e.Server, e.At, fmt.Sprintf("sent %d ms after an attempt that may have run ended", gap/1000)})
 		}
 		delete(n.ended, e.Call)
 	}
@@ -256,7 +256,7 @@
 		c.breaks(RuleAnswer, Evidence{e.Node, e.Call, 0, e.At, fmt.Sprintf("%s %d ms after its caller had given up", e.Kind, (e.At-k.deadline)/1000)})
 	}
 	if e.Kind != Established && k.attempt >= 0 {
-		c.breaks(RuleOne, Evidence{e.Node, e.Call, k.server, e.At, fmt.Sprintf("%s while attempt %d is out at server %d", e.Kind, k.attempt, k.server)})
+		c.breaks(RuleSingleAttempt, Evidence{e.Node, e.Call, k.server, e.At, fmt.Sprintf("%s while attempt %d is out at server %d", e.Kind, k.attempt, k.server)})
 	}
 	k.answered, k.attempt = true, -1
 }
@@ -349,11 +349,11 @@
 		case f.Count > 0:
 			f.Verdict = Broken
 		case c.seen == 0:
-			f.Verdict, f.Why = NotShown, "there are no records"
+			f.Verdict, f.Why = Inconclusive, "there are no records"
 		case c.rules.ReleaseGuard == 0 && c.rules.FallTime == 0 && len(c.rules.Classes) == 0:
-			f.Verdict, f.Why = NotShown, "no start is recorded, so the figures of the rules are not known"
+			f.Verdict, f.Why = Inconclusive, "no start is recorded, so the figures of the rules are not known"
 		case c.gaps > 0:
-			f.Verdict, f.Why = NotShown, fmt.Sprintf("%d gaps hide events, the first at %s (%s)", c.gaps, c.hidden[0].Node, c.hidden[0].Why)
+			f.Verdict, f.Why = Inconclusive, fmt.Sprintf("%d gaps hide events, the first at %s (%s)", c.gaps, c.hidden[0].Node, c.hidden[0].Why)
 		case f.Verdict == "":
 			f.Verdict = Held
 		}
@@ -361,16 +361,16 @@
 	return out
 }
 
-// SoFar gives the rules in the middle of the records: what is open is not judged yet, and neither are cold servers, so
+// InterimFindings gives the rules in the middle of the records: what is open is not judged yet, and neither are cold servers, so
 // "held" is said of what has been seen.
-func (c *Checker) SoFar() []Finding {
+func (c *Checker) InterimFindings() []Finding {
 	out := slices.Clone(c.found[:])
 	for i := range out {
 		switch {
 		case out[i].Count > 0:
 			out[i].Verdict = Broken
-		case c.gaps > 0 || c.seen == 0 || out[i].Rule == RuleCold:
-			out[i].Verdict = NotShown
+		case c.gaps > 0 || c.seen == 0 || out[i].Rule == RuleColdServer:
+			out[i].Verdict = Inconclusive
 		default:
 			out[i].Verdict = Held
 		}
@@ -382,7 +382,7 @@
 // what it answered once warm is the least that it can, and under a limit made of that the rule held for certain. Over it,
 // nothing is shown, unless the capacity is known from elsewhere. Windows are longer by the clocks' difference.
 func (c *Checker) judgeCold() {
-	f := &c.found[slices.Index(ruleNames, RuleCold)]
+	f := &c.found[slices.Index(ruleNames, RuleColdServer)]
 	most := 0.0
 	for _, s := range c.cold {
 		most = max(most, s.best)
@@ -400,9 +400,9 @@
 			switch {
 			case what == "":
 			case known:
-				c.breaks(RuleCold, Evidence{"", "", id, at, what})
+				c.breaks(RuleColdServer, Evidence{"", "", id, at, what})
 			case f.Verdict == "":
-				f.Verdict = NotShown
+				f.Verdict = Inconclusive
 				f.Why = fmt.Sprintf("server %d: %s by what it was seen to answer, and what it can do is told nowhere", id, what)
 			}
 		}
--- a/internal/history/fleet.go
+++ b/internal/history/fleet.go
@@ -36,8 +36,8 @@
 
 // Extremes are the least and the most of something in a bin.
 type Extremes struct {
-	Least, Most float64
-	Seen        bool
+	Lowest, Highest float64
+	Seen            bool
 }
 
 func (x *Extremes) see(v float64) {
@@ -45,13 +45,13 @@
 		*x = Extremes{v, v, true}
 		return
 	}
-	x.Least, x.Most = min(x.Least, v), max(x.Most, v)
+	x.Lowest, x.Highest = min(x.Lowest, v), max(x.Highest, v)
 }
 
 func (x *Extremes) join(o Extremes) {
 	if o.Seen {
-		x.see(o.Least)
-		x.see(o.Most)
+		x.see(o.Lowest)
+		x.see(o.Highest)
 	}
 }
 
@@ -62,11 +62,11 @@
 type Bin struct {
 	Classes []Counts                // by class
 	Delay   *hdrhistogram.Histogram // of calls that stood, ms from being taken; nil if none
-	Views   map[Pair]View
+	Views   map[ViewKey]View
 }
 
-// Pair is a gatekeeper's view of a server.
-type Pair struct {
+// ViewKey is a gatekeeper's view of a server.
+type ViewKey struct {
 	Node   string
 	Server uint32
 }
@@ -122,7 +122,7 @@
 	At     control.Micros `json:"at"`
 	Node   string         `json:"gatekeeper,omitempty"`
 	Server uint32         `json:"server,omitempty"`
-	What   string         `json:"what"` // a word of the list below
+	Type   string         `json:"what"` // a word of the list below
 	Detail string         `json:"detail,omitempty"`
 }
 
@@ -156,26 +156,26 @@
 // number of gatekeepers, servers and open calls: the course has at most 1,200 bins, and where it grows longer neighbours
 // are joined, by adding counts and histograms and keeping the least and the most of what was believed.
 type Fleet struct {
-	Rules    Rules
-	From, To control.Micros // first and last event
-	Width    control.Micros // of a bin
-	Bins     []Bin
-	Servers  map[uint32]*Server
-	Nodes    map[string]*Node
-	Gaps     []Gap
-	Tell     func(Moment) // hears of each moment, if not nil
-	Episodes []*Episode
-	Left     int // moments of episodes over the most that are kept
-	open     map[episodeKey]*Episode
-	Events   int
-	Total    []Counts // by class
-	Worst    Worst
-	seconds  []second // the last ones, that calls may still change
-	base     int64    // Unix second of the first
-}
-
-// Worst is the worst 10 s: the least worth served of that offered.
-type Worst struct {
+	Rules          Rules
+	From, To       control.Micros // first and last event
+	Width          control.Micros // of a bin
+	Bins           []Bin
+	Servers        map[uint32]*Server
+	Nodes          map[string]*Node
+	Gaps           []Gap
+	OnMoment       func(Moment) // hears of each moment, if not nil
+	Episodes       []*Episode
+	OmittedMoments int // moments of episodes over the most that are kept
+	open           map[episodeKey]*Episode
+	Events         int
+	Totals         []Counts // by class
+	WorstSpan      WorstSpan
+	seconds        []second // the last ones, that calls may still change
+	base           int64    // Unix second of the first
+}
+
+// WorstSpan is the worst 10 s: the least worth served of that offered.
+type WorstSpan struct {
 	From          control.Micros `json:"from"`
 	Offered, Part float64        // worth
 	Known         bool           `json:"known"`
@@ -207,17 +207,17 @@
 }
 
 func (f *Fleet) moment(m Moment) {
-	if f.Tell != nil {
-		f.Tell(m)
+	if f.OnMoment != nil {
+		f.OnMoment(m)
 	}
-	if m.What == MomentOpen {
+	if m.Type == MomentOpen {
 		return // an episode of gating ends by itself
 	}
-	key := episodeKey{m.What, m.Server, m.Detail}
+	key := episodeKey{m.Type, m.Server, m.Detail}
 	e := f.open[key]
 	if e == nil || m.At-e.Last > momentSpan {
 		if len(f.Episodes) >= momentMost {
-			f.Left++
+			f.OmittedMoments++
 			return
 		}
 		e = &Episode{Moment: m}
@@ -237,7 +237,7 @@
 	n := f.node(g.Node)
 	n.calls, n.levels = map[string]taken{}, map[uint32]int{}
 	if g.Hides {
-		f.moment(Moment{At: g.From, Node: g.Node, What: MomentGap, Detail: string(g.Why)})
+		f.moment(Moment{At: g.From, Node: g.Node, Type: MomentGap, Detail: string(g.Why)})
 	}
 }
 
@@ -264,7 +264,7 @@
 		if e.Rules != nil {
 			f.Rules = *e.Rules
 		}
-	case Taken:
+	case Received:
 		n.calls[e.Call] = taken{e.At, e.Class}
 		f.count(n, e.At, e.Class, Counts{Offered: 1})
 		f.worth(e.At, e.Class, true, 1)
@@ -282,7 +282,7 @@
 	case Reloaded:
 		n.Version = e.Name
 		f.moment(Moment{e.At, e.Node, 0, MomentReload, e.Name})
-	case Used:
+	case ResourceUsage:
 		if len(e.Values) >= 2 {
 			n.Memory, n.Descriptors = max(n.Memory, e.Values[0]), max(n.Descriptors, e.Values[1])
 		}
@@ -298,9 +298,9 @@
 	}
 }
 
-// Known takes what was so before the first event that counts: figures, limits and the list, but no moments.
-func (f *Fleet) Known(e *Event) {
-	episodes, left := f.Episodes, f.Left
+// ApplyBaseline takes what was so before the first event that counts: figures, limits and the list, but no moments.
+func (f *Fleet) ApplyBaseline(e *Event) {
+	episodes, left := f.Episodes, f.OmittedMoments
 	switch n := f.node(e.Node); e.Kind {
 	case Started, Continued:
 		n.Version = e.Name
@@ -312,7 +312,7 @@
 	case Listed:
 		f.told(e)
 	}
-	f.Episodes, f.Left, f.open = episodes, left, map[episodeKey]*Episode{}
+	f.Episodes, f.OmittedMoments, f.open = episodes, left, map[episodeKey]*Episode{}
 }
 
 func (f *Fleet) started(n *Node, e *Event) {
@@ -394,12 +394,12 @@
 	s.LongestWait = max(s.LongestWait, e.Span)
 	if b := f.bin(e.At); b != nil {
 		if b.Views == nil {
-			b.Views = map[Pair]View{}
+			b.Views = map[ViewKey]View{}
 		}
-		v := b.Views[Pair{e.Node, e.Server}]
+		v := b.Views[ViewKey{e.Node, e.Server}]
 		v.Level.see(float64(e.Level))
 		v.Wait.see(float64(e.Span))
-		b.Views[Pair{e.Node, e.Server}] = v
+		b.Views[ViewKey{e.Node, e.Server}] = v
 	}
 	was := n.levels[e.Server]
 	n.levels[e.Server] = e.Level
@@ -497,10 +497,10 @@
 
 func (f *Fleet) count(n *Node, at control.Micros, class int, c Counts) {
 	class = max(class, 0)
-	for len(f.Total) <= class {
-		f.Total = append(f.Total, Counts{})
+	for len(f.Totals) <= class {
+		f.Totals = append(f.Totals, Counts{})
 	}
-	f.Total[class].add(c)
+	f.Totals[class].add(c)
 	n.Counts.add(c)
 	if b := f.bin(at); b != nil {
 		for len(b.Classes) <= class {
@@ -542,8 +542,8 @@
 			offered += s.offered
 			served += s.served
 		}
-		if offered > 0 && (!f.Worst.Known || served/offered < f.Worst.Part) {
-			f.Worst = Worst{control.Micros((f.base + int64(i)) * 1e6), offered, served / offered, true}
+		if offered > 0 && (!f.WorstSpan.Known || served/offered < f.WorstSpan.Part) {
+			f.WorstSpan = WorstSpan{control.Micros((f.base + int64(i)) * 1e6), offered, served / offered, true}
 		}
 	}
 	seconds = min(seconds, len(f.seconds))
@@ -551,8 +551,8 @@
 	f.base += int64(seconds)
 }
 
-// Settle ends the course: what is still open stays so. The worst span is final then.
-func (f *Fleet) Settle() { f.settle(len(f.seconds)) }
+// Finalize ends the course: what is still open stays so. The worst span is final then.
+func (f *Fleet) Finalize() { f.settle(len(f.seconds)) }
 
 func (f *Fleet) sweep() {
 	for _, n := range f.Nodes {
@@ -567,7 +567,7 @@
 // WorstClass gives the class with the least part of its calls served in their aim, -1 if none was offered.
 func (f *Fleet) WorstClass() (class int, part float64) {
 	class = -1
-	for i, c := range f.Total {
+	for i, c := range f.Totals {
 		if c.Offered > 0 {
 			if p := float64(c.Served) / float64(c.Offered); class < 0 || p < part {
 				class, part = i, p
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -58,7 +58,7 @@
 }
 
 func (s *story) taken(at control.Micros, call string) *story {
-	return s.at(at, Event{Kind: Taken, Call: call, Span: 3000 * ms})
+	return s.at(at, Event{Kind: Received, Call: call, Span: 3000 * ms})
 }
 
 func (s *story) sent(at control.Micros, call string, attempt int, server uint32) *story {
@@ -185,7 +185,7 @@
 		now := control.Micros(10)
 		for i := range rapid.IntRange(1, 8).Draw(t, "calls") {
 			id := fmt.Sprint("c", i)
-			steps = append(steps, step{now, Event{Kind: Taken, Call: id, Span: 3000 * ms}})
+			steps = append(steps, step{now, Event{Kind: Received, Call: id, Span: 3000 * ms}})
 			at := now
 			for n := range rapid.IntRange(0, 3).Draw(t, "attempts") {
 				at++
@@ -243,7 +243,7 @@
 	hours := 6
 	for i := range hours * 360 { // one call in 10 s
 		call, at := fmt.Sprint("c", i), control.Micros(i*10000+100)
-		s.at(at, Event{Kind: Taken, Call: call, Class: i % 2, Span: 9000 * ms})
+		s.at(at, Event{Kind: Received, Call: call, Class: i % 2, Span: 9000 * ms})
 		switch i % 4 {
 		case 0:
 			s.final(at+100, call, Established)
@@ -258,11 +258,11 @@
 	s.at(5000000, Event{Kind: Viewed, Server: 1, Level: 4, Span: 9 * 1e6})
 	s.at(5000100, Event{Kind: Viewed, Server: 1, Level: 0, Span: 1000})
 	f := s.f
-	f.Settle()
+	f.Finalize()
 	n := hours * 360 / 4
 	want := []Counts{{Offered: 2 * n, Served: n, Refused: n}, {Offered: 2 * n, Late: n, Failed: n}}
-	if fmt.Sprint(f.Total) != fmt.Sprint(want) || f.Width < 16*1e6 || len(f.Bins) > binsMost {
-		t.Errorf("total %v, want %v; %d bins of %d s", f.Total, want, len(f.Bins), f.Width/1e6)
+	if fmt.Sprint(f.Totals) != fmt.Sprint(want) || f.Width < 16*1e6 || len(f.Bins) > binsMost {
+		t.Errorf("total %v, want %v; %d bins of %d s", f.Totals, want, len(f.Bins), f.Width/1e6)
 	}
 	sum := []Counts{{}, {}}
 	delays, most := int64(0), 0.0
@@ -273,9 +273,9 @@
 		if b.Delay != nil {
 			delays += b.Delay.TotalCount()
 		}
-		if v, ok := b.Views[Pair{"n1", 1}]; ok {
-			most = max(most, v.Level.Most)
-			if v.Wait.Least != 1000 || v.Wait.Most != 9e6 {
+		if v, ok := b.Views[ViewKey{"n1", 1}]; ok {
+			most = max(most, v.Level.Highest)
+			if v.Wait.Lowest != 1000 || v.Wait.Highest != 9e6 {
 				t.Errorf("%+v", v)
 			}
 		}
@@ -316,10 +316,10 @@
 		if bad {
 			class, kind = 1, Refused
 		}
-		s.at(at, Event{Kind: Taken, Call: call, Class: class, Span: 9000 * ms}).final(at+10, call, kind)
+		s.at(at, Event{Kind: Received, Call: call, Class: class, Span: 9000 * ms}).final(at+10, call, kind)
 	}
-	s.f.Settle()
-	if w := s.f.Worst; !w.Known || w.From != 1e12+300e6 || w.Part != 0 || w.Offered != 30 {
+	s.f.Finalize()
+	if w := s.f.WorstSpan; !w.Known || w.From != 1e12+300e6 || w.Part != 0 || w.Offered != 30 {
 		t.Errorf("%+v", w)
 	}
 }
@@ -341,8 +341,8 @@
 func TestMoments(t *testing.T) {
 	s := newStory(nil)
 	var got []string
-	s.f.Tell = func(m Moment) {
-		got = append(got, strings.TrimSpace(fmt.Sprintf("%s %s %d %s", m.What, m.Node, m.Server, m.Detail)))
+	s.f.OnMoment = func(m Moment) {
+		got = append(got, strings.TrimSpace(fmt.Sprintf("%s %s %d %s", m.Type, m.Node, m.Server, m.Detail)))
 	}
 	for _, node := range []string{"n1", "n2"} {
 		for _, e := range []Event{{Kind: Listed, Server: 1, Name: "s-1", State: control.Ready}, {Kind: Listed, Server: 1, Name: "s-1", State: control.Draining},
--- a/internal/history/rates.go
+++ b/internal/history/rates.go
@@ -22,7 +22,7 @@
 	}
 	c := &(*slot)[class]
 	switch e.Kind {
-	case Taken:
+	case Received:
 		c.Offered++
 	case Established:
 		c.Served++
--- a/internal/lab/generate.go
+++ b/internal/lab/generate.go
@@ -50,7 +50,7 @@
 		}
 	}
 	start := func(at control.Micros) error {
-		if r, err = record.Open(record.Options{Dir: o.Dir, Node: nodeName(n)}); err != nil {
+		if r, err = record.NewRecorder(record.Options{Dir: o.Dir, Node: nodeName(n)}); err != nil {
 			return err
 		}
 		rules := &history.Rules{Fronts: o.Gatekeepers, DrainGrace: 250000, ReleaseGuard: 300000, FallMultiple: 2, FallTime: 1e6,
@@ -105,7 +105,7 @@
 func (o Records) call(rng *rand.Rand, note func(control.Micros, history.Event), at control.Micros, id string, pressed bool) {
 	class := min(int(rng.ExpFloat64()), len(classes)-1)
 	server := uint32(rng.IntN(3) + 1)
-	note(at, history.Event{Kind: history.Taken, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
+	note(at, history.Event{Kind: history.Received, Call: id, Class: class, Value: classes[class].worth, Span: 3200000})
 	switch {
 	case pressed && rng.IntN(3) == 0:
 		note(at, history.Event{Kind: history.Refused, Call: id, Span: 1500000})
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -133,8 +133,8 @@
 func (o *observer) callTaken(key string, left time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.record(o.callers, history.Event{Kind: history.Taken, Call: key, Span: control.Micros(left.Microseconds())})
-	o.record(o.servers, history.Event{Kind: history.Taken, Call: key, Span: 3600e6}) // servers see no final answer
+	o.record(o.callers, history.Event{Kind: history.Received, Call: key, Span: control.Micros(left.Microseconds())})
+	o.record(o.servers, history.Event{Kind: history.Received, Call: key, Span: 3600e6}) // servers see no final answer
 }
 
 func (o *observer) serverNumber(server string) uint32 {
@@ -353,7 +353,7 @@
 			t.Errorf("in the gatekeeper's records: %s: %s %s %+v", f.Rule, f.Verdict, f.Why, f.Evidence)
 		}
 	}
-	if got := own.Fleet.Total[0].Offered; got != calls {
+	if got := own.Fleet.Totals[0].Offered; got != calls {
 		t.Errorf("%d calls in the records, want %d", got, calls)
 	}
 }
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -22,8 +22,8 @@
 		return nil, nil
 	}
 	if o := n.deploy.Records; o != nil {
-		r, err := record.Open(record.Options{Dir: o.Dir, Node: n.cfg.Name, MaxBytes: int64(o.MaxMB) << 20, MaxAge: o.MaxAge,
-			Segment: int64(o.SegmentMB) << 20, Log: n.log})
+		r, err := record.NewRecorder(record.Options{Dir: o.Dir, Node: n.cfg.Name, MaxBytes: int64(o.MaxMB) << 20, MaxAge: o.MaxAge,
+			SegmentBytes: int64(o.SegmentMB) << 20, Log: n.log})
 		if err != nil {
 			return nil, err
 		}
@@ -86,7 +86,7 @@
 		if fds, err := os.ReadDir("/proc/self/fd"); err == nil {
 			open = float64(len(fds))
 		}
-		n.core.Note(history.Event{Kind: history.Used,
+		n.core.Note(history.Event{Kind: history.ResourceUsage,
 			Values: []float64{float64(memory[0].Value.Uint64() - memory[1].Value.Uint64()), open}})
 		select {
 		case <-ctx.Done():
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -30,20 +30,20 @@
 
 // Damage is one thing that is wrong with a file.
 type Damage struct {
-	File   string `json:"file"`
-	Offset int64  `json:"offset"`
-	What   string `json:"what"`
+	File        string `json:"file"`
+	Offset      int64  `json:"offset"`
+	Description string `json:"what"`
 }
 
 // Stats is what was read of one gatekeeper.
 type Stats struct {
-	Node     string   `json:"gatekeeper"`
-	Segments int      `json:"segments"`
-	Starts   int      `json:"starts"`
-	Records  int      `json:"records"`
-	Gaps     int      `json:"gaps"`
-	Torn     int64    `json:"torn_bytes"` // cut off at the end of starts that were killed
-	Damage   []Damage `json:"damage"`
+	Node      string   `json:"gatekeeper"`
+	Segments  int      `json:"segments"`
+	Starts    int      `json:"starts"`
+	Records   int      `json:"records"`
+	Gaps      int      `json:"gaps"`
+	TornBytes int64    `json:"torn_bytes"` // cut off at the end of starts that were killed
+	Damage    []Damage `json:"damage"`
 }
 
 // Node reads the records of one gatekeeper in its own order.
@@ -69,9 +69,9 @@
 // Sub is the folder within a folder that the project's own commands write records to (`incident play --out DIR`).
 const Sub = "records"
 
-// Folder is where the records of a named folder are: the folder itself where it holds any, else its Sub folder where that
+// ResolveFolder is where the records of a named folder are: the folder itself where it holds any, else its Sub folder where that
 // holds some, else the folder as named.
-func Folder(dir string) string {
+func ResolveFolder(dir string) string {
 	if holds(dir) {
 		return dir
 	}
@@ -96,7 +96,7 @@
 func Nodes(dirs ...string) ([]*Node, error) {
 	var nodes []*Node
 	for _, dir := range dirs {
-		dir = Folder(dir)
+		dir = ResolveFolder(dir)
 		entries, err := os.ReadDir(dir)
 		if err != nil {
 			return nil, err
@@ -229,7 +229,7 @@
 	}
 	switch {
 	case err != nil && n.lastOfStart() && (errors.Is(err, errTorn) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
-		n.Torn += n.tail()
+		n.TornBytes += n.tail()
 		n.leave()
 	case err != nil:
 		n.damage("no header: " + err.Error())
@@ -269,7 +269,7 @@
 		n.damage(err.Error())
 	case err == errTorn && n.lastOfStart():
 		// The end of one that was killed: cut, as what it was writing then.
-		n.Torn += n.tail()
+		n.TornBytes += n.tail()
 		n.leave()
 	default:
 		n.damage(err.Error())
@@ -352,8 +352,8 @@
 	return x
 }
 
-// OpenAll begins to read the records in some folders.
-func OpenAll(dirs ...string) (*Reader, error) {
+// NewReader begins to read the records in some folders.
+func NewReader(dirs ...string) (*Reader, error) {
 	nodes, err := Nodes(dirs...)
 	if err != nil {
 		return nil, err
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -25,7 +25,7 @@
 	if o.Node == "" {
 		o.Node = "n1"
 	}
-	r, err := Open(o)
+	r, err := NewRecorder(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 // fill records n events, at one a millisecond from a time on.
 func fill(r *Recorder, from control.Micros, n int) {
 	for i := range n {
-		r.Record(history.Event{At: from + control.Micros(i)*1000, Kind: history.Taken, Call: fmt.Sprintf("%016x", i), Span: 9e6})
+		r.Record(history.Event{At: from + control.Micros(i)*1000, Kind: history.Received, Call: fmt.Sprintf("%016x", i), Span: 9e6})
 	}
 }
 
@@ -55,7 +55,7 @@
 
 func read(t testing.TB, dirs ...string) (all readAll) {
 	t.Helper()
-	r, err := OpenAll(dirs...)
+	r, err := NewReader(dirs...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,9 +92,9 @@
 // What is recorded is read back, over segments that were compressed.
 func TestRoundTrip(t *testing.T) {
 	dir := t.TempDir()
-	r := recorder(t, Options{Dir: dir, Segment: 4096})
+	r := recorder(t, Options{Dir: dir, SegmentBytes: 4096})
 	want := history.Event{At: 5, Kind: history.Ended, Call: "abc", Attempt: 2, Server: 7, Code: control.TimedOut, Span: 9, Value: 1.5,
-		Level: 3, Name: "x", State: control.Draining, N: -4, Since: 6, Again: true, Class: -1, Values: []float64{-1, 0.5},
+		Level: 3, Name: "x", State: control.Draining, N: -4, Since: 6, Repeated: true, Class: -1, Values: []float64{-1, 0.5},
 		Rules: &history.Rules{Reports: []string{"q"}, Classes: []history.Class{{Name: "menu-view", Aim: 3, Worth: 1}}}}
 	r.Record(want)
 	for i := range 20 { // batches, so that segments fill one after another
@@ -139,7 +139,7 @@
 		all := read(t, dir)
 		n := all.nodes[0]
 		if len(all.events) != n.Records || n.Records > 10 || n.Records < 9 && cut < 40 || len(n.Damage) != 0 ||
-			all.whys() != "restart hides=true lost=0" || n.Torn == 0 && n.Records != 10 && cut < 40 {
+			all.whys() != "restart hides=true lost=0" || n.TornBytes == 0 && n.Records != 10 && cut < 40 {
 			t.Errorf("cut %d: %d events, gaps %s, %+v", cut, len(all.events), all.whys(), n.Stats)
 		}
 		if last := all.events[len(all.events)-1]; last.Start != 2 || last.At != 50000 {
@@ -190,7 +190,7 @@
 		if len(all.events) == 8 {
 			t.Errorf("byte %d: not seen", at)
 		}
-		if len(n.Damage) == 0 && n.Torn == 0 {
+		if len(n.Damage) == 0 && n.TornBytes == 0 {
 			t.Errorf("byte %d: %d events and nothing said: %+v", at, len(all.events), n.Stats)
 		}
 		if len(n.Damage) > 0 && len(all.events) > 0 && !strings.Contains(all.whys(), "damaged hides=true") && all.events[0].Seq == 1 {
@@ -205,7 +205,7 @@
 
 func TestMissingSegment(t *testing.T) {
 	dir := t.TempDir()
-	r := recorder(t, Options{Dir: dir, Segment: 2048})
+	r := recorder(t, Options{Dir: dir, SegmentBytes: 2048})
 	for i := range 10 {
 		fill(r, control.Micros(1000+i*100000), 60)
 		r.Flush()
@@ -219,7 +219,7 @@
 		t.Errorf("%d files, %d events, gaps %s", len(names), len(all.events), all.whys())
 	}
 	os.Remove(filepath.Join(dir, names[0])) // the oldest ones may go: records begin later, with the figures of the rules
-	if all = read(t, dir); len(all.gaps) != 0 || all.events[0].Kind == history.Taken && all.events[0].Seq == 1 {
+	if all = read(t, dir); len(all.gaps) != 0 || all.events[0].Kind == history.Received && all.events[0].Seq == 1 {
 		t.Errorf("after the oldest were removed: gaps %s", all.whys())
 	}
 }
@@ -227,7 +227,7 @@
 // Records that begin with a later segment bring the figures of the rules along.
 func TestLaterSegmentsKnowTheRules(t *testing.T) {
 	dir := t.TempDir()
-	r := recorder(t, Options{Dir: dir, Segment: 2048, MaxBytes: 4000})
+	r := recorder(t, Options{Dir: dir, SegmentBytes: 2048, MaxBytes: 4000})
 	r.Record(history.Event{At: 1, Kind: history.Started, Name: "v1", Rules: &history.Rules{ReleaseGuard: 300000}})
 	for i := range 10 {
 		fill(r, control.Micros(1000+i*100000), 60)
@@ -332,7 +332,7 @@
 func TestFlood(t *testing.T) {
 	dir := t.TempDir()
 	disk := &full{left: 1 << 20}
-	r := recorder(t, Options{Dir: dir, FS: disk, Queue: 16})
+	r := recorder(t, Options{Dir: dir, FS: disk, QueueSize: 16})
 	r.mu.Lock() // the writer can't fetch
 	hold := make(chan struct{})
 	disk.hold = hold
@@ -345,7 +345,7 @@
 	all := read(t, dir)
 	taken, lost := 0, int64(0)
 	for _, e := range all.events {
-		if e.Kind == history.Taken {
+		if e.Kind == history.Received {
 			taken++
 		}
 	}
@@ -367,16 +367,16 @@
 	text := appendFrame(appendFrame([]byte(magic), top), []byte("something else"))
 	os.WriteFile(filepath.Join(dir, segment{node: "n1", start: 1}.name()), text, 0o600)
 	all := read(t, dir)
-	if d := all.nodes[0].Damage; len(d) != 1 || !strings.Contains(d[0].What, "version 2") || len(all.events) != 0 {
+	if d := all.nodes[0].Damage; len(d) != 1 || !strings.Contains(d[0].Description, "version 2") || len(all.events) != 0 {
 		t.Errorf("%+v, %d events", d, len(all.events))
 	}
 }
 
 func TestNoRecords(t *testing.T) {
-	if _, err := OpenAll(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no records") {
+	if _, err := NewReader(t.TempDir()); err == nil || !strings.Contains(err.Error(), "no records") {
 		t.Error(err)
 	}
-	if _, err := OpenAll(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := NewReader(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
 }
@@ -387,7 +387,7 @@
 	other := recorder(t, Options{Dir: dir, Node: "n2"})
 	fill(other, 1, 100)
 	other.Close()
-	r := recorder(t, Options{Dir: dir, Segment: 2048, MaxBytes: 6000})
+	r := recorder(t, Options{Dir: dir, SegmentBytes: 2048, MaxBytes: 6000})
 	for i := range 40 {
 		fill(r, control.Micros(i*100000), 60)
 		r.Flush()
@@ -447,13 +447,13 @@
 
 // BenchmarkCall is the cost of one call's records, the writing goroutine's included.
 func BenchmarkCall(b *testing.B) {
-	r := recorder(b, Options{Dir: "x", FS: nowhere{}, Queue: 1 << 20})
+	r := recorder(b, Options{Dir: "x", FS: nowhere{}, QueueSize: 1 << 20})
 	defer r.Close()
 	b.ReportAllocs()
 	at := control.Micros(1e12)
 	for b.Loop() {
 		at += 5000
-		for _, k := range []history.Kind{history.Taken, history.Sent, history.Established, history.Viewed, history.Reported, history.Released} {
+		for _, k := range []history.Kind{history.Received, history.Sent, history.Established, history.Viewed, history.Reported, history.Released} {
 			r.Record(history.Event{At: at, Kind: k, Call: "9b1f03aa5c7e2d41", Server: 77, Span: 12345})
 		}
 	}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -61,14 +61,14 @@
 
 // Options say where and how much is recorded.
 type Options struct {
-	Dir      string
-	Node     string
-	MaxBytes int64         // of this gatekeeper's files; the oldest go first. 0: 1 GiB
-	MaxAge   time.Duration // of a file since its last record. 0: no bound
-	Segment  int64         // bytes of a segment before it is compressed. 0: 8 MiB
-	Queue    int           // events that wait to be written. 0: 16384
-	FS       FS            // nil: the disk
-	Log      logrus.FieldLogger
+	Dir          string
+	Node         string
+	MaxBytes     int64         // of this gatekeeper's files; the oldest go first. 0: 1 GiB
+	MaxAge       time.Duration // of a file since its last record. 0: no bound
+	SegmentBytes int64         // bytes of a segment before it is compressed. 0: 8 MiB
+	QueueSize    int           // events that wait to be written. 0: 16384
+	FS           FS            // nil: the disk
+	Log          logrus.FieldLogger
 }
 
 // Recorder writes the events of one start of a gatekeeper. Its methods may be called from any goroutine.
@@ -100,17 +100,17 @@
 	calls   string         // version of limits in force
 }
 
-// Open begins the records of a start. Its number is one over the highest in the folder, so two starts in the same second
+// NewRecorder begins the records of a start. Its number is one over the highest in the folder, so two starts in the same second
 // are told apart.
-func Open(o Options) (*Recorder, error) {
+func NewRecorder(o Options) (*Recorder, error) {
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = 1 << 30
 	}
-	if o.Segment <= 0 {
-		o.Segment = 8 << 20
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 8 << 20
 	}
-	if o.Queue <= 0 {
-		o.Queue = 16384
+	if o.QueueSize <= 0 {
+		o.QueueSize = 16384
 	}
 	if o.FS == nil {
 		o.FS = Disk{}
@@ -144,7 +144,7 @@
 	}
 	e.At = max(e.At, r.last)
 	r.last = e.At
-	if len(r.queue) >= r.Queue {
+	if len(r.queue) >= r.QueueSize {
 		if r.dropped == 0 {
 			r.since = e.At
 		}
@@ -158,7 +158,7 @@
 	r.seq++
 	e.Seq = r.seq
 	r.queue = append(r.queue, e)
-	many := len(r.queue) == max(r.Queue/4, 1)
+	many := len(r.queue) == max(r.QueueSize/4, 1)
 	r.mu.Unlock()
 	if first {
 		signal(r.wake)
@@ -296,7 +296,7 @@
 	if err != nil {
 		return err
 	}
-	if r.segment.size >= r.Segment {
+	if r.segment.size >= r.SegmentBytes {
 		return r.rotate()
 	}
 	return nil
--- a/internal/report/build.go
+++ b/internal/report/build.go
@@ -25,18 +25,18 @@
 
 // Report is all that a page shows.
 type Report struct {
-	Fleet    *history.Fleet
-	Findings []history.Finding
-	Stats    []record.Stats
-	Took     time.Duration
-	Made     time.Time
-	Asked    [2]time.Time
+	Fleet          *history.Fleet
+	Findings       []history.Finding
+	Stats          []record.Stats
+	BuildTime      time.Duration
+	GeneratedAt    time.Time
+	RequestedRange [2]time.Time
 }
 
 // Build reads the records and judges them. Its memory is that of the fleet's state, whatever the time covered.
 func Build(o Options) (*Report, error) {
 	began := time.Now()
-	in, err := record.OpenAll(o.Dirs...)
+	in, err := record.NewReader(o.Dirs...)
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 		to = control.Micros(o.To.UnixMicro())
 	}
 	early := from - control.Micros(lookBack.Microseconds())
-	r := &Report{Fleet: history.NewFleet(), Made: began, Asked: [2]time.Time{o.From, o.To}}
+	r := &Report{Fleet: history.NewFleet(), GeneratedAt: began, RequestedRange: [2]time.Time{o.From, o.To}}
 	checker := history.NewChecker(nil)
 	for n := 0; ; n++ {
 		item, err := in.Next()
@@ -81,10 +81,10 @@
 		case e.At >= from:
 			r.Fleet.Event(e)
 		case state:
-			r.Fleet.Known(e)
+			r.Fleet.ApplyBaseline(e)
 		}
 	}
-	r.Fleet.Settle()
+	r.Fleet.Finalize()
 	r.Findings = checker.Findings()
 	for i := range r.Findings {
 		f := &r.Findings[i]
@@ -93,7 +93,7 @@
 	for _, n := range in.Nodes {
 		r.Stats = append(r.Stats, n.Stats)
 	}
-	r.Took = time.Since(began)
+	r.BuildTime = time.Since(began)
 	return r, nil
 }
 
@@ -111,7 +111,7 @@
 		"gaps":        append([]history.Gap{}, r.Fleet.Gaps...),
 		"gatekeepers": r.Fleet.NodeList(),
 		"servers":     r.Fleet.ServerList(),
-		"worst_10s":   r.Fleet.Worst,
+		"worst_10s":   r.Fleet.WorstSpan,
 		"records":     r.Stats,
 		"from":        r.Fleet.From,
 		"to":          r.Fleet.To,
--- a/internal/report/course.go
+++ b/internal/report/course.go
@@ -22,16 +22,16 @@
 	weight int
 }
 
-// Course tells an incident in words, in order. Of more than 80 sentences those that weigh most are told: gaps, changes of
+// Timeline tells an incident in words, in order. Of more than 80 sentences those that weigh most are told: gaps, changes of
 // servers and limits, then what happened most often. left is the number of the others.
-func (r *Report) Course() (told []Sentence, left int) {
+func (r *Report) Timeline() (told []Sentence, left int) {
 	restarted := map[*history.Episode]*history.Episode{} // starts, by the planned end before
 	hidden := map[*history.Episode]bool{}
 	for i, start := range r.Fleet.Episodes {
-		for j := i - 1; start.What == history.MomentStart && j >= 0 && start.At-r.Fleet.Episodes[j].At < restartWithin; j-- {
+		for j := i - 1; start.Type == history.MomentStart && j >= 0 && start.At-r.Fleet.Episodes[j].At < restartWithin; j-- {
 			e := r.Fleet.Episodes[j]
 			if !hidden[e] && sameNodes(e.Nodes, start.Nodes) {
-				switch e.What {
+				switch e.Type {
 				case history.MomentEnd:
 					restarted[start] = e
 					hidden[e] = true
@@ -54,7 +54,7 @@
 		told = told[:tellMost]
 		slices.SortStableFunc(told, func(a, b Sentence) int { return int(min(max(a.At-b.At, -1), 1)) })
 	}
-	return told, left + r.Fleet.Left
+	return told, left + r.Fleet.OmittedMoments
 }
 
 func sameNodes(a, b []string) bool {
@@ -68,7 +68,7 @@
 		over = " over " + spanText(span)
 	}
 	weight = e.Count
-	switch e.What {
+	switch e.Type {
 	case history.MomentStart:
 		text = who + " started" + over
 		if ended != nil {
@@ -87,7 +87,7 @@
 	case history.MomentGap:
 		text, weight = fmt.Sprintf("Records of %s are incomplete from here (%s)", who, e.Detail), 1e7
 	default:
-		text = e.What
+		text = e.Type
 	}
 	return text + ".", weight
 }
@@ -117,7 +117,7 @@
 func (r *Report) Summary() []string {
 	f := r.Fleet
 	var all history.Counts
-	for _, c := range f.Total {
+	for _, c := range f.Totals {
 		all.Offered += c.Offered
 		all.Served += c.Served
 		all.Late += c.Late
@@ -132,8 +132,8 @@
 	out := []string{fmt.Sprintf("%s took %d set-ups in %s: %s stood in time, %s stood late, %s were refused, %s failed and %s were withdrawn.",
 		plural(len(f.Nodes), "gatekeeper"), all.Offered, spanText(f.To-f.From), part(all.Served), part(all.Late),
 		part(all.Refused), part(all.Failed), part(all.Gone))}
-	if f.Worst.Known {
-		out = append(out, fmt.Sprintf("The worst 10 seconds began at %s: %.0f%% of the worth offered stood.", clock(f.Worst.From), 100*f.Worst.Part))
+	if f.WorstSpan.Known {
+		out = append(out, fmt.Sprintf("The worst 10 seconds began at %s: %.0f%% of the worth offered stood.", clock(f.WorstSpan.From), 100*f.WorstSpan.Part))
 	}
 	if class, p := f.WorstClass(); class >= 0 {
 		out = append(out, fmt.Sprintf("The worst class was %s: %.1f%% stood in time.", r.className(class), 100*p))
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -42,7 +42,7 @@
 // HTML writes the page: one file without any outside reference or script. All text that comes from records is escaped by
 // the template, and control characters, which HTML can't hold, are replaced.
 func (r *Report) HTML(w io.Writer) error {
-	course, left := r.Course()
+	course, left := r.Timeline()
 	f := r.Fleet
 	var text bytes.Buffer
 	err := page.Execute(&text, map[string]any{
@@ -68,7 +68,7 @@
 }
 
 func (r *Report) classRows() (rows []classRow) {
-	for i, c := range r.Fleet.Total {
+	for i, c := range r.Fleet.Totals {
 		rows = append(rows, classRow{r.className(i), c, fmt.Sprintf("%.1f%%", 100*float64(c.Served)/math.Max(float64(c.Offered), 1))})
 	}
 	return rows
@@ -82,18 +82,18 @@
 	if n[history.Held] == len(r.Findings) {
 		return "Each of the five rules held"
 	}
-	return fmt.Sprintf("Of the five rules %d held, %d were broken, %d are not shown", n[history.Held], n[history.Broken], n[history.NotShown])
+	return fmt.Sprintf("Of the five rules %d held, %d were broken, %d are not shown", n[history.Held], n[history.Broken], n[history.Inconclusive])
 }
 
 // Plot is one figure of the page.
 type Plot struct {
 	ID, Title, Desc string
 	SVG             template.HTML // made of numbers and of words of this file alone
-	Key             []KeyEntry
+	Legend          []LegendEntry
 }
 
-// KeyEntry explains one line or colour.
-type KeyEntry struct{ Class, Text string }
+// LegendEntry explains one line or colour.
+type LegendEntry struct{ Class, Text string }
 
 // drawing builds the shapes of one plot.
 type drawing struct {
@@ -191,7 +191,7 @@
 		return nil
 	}
 	perS := 1e6 / float64(f.Width)
-	for i := range f.Total {
+	for i := range f.Totals {
 		series := map[string][]float64{}
 		most := 0.0
 		for _, b := range f.Bins {
@@ -212,10 +212,10 @@
 		}
 		d.axis()
 		id, title := fmt.Sprintf("class-%d", i), "Set-ups of "+r.className(i)
-		c := f.Total[i]
+		c := f.Totals[i]
 		desc := fmt.Sprintf("Set-ups a second by the time they were taken: %d offered, %d stood in time, %d late, %d refused, %d failed. At most %.1f a second were offered.",
 			c.Offered, c.Served, c.Late, c.Refused, c.Failed, most)
-		plots = append(plots, Plot{id, title, desc, d.svg(id, title, desc), []KeyEntry{{"offered", "offered"}, {"served", "stood in time"},
+		plots = append(plots, Plot{id, title, desc, d.svg(id, title, desc), []LegendEntry{{"offered", "offered"}, {"served", "stood in time"},
 			{"refused", "refused"}, {"failed", "failed or late"}}})
 	}
 	plots = append(plots, r.delays())
@@ -249,7 +249,7 @@
 	}
 	d.axis()
 	desc := fmt.Sprintf("Time from a set-up's arrival to its answer, of those that stood: the median, the 95th and the 99th of 100. The longest took %.1f s.", worst)
-	return Plot{"delay", "Set-up delay", desc, d.svg("delay", "Set-up delay", desc), []KeyEntry{{"q50", "median"}, {"q95", "95%"}, {"q99", "99%"}}}
+	return Plot{"delay", "Set-up delay", desc, d.svg("delay", "Set-up delay", desc), []LegendEntry{{"q50", "median"}, {"q95", "95%"}, {"q99", "99%"}}}
 }
 
 // views draws what each gatekeeper believed of a server: a strip of levels for each, and the longest wait over them.
@@ -258,7 +258,7 @@
 	nodes := f.NodeList()
 	var seen []string
 	for _, n := range nodes {
-		if slices.ContainsFunc(f.Bins, func(b history.Bin) bool { _, ok := b.Views[history.Pair{Node: n.Name, Server: s.ID}]; return ok }) {
+		if slices.ContainsFunc(f.Bins, func(b history.Bin) bool { _, ok := b.Views[history.ViewKey{Node: n.Name, Server: s.ID}]; return ok }) {
 			seen = append(seen, n.Name)
 		}
 	}
@@ -286,12 +286,12 @@
 		last := 0
 		for i, b := range f.Bins {
 			now := last
-			if v, ok := b.Views[history.Pair{Node: node, Server: s.ID}]; ok {
-				now, last = int(v.Level.Most), int(v.Level.Most)
-				if v.Level.Least < 2 {
-					last = int(v.Level.Least)
+			if v, ok := b.Views[history.ViewKey{Node: node, Server: s.ID}]; ok {
+				now, last = int(v.Level.Highest), int(v.Level.Highest)
+				if v.Level.Lowest < 2 {
+					last = int(v.Level.Lowest)
 				}
-				w := v.Wait.Most / 1e6
+				w := v.Wait.Highest / 1e6
 				if math.IsNaN(waits[i]) || w > waits[i] {
 					waits[i] = w
 				}
@@ -311,7 +311,7 @@
 	id := fmt.Sprintf("levels-%d", s.ID)
 	title := "Level of " + name + " as believed by each gatekeeper"
 	desc := fmt.Sprintf("A row for each of %d gatekeepers; the highest level in each span. From level 2 on nothing new is sent. Gated %d times in all.", len(seen), s.Gated)
-	key := []KeyEntry{{"l1", "level 1"}, {"l2", "level 2: gated"}, {"l3", "level 3"}, {"l4", "level 4"}}
+	key := []LegendEntry{{"l1", "level 1"}, {"l2", "level 2: gated"}, {"l3", "level 3"}, {"l4", "level 4"}}
 	out := []Plot{{id, title, desc, strips.svg(id, title, desc), key}}
 
 	last := math.NaN()
@@ -331,7 +331,7 @@
 	id = fmt.Sprintf("wait-%d", s.ID)
 	title = "Wait at " + name
 	desc = fmt.Sprintf("The longest wait at its processor that any gatekeeper believed in each span; %.2f s at most.", most)
-	return append(out, Plot{id, title, desc, d.svg(id, title, desc), []KeyEntry{{"wait", "longest wait believed"}}})
+	return append(out, Plot{id, title, desc, d.svg(id, title, desc), []LegendEntry{{"wait", "longest wait believed"}}})
 }
 
 // short keeps a name within the margin of a plot.
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -29,7 +29,7 @@
 // write records a story of one gatekeeper.
 func write(t *testing.T, dir, node string, events ...history.Event) {
 	t.Helper()
-	r, err := record.Open(record.Options{Dir: dir, Node: node})
+	r, err := record.NewRecorder(record.Options{Dir: dir, Node: node})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	bad := "<script>alert(1)</script>\x1b[31m\x00\"'&"
 	write(t, dir, bad,
 		history.Event{At: start + 1, Kind: history.Listed, Server: 1, Name: bad, State: control.Ready},
-		history.Event{At: start + 2, Kind: history.Taken, Call: bad, Span: second},
+		history.Event{At: start + 2, Kind: history.Received, Call: bad, Span: second},
 		history.Event{At: start + 3, Kind: history.Refused, Call: bad},
 		history.Event{At: start + 4, Kind: history.Refused, Call: bad},
 		history.Event{At: start + 5, Kind: history.Reloaded, Name: bad},
@@ -110,7 +110,7 @@
 func TestJSONForm(t *testing.T) {
 	dir := t.TempDir()
 	for i := range 2 {
-		write(t, dir, "n1", history.Event{At: start + control.Micros(i)*60*second + 1, Kind: history.Taken, Call: "a", Span: second},
+		write(t, dir, "n1", history.Event{At: start + control.Micros(i)*60*second + 1, Kind: history.Received, Call: "a", Span: second},
 			history.Event{At: start + control.Micros(i)*60*second + 2, Kind: history.Refused, Call: "a"})
 	}
 	var b bytes.Buffer
@@ -148,14 +148,14 @@
 	events = append(events, history.Event{At: start + 1, Kind: history.Listed, Server: 7, Name: "s-7", State: control.Ready})
 	for i := range 600 {
 		at := start + control.Micros(i)*second
-		events = append(events, history.Event{At: at, Kind: history.Taken, Call: fmt.Sprint(i), Span: second},
+		events = append(events, history.Event{At: at, Kind: history.Received, Call: fmt.Sprint(i), Span: second},
 			history.Event{At: at + 5, Kind: history.Established, Call: fmt.Sprint(i), Server: 7, Span: 5})
 	}
 	events = append(events, history.Event{At: start + 600*second, Kind: history.Finished})
 	write(t, dir, "n1", events...)
 	at := func(s int) time.Time { return time.UnixMicro(int64(start)).Add(time.Duration(s) * time.Second) }
 	r := build(t, Options{Dirs: []string{dir}, From: at(100), To: at(199)})
-	if c := r.Fleet.Total[0]; c.Offered != 100 || c.Served < 99 {
+	if c := r.Fleet.Totals[0]; c.Offered != 100 || c.Served < 99 {
 		t.Errorf("%+v", c)
 	}
 	if s := r.Fleet.Servers[7]; s.Name != "s-7" || r.Findings[0].Verdict != history.Held {
@@ -181,7 +181,7 @@
 			history.Event{At: start + 12*second, Kind: history.Viewed, Server: 7, Level: 1, Span: second / 10},
 			history.Event{At: start + 20*second, Kind: history.Draining}, history.Event{At: start + 21*second, Kind: history.Finished})
 		if n == 0 {
-			r, err := record.Open(record.Options{Dir: dir, Node: name})
+			r, err := record.NewRecorder(record.Options{Dir: dir, Node: name})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -191,7 +191,7 @@
 		}
 	}
 	r := build(t, Options{Dirs: []string{dir}})
-	course, _ := r.Course()
+	course, _ := r.Timeline()
 	var told []string
 	for _, s := range course {
 		told = append(told, clock(s.At)+" "+s.Text)
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -39,8 +39,8 @@
 	if call.Class >= 0 && call.Class < len(c.classes) {
 		worth = c.classes[call.Class].Worth
 	}
-	c.recorder.Record(history.Event{At: arrived, Kind: history.Taken, Call: call.ID, Class: call.Class, Value: worth,
-		Span: call.deadline - arrived, Again: call.WasCut})
+	c.recorder.Record(history.Event{At: arrived, Kind: history.Received, Call: call.ID, Class: call.Class, Value: worth,
+		Span: call.deadline - arrived, Repeated: call.WasCut})
 }
 
 // noteEnded records the end of an attempt.
