--- a/internal/fleetcheck/delays_test.go
+++ b/internal/fleetcheck/delays_test.go
@@ -12,13 +12,13 @@
 // waited, and one that is late while another waited.
 func TestLateAnswersAreExcusedByMeasuredWaitsAlone(t *testing.T) {
 	waited := func(from, to control.Micros, process string, span control.Micros) Event {
-		e := at(to, Delayed, process)
+		e := at(to, ProcessorDelayed, process)
 		e.Span, e.Value = span*ms, float64(to-from)/1000
 		return e
 	}
 	ready, tried := at(0, Ready, "g1"), called(1000, Tried, "") // due at 2000
 	expired := called(2050, Expired, "")
-	late := func(when control.Micros) Event { return called(when, Late, "close") }
+	late := func(when control.Micros) Event { return called(when, AnsweredLate, "close") }
 	for name, row := range map[string]struct {
 		broken, excused int
 		events          []Event
@@ -54,7 +54,7 @@
 	all := []Event{ready}
 	for i := range control.Micros(3) {
 		start := 1000 + 2000*i
-		for _, e := range []Event{called(start, Tried, ""), called(start+1050, Expired, ""), called(start+1100, Late, "close")} {
+		for _, e := range []Event{called(start, Tried, ""), called(start+1050, Expired, ""), called(start+1100, AnsweredLate, "close")} {
 			e.Call = string(rune('a' + i))
 			all = append(all, e)
 		}
@@ -81,7 +81,7 @@
 		} {
 			e.Node, e.Seq = "g1", uint64(i+1)
 			if e.Kind == history.Refused && row.span > 0 {
-				w := at(2100, Delayed, row.waits)
+				w := at(2100, ProcessorDelayed, row.waits)
 				w.Span, w.Value = row.span*ms, 0.05
 				c.Event(&w)
 			}
@@ -101,9 +101,9 @@
 	}{{9000, 1}, {8000, 1}, {7999, 0}} {
 		v := NewVerdicts("front-", map[string][]uint32{"1 slow": {3}}, nil)
 		c := New("front-", nil, v)
-		slow := at(1000, FaultFrom, "")
+		slow := at(1000, FaultBegan, "")
 		slow.What = "1 slow"
-		judged := at(8000, Judged, "g1")
+		judged := at(8000, VerdictsRead, "g1")
 		judged.Peer = "3"
 		for _, e := range []Event{at(0, Ready, "g1"), slow, called(min(row.lastTry, 8000), Tried, ""), judged} {
 			c.Event(&e)
@@ -113,7 +113,7 @@
 			c.Event(&e)
 		}
 		c.Result()
-		if s := v.Stats(); s.Convicted != 1 || s.Called != row.want {
+		if s := v.Stats(); s.Convicted != 1 || s.ConvictedWhileCalled != row.want {
 			t.Errorf("last try at %d: %+v", row.lastTry, s)
 		}
 	}
--- a/internal/fleetcheck/fleetcheck.go
+++ b/internal/fleetcheck/fleetcheck.go
@@ -23,34 +23,34 @@
 
 // The kinds, with the fields that each uses beside At and Place.
 const (
-	Ready       Kind = iota + 1 // Process takes callers
-	Asked                       // Process was told to end (SIGTERM)
-	Stopped                     // Process was ended on purpose, or ended after it was asked
-	Crashed                     // Process ended by itself; What says how
-	Paused                      // Process was stopped (SIGSTOP)
-	Woken                       // and goes on (SIGCONT)
-	Troubled                    // what goes from Process to Peer is in trouble, or a connection opened that way
-	Healed                      // and is no more
-	Logged                      // Process wrote a line of its log; Level, What
-	Tried                       // Call was sent to Process; Span is the caller's time
-	Established                 // Call has its final answer from Process; What is its description
-	Refused                     // Call has its final answer
-	Failed                      // Call has its final answer
-	Second                      // Call has a further final answer; What tells which
-	Expired                     // Call's time was up without an answer
-	Broken                      // Call's connection ended without an answer
-	Unsent                      // Call found no gatekeeper
-	Given                       // server Process answered Call: it stands; What is the description
-	FaultFrom                   // a fault begins; What names it
-	FaultTo                     // it is over; What names it
-	Viewed                      // Process holds the fleet to be What (a hash), with the members Peer up (names with spaces between)
-	Heard                       // Process counts what members Peer tell of calls; Value arrive a second in all, the oldest is Span old at least
-	Limited                     // the files of gatekeepers Process (names with spaces between) let Value calls a second through, and a burst of Class
-	Moved                       // from now on first calls come to gatekeepers Process (names with + between)
-	Judged                      // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
-	Late                        // Call has the first answer of Process after its time was up
-	Delayed                     // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
-	Changed                     // Process logged that server Peer (its number) came into phase What of a verdict
+	Ready               Kind = iota + 1 // Process takes callers
+	StopRequested                       // Process was told to end (SIGTERM)
+	Stopped                             // Process was ended on purpose, or ended after it was asked
+	Crashed                             // Process ended by itself; What says how
+	Paused                              // Process was stopped (SIGSTOP)
+	Resumed                             // and goes on (SIGCONT)
+	LinkFaulty                          // what goes from Process to Peer is in trouble, or a connection opened that way
+	LinkHealed                          // and is no more
+	Logged                              // Process wrote a line of its log; Level, What
+	Tried                               // Call was sent to Process; Span is the caller's time
+	Established                         // Call has its final answer from Process; What is its description
+	Refused                             // Call has its final answer
+	Failed                              // Call has its final answer
+	ExtraAnswer                         // Call has a further final answer; What tells which
+	Expired                             // Call's time was up without an answer
+	Broken                              // Call's connection ended without an answer
+	Unsent                              // Call found no gatekeeper
+	ServerEstablished                   // server Process answered Call: it stands; What is the description
+	FaultBegan                          // a fault begins; What names it
+	FaultEnded                          // it is over; What names it
+	ViewRead                            // Process holds the fleet to be What (a hash), with the members Peer up (names with spaces between)
+	RateRead                            // Process counts what members Peer tell of calls; Value arrive a second in all, the oldest is Span old at least
+	LimitChanged                        // the files of gatekeepers Process (names with spaces between) let Value calls a second through, and a burst of Class
+	DemandMoved                         // from now on first calls come to gatekeepers Process (names with + between)
+	VerdictsRead                        // Process keeps set-ups away from servers Peer (their numbers) by verdicts of the fleet
+	AnsweredLate                        // Call has the first answer of Process after its time was up
+	ProcessorDelayed                    // Process (or Laboratory) had work and waited for a processor, Span in all and Class us one thread, in the Value seconds since the last look
+	VerdictPhaseChanged                 // Process logged that server Peer (its number) came into phase What of a verdict
 	kinds
 )
 
@@ -64,8 +64,8 @@
 	return kindNames[k]
 }
 
-// KindNamed finds a kind by its name; ok is unset where there is none.
-func KindNamed(name string) (k Kind, ok bool) {
+// ParseKind finds a kind by its name; ok is unset where there is none.
+func ParseKind(name string) (k Kind, ok bool) {
 	i := slices.Index(kindNames[:], name)
 	return Kind(max(i, 0)), i > 0
 }
@@ -96,12 +96,12 @@
 
 // The rules that are judged here, beside the five of package history.
 const (
-	RuleFinal  = "each caller gets one final answer"
-	RuleServed = "served only what a server answered"
-	RuleGated  = "no new set-ups to a gated server"
-	RuleRuns   = "no process ends by itself"
-	RuleLog    = "no panic and no missed decision in a log"
-	RuleGiven  = "no member given up that runs and is reached"
+	RuleFinal   = "each caller gets one final answer"
+	RuleServed  = "served only what a server answered"
+	RuleGated   = "no new set-ups to a gated server"
+	RuleNoCrash = "no process ends by itself"
+	RuleLog     = "no panic and no missed decision in a log"
+	RuleGivenUp = "no member given up that runs and is reached"
 )
 
 // Figures of the check.
@@ -225,7 +225,7 @@
 func New(front string, capacities map[uint32]float64, invariants ...Invariant) *Checker {
 	c := &Checker{front: front, processes: map[string]*process{}, tries: map[string]try{}, answers: map[string]try{}, final: map[string]Kind{}, given: map[string]string{},
 		found: map[string]*Finding{}, invariants: invariants, records: history.NewChecker(capacities)}
-	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleRuns, RuleLog, RuleGiven} {
+	for _, rule := range []string{RuleFinal, RuleServed, RuleGated, RuleNoCrash, RuleLog, RuleGivenUp} {
 		c.rule(rule)
 	}
 	for _, i := range invariants {
@@ -266,14 +266,14 @@
 	c.now = max(c.now, e.At)
 	evidence := func(what string) Evidence { return Evidence{e.At, e.Process, e.Call, e.Place.String(), what} }
 	switch e.Kind {
-	case Ready, Woken:
+	case Ready, Resumed:
 		if p := c.process(e.Process); open(p.down) {
 			p.down[len(p.down)-1].to = e.At + settleGrace
 		}
 		if e.Kind == Ready {
 			c.course.ready(e)
 		}
-	case Asked:
+	case StopRequested:
 		p := c.process(e.Process)
 		p.asked = append(p.asked, e.At)
 	case Stopped, Paused, Crashed:
@@ -281,10 +281,10 @@
 			p.down = append(p.down, span{from: e.At})
 		}
 		if e.Kind == Crashed {
-			c.broke(RuleRuns, evidence(e.What))
+			c.broke(RuleNoCrash, evidence(e.What))
 		}
 		c.course.down(e)
-	case Troubled, Healed:
+	case LinkFaulty, LinkHealed:
 		c.link(e)
 	case Logged:
 		c.logged = true
@@ -298,20 +298,20 @@
 		c.course.tried(e)
 	case Established, Refused, Failed:
 		c.answered(e, evidence)
-	case Second:
+	case ExtraAnswer:
 		c.second(e, evidence("a second final answer: "+e.What))
 	case Expired, Broken:
 		c.unanswered(e, evidence)
 	case Unsent:
 		c.stats.Unsent++
 		c.course.over(e, false)
-	case Late:
+	case AnsweredLate:
 		c.delays.answered(e)
-	case Delayed:
+	case ProcessorDelayed:
 		c.delays.add(e)
-	case Given:
+	case ServerEstablished:
 		c.given[e.Call] = e.What
-	case FaultFrom, FaultTo:
+	case FaultBegan, FaultEnded:
 		c.course.fault(e)
 	}
 	c.agreement(e)
@@ -333,9 +333,9 @@
 	}
 	p := c.process(gatekeeper)
 	switch {
-	case e.Kind == Troubled && !open(p.link):
+	case e.Kind == LinkFaulty && !open(p.link):
 		p.link = append(p.link, span{from: e.At})
-	case e.Kind == Healed && open(p.link):
+	case e.Kind == LinkHealed && open(p.link):
 		p.link[len(p.link)-1].to = e.At + settleGrace
 	}
 }
@@ -517,7 +517,7 @@
 		case f.Verdict != "":
 		case (name == RuleFinal || name == RuleServed) && c.stats.Tries == 0:
 			f.Verdict, f.Why = history.Inconclusive, "no caller sent anything"
-		case name == RuleGiven && len(c.agree.views) == 0:
+		case name == RuleGivenUp && len(c.agree.views) == 0:
 			f.Verdict, f.Why = history.Inconclusive, "no view of the fleet was read"
 		case name == RuleLog && !c.logged:
 			f.Verdict, f.Why = history.Inconclusive, "no log was read"
--- a/internal/fleetcheck/fleetcheck_test.go
+++ b/internal/fleetcheck/fleetcheck_test.go
@@ -59,7 +59,7 @@
 // Each rule is judged just in and just out of its figures, and what excuses is told from what does not.
 func TestVerdicts(t *testing.T) {
 	ready, tried := at(0, Ready, "g1"), called(1000, Tried, "")
-	given := at(1100, Given, "s1")
+	given := at(1100, ServerEstablished, "s1")
 	given.Call, given.What = "c", "d"
 	errorLine := at(1500, Logged, "g1")
 	errorLine.Level, errorLine.What = "error", "no decision by the deadline: call failed"
@@ -75,10 +75,10 @@
 		"served by none":         {RuleServed, 1, 0, []Event{ready, tried, called(1200, Established, "d")}},
 		"served another's":       {RuleServed, 1, 0, []Event{ready, tried, given, called(1200, Established, "e")}},
 		"two answers":            {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Failed, "")}},
-		"told twice":             {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, Second, "ready")}},
-		"released unknown":       {RuleFinal, 1, 0, []Event{ready, tried, given, called(1200, Refused, ""), called(1900, Second, "close")}},
-		"released, new start":    {RuleFinal, 0, 1, []Event{ready, tried, given, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
-		"released, never stood":  {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, Second, "close")}},
+		"told twice":             {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), called(1300, ExtraAnswer, "ready")}},
+		"released unknown":       {RuleFinal, 1, 0, []Event{ready, tried, given, called(1200, Refused, ""), called(1900, ExtraAnswer, "close")}},
+		"released, new start":    {RuleFinal, 0, 1, []Event{ready, tried, given, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, ExtraAnswer, "close")}},
+		"released, never stood":  {RuleFinal, 1, 0, []Event{ready, tried, called(1200, Refused, ""), at(1300, Stopped, "g1"), at(1400, Ready, "g1"), called(1900, ExtraAnswer, "close")}},
 		"to nobody's call":       {RuleFinal, 1, 0, []Event{ready, called(1200, Refused, "")}},
 		"in time":                {RuleFinal, 0, 0, []Event{ready, tried, called(2150, Refused, "")}},
 		"late":                   {RuleFinal, 1, 0, []Event{ready, tried, called(2151, Refused, "")}},
@@ -87,19 +87,19 @@
 		"never, another killed":  {RuleFinal, 1, 0, []Event{ready, tried, at(1500, Stopped, "g2"), called(2200, Expired, "")}},
 		"never, killed before":   {RuleFinal, 1, 0, []Event{ready, at(100, Stopped, "g1"), at(500, Ready, "g1"), tried, called(2200, Expired, "")}},
 		"never, just back":       {RuleFinal, 0, 1, []Event{ready, at(100, Stopped, "g1"), at(800, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"never, paused":          {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Paused, "g1"), at(1600, Woken, "g1"), called(2200, Expired, "")}},
-		"never, callers cut":     {RuleFinal, 0, 1, []Event{ready, tried, way(1500, Troubled, "g1", "front-a"), way(1600, Healed, "g1", "front-a"), called(2200, Expired, "")}},
-		"never, servers cut":     {RuleFinal, 1, 0, []Event{ready, tried, way(1500, Troubled, "g1", "s1"), way(1600, Healed, "g1", "s1"), called(2200, Expired, "")}},
-		"never, cut and healed":  {RuleFinal, 1, 0, []Event{ready, way(500, Troubled, "front-a", "g1"), way(600, Healed, "front-a", "g1"), tried, called(2200, Expired, "")}},
+		"never, paused":          {RuleFinal, 0, 1, []Event{ready, tried, at(1500, Paused, "g1"), at(1600, Resumed, "g1"), called(2200, Expired, "")}},
+		"never, callers cut":     {RuleFinal, 0, 1, []Event{ready, tried, way(1500, LinkFaulty, "g1", "front-a"), way(1600, LinkHealed, "g1", "front-a"), called(2200, Expired, "")}},
+		"never, servers cut":     {RuleFinal, 1, 0, []Event{ready, tried, way(1500, LinkFaulty, "g1", "s1"), way(1600, LinkHealed, "g1", "s1"), called(2200, Expired, "")}},
+		"never, cut and healed":  {RuleFinal, 1, 0, []Event{ready, way(500, LinkFaulty, "front-a", "g1"), way(600, LinkHealed, "front-a", "g1"), tried, called(2200, Expired, "")}},
 		"connection ended":       {RuleFinal, 1, 0, []Event{ready, tried, called(1051, Broken, "")}},
 		"crossed the close":      {RuleFinal, 0, 0, []Event{ready, tried, called(1050, Broken, "")}},
-		"asked, owed":            {RuleFinal, 1, 0, []Event{ready, at(400, Asked, "g1"), tried, called(2200, Expired, "")}},
-		"asked, too late":        {RuleFinal, 0, 1, []Event{ready, at(299, Asked, "g1"), tried, called(2200, Expired, "")}},
-		"asked, and up again":    {RuleFinal, 1, 0, []Event{ready, at(100, Asked, "g1"), at(200, Stopped, "g1"), at(400, Ready, "g1"), tried, called(2200, Expired, "")}},
-		"crash":                  {RuleRuns, 1, 0, []Event{ready, at(500, Crashed, "g1")}},
+		"asked, owed":            {RuleFinal, 1, 0, []Event{ready, at(400, StopRequested, "g1"), tried, called(2200, Expired, "")}},
+		"asked, too late":        {RuleFinal, 0, 1, []Event{ready, at(299, StopRequested, "g1"), tried, called(2200, Expired, "")}},
+		"asked, and up again":    {RuleFinal, 1, 0, []Event{ready, at(100, StopRequested, "g1"), at(200, Stopped, "g1"), at(400, Ready, "g1"), tried, called(2200, Expired, "")}},
+		"crash":                  {RuleNoCrash, 1, 0, []Event{ready, at(500, Crashed, "g1")}},
 		"panic in the log":       {RuleLog, 1, 0, []Event{ready, panicLine}},
 		"missed decision":        {RuleLog, 1, 0, []Event{ready, errorLine}},
-		"missed, it stood still": {RuleLog, 0, 1, []Event{ready, at(900, Paused, "g1"), at(1400, Woken, "g1"), errorLine}},
+		"missed, it stood still": {RuleLog, 0, 1, []Event{ready, at(900, Paused, "g1"), at(1400, Resumed, "g1"), errorLine}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := judge(t, row.events...)
@@ -138,7 +138,7 @@
 		if paused {
 			e := at(1500, Paused, "g1")
 			c.Event(&e)
-			e = at(2500, Woken, "g1")
+			e = at(2500, Resumed, "g1")
 			c.Event(&e)
 		}
 		for i, e := range []history.Event{
@@ -173,9 +173,9 @@
 		for when := control.Micros(0); when < 12000; when += 20 {
 			switch when {
 			case 4000:
-				events = append(events, Event{At: when * ms, Kind: FaultFrom, What: "kill"}, at(when, Stopped, "g1"))
+				events = append(events, Event{At: when * ms, Kind: FaultBegan, What: "kill"}, at(when, Stopped, "g1"))
 			case 6000:
-				events = append(events, Event{At: when * ms, Kind: FaultTo, What: "kill"})
+				events = append(events, Event{At: when * ms, Kind: FaultEnded, What: "kill"})
 			case back:
 				events = append(events, at(when, Ready, "g1"))
 			}
@@ -192,22 +192,22 @@
 		}
 		return c.Result().Faults[0]
 	}
-	if s := run(6500, 6200); s.Before != 1 || s.During > 0.05 || s.Took < 400*ms || s.Took > 600*ms {
+	if s := run(6500, 6200); s.ShareBefore != 1 || s.ShareDuring > 0.05 || s.SettleTime < 400*ms || s.SettleTime > 600*ms {
 		t.Errorf("calls stand 0.5 s after: %+v", s)
 	}
-	if s := run(6500, 8000); s.Took != 2000*ms {
+	if s := run(6500, 8000); s.SettleTime != 2000*ms {
 		t.Errorf("ready 2 s after: %+v", s)
 	}
-	if s := run(6500, 13000); s.Took != -1 {
+	if s := run(6500, 13000); s.SettleTime != -1 {
 		t.Errorf("never ready: %+v", s)
 	}
-	if s := run(12000, 6200); s.Took != -1 {
+	if s := run(12000, 6200); s.SettleTime != -1 {
 		t.Errorf("never back: %+v", s)
 	}
 }
 
 func seen(when control.Micros, process, hash, up string) Event {
-	e := at(when, Viewed, process)
+	e := at(when, ViewRead, process)
 	e.What, e.Peer = hash, up
 	return e
 }
@@ -219,9 +219,9 @@
 	for when := control.Micros(100); when < 12000; when += 200 {
 		switch when {
 		case 2100:
-			events = append(events, Event{At: 2000 * ms, Kind: FaultFrom, What: "kill g1"}, at(2000, Stopped, "g1"))
+			events = append(events, Event{At: 2000 * ms, Kind: FaultBegan, What: "kill g1"}, at(2000, Stopped, "g1"))
 		case 7100:
-			events = append(events, Event{At: 7000 * ms, Kind: FaultTo, What: "kill g1"})
+			events = append(events, Event{At: 7000 * ms, Kind: FaultEnded, What: "kill g1"})
 		case 7500:
 			events = append(events, at(7400, Ready, "g1"))
 		}
@@ -240,7 +240,7 @@
 	short := []Event{}
 	for _, e := range events {
 		if e.At > 9000*ms && len(short) < len(events) {
-			short = append(short, Event{At: 9000 * ms, Kind: FaultFrom, What: "pause g2"}, at(9000, Paused, "g2"))
+			short = append(short, Event{At: 9000 * ms, Kind: FaultBegan, What: "pause g2"}, at(9000, Paused, "g2"))
 			break
 		}
 		short = append(short, e)
@@ -249,8 +249,8 @@
 		t.Errorf("cut short by the next fault: agreed after %d", f.Agreed)
 	}
 	f := judge(t, events...).Faults[0]
-	if f.Noticed != 3100*ms || f.Agreed != 1100*ms || f.Whole != 8500*ms {
-		t.Errorf("noticed after %d, agreed after %d, at %d", f.Noticed, f.Agreed, f.Whole)
+	if f.Noticed != 3100*ms || f.Agreed != 1100*ms || f.AgreedAt != 8500*ms {
+		t.Errorf("noticed after %d, agreed after %d, at %d", f.Noticed, f.Agreed, f.AgreedAt)
 	}
 }
 
@@ -266,18 +266,18 @@
 		events []Event
 	}{
 		"calm":             {1, nil},
-		"long ago":         {1, []Event{way(10000, Troubled, "g1", "g2"), way(20000, Healed, "g1", "g2")}},
-		"still cut":        {0, []Event{way(10000, Troubled, "g1", "g2")}},
-		"just healed":      {0, []Event{way(10000, Troubled, "g1", "g2"), way(30000, Healed, "g1", "g2")}},
-		"callers' way":     {1, []Event{way(10000, Troubled, "front-a", "g2")}},
-		"paused":           {0, []Event{at(30000, Paused, "g2"), at(39000, Woken, "g2")}},
-		"it was paused":    {0, []Event{at(30000, Paused, "g1"), at(39000, Woken, "g1")}},
+		"long ago":         {1, []Event{way(10000, LinkFaulty, "g1", "g2"), way(20000, LinkHealed, "g1", "g2")}},
+		"still cut":        {0, []Event{way(10000, LinkFaulty, "g1", "g2")}},
+		"just healed":      {0, []Event{way(10000, LinkFaulty, "g1", "g2"), way(30000, LinkHealed, "g1", "g2")}},
+		"callers' way":     {1, []Event{way(10000, LinkFaulty, "front-a", "g2")}},
+		"paused":           {0, []Event{at(30000, Paused, "g2"), at(39000, Resumed, "g2")}},
+		"it was paused":    {0, []Event{at(30000, Paused, "g1"), at(39000, Resumed, "g1")}},
 		"down":             {0, []Event{at(10000, Stopped, "g2")}},
 		"restarted":        {0, []Event{at(38000, Stopped, "g2"), at(39000, Ready, "g2")}},
 		"restarted before": {1, []Event{at(10000, Stopped, "g2"), at(11000, Ready, "g2")}},
 	} {
 		events := append(append(append([]Event{}, base...), row.events...), gave)
-		if f := find(t, judge(t, events...), RuleGiven); f.Count != row.broken || f.Excused != 1-row.broken {
+		if f := find(t, judge(t, events...), RuleGivenUp); f.Count != row.broken || f.Excused != 1-row.broken {
 			t.Errorf("%s: %+v", name, f)
 		}
 	}
@@ -294,7 +294,7 @@
 		}
 		stopped := at(10_000, Stopped, "g2")
 		c.Event(&stopped)
-		e := at(readAt, Heard, "g1")
+		e := at(readAt, RateRead, "g1")
 		e.Peer, e.Value = origins, value
 		c.Event(&e)
 		return find(t, c.Result(), RuleRates)
@@ -344,11 +344,11 @@
 		{run(0, row{1000, 0, 6}), 1},
 		{run(0, row{1000, 0, 5}, row{1099, 0, 1}), 1},
 		{run(0, row{1000, 0, 5}, row{9000, 0, 6}), 1},
-		{run(0, row{1000, Limited, 0}, row{2900, 0, 5}, row{3000, 0, 1}, row{3100, 0, 1}), 0}, // the lower one begins at 3 s, anew
-		{run(0, row{1000, Limited, 0}, row{3100, 0, 5}, row{3200, 0, 1}), 1},
-		{run(2, row{1000, 0, 5}, row{1001, FaultFrom, 0}, row{1101, 0, 3}), 0},
-		{run(2, row{1000, 0, 5}, row{1001, FaultFrom, 0}, row{1101, 0, 4}), 1},
-		{run(2, row{1000, FaultFrom, 0}, row{1001, FaultTo, 0}, row{9000, 0, 5}, row{9100, 0, 2}), 1},
+		{run(0, row{1000, LimitChanged, 0}, row{2900, 0, 5}, row{3000, 0, 1}, row{3100, 0, 1}), 0}, // the lower one begins at 3 s, anew
+		{run(0, row{1000, LimitChanged, 0}, row{3100, 0, 5}, row{3200, 0, 1}), 1},
+		{run(2, row{1000, 0, 5}, row{1001, FaultBegan, 0}, row{1101, 0, 3}), 0},
+		{run(2, row{1000, 0, 5}, row{1001, FaultBegan, 0}, row{1101, 0, 4}), 1},
+		{run(2, row{1000, FaultBegan, 0}, row{1001, FaultEnded, 0}, row{9000, 0, 5}, row{9100, 0, 2}), 1},
 	} {
 		if c.got.Count != c.want {
 			t.Errorf("%d: %+v", i, c.got)
@@ -359,7 +359,7 @@
 // Verdicts on a server that is well, that one member misses, or that are not kept to are found; those on an ill one are not.
 func TestVerdictsRule(t *testing.T) {
 	judged := func(when control.Micros, who, held string) Event {
-		e := at(when, Judged, who)
+		e := at(when, VerdictsRead, who)
 		e.Peer = held
 		return e
 	}
@@ -371,7 +371,7 @@
 			c.Event(&e)
 		}
 		if ill {
-			e := at(7500, FaultFrom, "")
+			e := at(7500, FaultBegan, "")
 			e.What = "1 hang"
 			c.Event(&e)
 		}
@@ -388,7 +388,7 @@
 		both = append(both, judged(when, "g1", "3"), judged(when, "g2", "3"))
 	}
 	phase := func(when control.Micros, phase string) Event {
-		e := at(when, Changed, "g1")
+		e := at(when, VerdictPhaseChanged, "g1")
 		e.Peer, e.What = "3", phase
 		return e
 	}
@@ -413,7 +413,7 @@
 		{run(true, 10050, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 0}, // a trial between two readings
 		{run(true, 10120, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 1},
 		{run(true, 10005, tried(phase(7950, "out"), phase(10010, "trial"), phase(10090, "out"))...), 1},
-		{run(true, 0, append([]Event{way(7900, Troubled, "g1", "g2")}, one...)...), 0},
+		{run(true, 0, append([]Event{way(7900, LinkFaulty, "g1", "g2")}, one...)...), 0},
 	} {
 		if row.got.Count != row.want {
 			t.Errorf("%d: %+v", i, row.got)
--- a/internal/fleetcheck/limit.go
+++ b/internal/fleetcheck/limit.go
@@ -25,11 +25,11 @@
 
 // LimitStats is what a run shows of its limit.
 type LimitStats struct {
-	Admitted int        `json:"admitted"`
-	Over     [3]float64 `json:"most_over"`     // calls over per_s x t in windows of 0.1, 1 and 10 s, of which burst is allowed
-	Bound    float64    `json:"most_of_bound"` // the most that any window used of per_s x t + burst, as tokens short of 0: over 0 breaks it
-	Used     float64    `json:"used"`          // part of the limit, while callers offered more; -1: they did not
-	Moved    []float64  `json:"moved_s"`       // until a moved demand had nine tenths of the limit for half a second; -1: never
+	Admitted    int        `json:"admitted"`
+	MostOver    [3]float64 `json:"most_over"`     // calls over per_s x t in windows of 0.1, 1 and 10 s, of which burst is allowed
+	MostOfBound float64    `json:"most_of_bound"` // the most that any window used of per_s x t + burst, as tokens short of 0: over 0 breaks it
+	Used        float64    `json:"used"`          // part of the limit, while callers offered more; -1: they did not
+	ServedAfter []float64  `json:"moved_s"`       // until a moved demand had nine tenths of the limit for half a second; -1: never
 }
 
 // Limit holds what all gatekeepers together let in against their limit, by their own records of each admission: no window of
@@ -67,8 +67,8 @@
 	return &Limit{perS: perS, burst: burst, settle: settle, loose: loose, wakes: wakes, tokens: burst, on: map[string]float64{}}
 }
 
-// Measure lets use and overshoot be measured against another limit than the one that is judged.
-func (l *Limit) Measure(perS float64) *Limit {
+// MeasureAgainst lets use and overshoot be measured against another limit than the one that is judged.
+func (l *Limit) MeasureAgainst(perS float64) *Limit {
 	l.measure = perS
 	return l
 }
@@ -85,25 +85,25 @@
 	switch e.Kind {
 	case Tried:
 		l.tried = append(l.tried, e.At)
-	case Moved:
+	case DemandMoved:
 		l.moved = append(l.moved, e.At)
-	case Limited:
+	case LimitChanged:
 		burst, _ := strconv.ParseFloat(e.Class, 64)
 		at := e.At
 		if e.Value < l.perS {
 			at += l.settle
 		}
 		l.next = append(l.next, change{at, e.Value, burst})
-	case FaultFrom:
+	case FaultBegan:
 		if f := l.loose[e.What]; f > 0 {
 			l.on[e.What] = f
 		}
-	case FaultTo:
+	case FaultEnded:
 		if f := l.on[e.What]; f > 0 {
 			delete(l.on, e.What)
 			l.lately, l.until = f, e.At+looseAfter
 		}
-	case Woken:
+	case Resumed:
 		if l.wakes > 0 {
 			l.lately, l.until = l.wakes, e.At+looseAfter
 		}
@@ -160,17 +160,17 @@
 	if l.measure > 0 {
 		l.perS = l.measure
 	}
-	s := LimitStats{Admitted: len(l.admitted), Bound: l.most, Used: -1}
+	s := LimitStats{Admitted: len(l.admitted), MostOfBound: l.most, Used: -1}
 	for i, w := range OverWindows {
-		s.Over[i] = math.Inf(-1)
+		s.MostOver[i] = math.Inf(-1)
 		for from, to := 0, 0; to < len(l.admitted); to++ {
 			for l.admitted[to]-l.admitted[from] > w {
 				from++
 			}
-			s.Over[i] = max(s.Over[i], float64(to-from+1)-l.perS*float64(w)/1e6)
+			s.MostOver[i] = max(s.MostOver[i], float64(to-from+1)-l.perS*float64(w)/1e6)
 		}
 		if len(l.admitted) == 0 {
-			s.Over[i] = 0
+			s.MostOver[i] = 0
 		}
 	}
 	if len(l.tried) == 0 {
@@ -210,7 +210,7 @@
 				break
 			}
 		}
-		s.Moved = append(s.Moved, took)
+		s.ServedAfter = append(s.ServedAfter, took)
 	}
 	return s
 }
--- a/internal/fleetcheck/rates.go
+++ b/internal/fleetcheck/rates.go
@@ -49,7 +49,7 @@
 		}
 	case Ready:
 		delete(r.gone, e.Process)
-	case Heard:
+	case RateRead:
 		for name := range strings.SplitSeq(e.Peer, " ") {
 			if since, ok := r.gone[name]; ok && e.At-since > r.stale+readSlack {
 				broke(Evidence{e.At, e.Process, "", e.Place.String(), fmt.Sprintf("still counts %s, ended %d ms ago", name, (e.At-since)/1000)})
--- a/internal/fleetcheck/settle.go
+++ b/internal/fleetcheck/settle.go
@@ -18,16 +18,16 @@
 
 // Settled is how long the fleet took after one fault was over.
 type Settled struct {
-	Fault   string         `json:"fault"`
-	From    control.Micros `json:"from"`
-	To      control.Micros `json:"to"`
-	Before  float64        `json:"stood_before"` // part of the tries, over the 3 s before it
-	During  float64        `json:"stood_during"`
-	Took    control.Micros `json:"settled_us"`         // from its end; -1: not within the run, or nothing to tell it by
-	Noticed control.Micros `json:"noticed_us"`         // from its begin until all views of those that ran held them alone; -1: not before its end
-	Agreed  control.Micros `json:"agreed_us"`          // from its end (and all being ready) until all views are the same and hold all; -1: not in the run
-	Whole   control.Micros `json:"whole_at,omitempty"` // when that was; 0: not in the run
-	Overlap bool           `json:"overlapped"`         // another fault was on before it settled
+	Fault       string         `json:"fault"`
+	From        control.Micros `json:"from"`
+	To          control.Micros `json:"to"`
+	ShareBefore float64        `json:"stood_before"` // part of the tries, over the 3 s before it
+	ShareDuring float64        `json:"stood_during"`
+	SettleTime  control.Micros `json:"settled_us"`         // from its end; -1: not within the run, or nothing to tell it by
+	Noticed     control.Micros `json:"noticed_us"`         // from its begin until all views of those that ran held them alone; -1: not before its end
+	Agreed      control.Micros `json:"agreed_us"`          // from its end (and all being ready) until all views are the same and hold all; -1: not in the run
+	AgreedAt    control.Micros `json:"whole_at,omitempty"` // when that was; 0: not in the run
+	Overlapped  bool           `json:"overlapped"`         // another fault was on before it settled
 }
 
 // Bucket is what came of the tries of a tenth of a second, by when they were sent.
@@ -102,9 +102,9 @@
 	if c.names == nil {
 		c.names = map[string]int{}
 	}
-	if e.Kind == FaultFrom {
+	if e.Kind == FaultBegan {
 		c.names[e.What] = len(c.faults)
-		c.faults = append(c.faults, Settled{Fault: e.What, From: e.At, Took: -1})
+		c.faults = append(c.faults, Settled{Fault: e.What, From: e.At, SettleTime: -1})
 		return
 	}
 	if i, ok := c.names[e.What]; ok && c.faults[i].To == 0 {
@@ -136,9 +136,9 @@
 		if f.To == 0 {
 			continue
 		}
-		f.Before, _ = c.part(f.From-beforeFor, f.From)
-		f.During, _ = c.part(f.From, f.To)
-		goal := f.Before * back
+		f.ShareBefore, _ = c.part(f.From-beforeFor, f.From)
+		f.ShareDuring, _ = c.part(f.From, f.To)
+		goal := f.ShareBefore * back
 		from := f.To
 		for _, spans := range c.notReady {
 			for _, s := range spans {
@@ -157,14 +157,14 @@
 		end := c.rows[len(c.rows)-1].At + bucketOf
 		for at := from; at+windowOf*bucketOf <= end; at += bucketOf {
 			if p, ok := c.part(at, at+windowOf*bucketOf); ok && p >= goal {
-				f.Took = at - f.To
+				f.SettleTime = at - f.To
 				break
 			}
 		}
 		for j, o := range out {
-			settledAt := f.To + max(f.Took, 0)
+			settledAt := f.To + max(f.SettleTime, 0)
 			if j != i && o.From < settledAt && (o.To == 0 || o.To > f.From) {
-				f.Overlap = true
+				f.Overlapped = true
 			}
 		}
 	}
--- a/internal/fleetcheck/verdicts.go
+++ b/internal/fleetcheck/verdicts.go
@@ -21,18 +21,18 @@
 	keptSlack     = control.Micros(600000)  // a set-up may be on its way, and a reading is as old as its pace
 )
 
-// RudeAddress is where callers come from in the laboratory that send what can't be read; no others do.
-const RudeAddress = "127.0.0.9"
+// MalformedClientAddress is where callers come from in the laboratory that send what can't be read; no others do.
+const MalformedClientAddress = "127.0.0.9"
 
 // VerdictStats is what a run shows of its verdicts.
 type VerdictStats struct {
-	Convicted int     `json:"convicted"`              // servers, each time it began at the first member
-	Called    int     `json:"convicted_while_called"` // of those before the callers' last try
-	Wrongful  int     `json:"wrongful"`               // of those that nothing was wrong with
-	First     float64 `json:"first_out_s"`            // from the first fault of a server to the first member that keeps away; -1: never
-	All       float64 `json:"all_out_s"`              // and to the last one that runs
-	Numbers   int     `json:"numbers_held_busy"`      // each at each member counts
-	Sent      int     `json:"setups_while_kept_out"`  // by a gatekeeper to a server that it held out
+	Convicted            int     `json:"convicted"`              // servers, each time it began at the first member
+	ConvictedWhileCalled int     `json:"convicted_while_called"` // of those before the callers' last try
+	Wrongful             int     `json:"wrongful"`               // of those that nothing was wrong with
+	FirstExclusion       float64 `json:"first_out_s"`            // from the first fault of a server to the first member that keeps away; -1: never
+	AllExcluded          float64 `json:"all_out_s"`              // and to the last one that runs
+	BusyNumbers          int     `json:"numbers_held_busy"`      // each at each member counts
+	SentWhileExcluded    int     `json:"setups_while_kept_out"`  // by a gatekeeper to a server that it held out
 }
 
 type outSpan struct {
@@ -73,7 +73,7 @@
 func NewVerdicts(front string, suspects map[string][]uint32, numbers map[string]string) *Verdicts {
 	return &Verdicts{front: front, suspects: suspects, numbers: numbers, busyTo: map[string]control.Micros{}, busyBy: map[string]map[string]bool{}, illTo: map[uint32]control.Micros{}, ill: map[uint32]int{},
 		running: map[string]control.Micros{}, out: map[string]map[uint32]*outSpan{}, past: map[string]map[uint32][]outSpan{},
-		first: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{First: -1, All: -1}}
+		first: map[uint32]control.Micros{}, checked: map[uint32]bool{}, stats: VerdictStats{FirstExclusion: -1, AllExcluded: -1}}
 }
 
 // phaseChange is the phase of a verdict on a server from a time on.
@@ -118,7 +118,7 @@
 // Event implements Invariant.
 func (v *Verdicts) Event(e *Event, broke func(Evidence)) {
 	switch e.Kind {
-	case FaultFrom:
+	case FaultBegan:
 		if n := v.numbers[e.What]; n != "" {
 			v.busyTo[n] = 0
 		}
@@ -128,7 +128,7 @@
 				v.began = e.At
 			}
 		}
-	case FaultTo:
+	case FaultEnded:
 		if n := v.numbers[e.What]; n != "" {
 			v.busyTo[n] = e.At + faultMemory
 		}
@@ -136,26 +136,26 @@
 			v.ill[id]--
 			v.illTo[id] = e.At
 		}
-	case Ready, Woken:
+	case Ready, Resumed:
 		v.running[e.Process] = e.At
-	case Stopped, Crashed, Paused, Asked:
+	case Stopped, Crashed, Paused, StopRequested:
 		delete(v.running, e.Process)
 		delete(v.out, e.Process)
-	case Troubled, Healed:
+	case LinkFaulty, LinkHealed:
 		if strings.HasPrefix(e.Process, v.front) || strings.HasPrefix(e.Peer, v.front) {
 			return
 		}
 		v.calm = e.At
-		if e.Kind == Troubled {
+		if e.Kind == LinkFaulty {
 			v.trouble++
 		} else {
 			v.trouble--
 		}
 	case Tried:
 		v.tried = e.At
-	case Changed:
+	case VerdictPhaseChanged:
 		v.changed(e)
-	case Judged:
+	case VerdictsRead:
 		v.judged(e, broke)
 	}
 }
@@ -178,7 +178,7 @@
 		v.busyBy[n][e.Process] = true
 	}
 	for address := range strings.FieldsSeq(e.Call) {
-		if address != RudeAddress {
+		if address != MalformedClientAddress {
 			broke(Evidence{e.At, e.Process, "", e.Place.String(), "turns away " + address + ", which sends nothing bad"})
 		}
 	}
@@ -278,24 +278,24 @@
 	for _, e := range v.sent {
 		for _, s := range v.past[e.Node][e.Server] {
 			if e.At > s.from+keptSlack && e.At < s.to-keptSlack && !v.onTrial(e.Node, e.Server, e.At) {
-				v.stats.Sent++
+				v.stats.SentWhileExcluded++
 				broke(Evidence{e.At, e.Node, e.Call, "records/" + e.Node, fmt.Sprintf("sent to server %d, which it held out", e.Server)})
 			}
 		}
 	}
 	for _, at := range v.convicted {
 		if at <= v.tried {
-			v.stats.Called++
+			v.stats.ConvictedWhileCalled++
 		}
 	}
 	for _, by := range v.busyBy {
-		v.stats.Numbers += len(by)
+		v.stats.BusyNumbers += len(by)
 	}
 	if v.began > 0 && v.firstOut > v.began {
-		v.stats.First = float64(v.firstOut-v.began) / 1e6
+		v.stats.FirstExclusion = float64(v.firstOut-v.began) / 1e6
 	}
 	if v.began > 0 && v.allOut > v.began {
-		v.stats.All = float64(v.allOut-v.began) / 1e6
+		v.stats.AllExcluded = float64(v.allOut-v.began) / 1e6
 	}
 }
 
--- a/internal/fleetcheck/views.go
+++ b/internal/fleetcheck/views.go
@@ -44,24 +44,24 @@
 		a.running, a.views, a.down = map[string]bool{}, map[string]seenView{}, map[string]control.Micros{}
 	}
 	switch e.Kind {
-	case Ready, Woken:
+	case Ready, Resumed:
 		a.running[e.Process] = true
 		a.down[e.Process] = e.At
-	case Stopped, Crashed, Paused, Asked:
+	case Stopped, Crashed, Paused, StopRequested:
 		delete(a.running, e.Process)
 		a.down[e.Process] = e.At
-	case Troubled, Healed:
+	case LinkFaulty, LinkHealed:
 		if strings.HasPrefix(e.Process, c.front) || strings.HasPrefix(e.Peer, c.front) {
 			return
 		}
 		a.trouble = e.At
-		if e.Kind == Troubled {
+		if e.Kind == LinkFaulty {
 			a.open++
 		} else {
 			a.open--
 		}
 		return
-	case Viewed:
+	case ViewRead:
 		a.views[e.Process] = seenView{e.At, e.What, e.Peer}
 	default:
 		return
@@ -148,7 +148,7 @@
 			}
 		}
 		if at := c.agree.since(from+1, c.now, next); at >= 0 {
-			f.Agreed, f.Whole = at-from, at
+			f.Agreed, f.AgreedAt = at-from, at
 		}
 	}
 	return faults
@@ -162,8 +162,8 @@
 	ownAt, ownKnown := a.down[e.Process]
 	if !a.running[e.Peer] || !a.running[e.Process] || a.open > 0 || a.trouble > 0 && e.At-a.trouble < troubleFor ||
 		lately(memberAt, memberKnown && memberAt > c.course.begin) || lately(ownAt, ownKnown && ownAt > c.course.begin) {
-		c.rule(RuleGiven).Excused++
+		c.rule(RuleGivenUp).Excused++
 		return
 	}
-	c.broke(RuleGiven, evidence)
+	c.broke(RuleGivenUp, evidence)
 }
--- a/internal/fleetlab/check.go
+++ b/internal/fleetlab/check.go
@@ -166,7 +166,7 @@
 			}
 		}
 	case "alone":
-		return fleetcheck.NewLimit(n*s.Limits.PerS, n*s.Limits.Burst, reloadSettles, nil, 0).Measure(s.Limits.PerS)
+		return fleetcheck.NewLimit(n*s.Limits.PerS, n*s.Limits.Burst, reloadSettles, nil, 0).MeasureAgainst(s.Limits.PerS)
 	}
 	return fleetcheck.NewLimit(s.Limits.PerS, s.Limits.Burst, reloadSettles, loose, wakes)
 }
@@ -228,7 +228,7 @@
 		return e
 	}
 	if l.Msg == verdictChanged {
-		return fleetcheck.Event{At: control.Micros(l.Time.UnixMicro()), Kind: fleetcheck.Changed, Peer: fmt.Sprint(l.Server), What: fmt.Sprint(l.Phase)}
+		return fleetcheck.Event{At: control.Micros(l.Time.UnixMicro()), Kind: fleetcheck.VerdictPhaseChanged, Peer: fmt.Sprint(l.Server), What: fmt.Sprint(l.Phase)}
 	}
 	return fleetcheck.Event{At: control.Micros(l.Time.UnixMicro()), Kind: fleetcheck.Logged, Level: l.Level, What: l.Msg, Call: l.Call, Peer: l.Member, Health: l.Health}
 }
--- a/internal/fleetlab/compare.go
+++ b/internal/fleetlab/compare.go
@@ -154,7 +154,7 @@
 		case fleetcheck.Ready:
 			started[e.Process] = e.At
 			delete(ending, e.Process)
-		case fleetcheck.Asked:
+		case fleetcheck.StopRequested:
 			ending[e.Process] = true
 		case fleetcheck.Stopped:
 			if m := usedIn.FindStringSubmatch(e.What); m != nil && e.At-started[e.Process] > 5e6 {
@@ -163,7 +163,7 @@
 				g.cpu = append(g.cpu, cpu/(float64(e.At-started[e.Process])/1e6))
 				g.memory = append(g.memory, kib/1024)
 			}
-		case fleetcheck.Viewed:
+		case fleetcheck.ViewRead:
 			var now sample
 			now.at = e.At
 			fmt.Sscan(e.Class, &now.packets, &now.bytes)
--- a/internal/fleetlab/delays.go
+++ b/internal/fleetlab/delays.go
@@ -67,7 +67,7 @@
 func (f *fleet) noteDelay(process string, waited, longest, since time.Duration) {
 	waited = stalled(waited, longest, since)
 	if waited >= leastDelay {
-		f.runs.note(fleetcheck.Delayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
+		f.runs.note(fleetcheck.ProcessorDelayed, line{Process: process, Span: waited.Microseconds(), Value: since.Seconds(),
 			Class: strconv.FormatInt(longest.Microseconds(), 10)})
 	}
 }
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -28,7 +28,7 @@
 			case <-ctx.Done():
 			case <-time.After(time.Until(f.began.Add(time.Duration(h.At)))):
 				if h.At > 0 {
-					f.runs.note(fleetcheck.Moved, line{Process: h.To})
+					f.runs.note(fleetcheck.DemandMoved, line{Process: h.To})
 				}
 			}
 		})
@@ -53,13 +53,13 @@
 func (f *fleet) one(ctx context.Context, id int, fault script.Fault) {
 	name := faultName(id, fault)
 	f.tell(name)
-	f.runs.note(fleetcheck.FaultFrom, line{What: name})
+	f.runs.note(fleetcheck.FaultBegan, line{What: name})
 	undo := f.do(id, fault)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(fault.For)):
 	}
-	f.runs.note(fleetcheck.FaultTo, line{What: name})
+	f.runs.note(fleetcheck.FaultEnded, line{What: name})
 	f.tell("over: " + name)
 	undo(ctx)
 }
@@ -105,7 +105,7 @@
 				f.runs.note(fleetcheck.Stopped, line{Process: name, What: "SIGKILL"})
 				p.signal(syscall.SIGKILL)
 			case "term":
-				f.runs.note(fleetcheck.Asked, line{Process: name, What: "SIGTERM"})
+				f.runs.note(fleetcheck.StopRequested, line{Process: name, What: "SIGTERM"})
 				p.signal(syscall.SIGTERM)
 			case "pause":
 				f.runs.note(fleetcheck.Paused, line{Process: name, What: "SIGSTOP"})
@@ -121,7 +121,7 @@
 			f.mu.Unlock()
 			if fault.Kind == "pause" {
 				p.signal(syscall.SIGCONT)
-				f.runs.note(fleetcheck.Woken, line{Process: g.name})
+				f.runs.note(fleetcheck.Resumed, line{Process: g.name})
 				continue
 			}
 			all.Go(func() { f.again(ctx, g, p, fault.State == "empty") })
@@ -156,7 +156,7 @@
 			continue
 		}
 		done.Go(func() {
-			d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fleetcheck.RudeAddress)}}
+			d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(fleetcheck.MalformedClientAddress)}}
 			tick := time.NewTicker(rudeEvery)
 			defer tick.Stop()
 			for {
@@ -191,7 +191,7 @@
 	set := func(factor float64) {
 		limits := *f.s.Limits
 		limits.PerS, limits.Burst = limits.PerS*factor, limits.Burst*factor
-		f.runs.note(fleetcheck.Limited, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
+		f.runs.note(fleetcheck.LimitChanged, line{Process: strings.Join(names, " "), Value: limits.PerS, Class: fmt.Sprint(limits.Burst)})
 		for _, g := range f.gatekeepers {
 			if !slices.Contains(names, g.name) {
 				continue
@@ -355,7 +355,7 @@
 		case fault.Kind == "reset":
 			f.net.Reset(d[0], d[1], int64(fault.Bytes))
 		case doors != relay.Open:
-			f.net.SetDoor(d[0], d[1], doors)
+			f.net.SetMode(d[0], d[1], doors)
 		default:
 			f.add(d, c)
 		}
@@ -366,7 +366,7 @@
 			case fault.Kind == "reset":
 				f.net.ClearReset(d[0], d[1])
 			case doors != relay.Open:
-				f.net.SetDoor(d[0], d[1], relay.Open)
+				f.net.SetMode(d[0], d[1], relay.Open)
 			default:
 				f.remove(d, id)
 			}
@@ -383,9 +383,9 @@
 		f.troubled[d] += change
 		switch {
 		case change > 0 && f.troubled[d] == 1:
-			f.runs.note(fleetcheck.Troubled, line{Process: d[0], Peer: d[1]})
+			f.runs.note(fleetcheck.LinkFaulty, line{Process: d[0], Peer: d[1]})
 		case change < 0 && f.troubled[d] == 0:
-			f.runs.note(fleetcheck.Healed, line{Process: d[0], Peer: d[1]})
+			f.runs.note(fleetcheck.LinkHealed, line{Process: d[0], Peer: d[1]})
 		}
 	}
 }
@@ -414,7 +414,7 @@
 			all.BytesPerS = c.BytesPerS
 		}
 	}
-	if err := f.net.Set(d[0], d[1], all); err != nil && f.fault == nil {
+	if err := f.net.SetCondition(d[0], d[1], all); err != nil && f.fault == nil {
 		f.fault = fmt.Errorf("%s: %w", strings.Join(d[:], " to "), err)
 	}
 }
--- a/internal/fleetlab/fleetlab_test.go
+++ b/internal/fleetlab/fleetlab_test.go
@@ -98,7 +98,7 @@
 		if sum.Stats.Broken == 0 {
 			t.Error("no call was open when it was killed")
 		}
-		if sum.Faults[0].Took < 0 {
+		if sum.Faults[0].SettleTime < 0 {
 			t.Error("it did not settle")
 		}
 	})
@@ -106,7 +106,7 @@
 		t.Parallel()
 		sum := play(t, small+"length: 10s\nfaults:\n  - {at: 2s, for: 2s, fault: partition, from: zone:a, to: zone:b}\n"+
 			"  - {at: 4s, for: 2s, fault: partition, from: g1, to: servers+bus+gatekeepers}\n")
-		if sum.Faults[1].Took < 0 {
+		if sum.Faults[1].SettleTime < 0 {
 			t.Error("the second did not settle")
 		}
 		// g2 is alone in zone b, so it lost its leader or led nobody; g1 then lost all servers and refused or failed calls.
@@ -126,7 +126,7 @@
 		if elections < 2 {
 			t.Errorf("%d elections: no leader was given up", elections)
 		}
-		if sum.Faults[2].Took < 0 {
+		if sum.Faults[2].SettleTime < 0 {
 			t.Error("the last pause did not settle")
 		}
 	})
@@ -142,8 +142,8 @@
 	t.Run("all killed at once and started again", func(t *testing.T) {
 		t.Parallel()
 		sum := play(t, small+"length: 9s\nfaults:\n  - {at: 3s, for: 500ms, fault: kill, target: gatekeepers, state: same}\n")
-		if sum.Stats.Unsent == 0 || sum.Faults[0].Took < 0 {
-			t.Errorf("unsent %d, settled %d", sum.Stats.Unsent, sum.Faults[0].Took)
+		if sum.Stats.Unsent == 0 || sum.Faults[0].SettleTime < 0 {
+			t.Errorf("unsent %d, settled %d", sum.Stats.Unsent, sum.Faults[0].SettleTime)
 		}
 		for _, name := range []string{"g1", "g2", "g3"} {
 			if n := strings.Count(log(t, sum, name), `"msg":"store ready"`); n != 2 {
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sum.Held() || sum.Rule != fleetcheck.RuleRuns || sum.First.Process != "g1" {
+	if sum.Held() || sum.Rule != fleetcheck.RuleNoCrash || sum.First.Process != "g1" {
 		t.Errorf("%s: %v", sum.Rule, sum.First)
 	}
 }
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -150,7 +150,7 @@
 	f.mu.Lock()
 	for _, g := range f.gatekeepers {
 		if p := g.p; p != nil && !p.over() {
-			f.runs.note(fleetcheck.Asked, line{Process: g.name})
+			f.runs.note(fleetcheck.StopRequested, line{Process: g.name})
 			all.Go(func() {
 				if !p.end(endWithin) {
 					f.runs.note(fleetcheck.Crashed, line{Process: p.name, What: "did not end within " + endWithin.String() + " of SIGTERM: killed"})
--- a/internal/fleetlab/journal.go
+++ b/internal/fleetlab/journal.go
@@ -26,7 +26,7 @@
 }
 
 func (l *line) event(place fleetcheck.Place) (fleetcheck.Event, bool) {
-	kind, ok := fleetcheck.KindNamed(l.Kind)
+	kind, ok := fleetcheck.ParseKind(l.Kind)
 	return fleetcheck.Event{At: control.Micros(l.At), Kind: kind, Process: l.Process, Peer: l.Peer, Call: l.Call, Class: l.Class,
 		What: l.What, Span: control.Micros(l.Span), Value: l.Value, Place: place}, ok
 }
--- a/internal/fleetlab/limits_test.go
+++ b/internal/fleetlab/limits_test.go
@@ -59,10 +59,10 @@
 // the limits to say. It is SettleTime until what is told is spent, and GrowTime until a claim has grown to it.
 func whole(sum *Summary, from float64) float64 {
 	first := sum.Faults[0]
-	if sum.Disturbance.Count == 0 || first.Whole == 0 {
+	if sum.Disturbance.Count == 0 || first.AgreedAt == 0 {
 		return from
 	}
-	at := faultAt.Seconds() + float64(first.Whole-first.From+quota.SettleTime+quota.GrowTime)/1e6
+	at := faultAt.Seconds() + float64(first.AgreedAt-first.From+quota.SettleTime+quota.GrowTime)/1e6
 	return min(max(from, at), from+latest)
 }
 
@@ -86,9 +86,9 @@
 			t.Parallel()
 			hold(t, limited(mode, 3)+"length: 18s\nhomes:\n  - {at: 0s, to: g1+g3+g5}\n  - {at: 9s, to: g2+g4+g6}\n"+
 				"faults:\n  - {at: 6s, for: 1s, fault: delay, from: gatekeepers, to: gatekeepers, delay: 30ms, jitter: 10ms}\n", func(t *trial, sum *Summary) {
-				require.Len(t, sum.Limit.Moved, 1)
-				require.Greater(t, sum.Limit.Moved[0], 0.0)
-				require.Less(t, sum.Limit.Moved[0], 3.0)
+				require.Len(t, sum.Limit.ServedAfter, 1)
+				require.Greater(t, sum.Limit.ServedAfter[0], 0.0)
+				require.Less(t, sum.Limit.ServedAfter[0], 3.0)
 				require.Greater(t, sum.Limit.Used, 0.75)
 			})
 		})
--- a/internal/fleetlab/links.go
+++ b/internal/fleetlab/links.go
@@ -47,7 +47,7 @@
 		}
 		for k := range f.s.Gatekeepers {
 			if to := script.Gatekeeper(k); f.s.Fleet && k != i {
-				l, _, err := f.net.Both(g.name, to, fleetService)
+				l, _, err := f.net.TCPAndUDP(g.name, to, fleetService)
 				if err != nil {
 					return err
 				}
--- a/internal/fleetlab/load.go
+++ b/internal/fleetlab/load.go
@@ -41,8 +41,8 @@
 		zones[i%f.s.Zones][1] = append(zones[i%f.s.Zones][1], i)
 	}
 	kinds := map[lab.SeenKind]fleetcheck.Kind{lab.Tried: fleetcheck.Tried, lab.Established: fleetcheck.Established, lab.Refused: fleetcheck.Refused,
-		lab.Failed: fleetcheck.Failed, lab.SecondAnswer: fleetcheck.Second, lab.Unanswered: fleetcheck.Expired,
-		lab.Broken: fleetcheck.Broken, lab.Unsent: fleetcheck.Unsent, lab.LateAnswer: fleetcheck.Late}
+		lab.Failed: fleetcheck.Failed, lab.SecondAnswer: fleetcheck.ExtraAnswer, lab.Unanswered: fleetcheck.Expired,
+		lab.Broken: fleetcheck.Broken, lab.Unsent: fleetcheck.Unsent, lab.LateAnswer: fleetcheck.AnsweredLate}
 	return lab.Load{Seed: f.s.Seed, Gatekeepers: f.s.Gatekeepers, Servers: f.s.Servers, Length: time.Duration(f.s.Length),
 		PerS: f.s.Load * lab.PlatformWork().Capacity() * float64(f.s.Servers),
 		Pick: func(rng *rand.Rand) (home, dest int) {
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -63,14 +63,14 @@
 		fmt.Fprintln(w, "\nfault\tstood before\tduring\tsettled after\tnoticed after\tviews agree after\t")
 		for _, f := range s.Faults {
 			settled := "not in the run"
-			if f.Took >= 0 {
-				settled = fmt.Sprintf("%.1f s", float64(f.Took)/1e6)
+			if f.SettleTime >= 0 {
+				settled = fmt.Sprintf("%.1f s", float64(f.SettleTime)/1e6)
 			}
 			note := ""
-			if f.Overlap {
+			if f.Overlapped {
 				note = "beside another"
 			}
-			fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%s\t%s\t%s\n", f.Fault, f.Before, f.During, settled, seconds(f.Noticed), seconds(f.Agreed), note)
+			fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%s\t%s\t%s\n", f.Fault, f.ShareBefore, f.ShareDuring, settled, seconds(f.Noticed), seconds(f.Agreed), note)
 		}
 	}
 	fmt.Fprintln(w, "\nrule\tverdict\tbroken\texcused\t")
--- a/internal/fleetlab/servers.go
+++ b/internal/fleetlab/servers.go
@@ -49,7 +49,7 @@
 	}
 	s.Hear(func(e lab.Seen) {
 		if e.Kind == lab.ServerAnswered {
-			f.serves.note(fleetcheck.Given, line{Process: v.name, Call: e.Call, What: "stands " + e.Call})
+			f.serves.note(fleetcheck.ServerEstablished, line{Process: v.name, Call: e.Call, What: "stands " + e.Call})
 		}
 	})
 	v.mu.Lock()
--- a/internal/fleetlab/trial_test.go
+++ b/internal/fleetlab/trial_test.go
@@ -39,7 +39,7 @@
 )
 
 // timely are the rules that say by when something has happened. All others hold however late a process is.
-var timely = []string{fleetcheck.RuleFinal, fleetcheck.RuleGiven, fleetcheck.RuleRates, fleetcheck.RuleVerdicts, "records: " + history.RuleAnswer}
+var timely = []string{fleetcheck.RuleFinal, fleetcheck.RuleGivenUp, fleetcheck.RuleRates, fleetcheck.RuleVerdicts, "records: " + history.RuleAnswer}
 
 // verdict is what one play came to.
 type verdict struct {
@@ -255,7 +255,7 @@
 	v = play(fleetcheck.RuleVerdicts, 2, well)
 	require.Len(t, v.failed, 1)
 	require.False(t, v.final)
-	for _, rule := range []string{fleetcheck.RuleLimit, fleetcheck.RuleServed, fleetcheck.RuleRuns, fleetcheck.RuleLog, fleetcheck.RuleGated,
+	for _, rule := range []string{fleetcheck.RuleLimit, fleetcheck.RuleServed, fleetcheck.RuleNoCrash, fleetcheck.RuleLog, fleetcheck.RuleGated,
 		"records: " + history.RuleSingleAttempt, "records: " + history.RuleReleaseGuard} {
 		require.True(t, play(rule, 1, well).final, rule)
 	}
@@ -278,7 +278,7 @@
 	}{{0, 12, 11}, {1, 0, 11}, {1, 9, 11}, {1, 10, 11.7}, {1, 60, 11 + latest}} {
 		first := fleetcheck.Settled{From: 1e6 * (100 + 6)}
 		if row.wholeAt > 0 {
-			first.Whole = control.Micros(1e6 * (100 + row.wholeAt))
+			first.AgreedAt = control.Micros(1e6 * (100 + row.wholeAt))
 		}
 		sum := &Summary{Result: &fleetcheck.Result{Faults: []fleetcheck.Settled{first}, Disturbance: fleetcheck.Disturbance{Count: row.disturbed}}}
 		require.InDelta(t, row.want, whole(sum, 11), 1e-6, "%+v", row)
--- a/internal/fleetlab/verdicts_test.go
+++ b/internal/fleetlab/verdicts_test.go
@@ -17,9 +17,9 @@
 	const fleet = "gatekeepers: 6\nservers: 8\nzones: 2\nstore_members: 0\nfleet: true\nverdicts: true\n"
 	convicted := func(t *trial, sum *Summary) {
 		require.Greater(t, sum.Verdicts.Convicted, 0)
-		require.Greater(t, sum.Verdicts.First, 0.0)
-		require.Greater(t, sum.Verdicts.All, 0.0, "all members that run held it")
-		require.Less(t, sum.Verdicts.All-sum.Verdicts.First, 3.0)
+		require.Greater(t, sum.Verdicts.FirstExclusion, 0.0)
+		require.Greater(t, sum.Verdicts.AllExcluded, 0.0, "all members that run held it")
+		require.Less(t, sum.Verdicts.AllExcluded-sum.Verdicts.FirstExclusion, 3.0)
 	}
 	// In two groups, so that not all processes run at the same time.
 	t.Run("servers", func(t *testing.T) {
@@ -44,7 +44,7 @@
 			t.Parallel()
 			hold(t, fleet+"length: 14s\nhomes:\n  - {at: 0s, to: g1+g2+g3}\nfaults:\n  - {at: 3s, for: 5s, fault: engaged, target: servers, number: \"5550199\", part: 0.2}\n", func(t *trial, sum *Summary) {
 				require.Zero(t, sum.Verdicts.Convicted, "that is no server's fault")
-				require.Equal(t, 6, sum.Verdicts.Numbers, "all know it, also those that were never asked for it")
+				require.Equal(t, 6, sum.Verdicts.BusyNumbers, "all know it, also those that were never asked for it")
 			})
 		})
 		t.Run("a caller that sends what can't be read goes on to others", func(t *testing.T) {
@@ -72,7 +72,7 @@
 			// To the end of the run. Once the callers call no more the others work off their queues and answer as they do: one that is
 			// still buried then is an outlier indeed, however long the run goes on until the last try has its answer.
 			hold(t, fleet+"length: 14s\nfaults:\n  - {at: 3s, for: 20s, fault: slow, target: servers, slow: 6}\n", func(t *trial, sum *Summary) {
-				require.Zero(t, sum.Verdicts.Called, "overload is no verdict")
+				require.Zero(t, sum.Verdicts.ConvictedWhileCalled, "overload is no verdict")
 			})
 		})
 	})
--- a/internal/fleetlab/views.go
+++ b/internal/fleetlab/views.go
@@ -110,7 +110,7 @@
 			p := g.p
 			f.mu.Unlock()
 			p.look()
-			f.runs.note(fleetcheck.Viewed, line{Process: g.name, What: v.Hash, Peer: v.up(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
+			f.runs.note(fleetcheck.ViewRead, line{Process: g.name, What: v.Hash, Peer: v.up(), Class: fmt.Sprintf("%d %d", v.Packets, v.Bytes)})
 			if v.Verdicts != nil {
 				var numbers []string
 				for _, n := range v.Verdicts.Numbers {
@@ -120,10 +120,10 @@
 				for _, c := range v.Verdicts.Callers {
 					callers = append(callers, c.Address)
 				}
-				f.runs.note(fleetcheck.Judged, line{Process: g.name, Peer: v.out(), Class: strings.Join(numbers, " "), Call: strings.Join(callers, " "), What: strings.Join(v.Verdicts.Apart, " ")})
+				f.runs.note(fleetcheck.VerdictsRead, line{Process: g.name, Peer: v.out(), Class: strings.Join(numbers, " "), Call: strings.Join(callers, " "), What: strings.Join(v.Verdicts.Apart, " ")})
 			}
 			origins, arrived, oldest := v.rates()
-			f.runs.note(fleetcheck.Heard, line{Process: g.name, Peer: origins, Value: arrived, Span: oldest})
+			f.runs.note(fleetcheck.RateRead, line{Process: g.name, Peer: origins, Value: arrived, Span: oldest})
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/follow/control_test.go
+++ b/internal/follow/control_test.go
@@ -320,9 +320,9 @@
 	c.net.Cut(others, []string{"c3"}, true)
 	c.net.Cut([]string{"c3"}, others, true)
 	two := c.write(0, map[string]string{"all/calls": "2"})
-	c.net.SetDoor("g", "c3", relay.Refuse) // forces the follower to another machine
+	c.net.SetMode("g", "c3", relay.Refuse) // forces the follower to another machine
 	waitForValue(t, f, a, "2", two)
-	c.net.SetDoor("g", "c3", relay.Open)
+	c.net.SetMode("g", "c3", relay.Open)
 	f.Close()
 
 	f = open(dir) // with saved settings, it connects to the lagging machine first
@@ -373,7 +373,7 @@
 	one := c.writeAll(0, "1")
 	waitForValue(t, f, a, "1", one)
 	for i := range 3 {
-		c.net.SetDoor("g", name(i), relay.Refuse)
+		c.net.SetMode("g", name(i), relay.Refuse)
 	}
 	lostTime := time.Now()
 	s := waitFor(t, f, "session lost", func(s Status) bool { return !s.Connected && s.Fault != "" })
@@ -396,7 +396,7 @@
 	require.Len(t, s.Sections, 3)
 	waitFor(t, f, "fault of a failed attempt", func(s Status) bool { return s.Fault != "" })
 	for i := range 3 {
-		c.net.SetDoor("g", name(i), relay.Open)
+		c.net.SetMode("g", name(i), relay.Open)
 	}
 	s = waitForValue(t, f, again, "2", two)
 	require.False(t, s.RestoredFromDir)
--- a/internal/follow/faults_test.go
+++ b/internal/follow/faults_test.go
@@ -102,7 +102,7 @@
 		}
 		switch random.IntN(6) {
 		case 0:
-			c.net.SetDoor("g", machine, relay.Refuse)
+			c.net.SetMode("g", machine, relay.Refuse)
 		case 1:
 			c.net.Cut([]string{machine}, []string{"g"}, true)
 		case 2:
@@ -115,7 +115,7 @@
 		default:
 			c.net.Heal()
 			for i := range machines {
-				c.net.SetDoor("g", name(i), relay.Open)
+				c.net.SetMode("g", name(i), relay.Open)
 			}
 		}
 		write(n)
@@ -123,7 +123,7 @@
 	}
 	c.net.Heal()
 	for i := range machines {
-		c.net.SetDoor("g", name(i), relay.Open)
+		c.net.SetMode("g", name(i), relay.Open)
 	}
 	time.Sleep(unansweredWriteTime)
 	healed := time.Now()
--- a/internal/relay/condition.go
+++ b/internal/relay/condition.go
@@ -57,12 +57,12 @@
 // passes tells whether a condition leaves everything as it is.
 func (c Condition) passes() bool { return c == Condition{} }
 
-// Door is how a link treats connections, beside the conditions of its two directions.
-type Door int
+// Mode is how a link treats connections, beside the conditions of its two directions.
+type Mode int
 
 // The doors.
 const (
-	Open      Door = iota
+	Open      Mode = iota
 	Refuse         // connections are refused, and those that are open are reset
 	BlackHole      // connections are taken and nothing is ever answered; those that are open fall silent
 )
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -43,7 +43,7 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	target string // where To serves; "": not known yet
-	door   Door
+	door   Mode
 	ln     net.Listener
 	pairs  map[*pair]struct{}
 	nat    map[string]*net.UDPConn
@@ -102,8 +102,8 @@
 	return l, n.add(l)
 }
 
-// Both opens a link for connections and one for datagrams at the same address.
-func (n *Network) Both(from, to, service string) (tcp, udp *Link, err error) {
+// TCPAndUDP opens a link for connections and one for datagrams at the same address.
+func (n *Network) TCPAndUDP(from, to, service string) (tcp, udp *Link, err error) {
 	for range 20 { // the port may be taken for datagrams
 		if tcp, err = n.TCP(from, to, service); err != nil {
 			return nil, nil, err
@@ -166,7 +166,7 @@
 	l.apply()
 }
 
-func (l *Link) setDoor(d Door) {
+func (l *Link) setDoor(d Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.door = d
@@ -174,7 +174,7 @@
 }
 
 // aim gives where connections go on, and how the link treats them.
-func (l *Link) aim() (string, Door) {
+func (l *Link) aim() (string, Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.target == "" {
--- a/internal/relay/network.go
+++ b/internal/relay/network.go
@@ -62,8 +62,8 @@
 	return rand.New(rand.NewPCG(n.seed, n.nextRNG))
 }
 
-// Set puts a condition in force from one process to another, in that direction only.
-func (n *Network) Set(from, to string, c Condition) error {
+// SetCondition puts a condition in force from one process to another, in that direction only.
+func (n *Network) SetCondition(from, to string, c Condition) error {
 	if err := c.Check(); err != nil {
 		return fmt.Errorf("link %s to %s: %w", from, to, err)
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// SetDoor changes how the links from one process to another treat connections.
-func (n *Network) SetDoor(from, to string, d Door) {
+// SetMode changes how the links from one process to another treat connections.
+func (n *Network) SetMode(from, to string, d Mode) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links[[2]string{from, to}] {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -94,9 +94,9 @@
 	}
 	refused("before it serves")
 	addr := echo(t)
-	for _, down := range []func(){func() { n.Down("b") }, func() { n.SetDoor("a", "b", Refuse) }} {
+	for _, down := range []func(){func() { n.Down("b") }, func() { n.SetMode("a", "b", Refuse) }} {
 		n.Up("b", "", addr)
-		n.SetDoor("a", "b", Open)
+		n.SetMode("a", "b", Open)
 		c := dial(t, l)
 		roundTrip(t, c, "x")
 		down()
@@ -137,17 +137,17 @@
 	n.Up("b", "", echo(t))
 	c := dial(t, l)
 	roundTrip(t, c, "warm")
-	if err := n.Set("a", "b", Condition{Delay: 80 * time.Millisecond}); err != nil {
+	if err := n.SetCondition("a", "b", Condition{Delay: 80 * time.Millisecond}); err != nil {
 		t.Fatal(err)
 	}
 	if took := roundTrip(t, c, "slow"); took < 80*time.Millisecond {
 		t.Errorf("a delay of 80 ms one way took %v", took)
 	}
-	n.Set("a", "b", Condition{BytesPerS: 100_000})
+	n.SetCondition("a", "b", Condition{BytesPerS: 100_000})
 	if took := roundTrip(t, c, string(make([]byte, 20_000))); took < 190*time.Millisecond {
 		t.Errorf("20 kB at 100 kB/s took %v", took)
 	}
-	if err := n.Set("a", "b", Condition{Loss: 1.5}); err == nil {
+	if err := n.SetCondition("a", "b", Condition{Loss: 1.5}); err == nil {
 		t.Error("a loss of 1.5 was taken")
 	}
 }
@@ -192,7 +192,7 @@
 	n.Up("b", "", echo(t))
 	before := dial(t, l)
 	roundTrip(t, before, "x")
-	n.SetDoor("a", "b", BlackHole)
+	n.SetMode("a", "b", BlackHole)
 	after := dial(t, l)
 	for _, c := range []net.Conn{before, after} {
 		io.WriteString(c, "y")
@@ -207,7 +207,7 @@
 	n, l := network(t)
 	n.Up("b", "", echo(t))
 	rapid.Check(t, func(r *rapid.T) {
-		n.Set("a", "b", Condition{Jitter: time.Duration(rapid.IntRange(0, 2).Draw(r, "jitter ms")) * time.Millisecond})
+		n.SetCondition("a", "b", Condition{Jitter: time.Duration(rapid.IntRange(0, 2).Draw(r, "jitter ms")) * time.Millisecond})
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 40_000), 1, 5).Draw(r, "writes")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
 		c, err := net.Dial("tcp4", l.Addr())
@@ -286,27 +286,27 @@
 	if got, _ := receive(5 * time.Second); got != "to its next start" {
 		t.Fatalf("after a new start came %q", got)
 	}
-	n.Set("a", "b", Condition{Duplicate: 1})
+	n.SetCondition("a", "b", Condition{Duplicate: 1})
 	io.WriteString(c, "two")
 	for range 2 {
 		if got, _ := receive(5 * time.Second); got != "two" {
 			t.Fatalf("of two copies came %q", got)
 		}
 	}
-	n.Set("a", "b", Condition{Loss: 1})
+	n.SetCondition("a", "b", Condition{Loss: 1})
 	io.WriteString(c, "lost")
-	n.Set("a", "b", Condition{Cut: true})
+	n.SetCondition("a", "b", Condition{Cut: true})
 	io.WriteString(c, "cut")
 	if got, _ := receive(150 * time.Millisecond); got != "" {
 		t.Errorf("%q came", got)
 	}
 	// One held back comes after a later one.
-	n.Set("a", "b", Condition{Reorder: 1, Delay: 50 * time.Millisecond})
+	n.SetCondition("a", "b", Condition{Reorder: 1, Delay: 50 * time.Millisecond})
 	io.WriteString(c, "early")
 	for n.Traffic("a", "b").Packets < 6 { // the relay has it
 		time.Sleep(time.Millisecond)
 	}
-	n.Set("a", "b", Condition{})
+	n.SetCondition("a", "b", Condition{})
 	io.WriteString(c, "late")
 	first, _ := receive(5 * time.Second)
 	second, _ := receive(5 * time.Second)
--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -136,7 +136,7 @@
 		for _, a := range c.machines {
 			for _, b := range c.machines {
 				if a.Region != b.Region {
-					if err := c.network.Set(a.Name, b.Name, relay.Condition{Delay: f.Delay}); err != nil {
+					if err := c.network.SetCondition(a.Name, b.Name, relay.Condition{Delay: f.Delay}); err != nil {
 						return err
 					}
 				}
