--- a/cmd/beammux/lab.go
+++ b/cmd/beammux/lab.go
@@ -49,7 +49,7 @@
 
 // generate creates a script from the seed and checks it.
 func (s shapeFlags) generate() (*script.Script, error) {
-	kinds, err := script.KindsOf(s.Faults)
+	kinds, err := script.ParseKinds(s.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("--faults: %w", err)
 	}
--- a/internal/fleetlab/script/draw.go
+++ b/internal/fleetlab/script/draw.go
@@ -19,9 +19,9 @@
 	Limits                               *Limits // nil: none
 }
 
-// KindsOf reads a list of kinds as a command has it: all, or names with + between. all leaves out those that concern
+// ParseKinds reads a list of kinds as a command has it: all, or names with + between. all leaves out those that concern
 // datagrams alone, which are drawn where they are named.
-func KindsOf(text string) ([]string, error) {
+func ParseKinds(text string) ([]string, error) {
 	if text == "all" {
 		return slices.DeleteFunc(Kinds(), func(k string) bool { return kinds[k].udp || kinds[k].named }), nil
 	}
