--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -246,14 +246,14 @@
 				v.s.Slow(fault.Slow)
 				held = append(held, v)
 			case fault.Kind == "hang":
-				v.s.Hang(true)
+				v.s.SetHanging(true)
 				held = append(held, v)
 			case fault.Kind == "engaged":
-				v.s.Engage(fault.Number)
+				v.s.SetBusyNumber(fault.Number)
 				f.engaged.Store(&fault)
 				held = append(held, v)
 			case fault.Kind == "ill":
-				v.s.FailPart(fault.Part)
+				v.s.SetFailureRate(fault.Part)
 				held = append(held, v)
 			case v.state != "up": // another fault has it
 			case fault.Kind == "lose":
@@ -279,12 +279,12 @@
 				case "slow":
 					v.s.Slow(1)
 				case "engaged":
-					v.s.Engage("")
+					v.s.SetBusyNumber("")
 					f.engaged.Store(nil)
 				case "hang":
-					v.s.Hang(false)
+					v.s.SetHanging(false)
 				case "ill":
-					v.s.FailPart(0)
+					v.s.SetFailureRate(0)
 				}
 				v.mu.Unlock()
 			case "lose":
@@ -308,7 +308,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.s.Cold(startCapacity, warmWithin)
+	v.s.StartCold(startCapacity, warmWithin)
 	v.state, v.since = "up", time.Now()
 	f.bus.Change(f.host(v))
 	return nil
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -164,7 +164,9 @@
 	defer hangUp()
 	f.callers = lab.NewCallers(f.load())
 	for i, g := range f.gatekeepers {
-		kept.Go(func() { f.callers.Keep(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}]) })
+		kept.Go(func() {
+			f.callers.MaintainConnection(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}])
+		})
 	}
 	if err = f.allUp(ctx); err != nil {
 		return starts, err
@@ -191,7 +193,7 @@
 	kept.Go(func() { f.watchProcessors(looking) })
 	kept.Go(func() { f.watchTimers(looking) })
 	f.busy.Go(func() { f.timeline(faults) })
-	f.callers.Play(ctx)
+	f.callers.PlaceCalls(ctx)
 	cancel()
 	f.busy.Wait()
 	if err := f.outcome(); err != nil {
--- a/internal/fleetlab/servers.go
+++ b/internal/fleetlab/servers.go
@@ -47,13 +47,13 @@
 	if err != nil {
 		return err
 	}
-	s.Hear(func(e lab.Seen) {
+	s.SetObserver(func(e lab.Observation) {
 		if e.Kind == lab.ServerAnswered {
 			f.serves.note(fleetcheck.ServerEstablished, line{Process: v.name, Call: e.Call, What: "stands " + e.Call})
 		}
 	})
 	v.mu.Lock()
-	v.s, v.all, v.end = s, append(v.all, s), s.Status(statusEvery)
+	v.s, v.all, v.end = s, append(v.all, s), s.StartStatusReports(statusEvery)
 	v.mu.Unlock()
 	return f.open(v)
 }
