--- a/internal/scalelab/control.go
+++ b/internal/scalelab/control.go
@@ -20,64 +20,67 @@
 )
 
 const (
-	controlUpWithin = 30 * time.Second
-	statusWithin    = time.Second
-	endWithin       = 5 * time.Second
+	controlStartTimeout = 30 * time.Second
+	statusTimeout       = time.Second
+	stopTimeout         = 5 * time.Second
 )
 
-// controlPlane is the control machines, each a process of its own.
+// controlPlane is the control machines of a run, each a process of its own.
 type controlPlane struct {
 	options  *Options
 	machines []*machine
-	network  *relay.Network // between the machines, where the script cuts or delays them; nil: direct
+	network  *relay.Network // relays connections between regions for partitions and delays; nil: direct connections
 }
 
 // machine is one control machine.
 type machine struct {
 	machineSpec
-	file  string
-	admin string // the operators' address
+	configFile   string
+	adminAddress string // admin address
 
-	mu      sync.Mutex
-	process *child.Process // nil: not started
-	paused  bool
-	down    bool          // killed by the script
-	ended   []child.Usage // of earlier processes of the same machine
-	former  time.Duration // processor time of those
+	mu           sync.Mutex
+	process      *child.Process // nil: not started
+	paused       bool
+	killed       bool          // killed by the fault script
+	earlierUsage []child.Usage // usage of the earlier processes of the machine
+	earlierCPU   time.Duration // processor time of the earlier processes
 }
 
-// controlFile is a control machine's file.
+// controlFile is the configuration file of a control machine.
 type controlFile struct {
-	Name       string      `json:"name"`
-	Zone       string      `json:"zone"`
-	Region     string      `json:"region"`
-	Admin      string      `json:"admin_addr"`
-	Store      controlSite `json:"store"`
-	Admission  *Admission  `json:"admission,omitempty"`
-	Gatekeeper string      `json:"gatekeeper,omitempty"`
+	Name       string       `json:"name"`
+	Zone       string       `json:"zone"`
+	Region     string       `json:"region"`
+	Admin      string       `json:"admin_addr"`
+	Store      controlStore `json:"store"`
+	Admission  *Admission   `json:"admission,omitempty"`
+	Gatekeeper string       `json:"gatekeeper,omitempty"`
 }
 
-type controlSite struct {
+// controlStore is the store section of controlFile.
+type controlStore struct {
 	Node   string        `json:"node"`
 	Listen string        `json:"listen"`
 	Peers  []controlPeer `json:"peers"`
 	Dir    string        `json:"dir"`
 	Sync   string        `json:"sync,omitempty"`
-	Via    []via         `json:"via,omitempty"`
+	Via    []controlVia  `json:"via,omitempty"`
 }
 
+// controlPeer is a member of the store in controlFile.
 type controlPeer struct {
 	Node    string `json:"node"`
 	Address string `json:"address"`
 	Voter   bool   `json:"voter"`
 }
 
-type via struct {
+// controlVia maps the address of a peer to the relay through which it is reached.
+type controlVia struct {
 	Address string `json:"address"`
 	Through string `json:"through"`
 }
 
-// newControlPlane writes the machines' files.
+// newControlPlane assigns addresses and writes the configuration files of the machines. It starts no process.
 func newControlPlane(o *Options, specs []machineSpec) (*controlPlane, error) {
 	c := &controlPlane{options: o}
 	ports, err := freePorts(2*len(specs), o.Seed+uint64(os.Getpid()))
@@ -86,25 +89,25 @@
 	}
 	for i, spec := range specs {
 		spec.Address = fmt.Sprintf("127.0.0.1:%d", ports[i])
-		c.machines = append(c.machines, &machine{machineSpec: spec, file: filepath.Join(o.Dir, spec.Name+".json"),
-			admin: fmt.Sprintf("127.0.0.1:%d", ports[len(specs)+i])})
+		c.machines = append(c.machines, &machine{machineSpec: spec, configFile: filepath.Join(o.Dir, spec.Name+".json"),
+			adminAddress: fmt.Sprintf("127.0.0.1:%d", ports[len(specs)+i])})
 	}
-	if script.Has(o.Faults, script.CutRegion) || script.Has(o.Faults, script.Latency) {
+	if script.Contains(o.Faults, script.CutRegion) || script.Contains(o.Faults, script.Latency) {
 		c.network = relay.New(o.Seed)
 	}
 	for _, m := range c.machines {
-		if err := c.write(m); err != nil {
+		if err := c.writeFile(m); err != nil {
 			return c, err
 		}
 	}
-	return c, c.delay()
+	return c, c.applyLatency()
 }
 
-// write makes a machine's file, and its links to the others.
-func (c *controlPlane) write(m *machine) error {
+// writeFile writes the configuration file of a machine and creates its relay links to machines in other regions.
+func (c *controlPlane) writeFile(m *machine) error {
 	o := c.options
-	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admin: m.admin, Admission: &o.Admission, Gatekeeper: o.Site,
-		Store: controlSite{Node: m.Name, Listen: m.Address, Dir: filepath.Join(o.Dir, m.Name)}}
+	f := controlFile{Name: m.Name, Zone: m.Zone, Region: m.Region, Admin: m.adminAddress, Admission: &o.Admission, Gatekeeper: o.Site,
+		Store: controlStore{Node: m.Name, Listen: m.Address, Dir: filepath.Join(o.Dir, m.Name)}}
 	for _, other := range c.machines {
 		f.Store.Peers = append(f.Store.Peers, controlPeer{other.Name, other.Address, other.voter})
 		if c.network == nil || other.Region == m.Region {
@@ -115,17 +118,17 @@
 			return err
 		}
 		c.network.Up(other.Name, "store", other.Address)
-		f.Store.Via = append(f.Store.Via, via{other.Address, link.Addr()})
+		f.Store.Via = append(f.Store.Via, controlVia{other.Address, link.Addr()})
 	}
 	text, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(m.file, text, 0o644)
+	return os.WriteFile(m.configFile, text, 0o644)
 }
 
-// delay puts the latency between regions in force, where the script has one.
-func (c *controlPlane) delay() error {
+// applyLatency applies the latency between regions, if the fault script has one.
+func (c *controlPlane) applyLatency() error {
 	for _, f := range c.options.Faults {
 		if f.Kind != script.Latency {
 			continue
@@ -143,7 +146,7 @@
 	return nil
 }
 
-// cut cuts the machines of a region off from the others, or heals it.
+// cut partitions the machines of a region from the others, or ends the partition.
 func (c *controlPlane) cut(region string, cut bool) {
 	var inside, outside []string
 	for _, m := range c.machines {
@@ -157,27 +160,27 @@
 	c.network.Cut(outside, inside, cut)
 }
 
-// start starts a machine's process.
+// start starts the process of a machine.
 func (c *controlPlane) start(m *machine) error {
-	p, err := child.Start(child.Options{Name: m.Name, Path: c.options.Program, Args: []string{"control", "serve", "--file", m.file},
+	p, err := child.Start(child.Options{Name: m.Name, Path: c.options.Program, Args: []string{"control", "serve", "--file", m.configFile},
 		Env: c.options.Env, Dir: c.options.Dir, LogFile: filepath.Join(c.options.Dir, m.Name+".log")})
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.process, m.down = p, false
+	m.process, m.killed = p, false
 	return nil
 }
 
-// startAll starts every machine and waits until all are ready and know a leader.
+// startAll starts all machines and waits until each is ready and knows a leader.
 func (c *controlPlane) startAll(ctx context.Context) error {
 	for _, m := range c.machines {
 		if err := c.start(m); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, controlUpWithin)
+	ctx, cancel := context.WithTimeout(ctx, controlStartTimeout)
 	defer cancel()
 	for _, m := range c.machines {
 		for {
@@ -185,8 +188,8 @@
 			if err == nil && s.Ready && s.Leader != "" {
 				break
 			}
-			if m.process.Over() {
-				return fmt.Errorf("%s ended before it was ready (%v): see %s.log", m.Name, m.process.State(), m.Name)
+			if m.process.Exited() {
+				return fmt.Errorf("%s exited before it was ready (%v): see %s.log", m.Name, m.process.ExitState(), m.Name)
 			}
 			select {
 			case <-ctx.Done():
@@ -198,40 +201,41 @@
 	return nil
 }
 
+// status requests the status of the store from the machine.
 func (m *machine) status(ctx context.Context) (store.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return store.StatusFrom(ctx, m.Address)
 }
 
-// up tells whether the machine runs and is not stopped.
+// up reports whether the machine runs and is not suspended.
 func (m *machine) up() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.process != nil && !m.down && !m.paused && !m.process.Over()
+	return m.process != nil && !m.killed && !m.paused && !m.process.Exited()
 }
 
-// crashed tells whether the machine's process ended and nobody asked it to.
+// crashed reports whether the process of the machine exited without being killed by the fault script.
 func (m *machine) crashed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.process != nil && !m.down && m.process.Over()
+	return m.process != nil && !m.killed && m.process.Exited()
 }
 
-// kill ends the machine's process at once, as a machine that fails.
+// kill sends SIGKILL to the process of the machine, to simulate a machine failure.
 func (m *machine) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if u, err := child.UsageOf(m.process.PID()); err == nil {
-		m.former += u.CPU
-		m.ended = append(m.ended, u)
+	if u, err := child.ReadUsage(m.process.PID()); err == nil {
+		m.earlierCPU += u.CPU
+		m.earlierUsage = append(m.earlierUsage, u)
 	}
-	m.down = true
+	m.killed = true
 	m.process.Kill()
 }
 
-// lose kills every machine and removes what it kept.
-func (c *controlPlane) lose() error {
+// killAndWipe kills all machines and removes their data.
+func (c *controlPlane) killAndWipe() error {
 	for _, m := range c.machines {
 		m.kill()
 	}
@@ -243,7 +247,7 @@
 	return nil
 }
 
-// pause stops the machine's process, or lets it go on.
+// pause suspends the process of the machine, or resumes it.
 func (m *machine) pause(paused bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -254,23 +258,24 @@
 	return m.process.Signal(syscall.SIGCONT)
 }
 
-// usage is what the machine's processes have used so far, and what its present one holds.
+// usage returns the usage of the machine's current process, with CPU, Read and Written summed over all its processes. It
+// reports false if no process runs.
 func (m *machine) usage() (child.Usage, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.process == nil || m.process.Over() {
+	if m.process == nil || m.process.Exited() {
 		return child.Usage{}, false
 	}
-	u, err := child.UsageOf(m.process.PID())
-	u.CPU += m.former
-	for _, e := range m.ended {
+	u, err := child.ReadUsage(m.process.PID())
+	u.CPU += m.earlierCPU
+	for _, e := range m.earlierUsage {
 		u.Read += e.Read
 		u.Written += e.Written
 	}
 	return u, err == nil
 }
 
-// leader finds the machine that leads.
+// leader returns the leader of the store.
 func (c *controlPlane) leader(ctx context.Context) (*machine, error) {
 	for _, m := range c.machines {
 		if !m.up() {
@@ -289,19 +294,19 @@
 	return nil, fmt.Errorf("no control machine knows a leader")
 }
 
-// zonePair gives two machines of a zone that the seed draws; nil where no zone has two that run.
-func (c *controlPlane) zonePair(rng *rand.Rand) []*machine {
-	if machines := c.drawZone(rng, 2); machines != nil {
+// randomZonePair returns two running machines of a random zone, nil if no zone has two.
+func (c *controlPlane) randomZonePair(rng *rand.Rand) []*machine {
+	if machines := c.randomZone(rng, 2); machines != nil {
 		return machines[:2]
 	}
 	return nil
 }
 
-// zoneMachines gives the machines of a zone that the seed draws; nil where none runs.
-func (c *controlPlane) zoneMachines(rng *rand.Rand) []*machine { return c.drawZone(rng, 1) }
+// randomZoneMachines returns the running machines of a random zone, nil if none runs.
+func (c *controlPlane) randomZoneMachines(rng *rand.Rand) []*machine { return c.randomZone(rng, 1) }
 
-// drawZone gives the machines that run in a zone that the seed draws among those with so many at the least; nil: there is none.
-func (c *controlPlane) drawZone(rng *rand.Rand, least int) []*machine {
+// randomZone returns the running machines of a random zone among those with at least minMachines of them, nil if there is none.
+func (c *controlPlane) randomZone(rng *rand.Rand, minMachines int) []*machine {
 	zones := map[string][]*machine{}
 	for _, m := range c.machines {
 		if m.up() {
@@ -309,19 +314,19 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(zones))
-	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < least })
+	names = slices.DeleteFunc(names, func(z string) bool { return len(zones[z]) < minMachines })
 	if len(names) == 0 {
 		return nil
 	}
 	return zones[names[rng.IntN(len(names))]]
 }
 
-// end ends every process that runs.
-func (c *controlPlane) end() {
+// stop stops all processes and closes the relays.
+func (c *controlPlane) stop() {
 	var all sync.WaitGroup
 	for _, m := range c.machines {
 		if m.process != nil {
-			all.Go(func() { m.process.End(endWithin) })
+			all.Go(func() { m.process.Stop(stopTimeout) })
 		}
 	}
 	all.Wait()
--- a/internal/scalelab/hollow/connection.go
+++ b/internal/scalelab/hollow/connection.go
@@ -10,48 +10,49 @@
 	"time"
 )
 
-// traffic counts the bytes of one gatekeeper's connections.
+// traffic counts the bytes and connections of one gatekeeper.
 type traffic struct {
 	sent, received atomic.Int64
 	opened         atomic.Int64 // connections
 }
 
-// network is what the gatekeepers of this process dial through: it counts their bytes and injects faults between regions.
+// network creates the connections of the gatekeepers of this process, counts their bytes and injects faults between regions.
 type network struct {
-	shaped   bool // connections can be delayed
-	delay    atomic.Int64
-	regionOf map[string]string // of a control machine, by address
+	delayRegions bool // connections between regions are delayed
+	delay        atomic.Int64
+	regionOf     map[string]string // region of each control machine, by address
 
-	mu   sync.Mutex
-	cut  map[string]bool
-	wake chan struct{} // closed when cut changes
+	mu         sync.Mutex
+	cut        map[string]bool
+	cutChanged chan struct{} // closed when cut changes
 }
 
-func newNetwork(shaped bool, regionOf map[string]string) *network {
-	return &network{shaped: shaped, regionOf: regionOf, cut: map[string]bool{}, wake: make(chan struct{})}
+// newNetwork returns a network without partitions or delay.
+func newNetwork(delayRegions bool, regionOf map[string]string) *network {
+	return &network{delayRegions: delayRegions, regionOf: regionOf, cut: map[string]bool{}, cutChanged: make(chan struct{})}
 }
 
-// setCut cuts a region off from the others, or heals it.
+// setCut partitions a region from the others, or ends the partition.
 func (n *network) setCut(region string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[region] = cut
-	close(n.wake)
-	n.wake = make(chan struct{})
+	close(n.cutChanged)
+	n.cutChanged = make(chan struct{})
 }
 
-// passes tells whether bytes pass between two regions now; wake is closed when that may have changed.
-func (n *network) passes(a, b string) (ok bool, wake <-chan struct{}) {
+// connected reports whether two regions are connected. cutChanged is closed when that may have changed.
+func (n *network) connected(a, b string) (ok bool, cutChanged <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a == b || !n.cut[a] && !n.cut[b], n.wake
+	return a == b || !n.cut[a] && !n.cut[b], n.cutChanged
 }
 
-// dialer gives the dial function of one gatekeeper.
+// dialer returns the dial function of a gatekeeper in region, whose traffic is counted in t.
 func (n *network) dialer(region string, t *traffic) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		path := &path{network: n, from: region, to: n.regionOf[address]}
-		if err := path.wait(ctx); err != nil { // as a first packet that nobody answers
+		if err := path.waitConnected(ctx); err != nil { // a dial during a partition blocks, as if its first packet were lost
 			return nil, err
 		}
 		if d := path.latency(); d > 0 {
@@ -66,20 +67,21 @@
 			return nil, err
 		}
 		t.opened.Add(1)
-		counted := &countedConn{Conn: c, traffic: t, path: path, closed: make(chan struct{}), moved: make(chan struct{})}
-		if n.shaped && path.from != path.to {
+		counted := &countedConn{Conn: c, traffic: t, path: path, closed: make(chan struct{}), deadlineChanged: make(chan struct{})}
+		if n.delayRegions && path.from != path.to {
 			return newDelayedConn(counted, path), nil
 		}
 		return counted, nil
 	}
 }
 
-// path is the way between two regions.
+// path is the network path between two regions.
 type path struct {
 	network  *network
 	from, to string
 }
 
+// latency returns the one-way delay of the path.
 func (p *path) latency() time.Duration {
 	if p.from == p.to {
 		return 0
@@ -87,10 +89,10 @@
 	return time.Duration(p.network.delay.Load())
 }
 
-// wait returns once the path is open.
-func (p *path) wait(ctx context.Context) error {
+// waitConnected blocks while the path is cut, until ctx ends.
+func (p *path) waitConnected(ctx context.Context) error {
 	for {
-		ok, wake := p.network.passes(p.from, p.to)
+		ok, wake := p.network.connected(p.from, p.to)
 		if ok {
 			return nil
 		}
@@ -102,19 +104,19 @@
 	}
 }
 
-// countedConn counts what passes, and holds it back while its path is cut: the bytes stay in the kernel, as those of a
-// connection whose packets are lost, and go on after the heal.
+// countedConn is a connection that counts its bytes and blocks reads and writes while its path is cut. The bytes stay in
+// the kernel, as for a connection whose packets are lost, and are delivered after the partition.
 type countedConn struct {
 	net.Conn
-	traffic *traffic
-	path    *path
-	closed  chan struct{}
-	once    sync.Once
-	pending []byte // read from the kernel while the path was cut, and not yet handed on
+	traffic   *traffic
+	path      *path
+	closed    chan struct{}
+	closeOnce sync.Once
+	pending   []byte // read from the kernel but not yet returned, because the path was cut
 
-	mu          sync.Mutex
-	read, write time.Time     // deadlines
-	moved       chan struct{} // closed when a deadline changes
+	mu                          sync.Mutex
+	readDeadline, writeDeadline time.Time     // zero: no deadline
+	deadlineChanged             chan struct{} // closed when a deadline changes
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
@@ -125,7 +127,7 @@
 		}
 		c.pending = b[:n]
 	}
-	if err := c.hold(func() time.Time { return c.read }); err != nil {
+	if err := c.waitConnected(func() time.Time { return c.readDeadline }); err != nil {
 		c.pending = slices.Clone(c.pending)
 		return 0, err
 	}
@@ -136,7 +138,7 @@
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
-	if err := c.hold(func() time.Time { return c.write }); err != nil {
+	if err := c.waitConnected(func() time.Time { return c.writeDeadline }); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -144,15 +146,15 @@
 	return n, err
 }
 
-// hold waits while the path is cut, at most until the deadline.
-func (c *countedConn) hold(deadline func() time.Time) error {
+// waitConnected blocks while the path is cut, at most until the deadline or until the connection is closed.
+func (c *countedConn) waitConnected(deadline func() time.Time) error {
 	for {
-		ok, wake := c.path.network.passes(c.path.from, c.path.to)
+		ok, wake := c.path.network.connected(c.path.from, c.path.to)
 		if ok {
 			return nil
 		}
 		c.mu.Lock()
-		at, moved := deadline(), c.moved
+		at, deadlineChanged := deadline(), c.deadlineChanged
 		c.mu.Unlock()
 		var over <-chan time.Time
 		if !at.IsZero() {
@@ -162,7 +164,7 @@
 		}
 		select {
 		case <-wake:
-		case <-moved:
+		case <-deadlineChanged:
 		case <-c.closed:
 			return net.ErrClosed
 		case <-over:
@@ -172,21 +174,22 @@
 }
 
 func (c *countedConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func (c *countedConn) setDeadline(read, write bool, at time.Time) {
+// setDeadline stores the selected deadlines and wakes blocked reads and writes.
+func (c *countedConn) setDeadline(readDeadline, writeDeadline bool, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if read {
-		c.read = at
+	if readDeadline {
+		c.readDeadline = at
 	}
-	if write {
-		c.write = at
+	if writeDeadline {
+		c.writeDeadline = at
 	}
-	close(c.moved)
-	c.moved = make(chan struct{})
+	close(c.deadlineChanged)
+	c.deadlineChanged = make(chan struct{})
 }
 
 func (c *countedConn) SetDeadline(at time.Time) error {
@@ -205,34 +208,36 @@
 }
 
 const (
-	delayChunk = 16 << 10
-	delayQueue = 256 // chunks on their way; then the sender waits
+	delayChunkBytes  = 16 << 10
+	delayQueueLength = 256 // chunks in flight; the sender blocks beyond that
 )
 
+// chunk is data in flight on a delayed connection.
 type chunk struct {
 	due  time.Time
 	data []byte
 }
 
-// newDelayedConn carries a connection with the path's latency: bytes are handed on no sooner than that after they came. The
-// program holds one end of a pipe within this process.
+// newDelayedConn adds the latency of the path to both directions of a connection. It returns one end of an in-process pipe,
+// whose other end is connected to far with the delay.
 func newDelayedConn(far net.Conn, p *path) net.Conn {
 	near, inner := net.Pipe()
-	go carry(inner, far, p)
-	go carry(far, inner, p)
+	go copyDelayed(inner, far, p)
+	go copyDelayed(far, inner, p)
 	return near
 }
 
-// carry copies from one end to the other, each chunk after the path's latency, and closes both when either ends.
-func carry(from, to net.Conn, p *path) {
-	queue := make(chan chunk, delayQueue)
+// copyDelayed copies data from one connection to the other, each chunk after the latency of the path, and closes both when
+// either ends.
+func copyDelayed(from, to net.Conn, p *path) {
+	queue := make(chan chunk, delayQueueLength)
 	go func() {
 		defer to.Close()
 		for c := range queue {
 			time.Sleep(time.Until(c.due))
 			if _, err := to.Write(c.data); err != nil {
 				from.Close()
-				for range queue { // until the reader has seen that it is closed
+				for range queue { // drains the queue until the reader stops and closes it
 				}
 				return
 			}
@@ -240,7 +245,7 @@
 	}()
 	defer close(queue)
 	for {
-		data := make([]byte, delayChunk)
+		data := make([]byte, delayChunkBytes)
 		n, err := from.Read(data)
 		if n > 0 {
 			queue <- chunk{time.Now().Add(p.latency()), data[:n]}
--- a/internal/scalelab/hollow/follow.go
+++ b/internal/scalelab/hollow/follow.go
@@ -11,19 +11,19 @@
 	"beammux/internal/follow"
 )
 
-// staleAfter is the age from which what a gatekeeper holds counts as behind: a few heartbeats of a second each.
+// staleAfter is the age of the last contact after which a gatekeeper counts as behind: a few heartbeats, one per second.
 const staleAfter = 5 * time.Second
 
-// followed is the follower of one gatekeeper.
-type followed struct{ *follow.Follower }
+// settingsFollower is the settings follower of one gatekeeper.
+type settingsFollower struct{ *follow.Follower }
 
-func (f followed) state() followState {
+func (f settingsFollower) state() followState {
 	s := f.Status()
 	return followState{inForce: s.InForce, highest: s.Seen, replica: s.Replica, behind: s.Age < 0 || s.Age > staleAfter || s.InForce < s.Seen}
 }
 
-// openFollower follows the settings of a gatekeeper. apply is called with what each candidate holds.
-func openFollower(g *gatekeeper, dir string, apply func(candidate) error) (*followed, error) {
+// openFollower starts to follow the settings of a gatekeeper. apply is called for each valid candidate; an error refuses it.
+func openFollower(g *gatekeeper, dir string, apply func(candidate) error) (*settingsFollower, error) {
 	p := g.process
 	var replicas []session.Replica
 	for _, r := range p.config.Replicas {
@@ -31,43 +31,43 @@
 	}
 	f, err := follow.Open(follow.Options{
 		Self:     scope.Target{Name: g.Name, Region: g.Region, Zone: g.Zone, Service: g.Service},
-		Replicas: replicas, Dir: dir, Dial: p.network.dialer(g.Region, &g.traffic), Log: quiet(), Seed: p.config.Seed,
+		Replicas: replicas, Dir: dir, Dial: p.network.dialer(g.Region, &g.traffic), Log: errorLogger(), Seed: p.config.Seed,
 		Apply: func(c follow.Candidate) error {
-			read, err := readCandidate(c, p.site)
+			parsed, err := readCandidate(c, p.site)
 			if err != nil {
 				return err
 			}
-			return apply(read)
+			return apply(parsed)
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &followed{f}, nil
+	return &settingsFollower{f}, nil
 }
 
-// readCandidate checks a candidate as a gatekeeper does, and reads its markers.
-func readCandidate(c follow.Candidate, site *control.Site) (read candidate, err error) {
-	read.revision = c.Revision
+// readCandidate validates a candidate as a gatekeeper does, and returns the markers of its sections.
+func readCandidate(c follow.Candidate, site *control.Site) (parsed candidate, err error) {
+	parsed.revision = c.Revision
 	for _, name := range scope.Sections() {
-		r, ok := c.Sections[name]
+		record, ok := c.Sections[name]
 		if !ok {
 			continue
 		}
-		if err := config.CheckSettings(r.Key, r.Value, site); err != nil {
-			return read, err
+		if err := config.CheckSettings(record.Key, record.Value, site); err != nil {
+			return parsed, err
 		}
-		marker, refusable, err := MarkerOf(r.Value)
+		marker, refusable, err := MarkerOf(record.Value)
 		if err != nil {
-			return read, fmt.Errorf("%s: %w", r.Key, err)
+			return parsed, fmt.Errorf("%s: %w", record.Key, err)
 		}
-		read.sections = append(read.sections, Section{marker, r.Revision})
-		read.refusable = read.refusable || refusable
+		parsed.sections = append(parsed.sections, Section{marker, record.Revision})
+		parsed.refusable = parsed.refusable || refusable
 	}
-	return read, nil
+	return parsed, nil
 }
 
-// loadSite reads the gatekeeper's configuration by which settings are checked; nil where none is named.
+// loadSite loads the gatekeeper's configuration that settings are checked against. It returns nil if file is empty.
 func loadSite(file string) (*control.Site, error) {
 	if file == "" {
 		return nil, nil
--- a/internal/scalelab/hollow/process.go
+++ b/internal/scalelab/hollow/process.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	flushEvery  = 100 * time.Millisecond
-	pulseEvery  = time.Second
-	mostOpening = 64 // gatekeepers that open at once, where all start in the same moment
-	longestLine = 64 << 20
+	flushInterval       = 100 * time.Millisecond
+	figuresInterval     = time.Second
+	maxConcurrentStarts = 64 // limit of gatekeepers that start or stop concurrently
+	maxLineBytes        = 64 << 20
 )
 
-// process is this process's part of a run.
+// process is the state of the hollow process.
 type process struct {
 	config      Config
-	began       time.Time
+	runStart    time.Time
 	network     *network
-	site        *control.Site // by which settings are checked; nil: by their form alone
+	site        *control.Site // that settings are checked against; nil: only their form is checked
 	gatekeepers []*gatekeeper
 	byName      map[string]*gatekeeper
 	watchers    []*stuckWatchers
-	work        sync.WaitGroup
+	tasks       sync.WaitGroup
 	fail        context.CancelCauseFunc
 
 	mu      sync.Mutex
@@ -39,19 +39,19 @@
 	encoder *json.Encoder
 }
 
-// Run serves one run: it returns when it is told to stop, or when the input ends.
+// Run serves one run of the laboratory. It returns on the Stop command, or at the end of the input.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	if !lines.Scan() {
-		return fmt.Errorf("no configuration on the standard input: %w", io.ErrUnexpectedEOF)
+		return fmt.Errorf("reading the configuration from standard input: %w", io.ErrUnexpectedEOF)
 	}
 	p := &process{byName: map[string]*gatekeeper{}, fail: fail, out: bufio.NewWriterSize(out, 256<<10)}
 	p.encoder = json.NewEncoder(p.out)
 	if err := json.Unmarshal(lines.Bytes(), &p.config); err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("parsing the configuration: %w", err)
 	}
 	if err := p.prepare(); err != nil {
 		return err
@@ -67,18 +67,18 @@
 		}
 	}()
 	err := p.serve(ctx, commands)
-	p.end()
+	p.shutDown()
 	return err
 }
 
-// prepare makes what the gatekeepers need.
+// prepare creates the network, the site and the gatekeepers from the configuration.
 func (p *process) prepare() error {
-	p.began = time.Unix(0, p.config.Began)
+	p.runStart = time.Unix(0, p.config.RunStart)
 	regions := map[string]string{}
 	for _, r := range p.config.Replicas {
 		regions[r.Address] = r.Region
 	}
-	p.network = newNetwork(p.config.Shaped, regions)
+	p.network = newNetwork(p.config.DelayRegions, regions)
 	p.network.delay.Store(int64(p.config.Latency))
 	for _, spec := range p.config.Gatekeepers {
 		g := &gatekeeper{Gatekeeper: spec, process: p}
@@ -90,10 +90,10 @@
 	return err
 }
 
-// serve starts the gatekeepers and carries out commands until the end.
+// serve starts the gatekeepers and executes commands until the run ends.
 func (p *process) serve(ctx context.Context, commands <-chan Command) error {
-	p.work.Go(func() { p.startAll(ctx) })
-	flush, pulse := time.NewTicker(flushEvery), time.NewTicker(pulseEvery)
+	p.tasks.Go(func() { p.startAll(ctx) })
+	flush, pulse := time.NewTicker(flushInterval), time.NewTicker(figuresInterval)
 	defer flush.Stop()
 	defer pulse.Stop()
 	for {
@@ -104,33 +104,33 @@
 			p.flush()
 		case <-pulse.C:
 			f := p.figures()
-			p.emit(Event{Kind: Pulse, Pulse: &f})
+			p.emit(Event{Kind: PeriodicFigures, PeriodicFigures: &f})
 		case c, ok := <-commands:
-			if !ok || c.Do == Stop {
+			if !ok || c.Operation == Stop {
 				return nil
 			}
-			p.carryOut(ctx, c)
+			p.execute(ctx, c)
 		}
 	}
 }
 
-// startAll starts the gatekeepers, spread evenly over the time that the run gives, or all in the same moment.
+// startAll starts the gatekeepers, evenly spread over Config.StartSpread, or all at the same time if it is 0.
 func (p *process) startAll(ctx context.Context) {
-	free := make(chan struct{}, mostOpening)
-	every := p.config.StartOver / time.Duration(max(1, len(p.gatekeepers)))
+	slots := make(chan struct{}, maxConcurrentStarts)
+	interval := p.config.StartSpread / time.Duration(max(1, len(p.gatekeepers)))
 	var opening sync.WaitGroup
 	defer opening.Wait()
 	for _, g := range p.gatekeepers {
-		if every > 0 {
+		if interval > 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(every):
+			case <-time.After(interval):
 			}
 		}
-		free <- struct{}{}
+		slots <- struct{}{}
 		opening.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			if err := g.start(); err != nil {
 				p.fail(err)
 			}
@@ -138,29 +138,31 @@
 	}
 }
 
-func (p *process) carryOut(ctx context.Context, c Command) {
-	switch c.Do {
-	case Cut, Heal:
-		p.network.setCut(c.Region, c.Do == Cut)
-	case Restart:
+// execute executes one command.
+func (p *process) execute(ctx context.Context, c Command) {
+	switch c.Operation {
+	case CutRegion, HealRegion:
+		p.network.setCut(c.Region, c.Operation == CutRegion)
+	case RestartGatekeeper:
 		if g := p.byName[c.Name]; g != nil {
-			p.work.Go(func() {
-				if err := g.restart(c.Down); err != nil {
+			p.tasks.Go(func() {
+				if err := g.restart(c.DownTime); err != nil {
 					p.fail(err)
 				}
 			})
 		}
-	case Watch:
+	case OpenStuckWatchers:
 		p.watchers = append(p.watchers, openStuckWatchers(ctx, c.Address, c.Count))
 	case Count:
-		p.emit(Event{Kind: Counted, Counters: p.counters(c.Mark)})
+		p.emit(Event{Kind: CountersReported, Counters: p.counters(c.Mark)})
 		p.flush()
 	}
 }
 
+// counters returns the counters of all gatekeepers.
 func (p *process) counters(mark int) *Counters {
-	c := &Counters{Mark: mark, At: time.Since(p.began)}
-	if u, err := child.UsageOf(os.Getpid()); err == nil {
+	c := &Counters{Mark: mark, At: time.Since(p.runStart)}
+	if u, err := child.ReadUsage(os.Getpid()); err == nil {
 		c.CPU = u.CPU
 	}
 	for _, g := range p.gatekeepers {
@@ -169,15 +171,16 @@
 	return c
 }
 
+// figures returns the current figures of the process.
 func (p *process) figures() Figures {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	f := Figures{Heap: int64(m.HeapAlloc), Goroutines: runtime.NumGoroutine(), Sessions: map[string]int{}, Met: -1}
-	if u, err := child.UsageOf(os.Getpid()); err == nil {
+	f := Figures{Heap: int64(m.HeapAlloc), Goroutines: runtime.NumGoroutine(), Sessions: map[string]int{}, FewestUp: -1}
+	if u, err := child.ReadUsage(os.Getpid()); err == nil {
 		f.CPU, f.Resident, f.Descriptors = u.CPU, u.Resident, u.Descriptors
 	}
 	for _, g := range p.gatekeepers {
-		s, met := g.state()
+		s, membersUp := g.state()
 		if s.inForce > 0 {
 			f.InForce++
 		}
@@ -187,50 +190,51 @@
 		if s.replica != "" {
 			f.Sessions[s.replica]++
 		}
-		if f.Met < 0 || met < f.Met {
-			f.Met = met
+		if f.FewestUp < 0 || membersUp < f.FewestUp {
+			f.FewestUp = membersUp
 		}
 		members := p.config.Groups[g.Group].Members
-		f.Missing, f.Strangers = max(f.Missing, members-met), max(f.Strangers, met-members)
+		f.MostMissing, f.MostUnexpected = max(f.MostMissing, members-membersUp), max(f.MostUnexpected, membersUp-members)
 	}
 	return f
 }
 
-// end closes everything and says how the watchers that read nothing fared.
-func (p *process) end() {
+// shutDown reports the result for the stuck watchers and stops all gatekeepers.
+func (p *process) shutDown() {
 	if len(p.watchers) > 0 {
-		e := Event{Kind: Watchers}
+		e := Event{Kind: StuckWatchersResult}
 		for _, w := range p.watchers {
-			cutOff, others := w.end(context.Background())
+			cutOff, others := w.shutDown(context.Background())
 			e.CutOff += cutOff
-			e.Open += others
+			e.NotCutOff += others
 		}
 		p.emit(e)
 	}
-	p.work.Wait()
-	free := make(chan struct{}, mostOpening)
+	p.tasks.Wait()
+	slots := make(chan struct{}, maxConcurrentStarts)
 	var closing sync.WaitGroup
 	for _, g := range p.gatekeepers {
-		free <- struct{}{}
+		slots <- struct{}{}
 		closing.Go(func() {
-			defer func() { <-free }()
-			g.end()
+			defer func() { <-slots }()
+			g.shutDown()
 		})
 	}
 	closing.Wait()
 	p.flush()
 }
 
-// emit writes an event as of now, unless it has its time.
+// emit writes an event. It sets At to the current time if it is 0.
 func (p *process) emit(e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e.At == 0 {
-		e.At = time.Since(p.began)
+		e.At = time.Since(p.runStart)
 	}
-	p.encoder.Encode(e) // a laboratory that is gone is seen at the input
+	p.encoder.Encode(e) // if the laboratory has exited, the input ends too
 }
 
+// flush writes the buffered events to the output.
 func (p *process) flush() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scalelab/hollow/stuck.go
+++ b/internal/scalelab/hollow/stuck.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	stuckBuffer   = 4 << 10 // of the socket, so that little lies in the kernel
-	admitWithin   = 2 * time.Second
-	listWithin    = 5 * time.Second
-	stuckNameForm = "watcher-that-reads-nothing-%d"
+	stuckReadBuffer = 4 << 10 // read buffer of the socket in bytes; small, so that the sender soon blocks
+	admissionDelay  = 2 * time.Second
+	listTimeout     = 5 * time.Second
+	stuckNameFormat = "watcher-that-reads-nothing-%d"
 )
 
-// stuckWatchers are sessions at one control machine that are opened as any other and then never read.
+// stuckWatchers are sessions at one control machine whose connections are never read after they are opened.
 type stuckWatchers struct {
 	address  string
 	names    []string
-	stop     context.CancelFunc
-	work     sync.WaitGroup
-	admitted []string // those that the machine listed soon after they were opened
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
+	admitted []string // names of those that the machine listed admissionDelay after they were opened
 }
 
-// stuckConn writes as any other connection, and its reads wait until the watcher ends.
+// stuckConn is a connection whose reads block until the context of the watcher ends.
 type stuckConn struct {
 	net.Conn
 	ctx context.Context
@@ -39,34 +39,36 @@
 	return 0, c.ctx.Err()
 }
 
+// openStuckWatchers opens count sessions at a control machine, and lists the admitted ones after admissionDelay.
 func openStuckWatchers(ctx context.Context, address string, count int) *stuckWatchers {
-	ctx, stop := context.WithCancel(ctx)
-	w := &stuckWatchers{address: address, stop: stop}
+	ctx, cancel := context.WithCancel(ctx)
+	w := &stuckWatchers{address: address, cancel: cancel}
 	for i := range count {
-		r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: fmt.Sprintf(stuckNameForm, i+1)}}
+		r := store.WatchRequest{Prefixes: []string{scope.Prefix}, Session: store.SessionInfo{Name: fmt.Sprintf(stuckNameFormat, i+1)}}
 		w.names = append(w.names, r.Session.Name)
-		w.work.Go(func() {
+		w.tasks.Go(func() {
 			store.WatchSession(ctx, stuckDialer(ctx), address, r, nil, func(store.WatchEvent) error { return nil })
 		})
 	}
-	w.work.Go(func() {
+	w.tasks.Go(func() {
 		select {
 		case <-ctx.Done():
-		case <-time.After(admitWithin):
-			w.admitted = w.listed(ctx)
+		case <-time.After(admissionDelay):
+			w.admitted = w.list(ctx)
 		}
 	})
 	return w
 }
 
-// stuckDialer makes connections that are never read while the watcher's context lasts; that of a dial ends with the dial.
+// stuckDialer returns a dial function for connections that are never read. Their reads block on the watcher's context, since
+// the context of a dial ends with the dial.
 func stuckDialer(watcher context.Context) store.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		if err := c.(*net.TCPConn).SetReadBuffer(stuckBuffer); err != nil {
+		if err := c.(*net.TCPConn).SetReadBuffer(stuckReadBuffer); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -74,9 +76,9 @@
 	}
 }
 
-// listed gives the names of the watchers that the machine still has a session of.
-func (w *stuckWatchers) listed(ctx context.Context) (names []string) {
-	ctx, cancel := context.WithTimeout(ctx, listWithin)
+// list returns the names of the watchers that the control machine lists as sessions, nil if it does not respond.
+func (w *stuckWatchers) list(ctx context.Context) (names []string) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	sessions, err := store.SessionsFrom(ctx, nil, w.address)
 	if err != nil {
@@ -90,13 +92,13 @@
 	return names
 }
 
-// end ends the watchers and tells how many the machine had admitted and then cut off, and how many others there are.
-func (w *stuckWatchers) end(ctx context.Context) (cutOff, others int) {
-	standing := w.listed(ctx)
-	w.stop()
-	w.work.Wait()
+// shutDown closes the watchers. It returns how many the control machine admitted and later cut off, and how many others there are.
+func (w *stuckWatchers) shutDown(ctx context.Context) (cutOff, others int) {
+	stillOpen := w.list(ctx)
+	w.cancel()
+	w.tasks.Wait()
 	for _, name := range w.admitted {
-		if !slices.Contains(standing, name) {
+		if !slices.Contains(stillOpen, name) {
 			cutOff++
 		}
 	}
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -16,50 +16,52 @@
 	"beammux/internal/scalelab/script"
 )
 
-const longestEvent = 64 << 20
+// maxEventBytes is the limit of a line from a hollow process in bytes.
+const maxEventBytes = 64 << 20
 
-// hollowProcess is one process that holds gatekeepers, as the laboratory sees it.
+// hollowProcess is a hollow process as seen by the laboratory.
 type hollowProcess struct {
-	process *child.Process
-	stdin   io.WriteCloser
-	count   int           // its gatekeepers
-	read    chan struct{} // closed when its output is read to the end
+	process     *child.Process
+	stdin       io.WriteCloser
+	gatekeepers int           // number of its gatekeepers
+	outputRead  chan struct{} // closed when its output has been read to the end
 
-	sending sync.Mutex
+	sendMu  sync.Mutex
 	encoder *json.Encoder
 }
 
-// record is what the hollow processes have said, put together.
-type record struct {
-	mu       sync.Mutex
-	applied  []judge.Applied
-	refusals []judge.Refusal
-	outages  map[string][]judge.Outage // by gatekeeper; To 0: not over
-	inForce  map[string]uint64         // newest revision by gatekeeper
-	pulses   map[int]hollow.Figures    // the last of each process
-	samples  []sample
-	counters map[int]map[int]*hollow.Counters // by mark and process
-	cutOff   int                              // watchers that read nothing
-	open     int
-	ups      int
-	fault    string
-	changed  chan struct{}
+// eventLog collects the events of all hollow processes. Maps by process are keyed by its index.
+type eventLog struct {
+	mu            sync.Mutex
+	applied       []judge.Applied
+	refusals      []judge.Refusal
+	outages       map[string][]judge.Outage // by gatekeeper; To is 0 while the outage lasts
+	inForce       map[string]uint64         // highest revision in force, by gatekeeper
+	latestFigures map[int]hollow.Figures    // latest figures, by process
+	samples       []figuresSample
+	counters      map[int]map[int]*hollow.Counters // by mark and process
+	stuckCutOff   int                              // stuck watchers that were cut off
+	stuckLeft     int                              // stuck watchers that were not cut off
+	starts        int                              // starts of gatekeepers
+	parseError    string                           // last invalid line of a process
+	changed       chan struct{}                    // signals new events
 }
 
-// sample is one second of one process.
-type sample struct {
+// figuresSample is the figures of one process at one time.
+type figuresSample struct {
 	process int
 	at      time.Duration
 	hollow.Figures
 }
 
-func newRecord() *record {
-	return &record{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, pulses: map[int]hollow.Figures{},
+// newEventLog returns an empty event log.
+func newEventLog() *eventLog {
+	return &eventLog{outages: map[string][]judge.Outage{}, inForce: map[string]uint64{}, latestFigures: map[int]hollow.Figures{},
 		counters: map[int]map[int]*hollow.Counters{}, changed: make(chan struct{}, 1)}
 }
 
 // startHollow starts a hollow process with its share of the gatekeepers.
-func startHollow(o *Options, n int, c hollow.Config, r *record) (*hollowProcess, error) {
+func startHollow(o *Options, index int, config hollow.Config, log *eventLog) (*hollowProcess, error) {
 	inRead, inWrite, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -68,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	name := fmt.Sprintf("hollow%d", n+1)
+	name := fmt.Sprintf("hollow%d", index+1)
 	p, err := child.Start(child.Options{Name: name, Path: o.Program, Args: []string{"lab", "hollow"}, Env: o.Env, Dir: o.Dir,
 		LogFile: filepath.Join(o.Dir, name+".log"), Stdin: inRead, Stdout: outWrite})
 	inRead.Close()
@@ -76,118 +78,119 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hollowProcess{process: p, stdin: inWrite, count: len(c.Gatekeepers), read: make(chan struct{}), encoder: json.NewEncoder(inWrite)}
+	h := &hollowProcess{process: p, stdin: inWrite, gatekeepers: len(config.Gatekeepers), outputRead: make(chan struct{}), encoder: json.NewEncoder(inWrite)}
 	go func() {
-		defer close(h.read)
+		defer close(h.outputRead)
 		defer outRead.Close()
-		r.follow(n, outRead)
+		log.readEvents(index, outRead)
 	}()
-	h.sending.Lock()
-	defer h.sending.Unlock()
-	return h, h.encoder.Encode(c)
+	h.sendMu.Lock()
+	defer h.sendMu.Unlock()
+	return h, h.encoder.Encode(config)
 }
 
-// tell hands a command to the process.
-func (h *hollowProcess) tell(c hollow.Command) error {
-	h.sending.Lock()
-	defer h.sending.Unlock()
+// send sends a command to the process.
+func (h *hollowProcess) send(c hollow.Command) error {
+	h.sendMu.Lock()
+	defer h.sendMu.Unlock()
 	return h.encoder.Encode(c)
 }
 
-// end asks the process to end, and sees to it.
-func (h *hollowProcess) end(within time.Duration) {
-	h.tell(hollow.Command{Do: hollow.Stop})
+// stop requests the process to exit, kills it if it does not exit in time, and waits for the end of its output.
+func (h *hollowProcess) stop(timeout time.Duration) {
+	h.send(hollow.Command{Operation: hollow.Stop})
 	h.stdin.Close()
 	select {
-	case <-h.process.Gone():
-	case <-time.After(within):
+	case <-h.process.Done():
+	case <-time.After(timeout):
 		h.process.Kill()
 	}
-	<-h.read
+	<-h.outputRead
 }
 
-// follow takes the events of a process until its output ends.
-func (r *record) follow(process int, out io.Reader) {
-	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, longestEvent)
+// readEvents reads the events of a process until its output ends.
+func (log *eventLog) readEvents(process int, output io.Reader) {
+	lines := bufio.NewScanner(output)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		var e hollow.Event
-		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			r.mu.Lock()
-			r.fault = fmt.Sprintf("hollow%d: a line that is no event: %v", process+1, err)
-			r.mu.Unlock()
+		var event hollow.Event
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
+			log.mu.Lock()
+			log.parseError = fmt.Sprintf("hollow%d: invalid event: %v", process+1, err)
+			log.mu.Unlock()
 			continue
 		}
-		r.take(process, e)
+		log.handle(process, event)
 	}
 }
 
-func (r *record) take(process int, e hollow.Event) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	switch e.Kind {
-	case hollow.InForce:
-		a := judge.Applied{Gatekeeper: e.Name, Life: e.Life, At: e.At, Revision: e.Revision}
-		for _, s := range e.Sections {
-			a.Sections = append(a.Sections, judge.Section(s))
+// handle adds an event of a process.
+func (log *eventLog) handle(process int, event hollow.Event) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	switch event.Kind {
+	case hollow.CandidateApplied:
+		candidate := judge.Applied{Gatekeeper: event.Name, StartCount: event.StartCount, At: event.At, Revision: event.Revision}
+		for _, s := range event.Sections {
+			candidate.Sections = append(candidate.Sections, judge.Section(s))
 		}
-		r.applied = append(r.applied, a)
-		r.inForce[e.Name] = max(r.inForce[e.Name], e.Revision)
-		r.note()
-	case hollow.Refused:
-		r.refusals = append(r.refusals, judge.Refusal{Gatekeeper: e.Name, At: e.At, Marker: e.Marker})
-	case hollow.Up:
-		r.ups++
-		if all := r.outages[e.Name]; len(all) > 0 && all[len(all)-1].To == 0 {
-			all[len(all)-1].To = e.At
-		} else if e.Life == 1 {
-			r.outages[e.Name] = append(all, judge.Outage{Gatekeeper: e.Name, To: e.At})
+		log.applied = append(log.applied, candidate)
+		log.inForce[event.Name] = max(log.inForce[event.Name], event.Revision)
+		log.signalChange()
+	case hollow.CandidateRefused:
+		log.refusals = append(log.refusals, judge.Refusal{Gatekeeper: event.Name, At: event.At, Marker: event.Marker})
+	case hollow.GatekeeperUp:
+		log.starts++
+		if all := log.outages[event.Name]; len(all) > 0 && all[len(all)-1].To == 0 {
+			all[len(all)-1].To = event.At
+		} else if event.StartCount == 1 {
+			log.outages[event.Name] = append(all, judge.Outage{Gatekeeper: event.Name, To: event.At})
 		}
-	case hollow.Down:
-		r.outages[e.Name] = append(r.outages[e.Name], judge.Outage{Gatekeeper: e.Name, From: e.At})
-	case hollow.Pulse:
-		r.pulses[process] = *e.Pulse
-		r.samples = append(r.samples, sample{process, e.At, *e.Pulse})
-		r.note()
-	case hollow.Counted:
-		if r.counters[e.Counters.Mark] == nil {
-			r.counters[e.Counters.Mark] = map[int]*hollow.Counters{}
+	case hollow.GatekeeperDown:
+		log.outages[event.Name] = append(log.outages[event.Name], judge.Outage{Gatekeeper: event.Name, From: event.At})
+	case hollow.PeriodicFigures:
+		log.latestFigures[process] = *event.PeriodicFigures
+		log.samples = append(log.samples, figuresSample{process, event.At, *event.PeriodicFigures})
+		log.signalChange()
+	case hollow.CountersReported:
+		if log.counters[event.Counters.Mark] == nil {
+			log.counters[event.Counters.Mark] = map[int]*hollow.Counters{}
 		}
-		r.counters[e.Counters.Mark][process] = e.Counters
-		r.note()
-	case hollow.Watchers:
-		r.cutOff += e.CutOff
-		r.open += e.Open
+		log.counters[event.Counters.Mark][process] = event.Counters
+		log.signalChange()
+	case hollow.StuckWatchersResult:
+		log.stuckCutOff += event.CutOff
+		log.stuckLeft += event.NotCutOff
 	}
 }
 
-// note wakes who waits for the record to change.
-func (r *record) note() {
+// signalChange signals that the event log has changed.
+func (log *eventLog) signalChange() {
 	select {
-	case r.changed <- struct{}{}:
+	case log.changed <- struct{}{}:
 	default:
 	}
 }
 
-// behind counts gatekeepers whose newest revision in force is below one, as far as they are up.
-func (r *record) behind(gatekeepers []hollow.Gatekeeper, revision uint64, but func(hollow.Gatekeeper) bool) (behind int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// behind counts the gatekeepers whose highest revision in force is below revision, other than those that except selects.
+func (log *eventLog) behind(gatekeepers []hollow.Gatekeeper, revision uint64, except func(hollow.Gatekeeper) bool) (behind int) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
 	for _, g := range gatekeepers {
-		if r.inForce[g.Name] < revision && !but(g) {
+		if log.inForce[g.Name] < revision && !except(g) {
 			behind++
 		}
 	}
 	return behind
 }
 
-// hollowConfig is what a hollow process is told at its start.
-func hollowConfig(o *Options, p plan, machines []*machine, began time.Time, n int) hollow.Config {
-	c := hollow.Config{Began: began.UnixNano(), Seed: o.Seed, Site: o.Site, StartOver: o.startOver(), Parts: len(p.gatekeepers),
+// hollowConfig returns the configuration of hollow process n.
+func hollowConfig(o *Options, p plan, machines []*machine, runStart time.Time, index int) hollow.Config {
+	c := hollow.Config{RunStart: runStart.UnixNano(), Seed: o.Seed, Site: o.Site, StartSpread: o.startSpread(), Parts: len(p.gatekeepers),
 		Membership: o.With.Membership, Registers: o.With.Registers, RegisterBytes: o.RegisterBytes, Limits: o.With.Limits}
 	for _, f := range o.Faults {
 		if f.Kind == script.Latency {
-			c.Shaped, c.Latency = true, f.Delay
+			c.DelayRegions, c.Latency = true, f.Delay
 		}
 	}
 	if o.Control > 0 {
@@ -196,7 +199,7 @@
 	for _, m := range machines {
 		c.Replicas = append(c.Replicas, m.Replica)
 	}
-	for i := n; i < len(p.gatekeepers); i += o.HollowProcesses {
+	for i := index; i < len(p.gatekeepers); i += o.HollowProcesses {
 		c.Gatekeepers = append(c.Gatekeepers, p.gatekeepers[i])
 	}
 	return c
--- a/internal/scalelab/judge/judge.go
+++ b/internal/scalelab/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge decides from the log of a run whether every gatekeeper followed the settings as it must: never back, never a
-// mix of two changes, never a change that it refused, and everything in force in time. It does no I/O and reads no clock.
+// Package judge checks the log of a run for gatekeepers that did not follow the settings correctly: a gatekeeper must never go
+// back to an older revision, never apply a mix of two changes or a change that it must refuse, and have every change in force
+// in time. The package does no I/O and reads no clock.
 package judge
 
 import (
@@ -10,27 +11,27 @@
 	"time"
 )
 
-// Change is one transaction. It writes every section of the run, all with the same marker.
+// Change is one transaction. It writes all sections of the run with the same marker. Times are relative to the start of the run.
 type Change struct {
-	Marker    uint64
-	Revision  uint64        // as acknowledged
-	Began     time.Duration // when the write was first tried, since the run began
-	Committed time.Duration // when it was acknowledged
-	Refusable bool          // the gatekeepers in Log.Refusing must refuse it
-	// Restamped are further revisions at which its records stand: those of a store that was made anew with them.
+	Marker       uint64
+	Revision     uint64        // of the acknowledged write
+	WriteStarted time.Duration // first write attempt
+	Committed    time.Duration // acknowledgement of the write
+	Refusable    bool          // the gatekeepers in Log.Refusing must refuse the change
+	// Restamped are further revisions of the same records, assigned when they were restored to a new store.
 	Restamped []uint64
 }
 
-// Section is what one section of a candidate held.
+// Section is the content of one section of a candidate.
 type Section struct {
 	Marker   uint64
 	Revision uint64 // of the record
 }
 
-// Applied is a candidate that a gatekeeper put in force.
+// Applied is a candidate that a gatekeeper has put in force.
 type Applied struct {
 	Gatekeeper string
-	Life       int // counts the starts of the gatekeeper
+	StartCount int // number of starts of the gatekeeper so far
 	At         time.Duration
 	Revision   uint64 // of the candidate
 	Sections   []Section
@@ -43,48 +44,49 @@
 	Marker     uint64
 }
 
-// Outage is a time in which a gatekeeper was down, or cut off from the leader's region by the fault script.
+// Outage is a period in which a gatekeeper was down, or partitioned from the other regions by the fault script. To is 0 for an
+// outage that did not end during the run.
 type Outage struct {
 	Gatekeeper string
 	From, To   time.Duration
 }
 
-// Log is all that was seen in a run.
+// Log is the record of a run.
 type Log struct {
 	Gatekeepers []string
 	Refusing    map[string]bool
-	Sections    int // that each change writes
+	Sections    int // number of sections that each change writes
 	Changes     []Change
 	Applied     []Applied
 	Refusals    []Refusal
 	Outages     []Outage
-	End         time.Duration // nothing was seen after it
-	Within      time.Duration // a change must be in force so long after its commit, or after the end of an outage
+	End         time.Duration // end of the recording
+	TimeLimit   time.Duration // time limit for a change to be in force, from its commit or from the end of an outage
 }
 
-// Rule names what was broken.
+// Rule is the name of a rule, as it appears in reports.
 type Rule string
 
-// The rules.
+// The rules that a run can break.
 const (
-	Back        Rule = "old revision after new"  // a section fell back to an earlier record
-	OutOfOrder  Rule = "applied out of order"    // a candidate of an earlier revision came after a later one
-	Twice       Rule = "applied twice"           // the same records again within one life
-	Mix         Rule = "mix of two revisions"    // two sections of a candidate are of different changes
-	Unknown     Rule = "never written"           // a marker or revision that nobody wrote
-	HeldRefused Rule = "refused one held"        // a change in force where it must be refused
-	NotRefused  Rule = "refusal missing"         // a change that reached nobody who must refuse it
-	Late        Rule = "in force too late"       // in force, but after Log.Within
-	Lost        Rule = "lost"                    // neither it nor a later one came into force
-	Sent        Rule = "refused without a cause" // a change refused where it must be taken
+	WentBack          Rule = "old revision after new"  // a section went back to an earlier record
+	OutOfOrder        Rule = "applied out of order"    // a candidate was applied after one of a higher revision
+	AppliedTwice      Rule = "applied twice"           // the same records were applied again without a restart
+	MixedChanges      Rule = "mix of two revisions"    // the sections of a candidate belong to different changes
+	NeverWritten      Rule = "never written"           // a marker or revision that was not written in the run
+	AppliedRefused    Rule = "refused one held"        // a gatekeeper applied a change that it must refuse
+	RefusalMissing    Rule = "refusal missing"         // no gatekeeper refused a change that some must refuse
+	Late              Rule = "in force too late"       // a change came into force later than Log.TimeLimit allows
+	Lost              Rule = "lost"                    // neither the change nor a later one came into force
+	UnexpectedRefusal Rule = "refused without a cause" // a gatekeeper refused a change that it must apply
 )
 
-// Rules lists them.
+// Rules returns all rules.
 func Rules() []Rule {
-	return []Rule{Back, OutOfOrder, Twice, Mix, Unknown, HeldRefused, NotRefused, Late, Lost, Sent}
+	return []Rule{WentBack, OutOfOrder, AppliedTwice, MixedChanges, NeverWritten, AppliedRefused, RefusalMissing, Late, Lost, UnexpectedRefusal}
 }
 
-// Violation is one rule broken by one gatekeeper.
+// Violation is one breach of a rule by one gatekeeper. At is relative to the start of the run.
 type Violation struct {
 	Rule       Rule          `json:"rule"`
 	Gatekeeper string        `json:"gatekeeper,omitempty"`
@@ -93,49 +95,52 @@
 	Detail     string        `json:"detail"`
 }
 
+// String formats the violation for the text report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%v: %s: %s, change %d: %s", v.At, v.Rule, v.Gatekeeper, v.Marker, v.Detail)
 }
 
-// Delay is how long one change took at one gatekeeper.
+// Delay is the time that one change took to come into force at one gatekeeper.
 type Delay struct {
-	Marker     uint64
-	Gatekeeper string
-	Commit     time.Duration // from the acknowledged commit; 0 where it was in force before the acknowledgement
-	Put        time.Duration // from the start of the write
-	Outage     bool          // an outage of the gatekeeper lay between: Commit and Put hold it; see Healed
-	Healed     time.Duration // from the end of the outage, 0 without one
+	Marker      uint64
+	Gatekeeper  string
+	AfterCommit time.Duration // from the acknowledged commit; 0 if the change was in force before the acknowledgement
+	AfterWrite  time.Duration // from the first write attempt
+	Outage      bool          // the gatekeeper had an outage in that time, which AfterCommit and AfterWrite include
+	AfterOutage time.Duration // from the end of the outage; 0 without an outage
 }
 
-// Verdict is what the judge found.
+// Verdict is the result of Check.
 type Verdict struct {
-	Counts  map[Rule]int // by rule, each rule present
-	First   []Violation  // the first mostNamed
+	Counts  map[Rule]int // number of violations; every rule has an entry
+	Listed  []Violation  // the first violations, at most maxListed
 	Delays  []Delay
-	Skipped int // pairs of change and gatekeeper where a later change came into force in its place
-	Open    int // pairs that the run ended too early to judge
+	Skipped int // pairs of change and gatekeeper where a later change came into force instead
+	NotDue  int // pairs of change and gatekeeper that were not due by the end of the run
 }
 
-const mostNamed = 20
+// maxListed is the limit of Verdict.Listed.
+const maxListed = 20
 
-// Held tells whether no rule was broken.
-func (v *Verdict) Held() bool {
-	for _, n := range v.Counts {
-		if n > 0 {
+// Passed reports whether no rule was broken.
+func (v *Verdict) Passed() bool {
+	for _, count := range v.Counts {
+		if count > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (v *Verdict) broken(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
+// addViolation counts a violation and lists it if there is room.
+func (v *Verdict) addViolation(rule Rule, gatekeeper string, marker uint64, at time.Duration, detail string) {
 	v.Counts[rule]++
-	if len(v.First) < mostNamed {
-		v.First = append(v.First, Violation{rule, gatekeeper, marker, at, detail})
+	if len(v.Listed) < maxListed {
+		v.Listed = append(v.Listed, Violation{rule, gatekeeper, marker, at, detail})
 	}
 }
 
-// Check judges a run.
+// Check checks the log of a run against all rules.
 func Check(l Log) *Verdict {
 	v := &Verdict{Counts: map[Rule]int{}}
 	for _, rule := range Rules() {
@@ -143,43 +148,45 @@
 	}
 	c := newChecker(l, v)
 	for _, gatekeeper := range l.Gatekeepers {
-		c.order(gatekeeper)
-		c.times(gatekeeper)
+		c.checkOrder(gatekeeper)
+		c.checkTimes(gatekeeper)
 	}
-	c.refusals()
-	slices.SortStableFunc(v.First, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	c.checkRefusals()
+	slices.SortStableFunc(v.Listed, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return v
 }
 
+// checker checks one run. The maps by gatekeeper are sorted by time.
 type checker struct {
 	Log
 	verdict  *Verdict
-	byMarker map[uint64]span
+	byMarker map[uint64]revisionSet
 	applied  map[string][]Applied
 	outages  map[string][]Outage
 }
 
-// span holds the revisions that a change can have: a write whose answer was lost is written again under the same marker, so
-// each revision above the change before it and up to the acknowledged one may carry it.
-type span struct {
-	above, upTo uint64
+// revisionSet is the set of revisions that the records of a change can have. A write whose response was lost is repeated with
+// the same marker, so each revision above that of the preceding change, up to the acknowledged one, can belong to the change.
+type revisionSet struct {
+	after, upTo uint64
 	restamped   []uint64
 	refusable   bool
 }
 
-// holds tells whether records of the change can have a revision.
-func (s span) holds(revision uint64) bool {
-	return revision > s.above && revision <= s.upTo || slices.Contains(s.restamped, revision)
+// contains reports whether records of the change can have the revision.
+func (s revisionSet) contains(revision uint64) bool {
+	return revision > s.after && revision <= s.upTo || slices.Contains(s.restamped, revision)
 }
 
+// newChecker indexes the log by marker and by gatekeeper, and sorts it.
 func newChecker(l Log, v *Verdict) *checker {
-	c := &checker{Log: l, verdict: v, byMarker: map[uint64]span{}, applied: map[string][]Applied{}, outages: map[string][]Outage{}}
+	c := &checker{Log: l, verdict: v, byMarker: map[uint64]revisionSet{}, applied: map[string][]Applied{}, outages: map[string][]Outage{}}
 	c.Changes = slices.Clone(l.Changes)
 	slices.SortFunc(c.Changes, func(a, b Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	before := uint64(0)
+	previous := uint64(0)
 	for _, change := range c.Changes {
-		c.byMarker[change.Marker] = span{before, change.Revision, change.Restamped, change.Refusable}
-		before = change.Revision
+		c.byMarker[change.Marker] = revisionSet{previous, change.Revision, change.Restamped, change.Refusable}
+		previous = change.Revision
 	}
 	for _, a := range l.Applied {
 		c.applied[a.Gatekeeper] = append(c.applied[a.Gatekeeper], a)
@@ -196,71 +203,72 @@
 	return c
 }
 
-// order checks each candidate against those before it.
-func (c *checker) order(gatekeeper string) {
+// checkOrder checks each candidate of a gatekeeper against the preceding ones.
+func (c *checker) checkOrder(gatekeeper string) {
 	var highest uint64
-	var newest, last []uint64 // record revisions: the newest of each section, and those of the candidate before
-	life := -1
+	var highestBySection, previous []uint64 // revisions by section: the highest so far, and those of the preceding candidate
+	startCount := -1
 	for _, a := range c.applied[gatekeeper] {
-		c.content(a)
+		c.checkContent(a)
 		if a.Revision < highest {
-			c.broken(OutOfOrder, a, fmt.Sprintf("candidate %d after %d", a.Revision, highest))
+			c.addViolation(OutOfOrder, a, fmt.Sprintf("candidate of revision %d after revision %d", a.Revision, highest))
 		}
 		highest = max(highest, a.Revision)
-		now := make([]uint64, len(a.Sections))
+		revisions := make([]uint64, len(a.Sections))
 		for i, s := range a.Sections {
-			now[i] = s.Revision
-			if i < len(newest) && s.Revision < newest[i] {
-				c.broken(Back, a, fmt.Sprintf("section %d at revision %d after %d", i, s.Revision, newest[i]))
+			revisions[i] = s.Revision
+			if i < len(highestBySection) && s.Revision < highestBySection[i] {
+				c.addViolation(WentBack, a, fmt.Sprintf("section %d at revision %d after %d", i, s.Revision, highestBySection[i]))
 			}
 		}
-		if a.Life == life && slices.Equal(now, last) {
-			c.broken(Twice, a, fmt.Sprintf("records %v again", now))
+		if a.StartCount == startCount && slices.Equal(revisions, previous) {
+			c.addViolation(AppliedTwice, a, fmt.Sprintf("records of revisions %v again", revisions))
 		}
-		for i := range now {
-			if i == len(newest) {
-				newest = append(newest, 0)
+		for i := range revisions {
+			if i == len(highestBySection) {
+				highestBySection = append(highestBySection, 0)
 			}
-			newest[i] = max(newest[i], now[i])
+			highestBySection[i] = max(highestBySection[i], revisions[i])
 		}
-		last, life = now, a.Life
+		previous, startCount = revisions, a.StartCount
 	}
 }
 
-// content checks one candidate by itself.
-func (c *checker) content(a Applied) {
+// checkContent checks one candidate without regard to others.
+func (c *checker) checkContent(a Applied) {
 	if len(a.Sections) != c.Sections {
-		c.broken(Mix, a, fmt.Sprintf("%d sections of %d", len(a.Sections), c.Sections))
+		c.addViolation(MixedChanges, a, fmt.Sprintf("%d sections instead of %d", len(a.Sections), c.Sections))
 	}
 	for _, s := range a.Sections {
 		if s != a.Sections[0] {
-			c.broken(Mix, a, fmt.Sprintf("sections of changes %d at revision %d and %d at %d", a.Sections[0].Marker, a.Sections[0].Revision, s.Marker, s.Revision))
+			c.addViolation(MixedChanges, a, fmt.Sprintf("sections of change %d at revision %d and of change %d at revision %d", a.Sections[0].Marker, a.Sections[0].Revision, s.Marker, s.Revision))
 			break
 		}
 	}
 	for _, s := range a.Sections {
-		known, ok := c.byMarker[s.Marker]
-		if !ok || !known.holds(s.Revision) || s.Revision > a.Revision {
-			c.broken(Unknown, a, fmt.Sprintf("change %d at revision %d in candidate %d", s.Marker, s.Revision, a.Revision))
+		allowed, ok := c.byMarker[s.Marker]
+		if !ok || !allowed.contains(s.Revision) || s.Revision > a.Revision {
+			c.addViolation(NeverWritten, a, fmt.Sprintf("change %d at revision %d in a candidate of revision %d", s.Marker, s.Revision, a.Revision))
 			break
 		}
-		if known.refusable && c.Refusing[a.Gatekeeper] {
-			c.broken(HeldRefused, a, "in force where it must be refused")
+		if allowed.refusable && c.Refusing[a.Gatekeeper] {
+			c.addViolation(AppliedRefused, a, "in force at a gatekeeper that must refuse it")
 			break
 		}
 	}
 }
 
-func (c *checker) broken(rule Rule, a Applied, detail string) {
+// addViolation adds a violation by an applied candidate, with the marker of its first section.
+func (c *checker) addViolation(rule Rule, applied Applied, detail string) {
 	marker := uint64(0)
-	if len(a.Sections) > 0 {
-		marker = a.Sections[0].Marker
+	if len(applied.Sections) > 0 {
+		marker = applied.Sections[0].Marker
 	}
-	c.verdict.broken(rule, a.Gatekeeper, marker, a.At, detail)
+	c.verdict.addViolation(rule, applied.Gatekeeper, marker, applied.At, detail)
 }
 
-// times checks when each change was in force at a gatekeeper: it, or a later one in its place.
-func (c *checker) times(gatekeeper string) {
+// checkTimes checks that each change, or a later one instead, came into force at a gatekeeper in time.
+func (c *checker) checkTimes(gatekeeper string) {
 	applied := c.applied[gatekeeper]
 	next := 0
 	for i, change := range c.Changes {
@@ -270,89 +278,90 @@
 		for next < len(applied) && applied[next].Revision < change.Revision {
 			next++
 		}
-		seen := time.Duration(math.MaxInt64)
+		inForceAt := time.Duration(math.MaxInt64)
 		if next < len(applied) {
-			seen = applied[next].At
+			inForceAt = applied[next].At
 		}
-		due, healed := c.dueBehindRefused(gatekeeper, i, seen)
+		due, outageEnd := c.dueAfterRefusals(gatekeeper, i, inForceAt)
 		if next == len(applied) {
-			c.missing(gatekeeper, change, due)
+			c.reportMissing(gatekeeper, change, due)
 			continue
 		}
 		at := applied[next].At
 		if at > due {
-			c.verdict.broken(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after it was due", at-due))
+			c.verdict.addViolation(Late, gatekeeper, change.Marker, at, fmt.Sprintf("%v after the time limit", at-due))
 		}
 		if len(applied[next].Sections) > 0 && applied[next].Sections[0].Marker != change.Marker {
 			c.verdict.Skipped++
 		}
-		d := Delay{Marker: change.Marker, Gatekeeper: gatekeeper, Commit: max(0, at-change.Committed), Put: max(0, at-change.Began)}
-		if healed > 0 {
-			d.Outage, d.Healed = true, max(0, at-healed)
+		delay := Delay{Marker: change.Marker, Gatekeeper: gatekeeper, AfterCommit: max(0, at-change.Committed), AfterWrite: max(0, at-change.WriteStarted)}
+		if outageEnd > 0 {
+			delay.Outage, delay.AfterOutage = true, max(0, at-outageEnd)
 		}
-		c.verdict.Delays = append(c.verdict.Delays, d)
+		c.verdict.Delays = append(c.verdict.Delays, delay)
 	}
 }
 
-// missing is a change that never came into force, and neither did a later one.
-func (c *checker) missing(gatekeeper string, change Change, due time.Duration) {
+// reportMissing reports a change that did not come into force, and no later one either, as lost, or as not due if the run ended
+// before its time limit.
+func (c *checker) reportMissing(gatekeeper string, change Change, due time.Duration) {
 	if due > c.End {
-		c.verdict.Open++
+		c.verdict.NotDue++
 		return
 	}
-	c.verdict.broken(Lost, gatekeeper, change.Marker, c.End, fmt.Sprintf("committed at %v, due at %v", change.Committed, due))
+	c.verdict.addViolation(Lost, gatekeeper, change.Marker, c.End, fmt.Sprintf("committed at %v, due at %v", change.Committed, due))
 }
 
-// dueBehindRefused is due, but that a change which reached a gatekeeper together with a later one that it must refuse can only
-// come into force with the next one that it takes.
-func (c *checker) dueBehindRefused(gatekeeper string, i int, seen time.Duration) (due, healed time.Duration) {
-	due, healed = c.due(gatekeeper, c.Changes[i].Committed, seen)
+// dueAfterRefusals is like due, but takes refusals into account: a change that reaches a gatekeeper together with a later one
+// that the gatekeeper must refuse only comes into force with the next change that it applies.
+func (c *checker) dueAfterRefusals(gatekeeper string, i int, inForceAt time.Duration) (due, outageEnd time.Duration) {
+	due, outageEnd = c.due(gatekeeper, c.Changes[i].Committed, inForceAt)
 	if !c.Refusing[gatekeeper] {
-		return due, healed
+		return due, outageEnd
 	}
 	for i++; i < len(c.Changes) && c.Changes[i].Refusable && c.Changes[i].Committed < due; i++ {
 		if i+1 == len(c.Changes) {
-			return math.MaxInt64, healed
+			return math.MaxInt64, outageEnd
 		}
-		due, healed = c.due(gatekeeper, c.Changes[i+1].Committed, seen)
+		due, outageEnd = c.due(gatekeeper, c.Changes[i+1].Committed, inForceAt)
 	}
-	return due, healed
+	return due, outageEnd
 }
 
-// due tells when a change that was seen in force at a time must have been so at a gatekeeper, and when the last outage in
-// between ended, 0 if there was none.
-func (c *checker) due(gatekeeper string, committed, seen time.Duration) (due, healed time.Duration) {
-	due = committed + c.Within
-	for _, o := range c.outages[gatekeeper] {
-		to := o.To
-		if to == 0 { // it never ended
+// due returns the time by which a change must be in force at a gatekeeper, and the end of the last outage between its commit
+// and inForceAt, the time at which it came into force; outageEnd is 0 without an outage.
+func (c *checker) due(gatekeeper string, committed, inForceAt time.Duration) (due, outageEnd time.Duration) {
+	due = committed + c.TimeLimit
+	for _, outage := range c.outages[gatekeeper] {
+		to := outage.To
+		if to == 0 { // not over at the end of the run
 			to = math.MaxInt64 / 2
 		}
-		if o.From <= due && o.From < seen && to > committed {
-			healed = to
-			due = max(due, to+c.Within)
+		if outage.From <= due && outage.From < inForceAt && to > committed {
+			outageEnd = to
+			due = max(due, to+c.TimeLimit)
 		}
 	}
-	return due, healed
+	return due, outageEnd
 }
 
-// refusals checks that each refusal has its cause, and that each change to be refused was refused where it could be.
-func (c *checker) refusals() {
+// checkRefusals checks that each refusal was expected, and that each refusable change was refused by some gatekeeper.
+func (c *checker) checkRefusals() {
 	refused := map[uint64]bool{}
-	for _, r := range c.Refusals {
-		known, ok := c.byMarker[r.Marker]
-		if !ok || !known.refusable || !c.Refusing[r.Gatekeeper] {
-			c.verdict.broken(Sent, r.Gatekeeper, r.Marker, r.At, "this gatekeeper must take it")
+	for _, refusal := range c.Refusals {
+		allowed, ok := c.byMarker[refusal.Marker]
+		if !ok || !allowed.refusable || !c.Refusing[refusal.Gatekeeper] {
+			c.verdict.addViolation(UnexpectedRefusal, refusal.Gatekeeper, refusal.Marker, refusal.At, "the gatekeeper must apply the change")
 			continue
 		}
-		refused[r.Marker] = true
+		refused[refusal.Marker] = true
 	}
 	if len(c.Refusing) == 0 {
 		return
 	}
 	for _, change := range c.Changes {
-		if change.Refusable && !refused[change.Marker] && change.Committed+c.Within <= c.End {
-			c.verdict.broken(NotRefused, "", change.Marker, change.Committed, "no gatekeeper refused it")
+		if change.Refusable && !refused[change.Marker] && change.Committed+c.TimeLimit <= c.End {
+			c.verdict.addViolation(RefusalMissing, "", change.Marker, change.Committed, "no gatekeeper refused it")
 		}
 	}
 }
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -15,51 +15,52 @@
 )
 
 const (
-	within        = 17 * time.Second // a change must be in force so long after its commit
-	startWithin   = 3 * time.Minute  // all gatekeepers must have settings
-	meetWithin    = time.Minute      // all members must have met
-	settle        = 2 * time.Second  // between that and the measured time
-	countWithin   = 90 * time.Second // counters must be there
-	sampleEvery   = time.Second
-	hollowEndsIn  = 20 * time.Second
-	mostOfMemory  = 0.5 // of the machine's
-	atBegin       = 1   // marks of the counters
-	atEnd         = 2
-	progressEvery = 5 * time.Second
+	inForceLimit      = 17 * time.Second // time limit for a change to be in force after its commit
+	startTimeout      = 3 * time.Minute  // time limit for all gatekeepers to have settings
+	meetTimeout       = time.Minute      // time limit for all gatekeepers to consider all members up
+	settleTime        = 2 * time.Second  // time between the start and the measured time
+	countersTimeout   = 90 * time.Second // time limit for the counters of all hollow processes
+	sampleInterval    = time.Second
+	hollowStopTimeout = 20 * time.Second
+	maxMemoryPart     = 0.5 // most of the machine's memory that a run may use
+	markStart         = 1   // mark of the counters at the start of the measured time
+	markEnd           = 2   // mark of the counters at the end of the measured time
+	progressInterval  = 5 * time.Second
 )
 
-// errMemory ends a run that would take more than its part of the machine's memory.
-var errMemory = errors.New("the run's processes hold over half of the machine's memory")
+// errMemoryLimit stops a run that uses more than maxMemoryPart of the machine's memory.
+var errMemoryLimit = errors.New("the processes of the run use over half of the machine's memory")
 
-// laboratory is one run.
+// laboratory is the state of one run. Times are relative to its start.
 type laboratory struct {
-	options *Options
-	plan    plan
-	began   time.Time
-	plane   *controlPlane
-	hollows []*hollowProcess
-	record  *record
-	writer  *writer
-	rng     *rand.Rand // of the script
-	fail    context.CancelCauseFunc
+	options      *Options
+	plan         plan
+	runStart     time.Time
+	plane        *controlPlane
+	hollows      []*hollowProcess
+	eventLog     *eventLog
+	changeWriter *changeWriter
+	rng          *rand.Rand // of the fault script
+	fail         context.CancelCauseFunc
 
-	measured struct{ from, to time.Duration }
-	ended    time.Duration // nothing was seen after it
-	started  time.Duration // all gatekeepers had settings, or had met
-	memory   int64
-	samples  []controlSample
-	runtimes []runtimeSample
-	faults   faultState
+	measured       struct{ from, to time.Duration }
+	recordingEnd   time.Duration // end of the recording
+	startDuration  time.Duration // time until all gatekeepers had settings or considered all members up; negative: not reached
+	machineMemory  int64
+	controlSamples []controlSample
+	runtimeSamples []runtimeSample
+	faults         faultState
 }
 
-// controlSample is one second of one control machine.
+// controlSample is the usage of one control machine at one time.
 type controlSample struct {
 	machine int
 	at      time.Duration
 	usage   child.Usage
 }
 
-// Run plays one run. It ends all its processes, whatever happens. The report of a run that was stopped says so.
+// Run executes one run and returns its report. It stops all its processes before it returns. If ctx ends early, the report is
+// marked as stopped.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -67,43 +68,44 @@
 	if err := checkDescriptors(&o); err != nil {
 		return nil, err
 	}
-	memory, err := child.MachineMemory()
+	machineMemory, err := child.MachineMemory()
 	if err != nil {
 		return nil, err
 	}
 	outer := ctx
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	l := &laboratory{options: &o, plan: lay(&o), began: time.Now(), record: newRecord(), fail: fail, memory: memory,
+	l := &laboratory{options: &o, plan: newPlan(&o), runStart: time.Now(), eventLog: newEventLog(), fail: fail, machineMemory: machineMemory,
 		rng: rand.New(rand.NewPCG(o.Seed, 1))}
 	l.faults.cut = map[string]bool{}
-	defer l.end()
-	err = l.play(ctx)
+	defer l.stop()
+	err = l.runPhases(ctx)
 	if cause := context.Cause(ctx); cause != nil && outer.Err() == nil {
 		err = cause
 	}
 	if err != nil && outer.Err() == nil {
 		return nil, err
 	}
-	l.ended = time.Since(l.began)
-	problems := l.crashes()
-	l.end()
+	l.recordingEnd = time.Since(l.runStart)
+	problems := l.findProblems()
+	l.stop()
 	return l.report(outer.Err() != nil, problems), nil
 }
 
+// checkDescriptors returns an error if the limit of file descriptors is too low for a hollow process.
 func checkDescriptors(o *Options) error {
 	allowed, err := child.Descriptors()
 	if err != nil {
 		return err
 	}
-	if needed := needDescriptors(o); needed > allowed {
-		return fmt.Errorf("each hollow process needs up to %d descriptors, and %d are allowed: more --processes, or a higher limit (ulimit -n)", needed, allowed)
+	if needed := neededDescriptors(o); needed > allowed {
+		return fmt.Errorf("each hollow process needs up to %d descriptors, but the limit is %d: use more --processes or a higher limit (ulimit -n)", needed, allowed)
 	}
 	return nil
 }
 
-// play runs all phases.
-func (l *laboratory) play(ctx context.Context) error {
+// runPhases executes the phases of the run: start, measured time and final change.
+func (l *laboratory) runPhases(ctx context.Context) error {
 	o := l.options
 	if o.Control > 0 {
 		if err := l.openControl(ctx); err != nil {
@@ -122,51 +124,51 @@
 	if err := l.awaitStart(ctx); err != nil {
 		return err
 	}
-	if err := wait(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	if err := l.count(ctx, atBegin); err != nil {
+	if err := l.collectCounters(ctx, markStart); err != nil {
 		return err
 	}
-	l.measured.from = time.Since(l.began)
-	busy, err := child.MachineBusy()
+	l.measured.from = time.Since(l.runStart)
+	busy, err := child.MachineCPUTime()
 	if err != nil {
 		return err
 	}
 	if err := l.measure(ctx); err != nil {
 		return err
 	}
-	if err := l.count(ctx, atEnd); err != nil {
+	if err := l.collectCounters(ctx, markEnd); err != nil {
 		return err
 	}
-	l.measured.to = time.Since(l.began)
-	after, err := child.MachineBusy()
+	l.measured.to = time.Since(l.runStart)
+	after, err := child.MachineCPUTime()
 	if err != nil {
 		return err
 	}
 	l.faults.machineBusy = after - busy
-	return l.tail(ctx)
+	return l.writeFinalChange(ctx)
 }
 
-// openControl starts the control plane and writes the first settings.
+// openControl starts the control plane and writes the first change.
 func (l *laboratory) openControl(ctx context.Context) (err error) {
 	o := l.options
-	o.progress(0, fmt.Sprintf("%d control machines start", o.Control))
+	o.progress(0, fmt.Sprintf("starting %d control machines", o.Control))
 	if l.plane, err = newControlPlane(o, l.plan.machines); err != nil {
 		return err
 	}
 	if err := l.plane.startAll(ctx); err != nil {
 		return err
 	}
-	l.writer = &writer{options: o, plane: l.plane, began: l.began, cutOff: l.faults.isCut, rng: rand.New(rand.NewPCG(o.Seed, 2))}
-	_, err = l.writer.put(ctx, false)
+	l.changeWriter = &changeWriter{options: o, plane: l.plane, runStart: l.runStart, cutOff: l.faults.isCut, rng: rand.New(rand.NewPCG(o.Seed, 2))}
+	_, err = l.changeWriter.write(ctx, false)
 	return err
 }
 
-// openHollows starts the hollow processes, which start their gatekeepers.
+// openHollows starts the hollow processes, which in turn start their gatekeepers.
 func (l *laboratory) openHollows() error {
 	o := l.options
-	o.progress(time.Since(l.began), fmt.Sprintf("%d gatekeepers start in %d processes, over %v", o.Gatekeepers, o.HollowProcesses, o.startOver()))
+	o.progress(time.Since(l.runStart), fmt.Sprintf("starting %d gatekeepers in %d processes over %v", o.Gatekeepers, o.HollowProcesses, o.startSpread()))
 	var machines []*machine
 	if l.plane != nil {
 		machines = l.plane.machines
@@ -176,9 +178,9 @@
 		return err
 	}
 	for i := range o.HollowProcesses {
-		c := hollowConfig(o, l.plan, machines, l.began, i)
+		c := hollowConfig(o, l.plan, machines, l.runStart, i)
 		c.Groups = groups
-		h, err := startHollow(o, i, c, l.record)
+		h, err := startHollow(o, i, c, l.eventLog)
 		if err != nil {
 			return err
 		}
@@ -187,10 +189,10 @@
 	return nil
 }
 
-// gossipSeeds is how many gatekeepers of a gossip have a fixed address that the others join.
+// gossipSeeds is the number of gatekeepers of a gossip group with a fixed address that the others join.
 const gossipSeeds = 3
 
-// groups lays out the gossips, and gives the first gatekeepers of each fixed addresses.
+// groups returns the gossip groups, and assigns fixed addresses to the first gatekeepers of each.
 func (l *laboratory) groups() (map[string]hollow.Group, error) {
 	groups := map[string]hollow.Group{}
 	if !l.options.With.Membership {
@@ -218,121 +220,122 @@
 	return groups, nil
 }
 
-// awaitStart returns once every gatekeeper has the first settings; without a control plane, once all have met, or have not
-// within meetWithin.
+// awaitStart waits until every gatekeeper has settings in force. Without a control plane it waits until every gatekeeper
+// considers all members of its group up, at most meetTimeout after the last start.
 func (l *laboratory) awaitStart(ctx context.Context) error {
-	from := time.Since(l.began)
-	limit := startWithin
+	start := time.Since(l.runStart)
+	limit := startTimeout
 	if l.plane == nil {
-		limit = l.options.startOver() + meetWithin
+		limit = l.options.startSpread() + meetTimeout
 	}
-	var said time.Duration
+	var lastProgress time.Duration
 	for {
-		now := time.Since(l.began)
-		have, met, missing := l.have()
-		if now-said >= progressEvery {
-			said = now
-			l.options.progress(now, fmt.Sprintf("%d of %d have settings, fewest members met %d", have, l.options.Gatekeepers, met))
+		now := time.Since(l.runStart)
+		haveSettings, fewestUp, mostMissing := l.haveSettings()
+		if now-lastProgress >= progressInterval {
+			lastProgress = now
+			l.options.progress(now, fmt.Sprintf("%d of %d gatekeepers have settings, at least %d members up at each", haveSettings, l.options.Gatekeepers, fewestUp))
 		}
 		switch {
-		case l.plane != nil && have == l.options.Gatekeepers, l.plane == nil && missing == 0:
-			l.started = now - from
+		case l.plane != nil && haveSettings == l.options.Gatekeepers, l.plane == nil && mostMissing == 0:
+			l.startDuration = now - start
 			return nil
-		case now-from > limit && l.plane == nil:
-			l.started = -time.Second
+		case now-start > limit && l.plane == nil:
+			l.startDuration = -time.Second
 			return nil
-		case now-from > limit:
-			return fmt.Errorf("%d of %d gatekeepers have settings after %v", have, l.options.Gatekeepers, limit)
+		case now-start > limit:
+			return fmt.Errorf("%d of %d gatekeepers have settings after %v", haveSettings, l.options.Gatekeepers, limit)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.record.changed:
+		case <-l.eventLog.changed:
 		case <-time.After(time.Second):
 		}
-		if err := l.alive(); err != nil {
+		if err := l.checkProcesses(); err != nil {
 			return err
 		}
 	}
 }
 
-// have counts gatekeepers with settings in force, the fewest members that one has met, and the most of its gossip that one has
-// not; -1 for both where not every process has told yet.
-func (l *laboratory) have() (have, met, missing int) {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	met = -1
-	for _, p := range l.record.pulses {
-		if met < 0 || p.Met < met {
-			met = p.Met
+// haveSettings returns the number of gatekeepers with settings in force, the fewest members that a gatekeeper considers up,
+// and the most members of its group that a gatekeeper does not consider up. The last two are -1 until every process has
+// reported.
+func (l *laboratory) haveSettings() (haveSettings, fewestUp, mostMissing int) {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	fewestUp = -1
+	for _, p := range l.eventLog.latestFigures {
+		if fewestUp < 0 || p.FewestUp < fewestUp {
+			fewestUp = p.FewestUp
 		}
-		missing = max(missing, p.Missing)
+		mostMissing = max(mostMissing, p.MostMissing)
 	}
-	if len(l.record.pulses) < l.options.HollowProcesses {
-		met, missing = -1, -1
+	if len(l.eventLog.latestFigures) < l.options.HollowProcesses {
+		fewestUp, mostMissing = -1, -1
 	}
-	return len(l.record.inForce), met, missing
+	return len(l.eventLog.inForce), fewestUp, mostMissing
 }
 
-// alive tells whether a process ended by itself, or the record holds a fault.
-func (l *laboratory) alive() error {
+// checkProcesses returns an error if a hollow process has exited or has sent an invalid event.
+func (l *laboratory) checkProcesses() error {
 	for i, h := range l.hollows {
-		if h.process.Over() {
-			return fmt.Errorf("hollow%d ended (%v): see its log", i+1, h.process.State())
+		if h.process.Exited() {
+			return fmt.Errorf("hollow%d exited unexpectedly (%v): see its log", i+1, h.process.ExitState())
 		}
 	}
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	if l.record.fault != "" {
-		return errors.New(l.record.fault)
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	if l.eventLog.parseError != "" {
+		return errors.New(l.eventLog.parseError)
 	}
 	return nil
 }
 
-// count asks every hollow process for its counters and waits for them.
-func (l *laboratory) count(ctx context.Context, mark int) error {
+// collectCounters requests the counters of every hollow process and waits for them.
+func (l *laboratory) collectCounters(ctx context.Context, mark int) error {
 	for _, h := range l.hollows {
-		if err := h.tell(hollow.Command{Do: hollow.Count, Mark: mark}); err != nil {
+		if err := h.send(hollow.Command{Operation: hollow.Count, Mark: mark}); err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(countWithin); ; {
-		l.record.mu.Lock()
-		n := len(l.record.counters[mark])
-		l.record.mu.Unlock()
-		if n == len(l.hollows) {
+	for end := time.Now().Add(countersTimeout); ; {
+		l.eventLog.mu.Lock()
+		received := len(l.eventLog.counters[mark])
+		l.eventLog.mu.Unlock()
+		if received == len(l.hollows) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("counters of %d of %d hollow processes after %v", n, len(l.hollows), countWithin)
+			return fmt.Errorf("received counters from only %d of %d hollow processes within %v", received, len(l.hollows), countersTimeout)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.record.changed:
+		case <-l.eventLog.changed:
 		case <-time.After(50 * time.Millisecond):
 		}
-		if err := l.alive(); err != nil {
+		if err := l.checkProcesses(); err != nil {
 			return err
 		}
 	}
 }
 
-// measure is the measured time: changes come, and faults.
+// measure executes the measured time: it writes changes and injects the faults.
 func (l *laboratory) measure(ctx context.Context) error {
 	o := l.options
 	until := time.Now().Add(o.Length)
-	stop := l.playFaults(ctx)
+	stop := l.startFaults(ctx)
 	defer stop()
-	progress := time.NewTicker(progressEvery)
+	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	written := make(chan error, 1)
 	go func() {
-		if l.writer == nil {
+		if l.changeWriter == nil {
 			written <- nil
 			return
 		}
-		written <- l.writer.run(ctx, until)
+		written <- l.changeWriter.run(ctx, until)
 	}()
 	over := time.After(o.Length)
 	for done := false; ; {
@@ -346,8 +349,8 @@
 			done = true
 			written = nil
 		case <-progress.C:
-			l.tellProgress()
-			if err := l.alive(); err != nil {
+			l.reportProgress()
+			if err := l.checkProcesses(); err != nil {
 				return err
 			}
 		case <-over:
@@ -359,47 +362,48 @@
 	}
 }
 
-func (l *laboratory) tellProgress() {
-	at := time.Since(l.began)
-	if l.writer == nil {
-		_, met, _ := l.have()
-		l.options.progress(at, fmt.Sprintf("fewest members met %d of %d", met, l.options.Gatekeepers))
+// reportProgress reports the progress of the measured time.
+func (l *laboratory) reportProgress() {
+	at := time.Since(l.runStart)
+	if l.changeWriter == nil {
+		_, fewestUp, _ := l.haveSettings()
+		l.options.progress(at, fmt.Sprintf("at least %d of %d members up at each gatekeeper", fewestUp, l.options.Gatekeepers))
 		return
 	}
-	changes, _ := l.writer.all()
+	changes, _ := l.changeWriter.all()
 	last := changes[len(changes)-1]
-	behind := l.record.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false })
+	behind := l.eventLog.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false })
 	l.options.progress(at, fmt.Sprintf("%d changes, %d gatekeepers behind the last", len(changes), behind))
 }
 
-// tail writes one more change that nobody refuses, and waits until all have it or must have had it.
-func (l *laboratory) tail(ctx context.Context) error {
-	if l.writer == nil {
+// writeFinalChange writes a last change that is not refusable, and waits until all gatekeepers have it or the time limit has
+// passed.
+func (l *laboratory) writeFinalChange(ctx context.Context) error {
+	if l.changeWriter == nil {
 		return nil
 	}
-	l.writer.setRefusable(false)
-	last, err := l.writer.put(ctx, false)
+	l.changeWriter.setRefusable(false)
+	last, err := l.changeWriter.write(ctx, false)
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(within + time.Second); time.Now().Before(end); {
-		if l.record.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false }) == 0 {
+	for end := time.Now().Add(inForceLimit + time.Second); time.Now().Before(end); {
+		if l.eventLog.behind(l.plan.gatekeepers, last.Revision, func(hollow.Gatekeeper) bool { return false }) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.record.changed:
+		case <-l.eventLog.changed:
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// sample reads what the kernel says of the control machines each second, and sees that the run keeps to its part of the
-// memory.
+// sample records the usage of the control machines every sampleInterval, and stops the run if it uses too much memory.
 func (l *laboratory) sample(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -407,62 +411,62 @@
 			return
 		case <-tick.C:
 		}
-		at, resident := time.Since(l.began), int64(0)
+		at, resident := time.Since(l.runStart), int64(0)
 		if l.plane != nil {
 			for i, m := range l.plane.machines {
 				if u, ok := m.usage(); ok {
-					l.record.mu.Lock()
-					l.samples = append(l.samples, controlSample{i, at, u})
-					l.record.mu.Unlock()
+					l.eventLog.mu.Lock()
+					l.controlSamples = append(l.controlSamples, controlSample{i, at, u})
+					l.eventLog.mu.Unlock()
 					resident += u.Resident
 				}
 			}
 		}
-		l.record.mu.Lock()
-		for _, p := range l.record.pulses {
+		l.eventLog.mu.Lock()
+		for _, p := range l.eventLog.latestFigures {
 			resident += p.Resident
 		}
 		l.faults.resident = max(l.faults.resident, resident)
-		l.record.mu.Unlock()
-		if float64(resident) > mostOfMemory*float64(l.memory) {
-			l.fail(errMemory)
+		l.eventLog.mu.Unlock()
+		if float64(resident) > maxMemoryPart*float64(l.machineMemory) {
+			l.fail(errMemoryLimit)
 			return
 		}
 	}
 }
 
-// crashes lists processes that ended by themselves.
-func (l *laboratory) crashes() (problems []string) {
+// findProblems lists processes that exited unexpectedly, and gatekeepers that consider more members up than their group has.
+func (l *laboratory) findProblems() (problems []string) {
 	if l.plane != nil {
 		for _, m := range l.plane.machines {
 			if m.crashed() {
-				problems = append(problems, fmt.Sprintf("%s ended by itself: %v", m.Name, m.process.State()))
+				problems = append(problems, fmt.Sprintf("%s exited unexpectedly: %v", m.Name, m.process.ExitState()))
 			}
 		}
 	}
-	l.record.mu.Lock()
-	for _, p := range l.record.pulses {
-		if p.Strangers > 0 {
-			problems = append(problems, fmt.Sprintf("a gatekeeper met %d members that are not of its gossip", p.Strangers))
+	l.eventLog.mu.Lock()
+	for _, p := range l.eventLog.latestFigures {
+		if p.MostUnexpected > 0 {
+			problems = append(problems, fmt.Sprintf("a gatekeeper considers %d members up that are not in its group", p.MostUnexpected))
 		}
 	}
-	l.record.mu.Unlock()
+	l.eventLog.mu.Unlock()
 	for i, h := range l.hollows {
-		if h.process.Over() {
-			problems = append(problems, fmt.Sprintf("hollow%d ended by itself: %v", i+1, h.process.State()))
+		if h.process.Exited() {
+			problems = append(problems, fmt.Sprintf("hollow%d exited unexpectedly: %v", i+1, h.process.ExitState()))
 		}
 	}
 	return problems
 }
 
-// end ends every process of the run. It may be called again.
-func (l *laboratory) end() {
+// stop stops all processes of the run. It may be called more than once.
+func (l *laboratory) stop() {
 	hollows := l.hollows
 	l.hollows = nil
 	done := make(chan struct{})
 	for _, h := range hollows {
 		go func() {
-			h.end(hollowEndsIn)
+			h.stop(hollowStopTimeout)
 			done <- struct{}{}
 		}()
 	}
@@ -470,11 +474,12 @@
 		<-done
 	}
 	if l.plane != nil {
-		l.plane.end()
+		l.plane.stop()
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -483,21 +488,21 @@
 	}
 }
 
-// cores is how many this machine has.
-func cores() int { return runtime.NumCPU() }
+// coreCount returns the number of processor cores of the machine.
+func coreCount() int { return runtime.NumCPU() }
 
-// logOf turns what was seen into what the judge reads.
-func (l *laboratory) logOf(changes []judge.Change) judge.Log {
-	l.record.mu.Lock()
-	defer l.record.mu.Unlock()
-	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.record.applied, Refusals: l.record.refusals,
-		End: l.ended, Within: within}
+// judgeLog converts the recorded events into the log of the judge.
+func (l *laboratory) judgeLog(changes []judge.Change) judge.Log {
+	l.eventLog.mu.Lock()
+	defer l.eventLog.mu.Unlock()
+	log := judge.Log{Refusing: map[string]bool{}, Sections: 2, Changes: changes, Applied: l.eventLog.applied, Refusals: l.eventLog.refusals,
+		End: l.recordingEnd, TimeLimit: inForceLimit}
 	for _, g := range l.plan.gatekeepers {
 		log.Gatekeepers = append(log.Gatekeepers, g.Name)
 		if g.Refuses {
 			log.Refusing[g.Name] = true
 		}
-		log.Outages = append(log.Outages, l.record.outages[g.Name]...)
+		log.Outages = append(log.Outages, l.eventLog.outages[g.Name]...)
 		for _, cut := range l.faults.cuts {
 			if cut.region == g.Region {
 				log.Outages = append(log.Outages, judge.Outage{Gatekeeper: g.Name, From: cut.from, To: cut.to})
