--- a/control/control.go
+++ b/control/control.go
@@ -1,4 +1,4 @@
-// Package control decides for one gatekeeper to which server each call is sent, or that it is refused.
+// Package control decides for one gatekeeper which server each call is sent to and which calls are refused.
 // It is a deterministic state machine: Controller.Handle takes an event and returns actions. It does no I/O
 // and reads no clock. The settings, events, actions and types are in interface.go.
 package control
@@ -11,8 +11,8 @@
 
 // Periods of ticks and log lines.
 const (
-	tickInterval = 50000 // us; period at which levels and held calls are updated
-	logInterval  = 2e6   // us; least time between two log lines about one server
+	tickInterval = 50000 // us; period of Controller.onTick
+	logInterval  = 2e6   // us; minimum time between two log lines about one server
 )
 
 // Controller makes the decisions of one gatekeeper. It is not safe for concurrent use.
@@ -21,26 +21,26 @@
 	rng                *rand.Rand
 	now                Micros
 	actions            []Action
-	gateWait           float64 // us; level 2 onset
-	shareSlot          Micros  // slot of a share: half of FallTime
+	gateWait           float64 // us; wait at a server's processor at which level 2 begins (the gate)
+	shareSlot          Micros  // length of a slot of withinShare: half of FallTime
 	servers            []*server
 	calls              map[string]*openCall
 	waiting            []*openCall // calls held until heldUntil, in order of arrival
-	baseDelay          float64     // us; lowest set-up delay observed
-	lossRate           float64     // part of the set-ups that were lost
-	bestRate           float64     // highest own rate of answers per agent of a warm server, per second
-	bestRateSinceStart float64     // bestRate without restored values: for cold servers
+	baseDelay          float64     // us; lowest set-up delay observed, slowly rising with time
+	lossRate           float64     // moving average of the part of the set-ups that is lost
+	bestRate           float64     // highest own answers per second and agent, over all warm servers; decays
+	bestRateSinceStart float64     // bestRate as observed since the start, used for cold servers
 	lastTick           Micros
 	startedAt          Micros
-	stall              Micros   // how long this process stalled before this event
+	stall              Micros   // duration of the stall of this process that ended with the current event
 	loggedAt           Micros   // last log line about this gatekeeper itself
-	firstTryPatience   []Micros // by class: how long callers wait on their first try
+	firstTryPatience   []Micros // by class: time from arrival to deadline of the latest first try
 	ticking            bool
-	worthMix           [64]float64 // recent arrivals by worth
+	worthMix           [64]float64 // recent arrivals by worthBucket, decaying
 	worthTotal         float64
 	mixDecayedAt       Micros
 	busyNumbers        []busyNumber
-	tenants            []float64 // recent arrivals by tenant
+	tenants            []float64 // recent arrivals by tenant, decaying
 	defaultLimits      Limits    // limits of a call without its own
 }
 
@@ -109,8 +109,10 @@
 	return c.actions
 }
 
-// detectStall detects from a missing tick that this process stalled (Exception, own stall). The ages of
-// set-ups and observations then say nothing about the servers, so their times are shifted by the stall.
+// detectStall detects that this process stalled (Exception, own stall): ticks were due, but no event came
+// for more than four tick intervals. The ages of set-ups and observations then include the stall and are no
+// evidence about the servers, so the recorded times are shifted by it. gap is the time since the previous
+// event.
 func (c *Controller) detectStall(gap Micros) {
 	if gap > 0 {
 		c.stall = 0
@@ -135,7 +137,8 @@
 // emit appends an action to the result of Handle.
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-// logServer emits a log line about a server, at most one per logInterval and process of the server.
+// logServer emits a log line about a server, at most one per logInterval. A restart of the server clears the
+// interval.
 func (c *Controller) logServer(srv *server, format string, args ...any) {
 	if srv.loggedAt == 0 || c.now-srv.loggedAt >= logInterval {
 		srv.loggedAt = c.now
@@ -154,8 +157,7 @@
 	}
 }
 
-// onTick updates all servers, the best rates and the base delay, and dispatches the held calls that are
-// due.
+// onTick updates all servers, the best rates and the base delay, and dispatches the held calls that are due.
 func (c *Controller) onTick() {
 	span := c.now - c.lastTick
 	c.lastTick = c.now
@@ -174,12 +176,16 @@
 			agents += max(1, srv.totalAgents)
 		}
 	}
-	// The rate of a single server is noise if few set-ups go to it, so the sum over all servers is used.
-	// The best of few samples is biased upward; subtracting one standard deviation gives about the mean.
+	// The rate of a single server is too noisy if few set-ups go to it, so the sum over all servers is
+	// used. The maximum of few samples is biased upward; subtracting one standard deviation of the number
+	// of answers in rateTime gives about the mean. startupCorrection is the part of a steady rate that the
+	// average has reached.
 	startupCorrection := 1 - math.Exp(-max(float64(c.now-c.startedAt), startPhase)/rateTime)
 	ratePerAgent := rate / startupCorrection * (1 - 1/math.Sqrt(1+rate*rateTime/1e6)) / max(1, agents)
 	c.bestRate, c.bestRateSinceStart = max(c.bestRate, ratePerAgent), max(c.bestRateSinceStart, ratePerAgent)
-	for _, srv := range c.servers { // Exception, common slowdown: all recently observed servers wait
+	// Exception, common slowdown: if enough servers were observed within commonWindow, each warm server is
+	// assumed to have at least the shortest wait among them.
+	for _, srv := range c.servers {
 		if observed >= commonServers && commonFactor*observed >= len(c.servers) &&
 			srv.wait < shortestWait && !c.isCold(srv) {
 			srv.wait = shortestWait
@@ -198,7 +204,8 @@
 	}
 }
 
-// keepTicking requests the next tick while any state changes with time.
+// keepTicking requests the next tick while there are calls, or a server with a congestion level or a shed
+// part.
 func (c *Controller) keepTicking() {
 	needed := len(c.calls) > 0
 	for _, srv := range c.servers {
--- a/control/interface.go
+++ b/control/interface.go
@@ -1,13 +1,15 @@
 package control
 
-// Micros is a time or a duration in whole microseconds. Times are passed in by the caller of Handle.
+// Micros is a time or a duration in whole microseconds. All times of a controller are on one clock, that of
+// the times passed to Handle.
 type Micros int64
 
-// Repeat is the condition under which set-ups of a class may be sent again.
+// Repeat is the condition under which a set-up of a class may be sent again after a server may have worked
+// on it.
 type Repeat int
 
-// The values of Repeat: an Idempotent call may be sent again freely, an IdempotentByKey one within the scope of its key, a
-// NonIdempotent one only if no server has worked on it.
+// The values of Repeat. An Idempotent call may be sent again, a NonIdempotent one may not. An IdempotentByKey
+// call may be sent again within the scope of its key; this package treats it as NonIdempotent.
 const (
 	Idempotent Repeat = iota
 	IdempotentByKey
@@ -17,43 +19,52 @@
 // Field identifies one value of a load report.
 type Field int
 
-// The values of a load report. An Ignored value is not used by this package.
+// The values of a load report. Ignored stands for any value that this package does not use.
 const (
 	Ignored Field = iota
 	Spare         // free agents of the pool
 	Total         // agents of the pool
-	WaitMs        // wait at the processor, milliseconds
+	WaitMs        // wait of a message at the processor, milliseconds
 	Queue         // messages waiting at the processor
 	Busy          // processor utilization, 0 to 1
 )
 
 // Class describes a class of calls.
 type Class struct {
-	LatencyTarget, Deadline Micros
-	Worth, LateWorth        float64 // worth of a call; factor on it past the latency target or on a repeat
-	Repeat                  Repeat
-	Pools                   []int // cells that can take the class; nil means all
+	LatencyTarget, Deadline Micros // both from the arrival of a call
+	// Worth is the worth of a call. LateWorth is a factor on it, applied to a call that can no longer meet
+	// its latency target and to a repeated call of the same caller.
+	Worth, LateWorth float64
+	Repeat           Repeat
+	Pools            []int // cells whose servers can take calls of the class; nil: all cells
 }
 
 // Tenant describes a customer account.
 type Tenant struct {
-	QuotaPerS float64 // calls per second; a tenant's share is its part of the sum over all tenants
+	QuotaPerS float64 // calls per second; the tenant's share of all calls is this part of the sum
 }
 
 // Settings holds the configuration of a gatekeeper, fixed at its start.
 type Settings struct {
-	Gatekeepers, Position             int // number of gatekeepers; index of this one from 0, -1 if not known
-	OwnCell                           int // cell of the own exchange, which takes no calls; -1 if none
-	Classes                           []Class
-	Tenants                           []Tenant
-	OverShareWorth                    float64 // factor on the worth of calls beyond a tenant's share
-	AttemptsCap                       int     // attempts per call at most
-	Cancel, RetryAfter, SubscribeList bool    // may cancel attempts; send Retry-After; follow changes of the list
+	Gatekeepers, Position int // number of gatekeepers; index of this one, from 0, or -1 if not known
+	OwnCell               int // cell of this gatekeeper's exchange, which takes no calls; -1 if none
+	Classes               []Class
+	Tenants               []Tenant
+	OverShareWorth        float64 // factor on the worth of calls beyond a tenant's share
+	AttemptsCap           int     // maximum number of attempts per call
+	// Cancel allows Cancel actions, RetryAfter a Retry-After time in refusals. SubscribeList requests Watch
+	// actions.
+	Cancel, RetryAfter, SubscribeList bool
 	MaxRetryAfter                     Micros
-	ReleaseGuard, ResendGap           Micros  // wait after an outcome in Guarded; resend interval, 0 if not known
-	Report                            []Field // order of the values in a load report
-	FallMultiple, StartCapacity       float64 // cold budget in parts of capacity; initial part of warm capacity
-	FallTime, WarmWithin              Micros  // window of the cold budget; time from start until warm
+	// ReleaseGuard is the least time from an outcome in Guarded to the next attempt. ResendGap is the time
+	// after which an unanswered set-up is retransmitted, 0 if not known.
+	ReleaseGuard, ResendGap Micros
+	Report                  []Field // order of the values in a load report
+	// A cold server may get FallMultiple times its current capacity within each window of FallTime. Its
+	// capacity grows from the part StartCapacity of the warm capacity at its start to all of it after
+	// WarmWithin.
+	FallMultiple, StartCapacity float64
+	FallTime, WarmWithin        Micros
 }
 
 // State is the state of a server on the list.
@@ -61,9 +72,9 @@
 
 // The states of a server.
 const (
-	Gone State = iota
-	Ready
-	Draining
+	Gone     State = iota // no longer on the list
+	Ready                 // may get set-ups
+	Draining              // gets no new set-ups
 )
 
 // Outcomes is a set of Codes.
@@ -80,37 +91,40 @@
 // Has reports whether the set contains a code.
 func (o Outcomes) Has(c Code) bool { return o>>c&1 != 0 }
 
-// Sets of codes that the rules refer to.
+// Sets of outcomes with a common meaning.
 const (
-	Guarded    = Outcomes(1<<TimedOut | 1<<Cut | 1<<Cancelled)                // the release guard starts at these
-	MayHaveRun = Guarded | 1<<Failed                                          // a server may have worked on the call
-	Retryable  = MayHaveRun | 1<<Full | 1<<Unreachable | Outcomes(1<<NotSent) // a further attempt is possible after these
+	// Guarded holds the outcomes after which the next attempt waits for Settings.ReleaseGuard.
+	Guarded = Outcomes(1<<TimedOut | 1<<Cut | 1<<Cancelled)
+	// MayHaveRun holds the outcomes after which a server may have worked on the call.
+	MayHaveRun = Guarded | 1<<Failed
+	// Retryable holds the outcomes after which a further attempt is possible.
+	Retryable = MayHaveRun | 1<<Full | 1<<Unreachable | Outcomes(1<<NotSent)
 )
 
-// Limits bound the attempts of one call as configured by the operators, and do not change during the call. A zero value
-// leaves the bound to the settings and the caller. Package retry creates them and proves them against the rules.
+// Limits are the operators' bounds on the attempts of one call. They do not change during the call. Package
+// retry creates them and verifies that they follow the rules of the settings.
 type Limits struct {
-	Attempts       int      // number including the first, at most Settings.AttemptsCap
-	AttemptTimeout Micros   // time after which an attempt is abandoned; 0: at the end of the call
-	Wait, Jitter   Micros   // before the next attempt: Wait plus a uniform random part of Jitter
-	GiveUp         Micros   // time limit of a call from its arrival; the receiver of the call applies it to Deadline
+	Attempts       int      // number including the first, at most Settings.AttemptsCap; 0 counts as 1
+	AttemptTimeout Micros   // timeout of each attempt; 0: the end of the call
+	Wait, Jitter   Micros   // delay before the next attempt: Wait plus a uniform random part of Jitter
+	GiveUp         Micros   // time limit of a call from its arrival; already included in Call.Deadline
 	RetryOn        Outcomes // outcomes after which a further attempt is allowed
 	Budget         Budget   // nil: retries are not limited
 }
 
 // Budget bounds the retries of all calls of a gatekeeper together.
 type Budget interface {
-	First(now Micros, class int)     // counts a first attempt
-	Take(now Micros, class int) bool // takes one retry; false: the call must be refused
+	First(now Micros, class int)     // counts the first attempt of a call
+	Take(now Micros, class int) bool // takes one retry if the budget has one left; false: no retry is allowed
 }
 
-// Quota bounds the rate of calls by the operators' limits. Take is called once per call, when a server has been selected for
-// its first attempt: never for a call that is refused anyway, nor after a server has worked on the call.
+// Quota is the operators' limit on the rate of calls. Take is called once per call, when a server has been
+// selected for its first attempt. It is not called for a call that is refused for another reason.
 type Quota interface {
-	Take(now Micros) (ok bool, wait Micros) // not ok: the call must be refused with Retry-After wait
+	Take(now Micros) (ok bool, wait Micros) // not ok: the call is refused, wait is its Retry-After time
 }
 
-// String returns the name of the state.
+// String returns the name of the state: "gone", "up" for Ready, or "draining".
 func (s State) String() string { return [...]string{"gone", "up", "draining"}[min(max(int(s), 0), 2)] }
 
 // Entry is one server in a list.
@@ -118,16 +132,18 @@
 	Server uint32
 	Cell   int
 	State  State
-	Since  Micros // last start, 0 if long ago
+	Since  Micros // time of the server's last start; 0: long ago, the server is warm
 }
 
-// Event is one of the event types of this package, such as Start, List and Call.
+// Event is an input of Controller.Handle: Start, List, Call, CallEstablished, AttemptEnded, Status,
+// InFlightLimit, BusyNumber, Withdrawn, Timer or Recall. Handle ignores events of other types.
 type Event interface{}
 
 // Start is the first event of a controller.
 type Start struct{}
 
-// List is a list of servers: all of them, or the changed ones if Delta is set. It has no entries if Failed is set.
+// List is the result of a request for the list of servers. It holds all servers, or only the changed ones
+// if Delta is set. Failed reports that the request failed; there are no entries then.
 type List struct {
 	Delta, Failed bool
 	Entries       []Entry
@@ -135,13 +151,15 @@
 
 // Call is a new call, which needs exactly one final answer before Deadline.
 type Call struct {
-	ID                      string
-	Class, Tenant           int    // indexes in the settings
-	Key                     string // called number, "" if not known
-	Deadline                Micros
-	FirstChoice             int     // preferred cell
-	Repeat, Transit, WasCut bool    // not the caller's first try; only to FirstChoice; set up again after a cut
-	Excess                  bool    // over the limit of its listener: refused immediately
+	ID            string
+	Class, Tenant int    // indexes in the settings
+	Key           string // called number, "" if not known
+	Deadline      Micros
+	FirstChoice   int // preferred cell
+	// Repeat is set if the caller has tried this call before, and WasCut if it replaces an established call
+	// that was cut. A Transit call may be sent to servers of cell FirstChoice only.
+	Repeat, Transit, WasCut bool
+	Excess                  bool    // exceeds the limit of the listener that accepted it: refused immediately
 	Limits                  *Limits // nil: the limits of the settings
 	Quota                   Quota   // nil: none
 }
@@ -151,7 +169,7 @@
 	ID      string
 	Attempt int // counted from 0
 	Server  uint32
-	Elapsed Micros // from the set-up to its answer
+	Elapsed Micros // from sending the set-up to receiving its answer
 }
 
 // Code is the outcome of an attempt.
@@ -165,8 +183,8 @@
 	TimedOut         // no answer in time
 	Unreachable      // no connection to the server
 	Cut              // the connection was lost while the attempt was in flight
-	Cancelled        // the gatekeeper cancelled it
-	NotSent          // it did not leave the gatekeeper
+	Cancelled        // the gatekeeper cancelled the attempt
+	NotSent          // the set-up was not sent
 )
 
 // String returns the name of the code, or "unknown".
@@ -178,7 +196,8 @@
 }
 
 // codeNames are the names of the codes in settings and messages.
-var codeNames = [...]string{"ok", "failed", "full", "timed_out", "unreachable", "cut", "cancelled", "not_sent"}
+var codeNames = [...]string{"ok", "failed", "full", "timed_out", "unreachable", "cut",
+	"cancelled", "not_sent"}
 
 // Values of AttemptEnded.Reason, which qualify a Code.
 const (
@@ -187,7 +206,8 @@
 	LinesBusy     = 4 // Failed: all lines of the number are busy
 )
 
-// AttemptEnded reports the end of an attempt, or with Settled the end of an established call.
+// AttemptEnded reports the end of an attempt without success, or the end of a call that is Settled, such as
+// an established one.
 type AttemptEnded struct {
 	ID         string
 	Attempt    int // counted from 0
@@ -200,7 +220,7 @@
 	Report     []float64 // load report in the order of Settings.Report, -1 for a missing value
 }
 
-// Status is the answer to a probe, or an unsolicited report (Elapsed is 0 then).
+// Status is the answer to a probe, or an unsolicited load report, for which Elapsed is 0.
 type Status struct {
 	Server  uint32
 	Code    Code
@@ -208,26 +228,28 @@
 	Report  []float64
 }
 
-// InFlightLimit limits the set-ups that this gatekeeper may have in flight to a server that the fleet has ejected: 0 means
-// none, a negative value no limit. It applies in addition to the limits of this package.
+// InFlightLimit limits the set-ups that this gatekeeper may have in flight to a server that the gatekeepers
+// have jointly ejected. Max is the limit: 0 allows none, a negative value removes the limit. The limits
+// that this package computes itself still apply.
 type InFlightLimit struct {
 	Server uint32
 	Max    int
 }
 
-// BusyNumber reports that, according to the fleet, all lines of a number were busy at a time.
+// BusyNumber reports that, according to the fleet, all lines of the number Key were busy at time At.
 type BusyNumber struct {
 	Key string
 	At  Micros
 }
 
-// Withdrawn reports that a call no longer needs a final answer.
+// Withdrawn reports that a call no longer needs a final answer, because its caller has cancelled it or the
+// program around this package has answered it.
 type Withdrawn struct{ ID string }
 
 // Timer reports that the timer requested by a SetTimer action has fired.
 type Timer struct{ Key string }
 
-// Peer is a message from another gatekeeper.
+// Peer is a message from another gatekeeper. Handle ignores it.
 type Peer struct {
 	From int
 	Data []byte
@@ -238,11 +260,11 @@
 
 // The kinds of actions.
 const (
-	Send     ActionKind = iota // start a set-up of ID at Server, abandoned after Wait (0: at the end of the call)
+	Send     ActionKind = iota // send a set-up of ID to Server with timeout Wait (0: end of the call)
 	Refuse                     // final answer: refused; Wait is the Retry-After time (0: none)
 	Fail                       // final answer: failed
 	Cancel                     // cancel Attempt of ID
-	SetTimer                   // request Timer Key at time At
+	SetTimer                   // request the event Timer with Key at time At
 	Watch                      // subscribe to changes of the list
 	Log                        // write log line Text
 )
--- a/control/selection.go
+++ b/control/selection.go
@@ -5,35 +5,39 @@
 	"slices"
 )
 
-// Parameter of the selection.
+// Parameter of the server selection.
 const (
-	headroomPower = 4 // power by which headroom falls with the wait
+	headroomPower = 4 // exponent with which headroom decreases as the wait grows
 )
 
-// selectServer returns the first choice if it is at level 0, else another server at level 0, else one at
-// level 1, or nil if no server accepts the call.
+// selectServer returns a server of the lowest congestion level among those that accept the call, or nil if
+// none does. At that level it prefers the cell of the call's first choice, else it selects at random by
+// headroom.
 func (c *Controller) selectServer(call *openCall) *server {
 	rank := c.rank(call)
 	var best *server
-	bestDraw := math.Inf(1)
+	bestKey := math.Inf(1)
 	for _, srv := range c.servers {
 		if !c.accepts(srv, call, rank) {
 			continue
 		}
-		// Alternatives to the first choice are drawn at random, weighted by headroom. By the shortest wait,
-		// gatekeepers with few reports would all choose the smallest servers, whose waits are known least.
-		draw := c.rng.ExpFloat64() / c.headroom(srv)
+		// The lowest key wins: 0 for the first choice, else exponentially distributed with headroom as the
+		// rate, which selects with probabilities proportional to headroom. Selection of the shortest wait
+		// would lead all gatekeepers with few reports to the smallest servers, whose waits they know least
+		// about.
+		key := c.rng.ExpFloat64() / c.headroom(srv)
 		if srv.cell == call.FirstChoice {
-			draw = 0
+			key = 0
 		}
-		if best == nil || srv.level < best.level || srv.level == best.level && draw < bestDraw {
-			best, bestDraw = srv, draw
+		if best == nil || srv.level < best.level || srv.level == best.level && key < bestKey {
+			best, bestKey = srv, key
 		}
 	}
 	return best
 }
 
-// headroom returns the relative capacity of a server for second choices: free agents, less with more wait.
+// headroom returns the weight of a server among second choices: its free agents, reduced by the part of
+// calls shed and by the wait.
 func (c *Controller) headroom(srv *server) float64 {
 	available := max(1, srv.totalAgents)
 	if srv.totalAgents > 0 && srv.freeAgents >= 0 {
@@ -42,7 +46,8 @@
 	return available * (1 - srv.shed) * math.Pow(1+agentReserve-min(1, srv.wait/c.gateWait), headroomPower)
 }
 
-// accepts reports whether a server can take a call of a given rank now.
+// accepts reports whether a server can take a call now. rank is the part of recent calls that are worth
+// less than the call; the server sheds calls whose rank is below its shed part.
 func (c *Controller) accepts(srv *server, call *openCall, rank float64) bool {
 	switch {
 	case srv.state != Ready, srv.level >= gateLevel, slices.Contains(call.tried, srv.id),
