--- a/control/control.go
+++ b/control/control.go
@@ -19,13 +19,13 @@
 type Controller struct {
 	settings           Settings
 	rng                *rand.Rand
-	now                Micros
-	actions            []Action
-	gateWait           float64 // us; wait at a server's processor at which level 2 begins (the gate)
-	shareSlot          Micros  // length of a slot of withinShare: half of FallTime
+	now                Micros   // time of the current event
+	actions            []Action // result of Handle
+	gateWait           float64  // us; wait at a server's processor at which level 2 begins (the gate)
+	shareSlot          Micros   // length of a slot of withinShare: half of FallTime
 	servers            []*server
 	calls              map[string]*openCall
-	waiting            []*openCall // calls held until heldUntil, in order of arrival
+	waiting            []*openCall // calls held until heldUntil, in the order in which they were held
 	baseDelay          float64     // us; lowest set-up delay observed, slowly rising with time
 	lossRate           float64     // moving average of the part of the set-ups that is lost
 	bestRate           float64     // highest own answers per second and agent, over all warm servers; decays
--- a/control/interface.go
+++ b/control/interface.go
@@ -52,11 +52,10 @@
 	Tenants               []Tenant
 	OverShareWorth        float64 // factor on the worth of calls beyond a tenant's share
 	AttemptsCap           int     // maximum number of attempts per call
-	// Cancel allows Cancel actions, RetryAfter a Retry-After time in refusals. SubscribeList requests Watch
-	// actions.
+	// Cancel allows Cancel actions, RetryAfter a Retry-After time in refusals, SubscribeList Watch actions.
 	Cancel, RetryAfter, SubscribeList bool
 	MaxRetryAfter                     Micros
-	// ReleaseGuard is the least time from an outcome in Guarded to the next attempt. ResendGap is the time
+	// ReleaseGuard is the minimum time from an outcome in Guarded to the next attempt. ResendGap is the time
 	// after which an unanswered set-up is retransmitted, 0 if not known.
 	ReleaseGuard, ResendGap Micros
 	Report                  []Field // order of the values in a load report
