--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -85,7 +85,7 @@
 // attemptOf returns the call of an attempt that is in flight, or nil. It ensures that an attempt ends only once.
 func (c *Core) attemptOf(r attemptRef) *callState {
 	call := c.calls[r.id]
-	if call == nil || call.established || call.current == nil || call.current.number != r.attempt {
+	if call == nil || call.established || call.current == nil || call.current.number != r.attemptNumber {
 		return nil
 	}
 	return call
@@ -123,7 +123,7 @@
 	switch {
 	case call == nil || call.current == nil || call.current.peer != p:
 		p.release(r.id, CauseNormal)
-	case call.current.number != r.attempt:
+	case call.current.number != r.attemptNumber:
 		call.lateAnswer = true
 	}
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -20,43 +20,43 @@
 	clock          clock
 	module         *control.Controller
 	log            logrus.FieldLogger
-	orphans        Orphans
-	limits         *retry.Policy // of calls that arrive now; nil: as in the settings
+	orphans        Orphans       // receives releases of unknown calls; nil: they are ignored
+	limits         *retry.Policy // limits of the calls that arrive from now on; nil: those of the settings
 	peers          map[uint32]*Peer
 	calls          map[string]*callState
 	unanswered     int // calls without a final answer
 	ended          endedCalls
-	quotas         Quotas // nil if there are none
-	releaseGuard   control.Micros
-	latestDeadline control.Micros // upper bound of the deadlines of new calls; 0: no bound
-	actions        []control.Action
-	handling       bool
-	onDrained      func() // called once no call is unanswered
+	quotas         Quotas           // nil if there are none
+	releaseGuard   control.Micros   // least time between the end of a call and a new set-up with the same id
+	latestDeadline control.Micros   // upper bound of the deadlines of new calls; 0: no bound
+	actions        []control.Action // not yet carried out; see handle
+	handling       bool             // handle is carrying out actions
+	onDrained      func()           // called once no call is unanswered
 
 	recorder      Recorder // nil if nothing is recorded
 	classes       []control.Class
-	viewBuffer    []control.View
-	recordedViews map[uint32]recordedView
+	viewBuffer    []control.View          // reused for each read of the module's views
+	recordedViews map[uint32]recordedView // by server
 	viewsReadAt   control.Micros
-	lastReports   map[uint32][]float64
+	lastReports   map[uint32][]float64 // last recorded load report, by server
 
 	stats            *Stats
 	observers        []Observer
-	countedViews     []control.View
+	countedViews     []control.View // buffer of countTargets
 	targetsCountedAt control.Micros
 }
 
-// NewCore creates a core and starts its module. records may be nil: then nothing is recorded.
-func NewCore(settings control.Settings, seed uint64, records Recorder, log logrus.FieldLogger) *Core {
+// NewCore creates a core and starts its module. eventRecorder may be nil: then nothing is recorded.
+func NewCore(settings control.Settings, seed uint64, eventRecorder Recorder, log logrus.FieldLogger) *Core {
 	c := &Core{Actor: actor.New(), clock: newClock(), module: control.New(settings, seed), log: log, peers: map[uint32]*Peer{},
 		calls: map[string]*callState{}, releaseGuard: settings.ReleaseGuard,
-		recorder: records, classes: settings.Classes, recordedViews: map[uint32]recordedView{}, lastReports: map[uint32][]float64{},
+		recorder: eventRecorder, classes: settings.Classes, recordedViews: map[uint32]recordedView{}, lastReports: map[uint32][]float64{},
 		stats: newStats(len(settings.Classes))}
 	c.Post(func() { c.handle(control.Start{}) })
 	return c
 }
 
-// SetOrphans sets who receives releases of unknown calls. It must be called before any server is added.
+// SetOrphans sets the receiver of releases of unknown calls. It must be called before any server is added.
 func (c *Core) SetOrphans(o Orphans) { c.Post(func() { c.orphans = o }) }
 
 // Observer receives the outcomes of calls and attempts. It must be safe for concurrent use and must not block.
@@ -76,15 +76,16 @@
 // SetInFlightLimit passes the module the in-flight limit of a server that the fleet ejects or readmits.
 func (c *Core) SetInFlightLimit(limit control.InFlightLimit) { c.Post(func() { c.handle(limit) }) }
 
-// observe reports an outcome of a call, or of its attempt at a server, to the observers. It is safe for concurrent use.
+// observe reports an outcome of a call, or of its attempt at a server, to the observers; server is 0 for an outcome of a call.
+// It is safe for concurrent use.
 func (c *Core) observe(kind counting.Kind, s *Setup, server uint32) {
 	for _, o := range c.observers {
 		o.Observe(c.clock.now(), counting.Event{Kind: kind, Class: s.Class, Tenant: s.Tenant, Number: s.Key, Server: server})
 	}
 }
 
-// SetLimits puts limits in force for the calls that arrive from now on. A call keeps the limits that it began with. The
-// counts of the retry budget are carried over.
+// SetLimits sets the limits of the calls that arrive from now on. Calls that have arrived keep their limits. The counts of the
+// retry budget are carried over from the previous policy.
 func (c *Core) SetLimits(policy *retry.Policy) {
 	c.Post(func() {
 		policy.InheritCounts(c.limits)
@@ -95,12 +96,13 @@
 // Learned calls f from the core's actor with the state that the module has learned.
 func (c *Core) Learned(f func(control.Learned)) { c.Post(func() { f(c.module.Learned()) }) }
 
-// Recall restores the state that the module had learned before a restart. It is called once the list is loaded.
+// Recall restores the state that the module had learned before a restart. It must not be called before the list of servers is
+// loaded.
 func (c *Core) Recall(learned control.Learned) {
 	c.Post(func() { c.handle(control.Recall{Learned: learned}) })
 }
 
-// Open starts the handling of a new call. The caller receives one final answer.
+// Open starts the handling of a new call. The caller receives exactly one final answer, unless the call is withdrawn first.
 func (c *Core) Open(s Setup, caller Caller) {
 	arrived := c.clock.now()
 	c.observe(counting.Arrived, &s, 0)
@@ -111,8 +113,8 @@
 func (c *Core) open(s Setup, caller Caller, arrived control.Micros) {
 	deadline := arrived + control.Micros(s.TimeLeft/time.Microsecond)
 	if endedAt, ok := c.ended.endOf(s.ID); c.calls[s.ID] != nil || ok && c.clock.now()-endedAt < c.releaseGuard {
-		// The id is in use: the first call continues unchanged, and the second caller gets a failure. An id that was in use
-		// until a moment ago is rejected too: its set-up would be sent within the release guard.
+		// The id is in use: the first call continues unchanged, and the second caller gets a failure. The id of a call that has
+		// ended is rejected until the release guard has passed: a set-up must not be sent with it before then.
 		c.log.WithField("call", s.ID).Debug("set-up rejected: its id is in use by another call")
 		c.stats.Class(s.Class).Error.Add(1)
 		caller.Fail()
@@ -153,12 +155,12 @@
 // startGrace starts the module's grace period for a call.
 func (c *Core) startGrace(call *callState) {
 	call.graceEnds = c.clock.now() + control.Micros(decisionGrace.Microseconds())
-	call.deadlineTimer = c.After(decisionGrace, func() { c.deadlinePassed(call) })
+	call.deadlineTimer = c.After(decisionGrace, func() { c.graceExpired(call) })
 }
 
-// stalledInGrace reports whether the process was stalled during the grace period, so that the module had no chance to use it.
-// If so, it starts the grace period again, at most maxGraceRenewals times for one call.
-func (c *Core) stalledInGrace(call *callState) bool {
+// renewGraceAfterStall starts the grace period again if the process was stalled during it, so that the module had no chance to
+// use it, and reports whether it did so. It does so at most maxGraceRenewals times for one call.
+func (c *Core) renewGraceAfterStall(call *callState) bool {
 	late := c.clock.now() - call.graceEnds
 	if late < control.Micros(stallThreshold.Microseconds()) || call.graceRenewals >= maxGraceRenewals {
 		return false
@@ -168,9 +170,9 @@
 	return true
 }
 
-// deadlinePassed fails a call for which the module gave no final answer within the grace period.
-func (c *Core) deadlinePassed(call *callState) {
-	if c.calls[call.ID] != call || call.established || c.stalledInGrace(call) {
+// graceExpired runs at the end of the grace period. It fails a call for which the module has made no final answer.
+func (c *Core) graceExpired(call *callState) {
+	if c.calls[call.ID] != call || call.established || c.renewGraceAfterStall(call) {
 		return
 	}
 	c.log.WithField("call", call.ID).Error("no decision by the deadline: call failed")
@@ -182,8 +184,8 @@
 	call.caller.Fail()
 }
 
-// Withdraw gives up a set-up whose caller no longer waits. An established call is left alone, and so is another
-// caller's call of the same id. done, if not nil, is called with true if the set-up was withdrawn before its final answer.
+// Withdraw gives up a set-up whose caller no longer waits. It does not affect an established call, nor a call of another caller
+// with the same id. done, if not nil, receives whether the set-up was withdrawn before its final answer.
 func (c *Core) Withdraw(id string, caller Caller, done func(inTime bool)) {
 	c.Post(func() {
 		call := c.calls[id]
@@ -205,8 +207,8 @@
 	c.note(history.Event{Kind: history.Gone, Call: call.ID})
 }
 
-// Hangup ends a call on behalf of its caller. Any caller may end an established call, but only its own caller may give up a
-// set-up; caller may be nil if it is not known. done, if not nil, is called with whether the call was known.
+// Hangup ends a call on behalf of its caller. An established call ends regardless of caller, but a set-up is given up only if
+// caller is its own; a nil caller is not known and gives up no set-up. done, if not nil, receives whether the call was known.
 func (c *Core) Hangup(id string, cause int, caller Caller, done func(known bool)) {
 	if cause < 1 || cause > 127 { // outside the range of Q.850; a server need not accept it
 		cause = CauseNormal
@@ -252,13 +254,13 @@
 	c.checkDrained()
 }
 
-// AnswerWithin bounds the deadlines of the calls that arrive from now on: each has its final answer at most d after this
-// call. The process may be killed then.
+// AnswerWithin bounds the deadlines of the calls that arrive from now on: none is later than d from now. It is used before the
+// process ends, so that these calls have their final answers soon after.
 func (c *Core) AnswerWithin(d time.Duration) {
 	c.Post(func() { c.latestDeadline = c.clock.now() + control.Micros(d/time.Microsecond) })
 }
 
-// OnDrained registers f to be called once, when every call has its final answer.
+// OnDrained registers f to be called once, as soon as no call waits for its final answer. Established calls may still be open.
 func (c *Core) OnDrained(f func()) {
 	c.Post(func() {
 		c.onDrained = f
@@ -281,8 +283,8 @@
 	})
 }
 
-// handle passes one event to the module and carries out the resulting actions. It may be called again by an action: the
-// actions of the nested event are then appended to the list that the outer call carries out.
+// handle passes one event to the module and carries out the resulting actions. Carrying out an action may call handle again:
+// the nested invocation only appends its actions to c.actions, and the outer one carries them out.
 func (c *Core) handle(event control.Event) {
 	c.actions = append(c.actions, c.callModule(event)...) // copied: the module reuses its slice
 	if c.handling {
@@ -313,7 +315,7 @@
 // execute carries out one action of the module.
 func (c *Core) execute(action control.Action) {
 	call := c.calls[action.ID]
-	if call != nil && call.established {
+	if call != nil && call.established { // it has its final answer; the actions concern unanswered calls only
 		call = nil
 	}
 	switch action.Kind {
--- a/internal/routing/peer.go
+++ b/internal/routing/peer.go
@@ -17,23 +17,23 @@
 
 // attemptRef identifies one attempt of a call.
 type attemptRef struct {
-	id      string
-	attempt int
+	id            string
+	attemptNumber int
 }
 
-// Attempt is a set-up on its way to one server.
+// Attempt is one attempt to set up a call at one server, as handed to the connection.
 type Attempt struct {
 	attemptRef
 	Class    int
-	Key      string
-	Body     []byte
-	Deadline time.Time
+	Key      string       // called number
+	Body     []byte       // session description
+	Deadline time.Time    // the attempt is not sent after it
 	level    int          // the server's level in the module's view at the decision; 0 without a recorder
 	givenUp  *atomic.Bool // set once the core has given up the attempt
 	caller   Caller
 }
 
-// abandoned reports whether the attempt has been given up or its caller is gone, so that it must not begin.
+// abandoned reports whether the attempt has been given up or its caller is gone, so it must not be sent.
 func (a *Attempt) abandoned() bool {
 	return a.givenUp != nil && a.givenUp.Load() || a.caller != nil && a.caller.Gone()
 }
@@ -45,15 +45,17 @@
 func (r attemptRef) ID() string { return r.id }
 
 // Number returns the number of the attempt; the attempts of a call are counted from 0.
-func (r attemptRef) Number() int { return r.attempt }
+func (r attemptRef) Number() int { return r.attemptNumber }
 
 // ServerConn is an open connection to one server. Its methods must not block; events on it are reported to the
 // ServerEvents that it was opened with.
 type ServerConn interface {
-	// Setup sends a set-up. stillWanted is called when its first byte is about to be written; if it returns false, the set-up is
-	// reported as NotSent, and nothing of it is written.
+	// Setup sends a set-up. stillWanted is called just before its first byte is written; if it returns false, nothing is written
+	// and the set-up is reported as NotSent. Over UDP stillWanted is called before each retransmission too; if it returns false
+	// then, the set-up fails, but not as NotSent, because the server may have received it.
 	Setup(a Attempt, stillWanted func() bool)
-	// Cancel gives up a set-up: no further copy is sent. A late answer is reported, or released by the connection itself.
+	// Cancel gives up a set-up: no further copy is sent. If an answer arrives later, the connection either reports it or
+	// releases the call itself.
 	Cancel(id string)
 	// Release ends an established call with a Q.850 cause.
 	Release(id string, cause int)
@@ -77,13 +79,14 @@
 }
 
 const (
+	// minRedialWait and maxRedialWait bound the wait before a dial is retried. The wait doubles with each retry.
 	minRedialWait = 50 * time.Millisecond
 	maxRedialWait = time.Second
-	// lingerTime is how long a retired peer runs on, so that what the core still sends to it is reported as NotSent.
+	// lingerTime is how long a retired peer keeps running, to report attempts that the core still passes to it as NotSent.
 	lingerTime = 10 * time.Second
 	// warnInterval is the least time between two log entries about failed connects to a server.
 	warnInterval = 10 * time.Second
-	// lateAnswerTime is how long after it was given up a set-up may still be answered on its connection.
+	// lateAnswerTime is how long an attempt that was given up is still tracked, because its answer may arrive late.
 	lateAnswerTime = 10 * time.Second
 	// unreachableAfter is how long a server may be without a connection before its calls are released. Calls established at a
 	// server that vanished must be released within 8 s.
@@ -91,7 +94,7 @@
 )
 
 // Peer is the actor of one server: it maintains the connections to it and tracks which attempts are in flight there. It opens
-// as many connections as the dialer allows, so that one that breaks or stops responding affects few set-ups.
+// up to as many connections as the dialer allows, so that a connection that breaks or stops responding affects few set-ups.
 type Peer struct {
 	*actor.Actor
 	core   *Core
@@ -99,7 +102,7 @@
 	addr   string
 	dialer Dialer
 	log    logrus.FieldLogger
-	state  atomic.Int32 // control.State on the list; read by connection writers at the first byte of a packet
+	state  atomic.Int32 // control.State of the server on the list; also read by connection writers, before they send a set-up
 
 	conns           []*peerConn // open connections
 	dialing         *peerConn   // connection that is being opened, or nil
@@ -107,9 +110,9 @@
 	redialWait      time.Duration
 	redialTimer     *time.Timer      // next dial, nil if none is scheduled
 	pendingReleases []pendingRelease // releases that wait for a connection
-	wasReset        bool             // a connection was reset after one was last opened: the server process may have died
+	wasReset        bool             // a connection was reset since the last successful dial: the server process may have died
 	lastClosedAt    control.Micros
-	disconnectedAt  control.Micros // when the last connection closed; 0 while one is open, and once its calls have been ended
+	disconnectedAt  control.Micros // since when no connection is open; 0 while one is, and once the server's calls were ended
 	warnedAt        control.Micros // when a failed connect was last logged
 	ctx             context.Context
 	stopDial        context.CancelFunc
@@ -119,7 +122,7 @@
 type inFlightAttempt struct {
 	Attempt
 	sent      bool // its first byte may have been written
-	abandoned bool // given up; a late answer may still arrive
+	cancelled bool // given up by the core; a late answer may still arrive
 }
 
 // pendingRelease is a release that waits for a connection.
@@ -135,7 +138,7 @@
 	return p
 }
 
-// setState applies the state of the server on the list. It takes effect at once, also for queued attempts.
+// setState sets the server's state on the list. It takes effect at once, also for queued attempts.
 func (p *Peer) setState(s control.State) {
 	p.state.Store(int32(s))
 	p.Post(func() {
@@ -151,7 +154,8 @@
 
 func (p *Peer) gone() bool { return control.State(p.state.Load()) == control.Gone }
 
-// retire ends the peer of a server that was removed from the list: it closes the connections and ends the calls there.
+// retire ends the peer of a server that was removed from the list: it closes the connections, fails the queued
+// attempts and ends the calls established at the server.
 func (p *Peer) retire() {
 	p.stopDial()
 	p.stopRedialTimer()
@@ -166,8 +170,8 @@
 	}
 	p.failQueued(control.NotSent)
 	p.pendingReleases = nil
-	at := p.core.clock.now()
-	p.core.Post(func() { p.core.serverDied(p, at+1, false) })
+	retiredAt := p.core.clock.now()
+	p.core.Post(func() { p.core.serverDied(p, retiredAt+1, false) })
 	p.After(lingerTime, p.Stop)
 }
 
@@ -198,8 +202,8 @@
 	p.queued = nil
 }
 
-// connect opens one more connection, up to the dialer's maximum. A connection is useful even without queued attempts:
-// releases of established calls and load reports need one too.
+// connect starts to open one more connection, unless one is being opened or the dialer's maximum is reached. A connection is
+// useful even without queued attempts: releases of established calls and load reports need one too.
 func (p *Peer) connect() {
 	if p.dialing != nil || p.gone() || len(p.conns) >= p.dialer.MaxConns(p.addr) {
 		return
@@ -213,6 +217,7 @@
 	}()
 }
 
+// connected handles the result of a dial. It sends the queued releases and attempts on the new connection.
 func (p *Peer) connected(c *peerConn, conn ServerConn, err error) {
 	if c.closed || p.gone() {
 		if conn != nil {
@@ -258,8 +263,8 @@
 		lostAt := p.lastClosedAt
 		p.core.Post(func() { p.core.serverDied(p, lostAt+1, false) })
 	case p.disconnectedAt > 0 && span(now-p.disconnectedAt) >= unreachableAfter:
-		// The machine vanished or is cut off, without any notification. No other process releases its calls. If the server
-		// comes back, it receives the releases too.
+		// The server's machine has failed or is partitioned, and sent no releases. No other process releases its calls. The
+		// releases are also queued for the server, in case it comes back.
 		lostAt := p.disconnectedAt
 		p.disconnectedAt = 0
 		p.log.Warn("server unreachable: releasing its calls")
@@ -267,7 +272,7 @@
 	}
 }
 
-// scheduleRedial dials again after a wait.
+// scheduleRedial dials again after redialWait, and doubles the wait for the next time.
 func (p *Peer) scheduleRedial() {
 	p.stopRedialTimer()
 	p.redialTimer = p.After(p.redialWait, func() {
@@ -282,7 +287,8 @@
 
 // dispatch hands an attempt to the connection with the fewest attempts in flight, so that a connection that stopped responding
 // collects no more than the others. It skips connections on which an earlier attempt of the same call was given up: a late
-// answer to that attempt would be taken for an answer to this one.
+// answer to that attempt would be taken for an answer to this one. If no connection is left, it queues the attempt and
+// opens one more, or fails the attempt if the dialer's maximum is reached.
 func (p *Peer) dispatch(a Attempt) {
 	if !p.ready() || !time.Now().Before(a.Deadline) {
 		p.fail(a, control.NotSent)
@@ -297,7 +303,7 @@
 	switch {
 	case best != nil:
 		if len(best.inFlight) > 0 && p.redialTimer == nil {
-			p.connect() // every connection is in use: open one more for the next attempt
+			p.connect() // every connection that this call can use has attempts in flight: open one more for the next attempt
 		}
 		best.send(a)
 	case len(p.conns) > 0 && len(p.conns) >= p.dialer.MaxConns(p.addr):
@@ -319,7 +325,7 @@
 		}
 		for _, c := range p.conns {
 			if entry, ok := c.inFlight[r.id]; ok && entry.attemptRef == r {
-				entry.abandoned = true
+				entry.cancelled = true
 				c.inFlight[r.id] = entry
 				p.After(lateAnswerTime, func() { c.forget(r) })
 				c.conn.Cancel(r.id)
@@ -329,7 +335,8 @@
 	})
 }
 
-// release ends an established call at the server.
+// release ends an established call at the server, on the connection with the fewest attempts in flight. Without a connection
+// the release is queued; for a server that was removed from the list it is dropped.
 func (p *Peer) release(id string, cause int) {
 	p.Post(func() {
 		var best *peerConn
@@ -357,7 +364,7 @@
 	c.closed = true
 	p.conns = slices.DeleteFunc(p.conns, func(o *peerConn) bool { return o == c })
 	for _, o := range c.inFlight {
-		if o.abandoned {
+		if o.cancelled {
 			continue
 		}
 		code := control.NotSent
@@ -374,14 +381,16 @@
 	peer     *Peer
 	conn     ServerConn
 	inFlight map[string]inFlightAttempt // by call id
-	received bool                       // a message has been received on it
+	received bool                       // an answer, a release or a load report has been received on it
 	closed   bool
 }
 
 // send hands an attempt to the connection.
 func (c *peerConn) send(a Attempt) {
 	c.inFlight[a.id] = inFlightAttempt{Attempt: a}
-	first := true // over UDP the check runs for each copy; the connection itself sends no copy after a cancel
+	// The function runs for each copy that is sent over UDP. Only the first must check for cancellation: after a cancel the
+	// connection sends no further copy.
+	first := true
 	c.conn.Setup(a, func() bool {
 		if !c.peer.ready() {
 			return false
@@ -391,7 +400,7 @@
 				return false
 			}
 			first = false
-			c.peer.core.note(history.Event{Kind: history.Sent, Call: a.id, Attempt: a.attempt, Server: c.peer.server,
+			c.peer.core.note(history.Event{Kind: history.Sent, Call: a.id, Attempt: a.attemptNumber, Server: c.peer.server,
 				Level: a.level})
 		}
 		// From the first byte on the server may execute the set-up: if the connection breaks now, the outcome is Cut, not NotSent.
@@ -407,7 +416,7 @@
 
 // forget removes an attempt from those in flight.
 func (c *peerConn) forget(r attemptRef) {
-	if sent, ok := c.inFlight[r.id]; ok && sent.attemptRef == r {
+	if entry, ok := c.inFlight[r.id]; ok && entry.attemptRef == r {
 		delete(c.inFlight, r.id)
 	}
 }
@@ -470,7 +479,7 @@
 			}
 		}
 		if c.received {
-			p.connect() // the server may have a release to send that it could not send on this connection
+			p.connect() // the server may have releases that it could not send before this connection ended
 		} else { // nothing was received on it: wait before the next dial
 			p.scheduleRedial()
 		}
--- a/internal/store/counts.go
+++ b/internal/store/counts.go
@@ -65,7 +65,7 @@
 	statuses := []SessionStatus{}
 	for _, sess := range s.allSessions() {
 		sess.mu.Lock()
-		statuses = append(statuses, SessionStatus{sess.request.Session, sess.report, sess.since, sess.sent, sess.target, s.options.Name})
+		statuses = append(statuses, SessionStatus{sess.request.Session, sess.report, sess.openedAt, sess.sent, sess.target, s.options.Name})
 		sess.mu.Unlock()
 	}
 	slices.SortFunc(statuses, func(a, b SessionStatus) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/store/machine.go
+++ b/internal/store/machine.go
@@ -35,7 +35,7 @@
 	// opRaise raises the revisions of the group above command.At.
 	opRaise = "raise"
 
-	// opMember changes the membership. The leader checks the change and carries it out.
+	// opMember changes the membership. The leader checks the change and makes it through raft, not by a command in the log.
 	opMember = "member"
 )
 
@@ -44,16 +44,16 @@
 	Op    string `json:"op"`
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	At    uint64 `json:"at,omitempty"`
+	At    uint64 `json:"at,omitempty"`  // of opPutAt: the expected revision; of opRaise: the revision to exceed
 	Hop   bool   `json:"hop,omitempty"` // already forwarded once; must not be forwarded again
 
 	Writes []Write       `json:"writes,omitempty"` // of opTransact
 	Member *MemberChange `json:"member,omitempty"`
 	Watch  *WatchRequest `json:"watch,omitempty"` // of opWatch: opens a session; nil: a plain watch of Key
-	Want   string        `json:"want,omitempty"`  // of opStatus: wantCounts or wantSessions in place of the status
+	Want   string        `json:"want,omitempty"`  // of opStatus: wantCounts or wantSessions; "": the status
 
-	// Epoch and Now belong to opReduce. The leader that commits it sets them to its term and to its monotonic clock in
-	// microseconds.
+	// Epoch and Now are used by opReduce only. The leader that commits the command sets Epoch to its term and Now to its
+	// monotonic clock, in microseconds.
 	Epoch uint64 `json:"epoch,omitempty"`
 	Now   int64  `json:"now,omitempty"`
 }
@@ -93,10 +93,10 @@
 	mu       sync.Mutex
 	records  map[string]Record
 	reducers map[string]Reducer // by key
-	index    uint64             // of the last applied entry
-	revision uint64             // of the records: index + offset
+	index    uint64             // of the last applied command, or of the restored snapshot
+	revision uint64             // current revision of the records: index + offset
 	offset   uint64             // difference between revisions and raft indexes; grows in raise
-	advanced chan struct{}      // closed and replaced when revision grows
+	advanced chan struct{}      // closed and replaced each time revision is set
 	watchers []*watcher
 	history  *history // nil if this member serves no sessions
 }
@@ -112,7 +112,7 @@
 	deleted bool
 }
 
-// Apply implements raft.FSM. A command that can't be decoded changes nothing, at any member.
+// Apply implements raft.FSM. A command that can't be decoded changes no records at any member, but advances the revision.
 func (m *machine) Apply(l *raft.Log) any {
 	var c command
 	err := json.Unmarshal(l.Data, &c)
@@ -145,7 +145,8 @@
 	return nil
 }
 
-// transact computes the changes of a put, delete or transaction. A conflict yields none.
+// transact computes the changes of a put, delete or transaction. If a record is not at the revision that a write expects, it
+// sets Conflict in the result and returns no changes.
 func (m *machine) transact(c *command, r *result) (changes []change) {
 	writes := c.writes()
 	if c.Op == opTransact {
@@ -195,7 +196,7 @@
 			m.records[c.Key] = c.Record
 		}
 	}
-	for _, c := range changes { // after all changes are applied: a watcher that is notified of one can read all of them
+	for _, c := range changes { // after all changes are applied, so that a reader woken by a watcher finds all of them
 		m.notify(c.Record)
 	}
 }
@@ -209,21 +210,21 @@
 
 // publish appends a command's changes to the history and advances the revision.
 func (m *machine) publish(revision uint64, changes []change) {
-	if m.history != nil { // before advance: whoever waits for the revision must find it in the history
+	if m.history != nil { // before advance: a goroutine that waits for the revision must find it in the history
 		m.history.append(revision, changes)
 	}
 	m.advance(revision)
 }
 
-// advance sets the revision and wakes those that wait for it.
+// advance sets the revision and wakes the goroutines in wait.
 func (m *machine) advance(revision uint64) {
 	m.revision = revision
 	close(m.advanced)
 	m.advanced = make(chan struct{})
 }
 
-// lastIndex returns the index of the last entry that the machine has applied. raft's own applied index can be higher, since
-// it counts entries that are queued for the machine.
+// lastIndex returns the index of the last command that the machine has applied, or of the snapshot that it restored. raft's own
+// applied index can be higher, since it counts entries that are queued for the machine.
 func (m *machine) lastIndex() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -269,12 +270,12 @@
 
 // list returns the records under a prefix, ordered by key.
 func (m *machine) list(prefix string) []Record {
-	all, _ := m.listAt(prefix)
+	all, _ := m.listWithRevision(prefix)
 	return all
 }
 
-// listAt is like list and also returns the revision of that state.
-func (m *machine) listAt(prefix string) (all []Record, revision uint64) {
+// listWithRevision is like list and also returns the revision of the records at the time of the call.
+func (m *machine) listWithRevision(prefix string) (all []Record, revision uint64) {
 	m.mu.Lock()
 	for key, r := range m.records {
 		if strings.HasPrefix(key, prefix) {
@@ -292,7 +293,8 @@
 	m.watchUntil(prefix, func(r Record) bool { f(r); return true })
 }
 
-// watchUntil calls f for each change under a prefix until f returns false or stop is called.
+// watchUntil calls f for each change under a prefix until f returns false or stop is called. f is called with the machine's
+// lock held, so it must not block or call the machine.
 func (m *machine) watchUntil(prefix string, f func(Record) bool) (stop func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -305,8 +307,8 @@
 	}
 }
 
-// Versions of the snapshot format. Version 0, which has no version field and otherwise equals plainSnapshot, can be read
-// too. A group whose revisions were raised writes raisedSnapshot, so that programs that don't know offsets reject it.
+// Versions of the snapshot format. Version 0 can be read too: it is plainSnapshot without a version field.
+// A group whose revisions were raised writes raisedSnapshot, so that programs that don't know offsets reject it.
 const (
 	plainSnapshot  = 1
 	raisedSnapshot = 2
@@ -315,14 +317,14 @@
 // snapshot is the encoded state of the machine.
 type snapshot struct {
 	Version int      `json:"version"`
-	Applied uint64   `json:"applied"`          // revision
+	Applied uint64   `json:"applied"`          // revision of the records
 	Offset  uint64   `json:"offset,omitempty"` // difference between revisions and raft indexes
 	Records []Record `json:"records"`
 }
 
 // Snapshot implements raft.FSM.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	records, revision := m.listAt("")
+	records, revision := m.listWithRevision("")
 	m.mu.Lock() // raft applies no entries during Snapshot, so both reads see the same state
 	defer m.mu.Unlock()
 	s := &snapshot{Version: plainSnapshot, Applied: revision, Offset: m.offset, Records: records}
@@ -332,7 +334,7 @@
 	return s, nil
 }
 
-// Restore implements raft.FSM. Watchers are notified of the records that differ.
+// Restore implements raft.FSM. Watchers are notified of the records that were changed, added or removed.
 func (m *machine) Restore(in io.ReadCloser) error {
 	defer in.Close()
 	var s snapshot
--- a/internal/store/node.go
+++ b/internal/store/node.go
@@ -21,32 +21,33 @@
 
 const (
 	defaultElectionTimeout = 400 * time.Millisecond // default of Options.Election
-	applyTimeout           = 2 * time.Second
-	retryInterval          = 30 * time.Millisecond // while there is no leader
-	readyPollInterval      = 5 * time.Millisecond  // poll interval of WaitReady
-	sniffTimeout           = time.Second           // timeout for the first byte of a connection
-	maxCommand             = 4 << 20               // bytes of an encoded command
-	maxAnswer              = 256 << 20             // bytes of an encoded answer
+	applyTimeout           = 2 * time.Second        // timeout of a raft RPC, a connect, or the execution of a command
+	retryInterval          = 30 * time.Millisecond  // wait before a retry, and poll interval for a change of the leader
+	readyPollInterval      = 5 * time.Millisecond   // poll interval of WaitReady
+	sniffTimeout           = time.Second            // timeout for the first byte of a connection
+	maxCommand             = 4 << 20                // bytes of an encoded command
+	maxAnswer              = 256 << 20              // bytes of an encoded answer
 )
 
 // Peer is one member of the group.
 type Peer struct {
 	Node, Address string
-	NonVoter      bool // holds all records and serves reads without a vote; applies to the first configuration
+	NonVoter      bool // holds all records and serves reads, but has no vote; used only in the first configuration
 }
 
 // Options configures a node. Without Peers and Join the node forms a group of its own and opens no sockets.
 type Options struct {
 	Node     string
-	Listener net.Listener // accepts connections of peers and clients
-	Peers    []Peer       // all members, including this node
+	Listener net.Listener // for peers and clients; required with Peers or Join
+	Peers    []Peer       // all members; includes this node unless Join is set
 	Join     bool         // this node joins a running group: it waits to be added and does not bootstrap a group
 	Dir      string       // folder of the log and snapshots; "": in memory, lost if a majority of the members is lost
 	Sync     string       // with Dir: SyncAlways (the default) or SyncInterval
 	// Via maps the address of a member to the address at which this node reaches it, such as a forwarded port or a relay.
 	// Other members are reached at their own address.
 	Via map[string]string
-	// Reducers maps keys to the functions that carry out Reduce. All members of a group must have the same reducers.
+	// Reducers maps the keys of records to the reducers that Reduce calls for them. All members of a group must have the same
+	// reducers.
 	Reducers map[string]Reducer
 	// Check validates a client's put, put-at, delete or transaction at the member that the client is connected to, before
 	// the write is committed. If it returns an error, the client gets a *Refused with the error's text and advice. Check is
@@ -57,7 +58,7 @@
 	// Election is the time without contact with the leader after which a voter starts an election; 0: 400 ms. It must be a
 	// few times the round-trip time between members, and equal at all members.
 	Election time.Duration
-	Log      logrus.FieldLogger
+	Log      logrus.FieldLogger // receives raft's warnings and errors too
 }
 
 // Values of Options.Sync: when the log is synced to disk. Neither loses writes when a process is killed. When machines fail,
@@ -69,11 +70,11 @@
 )
 
 const (
-	syncPeriod            = 100 * time.Millisecond
+	syncPeriod            = 100 * time.Millisecond // interval of syncs to disk with SyncInterval
 	retainedSnapshots     = 2
 	snapshotThreshold     = 4096             // log entries since the last snapshot
-	snapshotCheckInterval = 30 * time.Second // interval of the check for snapshotAfter
-	trailingLogs          = 1024             // log entries kept before a snapshot, for members that lag slightly
+	snapshotCheckInterval = 30 * time.Second // interval of the check for snapshotThreshold
+	trailingLogs          = 1024             // log entries kept although a snapshot covers them, for members that lag slightly
 )
 
 // Node is a member of a group. It implements Store.
@@ -82,22 +83,22 @@
 	raft        *raft.Raft
 	fsm         *machine
 	layer       *streamLayer
-	transport   io.Closer
+	transport   io.Closer        // raft's transport; Close closes it
 	journal     *journal.Journal // nil if the log is in memory
 	via         map[string]string
-	ready       chan struct{} // closed once raft has started; connections may arrive earlier
+	started     chan struct{} // closed once raft has started; connections may arrive earlier
 	logs        raft.LogStore
-	replayIndex uint64      // last index of the log when it was opened; must be applied before Ready
+	replayIndex uint64      // last index of the log when it was opened; Ready returns false until it is applied
 	caughtUp    atomic.Bool // Ready has returned true once
-	startedAt   time.Time
+	startedAt   time.Time   // origin of the timestamps of reduces
 
 	check    func([]Write) error
-	versions versionCheck   // of the members, used by the leader
+	versions versionCheck   // which members support transactions; used by the leader
 	sessions *sessionServer // nil if this member is not a control machine
-	reduceMu sync.Mutex     // serializes timestamping and appending of reduces at the leader
+	reduceMu sync.Mutex     // held while the leader timestamps and appends a reduce, so that timestamps increase with the index
 }
 
-// Open starts a node.
+// Open starts a node. It returns before the node has caught up with its group; see WaitReady.
 func Open(o Options) (*Node, error) {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(o.Node)
@@ -110,7 +111,7 @@
 	c.CommitTimeout = 10 * time.Millisecond
 	c.ShutdownOnRemove = false
 	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Output: logWriter{o.Log}, Level: hclog.Warn, DisableTime: true})
-	n := &Node{id: o.Node, fsm: newMachine(), via: o.Via, ready: make(chan struct{}), startedAt: time.Now()}
+	n := &Node{id: o.Node, fsm: newMachine(), via: o.Via, started: make(chan struct{}), startedAt: time.Now()}
 	n.fsm.reducers, n.check = o.Reducers, o.Check
 	if o.Serve != nil {
 		n.sessions = newSessionServer(n, o.Serve.withDefaults())
@@ -127,19 +128,19 @@
 			return nil, errors.New("store: a node with peers or with Join needs a listener")
 		}
 		servers = nil
-		own, advertised := o.Join, ""
+		listedOrJoining, advertised := o.Join, ""
 		for _, p := range o.Peers {
 			if p.Node == o.Node {
-				own, advertised, nonVoter = true, p.Address, p.NonVoter
+				listedOrJoining, advertised, nonVoter = true, p.Address, p.NonVoter
 			}
 			servers = append(servers, p.server())
 		}
-		if !own {
+		if !listedOrJoining {
 			return nil, fmt.Errorf("store: node %q is not among its peers", o.Node)
 		}
 		n.layer = newStreamLayer(o.Listener, n.serve, advertised, o.Via)
-		net := raft.NewNetworkTransportWithLogger(n.layer, 3, applyTimeout, c.Logger)
-		transport, n.transport = net, closeStreams{net}
+		networkTransport := raft.NewNetworkTransportWithLogger(n.layer, 3, applyTimeout, c.Logger)
+		transport, n.transport = networkTransport, closeStreams{networkTransport}
 	}
 	r, err := n.start(c, o, transport)
 	if err != nil {
@@ -154,11 +155,11 @@
 	if n.sessions != nil {
 		n.sessions.start()
 	}
-	close(n.ready)
+	close(n.started)
 	if o.Join || nonVoter {
-		return n, nil // it gets the configuration from the leader
+		return n, nil // the node receives the configuration from the leader
 	}
-	// Every voter bootstraps with the same first configuration, so their order does not matter.
+	// Every voter bootstraps with the same first configuration, so the order in which they start does not matter.
 	if err := r.BootstrapCluster(raft.Configuration{Servers: servers}).Error(); err != nil && err != raft.ErrCantBootstrap {
 		n.Close()
 		return nil, err
@@ -192,15 +193,15 @@
 		return raft.NewRaft(c, n.fsm, logs, logs, raft.NewInmemSnapshotStore(), transport)
 	}
 	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = snapshotThreshold, snapshotCheckInterval, trailingLogs
-	every := time.Duration(0)
+	syncEvery := time.Duration(0)
 	switch o.Sync {
 	case SyncAlways, "":
 	case SyncInterval:
-		every = syncPeriod
+		syncEvery = syncPeriod
 	default:
 		return nil, fmt.Errorf("store: sync is %q, but must be %s or %s", o.Sync, SyncAlways, SyncInterval)
 	}
-	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), SyncEvery: every})
+	j, err := journal.Open(journal.Options{Dir: logDir(o.Dir), SyncEvery: syncEvery})
 	if err != nil {
 		return nil, err
 	}
@@ -218,16 +219,17 @@
 // logDir returns the folder of the journal within a store's folder; raft's snapshots folder is next to it.
 func logDir(dir string) string { return filepath.Join(dir, "log") }
 
-// Ready reports whether this member has caught up: a leader is known, and every entry is applied that was in its log when
-// it was opened or that the leader has reported as committed. Until then a restarted member holds only its last snapshot,
-// and a new one holds nothing. Once true, Ready stays true; later reads are local and may lag the leader by the entries in
-// flight. The platform's single in-memory member does not wait for it.
+// Ready reports whether this member has caught up: it knows a leader and has applied all commands that were in its log when
+// the log was opened, and all that the leader has reported as committed. Until then a restarted member holds only its last
+// snapshot, and a new one holds nothing. Once Ready has returned true, it always does; reads are local, and may lag the
+// leader by the entries in flight. A single member in memory has nothing to catch up with and need not be waited
+// for.
 func (n *Node) Ready() bool {
 	if n.caughtUp.Load() {
 		return true
 	}
 	select {
-	case <-n.ready:
+	case <-n.started:
 	default:
 		return false
 	}
@@ -241,12 +243,13 @@
 	return true
 }
 
-// lastPendingCommand returns the index of the last command up to an index that the machine has not applied yet; 0 if there is
-// none. The machine sees only commands: no-ops and membership changes do not advance its index.
+// lastPendingCommand returns the index of the last command in the log that the machine has not applied yet, not counting
+// entries after upTo; 0 if there is none. raft passes only commands to the machine: no-ops and membership changes do not
+// advance the machine's index.
 func (n *Node) lastPendingCommand(upTo uint64) uint64 {
 	var l raft.Log
 	for i, applied := upTo, n.fsm.lastIndex(); i > applied; i-- {
-		if n.logs.GetLog(i, &l) != nil { // compacted into a snapshot, and applied with it
+		if n.logs.GetLog(i, &l) != nil { // compacted: the machine has applied the entry, or restored a snapshot that covers it
 			return 0
 		}
 		if l.Type == raft.LogCommand {
@@ -325,7 +328,7 @@
 	return err
 }
 
-// logWriter writes the lines of raft's logger to the log.
+// logWriter forwards the output of raft's logger to log, at the info level.
 type logWriter struct{ log logrus.FieldLogger }
 
 func (w logWriter) Write(p []byte) (int, error) {
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -14,7 +14,7 @@
 func (n *Node) serve(c net.Conn) {
 	defer c.Close()
 	select {
-	case <-n.ready:
+	case <-n.started:
 	case <-time.After(applyTimeout): // raft did not start
 		return
 	}
--- a/internal/store/session.go
+++ b/internal/store/session.go
@@ -10,27 +10,27 @@
 	"beammux/control/admission"
 )
 
-// session is one watch session at a control machine.
+// session is the control machine's side of one watch session.
 type session struct {
 	server       *sessionServer
 	conn         net.Conn
 	in           *lineReader
 	request      WatchRequest
-	since        time.Time
-	wake         chan struct{}
+	openedAt     time.Time
+	wake         chan struct{} // buffered signal: the history has changes for this session
 	disconnected chan struct{} // closed when the client has disconnected or timed out
-	cursor       uint64        // everything up to this revision has been sent; used by the writing goroutine only
+	cursor       uint64        // all changes up to this revision have been sent; used by the writing goroutine only
 	// admitted is set while the session is counted by the admission controller; used by the writing goroutine only.
 	admitted bool
 
-	mu          sync.Mutex
-	sent        uint64    // copy of cursor for other goroutines
-	target      uint64    // revision of the last change under its prefixes
-	targetSince time.Time // when target was set
-	report      WatchReport
+	mu          sync.Mutex  // guards the fields below
+	sent        uint64      // copy of cursor for other goroutines
+	target      uint64      // revision of the last change found under the session's prefixes
+	targetSince time.Time   // when target was set
+	report      WatchReport // last report of the client
 }
 
-// wakeUp tells the writing goroutine that the history has changes for this session. It does not block.
+// wakeUp signals the writing goroutine that the history has changes for this session. It does not block.
 func (s *session) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -44,7 +44,7 @@
 	if err := s.open(); err != nil {
 		return err
 	}
-	s.server.running.Go(s.readReports) // until the connection is closed
+	s.server.running.Go(s.readReports) // until the client disconnects, is silent for too long or sends an invalid report
 	err := s.send()
 	if !errors.Is(err, errSessionEnds) {
 		s.sendFinalError(err)
@@ -63,8 +63,8 @@
 // with unread reports resets it, and data written last may be lost.
 func (s *session) sendFinalError(err error) {
 	sendFault(s.conn, err)
-	if half, ok := s.conn.(*net.TCPConn); ok {
-		half.CloseWrite()
+	if tcpConn, ok := s.conn.(*net.TCPConn); ok {
+		tcpConn.CloseWrite()
 	}
 	select {
 	case <-s.disconnected:
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendFault writes an error as the last line on a connection.
+// sendFault writes an error to a client, as the last line on its connection.
 func sendFault(c net.Conn, err error) {
 	var r result
 	r.fail(err)
@@ -81,7 +81,8 @@
 	json.NewEncoder(c).Encode(r)
 }
 
-// open checks and admits the session, and sends a snapshot if the client can't resume from its revision.
+// open checks the request, waits until the replica has reached the client's revision, and admits the session. It sends a
+// snapshot if the client can't resume from its revision.
 func (s *session) open() error {
 	if err := s.server.check(s.request); err != nil {
 		return err
@@ -90,20 +91,20 @@
 	if err := s.server.waitForRevision(s.request.After); err != nil {
 		return err
 	}
-	s.conn.SetDeadline(time.Time{})
+	s.conn.SetDeadline(time.Time{}) // removes the deadline that serve has set
 	floor, _, _ := s.server.history.state()
-	snapshot := s.request.After == 0 || s.request.After < floor
-	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, NeedsSnapshot: snapshot}); err != nil {
+	needsSnapshot := s.request.After == 0 || s.request.After < floor
+	if err := s.server.admitted(admission.Request{Client: s.request.Session.Name, NeedsSnapshot: needsSnapshot}); err != nil {
 		return err
 	}
 	s.admitted = true
 	v := s.server.currentView()
 	s.setTarget(v.newest(s.request.Prefixes))
 	s.mu.Lock()
-	s.report.InForce = s.request.After
+	s.report.InForce = s.request.After // until the client's first report
 	s.mu.Unlock()
 	s.setCursor(s.request.After)
-	if !snapshot {
+	if !needsSnapshot {
 		return nil
 	}
 	if s.write(v.line(s.request.Prefixes)) != nil {
@@ -139,7 +140,8 @@
 	}
 }
 
-// catchUp sends all changes after the cursor.
+// catchUp sends all changes after the cursor. If the history no longer has them, the error is *ComeBack after a reset of the
+// history, and *WatcherTooSlow otherwise.
 func (s *session) catchUp() error {
 	for {
 		transactions, upTo, ok := s.server.history.since(s.cursor, historyBatch)
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// readReports receives the client's reports until it disconnects or sends nothing for too long.
+// readReports receives the client's reports until the client disconnects, is silent for too long or sends an invalid report.
 func (s *session) readReports() {
 	defer close(s.disconnected)
 	for {
@@ -199,7 +201,7 @@
 	}
 }
 
-// setCursor records that everything up to a revision has been sent.
+// setCursor records that all changes under the session's prefixes up to a revision have been sent.
 func (s *session) setCursor(revision uint64) {
 	s.cursor = revision
 	s.mu.Lock()
@@ -207,7 +209,7 @@
 	s.sent = revision
 }
 
-// setTarget records the revision of a change under the session's prefixes.
+// setTarget records the revision of a change under the session's prefixes, if it is the highest so far.
 func (s *session) setTarget(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/session_bench_test.go
+++ b/internal/store/session_bench_test.go
@@ -41,7 +41,7 @@
 			require.NoError(b, err)
 			var sent sync.WaitGroup
 			for i := range sessions {
-				sess := &session{server: n.sessions, conn: discardConn{onChange: sent.Done}, since: time.Now(), wake: make(chan struct{}, 1), disconnected: make(chan struct{}),
+				sess := &session{server: n.sessions, conn: discardConn{onChange: sent.Done}, openedAt: time.Now(), wake: make(chan struct{}, 1), disconnected: make(chan struct{}),
 					request: WatchRequest{Prefixes: []string{"settings/all/", fmt.Sprint("settings/gatekeeper/g", i, "/")}}}
 				require.NoError(b, n.sessions.add(sess))
 				sess.setCursor(n.fsm.lastRevision())
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -170,7 +170,7 @@
 	if n.sessions == nil {
 		return &NotControl{n.id}
 	}
-	sess := &session{server: n.sessions, conn: c, in: in, request: request, since: time.Now(),
+	sess := &session{server: n.sessions, conn: c, in: in, request: request, openedAt: time.Now(),
 		wake: make(chan struct{}, 1), disconnected: make(chan struct{})}
 	if err := n.sessions.add(sess); err != nil {
 		return err
@@ -266,7 +266,7 @@
 	s.viewMu.Lock()
 	defer s.viewMu.Unlock()
 	if _, _, lastChange := s.history.state(); s.view == nil || s.view.revision < lastChange {
-		records, revision := s.node.fsm.listAt(s.options.Prefix)
+		records, revision := s.node.fsm.listWithRevision(s.options.Prefix)
 		s.view = &view{records: records, revision: revision}
 	}
 	return s.view
