--- a/cmd/beammux/delivery_test.go
+++ b/cmd/beammux/delivery_test.go
@@ -195,12 +195,12 @@
 // outcomeRecorder records the outcome of each call that the callers make.
 type outcomeRecorder struct {
 	mu         sync.Mutex
-	outcomes   map[string]lab.SeenKind // by call; Tried until it has an answer
-	unexpected map[lab.SeenKind]int    // outcomes that no call should have
+	outcomes   map[string]lab.ObservationKind // by call; Tried until it has an answer
+	unexpected map[lab.ObservationKind]int    // outcomes that no call should have
 }
 
 // record notes what a caller saw of a call.
-func (c *outcomeRecorder) record(s lab.Seen) {
+func (c *outcomeRecorder) record(s lab.Observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s.Kind {
@@ -212,11 +212,11 @@
 }
 
 // requireNoneLost checks that every call got exactly one answer, and returns the number of calls by outcome.
-func (c *outcomeRecorder) requireNoneLost(t *testing.T) map[lab.SeenKind]int {
+func (c *outcomeRecorder) requireNoneLost(t *testing.T) map[lab.ObservationKind]int {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends := map[lab.SeenKind]int{}
+	ends := map[lab.ObservationKind]int{}
 	for _, kind := range c.outcomes {
 		ends[kind]++
 	}
@@ -254,19 +254,19 @@
 	}
 	g1, g3 := all[0], all[2]
 
-	recorder := &outcomeRecorder{outcomes: map[string]lab.SeenKind{}, unexpected: map[lab.SeenKind]int{}}
-	callers := lab.NewCallers(lab.Load{Seed: 1, Gatekeepers: len(all), Servers: len(servers), PerS: 24, Length: length, Hear: recorder.record,
-		Pick: func(rng *rand.Rand) (home, dest int) { return rng.IntN(len(all)), rng.IntN(len(servers)) }})
+	recorder := &outcomeRecorder{outcomes: map[string]lab.ObservationKind{}, unexpected: map[lab.ObservationKind]int{}}
+	callers := lab.NewCallers(lab.Load{Seed: 1, Gatekeepers: len(all), Servers: len(servers), PerS: 24, Length: length, Observer: recorder.record,
+		FirstTarget: func(rng *rand.Rand) (home, dest int) { return rng.IntN(len(all)), rng.IntN(len(servers)) }})
 	ctx, disconnect := context.WithCancel(t.Context())
 	var connections sync.WaitGroup
 	defer connections.Wait()
 	defer disconnect()
 	for i, g := range all {
-		connections.Go(func() { callers.Keep(ctx, i, g.callersAddr) })
+		connections.Go(func() { callers.MaintainConnection(ctx, i, g.callersAddr) })
 	}
-	require.Eventually(t, func() bool { return callers.Up() == len(all) }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return callers.Available() == len(all) }, 10*time.Second, 10*time.Millisecond)
 	finished := make(chan struct{})
-	go func() { defer close(finished); callers.Play(ctx) }()
+	go func() { defer close(finished); callers.PlaceCalls(ctx) }()
 
 	initial := group.apply(t, "settings/all/limits="+textFile(t, "limits", trayLimit), "settings/all/calls="+textFile(t, "calls", twoAttempts))
 	eventually(t, "limits and calls in force", all, func(s gatekeeperStatus) bool {
--- a/cmd/beammux/lab_latency.go
+++ b/cmd/beammux/lab_latency.go
@@ -79,7 +79,7 @@
 	defer stop()
 	loadBefore := latencylab.LoadAverage()
 	fmt.Println(latencyHeader)
-	plan := latencylab.Plan{Sizes: c.Sizes, Rates: c.Rates, Repeats: c.Repeats, MostCalls: c.Active, Tell: printRun,
+	plan := latencylab.Plan{Sizes: c.Sizes, Rates: c.Rates, Repeats: c.Repeats, MaxActive: c.Active, Progress: printRun,
 		Latency: latencylab.Latency{Program: latencylab.Program{Path: c.Program}, Seed: c.Seed, Descriptors: c.Descriptors,
 			Gatekeepers: c.Gatekeepers, Callers: c.Callers, Setup: c.Setup, StateEvery: c.StateEvery, Warm: c.Warm, Length: c.Length}}
 	var earlier *latencylab.Report
@@ -116,8 +116,8 @@
 	} else {
 		fmt.Printf("%41s", "no call was answered")
 	}
-	fmt.Printf(" %6.4f %6.4f %4.0f %5d  %d of %d (%d refused, %d failed, %d without a connection)\n", r.CorePart, r.WaitPart, r.ResidentMB,
-		r.Held, r.Through.Calls-r.Through.Established, r.Through.Calls, r.Through.Refused, r.Through.Failed, r.Through.Unsent)
+	fmt.Printf(" %6.4f %6.4f %4.0f %5d  %d of %d (%d refused, %d failed, %d without a connection)\n", r.CoreShare, r.CoreWaitShare, r.ResidentMB,
+		r.DescriptorsHeld, r.Through.Calls-r.Through.Established, r.Through.Calls, r.Through.Refused, r.Through.Failed, r.Through.Unsent)
 }
 
 // labDecisionCmd measures the pure steps of a call and of fleet maintenance at growing sizes.
@@ -136,7 +136,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	loadBefore := latencylab.LoadAverage()
-	report, err := latencylab.Steps{Repeats: c.Repeats, Span: c.Span, Only: c.Only, Tell: func(line string) { fmt.Println(line) }}.Run(ctx)
+	report, err := latencylab.Steps{Repeats: c.Repeats, Span: c.Span, Only: c.Only, Progress: func(line string) { fmt.Println(line) }}.Run(ctx)
 	if report == nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	if earlier != nil && earlier.Command() != "" {
 		command = earlier.Command() + "; " + command
 	}
-	report.Stamp(command, latencylab.Beside(loadBefore, latencylab.LoadAverage(), runtime.NumCPU()), time.Now())
+	report.Stamp(command, latencylab.DescribeLoad(loadBefore, latencylab.LoadAverage(), runtime.NumCPU()), time.Now())
 	if file != "" {
 		if writeErr := report.WriteFile(file); writeErr != nil {
 			return writeErr
--- a/cmd/beammux/records.go
+++ b/cmd/beammux/records.go
@@ -282,7 +282,7 @@
 	began := time.Now()
 	outcome, err := lab.Incident{Seed: c.Seed, Gatekeepers: c.Gatekeepers, Length: c.Length, Dir: dir, Progress: func(step string) {
 		fmt.Fprintf(os.Stderr, "%5.1f s  %s\n", time.Since(began).Seconds(), step)
-	}}.Play(ctx)
+	}}.Simulate(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -72,8 +72,8 @@
 	}
 	fmt.Printf("%-22s %4s %6s %8s %8s %7s %7s %7s %10s %7s %7s\n", "variant", "seed", "first", "per call", "per sent", "served", "slow", "diet", "unanswered", "p50 s", "p99 s")
 	for _, r := range rows {
-		fmt.Printf("%-22s %4d %6d %8.2f %8.2f %7.3f %7.3f %7.3f %10d %7.2f %7.2f\n", r.Variant, r.Seed, r.First, r.PerCall, r.PerSent, r.Served, r.SlowServed,
-			r.ByClass["diet-order"], r.Unanswered, r.P50, r.P99)
+		fmt.Printf("%-22s %4d %6d %8.2f %8.2f %7.3f %7.3f %7.3f %10d %7.2f %7.2f\n", r.Variant, r.Seed, r.First, r.SetupsPerCall, r.SetupsPerAttempt, r.ServedShare, r.ServedInSlowSpan,
+			r.ServedByClass["diet-order"], r.Unanswered, r.P50, r.P99)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 func (c restartCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	rows := make([]*lab.After, 2*c.Seeds)
+	rows := make([]*lab.RestartResult, 2*c.Seeds)
 	var g errgroup.Group
 	g.SetLimit(c.Together)
 	for i := range rows {
@@ -125,7 +125,7 @@
 		if r.Warm {
 			startKind = "warm"
 		}
-		fmt.Printf("%4d %-5s %7.3f %7d %7d %7d %9.3f\n", r.Seed, startKind, r.Served, r.Setups, r.Full, r.Wasted, r.Up)
+		fmt.Printf("%4d %-5s %7.3f %7d %7d %7d %9.3f\n", r.Seed, startKind, r.ServedShare, r.Setups, r.TurnedAway, r.Wasted, r.SecondsToServing)
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("records %-5t  %d calls  %6.1f us a call  %5.2f%% of a core\n", records, cost.Calls, float64(cost.PerCall.Nanoseconds())/1000, 100*cost.Part)
+			fmt.Printf("records %-5t  %d calls  %6.1f us a call  %5.2f%% of a core\n", records, cost.Calls, float64(cost.PerCall.Nanoseconds())/1000, 100*cost.CoreShare)
 		}
 	}
 	return nil
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -254,14 +254,14 @@
 				srv.s.Slow(fault.Slow)
 				affected = append(affected, srv)
 			case fault.Kind == "hang":
-				srv.s.Hang(true)
+				srv.s.SetHanging(true)
 				affected = append(affected, srv)
 			case fault.Kind == "engaged":
-				srv.s.Engage(fault.Number)
+				srv.s.SetBusyNumber(fault.Number)
 				f.engaged.Store(&fault)
 				affected = append(affected, srv)
 			case fault.Kind == "ill":
-				srv.s.FailPart(fault.Part)
+				srv.s.SetFailureRate(fault.Part)
 				affected = append(affected, srv)
 			case srv.state != "up": // another fault affects it already
 			case fault.Kind == "lose":
@@ -287,12 +287,12 @@
 				case "slow":
 					srv.s.Slow(1)
 				case "engaged":
-					srv.s.Engage("")
+					srv.s.SetBusyNumber("")
 					f.engaged.Store(nil)
 				case "hang":
-					srv.s.Hang(false)
+					srv.s.SetHanging(false)
 				case "ill":
-					srv.s.FailPart(0)
+					srv.s.SetFailureRate(0)
 				}
 				srv.mu.Unlock()
 			case "lose":
@@ -316,7 +316,7 @@
 	}
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
-	srv.s.Cold(startCapacity, warmUpTime)
+	srv.s.StartCold(startCapacity, warmUpTime)
 	srv.state, srv.since = "up", time.Now()
 	f.bus.Change(f.host(srv))
 	return nil
--- a/internal/fleetlab/fleet.go
+++ b/internal/fleetlab/fleet.go
@@ -170,7 +170,9 @@
 	defer disconnectCallers()
 	f.callers = lab.NewCallers(f.load())
 	for i, g := range f.gatekeepers {
-		background.Go(func() { f.callers.Keep(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}]) })
+		background.Go(func() {
+			f.callers.MaintainConnection(calls, i, f.addr[[3]string{script.Front + f.s.ZoneOf(g.name), g.name, ""}])
+		})
 	}
 	if err = f.awaitCallers(ctx); err != nil {
 		return starts, err
@@ -197,7 +199,7 @@
 	background.Go(func() { f.watchProcessors(delayContext) })
 	background.Go(func() { f.watchTimers(delayContext) })
 	f.faultTasks.Go(func() { f.runFaults(faultContext) })
-	f.callers.Play(ctx)
+	f.callers.PlaceCalls(ctx)
 	cancelFaults()
 	f.faultTasks.Wait()
 	if err := f.writeOutcome(); err != nil {
--- a/internal/fleetlab/gatekeepers.go
+++ b/internal/fleetlab/gatekeepers.go
@@ -124,10 +124,10 @@
 	defer cancel()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for f.callers.Up() < len(f.gatekeepers) {
+	for f.callers.Available() < len(f.gatekeepers) {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("callers are connected to %d of %d gatekeepers: %w", f.callers.Up(), len(f.gatekeepers), ctx.Err())
+			return fmt.Errorf("callers are connected to %d of %d gatekeepers: %w", f.callers.Available(), len(f.gatekeepers), ctx.Err())
 		case <-tick.C:
 		}
 	}
--- a/internal/fleetlab/load.go
+++ b/internal/fleetlab/load.go
@@ -41,12 +41,12 @@
 	for i := range f.s.Servers {
 		zones[i%f.s.Zones][1] = append(zones[i%f.s.Zones][1], i)
 	}
-	kinds := map[lab.SeenKind]fleetcheck.Kind{lab.Tried: fleetcheck.Tried, lab.Established: fleetcheck.Established, lab.Refused: fleetcheck.Refused,
+	kinds := map[lab.ObservationKind]fleetcheck.Kind{lab.Tried: fleetcheck.Tried, lab.Established: fleetcheck.Established, lab.Refused: fleetcheck.Refused,
 		lab.Failed: fleetcheck.Failed, lab.SecondAnswer: fleetcheck.ExtraAnswer, lab.Unanswered: fleetcheck.Expired,
 		lab.Broken: fleetcheck.Broken, lab.Unsent: fleetcheck.Unsent, lab.LateAnswer: fleetcheck.AnsweredLate}
 	return lab.Load{Seed: f.s.Seed, Gatekeepers: f.s.Gatekeepers, Servers: f.s.Servers, Length: time.Duration(f.s.Length),
 		PerS: f.s.Load * lab.PlatformWork().Capacity() * float64(f.s.Servers),
-		Pick: func(rng *rand.Rand) (home, dest int) {
+		FirstTarget: func(rng *rand.Rand) (home, dest int) {
 			z := zones[rng.IntN(len(zones))]
 			if indexes := f.homeIndexes(); indexes != nil {
 				return indexes[rng.IntN(len(indexes))], z[1][rng.IntN(len(z[1]))]
@@ -59,13 +59,13 @@
 			}
 			return ""
 		},
-		Again: func(rng *rand.Rand) int {
+		RetryTarget: func(rng *rand.Rand) int {
 			if indexes := f.homeIndexes(); indexes != nil {
 				return indexes[rng.IntN(len(indexes))]
 			}
 			return -1
 		},
-		Hear: func(e lab.Seen) {
+		Observer: func(e lab.Observation) {
 			kind, ok := kinds[e.Kind]
 			if !ok {
 				return
--- a/internal/fleetlab/overhead_test.go
+++ b/internal/fleetlab/overhead_test.go
@@ -41,12 +41,12 @@
 	var answered [2]atomic.Int64
 	list := "name,address,cell\n"
 	for i := range 2 {
-		s, err := lab.NewServer(lab.Work{Setup: time.Microsecond, Full: time.Second}, 1)
+		s, err := lab.NewServer(lab.Work{Setup: time.Microsecond, MaxQueueDelay: time.Second}, 1)
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer s.Close()
-		s.Hear(func(e lab.Seen) {
+		s.SetObserver(func(e lab.Observation) {
 			if e.Kind == lab.ServerAnswered {
 				answered[i].Add(1)
 			}
--- a/internal/fleetlab/report.go
+++ b/internal/fleetlab/report.go
@@ -44,7 +44,7 @@
 	}
 	b.WriteString("\n")
 	if o := s.Outcome; o != nil {
-		fmt.Fprintf(&b, "worth served %.3f of %.0f; first calls %d; set-up delay p50 %.3f s, p99 %.3f s\n", o.Served, o.Offered, o.First, o.P50, o.P99)
+		fmt.Fprintf(&b, "worth served %.3f of %.0f; first calls %d; set-up delay p50 %.3f s, p99 %.3f s\n", o.ServedShare, o.Offered, o.First, o.P50, o.P99)
 	}
 	t := s.Stats
 	fmt.Fprintf(&b, "tries %d: stood %d, refused %d, failed %d, unanswered %d, connection ended %d; found no gatekeeper %d; set-ups to gated servers %d\n",
--- a/internal/fleetlab/servers.go
+++ b/internal/fleetlab/servers.go
@@ -51,13 +51,13 @@
 	if err != nil {
 		return err
 	}
-	s.Hear(func(e lab.Seen) {
+	s.SetObserver(func(e lab.Observation) {
 		if e.Kind == lab.ServerAnswered {
 			f.serves.record(fleetcheck.ServerEstablished, line{Process: srv.name, Call: e.Call, What: "stands " + e.Call})
 		}
 	})
 	srv.mu.Lock()
-	srv.s, srv.instances, srv.stopStatus = s, append(srv.instances, s), s.Status(statusInterval)
+	srv.s, srv.instances, srv.stopStatus = s, append(srv.instances, s), s.StartStatusReports(statusInterval)
 	srv.mu.Unlock()
 	return f.listenForGatekeepers(srv)
 }
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -9,21 +9,21 @@
 	"beammux/internal/protocol/jsonl"
 )
 
-// SeenKind is what a stand-in saw.
-type SeenKind int
+// ObservationKind is what a stand-in saw.
+type ObservationKind int
 
 // What callers see of a try, and servers of a set-up.
 const (
-	Tried        SeenKind = iota // a set-up was written to a gatekeeper; Span is what the caller gives it
-	Unsent                       // no gatekeeper was up
-	Established                  // final answer: the call stands; Body is its description
-	Refused                      // final answer
-	Failed                       // final answer
-	SecondAnswer                 // a further final answer; Body tells which
-	Unanswered                   // its time was up
-	Broken                       // its connection ended without an answer
-	Ended                        // a call that stood was released
-	ServerSetup                  // a set-up came whole
+	Tried        ObservationKind = iota // a set-up was written to a gatekeeper; Span is what the caller gives it
+	Unsent                              // no gatekeeper was up
+	Established                         // final answer: the call stands; Body is its description
+	Refused                             // final answer
+	Failed                              // final answer
+	SecondAnswer                        // a further final answer; Body tells which
+	Unanswered                          // its time was up
+	Broken                              // its connection ended without an answer
+	Ended                               // a call that stood was released
+	ServerSetup                         // a set-up came whole
 	ServerAnswered
 	ServerFull
 	ServerGivenUp // by CANCEL or the end of its connection
@@ -35,12 +35,12 @@
 var seenNames = [seenKinds]string{"tried", "unsent", "stood", "refused", "failed", "second answer", "unanswered", "broken", "ended",
 	"setup", "answered", "full", "given up", "cut", "late answer"}
 
-func (k SeenKind) String() string { return seenNames[k] }
+func (k ObservationKind) String() string { return seenNames[k] }
 
-// Seen is one thing that a stand-in saw.
-type Seen struct {
+// Observation is one thing that a stand-in saw.
+type Observation struct {
 	At         time.Time
-	Kind       SeenKind
+	Kind       ObservationKind
 	Call       string
 	Gatekeeper int // place among the callers' gatekeepers, -1 where none is concerned
 	Class      string
@@ -61,10 +61,10 @@
 	Servers     int
 	PerS        float64 // first calls a second
 	Length      time.Duration
-	Pick        func(*rand.Rand) (home, dest int) // of a first call: its gatekeeper and the cell of its first choice
-	Again       func(*rand.Rand) int              // of a further try: its gatekeeper, -1 for the next one
+	FirstTarget func(*rand.Rand) (home, dest int) // of a first call: its gatekeeper and the cell of its first choice
+	RetryTarget func(*rand.Rand) int              // of a further try: its gatekeeper, -1 for the next one
 	Key         func(*rand.Rand) string           // number of a first call, "" for any; nil: any
-	Hear        func(Seen)                        // told with a lock held: must not call the callers
+	Observer    func(Observation)                 // told with a lock held: must not call the callers
 }
 
 // Callers are stand-ins for the callers of a fleet, one connection to each gatekeeper, which comes back when it breaks.
@@ -74,9 +74,9 @@
 func NewCallers(o Load) *Callers {
 	d := newDay(Overload{Seed: o.Seed, Gatekeepers: o.Gatekeepers, Servers: o.Servers, Length: o.Length,
 		Load: o.PerS / work.Capacity() / float64(o.Servers)})
-	d.again, d.dice = o.Again, rand.New(rand.NewPCG(o.Seed, 3))
+	d.again, d.dice = o.RetryTarget, rand.New(rand.NewPCG(o.Seed, 3))
 	d.key = o.Key
-	d.pick, d.seen, d.past = o.Pick, o.Hear, map[string]SeenKind{}
+	d.pick, d.seen, d.past = o.FirstTarget, o.Observer, map[string]ObservationKind{}
 	for range o.Gatekeepers {
 		d.conns = append(d.conns, &callers{})
 	}
@@ -89,10 +89,10 @@
 	testWithin     = time.Second            // and leads nobody to one that has not passed a test for so long
 )
 
-// Keep holds a connection to a gatekeeper at an address until the context ends: it is opened again when it breaks.
+// MaintainConnection holds a connection to a gatekeeper at an address until the context ends: it is opened again when it breaks.
 // What was open on it is told as Broken and dialled again. As the platform's front does, it tests the gatekeeper, and
 // leads new set-ups elsewhere while the last test failed or none passed for a second. It is called once for each.
-func (c *Callers) Keep(ctx context.Context, i int, addr string) {
+func (c *Callers) MaintainConnection(ctx context.Context, i int, addr string) {
 	for ctx.Err() == nil {
 		conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", addr)
 		if err == nil {
@@ -141,8 +141,8 @@
 
 const testID = "ffffffffffffffff"
 
-// Up tells how many gatekeepers the callers may be led to.
-func (c *Callers) Up() (n int) {
+// Available tells how many gatekeepers the callers may be led to.
+func (c *Callers) Available() (n int) {
 	for _, to := range c.day.conns {
 		to.mu.Lock()
 		if to.usable() {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Play calls until the time is over or the context ends, and lets what is open end.
-func (c *Callers) Play(ctx context.Context) {
+// PlaceCalls calls until the time is over or the context ends, and lets what is open end.
+func (c *Callers) PlaceCalls(ctx context.Context) {
 	c.day.began = time.Now()
 	c.day.play(ctx, c.day.Servers, nil)
 }
@@ -195,7 +195,7 @@
 				continue
 			}
 			d.out.Unanswered++
-			d.tell(Seen{Kind: Broken, Call: id, Gatekeeper: i})
+			d.tell(Observation{Kind: Broken, Call: id, Gatekeeper: i})
 			d.redial(k.caller, 0)
 		}
 	}
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -21,17 +21,17 @@
 	Seed    uint64
 }
 
-// Spent is what one run used.
-type Spent struct {
-	Records bool          `json:"records"`
-	Calls   int           `json:"calls"`
-	CPU     time.Duration `json:"cpu_ns"`
-	PerCall time.Duration `json:"cpu_per_call_ns"`
-	Part    float64       `json:"part_of_a_core"`
+// CostResult is what one run used.
+type CostResult struct {
+	Records   bool          `json:"records"`
+	Calls     int           `json:"calls"`
+	CPU       time.Duration `json:"cpu_ns"`
+	PerCall   time.Duration `json:"cpu_per_call_ns"`
+	CoreShare float64       `json:"part_of_a_core"`
 }
 
 // Run plays one run.
-func (c Cost) Run(ctx context.Context, records bool) (*Spent, error) {
+func (c Cost) Run(ctx context.Context, records bool) (*CostResult, error) {
 	dir, err := os.MkdirTemp("", "lab-cost-")
 	if err != nil {
 		return nil, err
@@ -100,8 +100,8 @@
 	if err := cmd.Wait(); err != nil && !strings.Contains(err.Error(), "killed") {
 		return nil, err
 	}
-	s := &Spent{Records: records, Calls: d.out.First, CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
+	s := &CostResult{Records: records, Calls: d.out.First, CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
 	s.PerCall = s.CPU / time.Duration(max(s.Calls, 1))
-	s.Part = s.CPU.Seconds() / c.Length.Seconds()
+	s.CoreShare = s.CPU.Seconds() / c.Length.Seconds()
 	return s, ctx.Err()
 }
--- a/internal/lab/incident.go
+++ b/internal/lab/incident.go
@@ -49,8 +49,8 @@
 	since             time.Time
 }
 
-// Play plays it in real time.
-func (o Incident) Play(ctx context.Context) (*Outcome, error) {
+// Simulate plays it in real time.
+func (o Incident) Simulate(ctx context.Context) (*Outcome, error) {
 	if o.Length == 0 {
 		o.Length = 30 * time.Second
 	}
@@ -203,7 +203,7 @@
 		return
 	}
 	fresh := i.servers[len(i.servers)-1]
-	fresh.Cold(0.33, 5*time.Second)
+	fresh.StartCold(0.33, 5*time.Second)
 	i.change(func() { i.hosts[at].state = "removed" })
 }
 
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -36,24 +36,24 @@
 // Outcome is what came of a day. Worth counts in full for a call that stands within its aim of the first try, a quarter
 // up to the callers' give-up; a caller's further tries count with its first.
 type Outcome struct {
-	First      int                `json:"first_calls"`
-	Tries      int                `json:"tries"`  // with the callers' own redials
-	Setups     int                `json:"setups"` // that reached servers
-	PerCall    float64            `json:"setups_per_first_call"`
-	PerSent    float64            `json:"setups_per_try_sent"` // of tries that were not refused before any
-	Wasted     int                `json:"wasted"`              // worked on after they had been given up
-	Full       int                `json:"turned_away"`         // by servers
-	Hung       int                `json:"setups_on_hanging_servers"`
-	FailedPart int                `json:"setups_failed_by_ill_servers"`
-	Offered    float64            `json:"worth_offered"`
-	Served     float64            `json:"worth_served"` // part of it
-	ByClass    map[string]float64 `json:"served_by_class"`
-	SlowServed float64            `json:"served_of_calls_in_the_slow_span"`
-	P50        float64            `json:"P50"` // set-up delay of calls that stood, from their first try, seconds
-	P99        float64            `json:"P99"` // set-up delay of calls that stood, from their first try, seconds
-	Refused    int                `json:"tries_refused"`
-	Failed     int                `json:"tries_failed"`
-	Unanswered int                `json:"tries_unanswered"`
+	First            int                `json:"first_calls"`
+	Attempts         int                `json:"tries"`  // with the callers' own redials
+	Setups           int                `json:"setups"` // that reached servers
+	SetupsPerCall    float64            `json:"setups_per_first_call"`
+	SetupsPerAttempt float64            `json:"setups_per_try_sent"` // of tries that were not refused before any
+	Wasted           int                `json:"wasted"`              // worked on after they had been given up
+	TurnedAway       int                `json:"turned_away"`         // by servers
+	Hung             int                `json:"setups_on_hanging_servers"`
+	FailedByFault    int                `json:"setups_failed_by_ill_servers"`
+	Offered          float64            `json:"worth_offered"`
+	ServedShare      float64            `json:"worth_served"` // part of it
+	ServedByClass    map[string]float64 `json:"served_by_class"`
+	ServedInSlowSpan float64            `json:"served_of_calls_in_the_slow_span"`
+	P50              float64            `json:"P50"` // set-up delay of calls that stood, from their first try, seconds
+	P99              float64            `json:"P99"` // set-up delay of calls that stood, from their first try, seconds
+	Refused          int                `json:"tries_refused"`
+	Failed           int                `json:"tries_failed"`
+	Unanswered       int                `json:"tries_unanswered"`
 }
 
 type class struct {
@@ -83,8 +83,8 @@
 func fmtSettings(gatekeepers int) string { return fmt.Sprintf(settings, gatekeepers) }
 
 // work is that of the platform's figures, at 20 calls a second for each server.
-var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, Full: 3 * time.Second,
-	Resend: 500 * time.Millisecond}
+var work = Work{Setup: 32 * time.Millisecond, Answer: 0.35, Release: 0.2, Refuse: 0.2, Repeat: 0.4, MaxQueueDelay: 3 * time.Second,
+	RetransmitInterval: 500 * time.Millisecond}
 
 // Run plays the day in real time.
 func (o Overload) Run(ctx context.Context) (*Outcome, error) {
@@ -168,13 +168,13 @@
 	again   func(*rand.Rand) int              // a further try's gatekeeper, -1 for the next; nil: the next
 	key     func(*rand.Rand) string           // number of a first call, "" for any; nil: any
 	dice    *rand.Rand                        // of again
-	seen    func(Seen)                        // nil: nobody
-	past    map[string]SeenKind               // final answers of tries that are over, kept while somebody hears of them
+	seen    func(Observation)                 // nil: nobody
+	past    map[string]ObservationKind        // final answers of tries that are over, kept while somebody hears of them
 	expired map[string]int                    // tries that had no answer in time, with their gatekeepers, until one comes
 }
 
 // tell is called with the lock held.
-func (d *day) tell(s Seen) {
+func (d *day) tell(s Observation) {
 	if d.seen != nil {
 		s.At = time.Now()
 		d.seen(s)
@@ -182,16 +182,16 @@
 }
 
 // final notes the final answer of a try, and tells whether it is the first. The lock is held.
-func (d *day) final(k *try, id string, kind SeenKind, body string) bool {
+func (d *day) final(k *try, id string, kind ObservationKind, body string) bool {
 	if d.seen == nil {
 		return true
 	}
 	if was, again := d.past[id]; again && (was != Established || kind == Established) {
-		d.tell(Seen{Kind: SecondAnswer, Call: id, Gatekeeper: k.at, Body: kind.String()})
+		d.tell(Observation{Kind: SecondAnswer, Call: id, Gatekeeper: k.at, Body: kind.String()})
 		return false
 	}
 	d.past[id] = kind
-	d.tell(Seen{Kind: kind, Call: id, Gatekeeper: k.at, Body: body})
+	d.tell(Observation{Kind: kind, Call: id, Gatekeeper: k.at, Body: body})
 	return true
 }
 
@@ -211,7 +211,7 @@
 
 func newDay(o Overload) *day {
 	return &day{Overload: o, began: time.Now(), calls: map[string]*try{}, expired: map[string]int{}, delays: hdrhistogram.New(1, 20000, 3),
-		out: &Outcome{ByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
+		out: &Outcome{ServedByClass: map[string]float64{}}, offered: map[string]float64{}, served: map[string]float64{}}
 }
 
 // connect lets the callers of a gatekeeper use a new connection.
@@ -340,7 +340,7 @@
 	id := fmt.Sprintf("%016x", d.next)
 	k := &try{caller: c, at: -1}
 	d.calls[id] = k
-	d.out.Tries++
+	d.out.Attempts++
 	c.tries++
 	k.over = time.AfterFunc(tryFor+50*time.Millisecond, func() {
 		d.mu.Lock()
@@ -348,7 +348,7 @@
 		if d.calls[id] == k && !k.stood {
 			d.out.Unanswered++
 			delete(d.calls, id)
-			d.tell(Seen{Kind: Unanswered, Call: id, Gatekeeper: k.at})
+			d.tell(Observation{Kind: Unanswered, Call: id, Gatekeeper: k.at})
 			d.expired[id] = k.at
 			d.redial(c, 0)
 		}
@@ -363,7 +363,7 @@
 		if conn := to.conn; to.usable() {
 			d.mu.Lock()
 			k.at, k.conn = g, conn
-			d.tell(Seen{Kind: Tried, Call: id, Gatekeeper: g, Class: classes[c.class].name, Span: tryFor})
+			d.tell(Observation{Kind: Tried, Call: id, Gatekeeper: g, Class: classes[c.class].name, Span: tryFor})
 			d.mu.Unlock()
 			to.mu.Unlock()
 			to.write(conn, m.Append(nil))
@@ -372,7 +372,7 @@
 		to.mu.Unlock()
 	}
 	d.mu.Lock()
-	d.tell(Seen{Kind: Unsent, Call: id, Gatekeeper: -1})
+	d.tell(Observation{Kind: Unsent, Call: id, Gatekeeper: -1})
 	d.mu.Unlock()
 }
 
@@ -423,7 +423,7 @@
 	if k == nil {
 		d.heardLate(m)
 		if _, over := d.past[m.ID]; over && m.Type == "ready" || over && m.Type == "close" && d.past[m.ID] != Established {
-			d.tell(Seen{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
+			d.tell(Observation{Kind: SecondAnswer, Call: m.ID, Gatekeeper: -1, Body: m.Type})
 		}
 		return
 	}
@@ -449,7 +449,7 @@
 		delete(d.calls, m.ID)
 		k.over.Stop()
 		if k.stood {
-			d.tell(Seen{Kind: Ended, Call: m.ID, Gatekeeper: k.at})
+			d.tell(Observation{Kind: Ended, Call: m.ID, Gatekeeper: k.at})
 			return
 		}
 		if m.Code == 34 {
@@ -471,7 +471,7 @@
 		return
 	}
 	delete(d.expired, m.ID)
-	d.tell(Seen{Kind: LateAnswer, Call: m.ID, Gatekeeper: at, Body: m.Type})
+	d.tell(Observation{Kind: LateAnswer, Call: m.ID, Gatekeeper: at, Body: m.Type})
 }
 
 func (d *day) result(servers []*Server) *Outcome {
@@ -481,16 +481,16 @@
 	for _, c := range classes {
 		o.Offered += d.offered[c.name]
 		got += d.served[c.name]
-		o.ByClass[c.name] = d.served[c.name] / max(d.offered[c.name], 1)
+		o.ServedByClass[c.name] = d.served[c.name] / max(d.offered[c.name], 1)
 	}
 	ids := map[string]bool{}
 	for _, s := range servers {
 		s.count(o, ids)
 	}
-	o.PerSent = float64(o.Setups) / max(float64(len(ids)), 1)
-	o.Served = got / max(o.Offered, 1)
-	o.PerCall = float64(o.Setups) / max(float64(o.First), 1)
-	o.SlowServed = d.slow[1] / max(d.slow[0], 1)
+	o.SetupsPerAttempt = float64(o.Setups) / max(float64(len(ids)), 1)
+	o.ServedShare = got / max(o.Offered, 1)
+	o.SetupsPerCall = float64(o.Setups) / max(float64(o.First), 1)
+	o.ServedInSlowSpan = d.slow[1] / max(d.slow[0], 1)
 	o.P50, o.P99 = float64(d.delays.ValueAtQuantile(50))/1000, float64(d.delays.ValueAtQuantile(99))/1000
 	return o
 }
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -23,16 +23,16 @@
 	Warm bool
 }
 
-// After is the service of the calls that came in the first 5 s after the restart.
-type After struct {
-	Seed   uint64  `json:"seed"`
-	Warm   bool    `json:"warm"`
-	Served float64 `json:"worth_served"` // part of that offered
-	Setups int     `json:"setups"`       // that reached servers
-	Full   int     `json:"turned_away"`  // of them, by a server that was full
-	Wasted int     `json:"wasted"`       // worked on after they had been given up
-	First  int     `json:"first_calls"`
-	Up     float64 `json:"seconds_to_serving"` // the slowest gatekeeper
+// RestartResult is the service of the calls that came in the first 5 s after the restart.
+type RestartResult struct {
+	Seed             uint64  `json:"seed"`
+	Warm             bool    `json:"warm"`
+	ServedShare      float64 `json:"worth_served"` // part of that offered
+	Setups           int     `json:"setups"`       // that reached servers
+	TurnedAway       int     `json:"turned_away"`  // of them, by a server that was full
+	Wasted           int     `json:"wasted"`       // worked on after they had been given up
+	First            int     `json:"first_calls"`
+	SecondsToServing float64 `json:"seconds_to_serving"` // the slowest gatekeeper
 }
 
 const (
@@ -42,7 +42,7 @@
 )
 
 // Run plays the day in real time.
-func (o Restart) Run(ctx context.Context) (*After, error) {
+func (o Restart) Run(ctx context.Context) (*RestartResult, error) {
 	const gatekeepers, servers = 4, 3
 	site, err := control.ParseSite(fmt.Sprintf(settings, gatekeepers))
 	if err != nil {
@@ -97,7 +97,7 @@
 			n.Close()
 		}
 	}()
-	a := &After{Seed: o.Seed, Warm: o.Warm}
+	a := &RestartResult{Seed: o.Seed, Warm: o.Warm}
 	var before Outcome
 	fault := make(chan error, 1)
 	d.play(ctx, servers, []happening{
@@ -117,7 +117,7 @@
 					}
 					return
 				}
-				a.Up = max(a.Up, time.Since(began).Seconds())
+				a.SecondsToServing = max(a.SecondsToServing, time.Since(began).Seconds())
 			}
 		}},
 	})
@@ -127,7 +127,7 @@
 	default:
 	}
 	out := d.result(all)
-	a.First, a.Served = out.First, out.SlowServed
-	a.Setups, a.Wasted, a.Full = out.Setups-before.Setups, out.Wasted-before.Wasted, out.Full-before.Full
+	a.First, a.ServedShare = out.First, out.ServedInSlowSpan
+	a.Setups, a.Wasted, a.TurnedAway = out.Setups-before.Setups, out.Wasted-before.Wasted, out.TurnedAway-before.TurnedAway
 	return a, ctx.Err()
 }
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -19,8 +19,8 @@
 type Work struct {
 	Setup                           time.Duration
 	Answer, Release, Refuse, Repeat float64       // in set-ups
-	Full                            time.Duration // wait from which set-ups are turned away
-	Resend                          time.Duration // a set-up that waits is repeated after this and at doubling gaps
+	MaxQueueDelay                   time.Duration // wait from which set-ups are turned away
+	RetransmitInterval              time.Duration // a set-up that waits is repeated after this and at doubling gaps
 }
 
 // Capacity is how many calls a second the work allows.
@@ -49,9 +49,9 @@
 	unasked bool                      // the state is told unasked
 	late    map[string][]*sip.Message // releases that wait for a peer's next connection
 
-	hear  func(Seen) // nil: nobody
-	cold  time.Time  // started cold then; zero: warm
-	start float64    // part of its capacity that it has then
+	hear  func(Observation) // nil: nobody
+	cold  time.Time         // started cold then; zero: warm
+	start float64           // part of its capacity that it has then
 	warm  time.Duration
 
 	setups, wasted int             // that arrived; that were worked on after they had been given up
@@ -132,23 +132,23 @@
 // Addr is where the server listens.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Hear lets f know of what comes and of what is answered, in order and with the server's lock held: f must not call the
+// SetObserver lets f know of what comes and of what is answered, in order and with the server's lock held: f must not call the
 // server. It is called before any caller is.
-func (s *Server) Hear(f func(Seen)) {
+func (s *Server) SetObserver(f func(Observation)) {
 	s.mu.Lock()
 	s.hear = f
 	s.mu.Unlock()
 }
 
 // tell is called with the lock held.
-func (s *Server) tell(kind SeenKind, call string) {
+func (s *Server) tell(kind ObservationKind, call string) {
 	if s.hear != nil {
-		s.hear(Seen{At: time.Now(), Kind: kind, Call: call})
+		s.hear(Observation{At: time.Now(), Kind: kind, Call: call})
 	}
 }
 
-// Cold lets the server begin now with a part of its capacity, and get the rest evenly within a time.
-func (s *Server) Cold(start float64, within time.Duration) {
+// StartCold lets the server begin now with a part of its capacity, and get the rest evenly within a time.
+func (s *Server) StartCold(start float64, within time.Duration) {
 	s.mu.Lock()
 	s.cold, s.start, s.warm = time.Now(), start, within
 	s.mu.Unlock()
@@ -163,8 +163,8 @@
 	return f
 }
 
-// Status tells the server's state every so often on its connections, four at most to a peer, and at once on each new one, until ended.
-func (s *Server) Status(every time.Duration) (end func()) {
+// StartStatusReports tells the server's state every so often on its connections, four at most to a peer, and at once on each new one, until ended.
+func (s *Server) StartStatusReports(every time.Duration) (end func()) {
 	s.mu.Lock()
 	s.unasked = true
 	s.mu.Unlock()
@@ -213,23 +213,23 @@
 	}
 }
 
-// Engage lets all lines of a number be busy: "" for none.
-func (s *Server) Engage(number string) {
+// SetBusyNumber lets all lines of a number be busy: "" for none.
+func (s *Server) SetBusyNumber(number string) {
 	s.mu.Lock()
 	s.engaged = number
 	s.mu.Unlock()
 }
 
-// Hang lets the server take set-ups on open connections and never answer one that comes from now on, until it is told otherwise.
+// SetHanging lets the server take set-ups on open connections and never answer one that comes from now on, until it is told otherwise.
 // It goes on telling its state, in which it has nothing to do.
-func (s *Server) Hang(on bool) {
+func (s *Server) SetHanging(on bool) {
 	s.mu.Lock()
 	s.hang = on
 	s.mu.Unlock()
 }
 
-// FailPart lets the server fail a part of the set-ups (500).
-func (s *Server) FailPart(part float64) {
+// SetFailureRate lets the server fail a part of the set-ups (500).
+func (s *Server) SetFailureRate(part float64) {
 	s.mu.Lock()
 	s.ill = part
 	s.mu.Unlock()
@@ -255,9 +255,9 @@
 	defer s.mu.Unlock()
 	o.Setups += s.setups
 	o.Wasted += s.wasted
-	o.Full += s.full
+	o.TurnedAway += s.full
 	o.Hung += s.hung
-	o.FailedPart += s.failed
+	o.FailedByFault += s.failed
 	for id := range s.ids {
 		ids[id] = true
 	}
@@ -369,7 +369,7 @@
 			})
 			return
 		}
-		if time.Until(s.free) > s.work.Full {
+		if time.Until(s.free) > s.work.MaxQueueDelay {
 			s.full++
 			s.do(s.work.Refuse, func() {
 				s.drop(id, k)
@@ -379,7 +379,7 @@
 			return
 		}
 		s.do(1, func() { s.do(s.work.Answer, func() { s.answer(id, k) }) })
-		for gap, at := s.work.Resend, s.work.Resend; gap > 0 && at < time.Until(s.free); at += gap {
+		for gap, at := s.work.RetransmitInterval, s.work.RetransmitInterval; gap > 0 && at < time.Until(s.free); at += gap {
 			s.do(s.work.Repeat, nil)
 			gap *= 2
 		}
--- a/internal/latencylab/latency.go
+++ b/internal/latencylab/latency.go
@@ -58,7 +58,7 @@
 	Refused     int     `json:"refused"`
 	Failed      int     `json:"failed"`
 	Unsent      int     `json:"unsent"` // no connection to the gatekeeper was open
-	Silent      int     `json:"silent"` // no answer
+	Unanswered  int     `json:"silent"` // no answer
 	P50         float64 `json:"p50_ms"`
 	P99         float64 `json:"p99_ms"`
 	P999        float64 `json:"p999_ms"`
@@ -94,29 +94,29 @@
 
 // Run is what one run gave.
 type Run struct {
-	Servers      int     `json:"servers_known"`
-	Active       int     `json:"servers_called"`
-	PerSecond    float64 `json:"calls_per_s"`
-	Descriptors  int     `json:"descriptor_limit"`
-	StateEvery   float64 `json:"state_every_s"`
-	Setup        float64 `json:"setup_ms"`
-	Seed         uint64  `json:"seed"`
-	Seconds      float64 `json:"seconds"`
-	Load         string  `json:"load_average_before"`
-	Through      Arm     `json:"through"`
-	Direct       Arm     `json:"direct"`
-	Added        *Added  `json:"added,omitempty"` // nil: no pair stood
-	Late         float64 `json:"schedule_late_p99_ms"`
-	CorePart     float64 `json:"core_part"`      // processor time of the gatekeeper a second
-	WaitPart     float64 `json:"core_wait_part"` // time that threads of the gatekeeper waited for a core, a second
-	Stolen       float64 `json:"stolen_cores"`   // processor time that the host of a virtual machine took from it, a second; -1: not known
-	PerCall      float64 `json:"us_per_call"`    // all of it divided by the calls
-	ResidentMB   float64 `json:"resident_mb"`
-	PeakMB       float64 `json:"resident_peak_mb"`
-	Held         int     `json:"descriptors_held"`
-	UpSeconds    float64 `json:"seconds_to_serving"`
-	CallersEnded int64   `json:"caller_connections_ended"` // closed by the gatekeeper and dialled again
-	NoConnection int64   `json:"servers_without_connection_logged"`
+	Servers                 int     `json:"servers_known"`
+	Active                  int     `json:"servers_called"`
+	PerSecond               float64 `json:"calls_per_s"`
+	Descriptors             int     `json:"descriptor_limit"`
+	StateEvery              float64 `json:"state_every_s"`
+	Setup                   float64 `json:"setup_ms"`
+	Seed                    uint64  `json:"seed"`
+	Seconds                 float64 `json:"seconds"`
+	Load                    string  `json:"load_average_before"`
+	Through                 Arm     `json:"through"`
+	Direct                  Arm     `json:"direct"`
+	Added                   *Added  `json:"added,omitempty"` // nil: no pair stood
+	ScheduleDelayP99        float64 `json:"schedule_late_p99_ms"`
+	CoreShare               float64 `json:"core_part"`      // processor time of the gatekeeper a second
+	CoreWaitShare           float64 `json:"core_wait_part"` // time that threads of the gatekeeper waited for a core, a second
+	StealCores              float64 `json:"stolen_cores"`   // processor time that the host of a virtual machine took from it, a second; -1: not known
+	PerCall                 float64 `json:"us_per_call"`    // all of it divided by the calls
+	ResidentMB              float64 `json:"resident_mb"`
+	PeakMB                  float64 `json:"resident_peak_mb"`
+	DescriptorsHeld         int     `json:"descriptors_held"`
+	SecondsToServing        float64 `json:"seconds_to_serving"`
+	CallerConnectionsClosed int64   `json:"caller_connections_ended"` // closed by the gatekeeper and dialled again
+	FailedConnections       int64   `json:"servers_without_connection_logged"`
 
 	differences []float64
 }
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	defer gatekeeper.end()
-	r.UpSeconds = gatekeeper.upIn.Seconds()
+	r.SecondsToServing = gatekeeper.upIn.Seconds()
 	gatekeeper.connected(ctx)
 	return r, l.play(ctx, r, gatekeeper, addresses)
 }
@@ -165,11 +165,11 @@
 	for i := range l.Servers {
 		// Servers tell their state at times of their own: started at once they would all tell it at the same moment.
 		time.Sleep(time.Until(began.Add(l.StateEvery * time.Duration(i) / time.Duration(l.Servers))))
-		s, err := lab.NewServer(lab.Work{Setup: l.Setup, Full: serverFull}, l.Seed+uint64(i))
+		s, err := lab.NewServer(lab.Work{Setup: l.Setup, MaxQueueDelay: serverFull}, l.Seed+uint64(i))
 		if err != nil {
 			return nil, closeAll, err
 		}
-		ends = append(ends, s.Close, s.Status(l.StateEvery))
+		ends = append(ends, s.Close, s.StartStatusReports(l.StateEvery))
 		addresses = append(addresses, s.Addr())
 	}
 	return addresses, closeAll, nil
@@ -209,17 +209,17 @@
 		close(done)
 		return fmt.Errorf("the gatekeeper ended: %w", err)
 	}
-	r.CorePart = (after - before).Seconds() / time.Since(measured).Seconds()
-	r.WaitPart = (gatekeeper.waited() - waited).Seconds() / time.Since(measured).Seconds()
-	r.Stolen = stolenCores(stolen, stolenErr, time.Since(measured))
+	r.CoreShare = (after - before).Seconds() / time.Since(measured).Seconds()
+	r.CoreWaitShare = (gatekeeper.waited() - waited).Seconds() / time.Since(measured).Seconds()
+	r.StealCores = stolenCores(stolen, stolenErr, time.Since(measured))
 	now, peak := gatekeeper.resident()
 	r.ResidentMB, r.PeakMB = float64(now)/1024, float64(peak)/1024
-	r.Held = gatekeeper.descriptors()
+	r.DescriptorsHeld = gatekeeper.descriptors()
 	settle(ctx, to.arm, from.arm)
 	close(done)
 	finished()
-	r.CallersEnded, r.NoConnection = to.closed.Load(), gatekeeper.failed.Load()
-	r.Late = float64(late.ValueAtQuantile(99)) / 1000
+	r.CallerConnectionsClosed, r.FailedConnections = to.closed.Load(), gatekeeper.failed.Load()
+	r.ScheduleDelayP99 = float64(late.ValueAtQuantile(99)) / 1000
 	r.evaluate(to.arm, from.arm, first, samples)
 	return ctx.Err()
 }
@@ -281,7 +281,7 @@
 	through, direct := to.calls[first:], from.calls[first:]
 	r.Through, r.Direct = armOf(through), armOf(direct)
 	if r.Through.Calls > 0 {
-		r.PerCall = r.CorePart * r.Seconds * 1e6 / float64(r.Through.Calls)
+		r.PerCall = r.CoreShare * r.Seconds * 1e6 / float64(r.Through.Calls)
 	}
 	var whole, calm []float64
 	for i := range min(len(through), len(direct)) {
@@ -332,7 +332,7 @@
 		case unsent:
 			a.Unsent++
 		default:
-			a.Silent++
+			a.Unanswered++
 		}
 	}
 	if a.Established > 0 {
--- a/internal/latencylab/latencylab_test.go
+++ b/internal/latencylab/latencylab_test.go
@@ -77,7 +77,7 @@
 	}
 	through.calls[100].ended = refused
 	through.calls[0].took = time.Hour // before the measured part
-	r := &Run{Seconds: 1, CorePart: 0.01, Seed: 1}
+	r := &Run{Seconds: 1, CoreShare: 0.01, Seed: 1}
 	r.evaluate(through, direct, 1, machine{samples, samples})
 	require.Equal(t, 100, r.Through.Calls)
 	require.Equal(t, 1, r.Through.Refused)
@@ -258,7 +258,7 @@
 	report := &Report{}
 	for _, rate := range []float64{0, 100, 200} {
 		for _, limit := range []int{PlannedDescriptors, 4096} {
-			r := &Run{Servers: 34, PerSecond: rate, Descriptors: limit, Seconds: 1, CorePart: 0.1 + rate/1000, ResidentMB: 20}
+			r := &Run{Servers: 34, PerSecond: rate, Descriptors: limit, Seconds: 1, CoreShare: 0.1 + rate/1000, ResidentMB: 20}
 			r.Through.Calls, r.Through.Established = int(rate), int(rate)
 			if rate > 0 {
 				r.Added = &Added{P99: rate, Chain: []float64{1, 2}}
@@ -283,7 +283,7 @@
 
 	file := filepath.Join(t.TempDir(), "r.json")
 	report.Runs[0].Load, report.Runs[1].Load = "12.4 and 3.0", "2.6 and 1.0"
-	report.Runs[1].Stolen = 1.5
+	report.Runs[1].StealCores = 1.5
 	report.Stamp("command", "nothing", time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC))
 	require.NoError(t, report.WriteFile(file))
 	back, err := ReadFile(file)
@@ -322,7 +322,7 @@
 		require.Equal(t, r.Through.Calls, r.Added.Pairs)
 		require.Positive(t, r.Added.P50)
 		require.Positive(t, r.ResidentMB)
-		require.GreaterOrEqual(t, r.Held, 4+2)
+		require.GreaterOrEqual(t, r.DescriptorsHeld, 4+2)
 	})
 	t.Run("with fewer descriptors than servers callers are served", func(t *testing.T) {
 		l := l
@@ -330,11 +330,11 @@
 		r, err := l.Run(t.Context())
 		require.NoError(t, err)
 		require.Positive(t, r.Through.Calls)
-		require.Zero(t, r.Through.Silent, "each call has its answer")
+		require.Zero(t, r.Through.Unanswered, "each call has its answer")
 		require.Zero(t, r.Through.Unsent, "callers have their connections")
-		require.Zero(t, r.CallersEnded)
+		require.Zero(t, r.CallerConnectionsClosed)
 		require.Positive(t, r.Through.Established)
-		require.LessOrEqual(t, r.Held, 64)
+		require.LessOrEqual(t, r.DescriptorsHeld, 64)
 		require.Equal(t, r.Direct.Calls, r.Direct.Established)
 	})
 	t.Run("the process is gone after its end", func(t *testing.T) {
--- a/internal/latencylab/plan.go
+++ b/internal/latencylab/plan.go
@@ -12,8 +12,8 @@
 	Sizes     []int     // servers that the gatekeeper knows
 	Rates     []float64 // calls a second; 0: nothing but the servers' states
 	Repeats   int
-	Tell      func(*Run) // each run as it ends; may be nil
-	MostCalls int        // servers that take calls, at most
+	Progress  func(*Run) // each run as it ends; may be nil
+	MaxActive int        // servers that take calls, at most
 }
 
 // Run plays the plan. Repetitions go round: each size and rate once, then again, so that a busy spell of the machine does not
@@ -25,15 +25,15 @@
 		for _, size := range p.Sizes {
 			for _, rate := range p.Rates {
 				one := p.Latency
-				one.Servers, one.PerSecond, one.Active = size, rate, min(p.MostCalls, size)
+				one.Servers, one.PerSecond, one.Active = size, rate, min(p.MaxActive, size)
 				one.Seed = p.Seed + uint64(repeat)
 				var run *Run
 				if run, err = one.Run(ctx); err != nil {
 					break
 				}
 				report.Runs = append(report.Runs, run)
-				if p.Tell != nil {
-					p.Tell(run)
+				if p.Progress != nil {
+					p.Progress(run)
 				}
 			}
 			if err != nil {
@@ -102,8 +102,8 @@
 // sizeFigures are series of the servers known, over the runs at the highest rate.
 var sizeFigures = []figure{
 	{"resident_mb", "MB", func(r *Run) (float64, bool) { return r.ResidentMB, true }},
-	{"descriptors_held", "descriptors", func(r *Run) (float64, bool) { return float64(r.Held), true }},
-	{"seconds_to_serving", "s", func(r *Run) (float64, bool) { return r.UpSeconds, true }},
+	{"descriptors_held", "descriptors", func(r *Run) (float64, bool) { return float64(r.DescriptorsHeld), true }},
+	{"seconds_to_serving", "s", func(r *Run) (float64, bool) { return r.SecondsToServing, true }},
 }
 
 // PlannedDescriptors is the limit of a gatekeeper on the platform. Series of runs with another limit say so in their names.
@@ -142,7 +142,7 @@
 		report.series(f.name+suffix, f, "servers known", sizes, runs,
 			func(r *Run, n int) bool { return int(r.PerSecond) == highest && r.Servers == n })
 	}
-	core := figure{"core_part", "of a core", func(r *Run) (float64, bool) { return r.CorePart, true }}
+	core := figure{"core_part", "of a core", func(r *Run) (float64, bool) { return r.CoreShare, true }}
 	for _, size := range sizes {
 		name := fmt.Sprintf("core_part_at_%d_servers%s", size, suffix)
 		report.series(name, core, "calls a second", rates, runs,
@@ -186,7 +186,7 @@
 	for _, r := range runs {
 		if r.Servers == size {
 			rates[r.PerSecond] = true
-			x, y = append(x, float64(r.Through.Established)/r.Seconds), append(y, r.CorePart)
+			x, y = append(x, float64(r.Through.Established)/r.Seconds), append(y, r.CoreShare)
 		}
 	}
 	if len(rates) < ratesForFit {
--- a/internal/latencylab/series.go
+++ b/internal/latencylab/series.go
@@ -67,7 +67,7 @@
 		if load, err := strconv.ParseFloat(first, 64); err == nil {
 			least, most = min(least, load), max(most, load)
 		}
-		mostStolen = max(mostStolen, r.Stolen)
+		mostStolen = max(mostStolen, r.StealCores)
 	}
 	text := fmt.Sprintf("load average (1 min) of %d cores before the %d runs: %.1f to %.1f", runtime.NumCPU(), len(runs), least, most)
 	if mostStolen > 0 { // runs of earlier versions do not tell it
@@ -108,7 +108,7 @@
 	return fields[0] + " and " + fields[1]
 }
 
-// Beside describes what else ran, from the load averages before and after a measurement.
-func Beside(before, after string, cores int) string {
+// DescribeLoad describes what else ran, from the load averages before and after a measurement.
+func DescribeLoad(before, after string, cores int) string {
 	return fmt.Sprintf("load average (1 min, 5 min) of %d cores: %s before, %s after", cores, before, after)
 }
--- a/internal/latencylab/steps.go
+++ b/internal/latencylab/steps.go
@@ -36,10 +36,10 @@
 
 // Steps measures the pure steps of the program at growing sizes.
 type Steps struct {
-	Repeats int           // values of each point
-	Span    time.Duration // of each value
-	Only    string        // part of the names to measure; "": all
-	Tell    func(string)  // progress; may be nil
+	Repeats  int           // values of each point
+	Span     time.Duration // of each value
+	Only     string        // part of the names to measure; "": all
+	Progress func(string)  // progress; may be nil
 }
 
 // step is one series to measure. prepare builds the state for a size; its note goes to the point.
@@ -68,8 +68,8 @@
 			}
 			series.Points = append(series.Points, point)
 			slow := step.count == nil && len(point.Values) == 1 && s.Repeats > 1
-			if s.Tell != nil {
-				s.Tell(fmt.Sprintf("%s at %d: %.4g %s %s", step.name, n, median(point.Values), step.unit, point.Note))
+			if s.Progress != nil {
+				s.Progress(fmt.Sprintf("%s at %d: %.4g %s %s", step.name, n, median(point.Values), step.unit, point.Note))
 			}
 			if slow {
 				last := &series.Points[len(series.Points)-1]
