--- a/cmd/beammux/lab_scale.go
+++ b/cmd/beammux/lab_scale.go
@@ -50,7 +50,7 @@
 		return options, err
 	}
 	options = scalelab.Options{Gatekeepers: c.Gatekeepers, Control: c.Control, Voters: min(c.Voters, c.Control), Regions: c.Regions, Zones: c.Zones,
-		Services: c.Services, Hollow: min(c.Processes, c.Gatekeepers), Seed: c.Seed, Length: c.Length, ChangesADay: c.ChangesPerDay, Factor: c.Factor,
+		Services: c.Services, HollowProcesses: min(c.Processes, c.Gatekeepers), Seed: c.Seed, Length: c.Length, ChangesADay: c.ChangesPerDay, Factor: c.Factor,
 		RecordBytes: c.RecordBytes, RegisterBytes: c.RegisterBytes, Faults: faults, Site: c.Site, Beside: c.Beside, Command: "beammux " + strings.Join(os.Args[1:], " "),
 		Admission: scalelab.Admission{Sessions: c.MostSessions, SessionsPerS: c.Sessions, SessionsBurst: int(c.Sessions),
 			SnapshotsPerS: c.Snapshots, SnapshotsBurst: int(c.Snapshots)},
@@ -107,7 +107,7 @@
 	switch {
 	case report.Stopped:
 		return withExitCode(errors.New("stopped early: the rest of the run was not checked"), 130)
-	case !report.Held():
+	case !report.Passed():
 		return silentExit(1)
 	}
 	return nil
--- a/cmd/beammux/lab_scale_test.go
+++ b/cmd/beammux/lab_scale_test.go
@@ -36,7 +36,7 @@
 	var r scalelab.Report
 	require.NoError(t, json.Unmarshal(text, &r))
 	require.True(t, r.Stopped)
-	require.False(t, r.Held())
+	require.False(t, r.Passed())
 }
 
 // processesIn lists the processes with a given working directory.
--- a/internal/scalelab/faults.go
+++ b/internal/scalelab/faults.go
@@ -157,7 +157,7 @@
 		}
 		lost++
 		command := hollow.Command{Do: hollow.Restart, Name: g.Name, Down: f.For}
-		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
+		if err := l.hollows[i%l.options.HollowProcesses].tell(command); err != nil {
 			return "", err
 		}
 	}
@@ -255,7 +255,7 @@
 			return "", err
 		}
 		command := hollow.Command{Do: hollow.Restart, Name: l.plan.gatekeepers[i].Name, Down: restartDown}
-		if err := l.hollows[i%l.options.Hollow].tell(command); err != nil {
+		if err := l.hollows[i%l.options.HollowProcesses].tell(command); err != nil {
 			return "", err
 		}
 	}
--- a/internal/scalelab/hollows.go
+++ b/internal/scalelab/hollows.go
@@ -196,7 +196,7 @@
 	for _, m := range machines {
 		c.Replicas = append(c.Replicas, m.Replica)
 	}
-	for i := n; i < len(p.gatekeepers); i += o.Hollow {
+	for i := n; i < len(p.gatekeepers); i += o.HollowProcesses {
 		c.Gatekeepers = append(c.Gatekeepers, p.gatekeepers[i])
 	}
 	return c
--- a/internal/scalelab/plan.go
+++ b/internal/scalelab/plan.go
@@ -24,21 +24,21 @@
 
 // Options say what is run.
 type Options struct {
-	Program     string // path of this program
-	Env         []string
-	Dir         string // for files and logs; it must exist
-	Gatekeepers int
-	Control     int // machines; 0: no control plane
-	Voters      int
-	Regions     int
-	Zones       int
-	Services    int
-	Hollow      int // processes that hold the gatekeepers
-	Seed        uint64
-	Length      time.Duration // of the measured time
-	ChangesADay float64
-	Factor      float64 // changes come so many times as often
-	RecordBytes int     // of each of the two records of a change
+	Program         string // path of this program
+	Env             []string
+	Dir             string // for files and logs; it must exist
+	Gatekeepers     int
+	Control         int // machines; 0: no control plane
+	Voters          int
+	Regions         int
+	Zones           int
+	Services        int
+	HollowProcesses int // processes that hold the gatekeepers
+	Seed            uint64
+	Length          time.Duration // of the measured time
+	ChangesADay     float64
+	Factor          float64 // changes come so many times as often
+	RecordBytes     int     // of each of the two records of a change
 	// RegisterBytes bounds what a gatekeeper sends of registers, bytes a second; 0: no bound.
 	RegisterBytes float64
 	Faults        []script.Fault
@@ -72,7 +72,7 @@
 		v, least, most int
 	}{
 		{"gatekeepers", o.Gatekeepers, 1, MostGatekeepers}, {"control", o.Control, 0, MostControl}, {"voters", o.Voters, min(1, o.Control), o.Control},
-		{"regions", o.Regions, 1, 64}, {"zones", o.Zones, o.Regions, 256}, {"services", o.Services, 1, 4096}, {"processes", o.Hollow, 1, MostHollow},
+		{"regions", o.Regions, 1, 64}, {"zones", o.Zones, o.Regions, 256}, {"services", o.Services, 1, 4096}, {"processes", o.HollowProcesses, 1, MostHollow},
 		{"record-bytes", o.RecordBytes, 0, 1 << 20},
 	} {
 		if bound.v < bound.least || bound.v > bound.most {
@@ -175,7 +175,7 @@
 	if o.With.Limits {
 		each++
 	}
-	share := (o.Gatekeepers + o.Hollow - 1) / o.Hollow
+	share := (o.Gatekeepers + o.HollowProcesses - 1) / o.HollowProcesses
 	return share*each + 64
 }
 
--- a/internal/scalelab/report.go
+++ b/internal/scalelab/report.go
@@ -185,8 +185,8 @@
 	SessionsOverShare float64 `json:"sessions_max_over_share"`
 }
 
-// Held tells whether the run was whole and every rule held.
-func (r *Report) Held() bool { return !r.Stopped && r.Judge.Held }
+// Passed tells whether the run was whole and every rule held.
+func (r *Report) Passed() bool { return !r.Stopped && r.Judge.Held }
 
 // Table is the report for people.
 func (r *Report) Table() string {
--- a/internal/scalelab/run.go
+++ b/internal/scalelab/run.go
@@ -166,7 +166,7 @@
 // openHollows starts the hollow processes, which start their gatekeepers.
 func (l *laboratory) openHollows() error {
 	o := l.options
-	o.progress(time.Since(l.began), fmt.Sprintf("%d gatekeepers start in %d processes, over %v", o.Gatekeepers, o.Hollow, o.startOver()))
+	o.progress(time.Since(l.began), fmt.Sprintf("%d gatekeepers start in %d processes, over %v", o.Gatekeepers, o.HollowProcesses, o.startOver()))
 	var machines []*machine
 	if l.plane != nil {
 		machines = l.plane.machines
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	for i := range o.Hollow {
+	for i := range o.HollowProcesses {
 		c := hollowConfig(o, l.plan, machines, l.began, i)
 		c.Groups = groups
 		h, err := startHollow(o, i, c, l.record)
@@ -268,7 +268,7 @@
 		}
 		missing = max(missing, p.Missing)
 	}
-	if len(l.record.pulses) < l.options.Hollow {
+	if len(l.record.pulses) < l.options.HollowProcesses {
 		met, missing = -1, -1
 	}
 	return len(l.record.inForce), met, missing
--- a/internal/scalelab/scalelab_test.go
+++ b/internal/scalelab/scalelab_test.go
@@ -52,14 +52,14 @@
 		t.Skip("starts processes for half a minute")
 	}
 	const length = 20 * time.Second
-	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 50, Control: 5, Voters: 5, Regions: 3, Zones: 6, Services: 65, Hollow: 4,
+	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 50, Control: 5, Voters: 5, Regions: 3, Zones: 6, Services: 65, HollowProcesses: 4,
 		Seed: 3, Length: length, ChangesADay: 2800, Factor: 20, RecordBytes: recordBytes,
 		Faults:    []script.Fault{{Kind: script.KillLeader, At: 4 * time.Second, For: 6 * time.Second}},
 		Admission: Admission{SessionsPerS: 50, SessionsBurst: 50, SnapshotsPerS: 50, SnapshotsBurst: 50}}
 	r, err := Run(t.Context(), o)
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
-	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
+	require.True(t, r.Passed(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
 
 	rate := 2800 * 20 / 86400.
 	require.InDelta(t, rate*length.Seconds(), r.Settings.Changes, 4, "changes came at another pace")
@@ -87,14 +87,14 @@
 	if testing.Short() {
 		t.Skip("starts processes for half a minute")
 	}
-	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 30, Control: 3, Voters: 3, Regions: 3, Zones: 3, Services: 5, Hollow: 2,
+	o := Options{Program: program(t), Dir: t.TempDir(), Gatekeepers: 30, Control: 3, Voters: 3, Regions: 3, Zones: 3, Services: 5, HollowProcesses: 2,
 		Seed: 5, Length: 14 * time.Second, ChangesADay: 2800, Factor: 40, RecordBytes: recordBytes,
 		Faults:    []script.Fault{{Kind: script.RemakeControl, At: 3 * time.Second, For: time.Second}},
 		Admission: Admission{SessionsPerS: 50, SessionsBurst: 50, SnapshotsPerS: 50, SnapshotsBurst: 50}}
 	r, err := Run(t.Context(), o)
 	require.NoError(t, err)
 	t.Log("\n" + r.Table())
-	require.True(t, r.Held(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
+	require.True(t, r.Passed(), "%v %v %v", r.Judge.Counts, r.Judge.First, r.Judge.Problems)
 	require.Len(t, r.Faults, 1)
 	require.Contains(t, r.Faults[0].What, "2 records of a backup")
 	require.GreaterOrEqual(t, r.Settings.Changes, 10)
@@ -161,7 +161,7 @@
 }
 
 func TestOptionsAreBounded(t *testing.T) {
-	good := Options{Gatekeepers: 50, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, Hollow: 6, Length: time.Minute, ChangesADay: 2800, Factor: 20}
+	good := Options{Gatekeepers: 50, Control: 13, Voters: 5, Regions: 3, Zones: 6, Services: 65, HollowProcesses: 6, Length: time.Minute, ChangesADay: 2800, Factor: 20}
 	require.NoError(t, good.Check())
 	for want, spoil := range map[string]func(o *Options){
 		"--gatekeepers: 0 is not 1 to":       func(o *Options) { o.Gatekeepers = 0 },
@@ -174,14 +174,14 @@
 		"registers ride on membership":       func(o *Options) { o.With.Registers = true },
 		"groups are those of membership":     func(o *Options) { o.With.Groups = true },
 		"and the faults end at 2m0s":         func(o *Options) { o.Faults = []script.Fault{{At: time.Minute, For: time.Minute}} },
-		"--processes: 17 is not 1 to 16":     func(o *Options) { o.Hollow = 17 },
+		"--processes: 17 is not 1 to 16":     func(o *Options) { o.HollowProcesses = 17 },
 		"--record-bytes: -1 is not 0 to 104": func(o *Options) { o.RecordBytes = -1 },
 	} {
 		o := good
 		spoil(&o)
 		require.ErrorContains(t, o.Check(), want)
 	}
-	require.ErrorContains(t, checkDescriptors(&Options{Gatekeepers: 1 << 40, Hollow: 1}), "descriptors")
+	require.ErrorContains(t, checkDescriptors(&Options{Gatekeepers: 1 << 40, HollowProcesses: 1}), "descriptors")
 	require.NoError(t, checkDescriptors(&good))
 	require.LessOrEqual(t, MostControl+MostHollow+1, MostProcesses)
 }
--- a/internal/scalelab/series.go
+++ b/internal/scalelab/series.go
@@ -98,7 +98,7 @@
 
 // faultRunOf takes from a report what a table of failures needs.
 func faultRunOf(r *Report) FaultRun {
-	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Held: r.Held(), Broken: map[string]int{}, Changes: r.Settings.Changes,
+	f := FaultRun{Faults: r.Faults, N: r.Shape.Gatekeepers, Seed: r.Shape.Seed, Held: r.Passed(), Broken: map[string]int{}, Changes: r.Settings.Changes,
 		CommitP99S: r.Settings.FromCommit.P99, CommitMaxS: r.Settings.FromCommit.Max, HealedP99S: r.Settings.Healed.P99, HealedMaxS: r.Settings.Healed.Max,
 		StartMaxS: r.Gatekeepers.StartToInForce.Max, Refusals: r.Settings.Refusals, StuckCutOff: r.Settings.CutOff, StuckLeft: r.Settings.StuckNotCut,
 		ControlCPU: r.Control.CPUShare.Max, ControlRSS: r.Control.ResidentBytes.Max, OtherCores: r.Machine.OtherCores,
@@ -186,7 +186,7 @@
 	})
 	for _, r := range reports {
 		switch {
-		case r.Stopped || len(r.Faults) == 0 && !r.Held():
+		case r.Stopped || len(r.Faults) == 0 && !r.Passed():
 			return nil, fmt.Errorf("%s: stopped, or a rule broken: not for a series", r.Command)
 		case len(r.Faults) > 0:
 			file.FaultRuns = append(file.FaultRuns, faultRunOf(r))
--- a/internal/scalelab/summary.go
+++ b/internal/scalelab/summary.go
@@ -50,7 +50,7 @@
 func (l *laboratory) shape() Shape {
 	o := l.options
 	s := Shape{Gatekeepers: o.Gatekeepers, Control: o.Control, Voters: o.Voters, Regions: o.Regions, Zones: o.Zones, Services: o.Services,
-		Processes: o.Hollow, Seed: o.Seed, LengthS: o.Length.Seconds(), RecordBytes: o.RecordBytes, With: []string{}, Admission: o.Admission}
+		Processes: o.HollowProcesses, Seed: o.Seed, LengthS: o.Length.Seconds(), RecordBytes: o.RecordBytes, With: []string{}, Admission: o.Admission}
 	if every := o.changeEvery(); every > 0 {
 		s.ChangesPerS = 1 / every.Seconds()
 	}
@@ -82,7 +82,7 @@
 		return m
 	}
 	var lab time.Duration
-	for i := range l.options.Hollow {
+	for i := range l.options.HollowProcesses {
 		lab += l.hollowCPU(i)
 	}
 	for _, d := range l.controlCPU() {
@@ -253,7 +253,7 @@
 			continue
 		}
 		now[s.process] = s.Sessions
-		if len(now) < l.options.Hollow {
+		if len(now) < l.options.HollowProcesses {
 			continue
 		}
 		for _, n := range l.sumSessions(now) {
@@ -427,7 +427,7 @@
 		if s.at >= p.from && s.at <= p.until+sampleEvery {
 			f.SaidBehind = max(f.SaidBehind, behind)
 		}
-		if s.at >= p.from && s.at <= p.until+within && len(now) == l.options.Hollow {
+		if s.at >= p.from && s.at <= p.until+within && len(now) == l.options.HollowProcesses {
 			for _, n := range l.sumSessions(sessions) {
 				f.SessionsOverShare = max(f.SessionsOverShare, n/share)
 			}
