--- a/control/scope/scope.go
+++ b/control/scope/scope.go
@@ -101,7 +101,7 @@
 	return k, nil
 }
 
-// validName reports whether a name is valid in a key: 1 to MaxName bytes of UTF-8 without slashes, spaces and control
+// validName reports whether a name is valid in a key: 1 to MaxNameLength bytes of UTF-8 without slashes, spaces and control
 // characters.
 func validName(name string) bool {
 	if name == "" || len(name) > MaxNameLength || !utf8.ValidString(name) {
--- a/internal/controlmachine/figures.go
+++ b/internal/controlmachine/figures.go
@@ -16,7 +16,7 @@
 type gauges struct {
 	set *metrics.Set
 
-	mu     sync.Mutex // serializes WriteFigures, whose gauges read status
+	mu     sync.Mutex // serializes WriteMetrics, whose gauges read status
 	status store.Status
 }
 
--- a/internal/fleetlab/faults.go
+++ b/internal/fleetlab/faults.go
@@ -152,7 +152,7 @@
 // falseEvidenceFile is the name of the file in a gatekeeper's state folder that makes it report false evidence.
 const falseEvidenceFile = "lie"
 
-// rude repeatedly connects to gatekeepers from fleetcheck.RudeAddress, bypassing the relay, and sends a malformed message on
+// rude repeatedly connects to gatekeepers from fleetcheck.MalformedClientAddress, bypassing the relay, and sends a malformed message on
 // each connection.
 func (f *fleet) rude(fault script.Fault) func(context.Context) {
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/follow/faults_test.go
+++ b/internal/follow/faults_test.go
@@ -15,7 +15,7 @@
 	"beammux/internal/store"
 )
 
-// testGatekeeper is one gatekeeper of TestControlFaults.
+// testGatekeeper is one gatekeeper of TestRandomFaults.
 type testGatekeeper struct {
 	self              scope.Target
 	dir               string
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -121,7 +121,7 @@
 	offset int64 // offset of the next frame
 }
 
-// next returns the payload of the next frame, which is valid until the following call. After errSum the frame has been
+// next returns the payload of the next frame, which is valid until the following call. After errChecksum the frame has been
 // skipped and reading can continue; after any other error it cannot.
 func (f *frameReader) next() ([]byte, error) {
 	var frameHeader [frameHeaderBytes]byte
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -130,7 +130,7 @@
 	return done, err
 }
 
-// parts splits the records into transactions of at most restorePart bytes each, or of one record.
+// parts splits the records into transactions of at most restorePartSize bytes each, or of one record.
 func (b *Backup) parts() (parts [][]Record) {
 	from, size := 0, 0
 	for i, r := range b.Records {
--- a/internal/store/raise_test.go
+++ b/internal/store/raise_test.go
@@ -218,7 +218,7 @@
 	require.Less(t, r.Revision, done.Revision+100)
 }
 
-// A backup that is too large for one transaction is split into parts of at most restorePart bytes.
+// A backup that is too large for one transaction is split into parts of at most restorePartSize bytes.
 func TestBackupParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Backup{}
--- a/internal/store/session_server.go
+++ b/internal/store/session_server.go
@@ -209,7 +209,7 @@
 	return s.maxClientRevision
 }
 
-// waitForRevision waits up to behindWithin for the replica to be ready and to have applied a revision.
+// waitForRevision waits up to catchUpTimeout for the replica to be ready and to have applied a revision.
 func (s *sessionServer) waitForRevision(after uint64) error {
 	ctx, cancel := context.WithTimeout(s.ctx, catchUpTimeout)
 	defer cancel()
