--- a/control/interface.go
+++ b/control/interface.go
@@ -31,7 +31,9 @@
 
 // Class describes a class of calls.
 type Class struct {
-	LatencyTarget, Deadline Micros // both from the arrival of a call
+	// LatencyTarget is the set-up time up to which a call has its full worth. Deadline is how long a caller
+	// keeps trying, from its first try.
+	LatencyTarget, Deadline Micros
 	// Worth is the worth of a call. LateWorth is a factor on it, applied to a call that can no longer meet
 	// its latency target and to a repeated call of the same caller.
 	Worth, LateWorth float64
